--- a/squall/include/corkward/squall/rules.h
+++ b/alerting/include/corkward/alerting/rules.h
@@ -7,7 +7,7 @@
 #include <corkward/core/error.h>
 #include <corkward/core/types.h>
 
-namespace corkward::squall {
+namespace corkward::alerting {
 
 using core::Tick;
 
@@ -74,4 +74,4 @@
   std::map<std::string, State> states_;
 };
 
-}  // namespace corkward::squall
+}  // namespace corkward::alerting
--- a/squall/src/rules.cpp
+++ b/alerting/src/rules.cpp
@@ -1,4 +1,4 @@
-#include <corkward/squall/rules.h>
+#include <corkward/alerting/rules.h>
 
 #include <yaml-cpp/yaml.h>
 
@@ -9,7 +9,7 @@
 #include <set>
 #include <sstream>
 
-namespace corkward::squall {
+namespace corkward::alerting {
 
 namespace {
 
@@ -166,13 +166,13 @@
           throw Error(r["expr"] ? place(r["expr"]) + e.what() : e.what());
         }
         if (r["for"]) rule.holdFor = duration(r["for"]);
-        YAML::Node const notes = r["annotations"];
-        if (!notes) throw Error(place(r) + "annotations is missing: it names the runbook");
-        onlyKeys(notes, {"runbook", "parameters", "summary"});
-        rule.runbook = textAt(notes, "runbook");
-        if (notes["parameters"]) {
-          if (!notes["parameters"].IsMap()) throw Error(place(notes["parameters"]) + "parameters must be a mapping");
-          for (YAML::const_iterator it = notes["parameters"].begin(); it != notes["parameters"].end(); ++it)
+        YAML::Node const logEvents = r["annotations"];
+        if (!logEvents) throw Error(place(r) + "annotations is missing: it names the runbook");
+        onlyKeys(logEvents, {"runbook", "parameters", "summary"});
+        rule.runbook = textAt(logEvents, "runbook");
+        if (logEvents["parameters"]) {
+          if (!logEvents["parameters"].IsMap()) throw Error(place(logEvents["parameters"]) + "parameters must be a mapping");
+          for (YAML::const_iterator it = logEvents["parameters"].begin(); it != logEvents["parameters"].end(); ++it)
             rule.parameters[it->first.as<std::string>()] = it->second.as<std::string>();
         }
         out.push_back(std::move(rule));
@@ -241,4 +241,4 @@
   return out;
 }
 
-}  // namespace corkward::squall
+}  // namespace corkward::alerting
--- a/audit/include/corkward/audit/trail.h
+++ b/audit/include/corkward/audit/trail.h
@@ -9,13 +9,13 @@
 #include <vector>
 
 #include <corkward/core/error.h>
-#include <corkward/ledger/ledger.h>
+#include <corkward/storage/write_ahead_log.h>
 
 namespace corkward::audit {
 
 /// What became of requests, whose they were, and where they ran: what is counted together.
 struct Kind {
-  /// handed-over, resumed, served, not-run, broken or denied.
+  /// handed-over, resumed, served, not-run, broken or rejected.
   std::string what;
   std::string regime;
   std::string instance;
@@ -43,11 +43,11 @@
 };
 
 /// Writes the audit trail of one node: records in lines, each with the SHA-256 of its text, which holds the hash of the
-/// record before. Writing may throw ledger::Error.
+/// record before. Writing may throw write-ahead log::Error.
 class Trail {
  public:
   /// Goes on after the newest record in the folder; a last line that was torn is cut off. The folder must outlive it.
-  Trail(ledger::Folder& folder, std::string node, std::int64_t wall, Bounds bounds = {});
+  Trail(storage::Folder& folder, std::string node, std::int64_t wall, Bounds bounds = {});
   /// Counts one request. The first of its kind in a span is in the file when this returns, the others when the span ends.
   void count(Kind const& kind, std::int64_t wall);
   /// Writes the counts of a span that has ended.
@@ -65,7 +65,7 @@
   void writeCounts(std::int64_t wall);
   void begin(std::int64_t wall);
 
-  ledger::Folder& folder_;
+  storage::Folder& folder_;
   std::string node_;
   Bounds bounds_;
   Head head_;
@@ -102,9 +102,9 @@
 };
 
 /// Reads a trail and checks that each record is as it was written and follows the one before.
-TrailView readTrail(ledger::Folder& folder);
+TrailView readTrail(storage::Folder& folder);
 
-/// What ran where, what was denied and what resumed, by regime and span of time, from the trails of all nodes.
+/// What ran where, what was rejected and what resumed, by regime and span of time, from the trails of all nodes.
 struct Ask {
   /// Empty: all.
   std::string regime;
--- a/audit/src/lines.h
+++ b/audit/src/lines.h
@@ -20,7 +20,7 @@
 
 std::vector<Line> readLines(std::string const& text);
 /// Files of a trail, oldest first.
-std::vector<std::string> trailFiles(ledger::Folder& folder);
+std::vector<std::string> trailFiles(storage::Folder& folder);
 std::string hashOf(std::string const& text);
 std::string timeText(std::int64_t wall);
 
--- a/audit/src/report.cpp
+++ b/audit/src/report.cpp
@@ -67,7 +67,7 @@
   return out;
 }
 
-TrailView readTrail(ledger::Folder& folder) {
+TrailView readTrail(storage::Folder& folder) {
   TrailView out;
   std::vector<std::string> const files = trailFiles(folder);
   for (std::string const& file : files) {
--- a/audit/src/trail.cpp
+++ b/audit/src/trail.cpp
@@ -27,7 +27,7 @@
   return QCryptographicHash::hash(QByteArray::fromStdString(text), QCryptographicHash::Sha256).toHex().toStdString();
 }
 
-std::vector<std::string> trailFiles(ledger::Folder& folder) {
+std::vector<std::string> trailFiles(storage::Folder& folder) {
   std::vector<std::string> out;
   for (std::string const& name : folder.list())
     if (name.rfind(prefix, 0) == 0) out.push_back(name);
@@ -64,7 +64,7 @@
   return out;
 }
 
-Trail::Trail(ledger::Folder& folder, std::string node, std::int64_t wall, Bounds bounds)
+Trail::Trail(storage::Folder& folder, std::string node, std::int64_t wall, Bounds bounds)
     : folder_(folder), node_(std::move(node)), bounds_(bounds), files_(trailFiles(folder)), span_(wall - wall % spanMs) {
   for (std::size_t i = files_.size(); i > 0 && head_.number == 0; --i) {
     std::vector<Line> lines = readLines(folder_.read(files_[i - 1]));
--- a/audit/test/trail_test.cpp
+++ b/audit/test/trail_test.cpp
@@ -10,11 +10,11 @@
 
 namespace core = corkward::core;
 namespace audit = corkward::audit;
-namespace ledger = corkward::ledger;
+namespace storage = corkward::storage;
 
 namespace {
 
-class MemoryFolder : public ledger::Folder {
+class MemoryFolder : public storage::Folder {
  public:
   std::map<std::string, std::string> files;
   bool full = false;
@@ -27,7 +27,7 @@
   std::string read(std::string const& name) override { return files.at(name); }
   void append(std::string const& name, std::string const& bytes) override {
     files[name] += full ? bytes.substr(0, bytes.size() / 2) : bytes;
-    if (full) throw ledger::Error("full");
+    if (full) throw storage::Error("full");
   }
   void sync(std::string const&) override {}
   void rename(std::string const& from, std::string const& to) override {
@@ -43,7 +43,7 @@
 
 audit::Kind handed(std::string const& life) { return audit::Kind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", life, "z1", "c1", {}}; }
 
-audit::Kind denied() {
+audit::Kind rejected() {
   audit::Kind k;
   k.what = "denied";
   k.regime = "health";
@@ -79,8 +79,8 @@
   CHECK(countsOf(reportOf(folder), "health") == std::map<std::string, qint64>{{"handed-over r1", 6}, {"handed-over r2", 1}});
   trail.count(handed("r1"), noon + audit::spanMs + 1);
   CHECK(countsOf(reportOf(folder), "health")["handed-over r1"] == 7);
-  trail.count(denied(), noon + audit::spanMs + 2);
-  trail.count(denied(), noon + audit::spanMs + 2);
+  trail.count(rejected(), noon + audit::spanMs + 2);
+  trail.count(rejected(), noon + audit::spanMs + 2);
   trail.close(noon + audit::spanMs + 3);
   CHECK(countsOf(reportOf(folder), "health")["denied "] == 2);
   CHECK(reportOf(folder).value("whole").toBool());
@@ -230,7 +230,7 @@
   MemoryFolder folder;
   audit::Trail trail(folder, "n1", noon);
   folder.full = true;
-  CHECK_THROWS_AS(trail.count(handed("r1"), noon), ledger::Error);
+  CHECK_THROWS_AS(trail.count(handed("r1"), noon), storage::Error);
   folder.full = false;
   trail.count(handed("r1"), noon);
   QJsonObject const out = reportOf(folder);
--- a/blueprint/include/corkward/blueprint/blueprint.h
+++ b/config/include/corkward/config/config.h
@@ -9,9 +9,9 @@
 #include <corkward/core/error.h>
 #include <corkward/core/types.h>
 
-namespace corkward::blueprint {
+namespace corkward::config {
 
-/// A blueprint that is valid JSON but not a valid template, instance, pool or zone; says the place as a JSON pointer.
+/// A configuration that is valid JSON but not a valid template, instance, pool or zone; says the place as a JSON pointer.
 class Error : public core::Error {
  public:
   Error(std::string pointer, std::string reason)
@@ -27,7 +27,7 @@
 /// Classes of requests, in the order in which they get their first words.
 enum class Class { urgent, quick, bulk };
 
-/// What a class is called in blueprints, its aim for the first word and its deadline unless a path says otherwise.
+/// What a class is called in configurations, its aim for the first word and its deadline unless a path says otherwise.
 struct ClassRow {
   std::string_view name;
   Class cls;
@@ -44,13 +44,13 @@
   std::uint32_t weight = 1;
 };
 
-/// One path, ready to be served: of an instance, or of the whole blueprint.
+/// One path, ready to be served: of an instance, or of the whole configuration.
 struct Path {
-  /// Instance, or the path's own name in the whole blueprint.
+  /// Instance, or the path's own name in the whole configuration.
   std::string instance;
-  /// Path below the instance; empty in the whole blueprint.
+  /// Path below the instance; empty in the whole configuration.
   std::string path;
-  /// Host and path prefix by which a request finds a path of the whole blueprint; empty for an instance's path.
+  /// Host and path prefix by which a request finds a path of the whole configuration; empty for an instance's path.
   std::string host;
   std::string prefix;
   std::string pool;
@@ -75,7 +75,7 @@
   std::string regime;
 };
 
-/// What the whole blueprint says of a pool.
+/// What the whole configuration says of a pool.
 struct PoolTerms {
   std::string name;
   /// Connections that one replica takes from all callers.
@@ -88,33 +88,33 @@
   std::int64_t tokens = 0;
 };
 
-/// Bounds of the callers' door; 0: not said.
-struct DoorTerms {
+/// Bounds of the callers' HTTP edge; 0: not said.
+struct HttpTerms {
   std::uint32_t headBytes = 0;
   std::uint64_t bodyBytes = 0;
   core::Tick headMs = 0;
   core::Tick idleMs = 0;
-  bool operator==(DoorTerms const&) const = default;
+  bool operator==(HttpTerms const&) const = default;
 };
 
-/// The whole blueprint: one value under one rising version.
+/// The whole configuration: one value under one rising version.
 struct Whole {
   std::uint64_t version = 0;
   std::vector<Path> paths;
   std::vector<PoolTerms> pools;
-  DoorTerms door;
+  HttpTerms http;
 };
 
-/// Key of the whole blueprint.
+/// Key of the whole configuration.
 inline constexpr char const* wholeKey = "blueprint";
 
-/// Reads and checks a whole blueprint; throws Error.
+/// Reads and checks a whole configuration; throws Error.
 Whole readWhole(QJsonObject const& spec);
-/// The whole blueprint after a change of named items:
+/// The whole configuration after a change of named items:
 /// {"version", "set": {"paths": [...], "pools": [...]}, "drop": {"paths": [names], "pools": [names]}}; throws Error.
 QJsonObject patchWhole(QJsonObject const& current, QJsonObject const& patch);
 
-/// Limits of a blueprint; texts in bytes.
+/// Limits of a configuration; texts in bytes.
 inline constexpr std::size_t maxText = 128;
 inline constexpr std::size_t maxPools = 2000;
 inline constexpr std::size_t maxPaths = 10000;
@@ -137,7 +137,7 @@
 
 /// Checks a family (a template and all its instances) as one value; throws Error at the first fault.
 /// Every kept value may carry "changes", the ids of the last accepted changes.
-/// Family: {"template": {"spec", "stamp"}, "instances": {name: {"spec", "stamp"}}, "changes": [...]}.
+/// Family: {"template": {"spec", "revision"}, "instances": {name: {"spec", "revision"}}, "changes": [...]}.
 void checkFamily(QJsonObject const& family, PoolKnown const& known, RegimeFaultOf const& regimeFault);
 
 /// Paths of all instances of a family. The family must be a checked one.
@@ -171,4 +171,4 @@
 /// The list as readPool reads it.
 QJsonObject poolJson(Pool const& pool);
 
-}  // namespace corkward::blueprint
+}  // namespace corkward::configuration
--- a/blueprint/include/corkward/blueprint/regimes.h
+++ b/config/include/corkward/config/regimes.h
@@ -7,18 +7,18 @@
 #include <string>
 #include <vector>
 
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 
-namespace corkward::blueprint {
+namespace corkward::config {
 
 /// Milliseconds of wall time since 1970, UTC; nothing: not known, and then nothing is certified.
 using Wall = std::optional<std::int64_t>;
 
 /// What the carriers of a certificate are.
-enum class Carrier { replicas, nacelles };
+enum class Carrier { replicas, routers };
 
 /// A certificate for one regime. Of replicas: for each life that the platform lists in that zone of that pool, or for one
-/// life alone. Of nacelles: for each in that zone, or for the one with that link in that zone. An address alone carries none.
+/// life alone. Of routers: for each in that zone, or for the one with that link in that zone. An address alone carries none.
 struct Certificate {
   std::string name;
   std::string regime;
@@ -28,7 +28,7 @@
   /// Address and life go together; both empty: each life in that zone of the pool.
   std::string address;
   std::string life;
-  /// Empty: each nacelle in the zone.
+  /// Empty: each router in the zone.
   std::string link;
   std::int64_t from = 0;
   std::int64_t until = 0;
@@ -36,8 +36,8 @@
 
 /// What a regime demands.
 struct Regime {
-  /// Only certified nacelles hand its requests on.
-  bool certifiedNacelles = true;
+  /// Only certified routers hand its requests on.
+  bool certifiedRouters = true;
   /// Share of a certified replica's room that work of no regime leaves free; 1: it never goes there.
   double reserve = 0.5;
 };
@@ -65,8 +65,8 @@
 /// The certificate under which this replica may have requests of the regime now; null: none, or in doubt. A replica whose
 /// life is not told has none.
 Certificate const* certifies(Regimes const& regimes, std::string const& regime, std::string const& pool, Replica const& replica, Wall now);
-/// Whether this nacelle may hand requests of the regime on now.
-bool nacelleMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone, Wall now);
+/// Whether this router may hand requests of the regime on now.
+bool routerMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone, Wall now);
 
 /// Why no request of the regime could be served in the pool, as a JSON pointer into the regimes and a reason; nothing:
 /// it can. Without a time only what has no certificate at all is a fault.
@@ -85,4 +85,4 @@
 /// What the paths want of regimes, each once.
 std::vector<RegimeUse> regimeUses(std::vector<Path> const& paths);
 
-}  // namespace corkward::blueprint
+}  // namespace corkward::configuration
--- a/blueprint/src/checks.h
+++ b/config/src/checks.h
@@ -5,10 +5,10 @@
 #include <initializer_list>
 #include <string>
 
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 #include <corkward/core/json.h>
 
-namespace corkward::blueprint {
+namespace corkward::config {
 
 /// Denies fields that are not among the allowed ones.
 inline void onlyFields(QJsonObject const& o, std::initializer_list<char const*> allowed, std::string const& at) {
@@ -24,4 +24,4 @@
   return v.isDouble() && v.toDouble() == static_cast<double>(v.toInteger());
 }
 
-}  // namespace corkward::blueprint
+}  // namespace corkward::configuration
--- a/blueprint/src/blueprint.cpp
+++ b/config/src/config.cpp
@@ -1,4 +1,4 @@
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 
 #include <QJsonArray>
 #include <QStringList>
@@ -12,7 +12,7 @@
 
 #include "checks.h"
 
-namespace corkward::blueprint {
+namespace corkward::config {
 
 namespace {
 
@@ -315,4 +315,4 @@
   return out;
 }
 
-}  // namespace corkward::blueprint
+}  // namespace corkward::configuration
--- a/blueprint/src/regimes.cpp
+++ b/config/src/regimes.cpp
@@ -1,4 +1,4 @@
-#include <corkward/blueprint/regimes.h>
+#include <corkward/config/regimes.h>
 
 #include <QDateTime>
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 #include "checks.h"
 
-namespace corkward::blueprint {
+namespace corkward::config {
 
 namespace {
 
@@ -57,9 +57,9 @@
   onlyFields(row, {"nacelles", "reserve", "note"}, at);
   noteAt(row, at);
   Regime out;
-  QString const nacelles = row.value("nacelles").toString();
-  if (nacelles != QLatin1String("certified") && nacelles != QLatin1String("any")) throw Error(at + "/nacelles", "must be certified or any");
-  out.certifiedNacelles = nacelles == QLatin1String("certified");
+  QString const routers = row.value("nacelles").toString();
+  if (routers != QLatin1String("certified") && routers != QLatin1String("any")) throw Error(at + "/nacelles", "must be certified or any");
+  out.certifiedRouters = routers == QLatin1String("certified");
   if (row.contains("reserve")) {
     out.reserve = row.value("reserve").toDouble(-1);
     if (!(out.reserve >= 0 && out.reserve <= 1)) throw Error(at + "/reserve", "must be a number from 0 to 1");
@@ -74,9 +74,9 @@
   if (carrier == QLatin1String("replicas"))
     out.carrier = Carrier::replicas;
   else if (carrier == QLatin1String("nacelles"))
-    out.carrier = Carrier::nacelles;
+    out.carrier = Carrier::routers;
   else
-    throw Error(at + "/carrier", "must be replicas or nacelles");
+    throw Error(at + "/carrier", "must be replicas or routers");
   bool const replicas = out.carrier == Carrier::replicas;
   if (replicas)
     onlyFields(row, {"regime", "carrier", "pool", "zone", "address", "life", "from", "until", "note"}, at);
@@ -141,13 +141,13 @@
   return nullptr;
 }
 
-bool nacelleMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone, Wall now) {
+bool routerMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone, Wall now) {
   std::map<std::string, Regime>::const_iterator const it = regimes.regimes.find(regime);
   if (it == regimes.regimes.end() || !now) return false;
-  if (!it->second.certifiedNacelles) return true;
+  if (!it->second.certifiedRouters) return true;
   return std::any_of(regimes.certificates.begin(), regimes.certificates.end(), [&](std::map<std::string, Certificate>::value_type const& entry) {
     Certificate const& c = entry.second;
-    return c.carrier == Carrier::nacelles && c.regime == regime && c.zone == zone && (c.link.empty() || c.link == link) && counts(c, now);
+    return c.carrier == Carrier::routers && c.regime == regime && c.zone == zone && (c.link.empty() || c.link == link) && counts(c, now);
   });
 }
 
@@ -155,15 +155,15 @@
   std::map<std::string, Regime>::const_iterator const it = regimes.regimes.find(regime);
   if (it == regimes.regimes.end()) return RegimeFault{"/regimes/" + regime, "no regime named " + regime};
   bool replicas = false;
-  bool nacelles = !it->second.certifiedNacelles;
+  bool routers = !it->second.certifiedRouters;
   for (std::map<std::string, Certificate>::value_type const& entry : regimes.certificates) {
     Certificate const& c = entry.second;
     if (c.regime != regime || (now && *now >= c.until - wallMargin)) continue;
     replicas = replicas || (c.carrier == Carrier::replicas && c.pool == pool);
-    nacelles = nacelles || c.carrier == Carrier::nacelles;
+    routers = routers || c.carrier == Carrier::routers;
   }
   if (!replicas) return RegimeFault{"/certificates", "regime " + regime + " has no certificate in force for replicas of pool " + pool};
-  if (!nacelles) return RegimeFault{"/certificates", "regime " + regime + " has no certificate in force for any nacelle"};
+  if (!routers) return RegimeFault{"/certificates", "regime " + regime + " has no certificate in force for any router"};
   return std::nullopt;
 }
 
@@ -175,4 +175,4 @@
   return out;
 }
 
-}  // namespace corkward::blueprint
+}  // namespace corkward::configuration
--- a/blueprint/src/whole.cpp
+++ b/config/src/whole.cpp
@@ -7,14 +7,14 @@
 
 #include "checks.h"
 
-namespace corkward::blueprint {
+namespace corkward::config {
 
 namespace {
 
 using core::str;
 
 constexpr core::Tick never = std::numeric_limits<core::Tick>::max();
-/// Largest number of milliseconds, bytes, tokens or requests that a blueprint may say.
+/// Largest number of milliseconds, bytes, tokens or requests that a configuration may say.
 constexpr qint64 mostNumber = qint64{1} << 40;
 constexpr qint64 mostCount = qint64{1} << 30;
 constexpr qint64 mostVersion = qint64{1} << 53;
@@ -161,12 +161,12 @@
   return out;
 }
 
-DoorTerms readDoor(QJsonValue const& v) {
+HttpTerms readHttp(QJsonValue const& v) {
   if (v.isUndefined()) return {};
   if (!v.isObject()) throw Error("/door", "must be an object");
   QJsonObject const row = v.toObject();
   onlyFields(row, {"headBytes", "bodyBytes", "headMs", "idleMs"}, "/door");
-  DoorTerms out;
+  HttpTerms out;
   out.headBytes = static_cast<std::uint32_t>(integer(row, "headBytes", 0, mostCount, 0, "/door"));
   out.bodyBytes = static_cast<std::uint64_t>(integer(row, "bodyBytes", 0, mostNumber, 0, "/door"));
   out.headMs = integer(row, "headMs", 0, mostNumber, 0, "/door");
@@ -233,7 +233,7 @@
     if (!names.insert(p.instance).second) throw Error(at + "/name", "stands twice");
     if (!places.emplace(p.host, p.prefix).second) throw Error(at + "/prefix", "another path has the same host and prefix");
   }
-  out.door = readDoor(spec.value("door"));
+  out.http = readHttp(spec.value("door"));
   objectIfSaid(spec, "extra", "");
   return out;
 }
@@ -256,4 +256,4 @@
   return out;
 }
 
-}  // namespace corkward::blueprint
+}  // namespace corkward::configuration
--- a/blueprint/test/blueprint_test.cpp
+++ b/config/test/config_test.cpp
@@ -1,10 +1,10 @@
 #include <catch2/catch.hpp>
 
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 #include <corkward/core/json.h>
 
 namespace core = corkward::core;
-namespace blueprint = corkward::blueprint;
+namespace config = corkward::config;
 
 namespace {
 
@@ -28,17 +28,17 @@
 TEST_CASE("a template and its instances render to paths") {
   QJsonObject const f = family(good, R"({"nord":{"spec":{"parameters":{"farm":"nord-7"}},"stamp":2},
                                          "sued":{"spec":{"parameters":{"farm":"sued","aim":60}},"stamp":3}})");
-  blueprint::checkFamily(f, known, noRegime);
-  std::vector<blueprint::Path> const paths = blueprint::render("fault", f);
+  config::checkFamily(f, known, noRegime);
+  std::vector<config::Path> const paths = config::render("fault", f);
   REQUIRE(paths.size() == 6);
   CHECK(paths[0].instance == "fault.nord");
   CHECK(paths[0].path == "narrate/nord-7");
   CHECK(paths[1].aim == 500);
   CHECK(paths[4].aim == 60);
-  CHECK(paths[2].cls == blueprint::Class::urgent);
+  CHECK(paths[2].cls == config::Class::urgent);
 }
 
-TEST_CASE("what is not a valid blueprint is denied with its place") {
+TEST_CASE("what is not a valid configuration is rejected with its place") {
   struct Row {
     char const* spec;
     char const* instances;
@@ -62,9 +62,9 @@
       {R"({"paths":[{"path":"a","pool":"model","class":"${c}"}]})", R"({"i":{"spec":{}}})", "/template/paths/0/class"}};
   for (Row const& r : rows) {
     try {
-      blueprint::checkFamily(family(r.spec, r.instances), known, noRegime);
+      config::checkFamily(family(r.spec, r.instances), known, noRegime);
       FAIL("accepted: " << r.spec << r.instances);
-    } catch (blueprint::Error const& e) {
+    } catch (config::Error const& e) {
       CHECK(e.pointer() == r.pointer);
     }
   }
@@ -73,28 +73,28 @@
 TEST_CASE("a zone's or pool's name may be any one-line text, and is one part of a page's address") {
   for (char const* const name : {"zh-a", "ZH_a.1", "-x", "a b", "a/b", "..b", "50%", "z\xc3\xbcrich"}) {
     INFO(name);
-    CHECK(blueprint::validLabel(name));
-    std::string const part = blueprint::addressPart(name);
+    CHECK(config::validLabel(name));
+    std::string const part = config::addressPart(name);
     CHECK(part.find_first_of("/ ?#") == std::string::npos);
-    CHECK(blueprint::labelOf(part) == name);
+    CHECK(config::labelOf(part) == name);
   }
-  CHECK(blueprint::labelOf("Wt.A") == "Wt.A");
-  CHECK(blueprint::addressPart("zh-a.B_1") == "zh-a.B_1");
+  CHECK(config::labelOf("Wt.A") == "Wt.A");
+  CHECK(config::addressPart("zh-a.B_1") == "zh-a.B_1");
   for (std::string const& name : {std::string(), std::string("."), std::string(".."), std::string("a\nb"), std::string("a\0b", 3), std::string("\xff"), std::string(129, 'a')}) {
     INFO(name);
-    CHECK_FALSE(blueprint::validLabel(name));
+    CHECK_FALSE(config::validLabel(name));
   }
-  CHECK(blueprint::validLabel(std::string(128, 'a')));
+  CHECK(config::validLabel(std::string(128, 'a')));
 }
 
 TEST_CASE("a platform list is checked whole") {
-  blueprint::Pool const p = blueprint::readPool(
+  config::Pool const p = config::readPool(
       core::parseJson(R"({"generation":3,"coldRate":1.5,"replicas":[{"address":"127.0.0.1:80","zone":"z1","state":"cold"}]})").toObject());
-  CHECK(p.replicas.at(0).state == blueprint::ReplicaState::cold);
+  CHECK(p.replicas.at(0).state == config::ReplicaState::cold);
   for (char const* bad :
        {R"({"generation":0,"replicas":[]})", R"({"generation":1})", R"({"generation":1,"replicas":[{"address":"x","zone":"z","state":"cold"}]})",
         R"({"generation":1,"replicas":[{"address":"127.0.0.1:80","zone":"z","state":"warm"}]})",
         R"({"generation":1,"replicas":[{"address":"127.0.0.1:99999","zone":"z","state":"cold"}]})",
         R"({"generation":1,"coldRate":-1,"replicas":[]})"})
-    CHECK_THROWS_AS(blueprint::readPool(core::parseJson(bad).toObject()), blueprint::Error);
+    CHECK_THROWS_AS(config::readPool(core::parseJson(bad).toObject()), config::Error);
 }
--- a/blueprint/test/regimes_test.cpp
+++ b/config/test/regimes_test.cpp
@@ -3,11 +3,11 @@
 #include <QDateTime>
 #include <functional>
 
-#include <corkward/blueprint/regimes.h>
+#include <corkward/config/regimes.h>
 #include <corkward/core/json.h>
 
 namespace core = corkward::core;
-namespace blueprint = corkward::blueprint;
+namespace config = corkward::config;
 
 namespace {
 
@@ -24,18 +24,18 @@
 
 std::int64_t at(char const* time) { return QDateTime::fromString(time, Qt::ISODate).toMSecsSinceEpoch(); }
 
-blueprint::Replica replica(char const* address, char const* life, char const* zone) {
-  return blueprint::Replica{life, address, zone, blueprint::ReplicaState::serving};
+config::Replica replica(char const* address, char const* life, char const* zone) {
+  return config::Replica{life, address, zone, config::ReplicaState::serving};
 }
 
 }  // namespace
 
 TEST_CASE("a replica is certified by its pool, zone and life, never by its address alone") {
-  blueprint::Regimes const r = blueprint::readRegimes(object(good));
-  blueprint::Wall const now = at("2026-03-01T00:00:00Z");
-  std::function<std::string(char const*, char const*, blueprint::Replica const&, blueprint::Wall)> const under =
-      [&](char const* regime, char const* pool, blueprint::Replica const& one, blueprint::Wall wall) {
-        blueprint::Certificate const* const c = blueprint::certifies(r, regime, pool, one, wall);
+  config::Regimes const r = config::readRegimes(object(good));
+  config::Wall const now = at("2026-03-01T00:00:00Z");
+  std::function<std::string(char const*, char const*, config::Replica const&, config::Wall)> const under =
+      [&](char const* regime, char const* pool, config::Replica const& one, config::Wall wall) {
+        config::Certificate const* const c = config::certifies(r, regime, pool, one, wall);
         return c == nullptr ? std::string() : c->name;
       };
   CHECK(under("health", "model", replica("10.0.0.5:80", "r1", "z1"), now) == "h-z1");
@@ -52,44 +52,44 @@
 }
 
 TEST_CASE("a certificate counts from a margin after its beginning to a margin before its end") {
-  blueprint::Regimes const r = blueprint::readRegimes(object(good));
-  blueprint::Certificate const& c = r.certificates.at("h-z1");
-  CHECK_FALSE(blueprint::counts(c, at("2026-01-01T00:00:59Z")));
-  CHECK(blueprint::counts(c, at("2026-01-01T00:01:00Z")));
-  CHECK(blueprint::counts(c, at("2026-12-31T23:58:59Z")));
-  CHECK_FALSE(blueprint::counts(c, at("2026-12-31T23:59:00Z")));
-  CHECK_FALSE(blueprint::counts(c, std::nullopt));
-  CHECK(blueprint::counts(r.certificates.at("h-one"), 0));
+  config::Regimes const r = config::readRegimes(object(good));
+  config::Certificate const& c = r.certificates.at("h-z1");
+  CHECK_FALSE(config::counts(c, at("2026-01-01T00:00:59Z")));
+  CHECK(config::counts(c, at("2026-01-01T00:01:00Z")));
+  CHECK(config::counts(c, at("2026-12-31T23:58:59Z")));
+  CHECK_FALSE(config::counts(c, at("2026-12-31T23:59:00Z")));
+  CHECK_FALSE(config::counts(c, std::nullopt));
+  CHECK(config::counts(r.certificates.at("h-one"), 0));
 }
 
-TEST_CASE("a nacelle is certified by its zone, or by link and zone, where the regime asks for it") {
-  blueprint::Regimes const r = blueprint::readRegimes(object(good));
-  blueprint::Wall const now = at("2026-03-01T00:00:00Z");
-  CHECK(blueprint::nacelleMay(r, "health", "10.0.0.3:1", "z1", now));
-  CHECK(blueprint::nacelleMay(r, "health", "10.0.0.9:1", "z2", now));
-  CHECK_FALSE(blueprint::nacelleMay(r, "health", "10.0.0.8:1", "z2", now));
-  CHECK_FALSE(blueprint::nacelleMay(r, "health", "10.0.0.9:1", "z3", now));
-  CHECK_FALSE(blueprint::nacelleMay(r, "health", "10.0.0.3:1", "z1", at("2027-03-01T00:00:00Z")));
-  CHECK(blueprint::nacelleMay(r, "export", "10.0.0.8:1", "z9", now));
-  CHECK_FALSE(blueprint::nacelleMay(r, "export", "10.0.0.8:1", "z9", std::nullopt));
-  CHECK_FALSE(blueprint::nacelleMay(r, "nobody", "10.0.0.3:1", "z1", now));
+TEST_CASE("a router is certified by its zone, or by link and zone, where the regime asks for it") {
+  config::Regimes const r = config::readRegimes(object(good));
+  config::Wall const now = at("2026-03-01T00:00:00Z");
+  CHECK(config::routerMay(r, "health", "10.0.0.3:1", "z1", now));
+  CHECK(config::routerMay(r, "health", "10.0.0.9:1", "z2", now));
+  CHECK_FALSE(config::routerMay(r, "health", "10.0.0.8:1", "z2", now));
+  CHECK_FALSE(config::routerMay(r, "health", "10.0.0.9:1", "z3", now));
+  CHECK_FALSE(config::routerMay(r, "health", "10.0.0.3:1", "z1", at("2027-03-01T00:00:00Z")));
+  CHECK(config::routerMay(r, "export", "10.0.0.8:1", "z9", now));
+  CHECK_FALSE(config::routerMay(r, "export", "10.0.0.8:1", "z9", std::nullopt));
+  CHECK_FALSE(config::routerMay(r, "nobody", "10.0.0.3:1", "z1", now));
 }
 
 TEST_CASE("a regime that nothing could serve is told with its place") {
-  blueprint::Regimes r = blueprint::readRegimes(object(good));
-  blueprint::Wall const now = at("2026-03-01T00:00:00Z");
-  CHECK_FALSE(blueprint::faultOf(r, "health", "model", now));
-  CHECK(blueprint::faultOf(r, "nobody", "model", now)->pointer == "/regimes/nobody");
-  CHECK(blueprint::faultOf(r, "health", "gateway", now)->pointer == "/certificates");
-  CHECK(blueprint::faultOf(r, "export", "model", at("2026-07-01T00:00:00Z")));
-  CHECK_FALSE(blueprint::faultOf(r, "export", "model", std::nullopt));
+  config::Regimes r = config::readRegimes(object(good));
+  config::Wall const now = at("2026-03-01T00:00:00Z");
+  CHECK_FALSE(config::faultOf(r, "health", "model", now));
+  CHECK(config::faultOf(r, "nobody", "model", now)->pointer == "/regimes/nobody");
+  CHECK(config::faultOf(r, "health", "gateway", now)->pointer == "/certificates");
+  CHECK(config::faultOf(r, "export", "model", at("2026-07-01T00:00:00Z")));
+  CHECK_FALSE(config::faultOf(r, "export", "model", std::nullopt));
   r.certificates.erase("h-nodes");
-  CHECK_FALSE(blueprint::faultOf(r, "health", "model", now));
+  CHECK_FALSE(config::faultOf(r, "health", "model", now));
   r.certificates.erase("h-node");
-  CHECK(blueprint::faultOf(r, "health", "model", now)->reason == "regime health has no certificate in force for any nacelle");
+  CHECK(config::faultOf(r, "health", "model", now)->reason == "regime health has no certificate in force for any router");
 }
 
-TEST_CASE("what is no valid declaration of regimes is denied with its place") {
+TEST_CASE("what is no valid declaration of regimes is rejected with its place") {
   struct Row {
     char const* spec;
     char const* pointer;
@@ -118,9 +118,9 @@
       {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "zone": "z", "from": "2027-01-01T00:00:00Z", "until": "2027-01-01T00:02:00Z"}}})", "/certificates/c/until"}};
   for (Row const& r : rows) {
     try {
-      blueprint::readRegimes(object(r.spec));
+      config::readRegimes(object(r.spec));
       FAIL("accepted: " << r.spec);
-    } catch (blueprint::Error const& e) {
+    } catch (config::Error const& e) {
       CHECK(e.pointer() == r.pointer);
     }
   }
@@ -145,19 +145,19 @@
       {R"({"regime":7,"paths":[{"path":"a","pool":"model","class":"short"}]})", R"({})", "/template/regime"},
       {R"({"regime":"nobody","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({})", "/template/regime"},
       {R"({"paths":[{"path":"a","pool":"gateway","class":"short"}]})", R"({"regime":"health"})", "/instances/i/regime"}};
-  blueprint::Regimes const regimes = blueprint::readRegimes(object(good));
+  config::Regimes const regimes = config::readRegimes(object(good));
   for (Row const& r : rows) {
     QJsonObject const family{{"template", QJsonObject{{"spec", object(r.spec)}, {"stamp", 1}}},
                              {"instances", QJsonObject{{"i", QJsonObject{{"spec", object(r.instance)}, {"stamp", 2}}}}}};
     std::string out;
     try {
-      blueprint::checkFamily(family, [](std::string const&) { return true; }, [&](std::string const& regime, std::string const& pool) {
-        std::optional<blueprint::RegimeFault> const fault = blueprint::faultOf(regimes, regime, pool, at("2026-03-01T00:00:00Z"));
+      config::checkFamily(family, [](std::string const&) { return true; }, [&](std::string const& regime, std::string const& pool) {
+        std::optional<config::RegimeFault> const fault = config::faultOf(regimes, regime, pool, at("2026-03-01T00:00:00Z"));
         return fault ? fault->reason : std::string();
       });
-      out = blueprint::render("t", family).at(0).regime;
-      CHECK(blueprint::regimeUses(blueprint::render("t", family)).size() == (out.empty() ? 0 : 1));
-    } catch (blueprint::Error const& e) {
+      out = config::render("t", family).at(0).regime;
+      CHECK(config::regimeUses(config::render("t", family)).size() == (out.empty() ? 0 : 1));
+    } catch (config::Error const& e) {
       out = e.pointer();
     }
     INFO(r.spec << " " << r.instance);
--- a/blueprint/test/whole_test.cpp
+++ b/config/test/whole_test.cpp
@@ -3,11 +3,11 @@
 #include <QJsonArray>
 #include <functional>
 
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 #include <corkward/core/json.h>
 
 namespace core = corkward::core;
-namespace blueprint = corkward::blueprint;
+namespace config = corkward::config;
 
 namespace {
 
@@ -37,8 +37,8 @@
 
 std::string faultOf(std::string const& spec) {
   try {
-    blueprint::readWhole(object(spec));
-  } catch (blueprint::Error const& e) {
+    config::readWhole(object(spec));
+  } catch (config::Error const& e) {
     return e.pointer();
   }
   return "";
@@ -46,26 +46,26 @@
 
 std::string faultOf(char const* current, char const* patch) {
   try {
-    blueprint::patchWhole(object(current), object(patch));
-  } catch (blueprint::Error const& e) {
+    config::patchWhole(object(current), object(patch));
+  } catch (config::Error const& e) {
     return e.pointer();
   }
   return "";
 }
 
-blueprint::Path read(std::string const& fields) { return blueprint::readWhole(object(path(fields))).paths.at(0); }
+config::Path read(std::string const& fields) { return config::readWhole(object(path(fields))).paths.at(0); }
 
 }  // namespace
 
-TEST_CASE("a whole blueprint is read with its defaults") {
-  blueprint::Whole const w = blueprint::readWhole(object(
+TEST_CASE("a whole configuration is read with its defaults") {
+  config::Whole const w = config::readWhole(object(
       R"({"version":7.0,"pools":)" + std::string(pools) + R"(,"door":{"headBytes":16384,"bodyBytes":4194304,"headMs":3000,"idleMs":15000},"extra":{"x":[1,{}]},
       "paths":[{"name":"Pfad 1/ü","host":"a.example","prefix":"/x/","kind":"stream","deadlineMs":15000.0,"aimMs":800,"gapAimMs":400,"urgency":0,
                 "tries":2,"resumable":true,"affine":true,"shares":[{"pool":"small","share":0},{"pool":"big","share":90},{"pool":"small","share":10.0}],"extra":{"a":1}},
                {"name":"b","host":"a.example","prefix":"/","kind":"repeatable","deadlineMs":1500,"pool":"small"}]})"));
   CHECK(w.version == 7);
   REQUIRE(w.paths.size() == 2);
-  blueprint::Path const& a = w.paths[0];
+  config::Path const& a = w.paths[0];
   CHECK(a.instance == "Pfad 1/ü");
   CHECK(a.path.empty());
   CHECK((a.host == "a.example" && a.prefix == "/x/"));
@@ -74,38 +74,38 @@
   REQUIRE(a.shares.size() == 2);
   CHECK((a.shares[0].pool == "big" && a.shares[0].weight == 90 && a.shares[1].pool == "small" && a.shares[1].weight == 10));
   CHECK(a.pool == "big");
-  CHECK(a.cls == blueprint::Class::bulk);
-  blueprint::Path const& b = w.paths[1];
+  CHECK(a.cls == config::Class::bulk);
+  config::Path const& b = w.paths[1];
   CHECK((b.repeatable && !b.stream && !b.resumable && b.tries == 1 && b.urgency == 5 && b.gapAim == 0));
-  CHECK((b.cls == blueprint::Class::quick && b.aim == 800));
+  CHECK((b.cls == config::Class::quick && b.aim == 800));
   CHECK((b.shares.size() == 1 && b.shares[0].pool == "small" && b.shares[0].weight == 1));
   REQUIRE(w.pools.size() == 2);
   CHECK((w.pools[0].connections == 650 && w.pools[0].coldRate == 2.5 && w.pools[0].coldFor == 3000 && w.pools[0].slots == 128 && w.pools[0].tokens == 729140));
   CHECK((w.pools[1].connections == 0 && w.pools[1].coldRate == 0));
-  CHECK((w.door.headBytes == 16384 && w.door.bodyBytes == 4194304 && w.door.headMs == 3000 && w.door.idleMs == 15000));
+  CHECK((w.http.headBytes == 16384 && w.http.bodyBytes == 4194304 && w.http.headMs == 3000 && w.http.idleMs == 15000));
 }
 
 TEST_CASE("a path's class follows from its aim and its deadline") {
-  CHECK(read(R"("aimMs":400)").cls == blueprint::Class::urgent);
-  CHECK(read(R"("aimMs":401)").cls == blueprint::Class::quick);
-  CHECK(read(R"("aimMs":0)").cls == blueprint::Class::quick);
-  blueprint::Path const slow = blueprint::readWhole(object(without("deadlineMs", R"({"deadlineMs":10000})"))).paths.at(0);
-  CHECK((slow.cls == blueprint::Class::bulk && slow.aim == 2500));
-  CHECK(blueprint::readWhole(object(without("deadlineMs", R"({"deadlineMs":9999})"))).paths.at(0).cls == blueprint::Class::quick);
-  CHECK(blueprint::readWhole(object(without("deadlineMs", R"({"deadlineMs":20000,"aimMs":100})"))).paths.at(0).cls == blueprint::Class::urgent);
+  CHECK(read(R"("aimMs":400)").cls == config::Class::urgent);
+  CHECK(read(R"("aimMs":401)").cls == config::Class::quick);
+  CHECK(read(R"("aimMs":0)").cls == config::Class::quick);
+  config::Path const slow = config::readWhole(object(without("deadlineMs", R"({"deadlineMs":10000})"))).paths.at(0);
+  CHECK((slow.cls == config::Class::bulk && slow.aim == 2500));
+  CHECK(config::readWhole(object(without("deadlineMs", R"({"deadlineMs":9999})"))).paths.at(0).cls == config::Class::quick);
+  CHECK(config::readWhole(object(without("deadlineMs", R"({"deadlineMs":20000,"aimMs":100})"))).paths.at(0).cls == config::Class::urgent);
 }
 
 TEST_CASE("only a stream can be resumable, and only what may run again is repeatable") {
   CHECK_FALSE(read(R"("resumable":true)").resumable);
   CHECK_FALSE(read("").repeatable);
-  blueprint::Path const plain = blueprint::readWhole(object(without("kind", R"({"kind":"stream"})"))).paths.at(0);
+  config::Path const plain = config::readWhole(object(without("kind", R"({"kind":"stream"})"))).paths.at(0);
   CHECK((plain.stream && !plain.resumable && !plain.repeatable));
-  blueprint::Path const resumed = blueprint::readWhole(object(without("kind", R"({"kind":"stream","resumable":true})"))).paths.at(0);
+  config::Path const resumed = config::readWhole(object(without("kind", R"({"kind":"stream","resumable":true})"))).paths.at(0);
   CHECK((resumed.stream && resumed.resumable && resumed.repeatable));
-  CHECK_FALSE(blueprint::readWhole(object(without("kind", R"({"kind":"repeatable","resumable":true})"))).paths.at(0).resumable);
+  CHECK_FALSE(config::readWhole(object(without("kind", R"({"kind":"repeatable","resumable":true})"))).paths.at(0).resumable);
 }
 
-TEST_CASE("what is not a valid whole blueprint is denied with its place") {
+TEST_CASE("what is not a valid whole configuration is rejected with its place") {
   std::string const longText(129, 'x');
   struct Row {
     std::string spec;
@@ -195,11 +195,11 @@
 TEST_CASE("a patch replaces in place, appends and drops, and says the new version") {
   char const* const current = R"({"version":3,"extra":{"old":1},"door":{"headMs":5},"pools":[{"name":"a"},{"name":"b"}],
     "paths":[{"name":"x","n":1},{"name":"y","n":2},{"name":"z","n":3}]})";
-  QJsonObject const out = blueprint::patchWhole(object(current), object(R"({"version":9,"set":{"paths":[{"name":"new","n":7},{"name":"y","n":8}]},
+  QJsonObject const out = config::patchWhole(object(current), object(R"({"version":9,"set":{"paths":[{"name":"new","n":7},{"name":"y","n":8}]},
     "drop":{"paths":["x","never"],"pools":["a"]},"extra":{"fresh":2}})"));
   CHECK(out == object(R"({"version":9,"extra":{"fresh":2},"door":{"headMs":5},"pools":[{"name":"b"}],
     "paths":[{"name":"y","n":8},{"name":"z","n":3},{"name":"new","n":7}]})"));
-  CHECK(blueprint::patchWhole(object(current), object(R"({"version":4,"door":{}})")).value("door").toObject().isEmpty());
+  CHECK(config::patchWhole(object(current), object(R"({"version":4,"door":{}})")).value("door").toObject().isEmpty());
   CHECK(faultOf(current, R"({"set":{}})") == "/version");
   CHECK(faultOf(current, R"({"version":4,"surprise":{}})") == "/surprise");
   CHECK(faultOf(current, R"({"version":4,"set":[]})") == "/set");
@@ -215,20 +215,20 @@
 TEST_CASE("a rendered path shares its requests over its one pool") {
   QJsonObject const family{{"template", object(R"({"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]},"stamp":1})")},
                            {"instances", object(R"({"i":{"spec":{},"stamp":2}})")}};
-  blueprint::Path const p = blueprint::render("t", family).at(0);
+  config::Path const p = config::render("t", family).at(0);
   REQUIRE(p.shares.size() == 1);
   CHECK((p.shares[0].pool == "model" && p.shares[0].weight == 1));
 }
 
 TEST_CASE("a replica may have a name of its own life") {
-  blueprint::Pool const p = blueprint::readPool(object(
+  config::Pool const p = config::readPool(object(
       R"({"generation":1,"replicas":[{"id":"i-7f","address":"127.0.0.1:80","zone":"z","state":"cold"},{"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
   CHECK((p.replicas.at(0).id == "i-7f" && p.replicas.at(1).id.empty()));
   std::function<std::string(std::string const&, std::string const&)> const fault = [](std::string const& one, std::string const& two) -> std::string {
     try {
-      blueprint::readPool(object(R"({"generation":1,"replicas":[{"id":)" + one + R"(,"address":"127.0.0.1:80","zone":"z","state":"cold"},{"id":)" + two +
+      config::readPool(object(R"({"generation":1,"replicas":[{"id":)" + one + R"(,"address":"127.0.0.1:80","zone":"z","state":"cold"},{"id":)" + two +
                                  R"(,"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
-    } catch (blueprint::Error const& e) {
+    } catch (config::Error const& e) {
       return e.pointer();
     }
     return "";
--- a/mooring/include/corkward/mooring/mooring.h
+++ b/consensus/include/corkward/consensus/registers.h
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include <corkward/core/types.h>
-#include <corkward/signal/message.h>
+#include <corkward/transport/message.h>
 
-namespace corkward::mooring {
+namespace corkward::consensus {
 
 using core::Tick;
-using signal::Epoch;
+using transport::Ballot;
 
 /// An error of the control state.
 class Error : public core::Error {
@@ -23,14 +23,14 @@
   using core::Error::Error;
 };
 
-/// Key under which the cohort of disks itself is kept.
-inline constexpr char const* cohortKey = "cohort";
+/// Key under which the membership of disks itself is kept.
+inline constexpr char const* membershipKey = "cohort";
 
 /// Starting values; the daemon's settings may change them.
 struct Tuning {
-  Tick beatEvery = 150;
+  Tick heartbeatEvery = 150;
   Tick ownerSilence = 1000;
-  Tick campaignSpread = 500;
+  Tick electionSpread = 500;
   /// After a restart, with a majority voting and no claim of a key: wait before it is campaigned for, and its spread.
   Tick restartPause = 150;
   Tick restartSpread = 250;
@@ -42,7 +42,7 @@
   Tick stallAfter = 800;
 };
 
-/// One machine of the cohort.
+/// One machine of the membership.
 struct Member {
   std::string id;
   std::string link;
@@ -56,9 +56,9 @@
   QJsonObject body;
 };
 
-/// Decides on a call, given the key's current value (stamp 0: none yet). Pure.
-using Judge = std::function<Verdict(std::string const& key, std::uint64_t stamp, QJsonObject const& value,
-                                    signal::Call const& call)>;
+/// Decides on a call, given the key's current value (revision 0: none yet). Pure.
+using Validator = std::function<Verdict(std::string const& key, std::uint64_t revision, QJsonObject const& value,
+                                    transport::Call const& call)>;
 
 /// Command: write the record and sync it, then report the ticket.
 struct Persist {
@@ -70,7 +70,7 @@
 /// A value is on a majority of the disks.
 struct Committed {
   std::string key;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   QJsonObject value;
 };
 
@@ -78,44 +78,44 @@
 struct Decided {
   std::uint64_t token = 0;
   std::string key;
-  /// Stamp that the call's change was committed under; 0 when it changed nothing.
-  std::uint64_t stamp = 0;
+  /// Revision that the call's change was committed under; 0 when it changed nothing.
+  std::uint64_t revision = 0;
   int status = 0;
   QJsonObject body;
 };
 
 /// Commands that one event brought about.
 struct Commands {
-  std::vector<signal::Send> sends;
+  std::vector<transport::Send> sends;
   std::vector<Persist> persists;
   std::vector<Committed> commits;
   std::vector<Decided> decided;
   /// Calls that were never proposed here and belong to the key's new owner.
-  std::vector<std::pair<std::string, signal::Call>> reroute;
-  std::vector<core::Note> notes;
+  std::vector<std::pair<std::string, transport::Call>> reroute;
+  std::vector<core::LogEvent> logEvents;
 };
 
-/// One member of the cohort: per-key registers with an owner each, synced on a majority before an answer.
-class Mooring {
+/// One member of the membership: per-key registers with an owner each, synced on a majority before an answer.
+class Registers {
  public:
   /// The member's id is a name that was never used before; a disk that has one keeps it, and a member that was struck off
   /// makes its next one from it. Founders are link addresses, this member's own among them when it may found; they count
-  /// at the first start of an empty disk, which keeps them until the cohort is founded. A founder that says it has no disk
+  /// at the first start of an empty disk, which keeps them until the membership is founded. A founder that says it has no disk
   /// does not count.
-  Mooring(Member self, std::vector<std::string> founders, Judge judge, std::uint64_t seed, Tuning tuning = {});
+  Registers(Member self, std::vector<std::string> founders, Validator validator, std::uint64_t seed, Tuning tuning = {});
 
-  /// Takes what the ledger gave back. Damaged: nothing of it counts, and this machine joins anew under a fresh id.
+  /// Takes what the write-ahead log gave back. Damaged: nothing of it counts, and this machine joins anew under a fresh id.
   Commands restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now);
 
-  Commands arrived(Tick now, std::string const& from, signal::Message const& message);
+  Commands arrived(Tick now, std::string const& from, transport::Message const& message);
   Commands clockEvent(Tick now);
   /// A write and its sync are done; not ok: this member's disk is out of use from now on.
   Commands written(Tick now, std::uint64_t ticket, bool ok);
-  /// Queues a call on a key; the outcome comes as Decided. Denied at once when no majority can be had.
-  Commands call(Tick now, std::string const& key, signal::Call const& call);
+  /// Queues a call on a key; the outcome comes as Decided. Rejected at once when no majority can be had.
+  Commands call(Tick now, std::string const& key, transport::Call const& call);
   /// Hands every owned key to a named successor.
   Commands handOver(Tick now);
-  /// True while this machine is no member or hears no majority of the members: it then asks others for its cohort.
+  /// True while this machine is no member or hears no majority of the members: it then asks others for its membership.
   bool seeking() const { return !isMember(self_.id) || quorumAt_ < 0; }
   /// Link addresses to ask while seeking.
   void meet(std::vector<std::string> links) { neighbours_ = std::move(links); }
@@ -130,13 +130,13 @@
   bool voting() const { return voting_ && !diskFailed_ && !leaving_; }
   bool diskOk() const { return !diskFailed_ && !stalled_; }
   bool empty() const { return empty_; }
-  std::vector<Member> const& cohort() const { return cohort_; }
+  std::vector<Member> const& membership() const { return membership_; }
   Member const& self() const { return self_; }
   std::size_t ownedCount() const;
 
  private:
   struct Pending {
-    signal::Call call;
+    transport::Call call;
     Tick since = 0;
   };
   struct Read {
@@ -148,7 +148,7 @@
   };
   struct Proposal {
     std::uint64_t token = 0;
-    std::uint64_t stamp = 0;
+    std::uint64_t revision = 0;
     QJsonObject value;
     QJsonObject body;
     int status = 200;
@@ -158,37 +158,37 @@
   };
   enum class Role { idle, preparing, owner };
   struct Reg {
-    Epoch promised;
-    Epoch acceptedEpoch;
-    std::uint64_t stamp = 0;
+    Ballot promised;
+    Ballot acceptedBallot;
+    std::uint64_t revision = 0;
     QJsonObject value;
     std::uint64_t ticket = 0;
     Role role = Role::idle;
-    Epoch mine;
+    Ballot mine;
     Tick sentAt = 0;
     Tick roleSince = 0;
-    std::map<std::string, signal::Promise> promises;
+    std::map<std::string, transport::Promise> promises;
     std::optional<Proposal> proposal;
     std::deque<Pending> queue;
     std::vector<Read> reads;
     std::uint64_t highest = 0;
     std::string owner;
     Tick ownerHeard = 0;
-    Tick campaignAt = 0;
+    Tick electionAt = 0;
     Tick fetchedAt = 0;
     bool unowned = false;
   };
   struct Other {
     Tick heard = 0;
     Tick echoTick = -1;
-    signal::Stamps echoStamps;
+    transport::Revisions echoRevisions;
     Tick goodTick = -1;
     bool voting = false;
-    std::uint64_t settled = 0;
+    std::uint64_t caughtUp = 0;
     std::string link;
-    std::uint64_t cohort = 0;
-    signal::Stamps owned;
-    /// Its beats in this life have said in full which keys it owns.
+    std::uint64_t membership = 0;
+    transport::Revisions owned;
+    /// Its heartbeats in this life have said in full which keys it owns.
     bool saidOwned = false;
   };
 
@@ -196,48 +196,48 @@
   bool allSaidOwned() const;
   /// No other voting member that was heard of late comes before this one in the key's order.
   bool firstFor(std::string const& key, Tick now) const;
-  void send(Commands& out, Tick now, std::string const& to, signal::Message message);
+  void send(Commands& out, Tick now, std::string const& to, transport::Message message);
   void persist(Commands& out, Tick now, std::string const& key, Reg& r);
-  void sendWhenSynced(Commands& out, Tick now, Reg const& r, std::string const& to, signal::Message message);
-  void campaign(Commands& out, Tick now, std::string const& key, Reg& r);
+  void sendWhenSynced(Commands& out, Tick now, Reg const& r, std::string const& to, transport::Message message);
+  void startElection(Commands& out, Tick now, std::string const& key, Reg& r);
   void stepDown(Commands& out, Tick now, std::string const& key, Reg& r, char const* why);
   void becomeOwner(Commands& out, Tick now, std::string const& key, Reg& r);
   void propose(Commands& out, Tick now, std::string const& key, Reg& r, Proposal proposal);
   void sendProposal(Commands& out, Tick now, std::string const& key, Reg& r);
   void work(Commands& out, Tick now, std::string const& key, Reg& r);
   void chosen(Commands& out, Tick now, std::string const& key, Reg& r);
-  void commit(Commands& out, Tick now, signal::Item const& item);
-  void adoptCohort(Commands& out, std::uint64_t stamp, QJsonObject const& value, Tick now);
-  void persistMeta(Commands& out, std::uint64_t ticket, bool voting, std::uint64_t settled);
+  void commit(Commands& out, Tick now, transport::Item const& item);
+  void adoptMembership(Commands& out, std::uint64_t revision, QJsonObject const& value, Tick now);
+  void persistMeta(Commands& out, std::uint64_t ticket, bool voting, std::uint64_t caughtUp);
   void name(Commands& out, std::string id);
   void leave(Commands& out, Tick now);
   void firstVote(Commands& out, Tick now);
-  void persistSettled(Commands& out);
-  void settle(Commands& out, Tick now);
+  void persistCaughtUp(Commands& out);
+  void catchUp(Commands& out, Tick now);
   void accepted(Tick now, std::string const& key, Reg const& r);
   void watchDisk(Commands& out, Tick now);
   void watchQuorum(Tick now);
-  signal::Beat standing(Tick now) const;
-  void beat(Commands& out, Tick now);
-  void readsAnswered(Commands& out, Tick now, std::string const& member, Tick tick, signal::Stamps const& higher);
+  transport::Heartbeat servingLease(Tick now) const;
+  void heartbeat(Commands& out, Tick now);
+  void readsAnswered(Commands& out, Tick now, std::string const& member, Tick tick, transport::Revisions const& higher);
   void refreshContact(Other& o);
   Tick darkFor(Member const& m, Tick now) const;
-  void considerCohort(Commands& out, Tick now);
-  std::vector<Member> nextCohort(std::set<std::string> const& settled, Tick now, core::Note& note) const;
+  void considerMembership(Commands& out, Tick now);
+  std::vector<Member> nextMembership(std::set<std::string> const& caughtUp, Tick now, core::LogEvent& logEvent) const;
   void found(Commands& out, Tick now);
   bool majority(std::set<std::string> const& yes, std::vector<Member> const& of) const;
   bool isMember(std::string const& id) const;
-  void on(Commands& out, Tick now, std::string const& from, signal::Prepare const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Promise const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Accept const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Accepted const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Commit const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Handover const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Beat const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::NoDisk const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::BeatEcho const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Fetch const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Copy const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Prepare const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Promise const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Accept const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Accepted const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Commit const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Handover const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Heartbeat const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::NoDisk const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::HeartbeatEcho const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Fetch const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Copy const& m);
 
   Member self_;
   std::string freshId_;
@@ -246,7 +246,7 @@
   /// Founders that said they have no disk.
   std::set<std::string> noDisk_;
   std::vector<std::string> neighbours_;
-  Judge judge_;
+  Validator validator_;
   Tuning tuning_;
   core::Rng rng_;
   bool empty_ = true;
@@ -254,29 +254,29 @@
   bool leaving_ = false;
   bool diskFailed_ = false;
   bool stalled_ = false;
-  Tick beatAt_ = 0;
+  Tick heartbeatAt_ = 0;
   Tick copyAskedAt_ = 0;
   Tick lastClock_ = 0;
   Tick wokeAt_ = 0;
   Tick quorumAt_ = -1;
   std::uint64_t nextTicket_ = 1;
-  std::uint64_t cohortStamp_ = 0;
-  std::vector<Member> cohort_;
+  std::uint64_t membershipRevision_ = 0;
+  std::vector<Member> membership_;
   std::map<std::string, Reg> regs_;
   std::map<std::string, Committed> committed_;
   /// Digest of what is committed, and those it had before in this life, newest last.
-  signal::Digest known_;
-  std::deque<signal::Digest> had_;
-  /// Owned keys as they were beaten last, and for how many more beats they are named in full.
-  signal::Digest owns_;
+  transport::Digest known_;
+  std::deque<transport::Digest> had_;
+  /// Owned keys as they were beaten last, and for how many more heartbeats they are named in full.
+  transport::Digest owns_;
   int nameOwned_ = 0;
   std::map<std::string, Other> others_;
-  std::map<std::uint64_t, std::vector<signal::Send>> deferred_;
+  std::map<std::uint64_t, std::vector<transport::Send>> deferred_;
   std::map<std::uint64_t, Tick> writing_;
   std::uint64_t nameTicket_ = 0;
-  std::uint64_t settleTicket_ = 0;
-  std::uint64_t settleStamp_ = 0;
-  std::uint64_t settled_ = 0;
+  std::uint64_t catchUpTicket_ = 0;
+  std::uint64_t catchUpRevision_ = 0;
+  std::uint64_t caughtUp_ = 0;
   /// Keys whose newest accepted value is not known to be committed, and since when.
   std::map<std::string, Tick> unsure_;
   struct Newcomer {
@@ -288,7 +288,7 @@
   std::set<std::string> copies_;
 };
 
-/// Members named in a cohort value.
-std::vector<Member> membersOf(QJsonObject const& cohortValue);
+/// Members named in a membership value.
+std::vector<Member> membersOf(QJsonObject const& membershipValue);
 
-}  // namespace corkward::mooring
+}  // namespace corkward::consensus
--- a/mooring/test/bay.h
+++ b/consensus/test/cluster.h
@@ -13,17 +13,17 @@
 #include <vector>
 
 #include <corkward/core/json.h>
-#include <corkward/mooring/mooring.h>
+#include <corkward/consensus/registers.h>
 
-namespace corkward::mooring {
+namespace corkward::consensus {
 
 /// Machines with a disk each in virtual time: a network with delays and cuts, disks that keep what was synced, and
 /// callers that append marks to keys. What was acknowledged and what was committed is kept apart from the members.
-class Bay {
+class Cluster {
  public:
   struct Machine {
     std::string link;
-    std::unique_ptr<Mooring> member;
+    std::unique_ptr<Registers> member;
     std::map<std::string, std::string> disk;
     std::deque<std::vector<Persist>> writes;
     std::deque<std::function<void()>> inbox;
@@ -34,7 +34,7 @@
     std::uint64_t life = 0;
   };
 
-  explicit Bay(std::uint64_t seed, Tuning tuning = {}, std::vector<std::string> seeds = {"a", "b", "c"})
+  explicit Cluster(std::uint64_t seed, Tuning tuning = {}, std::vector<std::string> seeds = {"a", "b", "c"})
       : rng(seed), tuning_(tuning), seeds_(std::move(seeds)) {}
 
   /// Starts the process of a machine, with its disk as it is.
@@ -47,7 +47,7 @@
     m.writes.clear();
     m.inbox.clear();
     ++m.life;
-    m.member = std::make_unique<Mooring>(Member{link + "#" + std::to_string(++m.boots), link}, std::move(founders), judge, rng.next(), tuning_);
+    m.member = std::make_unique<Registers>(Member{link + "#" + std::to_string(++m.boots), link}, std::move(founders), validator, rng.next(), tuning_);
     take(m, m.member->restore(m.disk, false, now));
     clock(link, m.life);
   }
@@ -103,7 +103,7 @@
     return now - since;
   }
 
-  Mooring& at(std::string const& link) { return *machines.at(link).member; }
+  Registers& at(std::string const& link) { return *machines.at(link).member; }
   bool votes(std::string const& link) {
     Machine const& m = machines.at(link);
     return m.member && m.member->voting() && memberHere(m);
@@ -113,19 +113,19 @@
       if (m.second.member && !votes(m.first)) return false;
     return true;
   }
-  std::size_t size(std::string const& link) { return at(link).cohort().size(); }
+  std::size_t size(std::string const& link) { return at(link).membership().size(); }
   bool calm() {
     std::set<std::size_t> sizes;
     for (std::map<std::string, Machine>::value_type const& m : machines) {
       if (!m.second.member) return false;
-      sizes.insert(m.second.member->cohort().size());
+      sizes.insert(m.second.member->membership().size());
     }
     return allVote() && sizes == std::set<std::size_t>{machines.size()};
   }
 
   /// Appends a mark to the key at the machine, or at the owner that it names.
   std::uint64_t call(std::string const& link, std::string const& key) {
-    signal::Call c;
+    transport::Call c;
     c.token = ++tokens_;
     c.method = "PUT";
     c.body = "m" + std::to_string(c.token);
@@ -133,18 +133,18 @@
     return c.token;
   }
   int statusOf(std::uint64_t token) const { return answers.count(token) > 0 ? answers.at(token) : 0; }
-  /// Keys of which some majority of the newest cohort's disks lacks a mark that was acknowledged.
+  /// Keys of which some majority of the newest membership's disks lacks a mark that was acknowledged.
   std::vector<std::string> lost() {
     std::vector<Held> disks;
-    if (newest[cohortKey] == 0) return {};
-    QJsonObject const cohort = core::parseJson(committed_[{cohortKey, newest[cohortKey]}]).toObject();
-    for (Member const& c : membersOf(cohort))
+    if (newest[membershipKey] == 0) return {};
+    QJsonObject const membership = core::parseJson(committed_[{membershipKey, newest[membershipKey]}]).toObject();
+    for (Member const& c : membersOf(membership))
       for (std::map<std::string, Machine>::value_type const& m : machines) {
         if (m.second.disk.count("meta") == 0) continue;
         QJsonObject const meta = core::parseJson(m.second.disk.at("meta")).toObject();
         if (core::str(meta.value("id").toString()) == c.id && meta.value("voting").toBool()) disks.push_back(Held{c.id, &m.second.disk, {}, false});
       }
-    std::size_t const most = membersOf(cohort).size() / 2 + 1;
+    std::size_t const most = membersOf(membership).size() / 2 + 1;
     std::vector<std::string> out;
     for (std::map<std::string, std::set<std::string>>::value_type const& key : acknowledged) {
       for (Held& d : disks) d.read(key.first, key.second);
@@ -170,7 +170,7 @@
   std::map<std::string, std::set<std::string>> acknowledged;
   std::map<std::string, std::uint64_t> newest;
   std::vector<std::string> wrong;
-  std::function<void(std::string const& from, signal::Send const& send)> watch;
+  std::function<void(std::string const& from, transport::Send const& send)> watch;
 
  private:
   struct Event {
@@ -184,7 +184,7 @@
   struct Held {
     std::string id;
     std::map<std::string, std::string> const* disk;
-    std::pair<Epoch, std::uint64_t> at;
+    std::pair<Ballot, std::uint64_t> at;
     bool whole = false;
     void read(std::string const& key, std::set<std::string> const& want) {
       at = {};
@@ -194,26 +194,26 @@
       QJsonObject const o = core::parseJson(it->second).toObject();
       if (core::str(o.value("i").toString()) != id) return;
       QJsonObject const e = o.value("a").toObject();
-      at = {Epoch{static_cast<std::uint64_t>(e.value("n").toInteger()), core::str(e.value("m").toString())},
+      at = {Ballot{static_cast<std::uint64_t>(e.value("n").toInteger()), core::str(e.value("m").toString())},
             static_cast<std::uint64_t>(o.value("s").toInteger())};
       std::set<std::string> have;
       for (QJsonValue const v : o.value("v").toObject().value("marks").toArray()) have.insert(core::str(v.toString()));
       whole = std::includes(have.begin(), have.end(), want.begin(), want.end());
     }
   };
-  void hand(std::string const& link, std::string const& key, signal::Call const& c) {
+  void hand(std::string const& link, std::string const& key, transport::Call const& c) {
     std::string const owner = at(link).ownerLink(key, now);
     Machine* m = &machines.at(link);
     if (machines.count(owner) > 0 && machines.at(owner).member && !machines.at(owner).frozen) m = &machines.at(owner);
     take(*m, m->member->call(now, key, c));
   }
-  static Verdict judge(std::string const&, std::uint64_t, QJsonObject const& value, signal::Call const& call) {
+  static Verdict validator(std::string const&, std::uint64_t, QJsonObject const& value, transport::Call const& call) {
     QJsonArray marks = value.value("marks").toArray();
     marks.append(core::qstr(call.body));
     return Verdict{true, QJsonObject{{"marks", marks}}, 200, {}};
   }
   static bool memberHere(Machine const& m) {
-    for (Member const& c : m.member->cohort())
+    for (Member const& c : m.member->membership())
       if (c.id == m.member->self().id) return true;
     return false;
   }
@@ -249,23 +249,23 @@
     if (!c.persists.empty()) m.writes.push_back(c.persists);
     write(m);
     for (Committed const& k : c.commits) {
-      std::string& text = committed_[{k.key, k.stamp}];
+      std::string& text = committed_[{k.key, k.revision}];
       std::string const here = core::jsonText(k.value);
-      if (!text.empty() && text != here) wrong.push_back("two values of " + k.key + " under stamp " + std::to_string(k.stamp));
+      if (!text.empty() && text != here) wrong.push_back("two values of " + k.key + " under revision " + std::to_string(k.revision));
       text = here;
-      newest[k.key] = std::max(newest[k.key], k.stamp);
+      newest[k.key] = std::max(newest[k.key], k.revision);
     }
     for (Decided const& d : c.decided) {
       answers[d.token] = d.status;
       if (d.status == 200) acknowledged[d.key].insert("m" + std::to_string(d.token));
     }
-    for (std::pair<std::string, signal::Call> const& r : c.reroute)
+    for (std::pair<std::string, transport::Call> const& r : c.reroute)
       after(1, [this, link = m.link, life = m.life, r] {
         to(link, life, [this, link, r] { hand(link, r.first, r.second); });
       });
-    for (core::Note const& n : c.notes)
+    for (core::LogEvent const& n : c.logEvents)
       if (n.event == "absurd-message") wrong.push_back("absurd message at " + m.link);
-    for (signal::Send const& s : c.sends) {
+    for (transport::Send const& s : c.sends) {
       if (watch) watch(m.link, s);
       std::map<std::string, Machine>::const_iterator const it = machines.find(s.to);
       if (it == machines.end() || !it->second.member || cuts.count({m.link, s.to}) > 0 || rng.chance(loss)) continue;
@@ -299,4 +299,4 @@
   std::map<std::pair<std::string, std::uint64_t>, std::string> committed_;
 };
 
-}  // namespace corkward::mooring
+}  // namespace corkward::consensus
--- a/substation/include/corkward/substation/plane.h
+++ b/control/include/corkward/control/controller.h
@@ -6,29 +6,29 @@
 #include <string>
 #include <vector>
 
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 #include <corkward/core/journal.h>
-#include <corkward/lookout/lookout.h>
-#include <corkward/mooring/mooring.h>
-#include <corkward/substation/judge.h>
+#include <corkward/gossip/partial_view.h>
+#include <corkward/consensus/registers.h>
+#include <corkward/control/validator.h>
 
-namespace corkward::substation {
+namespace corkward::control {
 
 using core::Tick;
 
 /// Starting values of the control plane.
 struct Tuning {
-  mooring::Tuning mooring;
-  /// A nacelle without a confirmation this fresh denies new work; see rotor::Tuning::confirmFor.
+  consensus::Tuning registers;
+  /// A router without a confirmation this fresh rejects new work; see dataplane::Tuning::confirmFor.
   Tick fence = 1500;
   Tick fenceMargin = 200;
   Tick forceLimit = 4000;
-  Tick relayLimit = 9000;
+  Tick forwardLimit = 9000;
   /// A relayed call is sent again after this long; its change id keeps it from counting twice.
   Tick resendEvery = 1500;
   Tick repushEvery = 300;
   Tick strikeAfter = 60000;
-  /// After this long nothing is kept of a silent nacelle that is not on the roster.
+  /// After this long nothing is kept of a silent router that is not on the roster.
   Tick forgetAfter = 600000;
   Tick warmLease = 1500;
   /// Lease of a duty that processes outside ask for, such as the alert watch.
@@ -36,17 +36,17 @@
   Tick probeAfter = 400;
   /// False: a change is answered as soon as it is on a majority of the disks.
   bool awaitInForce = true;
-  /// How often substations tell each other which nacelles they hear; how often while a change is not in force yet, and
+  /// How often controllers tell each other which routers they hear; how often while a change is not in force yet, and
   /// how often as long as it is younger than that.
   Tick holdingEvery = 500;
   Tick holdingWhileAsking = 100;
   Tick holdingWhileYoung = 20;
   Tick youngFor = 400;
-  /// A nacelle that has not asked here for this long is not held here.
+  /// A router that has not asked here for this long is not held here.
   Tick heldFor = 2000;
 };
 
-/// Answers an operator's call that came in at this process's own door.
+/// Answers an operator's call that came in at this process's own HTTP edge.
 struct Answer {
   std::uint64_t token = 0;
   int status = 0;
@@ -55,45 +55,45 @@
 
 /// Commands of one event.
 struct Commands {
-  std::vector<signal::Send> sends;
-  std::vector<mooring::Persist> persists;
+  std::vector<transport::Send> sends;
+  std::vector<consensus::Persist> persists;
   std::vector<Answer> answers;
   /// Link addresses to knock at: is anything listening there?
   std::vector<std::string> probes;
-  std::vector<core::Note> notes;
+  std::vector<core::LogEvent> logEvents;
 };
 
 /// The control plane of one machine as a pure reducer over its events.
-class Plane {
+class Controller {
  public:
-  Plane(signal::Contact self, std::string memberId, std::vector<std::string> seeds, std::vector<std::string> founders,
+  Controller(transport::Contact self, std::string memberId, std::vector<std::string> seeds, std::vector<std::string> founders,
         std::uint64_t seed, Tuning tuning = {});
 
   Commands restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now);
-  Commands arrived(Tick now, std::string const& from, signal::Message const& message);
+  Commands arrived(Tick now, std::string const& from, transport::Message const& message);
   Commands clockEvent(Tick now);
   Commands written(Tick now, std::uint64_t ticket, bool ok);
-  /// A call at this process's door; the answer comes with the call's token.
-  Commands operatorCall(Tick now, signal::Call const& call);
+  /// A call at this process's HTTP edge; the answer comes with the call's token.
+  Commands operatorCall(Tick now, transport::Call const& call);
   /// What knocking at a link address showed.
   Commands probed(Tick now, std::string const& link, bool refused);
   /// The platform's lists as they were just read, by pool. What they change becomes a change of the pool's key; what
   /// they take away is told at once.
-  Commands platformLists(Tick now, std::map<std::string, blueprint::Pool> const& lists);
-  /// True while this substation is to read the platform's list on behalf of all: the duty goes with the roster's key.
+  Commands platformLists(Tick now, std::map<std::string, config::Pool> const& lists);
+  /// True while this controller is to read the platform's list on behalf of all: the duty goes with the roster's key.
   bool readsLists(Tick now) const;
   /// Wall time, by which certificates are checked when they are declared; unknown, only their names are.
   void wallTime(std::int64_t wall) { wall_ = wall; }
-  void setSeeds(std::vector<std::string> seeds) { lookout_.setSeeds(std::move(seeds)); }
+  void setSeeds(std::vector<std::string> seeds) { partialView_.setSeeds(std::move(seeds)); }
   /// Hands every owned key to a named successor and takes no calls from here on.
   Commands drain(Tick now);
 
-  /// True while this substation is in fresh touch with a majority of the disks.
+  /// True while this controller is in fresh touch with a majority of the disks.
   bool ready(Tick now) const;
   QJsonObject fleet(Tick now) const;
   /// Counters folded from the journal and gauges, in Prometheus' text form.
   std::string metrics(Tick now) const;
-  mooring::Mooring const& mooring() const { return mooring_; }
+  consensus::Registers const& registers() const { return registers_; }
   /// Calls that are waiting for their answer.
   std::size_t inHand() const { return calls_.size() + forces_.size(); }
 
@@ -102,28 +102,28 @@
     std::string from;
     std::uint64_t token = 0;
     std::string key;
-    signal::Call call;
+    transport::Call call;
     Tick since = 0;
     Tick sentAt = 0;
-    bool relayed = false;
+    bool forwarded = false;
   };
   struct Force {
     std::uint64_t call = 0;
     std::string key;
-    std::uint64_t stamp = 0;
+    std::uint64_t revision = 0;
     Tick since = 0;
     Tick majorityAt = -1;
     int status = 0;
     QJsonObject body;
   };
-  /// How far the newest stamp of a key is on its way to be in force.
+  /// How far the newest revision of a key is on its way to be in force.
   struct Settling {
-    std::uint64_t stamp = 0;
+    std::uint64_t revision = 0;
     Tick since = 0;
     Tick majorityAt = -1;
     bool inForce = false;
-    /// Newest stamp that each nacelle is known to have; dropped when all is in force, but for the roster's.
-    signal::Stamps has;
+    /// Newest revision that each router is known to have; dropped when all is in force, but for the roster's.
+    transport::Revisions has;
   };
   /// What the roster says, folded once when it is committed.
   struct RosterView {
@@ -133,15 +133,15 @@
     /// Nodes and those before, sorted: the places of the bits in Holding.
     std::vector<std::string> places;
   };
-  struct Nacelle {
-    signal::Contact contact;
-    /// Last word of it, here or at another substation, and last question here.
+  struct Router {
+    transport::Contact contact;
+    /// Last word of it, here or at another controller, and last question here.
     Tick heard = -1;
     Tick asked = -1;
     /// All that it lacks is in behind.
     bool known = false;
-    /// Keys that it is not known to have as committed, with the newest stamp that it is known to have of each.
-    signal::Stamps behind;
+    /// Keys that it is not known to have as committed, with the newest revision that it is known to have of each.
+    transport::Revisions behind;
     std::map<std::string, std::pair<std::uint64_t, Tick>> pushed;
     std::uint64_t number = 0;
     Tick refusedAt = -1;
@@ -152,7 +152,7 @@
   struct Lease {
     std::string holder;
     std::uint64_t inc = 0;
-    std::uint64_t epoch = 0;
+    std::uint64_t term = 0;
     Tick until = 0;
     /// Who asked in vain, and when.
     std::map<std::string, Tick> waiting;
@@ -160,45 +160,45 @@
 
   Lease* grant(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc, Tick lease, bool& ok);
   void release(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc, std::string const& successor, Tick lease);
-  Answer dutyPage(Tick now, signal::Call const& call, std::string const& name);
+  Answer dutyPage(Tick now, transport::Call const& call, std::string const& name);
   Around around() const;
-  void take(Commands& out, Tick now, mooring::Commands&& from);
-  void decided(Commands& out, Tick now, mooring::Decided const& d);
+  void take(Commands& out, Tick now, consensus::Commands&& from);
+  void decided(Commands& out, Tick now, consensus::Decided const& d);
   void finish(Commands& out, Tick now, std::uint64_t call, int status, QJsonObject body);
   void route(Commands& out, Tick now, std::uint64_t call);
-  void push(Commands& out, Tick now, std::string const& link, Nacelle& n);
-  Nacelle* heardFrom(Tick now, std::string const& link, std::uint64_t inc);
-  void learned(std::string const& link, std::string const& key, std::uint64_t stamp);
-  void learnedAll(std::string const& link, Nacelle& n);
-  bool hasAll(std::string const& link, Nacelle& n, signal::Digest const& digest);
-  void committed(Tick now, mooring::Committed const& c);
+  void push(Commands& out, Tick now, std::string const& link, Router& n);
+  Router* heardFrom(Tick now, std::string const& link, std::uint64_t inc);
+  void learned(std::string const& link, std::string const& key, std::uint64_t revision);
+  void learnedAll(std::string const& link, Router& n);
+  bool hasAll(std::string const& link, Router& n, transport::Digest const& digest);
+  void committed(Tick now, consensus::Committed const& c);
   void foldRoster(QJsonObject const& value);
-  signal::Holding holding(Tick now) const;
+  transport::Holding holding(Tick now) const;
   void tellHolding(Commands& out, Tick now);
   void checkForces(Commands& out, Tick now);
   bool isInForce(Tick now, std::string const& key, Settling const& s) const;
   void watchSettling(Tick now);
   bool rosterInForce() const;
   enum class InForce { yes, majority, no };
-  InForce inForce(Tick now, std::string const& key, std::uint64_t stamp, Tick since) const;
+  InForce inForce(Tick now, std::string const& key, std::uint64_t revision, Tick since) const;
   void considerRoster(Commands& out, Tick now);
   bool rosterSettled(Tick now) const;
-  std::uint64_t committedStamp(std::string const& key) const;
+  std::uint64_t committedRevision(std::string const& key) const;
   std::uint64_t generationOf(std::string const& pool) const;
-  void on(Commands& out, Tick now, std::string const& from, signal::Hint const& m);
-  void hint(Commands& out, Tick now, std::string const& pool, blueprint::Pool const& list);
-  QJsonObject localPage(Tick now, signal::Call const& call, int& status) const;
-  void on(Commands& out, Tick now, std::string const& from, signal::Shuffle const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Call const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Outcome const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::NewsAck const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Holding const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Ask const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::WarmAsk const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Hint const& m);
+  void hint(Commands& out, Tick now, std::string const& pool, config::Pool const& list);
+  QJsonObject localPage(Tick now, transport::Call const& call, int& status) const;
+  void on(Commands& out, Tick now, std::string const& from, transport::Shuffle const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Call const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::CallResponse const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::NewsAck const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Holding const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Ask const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::WarmAsk const& m);
 
   Tuning tuning_;
-  lookout::Lookout lookout_;
-  mooring::Mooring mooring_;
+  gossip::PartialView partialView_;
+  consensus::Registers registers_;
   core::Journal journal_;
   /// Calls by which lists that were read are on their way to the disks, by pool.
   std::map<std::string, std::uint64_t> listCalls_;
@@ -208,14 +208,14 @@
   std::map<std::string, Settling> settling_;
   /// Keys whose newest change is not known to be in force.
   std::set<std::string> unsettled_;
-  signal::Digest digest_;
+  transport::Digest digest_;
   RosterView roster_;
   Tick holdingAt_ = 0;
-  std::map<std::string, signal::Hint> hints_;
-  std::map<std::string, Nacelle> nacelles_;
-  /// Pools of the whole blueprint in place.
+  std::map<std::string, transport::Hint> hints_;
+  std::map<std::string, Router> routers_;
+  /// Pools of the whole configuration in place.
   std::set<std::string> wholePools_;
-  blueprint::Wall wall_;
+  config::Wall wall_;
   std::map<std::string, Lease> leases_;
   Tick started_ = 0;
   Tick joinedAt_ = -1;
@@ -225,4 +225,4 @@
   bool draining_ = false;
 };
 
-}  // namespace corkward::substation
+}  // namespace corkward::controller
--- /dev/null
+++ b/control/include/corkward/control/validator.h
@@ -0,0 +1,40 @@
+#pragma once
+
+#include <optional>
+#include <string>
+
+#include <corkward/config/regimes.h>
+#include <corkward/consensus/registers.h>
+
+namespace corkward::control {
+
+/// What an operator's path stands for.
+struct Target {
+  std::string key;
+  std::string templateName;
+  std::string instance;
+};
+
+/// Key of an operator's path, or nothing when there is no such page.
+std::optional<Target> targetOf(std::string const& path);
+
+/// Largest body of an operator's call.
+inline constexpr std::size_t maxBody = 2U << 20;
+/// Largest body of a call on the whole configuration, and largest whole configuration as text.
+inline constexpr std::size_t maxWholeBody = 8U << 20;
+
+/// What a judge asks of the other keys, as this controller knows them.
+struct Around {
+  config::PoolKnown poolKnown;
+  /// Why a regime could not be served in a pool under these certificates.
+  std::function<std::optional<config::RegimeFault>(config::Regimes const&, std::string const& regime, std::string const& pool)> regimeFault = {};
+  /// Regimes and certificates in place.
+  std::function<config::Regimes()> regimes = {};
+  /// What the tenants in place want of regimes.
+  std::function<std::vector<config::RegimeUse>()> regimeUses = {};
+};
+
+/// Judges every call on every kind of key.
+consensus::Verdict validator(std::string const& key, std::uint64_t revision, QJsonObject const& value, transport::Call const& call, Around const& around);
+
+}  // namespace corkward::controller
--- a/substation/src/plane.cpp
+++ b/control/src/controller.cpp
@@ -1,14 +1,14 @@
-#include <corkward/substation/plane.h>
+#include <corkward/control/controller.h>
 
 #include <QJsonArray>
 #include <algorithm>
 #include <functional>
 
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 #include <corkward/core/json.h>
-#include <corkward/substation/judge.h>
+#include <corkward/control/validator.h>
 
-namespace corkward::substation {
+namespace corkward::control {
 
 namespace {
 
@@ -19,11 +19,11 @@
 constexpr std::size_t maxAsked = 32;
 
 /// A change that is on the disks but cannot be shown to be in force is no success that a script could take it for.
-QJsonObject pendingBody(QJsonObject body, std::uint64_t stamp) {
+QJsonObject pendingBody(QJsonObject body, std::uint64_t revision) {
   body.insert("error", "pending");
   body.insert("pending", true);
   body.insert("inForce", false);
-  body.insert("stamp", static_cast<qint64>(stamp));
+  body.insert("stamp", static_cast<qint64>(revision));
   body.insert("reason", "accepted on disk, not yet in force; ask by the change id");
   return body;
 }
@@ -32,83 +32,83 @@
 
 }  // namespace
 
-Plane::Plane(signal::Contact self, std::string memberId, std::vector<std::string> seeds, std::vector<std::string> founders,
+Controller::Controller(transport::Contact self, std::string memberId, std::vector<std::string> seeds, std::vector<std::string> founders,
              std::uint64_t seed, Tuning tuning)
     : tuning_(tuning),
-      lookout_(self, std::move(seeds), seed ^ 0x51),
-      mooring_(mooring::Member{std::move(memberId), self.link}, std::move(founders),
-               [this](std::string const& key, std::uint64_t stamp, QJsonObject const& value, signal::Call const& call) {
-                 return judge(key, stamp, value, call, around());
+      partialView_(self, std::move(seeds), seed ^ 0x51),
+      registers_(consensus::Member{std::move(memberId), self.link}, std::move(founders),
+               [this](std::string const& key, std::uint64_t revision, QJsonObject const& value, transport::Call const& call) {
+                 return validator(key, revision, value, call, around());
                },
-               seed ^ 0x77, tuning.mooring) {}
+               seed ^ 0x77, tuning.registers) {}
 
-Around Plane::around() const {
+Around Controller::around() const {
   Around out;
-  out.poolKnown = [this](std::string const& pool) { return wholePools_.count(pool) > 0 || mooring_.committed().count("pool:" + pool) > 0; };
+  out.poolKnown = [this](std::string const& pool) { return wholePools_.count(pool) > 0 || registers_.committed().count("pool:" + pool) > 0; };
   out.regimes = [this] {
-    std::map<std::string, mooring::Committed>::const_iterator const it = mooring_.committed().find(blueprint::regimesKey);
-    return it == mooring_.committed().end() ? blueprint::Regimes{} : blueprint::keptRegimes(it->second.value);
+    std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find(config::regimesKey);
+    return it == registers_.committed().end() ? config::Regimes{} : config::keptRegimes(it->second.value);
   };
   out.regimeUses = [this] {
-    std::vector<blueprint::RegimeUse> uses;
-    for (std::map<std::string, mooring::Committed>::value_type const& c : mooring_.committed()) {
+    std::vector<config::RegimeUse> uses;
+    for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed()) {
       if (c.first.rfind("family:", 0) != 0) continue;
-      std::vector<blueprint::RegimeUse> const some = blueprint::regimeUses(blueprint::render(c.first.substr(7), c.second.value));
+      std::vector<config::RegimeUse> const some = config::regimeUses(config::render(c.first.substr(7), c.second.value));
       uses.insert(uses.end(), some.begin(), some.end());
     }
     return uses;
   };
-  out.regimeFault = [this](blueprint::Regimes const& regimes, std::string const& regime, std::string const& pool) {
-    std::optional<blueprint::RegimeFault> fault = blueprint::faultOf(regimes, regime, pool, wall_);
-    std::map<std::string, mooring::Committed>::const_iterator const list = mooring_.committed().find("pool:" + pool);
-    if (fault || !wall_ || list == mooring_.committed().end()) return fault;
-    std::vector<blueprint::Replica> const replicas = blueprint::keptPool(list->second.value).replicas;
-    bool const any = std::any_of(replicas.begin(), replicas.end(), [&](blueprint::Replica const& r) {
-      return blueprint::certifies(regimes, regime, pool, r, wall_) != nullptr;
+  out.regimeFault = [this](config::Regimes const& regimes, std::string const& regime, std::string const& pool) {
+    std::optional<config::RegimeFault> fault = config::faultOf(regimes, regime, pool, wall_);
+    std::map<std::string, consensus::Committed>::const_iterator const list = registers_.committed().find("pool:" + pool);
+    if (fault || !wall_ || list == registers_.committed().end()) return fault;
+    std::vector<config::Replica> const replicas = config::keptPool(list->second.value).replicas;
+    bool const any = std::any_of(replicas.begin(), replicas.end(), [&](config::Replica const& r) {
+      return config::certifies(regimes, regime, pool, r, wall_) != nullptr;
     });
-    if (!any) fault = blueprint::RegimeFault{"/certificates", "no replica on the list of pool " + pool + " is certified for regime " + regime};
+    if (!any) fault = config::RegimeFault{"/certificates", "no replica on the list of pool " + pool + " is certified for regime " + regime};
     return fault;
   };
   return out;
 }
 
-Commands Plane::restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now) {
+Commands Controller::restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now) {
   Commands out;
   started_ = now;
-  take(out, now, mooring_.restore(slots, damaged, now));
+  take(out, now, registers_.restore(slots, damaged, now));
   return out;
 }
 
-void Plane::take(Commands& out, Tick now, mooring::Commands&& from) {
+void Controller::take(Commands& out, Tick now, consensus::Commands&& from) {
   std::move(from.sends.begin(), from.sends.end(), std::back_inserter(out.sends));
   std::move(from.persists.begin(), from.persists.end(), std::back_inserter(out.persists));
-  for (core::Note& n : from.notes) {
+  for (core::LogEvent& n : from.logEvents) {
     journal_.append(now, n.event, n.fields.count("key") > 0 ? n.fields["key"] : "");
-    out.notes.push_back(std::move(n));
+    out.logEvents.push_back(std::move(n));
   }
-  for (mooring::Committed const& c : from.commits) {
+  for (consensus::Committed const& c : from.commits) {
     journal_.append(now, "committed", c.key);
     committed(now, c);
-    out.notes.push_back(core::Note{"committed", {{"key", c.key}, {"stamp", std::to_string(c.stamp)}}});
+    out.logEvents.push_back(core::LogEvent{"committed", {{"key", c.key}, {"stamp", std::to_string(c.revision)}}});
   }
-  for (mooring::Decided const& d : from.decided) decided(out, now, d);
-  for (std::pair<std::string, signal::Call> const& r : from.reroute) route(out, now, r.second.token);
+  for (consensus::Decided const& d : from.decided) decided(out, now, d);
+  for (std::pair<std::string, transport::Call> const& r : from.reroute) route(out, now, r.second.token);
   if (!from.commits.empty())
-    for (std::map<std::string, Nacelle>::value_type& n : nacelles_) push(out, now, n.first, n.second);
+    for (std::map<std::string, Router>::value_type& n : routers_) push(out, now, n.first, n.second);
 }
 
-void Plane::decided(Commands& out, Tick now, mooring::Decided const& d) {
+void Controller::decided(Commands& out, Tick now, consensus::Decided const& d) {
   std::map<std::uint64_t, CallState>::const_iterator const it = calls_.find(d.token);
   if (it == calls_.end()) return;
   bool const replayed = d.body.value("replayed").toBool() && d.status < 300;
-  if (!tuning_.awaitInForce || (d.stamp == 0 && !replayed)) {
+  if (!tuning_.awaitInForce || (d.revision == 0 && !replayed)) {
     finish(out, now, d.token, d.status, d.body);
     return;
   }
   Force f;
   f.call = d.token;
   f.key = d.key;
-  f.stamp = d.stamp != 0 ? d.stamp : static_cast<std::uint64_t>(d.body.value("stamp").toInteger());
+  f.revision = d.revision != 0 ? d.revision : static_cast<std::uint64_t>(d.body.value("stamp").toInteger());
   f.since = now;
   f.status = d.status;
   f.body = d.body;
@@ -116,7 +116,7 @@
   checkForces(out, now);
 }
 
-void Plane::finish(Commands& out, Tick now, std::uint64_t call, int status, QJsonObject body) {
+void Controller::finish(Commands& out, Tick now, std::uint64_t call, int status, QJsonObject body) {
   std::map<std::uint64_t, CallState>::iterator const it = calls_.find(call);
   if (it == calls_.end()) return;
   CallState const state = std::move(it->second);
@@ -125,14 +125,14 @@
   if (!body.contains("changeId") && isChange(state.call.method)) body.insert("changeId", core::qstr(state.call.changeId));
   journal_.append(now, "answered_" + std::to_string(status), state.call.path);
   if (isChange(state.call.method))
-    out.notes.push_back(core::Note{"change", {{"path", state.call.path}, {"status", std::to_string(status)}, {"change-id", state.call.changeId}}});
+    out.logEvents.push_back(core::LogEvent{"change", {{"path", state.call.path}, {"status", std::to_string(status)}, {"change-id", state.call.changeId}}});
   if (!state.from.empty())
-    out.sends.push_back(signal::Send{state.from, signal::Outcome{state.token, status, body}});
+    out.sends.push_back(transport::Send{state.from, transport::CallResponse{state.token, status, body}});
   else if (state.token != 0)
     out.answers.push_back(Answer{state.token, status, body});
 }
 
-Commands Plane::operatorCall(Tick now, signal::Call const& call) {
+Commands Controller::operatorCall(Tick now, transport::Call const& call) {
   Commands out;
   int status = 0;
   QJsonObject const page = localPage(now, call, status);
@@ -141,7 +141,7 @@
     return out;
   }
   std::string const duties = "/v1/duties/";
-  if (call.path.rfind(duties, 0) == 0 && blueprint::validName(call.path.substr(duties.size()))) {
+  if (call.path.rfind(duties, 0) == 0 && config::validName(call.path.substr(duties.size()))) {
     if (leases_.size() < maxLeases || leases_.count("duty " + call.path.substr(duties.size())) > 0)
       out.answers.push_back(dutyPage(now, call, call.path.substr(duties.size())));
     else
@@ -150,7 +150,7 @@
   }
   std::optional<Target> const target = targetOf(call.path);
   bool const pool = target && target->key.rfind("pool:", 0) == 0;
-  bool const whole = target && target->key == blueprint::wholeKey;
+  bool const whole = target && target->key == config::wholeKey;
   bool const patched = target && !pool && target->key.rfind("zone:", 0) != 0;
   bool const known = call.method == "GET" || call.method == "PUT" || (call.method == "DELETE" && !pool && !whole) ||
                      (call.method == "PATCH" && patched);
@@ -174,7 +174,7 @@
     calls_[id] = state;
     if (call.method == "PUT" && pool && !call.dryRun) {
       try {
-        hint(out, now, target->key.substr(5), blueprint::readPool(core::parseJson(call.body).toObject()));
+        hint(out, now, target->key.substr(5), config::readPool(core::parseJson(call.body).toObject()));
       } catch (core::Error const&) {
         journal_.append(now, "unreadable_list", target->key);
       }
@@ -184,25 +184,25 @@
   return out;
 }
 
-void Plane::hint(Commands& out, Tick now, std::string const& pool, blueprint::Pool const& list) {
-  signal::Hint h{pool, list.generation, {}, {}};
-  for (blueprint::Replica const& r : list.replicas) {
-    if (r.state == blueprint::ReplicaState::serving) h.serving.push_back(blueprint::lifeName(r));
-    if (r.state == blueprint::ReplicaState::cold) h.cold.push_back(blueprint::lifeName(r));
+void Controller::hint(Commands& out, Tick now, std::string const& pool, config::Pool const& list) {
+  transport::Hint h{pool, list.generation, {}, {}};
+  for (config::Replica const& r : list.replicas) {
+    if (r.state == config::ReplicaState::serving) h.serving.push_back(config::lifeName(r));
+    if (r.state == config::ReplicaState::cold) h.cold.push_back(config::lifeName(r));
   }
   on(out, now, "", h);
 }
 
-Commands Plane::platformLists(Tick now, std::map<std::string, blueprint::Pool> const& lists) {
+Commands Controller::platformLists(Tick now, std::map<std::string, config::Pool> const& lists) {
   Commands out;
-  std::map<std::string, blueprint::Pool> all = lists;
-  for (std::map<std::string, mooring::Committed>::value_type const& c : mooring_.committed())
+  std::map<std::string, config::Pool> all = lists;
+  for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed())
     if (c.first.rfind("pool:", 0) == 0) all.try_emplace(c.first.substr(5));
-  for (std::map<std::string, blueprint::Pool>::value_type& p : all) {
+  for (std::map<std::string, config::Pool>::value_type& p : all) {
     std::string const key = "pool:" + p.first;
-    std::map<std::string, mooring::Committed>::const_iterator const it = mooring_.committed().find(key);
-    QJsonObject const next = blueprint::poolJson(p.second);
-    QJsonObject have = it == mooring_.committed().end() ? QJsonObject() : it->second.value;
+    std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find(key);
+    QJsonObject const next = config::poolJson(p.second);
+    QJsonObject have = it == registers_.committed().end() ? QJsonObject() : it->second.value;
     have.remove("changes");
     have.remove("generation");
     QJsonObject bare = next;
@@ -211,7 +211,7 @@
       hints_.erase(p.first);
       continue;
     }
-    std::map<std::string, signal::Hint>::const_iterator const hinted = hints_.find(p.first);
+    std::map<std::string, transport::Hint>::const_iterator const hinted = hints_.find(p.first);
     p.second.generation = std::max(generationOf(p.first), hinted == hints_.end() ? 0 : hinted->second.generation) + 1;
     hint(out, now, p.first, p.second);
     std::map<std::string, std::uint64_t>::const_iterator const before = listCalls_.find(p.first);
@@ -221,8 +221,8 @@
     state.key = key;
     state.call.token = id;
     state.call.method = "PUT";
-    state.call.path = "/v1/platform/pools/" + blueprint::addressPart(p.first);
-    state.call.body = core::jsonText(blueprint::poolJson(p.second));
+    state.call.path = "/v1/platform/pools/" + config::addressPart(p.first);
+    state.call.body = core::jsonText(config::poolJson(p.second));
     state.since = now;
     calls_[id] = state;
     listCalls_[p.first] = id;
@@ -231,71 +231,71 @@
   return out;
 }
 
-bool Plane::readsLists(Tick now) const {
-  if (draining_ || mooring_.cohort().empty()) return false;
-  std::string const owner = mooring_.ownerLink(rosterKey, now);
-  return owner == mooring_.self().link || (owner.empty() && mooring_.cohort().front().id == mooring_.self().id);
+bool Controller::readsLists(Tick now) const {
+  if (draining_ || registers_.membership().empty()) return false;
+  std::string const owner = registers_.ownerLink(rosterKey, now);
+  return owner == registers_.self().link || (owner.empty() && registers_.membership().front().id == registers_.self().id);
 }
 
-std::uint64_t Plane::generationOf(std::string const& pool) const {
-  std::map<std::string, mooring::Committed>::const_iterator const it = mooring_.committed().find("pool:" + pool);
-  return it == mooring_.committed().end() ? 0 : static_cast<std::uint64_t>(it->second.value.value("generation").toInteger());
+std::uint64_t Controller::generationOf(std::string const& pool) const {
+  std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find("pool:" + pool);
+  return it == registers_.committed().end() ? 0 : static_cast<std::uint64_t>(it->second.value.value("generation").toInteger());
 }
 
-void Plane::on(Commands& out, Tick now, std::string const&, signal::Hint const& m) {
+void Controller::on(Commands& out, Tick now, std::string const&, transport::Hint const& m) {
   std::uint64_t const have = generationOf(m.pool);
   if (have == 0 || m.generation <= have) return;
-  std::map<std::string, signal::Hint>::iterator const it = hints_.find(m.pool);
+  std::map<std::string, transport::Hint>::iterator const it = hints_.find(m.pool);
   if (it != hints_.end() && it->second.generation >= m.generation) return;
   hints_[m.pool] = m;
   journal_.append(now, "leaving_hint", m.pool);
-  for (std::map<std::string, Nacelle>::value_type const& n : nacelles_)
-    if (n.second.asked >= 0) out.sends.push_back(signal::Send{n.first, m});
-  for (mooring::Member const& c : mooring_.cohort())
-    if (c.link != mooring_.self().link) out.sends.push_back(signal::Send{c.link, m});
+  for (std::map<std::string, Router>::value_type const& n : routers_)
+    if (n.second.asked >= 0) out.sends.push_back(transport::Send{n.first, m});
+  for (consensus::Member const& c : registers_.membership())
+    if (c.link != registers_.self().link) out.sends.push_back(transport::Send{c.link, m});
 }
 
-void Plane::route(Commands& out, Tick now, std::uint64_t id) {
+void Controller::route(Commands& out, Tick now, std::uint64_t id) {
   std::map<std::uint64_t, CallState>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return;
   CallState& state = it->second;
-  std::string const owner = mooring_.ownerLink(state.key, now);
-  if (state.from.empty() && !owner.empty() && owner != mooring_.self().link) {
-    state.relayed = true;
+  std::string const owner = registers_.ownerLink(state.key, now);
+  if (state.from.empty() && !owner.empty() && owner != registers_.self().link) {
+    state.forwarded = true;
     state.sentAt = now;
-    out.sends.push_back(signal::Send{owner, state.call});
+    out.sends.push_back(transport::Send{owner, state.call});
     return;
   }
-  if (!owner.empty() && owner != mooring_.self().link) {
+  if (!owner.empty() && owner != registers_.self().link) {
     finish(out, now, id, 421, {{"error", "not the owner"}});
     return;
   }
-  state.relayed = false;
-  take(out, now, mooring_.call(now, state.key, state.call));
+  state.forwarded = false;
+  take(out, now, registers_.call(now, state.key, state.call));
 }
 
-Commands Plane::arrived(Tick now, std::string const& from, signal::Message const& message) {
+Commands Controller::arrived(Tick now, std::string const& from, transport::Message const& message) {
   Commands out;
   std::visit(
       [&](auto const& m) {
         if constexpr (requires { this->on(out, now, from, m); })
           this->on(out, now, from, m);
         else
-          take(out, now, mooring_.arrived(now, from, message));
+          take(out, now, registers_.arrived(now, from, message));
       },
       message);
   return out;
 }
 
-void Plane::on(Commands& out, Tick now, std::string const& from, signal::Shuffle const& m) {
-  std::vector<signal::Send> sends = lookout_.arrived(now, from, m);
+void Controller::on(Commands& out, Tick now, std::string const& from, transport::Shuffle const& m) {
+  std::vector<transport::Send> sends = partialView_.arrived(now, from, m);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
 }
 
-void Plane::on(Commands& out, Tick now, std::string const& from, signal::Call const& m) {
+void Controller::on(Commands& out, Tick now, std::string const& from, transport::Call const& m) {
   std::optional<Target> const target = targetOf(m.path);
   if (!target || draining_ || calls_.size() >= maxCalls) {
-    out.sends.push_back(signal::Send{from, signal::Outcome{m.token, 421, {}}});
+    out.sends.push_back(transport::Send{from, transport::CallResponse{m.token, 421, {}}});
     return;
   }
   std::uint64_t const id = nextCall_++;
@@ -310,41 +310,41 @@
   route(out, now, id);
 }
 
-void Plane::on(Commands& out, Tick now, std::string const&, signal::Outcome const& m) {
+void Controller::on(Commands& out, Tick now, std::string const&, transport::CallResponse const& m) {
   std::map<std::uint64_t, CallState>::iterator const it = calls_.find(m.token);
-  if (it == calls_.end() || !it->second.relayed) return;
+  if (it == calls_.end() || !it->second.forwarded) return;
   if (m.status == 421) {
-    it->second.relayed = false;
+    it->second.forwarded = false;
     return;
   }
   finish(out, now, m.token, m.status, m.body);
 }
 
-void Plane::committed(Tick now, mooring::Committed const& c) {
+void Controller::committed(Tick now, consensus::Committed const& c) {
   if (c.key == rosterKey) {
     rosterCommittedAt_ = now;
     foldRoster(c.value);
-    lookout_.setRoster(c.stamp, lookout::rosterContacts(c.value));
+    partialView_.setRoster(c.revision, gossip::rosterContacts(c.value));
   }
-  if (c.key == blueprint::wholeKey) {
+  if (c.key == config::wholeKey) {
     wholePools_.clear();
     for (QJsonValue const p : c.value.value("spec").toObject().value("pools").toArray())
       wholePools_.insert(core::str(p.toObject().value("name").toString()));
   }
   Settling& s = settling_[c.key];
-  std::uint64_t const before = s.stamp;
-  s.stamp = c.stamp;
+  std::uint64_t const before = s.revision;
+  s.revision = c.revision;
   s.since = now;
   s.majorityAt = -1;
   s.inForce = false;
   unsettled_.insert(c.key);
   holdingAt_ = now;
-  digest_.replace(c.key, before, c.stamp);
-  for (std::map<std::string, Nacelle>::value_type& n : nacelles_)
+  digest_.replace(c.key, before, c.revision);
+  for (std::map<std::string, Router>::value_type& n : routers_)
     if (n.second.asked >= 0) n.second.behind.try_emplace(c.key, n.second.known ? before : 0);
 }
 
-void Plane::foldRoster(QJsonObject const& value) {
+void Controller::foldRoster(QJsonObject const& value) {
   std::function<std::set<std::string>(char const*)> const links = [&](char const* field) {
     std::set<std::string> out;
     for (QJsonValue const v : value.value(QLatin1String(field)).toArray())
@@ -355,29 +355,29 @@
   std::set_union(roster_.nodes.begin(), roster_.nodes.end(), roster_.previous.begin(), roster_.previous.end(), std::back_inserter(roster_.places));
 }
 
-void Plane::learned(std::string const& link, std::string const& key, std::uint64_t stamp) {
+void Controller::learned(std::string const& link, std::string const& key, std::uint64_t revision) {
   std::map<std::string, Settling>::iterator const it = settling_.find(key);
   if (it == settling_.end() || (it->second.inForce && key != rosterKey)) return;
   std::uint64_t& has = it->second.has[link];
-  has = std::max(has, stamp);
+  has = std::max(has, revision);
 }
 
-void Plane::learnedAll(std::string const& link, Nacelle& n) {
-  for (std::string const& key : unsettled_) learned(link, key, settling_.at(key).stamp);
-  learned(link, rosterKey, committedStamp(rosterKey));
+void Controller::learnedAll(std::string const& link, Router& n) {
+  for (std::string const& key : unsettled_) learned(link, key, settling_.at(key).revision);
+  learned(link, rosterKey, committedRevision(rosterKey));
   n.behind.clear();
   n.pushed.clear();
   n.known = n.asked >= 0;
 }
 
-bool Plane::hasAll(std::string const& link, Nacelle& n, signal::Digest const& digest) {
+bool Controller::hasAll(std::string const& link, Router& n, transport::Digest const& digest) {
   if (!(digest == digest_)) return false;
   learnedAll(link, n);
   return true;
 }
 
-Plane::Nacelle* Plane::heardFrom(Tick now, std::string const& link, std::uint64_t inc) {
-  Nacelle& n = nacelles_[link];
+Controller::Router* Controller::heardFrom(Tick now, std::string const& link, std::uint64_t inc) {
+  Router& n = routers_[link];
   if (inc < n.contact.inc) return nullptr;
   if (inc > n.contact.inc) {
     n.known = false;
@@ -391,17 +391,17 @@
   return &n;
 }
 
-void Plane::on(Commands& out, Tick now, std::string const& from, signal::NewsAck const& m) {
+void Controller::on(Commands& out, Tick now, std::string const& from, transport::NewsAck const& m) {
   if (m.link.empty() || m.link != from) return;
-  Nacelle* const n = heardFrom(now, from, m.inc);
+  Router* const n = heardFrom(now, from, m.inc);
   if (n == nullptr) return;
   if (!hasAll(from, *n, m.digest)) {
-    for (signal::Stamps::value_type const& s : m.stamps) {
+    for (transport::Revisions::value_type const& s : m.revisions) {
       learned(from, s.first, s.second);
-      signal::Stamps::iterator const behind = n->behind.find(s.first);
+      transport::Revisions::iterator const behind = n->behind.find(s.first);
       if (behind == n->behind.end()) continue;
       behind->second = std::max(behind->second, s.second);
-      if (behind->second < committedStamp(s.first)) continue;
+      if (behind->second < committedRevision(s.first)) continue;
       n->behind.erase(behind);
       n->pushed.erase(s.first);
     }
@@ -409,52 +409,52 @@
   checkForces(out, now);
 }
 
-void Plane::on(Commands& out, Tick now, std::string const& from, signal::Ask const& m) {
+void Controller::on(Commands& out, Tick now, std::string const& from, transport::Ask const& m) {
   if (m.self.link.empty() || m.self.link != from) return;
-  std::vector<signal::Send> sends = lookout_.heard(now, m.self);
+  std::vector<transport::Send> sends = partialView_.heard(now, m.self);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
   bool const current = heardFrom(now, from, m.self.inc) != nullptr;
-  Nacelle& n = nacelles_[from];
+  Router& n = routers_[from];
   n.contact = m.self;
   n.asked = now;
   if (m.wantWhole && n.wantWhole < 0) n.wantWhole = now;
   if (!m.wantWhole) n.wantWhole = -1;
   n.anyWhole = m.anyWhole;
   bool exact = current && hasAll(from, n, m.digest);
-  if (current && !exact && signal::digestOf(m.stamps) == m.digest) {
+  if (current && !exact && transport::digestOf(m.revisions) == m.digest) {
     exact = true;
     n.known = true;
     n.behind.clear();
-    for (std::map<std::string, mooring::Committed>::value_type const& k : mooring_.committed()) {
-      signal::Stamps::const_iterator const have = m.stamps.find(k.first);
-      std::uint64_t const stamp = have == m.stamps.end() ? 0 : have->second;
-      if (stamp > 0) learned(from, k.first, stamp);
-      if (stamp < k.second.stamp) n.behind[k.first] = stamp;
+    for (std::map<std::string, consensus::Committed>::value_type const& k : registers_.committed()) {
+      transport::Revisions::const_iterator const have = m.revisions.find(k.first);
+      std::uint64_t const revision = have == m.revisions.end() ? 0 : have->second;
+      if (revision > 0) learned(from, k.first, revision);
+      if (revision < k.second.revision) n.behind[k.first] = revision;
     }
   } else if (current && !exact && n.known) {
-    signal::Digest expected = digest_;
-    for (signal::Stamps::value_type const& b : n.behind) expected.replace(b.first, committedStamp(b.first), b.second);
+    transport::Digest expected = digest_;
+    for (transport::Revisions::value_type const& b : n.behind) expected.replace(b.first, committedRevision(b.first), b.second);
     exact = expected == m.digest;
   }
-  signal::Confirm c;
+  transport::Confirm c;
   c.tick = m.tick;
-  Tick const age = mooring_.majorityAge(now);
+  Tick const age = registers_.majorityAge(now);
   c.inTouch = age >= 0 && age <= tuning_.fence;
   c.age = std::max<Tick>(age, 0);
   c.digest = digest_;
   if (!(m.digest == digest_))
-    for (std::map<std::string, mooring::Committed>::value_type const& k : mooring_.committed()) c.stamps[k.first] = k.second.stamp;
-  c.wantStamps = !exact;
-  c.roster = rosterInForce() ? committedStamp(rosterKey) : 0;
-  for (std::map<std::string, signal::Hint>::iterator h = hints_.begin(); h != hints_.end();)
+    for (std::map<std::string, consensus::Committed>::value_type const& k : registers_.committed()) c.revisions[k.first] = k.second.revision;
+  c.wantRevisions = !exact;
+  c.roster = rosterInForce() ? committedRevision(rosterKey) : 0;
+  for (std::map<std::string, transport::Hint>::iterator h = hints_.begin(); h != hints_.end();)
     h = h->second.generation <= generationOf(h->first) ? hints_.erase(h) : std::next(h);
-  for (std::map<std::string, signal::Hint>::value_type const& h : hints_) c.hints.push_back(h.second);
-  out.sends.push_back(signal::Send{from, c});
+  for (std::map<std::string, transport::Hint>::value_type const& h : hints_) c.hints.push_back(h.second);
+  out.sends.push_back(transport::Send{from, c});
   push(out, now, from, n);
   checkForces(out, now);
 }
 
-void Plane::push(Commands& out, Tick now, std::string const& link, Nacelle& n) {
+void Controller::push(Commands& out, Tick now, std::string const& link, Router& n) {
   if (n.asked < 0) return;
   if (now - n.asked > 10000) {
     n.asked = -1;
@@ -464,127 +464,127 @@
     n.wantWhole = -1;
     return;
   }
-  Tick const age = mooring_.majorityAge(now);
+  Tick const age = registers_.majorityAge(now);
   bool const confirmed = age >= 0 && now - age >= n.wantWhole;
-  signal::News news;
-  news.whole = n.wantWhole >= 0 && (n.anyWhole ? !mooring_.committed().empty() : confirmed);
+  transport::News news;
+  news.whole = n.wantWhole >= 0 && (n.anyWhole ? !registers_.committed().empty() : confirmed);
   std::function<void(std::string const&)> const add = [&](std::string const& key) {
-    std::map<std::string, mooring::Committed>::const_iterator const k = mooring_.committed().find(key);
-    if (k == mooring_.committed().end()) return;
-    n.pushed[key] = {k->second.stamp, now};
-    news.items.push_back(signal::Item{key, k->second.stamp, k->second.value});
+    std::map<std::string, consensus::Committed>::const_iterator const k = registers_.committed().find(key);
+    if (k == registers_.committed().end()) return;
+    n.pushed[key] = {k->second.revision, now};
+    news.items.push_back(transport::Item{key, k->second.revision, k->second.value});
   };
   if (news.whole) {
     n.wantWhole = -1;
-    for (std::map<std::string, mooring::Committed>::value_type const& k : mooring_.committed()) add(k.first);
+    for (std::map<std::string, consensus::Committed>::value_type const& k : registers_.committed()) add(k.first);
   } else {
-    for (signal::Stamps::value_type const& b : n.behind) {
+    for (transport::Revisions::value_type const& b : n.behind) {
       std::map<std::string, std::pair<std::uint64_t, Tick>>::const_iterator const before = n.pushed.find(b.first);
-      bool const again = before != n.pushed.end() && before->second.first >= committedStamp(b.first) && now - before->second.second < tuning_.repushEvery;
+      bool const again = before != n.pushed.end() && before->second.first >= committedRevision(b.first) && now - before->second.second < tuning_.repushEvery;
       if (!again) add(b.first);
     }
     if (news.items.empty()) return;
   }
   news.number = ++n.number;
   journal_.append(now, "news_pushed", link);
-  out.sends.push_back(signal::Send{link, std::move(news)});
+  out.sends.push_back(transport::Send{link, std::move(news)});
 }
 
-signal::Holding Plane::holding(Tick now) const {
-  signal::Holding h;
-  h.roster = committedStamp(rosterKey);
+transport::Holding Controller::holding(Tick now) const {
+  transport::Holding h;
+  h.roster = committedRevision(rosterKey);
   h.digest = digest_;
   for (std::size_t place = 0; place < roster_.places.size(); ++place) {
-    std::map<std::string, Nacelle>::const_iterator const n = nacelles_.find(roster_.places[place]);
-    if (n == nacelles_.end() || n->second.asked < 0) continue;
+    std::map<std::string, Router>::const_iterator const n = routers_.find(roster_.places[place]);
+    if (n == routers_.end() || n->second.asked < 0) continue;
     if (now - n->second.asked <= tuning_.heldFor) h.heard.set(place);
     if (n->second.known && n->second.behind.empty()) h.whole.set(place);
   }
-  for (std::map<std::string, Nacelle>::value_type const& n : nacelles_)
+  for (std::map<std::string, Router>::value_type const& n : routers_)
     if (n.second.asked >= 0 && now - n.second.asked <= tuning_.heldFor && roster_.nodes.count(n.first) == 0) h.fresh.push_back(n.second.contact);
   return h;
 }
 
-void Plane::tellHolding(Commands& out, Tick now) {
+void Controller::tellHolding(Commands& out, Tick now) {
   if (now < holdingAt_) return;
-  signal::Holding h = holding(now);
+  transport::Holding h = holding(now);
   Tick youngest = -1;
-  std::function<void(std::string const&, std::uint64_t, Tick)> const ask = [&](std::string const& key, std::uint64_t stamp, Tick since) {
+  std::function<void(std::string const&, std::uint64_t, Tick)> const ask = [&](std::string const& key, std::uint64_t revision, Tick since) {
     youngest = std::max(youngest, since);
-    if (h.asked.size() < maxAsked) h.asked.push_back(signal::Reached{key, stamp, {}});
+    if (h.asked.size() < maxAsked) h.asked.push_back(transport::Reached{key, revision, {}});
   };
-  for (Force const& f : forces_) ask(f.key, f.stamp, f.since);
-  for (std::string const& key : unsettled_) ask(key, settling_.at(key).stamp, settling_.at(key).since);
+  for (Force const& f : forces_) ask(f.key, f.revision, f.since);
+  for (std::string const& key : unsettled_) ask(key, settling_.at(key).revision, settling_.at(key).since);
   bool const young = youngest >= 0 && now - youngest < tuning_.youngFor;
   holdingAt_ = now + (h.asked.empty() ? tuning_.holdingEvery : young ? tuning_.holdingWhileYoung : tuning_.holdingWhileAsking);
-  for (mooring::Member const& m : mooring_.cohort())
-    if (m.link != mooring_.self().link) out.sends.push_back(signal::Send{m.link, h});
+  for (consensus::Member const& m : registers_.membership())
+    if (m.link != registers_.self().link) out.sends.push_back(transport::Send{m.link, h});
 }
 
-void Plane::on(Commands& out, Tick now, std::string const& from, signal::Holding const& m) {
-  std::function<bool(mooring::Member const&)> const sender = [&](mooring::Member const& c) { return c.link == from; };
-  if (std::none_of(mooring_.cohort().begin(), mooring_.cohort().end(), sender)) return;
-  for (signal::Contact const& c : m.fresh) {
-    if (c.link.empty() || c.role != "nacelle") continue;
-    Nacelle& n = nacelles_[c.link];
+void Controller::on(Commands& out, Tick now, std::string const& from, transport::Holding const& m) {
+  std::function<bool(consensus::Member const&)> const sender = [&](consensus::Member const& c) { return c.link == from; };
+  if (std::none_of(registers_.membership().begin(), registers_.membership().end(), sender)) return;
+  for (transport::Contact const& c : m.fresh) {
+    if (c.link.empty() || c.role != transport::routerRole) continue;
+    Router& n = routers_[c.link];
     if (n.asked >= 0 || c.inc < n.contact.inc) continue;
     n.contact = c;
     n.heard = now;
   }
-  if (m.roster > 0 && m.roster == committedStamp(rosterKey)) {
+  if (m.roster > 0 && m.roster == committedRevision(rosterKey)) {
     for (std::size_t place = 0; place < roster_.places.size(); ++place) {
       std::string const& link = roster_.places[place];
-      if (m.heard.has(place)) nacelles_[link].heard = now;
+      if (m.heard.has(place)) routers_[link].heard = now;
       if (m.digest == digest_ && m.whole.has(place))
-        for (std::string const& key : unsettled_) learned(link, key, settling_.at(key).stamp);
-      for (signal::Reached const& r : m.reached)
-        if (r.nacelles.has(place)) learned(link, r.key, r.stamp);
+        for (std::string const& key : unsettled_) learned(link, key, settling_.at(key).revision);
+      for (transport::Reached const& r : m.reached)
+        if (r.routers.has(place)) learned(link, r.key, r.revision);
     }
     checkForces(out, now);
   }
   if (m.asked.empty()) return;
-  signal::Holding answer = holding(now);
-  for (signal::Reached const& asked : m.asked) {
+  transport::Holding answer = holding(now);
+  for (transport::Reached const& asked : m.asked) {
     if (answer.reached.size() >= maxAsked) break;
-    signal::Reached r{asked.key, asked.stamp, {}};
-    bool const have = committedStamp(asked.key) >= asked.stamp;
+    transport::Reached r{asked.key, asked.revision, {}};
+    bool const have = committedRevision(asked.key) >= asked.revision;
     for (std::size_t place = 0; place < roster_.places.size(); ++place) {
-      std::map<std::string, Nacelle>::const_iterator const n = nacelles_.find(roster_.places[place]);
-      if (n == nacelles_.end() || n->second.asked < 0) continue;
-      signal::Stamps::const_iterator const behind = n->second.behind.find(asked.key);
-      if (behind == n->second.behind.end() ? have && n->second.known : behind->second >= asked.stamp) r.nacelles.set(place);
+      std::map<std::string, Router>::const_iterator const n = routers_.find(roster_.places[place]);
+      if (n == routers_.end() || n->second.asked < 0) continue;
+      transport::Revisions::const_iterator const behind = n->second.behind.find(asked.key);
+      if (behind == n->second.behind.end() ? have && n->second.known : behind->second >= asked.revision) r.routers.set(place);
     }
     answer.reached.push_back(std::move(r));
   }
-  out.sends.push_back(signal::Send{from, std::move(answer)});
+  out.sends.push_back(transport::Send{from, std::move(answer)});
 }
 
-std::uint64_t Plane::committedStamp(std::string const& key) const {
-  std::map<std::string, mooring::Committed>::const_iterator const it = mooring_.committed().find(key);
-  return it == mooring_.committed().end() ? 0 : it->second.stamp;
+std::uint64_t Controller::committedRevision(std::string const& key) const {
+  std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find(key);
+  return it == registers_.committed().end() ? 0 : it->second.revision;
 }
 
-bool Plane::rosterSettled(Tick now) const {
-  std::uint64_t const stamp = committedStamp(rosterKey);
-  if (stamp == 0) return true;
+bool Controller::rosterSettled(Tick now) const {
+  std::uint64_t const revision = committedRevision(rosterKey);
+  if (revision == 0) return true;
   return now - rosterCommittedAt_ > tuning_.fence + tuning_.fenceMargin &&
-         inForce(now, rosterKey, stamp, rosterCommittedAt_) != InForce::no;
+         inForce(now, rosterKey, revision, rosterCommittedAt_) != InForce::no;
 }
 
-bool Plane::rosterInForce() const {
+bool Controller::rosterInForce() const {
   std::map<std::string, Settling>::const_iterator const it = settling_.find(rosterKey);
   return it != settling_.end() && it->second.inForce;
 }
 
-Plane::InForce Plane::inForce(Tick now, std::string const& key, std::uint64_t stamp, Tick since) const {
+Controller::InForce Controller::inForce(Tick now, std::string const& key, std::uint64_t revision, Tick since) const {
   std::map<std::string, Settling>::const_iterator const settling = settling_.find(key);
-  if (settling != settling_.end() && settling->second.inForce && settling->second.stamp >= stamp) return InForce::yes;
-  Tick const age = mooring_.majorityAge(now);
+  if (settling != settling_.end() && settling->second.inForce && settling->second.revision >= revision) return InForce::yes;
+  Tick const age = registers_.majorityAge(now);
   if (age < 0 || now - age < since || settling == settling_.end()) return InForce::no;
-  std::uint64_t const roster = committedStamp(rosterKey);
+  std::uint64_t const roster = committedRevision(rosterKey);
   std::map<std::string, Settling>::const_iterator const rosterSettling = settling_.find(rosterKey);
   std::function<bool(Settling const&, std::string const&, std::uint64_t)> const knows = [](Settling const& s, std::string const& link, std::uint64_t least) {
-    signal::Stamps::const_iterator const it = s.has.find(link);
+    transport::Revisions::const_iterator const it = s.has.find(link);
     return it != s.has.end() && it->second >= least;
   };
   bool all = true;
@@ -593,9 +593,9 @@
     std::size_t yes = 0;
     std::size_t onRoster = 0;
     for (std::string const& link : *links) {
-      std::map<std::string, Nacelle>::const_iterator const it = nacelles_.find(link);
-      bool const gone = roster_.gone.count(link) > 0 || (it != nacelles_.end() && it->second.refusedAt > since);
-      bool const has = gone || knows(settling->second, link, stamp);
+      std::map<std::string, Router>::const_iterator const it = routers_.find(link);
+      bool const gone = roster_.gone.count(link) > 0 || (it != routers_.end() && it->second.refusedAt > since);
+      bool const has = gone || knows(settling->second, link, revision);
       yes += has ? 1 : 0;
       onRoster += gone || (rosterSettling != settling_.end() && knows(rosterSettling->second, link, roster)) ? 1 : 0;
       if (links == &roster_.nodes) all = all && has;
@@ -610,33 +610,33 @@
   return settled ? InForce::majority : InForce::no;
 }
 
-bool Plane::isInForce(Tick now, std::string const& key, Settling const& s) const {
+bool Controller::isInForce(Tick now, std::string const& key, Settling const& s) const {
   bool const fenced = s.majorityAt >= 0 && now - s.majorityAt > tuning_.fence + tuning_.fenceMargin;
-  return fenced || inForce(now, key, s.stamp, s.since) == InForce::yes;
+  return fenced || inForce(now, key, s.revision, s.since) == InForce::yes;
 }
 
-void Plane::watchSettling(Tick now) {
+void Controller::watchSettling(Tick now) {
   for (std::set<std::string>::iterator key = unsettled_.begin(); key != unsettled_.end();) {
     Settling& s = settling_.at(*key);
-    if (s.majorityAt < 0 && inForce(now, *key, s.stamp, s.since) != InForce::no) s.majorityAt = now;
+    if (s.majorityAt < 0 && inForce(now, *key, s.revision, s.since) != InForce::no) s.majorityAt = now;
     s.inForce = isInForce(now, *key, s);
     if (s.inForce && *key != rosterKey) s.has.clear();
     key = s.inForce ? unsettled_.erase(key) : std::next(key);
   }
 }
 
-void Plane::checkForces(Commands& out, Tick now) {
+void Controller::checkForces(Commands& out, Tick now) {
   std::vector<Force> waiting;
   std::vector<Force> done;
   for (Force& f : forces_) {
-    InForce const state = inForce(now, f.key, f.stamp, f.since);
+    InForce const state = inForce(now, f.key, f.revision, f.since);
     if (state == InForce::majority && f.majorityAt < 0) f.majorityAt = now;
     bool const fenced = f.majorityAt >= 0 && now - f.majorityAt > tuning_.fence + tuning_.fenceMargin;
     if (state == InForce::yes || fenced) {
       f.body.insert("inForce", true);
       done.push_back(f);
     } else if (now - f.since > tuning_.forceLimit) {
-      f.body = pendingBody(f.body, f.stamp);
+      f.body = pendingBody(f.body, f.revision);
       f.status = 504;
       done.push_back(f);
     } else {
@@ -647,38 +647,38 @@
   for (Force const& f : done) finish(out, now, f.call, f.status, f.body);
 }
 
-Commands Plane::probed(Tick now, std::string const& link, bool refused) {
+Commands Controller::probed(Tick now, std::string const& link, bool refused) {
   Commands out;
-  std::map<std::string, Nacelle>::iterator const it = nacelles_.find(link);
-  if (it == nacelles_.end()) return out;
+  std::map<std::string, Router>::iterator const it = routers_.find(link);
+  if (it == routers_.end()) return out;
   it->second.refusedAt = refused ? now : -1;
   checkForces(out, now);
   return out;
 }
 
-void Plane::considerRoster(Commands& out, Tick now) {
+void Controller::considerRoster(Commands& out, Tick now) {
   if (now < rosterAt_ || rosterCalling_ || draining_ || !ready(now)) return;
   rosterAt_ = now + 300;
-  std::function<bool(std::map<std::string, Nacelle>::value_type const&)> const silent = [&](std::map<std::string, Nacelle>::value_type const& n) {
+  std::function<bool(std::map<std::string, Router>::value_type const&)> const silent = [&](std::map<std::string, Router>::value_type const& n) {
     return n.second.heard >= 0 && now - n.second.heard > tuning_.forgetAfter;
   };
-  if (std::any_of(nacelles_.begin(), nacelles_.end(), silent)) {
+  if (std::any_of(routers_.begin(), routers_.end(), silent)) {
     std::set<std::string> const& kept = roster_.nodes;
-    std::erase_if(nacelles_, [&](std::map<std::string, Nacelle>::value_type const& n) { return silent(n) && kept.count(n.first) == 0; });
+    std::erase_if(routers_, [&](std::map<std::string, Router>::value_type const& n) { return silent(n) && kept.count(n.first) == 0; });
   }
-  std::string const owner = mooring_.ownerLink(rosterKey, now);
-  if (owner != mooring_.self().link && (!owner.empty() || committedStamp(rosterKey) > 0)) return;
-  if (owner.empty() && mooring_.cohort().front().id != mooring_.self().id) return;
+  std::string const owner = registers_.ownerLink(rosterKey, now);
+  if (owner != registers_.self().link && (!owner.empty() || committedRevision(rosterKey) > 0)) return;
+  if (owner.empty() && registers_.membership().front().id != registers_.self().id) return;
   if (!rosterSettled(now)) return;
   std::map<std::string, QJsonObject> nodes;
-  std::map<std::string, mooring::Committed>::const_iterator const it = mooring_.committed().find(rosterKey);
-  if (it != mooring_.committed().end())
+  std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find(rosterKey);
+  if (it != registers_.committed().end())
     for (QJsonValue const v : it->second.value.value("nodes").toArray())
       nodes[core::str(v.toObject().value("link").toString())] = v.toObject();
   bool changed = false;
   std::set<std::string> gone = roster_.gone;
-  for (std::map<std::string, Nacelle>::value_type const& n : nacelles_) {
-    if (n.second.heard < 0 || now - n.second.heard > 2000 || n.second.contact.role != "nacelle" || n.second.contact.draining ||
+  for (std::map<std::string, Router>::value_type const& n : routers_) {
+    if (n.second.heard < 0 || now - n.second.heard > 2000 || n.second.contact.role != transport::routerRole || n.second.contact.draining ||
         nodes.count(n.first) > 0)
       continue;
     nodes[n.first] = QJsonObject{{"link", core::qstr(n.first)},
@@ -689,9 +689,9 @@
   }
   if (now - started_ > tuning_.strikeAfter) {
     for (std::map<std::string, QJsonObject>::iterator n = nodes.begin(); n != nodes.end();) {
-      std::map<std::string, Nacelle>::const_iterator const seen = nacelles_.find(n->first);
-      Tick const direct = seen == nacelles_.end() || seen->second.heard < 0 ? now - started_ : now - seen->second.heard;
-      Tick const told = lookout_.age(n->first, now);
+      std::map<std::string, Router>::const_iterator const seen = routers_.find(n->first);
+      Tick const direct = seen == routers_.end() || seen->second.heard < 0 ? now - started_ : now - seen->second.heard;
+      Tick const told = partialView_.age(n->first, now);
       bool const dark = direct > tuning_.strikeAfter && (told < 0 || told > tuning_.strikeAfter);
       changed = changed || dark;
       n = dark ? nodes.erase(n) : std::next(n);
@@ -708,16 +708,16 @@
   state.call.token = id;
   state.call.method = rosterMethod;
   state.call.path = "/v1/roster/nodes";
-  state.call.ifMatch = std::to_string(committedStamp(rosterKey));
+  state.call.ifMatch = std::to_string(committedRevision(rosterKey));
   state.call.body = core::jsonText(QJsonObject{{"nodes", list}, {"gone", goneList}});
   state.since = now;
   calls_[id] = state;
   rosterCalling_ = true;
-  out.notes.push_back(core::Note{"roster", {{"nodes", std::to_string(nodes.size())}}});
-  take(out, now, mooring_.call(now, rosterKey, state.call));
+  out.logEvents.push_back(core::LogEvent{"roster", {{"nodes", std::to_string(nodes.size())}}});
+  take(out, now, registers_.call(now, rosterKey, state.call));
 }
 
-Plane::Lease* Plane::grant(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc, Tick term, bool& ok) {
+Controller::Lease* Controller::grant(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc, Tick term, bool& ok) {
   if (!ready(now) || now - started_ < term + 500) return nullptr;
   if (joinedAt_ >= 0 && now - joinedAt_ < term + tuning_.fence + 500) return nullptr;
   if (leases_.size() >= maxLeases && leases_.count(what) == 0) return nullptr;
@@ -726,7 +726,7 @@
   bool const successor = lease.holder == holder && lease.inc == 0;
   ok = mine || successor || now >= lease.until;
   if (ok) {
-    if (!mine || successor) ++lease.epoch;
+    if (!mine || successor) ++lease.term;
     lease.holder = holder;
     lease.inc = inc;
     lease.until = now + term;
@@ -735,7 +735,7 @@
   return &lease;
 }
 
-void Plane::release(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc, std::string const& successor, Tick term) {
+void Controller::release(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc, std::string const& successor, Tick term) {
   std::map<std::string, Lease>::iterator const it = leases_.find(what);
   if (it == leases_.end() || it->second.holder != holder || it->second.inc != inc) return;
   it->second.holder = successor;
@@ -743,7 +743,7 @@
   it->second.until = successor.empty() ? now : now + term;
 }
 
-void Plane::on(Commands& out, Tick now, std::string const& from, signal::WarmAsk const& m) {
+void Controller::on(Commands& out, Tick now, std::string const& from, transport::WarmAsk const& m) {
   if (m.release) {
     release(now, m.replica, m.link, m.inc, m.successor, tuning_.warmLease);
     return;
@@ -751,10 +751,10 @@
   bool ok = false;
   Lease const* const lease = grant(now, m.replica, m.link, m.inc, tuning_.warmLease, ok);
   if (lease == nullptr) return;
-  out.sends.push_back(signal::Send{from, signal::WarmGrant{m.tick, m.replica, mooring_.self().id, ok, lease->epoch, lease->holder}});
+  out.sends.push_back(transport::Send{from, transport::WarmGrant{m.tick, m.replica, registers_.self().id, ok, lease->term, lease->holder}});
 }
 
-Answer Plane::dutyPage(Tick now, signal::Call const& call, std::string const& name) {
+Answer Controller::dutyPage(Tick now, transport::Call const& call, std::string const& name) {
   if (call.method != "PUT" && call.method != "DELETE") return {call.token, 405, {{"error", "method not allowed"}}};
   QJsonObject body;
   try {
@@ -778,42 +778,42 @@
   if (!ok) lease->waiting[holder] = now;
   std::erase_if(lease->waiting, [&](std::map<std::string, Tick>::value_type const& w) { return now - w.second > tuning_.dutyLease; });
   QJsonArray members;
-  for (mooring::Member const& m : mooring_.cohort()) members.append(core::qstr(m.id));
+  for (consensus::Member const& m : registers_.membership()) members.append(core::qstr(m.id));
   QJsonArray waiting;
   for (std::map<std::string, Tick>::value_type const& w : lease->waiting) waiting.append(core::qstr(w.first));
-  return {call.token, 200, {{"granted", ok}, {"holder", core::qstr(lease->holder)}, {"epoch", static_cast<qint64>(lease->epoch)},
-                            {"member", core::qstr(mooring_.self().id)}, {"cohort", members}, {"waiting", waiting},
-                            {"cohortStamp", static_cast<qint64>(committedStamp("cohort"))}}};
+  return {call.token, 200, {{"granted", ok}, {"holder", core::qstr(lease->holder)}, {"epoch", static_cast<qint64>(lease->term)},
+                            {"member", core::qstr(registers_.self().id)}, {"cohort", members}, {"waiting", waiting},
+                            {"cohortStamp", static_cast<qint64>(committedRevision("cohort"))}}};
 }
 
-Commands Plane::written(Tick now, std::uint64_t ticket, bool ok) {
+Commands Controller::written(Tick now, std::uint64_t ticket, bool ok) {
   Commands out;
-  take(out, now, mooring_.written(now, ticket, ok));
+  take(out, now, registers_.written(now, ticket, ok));
   return out;
 }
 
-Commands Plane::clockEvent(Tick now) {
+Commands Controller::clockEvent(Tick now) {
   Commands out;
-  if (mooring_.seeking()) {
-    std::vector<std::string> links = lookout_.seeds();
-    for (signal::Contact const& c : lookout_.ofRole("substation", now)) links.push_back(c.link);
-    mooring_.meet(std::move(links));
-  }
-  take(out, now, mooring_.clockEvent(now));
-  if (!mooring_.voting()) joinedAt_ = now;
-  std::vector<signal::Send> sends = lookout_.clockEvent(now);
+  if (registers_.seeking()) {
+    std::vector<std::string> links = partialView_.seeds();
+    for (transport::Contact const& c : partialView_.ofRole(transport::controllerRole, now)) links.push_back(c.link);
+    registers_.meet(std::move(links));
+  }
+  take(out, now, registers_.clockEvent(now));
+  if (!registers_.voting()) joinedAt_ = now;
+  std::vector<transport::Send> sends = partialView_.clockEvent(now);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
-  for (std::map<std::string, Nacelle>::value_type& n : nacelles_) push(out, now, n.first, n.second);
+  for (std::map<std::string, Router>::value_type& n : routers_) push(out, now, n.first, n.second);
   std::vector<std::uint64_t> late;
   std::vector<std::uint64_t> again;
   for (std::map<std::uint64_t, CallState>::value_type const& c : calls_) {
     bool const forcing = std::any_of(forces_.begin(), forces_.end(), [&](Force const& f) { return f.call == c.first; });
-    if (now - c.second.since > tuning_.relayLimit)
+    if (now - c.second.since > tuning_.forwardLimit)
       late.push_back(c.first);
-    else if (c.second.relayed && now - c.second.sentAt > tuning_.resendEvery)
+    else if (c.second.forwarded && now - c.second.sentAt > tuning_.resendEvery)
       again.push_back(c.first);
-    else if (c.second.from.empty() && !c.second.relayed && !forcing && c.second.call.method != rosterMethod && !mooring_.owns(c.second.key) &&
-             mooring_.ownerLink(c.second.key, now) != "")
+    else if (c.second.from.empty() && !c.second.forwarded && !forcing && c.second.call.method != rosterMethod && !registers_.owns(c.second.key) &&
+             registers_.ownerLink(c.second.key, now) != "")
       again.push_back(c.first);
   }
   for (std::uint64_t const id : again) route(out, now, id);
@@ -826,11 +826,11 @@
     for (std::string const& link : roster_.nodes) {
       std::function<bool(Force const&)> const lacks = [&](Force const& f) {
         std::map<std::string, Settling>::const_iterator const s = settling_.find(f.key);
-        signal::Stamps::const_iterator const has = s == settling_.end() ? signal::Stamps::const_iterator() : s->second.has.find(link);
-        return s == settling_.end() || has == s->second.has.end() || has->second < f.stamp;
+        transport::Revisions::const_iterator const has = s == settling_.end() ? transport::Revisions::const_iterator() : s->second.has.find(link);
+        return s == settling_.end() || has == s->second.has.end() || has->second < f.revision;
       };
       if (std::none_of(forces_.begin(), forces_.end(), lacks)) continue;
-      Nacelle& n = nacelles_[link];
+      Router& n = routers_[link];
       if ((n.heard >= 0 && now - n.heard < tuning_.probeAfter) || now - n.probedAt < tuning_.probeAfter) continue;
       n.probedAt = now;
       out.probes.push_back(link);
@@ -843,20 +843,20 @@
   return out;
 }
 
-Commands Plane::drain(Tick now) {
+Commands Controller::drain(Tick now) {
   Commands out;
   draining_ = true;
-  lookout_.setDraining();
-  take(out, now, mooring_.handOver(now));
+  partialView_.setDraining();
+  take(out, now, registers_.handOver(now));
   return out;
 }
 
-bool Plane::ready(Tick now) const {
-  Tick const age = mooring_.majorityAge(now);
+bool Controller::ready(Tick now) const {
+  Tick const age = registers_.majorityAge(now);
   return !draining_ && age >= 0 && age <= tuning_.fence;
 }
 
-QJsonObject Plane::localPage(Tick now, signal::Call const& call, int& status) const {
+QJsonObject Controller::localPage(Tick now, transport::Call const& call, int& status) const {
   if (call.method != "GET") return {};
   if (call.path == "/v1/fleet") {
     status = 200;
@@ -865,7 +865,7 @@
   if (call.path == "/v1/templates") {
     status = 200;
     QJsonArray names;
-    for (std::map<std::string, mooring::Committed>::value_type const& c : mooring_.committed())
+    for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed())
       if (c.first.rfind("family:", 0) == 0 && c.second.value.contains("template")) names.append(core::qstr(c.first.substr(7)));
     return QJsonObject{{"templates", names}};
   }
@@ -874,9 +874,9 @@
     QString const id = core::qstr(call.path.substr(changes.size()));
     if (!ready(now)) {
       status = 503;
-      return QJsonObject{{"error", "not confirmed"}, {"reason", "this substation is not in touch with a majority"}};
+      return QJsonObject{{"error", "not confirmed"}, {"reason", "this controller is not in touch with a majority"}};
     }
-    for (std::map<std::string, mooring::Committed>::value_type const& c : mooring_.committed())
+    for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed())
       for (QJsonValue const v : c.second.value.value("changes").toArray())
         if (v.toObject().value("id").toString() == id) {
           QJsonObject body{{"changeId", id}, {"key", core::qstr(c.first)}, {"status", v.toObject().value("status")},
@@ -886,7 +886,7 @@
           if (!tuning_.awaitInForce) return body;
           body.insert("inForce", true);
           std::map<std::string, Settling>::const_iterator const s = settling_.find(c.first);
-          bool const force = s != settling_.end() && s->second.stamp == c.second.stamp && isInForce(now, c.first, s->second);
+          bool const force = s != settling_.end() && s->second.revision == c.second.revision && isInForce(now, c.first, s->second);
           status = force ? 200 : 504;
           return force ? body : pendingBody(body, static_cast<std::uint64_t>(v.toObject().value("stamp").toInteger()));
         }
@@ -896,54 +896,54 @@
   return {};
 }
 
-QJsonObject Plane::fleet(Tick now) const {
+QJsonObject Controller::fleet(Tick now) const {
   QJsonArray members;
-  for (mooring::Member const& m : mooring_.cohort())
+  for (consensus::Member const& m : registers_.membership())
     members.append(QJsonObject{{"id", core::qstr(m.id)}, {"link", core::qstr(m.link)}});
   QJsonArray nodes;
   for (std::string const& link : roster_.nodes) {
-    std::map<std::string, Nacelle>::const_iterator const it = nacelles_.find(link);
+    std::map<std::string, Router>::const_iterator const it = routers_.find(link);
     qint64 behind = 0;
     for (std::string const& key : unsettled_) {
       Settling const& s = settling_.at(key);
-      signal::Stamps::const_iterator const have = s.has.find(link);
-      behind += have == s.has.end() || have->second < s.stamp ? 1 : 0;
+      transport::Revisions::const_iterator const have = s.has.find(link);
+      behind += have == s.has.end() || have->second < s.revision ? 1 : 0;
     }
-    bool const seen = it != nacelles_.end() && it->second.heard >= 0;
+    bool const seen = it != routers_.end() && it->second.heard >= 0;
     nodes.append(QJsonObject{{"link", core::qstr(link)},
                              {"http", core::qstr(seen ? it->second.contact.http : "")},
                              {"zone", core::qstr(seen ? it->second.contact.zone : "")},
                              {"heardMsAgo", seen ? static_cast<qint64>(now - it->second.heard) : -1},
                              {"keysBehind", behind}});
   }
-  QJsonObject stamps;
+  QJsonObject revisions;
   QJsonObject owners;
-  for (std::map<std::string, mooring::Committed>::value_type const& c : mooring_.committed()) {
-    stamps.insert(core::qstr(c.first), static_cast<qint64>(c.second.stamp));
-    owners.insert(core::qstr(c.first), core::qstr(mooring_.ownerLink(c.first, now)));
+  for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed()) {
+    revisions.insert(core::qstr(c.first), static_cast<qint64>(c.second.revision));
+    owners.insert(core::qstr(c.first), core::qstr(registers_.ownerLink(c.first, now)));
   }
-  return QJsonObject{{"self", core::qstr(mooring_.self().link)}, {"member", core::qstr(mooring_.self().id)},
-                     {"voting", mooring_.voting()}, {"diskOk", mooring_.diskOk()}, {"ready", ready(now)},
-                     {"majorityAgeMs", static_cast<qint64>(mooring_.majorityAge(now))},
-                     {"cohort", members}, {"nacelles", nodes}, {"stamps", stamps}, {"owners", owners}};
+  return QJsonObject{{"self", core::qstr(registers_.self().link)}, {"member", core::qstr(registers_.self().id)},
+                     {"voting", registers_.voting()}, {"diskOk", registers_.diskOk()}, {"ready", ready(now)},
+                     {"majorityAgeMs", static_cast<qint64>(registers_.majorityAge(now))},
+                     {"cohort", members}, {"nacelles", nodes}, {"stamps", revisions}, {"owners", owners}};
 }
 
-std::string Plane::metrics(Tick now) const {
+std::string Controller::metrics(Tick now) const {
   std::string out = "# TYPE corkward_substation_events_total counter\n";
   for (std::map<std::string, std::uint64_t>::value_type const& c : journal_.counts())
     out += "corkward_substation_events_total{event=\"" + c.first + "\"} " + std::to_string(c.second) + "\n";
   out += "# TYPE corkward_substation_ready gauge\ncorkward_substation_ready " + std::string(ready(now) ? "1" : "0") + "\n";
   out += "# TYPE corkward_substation_majority_age_ms gauge\ncorkward_substation_majority_age_ms " +
-         std::to_string(mooring_.majorityAge(now)) + "\n";
-  out += "# TYPE corkward_substation_owned_keys gauge\ncorkward_substation_owned_keys " + std::to_string(mooring_.ownedCount()) + "\n";
+         std::to_string(registers_.majorityAge(now)) + "\n";
+  out += "# TYPE corkward_substation_owned_keys gauge\ncorkward_substation_owned_keys " + std::to_string(registers_.ownedCount()) + "\n";
   out += "# TYPE corkward_substation_calls_in_hand gauge\ncorkward_substation_calls_in_hand " + std::to_string(calls_.size()) + "\n";
-  blueprint::Regimes const regimes = around().regimes();
+  config::Regimes const regimes = around().regimes();
   if (!wall_ || regimes.certificates.empty()) return out;
   out += "# TYPE corkward_substation_certificate_seconds_left gauge\n";
-  for (std::map<std::string, blueprint::Certificate>::value_type const& c : regimes.certificates)
+  for (std::map<std::string, config::Certificate>::value_type const& c : regimes.certificates)
     out += "corkward_substation_certificate_seconds_left{certificate=\"" + c.first + "\",regime=\"" + c.second.regime + "\"} " +
-           std::to_string((c.second.until - blueprint::wallMargin - *wall_) / 1000) + "\n";
+           std::to_string((c.second.until - config::wallMargin - *wall_) / 1000) + "\n";
   return out;
 }
 
-}  // namespace corkward::substation
+}  // namespace corkward::controller
--- a/substation/src/judge.cpp
+++ b/control/src/validator.cpp
@@ -1,18 +1,18 @@
-#include <corkward/substation/judge.h>
+#include <corkward/control/validator.h>
 
 #include <QJsonArray>
 #include <vector>
 
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 #include <corkward/core/json.h>
 
-namespace corkward::substation {
+namespace corkward::control {
 
 namespace {
 
-using mooring::Verdict;
+using consensus::Verdict;
 
-Verdict deny(int status, std::string const& error, std::string const& reason, std::string const& pointer = "") {
+Verdict reject(int status, std::string const& error, std::string const& reason, std::string const& pointer = "") {
   Verdict v;
   v.status = status;
   v.body = QJsonObject{{"error", core::qstr(error)}, {"reason", core::qstr(reason)}};
@@ -20,10 +20,10 @@
   return v;
 }
 
-Verdict replay(int status, std::uint64_t stamp, std::string const& changeId) {
+Verdict replay(int status, std::uint64_t revision, std::string const& changeId) {
   Verdict v;
   v.status = status;
-  v.body = QJsonObject{{"changeId", core::qstr(changeId)}, {"stamp", static_cast<qint64>(stamp)}, {"replayed", true}};
+  v.body = QJsonObject{{"changeId", core::qstr(changeId)}, {"stamp", static_cast<qint64>(revision)}, {"replayed", true}};
   return v;
 }
 
@@ -32,8 +32,8 @@
   return ifMatch;
 }
 
-Verdict stale(signal::Call const& call, qint64 newest) {
-  Verdict v = deny(412, "stale stamp", "built on " + bare(call.ifMatch) + ", but the newest is " + std::to_string(newest));
+Verdict stale(transport::Call const& call, qint64 newest) {
+  Verdict v = reject(412, "stale revision", "built on " + bare(call.ifMatch) + ", but the newest is " + std::to_string(newest));
   v.body.insert("stamp", newest);
   return v;
 }
@@ -52,17 +52,17 @@
   return out;
 }
 
-QString digestOf(signal::Call const& call) {
+QString digestOf(transport::Call const& call) {
   return QString::number(core::stableHash(call.method + " " + call.path + " " + bare(call.ifMatch) + " " + call.body), 16);
 }
 
-QJsonObject readBody(signal::Call const& call) {
+QJsonObject readBody(transport::Call const& call) {
   QJsonValue const v = core::parseJson(call.body);
   if (!v.isObject()) throw core::JsonError("must be an object");
   return v.toObject();
 }
 
-Verdict judgeFamily(std::uint64_t stamp, QJsonObject const& family, signal::Call const& call,
+Verdict validateFamily(std::uint64_t revision, QJsonObject const& family, transport::Call const& call,
                     Around const& around) {
   Target const target = *targetOf(call.path);
   bool const ofInstance = !target.instance.empty();
@@ -71,7 +71,7 @@
       ofInstance ? instances.value(core::qstr(target.instance)).toObject() : family.value("template").toObject();
   qint64 const have = current.value("stamp").toInteger();
   if (call.method == "GET") {
-    if (have == 0) return deny(404, "not found", "no such " + std::string(ofInstance ? "instance" : "template"));
+    if (have == 0) return reject(404, "not found", "no such " + std::string(ofInstance ? "instance" : "template"));
     Verdict v;
     v.body = QJsonObject{{"spec", current.value("spec")}, {"stamp", have}};
     if (!ofInstance) {
@@ -82,12 +82,12 @@
     return v;
   }
   if (call.ifMatch.empty())
-    return deny(428, "stamp missing", "say If-Match with the stamp the change was built on, 0 to make a new one");
+    return reject(428, "revision missing", "say If-Match with the revision the change was built on, 0 to make a new one");
   if (bare(call.ifMatch) != std::to_string(have)) return stale(call, have);
   if (call.method != "PUT" && have == 0)
-    return deny(404, "not found", "no such " + std::string(ofInstance ? "instance" : "template"));
-  if (ofInstance && !family.contains("template")) return deny(404, "not found", "no such template");
-  qint64 const next = static_cast<qint64>(stamp) + 1;
+    return reject(404, "not found", "no such " + std::string(ofInstance ? "instance" : "template"));
+  if (ofInstance && !family.contains("template")) return reject(404, "not found", "no such template");
+  qint64 const next = static_cast<qint64>(revision) + 1;
   QJsonObject changed = family;
   try {
     QJsonObject fresh;
@@ -107,16 +107,16 @@
     } else {
       changed.insert("template", fresh);
     }
-    blueprint::checkFamily(changed, around.poolKnown, [&](std::string const& regime, std::string const& pool) {
-      std::optional<blueprint::RegimeFault> const fault = around.regimeFault(around.regimes(), regime, pool);
+    config::checkFamily(changed, around.poolKnown, [&](std::string const& regime, std::string const& pool) {
+      std::optional<config::RegimeFault> const fault = around.regimeFault(around.regimes(), regime, pool);
       return fault ? fault->reason : std::string();
     });
   } catch (core::JsonError const& e) {
-    return deny(400, "malformed", e.what(), "/");
-  } catch (blueprint::Error const& e) {
-    return deny(422, "not a valid blueprint", e.reason(), e.pointer());
+    return reject(400, "malformed", e.what(), "/");
+  } catch (config::Error const& e) {
+    return reject(422, "not a valid configuration", e.reason(), e.pointer());
   }
-  if (core::jsonText(changed).size() > 4 * maxBody) return deny(413, "too large", "the family would pass its limit");
+  if (core::jsonText(changed).size() > 4 * maxBody) return reject(413, "too large", "the family would pass its limit");
   Verdict v;
   v.status = call.method == "PUT" && have == 0 ? 201 : 200;
   v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", next}};
@@ -130,54 +130,54 @@
   return v;
 }
 
-Verdict replayWhole(std::uint64_t stamp, qint64 version, std::string const& changeId) {
-  Verdict v = replay(200, stamp, changeId);
+Verdict replayWhole(std::uint64_t revision, qint64 version, std::string const& changeId) {
+  Verdict v = replay(200, revision, changeId);
   v.body.insert("version", version);
   return v;
 }
 
-Verdict denyWhole(Verdict v, std::uint64_t stamp, qint64 version) {
+Verdict rejectWhole(Verdict v, std::uint64_t revision, qint64 version) {
   v.body.insert("version", version);
-  v.body.insert("stamp", static_cast<qint64>(stamp));
+  v.body.insert("stamp", static_cast<qint64>(revision));
   return v;
 }
 
-/// Upper bound of the whole blueprint's text after a change, without writing it out.
-qint64 wholeBytes(QJsonArray const& window, signal::Call const& call) {
+/// Upper bound of the whole configuration's text after a change, without writing it out.
+qint64 wholeBytes(QJsonArray const& window, transport::Call const& call) {
   qint64 const before = call.method == "PATCH" ? window.last().toObject().value("bytes").toInteger(maxWholeBody) : 0;
   return before + static_cast<qint64>(call.body.size());
 }
 
-Verdict judgeWhole(std::uint64_t stamp, QJsonObject const& current, signal::Call const& call) {
+Verdict validateWhole(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
   QJsonObject const spec = current.value("spec").toObject();
   qint64 const have = spec.value("version").toInteger();
   if (call.method == "GET") {
-    if (have == 0) return deny(404, "not found", "no blueprint so far");
+    if (have == 0) return reject(404, "not found", "no configuration so far");
     Verdict v;
-    v.body = QJsonObject{{"spec", spec}, {"version", have}, {"stamp", static_cast<qint64>(stamp)}};
+    v.body = QJsonObject{{"spec", spec}, {"version", have}, {"stamp", static_cast<qint64>(revision)}};
     return v;
   }
-  if (call.method != "PUT" && call.method != "PATCH") return deny(405, "method not allowed", "the blueprint is read, put or patched");
+  if (call.method != "PUT" && call.method != "PATCH") return reject(405, "method not allowed", "the configuration is read, put or patched");
   if (call.ifMatch.empty())
-    return deny(428, "version missing", "say If-Match with the version the change was built on, 0 when there is none so far");
+    return reject(428, "version missing", "say If-Match with the version the change was built on, 0 when there is none so far");
   try {
     QJsonObject next = readBody(call);
     qint64 const version = next.value("version").toInteger();
-    if (call.method == "PUT" && version == have && have > 0 && next == spec) return replayWhole(stamp, have, call.changeId);
+    if (call.method == "PUT" && version == have && have > 0 && next == spec) return replayWhole(revision, have, call.changeId);
     if (bare(call.ifMatch) != std::to_string(have))
-      return denyWhole(deny(412, "stale version", "built on " + bare(call.ifMatch) + ", but the newest is " + std::to_string(have)), stamp, have);
-    if (call.method == "PATCH" && have == 0) return deny(404, "not found", "no blueprint so far");
+      return rejectWhole(reject(412, "stale version", "built on " + bare(call.ifMatch) + ", but the newest is " + std::to_string(have)), revision, have);
+    if (call.method == "PATCH" && have == 0) return reject(404, "not found", "no configuration so far");
     if (version <= have)
-      return denyWhole(deny(422, "not a valid blueprint", "must be an integer above " + std::to_string(have), "/version"), stamp, have);
+      return rejectWhole(reject(422, "not a valid configuration", "must be an integer above " + std::to_string(have), "/version"), revision, have);
     if (call.method == "PATCH") {
-      next = blueprint::patchWhole(spec, next);
+      next = config::patchWhole(spec, next);
       bool const mayPass = wholeBytes(current.value("changes").toArray(), call) > static_cast<qint64>(maxWholeBody);
-      if (mayPass && core::jsonText(next).size() > maxWholeBody) return deny(413, "too large", "the blueprint would pass its limit");
+      if (mayPass && core::jsonText(next).size() > maxWholeBody) return reject(413, "too large", "the configuration would pass its limit");
     }
-    blueprint::readWhole(next);
+    config::readWhole(next);
     Verdict v;
     v.status = have == 0 ? 201 : 200;
-    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"version", version}, {"stamp", static_cast<qint64>(stamp) + 1}};
+    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"version", version}, {"stamp", static_cast<qint64>(revision) + 1}};
     if (call.dryRun) {
       v.status = 200;
       v.body.insert("dryRun", true);
@@ -187,104 +187,104 @@
     v.value = QJsonObject{{"spec", next}};
     return v;
   } catch (core::JsonError const& e) {
-    return deny(400, "malformed", e.what(), "/");
-  } catch (blueprint::Error const& e) {
-    return deny(422, "not a valid blueprint", e.reason(), e.pointer());
+    return reject(400, "malformed", e.what(), "/");
+  } catch (config::Error const& e) {
+    return reject(422, "not a valid configuration", e.reason(), e.pointer());
   }
 }
 
-Verdict judgePool(std::uint64_t stamp, QJsonObject const& current, signal::Call const& call) {
+Verdict validatePool(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
   if (call.method == "GET") {
-    if (stamp == 0) return deny(404, "not found", "no such pool");
+    if (revision == 0) return reject(404, "not found", "no such pool");
     Verdict v;
     v.body = current;
-    v.body.insert("stamp", static_cast<qint64>(stamp));
+    v.body.insert("stamp", static_cast<qint64>(revision));
     return v;
   }
   try {
     QJsonObject const next = readBody(call);
-    blueprint::Pool const list = blueprint::readPool(next);
+    config::Pool const list = config::readPool(next);
     std::uint64_t const have = static_cast<std::uint64_t>(current.value("generation").toInteger());
-    if (list.generation == have && next == current) return replay(200, stamp, call.changeId);
+    if (list.generation == have && next == current) return replay(200, revision, call.changeId);
     if (list.generation <= have)
-      return deny(409, "older generation", "the list held has generation " + std::to_string(have));
+      return reject(409, "older generation", "the list held has generation " + std::to_string(have));
     Verdict v;
     v.change = !call.dryRun;
     v.value = next;
-    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(stamp) + 1}};
+    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
     return v;
   } catch (core::JsonError const& e) {
-    return deny(400, "malformed", e.what(), "/");
-  } catch (blueprint::Error const& e) {
-    return deny(422, "not a valid list", e.reason(), e.pointer());
+    return reject(400, "malformed", e.what(), "/");
+  } catch (config::Error const& e) {
+    return reject(422, "not a valid list", e.reason(), e.pointer());
   }
 }
 
-Verdict judgeZone(std::uint64_t stamp, QJsonObject const& current, signal::Call const& call) {
+Verdict validateZone(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
   bool const have = current.value("evacuated").toBool();
   if (call.method == "GET") {
     Verdict v;
-    v.body = QJsonObject{{"evacuated", have}, {"stamp", static_cast<qint64>(stamp)}};
+    v.body = QJsonObject{{"evacuated", have}, {"stamp", static_cast<qint64>(revision)}};
     return v;
   }
   bool const want = call.method == "PUT";
-  if (want == have) return replay(200, stamp, call.changeId);
+  if (want == have) return replay(200, revision, call.changeId);
   Verdict v;
   v.change = !call.dryRun;
   v.value = QJsonObject{{"evacuated", want}};
-  v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(stamp) + 1}, {"evacuated", want}};
+  v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}, {"evacuated", want}};
   return v;
 }
 
 /// What the tenants in place could not be served under these certificates, one line for each.
-std::vector<blueprint::RegimeFault> uncovered(blueprint::Regimes const& regimes, Around const& around) {
-  std::vector<blueprint::RegimeFault> out;
-  for (blueprint::RegimeUse const& use : around.regimeUses()) {
-    std::optional<blueprint::RegimeFault> const fault = around.regimeFault(regimes, use.regime, use.pool);
-    if (fault) out.push_back(blueprint::RegimeFault{fault->pointer, use.instance + ": " + fault->reason});
+std::vector<config::RegimeFault> uncovered(config::Regimes const& regimes, Around const& around) {
+  std::vector<config::RegimeFault> out;
+  for (config::RegimeUse const& use : around.regimeUses()) {
+    std::optional<config::RegimeFault> const fault = around.regimeFault(regimes, use.regime, use.pool);
+    if (fault) out.push_back(config::RegimeFault{fault->pointer, use.instance + ": " + fault->reason});
   }
   return out;
 }
 
-Verdict judgeRegimes(std::uint64_t stamp, QJsonObject const& current, signal::Call const& call, Around const& around) {
+Verdict validateRegimes(std::uint64_t revision, QJsonObject const& current, transport::Call const& call, Around const& around) {
   std::string const name = targetOf(call.path)->instance;
   QJsonObject const spec = current.value("spec").toObject();
   Verdict v;
   if (call.method == "GET") {
-    if (stamp == 0) return deny(404, "not found", "no certificates so far");
-    v.body = QJsonObject{{"spec", spec}, {"stamp", static_cast<qint64>(stamp)}};
+    if (revision == 0) return reject(404, "not found", "no certificates so far");
+    v.body = QJsonObject{{"spec", spec}, {"stamp", static_cast<qint64>(revision)}};
     if (name.empty()) return v;
     QJsonValue const one = spec.value("certificates").toObject().value(core::qstr(name));
-    if (!one.isObject()) return deny(404, "not found", "no such certificate");
+    if (!one.isObject()) return reject(404, "not found", "no such certificate");
     v.body.insert("spec", one);
     return v;
   }
   bool const revokes = call.method == "DELETE" && !name.empty();
-  if (!revokes && !name.empty()) return deny(405, "method not allowed", "a certificate is read or deleted; declare it with all others");
-  if (!revokes && call.method == "DELETE") return deny(405, "method not allowed", "certificates are put, patched, or deleted one by one");
+  if (!revokes && !name.empty()) return reject(405, "method not allowed", "a certificate is read or deleted; declare it with all others");
+  if (!revokes && call.method == "DELETE") return reject(405, "method not allowed", "certificates are put, patched, or deleted one by one");
   if (!revokes && call.ifMatch.empty())
-    return deny(428, "stamp missing", "say If-Match with the stamp the change was built on, 0 when there are none so far");
-  if (!call.ifMatch.empty() && bare(call.ifMatch) != std::to_string(stamp)) return stale(call, static_cast<qint64>(stamp));
-  if (call.method != "PUT" && stamp == 0) return deny(404, "not found", "no certificates so far");
+    return reject(428, "revision missing", "say If-Match with the revision the change was built on, 0 when there are none so far");
+  if (!call.ifMatch.empty() && bare(call.ifMatch) != std::to_string(revision)) return stale(call, static_cast<qint64>(revision));
+  if (call.method != "PUT" && revision == 0) return reject(404, "not found", "no certificates so far");
   try {
     QJsonObject next = spec;
     if (revokes) {
       QJsonObject all = spec.value("certificates").toObject();
-      if (!all.contains(core::qstr(name))) return deny(404, "not found", "no such certificate");
+      if (!all.contains(core::qstr(name))) return reject(404, "not found", "no such certificate");
       all.remove(core::qstr(name));
       next.insert("certificates", all);
     } else {
       next = call.method == "PUT" ? readBody(call) : core::mergePatch(spec, readBody(call)).toObject();
     }
-    std::vector<blueprint::RegimeFault> const faults = uncovered(blueprint::readRegimes(next), around);
+    std::vector<config::RegimeFault> const faults = uncovered(config::readRegimes(next), around);
     if (!revokes && !faults.empty())
-      return deny(422, "not a valid declaration", faults.front().reason + "; a certificate that must end at once is deleted by its name", faults.front().pointer);
-    if (core::jsonText(next).size() > maxBody) return deny(413, "too large", "the certificates would pass their limit");
-    v.status = stamp == 0 ? 201 : 200;
-    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(stamp) + 1}};
+      return reject(422, "not a valid declaration", faults.front().reason + "; a certificate that must end at once is deleted by its name", faults.front().pointer);
+    if (core::jsonText(next).size() > maxBody) return reject(413, "too large", "the certificates would pass their limit");
+    v.status = revision == 0 ? 201 : 200;
+    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
     if (!faults.empty()) {
       QJsonArray lines;
-      for (blueprint::RegimeFault const& f : faults) lines.append(core::qstr(f.reason));
+      for (config::RegimeFault const& f : faults) lines.append(core::qstr(f.reason));
       v.body.insert("uncovered", lines);
     }
     v.value = QJsonObject{{"spec", next}};
@@ -295,60 +295,60 @@
     }
     return v;
   } catch (core::JsonError const& e) {
-    return deny(400, "malformed", e.what(), "/");
-  } catch (blueprint::Error const& e) {
-    return deny(422, "not a valid declaration", e.reason(), e.pointer());
+    return reject(400, "malformed", e.what(), "/");
+  } catch (config::Error const& e) {
+    return reject(422, "not a valid declaration", e.reason(), e.pointer());
   }
 }
 
-Verdict judgeAlert(std::uint64_t stamp, QJsonObject const& current, signal::Call const& call) {
+Verdict validateAlert(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
   Verdict v;
   if (call.method == "GET") {
     v.body = current;
-    if (stamp == 0) v.body.insert("state", "clear");
-    v.body.insert("stamp", static_cast<qint64>(stamp));
+    if (revision == 0) v.body.insert("state", "clear");
+    v.body.insert("stamp", static_cast<qint64>(revision));
     return v;
   }
-  if (call.method != "PUT") return deny(405, "method not allowed", "an alert is read or put");
-  if (call.ifMatch.empty()) return deny(428, "stamp missing", "say If-Match with the stamp that was read");
-  if (bare(call.ifMatch) != std::to_string(stamp)) return stale(call, static_cast<qint64>(stamp));
+  if (call.method != "PUT") return reject(405, "method not allowed", "an alert is read or put");
+  if (call.ifMatch.empty()) return reject(428, "revision missing", "say If-Match with the revision that was read");
+  if (bare(call.ifMatch) != std::to_string(revision)) return stale(call, static_cast<qint64>(revision));
   try {
     QJsonObject const next = readBody(call);
     QString const state = next.value("state").toString();
-    if (state != "clear" && state != "claimed" && state != "done") return deny(422, "not a valid alert", "must be clear, claimed or done", "/state");
+    if (state != "clear" && state != "claimed" && state != "done") return reject(422, "not a valid alert", "must be clear, claimed or done", "/state");
     if (next.size() != 2 || !next.value("by").isString() || next.value("by").toString().size() > 64)
-      return deny(422, "not a valid alert", "must have state and by, a name of up to 64 bytes", "/by");
+      return reject(422, "not a valid alert", "must have state and by, a name of up to 64 bytes", "/by");
     v.change = !call.dryRun;
     v.value = next;
-    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(stamp) + 1}};
+    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
     return v;
   } catch (core::JsonError const& e) {
-    return deny(400, "malformed", e.what(), "/");
+    return reject(400, "malformed", e.what(), "/");
   }
 }
 
-Verdict declareGone(std::uint64_t stamp, QJsonObject const& current, signal::Call const& call) {
+Verdict declareGone(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
   QString const link = core::qstr(targetOf(call.path)->instance);
   QJsonArray gone = current.value("gone").toArray();
-  if (gone.contains(link)) return replay(200, stamp, call.changeId);
+  if (gone.contains(link)) return replay(200, revision, call.changeId);
   QJsonArray nodes;
   for (QJsonValue const n : current.value("nodes").toArray())
     if (n.toObject().value("link").toString() != link) nodes.append(n);
   bool known = nodes.size() < current.value("nodes").toArray().size();
   for (QJsonValue const n : current.value("previous").toArray()) known = known || n.toObject().value("link").toString() == link;
-  if (!known) return deny(404, "not found", "no such node on the roster");
+  if (!known) return reject(404, "not found", "no such node on the roster");
   gone.append(link);
   while (gone.size() > 64) gone.removeFirst();
   Verdict v;
   v.change = !call.dryRun;
   v.value = QJsonObject{{"nodes", nodes}, {"gone", gone}, {"previous", current.value("nodes").toArray()}};
-  v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(stamp) + 1}};
+  v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
   return v;
 }
 
-Verdict judgeRoster(std::uint64_t stamp, QJsonObject const& current, signal::Call const& call) {
-  if (call.method == "DELETE") return declareGone(stamp, current, call);
-  if (bare(call.ifMatch) != std::to_string(stamp)) return deny(412, "stale stamp", "the roster has moved on");
+Verdict validateRoster(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
+  if (call.method == "DELETE") return declareGone(revision, current, call);
+  if (bare(call.ifMatch) != std::to_string(revision)) return reject(412, "stale revision", "the roster has moved on");
   Verdict v;
   v.change = true;
   v.value = core::parseJson(call.body).toObject();
@@ -360,61 +360,61 @@
 
 std::optional<Target> targetOf(std::string const& path) {
   std::vector<std::string> const parts = split(path);
-  if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "blueprint") return Target{blueprint::wholeKey, "", ""};
-  if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "certificates") return Target{blueprint::regimesKey, "", ""};
+  if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "blueprint") return Target{config::wholeKey, "", ""};
+  if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "certificates") return Target{config::regimesKey, "", ""};
   if (parts.size() < 3 || parts[0] != "v1") return std::nullopt;
-  if (parts[1] == "certificates" && parts.size() == 3 && blueprint::validName(parts[2])) return Target{blueprint::regimesKey, "", parts[2]};
-  if (parts[1] == "templates" && blueprint::validName(parts[2])) {
+  if (parts[1] == "certificates" && parts.size() == 3 && config::validName(parts[2])) return Target{config::regimesKey, "", parts[2]};
+  if (parts[1] == "templates" && config::validName(parts[2])) {
     if (parts.size() == 3) return Target{"family:" + parts[2], parts[2], ""};
-    if (parts.size() == 5 && parts[3] == "instances" && blueprint::validName(parts[4]))
+    if (parts.size() == 5 && parts[3] == "instances" && config::validName(parts[4]))
       return Target{"family:" + parts[2], parts[2], parts[4]};
   }
-  std::string const label = blueprint::labelOf(parts.back());
-  if (parts[1] == "evacuations" && parts.size() == 3 && blueprint::validLabel(label)) return Target{"zone:" + label, "", ""};
-  if (parts[1] == "alerts" && parts.size() == 3 && blueprint::validName(parts[2])) return Target{"alert:" + parts[2], "", ""};
-  if (parts[1] == "platform" && parts.size() == 4 && parts[2] == "pools" && blueprint::validLabel(label))
+  std::string const label = config::labelOf(parts.back());
+  if (parts[1] == "evacuations" && parts.size() == 3 && config::validLabel(label)) return Target{"zone:" + label, "", ""};
+  if (parts[1] == "alerts" && parts.size() == 3 && config::validName(parts[2])) return Target{"alert:" + parts[2], "", ""};
+  if (parts[1] == "platform" && parts.size() == 4 && parts[2] == "pools" && config::validLabel(label))
     return Target{"pool:" + label, "", ""};
   if (parts[1] == "roster" && parts.size() == 3) return Target{"roster", "", ""};
   if (parts[1] == "nodes" && parts.size() == 3 && !parts[2].empty() && parts[2].size() < 64) return Target{"roster", "", parts[2]};
   return std::nullopt;
 }
 
-mooring::Verdict judge(std::string const& key, std::uint64_t stamp, QJsonObject const& value, signal::Call const& call,
+consensus::Verdict validator(std::string const& key, std::uint64_t revision, QJsonObject const& value, transport::Call const& call,
                        Around const& around) {
   QJsonArray window = value.value("changes").toArray();
   for (QJsonValue const c : window) {
     QJsonObject const o = c.toObject();
     if (call.method == "GET" || call.dryRun || call.changeId.empty() || o.value("id").toString() != core::qstr(call.changeId)) continue;
     if (o.value("digest").toString() != digestOf(call))
-      return deny(409, "change id reused", "the id " + call.changeId + " stands for another change");
+      return reject(409, "change id reused", "the id " + call.changeId + " stands for another change");
     Verdict again = replay(o.value("status").toInt(), static_cast<std::uint64_t>(o.value("stamp").toInteger()), call.changeId);
     if (o.contains("version")) again.body.insert("version", o.value("version"));
     return again;
   }
   QJsonObject bare = value;
   bare.remove("changes");
-  Verdict v = key.rfind("family:", 0) == 0 ? judgeFamily(stamp, bare, call, around)
-              : key.rfind("pool:", 0) == 0 ? judgePool(stamp, bare, call)
-              : key.rfind("zone:", 0) == 0 ? judgeZone(stamp, bare, call)
-              : key.rfind("alert:", 0) == 0 ? judgeAlert(stamp, bare, call)
-              : key == "roster"            ? judgeRoster(stamp, bare, call)
-              : key == blueprint::regimesKey ? judgeRegimes(stamp, bare, call, around)
-              : key == blueprint::wholeKey ? judgeWhole(stamp, value, call)
-                                           : deny(404, "not found", "no such key");
+  Verdict v = key.rfind("family:", 0) == 0 ? validateFamily(revision, bare, call, around)
+              : key.rfind("pool:", 0) == 0 ? validatePool(revision, bare, call)
+              : key.rfind("zone:", 0) == 0 ? validateZone(revision, bare, call)
+              : key.rfind("alert:", 0) == 0 ? validateAlert(revision, bare, call)
+              : key == "roster"            ? validateRoster(revision, bare, call)
+              : key == config::regimesKey ? validateRegimes(revision, bare, call, around)
+              : key == config::wholeKey ? validateWhole(revision, value, call)
+                                           : reject(404, "not found", "no such key");
   if (!v.change) return v;
-  bool const whole = key == blueprint::wholeKey;
+  bool const whole = key == config::wholeKey;
   if (whole || !call.changeId.empty()) {
     QJsonObject entry{{"id", core::qstr(call.changeId)}, {"digest", digestOf(call)}, {"status", v.status},
-                      {"stamp", static_cast<qint64>(stamp) + 1}};
+                      {"stamp", static_cast<qint64>(revision) + 1}};
     if (whole) {
       entry.insert("version", v.body.value("version"));
       entry.insert("bytes", wholeBytes(window, call));
     }
     window.append(entry);
   }
-  while (static_cast<std::size_t>(window.size()) > blueprint::changeWindow) window.removeFirst();
+  while (static_cast<std::size_t>(window.size()) > config::changeWindow) window.removeFirst();
   v.value.insert("changes", window);
   return v;
 }
 
-}  // namespace corkward::substation
+}  // namespace corkward::controller
--- a/substation/test/substation_test.cpp
+++ b/control/test/controller_test.cpp
@@ -5,38 +5,38 @@
 
 #include <corkward/core/json.h>
 
-#include "../../signal/test/fill.h"
+#include "../../transport/test/fill.h"
 #include "rig.h"
 
 namespace core = corkward::core;
-namespace signal = corkward::signal;
-namespace substation = corkward::substation;
-using corkward::substation::Rig;
+namespace transport = corkward::transport;
+namespace control = corkward::control;
+using corkward::control::Rig;
 
-TEST_CASE("a whole image waits for a majority, but not for an asker that takes any") {
+TEST_CASE("a whole snapshot waits for a majority, but not for an asker that takes any") {
   Rig rig;
   rig.alive = {"a"};
   rig.run(3000);
-  rig.plane.written(rig.now, 1, false);
-  REQUIRE_FALSE(rig.plane.ready(rig.now));
-  signal::Ask ask;
+  rig.reducer.written(rig.now, 1, false);
+  REQUIRE_FALSE(rig.reducer.ready(rig.now));
+  transport::Ask ask;
   ask.tick = rig.now;
-  ask.self = Rig::contact("b", "nacelle");
+  ask.self = Rig::contact("b", transport::routerRole);
   ask.wantWhole = true;
-  std::function<bool(substation::Commands const&)> const whole = [](substation::Commands const& c) {
-    return std::any_of(c.sends.begin(), c.sends.end(), [](signal::Send const& s) {
-      signal::News const* const news = std::get_if<signal::News>(&s.message);
+  std::function<bool(control::Commands const&)> const whole = [](control::Commands const& c) {
+    return std::any_of(c.sends.begin(), c.sends.end(), [](transport::Send const& s) {
+      transport::News const* const news = std::get_if<transport::News>(&s.message);
       return s.to == "b" && news != nullptr && news->whole && !news->items.empty();
     });
   };
-  CHECK_FALSE(whole(rig.plane.arrived(rig.now, "b", ask)));
+  CHECK_FALSE(whole(rig.reducer.arrived(rig.now, "b", ask)));
   ask.anyWhole = true;
-  CHECK(whole(rig.plane.arrived(rig.now, "b", ask)));
+  CHECK(whole(rig.reducer.arrived(rig.now, "b", ask)));
 }
 
 TEST_CASE("a change is answered when all have it, or a majority has and the rest are fenced") {
   Rig rig;
-  REQUIRE(rig.plane.ready(rig.now));
+  REQUIRE(rig.reducer.ready(rig.now));
   rig.alive = {"a", "b", "c"};
   rig.run(6000);
   CHECK(rig.evacuate("z1", 700) == 200);
@@ -86,43 +86,43 @@
   std::uint64_t const t = rig.call("PUT", "/v1/evacuations/z2");
   rig.run(700);
   CHECK(rig.statusOf(t) == 0);
-  rig.take(rig.plane.probed(rig.now, "c", true));
+  rig.take(rig.reducer.probed(rig.now, "c", true));
   CHECK(rig.statusOf(t) == 200);
 }
 
-TEST_CASE("what a nacelle acknowledges late, after it was let go, says nothing of later changes") {
+TEST_CASE("what a router acknowledges late, after it was let go, says nothing of later changes") {
   Rig rig;
   rig.alive = {"a", "b", "c"};
   rig.run(6000);
-  std::function<signal::Holding()> const told = [&] {
-    signal::Holding question;
-    question.asked = {signal::Reached{"zone:z2", 1, {}}};
-    for (signal::Send const& s : rig.plane.arrived(rig.now, "s1", question).sends)
-      if (signal::Holding const* const h = std::get_if<signal::Holding>(&s.message)) return *h;
-    return signal::Holding{};
+  std::function<transport::Holding()> const told = [&] {
+    transport::Holding question;
+    question.asked = {transport::Reached{"zone:z2", 1, {}}};
+    for (transport::Send const& s : rig.reducer.arrived(rig.now, "s1", question).sends)
+      if (transport::Holding const* const h = std::get_if<transport::Holding>(&s.message)) return *h;
+    return transport::Holding{};
   };
   std::size_t const c = 2;
   REQUIRE(told().whole.has(c));
   rig.alive = {"a", "b"};
   rig.run(11000);
-  signal::NewsAck late;
+  transport::NewsAck late;
   late.link = "c";
   late.inc = 1;
-  late.digest = signal::digestOf(rig.have["c"]);
-  rig.take(rig.plane.arrived(rig.now, "c", late));
+  late.digest = transport::digestOf(rig.have["c"]);
+  rig.take(rig.reducer.arrived(rig.now, "c", late));
   rig.call("PUT", "/v1/evacuations/z2");
   rig.run(600);
-  signal::Ask ask;
+  transport::Ask ask;
   ask.tick = rig.now;
-  ask.self = Rig::contact("c", "nacelle");
+  ask.self = Rig::contact("c", transport::routerRole);
   ask.digest = late.digest;
-  rig.take(rig.plane.arrived(rig.now, "c", ask));
-  signal::Holding const answer = told();
+  rig.take(rig.reducer.arrived(rig.now, "c", ask));
+  transport::Holding const answer = told();
   CHECK(answer.whole.has(0));
   CHECK_FALSE(answer.whole.has(c));
   REQUIRE(answer.reached.size() == 1);
-  CHECK(answer.reached[0].nacelles.has(0));
-  CHECK_FALSE(answer.reached[0].nacelles.has(c));
+  CHECK(answer.reached[0].routers.has(0));
+  CHECK_FALSE(answer.reached[0].routers.has(c));
 }
 
 TEST_CASE("a whole roster lost for good holds changes up until its nodes are declared gone") {
@@ -140,7 +140,7 @@
   rig.run(5000);
   CHECK(rig.evacuate("z3", 700) == 200);
   std::set<std::string> nodes;
-  for (QJsonValue const v : rig.plane.fleet(rig.now).value("nacelles").toArray()) nodes.insert(core::str(v.toObject().value("link").toString()));
+  for (QJsonValue const v : rig.reducer.fleet(rig.now).value("nacelles").toArray()) nodes.insert(core::str(v.toObject().value("link").toString()));
   CHECK(nodes == std::set<std::string>{"d", "e", "f"});
 }
 
@@ -178,32 +178,32 @@
     rig.run(3000);
     for (int i = 0; i < 400; ++i) {
       rig.now += static_cast<core::Tick>(rng.below(40));
-      rig.take(rig.plane.arrived(rig.now, names[rng.below(names.size())],
-                                 signal::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<signal::Message>))));
-      if (i % 9 == 0) rig.take(rig.plane.clockEvent(rig.now));
+      rig.take(rig.reducer.arrived(rig.now, names[rng.below(names.size())],
+                                 transport::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<transport::Message>))));
+      if (i % 9 == 0) rig.take(rig.reducer.clockEvent(rig.now));
       if (i % 40 == 0) rig.call("PUT", "/v1/evacuations/z1");
     }
   }
 }
 
 TEST_CASE("a platform's list is taken whatever its pools and zones are called") {
-  substation::Tuning tuning;
+  control::Tuning tuning;
   tuning.awaitInForce = false;
   Rig rig(tuning);
   rig.alive = {"a"};
   rig.run(1000);
   std::string const pool = "LM Pool/1.x_%2F";
-  corkward::blueprint::Replica replica;
+  corkward::config::Replica replica;
   replica.id = "i-1";
   replica.address = "10.0.0.1:80";
   replica.zone = "ZH.a_1 b";
-  corkward::blueprint::Pool list;
+  corkward::config::Pool list;
   list.replicas = {replica};
-  rig.take(rig.plane.platformLists(rig.now, {{pool, list}, {"lm", list}}));
+  rig.take(rig.reducer.platformLists(rig.now, {{pool, list}, {"lm", list}}));
   rig.run(1000);
   CHECK(rig.have["a"].count("pool:" + pool) == 1);
   CHECK(rig.have["a"].count("pool:lm") == 1);
-  std::uint64_t const look = rig.call("GET", "/v1/platform/pools/" + corkward::blueprint::addressPart(pool));
+  std::uint64_t const look = rig.call("GET", "/v1/platform/pools/" + corkward::config::addressPart(pool));
   rig.run(300);
   REQUIRE(rig.statusOf(look) == 200);
   QJsonObject const row = rig.answers.at(look).body.value("replicas").toArray().at(0).toObject();
--- a/substation/test/regimes_test.cpp
+++ b/control/test/regimes_test.cpp
@@ -8,9 +8,9 @@
 #include "rig.h"
 
 namespace core = corkward::core;
-namespace blueprint = corkward::blueprint;
-namespace substation = corkward::substation;
-using substation::Rig;
+namespace config = corkward::config;
+namespace control = corkward::control;
+using control::Rig;
 
 namespace {
 
@@ -32,10 +32,10 @@
 /// Calls of operators and the platform, each waited for.
 struct Desk {
   Rig rig;
-  substation::Answer last;
+  control::Answer last;
 
   Desk() {
-    rig.plane.wallTime(at("2026-06-01T00:00:00Z"));
+    rig.reducer.wallTime(at("2026-06-01T00:00:00Z"));
     call("PUT", "/v1/platform/pools/model", R"({"generation":1,"replicas":[{"id":"r1","address":"10.0.0.1:80","zone":"z1","state":"serving"},
       {"id":"r2","address":"10.0.0.2:80","zone":"z2","state":"serving"}]})");
   }
@@ -49,7 +49,7 @@
     return call("PUT", page, core::jsonText(declared(certificates)), ifMatch, id);
   }
   std::string pointer() const { return core::str(last.body.value("pointer").toString()); }
-  qint64 stamp() {
+  qint64 revision() {
     call("GET", page);
     return last.body.value("stamp").toInteger();
   }
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-TEST_CASE("certificates are put, read, patched and revoked under their own stamp") {
+TEST_CASE("certificates are put, read, patched and revoked under their own revision") {
   Desk d;
   CHECK(d.call("GET", page) == 404);
   CHECK(d.put({}, "") == 428);
@@ -79,7 +79,7 @@
   CHECK(d.call("DELETE", std::string(page) + "/c1", "", "1") == 412);
   CHECK(d.call("DELETE", page, "", "3") == 405);
   CHECK(d.call("PUT", std::string(page) + "/c1", "{}", "3") == 405);
-  CHECK(d.stamp() == 3);
+  CHECK(d.revision() == 3);
 }
 
 TEST_CASE("a bad declaration of certificates changes nothing") {
@@ -92,7 +92,7 @@
   CHECK(d.call("PATCH", page, R"({"regimes":{"health":null}})", "1") == 422);
   CHECK(d.pointer() == "/certificates/c1/regime");
   std::uint64_t const dry = d.rig.next;
-  corkward::signal::Call c;
+  corkward::transport::Call c;
   c.token = d.rig.next++;
   c.method = "PUT";
   c.path = page;
@@ -100,13 +100,13 @@
   c.changeId = "dry";
   c.dryRun = true;
   c.body = core::jsonText(declared({}));
-  d.rig.take(d.rig.plane.operatorCall(d.rig.now, c));
+  d.rig.take(d.rig.reducer.operatorCall(d.rig.now, c));
   d.rig.run(700);
   CHECK(d.rig.answers[dry].body.value("dryRun").toBool());
-  CHECK(d.stamp() == 1);
+  CHECK(d.revision() == 1);
 }
 
-TEST_CASE("a tenant whose regime nobody could serve is denied at once, with its place") {
+TEST_CASE("a tenant whose regime nobody could serve is rejected at once, with its place") {
   Desk d;
   REQUIRE(d.call("PUT", "/v1/templates/desk", regulated, "0") == 201);
   std::string const tenant = "/v1/templates/desk/instances/nord";
@@ -137,7 +137,7 @@
   CHECK(d.last.body.value("reason").toString().startsWith("desk.nord: regime health has no certificate"));
   CHECK(d.call("PATCH", page, R"({"certificates":{"c1":null}})", "1") == 200);
   CHECK(d.call("PATCH", page, R"({"certificates":{"c2":null}})", "2") == 422);
-  CHECK(d.stamp() == 2);
+  CHECK(d.revision() == 2);
   CHECK(d.call("DELETE", std::string(page) + "/c2") == 200);
   CHECK(d.last.body.value("uncovered").toArray().size() == 1);
   CHECK(d.last.body.value("inForce").toBool());
@@ -147,12 +147,12 @@
 
 TEST_CASE("metrics say how long each certificate still counts") {
   Desk d;
-  CHECK(d.rig.plane.metrics(d.rig.now).find("certificate_seconds_left") == std::string::npos);
+  CHECK(d.rig.reducer.metrics(d.rig.now).find("certificate_seconds_left") == std::string::npos);
   REQUIRE(d.put({{"c1", certificate("model", "z1", "2026-06-01T01:00:00Z")}}, "0") == 201);
-  CHECK(d.rig.plane.metrics(d.rig.now).find("corkward_substation_certificate_seconds_left{certificate=\"c1\",regime=\"health\"} 3540\n") != std::string::npos);
+  CHECK(d.rig.reducer.metrics(d.rig.now).find("corkward_substation_certificate_seconds_left{certificate=\"c1\",regime=\"health\"} 3540\n") != std::string::npos);
 }
 
-TEST_CASE("of two operators on one stamp one is taken, a revocation among them") {
+TEST_CASE("of two operators on one revision one is taken, a revocation among them") {
   Desk d;
   REQUIRE(d.put({{"c1", certificate("model", "z1", farAway)}}, "0") == 201);
   std::uint64_t const a = d.rig.call("PATCH", page, R"({"certificates":{"c1":{"zone":"z2"}}})", "1");
@@ -168,7 +168,7 @@
   CHECK(d.last.body.value("spec").toObject().value("certificates").toObject().keys() == QStringList{"c3"});
 }
 
-TEST_CASE("a revocation is acknowledged only when it is in force at every nacelle that may still hand on") {
+TEST_CASE("a revocation is acknowledged only when it is in force at every router that may still hand on") {
   Desk d;
   d.rig.alive = {"a", "b", "c"};
   d.rig.run(6000);
@@ -179,8 +179,8 @@
   CHECK(d.rig.statusOf(t) == 0);
   d.rig.run(1300);
   CHECK(d.rig.statusOf(t) == 200);
-  CHECK(d.rig.have["a"][blueprint::regimesKey] == 2);
-  CHECK(d.rig.have["c"][blueprint::regimesKey] == 1);
+  CHECK(d.rig.have["a"][config::regimesKey] == 2);
+  CHECK(d.rig.have["c"][config::regimesKey] == 1);
   d.rig.deaf = {"b", "c"};
   std::uint64_t const pending = d.rig.call("PUT", page, core::jsonText(declared({})), "2");
   d.rig.run(5000);
