--- a/substation/test/whole_test.cpp
+++ b/control/test/whole_test.cpp
@@ -3,18 +3,18 @@
 #include <QJsonArray>
 #include <functional>
 
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 #include <corkward/core/json.h>
-#include <corkward/substation/judge.h>
+#include <corkward/control/validator.h>
 
 #include "rig.h"
 
 namespace core = corkward::core;
-namespace signal = corkward::signal;
-namespace mooring = corkward::mooring;
-namespace blueprint = corkward::blueprint;
-namespace substation = corkward::substation;
-using substation::Rig;
+namespace transport = corkward::transport;
+namespace consensus = corkward::consensus;
+namespace config = corkward::config;
+namespace control = corkward::control;
+using control::Rig;
 
 namespace {
 
@@ -36,10 +36,10 @@
   return QJsonObject{{"version", version}, {"set", QJsonObject{{"paths", rows}}}, {"extra", QJsonObject{{"by", by}}}};
 }
 
-/// Calls on the page of the whole blueprint, each waited for.
+/// Calls on the page of the whole configuration, each waited for.
 struct Desk {
   Rig rig;
-  substation::Answer last;
+  control::Answer last;
 
   int call(std::string const& method, std::string const& body = "", std::string const& ifMatch = "", std::string const& id = "") {
     std::uint64_t const t = rig.call(method, page, body, ifMatch, id);
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-TEST_CASE("the whole blueprint is put, read and patched under its own version") {
+TEST_CASE("the whole configuration is put, read and patched under its own version") {
   Desk d;
   d.rig.alive = {"a", "b", "c"};
   d.rig.run(6000);
@@ -81,13 +81,13 @@
   CHECK(d.patch(patchOf(20, {"c"}), "2") == 412);
   CHECK(d.call("DELETE", "", "9") == 405);
   CHECK(d.version() == 9);
-  QJsonObject const kept = d.rig.plane.mooring().committed().at(blueprint::wholeKey).value;
+  QJsonObject const kept = d.rig.reducer.registers().committed().at(config::wholeKey).value;
   CHECK(kept.keys() == QStringList{"changes", "spec"});
   std::uint64_t const asked = d.rig.call("GET", "/v1/changes/second");
   CHECK((d.rig.statusOf(asked) == 200 && d.rig.answers[asked].body.value("version").toInteger() == 9));
 }
 
-TEST_CASE("a change of the whole blueprint that is not valid changes nothing") {
+TEST_CASE("a change of the whole configuration that is not valid changes nothing") {
   Desk d;
   REQUIRE(d.put(spec(5), "0") == 201);
   struct Row {
@@ -131,7 +131,7 @@
   CHECK(d.last.body.value("stamp").toInteger() == 1);
 }
 
-TEST_CASE("a change of the whole blueprint that is sent again is answered as it was") {
+TEST_CASE("a change of the whole configuration that is sent again is answered as it was") {
   Desk d;
   REQUIRE(d.put(spec(5), "0", "one") == 201);
   REQUIRE(d.patch(patchOf(6, {"b"}), "5", "two") == 200);
@@ -151,7 +151,7 @@
   CHECK(d.version() == 7);
 }
 
-TEST_CASE("of two changes on one version of the whole blueprint one is taken") {
+TEST_CASE("of two changes on one version of the whole configuration one is taken") {
   Desk d;
   REQUIRE(d.put(spec(5), "0") == 201);
   std::uint64_t const one = d.rig.call("PUT", page, core::jsonText(spec(6, {"x"})), "5");
@@ -164,9 +164,9 @@
   CHECK(d.version() == 6);
 }
 
-TEST_CASE("a dry run checks the whole blueprint and changes nothing") {
+TEST_CASE("a dry run checks the whole configuration and changes nothing") {
   Desk d;
-  signal::Call c;
+  transport::Call c;
   c.token = 77;
   c.method = "PUT";
   c.path = page;
@@ -174,21 +174,21 @@
   c.changeId = "dry";
   c.dryRun = true;
   c.body = core::jsonText(spec(5));
-  d.rig.take(d.rig.plane.operatorCall(d.rig.now, c));
+  d.rig.take(d.rig.reducer.operatorCall(d.rig.now, c));
   d.rig.run(700);
   CHECK(d.rig.statusOf(77) == 200);
   CHECK((d.rig.answers[77].body.value("dryRun").toBool() && d.rig.answers[77].body.value("version").toInteger() == 5));
   CHECK(d.call("GET") == 404);
 }
 
-TEST_CASE("bodies of the whole blueprint may be larger than others, and it stays within its limit") {
+TEST_CASE("bodies of the whole configuration may be larger than others, and it stays within its limit") {
   Desk d;
   QJsonObject large = spec(5);
   large.insert("extra", QJsonObject{{"text", QString(3 << 20, 'x')}});
   CHECK(d.put(large, "0") == 201);
   std::uint64_t const other = d.rig.call("PUT", "/v1/templates/t", std::string((2 << 20) + 1, ' '), "0");
   CHECK(d.rig.statusOf(other) == 413);
-  CHECK(d.call("PUT", std::string(substation::maxWholeBody + 1, ' '), "5") == 413);
+  CHECK(d.call("PUT", std::string(control::maxWholeBody + 1, ' '), "5") == 413);
   std::vector<int> statuses;
   for (int i = 0; i < 4; ++i) {
     QJsonObject row = pathRow("p" + std::to_string(i));
@@ -202,7 +202,7 @@
   CHECK(d.version() == 8);
 }
 
-TEST_CASE("a family may name pools of the whole blueprint in place") {
+TEST_CASE("a family may name pools of the whole configuration in place") {
   Desk d;
   constexpr char const* body = R"({"paths":[{"path":"a","pool":"big","class":"short"}]})";
   std::function<int(char const*, char const*)> const put = [&](char const* path, char const* text) {
@@ -234,7 +234,7 @@
 }
 
 TEST_CASE("without waiting for its force a change is answered as soon as it is on a majority of the disks") {
-  substation::Tuning tuning;
+  control::Tuning tuning;
   tuning.awaitInForce = false;
   for (bool const await : {true, false}) {
     tuning.awaitInForce = await;
@@ -259,9 +259,9 @@
 namespace {
 
 /// Three members with links that lose, repeat and delay, disks that take their time, and processes that die.
-struct Cohort {
+struct Membership {
   struct Member {
-    std::unique_ptr<substation::Plane> plane;
+    std::unique_ptr<control::Controller> reducer;
     std::map<std::string, std::string> disk;
     std::uint64_t life = 0;
     std::uint64_t seen = 0;
@@ -269,12 +269,12 @@
   struct Event {
     std::string to;
     std::uint64_t life = 0;
-    std::function<substation::Commands(substation::Plane&)> run;
+    std::function<control::Commands(control::Controller&)> run;
   };
   /// One change as an operator sent it.
   struct Change {
     std::string id;
-    signal::Call call;
+    transport::Call call;
     bool valid = true;
     int status = 0;
   };
@@ -291,50 +291,50 @@
   qint64 newestRead = 0;
   bool calm = false;
 
-  explicit Cohort(std::uint64_t seed) : rng(seed) {
+  explicit Membership(std::uint64_t seed) : rng(seed) {
     for (char const* link : {"s1", "s2", "s3"}) start(link);
   }
   void start(std::string const& link) {
     Member& m = members[link];
     ++m.life;
     m.seen = 0;
-    substation::Tuning tuning;
+    control::Tuning tuning;
     tuning.awaitInForce = false;
-    m.plane = std::make_unique<substation::Plane>(Rig::contact(link, "substation"), "m" + link + std::to_string(m.life), std::vector<std::string>{},
+    m.reducer = std::make_unique<control::Controller>(Rig::contact(link, transport::controllerRole), "m" + link + std::to_string(m.life), std::vector<std::string>{},
                                                   std::vector<std::string>{"s1", "s2", "s3"}, rng.next(), tuning);
-    take(link, m.plane->restore(m.disk, false, now));
+    take(link, m.reducer->restore(m.disk, false, now));
   }
-  void later(core::Tick how, std::string const& to, std::function<substation::Commands(substation::Plane&)> run) {
+  void later(core::Tick how, std::string const& to, std::function<control::Commands(control::Controller&)> run) {
     events.emplace(now + how, Event{to, members[to].life, std::move(run)});
   }
-  void take(std::string const& link, substation::Commands&& c) {
+  void take(std::string const& link, control::Commands&& c) {
     Member& m = members[link];
-    for (mooring::Persist const& p : c.persists) {
+    for (consensus::Persist const& p : c.persists) {
       std::uint64_t const life = m.life;
-      later(1 + static_cast<core::Tick>(rng.below(15)), link, [this, link, life, p](substation::Plane& plane) {
+      later(1 + static_cast<core::Tick>(rng.below(15)), link, [this, link, life, p](control::Controller& reducer) {
         members[link].disk[p.key] = p.payload;
-        return plane.written(now, p.ticket, true);
+        return reducer.written(now, p.ticket, true);
       });
     }
-    for (signal::Send const& s : c.sends) {
+    for (transport::Send const& s : c.sends) {
       if (members.count(s.to) == 0) continue;
       for (int copies = !calm && rng.chance(0.05) ? 0 : !calm && rng.chance(0.03) ? 2 : 1; copies > 0; --copies) {
-        signal::Message const message = s.message;
+        transport::Message const message = s.message;
         events.emplace(now + 1 + static_cast<core::Tick>(rng.below(20)),
-                       Event{s.to, 0, [this, link, message](substation::Plane& plane) { return plane.arrived(now, link, message); }});
+                       Event{s.to, 0, [this, link, message](control::Controller& reducer) { return reducer.arrived(now, link, message); }});
       }
     }
-    for (substation::Answer const& a : c.answers) answered(a);
-    std::map<std::string, mooring::Committed> const& all = m.plane->mooring().committed();
-    std::map<std::string, mooring::Committed>::const_iterator const it = all.find(blueprint::wholeKey);
-    if (it == all.end() || it->second.stamp == m.seen) return;
-    CHECK(it->second.stamp > m.seen);
-    m.seen = it->second.stamp;
+    for (control::Answer const& a : c.answers) answered(a);
+    std::map<std::string, consensus::Committed> const& all = m.reducer->registers().committed();
+    std::map<std::string, consensus::Committed>::const_iterator const it = all.find(config::wholeKey);
+    if (it == all.end() || it->second.revision == m.seen) return;
+    CHECK(it->second.revision > m.seen);
+    m.seen = it->second.revision;
     QJsonObject const kept = it->second.value.value("spec").toObject();
     QJsonObject const known = chain.try_emplace(m.seen, kept).first->second;
     CHECK(kept == known);
   }
-  void answered(substation::Answer const& a) {
+  void answered(control::Answer const& a) {
     std::map<std::uint64_t, std::string>::const_iterator const it = byToken.find(a.token);
     if (it != byToken.end()) {
       Change& c = changes.at(it->second);
@@ -349,24 +349,24 @@
     }
   }
   void send(Change const& c) {
-    signal::Call call = c.call;
+    transport::Call call = c.call;
     call.token = token++;
     byToken[call.token] = c.id;
     std::map<std::string, Member>::iterator const to = std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
-    take(to->first, to->second.plane->operatorCall(now, call));
+    take(to->first, to->second.reducer->operatorCall(now, call));
   }
   void read() {
-    signal::Call call;
+    transport::Call call;
     call.token = token++;
     call.method = "GET";
     call.path = page;
     reads[call.token] = newestRead;
     std::map<std::string, Member>::iterator const to = std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
-    take(to->first, to->second.plane->operatorCall(now, call));
+    take(to->first, to->second.reducer->operatorCall(now, call));
   }
   void operate() {
     if (rng.chance(0.3) && !changes.empty()) {
-      send(changes.at("c" + std::to_string(changes.size() - 1 - rng.below(std::min<std::size_t>(changes.size(), blueprint::changeWindow / 2)))));
+      send(changes.at("c" + std::to_string(changes.size() - 1 - rng.below(std::min<std::size_t>(changes.size(), config::changeWindow / 2)))));
       return;
     }
     Change c;
@@ -396,26 +396,26 @@
       events.erase(events.begin());
       Member& m = members[e.to];
       if (e.life != 0 && e.life != m.life) continue;
-      take(e.to, e.run(*m.plane));
+      take(e.to, e.run(*m.reducer));
     }
     if (now % 25 == 0)
-      for (std::map<std::string, Member>::value_type& m : members) take(m.first, m.second.plane->clockEvent(now));
+      for (std::map<std::string, Member>::value_type& m : members) take(m.first, m.second.reducer->clockEvent(now));
   }
   std::string by(QJsonObject const& value) const { return core::str(value.value("extra").toObject().value("by").toString()); }
-  void judge() {
+  void validator() {
     QJsonObject before;
-    std::uint64_t stamp = 0;
+    std::uint64_t revision = 0;
     std::map<std::string, std::string> takenOn;
     std::set<std::string> inForce;
     for (std::map<std::uint64_t, QJsonObject>::value_type const& link : chain) {
-      CHECK(link.first == ++stamp);
+      CHECK(link.first == ++revision);
       Change const& c = changes.at(by(link.second));
       qint64 const version = link.second.value("version").toInteger();
       CHECK(version > before.value("version").toInteger());
       CHECK(c.valid);
       CHECK(c.call.ifMatch == std::to_string(before.value("version").toInteger()));
       QJsonObject const said = core::parseJson(c.call.body).toObject();
-      CHECK(link.second == (c.call.method == "PUT" ? said : blueprint::patchWhole(before, said)));
+      CHECK(link.second == (c.call.method == "PUT" ? said : config::patchWhole(before, said)));
       CHECK(inForce.insert(c.id).second);
       before = link.second;
     }
@@ -431,12 +431,12 @@
 
 }  // namespace
 
-TEST_CASE("under random load and failures the whole blueprint's version rises by accepted changes alone") {
+TEST_CASE("under random load and failures the whole configuration's version rises by accepted changes alone") {
   std::size_t most = 0;
   std::size_t taken = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     INFO("seed " << seed);
-    Cohort c(seed);
+    Membership c(seed);
     while (c.now < 40000) {
       c.step();
       if (c.now > 4000 && c.rng.chance(0.05)) c.operate();
@@ -445,10 +445,10 @@
     }
     c.calm = true;
     for (core::Tick const until = c.now + 15000; c.now < until;) c.step();
-    for (std::map<std::string, Cohort::Member>::value_type const& m : c.members) CHECK(m.second.seen == c.chain.rbegin()->first);
-    c.judge();
+    for (std::map<std::string, Membership::Member>::value_type const& m : c.members) CHECK(m.second.seen == c.chain.rbegin()->first);
+    c.validator();
     most = std::max(most, c.chain.size());
-    for (std::map<std::string, Cohort::Change>::value_type const& k : c.changes) taken += k.second.status == 200 || k.second.status == 201 ? 1 : 0;
+    for (std::map<std::string, Membership::Change>::value_type const& k : c.changes) taken += k.second.status == 200 || k.second.status == 201 ? 1 : 0;
   }
   CHECK(most > 20);
   CHECK(taken > 200);
--- a/core/include/corkward/core/json.h
+++ b/core/include/corkward/core/json.h
@@ -8,7 +8,7 @@
 
 namespace corkward::core {
 
-/// Parses and checks JSON with simdjson; throws JsonError. Duplicate keys and depth over 32 are denied.
+/// Parses and checks JSON with simdjson; throws JsonError. Duplicate keys and depth over 32 are rejected.
 QJsonValue parseJson(std::string_view text);
 
 /// Compact text of a value, keys in order.
--- a/core/include/corkward/core/log.h
+++ b/core/include/corkward/core/log.h
@@ -10,6 +10,6 @@
 void startLog(std::string const& node, std::string const& file, std::string const& level);
 
 /// Writes one note as a key=value line.
-void writeLog(Note const& note);
+void writeLog(LogEvent const& logEvent);
 
 }  // namespace corkward::core
--- a/core/include/corkward/core/types.h
+++ b/core/include/corkward/core/types.h
@@ -11,7 +11,7 @@
 /// Milliseconds on a monotonic clock that goes on counting while the machine is suspended.
 using Tick = std::int64_t;
 
-/// Dense index of a name, given out at the door.
+/// Dense index of a name, given out at the HTTP edge.
 using Index = std::uint32_t;
 
 /// Maps names to dense indices. An index is reused only after its name was released.
@@ -54,7 +54,7 @@
 std::uint64_t stableHash(std::string const& text);
 
 /// One line of a log: an event and its key=value pairs.
-struct Note {
+struct LogEvent {
   std::string event;
   std::map<std::string, std::string> fields;
 };
--- a/core/src/log.cpp
+++ b/core/src/log.cpp
@@ -53,9 +53,9 @@
   logger()->setLevel(log4cxx::Level::toLevel(level));
 }
 
-void writeLog(Note const& note) {
-  std::string line = "event=" + quoted(note.event);
-  for (std::map<std::string, std::string>::value_type const& f : note.fields)
+void writeLog(LogEvent const& logEvent) {
+  std::string line = "event=" + quoted(logEvent.event);
+  for (std::map<std::string, std::string>::value_type const& f : logEvent.fields)
     line += " " + f.first + "=" + quoted(f.second);
   LOG4CXX_INFO(logger(), line);
 }
--- a/core/test/core_test.cpp
+++ b/core/test/core_test.cpp
@@ -26,7 +26,7 @@
     CHECK(core::jsonText(core::mergePatch(core::parseJson(r.target), core::parseJson(r.patch))) == r.want);
 }
 
-TEST_CASE("bad JSON is denied, never guessed at") {
+TEST_CASE("bad JSON is rejected, never guessed at") {
   for (char const* text : {"", "{", "{\"a\":1,\"a\":2}", "[1,]", "nul", "{\"a\":18446744073709551615}", "\"\xff\""})
     CHECK_THROWS_AS(core::parseJson(text), core::JsonError);
   std::string deep(40, '[');
--- a/rotor/include/corkward/rotor/plane.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -9,14 +9,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include <corkward/blueprint/blueprint.h>
-#include <corkward/blueprint/regimes.h>
+#include <corkward/config/config.h>
+#include <corkward/config/regimes.h>
 #include <corkward/core/journal.h>
-#include <corkward/governor/governor.h>
-#include <corkward/lookout/lookout.h>
-#include <corkward/signal/message.h>
+#include <corkward/scaling/scaling.h>
+#include <corkward/gossip/partial_view.h>
+#include <corkward/transport/message.h>
 
-namespace corkward::rotor {
+namespace corkward::dataplane {
 
 using core::Index;
 using core::Tick;
@@ -24,10 +24,10 @@
 
 /// Starting values of the data plane.
 struct Tuning {
-  /// How long a confirmation of standing holds, counted from when it was asked for.
+  /// How long a confirmation of serving lease holds, counted from when it was asked for.
   Tick confirmFor = 1500;
   Tick askEvery = 300;
-  /// How often control is asked while there is no whole image yet, from the start on.
+  /// How often control is asked while there is no whole snapshot yet, from the start on.
   Tick askWhole = 50;
   /// How often neighbours are contacted while control confirms, and while it does not.
   Tick touchAtRest = 1000;
@@ -39,17 +39,17 @@
   Tick neighbourFor = 10000;
   /// How long one that was silent is passed over, when there are others.
   Tick passOver = 10000;
-  /// Substations that are asked for confirmations, and how many when some do not answer.
+  /// Controllers that are asked for confirmations, and how many when some do not answer.
   std::size_t heldLinks = 2;
   std::size_t heldLinksMost = 4;
   Tick seenWait = 500;
   /// How long ids are remembered.
   Tick seenFor = 600000;
-  /// How far back a nacelle must remember to vouch for an id whose age is not said.
+  /// How far back a router must remember to vouch for an id whose age is not said.
   Tick vouchAfter = 60000;
   /// What is added to an age that is said: for the way, a slow head, and clocks whose rates differ.
   Tick ageMargin = 15000;
-  /// How long after its start a nacelle sends no clients here, and denies ids of unsaid age when too few remember far enough.
+  /// How long after its start a router sends no clients here, and rejects ids of unsaid age when too few remember far enough.
   Tick youngWait = 3000;
   /// How far a majority must remember when others do not answer.
   Tick dimWait = 10000;
@@ -69,7 +69,7 @@
   double nodeLimitPerReplica = 8.0;
   /// Seconds after which a caller is asked to come back when nothing better is known.
   double comeBack = 1.0;
-  /// A nacelle in an evacuated zone says that it is not ready, though it goes on serving.
+  /// A router in an evacuated zone says that it is not ready, though it goes on serving.
   bool evacuationFailsReady = true;
   /// A draining node goes on taking requests for this long, until callers are sent elsewhere.
   Tick drainServe = 0;
@@ -78,18 +78,18 @@
   std::int64_t shortTokens = 4000;
   std::int64_t longTokens = 16000;
   /// Repeats that all nodes together may spend beyond their share, in ten seconds.
-  double retryAllowance = governor::RetryBudget::allowance;
+  double retryAllowance = scaling::RetryBudget::allowance;
   int resumes = 2;
   /// A stream in which nothing moves for this long is given up as broken.
   Tick streamIdle = 10000;
-  /// A nacelle whose roster is smaller than this cannot stand on its neighbours alone.
+  /// A router whose roster is smaller than this cannot stand on its neighbours alone.
   std::size_t leastRoster = 3;
-  /// False: whoever has a whole image serves, without confirmations, roster or joining wait, and takes the image from
-  /// anyone who offers it; for callers whose own rules bound how old a blueprint may be.
+  /// False: whoever has a whole snapshot serves, without confirmations, roster or joining wait, and takes the snapshot from
+  /// anyone who offers it; for callers whose own rules bound how old a configuration may be.
   bool fenced = true;
   /// Records of regimes' work can be kept here; without them nothing of a regime is handed on.
   bool records = false;
-  governor::Figures figures = governor::figures;
+  scaling::Figures figures = scaling::figures;
 };
 
 /// One part of a prompt, by a hash that is equal on every node, and its length in tokens.
@@ -98,12 +98,12 @@
   std::int64_t tokens = 0;
 };
 
-/// What the door saw of a request's head and body.
+/// What the HTTP edge saw of a request's head and body.
 struct Request {
   CallId call = 0;
   std::string instance;
   std::string path;
-  /// Host and path by which a path of the whole blueprint is found, when no instance is named.
+  /// Host and path by which a path of the whole configuration is found, when no instance is named.
   std::string host;
   std::string target;
   /// The prompt's parts in order, and the tokens asked for at the most.
@@ -114,7 +114,7 @@
   std::uint64_t attempt = 1;
   /// The caller says that every earlier attempt was answered "not run".
   bool earlierNotRun = false;
-  /// The caller says that one of those had reached a replica, which denied it.
+  /// The caller says that one of those had reached a replica, which rejected it.
   bool earlierReached = false;
   /// Milliseconds since the caller's first attempt; below zero: not said.
   Tick age = -1;
@@ -146,7 +146,7 @@
   /// The request may run once only: no connection may be used that the replica could be about to close.
   bool fresh = true;
   /// Not empty: a request of a regime. A connection of its own is opened, and it stands only once the replica has named this
-  /// life on it; another life, another answer or none counts as a denied connection.
+  /// life on it; another life, another answer or none counts as a rejected connection.
   std::string life = {};
   /// The path's answer is a row of events with ids.
   bool events = false;
@@ -168,7 +168,7 @@
   CallId call = 0;
 };
 /// Command: final answer to a caller that has had no byte yet.
-struct Deny {
+struct Reject {
   CallId call = 0;
   int status = 503;
   std::string reason;
@@ -192,7 +192,7 @@
 };
 
 /// What becomes of a regime's request.
-enum class Happened { handedOver, resumed, served, notRun, broken, denied };
+enum class Happened { handedOver, resumed, served, notRun, broken, rejected };
 
 /// Command: write down for the audit report, before the commands after it, what becomes of a regime's request.
 struct Record {
@@ -200,23 +200,23 @@
   Happened happened = Happened::handedOver;
   std::string regime;
   std::string instance;
-  /// Where it runs or ran, and the certificate's name; empty for a denial.
+  /// Where it runs or ran, and the certificate's name; empty for a rejection.
   std::string pool = {};
   std::string address = {};
   std::string life = {};
   std::string zone = {};
   std::string certificate = {};
-  /// Why it was denied, resumed or broken off.
+  /// Why it was rejected, resumed or broken off.
   std::string reason = {};
 };
 
-using CallCommand = std::variant<Connect, HandOver, Abandon, Deny, Abort, Answer, Record>;
+using CallCommand = std::variant<Connect, HandOver, Abandon, Reject, Abort, Answer, Record>;
 
 /// Commands of one event, in order.
 struct Commands {
-  std::vector<signal::Send> sends;
+  std::vector<transport::Send> sends;
   std::vector<CallCommand> calls;
-  std::vector<core::Note> notes;
+  std::vector<core::LogEvent> logEvents;
 };
 
 /// How much a plane holds, to show that what is gone is freed.
@@ -233,19 +233,19 @@
 };
 
 /// The data plane of one node as a pure reducer over its events.
-class Plane {
+class RequestRouter {
  public:
-  Plane(signal::Contact self, std::vector<std::string> seeds, std::uint64_t seed, Tuning tuning = {});
+  RequestRouter(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed, Tuning tuning = {});
 
   Commands started(Tick now);
-  Commands arrived(Tick now, std::string const& from, signal::Message const& message);
+  Commands arrived(Tick now, std::string const& from, transport::Message const& message);
   Commands clockEvent(Tick now);
 
   Commands request(Tick now, Request const& request);
   /// The connection stands and no byte was handed over yet: the last check before sending.
   Commands connected(Tick now, CallId call);
   /// No connection could be had, so nothing was handed over.
-  Commands connectDenied(Tick now, CallId call);
+  Commands connectRejected(Tick now, CallId call);
   Commands firstWord(Tick now, CallId call, bool runKnown);
   /// The replica answers with a failure of its own, of which nothing was passed on yet. When the commands say Connect,
   /// another replica is tried and the answer is forgotten; else it is passed on as it comes.
@@ -263,7 +263,7 @@
   /// Wall time at that tick, in milliseconds since 1970; told with each clock event. Within one life it never goes back.
   void wallTime(Tick now, std::int64_t wall);
   /// Wall time at a tick; nothing before it was told.
-  blueprint::Wall wallAt(Tick now) const;
+  config::Wall wallAt(Tick now) const;
   /// Whether records can be written from here on.
   void recording(bool works) { tuning_.records = works; }
   bool recording() const { return tuning_.records; }
@@ -271,18 +271,18 @@
   /// Whether clients should be sent here.
   bool ready(Tick now) const;
   /// Whether this node may hand requests over at all.
-  bool standing(Tick now) const;
+  bool servingLease(Tick now) const;
   Held held() const;
   std::size_t inHand() const { return calls_.size(); }
   std::string metrics(Tick now) const;
   QJsonObject state(Tick now) const;
-  std::uint64_t stampOf(std::string const& key) const;
+  std::uint64_t revisionOf(std::string const& key) const;
   /// Replicas held for a pool by each instance's part, and requests held there.
   std::vector<std::pair<std::size_t, std::size_t>> parts(std::string const& pool) const;
   /// Value in force for a key; empty when there is none.
   QJsonObject valueOf(std::string const& key) const;
-  /// Bounds of the callers' door as the whole blueprint says them.
-  blueprint::DoorTerms const& doorTerms() const { return doorTerms_; }
+  /// Bounds of the callers' HTTP edge as the whole configuration says them.
+  config::HttpTerms const& httpTerms() const { return httpTerms_; }
   core::Journal const& journal() const { return journal_; }
 
  private:
@@ -290,8 +290,8 @@
   struct Call {
     Request request;
     Index path = 0;
-    /// Blueprint under which the path was found.
-    std::uint64_t pathStamp = 0;
+    /// Configuration under which the path was found.
+    std::uint64_t pathRevision = 0;
     Index pool = 0;
     /// Replicas that it was handed to, the last one included.
     std::vector<Index> handedTo;
@@ -311,7 +311,7 @@
     bool dispatched = false;
     /// Some attempt of this id may have reached a replica before.
     bool reached = false;
-    /// Some replica may have run it and is not asked any more, so that no denial may say "not run"; on the product's own surface.
+    /// Some replica may have run it and is not asked any more, so that no rejection may say "not run"; on the product's own surface.
     bool mayHaveRun = false;
     int resumes = 0;
     std::uint64_t prefix = 0;
@@ -324,11 +324,11 @@
     bool ranElsewhere = false;
   };
   struct Key {
-    std::uint64_t stamp = 0;
+    std::uint64_t revision = 0;
     QJsonObject value;
   };
   struct Row {
-    blueprint::Path path;
+    config::Path path;
     Index pool = 0;
     Index instance = 0;
     /// Pools that share the requests, with weights above 0.
@@ -341,7 +341,7 @@
     std::string id;
     std::string zone;
     std::uint64_t hash = 0;
-    blueprint::ReplicaState state = blueprint::ReplicaState::leaving;
+    config::ReplicaState state = config::ReplicaState::leaving;
     bool listed = false;
     /// It is among those that read the pool's too long prompts.
     bool apart = false;
@@ -352,7 +352,7 @@
     Tick coolUntil = 0;
     /// Own requests that it has in hand.
     int inFlight = 0;
-    governor::Reliability reliability;
+    scaling::Reliability reliability;
     /// Among the replicas of its pool that the pick may do without; see avoidWorst.
     bool avoided = false;
   };
@@ -360,22 +360,22 @@
     std::uint64_t generation = 0;
     double coldRate = 0;
     std::vector<Index> replicas;
-    signal::Hint hint;
-    /// What the whole blueprint says of the pool, if it names it.
-    std::optional<blueprint::PoolTerms> terms;
+    transport::Hint hint;
+    /// What the whole configuration says of the pool, if it names it.
+    std::optional<config::PoolTerms> terms;
     /// Those that may be drawn from, what they are made of has changed since, and when it next changes with time alone.
     /// By regime; empty: work of none.
-    std::map<std::string, governor::Candidates> candidates;
+    std::map<std::string, scaling::Candidates> candidates;
     /// What binds the instances may have changed.
     bool rebound = false;
     bool changed = true;
     Tick changesAt = 0;
   };
   struct Credit {
-    governor::Scaler scaler;
+    scaling::Scaler scaler;
     std::array<std::list<CallId>, 3> held;
     unsigned turn = 0;
-    governor::Rate rate;
+    scaling::Rate rate;
     std::size_t heldCount() const { return held[0].size() + held[1].size() + held[2].size(); }
   };
   struct Warm {
@@ -383,7 +383,7 @@
     Tick coveredUntil = 0;
     Tick wantedSince = -1;
     std::map<Tick, std::set<std::string>> grants;
-    governor::ColdBucket bucket;
+    scaling::ColdBucket bucket;
   };
   struct Seen {
     Tick at = 0;
@@ -395,7 +395,7 @@
   };
   /// What the roster says, folded once when it comes.
   struct RosterView {
-    std::uint64_t stamp = 0;
+    std::uint64_t revision = 0;
     std::vector<std::string> others;
     /// All links with their zones, this node's own among them; ages go in this order.
     std::map<std::string, std::string> zones;
@@ -407,8 +407,8 @@
   };
   struct Confirmation {
     Tick at = -1;
-    signal::Digest digest;
-    signal::Stamps stamps;
+    transport::Digest digest;
+    transport::Revisions revisions;
     Tick good = -1;
   };
   /// A process that is asked again and again.
@@ -419,20 +419,20 @@
     /// Newest answer that was of use.
     Tick good = -1;
     Tick silentAt = -1;
-    bool wantStamps = false;
+    bool wantRevisions = false;
     Tick namedAt = -1;
   };
   using CreditKey = std::pair<Index, Index>;
 
-  void apply(Commands& out, Tick now, std::vector<signal::Item> const& items);
-  void applyOne(Commands& out, Tick now, signal::Item const& item);
+  void apply(Commands& out, Tick now, std::vector<transport::Item> const& items);
+  void applyOne(Commands& out, Tick now, transport::Item const& item);
   void refreshCandidates(Commands& out, Tick now);
   void refreshPool(Tick now, Index pool);
   void wake(Tick now, CreditKey const& key);
   void cool(Index replica, Tick until);
   void refreshHint(PoolView& view);
-  bool takeHint(Commands& out, Tick now, signal::Hint const& hint);
-  std::vector<signal::Hint> hints() const;
+  bool takeHint(Commands& out, Tick now, transport::Hint const& hint);
+  std::vector<transport::Hint> hints() const;
   bool usable(Tick now, Index replica) const;
   double coldRate(Index pool) const;
   Index findPath(Request const& request) const;
@@ -440,57 +440,57 @@
   Index poolIndex(std::string const& name);
   void applyWhole(QJsonObject const& value);
   void forgetRoutes(std::string const& owner);
-  void addRow(std::string const& owner, std::string const& route, blueprint::Path const& path, std::string const& instance);
+  void addRow(std::string const& owner, std::string const& route, config::Path const& path, std::string const& instance);
   HandOver handOver(Tick now, CallId id);
   std::int64_t unread(Call const& call, Index replica, Index home) const;
   void haveRead(Call& call);
   bool mayGoOn(Tick now, Call const& call) const;
-  void judge(Commands& out, Tick now, Call& call, bool bad);
+  void validator(Commands& out, Tick now, Call& call, bool bad);
   void avoidWorst(Tick now, Index pool);
   bool overdue(Call const& call, Tick took) const;
   void connectTo(Commands& out, Tick now, CallId id, Index replica);
   /// All serving replicas of the pool, whatever the part is.
-  std::vector<governor::Candidate> beyondPart(Tick now, Index pool) const;
+  std::vector<scaling::Candidate> beyondPart(Tick now, Index pool) const;
   bool resumeElsewhere(Commands& out, Tick now, CallId id);
-  std::int64_t choose(Tick now, Call const& call, std::vector<governor::Candidate> const& choices) const;
+  std::int64_t choose(Tick now, Call const& call, std::vector<scaling::Candidate> const& choices) const;
   Index home(Call const& call) const;
   bool mayBeHome(Index replica) const;
   /// The prompt cannot be read within its aim, and the pool has replicas that read such ones.
   bool readsApart(Call const& call) const;
   void setApart(PoolView const& view);
   bool evacuated(std::string const& zone) const;
-  bool knowsAll(signal::Stamps const& stamps) const;
-  bool knows(signal::Digest const& digest, signal::Stamps const& stamps) const;
+  bool knowsAll(transport::Revisions const& revisions) const;
+  bool knows(transport::Digest const& digest, transport::Revisions const& revisions) const;
   bool confirmedWithin(Tick now, Tick age) const;
   bool mostHeard(Tick now) const;
-  void refreshStanding();
-  void countHeard(std::string const& from, signal::Touch const& echo);
+  void refreshServingLease();
+  void countHeard(std::string const& from, transport::Touch const& echo);
   void considerWhole(Commands& out, Tick now, std::string const& from);
   std::string ages(Tick now) const;
-  void chooseSubstations(Tick now);
+  void chooseControllers(Tick now);
   void sendAsk(Commands& out, Tick now, std::string const& to);
   std::vector<std::string> chooseNeighbours(Tick now, std::size_t wanted, Tick every);
   void touchNeighbours(Commands& out, Tick now);
-  void sendMissing(Commands& out, std::string const& to, signal::Stamps const& have) const;
+  void sendMissing(Commands& out, std::string const& to, transport::Revisions const& have) const;
   std::vector<std::string> const& rosterOthers() const { return roster_.others; }
   std::size_t rosterSize() const { return roster_.size; }
-  void foldRoster(Tick now, std::uint64_t stamp, QJsonObject const& value);
+  void foldRoster(Tick now, std::uint64_t revision, QJsonObject const& value);
   void watchJoining(Tick now);
   bool remembers(Tick now, Tick age) const;
   void noteLag(Tick now);
   void askOthers(Commands& out, Tick now, CallId id);
   void decideClaim(Commands& out, Tick now, CallId id, bool over);
-  std::vector<std::string> substations(Tick now) const;
-  signal::Stamps stamps() const;
+  std::vector<std::string> controllers(Tick now) const;
+  transport::Revisions revisions() const;
   Credit& credit(Commands& out, Tick now, CreditKey const& key);
   bool mayTry(Tick now, Credit& c, CreditKey key, Call const& call) const;
-  std::vector<governor::Candidate> usableOf(Tick now, Credit const& c, bool warmRoom) const;
+  std::vector<scaling::Candidate> usableOf(Tick now, Credit const& c, bool warmRoom) const;
   void admit(Commands& out, Tick now, CallId id);
   bool tryConnect(Commands& out, Tick now, CallId id);
   void pump(Commands& out, Tick now, CreditKey key);
   void look(Commands& out, Tick now, CreditKey key, CallId unplaced = 0);
   void uncount(Commands& out, Tick now, Call& call);
-  void deny(Commands& out, Tick now, CallId id, int status, std::string reason, bool notRun, double retryAfter);
+  void reject(Commands& out, Tick now, CallId id, int status, std::string reason, bool notRun, double retryAfter);
   void forget(Tick now, CallId id);
   void drop(Commands& out, Tick now, CallId id);
   Seen& remember(Tick now, std::string const& key);
@@ -498,20 +498,20 @@
   void breakOff(Commands& out, Tick now, CallId id, std::string const& why = "the connection broke");
   void unhold(CallId id);
   void retry(Commands& out, Tick now, CallId id, char const* why);
-  double comeBack(Credit const& c, blueprint::Class cls) const;
-  Tick expectedWait(Credit const& c, blueprint::Class cls) const;
+  double comeBack(Credit const& c, config::Class cls) const;
+  Tick expectedWait(Credit const& c, config::Class cls) const;
   void warmDuties(Commands& out, Tick now);
   std::string const& regimeOf(Call const& call) const;
   std::string const& regimeOf(Index instance) const;
   std::string unsure(Tick now, std::string const& regime) const;
   std::string closed(Tick now, std::string const& regime) const;
-  blueprint::Certificate const* certificate(Tick now, std::string const& regime, Index replica) const;
+  config::Certificate const* certificate(Tick now, std::string const& regime, Index replica) const;
   bool lawful(Tick now, Call const& call) const;
   bool fits(Tick now, Call const& call, Index replica) const;
   void refreshCertified(Tick now);
   /// What work of each regime, and of none, may draw from of these.
-  std::map<std::string, governor::Candidates> byRegime(std::vector<governor::Candidate> const& all) const;
-  static governor::Candidates candidatesOf(PoolView const& view, std::string const& regime);
+  std::map<std::string, scaling::Candidates> byRegime(std::vector<scaling::Candidate> const& all) const;
+  static scaling::Candidates candidatesOf(PoolView const& view, std::string const& regime);
   bool mayDraw(std::string const& regime, Index replica) const;
   void record(Commands& out, Tick now, Call const& call, Happened happened, std::string reason = {});
   void watchRegimes(Commands& out, Tick now);
@@ -519,24 +519,24 @@
   bool warmHeld(Tick now, Index replica) const;
   void expireSeen(Tick now);
   void freeGone(Tick now);
-  void note(Commands& out, Tick now, std::string event, std::map<std::string, std::string> fields = {});
+  void logEvent(Commands& out, Tick now, std::string event, std::map<std::string, std::string> fields = {});
   void count(Tick now, std::string const& what, std::string const& about = "");
-  void on(Commands& out, Tick now, std::string const& from, signal::Shuffle const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::News const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Confirm const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Hint const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Touch const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::Fetch const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::SeenAsk const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::SeenEcho const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::SeenLeft const& m);
-  void on(Commands& out, Tick now, std::string const& from, signal::WarmGrant const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Shuffle const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::News const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Confirm const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Hint const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Touch const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::Fetch const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::SeenAsk const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::SeenEcho const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::SeenLeft const& m);
+  void on(Commands& out, Tick now, std::string const& from, transport::WarmGrant const& m);
 
   Tuning tuning_;
   std::uint64_t seed_;
   /// Name of this run of the process among claimants of ids.
   std::string who_;
-  lookout::Lookout lookout_;
+  gossip::PartialView partialView_;
   core::Journal journal_;
   Tick started_ = 0;
   bool draining_ = false;
@@ -551,26 +551,26 @@
   std::vector<Row> rows_;
   std::unordered_map<std::string, Index> routes_;
   std::map<std::string, std::vector<std::string>> ownedRoutes_;
-  blueprint::DoorTerms doorTerms_;
+  config::HttpTerms httpTerms_;
   std::set<std::string> evacuated_;
   /// Rises whenever paths change.
-  std::uint64_t blueprintStamp_ = 1;
+  std::uint64_t configurationRevision_ = 1;
   std::map<std::string, Confirmation> confirmations_;
   /// Echoes that name what is not known here yet.
-  std::map<std::string, signal::Touch> echoes_;
-  /// Newest tick at which that nacelle had nothing in force that this one lacks now.
+  std::map<std::string, transport::Touch> echoes_;
+  /// Newest tick at which that router had nothing in force that this one lacks now.
   std::map<std::string, Tick> heard_;
   /// Digest of the keys, and those it had before in this life, newest last.
-  signal::Digest digest_;
-  std::deque<signal::Digest> had_;
-  std::map<std::string, HeldLink> substations_;
+  transport::Digest digest_;
+  std::deque<transport::Digest> had_;
+  std::map<std::string, HeldLink> controllers_;
   std::map<std::string, HeldLink> neighbours_;
   std::map<std::string, Tick> silent_;
   std::vector<std::string> held_;
   std::map<std::string, Tick> fetchedAt_;
-  /// A neighbour has sent a whole image.
-  bool imageSeen_ = false;
-  /// Control has vouched for this life's image. Until then this node is none of the majority that it stands on: its life
+  /// A neighbour has sent a whole snapshot.
+  bool snapshotSeen_ = false;
+  /// Control has vouched for this life's snapshot. Until then this node is none of the majority that it stands on: its life
   /// before may have been counted for a change that it lacks now.
   bool vouched_ = false;
   core::Rng rng_;
@@ -578,9 +578,9 @@
   /// Credits that looks may change: all others are at rest.
   std::set<CreditKey> awake_;
   std::map<Index, Warm> warm_;
-  governor::Prefixes prefixes_;
-  governor::Kept kept_;
-  governor::RetryBudgets budget_;
+  scaling::Prefixes prefixes_;
+  scaling::Kept kept_;
+  scaling::RetryBudgets budget_;
   std::unordered_map<CallId, Call> calls_;
   std::unordered_map<std::string, Seen> seen_;
   std::deque<std::pair<Tick, std::string>> seenOrder_;
@@ -591,15 +591,15 @@
   Tick lag_ = 0;
   Tick lagAt_ = -1;
   RosterView roster_;
-  std::vector<std::string> cohortIds_;
-  std::vector<std::string> cohortLinks_;
+  std::vector<std::string> membershipIds_;
+  std::vector<std::string> membershipLinks_;
   Tick askAt_ = 0;
   Tick touchedAt_ = 0;
   Tick warmAt_ = 0;
   Tick lookAt_ = 0;
   Tick freeAt_ = 0;
   bool pumping_ = false;
-  blueprint::Regimes regimes_;
+  config::Regimes regimes_;
   /// Some path has been bound to a regime in this life.
   bool bound_ = false;
   /// What binds an instance, by the newest of its paths.
@@ -612,4 +612,4 @@
   std::optional<std::int64_t> wallAhead_;
 };
 
-}  // namespace corkward::rotor
+}  // namespace corkward::data plane
--- a/rotor/include/corkward/rotor/stream.h
+++ b/dataplane/include/corkward/dataplane/stream.h
@@ -6,14 +6,14 @@
 #include <utility>
 #include <vector>
 
-#include <corkward/rotor/plane.h>
+#include <corkward/dataplane/request_router.h>
 
-namespace corkward::rotor {
+namespace corkward::dataplane {
 
 /// Header fields of an answer in their order; a name may come more than once.
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-/// How an answer begins, as the door's mapping reads it.
+/// How an answer begins, as the HTTP edge's mapping reads it.
 struct Head {
   int status = 0;
   /// Fields that go back to the caller.
@@ -66,7 +66,7 @@
 };
 
 /// What passes from one call's replica connections to its caller, as a pure reducer: which run it is, how far it has come,
-/// and whether the end may be told. The door and the simulator run the same one.
+/// and whether the end may be told. The HTTP edge and the simulator run the same one.
 class Stream {
  public:
   /// Rows of events are passed on in whole events and may go on at another replica after the last one passed on. Answers
@@ -117,4 +117,4 @@
   Event event_;
 };
 
-}  // namespace corkward::rotor
+}  // namespace corkward::data plane
--- a/rotor/src/calls.cpp
+++ b/dataplane/src/calls.cpp
@@ -4,23 +4,23 @@
 
 #include "internal.h"
 
-namespace corkward::rotor {
+namespace corkward::dataplane {
 
-std::vector<std::pair<std::size_t, std::size_t>> Plane::parts(std::string const& pool) const {
+std::vector<std::pair<std::size_t, std::size_t>> RequestRouter::parts(std::string const& pool) const {
   std::vector<std::pair<std::size_t, std::size_t>> out;
   for (std::map<CreditKey, Credit>::value_type const& c : credits_)
     if (pools_.name(c.first.first) == pool) out.emplace_back(c.second.scaler.part().size(), c.second.heldCount());
   return out;
 }
 
-std::string const& Plane::addressOf(Index replica) const { return replicas_[replica].address; }
+std::string const& RequestRouter::addressOf(Index replica) const { return replicas_[replica].address; }
 
-double Plane::coldRate(Index pool) const {
+double RequestRouter::coldRate(Index pool) const {
   PoolView const& view = poolViews_[pool];
   return view.terms ? view.terms->coldRate : view.coldRate;
 }
 
-Index Plane::findPath(Request const& request) const {
+Index RequestRouter::findPath(Request const& request) const {
   if (!request.instance.empty()) {
     std::unordered_map<std::string, Index>::const_iterator const it = routes_.find(request.instance + "/" + request.path);
     return it == routes_.end() ? core::Names::none : it->second;
@@ -34,7 +34,7 @@
   return core::Names::none;
 }
 
-Index Plane::choosePool(Tick now, Row const& row, CallId id) const {
+Index RequestRouter::choosePool(Tick now, Row const& row, CallId id) const {
   std::uint64_t sum = 0;
   for (std::pair<Index, std::uint32_t> const& s : row.shares) sum += s.second;
   std::uint64_t at = core::Rng(seed_ ^ id).below(sum);
@@ -54,13 +54,13 @@
   return chosen;
 }
 
-bool Plane::usable(Tick now, Index replica) const {
+bool RequestRouter::usable(Tick now, Index replica) const {
   Replica const& r = replicas_[replica];
-  if (!r.listed || r.away || r.state == blueprint::ReplicaState::leaving || evacuated(r.zone) || now < r.coolUntil) return false;
-  return r.state == blueprint::ReplicaState::serving || warmHeld(now, replica);
+  if (!r.listed || r.away || r.state == config::ReplicaState::leaving || evacuated(r.zone) || now < r.coolUntil) return false;
+  return r.state == config::ReplicaState::serving || warmHeld(now, replica);
 }
 
-void Plane::avoidWorst(Tick now, Index pool) {
+void RequestRouter::avoidWorst(Tick now, Index pool) {
   std::vector<Index> const& all = poolViews_[pool].replicas;
   std::vector<Index> worst;
   for (Index const r : all) {
@@ -77,43 +77,43 @@
   for (Index const r : worst) replicas_[r].avoided = true;
 }
 
-void Plane::judge(Commands& out, Tick now, Call& call, bool bad) {
+void RequestRouter::validator(Commands& out, Tick now, Call& call, bool bad) {
   if (call.judged) return;
   call.judged = true;
   Replica& r = replicas_[call.replica];
   bool const before = r.reliability.trusted();
   bool const rests = r.reliability.outcome(now, bad, tuning_.figures);
   if (rests)
-    note(out, now, "replica-distrusted", {{"replica", replicaNames_.name(call.replica)},
+    logEvent(out, now, "replica-distrusted", {{"replica", replicaNames_.name(call.replica)},
                                           {"rate", std::to_string(r.reliability.rate(now, tuning_.figures))}});
-  if (!before && r.reliability.trusted()) note(out, now, "replica-trusted", {{"replica", replicaNames_.name(call.replica)}});
+  if (!before && r.reliability.trusted()) logEvent(out, now, "replica-trusted", {{"replica", replicaNames_.name(call.replica)}});
   if (!before || rests) poolViews_[r.pool].changed = true;
   if (rests || before != r.reliability.trusted()) avoidWorst(now, r.pool);
 }
 
-bool Plane::overdue(Call const& call, Tick took) const {
+bool RequestRouter::overdue(Call const& call, Tick took) const {
   Row const& row = rows_[call.path];
   double const usual = credits_.at({call.pool, row.instance}).scaler.firstWordMean();
   return static_cast<double>(took) > tuning_.figures.lateAims * std::max(static_cast<double>(row.path.aim), usual);
 }
 
-void Plane::refreshPool(Tick now, Index pool) {
+void RequestRouter::refreshPool(Tick now, Index pool) {
   PoolView& view = poolViews_[pool];
   if (!view.changed && now < view.changesAt) return;
   view.changed = false;
   view.changesAt = std::numeric_limits<Tick>::max();
   avoidWorst(now, pool);
   setApart(view);
-  std::vector<governor::Candidate> all;
+  std::vector<scaling::Candidate> all;
   for (Index const ix : view.replicas) {
     Replica const& r = replicas_[ix];
-    bool const cold = r.state == blueprint::ReplicaState::cold;
+    bool const cold = r.state == config::ReplicaState::cold;
     std::map<Index, Warm>::const_iterator const w = warm_.find(ix);
     for (Tick const at : {r.coolUntil, cold && w != warm_.end() ? w->second.until : 0, r.reliability.restUntil()})
       if (at > now) view.changesAt = std::min(view.changesAt, at);
-    if (usable(now, ix) && !(r.avoided && r.reliability.resting(now))) all.push_back(governor::Candidate{ix, cold, r.hash});
+    if (usable(now, ix) && !(r.avoided && r.reliability.resting(now))) all.push_back(scaling::Candidate{ix, cold, r.hash});
   }
-  std::map<std::string, governor::Candidates> candidates = byRegime(all);
+  std::map<std::string, scaling::Candidates> candidates = byRegime(all);
   if (candidates == view.candidates && !view.rebound) return;
   view.candidates = std::move(candidates);
   view.rebound = false;
@@ -123,37 +123,37 @@
   }
 }
 
-void Plane::refreshCandidates(Commands& out, Tick now) {
+void RequestRouter::refreshCandidates(Commands& out, Tick now) {
   refreshCertified(now);
   for (Index pool = 0; pool < poolViews_.size(); ++pool) refreshPool(now, pool);
   std::vector<CreditKey> const keys(awake_.begin(), awake_.end());
   for (CreditKey const& k : keys) pump(out, now, k);
 }
 
-void Plane::wake(Tick now, CreditKey const& key) {
+void RequestRouter::wake(Tick now, CreditKey const& key) {
   if (awake_.insert(key).second) credits_.at(key).rate.catchUp(now);
 }
 
-void Plane::cool(Index replica, Tick until) {
+void RequestRouter::cool(Index replica, Tick until) {
   replicas_[replica].coolUntil = until;
   poolViews_[replicas_[replica].pool].changed = true;
 }
 
-Plane::Credit& Plane::credit(Commands& out, Tick now, CreditKey const& key) {
+RequestRouter::Credit& RequestRouter::credit(Commands& out, Tick now, CreditKey const& key) {
   std::map<CreditKey, Credit>::iterator it = credits_.find(key);
   if (it != credits_.end()) {
     wake(now, key);
     return it->second;
   }
   refreshCandidates(out, now);
-  governor::Scaler scaler(seed_ ^ core::stableHash(lookout_.self().link + instances_.name(key.second)), tuning_.figures);
+  scaling::Scaler scaler(seed_ ^ core::stableHash(partialView_.self().link + instances_.name(key.second)), tuning_.figures);
   scaler.candidates(candidatesOf(poolViews_[key.first], regimeOf(key.second)));
   it = credits_.emplace(key, Credit{std::move(scaler), {}, 0, {}}).first;
   awake_.insert(key);
   return it->second;
 }
 
-Commands Plane::request(Tick now, Request const& request) {
+Commands RequestRouter::request(Tick now, Request const& request) {
   Commands out;
   noteLag(now);
   count(now, "requests");
@@ -166,19 +166,19 @@
   Index const path = findPath(request);
   if (path != core::Names::none) {
     call.path = path;
-    call.pathStamp = blueprintStamp_;
+    call.pathRevision = configurationRevision_;
   }
   calls_[id] = call;
   if (draining_ && now - drainedAt_ >= tuning_.drainServe) {
-    deny(out, now, id, 503, "leaving", true, tuning_.comeBack);
+    reject(out, now, id, 503, "leaving", true, tuning_.comeBack);
     return out;
   }
-  if (!standing(now)) {
-    deny(out, now, id, 503, "no standing", true, tuning_.comeBack);
+  if (!servingLease(now)) {
+    reject(out, now, id, 503, "no serving lease", true, tuning_.comeBack);
     return out;
   }
   if (path == core::Names::none) {
-    deny(out, now, id, 404, "no such path", true, 0);
+    reject(out, now, id, 404, "no such path", true, 0);
     return out;
   }
   Row const& row = rows_[path];
@@ -197,20 +197,20 @@
       mine.echo = true;
       mine.reached = mine.reached || before.reached;
       if (request.attempt > 0 && before.promisedAway >= request.attempt) {
-        deny(out, now, id, 409, "a later attempt went to another node", false, 0);
+        reject(out, now, id, 409, "a later attempt went to another node", false, 0);
         return out;
       }
       if (before.mayHaveRun && !row.path.resumable) {
-        deny(out, now, id, 409, "an earlier attempt may have run", false, 0);
+        reject(out, now, id, 409, "an earlier attempt may have run", false, 0);
         return out;
       }
       if (request.attempt == 0) mine.claimants.insert(before.claimants.begin(), before.claimants.end());
       std::unordered_map<CallId, Call>::const_iterator const held = calls_.find(before.call);
       if (before.call != 0 && before.call != id && held != calls_.end()) {
         if (held->second.phase == Phase::held || held->second.phase == Phase::asking) {
-          deny(out, now, before.call, 409, "replaced by a later attempt", true, 0);
+          reject(out, now, before.call, 409, "replaced by a later attempt", true, 0);
         } else if (!row.path.resumable) {
-          deny(out, now, id, 409, "an earlier attempt is in hand", false, 0);
+          reject(out, now, id, 409, "an earlier attempt is in hand", false, 0);
           return out;
         }
       }
@@ -224,11 +224,11 @@
   }
   if (request.attempt > 1 && !request.earlierNotRun && !row.path.resumable) {
     if (request.id.empty()) {
-      deny(out, now, id, 409, "a later attempt without an id cannot be told from the first", false, 0);
+      reject(out, now, id, 409, "a later attempt without an id cannot be told from the first", false, 0);
     } else if (request.age < 0) {
-      deny(out, now, id, 409, "a later attempt that does not say its age cannot be looked up", false, 0);
+      reject(out, now, id, 409, "a later attempt that does not say its age cannot be looked up", false, 0);
     } else if (!remembers(now, request.age)) {
-      deny(out, now, id, 409, "this node does not remember far enough to say whether an earlier attempt ran", false, 0);
+      reject(out, now, id, 409, "this node does not remember far enough to say whether an earlier attempt ran", false, 0);
     } else {
       askOthers(out, now, id);
       if (calls_.at(id).waiting.empty()) admit(out, now, id);
@@ -239,7 +239,7 @@
   return out;
 }
 
-Tick Plane::expectedWait(Credit const& c, blueprint::Class cls) const {
+Tick RequestRouter::expectedWait(Credit const& c, config::Class cls) const {
   std::size_t ahead = 0;
   for (std::size_t l = 0; l <= lane(cls); ++l) ahead += c.held[l].size();
   if (ahead == 0) return 0;
@@ -247,15 +247,15 @@
   return static_cast<Tick>(1000.0 * static_cast<double>(ahead) / rate);
 }
 
-double Plane::comeBack(Credit const& c, blueprint::Class cls) const {
+double RequestRouter::comeBack(Credit const& c, config::Class cls) const {
   return std::clamp(static_cast<double>(expectedWait(c, cls)) / 1000.0, tuning_.comeBack, 30.0);
 }
 
-void Plane::admit(Commands& out, Tick now, CallId id) {
+void RequestRouter::admit(Commands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
   std::string const shut = closed(now, regimeOf(call));
   if (!shut.empty()) {
-    deny(out, now, id, 503, shut, true, tuning_.comeBack);
+    reject(out, now, id, 503, shut, true, tuning_.comeBack);
     return;
   }
   Row const& row = rows_[call.path];
@@ -265,7 +265,7 @@
   if (fresh && call.request.parts.size() > 1) c.scaler.begin(home(call));
   call.phase = Phase::held;
   if (call.reached && !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance)) {
-    deny(out, now, id, 503, "no retry left for what may have reached a replica before", true, tuning_.comeBack);
+    reject(out, now, id, 503, "no retry left for what may have reached a replica before", true, tuning_.comeBack);
     return;
   }
   std::size_t const ahead = c.heldCount();
@@ -280,7 +280,7 @@
   bool const late = wait > static_cast<Tick>(tuning_.heldAims * static_cast<double>(row.path.aim)) || now + wait > call.until;
   bool const slow = c.scaler.allSlow() && ahead >= static_cast<std::size_t>(std::max(1.0, c.scaler.cap()));
   if (none || ahead >= bound || late || slow) {
-    deny(out, now, id, 503, none ? "no replica" : slow ? "all replicas slow" : "too much held", true, comeBack(c, row.path.cls));
+    reject(out, now, id, 503, none ? "no replica" : slow ? "all replicas slow" : "too much held", true, comeBack(c, row.path.cls));
     return;
   }
   c.held[lane(row.path.cls)].push_back(id);
@@ -288,7 +288,7 @@
   pump(out, now, key);
 }
 
-void Plane::look(Commands& out, Tick now, CreditKey key, CallId unplaced) {
+void RequestRouter::look(Commands& out, Tick now, CreditKey key, CallId unplaced) {
   Credit& c = credits_.at(key);
   std::size_t held = 0;
   std::int64_t wanted = -1;
@@ -301,14 +301,14 @@
     for (CallId const id : lane) held += calls_.at(id).echo ? 0 : 1;
   int const step = c.scaler.look(now, held, wanted);
   if (step == 0) return;
-  note(out, now, step > 0 ? "widened" : "gave-back",
+  logEvent(out, now, step > 0 ? "widened" : "gave-back",
        {{"instance", instances_.name(key.second)}, {"pool", pools_.name(key.first)}, {"part", std::to_string(c.scaler.part().size())}});
   if (step > 0) pump(out, now, key);
 }
 
-std::vector<governor::Candidate> Plane::usableOf(Tick now, Credit const& c, bool warmRoom) const {
-  std::vector<governor::Candidate> out;
-  for (governor::Candidate const& p : c.scaler.part()) {
+std::vector<scaling::Candidate> RequestRouter::usableOf(Tick now, Credit const& c, bool warmRoom) const {
+  std::vector<scaling::Candidate> out;
+  for (scaling::Candidate const& p : c.scaler.part()) {
     if (!usable(now, p.replica)) continue;
     if (p.cold) {
       std::map<Index, Warm>::const_iterator const w = warm_.find(p.replica);
@@ -323,8 +323,8 @@
   return out;
 }
 
-bool Plane::mayTry(Tick, Credit& c, CreditKey key, Call const& call) const {
-  bool const bulk = rows_[call.path].path.cls == blueprint::Class::bulk;
+bool RequestRouter::mayTry(Tick, Credit& c, CreditKey key, Call const& call) const {
+  bool const bulk = rows_[call.path].path.cls == config::Class::bulk;
   if (!c.scaler.makeRoom(bulk)) return false;
   std::string const& regime = regimeOf(key.second);
   std::size_t const replicas = regime.empty() ? poolViews_[key.first].replicas.size() : c.scaler.candidates();
@@ -342,7 +342,7 @@
   return taken < poolCap;
 }
 
-bool Plane::tryConnect(Commands& out, Tick now, CallId id) {
+bool RequestRouter::tryConnect(Commands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
   Row const& row = rows_[call.path];
   CreditKey const key{call.pool, row.instance};
@@ -352,7 +352,7 @@
   if (chosen < 0 && room && call.dispatched && !regimeOf(call).empty()) chosen = choose(now, call, beyondPart(now, call.pool));
   if (chosen < 0) return false;
   Index const replica = static_cast<Index>(chosen);
-  if (replicas_[replica].state == blueprint::ReplicaState::cold) {
+  if (replicas_[replica].state == config::ReplicaState::cold) {
     bool const taken = warm_.at(replica).bucket.take(now, coldRate(call.pool));
     CORKWARD_INVARIANT(taken);
   }
@@ -360,24 +360,24 @@
   return true;
 }
 
-void Plane::connectTo(Commands& out, Tick now, CallId id, Index replica) {
+void RequestRouter::connectTo(Commands& out, Tick now, CallId id, Index replica) {
   Call& call = calls_.at(id);
   Row const& row = rows_[call.path];
   call.phase = Phase::connecting;
   call.phaseAt = now;
   call.replica = replica;
   call.counted = true;
-  credits_.at({call.pool, row.instance}).scaler.sent(replica, row.path.cls == blueprint::Class::bulk);
+  credits_.at({call.pool, row.instance}).scaler.sent(replica, row.path.cls == config::Class::bulk);
   ++replicas_[replica].inFlight;
   out.calls.push_back(Connect{id, addressOf(replica), row.path.path, false, !row.path.repeatable, regimeOf(call).empty() ? "" : replicas_[replica].id, ownEvents(row.path)});
 }
 
-bool Plane::mayBeHome(Index replica) const {
+bool RequestRouter::mayBeHome(Index replica) const {
   Replica const& r = replicas_[replica];
-  return r.listed && !r.away && r.state == blueprint::ReplicaState::serving && !evacuated(r.zone);
+  return r.listed && !r.away && r.state == config::ReplicaState::serving && !evacuated(r.zone);
 }
 
-void Plane::setApart(PoolView const& view) {
+void RequestRouter::setApart(PoolView const& view) {
   std::vector<std::pair<std::uint64_t, Index>> order;
   for (Index const r : view.replicas) {
     replicas_[r].apart = false;
@@ -388,13 +388,13 @@
   for (std::pair<std::uint64_t, Index> const& o : order) replicas_[o.second].apart = true;
 }
 
-bool Plane::readsApart(Call const& call) const {
+bool RequestRouter::readsApart(Call const& call) const {
   if (static_cast<double>(call.request.parts.back().tokens) <= tuning_.figures.withinAim * static_cast<double>(rows_[call.path].path.aim)) return false;
   std::vector<Index> const& all = poolViews_[call.pool].replicas;
   return std::any_of(all.begin(), all.end(), [&](Index const r) { return replicas_[r].apart && mayBeHome(r); });
 }
 
-Index Plane::home(Call const& call) const {
+Index RequestRouter::home(Call const& call) const {
   bool const apart = readsApart(call);
   std::uint64_t const shared = call.request.parts[call.request.parts.size() - 2].hash;
   Index best = core::Names::none;
@@ -410,7 +410,7 @@
   return best;
 }
 
-std::int64_t Plane::unread(Call const& call, Index replica, Index home) const {
+std::int64_t RequestRouter::unread(Call const& call, Index replica, Index home) const {
   std::int64_t out = 0;
   bool kept = true;
   for (std::size_t i = 0; i + 1 < call.request.parts.size(); ++i) {
@@ -420,25 +420,25 @@
   return out;
 }
 
-void Plane::haveRead(Call& call) {
+void RequestRouter::haveRead(Call& call) {
   if (call.reading == 0) return;
   replicas_[call.replica].reading -= call.reading;
   call.reading = 0;
 }
 
-std::int64_t Plane::choose(Tick now, Call const& call, std::vector<governor::Candidate> const& all) const {
-  governor::Scaler const& scaler = credits_.at({call.pool, rows_[call.path].instance}).scaler;
-  std::vector<governor::Candidate> choices;
-  for (governor::Candidate const& c : all)
+std::int64_t RequestRouter::choose(Tick now, Call const& call, std::vector<scaling::Candidate> const& all) const {
+  scaling::Scaler const& scaler = credits_.at({call.pool, rows_[call.path].instance}).scaler;
+  std::vector<scaling::Candidate> choices;
+  for (scaling::Candidate const& c : all)
     if (std::find(call.handedTo.begin(), call.handedTo.end(), c.replica) == call.handedTo.end() && fits(now, call, c.replica)) choices.push_back(c);
-  std::function<bool(governor::Candidate const&)> const avoid = [&](governor::Candidate const& c) {
+  std::function<bool(scaling::Candidate const&)> const avoid = [&](scaling::Candidate const& c) {
     Replica const& r = replicas_[c.replica];
     return r.avoided && (r.reliability.resting(now) || r.inFlight > 0);
   };
   if (!std::all_of(choices.begin(), choices.end(), avoid)) std::erase_if(choices, avoid);
   if (call.request.parts.size() < 2) {
     std::int64_t const last = call.prefix == 0 ? -1 : prefixes_.last(call.prefix);
-    return governor::pick(scaler, choices, call.prefix == 0 ? seed_ ^ call.request.call : call.prefix, last);
+    return scaling::pick(scaler, choices, call.prefix == 0 ? seed_ ^ call.request.call : call.prefix, last);
   }
   Index const at = home(call);
   bool const apart = at != core::Names::none && replicas_[at].apart;
@@ -454,7 +454,7 @@
   std::int64_t best = -1;
   double bestCost = 0;
   std::uint64_t bestOrder = 0;
-  for (governor::Candidate const& c : choices) {
+  for (scaling::Candidate const& c : choices) {
     double const cost = scaler.inFlightAt(c.replica) * tuning_.figures.inFlightTokens + heldUp[c.replica] +
                         tuning_.figures.unreadWeight * static_cast<double>(unread(call, c.replica, at)) +
                         static_cast<double>(replicas_[c.replica].reading) +
@@ -468,7 +468,7 @@
   return best;
 }
 
-void Plane::pump(Commands& out, Tick now, CreditKey key) {
+void RequestRouter::pump(Commands& out, Tick now, CreditKey key) {
   if (pumping_) return;
   pumping_ = true;
   Credit& c = credits_.at(key);
@@ -490,7 +490,7 @@
   pumping_ = false;
 }
 
-void Plane::unhold(CallId id) {
+void RequestRouter::unhold(CallId id) {
   Call const& call = calls_.at(id);
   if (call.phase != Phase::held) return;
   std::map<CreditKey, Credit>::iterator const it = credits_.find({call.pool, rows_[call.path].instance});
@@ -498,43 +498,43 @@
   for (std::list<CallId>& lane : it->second.held) lane.remove(id);
 }
 
-void Plane::uncount(Commands& out, Tick now, Call& call) {
+void RequestRouter::uncount(Commands& out, Tick now, Call& call) {
   haveRead(call);
   if (!call.counted) return;
   call.counted = false;
   Row const& row = rows_[call.path];
   CreditKey const key{call.pool, row.instance};
   Credit& c = credits_.at(key);
-  c.scaler.ended(call.replica, row.path.cls == blueprint::Class::bulk);
+  c.scaler.ended(call.replica, row.path.cls == config::Class::bulk);
   --replicas_[call.replica].inFlight;
   c.rate.ended();
   look(out, now, key);
   pump(out, now, key);
 }
 
-void Plane::drop(Commands& out, Tick now, CallId id) {
+void RequestRouter::drop(Commands& out, Tick now, CallId id) {
   Call gone = calls_.at(id);
   forget(now, id);
   uncount(out, now, gone);
 }
 
-void Plane::deny(Commands& out, Tick now, CallId id, int status, std::string reason, bool notRun, double retryAfter) {
+void RequestRouter::reject(Commands& out, Tick now, CallId id, int status, std::string reason, bool notRun, double retryAfter) {
   Call& call = calls_.at(id);
   CORKWARD_INVARIANT(call.phase != Phase::streaming);
   CORKWARD_INVARIANT(!notRun || call.phase != Phase::handed);
   notRun = notRun && !call.mayHaveRun;
   unhold(id);
   count(now, "denied_" + std::to_string(status), reason);
-  if (!regimeOf(call).empty()) record(out, now, call, Happened::denied, reason);
-  out.calls.push_back(Deny{id, status, std::move(reason), notRun, retryAfter, call.reached || call.dispatched});
+  if (!regimeOf(call).empty()) record(out, now, call, Happened::rejected, reason);
+  out.calls.push_back(Reject{id, status, std::move(reason), notRun, retryAfter, call.reached || call.dispatched});
   drop(out, now, id);
 }
 
-Commands Plane::connected(Tick now, CallId id) {
+Commands RequestRouter::connected(Tick now, CallId id) {
   Commands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it != calls_.end() && it->second.phase == Phase::handed && it->second.resumes > 0) {
-    if (standing(now) && usable(now, it->second.replica) && lawful(now, it->second)) {
+    if (servingLease(now) && usable(now, it->second.replica) && lawful(now, it->second)) {
       record(out, now, it->second, Happened::resumed);
       out.calls.push_back(handOver(now, id));
     } else if (!rows_[it->second.path].path.stream || !resumeElsewhere(out, now, id)) {
@@ -544,15 +544,15 @@
   }
   if (it == calls_.end() || it->second.phase != Phase::connecting) return out;
   Call& call = it->second;
-  if (!standing(now)) {
+  if (!servingLease(now)) {
     out.calls.push_back(Abandon{id});
-    deny(out, now, id, 503, "no standing", true, tuning_.comeBack);
+    reject(out, now, id, 503, "no serving lease", true, tuning_.comeBack);
     return out;
   }
-  Index const path = call.pathStamp == blueprintStamp_ ? call.path : findPath(call.request);
+  Index const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
   if (path == core::Names::none) {
     out.calls.push_back(Abandon{id});
-    deny(out, now, id, 404, "the blueprint has changed", true, 0);
+    reject(out, now, id, 404, "the configuration has changed", true, 0);
     return out;
   }
   std::vector<std::pair<Index, std::uint32_t>> const& shares = rows_[path].shares;
@@ -562,7 +562,7 @@
     call.phase = Phase::held;
     uncount(out, now, call);
     call.path = path;
-    call.pathStamp = blueprintStamp_;
+    call.pathRevision = configurationRevision_;
     call.pool = choosePool(now, rows_[path], id);
     admit(out, now, id);
     return out;
@@ -570,7 +570,7 @@
   std::string const shut = closed(now, regimeOf(call));
   if (!shut.empty()) {
     out.calls.push_back(Abandon{id});
-    deny(out, now, id, 503, shut, true, tuning_.comeBack);
+    reject(out, now, id, 503, shut, true, tuning_.comeBack);
     return out;
   }
   if (!usable(now, call.replica) || !lawful(now, call)) {
@@ -580,7 +580,7 @@
   }
   if (now >= call.until) {
     out.calls.push_back(Abandon{id});
-    deny(out, now, id, 503, "deadline passed", true, tuning_.comeBack);
+    reject(out, now, id, 503, "deadline passed", true, tuning_.comeBack);
     return out;
   }
   if (!call.reached && !call.dispatched) budget_.first(now, call.pool);
@@ -603,7 +603,7 @@
   return out;
 }
 
-HandOver Plane::handOver(Tick now, CallId id) {
+HandOver RequestRouter::handOver(Tick now, CallId id) {
   Call& call = calls_.at(id);
   call.handedTo.push_back(call.replica);
   call.judged = false;
@@ -612,7 +612,7 @@
     call.reading = unread(call, call.replica, home(call)) + parts.back().tokens;
     replicas_[call.replica].reading += call.reading;
   }
-  std::optional<blueprint::PoolTerms> const& terms = poolViews_[call.pool].terms;
+  std::optional<config::PoolTerms> const& terms = poolViews_[call.pool].terms;
   for (std::size_t i = 0; i + 1 < parts.size(); ++i) kept_.sent(call.replica, parts[i].hash, parts[i].tokens, terms ? terms->tokens / 2 : 0);
   int rank = rows_[call.path].path.urgency;
   if (!parts.empty() && tuning_.ranksBySize) {
@@ -623,30 +623,30 @@
   return HandOver{id, replicas_[call.replica].id, std::max<Tick>(call.until - now, 1), rank, regimeOf(call)};
 }
 
-bool Plane::mayGoOn(Tick now, Call const& call) const {
-  blueprint::Path const& path = rows_[call.path].path;
+bool RequestRouter::mayGoOn(Tick now, Call const& call) const {
+  config::Path const& path = rows_[call.path].path;
   return static_cast<int>(call.handedTo.size()) < std::max(path.tries, 1) && now < call.until;
 }
 
-std::vector<governor::Candidate> Plane::beyondPart(Tick now, Index pool) const {
-  std::vector<governor::Candidate> out;
+std::vector<scaling::Candidate> RequestRouter::beyondPart(Tick now, Index pool) const {
+  std::vector<scaling::Candidate> out;
   for (Index const r : poolViews_[pool].replicas)
-    if (usable(now, r) && replicas_[r].state == blueprint::ReplicaState::serving)
-      out.push_back(governor::Candidate{r, false, core::stableHash(replicaNames_.name(r))});
+    if (usable(now, r) && replicas_[r].state == config::ReplicaState::serving)
+      out.push_back(scaling::Candidate{r, false, core::stableHash(replicaNames_.name(r))});
   return out;
 }
 
-bool Plane::resumeElsewhere(Commands& out, Tick now, CallId id) {
+bool RequestRouter::resumeElsewhere(Commands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
   uncount(out, now, call);
   Row const& row = rows_[call.path];
   Credit& c = credits_.at({call.pool, row.instance});
   std::int64_t chosen = choose(now, call, usableOf(now, c, true));
   if (chosen < 0 && !regimeOf(call).empty()) chosen = choose(now, call, beyondPart(now, call.pool));
-  if (chosen < 0 || !standing(now)) return false;
+  if (chosen < 0 || !servingLease(now)) return false;
   call.replica = static_cast<Index>(chosen);
-  if (replicas_[call.replica].state == blueprint::ReplicaState::cold && !warm_.at(call.replica).bucket.take(now, coldRate(call.pool))) return false;
-  c.scaler.sent(call.replica, row.path.cls == blueprint::Class::bulk);
+  if (replicas_[call.replica].state == config::ReplicaState::cold && !warm_.at(call.replica).bucket.take(now, coldRate(call.pool))) return false;
+  c.scaler.sent(call.replica, row.path.cls == config::Class::bulk);
   ++replicas_[call.replica].inFlight;
   call.counted = true;
   call.phase = Phase::handed;
@@ -655,18 +655,18 @@
   return true;
 }
 
-void Plane::retry(Commands& out, Tick now, CallId id, char const* why) {
+void RequestRouter::retry(Commands& out, Tick now, CallId id, char const* why) {
   Call& call = calls_.at(id);
   bool const again = call.dispatched;
   CORKWARD_INVARIANT(call.phase == Phase::connecting);
   call.phase = Phase::held;
   uncount(out, now, call);
   if (now >= call.until) {
-    deny(out, now, id, 503, "deadline passed", true, tuning_.comeBack);
+    reject(out, now, id, 503, "deadline passed", true, tuning_.comeBack);
     return;
   }
   if (again && (!mayGoOn(now, call) || !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance))) {
-    deny(out, now, id, 503, std::string(why) + "; no retry left", true, tuning_.comeBack);
+    reject(out, now, id, 503, std::string(why) + "; no retry left", true, tuning_.comeBack);
     return;
   }
   count(now, again ? "retried_dispatched" : "retried");
@@ -675,27 +675,27 @@
   credits_.at(key).held[lane(rows_[call.path].path.cls)].push_front(id);
 }
 
-Commands Plane::connectDenied(Tick now, CallId id) {
+Commands RequestRouter::connectRejected(Tick now, CallId id) {
   Commands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return out;
   bool const resuming = it->second.phase == Phase::handed && it->second.resumes > 0;
   if (!resuming && it->second.phase != Phase::connecting) return out;
   it->second.judged = now >= it->second.until;
-  judge(out, now, it->second, true);
+  validator(out, now, it->second, true);
   if (resuming) {
     cool(it->second.replica, now + tuning_.coolFor);
     if (!rows_[it->second.path].path.stream || !resumeElsewhere(out, now, id)) breakOff(out, now, id);
     return out;
   }
   cool(it->second.replica, now + tuning_.coolFor);
-  note(out, now, "replica-cooled", {{"replica", replicaNames_.name(it->second.replica)}, {"why", "connect denied"}});
+  logEvent(out, now, "replica-cooled", {{"replica", replicaNames_.name(it->second.replica)}, {"why", "connect rejected"}});
   retry(out, now, id, "replica refused the connection");
   refreshCandidates(out, now);
   return out;
 }
 
-Commands Plane::firstWord(Tick now, CallId id, bool runKnown) {
+Commands RequestRouter::firstWord(Tick now, CallId id, bool runKnown) {
   Commands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end() || it->second.phase != Phase::handed) return out;
@@ -707,7 +707,7 @@
   call.phaseAt = now;
   call.runKnown = runKnown;
   if (!first) return out;
-  if (overdue(call, now - call.handedAt)) judge(out, now, call, true);
+  if (overdue(call, now - call.handedAt)) validator(out, now, call, true);
   CreditKey const key{call.pool, row.instance};
   credits_.at(key).scaler.firstWord(now, call.replica, now - call.handedAt, row.path.aim);
   count(now, "first_words");
@@ -715,22 +715,22 @@
   return out;
 }
 
-Commands Plane::failed(Tick now, CallId id) {
+Commands RequestRouter::failed(Tick now, CallId id) {
   Commands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end() || it->second.phase != Phase::handed) return out;
   Call& call = it->second;
   count(now, "replica_failed");
-  judge(out, now, call, true);
+  validator(out, now, call, true);
   Row const& row = rows_[call.path];
-  if (call.resumes > 0 || !row.path.repeatable || !mayGoOn(now, call) || !standing(now)) return out;
+  if (call.resumes > 0 || !row.path.repeatable || !mayGoOn(now, call) || !servingLease(now)) return out;
   std::int64_t chosen = choose(now, call, usableOf(now, credits_.at({call.pool, row.instance}), true));
   if (chosen < 0) {
     chosen = choose(now, call, beyondPart(now, call.pool));
   }
   if (chosen < 0) return out;
   Index const replica = static_cast<Index>(chosen);
-  bool const cold = replicas_[replica].state == blueprint::ReplicaState::cold;
+  bool const cold = replicas_[replica].state == config::ReplicaState::cold;
   if ((cold && !warm_.at(replica).bucket.take(now, coldRate(call.pool))) || !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance)) return out;
   count(now, "retried_dispatched");
   call.mayHaveRun = row.path.host.empty();
@@ -740,20 +740,20 @@
   return out;
 }
 
-Commands Plane::moving(Tick now, CallId id) {
+Commands RequestRouter::moving(Tick now, CallId id) {
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it != calls_.end() && it->second.phase == Phase::streaming) it->second.phaseAt = now;
   return {};
 }
 
-Commands Plane::ended(Tick now, CallId id, End end) {
+Commands RequestRouter::ended(Tick now, CallId id, End end) {
   Commands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return out;
   Call& call = it->second;
   bool const streaming = call.phase == Phase::streaming;
   CORKWARD_INVARIANT(call.phase == Phase::handed || streaming);
-  if (end == End::whole || end == End::broken) judge(out, now, call, end == End::broken);
+  if (end == End::whole || end == End::broken) validator(out, now, call, end == End::broken);
   if (end == End::forgotten) {
     count(now, "connection_forgotten");
     end = End::broken;
@@ -771,7 +771,7 @@
   if (row.path.stream || !row.path.host.empty()) {
     bool const fromStart = !streaming && call.resumes == 0;
     bool const once = !fromStart && !regimeOf(call).empty() && now < call.until;
-    bool const again = (end == End::notRun || (end == End::broken && row.path.repeatable)) && !spent && (once || mayGoOn(now, call)) && standing(now) &&
+    bool const again = (end == End::notRun || (end == End::broken && row.path.repeatable)) && !spent && (once || mayGoOn(now, call)) && servingLease(now) &&
                        budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
     if (end == End::notRun) {
       count(now, "replica_not_run");
@@ -791,9 +791,9 @@
       if (!tryConnect(out, now, id)) credits_.at({call.pool, row.instance}).held[lane(row.path.cls)].push_front(id);
     } else if (fromStart && end == End::notRun) {
       call.phase = Phase::connecting;
-      deny(out, now, id, 503, "replica said not run; no retry left", true, tuning_.comeBack);
+      reject(out, now, id, 503, "replica said not run; no retry left", true, tuning_.comeBack);
     } else if (fromStart) {
-      deny(out, now, id, 502, "unknown, may have run", false, 0);
+      reject(out, now, id, 502, "unknown, may have run", false, 0);
     } else {
       breakOff(out, now, id);
     }
@@ -808,7 +808,7 @@
     return out;
   }
   bool const mayResume = end == End::broken && call.runKnown && row.path.resumable && call.resumes < tuning_.resumes && !spent && lawful(now, call) &&
-                         r.listed && standing(now) && budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
+                         r.listed && servingLease(now) && budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
   if (mayResume) {
     ++call.resumes;
     call.phase = Phase::handed;
@@ -820,13 +820,13 @@
   if (streaming || call.resumes > 0) {
     breakOff(out, now, id);
   } else {
-    deny(out, now, id, 502, "unknown, may have run", false, 0);
+    reject(out, now, id, 502, "unknown, may have run", false, 0);
   }
   refreshCandidates(out, now);
   return out;
 }
 
-void Plane::breakOff(Commands& out, Tick now, CallId id, std::string const& why) {
+void RequestRouter::breakOff(Commands& out, Tick now, CallId id, std::string const& why) {
   count(now, "broken");
   record(out, now, calls_.at(id), Happened::broken, why);
   out.calls.push_back(Abandon{id});
@@ -834,7 +834,7 @@
   drop(out, now, id);
 }
 
-Commands Plane::callerGone(Tick now, CallId id) {
+Commands RequestRouter::callerGone(Tick now, CallId id) {
   Commands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return out;
@@ -846,4 +846,4 @@
   return out;
 }
 
-}  // namespace corkward::rotor
+}  // namespace corkward::data plane
--- a/rotor/src/ids.cpp
+++ b/dataplane/src/ids.cpp
@@ -2,24 +2,24 @@
 
 #include "internal.h"
 
-namespace corkward::rotor {
+namespace corkward::dataplane {
 
-bool Plane::remembers(Tick now, Tick age) const {
+bool RequestRouter::remembers(Tick now, Tick age) const {
   Tick const lag = lagAt_ >= 0 && now - lagAt_ < 2000 ? lag_ : 0;
   return memoryFrom_ <= now - (age + lag + tuning_.ageMargin + age / 8);
 }
 
-void Plane::askOthers(Commands& out, Tick, CallId id) {
+void RequestRouter::askOthers(Commands& out, Tick, CallId id) {
   Call& call = calls_.at(id);
   call.phase = Phase::asking;
   for (std::string const& link : rosterOthers()) {
     call.waiting.insert(link);
     out.sends.push_back(
-        signal::Send{link, signal::SeenAsk{id, call.request.instance + "|" + call.request.id, call.request.attempt, std::max<Tick>(call.request.age, 0), who_}});
+        transport::Send{link, transport::SeenAsk{id, call.request.instance + "|" + call.request.id, call.request.attempt, std::max<Tick>(call.request.age, 0), who_}});
   }
 }
 
-void Plane::decideClaim(Commands& out, Tick now, CallId id, bool over) {
+void RequestRouter::decideClaim(Commands& out, Tick now, CallId id, bool over) {
   Call& call = calls_.at(id);
   bool const resumable = rows_[call.path].path.resumable;
   bool const open = std::any_of(call.claimants.begin(), call.claimants.end(),
@@ -30,7 +30,7 @@
   std::size_t const need = majorityOf(rosterSize());
   Tick const memory = memories.size() < need ? -1 : memories[need - 1];
   if (call.ranElsewhere && !resumable) {
-    deny(out, now, id, 409, "an earlier attempt may have run on another node", false, 0);
+    reject(out, now, id, 409, "an earlier attempt may have run on another node", false, 0);
   } else if (!call.ranElsewhere && !open && memory >= tuning_.vouchAfter) {
     admit(out, now, id);
   } else if (over || call.waiting.empty()) {
@@ -39,11 +39,11 @@
     if (young || resumable)
       admit(out, now, id);
     else
-      deny(out, now, id, 409, "nobody can say whether this id has run before", false, 0);
+      reject(out, now, id, 409, "nobody can say whether this id has run before", false, 0);
   }
 }
 
-void Plane::on(Commands& out, Tick now, std::string const& from, signal::SeenAsk const& m) {
+void RequestRouter::on(Commands& out, Tick now, std::string const& from, transport::SeenAsk const& m) {
   bool clear = m.attempt == 0 || remembers(now, m.age);
   bool known = false;
   bool reached = false;
@@ -57,7 +57,7 @@
     if (it->second.call != 0 && c != calls_.end()) {
       if (c->second.phase == Phase::held || c->second.phase == Phase::asking) {
         reached = reached || c->second.reached;
-        deny(out, now, it->second.call, 409, "replaced by a later attempt", true, 0);
+        reject(out, now, it->second.call, 409, "replaced by a later attempt", true, 0);
       } else {
         clear = false;
       }
@@ -68,10 +68,10 @@
   Seen& s = remember(now, m.id);
   s.promisedAway = std::max(s.promisedAway, m.attempt);
   if (m.attempt == 0 && std::find(s.claimants.begin(), s.claimants.end(), m.who) == s.claimants.end()) s.claimants.push_back(m.who);
-  out.sends.push_back(signal::Send{from, signal::SeenEcho{m.token, who_, clear, known, reached, now - memoryFrom_, claimants}});
+  out.sends.push_back(transport::Send{from, transport::SeenEcho{m.token, who_, clear, known, reached, now - memoryFrom_, claimants}});
 }
 
-void Plane::on(Commands& out, Tick now, std::string const& from, signal::SeenEcho const& m) {
+void RequestRouter::on(Commands& out, Tick now, std::string const& from, transport::SeenEcho const& m) {
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(m.token);
   if (it == calls_.end() || it->second.phase != Phase::asking || it->second.waiting.erase(from) == 0) return;
   Call& call = it->second;
@@ -84,27 +84,27 @@
     call.claimants.insert(m.claimants.begin(), m.claimants.end());
     decideClaim(out, now, m.token, false);
   } else if (!m.clear) {
-    deny(out, now, m.token, 409, "an earlier attempt may have run on another node", false, 0);
+    reject(out, now, m.token, 409, "an earlier attempt may have run on another node", false, 0);
   } else if (call.waiting.empty()) {
     admit(out, now, m.token);
   }
 }
 
-void Plane::on(Commands&, Tick now, std::string const&, signal::SeenLeft const& m) {
+void RequestRouter::on(Commands&, Tick now, std::string const&, transport::SeenLeft const& m) {
   for (std::string const& id : m.ids) remember(now, id).mayHaveRun = true;
   if (!m.last) return;
   for (std::unordered_map<std::string, Seen>::value_type& s : seen_)
     if (!s.second.mayHaveRun) std::erase(s.second.claimants, m.who);
 }
 
-Plane::Seen& Plane::remember(Tick now, std::string const& key) {
+RequestRouter::Seen& RequestRouter::remember(Tick now, std::string const& key) {
   Seen& s = seen_[key];
   if (s.at == 0) seenOrder_.emplace_back(now, key);
   s.at = now;
   return s;
 }
 
-void Plane::expireSeen(Tick now) {
+void RequestRouter::expireSeen(Tick now) {
   while (!seenOrder_.empty() && (now - seenOrder_.front().first > tuning_.seenFor || seen_.size() > tuning_.seenBound)) {
     std::pair<Tick, std::string> const front = seenOrder_.front();
     seenOrder_.pop_front();
@@ -119,7 +119,7 @@
   }
 }
 
-void Plane::forget(Tick now, CallId id) {
+void RequestRouter::forget(Tick now, CallId id) {
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return;
   if (!it->second.request.id.empty()) {
@@ -132,4 +132,4 @@
   calls_.erase(it);
 }
 
-}  // namespace corkward::rotor
+}  // namespace corkward::data plane
--- a/rotor/src/internal.h
+++ b/dataplane/src/internal.h
@@ -1,12 +1,12 @@
 #pragma once
 
-#include <corkward/rotor/plane.h>
+#include <corkward/dataplane/request_router.h>
 
-namespace corkward::rotor {
+namespace corkward::dataplane {
 
 inline constexpr char const* rosterKey = "roster";
-inline constexpr char const* cohortKey = "cohort";
-/// Instance whose credits the paths of the whole blueprint share.
+inline constexpr char const* membershipKey = "cohort";
+/// Instance whose credits the paths of the whole configuration share.
 inline constexpr char const* wholeInstance = "*";
 inline constexpr Tick lookEvery = 100;
 inline constexpr Tick freeEvery = 10000;
@@ -17,9 +17,9 @@
 
 inline std::size_t majorityOf(std::size_t n) { return n / 2 + 1; }
 
-/// The path's rows of events are asked for on the product's own surface, not as a whole blueprint's path.
-inline bool ownEvents(blueprint::Path const& path) { return path.stream && path.host.empty(); }
+/// The path's rows of events are asked for on the product's own surface, not as a whole configuration's path.
+inline bool ownEvents(config::Path const& path) { return path.stream && path.host.empty(); }
 
-inline std::size_t lane(blueprint::Class cls) { return static_cast<std::size_t>(cls); }
+inline std::size_t lane(config::Class cls) { return static_cast<std::size_t>(cls); }
 
-}  // namespace corkward::rotor
+}  // namespace corkward::data plane
--- a/rotor/src/regimes.cpp
+++ b/dataplane/src/regimes.cpp
@@ -4,7 +4,7 @@
 
 #include "internal.h"
 
-namespace corkward::rotor {
+namespace corkward::dataplane {
 
 namespace {
 
@@ -13,50 +13,50 @@
 
 }  // namespace
 
-std::string const& Plane::regimeOf(Call const& call) const {
-  if (!bound_ || call.pathStamp == 0) return unbound;
-  Index const path = call.pathStamp == blueprintStamp_ ? call.path : findPath(call.request);
+std::string const& RequestRouter::regimeOf(Call const& call) const {
+  if (!bound_ || call.pathRevision == 0) return unbound;
+  Index const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
   return rows_[path == core::Names::none ? call.path : path].path.regime;
 }
 
-std::string const& Plane::regimeOf(Index instance) const {
+std::string const& RequestRouter::regimeOf(Index instance) const {
   std::map<Index, std::string>::const_iterator const it = instanceRegimes_.find(instance);
   return it == instanceRegimes_.end() ? unbound : it->second;
 }
 
-std::string Plane::unsure(Tick now, std::string const& regime) const {
-  if (!tuning_.fenced || !standing(now)) return "no standing";
-  blueprint::Wall const wall = wallAt(now);
+std::string RequestRouter::unsure(Tick now, std::string const& regime) const {
+  if (!tuning_.fenced || !servingLease(now)) return "no serving lease";
+  config::Wall const wall = wallAt(now);
   if (!wall) return "no wall time, so no certificate counts";
   if (regimes_.regimes.count(regime) == 0) return "no regime " + regime + " is declared";
-  if (!blueprint::nacelleMay(regimes_, regime, lookout_.self().link, lookout_.self().zone, wall)) return "this node is not certified for regime " + regime;
+  if (!config::routerMay(regimes_, regime, partialView_.self().link, partialView_.self().zone, wall)) return "this node is not certified for regime " + regime;
   return "";
 }
 
-std::string Plane::closed(Tick now, std::string const& regime) const {
+std::string RequestRouter::closed(Tick now, std::string const& regime) const {
   if (regime.empty()) return "";
   std::string why = unsure(now, regime);
   if (why.empty() && !tuning_.records) why = "no records of regimes can be kept";
   return why;
 }
 
-blueprint::Certificate const* Plane::certificate(Tick now, std::string const& regime, Index replica) const {
+config::Certificate const* RequestRouter::certificate(Tick now, std::string const& regime, Index replica) const {
   Replica const& r = replicas_[replica];
   if (!r.listed) return nullptr;
-  return blueprint::certifies(regimes_, regime, pools_.name(r.pool), blueprint::Replica{r.id, r.address, r.zone, r.state}, wallAt(now));
+  return config::certifies(regimes_, regime, pools_.name(r.pool), config::Replica{r.id, r.address, r.zone, r.state}, wallAt(now));
 }
 
-bool Plane::lawful(Tick now, Call const& call) const {
+bool RequestRouter::lawful(Tick now, Call const& call) const {
   std::string const& regime = regimeOf(call);
   return regime.empty() || (closed(now, regime).empty() && certificate(now, regime, call.replica) != nullptr);
 }
 
-void Plane::refreshCertified(Tick now) {
+void RequestRouter::refreshCertified(Tick now) {
   if (certifiedAt_ >= 0 && now - certifiedAt_ < certifiedFor) return;
   certifiedAt_ = now;
   std::map<std::string, std::set<Index>> certified;
   std::map<Index, double> reserved;
-  for (std::map<std::string, blueprint::Regime>::value_type const& regime : regimes_.regimes)
+  for (std::map<std::string, config::Regime>::value_type const& regime : regimes_.regimes)
     for (PoolView const& view : poolViews_)
       for (Index const r : view.replicas) {
         if (certificate(now, regime.first, r) == nullptr) continue;
@@ -70,24 +70,24 @@
   for (PoolView& view : poolViews_) view.changed = true;
 }
 
-std::map<std::string, governor::Candidates> Plane::byRegime(std::vector<governor::Candidate> const& all) const {
-  std::map<std::string, governor::Candidates> out;
+std::map<std::string, scaling::Candidates> RequestRouter::byRegime(std::vector<scaling::Candidate> const& all) const {
+  std::map<std::string, scaling::Candidates> out;
   std::function<void(std::string const&)> const draw = [&](std::string const& regime) {
-    std::vector<governor::Candidate> some;
-    std::copy_if(all.begin(), all.end(), std::back_inserter(some), [&](governor::Candidate const& c) { return mayDraw(regime, c.replica); });
-    out[regime] = governor::Candidates(std::move(some));
+    std::vector<scaling::Candidate> some;
+    std::copy_if(all.begin(), all.end(), std::back_inserter(some), [&](scaling::Candidate const& c) { return mayDraw(regime, c.replica); });
+    out[regime] = scaling::Candidates(std::move(some));
   };
   draw(unbound);
   for (std::map<std::string, std::set<Index>>::value_type const& regime : certified_) draw(regime.first);
   return out;
 }
 
-governor::Candidates Plane::candidatesOf(PoolView const& view, std::string const& regime) {
-  std::map<std::string, governor::Candidates>::const_iterator const it = view.candidates.find(regime);
-  return it == view.candidates.end() ? governor::Candidates() : it->second;
+scaling::Candidates RequestRouter::candidatesOf(PoolView const& view, std::string const& regime) {
+  std::map<std::string, scaling::Candidates>::const_iterator const it = view.candidates.find(regime);
+  return it == view.candidates.end() ? scaling::Candidates() : it->second;
 }
 
-bool Plane::mayDraw(std::string const& regime, Index replica) const {
+bool RequestRouter::mayDraw(std::string const& regime, Index replica) const {
   if (regime.empty()) {
     std::map<Index, double>::const_iterator const share = reserved_.find(replica);
     return share == reserved_.end() || share->second < 1;
@@ -96,7 +96,7 @@
   return it != certified_.end() && it->second.count(replica) > 0;
 }
 
-bool Plane::fits(Tick now, Call const& call, Index replica) const {
+bool RequestRouter::fits(Tick now, Call const& call, Index replica) const {
   std::string const& regime = regimeOf(call);
   if (!mayDraw(regime, replica)) return false;
   if (!regime.empty()) return closed(now, regime).empty();
@@ -109,7 +109,7 @@
   return others + 1 <= std::max(1.0, (1.0 - share->second) * limit);
 }
 
-void Plane::record(Commands& out, Tick now, Call const& call, Happened happened, std::string reason) {
+void RequestRouter::record(Commands& out, Tick now, Call const& call, Happened happened, std::string reason) {
   std::string const& regime = regimeOf(call);
   if (regime.empty()) return;
   Record r;
@@ -118,19 +118,19 @@
   r.regime = regime;
   r.instance = call.request.instance;
   r.reason = std::move(reason);
-  if (happened != Happened::denied) {
+  if (happened != Happened::rejected) {
     Replica const& at = replicas_[call.replica];
     r.pool = pools_.name(at.pool);
     r.address = at.address;
     r.life = at.id;
     r.zone = at.zone;
-    blueprint::Certificate const* const under = certificate(now, regime, call.replica);
+    config::Certificate const* const under = certificate(now, regime, call.replica);
     if (under != nullptr) r.certificate = under->name;
   }
   out.calls.push_back(std::move(r));
 }
 
-void Plane::watchRegimes(Commands& out, Tick now) {
+void RequestRouter::watchRegimes(Commands& out, Tick now) {
   if (!bound_) return;
   refreshCertified(now);
   std::vector<CallId> ours;
@@ -150,26 +150,26 @@
     if (call.phase == Phase::held) {
       std::vector<Index> const& all = poolViews_[call.pool].replicas;
       bool const any = std::any_of(all.begin(), all.end(), [&](Index const r) { return mayDraw(regime, r); });
-      if (!shut.empty() || !any) deny(out, now, id, 503, any ? shut : "no certified replica", true, tuning_.comeBack);
+      if (!shut.empty() || !any) reject(out, now, id, 503, any ? shut : "no certified replica", true, tuning_.comeBack);
     } else if (call.phase == Phase::connecting) {
       if (shut.empty() && mayStay) continue;
       out.calls.push_back(Abandon{id});
       if (shut.empty())
         retry(out, now, id, "the certificate ended before sending");
       else
-        deny(out, now, id, 503, shut, true, tuning_.comeBack);
+        reject(out, now, id, 503, shut, true, tuning_.comeBack);
     } else if (!why->second.first.empty() || !mayStay) {
       leave(out, now, id, why->second.first.empty() ? "no certificate any more" : why->second.first);
     } else if (call.phase == Phase::handed && call.resumes > 0 && call.handedTo.back() != call.replica && now - call.phaseAt > tuning_.connectLimit) {
       out.calls.push_back(Abandon{id});
-      Commands const more = connectDenied(now, id);
+      Commands const more = connectRejected(now, id);
       out.calls.insert(out.calls.end(), more.calls.begin(), more.calls.end());
-      out.notes.insert(out.notes.end(), more.notes.begin(), more.notes.end());
+      out.logEvents.insert(out.logEvents.end(), more.logEvents.begin(), more.logEvents.end());
     }
   }
 }
 
-void Plane::leave(Commands& out, Tick now, CallId id, std::string const& why) {
+void RequestRouter::leave(Commands& out, Tick now, CallId id, std::string const& why) {
   Call& call = calls_.at(id);
   Row const& row = rows_[call.path];
   count(now, "regime_left", why);
@@ -191,7 +191,7 @@
   }
   out.calls.push_back(Abandon{id});
   if (!open || !mayGoOn(now, call) || !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance)) {
-    deny(out, now, id, 502, "unknown, may have run; " + why, false, 0);
+    reject(out, now, id, 502, "unknown, may have run; " + why, false, 0);
     return;
   }
   count(now, "retried_dispatched");
@@ -201,4 +201,4 @@
   if (!tryConnect(out, now, id)) credits_.at({call.pool, row.instance}).held[lane(row.path.cls)].push_front(id);
 }
 
-}  // namespace corkward::rotor
+}  // namespace corkward::data plane
--- a/rotor/src/plane.cpp
+++ b/dataplane/src/request_router.cpp
@@ -5,37 +5,37 @@
 
 #include "internal.h"
 
-namespace corkward::rotor {
+namespace corkward::dataplane {
 
 namespace {
 
 void append(Commands& out, Commands const& more) {
   out.calls.insert(out.calls.end(), more.calls.begin(), more.calls.end());
-  out.notes.insert(out.notes.end(), more.notes.begin(), more.notes.end());
+  out.logEvents.insert(out.logEvents.end(), more.logEvents.begin(), more.logEvents.end());
 }
 
 }  // namespace
 
-Plane::Plane(signal::Contact self, std::vector<std::string> seeds, std::uint64_t seed, Tuning tuning)
-    : tuning_(tuning), seed_(seed), who_(self.link + "#" + std::to_string(seed)), lookout_(std::move(self), std::move(seeds), seed ^ 0x91), rng_(seed ^ 0x3b) {}
+RequestRouter::RequestRouter(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed, Tuning tuning)
+    : tuning_(tuning), seed_(seed), who_(self.link + "#" + std::to_string(seed)), partialView_(std::move(self), std::move(seeds), seed ^ 0x91), rng_(seed ^ 0x3b) {}
 
-void Plane::count(Tick now, std::string const& what, std::string const& about) { journal_.append(now, what, about); }
+void RequestRouter::count(Tick now, std::string const& what, std::string const& about) { journal_.append(now, what, about); }
 
-void Plane::note(Commands& out, Tick now, std::string event, std::map<std::string, std::string> fields) {
+void RequestRouter::logEvent(Commands& out, Tick now, std::string event, std::map<std::string, std::string> fields) {
   count(now, event, fields.empty() ? "" : fields.begin()->second);
-  out.notes.push_back(core::Note{std::move(event), std::move(fields)});
+  out.logEvents.push_back(core::LogEvent{std::move(event), std::move(fields)});
 }
 
-Commands Plane::started(Tick now) {
+Commands RequestRouter::started(Tick now) {
   Commands out;
   started_ = now;
   memoryFrom_ = now;
   lastEvent_ = now;
-  note(out, now, "started", {{"link", lookout_.self().link}});
+  logEvent(out, now, "started", {{"link", partialView_.self().link}});
   return out;
 }
 
-Commands Plane::arrived(Tick now, std::string const& from, signal::Message const& message) {
+Commands RequestRouter::arrived(Tick now, std::string const& from, transport::Message const& message) {
   Commands out;
   std::visit(
       [&](auto const& m) {
@@ -45,12 +45,12 @@
   return out;
 }
 
-void Plane::on(Commands& out, Tick now, std::string const& from, signal::Shuffle const& m) {
-  std::vector<signal::Send> sends = lookout_.arrived(now, from, m);
+void RequestRouter::on(Commands& out, Tick now, std::string const& from, transport::Shuffle const& m) {
+  std::vector<transport::Send> sends = partialView_.arrived(now, from, m);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
 }
 
-void Plane::noteLag(Tick now) {
+void RequestRouter::noteLag(Tick now) {
   if (now - lastEvent_ > 300) {
     lag_ = now - lastEvent_;
     lagAt_ = now;
@@ -58,17 +58,17 @@
   lastEvent_ = now;
 }
 
-Commands Plane::clockEvent(Tick now) {
+Commands RequestRouter::clockEvent(Tick now) {
   Commands out;
   noteLag(now);
   watchJoining(now);
   if (now >= askAt_) {
     askAt_ = now + (whole_ ? tuning_.askEvery : std::min(tuning_.askEvery, tuning_.askWhole));
-    chooseSubstations(now);
+    chooseControllers(now);
     for (std::string const& s : held_) sendAsk(out, now, s);
   }
   touchNeighbours(out, now);
-  std::vector<signal::Send> sends = lookout_.clockEvent(now);
+  std::vector<transport::Send> sends = partialView_.clockEvent(now);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
   if (now >= freeAt_) {
     freeAt_ = now + freeEvery;
@@ -99,26 +99,26 @@
           decideClaim(out, now, id, true);
           break;
         }
-        deny(out, now, id, 409, "another node cannot say whether an earlier attempt ran", false, 0);
+        reject(out, now, id, 409, "another node cannot say whether an earlier attempt ran", false, 0);
         break;
       case Phase::held: {
         Row const& row = rows_[it->second.path];
-        deny(out, now, id, 503, "held too long", true, comeBack(credits_.at({it->second.pool, row.instance}), row.path.cls));
+        reject(out, now, id, 503, "held too long", true, comeBack(credits_.at({it->second.pool, row.instance}), row.path.cls));
         break;
       }
       case Phase::connecting: {
         out.calls.push_back(Abandon{id});
-        Commands const more = connectDenied(now, id);
+        Commands const more = connectRejected(now, id);
         append(out, more);
         break;
       }
       case Phase::handed: {
-        if (overdue(it->second, now - it->second.phaseAt)) judge(out, now, it->second, true);
+        if (overdue(it->second, now - it->second.phaseAt)) validator(out, now, it->second, true);
         if (it->second.resumes > 0) {
           breakOff(out, now, id);
         } else {
           out.calls.push_back(Abandon{id});
-          deny(out, now, id, 504, "unknown, may have run", false, 0);
+          reject(out, now, id, 504, "unknown, may have run", false, 0);
         }
         break;
       }
@@ -145,16 +145,16 @@
   return out;
 }
 
-Held Plane::held() const {
-  return Held{replicaNames_.known(), instances_.known(), credits_.size(), awake_.size(), confirmations_.size() + echoes_.size() + heard_.size() + substations_.size() + neighbours_.size() + silent_.size() + fetchedAt_.size(),
+Held RequestRouter::held() const {
+  return Held{replicaNames_.known(), instances_.known(), credits_.size(), awake_.size(), confirmations_.size() + echoes_.size() + heard_.size() + controllers_.size() + neighbours_.size() + silent_.size() + fetchedAt_.size(),
               seen_.size(), prefixes_.size(), calls_.size()};
 }
 
-void Plane::freeGone(Tick now) {
+void RequestRouter::freeGone(Tick now) {
   std::function<bool(Tick)> const old = [&](Tick at) { return now - at > tuning_.vouchAfter; };
   std::erase_if(confirmations_, [&](std::map<std::string, Confirmation>::value_type const& c) { return old(c.second.at); });
-  std::erase_if(echoes_, [&](std::map<std::string, signal::Touch>::value_type const& e) { return old(e.second.tick); });
-  std::erase_if(substations_, [&](std::map<std::string, HeldLink>::value_type const& l) { return old(std::max(l.second.since, l.second.good)); });
+  std::erase_if(echoes_, [&](std::map<std::string, transport::Touch>::value_type const& e) { return old(e.second.tick); });
+  std::erase_if(controllers_, [&](std::map<std::string, HeldLink>::value_type const& l) { return old(std::max(l.second.since, l.second.good)); });
   for (std::map<std::string, Tick>* const times : {&heard_, &fetchedAt_, &silent_})
     std::erase_if(*times, [&](std::map<std::string, Tick>::value_type const& t) { return old(t.second); });
   expireSeen(now);
@@ -186,55 +186,55 @@
   }
 }
 
-void Plane::retune(Tuning const& tuning, std::vector<std::string> seeds) {
+void RequestRouter::retune(Tuning const& tuning, std::vector<std::string> seeds) {
   tuning_ = tuning;
-  lookout_.setSeeds(std::move(seeds));
+  partialView_.setSeeds(std::move(seeds));
 }
 
-void Plane::wallTime(Tick now, std::int64_t wall) {
+void RequestRouter::wallTime(Tick now, std::int64_t wall) {
   if (!wallAhead_ || wall - now > *wallAhead_ + 1000) certifiedAt_ = -1;
   wallAhead_ = std::max(wallAhead_.value_or(wall - now), wall - now);
 }
 
-blueprint::Wall Plane::wallAt(Tick now) const { return wallAhead_ ? blueprint::Wall(now + *wallAhead_) : std::nullopt; }
+config::Wall RequestRouter::wallAt(Tick now) const { return wallAhead_ ? config::Wall(now + *wallAhead_) : std::nullopt; }
 
-Commands Plane::drain(Tick now) {
+Commands RequestRouter::drain(Tick now) {
   Commands out;
   if (draining_) return out;
   draining_ = true;
   drainedAt_ = now;
-  lookout_.setDraining();
-  note(out, now, "draining", {{"in-hand", std::to_string(calls_.size())}});
+  partialView_.setDraining();
+  logEvent(out, now, "draining", {{"in-hand", std::to_string(calls_.size())}});
   std::vector<std::string> const& others = rosterOthers();
-  std::vector<signal::SeenLeft> left(1, signal::SeenLeft{who_, false, {}});
+  std::vector<transport::SeenLeft> left(1, transport::SeenLeft{who_, false, {}});
   for (std::unordered_map<std::string, Seen>::value_type const& s : seen_) {
     if (!s.second.mayHaveRun && s.second.call == 0) continue;
-    if (left.back().ids.size() >= leftAtOnce) left.push_back(signal::SeenLeft{who_, false, {}});
+    if (left.back().ids.size() >= leftAtOnce) left.push_back(transport::SeenLeft{who_, false, {}});
     left.back().ids.push_back(s.first);
   }
   left.back().last = true;
   for (std::string const& link : others)
-    for (signal::SeenLeft const& l : left) out.sends.push_back(signal::Send{link, l});
+    for (transport::SeenLeft const& l : left) out.sends.push_back(transport::Send{link, l});
   for (std::map<Index, Warm>::value_type& w : warm_) {
     if (now >= w.second.until) continue;
     w.second.until = -1;
     poolViews_[replicas_[w.first].pool].changed = true;
-    for (std::string const& s : substations(now))
-      out.sends.push_back(signal::Send{s, signal::WarmAsk{now, replicaNames_.name(w.first), lookout_.self().link, lookout_.self().inc, true,
+    for (std::string const& s : controllers(now))
+      out.sends.push_back(transport::Send{s, transport::WarmAsk{now, replicaNames_.name(w.first), partialView_.self().link, partialView_.self().inc, true,
                                                           others.empty() ? "" : others[w.first % others.size()]}});
   }
   std::vector<CallId> waiting;
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_)
     if (c.second.phase == Phase::asking) waiting.push_back(c.first);
-  for (CallId const id : waiting) deny(out, now, id, 503, "leaving", true, tuning_.comeBack);
+  for (CallId const id : waiting) reject(out, now, id, 503, "leaving", true, tuning_.comeBack);
   return out;
 }
 
-std::string Plane::metrics(Tick now) const {
+std::string RequestRouter::metrics(Tick now) const {
   std::string out = "# TYPE corkward_nacelle_events_total counter\n";
   for (std::map<std::string, std::uint64_t>::value_type const& c : journal_.counts())
     out += "corkward_nacelle_events_total{event=\"" + c.first + "\"} " + std::to_string(c.second) + "\n";
-  out += "# TYPE corkward_nacelle_standing gauge\ncorkward_nacelle_standing " + std::string(standing(now) ? "1" : "0") + "\n";
+  out += "# TYPE corkward_nacelle_standing gauge\ncorkward_nacelle_standing " + std::string(servingLease(now) ? "1" : "0") + "\n";
   out += "# TYPE corkward_nacelle_in_hand gauge\ncorkward_nacelle_in_hand " + std::to_string(calls_.size()) + "\n";
   out += "# TYPE corkward_nacelle_part gauge\n# TYPE corkward_nacelle_cap gauge\n# TYPE corkward_nacelle_in_flight gauge\n# TYPE corkward_nacelle_held gauge\n";
   for (std::map<CreditKey, Credit>::value_type const& c : credits_) {
@@ -247,13 +247,13 @@
   return out;
 }
 
-QJsonObject Plane::state(Tick now) const {
-  QJsonObject stampsOut;
-  for (std::map<std::string, Key>::value_type const& k : keys_) stampsOut.insert(core::qstr(k.first), static_cast<qint64>(k.second.stamp));
-  return QJsonObject{{"link", core::qstr(lookout_.self().link)}, {"zone", core::qstr(lookout_.self().zone)},
-                     {"standing", standing(now)}, {"ready", ready(now)}, {"draining", draining_}, {"whole", whole_},
+QJsonObject RequestRouter::state(Tick now) const {
+  QJsonObject revisionsOut;
+  for (std::map<std::string, Key>::value_type const& k : keys_) revisionsOut.insert(core::qstr(k.first), static_cast<qint64>(k.second.revision));
+  return QJsonObject{{"link", core::qstr(partialView_.self().link)}, {"zone", core::qstr(partialView_.self().zone)},
+                     {"standing", servingLease(now)}, {"ready", ready(now)}, {"draining", draining_}, {"whole", whole_},
                      {"rosterSize", static_cast<qint64>(rosterSize())}, {"inHand", static_cast<qint64>(calls_.size())},
-                     {"stamps", stampsOut}};
+                     {"stamps", revisionsOut}};
 }
 
-}  // namespace corkward::rotor
+}  // namespace corkward::data plane
--- a/rotor/src/stream.cpp
+++ b/dataplane/src/stream.cpp
@@ -1,8 +1,8 @@
-#include <corkward/rotor/stream.h>
+#include <corkward/dataplane/stream.h>
 
 #include <algorithm>
 
-namespace corkward::rotor {
+namespace corkward::dataplane {
 
 namespace {
 
@@ -182,4 +182,4 @@
   return out;
 }
 
-}  // namespace corkward::rotor
+}  // namespace corkward::data plane
--- a/rotor/src/warm.cpp
+++ b/dataplane/src/warm.cpp
@@ -2,21 +2,21 @@
 
 #include "internal.h"
 
-namespace corkward::rotor {
+namespace corkward::dataplane {
 
-bool Plane::warmHeld(Tick now, Index replica) const {
+bool RequestRouter::warmHeld(Tick now, Index replica) const {
   std::map<Index, Warm>::const_iterator const it = warm_.find(replica);
   return it != warm_.end() && now < it->second.until;
 }
 
-void Plane::warmDuties(Commands& out, Tick now) {
-  std::vector<std::string> const subs = substations(now);
+void RequestRouter::warmDuties(Commands& out, Tick now) {
+  std::vector<std::string> const subs = controllers(now);
   std::vector<std::string> nodes = rosterOthers();
-  nodes.push_back(lookout_.self().link);
+  nodes.push_back(partialView_.self().link);
   for (std::size_t p = 0; p < poolViews_.size(); ++p) {
     for (Index const r : poolViews_[p].replicas) {
       Warm& w = warm_.try_emplace(r).first->second;
-      bool const want = !draining_ && whole_ && replicas_[r].state == blueprint::ReplicaState::cold && replicas_[r].listed &&
+      bool const want = !draining_ && whole_ && replicas_[r].state == config::ReplicaState::cold && replicas_[r].listed &&
                         !evacuated(replicas_[r].zone);
       if (!want) {
         poolViews_[p].changed = poolViews_[p].changed || now < w.until;
@@ -26,7 +26,7 @@
       }
       if (w.wantedSince < 0) w.wantedSince = now;
       std::string const& name = replicaNames_.name(r);
-      std::uint64_t const mine = core::stableHash(name + lookout_.self().link);
+      std::uint64_t const mine = core::stableHash(name + partialView_.self().link);
       Tick rank = 0;
       for (std::string const& n : nodes) rank += core::stableHash(name + n) < mine ? 1 : 0;
       bool const held = now < w.until;
@@ -34,32 +34,32 @@
       if (!held && now - openSince < rank * 2 * tuning_.warmEvery) continue;
       if (w.grants.size() > 8) w.grants.erase(w.grants.begin());
       for (std::string const& s : subs)
-        out.sends.push_back(signal::Send{s, signal::WarmAsk{now, name, lookout_.self().link, lookout_.self().inc, false, ""}});
+        out.sends.push_back(transport::Send{s, transport::WarmAsk{now, name, partialView_.self().link, partialView_.self().inc, false, ""}});
     }
   }
 }
 
-void Plane::on(Commands& out, Tick now, std::string const&, signal::WarmGrant const& m) {
+void RequestRouter::on(Commands& out, Tick now, std::string const&, transport::WarmGrant const& m) {
   Index const r = replicaNames_.find(m.replica);
   if (r >= replicas_.size() || m.tick > now) return;
   Warm& w = warm_.try_emplace(r).first->second;
   if (!m.ok) {
-    if (m.holder != lookout_.self().link) w.coveredUntil = std::max(w.coveredUntil, now + tuning_.warmLease);
+    if (m.holder != partialView_.self().link) w.coveredUntil = std::max(w.coveredUntil, now + tuning_.warmLease);
     return;
   }
-  if (cohortIds_.empty()) return;
+  if (membershipIds_.empty()) return;
   std::set<std::string>& yes = w.grants[m.tick];
   yes.insert(m.member);
   std::size_t n = 0;
-  for (std::string const& id : cohortIds_) n += yes.count(id);
-  if (n < majorityOf(cohortIds_.size()) || m.tick + tuning_.warmLease <= w.until) return;
+  for (std::string const& id : membershipIds_) n += yes.count(id);
+  if (n < majorityOf(membershipIds_.size()) || m.tick + tuning_.warmLease <= w.until) return;
   bool const fresh = now >= w.until;
   w.until = m.tick + tuning_.warmLease;
   if (!fresh) return;
-  w.bucket = governor::ColdBucket(now);
+  w.bucket = scaling::ColdBucket(now);
   poolViews_[replicas_[r].pool].changed = true;
-  note(out, now, "warming-duty", {{"replica", m.replica}, {"epoch", std::to_string(m.epoch)}});
+  logEvent(out, now, "warming-duty", {{"replica", m.replica}, {"epoch", std::to_string(m.term)}});
   refreshCandidates(out, now);
 }
 
-}  // namespace corkward::rotor
+}  // namespace corkward::data plane
--- a/rotor/test/grey_test.cpp
+++ b/dataplane/test/grey_test.cpp
@@ -7,22 +7,22 @@
 #include <set>
 
 #include <corkward/core/json.h>
-#include <corkward/rotor/plane.h>
-#include <corkward/rotor/stream.h>
+#include <corkward/dataplane/request_router.h>
+#include <corkward/dataplane/stream.h>
 
 namespace core = corkward::core;
-namespace rotor = corkward::rotor;
-namespace signal = corkward::signal;
+namespace dataplane = corkward::dataplane;
+namespace transport = corkward::transport;
 
 namespace {
 
-enum class Fate { whole, broken, failed, denied, slow, forgotten };
+enum class Fate { whole, broken, failed, rejected, slow, forgotten };
 
 std::string addressOf(int replica) { return "10.0.0." + std::to_string(replica) + ":80"; }
 
 /// One node whose requests to one pool end as the fates say.
 struct Load {
-  rotor::Plane plane;
+  dataplane::RequestRouter reducer;
   core::Rng rng;
   core::Tick now = 100000;
   std::uint64_t next = 1;
@@ -31,13 +31,13 @@
   std::map<std::uint64_t, std::string> at;
   std::map<std::string, int> reached;
   std::map<std::string, int> connects;
-  std::vector<rotor::Deny> denied;
+  std::vector<dataplane::Reject> rejected;
   int passedOn = 0;
   std::size_t distrusts = 0;
   char const* path = "/once/";
 
-  static rotor::Tuning tuning(int replicas) {
-    rotor::Tuning t;
+  static dataplane::Tuning tuning(int replicas) {
+    dataplane::Tuning t;
     t.fenced = false;
     t.youngWait = 0;
     t.figures.firstPart = static_cast<std::size_t>(replicas);
@@ -46,78 +46,78 @@
     return t;
   }
 
-  static signal::Contact self() {
-    signal::Contact c;
+  static transport::Contact self() {
+    transport::Contact c;
     c.link = "n1";
-    c.role = "nacelle";
+    c.role = transport::routerRole;
     c.zone = "z1";
     c.inc = 1;
     return c;
   }
 
   Load(int replicas, std::uint64_t seed) : Load(replicas, seed, tuning(replicas)) {}
-  Load(int replicas, std::uint64_t seed, rotor::Tuning const& t) : plane(self(), {"s1"}, seed, t), rng(seed) {
-    plane.started(0);
+  Load(int replicas, std::uint64_t seed, dataplane::Tuning const& t) : reducer(self(), {"s1"}, seed, t), rng(seed) {
+    reducer.started(0);
     QJsonArray list;
     for (int i = 1; i <= replicas; ++i)
       list.append(QJsonObject{{"address", core::qstr(addressOf(i))}, {"zone", "z1"}, {"state", "serving"}});
     QJsonObject const spec = core::parseJson(R"({"version":1,"pools":[{"name":"model"}],"paths":[
       {"name":"o","host":"h","prefix":"/once/","kind":"once","deadlineMs":3000,"aimMs":200,"pool":"model"},
       {"name":"r","host":"h","prefix":"/again/","kind":"repeatable","deadlineMs":3000,"aimMs":200,"tries":2,"pool":"model"}]})").toObject();
-    signal::News news;
+    transport::News news;
     news.number = 1;
     news.whole = true;
     news.items = {{"blueprint", 1, QJsonObject{{"spec", spec}}},
                   {"pool:model", 1, QJsonObject{{"generation", 1}, {"replicas", list}}}};
-    run(plane.arrived(now, "s1", news));
+    run(reducer.arrived(now, "s1", news));
   }
 
   void after(core::Tick wait, std::function<void()> what) { due.emplace(now + wait, std::move(what)); }
 
   std::uint64_t ask() {
-    rotor::Request r;
+    dataplane::Request r;
     r.call = next++;
     r.host = "h";
     r.target = std::string(path) + "x";
-    run(plane.request(now, r));
+    run(reducer.request(now, r));
     return r.call;
   }
-  void run(rotor::Commands const& c) {
-    for (core::Note const& n : c.notes) distrusts += n.event == "replica-distrusted" ? 1 : 0;
-    for (rotor::CallCommand const& v : c.calls) std::visit([this](auto const& m) { this->act(m); }, v);
+  void run(dataplane::Commands const& c) {
+    for (core::LogEvent const& n : c.logEvents) distrusts += n.event == "replica-distrusted" ? 1 : 0;
+    for (dataplane::CallCommand const& v : c.calls) std::visit([this](auto const& m) { this->act(m); }, v);
   }
-  void act(rotor::Connect const& m) {
+  void act(dataplane::Connect const& m) {
     ++connects[m.address];
     at[m.call] = m.address;
-    bool const refuse = fate(m.address) == Fate::denied;
-    after(1, [this, call = m.call, refuse] { run(refuse ? plane.connectDenied(now, call) : plane.connected(now, call)); });
+    bool const refuse = fate(m.address) == Fate::rejected;
+    after(1, [this, call = m.call, refuse] { run(refuse ? reducer.connectRejected(now, call) : reducer.connected(now, call)); });
   }
-  void act(rotor::HandOver const& m) {
+  void act(dataplane::HandOver const& m) {
     std::string const address = at.at(m.call);
     ++reached[address];
     Fate const f = fate(address);
     core::Tick const took = f == Fate::slow ? 1500 : 20;
     after(took, [this, f, address, call = m.call] {
       if (f == Fate::broken || f == Fate::forgotten) {
-        run(plane.ended(now, call, f == Fate::broken ? rotor::End::broken : rotor::End::forgotten));
+        run(reducer.ended(now, call, f == Fate::broken ? dataplane::End::broken : dataplane::End::forgotten));
         return;
       }
       if (f == Fate::failed) {
-        rotor::Commands const c = plane.failed(now, call);
+        dataplane::Commands const c = reducer.failed(now, call);
         run(c);
-        for (rotor::CallCommand const& v : c.calls)
-          if (rotor::Connect const* const again = std::get_if<rotor::Connect>(&v); again != nullptr && again->call == call) return;
+        for (dataplane::CallCommand const& v : c.calls)
+          if (dataplane::Connect const* const again = std::get_if<dataplane::Connect>(&v); again != nullptr && again->call == call) return;
         ++passedOn;
       }
-      run(plane.firstWord(now, call, false));
-      run(plane.ended(now, call, rotor::End::whole));
+      run(reducer.firstWord(now, call, false));
+      run(reducer.ended(now, call, dataplane::End::whole));
     });
   }
-  void act(rotor::Abandon const&) {}
-  void act(rotor::Deny const& m) { denied.push_back(m); }
-  void act(rotor::Abort const&) {}
-  void act(rotor::Answer const&) {}
-  void act(rotor::Record const&) {}
+  void act(dataplane::Abandon const&) {}
+  void act(dataplane::Reject const& m) { rejected.push_back(m); }
+  void act(dataplane::Abort const&) {}
+  void act(dataplane::Answer const&) {}
+  void act(dataplane::Record const&) {}
 
   /// Time goes on up to then, with a request each so many milliseconds.
   void go(core::Tick duration, core::Tick every) {
@@ -128,7 +128,7 @@
         due.erase(due.begin());
         what();
       }
-      if (now % 20 == 0) run(plane.clockEvent(now));
+      if (now % 20 == 0) run(reducer.clockEvent(now));
       if (every > 0 && now % every == 0) ask();
     }
   }
@@ -188,7 +188,7 @@
 
 TEST_CASE("a replica that goes down and up by turns is tried less and less often") {
   Load load(10, 5);
-  load.fate = [&](std::string const& a) { return a == addressOf(3) && (load.now / 700) % 2 == 0 ? Fate::denied : Fate::whole; };
+  load.fate = [&](std::string const& a) { return a == addressOf(3) && (load.now / 700) % 2 == 0 ? Fate::rejected : Fate::whole; };
   load.go(30000, 5);
   load.reached.clear();
   load.connects.clear();
@@ -205,7 +205,7 @@
   load.reached.clear();
   load.go(20000, 5);
   CHECK(load.distrusts > 9);
-  CHECK(std::all_of(load.denied.begin(), load.denied.end(), [](rotor::Deny const& d) { return d.status == 502; }));
+  CHECK(std::all_of(load.rejected.begin(), load.rejected.end(), [](dataplane::Reject const& d) { return d.status == 502; }));
   for (int r = 1; r <= 9; ++r) CHECK(load.share(r) > 0.5 / 9);
 }
 
@@ -233,16 +233,16 @@
 }
 
 TEST_CASE("a replica that is left out is replaced in the part, which neither widens nor is given back") {
-  rotor::Tuning tuning = Load::tuning(3);
+  dataplane::Tuning tuning = Load::tuning(3);
   Load load(10, 9, tuning);
   load.fate = [&](std::string const&) { return Fate::whole; };
   load.go(1000, 40);
-  REQUIRE(load.plane.parts("model").at(0).first == 3);
+  REQUIRE(load.reducer.parts("model").at(0).first == 3);
   std::string const ill = load.reached.begin()->first;
   load.fate = [&](std::string const& a) { return a == ill ? Fate::broken : Fate::whole; };
   load.go(3000, 40);
   CHECK(load.distrusts == 1);
-  CHECK(load.plane.parts("model").at(0).first == 3);
+  CHECK(load.reducer.parts("model").at(0).first == 3);
   load.reached.clear();
   load.go(5000, 40);
   CHECK(load.reached.count(ill) == 0);
@@ -296,12 +296,12 @@
     CHECK(load.passedOn == 1);
     CHECK(load.total() == 1);
   }
-  CHECK(load.denied.empty());
-  CHECK(load.plane.inHand() == 0);
+  CHECK(load.rejected.empty());
+  CHECK(load.reducer.inHand() == 0);
 }
 
 TEST_CASE("a part of one replica tries a failed request at another one of the pool") {
-  rotor::Tuning tuning = Load::tuning(1);
+  dataplane::Tuning tuning = Load::tuning(1);
   Load load(4, 13, tuning);
   std::set<std::string> first;
   load.fate = [&](std::string const& a) {
@@ -316,13 +316,13 @@
 }
 
 TEST_CASE("a stream tells of a failure before it passes any of it on, and starts over elsewhere") {
-  rotor::Stream s;
+  dataplane::Stream s;
   s.connecting(false);
-  rotor::StreamSteps const failed = s.head({.status = 502, .length = 3, .failed = true});
+  dataplane::StreamSteps const failed = s.head({.status = 502, .length = 3, .failed = true});
   CHECK(failed.failed);
   CHECK_FALSE(failed.begin);
   SECTION("passed on as it came") {
-    rotor::StreamSteps const piece = s.piece("bad");
+    dataplane::StreamSteps const piece = s.piece("bad");
     REQUIRE(piece.begin);
     CHECK(piece.begin->status == 502);
     CHECK(piece.piece == "bad");
@@ -331,7 +331,7 @@
   SECTION("tried elsewhere") {
     s.connecting(false);
     CHECK_FALSE(s.head({.status = 200, .length = 2}).failed);
-    rotor::StreamSteps const piece = s.piece("ok");
+    dataplane::StreamSteps const piece = s.piece("ok");
     REQUIRE(piece.begin);
     CHECK(piece.begin->status == 200);
     CHECK(s.ended(true).finish);
@@ -339,12 +339,12 @@
 }
 
 TEST_CASE("a row that is asked to go on where a replica fails goes on at another one") {
-  rotor::Stream s;
+  dataplane::Stream s;
   s.asEvents("");
   s.connecting(false);
   s.head({.status = 200, .events = true});
   REQUIRE(s.piece("id: 1\ndata: a\n\n").begin);
   s.ended(false);
   s.connecting(true);
-  CHECK(s.head({.status = 500, .failed = true}).ended == rotor::End::broken);
+  CHECK(s.head({.status = 500, .failed = true}).ended == dataplane::End::broken);
 }
--- a/rotor/test/prompt_test.cpp
+++ b/dataplane/test/prompt_test.cpp
@@ -4,23 +4,23 @@
 #include <set>
 
 #include <corkward/core/json.h>
-#include <corkward/rotor/plane.h>
+#include <corkward/dataplane/request_router.h>
 
 namespace core = corkward::core;
-namespace rotor = corkward::rotor;
-namespace signal = corkward::signal;
+namespace dataplane = corkward::dataplane;
+namespace transport = corkward::transport;
 
 namespace {
 
 /// One node of its own seed before a pool that keeps parts of prompts.
 struct Node {
-  rotor::Plane plane;
+  dataplane::RequestRouter reducer;
   core::Tick now = 100000;
   std::uint64_t next = 1;
   std::uint64_t open = 1;
 
-  static rotor::Tuning tuning() {
-    rotor::Tuning t;
+  static dataplane::Tuning tuning() {
+    dataplane::Tuning t;
     t.fenced = false;
     t.youngWait = 0;
     t.figures.width = 0.005;
@@ -32,25 +32,25 @@
     return t;
   }
 
-  explicit Node(int replicas, std::uint64_t seed) : plane(self(seed), {"s1"}, seed, tuning()) {
-    plane.started(0);
+  explicit Node(int replicas, std::uint64_t seed) : reducer(self(seed), {"s1"}, seed, tuning()) {
+    reducer.started(0);
     QJsonArray list;
     for (int i = 1; i <= replicas; ++i)
       list.append(QJsonObject{{"address", core::qstr("10.0.0." + std::to_string(i) + ":80")}, {"zone", "z1"}, {"state", "serving"}});
     QJsonObject const spec = core::parseJson(R"({"version":1,"pools":[{"name":"model","slots":24,"tokens":400000}],"paths":[
       {"name":"s","host":"h","prefix":"/p/","kind":"stream","deadlineMs":12000,"aimMs":600,"pool":"model","affine":true}]})").toObject();
-    signal::News news;
+    transport::News news;
     news.number = 1;
     news.whole = true;
     news.items = {{"blueprint", 1, QJsonObject{{"spec", spec}}},
                   {"pool:model", 1, QJsonObject{{"generation", 1}, {"replicas", list}}}};
-    plane.arrived(now, "s1", news);
+    reducer.arrived(now, "s1", news);
   }
 
-  static signal::Contact self(std::uint64_t seed) {
-    signal::Contact c;
+  static transport::Contact self(std::uint64_t seed) {
+    transport::Contact c;
     c.link = "n" + std::to_string(seed);
-    c.role = "nacelle";
+    c.role = transport::routerRole;
     c.zone = "z1";
     c.inc = 1;
     return c;
@@ -59,24 +59,24 @@
   /// All that is in flight ends whole.
   void end() {
     for (; open < next; ++open) {
-      plane.firstWord(now, open, true);
-      plane.ended(now, open, rotor::End::whole);
+      reducer.firstWord(now, open, true);
+      reducer.ended(now, open, dataplane::End::whole);
     }
   }
 
   /// Address that a prompt of these parts is sent to; it stays in flight there.
   std::string ask(std::uint64_t shared, std::int64_t sharedTokens, std::int64_t own) {
-    rotor::Request r;
+    dataplane::Request r;
     r.call = next++;
     r.host = "h";
     r.target = "/p/x";
     r.id = "r" + std::to_string(r.call);
     r.attempt = 1;
     r.parts = {{1, 300}, {shared, sharedTokens}, {1000000 + r.call, own}};
-    for (rotor::CallCommand const& c : plane.request(now, r).calls)
-      if (rotor::Connect const* const m = std::get_if<rotor::Connect>(&c)) {
+    for (dataplane::CallCommand const& c : reducer.request(now, r).calls)
+      if (dataplane::Connect const* const m = std::get_if<dataplane::Connect>(&c)) {
         std::string const address = m->address;
-        plane.connected(now, r.call);
+        reducer.connected(now, r.call);
         return address;
       }
     return "";
@@ -105,7 +105,7 @@
       bool const tooLong = shared % 40 == 0;
       (tooLong ? apart : others).insert(node.ask(shared, 500, tooLong ? 40000 : 2000));
       node.now += 20;
-      node.plane.clockEvent(node.now);
+      node.reducer.clockEvent(node.now);
       node.end();
     }
   }
--- a/rotor/test/regimes_test.cpp
+++ b/dataplane/test/regimes_test.cpp
@@ -5,12 +5,12 @@
 #include <algorithm>
 
 #include <corkward/core/json.h>
-#include <corkward/rotor/plane.h>
+#include <corkward/dataplane/request_router.h>
 
 namespace core = corkward::core;
-namespace rotor = corkward::rotor;
-namespace signal = corkward::signal;
-using rotor::Happened;
+namespace dataplane = corkward::dataplane;
+namespace transport = corkward::transport;
+using dataplane::Happened;
 
 namespace {
 
@@ -32,11 +32,11 @@
   return QJsonObject{{"generation", generation}, {"coldRate", 2.0}, {"replicas", rows}};
 }
 
-QJsonObject certificates(std::vector<std::pair<char const*, std::int64_t>> const& zones, char const* nacelles = "any", double reserve = 0.5) {
+QJsonObject certificates(std::vector<std::pair<char const*, std::int64_t>> const& zones, char const* routers = "any", double reserve = 0.5) {
   QJsonObject all;
   for (std::pair<char const*, std::int64_t> const& z : zones)
     all.insert(z.first, QJsonObject{{"regime", "health"}, {"carrier", "replicas"}, {"pool", "model"}, {"zone", z.first}, {"until", core::qstr(timeText(z.second))}});
-  return QJsonObject{{"spec", QJsonObject{{"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", nacelles}, {"reserve", reserve}}}}}, {"certificates", all}}}};
+  return QJsonObject{{"spec", QJsonObject{{"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", routers}, {"reserve", reserve}}}}}, {"certificates", all}}}};
 }
 
 QJsonObject family(char const* regime) {
@@ -46,33 +46,33 @@
   return QJsonObject{{"template", QJsonObject{{"stamp", 1}, {"spec", spec}}}, {"instances", QJsonObject{{"nord", QJsonObject{{"stamp", 1}, {"spec", QJsonObject{}}}}}}};
 }
 
-/// One nacelle with a bound tenant (law) and a free one (desk); zones z1 and z2 of three are certified.
+/// One router with a bound tenant (law) and a free one (desk); zones z1 and z2 of three are certified.
 struct Rig {
-  rotor::Plane plane;
+  dataplane::RequestRouter reducer;
   core::Tick now = 100000;
   std::uint64_t next = 1;
-  std::uint64_t stamp = 1;
-  rotor::Commands last;
+  std::uint64_t revision = 1;
+  dataplane::Commands last;
 
-  static signal::Contact self() {
-    signal::Contact c;
+  static transport::Contact self() {
+    transport::Contact c;
     c.link = "n1";
-    c.role = "nacelle";
+    c.role = transport::routerRole;
     c.zone = "z1";
     c.inc = 1;
     return c;
   }
-  static rotor::Tuning kept() {
-    rotor::Tuning t;
+  static dataplane::Tuning kept() {
+    dataplane::Tuning t;
     t.records = true;
     return t;
   }
   static std::vector<Life> lives() {
     return {{"10.0.0.1:80", "L1", "z1"}, {"10.0.0.2:80", "L2", "z2"}, {"10.0.0.3:80", "L3", "z3"}, {"10.0.0.4:80", "L4", "z3"}, {"10.0.0.5:80", "L5", "z3"}};
   }
-  explicit Rig(rotor::Tuning const& tuning = kept(), bool told = true) : plane(self(), {"s1"}, 7, tuning) {
-    plane.started(0);
-    signal::News news;
+  explicit Rig(dataplane::Tuning const& tuning = kept(), bool told = true) : reducer(self(), {"s1"}, 7, tuning) {
+    reducer.started(0);
+    transport::News news;
     news.number = 1;
     news.whole = true;
     news.items = {{"cohort", 1, core::parseJson(R"({"members":[{"id":"m1","link":"s1"}]})").toObject()},
@@ -81,62 +81,62 @@
                   {"family:law", 1, family("health")},
                   {"family:desk", 1, family("")},
                   {"certificates", 1, certificates({{"z1", wall0 + 1000000}, {"z2", wall0 + 1000000}})}};
-    plane.arrived(now, "s1", news);
-    if (told) plane.wallTime(now, wall0);
+    reducer.arrived(now, "s1", news);
+    if (told) reducer.wallTime(now, wall0);
     confirm();
   }
   void confirm() {
-    signal::Confirm c;
+    transport::Confirm c;
     c.tick = now;
     c.inTouch = true;
-    plane.arrived(now, "s1", c);
+    reducer.arrived(now, "s1", c);
   }
-  rotor::Commands news(char const* key, QJsonObject const& value) {
-    signal::News n;
-    n.items = {{key, ++stamp, value}};
-    return last = plane.arrived(now, "s1", n);
+  dataplane::Commands news(char const* key, QJsonObject const& value) {
+    transport::News n;
+    n.items = {{key, ++revision, value}};
+    return last = reducer.arrived(now, "s1", n);
   }
-  rotor::Commands ask(char const* instance = "law.nord", char const* path = "a") {
-    rotor::Request r;
+  dataplane::Commands ask(char const* instance = "law.nord", char const* path = "a") {
+    dataplane::Request r;
     r.call = next++;
     r.instance = instance;
     r.path = path;
     r.id = "id" + std::to_string(r.call);
-    return last = plane.request(now, r);
+    return last = reducer.request(now, r);
   }
-  rotor::Commands connected(std::uint64_t call) { return last = plane.connected(now, call); }
+  dataplane::Commands connected(std::uint64_t call) { return last = reducer.connected(now, call); }
   /// A request of that path that streams from some certified replica; the address.
   std::string streaming(std::uint64_t& call, char const* path = "e") {
     call = next;
-    std::string const address = find<rotor::Connect>(ask("law.nord", path)).address;
-    find<rotor::HandOver>(connected(call));
-    plane.firstWord(now, call, true);
+    std::string const address = find<dataplane::Connect>(ask("law.nord", path)).address;
+    find<dataplane::HandOver>(connected(call));
+    reducer.firstWord(now, call, true);
     return address;
   }
-  rotor::Commands pass(core::Tick span) {
-    rotor::Commands all;
+  dataplane::Commands pass(core::Tick span) {
+    dataplane::Commands all;
     for (core::Tick const end = now + span; now < end;) {
       now += 20;
       confirm();
-      rotor::Commands const c = plane.clockEvent(now);
+      dataplane::Commands const c = reducer.clockEvent(now);
       all.calls.insert(all.calls.end(), c.calls.begin(), c.calls.end());
     }
     return last = all;
   }
   template <class T>
-  static std::size_t count(rotor::Commands const& c) {
-    return static_cast<std::size_t>(std::count_if(c.calls.begin(), c.calls.end(), [](rotor::CallCommand const& v) { return std::holds_alternative<T>(v); }));
+  static std::size_t count(dataplane::Commands const& c) {
+    return static_cast<std::size_t>(std::count_if(c.calls.begin(), c.calls.end(), [](dataplane::CallCommand const& v) { return std::holds_alternative<T>(v); }));
   }
   template <class T>
-  static T find(rotor::Commands const& c) {
-    for (rotor::CallCommand const& v : c.calls)
+  static T find(dataplane::Commands const& c) {
+    for (dataplane::CallCommand const& v : c.calls)
       if (T const* const m = std::get_if<T>(&v)) return *m;
     FAIL("no such command");
     return T{};
   }
-  bool deniedNotRun() const {
-    return count<rotor::Deny>(last) == 1 && count<rotor::HandOver>(last) == 0 && find<rotor::Deny>(last).status == 503 && find<rotor::Deny>(last).notRun &&
-           find<rotor::Deny>(last).retryAfter > 0;
+  bool rejectedNotRun() const {
+    return count<dataplane::Reject>(last) == 1 && count<dataplane::HandOver>(last) == 0 && find<dataplane::Reject>(last).status == 503 && find<dataplane::Reject>(last).notRun &&
+           find<dataplane::Reject>(last).retryAfter > 0;
   }
 };
 
@@ -148,58 +148,58 @@
   Rig rig;
   int connects = 0;
   for (int i = 0; i < 60; ++i) {
-    rotor::Commands const c = rig.ask();
-    if (Rig::count<rotor::Connect>(c) == 0) continue;
+    dataplane::Commands const c = rig.ask();
+    if (Rig::count<dataplane::Connect>(c) == 0) continue;
     ++connects;
-    rotor::Connect const to = Rig::find<rotor::Connect>(c);
+    dataplane::Connect const to = Rig::find<dataplane::Connect>(c);
     CHECK(certifiedAddress(to.address));
     CHECK(to.life == (to.address == "10.0.0.1:80" ? "L1" : "L2"));
     rig.connected(to.call);
-    rotor::Record const record = Rig::find<rotor::Record>(rig.last);
+    dataplane::Record const record = Rig::find<dataplane::Record>(rig.last);
     CHECK(record.happened == Happened::handedOver);
     CHECK(record.certificate == record.zone);
     CHECK(record.life == to.life);
-    CHECK(Rig::find<rotor::HandOver>(rig.last).regime == "health");
-    CHECK(std::holds_alternative<rotor::Record>(rig.last.calls[rig.last.calls.size() - 2]));
-    CHECK(std::holds_alternative<rotor::HandOver>(rig.last.calls.back()));
+    CHECK(Rig::find<dataplane::HandOver>(rig.last).regime == "health");
+    CHECK(std::holds_alternative<dataplane::Record>(rig.last.calls[rig.last.calls.size() - 2]));
+    CHECK(std::holds_alternative<dataplane::HandOver>(rig.last.calls.back()));
   }
   CHECK(connects >= 4);
-  CHECK(rig.plane.inHand() > static_cast<std::size_t>(connects));
-  for (rotor::CallCommand const& v : rig.pass(20000).calls)
-    if (rotor::Connect const* const m = std::get_if<rotor::Connect>(&v)) CHECK(certifiedAddress(m->address));
-  rotor::Connect const free = Rig::find<rotor::Connect>(rig.ask("desk.nord"));
+  CHECK(rig.reducer.inHand() > static_cast<std::size_t>(connects));
+  for (dataplane::CallCommand const& v : rig.pass(20000).calls)
+    if (dataplane::Connect const* const m = std::get_if<dataplane::Connect>(&v)) CHECK(certifiedAddress(m->address));
+  dataplane::Connect const free = Rig::find<dataplane::Connect>(rig.ask("desk.nord"));
   CHECK(free.life.empty());
-  CHECK(Rig::find<rotor::HandOver>(rig.connected(free.call)).regime.empty());
-  CHECK(Rig::count<rotor::Record>(rig.last) == 0);
+  CHECK(Rig::find<dataplane::HandOver>(rig.connected(free.call)).regime.empty());
+  CHECK(Rig::count<dataplane::Record>(rig.last) == 0);
 }
 
-TEST_CASE("a nacelle that is not sure denies a regime's requests at once, and others not") {
-  rotor::Tuning plain = Rig::kept();
+TEST_CASE("a router that is not sure rejects a regime's requests at once, and others not") {
+  dataplane::Tuning plain = Rig::kept();
   SECTION("records cannot be kept") { plain.records = false; }
   SECTION("there is no fence") { plain.fenced = false; }
   Rig rig(plain, plain.records == false || plain.fenced == false);
   if (plain.records && plain.fenced) {
     SECTION("no wall time was told") {}
     SECTION("no certificates are known") {
-      rig.plane.wallTime(rig.now, wall0);
+      rig.reducer.wallTime(rig.now, wall0);
       rig.news("certificates", QJsonObject{});
     }
     SECTION("its own certificate is missing") {
-      rig.plane.wallTime(rig.now, wall0);
+      rig.reducer.wallTime(rig.now, wall0);
       rig.news("certificates", certificates({{"z1", wall0 + 1000000}}, "certified"));
     }
     SECTION("the list tells no lives") {
-      rig.plane.wallTime(rig.now, wall0);
+      rig.reducer.wallTime(rig.now, wall0);
       rig.news("pool:model", core::parseJson(R"({"generation":2,"replicas":[{"address":"10.0.0.1:80","zone":"z1","state":"serving"}]})").toObject());
     }
   }
   rig.ask();
-  CHECK(rig.deniedNotRun());
-  CHECK(Rig::find<rotor::Record>(rig.last).happened == Happened::denied);
-  CHECK(Rig::count<rotor::Connect>(rig.ask("desk.nord")) == 1);
+  CHECK(rig.rejectedNotRun());
+  CHECK(Rig::find<dataplane::Record>(rig.last).happened == Happened::rejected);
+  CHECK(Rig::count<dataplane::Connect>(rig.ask("desk.nord")) == 1);
 }
 
-TEST_CASE("a certified nacelle hands on, one whose certificate ends does not") {
+TEST_CASE("a certified router hands on, one whose certificate ends does not") {
   Rig rig;
   QJsonObject value = certificates({{"z1", wall0 + 1000000}}, "certified");
   QJsonObject spec = value.value("spec").toObject();
@@ -207,40 +207,40 @@
   all.insert("mine", QJsonObject{{"regime", "health"}, {"carrier", "nacelles"}, {"zone", "z1"}, {"link", "n1"}, {"until", core::qstr(timeText(wall0 + 200000))}});
   spec.insert("certificates", all);
   rig.news("certificates", QJsonObject{{"spec", spec}});
-  CHECK(Rig::count<rotor::Connect>(rig.ask()) == 1);
-  rig.plane.wallTime(rig.now, wall0 + 150000);
+  CHECK(Rig::count<dataplane::Connect>(rig.ask()) == 1);
+  rig.reducer.wallTime(rig.now, wall0 + 150000);
   rig.ask();
-  CHECK(rig.deniedNotRun());
+  CHECK(rig.rejectedNotRun());
   rig.connected(1);
-  CHECK(rig.deniedNotRun());
+  CHECK(rig.rejectedNotRun());
 }
 
 TEST_CASE("the certificate is looked up again when the connection stands") {
   Rig rig;
-  std::string const address = Rig::find<rotor::Connect>(rig.ask()).address;
+  std::string const address = Rig::find<dataplane::Connect>(rig.ask()).address;
   SECTION("it ends by the clock") {
-    rig.plane.wallTime(rig.now, wall0 + 950000);
+    rig.reducer.wallTime(rig.now, wall0 + 950000);
     rig.connected(1);
-    CHECK(Rig::count<rotor::HandOver>(rig.last) == 0);
+    CHECK(Rig::count<dataplane::HandOver>(rig.last) == 0);
     CHECK(rig.pass(100).calls.size() > 0);
-    CHECK(rig.deniedNotRun());
+    CHECK(rig.rejectedNotRun());
   }
   SECTION("it is revoked: the other certified one is asked") {
     rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
-    CHECK(Rig::count<rotor::Abandon>(rig.last) == 1);
-    rotor::Connect const other = Rig::find<rotor::Connect>(rig.last);
+    CHECK(Rig::count<dataplane::Abandon>(rig.last) == 1);
+    dataplane::Connect const other = Rig::find<dataplane::Connect>(rig.last);
     CHECK(certifiedAddress(other.address));
     CHECK(other.address != address);
   }
   SECTION("the standing is lost") {
     rig.now += 1501;
     rig.connected(1);
-    CHECK(rig.deniedNotRun());
+    CHECK(rig.rejectedNotRun());
   }
   SECTION("records can no longer be kept") {
-    rig.plane.recording(false);
+    rig.reducer.recording(false);
     rig.connected(1);
-    CHECK(rig.deniedNotRun());
+    CHECK(rig.rejectedNotRun());
   }
   SECTION("another life is listed at the address, in a zone that is not certified") {
     std::vector<Life> lives = Rig::lives();
@@ -250,8 +250,8 @@
         l.zone = "z3";
       }
     rig.news("pool:model", list(2, lives));
-    CHECK(Rig::count<rotor::HandOver>(rig.last) == 0);
-    CHECK(Rig::find<rotor::Connect>(rig.last).address != address);
+    CHECK(Rig::count<dataplane::HandOver>(rig.last) == 0);
+    CHECK(Rig::find<dataplane::Connect>(rig.last).address != address);
   }
 }
 
@@ -259,11 +259,11 @@
   Rig rig;
   std::vector<Life> only{{"10.0.0.3:80", "L3", "z3"}};
   rig.news("pool:model", list(2, only));
-  CHECK(Rig::find<rotor::Connect>(rig.ask("desk.nord")).address == "10.0.0.3:80");
+  CHECK(Rig::find<dataplane::Connect>(rig.ask("desk.nord")).address == "10.0.0.3:80");
   rig.news("family:desk", family("health"));
-  CHECK(Rig::count<rotor::Abandon>(rig.last) == 1);
+  CHECK(Rig::count<dataplane::Abandon>(rig.last) == 1);
   rig.connected(1);
-  CHECK(Rig::count<rotor::HandOver>(rig.last) == 0);
+  CHECK(Rig::count<dataplane::HandOver>(rig.last) == 0);
 }
 
 TEST_CASE("a stream whose certificate is revoked goes on once at another certified replica") {
@@ -271,18 +271,18 @@
   std::uint64_t call = 0;
   std::string const address = rig.streaming(call);
   rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
-  rotor::Connect const next = Rig::find<rotor::Connect>(rig.last);
+  dataplane::Connect const next = Rig::find<dataplane::Connect>(rig.last);
   CHECK(next.resume);
   CHECK(certifiedAddress(next.address));
   CHECK(next.address != address);
   CHECK(next.life == (next.address == "10.0.0.1:80" ? "L1" : "L2"));
   rig.connected(call);
-  CHECK(Rig::find<rotor::Record>(rig.last).happened == Happened::resumed);
-  CHECK(Rig::find<rotor::HandOver>(rig.last).expect == next.life);
-  rig.plane.firstWord(rig.now, call, true);
-  rig.last = rig.plane.ended(rig.now, call, rotor::End::broken);
-  CHECK(Rig::count<rotor::Abort>(rig.last) == 1);
-  CHECK(Rig::find<rotor::Record>(rig.last).happened == Happened::broken);
+  CHECK(Rig::find<dataplane::Record>(rig.last).happened == Happened::resumed);
+  CHECK(Rig::find<dataplane::HandOver>(rig.last).expect == next.life);
+  rig.reducer.firstWord(rig.now, call, true);
+  rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
+  CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
+  CHECK(Rig::find<dataplane::Record>(rig.last).happened == Happened::broken);
 }
 
 TEST_CASE("a stream that breaks goes on once at another certified replica, and nowhere else") {
@@ -290,102 +290,102 @@
   std::uint64_t call = 0;
   std::string const address = rig.streaming(call);
   SECTION("another is certified") {
-    rig.last = rig.plane.ended(rig.now, call, rotor::End::broken);
-    rotor::Connect const next = Rig::find<rotor::Connect>(rig.last);
+    rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
+    dataplane::Connect const next = Rig::find<dataplane::Connect>(rig.last);
     CHECK(next.address != address);
     CHECK(certifiedAddress(next.address));
     SECTION("its certificate goes away before the connection stands") {
       rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z1" : "z2", wall0 + 1000000}}));
-      CHECK(Rig::count<rotor::Abort>(rig.last) == 1);
+      CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
       rig.connected(call);
-      CHECK(Rig::count<rotor::HandOver>(rig.last) == 0);
+      CHECK(Rig::count<dataplane::HandOver>(rig.last) == 0);
     }
     SECTION("it does not name its life in time") {
       rig.pass(800);
-      CHECK(Rig::count<rotor::Abort>(rig.last) == 1);
+      CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
     }
   }
   SECTION("no other is certified") {
     std::vector<Life> lives = Rig::lives();
     std::erase_if(lives, [&](Life const& l) { return certifiedAddress(l.address) && l.address != address; });
     rig.news("pool:model", list(2, lives));
-    rig.last = rig.plane.ended(rig.now, call, rotor::End::broken);
-    CHECK(Rig::count<rotor::Connect>(rig.last) == 0);
-    CHECK(Rig::count<rotor::Abort>(rig.last) == 1);
+    rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
+    CHECK(Rig::count<dataplane::Connect>(rig.last) == 0);
+    CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
   }
 }
 
-TEST_CASE("streams end at a nacelle that is not sure any more") {
+TEST_CASE("streams end at a router that is not sure any more") {
   Rig rig;
   std::uint64_t call = 0;
   rig.streaming(call);
   SECTION("the standing is lost") {
     rig.now += 1600;
-    rig.last = rig.plane.clockEvent(rig.now);
+    rig.last = rig.reducer.clockEvent(rig.now);
   }
   SECTION("the regime is gone") { rig.news("certificates", QJsonObject{}); }
   SECTION("all certificates have ended") {
-    rig.plane.wallTime(rig.now, wall0 + 950000);
+    rig.reducer.wallTime(rig.now, wall0 + 950000);
     rig.pass(1100);
   }
-  CHECK(Rig::count<rotor::Connect>(rig.last) == 0);
-  CHECK(Rig::count<rotor::Abort>(rig.last) == 1);
-  CHECK(rig.plane.inHand() == 0);
+  CHECK(Rig::count<dataplane::Connect>(rig.last) == 0);
+  CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
+  CHECK(rig.reducer.inHand() == 0);
 }
 
-TEST_CASE("what may not be resumed is broken off, what had no word is denied as unknown, when its certificate ends") {
+TEST_CASE("what may not be resumed is broken off, what had no word is rejected as unknown, when its certificate ends") {
   Rig rig;
   std::uint64_t call = 0;
   std::string const address = rig.streaming(call, "f");
   std::uint64_t const silent = rig.next;
-  rotor::Connect const to = Rig::find<rotor::Connect>(rig.ask("law.nord", "a"));
+  dataplane::Connect const to = Rig::find<dataplane::Connect>(rig.ask("law.nord", "a"));
   rig.connected(silent);
   rig.news("certificates", certificates({}));
-  CHECK(Rig::count<rotor::Connect>(rig.last) == 0);
-  CHECK(Rig::count<rotor::Abort>(rig.last) == 1);
-  CHECK(Rig::find<rotor::Deny>(rig.last).status == 502);
-  CHECK_FALSE(Rig::find<rotor::Deny>(rig.last).notRun);
+  CHECK(Rig::count<dataplane::Connect>(rig.last) == 0);
+  CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
+  CHECK(Rig::find<dataplane::Reject>(rig.last).status == 502);
+  CHECK_FALSE(Rig::find<dataplane::Reject>(rig.last).notRun);
 }
 
-TEST_CASE("what is held is denied at once when no certified replica is left") {
+TEST_CASE("what is held is rejected at once when no certified replica is left") {
   Rig rig;
   std::size_t connects = 0;
-  for (int i = 0; i < 12; ++i) connects += Rig::count<rotor::Connect>(rig.ask("law.nord", "e"));
-  std::size_t const inHand = rig.plane.inHand();
+  for (int i = 0; i < 12; ++i) connects += Rig::count<dataplane::Connect>(rig.ask("law.nord", "e"));
+  std::size_t const inHand = rig.reducer.inHand();
   REQUIRE(inHand > connects);
   rig.news("certificates", certificates({{"z3", wall0 - 1}}));
-  std::size_t const atOnce = Rig::count<rotor::Deny>(rig.last);
+  std::size_t const atOnce = Rig::count<dataplane::Reject>(rig.last);
   CHECK(atOnce >= inHand - connects);
-  CHECK(atOnce + Rig::count<rotor::Deny>(rig.pass(20)) == inHand);
-  CHECK(rig.plane.inHand() == 0);
+  CHECK(atOnce + Rig::count<dataplane::Reject>(rig.pass(20)) == inHand);
+  CHECK(rig.reducer.inHand() == 0);
 }
 
-TEST_CASE("what may have run at a replica that it left is not denied as not run") {
+TEST_CASE("what may have run at a replica that it left is not rejected as not run") {
   for (bool const left : {true, false}) {
     Rig rig;
     std::uint64_t const call = rig.next;
-    std::string const address = Rig::find<rotor::Connect>(rig.ask("law.nord", "e")).address;
+    std::string const address = Rig::find<dataplane::Connect>(rig.ask("law.nord", "e")).address;
     rig.connected(call);
     if (left)
       rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
     else
-      rig.last = rig.plane.ended(rig.now, call, rotor::End::broken);
-    rotor::Connect const other = Rig::find<rotor::Connect>(rig.last);
+      rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
+    dataplane::Connect const other = Rig::find<dataplane::Connect>(rig.last);
     CHECK_FALSE(other.resume);
     CHECK(other.address != address);
     rig.news("certificates", certificates({}));
-    if (Rig::count<rotor::Deny>(rig.last) == 0) rig.pass(20);
-    CHECK(Rig::find<rotor::Deny>(rig.last).status == 503);
-    CHECK_FALSE(Rig::find<rotor::Deny>(rig.last).notRun);
+    if (Rig::count<dataplane::Reject>(rig.last) == 0) rig.pass(20);
+    CHECK(Rig::find<dataplane::Reject>(rig.last).status == 503);
+    CHECK_FALSE(Rig::find<dataplane::Reject>(rig.last).notRun);
   }
 }
 
 TEST_CASE("a clock that goes back gives no certificate back") {
   Rig rig;
-  rig.plane.wallTime(rig.now, wall0 + 950000);
-  rig.plane.wallTime(rig.now, wall0);
+  rig.reducer.wallTime(rig.now, wall0 + 950000);
+  rig.reducer.wallTime(rig.now, wall0);
   rig.ask();
-  CHECK(rig.deniedNotRun());
+  CHECK(rig.rejectedNotRun());
 }
 
 TEST_CASE("a run that may be resumed goes on at its own replica only while that is certified") {
@@ -393,14 +393,14 @@
     Rig rig;
     std::uint64_t call = 0;
     std::string const address = rig.streaming(call, "r");
-    if (!still) rig.plane.wallTime(rig.now, wall0 + 950000);
-    rig.last = rig.plane.ended(rig.now, call, rotor::End::broken);
-    CHECK(Rig::count<rotor::Connect>(rig.last) == (still ? 1 : 0));
+    if (!still) rig.reducer.wallTime(rig.now, wall0 + 950000);
+    rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
+    CHECK(Rig::count<dataplane::Connect>(rig.last) == (still ? 1 : 0));
     if (!still) continue;
-    CHECK(Rig::find<rotor::Connect>(rig.last).address == address);
+    CHECK(Rig::find<dataplane::Connect>(rig.last).address == address);
     rig.connected(call);
-    rig.last = rig.plane.ended(rig.now, call, rotor::End::broken);
-    CHECK(Rig::count<rotor::Abort>(rig.last) == 1);
+    rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
+    CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
   }
 }
 
@@ -411,20 +411,20 @@
     rig.news("pool:model", list(2, {{"10.0.0.1:80", "L1", "z1"}}));
     rig.news("certificates", certificates({{"z1", wall0 + 1000000}}, "any", reserve));
     int free = 0;
-    for (int i = 0; i < 8; ++i) free += static_cast<int>(Rig::count<rotor::Connect>(rig.ask("desk.nord")));
+    for (int i = 0; i < 8; ++i) free += static_cast<int>(Rig::count<dataplane::Connect>(rig.ask("desk.nord")));
     CHECK(free == (reserve == 0.0 ? 4 : reserve == 0.5 ? 2 : 0));
-    CHECK(Rig::count<rotor::Connect>(rig.ask()) == 1);
+    CHECK(Rig::count<dataplane::Connect>(rig.ask()) == 1);
   }
 }
 
 TEST_CASE("a crowd without a regime does not use up the room that a node has for a regime's requests") {
-  rotor::Tuning tuning = Rig::kept();
+  dataplane::Tuning tuning = Rig::kept();
   tuning.nodeLimitPerReplica = 1.0;
   Rig rig(tuning);
   for (int i = 0; i < 40; ++i) rig.ask("desk.nord");
   rig.pass(400);
-  CHECK(Rig::count<rotor::Connect>(rig.ask()) == 1);
+  CHECK(Rig::count<dataplane::Connect>(rig.ask()) == 1);
   rig.ask();
-  CHECK(Rig::count<rotor::Deny>(rig.last) == 0);
-  CHECK(Rig::count<rotor::Connect>(rig.last) == 1);
+  CHECK(Rig::count<dataplane::Reject>(rig.last) == 0);
+  CHECK(Rig::count<dataplane::Connect>(rig.last) == 1);
 }
