--- a/rotor/test/rotor_test.cpp
+++ b/dataplane/test/request_router_test.cpp
@@ -7,43 +7,43 @@
 #include <set>
 
 #include <corkward/core/json.h>
-#include <corkward/rotor/plane.h>
-#include <corkward/rotor/stream.h>
+#include <corkward/dataplane/request_router.h>
+#include <corkward/dataplane/stream.h>
 
-#include "../../signal/test/fill.h"
+#include "../../transport/test/fill.h"
 
 namespace core = corkward::core;
-namespace rotor = corkward::rotor;
-namespace signal = corkward::signal;
+namespace dataplane = corkward::dataplane;
+namespace transport = corkward::transport;
 
 namespace {
 
-/// One nacelle with a confirmed image, three replicas of one pool and two instances.
+/// One router with a confirmed snapshot, three replicas of one pool and two instances.
 struct Rig {
-  rotor::Plane plane;
+  dataplane::RequestRouter reducer;
   core::Tick now = 100000;
   std::uint64_t next = 1;
 
-  static signal::Contact self() {
-    signal::Contact c;
+  static transport::Contact self() {
+    transport::Contact c;
     c.link = "n1";
-    c.role = "nacelle";
+    c.role = transport::routerRole;
     c.zone = "z1";
     c.inc = 1;
     return c;
   }
-  explicit Rig(rotor::Tuning tuning = {}, std::uint64_t rosterStamp = 1) : plane(self(), {"s1"}, 7, tuning) {
-    plane.started(0);
-    signal::News news;
+  explicit Rig(dataplane::Tuning tuning = {}, std::uint64_t rosterRevision = 1) : reducer(self(), {"s1"}, 7, tuning) {
+    reducer.started(0);
+    transport::News news;
     news.number = 1;
     news.whole = true;
     news.items = {{"cohort", 1, core::parseJson(R"({"members":[{"id":"m1","link":"s1"}]})").toObject()},
-                  {"roster", rosterStamp, roster(rosterStamp == 1)},
+                  {"roster", rosterRevision, roster(rosterRevision == 1)},
                   {"pool:model", 1, pool(1, "serving")},
                   {"family:desk", 1, core::parseJson(R"({"template":{"stamp":1,"spec":{"paths":[
                      {"path":"a","pool":"model","class":"short"},{"path":"r","pool":"model","class":"short","resumable":true}]}},
                      "instances":{"nord":{"stamp":1,"spec":{}},"sued":{"stamp":1,"spec":{}}}})").toObject()}};
-    plane.arrived(now, "s1", news);
+    reducer.arrived(now, "s1", news);
     confirm();
   }
   static QJsonObject roster(bool before) {
@@ -57,31 +57,31 @@
         .toObject();
   }
   /// A list of that generation which serves all but one.
-  static signal::Hint without(std::uint64_t generation, std::string const& gone) {
-    signal::Hint h{"model", generation, {}, {}};
+  static transport::Hint without(std::uint64_t generation, std::string const& gone) {
+    transport::Hint h{"model", generation, {}, {}};
     for (char const* a : {"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"})
       if (a != gone) h.serving.push_back(a);
     return h;
   }
   void confirm() {
-    signal::Confirm c;
+    transport::Confirm c;
     c.tick = now;
     c.inTouch = true;
-    plane.arrived(now, "s1", c);
+    reducer.arrived(now, "s1", c);
   }
-  rotor::Commands ask(std::string const& id, std::uint64_t attempt = 1, std::string const& instance = "desk.nord", std::string const& path = "a") {
-    rotor::Request r;
+  dataplane::Commands ask(std::string const& id, std::uint64_t attempt = 1, std::string const& instance = "desk.nord", std::string const& path = "a") {
+    dataplane::Request r;
     r.call = next++;
     r.instance = instance;
     r.path = path;
     r.id = id;
     r.attempt = attempt;
     r.earlierNotRun = attempt > 1;
-    return plane.request(now, r);
+    return reducer.request(now, r);
   }
   template <class T>
-  static T const* find(rotor::Commands const& c) {
-    for (rotor::CallCommand const& v : c.calls)
+  static T const* find(dataplane::Commands const& c) {
+    for (dataplane::CallCommand const& v : c.calls)
       if (T const* const m = std::get_if<T>(&v)) return m;
     return nullptr;
   }
@@ -89,118 +89,118 @@
 
 }  // namespace
 
-TEST_CASE("a nacelle whose confirmation has grown old hands nothing over, even on an open connection") {
+TEST_CASE("a router whose confirmation has grown old hands nothing over, even on an open connection") {
   Rig rig;
-  rotor::Commands const c = rig.ask("x");
-  REQUIRE(Rig::find<rotor::Connect>(c) != nullptr);
+  dataplane::Commands const c = rig.ask("x");
+  REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
   rig.now += 1501;
-  rotor::Commands const late = rig.plane.connected(rig.now, 1);
-  CHECK(Rig::find<rotor::HandOver>(late) == nullptr);
-  REQUIRE(Rig::find<rotor::Deny>(late) != nullptr);
-  CHECK(Rig::find<rotor::Deny>(late)->notRun);
-  CHECK(Rig::find<rotor::Deny>(late)->retryAfter > 0);
-  CHECK(Rig::find<rotor::Deny>(rig.ask("y")) != nullptr);
+  dataplane::Commands const late = rig.reducer.connected(rig.now, 1);
+  CHECK(Rig::find<dataplane::HandOver>(late) == nullptr);
+  REQUIRE(Rig::find<dataplane::Reject>(late) != nullptr);
+  CHECK(Rig::find<dataplane::Reject>(late)->notRun);
+  CHECK(Rig::find<dataplane::Reject>(late)->retryAfter > 0);
+  CHECK(Rig::find<dataplane::Reject>(rig.ask("y")) != nullptr);
 }
 
-TEST_CASE("a confirmation that knows more than this nacelle does not count") {
+TEST_CASE("a confirmation that knows more than this router does not count") {
   Rig rig;
   rig.now += 1000;
-  signal::Confirm c;
+  transport::Confirm c;
   c.tick = rig.now;
   c.inTouch = true;
-  c.stamps = {{"family:desk", 2}};
-  c.digest = signal::digestOf(c.stamps);
-  rig.plane.arrived(rig.now, "s1", c);
+  c.revisions = {{"family:desk", 2}};
+  c.digest = transport::digestOf(c.revisions);
+  rig.reducer.arrived(rig.now, "s1", c);
   rig.now += 600;
-  CHECK_FALSE(rig.plane.standing(rig.now));
-  signal::News news;
+  CHECK_FALSE(rig.reducer.servingLease(rig.now));
+  transport::News news;
   news.number = 2;
-  news.items = {{"family:desk", 2, rig.plane.valueOf("family:desk")}};
-  rig.plane.arrived(rig.now, "s1", news);
-  CHECK(rig.plane.standing(rig.now));
+  news.items = {{"family:desk", 2, rig.reducer.valueOf("family:desk")}};
+  rig.reducer.arrived(rig.now, "s1", news);
+  CHECK(rig.reducer.servingLease(rig.now));
 }
 
-TEST_CASE("a nacelle that is not on its roster does not serve: nobody would ask it about earlier attempts") {
+TEST_CASE("a router that is not on its roster does not serve: nobody would ask it about earlier attempts") {
   Rig rig;
-  REQUIRE(rig.plane.standing(rig.now));
-  signal::News news;
+  REQUIRE(rig.reducer.servingLease(rig.now));
+  transport::News news;
   news.items = {{"roster", 2, core::parseJson(R"({"nodes":[{"link":"n2"},{"link":"n3"},{"link":"n4"}]})").toObject()}};
-  rig.plane.arrived(rig.now, "s1", news);
+  rig.reducer.arrived(rig.now, "s1", news);
   rig.confirm();
-  CHECK_FALSE(rig.plane.standing(rig.now));
+  CHECK_FALSE(rig.reducer.servingLease(rig.now));
 }
 
 TEST_CASE("contacts with a majority of the roster are standing enough") {
   Rig rig;
   rig.now += 2000;
-  CHECK_FALSE(rig.plane.standing(rig.now));
-  signal::Touch t;
+  CHECK_FALSE(rig.reducer.servingLease(rig.now));
+  transport::Touch t;
   t.tick = rig.now;
   t.echo = true;
   t.whole = true;
   t.link = "n2";
-  t.stamps = {{"family:desk", 1}};
-  t.digest = signal::digestOf(t.stamps);
-  rig.plane.arrived(rig.now + 5, "n2", t);
-  CHECK(rig.plane.standing(rig.now + 5));
-  CHECK_FALSE(rig.plane.standing(rig.now + 1600));
+  t.revisions = {{"family:desk", 1}};
+  t.digest = transport::digestOf(t.revisions);
+  rig.reducer.arrived(rig.now + 5, "n2", t);
+  CHECK(rig.reducer.servingLease(rig.now + 5));
+  CHECK_FALSE(rig.reducer.servingLease(rig.now + 1600));
 }
 
-TEST_CASE("a nacelle without a fence serves from its whole image on, with no confirmation, roster or wait") {
-  rotor::Tuning tuning;
+TEST_CASE("a router without a fence serves from its whole snapshot on, with no confirmation, roster or wait") {
+  dataplane::Tuning tuning;
   tuning.fenced = false;
   Rig rig(tuning);
-  rig.plane.started(rig.now);
+  rig.reducer.started(rig.now);
   rig.now += 60000;
-  CHECK(rig.plane.standing(rig.now));
-  CHECK(rig.plane.ready(rig.now));
-  signal::News news;
+  CHECK(rig.reducer.servingLease(rig.now));
+  CHECK(rig.reducer.ready(rig.now));
+  transport::News news;
   news.items = {{"roster", 2, core::parseJson(R"({"nodes":[{"link":"n2"},{"link":"n3"}]})").toObject()}};
-  rig.plane.arrived(rig.now, "s1", news);
-  CHECK(rig.plane.ready(rig.now));
-  rotor::Commands const c = rig.ask("x");
-  REQUIRE(Rig::find<rotor::Connect>(c) != nullptr);
-  CHECK(Rig::find<rotor::HandOver>(rig.plane.connected(rig.now, 1)) != nullptr);
-  rotor::Commands const clock = rig.plane.clockEvent(rig.now);
-  CHECK(std::any_of(clock.sends.begin(), clock.sends.end(), [](signal::Send const& s) { return std::holds_alternative<signal::Ask>(s.message); }));
+  rig.reducer.arrived(rig.now, "s1", news);
+  CHECK(rig.reducer.ready(rig.now));
+  dataplane::Commands const c = rig.ask("x");
+  REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
+  CHECK(Rig::find<dataplane::HandOver>(rig.reducer.connected(rig.now, 1)) != nullptr);
+  dataplane::Commands const clock = rig.reducer.clockEvent(rig.now);
+  CHECK(std::any_of(clock.sends.begin(), clock.sends.end(), [](transport::Send const& s) { return std::holds_alternative<transport::Ask>(s.message); }));
   news.items = {{"zone:z1", 1, QJsonObject{{"evacuated", true}}}};
-  rig.plane.arrived(rig.now, "s1", news);
-  CHECK(rig.plane.standing(rig.now));
-  CHECK_FALSE(rig.plane.ready(rig.now));
+  rig.reducer.arrived(rig.now, "s1", news);
+  CHECK(rig.reducer.servingLease(rig.now));
+  CHECK_FALSE(rig.reducer.ready(rig.now));
   tuning.evacuationFailsReady = false;
-  rig.plane.retune(tuning, {"s1"});
-  CHECK(rig.plane.ready(rig.now));
+  rig.reducer.retune(tuning, {"s1"});
+  CHECK(rig.reducer.ready(rig.now));
 }
 
-TEST_CASE("a nacelle without a fence is ready at its first whole image, and not without one or without paths") {
-  rotor::Tuning tuning;
+TEST_CASE("a router without a fence is ready at its first whole snapshot, and not without one or without paths") {
+  dataplane::Tuning tuning;
   tuning.fenced = false;
-  rotor::Plane plane(Rig::self(), {"s1"}, 7, tuning);
-  plane.started(0);
-  CHECK_FALSE(plane.standing(100));
-  signal::News news;
+  dataplane::RequestRouter reducer(Rig::self(), {"s1"}, 7, tuning);
+  reducer.started(0);
+  CHECK_FALSE(reducer.servingLease(100));
+  transport::News news;
   news.number = 1;
   news.whole = true;
-  plane.arrived(100, "s1", news);
-  CHECK_FALSE(plane.standing(100));
+  reducer.arrived(100, "s1", news);
+  CHECK_FALSE(reducer.servingLease(100));
   news.items = {{"pool:model", 1, Rig::pool(1, "serving")}};
-  plane.arrived(100, "s1", news);
-  CHECK_FALSE(plane.standing(100));
-  CHECK_FALSE(plane.ready(100));
-  rotor::Request early;
+  reducer.arrived(100, "s1", news);
+  CHECK_FALSE(reducer.servingLease(100));
+  CHECK_FALSE(reducer.ready(100));
+  dataplane::Request early;
   early.call = 1;
   early.instance = "desk.nord";
   early.path = "a";
-  rotor::Commands const denied = plane.request(100, early);
-  REQUIRE(Rig::find<rotor::Deny>(denied) != nullptr);
-  CHECK(Rig::find<rotor::Deny>(denied)->status == 503);
-  CHECK(Rig::find<rotor::Deny>(denied)->notRun);
+  dataplane::Commands const rejected = reducer.request(100, early);
+  REQUIRE(Rig::find<dataplane::Reject>(rejected) != nullptr);
+  CHECK(Rig::find<dataplane::Reject>(rejected)->status == 503);
+  CHECK(Rig::find<dataplane::Reject>(rejected)->notRun);
   Rig const donor;
   news.whole = false;
-  news.items = {{"family:desk", 1, donor.plane.valueOf("family:desk")}};
-  plane.arrived(110, "s1", news);
-  CHECK(plane.ready(110));
-  rotor::Plane other(Rig::self(), {"s1"}, 7, tuning);
+  news.items = {{"family:desk", 1, donor.reducer.valueOf("family:desk")}};
+  reducer.arrived(110, "s1", news);
+  CHECK(reducer.ready(110));
+  dataplane::RequestRouter other(Rig::self(), {"s1"}, 7, tuning);
   other.started(0);
   news.number = 0;
   news.whole = true;
@@ -210,28 +210,28 @@
 
 TEST_CASE("older news never undoes newer") {
   Rig rig;
-  signal::News news;
+  transport::News news;
   news.items = {{"zone:z2", 5, core::parseJson(R"({"evacuated":true})").toObject()}};
-  rig.plane.arrived(rig.now, "s1", news);
+  rig.reducer.arrived(rig.now, "s1", news);
   news.items = {{"zone:z2", 4, core::parseJson(R"({"evacuated":false})").toObject()}};
-  rig.plane.arrived(rig.now, "s1", news);
+  rig.reducer.arrived(rig.now, "s1", news);
   for (int i = 0; i < 3; ++i) {
-    rotor::Commands const c = rig.ask("x" + std::to_string(i));
-    REQUIRE(Rig::find<rotor::Connect>(c) != nullptr);
-    CHECK(Rig::find<rotor::Connect>(c)->address == "10.0.0.1:80");
+    dataplane::Commands const c = rig.ask("x" + std::to_string(i));
+    REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
+    CHECK(Rig::find<dataplane::Connect>(c)->address == "10.0.0.1:80");
   }
 }
 
 TEST_CASE("a replica that is shown leaving between connect and hand-over is not reached") {
   Rig rig;
-  rotor::Commands const c = rig.ask("x");
-  REQUIRE(Rig::find<rotor::Connect>(c) != nullptr);
-  std::string const address = Rig::find<rotor::Connect>(c)->address;
-  rig.plane.arrived(rig.now, "s1", Rig::without(2, address));
-  rotor::Commands const after = rig.plane.connected(rig.now, 1);
-  CHECK(Rig::find<rotor::HandOver>(after) == nullptr);
-  REQUIRE(Rig::find<rotor::Connect>(after) != nullptr);
-  CHECK(Rig::find<rotor::Connect>(after)->address != address);
+  dataplane::Commands const c = rig.ask("x");
+  REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
+  std::string const address = Rig::find<dataplane::Connect>(c)->address;
+  rig.reducer.arrived(rig.now, "s1", Rig::without(2, address));
+  dataplane::Commands const after = rig.reducer.connected(rig.now, 1);
+  CHECK(Rig::find<dataplane::HandOver>(after) == nullptr);
+  REQUIRE(Rig::find<dataplane::Connect>(after) != nullptr);
+  CHECK(Rig::find<dataplane::Connect>(after)->address != address);
 }
 
 TEST_CASE("a list told to the node takes away at once, holds until a list as new is in force, and adds nothing") {
@@ -239,14 +239,14 @@
   std::function<std::set<std::string>()> const used = [&] {
     std::set<std::string> out;
     for (int i = 0; i < 40; ++i) {
-      rotor::Commands const c = rig.ask("u" + std::to_string(rig.next));
-      if (rotor::Connect const* const m = Rig::find<rotor::Connect>(c)) out.insert(m->address);
-      rig.plane.callerGone(rig.now, rig.next - 1);
+      dataplane::Commands const c = rig.ask("u" + std::to_string(rig.next));
+      if (dataplane::Connect const* const m = Rig::find<dataplane::Connect>(c)) out.insert(m->address);
+      rig.reducer.callerGone(rig.now, rig.next - 1);
     }
     return out;
   };
-  std::function<rotor::Answer(std::string const&)> const tell = [&](std::string const& body) {
-    return *Rig::find<rotor::Answer>(rig.plane.platformList(rig.now, 1, "model", body));
+  std::function<dataplane::Answer(std::string const&)> const tell = [&](std::string const& body) {
+    return *Rig::find<dataplane::Answer>(rig.reducer.platformList(rig.now, 1, "model", body));
   };
   std::set<std::string> const before = used();
   REQUIRE_FALSE(before.empty());
@@ -254,55 +254,55 @@
   QJsonArray rest;
   for (char const* a : {"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"})
     if (a != address) rest.append(QJsonObject{{"address", a}, {"zone", "z1"}, {"state", "serving"}});
-  rotor::Answer const pending = tell(core::jsonText(QJsonObject{{"generation", 3}, {"replicas", rest}}));
+  dataplane::Answer const pending = tell(core::jsonText(QJsonObject{{"generation", 3}, {"replicas", rest}}));
   CHECK(pending.status == 504);
   CHECK(pending.body.value("pending").toBool());
   for (int i = 0; i < 4; ++i) {
     rig.now += 20000;
     rig.confirm();
-    rig.plane.clockEvent(rig.now);
+    rig.reducer.clockEvent(rig.now);
     CHECK(used().count(address) == 0);
     CHECK(used().count("10.0.0.9:80") == 0);
   }
   CHECK(tell(core::jsonText(QJsonObject{{"generation", 2}, {"replicas", rest}})).status == 409);
   CHECK(tell("{").status == 400);
   CHECK(tell(R"({"generation":-4,"replicas":[]})").status == 422);
-  signal::News news;
+  transport::News news;
   news.items = {{"pool:model", 2, Rig::pool(2, "serving")}};
-  rig.plane.arrived(rig.now, "s1", news);
+  rig.reducer.arrived(rig.now, "s1", news);
   CHECK(used().count(address) == 0);
   news.items = {{"pool:model", 3, Rig::pool(3, "serving")}};
-  rig.plane.arrived(rig.now, "s1", news);
+  rig.reducer.arrived(rig.now, "s1", news);
   CHECK(tell(core::jsonText(Rig::pool(3, "serving"))).status == 200);
-  rig.plane.arrived(rig.now, "s1", signal::Hint{"model", 3, {}, {}});
+  rig.reducer.arrived(rig.now, "s1", transport::Hint{"model", 3, {}, {}});
   CHECK_FALSE(used().empty());
-  rig.plane.arrived(rig.now, "s1", signal::Hint{"model", 4, {}, {}});
+  rig.reducer.arrived(rig.now, "s1", transport::Hint{"model", 4, {}, {}});
   CHECK(used().empty());
 }
 
 TEST_CASE("an outcome that was lost is unknown, and its id does not run again") {
   Rig rig;
   rig.ask("x");
-  REQUIRE(Rig::find<rotor::HandOver>(rig.plane.connected(rig.now, 1)) != nullptr);
-  rotor::Commands const lost = rig.plane.ended(rig.now, 1, rotor::End::broken);
-  REQUIRE(Rig::find<rotor::Deny>(lost) != nullptr);
-  CHECK_FALSE(Rig::find<rotor::Deny>(lost)->notRun);
-  CHECK(Rig::find<rotor::Deny>(lost)->status == 502);
-  CHECK(Rig::find<rotor::Deny>(rig.ask("x", 2))->status == 409);
+  REQUIRE(Rig::find<dataplane::HandOver>(rig.reducer.connected(rig.now, 1)) != nullptr);
+  dataplane::Commands const lost = rig.reducer.ended(rig.now, 1, dataplane::End::broken);
+  REQUIRE(Rig::find<dataplane::Reject>(lost) != nullptr);
+  CHECK_FALSE(Rig::find<dataplane::Reject>(lost)->notRun);
+  CHECK(Rig::find<dataplane::Reject>(lost)->status == 502);
+  CHECK(Rig::find<dataplane::Reject>(rig.ask("x", 2))->status == 409);
 }
 
 namespace {
 
 /// Answers every question about an id as the given nodes would.
-rotor::Commands echo(Rig& rig, rotor::Commands const& asked, std::string const& link, bool clear, bool known = false, std::vector<std::string> claimants = {}) {
-  for (signal::Send const& s : asked.sends)
-    if (signal::SeenAsk const* const m = std::get_if<signal::SeenAsk>(&s.message); m != nullptr && s.to == link)
-      return rig.plane.arrived(rig.now, link, signal::SeenEcho{m->token, link, clear, known, false, 70000, std::move(claimants)});
+dataplane::Commands echo(Rig& rig, dataplane::Commands const& asked, std::string const& link, bool clear, bool known = false, std::vector<std::string> claimants = {}) {
+  for (transport::Send const& s : asked.sends)
+    if (transport::SeenAsk const* const m = std::get_if<transport::SeenAsk>(&s.message); m != nullptr && s.to == link)
+      return rig.reducer.arrived(rig.now, link, transport::SeenEcho{m->token, link, clear, known, false, 70000, std::move(claimants)});
   return {};
 }
 
-rotor::Request later(Rig& rig, std::uint64_t attempt, core::Tick age) {
-  rotor::Request r;
+dataplane::Request later(Rig& rig, std::uint64_t attempt, core::Tick age) {
+  dataplane::Request r;
   r.call = rig.next++;
   r.instance = "desk.nord";
   r.path = "a";
@@ -316,145 +316,145 @@
 
 TEST_CASE("an id without attempt numbers runs only when a majority says that it did not run before") {
   Rig rig;
-  rotor::Commands const asked = rig.ask("x", 0);
+  dataplane::Commands const asked = rig.ask("x", 0);
   CHECK(asked.calls.empty());
-  CHECK(Rig::find<rotor::Connect>(echo(rig, asked, "n2", true)) != nullptr);
-  rotor::Commands const again = rig.ask("y", 0);
-  rotor::Commands const denied = echo(rig, again, "n2", false);
-  REQUIRE(Rig::find<rotor::Deny>(denied) != nullptr);
-  CHECK_FALSE(Rig::find<rotor::Deny>(denied)->notRun);
+  CHECK(Rig::find<dataplane::Connect>(echo(rig, asked, "n2", true)) != nullptr);
+  dataplane::Commands const again = rig.ask("y", 0);
+  dataplane::Commands const rejected = echo(rig, again, "n2", false);
+  REQUIRE(Rig::find<dataplane::Reject>(rejected) != nullptr);
+  CHECK_FALSE(Rig::find<dataplane::Reject>(rejected)->notRun);
   SECTION("one that another node had asked for waits for that node's word") {
-    rotor::Commands const third = rig.ask("z", 0);
+    dataplane::Commands const third = rig.ask("z", 0);
     CHECK(echo(rig, third, "n2", true, true, {"n3"}).calls.empty());
     rig.now += 600;
-    rotor::Commands const late = rig.plane.clockEvent(rig.now);
-    REQUIRE(Rig::find<rotor::Deny>(late) != nullptr);
-    CHECK(Rig::find<rotor::Deny>(late)->status == 409);
+    dataplane::Commands const late = rig.reducer.clockEvent(rig.now);
+    REQUIRE(Rig::find<dataplane::Reject>(late) != nullptr);
+    CHECK(Rig::find<dataplane::Reject>(late)->status == 409);
   }
   SECTION("and runs when that node says that it did not run there") {
-    rotor::Commands const third = rig.ask("z", 0);
+    dataplane::Commands const third = rig.ask("z", 0);
     CHECK(echo(rig, third, "n2", true, true, {"n3"}).calls.empty());
-    CHECK(Rig::find<rotor::Connect>(echo(rig, third, "n3", true, true)) != nullptr);
+    CHECK(Rig::find<dataplane::Connect>(echo(rig, third, "n3", true, true)) != nullptr);
   }
 }
 
 TEST_CASE("a later attempt runs only within what everybody remembers, and needs its age") {
   Rig rig;
-  rotor::Commands const noAge = rig.plane.request(rig.now, later(rig, 2, -1));
-  REQUIRE(Rig::find<rotor::Deny>(noAge) != nullptr);
-  CHECK(Rig::find<rotor::Deny>(noAge)->status == 409);
-  rotor::Commands const tooOld = rig.plane.request(rig.now, later(rig, 2, 80000));
-  REQUIRE(Rig::find<rotor::Deny>(tooOld) != nullptr);
-  CHECK(Rig::find<rotor::Deny>(tooOld)->status == 409);
-  for (int i = 0; i < 12; ++i) rig.plane.clockEvent(rig.now += 200);
+  dataplane::Commands const noAge = rig.reducer.request(rig.now, later(rig, 2, -1));
+  REQUIRE(Rig::find<dataplane::Reject>(noAge) != nullptr);
+  CHECK(Rig::find<dataplane::Reject>(noAge)->status == 409);
+  dataplane::Commands const tooOld = rig.reducer.request(rig.now, later(rig, 2, 80000));
+  REQUIRE(Rig::find<dataplane::Reject>(tooOld) != nullptr);
+  CHECK(Rig::find<dataplane::Reject>(tooOld)->status == 409);
+  for (int i = 0; i < 12; ++i) rig.reducer.clockEvent(rig.now += 200);
   rig.confirm();
-  rotor::Commands const within = rig.plane.request(rig.now, later(rig, 2, 5000));
+  dataplane::Commands const within = rig.reducer.request(rig.now, later(rig, 2, 5000));
   CHECK(within.calls.empty());
   echo(rig, within, "n2", true);
-  CHECK(Rig::find<rotor::Connect>(echo(rig, within, "n3", true)) != nullptr);
+  CHECK(Rig::find<dataplane::Connect>(echo(rig, within, "n3", true)) != nullptr);
   SECTION("a machine that slept adds its sleep to the age that is said") {
-    rig.plane.clockEvent(rig.now);
+    rig.reducer.clockEvent(rig.now);
     rig.now += 60000;
     rig.confirm();
-    rotor::Commands const woken = rig.plane.request(rig.now, later(rig, 4, 70000));
-    REQUIRE(Rig::find<rotor::Deny>(woken) != nullptr);
-    CHECK(Rig::find<rotor::Deny>(woken)->status == 409);
+    dataplane::Commands const woken = rig.reducer.request(rig.now, later(rig, 4, 70000));
+    REQUIRE(Rig::find<dataplane::Reject>(woken) != nullptr);
+    CHECK(Rig::find<dataplane::Reject>(woken)->status == 409);
   }
 }
 
 TEST_CASE("a trimmed memory of ids vouches only for what came after the trimming") {
-  rotor::Tuning tuning;
+  dataplane::Tuning tuning;
   tuning.seenBound = 50;
   Rig rig(tuning);
   for (int i = 0; i < 60; ++i) {
     rig.ask("i" + std::to_string(i));
-    rig.plane.callerGone(rig.now, rig.next - 1);
+    rig.reducer.callerGone(rig.now, rig.next - 1);
   }
   rig.now += 1000;
   rig.confirm();
-  rotor::Commands const c = rig.plane.request(rig.now, later(rig, 2, 5000));
-  REQUIRE(Rig::find<rotor::Deny>(c) != nullptr);
-  CHECK(Rig::find<rotor::Deny>(c)->status == 409);
+  dataplane::Commands const c = rig.reducer.request(rig.now, later(rig, 2, 5000));
+  REQUIRE(Rig::find<dataplane::Reject>(c) != nullptr);
+  CHECK(Rig::find<dataplane::Reject>(c)->status == 409);
 }
 
 TEST_CASE("a node that is new on the roster serves once control says that the roster is in force") {
-  Rig fresh(rotor::Tuning{}, 2);
-  REQUIRE_FALSE(fresh.plane.standing(fresh.now));
-  std::function<void(std::uint64_t)> const inForce = [&](std::uint64_t stamp) {
-    signal::Confirm c;
+  Rig fresh(dataplane::Tuning{}, 2);
+  REQUIRE_FALSE(fresh.reducer.servingLease(fresh.now));
+  std::function<void(std::uint64_t)> const inForce = [&](std::uint64_t revision) {
+    transport::Confirm c;
     c.tick = fresh.now;
     c.inTouch = true;
-    c.roster = stamp;
-    fresh.plane.arrived(fresh.now, "s1", c);
-    fresh.plane.clockEvent(fresh.now);
+    c.roster = revision;
+    fresh.reducer.arrived(fresh.now, "s1", c);
+    fresh.reducer.clockEvent(fresh.now);
   };
   inForce(0);
-  CHECK_FALSE(fresh.plane.standing(fresh.now));
+  CHECK_FALSE(fresh.reducer.servingLease(fresh.now));
   fresh.now += 3700;
   inForce(1);
-  CHECK_FALSE(fresh.plane.standing(fresh.now));
+  CHECK_FALSE(fresh.reducer.servingLease(fresh.now));
   inForce(2);
-  CHECK(fresh.plane.standing(fresh.now));
+  CHECK(fresh.reducer.servingLease(fresh.now));
 }
 
-TEST_CASE("a confirmation by digest counts when the digest is one that this nacelle has or had") {
+TEST_CASE("a confirmation by digest counts when the digest is one that this router has or had") {
   Rig rig;
-  signal::Stamps const first{{"cohort", 1}, {"family:desk", 1}, {"pool:model", 1}, {"roster", 1}};
-  std::function<bool(signal::Digest const&, signal::Stamps const&)> const counts = [&](signal::Digest const& digest, signal::Stamps const& stamps) {
+  transport::Revisions const first{{"cohort", 1}, {"family:desk", 1}, {"pool:model", 1}, {"roster", 1}};
+  std::function<bool(transport::Digest const&, transport::Revisions const&)> const counts = [&](transport::Digest const& digest, transport::Revisions const& revisions) {
     rig.now += 2000;
-    signal::Confirm c;
+    transport::Confirm c;
     c.tick = rig.now;
     c.inTouch = true;
     c.digest = digest;
-    c.stamps = stamps;
-    rig.plane.arrived(rig.now, "s1", c);
-    return rig.plane.standing(rig.now);
+    c.revisions = revisions;
+    rig.reducer.arrived(rig.now, "s1", c);
+    return rig.reducer.servingLease(rig.now);
   };
-  CHECK(counts(signal::digestOf(first), {}));
-  signal::Stamps newer = first;
+  CHECK(counts(transport::digestOf(first), {}));
+  transport::Revisions newer = first;
   newer["zone:z2"] = 1;
-  CHECK_FALSE(counts(signal::digestOf(newer), {}));
-  CHECK_FALSE(counts(signal::digestOf(newer), first));
-  signal::News news;
+  CHECK_FALSE(counts(transport::digestOf(newer), {}));
+  CHECK_FALSE(counts(transport::digestOf(newer), first));
+  transport::News news;
   news.items = {{"zone:z2", 1, QJsonObject{{"evacuated", true}}}, {"zone:z3", 1, QJsonObject{{"evacuated", true}}}};
-  rig.plane.arrived(rig.now, "s1", news);
-  CHECK(counts(signal::digestOf(first), {}));
-  CHECK_FALSE(counts(signal::digestOf(newer), {}));
-  CHECK(counts(signal::digestOf(newer), newer));
+  rig.reducer.arrived(rig.now, "s1", news);
+  CHECK(counts(transport::digestOf(first), {}));
+  CHECK_FALSE(counts(transport::digestOf(newer), {}));
+  CHECK(counts(transport::digestOf(newer), newer));
 }
 
-TEST_CASE("ages passed on by a neighbour add up to standing, and only by one who knows no more than this nacelle") {
+TEST_CASE("ages passed on by a neighbour add up to serving lease, and only by one who knows no more than this router") {
   Rig rig;
   QJsonArray nodes;
   for (char const* link : {"n1", "n2", "n3", "n4", "n5"}) nodes.append(QJsonObject{{"link", link}, {"zone", "z1"}});
-  signal::News news;
+  transport::News news;
   news.items = {{"roster", 2, QJsonObject{{"nodes", nodes}, {"previous", nodes}}}};
-  rig.plane.arrived(rig.now, "s1", news);
+  rig.reducer.arrived(rig.now, "s1", news);
   rig.now += 2000;
-  REQUIRE_FALSE(rig.plane.standing(rig.now));
-  signal::Touch t;
+  REQUIRE_FALSE(rig.reducer.servingLease(rig.now));
+  transport::Touch t;
   t.tick = rig.now;
   t.echo = true;
   t.whole = true;
   t.link = "n2";
-  t.stamps = {{"family:desk", 1}, {"zone:z2", 1}};
-  t.digest = signal::digestOf(t.stamps);
+  t.revisions = {{"family:desk", 1}, {"zone:z2", 1}};
+  t.digest = transport::digestOf(t.revisions);
   t.roster = 2;
   t.ages = {'\x00', '\x00', '\x28', '\xff', '\x50'};
-  rig.plane.arrived(rig.now + 5, "n2", t);
-  CHECK_FALSE(rig.plane.standing(rig.now + 5));
+  rig.reducer.arrived(rig.now + 5, "n2", t);
+  CHECK_FALSE(rig.reducer.servingLease(rig.now + 5));
   news.items = {{"zone:z2", 1, QJsonObject{{"evacuated", false}}}};
-  rig.plane.arrived(rig.now + 10, "s1", news);
-  CHECK(rig.plane.standing(rig.now + 10));
-  CHECK(rig.plane.standing(rig.now + 1500 - 400));
-  CHECK(rig.plane.standing(rig.now + 1500 - 800));
-  CHECK_FALSE(rig.plane.standing(rig.now + 1500 - 399));
-  signal::Touch ask;
+  rig.reducer.arrived(rig.now + 10, "s1", news);
+  CHECK(rig.reducer.servingLease(rig.now + 10));
+  CHECK(rig.reducer.servingLease(rig.now + 1500 - 400));
+  CHECK(rig.reducer.servingLease(rig.now + 1500 - 800));
+  CHECK_FALSE(rig.reducer.servingLease(rig.now + 1500 - 399));
+  transport::Touch ask;
   ask.tick = 7;
   ask.link = "n3";
   ask.wantAges = true;
-  rotor::Commands const c = rig.plane.arrived(rig.now + 100, "n3", ask);
-  signal::Touch const* const echo = std::get_if<signal::Touch>(&c.sends.at(0).message);
+  dataplane::Commands const c = rig.reducer.arrived(rig.now + 100, "n3", ask);
+  transport::Touch const* const echo = std::get_if<transport::Touch>(&c.sends.at(0).message);
   REQUIRE(echo != nullptr);
   CHECK(echo->tick == 7);
   CHECK(echo->roster == 2);
@@ -462,67 +462,67 @@
 }
 
 TEST_CASE("a node that restarts without control stands on a majority of others, itself not counted until control vouches for it") {
-  rotor::Plane plane(Rig::self(), {"s1"}, 7);
-  plane.started(1000);
+  dataplane::RequestRouter reducer(Rig::self(), {"s1"}, 7);
+  reducer.started(1000);
   QJsonArray nodes;
   for (char const* link : {"n1", "n2", "n3", "n4", "n5"}) nodes.append(QJsonObject{{"link", link}});
-  signal::News news;
+  transport::News news;
   news.whole = true;
   news.items = {{"roster", 2, QJsonObject{{"nodes", nodes}, {"previous", nodes}}}};
-  plane.arrived(5000, "n2", news);
-  signal::Touch t;
+  reducer.arrived(5000, "n2", news);
+  transport::Touch t;
   t.tick = 5000;
   t.echo = true;
   t.whole = true;
   std::function<bool(char const*)> const standsWith = [&](char const* link) {
     t.link = link;
-    plane.arrived(5005, link, t);
-    return plane.standing(5010);
+    reducer.arrived(5005, link, t);
+    return reducer.servingLease(5010);
   };
   CHECK_FALSE(standsWith("n2"));
   CHECK_FALSE(standsWith("n3"));
   CHECK(standsWith("n4"));
   t.tick = 7000;
   t.link = "n2";
-  plane.arrived(7005, "n2", t);
-  CHECK_FALSE(plane.standing(7010));
-  signal::Confirm c;
+  reducer.arrived(7005, "n2", t);
+  CHECK_FALSE(reducer.servingLease(7010));
+  transport::Confirm c;
   c.tick = 7000;
   c.inTouch = true;
   c.age = 1400;
-  plane.arrived(7010, "s1", c);
-  CHECK(plane.standing(7100));
-  CHECK_FALSE(plane.standing(7101));
+  reducer.arrived(7010, "s1", c);
+  CHECK(reducer.servingLease(7100));
+  CHECK_FALSE(reducer.servingLease(7101));
   t.link = "n2";
-  plane.arrived(7200, "n2", t);
+  reducer.arrived(7200, "n2", t);
   t.link = "n3";
-  plane.arrived(7200, "n3", t);
-  CHECK(plane.standing(7200));
+  reducer.arrived(7200, "n3", t);
+  CHECK(reducer.servingLease(7200));
 }
 
-TEST_CASE("two substations are asked, the own zone's first, and others in place of silent ones") {
-  rotor::Plane plane(Rig::self(), {"s1"}, 7);
-  plane.started(0);
-  signal::Shuffle shuffle;
+TEST_CASE("two controllers are asked, the own zone's first, and others in place of silent ones") {
+  dataplane::RequestRouter reducer(Rig::self(), {"s1"}, 7);
+  reducer.started(0);
+  transport::Shuffle shuffle;
   for (char const* link : {"s1", "s2", "s3", "s4", "s5", "s6"}) {
-    signal::Contact c;
+    transport::Contact c;
     c.link = link;
-    c.role = "substation";
+    c.role = transport::controllerRole;
     c.zone = link == std::string("s5") ? "z1" : "z2";
     shuffle.contacts.push_back(c);
   }
-  plane.arrived(0, "s1", shuffle);
+  reducer.arrived(0, "s1", shuffle);
   std::set<std::string> dead;
   std::function<std::set<std::string>(core::Tick)> const round = [&](core::Tick now) {
     std::set<std::string> asked;
-    for (signal::Send const& s : plane.clockEvent(now).sends) {
-      if (!std::holds_alternative<signal::Ask>(s.message)) continue;
+    for (transport::Send const& s : reducer.clockEvent(now).sends) {
+      if (!std::holds_alternative<transport::Ask>(s.message)) continue;
       asked.insert(s.to);
       if (dead.count(s.to) > 0) continue;
-      signal::Confirm c;
+      transport::Confirm c;
       c.tick = now;
       c.inTouch = true;
-      plane.arrived(now + 5, s.to, c);
+      reducer.arrived(now + 5, s.to, c);
     }
     return asked;
   };
@@ -538,27 +538,27 @@
   CHECK(std::none_of(after.begin(), after.end(), [&](std::string const& s) { return dead.count(s) > 0; }));
 }
 
-TEST_CASE("a nacelle asks its seeds for its first image at once, and soon again until it has one") {
-  rotor::Tuning tuning;
+TEST_CASE("a router asks its seeds for its first snapshot at once, and soon again until it has one") {
+  dataplane::Tuning tuning;
   tuning.askEvery = 500;
-  rotor::Plane plane(Rig::self(), {"s1", "s2"}, 7, tuning);
-  plane.started(0);
+  dataplane::RequestRouter reducer(Rig::self(), {"s1", "s2"}, 7, tuning);
+  reducer.started(0);
   std::function<std::size_t(core::Tick, core::Tick)> const asks = [&](core::Tick from, core::Tick to) {
     std::size_t n = 0;
     for (core::Tick t = from; t < to; t += 20)
-      for (signal::Send const& s : plane.clockEvent(t).sends) {
-        signal::Ask const* const ask = std::get_if<signal::Ask>(&s.message);
+      for (transport::Send const& s : reducer.clockEvent(t).sends) {
+        transport::Ask const* const ask = std::get_if<transport::Ask>(&s.message);
         if (ask != nullptr) n += s.to == "s1" || s.to == "s2" ? 1 : 0;
       }
     return n;
   };
   CHECK(asks(0, 20) == 2);
   CHECK(asks(20, 300) >= 8);
-  signal::News news;
+  transport::News news;
   news.number = 1;
   news.whole = true;
   news.items = {{"pool:model", 1, Rig::pool(1, "serving")}};
-  plane.arrived(300, "s1", news);
+  reducer.arrived(300, "s1", news);
   asks(300, 400);
   CHECK(asks(400, 1400) <= 4);
 }
@@ -567,20 +567,20 @@
   Rig rig;
   int run = 0;
   for (int i = 0; i < 40; ++i) {
-    rotor::Request r;
+    dataplane::Request r;
     r.call = rig.next++;
     r.instance = "desk.nord";
     r.path = "r";
     r.id = "e" + std::to_string(i);
     r.attempt = 2;
-    rotor::Commands const c = rig.plane.request(rig.now, r);
-    if (Rig::find<rotor::Deny>(c) == nullptr) {
+    dataplane::Commands const c = rig.reducer.request(rig.now, r);
+    if (Rig::find<dataplane::Reject>(c) == nullptr) {
       ++run;
       continue;
     }
-    CHECK(Rig::find<rotor::Deny>(c)->notRun);
-    CHECK(Rig::find<rotor::Deny>(c)->reached);
-    CHECK(Rig::find<rotor::Deny>(c)->retryAfter > 0);
+    CHECK(Rig::find<dataplane::Reject>(c)->notRun);
+    CHECK(Rig::find<dataplane::Reject>(c)->reached);
+    CHECK(Rig::find<dataplane::Reject>(c)->retryAfter > 0);
   }
   CHECK(run <= 4);
 }
@@ -588,18 +588,18 @@
 TEST_CASE("a held request gives way to its own echo, and echoes do not widen the part") {
   Rig rig;
   for (int i = 0; i < 200; ++i) rig.ask("fill" + std::to_string(i));
-  std::size_t const part = rig.plane.parts("model").front().first;
-  std::size_t const held = rig.plane.parts("model").front().second;
+  std::size_t const part = rig.reducer.parts("model").front().first;
+  std::size_t const held = rig.reducer.parts("model").front().second;
   REQUIRE(held > 0);
   rig.ask("echo");
-  std::size_t const before = rig.plane.parts("model").front().second;
+  std::size_t const before = rig.reducer.parts("model").front().second;
   for (std::uint64_t a = 2; a < 30; ++a) rig.ask("echo", a);
-  CHECK(rig.plane.parts("model").front().second <= before);
-  CHECK(rig.plane.parts("model").front().first == part);
+  CHECK(rig.reducer.parts("model").front().second <= before);
+  CHECK(rig.reducer.parts("model").front().first == part);
 }
 
 TEST_CASE("the part begins with and widens by the replica that keeps an arriving prompt's parts") {
-  rotor::Tuning tuning;
+  dataplane::Tuning tuning;
   tuning.figures.width = 0.005;
   tuning.figures.firstLimit = 1;
   tuning.figures.steady = 0.7;
@@ -608,28 +608,28 @@
   for (std::uint64_t first = 0; first < 20; ++first) {
     std::vector<std::vector<std::string>> went;
     for (char const* link : {"n1", "n2", "n3", "n4"}) {
-      signal::Contact self = Rig::self();
+      transport::Contact self = Rig::self();
       self.link = link;
-      rotor::Tuning unfenced = tuning;
+      dataplane::Tuning unfenced = tuning;
       unfenced.fenced = false;
       Rig const donor;
-      rotor::Plane plane(self, {"s1"}, 7, unfenced);
-      plane.started(0);
-      signal::News news;
+      dataplane::RequestRouter reducer(self, {"s1"}, 7, unfenced);
+      reducer.started(0);
+      transport::News news;
       news.whole = true;
-      news.items = {{"pool:model", 1, Rig::pool(1, "serving")}, {"family:desk", 1, donor.plane.valueOf("family:desk")}};
-      plane.arrived(0, "s1", news);
+      news.items = {{"pool:model", 1, Rig::pool(1, "serving")}, {"family:desk", 1, donor.reducer.valueOf("family:desk")}};
+      reducer.arrived(0, "s1", news);
       went.emplace_back();
       for (std::uint64_t i = 0; i < 3; ++i) {
-        rotor::Request r;
+        dataplane::Request r;
         r.call = i + 1;
         r.instance = "desk.nord";
         r.path = "a";
         r.parts = {{first * 100 + i, 5000}, {first * 100 + i + 50, 300}};
-        rotor::Commands const c = plane.request(10, r);
-        REQUIRE(Rig::find<rotor::Connect>(c) != nullptr);
-        went.back().push_back(Rig::find<rotor::Connect>(c)->address);
-        plane.connected(10, r.call);
+        dataplane::Commands const c = reducer.request(10, r);
+        REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
+        went.back().push_back(Rig::find<dataplane::Connect>(c)->address);
+        reducer.connected(10, r.call);
       }
     }
     for (std::vector<std::string> const& w : went) CHECK(w == went.front());
@@ -639,31 +639,31 @@
 TEST_CASE("one tenant's crowd leaves room for another") {
   Rig rig;
   for (int i = 0; i < 300; ++i) rig.ask("crowd" + std::to_string(i));
-  rotor::Commands const c = rig.ask("other", 1, "desk.sued");
-  CHECK(Rig::find<rotor::Connect>(c) != nullptr);
+  dataplane::Commands const c = rig.ask("other", 1, "desk.sued");
+  CHECK(Rig::find<dataplane::Connect>(c) != nullptr);
 }
 
 TEST_CASE("a stream in which nothing moves is given up as broken") {
   Rig rig;
   rig.ask("x");
-  rig.plane.connected(rig.now, 1);
-  rig.plane.firstWord(rig.now, 1, true);
+  rig.reducer.connected(rig.now, 1);
+  rig.reducer.firstWord(rig.now, 1, true);
   rig.now += 9000;
-  rig.plane.moving(rig.now, 1);
+  rig.reducer.moving(rig.now, 1);
   rig.now += 9000;
-  CHECK(Rig::find<rotor::Abort>(rig.plane.clockEvent(rig.now)) == nullptr);
+  CHECK(Rig::find<dataplane::Abort>(rig.reducer.clockEvent(rig.now)) == nullptr);
   rig.now += 1500;
-  CHECK(Rig::find<rotor::Abort>(rig.plane.clockEvent(rig.now)) != nullptr);
-  CHECK(rig.plane.inHand() == 0);
+  CHECK(Rig::find<dataplane::Abort>(rig.reducer.clockEvent(rig.now)) != nullptr);
+  CHECK(rig.reducer.inHand() == 0);
 }
 
 TEST_CASE("a stream passes on what its own run sent, and its end only when the body is whole") {
-  rotor::Stream s;
+  dataplane::Stream s;
   s.connecting(false);
   SECTION("resumed by the same run at the same place") {
     s.head({.status = 200, .run = "r1"});
     CHECK(s.piece("abc").begin);
-    CHECK(s.ended(false).ended == rotor::End::broken);
+    CHECK(s.ended(false).ended == dataplane::End::broken);
     s.connecting(true);
     CHECK(s.resume().resuming);
     CHECK(s.resume().run == "r1");
@@ -681,20 +681,20 @@
     std::string const run = GENERATE("r1", "r2", "");
     std::string const offset = GENERATE("3", "2", "");
     bool const same = status == 206 && run == "r1" && offset == "3";
-    CHECK((s.head({.status = status, .run = run, .offset = offset}).ended == rotor::End::otherRun) == !same);
+    CHECK((s.head({.status = status, .run = run, .offset = offset}).ended == dataplane::End::otherRun) == !same);
   }
   SECTION("a body shorter or longer than its length is broken") {
     s.head({200, {}, 4});
     CHECK_FALSE(s.piece("abc").ended);
-    SECTION("shorter") { CHECK(s.ended(true).ended == rotor::End::broken); }
+    SECTION("shorter") { CHECK(s.ended(true).ended == dataplane::End::broken); }
     SECTION("longer") {
-      rotor::StreamSteps const longer = s.piece("de");
-      CHECK(longer.ended == rotor::End::broken);
+      dataplane::StreamSteps const longer = s.piece("de");
+      CHECK(longer.ended == dataplane::End::broken);
       CHECK(longer.piece.empty());
     }
   }
   SECTION("a status that is none ends it before a byte is passed on") {
-    CHECK(s.head({700, {}, 3}).ended == rotor::End::broken);
+    CHECK(s.head({700, {}, 3}).ended == dataplane::End::broken);
     CHECK(s.piece("abc").piece.empty());
   }
   SECTION("nothing is passed on after the end") {
@@ -706,7 +706,7 @@
   }
 }
 
-TEST_CASE("well-typed messages with absurd values break no invariant and give no standing") {
+TEST_CASE("well-typed messages with absurd values break no invariant and give no serving lease") {
   core::Rng rng(17);
   std::vector<std::string> const names{"n1", "n2", "s1", "m1", "roster", "cohort", "pool:model", "family:desk", "zone:z1", "model", "x", "", "model|10.0.0.1:80"};
   for (int round = 0; round < 40; ++round) {
@@ -714,50 +714,50 @@
     for (int i = 0; i < 500; ++i) {
       rig.now += static_cast<core::Tick>(rng.below(60));
       std::string const from = names[rng.below(names.size())];
-      rig.plane.arrived(rig.now, from, signal::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<signal::Message>)));
+      rig.reducer.arrived(rig.now, from, transport::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<transport::Message>)));
       if (i % 5 == 0) rig.ask("f" + std::to_string(i), rng.below(3));
-      if (i % 7 == 0) rig.plane.connected(rig.now, rng.below(rig.next));
-      if (i % 9 == 0) rig.plane.clockEvent(rig.now);
+      if (i % 7 == 0) rig.reducer.connected(rig.now, rng.below(rig.next));
+      if (i % 9 == 0) rig.reducer.clockEvent(rig.now);
     }
   }
   Rig rig;
   rig.now += 60000;
-  signal::Confirm c;
+  transport::Confirm c;
   c.tick = rig.now + 3600000;
   c.inTouch = true;
-  rig.plane.arrived(rig.now, "s1", c);
-  CHECK_FALSE(rig.plane.standing(rig.now + 10));
+  rig.reducer.arrived(rig.now, "s1", c);
+  CHECK_FALSE(rig.reducer.servingLease(rig.now + 10));
 }
 
 TEST_CASE("what is gone is freed: replicas, instances and nodes that come and go under new names") {
   Rig rig;
   for (std::uint64_t g = 2; g < 400; ++g) {
     std::string const n = std::to_string(g);
-    signal::News news;
+    transport::News news;
     QJsonObject pool = core::parseJson(R"({"generation":)" + n + R"(,"replicas":[{"address":"10.1.0.1:)" + n + R"(","zone":"z1","state":"serving"}]})").toObject();
     QJsonObject family = core::parseJson(R"({"template":{"stamp":1,"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]}},"instances":{"i)" + n +
                                          R"(":{"stamp":1,"spec":{}}}})").toObject();
     news.items = {{"pool:model", g, pool}, {"family:desk", g, family}};
-    rig.plane.arrived(rig.now, "s1", news);
+    rig.reducer.arrived(rig.now, "s1", news);
     rig.confirm();
-    rotor::Commands const c = rig.ask("q" + n, 1, "desk.i" + n);
-    REQUIRE(Rig::find<rotor::Connect>(c) != nullptr);
-    rig.plane.connected(rig.now, rig.next - 1);
-    rig.plane.firstWord(rig.now, rig.next - 1, true);
-    rig.plane.ended(rig.now, rig.next - 1, rotor::End::whole);
-    signal::Touch touch;
+    dataplane::Commands const c = rig.ask("q" + n, 1, "desk.i" + n);
+    REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
+    rig.reducer.connected(rig.now, rig.next - 1);
+    rig.reducer.firstWord(rig.now, rig.next - 1, true);
+    rig.reducer.ended(rig.now, rig.next - 1, dataplane::End::whole);
+    transport::Touch touch;
     touch.echo = touch.whole = true;
     touch.link = "node" + n;
     touch.tick = rig.now;
-    rig.plane.arrived(rig.now, touch.link, touch);
+    rig.reducer.arrived(rig.now, touch.link, touch);
     rig.now += 1000;
-    rig.plane.clockEvent(rig.now);
+    rig.reducer.clockEvent(rig.now);
   }
   rig.now += 70000;
-  rig.plane.clockEvent(rig.now);
+  rig.reducer.clockEvent(rig.now);
   rig.now += 11000;
-  rig.plane.clockEvent(rig.now);
-  rotor::Held const held = rig.plane.held();
+  rig.reducer.clockEvent(rig.now);
+  dataplane::Held const held = rig.reducer.held();
   CHECK(held.replicas <= 8);
   CHECK(held.instances <= 8);
   CHECK(held.credits <= 4);
@@ -765,13 +765,13 @@
 }
 
 TEST_CASE("ids that others ask about are trimmed on a node that has no callers of its own") {
-  rotor::Tuning tuning;
+  dataplane::Tuning tuning;
   tuning.seenBound = 50;
   Rig rig(tuning);
-  for (std::uint64_t i = 0; i < 300; ++i) rig.plane.arrived(rig.now, "n2", signal::SeenAsk{i, "desk.nord|" + std::to_string(i), 0, 0, "n2#1"});
+  for (std::uint64_t i = 0; i < 300; ++i) rig.reducer.arrived(rig.now, "n2", transport::SeenAsk{i, "desk.nord|" + std::to_string(i), 0, 0, "n2#1"});
   rig.now += 11000;
-  rig.plane.clockEvent(rig.now);
-  CHECK(rig.plane.held().ids <= 50);
+  rig.reducer.clockEvent(rig.now);
+  CHECK(rig.reducer.held().ids <= 50);
 }
 
 namespace {
@@ -779,12 +779,12 @@
 /// One plane with three tenants of one pool, and beside each credit a scaler that is looked at ten times a second.
 struct Twins {
   static constexpr std::uint64_t seed = 7;
-  rotor::Tuning tuning;
-  rotor::Plane plane;
+  dataplane::Tuning tuning;
+  dataplane::RequestRouter reducer;
   core::Tick now = 100000;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   std::set<int> replicas;
-  std::map<std::string, corkward::governor::Scaler> scalers;
+  std::map<std::string, corkward::scaling::Scaler> scalers;
   struct Call {
     std::string tenant;
     core::Index replica = 0;
@@ -792,8 +792,8 @@
   };
   std::map<std::uint64_t, Call> inHand;
 
-  static rotor::Tuning open() {
-    rotor::Tuning t;
+  static dataplane::Tuning open() {
+    dataplane::Tuning t;
     t.fenced = false;
     t.youngWait = 0;
     t.figures.ease = 0.9;
@@ -801,8 +801,8 @@
     t.figures.width = 0.5;
     return t;
   }
-  Twins() : tuning(open()), plane(Rig::self(), {"s1"}, seed, tuning) {
-    plane.started(0);
+  Twins() : tuning(open()), reducer(Rig::self(), {"s1"}, seed, tuning) {
+    reducer.started(0);
     list({1, 2, 3, 4, 5, 6});
   }
   static std::string address(int replica) { return "10.0.0." + std::to_string(replica) + ":80"; }
@@ -810,59 +810,59 @@
     replicas = serving;
     QJsonArray out;
     for (int const r : replicas) out.append(QJsonObject{{"address", core::qstr(address(r))}, {"zone", "z1"}, {"state", "serving"}});
-    signal::News news;
-    news.number = ++stamp;
-    news.whole = stamp == 1;
+    transport::News news;
+    news.number = ++revision;
+    news.whole = revision == 1;
     if (news.whole)
       news.items = {{"family:desk", 1, core::parseJson(R"({"template":{"stamp":1,"spec":{"paths":[{"path":"a","pool":"model","class":"short","aimMs":8000}]}},
                        "instances":{"nord":{"stamp":1,"spec":{}},"sued":{"stamp":1,"spec":{}},"west":{"stamp":1,"spec":{}}}})").toObject()}};
-    news.items.push_back({"pool:model", stamp, QJsonObject{{"generation", static_cast<qint64>(stamp)}, {"replicas", out}}});
-    plane.arrived(now, "s1", news);
+    news.items.push_back({"pool:model", revision, QJsonObject{{"generation", static_cast<qint64>(revision)}, {"replicas", out}}});
+    reducer.arrived(now, "s1", news);
     lookAtCandidates();
   }
   void lookAtCandidates() {
-    std::vector<corkward::governor::Candidate> all;
+    std::vector<corkward::scaling::Candidate> all;
     for (int const r : replicas) all.push_back({static_cast<core::Index>(r), false, core::stableHash("model|" + address(r))});
-    for (std::map<std::string, corkward::governor::Scaler>::value_type& s : scalers) s.second.candidates(all);
+    for (std::map<std::string, corkward::scaling::Scaler>::value_type& s : scalers) s.second.candidates(all);
   }
-  corkward::governor::Scaler& scaler(std::string const& tenant) {
-    std::map<std::string, corkward::governor::Scaler>::iterator it = scalers.find(tenant);
+  corkward::scaling::Scaler& scaler(std::string const& tenant) {
+    std::map<std::string, corkward::scaling::Scaler>::iterator it = scalers.find(tenant);
     if (it != scalers.end()) return it->second;
-    it = scalers.emplace(tenant, corkward::governor::Scaler(seed ^ core::stableHash("n1desk." + tenant), tuning.figures)).first;
+    it = scalers.emplace(tenant, corkward::scaling::Scaler(seed ^ core::stableHash("n1desk." + tenant), tuning.figures)).first;
     lookAtCandidates();
     return it->second;
   }
   void ask(std::string const& tenant, std::uint64_t call) {
-    rotor::Request r;
+    dataplane::Request r;
     r.call = call;
     r.instance = "desk." + tenant;
     r.path = "a";
-    rotor::Commands const c = plane.request(now, r);
-    rotor::Connect const* const connect = Rig::find<rotor::Connect>(c);
+    dataplane::Commands const c = reducer.request(now, r);
+    dataplane::Connect const* const connect = Rig::find<dataplane::Connect>(c);
     REQUIRE(connect != nullptr);
     core::Index const replica = static_cast<core::Index>(connect->address[7] - '0');
-    corkward::governor::Scaler& s = scaler(tenant);
+    corkward::scaling::Scaler& s = scaler(tenant);
     REQUIRE(s.makeRoom(false));
     s.sent(replica, false);
     s.look(now, 0);
-    plane.connected(now, call);
+    reducer.connected(now, call);
     inHand[call] = Call{tenant, replica, now};
   }
   void endOldest() {
     std::uint64_t const id = inHand.begin()->first;
     Call const call = inHand.begin()->second;
     inHand.erase(inHand.begin());
-    corkward::governor::Scaler& s = scaler(call.tenant);
-    plane.firstWord(now, id, true);
+    corkward::scaling::Scaler& s = scaler(call.tenant);
+    reducer.firstWord(now, id, true);
     s.firstWord(now, call.replica, now - call.handedAt, 8000);
-    plane.ended(now, id, rotor::End::whole);
+    reducer.ended(now, id, dataplane::End::whole);
     s.ended(call.replica, false);
     s.look(now, 0);
   }
   /// Part, cap and requests in flight of each credit, as the plane's metrics and as the scalers say them.
   void compare() const {
-    std::string const metrics = plane.metrics(now);
-    for (std::map<std::string, corkward::governor::Scaler>::value_type const& s : scalers) {
+    std::string const metrics = reducer.metrics(now);
+    for (std::map<std::string, corkward::scaling::Scaler>::value_type const& s : scalers) {
       std::string const labels = "{instance=\"desk." + s.first + "\",pool=\"model\"} ";
       for (std::string const& line : {"corkward_nacelle_part" + labels + std::to_string(s.second.part().size()) + "\n",
                                       "corkward_nacelle_cap" + labels + std::to_string(s.second.cap()) + "\n",
@@ -895,42 +895,42 @@
         if (r == 1 || rng.chance(0.6)) serving.insert(r);
       twins.list(serving);
     }
-    twins.plane.clockEvent(twins.now);
+    twins.reducer.clockEvent(twins.now);
     if (tick % 2 == 0) {
       twins.lookAtCandidates();
-      for (std::map<std::string, corkward::governor::Scaler>::value_type& s : twins.scalers) s.second.look(twins.now, 0);
+      for (std::map<std::string, corkward::scaling::Scaler>::value_type& s : twins.scalers) s.second.look(twins.now, 0);
     }
     twins.compare();
-    for (std::map<std::string, corkward::governor::Scaler>::value_type const& s : twins.scalers) widest = std::max(widest, s.second.part().size());
-    allAsleep += twins.scalers.size() == 3 && twins.plane.held().creditsAwake == 0 ? 1 : 0;
+    for (std::map<std::string, corkward::scaling::Scaler>::value_type const& s : twins.scalers) widest = std::max(widest, s.second.part().size());
+    allAsleep += twins.scalers.size() == 3 && twins.reducer.held().creditsAwake == 0 ? 1 : 0;
   }
   CHECK(widest >= 3);
   CHECK(twins.scalers.size() == 3);
   CHECK(allAsleep > 200);
 }
 
-TEST_CASE("answers as old as a beat and a far way make no node ask its neighbours for ages, silence soon does") {
+TEST_CASE("answers as old as a heartbeat and a far way make no node ask its neighbours for ages, silence soon does") {
   Rig rig;
-  std::vector<std::pair<core::Tick, signal::Confirm>> under;
+  std::vector<std::pair<core::Tick, transport::Confirm>> under;
   std::size_t wanted = 0;
   core::Tick firstWanted = -1;
   core::Tick const silentFrom = rig.now + 20000;
   for (core::Tick const until = silentFrom + 2000; rig.now < until; rig.now += 20) {
-    std::erase_if(under, [&](std::pair<core::Tick, signal::Confirm> const& u) {
+    std::erase_if(under, [&](std::pair<core::Tick, transport::Confirm> const& u) {
       if (u.first > rig.now) return false;
-      rig.plane.arrived(rig.now, "s1", u.second);
+      rig.reducer.arrived(rig.now, "s1", u.second);
       return true;
     });
-    for (signal::Send const& s : rig.plane.clockEvent(rig.now).sends) {
-      if (signal::Ask const* const ask = std::get_if<signal::Ask>(&s.message); ask != nullptr && rig.now < silentFrom) {
-        signal::Confirm c;
+    for (transport::Send const& s : rig.reducer.clockEvent(rig.now).sends) {
+      if (transport::Ask const* const ask = std::get_if<transport::Ask>(&s.message); ask != nullptr && rig.now < silentFrom) {
+        transport::Confirm c;
         c.tick = ask->tick;
         c.inTouch = true;
         c.age = 190;
         c.digest = ask->digest;
         under.emplace_back(rig.now + 40, c);
       }
-      signal::Touch const* const touch = std::get_if<signal::Touch>(&s.message);
+      transport::Touch const* const touch = std::get_if<transport::Touch>(&s.message);
       if (touch == nullptr || !touch->wantAges) continue;
       wanted += rig.now < silentFrom ? 1 : 0;
       if (rig.now >= silentFrom && firstWanted < 0) firstWanted = rig.now;
--- a/rotor/test/stream_test.cpp
+++ b/dataplane/test/stream_test.cpp
@@ -1,10 +1,10 @@
 #include <catch2/catch.hpp>
 
 #include <corkward/core/types.h>
-#include <corkward/rotor/stream.h>
+#include <corkward/dataplane/stream.h>
 
 namespace core = corkward::core;
-namespace rotor = corkward::rotor;
+namespace dataplane = corkward::dataplane;
 
 namespace {
 
@@ -23,7 +23,7 @@
   return out;
 }
 
-rotor::Head rowHead() { return {.status = 200, .fields = {{"content-type", "text/event-stream"}}, .events = true}; }
+dataplane::Head rowHead() { return {.status = 200, .fields = {{"content-type", "text/event-stream"}}, .events = true}; }
 
 /// What a caller has after the steps.
 struct Caller {
@@ -31,9 +31,9 @@
   int begun = 0;
   std::int64_t length = 0;
   int finished = 0;
-  std::optional<rotor::End> end;
+  std::optional<dataplane::End> end;
 
-  void take(rotor::StreamSteps const& s) {
+  void take(dataplane::StreamSteps const& s) {
     if (s.begin) {
       ++begun;
       length = s.begin->length;
@@ -44,7 +44,7 @@
   }
 };
 
-void feed(rotor::Stream& s, Caller& c, std::string const& bytes, std::size_t step) {
+void feed(dataplane::Stream& s, Caller& c, std::string const& bytes, std::size_t step) {
   for (std::size_t at = 0; at < bytes.size(); at += step) c.take(s.piece(bytes.substr(at, step)));
 }
 
@@ -55,14 +55,14 @@
   std::size_t const step = GENERATE(1, 2, 3, 7, 1000);
   std::string const all = row(0, eol);
   for (std::size_t cut = 0; cut <= all.size(); ++cut) {
-    rotor::Stream s;
+    dataplane::Stream s;
     Caller c;
     s.asEvents("");
     s.connecting(false);
     c.take(s.head(rowHead()));
     feed(s, c, all.substr(0, cut), step);
     c.take(s.ended(false));
-    REQUIRE(c.end == rotor::End::broken);
+    REQUIRE(c.end == dataplane::End::broken);
     REQUIRE(all.rfind(c.got, 0) == 0);
     bool const resume = s.begun();
     s.connecting(resume);
@@ -72,7 +72,7 @@
     c.take(s.head(rowHead()));
     feed(s, c, row(s.lastEvent().empty() ? 0 : std::stoi(s.lastEvent()), eol), step);
     c.take(s.ended(true));
-    REQUIRE(c.end == rotor::End::whole);
+    REQUIRE(c.end == dataplane::End::whole);
     REQUIRE(c.got == all);
     REQUIRE(c.begun == 1);
     REQUIRE(c.length == -1);
@@ -81,7 +81,7 @@
 }
 
 TEST_CASE("an event whose id is not above the last one passed on ends the answer before it") {
-  rotor::Stream s;
+  dataplane::Stream s;
   Caller c;
   s.asEvents("");
   s.connecting(false);
@@ -105,27 +105,27 @@
     CHECK_FALSE(c.end);
     c.take(s.ended(true));
   }
-  CHECK(c.end == rotor::End::otherRun);
+  CHECK(c.end == dataplane::End::otherRun);
   CHECK(c.finished == 0);
   CHECK(s.piece("id: 12\ndata: d\n\n").piece.empty());
 }
 
 TEST_CASE("only a row of events goes on with a row of events") {
-  rotor::Stream s;
+  dataplane::Stream s;
   s.asEvents("");
   s.connecting(false);
   s.head(rowHead());
   s.piece("id: 1\ndata: a\n\n");
   s.ended(false);
   s.connecting(true);
-  SECTION("another status") { CHECK(s.head({.status = 500, .events = true}).ended == rotor::End::otherRun); }
-  SECTION("another type") { CHECK(s.head({.status = 200}).ended == rotor::End::otherRun); }
-  SECTION("said not to have run") { CHECK(s.head({.status = 503, .notRun = true}).ended == rotor::End::notRun); }
-  SECTION("an answer to another request") { CHECK(s.head({.status = 200, .foreign = true, .events = true}).ended == rotor::End::broken); }
+  SECTION("another status") { CHECK(s.head({.status = 500, .events = true}).ended == dataplane::End::otherRun); }
+  SECTION("another type") { CHECK(s.head({.status = 200}).ended == dataplane::End::otherRun); }
+  SECTION("said not to have run") { CHECK(s.head({.status = 503, .notRun = true}).ended == dataplane::End::notRun); }
+  SECTION("an answer to another request") { CHECK(s.head({.status = 200, .foreign = true, .events = true}).ended == dataplane::End::broken); }
   SECTION("shorter than its length") {
     s.head({.status = 200, .length = 99, .events = true});
     s.piece("id: 2\ndata: b\n\n");
-    CHECK(s.ended(true).ended == rotor::End::broken);
+    CHECK(s.ended(true).ended == dataplane::End::broken);
   }
   SECTION("empty and whole") {
     s.head({.status = 200, .length = 0, .events = true});
@@ -134,20 +134,20 @@
 }
 
 TEST_CASE("events without an id are passed on once, and nothing is asked for after them") {
-  rotor::Stream s;
+  dataplane::Stream s;
   s.asEvents("");
   s.connecting(false);
   s.head(rowHead());
-  rotor::StreamSteps const first = s.piece("data: a\n\n");
+  dataplane::StreamSteps const first = s.piece("data: a\n\n");
   CHECK(first.piece == "data: a\n\n");
   CHECK(first.firstWord == false);
   s.ended(false);
   s.connecting(true);
-  CHECK(s.head(rowHead()).ended == rotor::End::otherRun);
+  CHECK(s.head(rowHead()).ended == dataplane::End::otherRun);
 }
 
 TEST_CASE("an answer that broke before anything was passed on starts over at another replica") {
-  rotor::Stream s;
+  dataplane::Stream s;
   Caller c;
   s.asEvents("4");
   s.connecting(false);
@@ -178,7 +178,7 @@
 }
 
 TEST_CASE("a whole answer with an empty body goes out, and one to HEAD keeps its length") {
-  rotor::Stream s;
+  dataplane::Stream s;
   Caller c;
   bool const asEvents = GENERATE(false, true);
   if (asEvents) s.asEvents("");
@@ -189,28 +189,28 @@
   c.take(s.ended(true));
   CHECK(c.begun == 1);
   CHECK(c.finished == 1);
-  CHECK(c.end == rotor::End::whole);
+  CHECK(c.end == dataplane::End::whole);
 }
 
 TEST_CASE("an event without an end is given up at its bound") {
-  rotor::Stream s;
+  dataplane::Stream s;
   Caller c;
   s.asEvents("");
   s.connecting(false);
   s.head(rowHead());
   std::string const part(64 << 10, 'x');
   for (int i = 0; i < 40 && !c.end; ++i) c.take(s.piece(part));
-  CHECK(c.end == rotor::End::broken);
+  CHECK(c.end == dataplane::End::broken);
   CHECK(c.begun == 0);
 }
 
 TEST_CASE("a foreign answer breaks the call with nothing passed on") {
-  rotor::Stream s;
+  dataplane::Stream s;
   bool const asEvents = GENERATE(false, true);
   if (asEvents) s.asEvents("");
   s.connecting(false);
-  rotor::StreamSteps const out = s.head({.status = 200, .length = 2, .foreign = true, .events = asEvents});
-  CHECK(out.ended == rotor::End::broken);
+  dataplane::StreamSteps const out = s.head({.status = 200, .length = 2, .foreign = true, .events = asEvents});
+  CHECK(out.ended == dataplane::End::broken);
   CHECK(out.abandon);
   CHECK(s.piece("ab").piece.empty());
   CHECK_FALSE(s.ended(true).finish);
@@ -222,11 +222,11 @@
   for (int round = 0; round < 3000; ++round) {
     std::string bytes;
     for (std::uint64_t i = rng.below(40); i > 0; --i) bytes += parts[rng.below(std::size(parts))];
-    rotor::Stream whole;
-    rotor::Stream cut;
+    dataplane::Stream whole;
+    dataplane::Stream cut;
     Caller one;
     Caller many;
-    for (rotor::Stream* const s : {&whole, &cut}) {
+    for (dataplane::Stream* const s : {&whole, &cut}) {
       s->asEvents("");
       s->connecting(false);
       s->head(rowHead());
@@ -243,6 +243,6 @@
     REQUIRE(bytes.rfind(many.got, 0) == 0);
     REQUIRE(one.end == many.end);
     REQUIRE(one.got == many.got);
-    if (one.end == rotor::End::whole) REQUIRE(one.got == bytes);
+    if (one.end == dataplane::End::whole) REQUIRE(one.got == bytes);
   }
 }
--- a/docs/capacity/tables.py
+++ b/docs/capacity/tables.py
@@ -126,66 +126,66 @@
 
 # What is listed as a slope: group, measure, role, unit, what it is, and the target's size.
 SLOPES = [
-    ("rest-nodes", "sent.confirmations", "nacelle", "messages/s", "confirmations asked for, per node", "nodes"),
-    ("rest-nodes", "sent.confirmations", "nacelle", "bytes/s", "the same", "nodes"),
-    ("rest-nodes", "sent.confirmations", "substation", "bytes/s", "confirmations given, per control machine", "nodes"),
-    ("rest-nodes", "sent.contacts", "nacelle", "messages/s", "contacts, per node", "nodes"),
-    ("rest-nodes", "sent.contacts", "nacelle", "bytes/s", "the same", "nodes"),
-    ("rest-nodes", "sent.shuffles", "nacelle", "messages/s", "shuffles, per node", "nodes"),
-    ("rest-nodes", "sent.shuffles", "nacelle", "bytes/s", "the same", "nodes"),
-    ("rest-nodes", "sent.beats", "substation", "bytes/s", "beats, per control machine", "nodes"),
-    ("rest-nodes", "sent.all", "nacelle", "bytes/s", "all that a node sends at rest", "nodes"),
-    ("rest-nodes", "cpu.all", "nacelle", "us/s", "processor time of a node at rest", "nodes"),
-    ("rest-nodes", "cpu.clock", "nacelle", "us/s", "of that, clock events", "nodes"),
-    ("rest-nodes", "cpu.all", "substation", "us/s", "processor time of a control machine at rest", "nodes"),
-    ("rest-nodes", "cpu.clock", "substation", "us/s", "of that, clock events", "nodes"),
-    ("rest-nodes", "state", "nacelle", "bytes", "state of a node", "nodes"),
-    ("rest-nodes", "state", "substation", "bytes", "state of a control machine", "nodes"),
+    ("rest-nodes", "sent.confirmations", "router", "messages/s", "confirmations asked for, per node", "nodes"),
+    ("rest-nodes", "sent.confirmations", "router", "bytes/s", "the same", "nodes"),
+    ("rest-nodes", "sent.confirmations", "controller", "bytes/s", "confirmations given, per control machine", "nodes"),
+    ("rest-nodes", "sent.contacts", "router", "messages/s", "contacts, per node", "nodes"),
+    ("rest-nodes", "sent.contacts", "router", "bytes/s", "the same", "nodes"),
+    ("rest-nodes", "sent.shuffles", "router", "messages/s", "shuffles, per node", "nodes"),
+    ("rest-nodes", "sent.shuffles", "router", "bytes/s", "the same", "nodes"),
+    ("rest-nodes", "sent.beats", "controller", "bytes/s", "heartbeats, per control machine", "nodes"),
+    ("rest-nodes", "sent.all", "router", "bytes/s", "all that a node sends at rest", "nodes"),
+    ("rest-nodes", "cpu.all", "router", "us/s", "processor time of a node at rest", "nodes"),
+    ("rest-nodes", "cpu.clock", "router", "us/s", "of that, clock events", "nodes"),
+    ("rest-nodes", "cpu.all", "controller", "us/s", "processor time of a control machine at rest", "nodes"),
+    ("rest-nodes", "cpu.clock", "controller", "us/s", "of that, clock events", "nodes"),
+    ("rest-nodes", "state", "router", "bytes", "state of a node", "nodes"),
+    ("rest-nodes", "state", "controller", "bytes", "state of a control machine", "nodes"),
     ("rest-nodes", "page.fleet", "operator", "bytes", "the page of the fleet that the tools read", "nodes"),
-    ("links-nodes", "links.held", "nacelle", "links", "links that a node holds", "nodes"),
-    ("links-nodes", "links.dialled", "nacelle", "links/s", "links that a node dials", "nodes"),
-    ("links-nodes", "links.held", "substation", "links", "links that a control machine holds", "nodes"),
-    ("links-nodes", "links.dialled", "substation", "links/s", "links that a control machine dials", "nodes"),
-    ("rest-templates", "sent.all", "nacelle", "bytes/s", "all that a node sends at rest, by keys (a family each)", None),
-    ("rest-templates", "cpu.all", "substation", "us/s", "processor time of a control machine, by keys", None),
-    ("rest-changes", "sent.news", "nacelle", "bytes/s", "acknowledged news, per node, by changes a day", "changes"),
-    ("rest-changes", "sent.news", "substation", "bytes/s", "news, per control machine, by changes a day", "changes"),
-    ("change-tenants", "change.taken.news", "nacelle", "bytes", "one change's news at a node, by tenants", "tenants"),
-    ("change-tenants", "change.cpu.news", "nacelle", "us", "processor time of one change at a node", "tenants"),
-    ("change-tenants", "change.cpu.agreement", "substation", "us", "processor time of one change's agreement", "tenants"),
-    ("change-tenants", "change.disk", "substation", "bytes", "bytes on disk of one change", "tenants"),
-    ("change-nodes", "change.sent.news", "substation", "bytes", "one change's news at a control machine", "nodes"),
+    ("links-nodes", "links.held", "router", "links", "links that a node holds", "nodes"),
+    ("links-nodes", "links.dialled", "router", "links/s", "links that a node dials", "nodes"),
+    ("links-nodes", "links.held", "controller", "links", "links that a control machine holds", "nodes"),
+    ("links-nodes", "links.dialled", "controller", "links/s", "links that a control machine dials", "nodes"),
+    ("rest-templates", "sent.all", "router", "bytes/s", "all that a node sends at rest, by keys (a family each)", None),
+    ("rest-templates", "cpu.all", "controller", "us/s", "processor time of a control machine, by keys", None),
+    ("rest-changes", "sent.news", "router", "bytes/s", "acknowledged news, per node, by changes a day", "changes"),
+    ("rest-changes", "sent.news", "controller", "bytes/s", "news, per control machine, by changes a day", "changes"),
+    ("change-tenants", "change.taken.news", "router", "bytes", "one change's news at a node, by tenants", "tenants"),
+    ("change-tenants", "change.cpu.news", "router", "us", "processor time of one change at a node", "tenants"),
+    ("change-tenants", "change.cpu.agreement", "controller", "us", "processor time of one change's agreement", "tenants"),
+    ("change-tenants", "change.disk", "controller", "bytes", "bytes on disk of one change", "tenants"),
+    ("change-nodes", "change.sent.news", "controller", "bytes", "one change's news at a control machine", "nodes"),
     ("change-nodes", "in_force.most", "operator", "ms", "longest time until a change is in force", "nodes"),
     ("change-tenants", "in_force.most", "operator", "ms", "the same by tenants", "tenants"),
-    ("outage-nodes", "join.sent", "substation", "bytes", "a new node on the roster, per control machine", "nodes"),
-    ("outage-nodes", "join.taken", "nacelle", "bytes", "a new node on the roster, per node", "nodes"),
-    ("outage-nodes", "recover", "nacelle", "ms", "until all stand again after an outage of all", "nodes"),
-    ("outage-tenants", "restart.image", "substation", "bytes", "image for a node that starts, per control machine", "tenants"),
-    ("outage-tenants", "copy", "substation", "bytes in all", "copy of a member", "tenants"),
-    ("outage-tenants", "copy", "substation", "ms", "until a copied member votes", "tenants"),
-    ("outage-control", "found", "substation", "ms", "until the cohort is founded, by control machines", "control"),
-    ("state-tenants", "configured", "nacelle", "bytes", "blueprint at a node, by tenants (instances)", "tenants"),
-    ("state-tenants", "configured", "substation", "bytes", "blueprint at a control machine", "tenants"),
-    ("state-tenants", "credits", "nacelle", "bytes", "credits, one a tenant, whole pool in each part", "tenants"),
+    ("outage-nodes", "join.sent", "controller", "bytes", "a new node on the roster, per control machine", "nodes"),
+    ("outage-nodes", "join.taken", "router", "bytes", "a new node on the roster, per node", "nodes"),
+    ("outage-nodes", "recover", "router", "ms", "until all stand again after an outage of all", "nodes"),
+    ("outage-tenants", "restart.image", "controller", "bytes", "snapshot for a node that starts, per control machine", "tenants"),
+    ("outage-tenants", "copy", "controller", "bytes in all", "copy of a member", "tenants"),
+    ("outage-tenants", "copy", "controller", "ms", "until a copied member votes", "tenants"),
+    ("outage-control", "found", "controller", "ms", "until the membership is founded, by control machines", "control"),
+    ("state-tenants", "configured", "router", "bytes", "configuration at a node, by tenants (instances)", "tenants"),
+    ("state-tenants", "configured", "controller", "bytes", "configuration at a control machine", "tenants"),
+    ("state-tenants", "credits", "router", "bytes", "credits, one a tenant, whole pool in each part", "tenants"),
     ("state-tenants", "page.metrics", "operator", "bytes", "a node's metrics page", "tenants"),
-    ("state-paths", "configured", "nacelle", "bytes", "blueprint at a node, by paths of 300 tenants", None),
-    ("state-replicas", "configured", "nacelle", "bytes", "lists at a node, by replicas", "replicas"),
-    ("state-calls", "calls", "nacelle", "bytes", "calls in hand", None),
-    ("state-calls", "streams", "nacelle", "bytes", "their streams", None),
-    ("state-ids", "ids", "nacelle", "bytes", "ids of requests, bounded", None),
-    ("state-prefixes", "prefixes", "nacelle", "bytes", "prefixes and sessions, bounded", None),
-    ("cost-tenants", "request", "nacelle", "us", "one request, by credits in use", "tenants"),
-    ("cost-tenants", "clock", "nacelle", "us/s", "a node's clock events, by credits in use, 600 replicas", "tenants"),
-    ("cost-replicas", "request", "nacelle", "us", "one request, by replicas", "replicas"),
-    ("cost-replicas", "clock", "nacelle", "us/s", "a node's clock events, by replicas, 300 tenants", "replicas"),
-    ("cost-calls", "request", "nacelle", "us", "one request, by calls in hand", None),
-    ("cost-calls", "clock", "nacelle", "us/s", "a node's clock events, by calls in hand", None),
-    ("cost-calls", "piece", "nacelle", "us", "one piece of a stream", None),
-    ("real", "real.cpu", "nacelle", "us/s", "a real node process at rest", "nodes"),
-    ("real", "real.own", "nacelle", "bytes", "its own memory", None),
-    ("real", "real.resident", "nacelle", "bytes", "its resident memory, libraries included", None),
-    ("real", "real.threads", "nacelle", "threads", "its threads", None),
-    ("real", "real.cpu", "substation", "us/s", "a real control process at rest", "nodes"),
+    ("state-paths", "configured", "router", "bytes", "configuration at a node, by paths of 300 tenants", None),
+    ("state-replicas", "configured", "router", "bytes", "lists at a node, by replicas", "replicas"),
+    ("state-calls", "calls", "router", "bytes", "calls in hand", None),
+    ("state-calls", "streams", "router", "bytes", "their streams", None),
+    ("state-ids", "ids", "router", "bytes", "ids of requests, bounded", None),
+    ("state-prefixes", "prefixes", "router", "bytes", "prefixes and sessions, bounded", None),
+    ("cost-tenants", "request", "router", "us", "one request, by credits in use", "tenants"),
+    ("cost-tenants", "clock", "router", "us/s", "a node's clock events, by credits in use, 600 replicas", "tenants"),
+    ("cost-replicas", "request", "router", "us", "one request, by replicas", "replicas"),
+    ("cost-replicas", "clock", "router", "us/s", "a node's clock events, by replicas, 300 tenants", "replicas"),
+    ("cost-calls", "request", "router", "us", "one request, by calls in hand", None),
+    ("cost-calls", "clock", "router", "us/s", "a node's clock events, by calls in hand", None),
+    ("cost-calls", "piece", "router", "us", "one piece of a stream", None),
+    ("real", "real.cpu", "router", "us/s", "a real node process at rest", "nodes"),
+    ("real", "real.own", "router", "bytes", "its own memory", None),
+    ("real", "real.resident", "router", "bytes", "its resident memory, libraries included", None),
+    ("real", "real.threads", "router", "threads", "its threads", None),
+    ("real", "real.cpu", "controller", "us/s", "a real control process at rest", "nodes"),
 ]
 
 
@@ -214,7 +214,7 @@
         if group != "rest-nodes" or not measure.startswith("pack."):
             continue
         kind = measure[5:]
-        taker = role if f.get(group, "unpack." + kind, role, unit) else {"nacelle": "substation", "substation": "nacelle"}[role]
+        taker = role if f.get(group, "unpack." + kind, role, unit) else {"router": "controller", "controller": "router"}[role]
         rows.append((kind, role, number(f.at(group, "size." + kind, role, "bytes/message", nodes)), number(f.at(group, measure, role, unit, nodes)),
                      taker, number(f.at(group, "unpack." + kind, taker, unit, nodes)), number(f.at(group, "handle." + kind, taker, unit, nodes))))
     return table(["message", "sent by", "bytes", "pack, us", "taken by", "unpack, us", "handle, us"], rows)
@@ -237,7 +237,7 @@
         self.joins = TARGET["restarts"] / DAY
         self.bytes = {}
         self.cpu = {}
-        for role in ("nacelle", "substation"):
+        for role in ("router", "controller"):
             rest = f.at("rest-nodes", "sent.all", role, "bytes/s", n) + f.at("rest-nodes", "taken.all", role, "bytes/s", n)
             change = sum(f.only("target-change", "change.%s.%s" % (way, duty), role, "bytes")
                          for way in ("sent", "taken") for duty in CHANGE_DUTIES)
@@ -245,37 +245,37 @@
             self.bytes[role] = {"rest": rest, "changes": change * self.changes, "joins": join * self.joins, "one change": change}
             change_cpu = sum(f.only("target-change", "change.cpu." + duty, role, "us") for duty in CHANGE_DUTIES)
             self.cpu[role] = {"rest": f.at("rest-nodes", "cpu.all", role, "us/s", n), "changes": change_cpu * self.changes, "one change": change_cpu}
-        self.image = f.at("outage-tenants", "restart.image", "substation", "bytes", t)
-        self.fanout = self.bytes["substation"]["one change"]
+        self.snapshot = f.at("outage-tenants", "restart.image", "controller", "bytes", t)
+        self.fanout = self.bytes["controller"]["one change"]
 
 
 def node(f):
     t = Target(f)
-    bytes_ = t.bytes["nacelle"]
-    cpu = t.cpu["nacelle"]
+    bytes_ = t.bytes["router"]
+    cpu = t.cpu["router"]
     traffic = bytes_["rest"] + bytes_["changes"] + bytes_["joins"]
-    contacts = sum(f.at("rest-nodes", way + ".contacts", "nacelle", "bytes/s", TARGET["nodes"]) for way in ("sent", "taken"))
-    confirm = sum(f.at("rest-nodes", way + ".confirmations", "nacelle", "bytes/s", TARGET["nodes"]) for way in ("sent", "taken"))
-    shuffles = sum(f.at("rest-nodes", way + ".shuffles", "nacelle", "bytes/s", TARGET["nodes"]) for way in ("sent", "taken"))
-    largest, real = f.get("real", "real.cpu", "nacelle", "us/s")[-1]
-    at_none, each_node, _ = fit(f.get("real", "real.cpu", "nacelle", "us/s"))
+    contacts = sum(f.at("rest-nodes", way + ".contacts", "router", "bytes/s", TARGET["nodes"]) for way in ("sent", "taken"))
+    confirm = sum(f.at("rest-nodes", way + ".confirmations", "router", "bytes/s", TARGET["nodes"]) for way in ("sent", "taken"))
+    shuffles = sum(f.at("rest-nodes", way + ".shuffles", "router", "bytes/s", TARGET["nodes"]) for way in ("sent", "taken"))
+    largest, real = f.get("real", "real.cpu", "router", "us/s")[-1]
+    at_none, each_node, _ = fit(f.get("real", "real.cpu", "router", "us/s"))
     drawn = at_none + each_node * TARGET["nodes"]
-    messages = sum(f.at("rest-nodes", way + ".all", "nacelle", "messages/s", TARGET["nodes"]) for way in ("sent", "taken"))
-    sent = f.at("rest-nodes", "sent.all", "nacelle", "bytes/s", TARGET["nodes"])
-    base = f.at("real", "real.own", "nacelle", "bytes", TARGET["nodes"])
-    resident = f.at("real", "real.resident", "nacelle", "bytes", TARGET["nodes"])
-    contacts_state = f.at("rest-nodes", "state", "nacelle", "bytes", TARGET["nodes"])
-    blueprint = f.at("state-tenants", "configured", "nacelle", "bytes", TARGET["tenants"])
-    credits = f.at("state-tenants", "credits", "nacelle", "bytes", TARGET["tenants"])
-    calls = sum(f.at("state-calls", m, "nacelle", "bytes", t.calls) for m in ("calls", "streams"))
-    ids = f.at("state-ids", "ids", "nacelle", "bytes", t.ids)
-    prefixes = max((y for _, y in f.get("state-prefixes", "prefixes", "nacelle", "bytes")))
-    held = max((y for _, y in f.get("state-prefixes", "held.prefixes", "nacelle", "prefixes")))
+    messages = sum(f.at("rest-nodes", way + ".all", "router", "messages/s", TARGET["nodes"]) for way in ("sent", "taken"))
+    sent = f.at("rest-nodes", "sent.all", "router", "bytes/s", TARGET["nodes"])
+    base = f.at("real", "real.own", "router", "bytes", TARGET["nodes"])
+    resident = f.at("real", "real.resident", "router", "bytes", TARGET["nodes"])
+    contacts_state = f.at("rest-nodes", "state", "router", "bytes", TARGET["nodes"])
+    configuration = f.at("state-tenants", "configured", "router", "bytes", TARGET["tenants"])
+    credits = f.at("state-tenants", "credits", "router", "bytes", TARGET["tenants"])
+    calls = sum(f.at("state-calls", m, "router", "bytes", t.calls) for m in ("calls", "streams"))
+    ids = f.at("state-ids", "ids", "router", "bytes", t.ids)
+    prefixes = max((y for _, y in f.get("state-prefixes", "prefixes", "router", "bytes")))
+    held = max((y for _, y in f.get("state-prefixes", "held.prefixes", "router", "prefixes")))
     each = prefixes / held
-    control_memory = resident + contacts_state + blueprint
-    clock = f.at("cost-tenants", "clock", "nacelle", "us/s", TARGET["tenants"])
-    request = f.at("cost-tenants", "request", "nacelle", "us", TARGET["tenants"])
-    piece = f.at("cost-calls", "piece", "nacelle", "us", 254)
+    control_memory = resident + contacts_state + configuration
+    clock = f.at("cost-tenants", "clock", "router", "us/s", TARGET["tenants"])
+    request = f.at("cost-tenants", "request", "router", "us", TARGET["tenants"])
+    piece = f.at("cost-calls", "piece", "router", "us", 254)
     spread = each * (TARGET["prefixes"] + TARGET["sessions"] / TARGET["nodes"])
     anywhere = each * (TARGET["prefixes"] + TARGET["sessions"])
     rows = [
@@ -292,14 +292,14 @@
         ("that drawn out by the line through all sizes", f"{100 * drawn / 1e6:.2g}%", "1.2%", verdict(drawn, ALLOWED_CPU), "messages are as many at any size"),
         ("messages a second, sent and taken", number(messages), "", "", "two held control machines, two neighbours"),
         ("one change, ms", f"{cpu['one change'] / 1e3:.3g}", "", "", "a family is rendered as one; will be: only the instance that changed"),
-        ("**memory** of control, bytes", number(control_memory), number(ALLOWED_MEMORY), verdict(control_memory, ALLOWED_MEMORY), "process, contacts and blueprint"),
-        ("process with its libraries, resident (of that its own), drawn out", f"{number(resident)} ({number(base)})", "", "", f"libraries, and links of the last twenty seconds: {number(f.at('links-nodes', 'links.held', 'nacelle', 'links', TARGET['nodes']))} held, {number(f.at('links-nodes', 'links.dialled', 'nacelle', 'links/s', TARGET['nodes']))} dialled a second; the line of memory is drawn past the size at which these stop growing"),
-        ("contacts, roster, stamps", number(contacts_state), "", "", "the roster and an age for each of it"),
-        ("blueprint: 2,900 tenants, 600 replicas", number(blueprint), "", "", "each path of each instance is rendered; will be: rendered on first use"),
+        ("**memory** of control, bytes", number(control_memory), number(ALLOWED_MEMORY), verdict(control_memory, ALLOWED_MEMORY), "process, contacts and configuration"),
+        ("process with its libraries, resident (of that its own), drawn out", f"{number(resident)} ({number(base)})", "", "", f"libraries, and links of the last twenty seconds: {number(f.at('links-nodes', 'links.held', 'router', 'links', TARGET['nodes']))} held, {number(f.at('links-nodes', 'links.dialled', 'router', 'links/s', TARGET['nodes']))} dialled a second; the line of memory is drawn past the size at which these stop growing"),
+        ("contacts, roster, revisions", number(contacts_state), "", "", "the roster and an age for each of it"),
+        ("configuration: 2,900 tenants, 600 replicas", number(configuration), "", "", "each path of each instance is rendered; will be: rendered on first use"),
         ("memory with the state of the next rows added, bytes", number(control_memory + calls + credits + ids + prefixes), "", "", "the allowance is for control alone; ids, prefixes and credits are bounded or by tenant"),
         ("*requests*: in hand", f"{t.calls:.0f} calls, {number(calls)} bytes", "", "", f"{t.requests:.3g} a second, {t.lasts:.3g} s each"),
         ("*requests*: processor time of the reducer, share of a core", f"{100 * t.requests * request / 1e6:.2g}%", "", "", f"{number(request)} us each with 2,900 credits; grows with credits in use"),
-        ("*pieces*: the same at one token a piece", f"{100 * TARGET['tokens'] / TARGET['nodes'] * piece / 1e6:.2g}%", "", "", f"{number(piece)} us each; the door's sockets are not in it"),
+        ("*pieces*: the same at one token a piece", f"{100 * TARGET['tokens'] / TARGET['nodes'] * piece / 1e6:.2g}%", "", "", f"{number(piece)} us each; the HTTP edge's sockets are not in it"),
         ("*credits*: processor time of looks, share of a core", f"{100 * clock / 1e6:.3g}%", "100%", verdict(clock, 1e6),
          "looks at credits that are awake, here all 2,900, with the whole pool in each part; at rest they cost nothing"),
         ("*credits*: state", f"{number(credits)} bytes", "", "", "one for each tenant that the node has served, with the whole pool in each part; candidates are shared by pool"),
@@ -314,29 +314,29 @@
 
 def control(f):
     t = Target(f)
-    bytes_ = t.bytes["substation"]
-    cpu = t.cpu["substation"]
+    bytes_ = t.bytes["controller"]
+    cpu = t.cpu["controller"]
     n = TARGET["nodes"]
     traffic = bytes_["rest"] + bytes_["changes"] + bytes_["joins"]
-    nodes_state = f.at("rest-nodes", "state", "substation", "bytes", n)
-    blueprint = f.at("state-tenants", "configured", "substation", "bytes", TARGET["tenants"])
+    nodes_state = f.at("rest-nodes", "state", "controller", "bytes", n)
+    configuration = f.at("state-tenants", "configured", "controller", "bytes", TARGET["tenants"])
     burst = t.fanout * TARGET["control"]
-    real = f.at("real", "real.cpu", "substation", "us/s", n)
+    real = f.at("real", "real.cpu", "controller", "us/s", n)
     rows = [
         ("messages at rest, bytes/s sent and taken", number(bytes_["rest"]), "each node asks two of the control machines"),
-        ("of that, beats among control machines", number(2 * f.at("rest-nodes", "sent.beats", "substation", "bytes/s", n)), "digests of the keys; flat in nodes"),
+        ("of that, heartbeats among control machines", number(2 * f.at("rest-nodes", "sent.beats", "controller", "bytes/s", n)), "digests of the keys; flat in nodes"),
         ("changes, 550 a day, bytes/s", number(bytes_["changes"]), "each pushes each change to the nodes that it holds, and tells the others how far it is"),
         ("one change, bytes sent and taken", number(bytes_["one change"]), f"{number(burst)} in all six, the whole family each time; will be: only what changed, from one of the two"),
         ("new nodes, bytes/s", number(bytes_["joins"]), "roster as a whole text; will be: as changes"),
-        ("one node that starts, bytes, a mean over the control machines", number(t.image), "whole images from the two that it holds; will be: from one"),
+        ("one node that starts, bytes, a mean over the control machines", number(t.snapshot), "whole snapshots from the two that it holds; will be: from one"),
         ("all traffic, bytes/s", number(traffic), "no allowance said"),
         ("processor time at rest, share of a core", f"{100 * cpu['rest'] / 1e6:.3g}%", "confirmations, and clock events that walk every held node"),
         ("the same of real processes, drawn out from the two largest sizes", f"{100 * real / 1e6:.3g}%", "links and threads included; 3 control machines there, so each holds twice as many nodes"),
         ("processor time of one change, ms", f"{cpu['one change'] / 1e3:.3g}", "judged, packed and written as a whole family; its messages to 350 nodes"),
         ("processor time of changes, share of a core", f"{100 * cpu['changes'] / 1e6:.2g}%", ""),
         ("state: nodes, bytes", number(nodes_state), "a digest for each held node, and what it lacks"),
-        ("state: blueprint, bytes", number(blueprint), "registers and committed values"),
-        ("disk for one change, bytes", number(f.at("change-tenants", "change.disk", "substation", "bytes", TARGET["tenants"])), "the whole family on each record"),
+        ("state: configuration, bytes", number(configuration), "registers and committed values"),
+        ("disk for one change, bytes", number(f.at("change-tenants", "change.disk", "controller", "bytes", TARGET["tenants"])), "the whole family on each record"),
         ("machines", f"{TARGET['control']} of 6", "holds; see the loss of a region"),
     ]
     return table(["a control machine at the target", "figure", "carried by"], rows)
@@ -348,11 +348,11 @@
     c = TARGET["control"]
     rows = []
     for name, nodes, machines in (("a region", n / 2, c / 2), ("in all", n, c)):
-        traffic = sum(nodes * t.bytes["nacelle"][k] + machines * t.bytes["substation"][k] for k in ("rest", "changes", "joins")) / 2
-        cpu = sum(nodes * t.cpu["nacelle"][k] + machines * t.cpu["substation"][k] for k in ("rest", "changes")) / 1e6
-        state = nodes * (f.at("rest-nodes", "state", "nacelle", "bytes", n) + f.at("state-tenants", "configured", "nacelle", "bytes", TARGET["tenants"]))
-        state += machines * (f.at("rest-nodes", "state", "substation", "bytes", n) + f.at("state-tenants", "configured", "substation", "bytes", TARGET["tenants"]))
-        messages = (nodes * f.at("rest-nodes", "sent.all", "nacelle", "messages/s", n) + machines * f.at("rest-nodes", "sent.all", "substation", "messages/s", n))
+        traffic = sum(nodes * t.bytes["router"][k] + machines * t.bytes["controller"][k] for k in ("rest", "changes", "joins")) / 2
+        cpu = sum(nodes * t.cpu["router"][k] + machines * t.cpu["controller"][k] for k in ("rest", "changes")) / 1e6
+        state = nodes * (f.at("rest-nodes", "state", "router", "bytes", n) + f.at("state-tenants", "configured", "router", "bytes", TARGET["tenants"]))
+        state += machines * (f.at("rest-nodes", "state", "controller", "bytes", n) + f.at("state-tenants", "configured", "controller", "bytes", TARGET["tenants"]))
+        messages = (nodes * f.at("rest-nodes", "sent.all", "router", "messages/s", n) + machines * f.at("rest-nodes", "sent.all", "controller", "messages/s", n))
         rows.append((name, number(nodes), number(machines), number(messages), number(traffic), f"{cpu:.3g}", number(state)))
     rows.append(("allowed in all", number(n), number(c), "", number(n * ALLOWED_BYTES), f"{n * ALLOWED_CPU / 1e6:.3g} for nodes", f"{number(n * ALLOWED_MEMORY)} for nodes"))
     return table(["control at the target", "nodes", "control machines", "messages/s", "bytes/s (each counted once)", "cores", "state, bytes"], rows)
@@ -374,33 +374,33 @@
     force = f.only("target-change", "in_force.most", "operator", "ms")
     median = f.only("target-change", "in_force.median", "operator", "ms")
     t = Target(f)
-    work = (t.cpu["substation"]["one change"] + t.cpu["nacelle"]["one change"]) / 1000.0
+    work = (t.cpu["controller"]["one change"] + t.cpu["router"]["one change"]) / 1000.0
     zone_change = f.at("zone-nodes", "zone.change", "operator", "ms", n)
     zone_next = f.at("zone-nodes", "zone.next_change", "operator", "ms", n)
-    recover = f.only("target-outage", "recover", "nacelle", "ms")
-    recover_work = sum(f.only("target-outage", "recover.cpu", r, "us") for r in ("nacelle", "substation")) / 1000.0
+    recover = f.only("target-outage", "recover", "router", "ms")
+    recover_work = sum(f.only("target-outage", "recover.cpu", r, "us") for r in ("router", "controller")) / 1000.0
     rows = [
         ("a change in force, median and longest of 12, at the whole target, by messages alone", f"{ms(median)}, {ms(force)}", "5 s", verdict(force, TARGET["force_ms"]), "all nodes acknowledge; a dark one costs the fence of 1.7 s"),
         ("the longest with all processor time of one control machine and one node added", ms(force + work), "5 s", verdict(force + work, TARGET["force_ms"]), "the whole family is packed for each node"),
-        ("a zone goes dark: nodes of the rest that stand", number(f.at("zone-nodes", "zone.standing", "nacelle", "least share of the rest", n)), "1", "holds" if f.at("zone-nodes", "zone.standing", "nacelle", "least share of the rest", n) == 1 else "**fails**", "confirmations of the five other control machines; held ones that went dark are replaced"),
+        ("a zone goes dark: nodes of the rest that stand", number(f.at("zone-nodes", "zone.standing", "router", "least share of the rest", n)), "1", "holds" if f.at("zone-nodes", "zone.standing", "router", "least share of the rest", n) == 1 else "**fails**", "confirmations of the five other control machines; held ones that went dark are replaced"),
         ("a zone goes dark: first change, the next one", f"{ms(zone_change)}, {ms(zone_next)}", "5 s", verdict(zone_change, TARGET["force_ms"]), "a majority and the fence; a key of a lost owner waits for the next one"),
     ]
     for members in (3, 4, 5, 6):
-        share = [f.at("split-control", "split.standing.region%d" % r, "nacelle", "share", members) for r in (1, 2)]
-        disks = [f.at("split-control", "split.members.region%d" % r, "substation", "machines", members) for r in (1, 2)]
+        share = [f.at("split-control", "split.standing.region%d" % r, "router", "share", members) for r in (1, 2)]
+        disks = [f.at("split-control", "split.members.region%d" % r, "controller", "machines", members) for r in (1, 2)]
         changes = [f.at("split-control", "split.change.region%d" % r, "operator", "ms", members) for r in (1, 2)]
         status = [f.at("split-control", "split.status.region%d" % r, "operator", "status", members) for r in (1, 2)]
         told = ["in force after " + ms(c) if c >= 0 else f"not in force ({s:.0f})" for c, s in zip(changes, status)]
         rows.append((f"regions lose each other, control machines {disks[0]:.0f} + {disks[1]:.0f}: nodes that stand in each", f"{share[0]:.0%}, {share[1]:.0%}; a change is {told[0]}, {told[1]}", "100%, 100%",
-                     "holds" if min(share) == 1 else "**fails**", "a majority of the disks or of the roster; will be: a cohort and a roster in each region, changes exchanged when joined"))
+                     "holds" if min(share) == 1 else "**fails**", "a majority of the disks or of the roster; will be: a membership and a roster in each region, changes exchanged when joined"))
     rows += [
-        ("the same at 350 nodes, 3 + 3, and back after it", f"{f.at('split-nodes', 'split.standing.region1', 'nacelle', 'share', n):.0%}, {f.at('split-nodes', 'split.standing.region2', 'nacelle', 'share', n):.0%}; back in {ms(f.at('split-nodes', 'split.back', 'nacelle', 'ms', n))}", "", "", ""),
-        ("one node restarted, at the target, until it stands", ms(f.only("target-outage", "restart", "nacelle", "ms")), "", "", "whole image; 320 a day are one each 270 s"),
-        ("a new node, at the target, until it stands", ms(f.only("target-outage", "join", "nacelle", "ms")), "", "", "a change of the roster, one at a time"),
-        ("a member copied after its disk was lost, at the target", ms(f.only("target-outage", "copy", "substation", "ms")), "", "", f"{number(f.only('target-outage', 'copy', 'substation', 'bytes in all'))} bytes"),
-        ("all processes killed, until all nodes stand, at the target, by messages alone", ms(recover), "12 s", verdict(recover, 12000), "the registers' owners are found again; whole images"),
-        ("the same with all processor time of one control machine and one node added", ms(recover + recover_work), "12 s", verdict(recover + recover_work, 12000), "images packed anew for each node and each ask; will be: packed once"),
-        ("the cohort founded", ms(f.at("outage-control", "found", "substation", "ms", 6)), "", "", ""),
+        ("the same at 350 nodes, 3 + 3, and back after it", f"{f.at('split-nodes', 'split.standing.region1', 'router', 'share', n):.0%}, {f.at('split-nodes', 'split.standing.region2', 'router', 'share', n):.0%}; back in {ms(f.at('split-nodes', 'split.back', 'router', 'ms', n))}", "", "", ""),
+        ("one node restarted, at the target, until it stands", ms(f.only("target-outage", "restart", "router", "ms")), "", "", "whole snapshot; 320 a day are one each 270 s"),
+        ("a new node, at the target, until it stands", ms(f.only("target-outage", "join", "router", "ms")), "", "", "a change of the roster, one at a time"),
+        ("a member copied after its disk was lost, at the target", ms(f.only("target-outage", "copy", "controller", "ms")), "", "", f"{number(f.only('target-outage', 'copy', 'controller', 'bytes in all'))} bytes"),
+        ("all processes killed, until all nodes stand, at the target, by messages alone", ms(recover), "12 s", verdict(recover, 12000), "the registers' owners are found again; whole snapshots"),
+        ("the same with all processor time of one control machine and one node added", ms(recover + recover_work), "12 s", verdict(recover + recover_work, 12000), "snapshots packed anew for each node and each ask; will be: packed once"),
+        ("the membership founded", ms(f.at("outage-control", "found", "controller", "ms", 6)), "", "", ""),
     ]
     return table(["what happens", "measured", "aim", "", "carried by"], rows)
 
@@ -416,14 +416,14 @@
 def check(f):
     n = TARGET["nodes"]
     rows = []
-    for what, measure, role, unit in (("messages a node sends, a second", "sent.all", "nacelle", "messages/s"), ("bytes a node sends, a second", "sent.all", "nacelle", "bytes/s"),
-                                      ("bytes a control machine sends, a second", "sent.all", "substation", "bytes/s"), ("processor time of a node, us/s", "cpu.all", "nacelle", "us/s"),
-                                      ("processor time of a control machine, us/s", "cpu.all", "substation", "us/s")):
+    for what, measure, role, unit in (("messages a node sends, a second", "sent.all", "router", "messages/s"), ("bytes a node sends, a second", "sent.all", "router", "bytes/s"),
+                                      ("bytes a control machine sends, a second", "sent.all", "controller", "bytes/s"), ("processor time of a node, us/s", "cpu.all", "router", "us/s"),
+                                      ("processor time of a control machine, us/s", "cpu.all", "controller", "us/s")):
         told = f.at("rest-nodes", measure, role, unit, n)
         found = f.only("target-rest", measure, role, unit)
         rows.append((what, number(told), number(found), f"{100 * (found - told) / told:+.0f}%"))
-    told = f.at("change-tenants", "change.taken.news", "nacelle", "bytes", TARGET["tenants"])
-    found = f.only("target-change", "change.taken.news", "nacelle", "bytes")
+    told = f.at("change-tenants", "change.taken.news", "router", "bytes", TARGET["tenants"])
+    found = f.only("target-change", "change.taken.news", "router", "bytes")
     rows.append(("one change's news at a node, bytes", number(told), number(found), f"{100 * (found - told) / told:+.0f}%"))
     return table(["at 350 nodes", "from one argument at a time", "with all arguments at the target", ""], rows)
 
@@ -432,25 +432,25 @@
     rows = []
     for line in (HERE / "runs.txt").read_text().splitlines():
         name, command = line.split(" ", 1)
-        rows.append((f"`{name}`", f"`build/yard/{command}`"))
+        rows.append((f"`{name}`", f"`build/testing/{command}`"))
     return table(["figures, `docs/capacity/record NAME`", "command"], rows)
 
 
 def landed(f):
     n = TARGET["nodes"]
     both = {what: sum(f.at("rest-nodes", f"{way}.{what}", role, "bytes/s", n) for way in ("sent", "taken"))
-            for what, role in (("contacts", "nacelle"), ("confirmations", "nacelle"), ("shuffles", "nacelle"), ("holdings", "substation"))}
-    news = f.only("target-change", "change.taken.news", "nacelle", "bytes")
-    acks = sum(f.only("target-change", "change.%s.holdings" % way, "substation", "bytes") for way in ("sent", "taken"))
-    clock = f.at("cost-tenants", "clock", "nacelle", "us/s", TARGET["tenants"])
-    held = f.at("links-nodes", "links.held", "nacelle", "links", n)
+            for what, role in (("contacts", "router"), ("confirmations", "router"), ("shuffles", "router"), ("holdings", "controller"))}
+    news = f.only("target-change", "change.taken.news", "router", "bytes")
+    acks = sum(f.only("target-change", "change.%s.holdings" % way, "controller", "bytes") for way in ("sent", "taken"))
+    clock = f.at("cost-tenants", "clock", "router", "us/s", TARGET["tenants"])
+    held = f.at("links-nodes", "links.held", "router", "links", n)
     rows = [
         ("a shuffle of whole contacts each 1.2 s", "places, incarnations and ages of what the roster names", f"{number(both['shuffles'])} bytes/s a node"),
         ("links to ever new neighbours, each kept for two minutes", "let go after twenty seconds", f"{number(held)} links a node"),
         ("looks at all credits and all replicas ten times a second", "looks at credits that are awake; candidates made anew when a list, a zone or a rest changes, and shared by pool", f"{100 * clock / 1e6:.2g}% of a core with all credits awake"),
         ("ages asked of six neighbours between two answers of control, at a share of the nodes that grew with the fleet", "asked after two questions' time without an answer that counts", f"{number(both['contacts'])} bytes/s a node, with the sample of the next row"),
         ("contacts of every node with every other", "a bounded sample of neighbours that pass on ages", f"{number(both['contacts'])} bytes/s a node"),
-        ("confirmations from every control machine with every key", "a digest of the blueprint's stamps, asked of two held control machines", f"{number(both['confirmations'])} bytes/s a node"),
+        ("confirmations from every control machine with every key", "a digest of the configuration's revisions, asked of two held control machines", f"{number(both['confirmations'])} bytes/s a node"),
         ("news acknowledged to every control machine and relayed among them", "acknowledged to the held ones, who tell the others one bit a node", f"{number(both['holdings'])} bytes/s a control machine at rest, {number(acks)} bytes for one change"),
         ("every control machine pushing every change to every node", "the held ones alone push; still the whole family", f"{number(news)} bytes a node for one change"),
     ]
--- a/lookout/include/corkward/lookout/lookout.h
+++ b/gossip/include/corkward/gossip/partial_view.h
@@ -5,9 +5,9 @@
 #include <vector>
 
 #include <corkward/core/types.h>
-#include <corkward/signal/message.h>
+#include <corkward/transport/message.h>
 
-namespace corkward::lookout {
+namespace corkward::gossip {
 
 using core::Tick;
 
@@ -21,53 +21,53 @@
 inline constexpr std::size_t viewBound = 48;
 inline constexpr std::size_t sampleSize = 8;
 
-/// The nacelles that a roster's value names.
-std::vector<signal::Contact> rosterContacts(QJsonObject const& roster);
+/// The routers that a roster's value names.
+std::vector<transport::Contact> rosterContacts(QJsonObject const& roster);
 
-enum class Standing { alive, suspected, unknown };
+enum class ServingLease { alive, suspected, unknown };
 
 /// A partial view of the other processes, shuffled between neighbours; seeds serve only to enter.
-class Lookout {
+class PartialView {
  public:
-  Lookout(signal::Contact self, std::vector<std::string> seeds, std::uint64_t seed);
+  PartialView(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed);
 
-  std::vector<signal::Send> arrived(Tick now, std::string const& from, signal::Shuffle const& shuffle);
-  std::vector<signal::Send> clockEvent(Tick now);
+  std::vector<transport::Send> arrived(Tick now, std::string const& from, transport::Shuffle const& shuffle);
+  std::vector<transport::Send> clockEvent(Tick now);
   /// First-hand word of a process. Returns a correction for it when we know a newer incarnation at its address.
-  std::vector<signal::Send> heard(Tick now, signal::Contact const& contact);
+  std::vector<transport::Send> heard(Tick now, transport::Contact const& contact);
 
-  signal::Contact const& self() const { return self_; }
+  transport::Contact const& self() const { return self_; }
   void setSeeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
   std::vector<std::string> const& seeds() const { return seeds_; }
-  /// The nacelles that the roster of that stamp names. What it says of them is left out between processes that go by it.
-  void setRoster(std::uint64_t stamp, std::vector<signal::Contact> nodes);
+  /// The routers that the roster of that revision names. What it says of them is left out between processes that go by it.
+  void setRoster(std::uint64_t revision, std::vector<transport::Contact> nodes);
   void setDraining() { self_.draining = true; }
   /// Contacts of a role, ages as of now.
-  std::vector<signal::Contact> ofRole(std::string const& role, Tick now) const;
-  Standing standing(std::string const& link, Tick now) const;
+  std::vector<transport::Contact> ofRole(std::string const& role, Tick now) const;
+  ServingLease servingLease(std::string const& link, Tick now) const;
   /// Age of the last word of it, first- or second-hand; -1 when it is not in the view.
   Tick age(std::string const& link, Tick now) const;
   std::size_t size() const { return view_.size(); }
 
  private:
   struct Seen {
-    signal::Contact contact;
+    transport::Contact contact;
     Tick at = 0;
   };
-  void merge(Tick now, signal::Contact const& contact);
-  signal::Shuffle sample(Tick now, bool reply, bool brief);
+  void merge(Tick now, transport::Contact const& contact);
+  transport::Shuffle sample(Tick now, bool reply, bool brief);
   /// Place on the roster of a contact that differs from what is said there by incarnation and age alone; -1: none.
-  std::ptrdiff_t place(signal::Contact const& contact) const;
-  signal::Contact self_;
+  std::ptrdiff_t place(transport::Contact const& contact) const;
+  transport::Contact self_;
   std::vector<std::string> seeds_;
   core::Rng rng_;
   std::map<std::string, Seen> view_;
   Tick shuffleAt_ = 0;
-  std::uint64_t rosterStamp_ = 0;
+  std::uint64_t rosterRevision_ = 0;
   /// In the order of their links.
-  std::vector<signal::Contact> roster_;
+  std::vector<transport::Contact> roster_;
   /// The last one heard of goes by the same roster.
   bool alike_ = false;
 };
 
-}  // namespace corkward::lookout
+}  // namespace corkward::partial view
--- a/lookout/src/lookout.cpp
+++ b/gossip/src/partial_view.cpp
@@ -1,11 +1,11 @@
-#include <corkward/lookout/lookout.h>
+#include <corkward/gossip/partial_view.h>
 
 #include <QJsonArray>
 #include <algorithm>
 
 #include <corkward/core/json.h>
 
-namespace corkward::lookout {
+namespace corkward::gossip {
 
 namespace {
 
@@ -14,23 +14,23 @@
 
 }  // namespace
 
-std::vector<signal::Contact> rosterContacts(QJsonObject const& roster) {
-  std::vector<signal::Contact> out;
+std::vector<transport::Contact> rosterContacts(QJsonObject const& roster) {
+  std::vector<transport::Contact> out;
   for (QJsonValue const v : roster.value("nodes").toArray()) {
-    signal::Contact c;
+    transport::Contact c;
     c.link = core::str(v.toObject().value("link").toString());
     c.http = core::str(v.toObject().value("http").toString());
     c.zone = core::str(v.toObject().value("zone").toString());
-    c.role = "nacelle";
+    c.role = transport::routerRole;
     out.push_back(std::move(c));
   }
   return out;
 }
 
-Lookout::Lookout(signal::Contact self, std::vector<std::string> seeds, std::uint64_t seed)
+PartialView::PartialView(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed)
     : self_(std::move(self)), seeds_(std::move(seeds)), rng_(seed) {}
 
-void Lookout::merge(Tick now, signal::Contact const& contact) {
+void PartialView::merge(Tick now, transport::Contact const& contact) {
   if (contact.link.empty() || contact.age < 0 || contact.age > dropAfter || contact.inc > mostInc) return;
   if (contact.link == self_.link) {
     if (contact.inc > self_.inc) self_.inc = contact.inc + 1;
@@ -49,33 +49,33 @@
   view_.erase(oldest);
 }
 
-void Lookout::setRoster(std::uint64_t stamp, std::vector<signal::Contact> nodes) {
-  std::sort(nodes.begin(), nodes.end(), [](signal::Contact const& a, signal::Contact const& b) { return a.link < b.link; });
-  rosterStamp_ = stamp;
+void PartialView::setRoster(std::uint64_t revision, std::vector<transport::Contact> nodes) {
+  std::sort(nodes.begin(), nodes.end(), [](transport::Contact const& a, transport::Contact const& b) { return a.link < b.link; });
+  rosterRevision_ = revision;
   roster_ = std::move(nodes);
   alike_ = false;
 }
 
-std::ptrdiff_t Lookout::place(signal::Contact const& contact) const {
-  std::vector<signal::Contact>::const_iterator const it = std::lower_bound(
-      roster_.begin(), roster_.end(), contact.link, [](signal::Contact const& c, std::string const& link) { return c.link < link; });
+std::ptrdiff_t PartialView::place(transport::Contact const& contact) const {
+  std::vector<transport::Contact>::const_iterator const it = std::lower_bound(
+      roster_.begin(), roster_.end(), contact.link, [](transport::Contact const& c, std::string const& link) { return c.link < link; });
   bool const same = it != roster_.end() && it->link == contact.link && it->http == contact.http && it->role == contact.role &&
                     it->zone == contact.zone && it->draining == contact.draining;
   return same ? it - roster_.begin() : -1;
 }
 
-signal::Shuffle Lookout::sample(Tick now, bool reply, bool brief) {
-  std::vector<signal::Contact> out;
+transport::Shuffle PartialView::sample(Tick now, bool reply, bool brief) {
+  std::vector<transport::Contact> out;
   for (std::map<std::string, Seen>::value_type const& s : view_) {
     out.push_back(s.second.contact);
     out.back().age = now - s.second.at;
   }
   for (std::size_t i = out.size(); i > 1; --i) std::swap(out[i - 1], out[rng_.below(i)]);
   if (out.size() > sampleSize) out.resize(sampleSize);
-  signal::Shuffle shuffle;
+  transport::Shuffle shuffle;
   shuffle.reply = reply;
-  shuffle.roster = rosterStamp_;
-  for (signal::Contact& c : out) {
+  shuffle.roster = rosterRevision_;
+  for (transport::Contact& c : out) {
     std::ptrdiff_t const at = brief ? place(c) : -1;
     if (at < 0)
       shuffle.contacts.push_back(std::move(c));
@@ -86,33 +86,33 @@
   return shuffle;
 }
 
-std::vector<signal::Send> Lookout::arrived(Tick now, std::string const& from, signal::Shuffle const& shuffle) {
-  alike_ = rosterStamp_ > 0 && shuffle.roster == rosterStamp_;
-  for (signal::Contact const& c : shuffle.contacts) merge(now, c);
+std::vector<transport::Send> PartialView::arrived(Tick now, std::string const& from, transport::Shuffle const& shuffle) {
+  alike_ = rosterRevision_ > 0 && shuffle.roster == rosterRevision_;
+  for (transport::Contact const& c : shuffle.contacts) merge(now, c);
   for (std::size_t i = 0; alike_ && i + 2 < shuffle.known.size(); i += 3) {
     if (shuffle.known[i] >= roster_.size()) continue;
-    signal::Contact c = roster_[shuffle.known[i]];
+    transport::Contact c = roster_[shuffle.known[i]];
     c.inc = shuffle.known[i + 1];
     c.age = static_cast<std::int64_t>(shuffle.known[i + 2]);
     merge(now, c);
   }
-  std::vector<signal::Send> out;
-  if (shuffle.reply) out.push_back(signal::Send{from, sample(now, false, alike_)});
+  std::vector<transport::Send> out;
+  if (shuffle.reply) out.push_back(transport::Send{from, sample(now, false, alike_)});
   return out;
 }
 
-std::vector<signal::Send> Lookout::heard(Tick now, signal::Contact const& contact) {
+std::vector<transport::Send> PartialView::heard(Tick now, transport::Contact const& contact) {
   std::map<std::string, Seen>::const_iterator const it = view_.find(contact.link);
-  std::vector<signal::Send> out;
+  std::vector<transport::Send> out;
   if (it != view_.end() && it->second.contact.inc > contact.inc)
-    out.push_back(signal::Send{contact.link, signal::Shuffle{{it->second.contact}, false, rosterStamp_, {}}});
+    out.push_back(transport::Send{contact.link, transport::Shuffle{{it->second.contact}, false, rosterRevision_, {}}});
   else
     merge(now, contact);
   return out;
 }
 
-std::vector<signal::Send> Lookout::clockEvent(Tick now) {
-  std::vector<signal::Send> out;
+std::vector<transport::Send> PartialView::clockEvent(Tick now) {
+  std::vector<transport::Send> out;
   if (now < shuffleAt_) return out;
   shuffleAt_ = now + (view_.size() < fewContacts ? shuffleAtFirst : shuffleEvery);
   for (std::map<std::string, Seen>::iterator it = view_.begin(); it != view_.end();)
@@ -121,17 +121,17 @@
   for (std::map<std::string, Seen>::value_type const& s : view_) targets.push_back(s.first);
   if (!targets.empty()) {
     std::string const to = targets[rng_.below(targets.size())];
-    out.push_back(signal::Send{to, sample(now, true, alike_)});
+    out.push_back(transport::Send{to, sample(now, true, alike_)});
   }
   if (!seeds_.empty() && (targets.size() < 3 || rng_.chance(0.1))) {
     std::string const seed = seeds_[rng_.below(seeds_.size())];
-    if (seed != self_.link) out.push_back(signal::Send{seed, sample(now, true, alike_)});
+    if (seed != self_.link) out.push_back(transport::Send{seed, sample(now, true, alike_)});
   }
   return out;
 }
 
-std::vector<signal::Contact> Lookout::ofRole(std::string const& role, Tick now) const {
-  std::vector<signal::Contact> out;
+std::vector<transport::Contact> PartialView::ofRole(std::string const& role, Tick now) const {
+  std::vector<transport::Contact> out;
   for (std::map<std::string, Seen>::value_type const& s : view_) {
     if (s.second.contact.role != role) continue;
     out.push_back(s.second.contact);
@@ -140,15 +140,15 @@
   return out;
 }
 
-Tick Lookout::age(std::string const& link, Tick now) const {
+Tick PartialView::age(std::string const& link, Tick now) const {
   std::map<std::string, Seen>::const_iterator const it = view_.find(link);
   return it == view_.end() ? -1 : now - it->second.at;
 }
 
-Standing Lookout::standing(std::string const& link, Tick now) const {
+ServingLease PartialView::servingLease(std::string const& link, Tick now) const {
   Tick const a = age(link, now);
-  if (a < 0) return Standing::unknown;
-  return a > suspectAfter ? Standing::suspected : Standing::alive;
+  if (a < 0) return ServingLease::unknown;
+  return a > suspectAfter ? ServingLease::suspected : ServingLease::alive;
 }
 
-}  // namespace corkward::lookout
+}  // namespace corkward::partial view
--- a/door/include/corkward/door/fields.h
+++ b/http/include/corkward/http/fields.h
@@ -3,15 +3,15 @@
 #include <map>
 #include <string>
 
-#include <corkward/rotor/stream.h>
+#include <corkward/dataplane/stream.h>
 
-namespace corkward::door {
+namespace corkward::http {
 
 /// Header fields of a request, names in lower case; values of a name that came more than once are joined with commas.
 using Fields = std::map<std::string, std::string>;
 
 /// Header fields in their order; a name may come more than once.
-using FieldList = rotor::Fields;
+using FieldList = dataplane::Fields;
 
 /// Text in lower case, as header names compare.
 std::string lower(std::string text);
@@ -24,4 +24,4 @@
 FieldList endToEnd(Fields const& fields);
 FieldList endToEnd(FieldList const& fields);
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/include/corkward/door/mapping.h
+++ b/http/include/corkward/http/mapping.h
@@ -3,17 +3,17 @@
 #include <optional>
 #include <string>
 
-#include <corkward/door/fields.h>
-#include <corkward/door/relay.h>
-#include <corkward/door/server.h>
-#include <corkward/rotor/plane.h>
-#include <corkward/rotor/stream.h>
+#include <corkward/http/fields.h>
+#include <corkward/http/upstream_connection.h>
+#include <corkward/http/server.h>
+#include <corkward/dataplane/request_router.h>
+#include <corkward/dataplane/stream.h>
 
-namespace corkward::door {
+namespace corkward::http {
 
 /// A caller's request as the data plane's event, or the fault that it is answered with at once.
 struct CallerRequest {
-  std::optional<rotor::Request> request;
+  std::optional<dataplane::Request> request;
   int status = 0;
   std::string reason;
   /// The answer may be a row of events that goes on at another replica; and the last event that the caller has.
@@ -24,11 +24,11 @@
 /// What a request to a replica is made from. The references hold during the call only.
 struct Dispatch {
   Request const& request;
-  rotor::Request const& caller;
+  dataplane::Request const& caller;
   /// Path as the plane connected for it.
   std::string const& path;
-  rotor::HandOver const& handOver;
-  rotor::Resume const& resume;
+  dataplane::HandOver const& handOver;
+  dataplane::Resume const& resume;
 };
 
 /// The one mapping between HTTP and the data plane's events. Calls keep no state and may come in any order.
@@ -41,10 +41,10 @@
   /// added where they are missing.
   virtual ReplicaRequest replicaRequest(Dispatch const& dispatch) const = 0;
   /// Reads the head of a replica's answer to the request.
-  virtual rotor::Head head(ReplicaHead const& head, Request const& request) const = 0;
-  /// Header fields and body of a denial, or of an outcome that is not known.
-  virtual FieldList denyFields(rotor::Deny const& deny) const = 0;
-  virtual std::string denyBody(rotor::Deny const& deny) const = 0;
+  virtual dataplane::Head head(ReplicaHead const& head, Request const& request) const = 0;
+  /// Header fields and body of a rejection, or of an outcome that is not known.
+  virtual FieldList rejectFields(dataplane::Reject const& reject) const = 0;
+  virtual std::string rejectBody(dataplane::Reject const& reject) const = 0;
 };
 
 /// The product's own headers: POST /v1/{instance}/{path...}; see docs/interface.md.
@@ -52,9 +52,9 @@
  public:
   CallerRequest callerRequest(Request const& request) const override;
   ReplicaRequest replicaRequest(Dispatch const& dispatch) const override;
-  rotor::Head head(ReplicaHead const& head, Request const& request) const override;
-  FieldList denyFields(rotor::Deny const& deny) const override;
-  std::string denyBody(rotor::Deny const& deny) const override;
+  dataplane::Head head(ReplicaHead const& head, Request const& request) const override;
+  FieldList rejectFields(dataplane::Reject const& reject) const override;
+  std::string rejectBody(dataplane::Reject const& reject) const override;
 };
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/include/corkward/door/operator_mapping.h
+++ b/http/include/corkward/http/operator_mapping.h
@@ -4,10 +4,10 @@
 #include <optional>
 #include <string>
 
-#include <corkward/door/server.h>
-#include <corkward/signal/message.h>
+#include <corkward/http/server.h>
+#include <corkward/transport/message.h>
 
-namespace corkward::door {
+namespace corkward::http {
 
 /// A whole answer.
 struct WholeAnswer {
@@ -18,7 +18,7 @@
 
 /// An operator's or the platform's request as the control plane's event, or what it is answered with at once.
 struct OperatorRequest {
-  std::optional<signal::Call> call;
+  std::optional<transport::Call> call;
   WholeAnswer answer;
 };
 
@@ -29,14 +29,14 @@
   /// Reads a request as a call. The change id is the caller's, or the given one.
   virtual OperatorRequest operatorCall(Request const& request, std::string const& freshChangeId) const = 0;
   /// @param call the call that is answered, without its body
-  virtual WholeAnswer answer(signal::Call const& call, int status, QJsonObject const& body) const = 0;
+  virtual WholeAnswer answer(transport::Call const& call, int status, QJsonObject const& body) const = 0;
 };
 
 /// The product's own operator interface; see docs/interface.md.
 class OwnOperatorMapping : public OperatorMapping {
  public:
   OperatorRequest operatorCall(Request const& request, std::string const& freshChangeId) const override;
-  WholeAnswer answer(signal::Call const& call, int status, QJsonObject const& body) const override;
+  WholeAnswer answer(transport::Call const& call, int status, QJsonObject const& body) const override;
 };
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/include/corkward/door/server.h
+++ b/http/include/corkward/http/server.h
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include <corkward/core/error.h>
-#include <corkward/door/fields.h>
+#include <corkward/http/fields.h>
 
 class QTcpServer;
 class QTcpSocket;
 
-namespace corkward::door {
+namespace corkward::http {
 
 /// An error of the HTTP edge.
 class Error : public core::Error {
@@ -34,7 +34,7 @@
   std::string body;
 };
 
-/// Bounds of a door, and how it signs.
+/// Bounds of a HTTP edge, and how it signs.
 struct Limits {
   std::uint32_t head = 16U << 10;
   std::uint64_t body = 1U << 20;
@@ -58,7 +58,7 @@
     /// Some of what waited to be written to the caller has gone out.
     std::function<void(std::uint64_t id)> room;
   };
-  /// Listens at ip:port, at one or at several with the bounds shared; port 0 takes a free one. Throws door::Error.
+  /// Listens at ip:port, at one or at several with the bounds shared; port 0 takes a free one. Throws http::Error.
   Server(std::string const& address, Limits limits, Events events, QObject* parent = nullptr);
   Server(std::vector<std::string> const& addresses, Limits limits, Events events, QObject* parent = nullptr);
   ~Server() override;
@@ -112,7 +112,7 @@
   std::unordered_map<std::uint64_t, std::shared_ptr<Conn>> byId_;
 };
 
-/// Splits ip:port. Throws door::Error.
+/// Splits ip:port. Throws http::Error.
 std::pair<std::string, std::uint16_t> splitAddress(std::string const& address);
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/include/corkward/door/relay.h
+++ b/http/include/corkward/http/upstream_connection.h
@@ -7,13 +7,13 @@
 #include <string>
 
 #include <corkward/core/types.h>
-#include <corkward/door/fields.h>
+#include <corkward/http/fields.h>
 
 class QTcpSocket;
 
-namespace corkward::door {
+namespace corkward::http {
 
-class Relays;
+class UpstreamPool;
 
 /// Head of a request to a replica.
 struct ReplicaRequest {
@@ -35,12 +35,12 @@
 
 /// One connection to one replica for one request: it is always known whether a byte of the request was handed to a
 /// connected socket, and nothing is ever sent again unseen. Events come from the event loop alone, never from a call.
-class Relay : public QObject {
+class UpstreamConnection : public QObject {
  public:
   struct Events {
     std::function<void()> connected;
     /// No connection, or none that may be used; nothing was handed over.
-    std::function<void()> denied;
+    std::function<void()> rejected;
     std::function<void(ReplicaHead)> head;
     /// All of the body that came together.
     std::function<void(std::string)> piece;
@@ -48,10 +48,10 @@
     std::function<void(bool whole)> ended;
   };
   /// Opens a connection of its own, which ends with the request.
-  Relay(std::string const& address, Events events, QObject* parent);
-  /// The same; it stands only once the replica has named this life on it (GET /corkward/life), else it is denied.
-  Relay(std::string const& address, std::string life, Events events, QObject* parent);
-  ~Relay() override;
+  UpstreamConnection(std::string const& address, Events events, QObject* parent);
+  /// The same; it stands only once the replica has named this life on it (GET /corkward/life), else it is rejected.
+  UpstreamConnection(std::string const& address, std::string life, Events events, QObject* parent);
+  ~UpstreamConnection() override;
   /// Hands the request over. Only after connected, and once.
   void send(ReplicaRequest const& request, std::string const& body);
   /// Closes the connection; no event comes after.
@@ -65,15 +65,15 @@
   void pause(bool paused);
 
  private:
-  friend class Relays;
+  friend class UpstreamPool;
   struct State;
-  Relay(std::string const& address, Events events, QObject* parent, Relays* relays, QTcpSocket* kept, bool rested = false);
+  UpstreamConnection(std::string const& address, Events events, QObject* parent, UpstreamPool* upstreams, QTcpSocket* kept, bool rested = false);
   void open();
   void attach();
   void ready();
   void askLife();
   void lifeReadable();
-  void denied();
+  void rejected();
   void readable();
   void over(bool whole);
   void giveBack();
@@ -83,4 +83,4 @@
   std::unique_ptr<State> state_;
 };
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/include/corkward/door/relays.h
+++ b/http/include/corkward/http/upstream_pool.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include <corkward/core/types.h>
-#include <corkward/door/relay.h>
+#include <corkward/http/upstream_connection.h>
 
-namespace corkward::door {
+namespace corkward::http {
 
 /// Which connections to replicas are kept.
 struct Kept {
@@ -25,14 +25,14 @@
 
 /// Lends connections to replicas. One goes back only when its request was written whole, its answer was whole with nothing
 /// after it, and neither side said that it ends; one that says anything while it is idle is thrown away.
-class Relays : public QObject {
+class UpstreamPool : public QObject {
  public:
   /// @param now monotonic milliseconds
-  Relays(Kept kept, std::function<core::Tick()> now, QObject* parent = nullptr);
-  ~Relays() override;
+  UpstreamPool(Kept kept, std::function<core::Tick()> now, QObject* parent = nullptr);
+  ~UpstreamPool() override;
   /// A connection for one request, a kept one or a new one. The relay is its parent's or the owner's to delete.
   /// @param fresh see Kept::freshIdleLimit
-  Relay* lend(std::string const& address, bool fresh, Relay::Events events, QObject* parent);
+  UpstreamConnection* lend(std::string const& address, bool fresh, UpstreamConnection::Events events, QObject* parent);
   /// Throws the idle ones of the address away.
   void drop(std::string const& address);
   void setKept(Kept kept);
@@ -42,7 +42,7 @@
   std::uint64_t reused() const { return reused_; }
 
  private:
-  friend class Relay;
+  friend class UpstreamConnection;
   struct Idle {
     QTcpSocket* socket = nullptr;
     core::Tick since = 0;
@@ -60,4 +60,4 @@
   QTimer sweep_;
 };
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/src/fields.cpp
+++ b/http/src/fields.cpp
@@ -1,10 +1,10 @@
-#include <corkward/door/fields.h>
+#include <corkward/http/fields.h>
 
 #include <array>
 #include <boost/beast/http/rfc7230.hpp>
 #include <cctype>
 
-namespace corkward::door {
+namespace corkward::http {
 
 namespace {
 
@@ -50,4 +50,4 @@
 FieldList endToEnd(Fields const& fields) { return passedOn(fields); }
 FieldList endToEnd(FieldList const& fields) { return passedOn(fields); }
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/src/mapping.cpp
+++ b/http/src/mapping.cpp
@@ -1,11 +1,11 @@
-#include <corkward/door/mapping.h>
+#include <corkward/http/mapping.h>
 
 #include <algorithm>
 #include <cmath>
 
 #include <corkward/core/json.h>
 
-namespace corkward::door {
+namespace corkward::http {
 
 namespace {
 
@@ -33,7 +33,7 @@
   std::string const rest = request.target.substr(4, request.target.find('?') == std::string::npos ? std::string::npos : request.target.find('?') - 4);
   std::size_t const slash = rest.find('/');
   if (slash == std::string::npos || slash == 0 || slash + 1 == rest.size()) return fault(404, "no such page");
-  rotor::Request r;
+  dataplane::Request r;
   r.call = request.id;
   r.instance = rest.substr(0, slash);
   r.path = rest.substr(slash + 1);
@@ -81,8 +81,8 @@
   return out;
 }
 
-rotor::Head OwnMapping::head(ReplicaHead const& head, Request const&) const {
-  rotor::Head out;
+dataplane::Head OwnMapping::head(ReplicaHead const& head, Request const&) const {
+  dataplane::Head out;
   out.status = head.status;
   out.length = head.length;
   out.bodiless = head.bodiless;
@@ -100,17 +100,17 @@
   return out;
 }
 
-FieldList OwnMapping::denyFields(rotor::Deny const& deny) const {
-  FieldList out{{"content-type", "application/json"}, {"corkward-outcome", deny.notRun ? "not-run" : "unknown"}};
-  if (deny.notRun) out.emplace_back("corkward-earlier", deny.reached ? "not-run-reached" : "not-run");
-  if (deny.retryAfter > 0) out.emplace_back("retry-after", core::str(QString::number(std::ceil(deny.retryAfter), 'f', 0)));
+FieldList OwnMapping::rejectFields(dataplane::Reject const& reject) const {
+  FieldList out{{"content-type", "application/json"}, {"corkward-outcome", reject.notRun ? "not-run" : "unknown"}};
+  if (reject.notRun) out.emplace_back("corkward-earlier", reject.reached ? "not-run-reached" : "not-run");
+  if (reject.retryAfter > 0) out.emplace_back("retry-after", core::str(QString::number(std::ceil(reject.retryAfter), 'f', 0)));
   return out;
 }
 
-std::string OwnMapping::denyBody(rotor::Deny const& deny) const {
-  QJsonObject body{{"outcome", deny.notRun ? "not-run" : "unknown"}, {"reason", core::qstr(deny.reason)}};
-  if (deny.retryAfter > 0) body.insert("retryAfter", std::ceil(deny.retryAfter));
+std::string OwnMapping::rejectBody(dataplane::Reject const& reject) const {
+  QJsonObject body{{"outcome", reject.notRun ? "not-run" : "unknown"}, {"reason", core::qstr(reject.reason)}};
+  if (reject.retryAfter > 0) body.insert("retryAfter", std::ceil(reject.retryAfter));
   return core::jsonText(body) + "\n";
 }
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/src/operator_mapping.cpp
+++ b/http/src/operator_mapping.cpp
@@ -1,8 +1,8 @@
-#include <corkward/door/operator_mapping.h>
+#include <corkward/http/operator_mapping.h>
 
 #include <corkward/core/json.h>
 
-namespace corkward::door {
+namespace corkward::http {
 
 namespace {
 
@@ -11,7 +11,7 @@
 }  // namespace
 
 OperatorRequest OwnOperatorMapping::operatorCall(Request const& request, std::string const& freshChangeId) const {
-  signal::Call call;
+  transport::Call call;
   call.token = request.id;
   call.method = request.method;
   std::size_t const query = request.target.find('?');
@@ -29,7 +29,7 @@
   return out;
 }
 
-WholeAnswer OwnOperatorMapping::answer(signal::Call const&, int status, QJsonObject const& body) const {
+WholeAnswer OwnOperatorMapping::answer(transport::Call const&, int status, QJsonObject const& body) const {
   WholeAnswer out{status, {{"content-type", "application/json"}}, core::jsonText(body) + "\n"};
   char const* const tag = body.contains("version") ? "version" : "stamp";
   if (body.contains(tag) && status < 300) out.fields.emplace_back("etag", "\"" + std::to_string(body.value(tag).toInteger()) + "\"");
@@ -37,4 +37,4 @@
   return out;
 }
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/src/server.cpp
+++ b/http/src/server.cpp
@@ -1,4 +1,4 @@
-#include <corkward/door/server.h>
+#include <corkward/http/server.h>
 
 #include <QHostAddress>
 #include <QTcpServer>
@@ -9,9 +9,9 @@
 
 #include "wire.h"
 
-namespace corkward::door {
+namespace corkward::http {
 
-namespace http = boost::beast::http;
+namespace beastHttp = boost::beast::http;
 
 namespace {
 
@@ -35,7 +35,7 @@
 }
 
 struct Server::Conn {
-  using Parser = http::request_parser<http::string_body>;
+  using Parser = beastHttp::request_parser<beastHttp::string_body>;
   QTcpSocket* socket = nullptr;
   QTimer* timer = nullptr;
   QByteArray buffer;
@@ -158,13 +158,13 @@
     std::size_t const used =
         conn->parser->put(boost::asio::buffer(conn->buffer.constData(), static_cast<std::size_t>(conn->buffer.size())), ec);
     conn->buffer.remove(0, static_cast<qsizetype>(used));
-    if (ec && ec != http::error::need_more) {
-      int const status = ec == http::error::body_limit ? 413 : ec == http::error::header_limit ? 431 : 400;
+    if (ec && ec != beastHttp::error::need_more) {
+      int const status = ec == beastHttp::error::body_limit ? 413 : ec == beastHttp::error::header_limit ? 431 : 400;
       fault(conn, status, ec.message());
       return;
     }
     if (conn->parser->is_header_done() && !conn->continued &&
-        lower(std::string(conn->parser->get()[http::field::expect])) == "100-continue") {
+        lower(std::string(conn->parser->get()[beastHttp::field::expect])) == "100-continue") {
       conn->continued = true;
       conn->socket->write("HTTP/1.1 100 Continue\r\n\r\n");
     }
@@ -172,7 +172,7 @@
       if (conn->buffer.size() > static_cast<qsizetype>(limits_.head)) fault(conn, 431, "head too large");
       return;
     }
-    http::request<http::string_body> message = conn->parser->release();
+    beastHttp::request<beastHttp::string_body> message = conn->parser->release();
     conn->parser.reset();
     conn->timer->stop();
     if (message.version() != 11) {
@@ -183,13 +183,13 @@
     request.at = conn->at;
     request.method = std::string(message.method_string());
     request.target = std::string(message.target());
-    for (http::request<http::string_body>::value_type const& f : message) {
+    for (beastHttp::request<beastHttp::string_body>::value_type const& f : message) {
       std::string const name = lower(std::string(f.name_string()));
       std::pair<Fields::iterator, bool> const at = request.fields.emplace(name, std::string(f.value()));
       if (!at.second) at.first->second.append(name == "cookie" ? "; " : ", ").append(f.value().data(), f.value().size());
     }
     conn->keep = message.keep_alive();
-    conn->headAsked = message.method() == http::verb::head;
+    conn->headAsked = message.method() == beastHttp::verb::head;
     request.body = std::move(message.body());
     conn->asked = true;
     conn->id = next_++;
@@ -215,18 +215,18 @@
 }
 
 std::string Server::headOf(Conn& conn, int status, FieldList const& fields, std::int64_t length, std::string const& reason) {
-  http::response<http::empty_body> message;
+  beastHttp::response<beastHttp::empty_body> message;
   message.version(11);
   message.result(static_cast<unsigned>(status));
   if (!reason.empty()) message.reason(reason);
   for (FieldList::value_type const& f : fields) message.insert(f.first, f.second);
-  if (limits_.named) message.set(http::field::server, "corkward");
+  if (limits_.named) message.set(beastHttp::field::server, "corkward");
   conn.bodiless = conn.headAsked || bodilessStatus(status);
   conn.chunked = length < 0 && !conn.bodiless;
   conn.told = !conn.keep || leaving_;
   if (conn.chunked) message.chunked(true);
   if (length >= 0 && !(bodilessStatus(status) && status != 304)) message.content_length(static_cast<std::uint64_t>(length));
-  if (conn.told) message.set(http::field::connection, "close");
+  if (conn.told) message.set(beastHttp::field::connection, "close");
   return headText(message);
 }
 
@@ -260,7 +260,7 @@
   }
   std::string text;
   text.reserve(bytes.size() + 24);
-  append(text, http::make_chunk(boost::asio::buffer(bytes)));
+  append(text, beastHttp::make_chunk(boost::asio::buffer(bytes)));
   put(*conn->socket, text);
 }
 
@@ -269,7 +269,7 @@
   if (conn == nullptr) return;
   if (conn->chunked) {
     std::string text;
-    append(text, http::make_chunk_last());
+    append(text, beastHttp::make_chunk_last());
     put(*conn->socket, text);
   }
   done(byId_.at(id));
@@ -362,4 +362,4 @@
   return conn == nullptr ? 0 : conn->socket->bytesToWrite();
 }
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/src/relay.cpp
+++ b/http/src/upstream_connection.cpp
@@ -1,4 +1,4 @@
-#include <corkward/door/relay.h>
+#include <corkward/http/upstream_connection.h>
 
 #include <QHostAddress>
 #include <QPointer>
@@ -12,14 +12,14 @@
 #include <optional>
 #include <sys/socket.h>
 
-#include <corkward/door/relays.h>
-#include <corkward/door/server.h>
+#include <corkward/http/upstream_pool.h>
+#include <corkward/http/server.h>
 
 #include "wire.h"
 
-namespace corkward::door {
+namespace corkward::http {
 
-namespace http = boost::beast::http;
+namespace beastHttp = boost::beast::http;
 
 namespace {
 
@@ -42,8 +42,8 @@
 core::Tick keepAliveOf(FieldList const& fields) {
   std::string told = ";" + field(fields, "keep-alive");
   std::replace(told.begin(), told.end(), ',', ';');
-  http::param_list const params(told);
-  for (http::param_list::value_type const& p : params) {
+  beastHttp::param_list const params(told);
+  for (beastHttp::param_list::value_type const& p : params) {
     bool ok = false;
     if (lower(std::string(p.first)) != "timeout") continue;
     core::Tick const seconds = QString::fromStdString(std::string(p.second)).toInt(&ok);
@@ -54,10 +54,10 @@
 
 }  // namespace
 
-struct Relay::State {
-  using Parser = http::response_parser<http::buffer_body>;
+struct UpstreamConnection::State {
+  using Parser = beastHttp::response_parser<beastHttp::buffer_body>;
   std::optional<Parser> parser;
-  QPointer<Relays> relays;
+  QPointer<UpstreamPool> upstreams;
   QByteArray buffer;
   core::Tick keepAlive = noLimit;
   /// The life that the replica must name first; empty: none.
@@ -83,15 +83,15 @@
   }
 };
 
-Relay::Relay(std::string const& address, Events events, QObject* parent) : Relay(address, std::move(events), parent, nullptr, nullptr) {}
+UpstreamConnection::UpstreamConnection(std::string const& address, Events events, QObject* parent) : UpstreamConnection(address, std::move(events), parent, nullptr, nullptr) {}
 
-Relay::Relay(std::string const& address, std::string life, Events events, QObject* parent) : Relay(address, std::move(events), parent) {
+UpstreamConnection::UpstreamConnection(std::string const& address, std::string life, Events events, QObject* parent) : UpstreamConnection(address, std::move(events), parent) {
   state_->life = std::move(life);
 }
 
-Relay::Relay(std::string const& address, Events events, QObject* parent, Relays* relays, QTcpSocket* kept, bool rested)
+UpstreamConnection::UpstreamConnection(std::string const& address, Events events, QObject* parent, UpstreamPool* upstreams, QTcpSocket* kept, bool rested)
     : QObject(parent), events_(std::move(events)), address_(address), socket_(kept), state_(std::make_unique<State>()) {
-  state_->relays = relays;
+  state_->upstreams = upstreams;
   state_->kept = kept != nullptr;
   state_->rested = rested;
   if (kept == nullptr) {
@@ -103,15 +103,15 @@
   QMetaObject::invokeMethod(this, [this] { ready(); }, Qt::QueuedConnection);
 }
 
-Relay::~Relay() {
+UpstreamConnection::~UpstreamConnection() {
   if (socket_ == nullptr) return;
   socket_->disconnect(this);
   socket_->abort();
 }
 
-void Relay::open() {
+void UpstreamConnection::open() {
   state_->kept = false;
-  if (state_->relays) ++state_->relays->opened_;
+  if (state_->upstreams) ++state_->upstreams->opened_;
   socket_ = new QTcpSocket(this);
   socket_->setReadBufferSize(readBuffer);
   attach();
@@ -123,33 +123,33 @@
   socket_->connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
 }
 
-void Relay::attach() {
+void UpstreamConnection::attach() {
   QObject::connect(socket_, &QTcpSocket::readyRead, this, [this] { readable(); });
   QObject::connect(socket_, &QTcpSocket::disconnected, this, [this] {
     if (!state_->sent) {
-      if (state_->connected || state_->asking) denied();
+      if (state_->connected || state_->asking) rejected();
       return;
     }
     if (!state_->paused) readable();
     if (!state_->paused) over(false);
   });
   QObject::connect(socket_, &QTcpSocket::errorOccurred, this, [this](QAbstractSocket::SocketError) {
-    if (!state_->kept && !state_->connected && !state_->asking) denied();
+    if (!state_->kept && !state_->connected && !state_->asking) rejected();
   });
 }
 
-void Relay::ready() {
+void UpstreamConnection::ready() {
   if (state_->over || state_->connected || state_->asking) return;
   if (!quiet(*socket_)) {
     bool const again = state_->kept;
     if (!again) {
-      denied();
+      rejected();
       return;
     }
     socket_->disconnect(this);
     socket_->abort();
     socket_->deleteLater();
-    if (state_->relays) state_->relays->drop(address_);
+    if (state_->upstreams) state_->upstreams->drop(address_);
     open();
     return;
   }
@@ -157,35 +157,35 @@
     askLife();
     return;
   }
-  if (state_->kept && state_->relays) ++state_->relays->reused_;
+  if (state_->kept && state_->upstreams) ++state_->upstreams->reused_;
   state_->connected = true;
   events_.connected();
 }
 
-void Relay::askLife() {
-  http::request<http::empty_body> message;
+void UpstreamConnection::askLife() {
+  beastHttp::request<beastHttp::empty_body> message;
   message.version(11);
-  message.method(http::verb::get);
+  message.method(beastHttp::verb::get);
   message.target(lifePage);
-  message.set(http::field::host, address_);
+  message.set(beastHttp::field::host, address_);
   state_->asking = true;
   state_->fresh();
   put(*socket_, headText(message));
 }
 
-void Relay::lifeReadable() {
+void UpstreamConnection::lifeReadable() {
   state_->buffer += socket_->readAll();
   State::Parser& parser = *state_->parser;
   boost::beast::error_code ec;
   std::size_t const used = parser.put(boost::asio::buffer(state_->buffer.constData(), static_cast<std::size_t>(state_->buffer.size())), ec);
   state_->buffer.remove(0, static_cast<qsizetype>(used));
-  bool const more = !parser.is_header_done() && (!ec || ec == http::error::need_more);
+  bool const more = !parser.is_header_done() && (!ec || ec == beastHttp::error::need_more);
   if (more) return;
   bool const named = parser.is_header_done() && parser.get().result_int() == 200 && parser.get().version() == 11 && parser.get().keep_alive() &&
                      parser.content_length() && *parser.content_length() == 0 && state_->buffer.isEmpty() &&
                      std::string(parser.get()[lifeField]) == state_->life;
   if (!named) {
-    denied();
+    rejected();
     return;
   }
   state_->asking = false;
@@ -193,27 +193,27 @@
   events_.connected();
 }
 
-void Relay::denied() {
+void UpstreamConnection::rejected() {
   if (state_->over) return;
   state_->over = true;
-  if (state_->relays) state_->relays->drop(address_);
+  if (state_->upstreams) state_->upstreams->drop(address_);
   QMetaObject::invokeMethod(
-      this, [this] { events_.denied(); }, Qt::QueuedConnection);
+      this, [this] { events_.rejected(); }, Qt::QueuedConnection);
 }
 
-void Relay::send(ReplicaRequest const& request, std::string const& body) {
+void UpstreamConnection::send(ReplicaRequest const& request, std::string const& body) {
   if (state_->over || state_->sent) return;
   if (!quiet(*socket_)) {
-    denied();
+    rejected();
     return;
   }
-  http::request<http::empty_body> message;
+  beastHttp::request<beastHttp::empty_body> message;
   message.version(11);
   message.method_string(request.method);
   message.target(request.target);
-  if (field(request.fields, "host").empty()) message.set(http::field::host, address_);
+  if (field(request.fields, "host").empty()) message.set(beastHttp::field::host, address_);
   for (FieldList::value_type const& f : request.fields) message.insert(f.first, f.second);
-  if (!state_->relays || state_->relays->kept_.perReplica == 0) message.set(http::field::connection, "close");
+  if (!state_->upstreams || state_->upstreams->kept_.perReplica == 0) message.set(beastHttp::field::connection, "close");
   bool const bare = body.empty() && (request.method == "GET" || request.method == "HEAD" || request.method == "DELETE" || request.method == "OPTIONS");
   if (!bare) message.content_length(body.size());
   state_->noBody = request.method == "HEAD";
@@ -223,14 +223,14 @@
   if (!body.empty()) put(*socket_, body);
 }
 
-void Relay::pause(bool paused) {
+void UpstreamConnection::pause(bool paused) {
   if (state_->paused == paused) return;
   state_->paused = paused;
   if (paused || state_->over) return;
   QMetaObject::invokeMethod(
       this,
       [this] {
-        QPointer<Relay> const alive(this);
+        QPointer<UpstreamConnection> const alive(this);
         if (state_->paused || state_->over || socket_ == nullptr) return;
         readable();
         if (alive && !state_->paused && socket_ != nullptr && socket_->state() == QAbstractSocket::UnconnectedState) over(false);
@@ -238,17 +238,17 @@
       Qt::QueuedConnection);
 }
 
-bool Relay::forgotten() const { return state_->kept && state_->rested && !state_->headSeen; }
+bool UpstreamConnection::forgotten() const { return state_->kept && state_->rested && !state_->headSeen; }
 
-void Relay::stop() {
+void UpstreamConnection::stop() {
   state_->over = true;
   if (socket_ == nullptr) return;
   socket_->disconnect(this);
   socket_->abort();
 }
 
-void Relay::release() {
-  bool const may = !state_->over && socket_ != nullptr && state_->relays && state_->relays->kept_.perReplica > 0 && state_->headSeen;
+void UpstreamConnection::release() {
+  bool const may = !state_->over && socket_ != nullptr && state_->upstreams && state_->upstreams->kept_.perReplica > 0 && state_->headSeen;
   if (!may) {
     stop();
     deleteLater();
@@ -256,7 +256,7 @@
   }
   state_->released = true;
   state_->paused = false;
-  setParent(state_->relays);
+  setParent(state_->upstreams);
   QTimer::singleShot(restMs, this, [this] {
     stop();
     deleteLater();
@@ -269,34 +269,34 @@
       Qt::QueuedConnection);
 }
 
-void Relay::over(bool whole) {
+void UpstreamConnection::over(bool whole) {
   if (state_->over) return;
   state_->over = true;
   if (whole) {
     giveBack();
-  } else if (state_->relays) {
-    state_->relays->drop(address_);
+  } else if (state_->upstreams) {
+    state_->upstreams->drop(address_);
   }
   if (state_->released) deleteLater();
   if (!state_->released) events_.ended(whole);
 }
 
-void Relay::giveBack() {
-  bool const may = state_->relays && state_->relays->kept_.perReplica > 0 && state_->parser->get().version() == 11 && state_->parser->keep_alive() &&
+void UpstreamConnection::giveBack() {
+  bool const may = state_->upstreams && state_->upstreams->kept_.perReplica > 0 && state_->parser->get().version() == 11 && state_->parser->keep_alive() &&
                    state_->buffer.isEmpty() && socket_->bytesToWrite() == 0 && quiet(*socket_);
   if (!may) return;
   QTcpSocket* const socket = std::exchange(socket_, nullptr);
   socket->disconnect(this);
-  state_->relays->put(address_, socket, state_->keepAlive);
+  state_->upstreams->put(address_, socket, state_->keepAlive);
 }
 
-void Relay::readable() {
+void UpstreamConnection::readable() {
   if (state_->asking && !state_->over) {
     lifeReadable();
     return;
   }
   if (!state_->sent) return;
-  QPointer<Relay> const alive(this);
+  QPointer<UpstreamConnection> const alive(this);
   std::array<char, 32768> part;
   std::string gathered;
   std::function<void()> const pass = [&] {
@@ -324,7 +324,7 @@
     std::size_t const used = parser.put(boost::asio::buffer(state_->buffer.constData(), static_cast<std::size_t>(state_->buffer.size())), ec);
     state_->buffer.remove(0, static_cast<qsizetype>(used));
     if (state_->headSeen) gathered.append(part.data(), part.size() - parser.get().body().size);
-    if (ec && ec != http::error::need_more && ec != http::error::need_buffer) {
+    if (ec && ec != beastHttp::error::need_more && ec != beastHttp::error::need_buffer) {
       pass();
       if (alive) over(false);
       return;
@@ -338,7 +338,7 @@
       ReplicaHead head;
       head.status = status;
       head.reason = std::string(parser.get().reason());
-      for (http::fields::value_type const& f : parser.get()) head.fields.emplace_back(std::string(f.name_string()), std::string(f.value()));
+      for (beastHttp::fields::value_type const& f : parser.get()) head.fields.emplace_back(std::string(f.name_string()), std::string(f.value()));
       head.bodiless = state_->noBody || status == 204 || status == 304;
       std::string const coding = lower(field(head.fields, "content-encoding"));
       bool const coded = status / 100 == 2 && !coding.empty() && coding != "identity";
@@ -364,7 +364,7 @@
       if (alive) over(true);
       return;
     }
-    if (used == 0 && ec == http::error::need_more) {
+    if (used == 0 && ec == beastHttp::error::need_more) {
       QByteArray const more = socket_->read(readBuffer);
       if (more.isEmpty()) {
         pass();
@@ -376,4 +376,4 @@
   }
 }
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/src/relays.cpp
+++ b/http/src/upstream_pool.cpp
@@ -1,9 +1,9 @@
-#include <corkward/door/relays.h>
+#include <corkward/http/upstream_pool.h>
 
 #include <QTcpSocket>
 #include <algorithm>
 
-namespace corkward::door {
+namespace corkward::http {
 
 namespace {
 
@@ -18,16 +18,16 @@
 
 }  // namespace
 
-Relays::Relays(Kept kept, std::function<core::Tick()> now, QObject* parent) : QObject(parent), kept_(kept), now_(std::move(now)) {
+UpstreamPool::UpstreamPool(Kept kept, std::function<core::Tick()> now, QObject* parent) : QObject(parent), kept_(kept), now_(std::move(now)) {
   QObject::connect(&sweep_, &QTimer::timeout, this, [this] { sweep(); });
 }
 
-Relays::~Relays() {
+UpstreamPool::~UpstreamPool() {
   for (std::unordered_map<std::string, std::vector<Idle>>::value_type const& a : idle_)
     for (Idle const& i : a.second) i.socket->disconnect();
 }
 
-Relay* Relays::lend(std::string const& address, bool fresh, Relay::Events events, QObject* parent) {
+UpstreamConnection* UpstreamPool::lend(std::string const& address, bool fresh, UpstreamConnection::Events events, QObject* parent) {
   core::Tick const now = now_();
   QTcpSocket* socket = nullptr;
   bool rested = false;
@@ -47,10 +47,10 @@
     }
   }
   if (it != idle_.end() && it->second.empty()) idle_.erase(it);
-  return new Relay(address, std::move(events), parent, this, socket, rested);
+  return new UpstreamConnection(address, std::move(events), parent, this, socket, rested);
 }
 
-void Relays::put(std::string const& address, QTcpSocket* socket, core::Tick keepAlive) {
+void UpstreamPool::put(std::string const& address, QTcpSocket* socket, core::Tick keepAlive) {
   socket->setParent(this);
   core::Tick const limit = std::min(kept_.idleLimit, keepAlive / 2);
   if (limit <= 0) {
@@ -70,7 +70,7 @@
   if (!sweep_.isActive()) sweep_.start(sweepEveryMs);
 }
 
-void Relays::forget(std::string const& address, QTcpSocket* socket) {
+void UpstreamPool::forget(std::string const& address, QTcpSocket* socket) {
   std::unordered_map<std::string, std::vector<Idle>>::iterator const it = idle_.find(address);
   if (it == idle_.end()) return;
   count_ -= std::erase_if(it->second, [socket](Idle const& i) { return i.socket == socket; });
@@ -78,7 +78,7 @@
   closeSocket(socket);
 }
 
-void Relays::drop(std::string const& address) {
+void UpstreamPool::drop(std::string const& address) {
   std::unordered_map<std::string, std::vector<Idle>>::iterator const it = idle_.find(address);
   if (it == idle_.end()) return;
   for (Idle const& i : it->second) closeSocket(i.socket);
@@ -86,7 +86,7 @@
   idle_.erase(it);
 }
 
-void Relays::setKept(Kept kept) {
+void UpstreamPool::setKept(Kept kept) {
   kept_ = kept;
   std::vector<std::string> all;
   if (kept.perReplica == 0)
@@ -94,7 +94,7 @@
   for (std::string const& a : all) drop(a);
 }
 
-void Relays::sweep() {
+void UpstreamPool::sweep() {
   core::Tick const now = now_();
   for (std::unordered_map<std::string, std::vector<Idle>>::iterator it = idle_.begin(); it != idle_.end();) {
     count_ -= std::erase_if(it->second, [&](Idle const& i) {
@@ -107,4 +107,4 @@
   if (count_ == 0) sweep_.stop();
 }
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/src/wire.h
+++ b/http/src/wire.h
@@ -5,7 +5,7 @@
 #include <boost/beast/http.hpp>
 #include <string>
 
-namespace corkward::door {
+namespace corkward::http {
 
 /// Appends a sequence of buffers to text.
 template <class Buffers>
@@ -27,4 +27,4 @@
 /// Bytes go into the socket's own buffer together, so that what is written together leaves together.
 inline void put(QTcpSocket& socket, std::string const& bytes) { socket.write(bytes.data(), static_cast<qint64>(bytes.size())); }
 
-}  // namespace corkward::door
+}  // namespace corkward::HTTP edge
--- a/door/test/door_test.cpp
+++ b/http/test/http_test.cpp
@@ -6,17 +6,17 @@
 #include <QTimer>
 
 #include <corkward/core/types.h>
-#include <corkward/door/mapping.h>
-#include <corkward/door/operator_mapping.h>
-#include <corkward/door/relay.h>
-#include <corkward/door/server.h>
+#include <corkward/http/mapping.h>
+#include <corkward/http/operator_mapping.h>
+#include <corkward/http/upstream_connection.h>
+#include <corkward/http/server.h>
 
 #include "turn.h"
 
 namespace core = corkward::core;
-namespace door = corkward::door;
-using corkward::door::test::application;
-using corkward::door::test::until;
+namespace http = corkward::http;
+using corkward::http::test::application;
+using corkward::http::test::until;
 
 namespace {
 
@@ -44,21 +44,21 @@
   int status = 0;
   std::string body;
   int ended = -1;
-  bool denied = false;
+  bool rejected = false;
 };
 
-Got relayed(std::string const& address) {
+Got forwarded(std::string const& address) {
   Got got;
   QObject owner;
-  door::Relay* relay = nullptr;
-  door::Relay::Events e;
-  e.connected = [&] { relay->send({"POST", "/x"}, "{}"); };
-  e.denied = [&] { got.denied = true; };
-  e.head = [&](door::ReplicaHead h) { got.status = h.status; };
+  http::UpstreamConnection* upstream = nullptr;
+  http::UpstreamConnection::Events e;
+  e.connected = [&] { upstream->send({"POST", "/x"}, "{}"); };
+  e.rejected = [&] { got.rejected = true; };
+  e.head = [&](http::ReplicaHead h) { got.status = h.status; };
   e.piece = [&](std::string bytes) { got.body += bytes; };
   e.ended = [&](bool whole) { got.ended = whole ? 1 : 0; };
-  relay = new door::Relay(address, std::move(e), &owner);
-  REQUIRE(until([&] { return got.denied || got.ended >= 0; }));
+  upstream = new http::UpstreamConnection(address, std::move(e), &owner);
+  REQUIRE(until([&] { return got.rejected || got.ended >= 0; }));
   return got;
 }
 
@@ -83,11 +83,11 @@
   for (Row const& r : rows) {
     INFO(r.bytes);
     Raw const raw(r.bytes, true);
-    Got const got = relayed(raw.address());
+    Got const got = forwarded(raw.address());
     CHECK(got.ended == r.ended);
     if (r.body != nullptr) CHECK(got.body == r.body);
   }
-  CHECK(relayed("127.0.0.1:1").denied);
+  CHECK(forwarded("127.0.0.1:1").rejected);
 }
 
 TEST_CASE("a paused relay stops reading, so a slow caller holds its replica back") {
@@ -95,46 +95,46 @@
   std::string const body(8 << 20, 'x');
   Raw const raw("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body, true);
   QObject owner;
-  door::Relay* relay = nullptr;
+  http::UpstreamConnection* upstream = nullptr;
   std::size_t got = 0;
   int ended = -1;
   bool paused = false;
-  door::Relay::Events e;
-  e.connected = [&] { relay->send({"POST", "/x"}, "{}"); };
-  e.denied = [] {};
-  e.head = [](door::ReplicaHead) {};
+  http::UpstreamConnection::Events e;
+  e.connected = [&] { upstream->send({"POST", "/x"}, "{}"); };
+  e.rejected = [] {};
+  e.head = [](http::ReplicaHead) {};
   e.piece = [&](std::string bytes) {
     got += bytes.size();
     if (got > (1 << 20) && !paused) {
       paused = true;
-      relay->pause(true);
+      upstream->pause(true);
     }
   };
   e.ended = [&](bool whole) { ended = whole ? 1 : 0; };
-  relay = new door::Relay(raw.address(), std::move(e), &owner);
+  upstream = new http::UpstreamConnection(raw.address(), std::move(e), &owner);
   REQUIRE(until([&] { return paused; }));
   std::size_t const at = got;
   for (int i = 0; i < 200; ++i) QCoreApplication::processEvents();
   CHECK(got == at);
   CHECK(ended == -1);
-  relay->pause(false);
+  upstream->pause(false);
   REQUIRE(until([&] { return ended >= 0; }));
   CHECK(ended == 1);
   CHECK(got == body.size());
 }
 
-TEST_CASE("random and damaged requests get an answer or an end, and the door goes on") {
+TEST_CASE("random and damaged requests get an answer or an end, and the HTTP edge goes on") {
   application();
   std::size_t served = 0;
-  door::Server* door = nullptr;
-  door::Server::Events e;
-  e.request = [&](door::Request r) {
+  http::Server* http = nullptr;
+  http::Server::Events e;
+  e.request = [&](http::Request r) {
     ++served;
-    door->answer(r.id, 200, {}, "ok");
+    http->answer(r.id, 200, {}, "ok");
   };
-  door::Server server("127.0.0.1:0", door::Limits{.head = 2048, .body = 4096, .headMs = 100, .idleMs = 100}, std::move(e));
-  door = &server;
-  std::pair<std::string, std::uint16_t> const at = door::splitAddress(server.address());
+  http::Server server("127.0.0.1:0", http::Limits{.head = 2048, .body = 4096, .headMs = 100, .idleMs = 100}, std::move(e));
+  http = &server;
+  std::pair<std::string, std::uint16_t> const at = http::splitAddress(server.address());
   std::string const good = "POST /v1/a/b HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
   core::Rng rng(11);
   for (int round = 0; round < 400; ++round) {
@@ -162,10 +162,10 @@
 
 TEST_CASE("a caller over the bound of connections is told at once when to come back") {
   application();
-  door::Server::Events e;
-  e.request = [](door::Request) {};
-  door::Server server("127.0.0.1:0", door::Limits{.connections = 2}, std::move(e));
-  std::pair<std::string, std::uint16_t> const at = door::splitAddress(server.address());
+  http::Server::Events e;
+  e.request = [](http::Request) {};
+  http::Server server("127.0.0.1:0", http::Limits{.connections = 2}, std::move(e));
+  std::pair<std::string, std::uint16_t> const at = http::splitAddress(server.address());
   QTcpSocket first;
   QTcpSocket second;
   QTcpSocket third;
@@ -182,8 +182,8 @@
 }
 
 TEST_CASE("an answer's ETag is what a change built on it says in If-Match") {
-  door::OwnOperatorMapping const operators;
-  CHECK(door::field(operators.answer({}, 200, QJsonObject{{"stamp", 3}}).fields, "etag") == "\"3\"");
-  CHECK(door::field(operators.answer({}, 200, QJsonObject{{"stamp", 3}, {"version", 70}}).fields, "etag") == "\"70\"");
-  CHECK(door::field(operators.answer({}, 412, QJsonObject{{"stamp", 3}, {"version", 70}}).fields, "etag").empty());
+  http::OwnOperatorMapping const operators;
+  CHECK(http::field(operators.answer({}, 200, QJsonObject{{"stamp", 3}}).fields, "etag") == "\"3\"");
+  CHECK(http::field(operators.answer({}, 200, QJsonObject{{"stamp", 3}, {"version", 70}}).fields, "etag") == "\"70\"");
+  CHECK(http::field(operators.answer({}, 412, QJsonObject{{"stamp", 3}, {"version", 70}}).fields, "etag").empty());
 }
--- a/door/test/server_test.cpp
+++ b/http/test/server_test.cpp
@@ -8,23 +8,23 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include <corkward/door/mapping.h>
-#include <corkward/door/operator_mapping.h>
-#include <corkward/door/server.h>
+#include <corkward/http/mapping.h>
+#include <corkward/http/operator_mapping.h>
+#include <corkward/http/server.h>
 
 #include "turn.h"
 
-namespace door = corkward::door;
-namespace rotor = corkward::rotor;
-using corkward::door::test::application;
-using corkward::door::test::until;
+namespace http = corkward::http;
+namespace dataplane = corkward::dataplane;
+using corkward::http::test::application;
+using corkward::http::test::until;
 
 namespace {
 
 /// A caller that keeps its connection and all that it got.
 struct Client {
   explicit Client(std::string const& address) {
-    std::pair<std::string, std::uint16_t> const at = door::splitAddress(address);
+    std::pair<std::string, std::uint16_t> const at = http::splitAddress(address);
     socket.connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
   }
   void say(std::string const& bytes) { socket.write(QByteArray::fromStdString(bytes)); }
@@ -49,7 +49,7 @@
   explicit Caller(std::string const& address) : fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)), connected(connectTo(fd, address)) {}
   ~Caller() { ::close(fd); }
   static bool connectTo(int fd, std::string const& address) {
-    std::pair<std::string, std::uint16_t> const at = door::splitAddress(address);
+    std::pair<std::string, std::uint16_t> const at = http::splitAddress(address);
     sockaddr_in in{};
     in.sin_family = AF_INET;
     in.sin_port = htons(at.second);
@@ -72,18 +72,18 @@
 };
 
 struct Rig {
-  explicit Rig(std::vector<std::string> const& addresses = {"127.0.0.1:0"}, door::Limits limits = {}) : server(addresses, limits, events()) {}
-  door::Server::Events events() {
-    door::Server::Events e;
-    e.request = [this](door::Request r) {
+  explicit Rig(std::vector<std::string> const& addresses = {"127.0.0.1:0"}, http::Limits limits = {}) : server(addresses, limits, events()) {}
+  http::Server::Events events() {
+    http::Server::Events e;
+    e.request = [this](http::Request r) {
       requests.push_back(r);
       if (answer) answer(requests.back());
     };
     return e;
   }
-  std::vector<door::Request> requests;
-  std::function<void(door::Request const&)> answer;
-  door::Server server;
+  std::vector<http::Request> requests;
+  std::function<void(http::Request const&)> answer;
+  http::Server server;
 };
 
 std::string request(std::string const& method, std::string const& more = "") {
@@ -105,8 +105,8 @@
 
 TEST_CASE("status, words and fields go out as they are, each field as often as it was given") {
   application();
-  Rig rig({"127.0.0.1:0"}, door::Limits{.named = false});
-  rig.answer = [&](door::Request const& r) {
+  Rig rig({"127.0.0.1:0"}, http::Limits{.named = false});
+  rig.answer = [&](http::Request const& r) {
     rig.server.begin(r.id, 299, {{"Set-Cookie", "a"}, {"Set-Cookie", "b"}, {"X-Case", "C"}}, 2, "Fine So Far");
     rig.server.piece(r.id, "ok");
     rig.server.finish(r.id);
@@ -129,7 +129,7 @@
     bool const whole = GENERATE(true, false);
     Rig rig;
     int count = 0;
-    rig.answer = [&](door::Request const& q) {
+    rig.answer = [&](http::Request const& q) {
       if (++count > 1) {
         rig.server.answer(q.id, 200, {}, "second");
       } else if (whole) {
@@ -151,7 +151,7 @@
 TEST_CASE("several addresses share one handler, and say where a request came in") {
   application();
   Rig rig({"127.0.0.1:0", "127.0.0.1:0"});
-  rig.answer = [&](door::Request const& r) { rig.server.answer(r.id, 200, {}, "at " + std::to_string(r.at)); };
+  rig.answer = [&](http::Request const& r) { rig.server.answer(r.id, 200, {}, "at " + std::to_string(r.at)); };
   Client one(rig.server.address(0));
   Client two(rig.server.address(1));
   one.say(request("GET"));
@@ -162,13 +162,13 @@
 
 TEST_CASE("bounds that change hold from the next request on") {
   application();
-  Rig rig({"127.0.0.1:0"}, door::Limits{.body = 4});
-  rig.answer = [&](door::Request const& r) { rig.server.answer(r.id, 200, {}, "served"); };
+  Rig rig({"127.0.0.1:0"}, http::Limits{.body = 4});
+  rig.answer = [&](http::Request const& r) { rig.server.answer(r.id, 200, {}, "served"); };
   std::string const big = request("POST", "Content-Length: 5\r\n") + "12345";
   Client c(rig.server.address());
   c.say(big);
   CHECK(c.has(" 413 "));
-  rig.server.setLimits(door::Limits{.body = 5, .faultFields = {}});
+  rig.server.setLimits(http::Limits{.body = 5, .faultFields = {}});
   Client d(rig.server.address());
   d.say(big);
   CHECK(d.has("served"));
@@ -177,15 +177,15 @@
   CHECK(d.got.find("corkward-outcome") == std::string::npos);
 }
 
-TEST_CASE("a door that leaves says so, serves what still comes, and closes without a reset") {
+TEST_CASE("a HTTP edge that leaves says so, serves what still comes, and closes without a reset") {
   application();
   Rig rig;
   Client kept(rig.server.address());
-  rig.answer = [&](door::Request const& r) { rig.server.answer(r.id, 200, {}, "first"); };
+  rig.answer = [&](http::Request const& r) { rig.server.answer(r.id, 200, {}, "first"); };
   kept.say(request("GET"));
   REQUIRE(kept.has("first"));
   Client begun(rig.server.address());
-  rig.answer = [&](door::Request const& r) { rig.server.begin(r.id, 200, {}, -1); };
+  rig.answer = [&](http::Request const& r) { rig.server.begin(r.id, 200, {}, -1); };
   begun.say(request("GET"));
   REQUIRE(begun.has("chunked"));
   CHECK(rig.server.inHand() == 1);
@@ -193,7 +193,7 @@
   rig.server.piece(rig.requests[1].id, "words");
   rig.server.finish(rig.requests[1].id);
   REQUIRE(begun.has("\r\n0\r\n\r\n"));
-  rig.answer = [&](door::Request const& r) { rig.server.answer(r.id, 200, {}, "late"); };
+  rig.answer = [&](http::Request const& r) { rig.server.answer(r.id, 200, {}, "late"); };
   begun.got.clear();
   for (Client* const c : {&kept, &begun}) {
     c->say(request("GET"));
@@ -205,10 +205,10 @@
   CHECK(rig.server.inHand() == 0);
 }
 
-TEST_CASE("a door that closes still answers all that its callers have sent or are about to send") {
+TEST_CASE("a HTTP edge that closes still answers all that its callers have sent or are about to send") {
   application();
   Rig rig;
-  rig.answer = [&](door::Request const& r) { rig.server.answer(r.id, 503, {}, "not here"); };
+  rig.answer = [&](http::Request const& r) { rig.server.answer(r.id, 503, {}, "not here"); };
   Client idle(rig.server.address());
   idle.say(request("GET"));
   REQUIRE(idle.has("not here"));
@@ -239,7 +239,7 @@
 TEST_CASE("a burst of connections does not hold up a caller that is there") {
   application();
   Rig rig;
-  rig.answer = [&](door::Request const& r) { rig.server.answer(r.id, 200, {}, "served"); };
+  rig.answer = [&](http::Request const& r) { rig.server.answer(r.id, 200, {}, "served"); };
   Client c(rig.server.address());
   REQUIRE(until([&] { return rig.server.connections() == 1; }));
   std::vector<std::unique_ptr<Client>> burst;
@@ -262,31 +262,31 @@
 }
 
 TEST_CASE("the product's own mapping hands over and reads its own headers") {
-  door::OwnMapping const mapping;
-  door::Request request;
+  http::OwnMapping const mapping;
+  http::Request request;
   request.id = 7;
   request.method = "POST";
   request.target = "/v1/desk.nord/answers/diagnosis?x=1";
   request.fields = {{"corkward-request-id", "q1"}, {"corkward-attempt", "2"}, {"content-type", "text/plain"}, {"x-other", "y"}};
-  door::CallerRequest const caller = mapping.callerRequest(request);
+  http::CallerRequest const caller = mapping.callerRequest(request);
   REQUIRE(caller.request);
   CHECK(caller.request->instance == "desk.nord");
   CHECK(caller.request->path == "answers/diagnosis");
   CHECK_FALSE(caller.events);
-  rotor::HandOver const handOver;
-  rotor::Resume resume;
-  door::ReplicaRequest sent = mapping.replicaRequest({request, *caller.request, caller.request->path, handOver, resume});
+  dataplane::HandOver const handOver;
+  dataplane::Resume resume;
+  http::ReplicaRequest sent = mapping.replicaRequest({request, *caller.request, caller.request->path, handOver, resume});
   CHECK(sent.method == "POST");
   CHECK(sent.target == "/answers/diagnosis");
-  CHECK(sent.fields == door::FieldList{{"content-type", "text/plain"}, {"corkward-attempt", "2"}, {"corkward-request-id", "q1"}});
+  CHECK(sent.fields == http::FieldList{{"content-type", "text/plain"}, {"corkward-attempt", "2"}, {"corkward-request-id", "q1"}});
   resume = {true, "r1", 9, ""};
   sent = mapping.replicaRequest({request, *caller.request, caller.request->path, handOver, resume});
-  CHECK(door::field(sent.fields, "corkward-run") == "r1");
-  CHECK(door::field(sent.fields, "corkward-offset") == "9");
-  rotor::Head const head = mapping.head({200, "OK", {{"Corkward-Run", "r1"}, {"Content-Type", "a/b"}, {"X-Own", "z"}}, 4, false}, request);
+  CHECK(http::field(sent.fields, "corkward-run") == "r1");
+  CHECK(http::field(sent.fields, "corkward-offset") == "9");
+  dataplane::Head const head = mapping.head({200, "OK", {{"Corkward-Run", "r1"}, {"Content-Type", "a/b"}, {"X-Own", "z"}}, 4, false}, request);
   CHECK(head.run == "r1");
   CHECK(head.length == 4);
-  CHECK(head.fields == door::FieldList{{"content-type", "a/b"}, {"corkward-run", "r1"}, {"corkward-outcome", "run"}});
+  CHECK(head.fields == http::FieldList{{"content-type", "a/b"}, {"corkward-run", "r1"}, {"corkward-outcome", "run"}});
   CHECK_FALSE(head.notRun);
   CHECK(mapping.head({503, "", {{"corkward-run", "none"}}, 0, false}, request).notRun);
   CHECK_FALSE(mapping.head({503, "", {{"corkward-run", "none"}}, 0, false}, request).failed);
@@ -295,14 +295,14 @@
   CHECK_FALSE(mapping.head({503, "", {}, 0, false}, request).notRun);
   CHECK_FALSE(mapping.head({200, "", {{"corkward-run", "none"}}, 0, false}, request).notRun);
   CHECK(mapping.head({200, "", {{"corkward-run", "none"}}, 0, false}, request).run.empty());
-  rotor::Deny const deny{7, 503, "full", true, 0.4};
-  CHECK(door::field(mapping.denyFields(deny), "retry-after") == "1");
-  CHECK(mapping.denyBody(deny).find("\"retryAfter\":1") != std::string::npos);
+  dataplane::Reject const reject{7, 503, "full", true, 0.4};
+  CHECK(http::field(mapping.rejectFields(reject), "retry-after") == "1");
+  CHECK(mapping.rejectBody(reject).find("\"retryAfter\":1") != std::string::npos);
 }
 
 TEST_CASE("fields of one connection do not go on to the next") {
-  door::FieldList const fields{{"Connection", "x-hop, Keep-Alive"}, {"X-Hop", "1"}, {"X-End", "2"}, {"keep-alive", "timeout=5"},
+  http::FieldList const fields{{"Connection", "x-hop, Keep-Alive"}, {"X-Hop", "1"}, {"X-End", "2"}, {"keep-alive", "timeout=5"},
                                {"Transfer-Encoding", "chunked"}, {"TE", "trailers"}, {"X-End", "3"}, {"Content-Length", "4"}};
-  CHECK(door::endToEnd(fields) == door::FieldList{{"X-End", "2"}, {"X-End", "3"}});
-  CHECK(door::endToEnd(door::Fields{{"connection", "close"}, {"a", "b"}}) == door::FieldList{{"a", "b"}});
+  CHECK(http::endToEnd(fields) == http::FieldList{{"X-End", "2"}, {"X-End", "3"}});
+  CHECK(http::endToEnd(http::Fields{{"connection", "close"}, {"a", "b"}}) == http::FieldList{{"a", "b"}});
 }
--- a/door/test/turn.h
+++ b/http/test/turn.h
@@ -5,7 +5,7 @@
 #include <QEventLoop>
 #include <QTimer>
 
-namespace corkward::door::test {
+namespace corkward::http::test {
 
 inline void application() {
   static int argc = 0;
@@ -27,4 +27,4 @@
   return true;
 }
 
-}  // namespace corkward::door::test
+}  // namespace corkward::http::test
--- a/door/test/relays_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -5,14 +5,14 @@
 #include <QTcpSocket>
 
 #include <corkward/core/types.h>
-#include <corkward/door/relays.h>
+#include <corkward/http/upstream_pool.h>
 
 #include "turn.h"
 
 namespace core = corkward::core;
-namespace door = corkward::door;
-using corkward::door::test::application;
-using corkward::door::test::until;
+namespace http = corkward::http;
+using corkward::http::test::application;
+using corkward::http::test::until;
 
 namespace {
 
@@ -60,49 +60,49 @@
   int ended = -1;
   int ends = 0;
   bool connected = false;
-  bool denied = false;
+  bool rejected = false;
   bool forgotten = false;
 };
 
 /// One request through the pool, up to its end.
 struct Ask {
-  Ask(door::Relays& relays, std::string const& address, bool fresh = false, std::string method = "POST") {
-    door::Relay::Events e;
+  Ask(http::UpstreamPool& upstreams, std::string const& address, bool fresh = false, std::string method = "POST") {
+    http::UpstreamConnection::Events e;
     e.connected = [this, method] {
       got.connected = true;
-      relay->send({method, "/x"}, method == "POST" ? "{}" : "");
+      upstream->send({method, "/x"}, method == "POST" ? "{}" : "");
     };
-    e.denied = [this] { got.denied = true; };
-    e.head = [this](door::ReplicaHead h) {
+    e.rejected = [this] { got.rejected = true; };
+    e.head = [this](http::ReplicaHead h) {
       got.status = h.status;
-      if (stopAtHead) relay->stop();
-      if (releaseAtHead) relay->release();
+      if (stopAtHead) upstream->stop();
+      if (releaseAtHead) upstream->release();
     };
     e.piece = [this](std::string bytes) { got.body += bytes; };
     e.ended = [this](bool whole) {
       got.ended = whole ? 1 : 0;
-      got.forgotten = relay->forgotten();
+      got.forgotten = upstream->forgotten();
       ++got.ends;
     };
-    relay = relays.lend(address, fresh, std::move(e), &owner);
+    upstream = upstreams.lend(address, fresh, std::move(e), &owner);
   }
   Got wait() {
-    REQUIRE(until([this] { return got.denied || got.ended >= 0 || (got.status != 0 && (stopAtHead || releaseAtHead)); }));
+    REQUIRE(until([this] { return got.rejected || got.ended >= 0 || (got.status != 0 && (stopAtHead || releaseAtHead)); }));
     return got;
   }
   QObject owner;
-  door::Relay* relay = nullptr;
+  http::UpstreamConnection* upstream = nullptr;
   Got got;
   bool stopAtHead = false;
   bool releaseAtHead = false;
 };
 
 struct Rig {
-  explicit Rig(std::vector<Script::Line> lines, door::Kept kept = {2, 5000, 0}) : replica(std::move(lines)), relays(kept, [this] { return now; }) {}
-  Got ask(bool fresh = false) { return Ask(relays, replica.address(), fresh).wait(); }
+  explicit Rig(std::vector<Script::Line> lines, http::Kept kept = {2, 5000, 0}) : replica(std::move(lines)), upstreams(kept, [this] { return now; }) {}
+  Got ask(bool fresh = false) { return Ask(upstreams, replica.address(), fresh).wait(); }
   core::Tick now = 1000;
   Script replica;
-  door::Relays relays;
+  http::UpstreamPool upstreams;
 };
 
 }  // namespace
@@ -114,19 +114,19 @@
     Got const got = rig.ask();
     REQUIRE(got.ended == 1);
     REQUIRE(got.body == "ok");
-    REQUIRE(rig.relays.idle() == 1);
+    REQUIRE(rig.upstreams.idle() == 1);
   }
   CHECK(rig.replica.connections == 1);
-  CHECK(rig.relays.opened() == 1);
-  CHECK(rig.relays.reused() == 19);
+  CHECK(rig.upstreams.opened() == 1);
+  CHECK(rig.upstreams.reused() == 19);
 }
 
 TEST_CASE("no connection is kept unless that is asked for") {
   application();
-  Rig rig({}, door::Kept{});
+  Rig rig({}, http::Kept{});
   rig.ask();
   rig.ask();
-  CHECK(rig.relays.idle() == 0);
+  CHECK(rig.upstreams.idle() == 0);
   CHECK(rig.replica.connections == 2);
 }
 
@@ -164,7 +164,7 @@
     Rig rig({{r.bytes, false}});
     Got const got = rig.ask();
     CHECK(got.ended == r.ended);
-    CHECK(rig.relays.idle() == (r.kept ? 1 : 0));
+    CHECK(rig.upstreams.idle() == (r.kept ? 1 : 0));
     CHECK(rig.ask().body == "ok");
     CHECK(rig.replica.connections == (r.kept ? 1 : 2));
   }
@@ -193,7 +193,7 @@
   for (Row const& r : {Row{"", 600, true}, Row{"", 10, false}, Row{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", 600, false}}) {
     Rig rig({{good, false}, {r.bytes, true}, {"", true}});
     rig.ask();
-    REQUIRE(rig.relays.idle() == 1);
+    REQUIRE(rig.upstreams.idle() == 1);
     rig.now += r.idle;
     Got const got = rig.ask();
     CHECK(got.ended == 0);
@@ -207,11 +207,11 @@
   application();
   Rig rig({});
   rig.ask();
-  REQUIRE(rig.relays.idle() == 1);
+  REQUIRE(rig.upstreams.idle() == 1);
   SECTION("closed") { rig.replica.last->disconnectFromHost(); }
   SECTION("reset") { rig.replica.last->abort(); }
   SECTION("a late answer") { rig.replica.last->write(good); }
-  REQUIRE(until([&] { return rig.relays.idle() == 0; }));
+  REQUIRE(until([&] { return rig.upstreams.idle() == 0; }));
   CHECK(rig.ask().ended == 1);
   CHECK(rig.replica.connections == 2);
 }
@@ -221,7 +221,7 @@
   Rig rig({});
   rig.ask();
   QTcpSocket* const old = rig.replica.last;
-  Ask again(rig.relays, rig.replica.address());
+  Ask again(rig.upstreams, rig.replica.address());
   CHECK_FALSE(again.got.connected);
   SECTION("closed") { old->disconnectFromHost(); }
   SECTION("a late answer") {
@@ -233,17 +233,17 @@
   CHECK(got.ends == 1);
   CHECK(rig.replica.requests == 2);
   CHECK(rig.replica.connections == 2);
-  CHECK(rig.relays.reused() == 0);
+  CHECK(rig.upstreams.reused() == 0);
 }
 
 TEST_CASE("a request on a kept connection that ends at that moment is broken and never sent again") {
   application();
   Rig rig({{good, false}, {"", true}});
   rig.ask();
-  Ask other(rig.relays, rig.replica.address());
+  Ask other(rig.upstreams, rig.replica.address());
   Got const got = other.wait();
   CHECK(got.connected);
-  CHECK_FALSE(got.denied);
+  CHECK_FALSE(got.rejected);
   CHECK(got.ended == 0);
   CHECK(got.ends == 1);
   CHECK(rig.replica.requests == 2);
@@ -253,13 +253,13 @@
 TEST_CASE("an error at an address throws away all that is kept of it") {
   application();
   Rig rig({{good, false}, {good, false}, {"nonsense\r\n\r\n", false}});
-  Ask one(rig.relays, rig.replica.address());
-  Ask two(rig.relays, rig.replica.address());
+  Ask one(rig.upstreams, rig.replica.address());
+  Ask two(rig.upstreams, rig.replica.address());
   one.wait();
   two.wait();
-  REQUIRE(rig.relays.idle() == 2);
+  REQUIRE(rig.upstreams.idle() == 2);
   CHECK(rig.ask().ended == 0);
-  CHECK(rig.relays.idle() == 0);
+  CHECK(rig.upstreams.idle() == 0);
 }
 
 TEST_CASE("an idle connection is used up to its age, half of the replica's own, and the bound of a single run") {
@@ -277,7 +277,7 @@
                           {good, 50, true, 50, false}};
   for (Row const& r : rows) {
     INFO(r.age << " " << r.freshLimit << " " << r.fresh);
-    Rig rig({{r.bytes, false}}, door::Kept{2, 5000, r.freshLimit});
+    Rig rig({{r.bytes, false}}, http::Kept{2, 5000, r.freshLimit});
     rig.ask();
     rig.now += r.age;
     CHECK(rig.ask(r.fresh).ended == 1);
@@ -288,16 +288,16 @@
 TEST_CASE("no more idle connections are kept of a replica than the bound") {
   application();
   Rig rig({});
-  Ask one(rig.relays, rig.replica.address());
-  Ask two(rig.relays, rig.replica.address());
-  Ask three(rig.relays, rig.replica.address());
+  Ask one(rig.upstreams, rig.replica.address());
+  Ask two(rig.upstreams, rig.replica.address());
+  Ask three(rig.upstreams, rig.replica.address());
   one.wait();
   two.wait();
   three.wait();
-  CHECK(rig.relays.idle() == 2);
+  CHECK(rig.upstreams.idle() == 2);
   REQUIRE(until([&] { return rig.replica.closed == 1; }));
-  rig.relays.setKept(door::Kept{});
-  CHECK(rig.relays.idle() == 0);
+  rig.upstreams.setKept(http::Kept{});
+  CHECK(rig.upstreams.idle() == 0);
 }
 
 TEST_CASE("an answer that is not wanted ends its connection, or is read to its end when it is short") {
@@ -307,11 +307,11 @@
   bool const kept = !stop && bytes == good;
   Rig rig({{bytes, false}});
   {
-    Ask unwanted(rig.relays, rig.replica.address());
+    Ask unwanted(rig.upstreams, rig.replica.address());
     unwanted.stopAtHead = stop;
     unwanted.releaseAtHead = !stop;
     unwanted.wait();
-    REQUIRE(until([&] { return kept ? rig.relays.idle() == 1 : rig.replica.closed == 1; }));
+    REQUIRE(until([&] { return kept ? rig.upstreams.idle() == 1 : rig.replica.closed == 1; }));
     CHECK(unwanted.got.body.empty());
     CHECK(unwanted.got.ends == 0);
   }
@@ -322,18 +322,18 @@
 TEST_CASE("an answer to HEAD has no body, whatever its length says") {
   application();
   Rig rig({{"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n", false}});
-  Ask ask(rig.relays, rig.replica.address(), false, "HEAD");
+  Ask ask(rig.upstreams, rig.replica.address(), false, "HEAD");
   CHECK(ask.wait().ended == 1);
-  CHECK(rig.relays.idle() == 1);
+  CHECK(rig.upstreams.idle() == 1);
 }
 
 TEST_CASE("no event comes from within a call, and a refused connection is told once") {
   application();
-  door::Relays relays({2, 5000, 0}, [] { return 1; });
-  Ask ask(relays, "127.0.0.1:1");
-  CHECK_FALSE(ask.got.denied);
+  http::UpstreamPool upstreams({2, 5000, 0}, [] { return 1; });
+  Ask ask(upstreams, "127.0.0.1:1");
+  CHECK_FALSE(ask.got.rejected);
   ask.wait();
-  CHECK(ask.got.denied);
+  CHECK(ask.got.rejected);
   CHECK_FALSE(ask.got.connected);
 }
 
@@ -352,7 +352,7 @@
     Rig rig({{bytes, true}});
     Got const got = rig.ask();
     REQUIRE(got.ends == 1);
-    REQUIRE(rig.relays.idle() == 0);
+    REQUIRE(rig.upstreams.idle() == 0);
     if (round % 2 == 0) REQUIRE(got.ended == 0);
   }
 }
--- a/programs/cli/declare.cpp
+++ b/programs/cli/declare.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 #include <map>
 
-#include <corkward/blueprint/regimes.h>
+#include <corkward/config/regimes.h>
 #include <corkward/core/json.h>
 #include <corkward/core/types.h>
 
@@ -21,15 +21,15 @@
   return "/v1/templates/" + templateName + (instance.empty() ? "" : "/instances/" + instance);
 }
 
-/// The same change on the same stamp has the same id, so sending it again is harmless.
+/// The same change on the same revision has the same id, so sending it again is harmless.
 std::string changeIdOf(OperatorCall const& call) {
-  return "apply-" + QString::number(core::stableHash(call.method + " " + call.path + " " + call.stamp + " " + call.body), 16).toStdString();
+  return "apply-" + QString::number(core::stableHash(call.method + " " + call.path + " " + call.revision + " " + call.body), 16).toStdString();
 }
 
-PlannedChange changeOf(std::string const& action, std::string const& method, std::string const& path, QJsonObject const* spec, qint64 stamp) {
+PlannedChange changeOf(std::string const& action, std::string const& method, std::string const& path, QJsonObject const* spec, qint64 revision) {
   PlannedChange out;
   out.action = action;
-  out.call = OperatorCall{method, path, spec == nullptr ? "" : core::jsonText(*spec), std::to_string(stamp), "", false};
+  out.call = OperatorCall{method, path, spec == nullptr ? "" : core::jsonText(*spec), std::to_string(revision), "", false};
   out.call.changeId = changeIdOf(out.call);
   return out;
 }
@@ -43,12 +43,12 @@
 
 /// What stands beside the families.
 struct Known {
-  blueprint::PoolKnown pool;
-  blueprint::Regimes regimes;
-  blueprint::Wall wall;
+  config::PoolKnown pool;
+  config::Regimes regimes;
+  config::Wall wall;
 
   std::string regimeFault(std::string const& regime, std::string const& in) const {
-    std::optional<blueprint::RegimeFault> const fault = blueprint::faultOf(regimes, regime, in, wall);
+    std::optional<config::RegimeFault> const fault = config::faultOf(regimes, regime, in, wall);
     return fault ? fault->reason : std::string();
   }
 };
@@ -85,7 +85,7 @@
     all.insert(core::qstr(d.instance), entry);
     family.insert("instances", all);
   }
-  blueprint::checkFamily(family, known.pool, [&](std::string const& regime, std::string const& pool) { return known.regimeFault(regime, pool); });
+  config::checkFamily(family, known.pool, [&](std::string const& regime, std::string const& pool) { return known.regimeFault(regime, pool); });
 }
 
 std::vector<PlannedChange> planFamily(std::string const& name, Family const& f, bool prune, Known const& known) {
@@ -108,7 +108,7 @@
         step(family, *d, known);
       }
       break;
-    } catch (blueprint::Error const& e) {
+    } catch (config::Error const& e) {
       fault = at->file + ": " + e.what();
       if (firstFault.empty()) firstFault = fault;
     }
@@ -120,8 +120,8 @@
   std::vector<PlannedChange> out;
   for (Declaration const* const d : order) {
     QJsonObject const entry = d->instance.empty() ? f.now.value("template").toObject() : have.value(core::qstr(d->instance)).toObject();
-    qint64 const stamp = entry.value("stamp").toInteger();
-    out.push_back(changeOf(stamp == 0 ? "create" : "change", "PUT", d->path(), &d->spec, stamp));
+    qint64 const revision = entry.value("stamp").toInteger();
+    out.push_back(changeOf(revision == 0 ? "create" : "change", "PUT", d->path(), &d->spec, revision));
   }
   if (!prune) return out;
   for (QString const& i : have.keys()) {
@@ -155,13 +155,13 @@
 /// First tenant that could not be served, of those in force or of those to come, and why.
 std::string uncovered(std::map<std::string, Family> const& families, bool toCome, bool prune, Known const& known) {
   for (std::map<std::string, Family>::value_type const& f : families) {
-    std::vector<blueprint::Path> paths;
+    std::vector<config::Path> paths;
     try {
-      paths = blueprint::render(f.first, toCome ? familyToCome(f.second, prune) : f.second.now);
-    } catch (blueprint::Error const&) {
+      paths = config::render(f.first, toCome ? familyToCome(f.second, prune) : f.second.now);
+    } catch (config::Error const&) {
       continue;
     }
-    for (blueprint::RegimeUse const& use : blueprint::regimeUses(paths)) {
+    for (config::RegimeUse const& use : config::regimeUses(paths)) {
       std::string const fault = known.regimeFault(use.regime, use.pool);
       if (!fault.empty()) return use.instance + ": " + fault;
     }
@@ -171,7 +171,7 @@
 
 void say(std::vector<PlannedChange> const& plan, std::string const& head) {
   std::cout << head << "\n";
-  for (PlannedChange const& c : plan) std::cout << "  " << c.action << " " << c.call.path << " (stamp " << c.call.stamp << ")\n";
+  for (PlannedChange const& c : plan) std::cout << "  " << c.action << " " << c.call.path << " (stamp " << c.call.revision << ")\n";
 }
 
 }  // namespace
@@ -207,9 +207,9 @@
     for (QString const& k : o.keys())
       if (k != "template" && k != "instance" && k != "spec") throw UsageError(file + ": /" + core::str(k) + ": unknown field");
     d.templateName = core::str(o.value("template").toString());
-    if (!blueprint::validName(d.templateName)) throw UsageError(file + ": /template: must be a name");
+    if (!config::validName(d.templateName)) throw UsageError(file + ": /template: must be a name");
     d.instance = core::str(o.value("instance").toString());
-    if (o.contains("instance") && !blueprint::validName(d.instance)) throw UsageError(file + ": /instance: must be a name");
+    if (o.contains("instance") && !config::validName(d.instance)) throw UsageError(file + ": /instance: must be a name");
     if (!o.value("spec").isObject()) throw UsageError(file + ": /spec: must be an object");
     d.spec = o.value("spec").toObject();
     std::string const before = seen.try_emplace(d.path(), file).first->second;
@@ -241,9 +241,9 @@
   OperatorOutcome const inForce = read(ask, certificatesPath);
   Known known{[&](std::string const& pool) {
                 std::map<std::string, bool>::const_iterator const it = pools.find(pool);
-                return it != pools.end() ? it->second : (pools[pool] = read(ask, "/v1/platform/pools/" + blueprint::addressPart(pool)).status == 200);
+                return it != pools.end() ? it->second : (pools[pool] = read(ask, "/v1/platform/pools/" + config::addressPart(pool)).status == 200);
               },
-              blueprint::keptRegimes(inForce.body), QDateTime::currentMSecsSinceEpoch()};
+              config::keptRegimes(inForce.body), QDateTime::currentMSecsSinceEpoch()};
   for (std::map<std::string, Family>::value_type& f : families) {
     f.second.now = familyInForce(ask, f.first);
     if (f.second.now.isEmpty() && f.second.own == nullptr && !f.second.instances.empty())
@@ -252,8 +252,8 @@
   if (certificates == nullptr || inForce.body.value("spec") == QJsonValue(certificates->spec)) return planFamilies(families, prune, known);
   Known next = known;
   try {
-    next.regimes = blueprint::readRegimes(certificates->spec);
-  } catch (blueprint::Error const& e) {
+    next.regimes = config::readRegimes(certificates->spec);
+  } catch (config::Error const& e) {
     throw UsageError(certificates->file + ": " + e.what());
   }
   PlannedChange const own = changeOf(inForce.status == 404 ? "create" : "change", "PUT", certificatesPath, &certificates->spec,
@@ -275,11 +275,11 @@
   }
 }
 
-int declare(std::vector<std::string> const& substations, ApplyWays const& ways, std::function<int(int)> const& exitCode) {
+int declare(std::vector<std::string> const& controllers, ApplyWays const& ways, std::function<int(int)> const& exitCode) {
   std::vector<Declaration> const declared = readFolder(ways.folder);
   std::vector<PlannedChange> plan;
   try {
-    plan = planChanges(declared, ways.prune, [&](OperatorCall const& c) { return callOperator(substations, c, ways.limitSeconds); });
+    plan = planChanges(declared, ways.prune, [&](OperatorCall const& c) { return callOperator(controllers, c, ways.limitSeconds); });
   } catch (UsageError const&) {
     throw;
   } catch (core::Error const& e) {
@@ -292,11 +292,11 @@
   int code = !ways.apply && !plan.empty() ? 1 : 0;
   std::size_t done = 0;
   for (PlannedChange const& c : plan) {
-    QJsonObject row{{"action", core::qstr(c.action)}, {"path", core::qstr(c.call.path)}, {"stamp", core::qstr(c.call.stamp).toLongLong()},
+    QJsonObject row{{"action", core::qstr(c.action)}, {"path", core::qstr(c.call.path)}, {"stamp", core::qstr(c.call.revision).toLongLong()},
                     {"changeId", core::qstr(c.call.changeId)}};
     if (send && code == 0) {
-      OperatorOutcome out = callOperator(substations, c.call, ways.limitSeconds);
-      out = waitInForce(substations, c.call, out, ways.limitSeconds, ways.waitSeconds);
+      OperatorOutcome out = callOperator(controllers, c.call, ways.limitSeconds);
+      out = waitInForce(controllers, c.call, out, ways.limitSeconds, ways.waitSeconds);
       bool const ok = out.status == 200 || out.status == 201;
       if (!ok) code = out.body.value("pending").toBool() ? 8 : out.status == 0 ? 7 : exitCode(out.status);
       done += ok ? 1 : 0;
--- a/programs/cli/declare.h
+++ b/programs/cli/declare.h
@@ -31,7 +31,7 @@
 using Ask = std::function<OperatorOutcome(OperatorCall const&)>;
 
 /// What is to be done, in an order in which every step is valid; checked whole before anything is sent.
-/// Throws UsageError when the declarations are no valid blueprint, core::Error when the state cannot be read.
+/// Throws UsageError when the declarations are no valid configuration, core::Error when the state cannot be read.
 std::vector<PlannedChange> planChanges(std::vector<Declaration> const& declared, bool prune, Ask const& ask);
 
 /// `corkward diff DIR` and `corkward apply DIR`.
@@ -44,6 +44,6 @@
   int limitSeconds = 15;
   int waitSeconds = 60;
 };
-int declare(std::vector<std::string> const& substations, ApplyWays const& ways, std::function<int(int)> const& exitCode);
+int declare(std::vector<std::string> const& controllers, ApplyWays const& ways, std::function<int(int)> const& exitCode);
 
 }  // namespace corkward::programs
--- a/programs/cli/regime_report.cpp
+++ b/programs/cli/regime_report.cpp
@@ -74,9 +74,9 @@
   for (std::string const& name : ways.folders) {
     if (!QDir(core::qstr(name)).exists()) throw UsageError("no such folder: " + name);
     try {
-      std::unique_ptr<ledger::Folder> const folder = ledger::openFolder(name);
+      std::unique_ptr<storage::Folder> const folder = storage::openFolder(name);
       trails.push_back(audit::readTrail(*folder));
-    } catch (ledger::Error const& e) {
+    } catch (storage::Error const& e) {
       throw UsageError(name + ": " + e.what());
     }
     if (trails.back().records.empty() && trails.back().faults.empty()) throw UsageError(name + ": holds no records");
--- a/programs/common/operator_client.cpp
+++ b/programs/common/operator_client.cpp
@@ -17,16 +17,16 @@
 
 namespace corkward::programs {
 
-OperatorOutcome callOperator(std::vector<std::string> const& substations, OperatorCall const& call, int limitSeconds) {
+OperatorOutcome callOperator(std::vector<std::string> const& controllers, OperatorCall const& call, int limitSeconds) {
   OperatorOutcome out;
-  for (std::string const& base : substations) {
+  for (std::string const& base : controllers) {
     QUrl const url(QString::fromStdString("http://" + base + call.path + (call.dryRun ? "?dryRun=1" : "")));
-    if (!url.isValid() || url.host().isEmpty()) throw UsageError("substation: must be ip:port, but is " + base);
+    if (!url.isValid() || url.host().isEmpty()) throw UsageError("controller: must be ip:port, but is " + base);
     QNetworkAccessManager manager;
     QNetworkRequest request(url);
     request.setTransferTimeout(limitSeconds * 1000);
     request.setHeader(QNetworkRequest::ContentTypeHeader, "application/json");
-    if (!call.stamp.empty()) request.setRawHeader("If-Match", QByteArray::fromStdString("\"" + call.stamp + "\""));
+    if (!call.revision.empty()) request.setRawHeader("If-Match", QByteArray::fromStdString("\"" + call.revision + "\""));
     if (!call.changeId.empty()) request.setRawHeader("Corkward-Change-Id", QByteArray::fromStdString(call.changeId));
     QNetworkReply* const reply =
         manager.sendCustomRequest(request, QByteArray::fromStdString(call.method), QByteArray::fromStdString(call.body));
@@ -38,7 +38,7 @@
     out.error = reply->errorString().toStdString();
     if (out.status == 0) continue;
     out.text = reply->readAll();
-    out.stamp = QString::fromUtf8(reply->rawHeader("ETag")).remove('"').toStdString();
+    out.revision = QString::fromUtf8(reply->rawHeader("ETag")).remove('"').toStdString();
     try {
       out.body = core::parseJson(out.text.toStdString()).toObject();
     } catch (core::JsonError const&) {
@@ -49,7 +49,7 @@
   return out;
 }
 
-OperatorOutcome waitInForce(std::vector<std::string> const& substations, OperatorCall const& call, OperatorOutcome first, int limitSeconds,
+OperatorOutcome waitInForce(std::vector<std::string> const& controllers, OperatorCall const& call, OperatorOutcome first, int limitSeconds,
                             int waitSeconds) {
   core::Tick const until = now() + waitSeconds * core::Tick{1000};
   OperatorOutcome out = std::move(first);
@@ -57,7 +57,7 @@
     QEventLoop loop;
     QTimer::singleShot(300, &loop, &QEventLoop::quit);
     loop.exec();
-    out = callOperator(substations, call, limitSeconds);
+    out = callOperator(controllers, call, limitSeconds);
   }
   return out;
 }
--- a/programs/common/operator_client.h
+++ b/programs/common/operator_client.h
@@ -20,7 +20,7 @@
   std::string method;
   std::string path;
   std::string body;
-  std::string stamp;
+  std::string revision;
   std::string changeId;
   bool dryRun = false;
 };
@@ -30,16 +30,16 @@
   int status = 0;
   QByteArray text;
   QJsonObject body;
-  std::string stamp;
+  std::string revision;
   std::string error;
   std::string from;
 };
 
-/// Sends the call to the first of the substations that answers, and waits. Change ids make a second sending harmless.
-OperatorOutcome callOperator(std::vector<std::string> const& substations, OperatorCall const& call, int limitSeconds);
+/// Sends the call to the first of the controllers that answers, and waits. Change ids make a second sending harmless.
+OperatorOutcome callOperator(std::vector<std::string> const& controllers, OperatorCall const& call, int limitSeconds);
 
-/// Sends a change again under its id until it is in force, denied, or the time is over; the newest outcome.
-OperatorOutcome waitInForce(std::vector<std::string> const& substations, OperatorCall const& call, OperatorOutcome first, int limitSeconds,
+/// Sends a change again under its id until it is in force, rejected, or the time is over; the newest outcome.
+OperatorOutcome waitInForce(std::vector<std::string> const& controllers, OperatorCall const& call, OperatorOutcome first, int limitSeconds,
                             int waitSeconds);
 
 /// Reads a file, or standard input for "-". Throws UsageError.
--- a/programs/common/process.cpp
+++ b/programs/common/process.cpp
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-signal::Contact contactOf(Settings const& settings, char const* role) {
-  signal::Contact c;
+transport::Contact contactOf(Settings const& settings, char const* role) {
+  transport::Contact c;
   c.link = settings.link;
   c.http = settings.http;
   c.role = role;
@@ -26,9 +26,9 @@
 
 void chooseEventLoop() { qputenv("QT_NO_GLIB", "1"); }
 
-std::string pathOf(door::Request const& request) { return request.target.substr(0, request.target.find('?')); }
+std::string pathOf(http::Request const& request) { return request.target.substr(0, request.target.find('?')); }
 
-bool plainPage(door::Server& server, door::Request const& request, std::function<bool()> const& ready,
+bool plainPage(http::Server& server, http::Request const& request, std::function<bool()> const& ready,
                std::function<std::string()> const& metrics) {
   std::string const path = pathOf(request);
   if (path == "/healthz") {
@@ -61,14 +61,14 @@
   return true;
 }
 
-void Drain::look(door::Server& door, std::size_t inHand) {
+void Drain::look(http::Server& http, std::size_t inHand) {
   if (until_ == 0) return;
   bool const over = now() >= until_;
-  std::size_t const left = inHand + door.inHand();
+  std::size_t const left = inHand + http.inHand();
   if (!over && (left > 0 || now() < least_)) return;
-  door.close();
-  if (!over && door.inHand() + door.expecting() > 0) return;
-  core::writeLog(core::Note{"stopped", {{"in-hand", std::to_string(left)}}});
+  http.close();
+  if (!over && http.inHand() + http.expecting() > 0) return;
+  core::writeLog(core::LogEvent{"stopped", {{"in-hand", std::to_string(left)}}});
   QCoreApplication::exit(0);
 }
 
--- a/programs/common/process.h
+++ b/programs/common/process.h
@@ -6,8 +6,8 @@
 #include <string>
 
 #include <corkward/core/log.h>
-#include <corkward/door/server.h>
-#include <corkward/signal/message.h>
+#include <corkward/http/server.h>
+#include <corkward/transport/message.h>
 
 #include "clock.h"
 #include "settings.h"
@@ -15,14 +15,14 @@
 namespace corkward::programs {
 
 /// Answers /healthz, /readyz and /metrics; false when the request is for another page.
-bool plainPage(door::Server& server, door::Request const& request, std::function<bool()> const& ready,
+bool plainPage(http::Server& server, http::Request const& request, std::function<bool()> const& ready,
                std::function<std::string()> const& metrics);
 
 /// How a process names itself to the others; the incarnation is a first guess from the wall clock.
-signal::Contact contactOf(Settings const& settings, char const* role);
+transport::Contact contactOf(Settings const& settings, char const* role);
 
 /// Path of a request without its query.
-std::string pathOf(door::Request const& request);
+std::string pathOf(http::Request const& request);
 
 /// Keeps a folder for this process alone. Throws SettingsError with the setting's name when another process has it.
 class FolderLock {
@@ -36,7 +36,7 @@
   int fd_;
 };
 
-/// The end of a process after SIGTERM: when nothing is in hand, its door is closed and nobody waits at it, or at the limit.
+/// The end of a process after SIGTERM: when nothing is in hand, its HTTP edge is closed and nobody waits at it, or at the limit.
 class Drain {
  public:
   /// @param least for how long callers may still come, though nothing is in hand
@@ -44,7 +44,7 @@
   /// True at the first call only.
   bool begin();
   /// Ends the event loop when it is time.
-  void look(door::Server& door, std::size_t inHand);
+  void look(http::Server& http, std::size_t inHand);
 
  private:
   int limitSeconds_;
