--- a/programs/common/settings.cpp
+++ b/programs/common/settings.cpp
@@ -9,7 +9,7 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 
 namespace corkward::programs {
 
@@ -45,8 +45,8 @@
 
 std::optional<Settings> readSettings(int argc, char const* const* argv, Role role) {
   Settings s;
-  bool const disk = role == Role::substation;
-  std::string const program = disk ? "corkward-substation" : "corkward-nacelle";
+  bool const disk = role == Role::controller;
+  std::string const program = disk ? "corkward-controller" : "corkward-router";
   po::options_description shared("Settings, in the file or as flags");
   shared.add_options()("link", po::value<std::string>(&s.link), "own address for other processes, ip:port")(
       "listen", po::value<std::string>(&s.listen), "address to listen at for links, when others reach it at another one")(
@@ -57,8 +57,8 @@
       "log-level", po::value<std::string>(&s.logLevel)->default_value("info"), "trace, debug, info, warn or error")(
       "drain-limit", po::value<int>(&s.drainLimit)->default_value(60), "seconds that work in hand may take after SIGTERM, 1 to 3600");
   if (disk)
-    shared.add_options()("data", po::value<std::string>(&s.data), "folder for this machine's ledger")(
-        "founder", po::value<std::vector<std::string>>(&s.founders), "link address of a founder of the cohort, once for each; counts at the first start of an empty folder");
+    shared.add_options()("data", po::value<std::string>(&s.data), "folder for this machine's write-ahead log")(
+        "founder", po::value<std::vector<std::string>>(&s.founders), "link address of a founder of the membership, once for each; counts at the first start of an empty folder");
   else
     shared.add_options()("audit", po::value<std::string>(&s.audit), "folder for the records of regimes' work; without it nothing of a regime is served here")(
         "audit-megabytes", po::value<int>(&s.auditMegabytes)->default_value(64), "most that the records take, 2 to 65536");
@@ -94,7 +94,7 @@
   if (s.listen == s.http) throw SettingsError("http: must differ from listen");
   if (s.link == s.http) throw SettingsError("http: must differ from link");
   if (s.zone.empty()) throw SettingsError("zone: missing");
-  if (!blueprint::validName(s.zone)) throw SettingsError("zone: not a valid name: " + s.zone);
+  if (!config::validName(s.zone)) throw SettingsError("zone: not a valid name: " + s.zone);
   if (s.seeds.size() > 8) throw SettingsError("seed: more than 8");
   if (s.seeds.empty() && !disk) throw SettingsError("seed: missing");
   for (std::string const& seed : s.seeds) checkAddress("seed", seed, true);
--- a/programs/common/settings.h
+++ b/programs/common/settings.h
@@ -32,7 +32,7 @@
   using core::Error::Error;
 };
 
-enum class Role { nacelle, substation };
+enum class Role { router, controller };
 
 /// Reads flags and the settings file and checks every value. Returns nothing when the start is to end here with exit
 /// code 0 (--help, --version, --check). Throws SettingsError.
--- /dev/null
+++ b/programs/control/control_daemon.cpp
@@ -0,0 +1,210 @@
+#include "control_daemon.h"
+
+#include <QDateTime>
+#include <QHostAddress>
+#include <QTcpSocket>
+
+#include <corkward/core/log.h>
+
+#include "clock.h"
+
+namespace corkward::programs {
+
+namespace {
+
+constexpr int probeLimitMs = 300;
+/// How often a disk that failed is tried again.
+constexpr int diskAgainMs = 1000;
+constexpr char const* triedRecord = "tried";
+
+}  // namespace
+
+ControlDaemon::ControlDaemon(Settings const& s, control::Tuning const& tuning, http::OperatorMapping const& mapping, ControllerSurface surface)
+    : settings_(s),
+      tuning_(tuning),
+      mapping_(mapping),
+      surface_(std::move(surface)),
+      drain_(s.drainLimit),
+      seed_(freshSeed()),
+      folder_(storage::openFolder(s.data)),
+      lock_("data", s.data),
+      log_(std::make_unique<storage::WriteAheadLog>(*folder_)),
+      reducer_(std::in_place, contactOf(s, transport::controllerRole), freshName(), s.seeds, s.founders, seed_, tuning),
+      link_(this, s.link, [this](transport::Envelope e) { run(reducer_->arrived(now(), e.from, e.message)); }, s.listen),
+      server_(surface_.http.empty() ? std::vector<std::string>{s.http} : surface_.http, surface_.limits, events()),
+      disk_(1) {
+  storage::Recovered got = log_->recover();
+  if (got.tornTail) core::writeLog(core::LogEvent{"torn-tail-cut", {}});
+  if (got.damaged) {
+    core::writeLog(core::LogEvent{"ledger-damaged", {{"place", got.damage}}});
+    setAside();
+  }
+  run(reducer_->restore(got.slots, got.damaged, now()));
+  QObject::connect(&clock_, &QTimer::timeout, this, [this] { clockEvent(); });
+  clock_.start(surface_.clockEveryMs);
+  QObject::connect(&diskAgain_, &QTimer::timeout, this, [this] { tryDisk(); });
+  onTermination(this, [this] { drain(); });
+  core::writeLog(core::LogEvent{"started", {{"link", link_.address()}, {"http", server_.address()}, {"zone", s.zone}}});
+}
+
+http::Server::Events ControlDaemon::events() {
+  http::Server::Events e;
+  e.request = [this](http::Request request) { serve(std::move(request)); };
+  e.gone = [this](std::uint64_t id) { calls_.erase(id); };
+  return e;
+}
+
+void ControlDaemon::platformLists(std::map<std::string, config::Pool> const& lists) { run(reducer_->platformLists(now(), lists)); }
+
+bool ControlDaemon::readsLists() const { return reducer_->readsLists(now()); }
+
+void ControlDaemon::retune(std::vector<std::string> const& seeds) {
+  settings_.seeds = seeds;
+  reducer_->setSeeds(seeds);
+}
+
+void ControlDaemon::setAside() {
+  for (std::string const& name : folder_->list())
+    if (name.rfind("damaged-", 0) != 0) folder_->rename(name, "damaged-" + std::to_string(now()) + "-" + name);
+  folder_->syncFolder();
+  log_ = std::make_unique<storage::WriteAheadLog>(*folder_);
+  log_->recover();
+}
+
+void ControlDaemon::serve(http::Request request) {
+  if (surface_.pages && surface_.pages(*this, request)) return;
+  if (surface_.ownPages && plainPage(server_, request, [this] { return ready(); }, [this] { return metrics(); })) return;
+  http::OperatorRequest asked = mapping_.operatorCall(request, freshName());
+  if (!asked.call) {
+    server_.answer(request.id, asked.answer.status, asked.answer.fields, asked.answer.body);
+    return;
+  }
+  asked.call->token = request.id;
+  transport::Call const call = std::move(*asked.call);
+  transport::Call& kept = calls_[call.token];
+  kept.token = call.token;
+  kept.method = call.method;
+  kept.path = call.path;
+  kept.ifMatch = call.ifMatch;
+  kept.changeId = call.changeId;
+  kept.dryRun = call.dryRun;
+  run(reducer_->operatorCall(now(), call));
+}
+
+bool ControlDaemon::ready() const { return reducer_->ready(now()); }
+
+std::string ControlDaemon::metrics() const {
+  return reducer_->metrics(now()) + "# TYPE corkward_garbage_frames_total counter\ncorkward_garbage_frames_total " + std::to_string(link_.garbage()) +
+         "\n";
+}
+
+void ControlDaemon::answer(control::Answer const& a) {
+  std::unordered_map<std::uint64_t, transport::Call>::iterator const it = calls_.find(a.token);
+  if (it == calls_.end()) return;
+  http::WholeAnswer const out = mapping_.answer(it->second, a.status, a.body);
+  calls_.erase(it);
+  server_.answer(a.token, out.status, out.fields, out.body);
+}
+
+void ControlDaemon::run(control::Commands&& commands) {
+  if (!commands.persists.empty()) {
+    std::vector<storage::Record> records;
+    std::vector<std::uint64_t> tickets;
+    for (consensus::Persist const& p : commands.persists) {
+      records.push_back(storage::Record{p.key, p.payload});
+      tickets.push_back(p.ticket);
+    }
+    disk_.run([this, life = life_, records = std::move(records), tickets = std::move(tickets)] {
+      bool ok = life == diskLife_;
+      std::string why;
+      try {
+        if (ok) log_->write(records);
+      } catch (storage::Error const& e) {
+        ok = false;
+        why = e.what();
+      }
+      QMetaObject::invokeMethod(
+          this,
+          [this, life, tickets, ok, why] {
+            if (life != life_) return;
+            if (!ok) {
+              core::writeLog(core::LogEvent{"write-failed", {{"error", why}}});
+              if (!diskAgain_.isActive()) diskAgain_.start(diskAgainMs);
+            }
+            for (std::uint64_t const t : tickets) run(reducer_->written(now(), t, ok));
+          },
+          Qt::QueuedConnection);
+    });
+  }
+  for (transport::Send const& s : commands.sends) link_.send(s.to, s.message);
+  for (control::Answer const& a : commands.answers) answer(a);
+  for (std::string const& p : commands.probes) probe(p);
+  for (core::LogEvent const& n : commands.logEvents) core::writeLog(n);
+}
+
+void ControlDaemon::tryDisk() {
+  disk_.run([this, life = life_] {
+    if (life != diskLife_) return;
+    storage::Recovered got;
+    try {
+      log_ = std::make_unique<storage::WriteAheadLog>(*folder_);
+      got = log_->recover();
+      if (got.damaged) setAside();
+      std::vector<storage::Record> records{storage::Record{triedRecord, ""}};
+      if (!got.damaged)
+        for (std::map<std::string, std::string>::value_type const& s : got.slots) records.push_back(storage::Record{s.first, s.second});
+      log_->write(records);
+    } catch (storage::Error const&) {
+      return;
+    }
+    ++diskLife_;
+    QMetaObject::invokeMethod(this, [this, got] { startOver(got); }, Qt::QueuedConnection);
+  });
+}
+
+void ControlDaemon::startOver(storage::Recovered const& got) {
+  diskAgain_.stop();
+  ++life_;
+  core::writeLog(core::LogEvent{"disk-again", {}});
+  std::vector<std::uint64_t> open;
+  for (std::unordered_map<std::uint64_t, transport::Call>::value_type const& c : calls_) open.push_back(c.first);
+  for (std::uint64_t const token : open)
+    answer(control::Answer{token, 504, {{"error", "unknown"}, {"reason", "this machine's disk had failed; ask again"}}});
+  reducer_.emplace(contactOf(settings_, transport::controllerRole), freshName(), settings_.seeds, settings_.founders, freshSeed(), tuning_);
+  run(reducer_->restore(got.slots, got.damaged, now()));
+  if (draining_) run(reducer_->drain(now()));
+}
+
+void ControlDaemon::probe(std::string const& link) {
+  std::pair<std::string, std::uint16_t> const at = http::splitAddress(link);
+  QTcpSocket* const socket = new QTcpSocket(this);
+  QObject::connect(socket, &QTcpSocket::errorOccurred, this, [this, socket, link](QAbstractSocket::SocketError e) {
+    if (e == QAbstractSocket::ConnectionRefusedError) run(reducer_->probed(now(), link, true));
+    socket->deleteLater();
+  });
+  QObject::connect(socket, &QTcpSocket::connected, this, [socket] {
+    socket->abort();
+    socket->deleteLater();
+  });
+  QTimer::singleShot(probeLimitMs, socket, [socket] {
+    socket->abort();
+    socket->deleteLater();
+  });
+  socket->connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
+}
+
+void ControlDaemon::clockEvent() {
+  reducer_->wallTime(QDateTime::currentMSecsSinceEpoch());
+  run(reducer_->clockEvent(now()));
+  drain_.look(server_, reducer_->inHand());
+}
+
+void ControlDaemon::drain() {
+  if (!drain_.begin()) return;
+  draining_ = true;
+  server_.leave();
+  core::writeLog(core::LogEvent{"draining", {{"in-hand", std::to_string(reducer_->inHand())}}});
+  run(reducer_->drain(now()));
+}
+
+}  // namespace corkward::programs
--- /dev/null
+++ b/programs/control/main.cpp
@@ -0,0 +1,20 @@
+#include "control_daemon.h"
+
+namespace corkward::programs {
+
+namespace {
+
+/// The control plane's daemon with the product's own surface.
+struct OwnController {
+  explicit OwnController(Settings const& settings) : controller(settings, corkward::control::Tuning{}, mapping) {}
+  http::OwnOperatorMapping mapping;
+  ControlDaemon controller;
+};
+
+}  // namespace
+
+}  // namespace corkward::programs
+
+int main(int argc, char** argv) {
+  return corkward::programs::runProgram<corkward::programs::OwnController>("corkward-controller", corkward::programs::Role::controller, argc, argv);
+}
--- a/programs/nacelle/records.cpp
+++ b/programs/router/records.cpp
@@ -17,17 +17,17 @@
 constexpr core::Tick headEvery = 60000;
 
 struct HappenedRow {
-  rotor::Happened happened;
+  dataplane::Happened happened;
   char const* name;
 };
 
 constexpr HappenedRow happenedTable[] = {
-    {rotor::Happened::handedOver, "handed-over"}, {rotor::Happened::resumed, "resumed"}, {rotor::Happened::served, "served"},
-    {rotor::Happened::notRun, "not-run"},         {rotor::Happened::broken, "broken"},   {rotor::Happened::denied, "denied"}};
+    {dataplane::Happened::handedOver, "handed-over"}, {dataplane::Happened::resumed, "resumed"}, {dataplane::Happened::served, "served"},
+    {dataplane::Happened::notRun, "not-run"},         {dataplane::Happened::broken, "broken"},   {dataplane::Happened::rejected, "denied"}};
 
 std::int64_t wall() { return QDateTime::currentMSecsSinceEpoch(); }
 
-audit::Kind kindOf(rotor::Record const& r) {
+audit::Kind kindOf(dataplane::Record const& r) {
   audit::Kind out;
   for (HappenedRow const& h : happenedTable)
     if (h.happened == r.happened) out.what = h.name;
@@ -47,7 +47,7 @@
 Records::Records(QObject* owner, Settings const& settings, Works works) : owner_(owner), node_(settings.link), works_(std::move(works)) {
   if (settings.audit.empty()) return;
   bounds_.segments = static_cast<std::size_t>(settings.auditMegabytes);
-  folder_ = ledger::openFolder(settings.audit);
+  folder_ = storage::openFolder(settings.audit);
   lock_.emplace("audit", settings.audit);
   disk_.emplace(1);
   open();
@@ -59,7 +59,7 @@
 void Records::tell(bool works, std::string const& why) {
   if (ok_ == works) return;
   ok_ = works;
-  core::writeLog(core::Note{works ? "records-kept" : "records-not-kept", {{"error", why}}});
+  core::writeLog(core::LogEvent{works ? "records-kept" : "records-not-kept", {{"error", why}}});
   works_(works);
 }
 
@@ -67,13 +67,13 @@
   try {
     step();
     return true;
-  } catch (ledger::Error const& e) {
+  } catch (storage::Error const& e) {
     tell(false, e.what());
     return false;
   }
 }
 
-bool Records::write(rotor::Record const& record) {
+bool Records::write(dataplane::Record const& record) {
   if (trail_ == nullptr) return false;
   return guarded([&] { trail_->count(kindOf(record), wall()); });
 }
@@ -86,7 +86,7 @@
   }
   if (now() < headAt_) return;
   headAt_ = now() + headEvery;
-  core::writeLog(core::Note{"audit-head", {{"n", std::to_string(trail_->head().number)}, {"hash", trail_->head().hash}}});
+  core::writeLog(core::LogEvent{"audit-head", {{"n", std::to_string(trail_->head().number)}, {"hash", trail_->head().hash}}});
 }
 
 void Records::sync() {
@@ -99,7 +99,7 @@
     try {
       if (!file.empty()) folder_->sync(file);
       folder_->syncFolder();
-    } catch (ledger::Error const& e) {
+    } catch (storage::Error const& e) {
       why = e.what();
     }
     QMetaObject::invokeMethod(
--- a/programs/nacelle/records.h
+++ b/programs/router/records.h
@@ -8,7 +8,7 @@
 
 #include <corkward/audit/trail.h>
 #include <corkward/core/workers.h>
-#include <corkward/rotor/plane.h>
+#include <corkward/dataplane/request_router.h>
 
 #include "process.h"
 
@@ -19,14 +19,14 @@
  public:
   /// Tells whether records can be written from here on; called on the owner's thread.
   using Works = std::function<void(bool)>;
-  /// No folder: no records. Throws SettingsError when another process has the folder, ledger::Error.
+  /// No folder: no records. Throws SettingsError when another process has the folder, write-ahead log::Error.
   Records(QObject* owner, Settings const& settings, Works works);
   /// Everything that was counted is written.
   ~Records();
   Records(Records const&) = delete;
   Records& operator=(Records const&) = delete;
   /// True: it is in the file.
-  bool write(rotor::Record const& record);
+  bool write(dataplane::Record const& record);
   void clockEvent();
   /// Newest record, for others to note; nothing without a folder.
   std::optional<QJsonObject> head() const;
@@ -41,7 +41,7 @@
   std::string node_;
   Works works_;
   audit::Bounds bounds_;
-  std::unique_ptr<ledger::Folder> folder_;
+  std::unique_ptr<storage::Folder> folder_;
   std::optional<FolderLock> lock_;
   std::unique_ptr<audit::Trail> trail_;
   bool ok_ = false;
--- a/programs/workorder/duty.cpp
+++ b/programs/runbook/duty.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-/// Shorter than the substations' own count by more than clocks may differ.
+/// Shorter than the controllers' own count by more than clocks may differ.
 constexpr core::Tick leaseHere = 12000;
 constexpr int askSeconds = 1;
 
 }  // namespace
 
-Duty::Duty(std::vector<std::string> substations, std::string name, std::string who)
-    : substations_(std::move(substations)), name_(std::move(name)), who_(std::move(who)) {}
+Duty::Duty(std::vector<std::string> controllers, std::string name, std::string who)
+    : controllers_(std::move(controllers)), name_(std::move(name)), who_(std::move(who)) {}
 
-OperatorOutcome Duty::ask(std::string const& substation, char const* method, std::string const& successor) const {
+OperatorOutcome Duty::ask(std::string const& controller, char const* method, std::string const& successor) const {
   QJsonObject const body{{"holder", core::qstr(who_)}, {"successor", core::qstr(successor)}};
-  return callOperator({substation}, {method, "/v1/duties/" + name_, core::jsonText(body), "", "", false}, askSeconds);
+  return callOperator({controller}, {method, "/v1/duties/" + name_, core::jsonText(body), "", "", false}, askSeconds);
 }
 
 bool Duty::held() const { return now() < until_; }
@@ -29,29 +29,29 @@
 bool Duty::renew() {
   core::Tick const asked = now();
   std::set<std::string> yes;
-  std::set<std::string> cohort;
+  std::set<std::string> membership;
   std::uint64_t newest = 0;
-  std::uint64_t epoch = 0;
+  std::uint64_t term = 0;
   waiting_.clear();
-  for (std::string const& s : substations_) {
+  for (std::string const& s : controllers_) {
     OperatorOutcome const out = ask(s, "PUT", "");
     if (out.status != 200) continue;
-    std::uint64_t const stamp = static_cast<std::uint64_t>(out.body.value("cohortStamp").toInteger());
-    if (cohort.empty() || stamp > newest) {
-      newest = stamp;
-      cohort.clear();
-      for (QJsonValue const v : out.body.value("cohort").toArray()) cohort.insert(core::str(v.toString()));
+    std::uint64_t const revision = static_cast<std::uint64_t>(out.body.value("cohortStamp").toInteger());
+    if (membership.empty() || revision > newest) {
+      newest = revision;
+      membership.clear();
+      for (QJsonValue const v : out.body.value("cohort").toArray()) membership.insert(core::str(v.toString()));
     }
     for (QJsonValue const v : out.body.value("waiting").toArray()) waiting_.insert(core::str(v.toString()));
     if (!out.body.value("granted").toBool()) continue;
     yes.insert(core::str(out.body.value("member").toString()));
-    epoch = std::max(epoch, static_cast<std::uint64_t>(out.body.value("epoch").toInteger()));
+    term = std::max(term, static_cast<std::uint64_t>(out.body.value("epoch").toInteger()));
   }
   std::size_t n = 0;
-  for (std::string const& member : cohort) n += yes.count(member);
-  if (!cohort.empty() && n >= cohort.size() / 2 + 1) {
+  for (std::string const& member : membership) n += yes.count(member);
+  if (!membership.empty() && n >= membership.size() / 2 + 1) {
     until_ = asked + leaseHere;
-    epoch_ = epoch;
+    term_ = term;
   }
   return held();
 }
@@ -60,7 +60,7 @@
   if (!held()) return;
   until_ = 0;
   std::string const successor = waiting_.empty() ? "" : *waiting_.begin();
-  for (std::string const& s : substations_) ask(s, "DELETE", successor);
+  for (std::string const& s : controllers_) ask(s, "DELETE", successor);
 }
 
 }  // namespace corkward::programs
--- a/programs/workorder/main.cpp
+++ b/programs/runbook/main.cpp
@@ -8,10 +8,10 @@
 #include <functional>
 #include <iostream>
 
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 #include <corkward/core/json.h>
-#include <corkward/squall/rules.h>
-#include <corkward/workorder/runbook.h>
+#include <corkward/alerting/rules.h>
+#include <corkward/runbook/runbook.h>
 
 #include "clock.h"
 #include "duty.h"
@@ -41,78 +41,78 @@
 /// Carries out checked runbooks, by the operator interface alone.
 class Foreman {
  public:
-  Foreman(std::vector<std::string> substations, bool dryRun, bool yes, std::string account)
-      : substations_(std::move(substations)), dryRun_(dryRun), yes_(yes), account_(std::move(account)) {}
+  Foreman(std::vector<std::string> controllers, bool dryRun, bool yes, std::string account)
+      : controllers_(std::move(controllers)), dryRun_(dryRun), yes_(yes), account_(std::move(account)) {}
 
   /// Asked before each step; a false one ends the run.
   void guard(std::function<bool()> may) { may_ = std::move(may); }
 
   /// True when every step was done. Steps of one run name have the same change ids, so what was done is not done again.
-  bool carryOut(workorder::Runbook const& book, std::string const& run = freshName()) {
-    note("runbook=" + book.name + " run=" + run + (dryRun_ ? " dry-run=yes" : "") + " steps=" + std::to_string(book.steps.size()));
+  bool carryOut(runbook::Runbook const& book, std::string const& run = freshName()) {
+    logEvent("runbook=" + book.name + " run=" + run + (dryRun_ ? " dry-run=yes" : "") + " steps=" + std::to_string(book.steps.size()));
     for (std::size_t i = 0; i < book.steps.size(); ++i) {
-      workorder::Step const& step = book.steps[i];
+      runbook::Step const& step = book.steps[i];
       Outcome const out = may_ && !may_() ? Outcome{false, "the duty is no longer held"} : take(step, run + "-" + std::to_string(i));
-      note("run=" + run + " step=" + std::to_string(i + 1) + " do=" + workorder::kindName(step.kind) + " name=\"" + step.name + "\" outcome=" +
+      logEvent("run=" + run + " step=" + std::to_string(i + 1) + " do=" + runbook::kindName(step.kind) + " name=\"" + step.name + "\" outcome=" +
            (out.ok ? "done" : "failed") + " said=\"" + out.said + "\"");
       if (!out.ok) {
-        note("run=" + run + " stopped-at=" + std::to_string(i + 1) + " not-done=" + std::to_string(book.steps.size() - i));
+        logEvent("run=" + run + " stopped-at=" + std::to_string(i + 1) + " not-done=" + std::to_string(book.steps.size() - i));
         return false;
       }
     }
-    note("run=" + run + " outcome=done");
+    logEvent("run=" + run + " outcome=done");
     return true;
   }
 
  private:
-  void note(std::string const& line) {
+  void logEvent(std::string const& line) {
     std::cout << line << std::endl;
     if (account_.empty()) return;
     QFile file(core::qstr(account_));
     if (file.open(QIODevice::Append)) file.write(QByteArray::fromStdString(line + "\n"));
   }
 
-  OperatorOutcome call(OperatorCall const& c) { return callOperator(substations_, c, callSeconds); }
+  OperatorOutcome call(OperatorCall const& c) { return callOperator(controllers_, c, callSeconds); }
 
-  Outcome take(workorder::Step const& step, std::string const& changeId) {
+  Outcome take(runbook::Step const& step, std::string const& changeId) {
     switch (step.kind) {
-      case workorder::Kind::evacuate:
-        return change({"PUT", "/v1/evacuations/" + blueprint::addressPart(step.words.at("zone")), "", "", changeId, dryRun_}, step);
-      case workorder::Kind::lift:
-        return change({"DELETE", "/v1/evacuations/" + blueprint::addressPart(step.words.at("zone")), "", "", changeId, dryRun_}, step);
-      case workorder::Kind::putTemplate:
-      case workorder::Kind::patchTemplate:
-        return onNewest("/v1/templates/" + step.words.at("template"), step.kind == workorder::Kind::putTemplate, step, changeId);
-      case workorder::Kind::putInstance:
-      case workorder::Kind::patchInstance:
+      case runbook::Kind::evacuate:
+        return change({"PUT", "/v1/evacuations/" + config::addressPart(step.words.at("zone")), "", "", changeId, dryRun_}, step);
+      case runbook::Kind::lift:
+        return change({"DELETE", "/v1/evacuations/" + config::addressPart(step.words.at("zone")), "", "", changeId, dryRun_}, step);
+      case runbook::Kind::putTemplate:
+      case runbook::Kind::patchTemplate:
+        return onNewest("/v1/templates/" + step.words.at("template"), step.kind == runbook::Kind::putTemplate, step, changeId);
+      case runbook::Kind::putInstance:
+      case runbook::Kind::patchInstance:
         return onNewest("/v1/templates/" + step.words.at("template") + "/instances/" + step.words.at("instance"),
-                        step.kind == workorder::Kind::putInstance, step, changeId);
-      case workorder::Kind::wait:
+                        step.kind == runbook::Kind::putInstance, step, changeId);
+      case runbook::Kind::wait:
         return wait(step);
-      case workorder::Kind::verify:
+      case runbook::Kind::verify:
         return verify(step.words.at("file"));
-      case workorder::Kind::save:
+      case runbook::Kind::save:
         return save(step.words.at("file"));
-      case workorder::Kind::confirm:
+      case runbook::Kind::confirm:
         return confirm(step.words.at("say"));
     }
     return {};
   }
 
-  Outcome onNewest(std::string const& path, bool put, workorder::Step const& step, std::string const& changeId) {
+  Outcome onNewest(std::string const& path, bool put, runbook::Step const& step, std::string const& changeId) {
     OperatorOutcome const before = call({"GET", "/v1/changes/" + changeId, "", "", "", false});
-    if (before.status == 200 || before.body.value("pending").toBool()) return {true, "done before, stamp " + std::to_string(before.body.value("stamp").toInteger())};
+    if (before.status == 200 || before.body.value("pending").toBool()) return {true, "done before, revision " + std::to_string(before.body.value("stamp").toInteger())};
     OperatorOutcome const now = call({"GET", path, "", "", "", false});
     if (now.status != 200 && !(put && now.status == 404)) return {false, "reading it: status " + std::to_string(now.status)};
-    std::string const stamp = now.status == 404 ? "0" : now.stamp;
-    return change({put ? "PUT" : "PATCH", path, core::jsonText(step.body), stamp, changeId, dryRun_}, step);
+    std::string const revision = now.status == 404 ? "0" : now.revision;
+    return change({put ? "PUT" : "PATCH", path, core::jsonText(step.body), revision, changeId, dryRun_}, step);
   }
 
-  Outcome change(OperatorCall const& c, workorder::Step const& step) {
+  Outcome change(OperatorCall const& c, runbook::Step const& step) {
     core::Tick const until = now() + step.limitSeconds * 1000;
     for (;;) {
       OperatorOutcome const out = call(c);
-      if (out.status == 200 || out.status == 201) return {true, "stamp " + out.stamp};
+      if (out.status == 200 || out.status == 201) return {true, "stamp " + out.revision};
       bool const again = out.status == 0 || out.status == 503 || out.status == 504;
       if (!again || now() >= until)
         return {false, out.status == 0 ? "no answer: " + out.error : "status " + std::to_string(out.status) + " " + core::str(out.body.value("reason").toString())};
@@ -120,14 +120,14 @@
     }
   }
 
-  Outcome wait(workorder::Step const& step) {
+  Outcome wait(runbook::Step const& step) {
     if (dryRun_) return {true, "would wait"};
     core::Tick const until = now() + step.limitSeconds * 1000;
     std::string seen = "nothing";
     for (;;) {
       OperatorOutcome const out = call({"GET", step.words.at("page"), "", "", "", false});
       if (out.status == 200) {
-        workorder::Expectation const e = workorder::meets(out.body, step.expect);
+        runbook::Expectation const e = runbook::meets(out.body, step.expect);
         if (e.met) return {true, "as expected"};
         seen = e.seen.substr(0, 200);
       }
@@ -185,7 +185,7 @@
     return {line == "yes", line == "yes" ? "confirmed" : "not confirmed"};
   }
 
-  std::vector<std::string> substations_;
+  std::vector<std::string> controllers_;
   bool dryRun_;
   bool yes_;
   std::string account_;
@@ -208,26 +208,26 @@
 }
 
 /// Samples of the metrics pages, with corkward_up for each.
-std::vector<squall::Sample> scrape(std::vector<std::string> const& targets) {
-  std::vector<squall::Sample> samples;
+std::vector<alerting::Sample> scrape(std::vector<std::string> const& targets) {
+  std::vector<alerting::Sample> samples;
   for (std::string const& t : targets) {
     std::size_t const eq = t.find('=');
     std::string const address = eq == std::string::npos ? t : t.substr(eq + 1);
-    squall::Labels own{{"target", address}};
+    alerting::Labels own{{"target", address}};
     if (eq != std::string::npos) own["zone"] = t.substr(0, eq);
     OperatorOutcome const page = callOperator({address}, {"GET", "/metrics", "", "", "", false}, 2);
     bool sound = page.status == 200;
     try {
       if (sound)
-        for (squall::Sample s : squall::readSamples(page.text.toStdString())) {
+        for (alerting::Sample s : alerting::readSamples(page.text.toStdString())) {
           s.labels.insert(own.begin(), own.end());
           samples.push_back(std::move(s));
         }
-    } catch (squall::Error const& e) {
-      std::cerr << "corkward-workorder: metrics of " << address << ": " << e.what() << "\n";
+    } catch (alerting::Error const& e) {
+      std::cerr << "corkward-runbook: metrics of " << address << ": " << e.what() << "\n";
       sound = false;
     }
-    samples.push_back(squall::Sample{"corkward_up", own, sound ? 1.0 : 0.0});
+    samples.push_back(alerting::Sample{"corkward_up", own, sound ? 1.0 : 0.0});
   }
   return samples;
 }
@@ -236,21 +236,21 @@
 /// state, so that after a takeover nobody acts on it a second time.
 class Watcher {
  public:
-  Watcher(std::vector<std::string> const& substations, Foreman& foreman, std::vector<squall::Rule> rules, std::string const& folder)
-      : substations_(substations), foreman_(foreman), rules_(rules), watch_(std::move(rules)), me_(freshName()), duty_(substations, "alert-watch", me_) {
-    for (squall::Rule const& r : rules_) books_[r.alert] = workorder::readRunbook(readFile(besideOf(folder, r.runbook)), r.parameters);
+  Watcher(std::vector<std::string> const& controllers, Foreman& foreman, std::vector<alerting::Rule> rules, std::string const& folder)
+      : controllers_(controllers), foreman_(foreman), rules_(rules), watch_(std::move(rules)), me_(freshName()), duty_(controllers, "alert-watch", me_) {
+    for (alerting::Rule const& r : rules_) books_[r.alert] = runbook::readRunbook(readFile(besideOf(folder, r.runbook)), r.parameters);
     foreman_.guard([this] { return duty_.renew(); });
   }
 
   void look(std::vector<std::string> const& targets) {
-    std::vector<squall::Rule> const holding = watch_.look(now(), scrape(targets));
+    std::vector<alerting::Rule> const holding = watch_.look(now(), scrape(targets));
     bool const had = had_;
     had_ = duty_.renew();
-    if (had_ != had) std::cout << "duty=alert-watch held=" << (had_ ? "yes" : "no") << " epoch=" << duty_.epoch() << std::endl;
+    if (had_ != had) std::cout << "duty=alert-watch held=" << (had_ ? "yes" : "no") << " epoch=" << duty_.term() << std::endl;
     if (!had_) return;
     if (!had) known_.clear();
-    for (squall::Rule const& r : rules_) {
-      bool const holds = std::any_of(holding.begin(), holding.end(), [&](squall::Rule const& h) { return h.alert == r.alert; });
+    for (alerting::Rule const& r : rules_) {
+      bool const holds = std::any_of(holding.begin(), holding.end(), [&](alerting::Rule const& h) { return h.alert == r.alert; });
       if (!holds && watch_.rising(r.alert)) continue;
       std::map<std::string, std::string>::const_iterator const known = known_.find(r.alert);
       if (known != known_.end() && known->second == (holds ? "done" : "clear")) continue;
@@ -266,7 +266,7 @@
   }
 
  private:
-  std::string pathOf(squall::Rule const& r) const {
+  std::string pathOf(alerting::Rule const& r) const {
     std::string name;
     for (char const c : r.alert) {
       if (std::isupper(static_cast<unsigned char>(c)) && !name.empty() && name.back() != '-') name += '-';
@@ -275,45 +275,45 @@
     return "/v1/alerts/" + name;
   }
 
-  /// Puts a state on the stamp that was read; the new stamp, or -1 when it was not taken.
-  qint64 put(squall::Rule const& r, char const* state, qint64 stamp) {
+  /// Puts a state on the revision that was read; the new revision, or -1 when it was not taken.
+  qint64 put(alerting::Rule const& r, char const* state, qint64 revision) {
     QJsonObject const body{{"state", state}, {"by", core::qstr(me_)}};
-    OperatorOutcome const out = callOperator(substations_, {"PUT", pathOf(r), core::jsonText(body), std::to_string(stamp), freshName(), false}, callSeconds);
+    OperatorOutcome const out = callOperator(controllers_, {"PUT", pathOf(r), core::jsonText(body), std::to_string(revision), freshName(), false}, callSeconds);
     bool const taken = out.status == 200 || out.body.value("pending").toBool();
     return taken ? out.body.value("stamp").toInteger() : -1;
   }
 
-  void settle(squall::Rule const& r, bool holds) {
-    OperatorOutcome const seen = callOperator(substations_, {"GET", pathOf(r), "", "", "", false}, callSeconds);
+  void settle(alerting::Rule const& r, bool holds) {
+    OperatorOutcome const seen = callOperator(controllers_, {"GET", pathOf(r), "", "", "", false}, callSeconds);
     if (seen.status != 200) return;
     std::string const state = core::str(seen.body.value("state").toString());
-    qint64 stamp = seen.body.value("stamp").toInteger();
+    qint64 revision = seen.body.value("stamp").toInteger();
     known_[r.alert] = state;
     if (!holds) {
-      if (state != "clear" && put(r, "clear", stamp) >= 0) known_[r.alert] = "clear";
+      if (state != "clear" && put(r, "clear", revision) >= 0) known_[r.alert] = "clear";
       return;
     }
     if (state == "done") {
       std::cout << "alert=" << r.alert << " state=done" << std::endl;
       return;
     }
-    if (state == "clear") stamp = put(r, "claimed", stamp);
-    if (stamp < 0) return;
-    std::cout << "alert=" << r.alert << " runbook=" << r.runbook << " claim=" << stamp << std::endl;
-    foreman_.carryOut(books_.at(r.alert), "alert-" + pathOf(r).substr(std::string("/v1/alerts/").size()) + "-" + std::to_string(stamp));
+    if (state == "clear") revision = put(r, "claimed", revision);
+    if (revision < 0) return;
+    std::cout << "alert=" << r.alert << " runbook=" << r.runbook << " claim=" << revision << std::endl;
+    foreman_.carryOut(books_.at(r.alert), "alert-" + pathOf(r).substr(std::string("/v1/alerts/").size()) + "-" + std::to_string(revision));
     ++acted_;
-    if (duty_.held() && put(r, "done", stamp) >= 0) known_[r.alert] = "done";
+    if (duty_.held() && put(r, "done", revision) >= 0) known_[r.alert] = "done";
   }
 
-  std::vector<std::string> substations_;
+  std::vector<std::string> controllers_;
   Foreman& foreman_;
-  std::vector<squall::Rule> rules_;
-  squall::Watch watch_;
+  std::vector<alerting::Rule> rules_;
+  alerting::Watch watch_;
   std::string me_;
   Duty duty_;
   bool had_ = false;
   int acted_ = 0;
-  std::map<std::string, workorder::Runbook> books_;
+  std::map<std::string, runbook::Runbook> books_;
   std::map<std::string, std::string> known_;
 };
 
@@ -332,9 +332,9 @@
   return 0;
 }
 
-int runWorkorder(int argc, char** argv) {
+int runRunbook(int argc, char** argv) {
   QCoreApplication app(argc, argv);
-  std::vector<std::string> substations;
+  std::vector<std::string> controllers;
   std::vector<std::string> sets;
   std::vector<std::string> targets;
   std::vector<std::string> words;
@@ -344,8 +344,8 @@
   int rounds = 0;
   int acts = 0;
   po::options_description flags("Flags");
-  flags.add_options()("substation", po::value(&substations)->default_value({"127.0.0.1:9100"}, "127.0.0.1:9100"),
-                      "address of a substation, ip:port; give all of them")("set", po::value(&sets), "name=value for a parameter of the runbook")(
+  flags.add_options()("substation", po::value(&controllers)->default_value({"127.0.0.1:9100"}, "127.0.0.1:9100"),
+                      "address of a controller, ip:port; give all of them")("set", po::value(&sets), "name=value for a parameter of the runbook")(
       "check", "check the runbook or the rules and exit")("dry-run", "say what each step would do; changes are only checked")(
       "yes", "take every confirm step as done")("account", po::value(&account), "file that the account is added to")(
       "rules", po::value(&rules), "watch with this rule file; its runbooks stand beside it")("target", po::value(&targets), "metrics page to watch, ip:port or zone=ip:port")(
@@ -363,41 +363,41 @@
     po::store(po::command_line_parser(argc, argv).options(all).positional(positional).run(), vm);
     po::notify(vm);
     if (vm.count("help") > 0) {
-      std::cout << "corkward-workorder [flags] RUNBOOK\ncorkward-workorder [flags] --rules FILE --target ...\n\n" << flags
+      std::cout << "corkward-runbook [flags] RUNBOOK\ncorkward-runbook [flags] --rules FILE --target ...\n\n" << flags
                 << "\nExit codes: 0 done, 1 a step failed and the rest was not done, 2 bad use and nothing done\n";
       return 0;
     }
     if (vm.count("version") > 0) {
-      std::cout << "corkward-workorder " << CORKWARD_VERSION << "\n";
+      std::cout << "corkward-runbook " << CORKWARD_VERSION << "\n";
       return 0;
     }
     if (every < 1 || every > 600) throw UsageError("every: must be 1 to 600");
-    Foreman foreman(substations, vm.count("dry-run") > 0, vm.count("yes") > 0, account);
+    Foreman foreman(controllers, vm.count("dry-run") > 0, vm.count("yes") > 0, account);
     if (!rules.empty()) {
       if (!words.empty()) throw UsageError("a runbook and --rules exclude each other");
-      std::vector<squall::Rule> const read = squall::readRules(readFile(rules));
+      std::vector<alerting::Rule> const read = alerting::readRules(readFile(rules));
       std::size_t const slash = rules.rfind('/');
       std::string const folder = slash == std::string::npos ? "." : rules.substr(0, slash);
-      for (squall::Rule const& r : read) workorder::readRunbook(readFile(besideOf(folder, r.runbook)), r.parameters);
+      for (alerting::Rule const& r : read) runbook::readRunbook(readFile(besideOf(folder, r.runbook)), r.parameters);
       if (vm.count("check") > 0) {
         std::cout << read.size() << " rules are valid\n";
         return 0;
       }
       if (targets.empty()) throw UsageError("target: missing");
-      Watcher watcher(substations, foreman, read, folder);
+      Watcher watcher(controllers, foreman, read, folder);
       return watch(watcher, targets, every, rounds, acts);
     }
     if (words.size() != 1) throw UsageError("one runbook is needed; see --help");
-    workorder::Runbook const book = workorder::readRunbook(readFile(words[0]), parametersOf(sets));
+    runbook::Runbook const book = runbook::readRunbook(readFile(words[0]), parametersOf(sets));
     if (vm.count("check") > 0) {
       std::cout << book.name << ": " << book.steps.size() << " steps are valid\n";
       return 0;
     }
     return foreman.carryOut(book) ? 0 : 1;
   } catch (po::error const& e) {
-    std::cerr << "corkward-workorder: " << e.what() << "\n";
+    std::cerr << "corkward-runbook: " << e.what() << "\n";
   } catch (core::Error const& e) {
-    std::cerr << "corkward-workorder: " << e.what() << "\n";
+    std::cerr << "corkward-runbook: " << e.what() << "\n";
   }
   return 2;
 }
@@ -406,4 +406,4 @@
 
 }  // namespace corkward::programs
 
-int main(int argc, char** argv) { return corkward::programs::runWorkorder(argc, argv); }
+int main(int argc, char** argv) { return corkward::programs::runRunbook(argc, argv); }
--- a/programs/test/declare_test.cpp
+++ b/programs/test/declare_test.cpp
@@ -14,12 +14,12 @@
 
 namespace core = corkward::core;
 namespace audit = corkward::audit;
-namespace ledger = corkward::ledger;
+namespace storage = corkward::storage;
 namespace programs = corkward::programs;
 
 namespace {
 
-/// What a substation would answer to reads.
+/// What a controller would answer to reads.
 struct Desk {
   std::map<std::string, QJsonObject> pages;
 
@@ -31,8 +31,8 @@
     if (it != pages.end()) out.body = it->second;
     return out;
   }
-  void hold(std::string const& path, char const* spec, int stamp, QJsonArray const& instances = {}) {
-    QJsonObject page{{"spec", core::parseJson(spec)}, {"stamp", stamp}};
+  void hold(std::string const& path, char const* spec, int revision, QJsonArray const& instances = {}) {
+    QJsonObject page{{"spec", core::parseJson(spec)}, {"stamp", revision}};
     if (!instances.isEmpty()) page.insert("instances", instances);
     pages[path] = page;
   }
@@ -52,7 +52,7 @@
 std::vector<std::string> plan(Folder const& folder, Desk const& desk, bool prune = false) {
   std::vector<std::string> out;
   for (programs::PlannedChange const& c : programs::planChanges(programs::readFolder(folder.path()), prune, desk))
-    out.push_back(c.action + " " + c.call.path + " " + c.call.stamp);
+    out.push_back(c.action + " " + c.call.path + " " + c.call.revision);
   return out;
 }
 
@@ -127,7 +127,7 @@
 TEST_CASE("the report of regimes ends with 1 when a record was changed, and with bad use when there are none") {
   Folder folder;
   {
-    std::unique_ptr<ledger::Folder> const disk = ledger::openFolder(folder.path());
+    std::unique_ptr<storage::Folder> const disk = storage::openFolder(folder.path());
     audit::Trail trail(*disk, "n1", 1780000000000);
     trail.count(audit::Kind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}}, 1780000000000);
     trail.close(1780000000001);
--- a/programs/test/records_test.cpp
+++ b/programs/test/records_test.cpp
@@ -12,9 +12,9 @@
 
 namespace audit = corkward::audit;
 namespace core = corkward::core;
-namespace ledger = corkward::ledger;
+namespace storage = corkward::storage;
 namespace programs = corkward::programs;
-namespace rotor = corkward::rotor;
+namespace dataplane = corkward::dataplane;
 
 namespace {
 
@@ -36,7 +36,7 @@
     return [this](bool ok) { told.push_back(ok); };
   }
   std::size_t recorded() const {
-    std::unique_ptr<ledger::Folder> const folder = ledger::openFolder(settings.audit);
+    std::unique_ptr<storage::Folder> const folder = storage::openFolder(settings.audit);
     audit::TrailView const view = audit::readTrail(*folder);
     CHECK(view.faults.empty());
     std::size_t out = 0;
@@ -52,8 +52,8 @@
   }
 };
 
-rotor::Record record(rotor::Happened happened) {
-  rotor::Record r;
+dataplane::Record record(dataplane::Happened happened) {
+  dataplane::Record r;
   r.happened = happened;
   r.regime = "health";
   r.instance = "desk.nord";
@@ -68,15 +68,15 @@
   {
     programs::Records records(&node.owner, node.settings, node.works());
     CHECK(node.told == std::vector<bool>{true});
-    CHECK(records.write(record(rotor::Happened::handedOver)));
+    CHECK(records.write(record(dataplane::Happened::handedOver)));
     CHECK(node.recorded() == 1);
-    CHECK(records.write(record(rotor::Happened::handedOver)));
-    CHECK(records.write(record(rotor::Happened::denied)));
+    CHECK(records.write(record(dataplane::Happened::handedOver)));
+    CHECK(records.write(record(dataplane::Happened::rejected)));
     CHECK(node.recorded() >= 2);
     CHECK(records.head()->value("n").toInteger() >= 3);
     CHECK_THROWS_AS(programs::Records(&node.owner, node.settings, node.works()), programs::SettingsError);
   }
-  std::unique_ptr<ledger::Folder> const folder = ledger::openFolder(node.settings.audit);
+  std::unique_ptr<storage::Folder> const folder = storage::openFolder(node.settings.audit);
   QJsonObject const report = audit::report({audit::readTrail(*folder)}, {});
   qint64 handed = 0;
   for (QJsonValue const span : report.value("regimes").toObject().value("health").toArray())
@@ -90,7 +90,7 @@
   node.settings.audit.clear();
   programs::Records records(&node.owner, node.settings, node.works());
   CHECK(node.told.empty());
-  CHECK_FALSE(records.write(record(rotor::Happened::handedOver)));
+  CHECK_FALSE(records.write(record(dataplane::Happened::handedOver)));
   CHECK_FALSE(records.head());
 }
 
@@ -99,7 +99,7 @@
   programs::Records records(&node.owner, node.settings, node.works());
   QString const path = core::qstr(node.settings.audit);
   REQUIRE(QDir(node.dir.path()).rename("audit", "away"));
-  CHECK_FALSE(records.write(record(rotor::Happened::handedOver)));
+  CHECK_FALSE(records.write(record(dataplane::Happened::handedOver)));
   CHECK(node.told == std::vector<bool>{true, false});
   REQUIRE(QDir(node.dir.path()).rename("away", "audit"));
   CHECK(node.until([&] {
@@ -107,6 +107,6 @@
     return node.told.size() == 3;
   }));
   CHECK(node.told.back());
-  CHECK(records.write(record(rotor::Happened::handedOver)));
+  CHECK(records.write(record(dataplane::Happened::handedOver)));
   CHECK(node.recorded() == 1);
 }
--- a/workorder/include/corkward/workorder/runbook.h
+++ b/runbook/include/corkward/runbook/runbook.h
@@ -7,7 +7,7 @@
 
 #include <corkward/core/error.h>
 
-namespace corkward::workorder {
+namespace corkward::runbook {
 
 /// A runbook that cannot be carried out as written; says the place as a JSON pointer. Nothing was done.
 class Error : public core::Error {
@@ -53,4 +53,4 @@
 /// True for kinds that change something.
 bool changes(Kind kind);
 
-}  // namespace corkward::workorder
+}  // namespace corkward::runbook
--- a/workorder/src/runbook.cpp
+++ b/runbook/src/runbook.cpp
@@ -1,4 +1,4 @@
-#include <corkward/workorder/runbook.h>
+#include <corkward/runbook/runbook.h>
 
 #include <QJsonArray>
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 #include <corkward/core/json.h>
 
-namespace corkward::workorder {
+namespace corkward::runbook {
 
 namespace {
 
@@ -178,4 +178,4 @@
   return out;
 }
 
-}  // namespace corkward::workorder
+}  // namespace corkward::runbook
--- a/workorder/test/workorder_test.cpp
+++ b/runbook/test/runbook_test.cpp
@@ -1,13 +1,13 @@
 #include <catch2/catch.hpp>
 
 #include <corkward/core/json.h>
-#include <corkward/workorder/runbook.h>
+#include <corkward/runbook/runbook.h>
 
 namespace core = corkward::core;
-namespace workorder = corkward::workorder;
+namespace runbook = corkward::runbook;
 
 TEST_CASE("a runbook is filled in and checked whole before anything is done") {
-  workorder::Runbook const b = workorder::readRunbook(
+  runbook::Runbook const b = runbook::readRunbook(
       R"({"runbook":"r","parameters":["zone"],"steps":[{"do":"evacuate","zone":"${zone}"},
           {"do":"wait","page":"/v1/fleet","expect":{"pointer":"/nacelles","each":"keysBehind","equals":0},"limitSeconds":5}]})",
       {{"zone", "z2"}});
@@ -16,7 +16,7 @@
   CHECK(b.steps[1].limitSeconds == 5);
 }
 
-TEST_CASE("a faulty runbook is denied with its place") {
+TEST_CASE("a faulty runbook is rejected with its place") {
   struct Row {
     char const* text;
     char const* pointer;
@@ -32,20 +32,20 @@
                           {R"({"runbook":"r","steps":[{"do":"lift","zone":"z","limitSeconds":0}]})", "/steps/0/limitSeconds"}};
   for (Row const& r : rows) {
     try {
-      workorder::readRunbook(r.text, {});
+      runbook::readRunbook(r.text, {});
       FAIL("accepted: " << r.text);
-    } catch (workorder::Error const& e) {
+    } catch (runbook::Error const& e) {
       CHECK(e.pointer() == r.pointer);
     }
   }
-  CHECK_THROWS_AS(workorder::readRunbook(R"({"runbook":"r","steps":[{"do":"lift","zone":"z"}]})", {{"unasked", "1"}}), workorder::Error);
+  CHECK_THROWS_AS(runbook::readRunbook(R"({"runbook":"r","steps":[{"do":"lift","zone":"z"}]})", {{"unasked", "1"}}), runbook::Error);
 }
 
 TEST_CASE("expectations look at pages, never guess") {
   QJsonObject const page = core::parseJson(R"({"voting":true,"cohort":[1,2,3],"nacelles":[{"keysBehind":0},{"keysBehind":2}]})").toObject();
-  CHECK(workorder::meets(page, core::parseJson(R"({"pointer":"/voting","equals":true})").toObject()).met);
-  CHECK(workorder::meets(page, core::parseJson(R"({"pointer":"/cohort","atLeast":3})").toObject()).met);
-  CHECK_FALSE(workorder::meets(page, core::parseJson(R"({"pointer":"/nacelles","each":"keysBehind","equals":0})").toObject()).met);
-  CHECK(workorder::meets(page, core::parseJson(R"({"pointer":"/nacelles","each":"keysBehind","atMost":2})").toObject()).met);
-  CHECK_FALSE(workorder::meets(page, core::parseJson(R"({"pointer":"/nowhere","equals":true})").toObject()).met);
+  CHECK(runbook::meets(page, core::parseJson(R"({"pointer":"/voting","equals":true})").toObject()).met);
+  CHECK(runbook::meets(page, core::parseJson(R"({"pointer":"/cohort","atLeast":3})").toObject()).met);
+  CHECK_FALSE(runbook::meets(page, core::parseJson(R"({"pointer":"/nacelles","each":"keysBehind","equals":0})").toObject()).met);
+  CHECK(runbook::meets(page, core::parseJson(R"({"pointer":"/nacelles","each":"keysBehind","atMost":2})").toObject()).met);
+  CHECK_FALSE(runbook::meets(page, core::parseJson(R"({"pointer":"/nowhere","equals":true})").toObject()).met);
 }
--- a/governor/include/corkward/governor/governor.h
+++ b/scaling/include/corkward/scaling/scaling.h
@@ -12,7 +12,7 @@
 
 #include <corkward/core/types.h>
 
-namespace corkward::governor {
+namespace corkward::scaling {
 
 using core::Index;
 using core::Tick;
--- a/governor/src/governor.cpp
+++ b/scaling/src/scaling.cpp
@@ -1,10 +1,10 @@
-#include <corkward/governor/governor.h>
+#include <corkward/scaling/scaling.h>
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-namespace corkward::governor {
+namespace corkward::scaling {
 
 namespace {
 
--- a/governor/test/governor_test.cpp
+++ b/scaling/test/scaling_test.cpp
@@ -1,14 +1,14 @@
 #include <catch2/catch.hpp>
 
-#include <corkward/governor/governor.h>
+#include <corkward/scaling/scaling.h>
 
 namespace core = corkward::core;
-namespace governor = corkward::governor;
+namespace scaling = corkward::scaling;
 
 namespace {
 
-std::vector<governor::Candidate> warm(int n) {
-  std::vector<governor::Candidate> out;
+std::vector<scaling::Candidate> warm(int n) {
+  std::vector<scaling::Candidate> out;
   for (int i = 0; i < n; ++i) out.push_back({static_cast<core::Index>(i), false, core::stableHash(std::to_string(i))});
   return out;
 }
@@ -16,7 +16,7 @@
 }  // namespace
 
 TEST_CASE("each width crossed adds one replica, and a calm of 5 s gives one back") {
-  governor::Scaler s(7);
+  scaling::Scaler s(7);
   s.candidates(warm(9));
   REQUIRE(s.part().size() == 1);
   CHECK(s.look(0, 1) == 0);
@@ -35,11 +35,11 @@
 }
 
 TEST_CASE("a widening takes the wanted replica first, by one step and only past the width") {
-  governor::Scaler s(7);
+  scaling::Scaler s(7);
   s.candidates(warm(9));
   core::Index wanted = 0;
   while (s.has(wanted)) ++wanted;
-  governor::Scaler other = s;
+  scaling::Scaler other = s;
   other.look(0, 2);
   if (other.has(wanted)) ++wanted;
   REQUIRE_FALSE(s.has(wanted));
@@ -56,7 +56,7 @@
 
 TEST_CASE("a part begins with the wanted replica, and a step up takes the wanted one, never more than one") {
   for (core::Index wanted = 0; wanted < 9; ++wanted) {
-    governor::Scaler s(7);
+    scaling::Scaler s(7);
     s.candidates(warm(9));
     s.begin(wanted);
     REQUIRE(s.part().size() == 1);
@@ -76,16 +76,16 @@
 }
 
 TEST_CASE("a replica that leaves is replaced one for one and is no step") {
-  governor::Scaler s(7);
+  scaling::Scaler s(7);
   s.candidates(warm(4));
   s.look(0, 2);
   core::Index const gone = s.part().front().replica;
-  std::vector<governor::Candidate> rest;
-  for (governor::Candidate const& c : warm(4))
+  std::vector<scaling::Candidate> rest;
+  for (scaling::Candidate const& c : warm(4))
     if (c.replica != gone) rest.push_back(c);
   s.candidates(rest);
   CHECK(s.part().size() == 2);
-  for (governor::Candidate const& c : s.part()) CHECK(c.replica != gone);
+  for (scaling::Candidate const& c : s.part()) CHECK(c.replica != gone);
   s.candidates({});
   CHECK(s.part().empty());
   CHECK(s.cap() == 0);
@@ -93,14 +93,14 @@
 }
 
 TEST_CASE("when all are slow and a widening did not help, no more are taken and the cap falls") {
-  governor::Scaler s(3);
+  scaling::Scaler s(3);
   s.candidates(warm(9));
   core::Tick now = 0;
   double const before = s.limit();
   for (int i = 0; i < 400; ++i) {
     now += 100;
     s.look(now, 50);
-    for (governor::Candidate const& c : std::vector<governor::Candidate>(s.part())) {
+    for (scaling::Candidate const& c : std::vector<scaling::Candidate>(s.part())) {
       s.sent(c.replica, false);
       s.firstWord(now, c.replica, 5000, 800);
       s.ended(c.replica, false);
@@ -110,7 +110,7 @@
   CHECK(s.part().size() < 9);
   CHECK(s.limit() < before);
   for (int i = 0; i < 60; ++i)
-    for (governor::Candidate const& c : std::vector<governor::Candidate>(s.part())) {
+    for (scaling::Candidate const& c : std::vector<scaling::Candidate>(s.part())) {
       s.sent(c.replica, false);
       s.firstWord(now, c.replica, 100, 800);
       s.ended(c.replica, false);
@@ -119,31 +119,31 @@
 }
 
 TEST_CASE("cold replicas count as part but not for the cap") {
-  governor::Scaler s(3);
+  scaling::Scaler s(3);
   s.candidates({{0, true, 11}, {1, false, 12}});
   s.look(0, 2);
   CHECK(s.part().size() == 2);
-  CHECK(s.cap() == governor::figures.firstLimit);
+  CHECK(s.cap() == scaling::figures.firstLimit);
 }
 
 TEST_CASE("a prefix stays with its replica until that is too busy") {
-  governor::Scaler s(3);
+  scaling::Scaler s(3);
   s.candidates(warm(3));
   s.look(0, 9);
   s.look(0, 9);
-  std::vector<governor::Candidate> const usable = s.part();
-  CHECK(governor::pick(s, usable, 99, 2) == 2);
-  for (int i = 0; i < governor::figures.prefixSlack; ++i) s.sent(2, false);
-  CHECK(governor::pick(s, usable, 99, 2) == 2);
+  std::vector<scaling::Candidate> const usable = s.part();
+  CHECK(scaling::pick(s, usable, 99, 2) == 2);
+  for (int i = 0; i < scaling::figures.prefixSlack; ++i) s.sent(2, false);
+  CHECK(scaling::pick(s, usable, 99, 2) == 2);
   s.sent(2, false);
-  CHECK(governor::pick(s, usable, 99, 2) != 2);
-  CHECK(governor::pick(s, {}, 99, 2) == -1);
+  CHECK(scaling::pick(s, usable, 99, 2) != 2);
+  CHECK(scaling::pick(s, {}, 99, 2) == -1);
 }
 
 TEST_CASE("retries over any ten seconds stay under a fifth plus the allowance, under random demand") {
   for (std::uint64_t seed = 1; seed < 40; ++seed) {
     core::Rng rng(seed);
-    governor::RetryBudget b;
+    scaling::RetryBudget b;
     std::vector<core::Tick> firsts;
     std::vector<core::Tick> retries;
     for (core::Tick now = 0; now < 60000; now += static_cast<core::Tick>(rng.below(60))) {
@@ -167,7 +167,7 @@
 TEST_CASE("no pool's requests pay for retries at another") {
   constexpr core::Index large = 0;
   constexpr core::Index small = 1;
-  governor::RetryBudgets b;
+  scaling::RetryBudgets b;
   std::vector<core::Tick> firsts;
   std::vector<core::Tick> retries;
   for (core::Tick now = 0; now < 30000; ++now) {
@@ -191,7 +191,7 @@
 }
 
 TEST_CASE("retries do not outlive a crowd that is gone") {
-  governor::RetryBudget b;
+  scaling::RetryBudget b;
   for (core::Tick now = 0; now < 2000; ++now) b.first(now);
   int retries = 0;
   for (core::Tick now = 5000; now < 12000; now += 10) retries += b.retry(now, 5) ? 1 : 0;
@@ -199,16 +199,16 @@
 }
 
 TEST_CASE("a cold bucket never passes its rate and starts empty") {
-  governor::ColdBucket b(1000);
+  scaling::ColdBucket b(1000);
   int taken = 0;
   for (core::Tick now = 1000; now <= 11000; now += 7) taken += b.take(now, 2.0) ? 1 : 0;
   CHECK(taken <= 20);
   CHECK(taken >= 18);
-  CHECK_FALSE(governor::ColdBucket(0).has(400, 2.0));
+  CHECK_FALSE(scaling::ColdBucket(0).has(400, 2.0));
 }
 
 TEST_CASE("remembered prefixes stay bounded") {
-  governor::Prefixes p(100);
+  scaling::Prefixes p(100);
   for (std::uint64_t i = 0; i < 10000; ++i) p.served(i % 300, 1);
   CHECK(p.size() <= 100);
   CHECK(p.last(9999 % 300) == 1);
@@ -220,16 +220,16 @@
   for (std::uint64_t seed = 1; seed < 60; ++seed) {
     CAPTURE(seed);
     core::Rng rng(seed);
-    governor::Figures f;
+    scaling::Figures f;
     f.width = 1.0;
     if (seed % 2 == 0) f.ease = 0.9;
     f.minLimit = 0.5;
     f.steady = 0.7;
-    governor::Scaler looked(seed, f);
-    governor::Scaler skipped(seed, f);
-    governor::Rate rateLooked;
-    governor::Rate rateSkipped;
-    std::vector<governor::Candidate> all = warm(6);
+    scaling::Scaler looked(seed, f);
+    scaling::Scaler skipped(seed, f);
+    scaling::Rate rateLooked;
+    scaling::Rate rateSkipped;
+    std::vector<scaling::Candidate> all = warm(6);
     looked.candidates(all);
     skipped.candidates(all);
     bool asleep = false;
@@ -260,7 +260,7 @@
       }
       if (rng.chance(0.01)) {
         all = warm(6);
-        std::erase_if(all, [&](governor::Candidate const&) { return rng.chance(0.4); });
+        std::erase_if(all, [&](scaling::Candidate const&) { return rng.chance(0.4); });
         looked.candidates(all);
         skipped.candidates(all);
         if (asleep && !skipped.atRest()) {
@@ -283,7 +283,7 @@
       REQUIRE(skipped.part() == looked.part());
       REQUIRE(skipped.limit() == looked.limit());
       REQUIRE(skipped.allSlow() == looked.allSlow());
-      governor::Rate caughtUp = rateSkipped;
+      scaling::Rate caughtUp = rateSkipped;
       caughtUp.catchUp(now + 1);
       REQUIRE(caughtUp.perSecond() == rateLooked.perSecond());
     }
--- a/ledger/include/corkward/ledger/ledger.h
+++ b/storage/include/corkward/storage/write_ahead_log.h
@@ -8,15 +8,15 @@
 
 #include <corkward/core/error.h>
 
-namespace corkward::ledger {
+namespace corkward::storage {
 
-/// An error of the disk; after one the ledger's file is not written again.
+/// An error of the disk; after one the write-ahead log's file is not written again.
 class Error : public core::Error {
  public:
   using core::Error::Error;
 };
 
-/// The folder a ledger lives in. The real one does POSIX files; the simulator's forgets what was not synced.
+/// The folder a write-ahead log lives in. The real one does POSIX files; the simulator's forgets what was not synced.
 class Folder {
  public:
   virtual ~Folder() = default;
@@ -31,7 +31,7 @@
   virtual void syncFolder() = 0;
 };
 
-/// A folder on the machine's own disk, made if it is missing. Throws ledger::Error.
+/// A folder on the machine's own disk, made if it is missing. Throws write-ahead log::Error.
 std::unique_ptr<Folder> openFolder(std::string const& path);
 
 /// Key and payload of one record; a later record of a key replaces an earlier one.
@@ -52,19 +52,19 @@
 /// Frames one record: length, CRC-32C, key, payload.
 std::string frame(Record const& record);
 
-/// A log in segments with images beside it.
-class Ledger {
+/// A log in segments with snapshots beside it.
+class WriteAheadLog {
  public:
   /// Segments roll at this size.
-  Ledger(Folder& folder, std::uint64_t segmentBytes = 4U << 20);
-  /// Reads the newest image and the segments after it; cuts a torn tail.
+  WriteAheadLog(Folder& folder, std::uint64_t segmentBytes = 4U << 20);
+  /// Reads the newest snapshot and the segments after it; cuts a torn tail.
   Recovered recover();
-  /// Appends and syncs all records as one write. Throws ledger::Error and is unusable afterwards.
+  /// Appends and syncs all records as one write. Throws write-ahead log::Error and is unusable afterwards.
   void write(std::vector<Record> const& records);
   bool failed() const { return failed_; }
 
  private:
-  void image();
+  void snapshot();
   Folder& folder_;
   std::uint64_t segmentBytes_;
   std::map<std::string, std::string> slots_;
@@ -73,4 +73,4 @@
   bool failed_ = false;
 };
 
-}  // namespace corkward::ledger
+}  // namespace corkward::write-ahead log
--- a/ledger/src/folder.cpp
+++ b/storage/src/folder.cpp
@@ -1,4 +1,4 @@
-#include <corkward/ledger/ledger.h>
+#include <corkward/storage/write_ahead_log.h>
 
 #include <cerrno>
 #include <cstring>
@@ -7,7 +7,7 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-namespace corkward::ledger {
+namespace corkward::storage {
 
 namespace {
 
@@ -90,4 +90,4 @@
 
 std::unique_ptr<Folder> openFolder(std::string const& path) { return std::make_unique<DiskFolder>(path); }
 
-}  // namespace corkward::ledger
+}  // namespace corkward::write-ahead log
--- a/ledger/src/ledger.cpp
+++ b/storage/src/write_ahead_log.cpp
@@ -1,4 +1,4 @@
-#include <corkward/ledger/ledger.h>
+#include <corkward/storage/write_ahead_log.h>
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <cstring>
 #include <string_view>
 
-namespace corkward::ledger {
+namespace corkward::storage {
 
 namespace {
 
@@ -79,7 +79,7 @@
   return true;
 }
 
-constexpr char const* imageEnd = "\x01image-end";
+constexpr char const* snapshotEnd = "\x01image-end";
 
 }  // namespace
 
@@ -94,27 +94,27 @@
   return out + body;
 }
 
-Ledger::Ledger(Folder& folder, std::uint64_t segmentBytes) : folder_(folder), segmentBytes_(segmentBytes) {}
+WriteAheadLog::WriteAheadLog(Folder& folder, std::uint64_t segmentBytes) : folder_(folder), segmentBytes_(segmentBytes) {}
 
-Recovered Ledger::recover() {
+Recovered WriteAheadLog::recover() {
   Recovered out;
-  std::uint64_t imageNo = 0;
+  std::uint64_t snapshotNo = 0;
   std::vector<std::uint64_t> segments;
   for (std::string const& name : folder_.list()) {
     std::uint64_t n = 0;
-    if (numberOf(name, "image", n)) imageNo = std::max(imageNo, n);
+    if (numberOf(name, "image", n)) snapshotNo = std::max(snapshotNo, n);
     if (numberOf(name, "segment", n)) segments.push_back(n);
   }
   std::sort(segments.begin(), segments.end());
-  if (imageNo > 0) {
-    std::string const bytes = folder_.read(numbered("image", imageNo));
+  if (snapshotNo > 0) {
+    std::string const bytes = folder_.read(numbered("image", snapshotNo));
     std::size_t const good = readAll(bytes, slots_);
-    if (good != bytes.size() || slots_.erase(imageEnd) == 0) {
+    if (good != bytes.size() || slots_.erase(snapshotEnd) == 0) {
       out.damaged = true;
-      out.damage = numbered("image", imageNo);
+      out.damage = numbered("image", snapshotNo);
     }
   }
-  segment_ = std::max<std::uint64_t>(imageNo, 1);
+  segment_ = std::max<std::uint64_t>(snapshotNo, 1);
   std::uint64_t expect = segment_;
   for (std::uint64_t const n : segments) {
     if (n < segment_) continue;
@@ -143,8 +143,8 @@
   return out;
 }
 
-void Ledger::write(std::vector<Record> const& records) {
-  if (failed_) throw Error("the ledger has failed before");
+void WriteAheadLog::write(std::vector<Record> const& records) {
+  if (failed_) throw Error("the write-ahead log has failed before");
   std::string bytes;
   for (Record const& r : records) bytes += frame(r);
   try {
@@ -155,18 +155,18 @@
     if (fresh) folder_.syncFolder();
     size_ += bytes.size();
     for (Record const& r : records) slots_[r.key] = r.payload;
-    if (size_ >= segmentBytes_) image();
+    if (size_ >= segmentBytes_) snapshot();
   } catch (Error const&) {
     failed_ = true;
     throw;
   }
 }
 
-void Ledger::image() {
+void WriteAheadLog::snapshot() {
   std::uint64_t const next = segment_ + 1;
   std::string bytes;
   for (std::map<std::string, std::string>::value_type const& s : slots_) bytes += frame(Record{s.first, s.second});
-  bytes += frame(Record{imageEnd, ""});
+  bytes += frame(Record{snapshotEnd, ""});
   std::string const fresh = "image.new";
   for (std::string const& name : folder_.list())
     if (name == fresh) folder_.remove(fresh);
@@ -182,4 +182,4 @@
   }
 }
 
-}  // namespace corkward::ledger
+}  // namespace corkward::write-ahead log
--- a/ledger/test/ledger_test.cpp
+++ b/storage/test/write_ahead_log_test.cpp
@@ -2,17 +2,17 @@
 #include <catch2/trompeloeil.hpp>
 
 #include <corkward/core/types.h>
-#include <corkward/ledger/ledger.h>
+#include <corkward/storage/write_ahead_log.h>
 #include <cstdlib>
 #include <filesystem>
 
 namespace core = corkward::core;
-namespace ledger = corkward::ledger;
+namespace storage = corkward::storage;
 
 namespace {
 
 /// A folder whose disk keeps only what was synced when the power goes, and a random part of the rest.
-class LossyFolder : public ledger::Folder {
+class LossyFolder : public storage::Folder {
  public:
   struct File {
     std::string bytes;
@@ -29,7 +29,7 @@
   std::string read(std::string const& name) override { return files.at(name).bytes; }
   void append(std::string const& name, std::string const& bytes) override { files[name].bytes += bytes; }
   void sync(std::string const& name) override {
-    if (failSync) throw ledger::Error("sync failed");
+    if (failSync) throw storage::Error("sync failed");
     files[name].synced = files[name].bytes.size();
   }
   void rename(std::string const& from, std::string const& to) override {
@@ -52,7 +52,7 @@
 };
 
 /// Watches in which order a folder is used.
-class MockFolder : public ledger::Folder {
+class MockFolder : public storage::Folder {
  public:
   MAKE_MOCK0(list, std::vector<std::string>(), override);
   MAKE_MOCK1(read, std::string(std::string const&), override);
@@ -66,10 +66,10 @@
 
 }  // namespace
 
-TEST_CASE("an image is whole and synced under its name before anything older goes") {
+TEST_CASE("an snapshot is whole and synced under its name before anything older goes") {
   using trompeloeil::_;
   std::string const segment = "segment-000000000001";
-  std::string const image = "image-000000000002";
+  std::string const snapshot = "image-000000000002";
   MockFolder folder;
   trompeloeil::sequence order;
   REQUIRE_CALL(folder, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{});
@@ -79,11 +79,11 @@
   REQUIRE_CALL(folder, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{segment});
   REQUIRE_CALL(folder, append("image.new", _)).IN_SEQUENCE(order);
   REQUIRE_CALL(folder, sync("image.new")).IN_SEQUENCE(order);
-  REQUIRE_CALL(folder, rename("image.new", image)).IN_SEQUENCE(order);
+  REQUIRE_CALL(folder, rename("image.new", snapshot)).IN_SEQUENCE(order);
   REQUIRE_CALL(folder, syncFolder()).IN_SEQUENCE(order);
-  REQUIRE_CALL(folder, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{segment, image});
+  REQUIRE_CALL(folder, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{segment, snapshot});
   REQUIRE_CALL(folder, remove(segment)).IN_SEQUENCE(order);
-  ledger::Ledger log(folder, 10);
+  storage::WriteAheadLog log(folder, 10);
   log.recover();
   log.write({{"k", "long enough to roll"}});
 }
@@ -93,32 +93,32 @@
   MockFolder folder;
   REQUIRE_CALL(folder, list()).RETURN(std::vector<std::string>{});
   REQUIRE_CALL(folder, append(_, _)).TIMES(1);
-  REQUIRE_CALL(folder, sync(_)).TIMES(1).THROW(ledger::Error("sync failed"));
-  ledger::Ledger log(folder);
+  REQUIRE_CALL(folder, sync(_)).TIMES(1).THROW(storage::Error("sync failed"));
+  storage::WriteAheadLog log(folder);
   log.recover();
-  CHECK_THROWS_AS(log.write({{"k", "v"}}), ledger::Error);
-  CHECK_THROWS_AS(log.write({{"k", "v"}}), ledger::Error);
+  CHECK_THROWS_AS(log.write({{"k", "v"}}), storage::Error);
+  CHECK_THROWS_AS(log.write({{"k", "v"}}), storage::Error);
   CHECK(log.failed());
 }
 
-TEST_CASE("what was synced comes back after power loss, through rolls, images and torn tails") {
+TEST_CASE("what was synced comes back after power loss, through rolls, snapshots and torn tails") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     core::Rng rng(seed);
     LossyFolder folder;
     std::map<std::string, std::string> sure;
     for (int life = 0; life < 5; ++life) {
-      ledger::Ledger log(folder, 600);
-      ledger::Recovered const got = log.recover();
+      storage::WriteAheadLog log(folder, 600);
+      storage::Recovered const got = log.recover();
       REQUIRE_FALSE(got.damaged);
       for (std::map<std::string, std::string>::value_type const& s : sure) REQUIRE(got.slots.at(s.first) == s.second);
       sure = got.slots;
       for (int i = 0; i < 40; ++i) {
-        ledger::Record const r{"k" + std::to_string(rng.below(6)), std::string(rng.below(80), 'x') + std::to_string(i)};
+        storage::Record const r{"k" + std::to_string(rng.below(6)), std::string(rng.below(80), 'x') + std::to_string(i)};
         if (rng.chance(0.02)) {
           folder.failSync = true;
-          CHECK_THROWS_AS(log.write({r}), ledger::Error);
+          CHECK_THROWS_AS(log.write({r}), storage::Error);
           folder.failSync = false;
-          CHECK_THROWS_AS(log.write({r}), ledger::Error);
+          CHECK_THROWS_AS(log.write({r}), storage::Error);
           sure.erase(r.key);
           break;
         }
@@ -132,17 +132,17 @@
 
 TEST_CASE("damage inside the log is told apart from a torn tail") {
   LossyFolder folder;
-  ledger::Ledger log(folder);
+  storage::WriteAheadLog log(folder);
   log.recover();
   for (int i = 0; i < 5; ++i) log.write({{"k", "value " + std::to_string(i)}});
   std::string& bytes = folder.files.begin()->second.bytes;
   SECTION("a flipped bit in the middle") {
     bytes[bytes.size() / 2] ^= 1;
-    CHECK(ledger::Ledger(folder).recover().damaged);
+    CHECK(storage::WriteAheadLog(folder).recover().damaged);
   }
   SECTION("a cut last record") {
     bytes.resize(bytes.size() - 3);
-    ledger::Recovered const got = ledger::Ledger(folder).recover();
+    storage::Recovered const got = storage::WriteAheadLog(folder).recover();
     CHECK_FALSE(got.damaged);
     CHECK(got.tornTail);
     CHECK(got.slots.at("k") == "value 3");
@@ -151,30 +151,30 @@
 
 TEST_CASE("a torn record of some megabytes is cut, not searched for ever") {
   LossyFolder folder;
-  ledger::Ledger log(folder);
+  storage::WriteAheadLog log(folder);
   log.recover();
   log.write({{"k", "kept"}});
   std::string big(3 << 20, ' ');
   core::Rng rng(5);
   for (char& c : big) c = static_cast<char>(32 + rng.below(90));
-  std::string const torn = ledger::frame({"big", big});
+  std::string const torn = storage::frame({"big", big});
   folder.files.begin()->second.bytes += torn.substr(0, torn.size() - 10);
-  ledger::Recovered const got = ledger::Ledger(folder).recover();
+  storage::Recovered const got = storage::WriteAheadLog(folder).recover();
   CHECK(got.tornTail);
   CHECK_FALSE(got.damaged);
   CHECK(got.slots.at("k") == "kept");
 }
 
-TEST_CASE("a ledger on the real disk survives reopening") {
+TEST_CASE("a write-ahead log on the real disk survives reopening") {
   std::string path = std::filesystem::temp_directory_path().string() + "/corkward-ledger-XXXXXX";
   REQUIRE(::mkdtemp(path.data()) != nullptr);
   {
-    std::unique_ptr<ledger::Folder> const folder = ledger::openFolder(path);
-    ledger::Ledger log(*folder, 200);
+    std::unique_ptr<storage::Folder> const folder = storage::openFolder(path);
+    storage::WriteAheadLog log(*folder, 200);
     log.recover();
     for (int i = 0; i < 50; ++i) log.write({{"k" + std::to_string(i % 4), std::to_string(i)}});
   }
-  std::unique_ptr<ledger::Folder> const folder = ledger::openFolder(path);
-  CHECK(ledger::Ledger(*folder, 200).recover().slots.at("k1") == "49");
+  std::unique_ptr<storage::Folder> const folder = storage::openFolder(path);
+  CHECK(storage::WriteAheadLog(*folder, 200).recover().slots.at("k1") == "49");
   std::filesystem::remove_all(path);
 }
--- a/yard/capacity/fleet.cpp
+++ b/testing/capacity/fleet.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 
 #include <corkward/core/json.h>
-#include <corkward/signal/link.h>
+#include <corkward/transport/link.h>
 
-namespace corkward::yard::capacity {
+namespace corkward::testing::capacity {
 
 namespace {
 
@@ -16,7 +16,7 @@
 constexpr Tick within = 1;
 constexpr Tick syncMs = 2;
 constexpr Tick answerLimit = 60000;
-constexpr Tick idleAfter = std::chrono::milliseconds(signal::Link::idleAfter).count();
+constexpr Tick idleAfter = std::chrono::milliseconds(transport::Link::idleAfter).count();
 
 std::string address(int net, std::size_t ix, int port) {
   return "10." + std::to_string(net) + "." + std::to_string(ix / 250) + "." + std::to_string(ix % 250 + 1) + ":" + std::to_string(port);
@@ -34,7 +34,7 @@
 
 std::string Fleet::instanceOf(Sizes const& sizes, std::int64_t tenant) { return "tenant" + std::to_string(tenant / sizes.templates + 1); }
 
-Fleet::Fleet(Sizes const& sizes, rotor::Tuning const& tuning) : sizes_(sizes), tuning_(tuning), rng_(static_cast<std::uint64_t>(sizes.seed)) {
+Fleet::Fleet(Sizes const& sizes, dataplane::Tuning const& tuning) : sizes_(sizes), tuning_(tuning), rng_(static_cast<std::uint64_t>(sizes.seed)) {
   for (std::int64_t i = 0; i < sizes.control + sizes.nodes + 1; ++i) {
     bool const control = i < sizes.control;
     std::int64_t const ix = control ? i : i - sizes.control;
@@ -60,7 +60,7 @@
   p.alive = true;
   dark_[ix] = false;
   ++p.life;
-  signal::Contact self;
+  transport::Contact self;
   self.link = p.link;
   self.http = p.link.substr(0, p.link.find(':')) + ":7401";
   self.zone = zoneName(p.zone);
@@ -72,15 +72,15 @@
     founders.push_back(processes_[i].link);
   }
   if (p.disk) {
-    self.role = "substation";
-    p.control = std::make_unique<substation::Plane>(self, "m" + std::to_string(rng_.next()), seeds, founders, rng_.next());
-    p.ledger = std::make_unique<ledger::Ledger>(*p.disk);
-    ledger::Recovered const got = p.ledger->recover();
+    self.role = transport::controllerRole;
+    p.control = std::make_unique<control::Controller>(self, "m" + std::to_string(rng_.next()), seeds, founders, rng_.next());
+    p.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*p.disk);
+    storage::Recovered const got = p.writeAheadLog->recover();
     p.diskFree = now_;
     take(ix, p.control->restore(got.slots, got.damaged, now_));
   } else {
-    self.role = "nacelle";
-    p.data = std::make_unique<rotor::Plane>(self, seeds, rng_.next(), tuning_);
+    self.role = transport::routerRole;
+    p.data = std::make_unique<dataplane::RequestRouter>(self, seeds, rng_.next(), tuning_);
     take(ix, p.data->started(now_));
   }
   Event e;
@@ -96,7 +96,7 @@
   dark_[ix] = dark;
   p.control.reset();
   p.data.reset();
-  p.ledger.reset();
+  p.writeAheadLog.reset();
 }
 
 bool Fleet::startControl() {
@@ -111,7 +111,7 @@
 
 bool Fleet::startNodes() {
   for (std::size_t i = firstNode(); i < spare(); ++i) boot(i);
-  return until([this] { return standing() == static_cast<std::size_t>(sizes_.nodes); }, answerLimit);
+  return until([this] { return servingLease() == static_cast<std::size_t>(sizes_.nodes); }, answerLimit);
 }
 
 void Fleet::configure() {
@@ -147,7 +147,7 @@
 }
 
 std::uint64_t Fleet::call(std::size_t at, std::string const& method, std::string const& path, std::string const& body, std::string const& ifMatch) {
-  signal::Call c;
+  transport::Call c;
   c.token = nextToken_++;
   c.method = method;
   c.path = path;
@@ -165,20 +165,20 @@
 
 std::uint64_t Fleet::change(std::size_t at, std::int64_t tenant) {
   std::string const path = "/v1/templates/" + familyOf(sizes_, tenant) + "/instances/" + instanceOf(sizes_, tenant);
-  std::map<std::string, mooring::Committed> const& held = processes_[at].control->mooring().committed();
-  std::map<std::string, mooring::Committed>::const_iterator const it = held.find("family:" + familyOf(sizes_, tenant));
-  qint64 stamp = 0;
+  std::map<std::string, consensus::Committed> const& held = processes_[at].control->registers().committed();
+  std::map<std::string, consensus::Committed>::const_iterator const it = held.find("family:" + familyOf(sizes_, tenant));
+  qint64 revision = 0;
   if (it != held.end())
-    stamp = it->second.value.value("instances").toObject().value(core::qstr(instanceOf(sizes_, tenant))).toObject().value("stamp").toInteger();
-  return call(at, "PATCH", path, R"({"parameters":{"site":"site-)" + std::to_string(nextNote_++) + R"("}})", std::to_string(stamp));
+    revision = it->second.value.value("instances").toObject().value(core::qstr(instanceOf(sizes_, tenant))).toObject().value("stamp").toInteger();
+  return call(at, "PATCH", path, R"({"parameters":{"site":"site-)" + std::to_string(nextNote_++) + R"("}})", std::to_string(revision));
 }
 
-std::uint64_t Fleet::stampOfTenant(std::int64_t tenant) const {
+std::uint64_t Fleet::revisionOfTenant(std::int64_t tenant) const {
   std::uint64_t newest = 0;
   for (Process const& p : processes_) {
     if (!p.control) continue;
-    std::map<std::string, mooring::Committed>::const_iterator const it = p.control->mooring().committed().find("family:" + familyOf(sizes_, tenant));
-    if (it != p.control->mooring().committed().end()) newest = std::max(newest, it->second.stamp);
+    std::map<std::string, consensus::Committed>::const_iterator const it = p.control->registers().committed().find("family:" + familyOf(sizes_, tenant));
+    if (it != p.control->registers().committed().end()) newest = std::max(newest, it->second.revision);
   }
   return newest;
 }
@@ -192,9 +192,9 @@
       std::count_if(processes_.begin(), processes_.end(), [&](Process const& p) { return p.alive && p.data && (region < 0 || p.region == region); }));
 }
 
-std::size_t Fleet::standing(int region) const {
+std::size_t Fleet::servingLease(int region) const {
   return static_cast<std::size_t>(std::count_if(processes_.begin(), processes_.end(), [&](Process const& p) {
-    return p.alive && p.data && (region < 0 || p.region == region) && p.data->standing(now_);
+    return p.alive && p.data && (region < 0 || p.region == region) && p.data->servingLease(now_);
   }));
 }
 
@@ -252,11 +252,11 @@
   Process& p = processes_[ix];
   double const from = counting_ ? threadUs() : 0;
   if (p.control) {
-    substation::Commands c = p.control->clockEvent(now_);
+    control::Commands c = p.control->clockEvent(now_);
     if (counting_) controlClockUs_ += threadUs() - from;
     take(ix, std::move(c));
   } else {
-    rotor::Commands c = p.data->clockEvent(now_);
+    dataplane::Commands c = p.data->clockEvent(now_);
     if (counting_) nodeClockUs_ += threadUs() - from;
     take(ix, std::move(c));
   }
@@ -272,17 +272,17 @@
   std::unordered_map<std::size_t, Tick>::iterator const way = ways_[event.to].find(event.from);
   if (way != ways_[event.to].end() && now_ - way->second < idleAfter) way->second = now_;
   std::string const from = processes_[event.from].link;
-  signal::Envelope envelope;
+  transport::Envelope envelope;
   double start = 0;
   double unpacked = 0;
   if (!event.bytes.empty()) {
     start = threadUs();
-    envelope = signal::unpack(event.bytes);
+    envelope = transport::unpack(event.bytes);
     unpacked = threadUs();
   }
-  signal::Message const& message = event.bytes.empty() ? *event.message : envelope.message;
-  substation::Commands control;
-  rotor::Commands data;
+  transport::Message const& message = event.bytes.empty() ? *event.message : envelope.message;
+  control::Commands control;
+  dataplane::Commands data;
   if (p.control)
     control = p.control->arrived(now_, from, message);
   else
@@ -305,16 +305,16 @@
   Process& p = processes_[event.to];
   bool ok = true;
   try {
-    p.ledger->write(event.records);
-  } catch (ledger::Error const&) {
+    p.writeAheadLog->write(event.records);
+  } catch (storage::Error const&) {
     ok = false;
   }
   if (counting_)
-    for (ledger::Record const& r : event.records) diskBytes_ += ledger::frame(r).size();
+    for (storage::Record const& r : event.records) diskBytes_ += storage::frame(r).size();
   for (std::uint64_t const t : event.tickets) take(event.to, p.control->written(now_, t, ok));
 }
 
-void Fleet::take(std::size_t ix, substation::Commands&& commands) {
+void Fleet::take(std::size_t ix, control::Commands&& commands) {
   Process& p = processes_[ix];
   if (!commands.persists.empty()) {
     Event e;
@@ -323,14 +323,14 @@
     e.what = What::written;
     e.to = ix;
     e.life = p.life;
-    for (mooring::Persist const& m : commands.persists) {
-      e.records.push_back(ledger::Record{m.key, m.payload});
+    for (consensus::Persist const& m : commands.persists) {
+      e.records.push_back(storage::Record{m.key, m.payload});
       e.tickets.push_back(m.ticket);
     }
     push(std::move(e));
   }
-  for (signal::Send const& s : commands.sends) send(ix, s);
-  for (substation::Answer const& a : commands.answers) answers_[a.token] = Answered{a.status, a.body, now_};
+  for (transport::Send const& s : commands.sends) send(ix, s);
+  for (control::Answer const& a : commands.answers) answers_[a.token] = Answered{a.status, a.body, now_};
   for (std::string const& link : commands.probes) {
     std::unordered_map<std::string, std::size_t>::const_iterator const it = byLink_.find(link);
     if (it == byLink_.end() || processes_[it->second].alive || dark_[it->second]) continue;
@@ -339,8 +339,8 @@
   }
 }
 
-void Fleet::take(std::size_t ix, rotor::Commands&& commands) {
-  for (signal::Send const& s : commands.sends) send(ix, s);
+void Fleet::take(std::size_t ix, dataplane::Commands&& commands) {
+  for (transport::Send const& s : commands.sends) send(ix, s);
 }
 
 std::size_t Fleet::waysHeld(bool control) const {
@@ -354,12 +354,12 @@
 
 Tick Fleet::delay(Process const& a, Process const& b) const { return a.region == b.region ? within : within + sizes_.apart; }
 
-void Fleet::send(std::size_t from, signal::Send const& send) {
+void Fleet::send(std::size_t from, transport::Send const& send) {
   Process const& p = processes_[from];
   Event e;
   if (counting_) {
     double const start = threadUs();
-    e.bytes = signal::pack(signal::Envelope{p.link, send.message});
+    e.bytes = transport::pack(transport::Envelope{p.link, send.message});
     double const packed = threadUs();
     Tally& t = (p.disk ? controlTallies_ : nodeTallies_).of(send.message);
     ++t.sent;
@@ -373,7 +373,7 @@
   way.first->second = now_;
   Process const& to = processes_[it->second];
   if (!to.alive || (regionsCut_ && to.region != p.region)) return;
-  if (!counting_) e.message = std::make_shared<signal::Message const>(send.message);
+  if (!counting_) e.message = std::make_shared<transport::Message const>(send.message);
   e.at = now_ + delay(p, to);
   e.what = What::message;
   e.to = it->second;
@@ -382,4 +382,4 @@
   push(std::move(e));
 }
 
-}  // namespace corkward::yard::capacity
+}  // namespace corkward::testing::capacity
--- a/yard/capacity/fleet.h
+++ b/testing/capacity/fleet.h
@@ -10,29 +10,29 @@
 #include <unordered_map>
 #include <vector>
 
-#include <corkward/ledger/ledger.h>
-#include <corkward/rotor/plane.h>
-#include <corkward/substation/plane.h>
+#include <corkward/storage/write_ahead_log.h>
+#include <corkward/dataplane/request_router.h>
+#include <corkward/control/controller.h>
 
 #include "disk.h"
 #include "sizes.h"
 #include "tally.h"
 
-namespace corkward::yard::capacity {
+namespace corkward::testing::capacity {
 
 using core::Tick;
 
-/// One hollow process: the reducer of a daemon without its sockets, doors and threads.
+/// One hollow process: the reducer of a daemon without its sockets, HTTP edges and threads.
 struct Process {
   std::string link;
   int zone = 0;
   int region = 0;
   bool alive = false;
   std::uint64_t life = 0;
-  std::unique_ptr<substation::Plane> control;
-  std::unique_ptr<rotor::Plane> data;
+  std::unique_ptr<control::Controller> control;
+  std::unique_ptr<dataplane::RequestRouter> data;
   std::unique_ptr<SimDisk> disk;
-  std::unique_ptr<ledger::Ledger> ledger;
+  std::unique_ptr<storage::WriteAheadLog> writeAheadLog;
   Tick diskFree = 0;
 };
 
@@ -47,7 +47,7 @@
 /// whatever reducers are there through their public events and counts what comes out.
 class Fleet {
  public:
-  explicit Fleet(Sizes const& sizes, rotor::Tuning const& tuning = {});
+  explicit Fleet(Sizes const& sizes, dataplane::Tuning const& tuning = {});
 
   /// Starts the control machines and runs until each is in touch with a majority. False when that fails.
   bool startControl();
@@ -74,8 +74,8 @@
   std::optional<Answered> answer(std::uint64_t token) const;
   /// Changes one tenant's parameter; the answer comes under the token.
   std::uint64_t change(std::size_t at, std::int64_t tenant);
-  /// Newest stamp of a tenant's family that some control machine holds.
-  std::uint64_t stampOfTenant(std::int64_t tenant) const;
+  /// Newest revision of a tenant's family that some control machine holds.
+  std::uint64_t revisionOfTenant(std::int64_t tenant) const;
 
   std::vector<Process>& processes() { return processes_; }
   std::size_t firstNode() const { return static_cast<std::size_t>(sizes_.control); }
@@ -83,7 +83,7 @@
   std::size_t spare() const { return processes_.size() - 1; }
   std::size_t alive(bool control) const;
   /// Nodes of a region, or of all when it is below zero, that may hand requests over.
-  std::size_t standing(int region = -1) const;
+  std::size_t servingLease(int region = -1) const;
   std::size_t aliveIn(int region) const;
   static std::string familyOf(Sizes const& sizes, std::int64_t tenant);
   static std::string instanceOf(Sizes const& sizes, std::int64_t tenant);
@@ -96,7 +96,7 @@
   Tick counted() const { return now_ - countFrom_; }
   /// Bytes and records that went to the disks since the count began.
   std::uint64_t diskBytes() const { return diskBytes_; }
-  /// Ways that the processes of a role hold as signal::Link does, all together, and how often one was dialled so far.
+  /// Ways that the processes of a role hold as transport::Link does, all together, and how often one was dialled so far.
   std::size_t waysHeld(bool control) const;
   std::uint64_t dialled(bool control) const { return dialled_[control ? 1 : 0]; }
   /// What the simulated disks hold, which a real process would not hold in memory.
@@ -113,9 +113,9 @@
     std::size_t to = 0;
     std::uint64_t life = 0;
     std::size_t from = 0;
-    std::shared_ptr<signal::Message const> message;
+    std::shared_ptr<transport::Message const> message;
     std::string bytes;
-    std::vector<ledger::Record> records;
+    std::vector<storage::Record> records;
     std::vector<std::uint64_t> tickets;
     bool operator<(Event const& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
@@ -124,13 +124,13 @@
   void clock(std::size_t ix);
   void deliver(Event& event);
   void written(Event& event);
-  void take(std::size_t ix, substation::Commands&& commands);
-  void take(std::size_t ix, rotor::Commands&& commands);
-  void send(std::size_t from, signal::Send const& send);
+  void take(std::size_t ix, control::Commands&& commands);
+  void take(std::size_t ix, dataplane::Commands&& commands);
+  void send(std::size_t from, transport::Send const& send);
   Tick delay(Process const& a, Process const& b) const;
 
   Sizes sizes_;
-  rotor::Tuning tuning_;
+  dataplane::Tuning tuning_;
   core::Rng rng_;
   Tick now_ = 0;
   std::uint64_t order_ = 0;
@@ -154,4 +154,4 @@
   std::array<std::uint64_t, 2> dialled_{};
 };
 
-}  // namespace corkward::yard::capacity
+}  // namespace corkward::testing::capacity
--- a/yard/capacity/parts.cpp
+++ b/testing/capacity/parts.cpp
@@ -5,12 +5,12 @@
 #include <map>
 
 #include <corkward/core/json.h>
-#include <corkward/rotor/stream.h>
-#include <corkward/signal/link.h>
+#include <corkward/dataplane/stream.h>
+#include <corkward/transport/link.h>
 
 #include "fleet.h"
 
-namespace corkward::yard::capacity {
+namespace corkward::testing::capacity {
 
 namespace {
 
@@ -39,7 +39,7 @@
 
 /// A whole fleet that stands and is at rest.
 void bring(Fleet& fleet) {
-  if (!fleet.startControl()) failed("control: the cohort was not founded within its limit");
+  if (!fleet.startControl()) failed("control: the membership was not founded within its limit");
   fleet.configure();
   if (!fleet.startNodes()) failed("nodes: not all stand within the limit");
   fleet.run(settle);
@@ -58,7 +58,7 @@
 Rows rest(Sizes const& sizes) {
   std::uint64_t const empty = heapBytes();
   Fleet fleet(sizes);
-  if (!fleet.startControl()) failed("control: the cohort was not founded within its limit");
+  if (!fleet.startControl()) failed("control: the membership was not founded within its limit");
   fleet.configure();
   std::uint64_t const withControl = heapBytes() - fleet.disksHold();
   if (!fleet.startNodes()) failed("nodes: not all stand within the limit");
@@ -73,7 +73,7 @@
   Rows out;
   Tick const ms = fleet.counted();
   for (bool const control : {false, true}) {
-    char const* const role = control ? "substation" : "nacelle";
+    char const* const role = control ? "controller" : "router";
     std::size_t const n = fleet.alive(control);
     std::map<std::string, Tally> duties;
     Tally sum;
@@ -104,8 +104,8 @@
       out.push_back({"taken." + d.first, role, "bytes/s", counted, perSecond(static_cast<double>(d.second.takenBytes), ms, n)});
     }
   }
-  out.push_back({"disk", "substation", "bytes/s", counted, perSecond(static_cast<double>(fleet.diskBytes()), ms, fleet.alive(true))});
-  out.push_back({"standing", "nacelle", "share", counted, static_cast<double>(fleet.standing()) / static_cast<double>(sizes.nodes)});
+  out.push_back({"disk", "controller", "bytes/s", counted, perSecond(static_cast<double>(fleet.diskBytes()), ms, fleet.alive(true))});
+  out.push_back({"standing", "router", "share", counted, static_cast<double>(fleet.servingLease()) / static_cast<double>(sizes.nodes)});
   out.push_back({"page.fleet", "operator", "bytes", counted,
                  static_cast<double>(core::jsonText(fleet.processes().front().control->fleet(fleet.now())).size())});
   fleet.count(false);
@@ -113,9 +113,9 @@
   double const all = static_cast<double>(heapBytes() - empty - fleet.disksHold());
   for (std::size_t i = fleet.firstNode(); i < fleet.processes().size(); ++i) fleet.kill(i);
   double const control = static_cast<double>(heapBytes() - empty - fleet.disksHold());
-  out.push_back({"state", "nacelle", "bytes", heap, (all - control) / static_cast<double>(sizes.nodes)});
-  out.push_back({"state", "substation", "bytes", heap, control / static_cast<double>(sizes.control)});
-  out.push_back({"state.before_nodes", "substation", "bytes", heap, static_cast<double>(withControl - empty) / static_cast<double>(sizes.control)});
+  out.push_back({"state", "router", "bytes", heap, (all - control) / static_cast<double>(sizes.nodes)});
+  out.push_back({"state", "controller", "bytes", heap, control / static_cast<double>(sizes.control)});
+  out.push_back({"state.before_nodes", "controller", "bytes", heap, static_cast<double>(withControl - empty) / static_cast<double>(sizes.control)});
   return out;
 }
 
@@ -123,7 +123,7 @@
 Rows links(Sizes const& sizes) {
   Fleet fleet(sizes);
   bring(fleet);
-  fleet.run(2 * std::chrono::milliseconds(signal::Link::idleAfter).count());
+  fleet.run(2 * std::chrono::milliseconds(transport::Link::idleAfter).count());
   std::array<std::uint64_t, 2> const before{fleet.dialled(false), fleet.dialled(true)};
   Tick const from = fleet.now();
   std::array<double, 2> held{};
@@ -133,7 +133,7 @@
   }
   Rows out;
   for (bool const control : {false, true}) {
-    char const* const role = control ? "substation" : "nacelle";
+    char const* const role = control ? "controller" : "router";
     double const n = static_cast<double>(fleet.alive(control));
     out.push_back({"links.held", role, "links", counted, held[control ? 1 : 0] / n});
     out.push_back({"links.dialled", role, "links/s", counted,
@@ -156,7 +156,7 @@
   double disk = 0;
   for (int i = 0; i < changesTried; ++i) {
     std::int64_t const tenant = static_cast<std::int64_t>(rng.below(static_cast<std::uint64_t>(sizes.tenants)));
-    std::uint64_t const before = fleet.stampOfTenant(tenant);
+    std::uint64_t const before = fleet.revisionOfTenant(tenant);
     std::string const key = "family:" + Fleet::familyOf(sizes, tenant);
     fleet.count(true);
     Tick const from = fleet.now();
@@ -164,7 +164,7 @@
     bool const all = fleet.until(
         [&] {
           return std::all_of(fleet.processes().begin(), fleet.processes().end(),
-                             [&](Process const& p) { return !p.data || p.data->stampOf(key) > before; });
+                             [&](Process const& p) { return !p.data || p.data->revisionOf(key) > before; });
         },
         longest);
     if (all) everywhere.push_back(static_cast<double>(fleet.now() - from));
@@ -189,9 +189,9 @@
   out.push_back({"answered", "operator", "share", counted, static_cast<double>(in) / changesTried});
   out.push_back({"in_force.median", "operator", "ms", counted, middle(answers)});
   out.push_back({"in_force.most", "operator", "ms", counted, answers.empty() ? -1 : *std::max_element(answers.begin(), answers.end())});
-  out.push_back({"everywhere.most", "nacelle", "ms", counted, everywhere.empty() ? -1 : *std::max_element(everywhere.begin(), everywhere.end())});
+  out.push_back({"everywhere.most", "router", "ms", counted, everywhere.empty() ? -1 : *std::max_element(everywhere.begin(), everywhere.end())});
   for (bool const control : {false, true}) {
-    char const* const role = control ? "substation" : "nacelle";
+    char const* const role = control ? "controller" : "router";
     double const n = static_cast<double>(fleet.alive(control)) * changesTried;
     for (char const* const duty : {"news", "agreement", "operators", "holdings"}) {
       Tally const& t = (control ? controlSums : nodeSums)[duty];
@@ -201,7 +201,7 @@
       out.push_back({std::string("change.cpu.") + duty, role, "us", timed, t.handleUs / n});
     }
   }
-  out.push_back({"change.disk", "substation", "bytes", counted, disk / static_cast<double>(sizes.control) / changesTried});
+  out.push_back({"change.disk", "controller", "bytes", counted, disk / static_cast<double>(sizes.control) / changesTried});
   return out;
 }
 
@@ -209,12 +209,12 @@
 Rows outage(Sizes const& sizes) {
   Rows out;
   Fleet fleet(sizes);
-  if (!fleet.startControl()) failed("control: the cohort was not founded within its limit");
-  out.push_back({"found", "substation", "ms", counted, static_cast<double>(fleet.now())});
+  if (!fleet.startControl()) failed("control: the membership was not founded within its limit");
+  out.push_back({"found", "controller", "ms", counted, static_cast<double>(fleet.now())});
   fleet.configure();
   Tick from = fleet.now();
   if (!fleet.startNodes()) failed("nodes: not all stand within the limit");
-  out.push_back({"start", "nacelle", "ms", counted, static_cast<double>(fleet.now() - from)});
+  out.push_back({"start", "router", "ms", counted, static_cast<double>(fleet.now() - from)});
   fleet.run(settle);
   std::size_t const one = fleet.firstNode() + static_cast<std::size_t>(sizes.nodes) / 2;
   fleet.count(true);
@@ -222,19 +222,19 @@
   fleet.run(1000);
   fleet.boot(one);
   from = fleet.now();
-  bool ok = fleet.until([&] { return fleet.processes()[one].data->standing(fleet.now()); }, longest);
-  out.push_back({"restart", "nacelle", "ms", counted, ok ? static_cast<double>(fleet.now() - from) : -1});
+  bool ok = fleet.until([&] { return fleet.processes()[one].data->servingLease(fleet.now()); }, longest);
+  out.push_back({"restart", "router", "ms", counted, ok ? static_cast<double>(fleet.now() - from) : -1});
   double bytes = 0;
   for (Tally const& t : fleet.tallies(true).all())
     if (t.duty == "news" || t.duty == "roster" || t.duty == "list") bytes += static_cast<double>(t.sentBytes);
-  out.push_back({"restart.image", "substation", "bytes", counted, bytes / static_cast<double>(sizes.control)});
+  out.push_back({"restart.image", "controller", "bytes", counted, bytes / static_cast<double>(sizes.control)});
   fleet.count(false);
   fleet.run(settle);
   fleet.count(true);
   fleet.boot(fleet.spare());
   from = fleet.now();
-  ok = fleet.until([&] { return fleet.processes()[fleet.spare()].data->standing(fleet.now()); }, longest);
-  out.push_back({"join", "nacelle", "ms", counted, ok ? static_cast<double>(fleet.now() - from) : -1});
+  ok = fleet.until([&] { return fleet.processes()[fleet.spare()].data->servingLease(fleet.now()); }, longest);
+  out.push_back({"join", "router", "ms", counted, ok ? static_cast<double>(fleet.now() - from) : -1});
   fleet.run(settle);
   for (bool const control : {false, true}) {
     double sent = 0;
@@ -245,8 +245,8 @@
       taken += static_cast<double>(t.takenBytes);
     }
     double const n = static_cast<double>(fleet.alive(control));
-    out.push_back({"join.sent", control ? "substation" : "nacelle", "bytes", counted, sent / n});
-    out.push_back({"join.taken", control ? "substation" : "nacelle", "bytes", counted, taken / n});
+    out.push_back({"join.sent", control ? "controller" : "router", "bytes", counted, sent / n});
+    out.push_back({"join.taken", control ? "controller" : "router", "bytes", counted, taken / n});
   }
   std::size_t const last = fleet.firstNode() - 1;
   fleet.count(true);
@@ -256,12 +256,12 @@
     fleet.run(1000);
     fleet.boot(last);
     from = fleet.now();
-    ok = fleet.until([&] { return fleet.processes()[last].control->mooring().voting(); }, longest);
-    out.push_back({"copy", "substation", "ms", counted, ok ? static_cast<double>(fleet.now() - from) : -1});
+    ok = fleet.until([&] { return fleet.processes()[last].control->registers().voting(); }, longest);
+    out.push_back({"copy", "controller", "ms", counted, ok ? static_cast<double>(fleet.now() - from) : -1});
     bytes = 0;
     for (Tally const& t : fleet.tallies(true).all())
       if (t.duty == "copy") bytes += static_cast<double>(t.sentBytes);
-    out.push_back({"copy", "substation", "bytes in all", counted, bytes});
+    out.push_back({"copy", "controller", "bytes in all", counted, bytes});
   }
   fleet.count(false);
   fleet.run(settle);
@@ -270,18 +270,18 @@
   from = fleet.now();
   fleet.count(true);
   for (std::size_t i = 0; i < fleet.processes().size(); ++i) fleet.boot(i);
-  ok = fleet.until([&] { return fleet.standing() == static_cast<std::size_t>(sizes.nodes) + 1; }, longest);
-  out.push_back({"recover", "nacelle", "ms", counted, ok ? static_cast<double>(fleet.now() - from) : -1});
+  ok = fleet.until([&] { return fleet.servingLease() == static_cast<std::size_t>(sizes.nodes) + 1; }, longest);
+  out.push_back({"recover", "router", "ms", counted, ok ? static_cast<double>(fleet.now() - from) : -1});
   for (bool const control : {false, true}) {
     double us = fleet.clockUs(control);
     for (Tally const& t : fleet.tallies(control).all()) us += t.packUs + t.unpackUs + t.handleUs;
-    out.push_back({"recover.cpu", control ? "substation" : "nacelle", "us", timed, us / static_cast<double>(fleet.alive(control))});
+    out.push_back({"recover.cpu", control ? "controller" : "router", "us", timed, us / static_cast<double>(fleet.alive(control))});
   }
   return out;
 }
 
 double shareOf(Fleet const& fleet, int region) {
-  return static_cast<double>(fleet.standing(region)) / static_cast<double>(std::max<std::size_t>(fleet.aliveIn(region), 1));
+  return static_cast<double>(fleet.servingLease(region)) / static_cast<double>(std::max<std::size_t>(fleet.aliveIn(region), 1));
 }
 
 /// Regions lose each other for ten seconds; a change is tried in each.
@@ -302,16 +302,16 @@
   Rows out;
   for (std::map<int, std::uint64_t>::value_type const& t : tokens) {
     std::string const name = "region" + std::to_string(t.first + 1);
-    out.push_back({"split.members." + name, "substation", "machines", counted, static_cast<double>(members[t.first])});
-    out.push_back({"split.standing." + name, "nacelle", "share", counted, shareOf(fleet, t.first)});
+    out.push_back({"split.members." + name, "controller", "machines", counted, static_cast<double>(members[t.first])});
+    out.push_back({"split.standing." + name, "router", "share", counted, shareOf(fleet, t.first)});
     bool const taken = fleet.answer(t.second) && fleet.answer(t.second)->status == 200;
     out.push_back({"split.status." + name, "operator", "status", counted, fleet.answer(t.second) ? static_cast<double>(fleet.answer(t.second)->status) : 0});
     out.push_back({"split.change." + name, "operator", "ms", counted, taken ? static_cast<double>(fleet.answer(t.second)->at - from) : -1});
   }
   fleet.cutRegions(false);
   Tick const joined = fleet.now();
-  bool const ok = fleet.until([&] { return fleet.standing() == static_cast<std::size_t>(sizes.nodes); }, longest);
-  out.push_back({"split.back", "nacelle", "ms", counted, ok ? static_cast<double>(fleet.now() - joined) : -1});
+  bool const ok = fleet.until([&] { return fleet.servingLease() == static_cast<std::size_t>(sizes.nodes); }, longest);
+  out.push_back({"split.back", "router", "ms", counted, ok ? static_cast<double>(fleet.now() - joined) : -1});
   return out;
 }
 
@@ -337,7 +337,7 @@
   }
   fleet.until([&] { return fleet.answer(token).has_value(); }, longest);
   bool const taken = fleet.answer(token) && fleet.answer(token)->status == 200;
-  out.push_back({"zone.standing", "nacelle", "least share of the rest", counted, least});
+  out.push_back({"zone.standing", "router", "least share of the rest", counted, least});
   out.push_back({"zone.change", "operator", "ms", counted, taken ? static_cast<double>(fleet.answer(token)->at - from) : -1});
   std::uint64_t const next = fleet.change(first, 0);
   Tick const again = fleet.now();
@@ -348,8 +348,8 @@
 }
 
 /// Bounds that never stop a request, so that what is measured is the cost and not the scaler's choice.
-rotor::Tuning open() {
-  rotor::Tuning t;
+dataplane::Tuning open() {
+  dataplane::Tuning t;
   t.figures.firstPart = 1000000;
   t.figures.firstLimit = 1e9;
   t.figures.maxLimit = 1e9;
@@ -366,38 +366,38 @@
   Callers(Fleet& fleet, Sizes const& sizes) : fleet_(fleet), sizes_(sizes), node_(*fleet.processes()[fleet.firstNode()].data) {}
 
   /// Begins one up to its first word, and returns its name.
-  rotor::CallId begin(std::int64_t tenant, std::string const& id, std::string const& prefix) {
-    rotor::Request r;
+  dataplane::CallId begin(std::int64_t tenant, std::string const& id, std::string const& prefix) {
+    dataplane::Request r;
     r.call = next_++;
     r.instance = Fleet::familyOf(sizes_, tenant) + "." + Fleet::instanceOf(sizes_, tenant);
     r.path = "path1";
     r.id = id;
     r.prefix = prefix;
-    if (!prefix.empty()) r.parts = {rotor::Part{core::stableHash(prefix), 5382}};
+    if (!prefix.empty()) r.parts = {dataplane::Part{core::stableHash(prefix), 5382}};
     r.tokensOut = 338;
     bool handed = false;
-    rotor::Commands c = node_.request(fleet_.now(), r);
-    for (rotor::CallCommand const& v : c.calls)
-      if (std::holds_alternative<rotor::Connect>(v)) {
-        rotor::Commands more = node_.connected(fleet_.now(), r.call);
-        for (rotor::CallCommand const& h : more.calls) handed = handed || std::holds_alternative<rotor::HandOver>(h);
-      } else if (std::holds_alternative<rotor::HandOver>(v)) {
+    dataplane::Commands c = node_.request(fleet_.now(), r);
+    for (dataplane::CallCommand const& v : c.calls)
+      if (std::holds_alternative<dataplane::Connect>(v)) {
+        dataplane::Commands more = node_.connected(fleet_.now(), r.call);
+        for (dataplane::CallCommand const& h : more.calls) handed = handed || std::holds_alternative<dataplane::HandOver>(h);
+      } else if (std::holds_alternative<dataplane::HandOver>(v)) {
         handed = true;
-      } else if (rotor::Deny const* const d = std::get_if<rotor::Deny>(&v)) {
-        failed("calls: a request was denied: " + d->reason);
+      } else if (dataplane::Reject const* const d = std::get_if<dataplane::Reject>(&v)) {
+        failed("calls: a request was rejected: " + d->reason);
       }
     if (!handed) failed("calls: a request was held");
     node_.firstWord(fleet_.now(), r.call, true);
     return r.call;
   }
-  void end(rotor::CallId call) { node_.ended(fleet_.now(), call, rotor::End::whole); }
-  rotor::Plane& node() { return node_; }
+  void end(dataplane::CallId call) { node_.ended(fleet_.now(), call, dataplane::End::whole); }
+  dataplane::RequestRouter& node() { return node_; }
 
  private:
   Fleet& fleet_;
   Sizes sizes_;
-  rotor::Plane& node_;
-  rotor::CallId next_ = 1;
+  dataplane::RequestRouter& node_;
+  dataplane::CallId next_ = 1;
 };
 
 void needTenants(Sizes const& sizes) {
@@ -420,45 +420,45 @@
   };
   Fleet fleet(sizes, open());
   fleet.count(true);
-  if (!fleet.startControl()) failed("control: the cohort was not founded within its limit");
+  if (!fleet.startControl()) failed("control: the membership was not founded within its limit");
   fleet.configure();
   fleet.run(2000);
   disks = fleet.disksHold();
-  grown("configured", "substation", static_cast<double>(sizes.control));
+  grown("configured", "controller", static_cast<double>(sizes.control));
   if (!fleet.startNodes()) failed("nodes: not all stand within the limit");
   fleet.run(2000);
-  grown("configured", "nacelle", 1);
+  grown("configured", "router", 1);
   Callers callers(fleet, sizes);
-  std::vector<rotor::CallId> calls;
+  std::vector<dataplane::CallId> calls;
   calls.reserve(static_cast<std::size_t>(std::max({sizes.calls, sizes.tenants, sizes.sessions, sizes.prefixes})));
   at = heapBytes();
   for (std::int64_t i = 0; i < sizes.tenants; ++i) callers.end(callers.begin(i, "", ""));
-  grown("credits", "nacelle", 1);
+  grown("credits", "router", 1);
   for (std::int64_t i = 0; i < sizes.calls; ++i) calls.push_back(callers.begin(i % sizes.tenants, "", ""));
-  grown("calls", "nacelle", 1);
-  for (rotor::CallId const c : calls) callers.end(c);
+  grown("calls", "router", 1);
+  for (dataplane::CallId const c : calls) callers.end(c);
   calls.clear();
   {
     at = heapBytes();
-    std::vector<rotor::Stream> streams(static_cast<std::size_t>(sizes.calls));
-    for (rotor::Stream& s : streams) {
+    std::vector<dataplane::Stream> streams(static_cast<std::size_t>(sizes.calls));
+    for (dataplane::Stream& s : streams) {
       s.connecting(false);
-      s.head(rotor::Head{200, {{"corkward-run", "run-0123456789abcdef"}, {"content-type", "text/event-stream"}}, -1, false, false, {}, {}});
+      s.head(dataplane::Head{200, {{"corkward-run", "run-0123456789abcdef"}, {"content-type", "text/event-stream"}}, -1, false, false, {}, {}});
       s.piece("data: 012345678901234567890123\n\n");
     }
-    grown("streams", "nacelle", 1);
+    grown("streams", "router", 1);
   }
   at = heapBytes();
   for (std::int64_t i = 0; i < sizes.sessions; ++i)
     callers.end(callers.begin(i % sizes.tenants, "0b9f8a52-53b5-4d0e-9a36-" + std::to_string(100000000000 + i), ""));
-  grown("ids", "nacelle", 1);
+  grown("ids", "router", 1);
   for (std::int64_t i = 0; i < sizes.prefixes; ++i) callers.end(callers.begin(i % sizes.tenants, "", "prefix-" + std::to_string(i)));
-  grown("prefixes", "nacelle", 1);
-  rotor::Held const held = callers.node().held();
+  grown("prefixes", "router", 1);
+  dataplane::Held const held = callers.node().held();
   out.push_back({"page.metrics", "operator", "bytes", counted, static_cast<double>(callers.node().metrics(fleet.now()).size())});
-  out.push_back({"held.ids", "nacelle", "ids", counted, static_cast<double>(held.ids)});
-  out.push_back({"held.prefixes", "nacelle", "prefixes", counted, static_cast<double>(held.prefixes)});
-  out.push_back({"held.credits", "nacelle", "credits", counted, static_cast<double>(held.credits)});
+  out.push_back({"held.ids", "router", "ids", counted, static_cast<double>(held.ids)});
+  out.push_back({"held.prefixes", "router", "prefixes", counted, static_cast<double>(held.prefixes)});
+  out.push_back({"held.credits", "router", "credits", counted, static_cast<double>(held.credits)});
   return out;
 }
 
@@ -469,7 +469,7 @@
   bring(fleet);
   Callers callers(fleet, sizes);
   for (std::int64_t i = 0; i < sizes.tenants; ++i) callers.end(callers.begin(i, "", ""));
-  std::vector<rotor::CallId> calls;
+  std::vector<dataplane::CallId> calls;
   for (std::int64_t i = 0; i < sizes.calls; ++i) calls.push_back(callers.begin(i % sizes.tenants, "", ""));
   core::Rng rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xC0);
   std::vector<double> request;
@@ -485,27 +485,27 @@
   std::vector<double> piece;
   std::size_t passed = 0;
   for (int b = 0; b < blocks; ++b) {
-    rotor::Stream s;
+    dataplane::Stream s;
     s.connecting(false);
-    s.head(rotor::Head{200, {{"corkward-run", "run-0123456789abcdef"}}, -1, false, false, {}, {}});
+    s.head(dataplane::Head{200, {{"corkward-run", "run-0123456789abcdef"}}, -1, false, false, {}, {}});
     double const from = threadUs();
     for (int i = 0; i < blockPieces; ++i) passed += s.piece("data: 012345678901234567890123\n\n").piece.size();
     piece.push_back((threadUs() - from) / blockPieces);
   }
   Rows out;
-  out.push_back({"piece.passed", "nacelle", "bytes", counted, static_cast<double>(passed) / (blocks * blockPieces)});
-  out.push_back({"request", "nacelle", "us", timed, middle(request)});
-  out.push_back({"request.least", "nacelle", "us", timed, *std::min_element(request.begin(), request.end())});
-  out.push_back({"piece", "nacelle", "us", timed, middle(piece)});
+  out.push_back({"piece.passed", "router", "bytes", counted, static_cast<double>(passed) / (blocks * blockPieces)});
+  out.push_back({"request", "router", "us", timed, middle(request)});
+  out.push_back({"request.least", "router", "us", timed, *std::min_element(request.begin(), request.end())});
+  out.push_back({"piece", "router", "us", timed, middle(piece)});
   std::vector<double> clocks;
   for (int b = 0; b < 5; ++b) {
     fleet.count(true);
     fleet.run(1000);
     clocks.push_back(fleet.clockUs(false));
-    for (rotor::CallId const c : calls) callers.node().moving(fleet.now(), c);
+    for (dataplane::CallId const c : calls) callers.node().moving(fleet.now(), c);
   }
-  out.push_back({"clock", "nacelle", "us/s", timed, middle(clocks)});
-  out.push_back({"in_hand", "nacelle", "calls", counted, static_cast<double>(callers.node().inHand())});
+  out.push_back({"clock", "router", "us/s", timed, middle(clocks)});
+  out.push_back({"in_hand", "router", "calls", counted, static_cast<double>(callers.node().inHand())});
   return out;
 }
 
@@ -528,4 +528,4 @@
   return nullptr;
 }
 
-}  // namespace corkward::yard::capacity
+}  // namespace corkward::testing::capacity
--- a/yard/capacity/parts.h
+++ b/testing/capacity/parts.h
@@ -5,12 +5,12 @@
 
 #include "sizes.h"
 
-namespace corkward::yard::capacity {
+namespace corkward::testing::capacity {
 
 /// One figure. Counted ones follow from the seed alone; timed ones are processor time, heap ones bytes of memory.
 struct Row {
   std::string measure;
-  /// nacelle, substation or operator; figures are per process of the role unless the measure says otherwise.
+  /// router, controller or operator; figures are per process of the role unless the measure says otherwise.
   std::string role;
   std::string unit;
   std::string kind;
@@ -32,4 +32,4 @@
 /// Part of a name, or null.
 PartRow const* findPart(std::string const& name);
 
-}  // namespace corkward::yard::capacity
+}  // namespace corkward::testing::capacity
--- a/yard/capacity/rig.cpp
+++ b/testing/capacity/rig.cpp
@@ -8,7 +8,7 @@
 
 #include "parts.h"
 
-namespace corkward::yard::capacity {
+namespace corkward::testing::capacity {
 
 namespace po = boost::program_options;
 
@@ -17,7 +17,7 @@
   std::string sweepText;
   std::string file;
   std::map<std::string, std::int64_t> given;
-  po::options_description flags("yard-capacity: slopes of the real reducers and codecs, many hollow processes in one, in virtual time");
+  po::options_description flags("corkward-capacity: slopes of the real reducers and codecs, many hollow processes in one, in virtual time");
   po::options_description_easy_init add = flags.add_options();
   add("part", po::value(&part), "what is measured");
   add("sweep", po::value(&sweepText), "NAME=VALUE,VALUE,...: run at each of these sizes");
@@ -52,7 +52,7 @@
       if (!written) throw SizesError("out: cannot be written: " + file);
     }
     std::ostream& to = file.empty() ? out : written;
-    to << "# yard-capacity";
+    to << "# corkward-capacity";
     for (int i = 1; i < argc; ++i) {
       std::string const word = argv[i];
       if (word == "--out" && i + 1 < argc)
@@ -70,13 +70,13 @@
     }
     if (!to) throw SizesError("out: cannot be written");
   } catch (po::error const& e) {
-    errors << "yard-capacity: " << e.what() << "\n";
+    errors << "corkward-capacity: " << e.what() << "\n";
     return 2;
   } catch (SizesError const& e) {
-    errors << "yard-capacity: " << e.what() << "\n";
+    errors << "corkward-capacity: " << e.what() << "\n";
     return 2;
   }
   return 0;
 }
 
-}  // namespace corkward::yard::capacity
+}  // namespace corkward::testing::capacity
--- a/yard/capacity/sizes.cpp
+++ b/testing/capacity/sizes.cpp
@@ -5,9 +5,9 @@
 #include <boost/lexical_cast.hpp>
 #include <iterator>
 
-#include <corkward/blueprint/blueprint.h>
+#include <corkward/config/config.h>
 
-namespace corkward::yard::capacity {
+namespace corkward::testing::capacity {
 
 void setSize(Sizes& sizes, std::string const& name, std::int64_t value) {
   SizeRow const* const row = std::find_if(std::begin(sizeTable), std::end(sizeTable), [&](SizeRow const& r) { return name == r.name; });
@@ -21,10 +21,10 @@
   if (sizes.zones < sizes.regions) throw SizesError("zones: fewer than regions");
   if (sizes.replicas < sizes.models) throw SizesError("replicas: fewer than models");
   std::int64_t const each = (sizes.tenants + sizes.templates - 1) / sizes.templates;
-  if (each > static_cast<std::int64_t>(blueprint::maxInstances))
-    throw SizesError("tenants: over " + std::to_string(blueprint::maxInstances) + " for one template");
-  if (each * sizes.paths > static_cast<std::int64_t>(blueprint::maxRendered))
-    throw SizesError("paths: over " + std::to_string(blueprint::maxRendered) + " for the tenants of one template");
+  if (each > static_cast<std::int64_t>(config::maxInstances))
+    throw SizesError("tenants: over " + std::to_string(config::maxInstances) + " for one template");
+  if (each * sizes.paths > static_cast<std::int64_t>(config::maxRendered))
+    throw SizesError("paths: over " + std::to_string(config::maxRendered) + " for the tenants of one template");
   if (sizes.changes > 0 && sizes.tenants == 0) throw SizesError("changes: there is no tenant to change");
 }
 
@@ -46,4 +46,4 @@
   return out;
 }
 
-}  // namespace corkward::yard::capacity
+}  // namespace corkward::testing::capacity
--- a/yard/capacity/sizes.h
+++ b/testing/capacity/sizes.h
@@ -6,7 +6,7 @@
 
 #include <corkward/core/error.h>
 
-namespace corkward::yard::capacity {
+namespace corkward::testing::capacity {
 
 /// A size that the rig cannot run at: the argument's name and the reason.
 class SizesError : public core::Error {
@@ -75,4 +75,4 @@
 /// Reads NAME=VALUE,VALUE,...; throws SizesError.
 Sweep readSweep(std::string const& text);
 
-}  // namespace corkward::yard::capacity
+}  // namespace corkward::testing::capacity
--- a/yard/capacity/tally.cpp
+++ b/testing/capacity/tally.cpp
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <ctime>
 
-namespace corkward::yard::capacity {
+namespace corkward::testing::capacity {
 
-std::string dutyOf(signal::Message const& message) {
+std::string dutyOf(transport::Message const& message) {
   std::string key;
   std::visit(
       [&](auto const& m) {
@@ -17,15 +17,15 @@
       message);
   if (key == "roster") return "roster";
   if (key.rfind("pool:", 0) == 0) return "list";
-  std::string const kind = signal::kind(message);
+  std::string const kind = transport::kind(message);
   for (DutyRow const& r : dutyTable)
     if (kind == r.kind) return r.duty;
   return "other";
 }
 
-Tally& Tallies::of(signal::Message const& message) {
+Tally& Tallies::of(transport::Message const& message) {
   std::string const duty = dutyOf(message);
-  std::string const kind = signal::kind(message);
+  std::string const kind = transport::kind(message);
   std::vector<Tally>::iterator const it =
       std::find_if(all_.begin(), all_.end(), [&](Tally const& t) { return t.kind == kind && t.duty == duty; });
   if (it != all_.end()) return *it;
@@ -47,4 +47,4 @@
   return m.uordblks + m.hblkhd;
 }
 
-}  // namespace corkward::yard::capacity
+}  // namespace corkward::testing::capacity
--- a/yard/capacity/tally.h
+++ b/testing/capacity/tally.h
@@ -5,9 +5,9 @@
 #include <variant>
 #include <vector>
 
-#include <corkward/signal/message.h>
+#include <corkward/transport/message.h>
 
-namespace corkward::yard::capacity {
+namespace corkward::testing::capacity {
 
 /// What a kind of message is for.
 struct DutyRow {
@@ -26,7 +26,7 @@
     {"warm-ask", "warming"},   {"warm-grant", "warming"}};
 
 /// Duty of one message.
-std::string dutyOf(signal::Message const& message);
+std::string dutyOf(transport::Message const& message);
 
 /// What all processes of one role did with one kind of message for one duty. Microseconds are of processor time.
 struct Tally {
@@ -44,7 +44,7 @@
 /// Tallies of one role.
 class Tallies {
  public:
-  Tally& of(signal::Message const& message);
+  Tally& of(transport::Message const& message);
   std::vector<Tally> const& all() const { return all_; }
   void clear() { all_.clear(); }
 
@@ -57,4 +57,4 @@
 /// Bytes that the process holds of the heap now.
 std::uint64_t heapBytes();
 
-}  // namespace corkward::yard::capacity
+}  // namespace corkward::testing::capacity
--- a/yard/common/body.cpp
+++ b/testing/common/body.cpp
@@ -2,7 +2,7 @@
 
 #include <sstream>
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 std::string word(std::string const& run, std::uint64_t n) { return run + " " + std::to_string(n) + "\n"; }
 
@@ -44,4 +44,4 @@
   return out;
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/common/body.h
+++ b/testing/common/body.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <string>
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 /// The n-th word of a run's body: it names the run and the place, so gaps, repeats and mixes show.
 std::string word(std::string const& run, std::uint64_t n);
@@ -22,4 +22,4 @@
 /// Checks a body against what its run must have produced. The last word carries the count of words.
 BodyVerdict checkBody(std::string const& body);
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/fleet/chaos.cpp
+++ b/testing/fleet/chaos.cpp
@@ -17,7 +17,7 @@
 #include "clock.h"
 #include "tap.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 namespace {
 
@@ -45,15 +45,15 @@
   ChaosResult run() {
     tapAll();
     fleet_.startAll();
-    fleet_.until("ready substations", [&] {
-      for (Node const& n : fleet_.substations())
+    fleet_.until("ready controllers", [&] {
+      for (Node const& n : fleet_.controllers())
         if (fleet_.get(n.http, "/readyz").status != 200) return false;
       return true;
     });
     giveList();
     fleet_.until("the lists", [&] { return listDone_; });
-    fleet_.loadBlueprints();
-    fleet_.untilReady(fleet_.nacelles().size());
+    fleet_.loadConfigurations();
+    fleet_.untilReady(fleet_.routers().size());
     traffic_ = std::make_unique<Traffic>(fleet_, plan_.seed, plan_.scale);
     traffic_->startCalling();
     began_ = programs::now();
@@ -67,10 +67,10 @@
     }
     heal();
     if (plan_.outage) outage();
-    fleet_.untilReady(fleet_.nacelles().size());
+    fleet_.untilReady(fleet_.routers().size());
     traffic_->stopCalling();
     fleet_.until("the last answers", [&] { return traffic_->open() == 0 && !putting_; }, 90000);
-    judge();
+    validator();
     return std::move(result_);
   }
 
@@ -82,7 +82,7 @@
   }
 
   void violation(std::string const& what) { result_.violations.push_back(what); }
-  void note(std::string const& what) {
+  void logEvent(std::string const& what) {
     if (plan_.loud) std::cerr << what << std::endl;
     result_.timeline.push_back(std::to_string(began_ == 0 ? 0 : programs::now() - began_) + " " + what); }
   std::size_t served() { return traffic_->outcomes()["served"]; }
@@ -93,7 +93,7 @@
       replicaTaps_.push_back(std::make_unique<Tap>(n.http, n.http.substr(0, n.http.rfind(':')), ++seed));
       n.shown = replicaTaps_.back()->address();
     }
-    for (Node& n : fleet_.nacelles()) {
+    for (Node& n : fleet_.routers()) {
       callerTaps_.push_back(std::make_unique<Tap>(n.http, n.http.substr(0, n.http.rfind(':')), ++seed));
       n.shown = callerTaps_.back()->address();
     }
@@ -103,7 +103,7 @@
     });
   }
 
-  // The platform: shows each list to a substation and two nacelles until it is acknowledged or overtaken.
+  // The platform: shows each list to a controller and two routers until it is acknowledged or overtaken.
   void giveList() {
     ++generation_;
     listDone_ = false;
@@ -121,8 +121,8 @@
 
   void show(std::string const& pool, std::uint64_t generation, std::string const& body, std::shared_ptr<int> const& left) {
     if (generation != generation_) return;
-    std::vector<Node*> to{&fleet_.substations()[rng_.below(fleet_.substations().size())], &fleet_.nacelles()[rng_.below(fleet_.nacelles().size())],
-                          &fleet_.nacelles()[rng_.below(fleet_.nacelles().size())]};
+    std::vector<Node*> to{&fleet_.controllers()[rng_.below(fleet_.controllers().size())], &fleet_.routers()[rng_.below(fleet_.routers().size())],
+                          &fleet_.routers()[rng_.below(fleet_.routers().size())]};
     std::shared_ptr<bool> const done = std::make_shared<bool>(false);
     for (std::size_t i = 0; i < to.size(); ++i) {
       if (!to[i]->process) continue;
@@ -148,12 +148,12 @@
     giveList();
   }
 
-  // An operator who puts marked templates one after the other; now and then two at once on one stamp.
+  // An operator who puts marked templates one after the other; now and then two at once on one revision.
   void operatorTurn() {
     if (putting_) return;
     std::string const path = std::string("/v1/templates/") + fleet_.deployment().family;
     std::vector<Node*> up;
-    for (Node& n : fleet_.substations())
+    for (Node& n : fleet_.controllers())
       if (n.process) up.push_back(&n);
     if (up.empty()) return;
     putting_ = true;
@@ -164,10 +164,10 @@
         return;
       }
       QJsonObject const spec = r.body.value("spec").toObject();
-      std::string const stamp = std::to_string(r.body.value("stamp").toInteger());
+      std::string const revision = std::to_string(r.body.value("stamp").toInteger());
       int const racing = rng_.chance(0.4) ? 2 : 1;
       std::shared_ptr<int> const left = std::make_shared<int>(racing);
-      for (int i = 0; i < racing; ++i) put(path, marked(spec), stamp, left);
+      for (int i = 0; i < racing; ++i) put(path, marked(spec), revision, left);
     });
   }
 
@@ -181,15 +181,15 @@
     return {mark, spec};
   }
 
-  void put(std::string const& path, std::pair<std::string, QJsonObject> const& what, std::string const& stamp, std::shared_ptr<int> const& left) {
-    Node const& to = fleet_.substations()[rng_.below(fleet_.substations().size())];
+  void put(std::string const& path, std::pair<std::string, QJsonObject> const& what, std::string const& revision, std::shared_ptr<int> const& left) {
+    Node const& to = fleet_.controllers()[rng_.below(fleet_.controllers().size())];
     std::size_t const ix = puts_.size();
-    puts_.push_back(Put{what.first, what.second, stamp, 0, 0, -1});
-    fleet_.callAsync(to.http, "PUT", path, core::jsonText(what.second), stamp, "id-" + what.first, 14000, [this, ix, left](Reply const& r) {
+    puts_.push_back(Put{what.first, what.second, revision, 0, 0, -1});
+    fleet_.callAsync(to.http, "PUT", path, core::jsonText(what.second), revision, "id-" + what.first, 14000, [this, ix, left](Reply const& r) {
       Put& p = puts_[ix];
       p.status = r.status;
       p.pending = r.body.value("pending").toBool();
-      p.stamp = r.body.value("stamp").toInteger();
+      p.revision = r.body.value("stamp").toInteger();
       p.answeredAt = programs::now();
       ++result_.changes;
       if (--*left == 0) putting_ = false;
@@ -197,69 +197,69 @@
     });
   }
 
-  /// Asks for paths that acknowledged changes have taken away, at any nacelle.
+  /// Asks for paths that acknowledged changes have taken away, at any router.
   void probe() {
     for (std::size_t i = 0; i < puts_.size(); ++i) {
-      Node const& n = fleet_.nacelles()[rng_.below(fleet_.nacelles().size())];
+      Node const& n = fleet_.routers()[rng_.below(fleet_.routers().size())];
       if (!n.process) continue;
       fleet_.callAsync(n.http, "POST", "/v1/" + fleet_.instances()[0] + "/" + puts_[i].mark, "{}", "", "", 8000, [](Reply const&) {});
     }
   }
 
   void cause() {
-    std::vector<Node*> nacelles;
+    std::vector<Node*> routers;
     std::vector<Node*> subs;
-    for (Node& n : fleet_.nacelles())
-      if (n.process && frozen_.count(n.name) == 0) nacelles.push_back(&n);
-    for (Node& n : fleet_.substations())
+    for (Node& n : fleet_.routers())
+      if (n.process && frozen_.count(n.name) == 0) routers.push_back(&n);
+    for (Node& n : fleet_.controllers())
       if (n.process && frozen_.count(n.name) == 0) subs.push_back(&n);
-    if (nacelles.empty() || subs.empty()) return;
-    bool const allSubs = subs.size() == fleet_.substations().size();
-    Node& nacelle = *nacelles[rng_.below(nacelles.size())];
+    if (routers.empty() || subs.empty()) return;
+    bool const allSubs = subs.size() == fleet_.controllers().size();
+    Node& router = *routers[rng_.below(routers.size())];
     Node& sub = *subs[rng_.below(subs.size())];
     Node& model = fleet_.replicas()[rng_.below(static_cast<std::uint64_t>(fleet_.deployment().models))];
     int const how = 500 + static_cast<int>(rng_.below(3000));
     switch (rng_.below(13)) {
       case 0:
-        if (nacelles.size() * 2 > fleet_.nacelles().size() + 2) killed(nacelle, how);
+        if (routers.size() * 2 > fleet_.routers().size() + 2) killed(router, how);
         break;
       case 1:
         for (Node* const s : subs) killed(*s, how);
         break;
       case 2:
-        frozen(nacelle, 2000 + how);
+        frozen(router, 2000 + how);
         break;
       case 3:
         frozen(sub, 2000 + how);
         break;
       case 4:
-        note("restart " + nacelle.name);
-        if (fleet_.stop(nacelle) != 0) violation(nacelle.name + " did not end cleanly");
-        fleet_.start(nacelle);
+        logEvent("restart " + router.name);
+        if (fleet_.stop(router) != 0) violation(router.name + " did not end cleanly");
+        fleet_.start(router);
         break;
       case 5:
         if (!allSubs) break;
-        note("restart " + sub.name);
+        logEvent("restart " + sub.name);
         fleet_.stop(sub);
         fleet_.start(sub);
         break;
       case 6:
         if (!allSubs || !allVote()) break;
-        note("wipe " + sub.name);
+        logEvent("wipe " + sub.name);
         fleet_.kill9(sub);
         fleet_.wipe(sub);
         fleet_.start(sub);
         break;
       case 7:
         if (!allSubs || !allVote()) break;
-        note("tear " + sub.name);
+        logEvent("tear " + sub.name);
         fleet_.kill9(sub);
         tear(sub);
         fleet_.start(sub);
         break;
       case 8:
         if (!allSubs || !allVote()) break;
-        note("full " + sub.name);
+        logEvent("full " + sub.name);
         fleet_.kill9(sub);
         fleet_.start(sub, 4000);
         QTimer::singleShot(4000 + how, &fleet_, [this, &sub] {
@@ -272,7 +272,7 @@
         replace(model);
         break;
       case 10: {
-        note("crash " + model.name);
+        logEvent("crash " + model.name);
         fleet_.kill9(model);
         QTimer::singleShot(how, &fleet_, [this, &model] {
           if (!model.process) fleet_.start(model);
@@ -282,7 +282,7 @@
       case 11: {
         bool const cut = rng_.chance(0.5);
         Tap* const tap = linkTaps_[rng_.below(linkTaps_.size())].get();
-        note(std::string(cut ? "cut" : "hold") + " a link inwards");
+        logEvent(std::string(cut ? "cut" : "hold") + " a link inwards");
         cut ? tap->cut(true) : tap->hold(true);
         QTimer::singleShot(1000 + how, &fleet_, [tap, cut] { cut ? tap->cut(false) : tap->hold(false); });
         break;
@@ -294,7 +294,7 @@
   }
 
   void killed(Node& n, int how) {
-    note("kill " + n.name);
+    logEvent("kill " + n.name);
     fleet_.kill9(n);
     QTimer::singleShot(how, &fleet_, [this, &n] {
       if (!n.process) fleet_.start(n);
@@ -302,7 +302,7 @@
   }
 
   void frozen(Node& n, int how) {
-    note("freeze " + n.name);
+    logEvent("freeze " + n.name);
     fleet_.freeze(n);
     frozen_.insert(n.name);
     QTimer::singleShot(how, &fleet_, [this, &n] {
@@ -312,7 +312,7 @@
   }
 
   bool allVote() {
-    for (Node const& s : fleet_.substations())
+    for (Node const& s : fleet_.controllers())
       if (!fleet_.get(s.http, "/v1/fleet").body.value("voting").toBool()) return false;
     return true;
   }
@@ -329,7 +329,7 @@
   void replace(Node& model) {
     if (replacing_) return;
     replacing_ = true;
-    note("replace " + model.name);
+    logEvent("replace " + model.name);
     state(model, "leaving");
     QTimer::singleShot(4000, &fleet_, [this, &model] {
       fleet_.kill9(model);
@@ -346,8 +346,8 @@
     if (evacuating_) return;
     evacuating_ = true;
     std::string const zone = "z2";
-    note("evacuate " + zone);
-    Node const& to = fleet_.substations()[rng_.below(fleet_.substations().size())];
+    logEvent("evacuate " + zone);
+    Node const& to = fleet_.controllers()[rng_.below(fleet_.controllers().size())];
     fleet_.callAsync(to.http, "PUT", "/v1/evacuations/" + zone, "", "", "", 14000, [this, zone](Reply const& r) {
       if (r.status == 200) zones_.push_back(Ban{zone, programs::now(), -1});
       QTimer::singleShot(7000, &fleet_, [this, zone] { lift(zone); });
@@ -357,7 +357,7 @@
   void lift(std::string const& zone) {
     for (Ban& b : zones_)
       if (b.until < 0) b.until = programs::now();
-    Node const& to = fleet_.substations()[rng_.below(fleet_.substations().size())];
+    Node const& to = fleet_.controllers()[rng_.below(fleet_.controllers().size())];
     fleet_.callAsync(to.http, "DELETE", "/v1/evacuations/" + zone, "", "", "", 14000, [this, zone](Reply const& r) {
       if (r.status == 200)
         evacuating_ = false;
@@ -367,11 +367,11 @@
   }
 
   void heal() {
-    note("heal");
+    logEvent("heal");
     for (std::vector<std::unique_ptr<Tap>>* const taps : {&replicaTaps_, &callerTaps_})
       for (std::unique_ptr<Tap> const& t : *taps) t->harm(0);
     fleet_.until("what was begun to end", [&] { return frozen_.empty() && !replacing_ && !evacuating_; });
-    for (std::vector<Node>* const group : {&fleet_.substations(), &fleet_.nacelles(), &fleet_.replicas()})
+    for (std::vector<Node>* const group : {&fleet_.controllers(), &fleet_.routers(), &fleet_.replicas()})
       for (Node& n : *group)
         if (!n.process) fleet_.start(n);
     for (std::unique_ptr<Tap> const& t : linkTaps_) {
@@ -382,8 +382,8 @@
   }
 
   void outage() {
-    note("kill everything");
-    for (std::vector<Node>* const group : {&fleet_.nacelles(), &fleet_.substations(), &fleet_.replicas()})
+    logEvent("kill everything");
+    for (std::vector<Node>* const group : {&fleet_.routers(), &fleet_.controllers(), &fleet_.replicas()})
       for (Node& n : *group) fleet_.kill9(n);
     Tick const start = programs::now();
     outageAt_ = start - began_;
@@ -411,14 +411,14 @@
     return out;
   }
 
-  void judge() {
+  void validator() {
     result_.report = traffic_->report();
     for (std::vector<std::unique_ptr<Tap>>* const taps : {&replicaTaps_, &callerTaps_})
       for (std::unique_ptr<Tap> const& t : *taps) result_.harmed += t->harmed();
     Report const& r = result_.report;
-    judgeRuns();
+    checkRuns();
     if (r.badBodies > 0) violation(std::to_string(r.badBodies) + " bodies looked whole or joined and were not");
-    if (r.deniedButRan > 0) violation(std::to_string(r.deniedButRan) + " requests were denied as not run and ran");
+    if (r.rejectedButRan > 0) violation(std::to_string(r.rejectedButRan) + " requests were rejected as not run and ran");
     std::vector<std::pair<Tick, std::string>> all;
     for (Node const& n : fleet_.replicas())
       for (Arrival const& a : arrivalsAt(n)) {
@@ -431,16 +431,16 @@
           if (b.name == n.zone && a.at > b.from + 5000 && (b.until < 0 || a.at < b.until))
             violation(n.name + " was reached " + std::to_string(a.at - b.from) + " ms after its zone's evacuation was acknowledged");
         for (Put const& p : puts_)
-          if ((p.status == 200 || p.status == 201) && a.at > p.answeredAt + 2000 && stampOf(a.path) > 0 && stampOf(a.path) < p.stamp)
+          if ((p.status == 200 || p.status == 201) && a.at > p.answeredAt + 2000 && revisionOf(a.path) > 0 && revisionOf(a.path) < p.revision)
             violation(a.path + " reached a replica " + std::to_string(a.at - p.answeredAt) + " ms after " + p.mark + " was in force");
       }
-    for (Node const& n : fleet_.replicas()) judgeCold(n);
-    judgeRepeats(all);
-    judgeChanges();
+    for (Node const& n : fleet_.replicas()) checkCold(n);
+    checkRepeats(all);
+    checkChanges();
     if (r.outcomes.count("served") == 0) violation("nothing was served");
   }
 
-  void judgeRuns() {
+  void checkRuns() {
     std::map<std::string, std::vector<std::pair<Tick, std::string>>> runs;
     for (Node const& n : fleet_.replicas())
       for (Arrival const& a : arrivalsAt(n))
@@ -459,14 +459,14 @@
     }
   }
 
-  /// Stamp under which the path is known to have been accepted.
-  qint64 stampOf(std::string const& mark) const {
+  /// Revision under which the path is known to have been accepted.
+  qint64 revisionOf(std::string const& mark) const {
     for (Put const& p : puts_)
-      if (p.mark == mark && (p.pending || p.status == 200 || p.status == 201)) return p.stamp;
+      if (p.mark == mark && (p.pending || p.status == 200 || p.status == 201)) return p.revision;
     return 0;
   }
 
-  void judgeCold(Node const& n) {
+  void checkCold(Node const& n) {
     if (!plan_.timed) return;
     for (Ban const& b : cold_) {
       if (b.name != n.name) continue;
@@ -478,7 +478,7 @@
     }
   }
 
-  void judgeRepeats(std::vector<std::pair<Tick, std::string>> all) {
+  void checkRepeats(std::vector<std::pair<Tick, std::string>> all) {
     std::sort(all.begin(), all.end());
     std::set<std::string> seen;
     std::vector<Tick> firsts;
@@ -494,24 +494,24 @@
     }
   }
 
-  void judgeChanges() {
+  void checkChanges() {
     std::map<std::string, int> accepted;
     qint64 newest = 0;
     for (Put const& p : puts_) {
       bool const yes = p.status == 200 || p.status == 201 || p.pending;
-      if (yes && ++accepted[p.ifMatch] > 1) violation("two changes built on stamp " + p.ifMatch + " were both accepted");
-      if (yes) newest = std::max(newest, p.stamp);
+      if (yes && ++accepted[p.ifMatch] > 1) violation("two changes built on revision " + p.ifMatch + " were both accepted");
+      if (yes) newest = std::max(newest, p.revision);
     }
-    Reply const now = fleet_.call(fleet_.firstSubstation(), "GET", std::string("/v1/templates/") + fleet_.deployment().family);
-    qint64 const stamp = now.body.value("stamp").toInteger();
+    Reply const now = fleet_.call(fleet_.firstController(), "GET", std::string("/v1/templates/") + fleet_.deployment().family);
+    qint64 const revision = now.body.value("stamp").toInteger();
     if (now.status != 200) violation("the configuration could not be read back: " + std::to_string(now.status));
-    if (stamp < newest) violation("an acknowledged change is lost: stamp " + std::to_string(stamp) + " of " + std::to_string(newest));
-    bool told = newest == 0 || stamp == 1;
+    if (revision < newest) violation("an acknowledged change is lost: revision " + std::to_string(revision) + " of " + std::to_string(newest));
+    bool told = newest == 0 || revision == 1;
     for (Put const& p : puts_) {
       bool const same = now.body.value("spec").toObject() == p.spec;
-      bool const denied = p.status >= 400 && p.status < 500;
-      if (same && denied) violation("a denied change is what stands at the end: " + p.mark);
-      told = told || (same && !denied && (stamp > newest ? !(p.status >= 200 && p.status < 300) : p.stamp == stamp));
+      bool const rejected = p.status >= 400 && p.status < 500;
+      if (same && rejected) violation("a rejected change is what stands at the end: " + p.mark);
+      told = told || (same && !rejected && (revision > newest ? !(p.status >= 200 && p.status < 300) : p.revision == revision));
     }
     if (!told) violation("what stands at the end is no change that was acknowledged or left unknown");
   }
@@ -521,7 +521,7 @@
     QJsonObject spec;
     std::string ifMatch;
     int status = 0;
-    qint64 stamp = 0;
+    qint64 revision = 0;
     Tick answeredAt = -1;
     bool pending = false;
   };
@@ -555,4 +555,4 @@
 
 ChaosResult chaos(ChaosPlan const& plan) { return Chaos(plan).run(); }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/fleet/chaos.h
+++ b/testing/fleet/chaos.h
@@ -7,7 +7,7 @@
 #include "fleet.h"
 #include "traffic.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 /// One seeded run of a whole deployment as real processes under failures.
 struct ChaosPlan {
@@ -36,4 +36,4 @@
 
 ChaosResult chaos(ChaosPlan const& plan);
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/fleet/chaos_main.cpp
+++ b/testing/fleet/chaos_main.cpp
@@ -4,7 +4,7 @@
 
 #include "chaos.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 namespace po = boost::program_options;
 
@@ -12,7 +12,7 @@
   QCoreApplication app(argc, argv);
   ChaosPlan plan;
   std::uint64_t count = 1;
-  po::options_description flags("yard-chaos: a deployment of real processes under seeded failures");
+  po::options_description flags("corkward-chaos: a deployment of real processes under seeded failures");
   flags.add_options()("deployment", po::value(&plan.deployment), "harmattan, lernkarten or small")("from", po::value(&plan.seed), "first seed")(
       "count", po::value(&count), "seeds")("events", po::value(&plan.events), "failures in a run")("scale", po::value(&plan.scale), "times the deployment's demand")(
       "help", "print this");
@@ -21,7 +21,7 @@
     po::store(po::parse_command_line(argc, argv, flags), vm);
     po::notify(vm);
   } catch (po::error const& e) {
-    std::cerr << "yard-chaos: " << e.what() << "\n";
+    std::cerr << "corkward-chaos: " << e.what() << "\n";
     return 2;
   }
   if (vm.count("help") > 0) {
@@ -53,6 +53,6 @@
   return bad == 0 ? 0 : 1;
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
 
-int main(int argc, char** argv) { return corkward::yard::runChaos(argc, argv); }
+int main(int argc, char** argv) { return corkward::testing::runChaos(argc, argv); }
--- a/yard/fleet/fleet.cpp
+++ b/testing/fleet/fleet.cpp
@@ -17,7 +17,7 @@
 
 #include "clock.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 Fleet::Fleet(Deployment const& deployment) : deployment_(deployment) {
   core::Rng rng(programs::freshSeed());
@@ -26,21 +26,21 @@
   for (int i = 0; i < deployment.disks; ++i) {
     Node n;
     std::string const ip = net_ + std::to_string(++machine);
-    n.name = "substation" + std::to_string(i + 1);
+    n.name = "control" + std::to_string(i + 1);
     n.link = freeAddress(ip);
     n.http = freeAddress(ip);
     n.zone = "z" + std::to_string(i % deployment.zones + 1);
     n.data = folder() + "/" + n.name;
-    substations_.push_back(std::move(n));
+    controllers_.push_back(std::move(n));
   }
-  for (int i = 0; i < deployment.nacelles; ++i) {
+  for (int i = 0; i < deployment.routers; ++i) {
     Node n;
     std::string const ip = net_ + std::to_string(++machine);
-    n.name = "nacelle" + std::to_string(i + 1);
+    n.name = "router" + std::to_string(i + 1);
     n.link = freeAddress(ip);
     n.http = freeAddress(ip);
     n.zone = "z" + std::to_string(i % deployment.zones + 1);
-    nacelles_.push_back(std::move(n));
+    routers_.push_back(std::move(n));
   }
   for (int i = 0; i < deployment.models + deployment.others; ++i) {
     Node n;
@@ -50,7 +50,7 @@
     n.zone = "z" + std::to_string(i % deployment.zones + 1);
     n.pool = model ? "model" : deployment.otherPool;
     n.record = folder() + "/" + n.name + ".record";
-    n.program = CORKWARD_BIN "/yard/standin-replica";
+    n.program = CORKWARD_BIN "/testing/standin-replica";
     n.flags = {"--http", core::qstr(n.http), "--record", core::qstr(n.record)};
     if (!model) n.flags += {"--first-ms", "5", "--words", "1", "--slots", "32"};
     if (model) n.flags += {"--slots", "8"};
@@ -60,18 +60,18 @@
 }
 
 void Fleet::writeSettings() {
-  for (std::vector<Node>* const group : {&substations_, &nacelles_})
+  for (std::vector<Node>* const group : {&controllers_, &routers_})
     for (Node& n : *group) {
-      bool const disk = group == &substations_;
-      n.program = QString(CORKWARD_BIN "/programs/") + (disk ? "corkward-substation" : "corkward-nacelle");
+      bool const disk = group == &controllers_;
+      n.program = QString(CORKWARD_BIN "/programs/") + (disk ? "corkward-control" : "corkward-router");
       QFile settings(core::qstr(folder() + "/" + n.name + ".conf"));
       settings.open(QIODevice::WriteOnly);
       std::string text = "link = " + n.link + "\nhttp = " + n.http + "\nzone = " + n.zone + "\n";
       if (!n.listen.empty()) text += "listen = " + n.listen + "\n";
-      for (std::size_t i = 0; i < 3; ++i) text += "seed = " + substations_[i % substations_.size()].link + "\n";
+      for (std::size_t i = 0; i < 3; ++i) text += "seed = " + controllers_[i % controllers_.size()].link + "\n";
       if (!disk && regimes_) text += "audit = " + auditFolder(n) + "\n";
       if (disk) text += "data = " + n.data + "\n";
-      for (std::size_t i = 0; disk && i < std::min<std::size_t>(3, substations_.size()); ++i) text += "founder = " + substations_[i].link + "\n";
+      for (std::size_t i = 0; disk && i < std::min<std::size_t>(3, controllers_.size()); ++i) text += "founder = " + controllers_[i].link + "\n";
       text += "log-file = " + folder() + "/" + n.name + ".log\n";
       settings.write(QByteArray::fromStdString(text));
       n.flags = {"--settings", settings.fileName()};
@@ -79,7 +79,7 @@
 }
 
 void Fleet::tapLinks(std::function<std::string(std::string const& listen)> const& tap) {
-  for (std::vector<Node>* const group : {&substations_, &nacelles_})
+  for (std::vector<Node>* const group : {&controllers_, &routers_})
     for (Node& n : *group) {
       n.listen = n.link;
       n.link = tap(n.listen);
@@ -94,7 +94,7 @@
 
 Fleet::~Fleet() {
   closing_ = true;
-  for (std::vector<Node>* const group : {&nacelles_, &substations_, &replicas_})
+  for (std::vector<Node>* const group : {&routers_, &controllers_, &replicas_})
     for (Node& n : *group)
       if (n.process) kill9(n);
 }
@@ -125,7 +125,7 @@
 }
 
 void Fleet::startAll() {
-  for (std::vector<Node>* const group : {&replicas_, &substations_, &nacelles_})
+  for (std::vector<Node>* const group : {&replicas_, &controllers_, &routers_})
     for (Node& n : *group) start(n);
 }
 
@@ -194,7 +194,7 @@
   std::string const id = changeId.empty() ? "fleet-" + std::to_string(nextChange_++) : changeId;
   Reply out;
   until("an answer for good to " + method + " " + path, [&] {
-    out = call(firstSubstation(), method, path, body, ifMatch, id);
+    out = call(firstController(), method, path, body, ifMatch, id);
     return out.status != 0 && out.status != 503 && out.status != 504;
   });
   return out;
@@ -240,10 +240,10 @@
   callAsync(address, "GET", path, "", "", "", 1000, std::move(done));
 }
 
-Node& Fleet::firstSubstation() {
+Node& Fleet::firstController() {
   Node* found = nullptr;
-  until("a ready substation", [&] {
-    for (Node& n : substations_)
+  until("a ready controller", [&] {
+    for (Node& n : controllers_)
       if (found == nullptr && n.process && get(n.http, "/readyz").status == 200) found = &n;
     return found != nullptr;
   });
@@ -276,7 +276,7 @@
   return {family + ".nord", family + ".sued"};
 }
 
-void Fleet::loadBlueprints() {
+void Fleet::loadConfigurations() {
   std::string const family = deployment_.family;
   QFile file(core::qstr(std::string(CORKWARD_SOURCE "/examples/") + family + ".json"));
   if (!file.open(QIODevice::ReadOnly)) throw FleetError("no example for " + family);
@@ -288,12 +288,12 @@
   }
 }
 
-void Fleet::untilReady(std::size_t nacelles) {
-  until("ready nacelles", [&] {
+void Fleet::untilReady(std::size_t routers) {
+  until("ready routers", [&] {
     std::size_t n = 0;
-    for (Node const& node : nacelles_)
+    for (Node const& node : routers_)
       if (node.process && get(node.http, "/readyz").status == 200) ++n;
-    return n >= nacelles;
+    return n >= routers;
   });
 }
 
@@ -304,4 +304,4 @@
   return all.right(2000).toStdString();
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/fleet/fleet.h
+++ b/testing/fleet/fleet.h
@@ -15,7 +15,7 @@
 #include <corkward/core/error.h>
 #include <corkward/core/types.h>
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 /// A fleet that does not do what was waited for.
 class FleetError : public core::Error {
@@ -28,7 +28,7 @@
   char const* name;
   int zones;
   int disks;
-  int nacelles;
+  int routers;
   int models;
   int others;
   double streams;
@@ -82,11 +82,11 @@
   void start(Node& node, std::uint64_t fileLimit = 0);
   /// Puts a tap before every link address. Before anything is started.
   void tapLinks(std::function<std::string(std::string const& listen)> const& tap);
-  /// Replicas have lives, which the platform's lists tell, and nacelles keep records of regimes' work. Before anything is
+  /// Replicas have lives, which the platform's lists tell, and routers keep records of regimes' work. Before anything is
   /// started.
   void withRegimes();
-  /// Folder of a nacelle's records.
-  std::string auditFolder(Node const& nacelle) const { return folder() + "/" + nacelle.name + ".audit"; }
+  /// Folder of a router's records.
+  std::string auditFolder(Node const& router) const { return folder() + "/" + router.name + ".audit"; }
   void kill9(Node& node);
   void freeze(Node& node);
   void wake(Node& node);
@@ -99,10 +99,10 @@
   /// Runs the event loop for the time that the traffic takes.
   void runFor(int ms);
 
-  /// One call to a substation, waited for.
+  /// One call to a controller, waited for.
   Reply call(Node const& node, std::string const& method, std::string const& path, std::string const& body = "",
              std::string const& ifMatch = "", std::string const& changeId = "");
-  /// A change sent as an operator sends it: again under its one id, to any ready substation, until the answer is for good.
+  /// A change sent as an operator sends it: again under its one id, to any ready controller, until the answer is for good.
   Reply change(std::string const& method, std::string const& path, std::string const& body = "", std::string const& ifMatch = "",
                std::string const& changeId = "");
   /// The same as call, without waiting; status 0 when there was no answer in time.
@@ -122,14 +122,14 @@
 
   /// The platform gives both pools' lists; state by replica name, serving when not named.
   void giveLists(std::map<std::string, std::string> const& states = {});
-  void loadBlueprints();
-  void untilReady(std::size_t nacelles);
+  void loadConfigurations();
+  void untilReady(std::size_t routers);
 
   Deployment const& deployment() const { return deployment_; }
-  std::vector<Node>& substations() { return substations_; }
-  std::vector<Node>& nacelles() { return nacelles_; }
+  std::vector<Node>& controllers() { return controllers_; }
+  std::vector<Node>& routers() { return routers_; }
   std::vector<Node>& replicas() { return replicas_; }
-  Node& firstSubstation();
+  Node& firstController();
   std::string folder() const { return folder_.path().toStdString(); }
   /// Every instance's name as callers use it.
   std::vector<std::string> instances() const;
@@ -148,9 +148,9 @@
   int lives_ = 0;
   std::uint64_t generation_ = 0;
   std::uint64_t nextChange_ = 1;
-  std::vector<Node> substations_;
-  std::vector<Node> nacelles_;
+  std::vector<Node> controllers_;
+  std::vector<Node> routers_;
   std::vector<Node> replicas_;
 };
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/fleet/main.cpp
+++ b/testing/fleet/main.cpp
@@ -8,7 +8,7 @@
 #include "fleet.h"
 #include "traffic.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 namespace po = boost::program_options;
 
@@ -45,9 +45,9 @@
   return out;
 }
 
-/// Prints what the processes of each role use at rest, a mean over them, in the form of yard-capacity's figures.
+/// Prints what the processes of each role use at rest, a mean over them, in the form of corkward-capacity's figures.
 void printUsage(Fleet& fleet, int seconds) {
-  std::vector<std::pair<std::string, std::vector<Node>*>> const roles{{"nacelle", &fleet.nacelles()}, {"substation", &fleet.substations()}};
+  std::vector<std::pair<std::string, std::vector<Node>*>> const roles{{"router", &fleet.routers()}, {"control", &fleet.controllers()}};
   std::map<std::string, double> before;
   for (std::pair<std::string, std::vector<Node>*> const& r : roles)
     for (Node const& n : *r.second) before[n.name] = usageOf(n).cpuUs;
@@ -63,7 +63,7 @@
       sum.threads += u.threads;
     }
     double const count = static_cast<double>(r.second->size());
-    std::string const end = ",nodes," + std::to_string(fleet.nacelles().size()) + ",";
+    std::string const end = ",nodes," + std::to_string(fleet.routers().size()) + ",";
     std::cout << "real.cpu," << r.first << ",us/s,timed" << end << sum.cpuUs / count / seconds << "\n";
     std::cout << "real.resident," << r.first << ",bytes,heap" << end << sum.resident / count << "\n";
     std::cout << "real.own," << r.first << ",bytes,heap" << end << sum.own / count << "\n";
@@ -81,10 +81,10 @@
   bool hold = false;
   int nodes = 0;
   int usage = 0;
-  po::options_description flags("yard-fleet: a fleet of real processes on loopback");
+  po::options_description flags("corkward-fleet: a fleet of real processes on loopback");
   flags.add_options()("deployment", po::value(&name)->default_value("harmattan"), "harmattan, lernkarten or small")(
       "seconds", po::value(&seconds)->default_value(10), "how long callers call")("scale", po::value(&scale)->default_value(1.0), "times the deployment's demand")(
-      "nodes", po::value(&nodes), "so many nacelles instead of the deployment's, 1 to 100")(
+      "nodes", po::value(&nodes), "so many routers instead of the deployment's, 1 to 100")(
       "usage", po::value(&usage), "print as CSV what the processes use at rest in so many seconds, 1 to 600, and end")(
       "hold", po::bool_switch(&hold), "keep the fleet running until a line is read from standard input")("help", "print this");
   po::variables_map vm;
@@ -92,7 +92,7 @@
     po::store(po::parse_command_line(argc, argv, flags), vm);
     po::notify(vm);
   } catch (po::error const& e) {
-    std::cerr << "yard-fleet: " << e.what() << "\n";
+    std::cerr << "corkward-fleet: " << e.what() << "\n";
     return 2;
   }
   if (vm.count("help") > 0) {
@@ -103,38 +103,38 @@
   for (Deployment const& d : deployments)
     if (name == d.name) chosen = &d;
   if (chosen == nullptr) {
-    std::cerr << "yard-fleet: no such deployment: " << name << "\n";
+    std::cerr << "corkward-fleet: no such deployment: " << name << "\n";
     return 2;
   }
   if (vm.count("nodes") > 0 && (nodes < 1 || nodes > 100)) {
-    std::cerr << "yard-fleet: nodes: must be 1 to 100, not " << nodes << "\n";
+    std::cerr << "corkward-fleet: nodes: must be 1 to 100, not " << nodes << "\n";
     return 2;
   }
   if (vm.count("usage") > 0 && (usage < 1 || usage > 600)) {
-    std::cerr << "yard-fleet: usage: must be 1 to 600, not " << usage << "\n";
+    std::cerr << "corkward-fleet: usage: must be 1 to 600, not " << usage << "\n";
     return 2;
   }
   try {
     Deployment sized = *chosen;
-    if (nodes > 0) sized.nacelles = nodes;
+    if (nodes > 0) sized.routers = nodes;
     Fleet fleet(sized);
     fleet.startAll();
-    fleet.until("a ready substation", [&] {
-      for (Node& n : fleet.substations())
+    fleet.until("a ready controller", [&] {
+      for (Node& n : fleet.controllers())
         if (fleet.get(n.http, "/readyz").status != 200) return false;
       return true;
     });
     fleet.giveLists();
-    fleet.loadBlueprints();
-    fleet.untilReady(fleet.nacelles().size());
+    fleet.loadConfigurations();
+    fleet.untilReady(fleet.routers().size());
     if (usage > 0) {
       fleet.runFor(settleMs);
       printUsage(fleet, usage);
       return 0;
     }
     std::cout << "fleet " << chosen->name << " is up\n";
-    for (Node const& n : fleet.substations()) std::cout << "  " << n.name << " " << n.http << " pid " << n.process->processId() << "\n";
-    for (Node const& n : fleet.nacelles()) std::cout << "  " << n.name << " " << n.http << " pid " << n.process->processId() << "\n";
+    for (Node const& n : fleet.controllers()) std::cout << "  " << n.name << " " << n.http << " pid " << n.process->processId() << "\n";
+    for (Node const& n : fleet.routers()) std::cout << "  " << n.name << " " << n.http << " pid " << n.process->processId() << "\n";
     std::cout << std::flush;
     if (hold) {
       std::cout << "press return to end\n" << std::flush;
@@ -150,11 +150,11 @@
     std::cout << text(traffic.report());
     return 0;
   } catch (core::Error const& e) {
-    std::cerr << "yard-fleet: " << e.what() << "\n";
+    std::cerr << "corkward-fleet: " << e.what() << "\n";
     return 1;
   }
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
 
-int main(int argc, char** argv) { return corkward::yard::runFleet(argc, argv); }
+int main(int argc, char** argv) { return corkward::testing::runFleet(argc, argv); }
--- a/yard/fleet/tap.cpp
+++ b/testing/fleet/tap.cpp
@@ -5,9 +5,9 @@
 #include <QTimer>
 #include <vector>
 
-#include <corkward/door/server.h>
+#include <corkward/http/server.h>
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 struct Tap::Pair {
   QTcpSocket* a = nullptr;
@@ -21,7 +21,7 @@
 
 Tap::Tap(std::string const& target, std::string const& ip, std::uint64_t seed) : target_(target), rng_(seed) {
   server_.setListenBacklogSize(512);
-  if (!server_.listen(QHostAddress(QString::fromStdString(ip)), 0)) throw door::Error("no free port at " + ip);
+  if (!server_.listen(QHostAddress(QString::fromStdString(ip)), 0)) throw http::Error("no free port at " + ip);
   address_ = ip + ":" + std::to_string(server_.serverPort());
   QObject::connect(&server_, &QTcpServer::newConnection, this, [this] { accept(); });
 }
@@ -76,7 +76,7 @@
       std::shared_ptr<Pair> const k = weak.lock();
       if (k && k->b->state() == QAbstractSocket::UnconnectedState && !k->bClosed) end(k, true);
     });
-    std::pair<std::string, std::uint16_t> const at = door::splitAddress(target_);
+    std::pair<std::string, std::uint16_t> const at = http::splitAddress(target_);
     if (p->way != Way::dark) p->b->connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
   }
 }
@@ -172,4 +172,4 @@
   }
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/fleet/tap.h
+++ b/testing/fleet/tap.h
@@ -10,7 +10,7 @@
 
 class QTcpSocket;
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 /// A relay between two processes that passes bytes on, and for a share of the connections does harm at a byte drawn from
 /// its seed: cuts, stalls, trickles, stays dark or answers garbage. It can also cut or hold every connection at once.
@@ -44,4 +44,4 @@
   std::map<Pair*, std::shared_ptr<Pair>> pairs_;
 };
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/fleet/traffic.cpp
+++ b/testing/fleet/traffic.cpp
@@ -8,7 +8,7 @@
 
 #include "clock.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 namespace {
 
@@ -18,7 +18,7 @@
 }  // namespace
 
 Traffic::Traffic(Fleet& fleet, std::uint64_t seed, double scale) : fleet_(fleet), rng_(seed), scale_(scale) {
-  for (Node const& n : fleet.nacelles()) ready_.insert(n.http);
+  for (Node const& n : fleet.routers()) ready_.insert(n.http);
   QObject::connect(&arrivals_, &QTimer::timeout, this, [this] { arrive(); });
   QObject::connect(&looks_, &QTimer::timeout, this, [this] { look(); });
 }
@@ -32,7 +32,7 @@
 void Traffic::stopCalling() { arrivals_.stop(); }
 
 void Traffic::look() {
-  for (Node const& n : fleet_.nacelles()) {
+  for (Node const& n : fleet_.routers()) {
     std::string const http = n.http;
     if (!n.process) {
       ready_.erase(http);
@@ -79,7 +79,7 @@
 }
 
 std::string Traffic::shownOf(std::string const& http) const {
-  for (Node const& n : fleet_.nacelles())
+  for (Node const& n : fleet_.routers())
     if (n.http == http && !n.shown.empty()) return n.shown;
   return http;
 }
@@ -99,11 +99,11 @@
   }
   ++o.record.attempts;
   o.got.clear();
-  o.head = door::ReplicaHead{};
-  door::Relay::Events e;
+  o.head = http::ReplicaHead{};
+  http::UpstreamConnection::Events e;
   e.connected = [this, id] {
     Open& open = open_.at(id);
-    door::ReplicaRequest request{"POST", "/v1/" + open.instance + "/" + open.path,
+    http::ReplicaRequest request{"POST", "/v1/" + open.instance + "/" + open.path,
                                  {{"content-type", "application/json"}, {"corkward-request-id", open.record.id}}};
     if (!open.prefix.empty()) request.fields.emplace_back("corkward-prefix", open.prefix);
     if (open.record.numbered) {
@@ -111,12 +111,12 @@
       request.fields.emplace_back("corkward-age-ms", std::to_string(programs::now() - open.record.began));
       if (open.record.attempts > 1 && open.earlierNotRun) request.fields.emplace_back("corkward-earlier", open.earlierReached ? "not-run-reached" : "not-run");
     }
-    open.relay->send(request, open.body);
+    open.forwarder->send(request, open.body);
   };
-  e.denied = [this, id] {
+  e.rejected = [this, id] {
     Open& open = open_.at(id);
-    open.relay->deleteLater();
-    open.relay = nullptr;
+    open.forwarder->deleteLater();
+    open.forwarder = nullptr;
     if (open.record.attempts >= maxAttempts || programs::now() > open.deadline) {
       finish(id, "no-connection");
       return;
@@ -125,29 +125,29 @@
       if (open_.count(id) > 0) attempt(id);
     });
   };
-  e.head = [this, id](door::ReplicaHead head) { open_.at(id).head = std::move(head); };
+  e.head = [this, id](http::ReplicaHead head) { open_.at(id).head = std::move(head); };
   e.piece = [this, id](std::string bytes) {
     Open& open = open_.at(id);
     if (open.head.status == 200 && open.record.firstWord < 0) open.record.firstWord = programs::now() - open.record.began;
     open.got += bytes;
   };
   e.ended = [this, id](bool whole) { ended(id, whole); };
-  o.relay = new door::Relay(shownOf(nodes[rng_.below(nodes.size())]), std::move(e), this);
+  o.forwarder = new http::UpstreamConnection(shownOf(nodes[rng_.below(nodes.size())]), std::move(e), this);
 }
 
 void Traffic::ended(std::string const& id, bool whole) {
   Open& o = open_.at(id);
-  o.relay->deleteLater();
-  o.relay = nullptr;
+  o.forwarder->deleteLater();
+  o.forwarder = nullptr;
   if (o.head.status == 200) {
     BodyVerdict const v = checkBody(o.got);
     if (!v.run.empty()) o.record.runs.push_back(v.run);
     finish(id, whole ? (v.whole ? "served" : "bad-body") : (v.oneRun ? "broken" : "bad-body"));
     return;
   }
-  bool const notRun = o.head.status != 0 && door::field(o.head.fields, "corkward-outcome") == "not-run";
-  if (notRun && door::field(o.head.fields, "corkward-earlier") == "not-run-reached") o.earlierReached = true;
-  std::string const retryAfter = door::field(o.head.fields, "retry-after");
+  bool const notRun = o.head.status != 0 && http::field(o.head.fields, "corkward-outcome") == "not-run";
+  if (notRun && http::field(o.head.fields, "corkward-earlier") == "not-run-reached") o.earlierReached = true;
+  std::string const retryAfter = http::field(o.head.fields, "retry-after");
   if (notRun && !retryAfter.empty() && o.record.attempts < maxAttempts && programs::now() < o.deadline) {
     int const wait = std::atoi(retryAfter.c_str()) * 1000;
     QTimer::singleShot(wait + static_cast<int>(rng_.below(200)), this, [this, id] {
@@ -156,7 +156,7 @@
     return;
   }
   if (notRun) {
-    o.record.deniedAsNotRun = o.earlierNotRun;
+    o.record.rejectedAsNotRun = o.earlierNotRun;
     finish(id, "denied");
     return;
   }
@@ -205,7 +205,7 @@
     ++out.requests;
     ++out.outcomes[r.outcome];
     if (r.outcome == "bad-body") ++out.badBodies;
-    if (r.deniedAsNotRun && runsOf.count(r.id) > 0) ++out.deniedButRan;
+    if (r.rejectedAsNotRun && runsOf.count(r.id) > 0) ++out.rejectedButRan;
     if (r.firstWord >= 0) out.firstWords[r.cls].push_back(r.firstWord);
   }
   return out;
@@ -215,7 +215,7 @@
   std::ostringstream out;
   out << "requests " << report.requests << "\n";
   for (std::map<std::string, std::size_t>::value_type const& o : report.outcomes) out << "  " << o.first << " " << o.second << "\n";
-  out << "run twice " << report.runTwice << ", bad bodies " << report.badBodies << ", denied but ran " << report.deniedButRan
+  out << "run twice " << report.runTwice << ", bad bodies " << report.badBodies << ", rejected but ran " << report.rejectedButRan
       << ", runs at replicas " << report.replicaRuns << "\n";
   out << "prefix hits " << report.prefixHits << ", misses " << report.prefixMisses << "\n";
   for (std::map<std::string, std::vector<core::Tick>>::value_type const& f : report.firstWords) {
@@ -226,4 +226,4 @@
   return out.str();
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/fleet/traffic.h
+++ b/testing/fleet/traffic.h
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
-#include <corkward/door/relay.h>
+#include <corkward/http/upstream_connection.h>
 
 #include "body.h"
 #include "fleet.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 /// What callers saw of one request.
 struct CallerRecord {
@@ -27,7 +27,7 @@
   std::vector<std::string> runs;
   core::Tick firstWord = -1;
   core::Tick began = 0;
-  bool deniedAsNotRun = false;
+  bool rejectedAsNotRun = false;
 };
 
 /// Figures of one run, from the callers' and the replicas' own records.
@@ -36,7 +36,7 @@
   std::map<std::string, std::vector<core::Tick>> firstWords;
   std::size_t runTwice = 0;
   std::size_t badBodies = 0;
-  std::size_t deniedButRan = 0;
+  std::size_t rejectedButRan = 0;
   std::size_t replicaRuns = 0;
   std::size_t prefixHits = 0;
   std::size_t prefixMisses = 0;
@@ -67,8 +67,8 @@
     bool earlierNotRun = true;
     bool earlierReached = false;
     core::Tick deadline = 0;
-    door::Relay* relay = nullptr;
-    door::ReplicaHead head;
+    http::UpstreamConnection* forwarder = nullptr;
+    http::ReplicaHead head;
     std::string got;
   };
   void arrive();
@@ -93,4 +93,4 @@
 /// The report as lines for people.
 std::string text(Report const& report);
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/replica/main.cpp
+++ b/testing/replica/main.cpp
@@ -7,12 +7,12 @@
 #include <unordered_map>
 
 #include <corkward/core/json.h>
-#include <corkward/door/server.h>
+#include <corkward/http/server.h>
 
 #include "body.h"
 #include "clock.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 namespace po = boost::program_options;
 
@@ -34,7 +34,7 @@
   };
 
   explicit Replica(Ways const& ways)
-      : ways_(ways), name_(programs::freshName().substr(0, 8)), record_(ways.record, std::ios::app), server_(ways.http, door::Limits{}, events()) {
+      : ways_(ways), name_(programs::freshName().substr(0, 8)), record_(ways.record, std::ios::app), server_(ways.http, http::Limits{}, events()) {
     write("up", "", "", "");
   }
 
@@ -53,9 +53,9 @@
     bool begun = false;
   };
 
-  door::Server::Events events() {
-    door::Server::Events e;
-    e.request = [this](door::Request r) { take(std::move(r)); };
+  http::Server::Events events() {
+    http::Server::Events e;
+    e.request = [this](http::Request r) { take(std::move(r)); };
     e.gone = [this](std::uint64_t id) { gone(id); };
     return e;
   }
@@ -65,7 +65,7 @@
             << (more.empty() ? "-" : more) << std::endl;
   }
 
-  void take(door::Request r) {
+  void take(http::Request r) {
     std::string const id = r.fields["corkward-request-id"];
     std::string const target = r.target;
     std::string const attempt = r.fields["corkward-attempt"];
@@ -110,7 +110,7 @@
     next();
   }
 
-  void resume(door::Request const& r, std::string const& id) {
+  void resume(http::Request const& r, std::string const& id) {
     std::string const run = r.fields.at("corkward-run");
     std::string const offset = r.fields.count("corkward-offset") > 0 ? r.fields.at("corkward-offset") : "";
     std::unordered_map<std::string, std::uint64_t>::const_iterator const it = known_.find(run);
@@ -204,14 +204,14 @@
   std::deque<Run> queue_;
   std::unordered_map<std::string, int> prefixes_;
   std::unordered_map<std::string, std::uint64_t> known_;
-  door::Server server_;
+  http::Server server_;
 };
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
 
 int main(int argc, char** argv) {
   QCoreApplication app(argc, argv);
-  corkward::yard::Replica::Ways w;
+  corkward::testing::Replica::Ways w;
   boost::program_options::options_description flags("standin-replica");
   flags.add_options()("http", boost::program_options::value(&w.http)->required(), "own address")(
       "record", boost::program_options::value(&w.record)->required(), "file that every run is written to")(
@@ -224,7 +224,7 @@
     boost::program_options::variables_map vm;
     boost::program_options::store(boost::program_options::parse_command_line(argc, argv, flags), vm);
     boost::program_options::notify(vm);
-    corkward::yard::Replica replica(w);
+    corkward::testing::Replica replica(w);
     return QCoreApplication::exec();
   } catch (std::exception const& e) {
     std::cerr << "standin-replica: " << e.what() << "\n";
--- a/yard/sim/callers.cpp
+++ b/testing/sim/callers.cpp
@@ -3,7 +3,7 @@
 
 #include "internal.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 void World::callerArrives() {
   if (quiet_) return;
@@ -64,7 +64,7 @@
   c.brokenOff = false;
   c.attemptAt = now_;
   callerOf_[{n.link, c.call}] = id;
-  rotor::Request r;
+  dataplane::Request r;
   r.call = c.call;
   r.instance = c.instance;
   r.path = c.path;
@@ -103,14 +103,14 @@
   return true;
 }
 
-void World::callerDenied(std::string const& id, rotor::Deny const& d) {
+void World::callerRejected(std::string const& id, dataplane::Reject const& d) {
   Caller& c = callers_.at(id);
   c.open = false;
   ++result_.counts["denied-" + std::to_string(d.status) + (d.status == 409 ? " " + d.reason : "")];
   c.earlierReached = c.earlierReached || d.reached;
   if (d.notRun) {
-    deniedNotRun_.insert({id, c.call});
-    if (ranAttempts_.count({id, c.call}) > 0) violation("denied as not run, but ran: " + id);
+    rejectedNotRun_.insert({id, c.call});
+    if (ranAttempts_.count({id, c.call}) > 0) violation("rejected as not run, but ran: " + id);
   }
   if (!d.notRun && again(c)) return;
   bool const back = d.notRun && (d.retryAfter > 0 || c.hard) && c.attempt < (c.hard ? 12U : 4U) && now_ < c.deadline;
@@ -142,4 +142,4 @@
   if (outcome == "served") servedSince_ = true;
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/sim/certificates.cpp
+++ b/testing/sim/certificates.cpp
@@ -1,12 +1,12 @@
 #include <QDateTime>
 #include <algorithm>
 
-#include <corkward/blueprint/regimes.h>
+#include <corkward/config/regimes.h>
 #include <corkward/core/json.h>
 
 #include "internal.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 namespace {
 
@@ -14,7 +14,7 @@
 constexpr Tick farAway = 86400000;
 /// What a clock that is told the time all along, or was frozen, may be behind; and one that jumps.
 constexpr Tick clocksDiffer = 1000;
-constexpr char const* ofNacelles = "nacelles-z";
+constexpr char const* ofRouters = "nacelles-z";
 
 }  // namespace
 
@@ -26,7 +26,7 @@
   std::size_t const dash = name.rfind('-');
   QJsonObject out{{"regime", regime}, {"carrier", "nacelles"}, {"zone", core::qstr(name.substr(dash + 1))},
                   {"until", QDateTime::fromMSecsSinceEpoch(wallBegin + now_ + lasts, Qt::UTC).toString(Qt::ISODate)}};
-  if (name.rfind(ofNacelles, 0) == 0) return out;
+  if (name.rfind(ofRouters, 0) == 0) return out;
   out.insert("carrier", "replicas");
   out.insert("pool", core::qstr(name.substr(0, dash)));
   return out;
@@ -36,17 +36,17 @@
   std::vector<std::string> out;
   for (char const* const pool : {"model", "other"})
     for (int z = 1; z < plan_.zones; ++z) out.push_back(std::string(pool) + "-z" + std::to_string(z));
-  for (int z = 1; plan_.certifiedNacelles && z < plan_.zones; ++z) out.push_back(ofNacelles + std::to_string(z));
+  for (int z = 1; plan_.certifiedRouters && z < plan_.zones; ++z) out.push_back(ofRouters + std::to_string(z));
   return out;
 }
 
 void World::declareRegime() {
   QJsonObject all;
   for (std::string const& name : certificateNames()) all.insert(core::qstr(name), certificateFor(name, farAway));
-  QJsonObject const spec{{"regimes", QJsonObject{{regime, QJsonObject{{"nacelles", plan_.certifiedNacelles ? "certified" : "any"}}}}}, {"certificates", all}};
-  change(blueprint::regimesKey, core::jsonText(spec), "PUT", page, core::jsonText(spec), "0", "", [this](int status, QJsonObject const& body) {
+  QJsonObject const spec{{"regimes", QJsonObject{{regime, QJsonObject{{"nacelles", plan_.certifiedRouters ? "certified" : "any"}}}}}, {"certificates", all}};
+  change(config::regimesKey, core::jsonText(spec), "PUT", page, core::jsonText(spec), "0", "", [this](int status, QJsonObject const& body) {
     if (status == 200 || status == 201) {
-      certificateStamp_ = std::to_string(body.value("stamp").toInteger());
+      certificateRevision_ = std::to_string(body.value("stamp").toInteger());
       certificateTurn();
     } else {
       after(700, [this] { declareRegime(); });
@@ -70,10 +70,10 @@
   }
   std::map<std::string, std::uint64_t> const turns = certificateTurns_;
   bool const jumps = std::find(plan_.faults.begin(), plan_.faults.end(), Fault::wallClockJump) != plan_.faults.end();
-  Tick const until = now_ + lasts - blueprint::wallMargin + clocksDiffer + (jumps ? mostBack : 0);
+  Tick const until = now_ + lasts - config::wallMargin + clocksDiffer + (jumps ? mostBack : 0);
   std::string const body = core::jsonText(QJsonObject{{"certificates", all}});
-  change(blueprint::regimesKey, "", "PATCH", page, body, certificateStamp_, "", [this, names, turns, until](int status, QJsonObject const& answer) {
-    if (answer.contains("stamp")) certificateStamp_ = std::to_string(answer.value("stamp").toInteger());
+  change(config::regimesKey, "", "PATCH", page, body, certificateRevision_, "", [this, names, turns, until](int status, QJsonObject const& answer) {
+    if (answer.contains("stamp")) certificateRevision_ = std::to_string(answer.value("stamp").toInteger());
     if (status != 200) return;
     for (std::string const& name : names)
       at(std::max(now_, until), [this, name, turn = turns.at(name)] {
@@ -84,10 +84,10 @@
 
 void World::revoke(std::string const& name) {
   std::uint64_t const turn = ++certificateTurns_[name];
-  change(blueprint::regimesKey, "", "DELETE", std::string(page) + "/" + name, "", "", "", [this, name, turn](int status, QJsonObject const& answer) {
+  change(config::regimesKey, "", "DELETE", std::string(page) + "/" + name, "", "", "", [this, name, turn](int status, QJsonObject const& answer) {
     if (status != 200 || !answer.value("inForce").toBool()) return;
     ++result_.counts["revoked"];
-    certificateStamp_ = std::to_string(answer.value("stamp").toInteger());
+    certificateRevision_ = std::to_string(answer.value("stamp").toInteger());
     if (certificateTurns_[name] == turn) outSince_[name] = now_;
   });
 }
@@ -105,7 +105,7 @@
       patchCertificates({one}, farAway);
       patchCertificates({names[rng_.below(names.size())]}, farAway);
       break;
-    default: patchCertificates({one}, blueprint::wallMargin + 1000 + static_cast<Tick>(rng_.below(6000)));
+    default: patchCertificates({one}, config::wallMargin + 1000 + static_cast<Tick>(rng_.below(6000)));
   }
 }
 
@@ -119,16 +119,16 @@
   }
 }
 
-void World::judgeRegime(Caller const& caller, Node const& from, Replica const& r, Relayed const& relayed) {
+void World::checkRegime(Caller const& caller, Node const& from, Replica const& r, Forwarded const& forwarded) {
   if (!plan_.regimes || !plan_.bound || caller.instance != regulated) return;
   ++result_.counts["regulated"];
   std::string const last = "z" + std::to_string(plan_.zones);
   if (r.zone == last) violation("a regulated request reached a replica that never had a certificate: " + r.address);
-  if (plan_.certifiedNacelles && from.zone == last) violation("a regulated request was handed on by a node that never had a certificate: " + from.link);
+  if (plan_.certifiedRouters && from.zone == last) violation("a regulated request was handed on by a node that never had a certificate: " + from.link);
   if (everListed_.count(lifeOf(r)) == 0) violation("a regulated request reached a life that was never on the platform's list: " + lifeOf(r));
-  if (relayed.recorded != lifeOf(r)) violation("a regulated request ran without a record: at " + lifeOf(r) + ", recorded for " + relayed.recorded);
+  if (forwarded.recorded != lifeOf(r)) violation("a regulated request ran without a record: at " + lifeOf(r) + ", recorded for " + forwarded.recorded);
   std::vector<std::string> needed{r.pool + "-" + r.zone};
-  if (plan_.certifiedNacelles) needed.push_back("nacelles-" + from.zone);
+  if (plan_.certifiedRouters) needed.push_back("nacelles-" + from.zone);
   for (std::string const& name : needed) {
     std::map<std::string, Tick>::const_iterator const out = outSince_.find(name);
     if (out != outSince_.end() && now_ > out->second + 5)
@@ -136,4 +136,4 @@
   }
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/sim/disk.cpp
+++ b/testing/sim/disk.cpp
@@ -1,6 +1,6 @@
 #include "disk.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 std::vector<std::string> SimDisk::list() {
   std::vector<std::string> out;
@@ -11,12 +11,12 @@
 std::string SimDisk::read(std::string const& name) { return files_.at(name).bytes; }
 
 void SimDisk::append(std::string const& name, std::string const& bytes) {
-  if (full) throw ledger::Error("no space left");
+  if (full) throw storage::Error("no space left");
   files_[name].bytes += bytes;
 }
 
 void SimDisk::sync(std::string const& name) {
-  if (failing) throw ledger::Error("sync failed");
+  if (failing) throw storage::Error("sync failed");
   if (!lying) files_[name].synced = files_[name].bytes.size();
 }
 
@@ -58,4 +58,4 @@
   files_[last].synced = files_[last].bytes.size();
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/sim/disk.h
+++ b/testing/sim/disk.h
@@ -5,12 +5,12 @@
 #include <vector>
 
 #include <corkward/core/types.h>
-#include <corkward/ledger/ledger.h>
+#include <corkward/storage/write_ahead_log.h>
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 /// A simulated disk: keeps what was synced; of the rest a random part when the power goes.
-class SimDisk : public ledger::Folder {
+class SimDisk : public storage::Folder {
  public:
   bool full = false;
   bool failing = false;
@@ -41,4 +41,4 @@
   std::map<std::string, File> files_;
 };
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/sim/faults.cpp
+++ b/testing/sim/faults.cpp
@@ -3,7 +3,7 @@
 
 #include "internal.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 int World::live(bool control) const {
   int n = 0;
@@ -16,7 +16,7 @@
   std::size_t disks = 0;
   for (std::map<std::string, Node>::value_type const& n : nodes_) disks += n.second.disk ? 1 : 0;
   for (std::map<std::string, Node>::value_type const& n : nodes_)
-    if (n.second.disk && (!n.second.alive || !n.second.control->mooring().voting() || n.second.control->mooring().cohort().size() != disks)) return false;
+    if (n.second.disk && (!n.second.alive || !n.second.control->registers().voting() || n.second.control->registers().membership().size() != disks)) return false;
   return true;
 }
 
@@ -24,10 +24,10 @@
   for (FaultRow const& row : faultTable)
     if (row.fault == f) result_.timeline.push_back(std::to_string(now_) + " " + row.name);
   ++result_.counts["faults"];
-  constexpr std::array<Fault, 19> hitsReturn{Fault::killHerd,     Fault::killControl,       Fault::freezeSubstation, Fault::isolateMember, Fault::splitCore,
+  constexpr std::array<Fault, 19> hitsReturn{Fault::killHerd,     Fault::killControl,       Fault::freezeController, Fault::isolateMember, Fault::splitCore,
                                              Fault::cutCore,      Fault::cutZone,           Fault::oneWayCut,        Fault::diskSlow,      Fault::diskStall,
-                                             Fault::diskFull,     Fault::diskFail,          Fault::powerLoss,        Fault::diskDamage,    Fault::restartSubstation, Fault::longAbsence,
-                                             Fault::zoneLoss,     Fault::slowSubstation,    Fault::resetConnections};
+                                             Fault::diskFull,     Fault::diskFail,          Fault::powerLoss,        Fault::diskDamage,    Fault::restartController, Fault::longAbsence,
+                                             Fault::zoneLoss,     Fault::slowController,    Fault::resetConnections};
   if (totalOutage_ && std::find(hitsReturn.begin(), hitsReturn.end(), f) != hitsReturn.end()) returnHit_ = true;
   std::vector<Node*> control;
   std::vector<Node*> data;
@@ -66,7 +66,7 @@
     (n.second.disk ? controlLinks : dataLinks).push_back(n.first);
   }
   switch (f) {
-    case Fault::killNacelle:
+    case Fault::killRouter:
       if (!data.empty()) {
         Node& n = *data[rng_.below(data.size())];
         kill(n, false);
@@ -114,10 +114,10 @@
       });
       break;
     }
-    case Fault::freezeNacelle:
+    case Fault::freezeRouter:
       if (!data.empty()) freeze(*data[rng_.below(data.size())], 1000 + static_cast<Tick>(rng_.below(9000)));
       break;
-    case Fault::freezeSubstation:
+    case Fault::freezeController:
       if (!control.empty()) freeze(*control[rng_.below(control.size())], 500 + static_cast<Tick>(rng_.below(8000)));
       break;
     case Fault::isolateMember:
@@ -139,7 +139,7 @@
       after(shortly + 1000, [this, z] { zoneCuts_.erase(z); });
       break;
     }
-    case Fault::isolateNacelle:
+    case Fault::isolateRouter:
       if (!data.empty()) cut({data[rng_.below(data.size())]->link}, allLinks, shortly + (rng_.chance(0.4) ? 10000 : 1500));
       break;
     case Fault::oneWayCut: {
@@ -294,7 +294,7 @@
         after(9000, [this, a = r.address] { replaceReplica(a); });
       }
       break;
-    case Fault::restartNacelle:
+    case Fault::restartRouter:
       if (data.size() > 2) {
         Node& n = *data[rng_.below(data.size())];
         if (n.frozen || n.draining) break;
@@ -324,8 +324,8 @@
         after(400, *look);
       }
       break;
-    case Fault::restartSubstation:
-      if (control.size() >= static_cast<std::size_t>(plan_.substations)) {
+    case Fault::restartController:
+      if (control.size() >= static_cast<std::size_t>(plan_.controllers)) {
         Node& n = *control[rng_.below(control.size())];
         if (n.frozen) break;
         run(n, n.control->drain(local(n)));
@@ -345,14 +345,14 @@
         });
       break;
     case Fault::races:
-      putTemplate(lastStamp_, 0);
-      putTemplate(lastStamp_, 0);
-      putTemplate(lastStamp_, 0);
-      change(family, "bad", "PUT", templatePath, R"({"note":"denied-bad","paths":[{"path":"x"}]})", lastStamp_, "denied-bad");
+      putTemplate(lastRevision_, 0);
+      putTemplate(lastRevision_, 0);
+      putTemplate(lastRevision_, 0);
+      change(family, "bad", "PUT", templatePath, R"({"note":"denied-bad","paths":[{"path":"x"}]})", lastRevision_, "denied-bad");
       change(family, "stale", "PUT", templatePath, R"({"note":"denied-stale","paths":[{"path":"x","pool":"model","class":"short"}]})", "999999", "denied-stale");
       break;
     case Fault::bigTemplate:
-      putTemplate(lastStamp_, 2000);
+      putTemplate(lastRevision_, 2000);
       break;
     case Fault::evacuate: {
       std::string const z = "z" + std::to_string(1 + rng_.below(static_cast<std::uint64_t>(plan_.zones)));
@@ -437,9 +437,9 @@
             for (Idle& c : i.second) c.dead = c.dead || rng_.chance(0.3);
         });
       break;
-    case Fault::slowNacelle:
-    case Fault::slowSubstation: {
-      std::vector<Node*> const& all = f == Fault::slowNacelle ? data : control;
+    case Fault::slowRouter:
+    case Fault::slowController: {
+      std::vector<Node*> const& all = f == Fault::slowRouter ? data : control;
       if (all.empty()) break;
       Node& n = *all[rng_.below(all.size())];
       n.step = 2 + static_cast<Tick>(rng_.below(18));
@@ -517,13 +517,13 @@
 }
 
 void World::resetReplicas(Node& n) {
-  for (std::map<std::pair<std::string, std::uint64_t>, Relayed>::value_type& r : relays_) {
+  for (std::map<std::pair<std::string, std::uint64_t>, Forwarded>::value_type& r : upstreams_) {
     if (r.first.first != n.link || r.second.run.empty() || !rng_.chance(0.5)) continue;
     Replica* const to = replica(r.second.address);
     if (to == nullptr || to->runs.count(r.second.run) == 0 || !to->runs.at(r.second.run).alive) continue;
     ++result_.counts["reset-streams"];
     to->runs.at(r.second.run).alive = false;
-    wire(n.link, n.life, r.first.second, r.second.turn, [](rotor::Stream& st) { return st.ended(false); });
+    wire(n.link, n.life, r.first.second, r.second.turn, [](dataplane::Stream& st) { return st.ended(false); });
   }
 }
 
@@ -621,4 +621,4 @@
   }
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/sim/internal.h
+++ b/testing/sim/internal.h
@@ -2,7 +2,7 @@
 
 #include "world.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 inline constexpr Tick clockEvery = 25;
 inline constexpr Tick callerPatience = 12000;
@@ -26,4 +26,4 @@
 inline constexpr Tick greyNoticed = 8000;
 inline constexpr double greyShare = 0.6;
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/sim/operators.cpp
+++ b/testing/sim/operators.cpp
@@ -5,9 +5,9 @@
 
 #include "internal.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
-std::string World::someSubstation() {
+std::string World::someController() {
   std::vector<std::string> up;
   for (std::map<std::string, Node>::value_type const& n : nodes_)
     if (n.second.control && n.second.alive && !n.second.draining) up.push_back(n.first);
@@ -17,7 +17,7 @@
 void World::change(std::string const& key, std::string const& what, std::string const& method, std::string const& path,
                    std::string const& body, std::string const& ifMatch, std::string const& mark,
                    std::function<void(int, QJsonObject const&)> then) {
-  std::string const link = someSubstation();
+  std::string const link = someController();
   std::size_t const ix = changes_.size();
   Change c;
   c.id = "ch" + std::to_string(nextChange_++);
@@ -31,7 +31,7 @@
     if (then) then(0, {});
     return;
   }
-  signal::Call call;
+  transport::Call call;
   call.token = nextCall_++;
   call.method = method;
   call.path = path;
@@ -39,8 +39,8 @@
   call.changeId = c.id;
   call.body = body;
   Node const& to = *node(link);
-  if (plan_.mutation == Mutation::rewriteIfMatch && key == family && !ifMatch.empty() && to.control->mooring().committed().count(family) > 0) {
-    QJsonObject const t = to.control->mooring().committed().at(family).value.value("template").toObject();
+  if (plan_.mutation == Mutation::rewriteIfMatch && key == family && !ifMatch.empty() && to.control->registers().committed().count(family) > 0) {
+    QJsonObject const t = to.control->registers().committed().at(family).value.value("template").toObject();
     call.ifMatch = std::to_string(t.value("stamp").toInteger());
   }
   std::uint64_t const life = to.life;
@@ -49,13 +49,13 @@
   answers_[{link, call.token}] = [this, ix, answered, then, isNews](int status, QJsonObject const& answer) {
     *answered = true;
     Change& k = changes_[ix];
-    if (plan_.mutation == Mutation::denyAccepted && status == 200 && k.key == family) status = 412;
+    if (plan_.mutation == Mutation::rejectAccepted && status == 200 && k.key == family) status = 412;
     k.status = status;
     k.answeredAt = now_;
-    k.stamp = static_cast<std::uint64_t>(answer.value("stamp").toInteger());
+    k.revision = static_cast<std::uint64_t>(answer.value("stamp").toInteger());
     k.inForce = (status == 200 || status == 201) && answer.value("inForce").toBool();
     k.pending = status == 504 && answer.value("pending").toBool();
-    if (status >= 400 && !k.pending) k.stamp = 0;
+    if (status >= 400 && !k.pending) k.revision = 0;
     if (status >= 200 && status < 300 && isNews && !answer.value("inForce").toBool()) violation("answered " + std::to_string(status) + " although not in force: " + k.id);
     ++result_.counts["change-" + std::to_string(status)];
     if (status == 200 || status == 201) result_.ackTimes.push_back(now_ - k.sentAt);
@@ -93,10 +93,10 @@
   change(family, core::jsonText(spec), "PUT", templatePath, core::jsonText(spec), ifMatch, mark,
          [this, then, mark](int status, QJsonObject const& body) {
            if (status == 200 || status == 201 || body.value("pending").toBool()) {
-             lastStamp_ = std::to_string(body.value("stamp").toInteger());
+             lastRevision_ = std::to_string(body.value("stamp").toInteger());
              lastMark_ = mark;
            }
-           if (status == 412) lastStamp_ = std::to_string(body.value("stamp").toInteger());
+           if (status == 412) lastRevision_ = std::to_string(body.value("stamp").toInteger());
            if (then) then(status, body);
          });
 }
@@ -106,7 +106,7 @@
   after(1500 + static_cast<Tick>(rng_.below(2500)), [this] { operatorTurn(); });
   if (operatorBusy_) return;
   operatorBusy_ = true;
-  putTemplate(lastStamp_, 0, [this](int, QJsonObject const&) { operatorBusy_ = false; });
+  putTemplate(lastRevision_, 0, [this](int, QJsonObject const&) { operatorBusy_ = false; });
 }
 
 void World::platform() {
@@ -141,7 +141,7 @@
     for (std::string const& a : leaving)
       if (generation == generation_ && replicas_.at(a).shownLeaving < 0) replicas_.at(a).shownLeaving = now_;
   };
-  if (!someSubstation().empty()) shown();
+  if (!someController().empty()) shown();
   change("pool:" + pool, body, "PUT", "/v1/platform/pools/" + pool, body, "", "", [done](int status, QJsonObject const&) {
     if (status == 200) *done = true;
   });
@@ -164,4 +164,4 @@
   });
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/sim/judge.cpp
+++ b/testing/sim/oracles.cpp
@@ -1,11 +1,11 @@
 #include <algorithm>
 
-#include <corkward/blueprint/regimes.h>
+#include <corkward/config/regimes.h>
 #include <corkward/core/json.h>
 
 #include "internal.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 bool World::mostLiveSince(Tick since) const {
   std::size_t all = 0;
@@ -33,21 +33,21 @@
     if (static_cast<double>(n) > 3.0 * coldRate + 1.0)
       violation("cold replica " + r.first + " had " + std::to_string(n) + " requests in 3 s");
   }
-  std::set<std::string> denied;
+  std::set<std::string> rejected;
   for (Change const& c : changes_)
-    if (c.key == family && c.status >= 400 && c.status < 500 && !c.mark.empty()) denied.insert(c.mark);
+    if (c.key == family && c.status >= 400 && c.status < 500 && !c.mark.empty()) rejected.insert(c.mark);
   for (std::map<std::string, Node>::value_type const& n : nodes_) {
     if (!n.second.alive || !n.second.data) continue;
-    std::string const note =
+    std::string const logEvent =
         core::str(n.second.data->valueOf(family).value("template").toObject().value("spec").toObject().value("note").toString());
-    if (denied.count(note) > 0) violation("a denied change is in force: " + note);
+    if (rejected.count(logEvent) > 0) violation("a rejected change is in force: " + logEvent);
     for (std::pair<std::size_t, std::size_t> const& part : n.second.data->parts("model")) {
       result_.partSum += static_cast<double>(part.first);
       ++result_.partSamples;
       result_.counts["held-most"] = std::max(result_.counts["held-most"], part.second);
     }
     ++result_.counts["standing-looks"];
-    if (n.second.data->standing(local(n.second))) ++result_.counts["standing-held"];
+    if (n.second.data->servingLease(local(n.second))) ++result_.counts["standing-held"];
   }
 }
 
@@ -57,14 +57,14 @@
   Change const* last = nullptr;
   std::uint64_t newestCertificates = 0;
   for (Change const& c : changes_) {
-    if (c.key == blueprint::regimesKey && c.stamp > 0 && c.inForce) newestCertificates = std::max(newestCertificates, c.stamp);
-    if (c.key == blueprint::regimesKey && c.ifMatch.empty()) continue;
-    if ((c.key.rfind("family:", 0) != 0 && c.key != blueprint::regimesKey) || c.stamp == 0 || !(c.status == 200 || c.status == 201 || c.pending)) continue;
+    if (c.key == config::regimesKey && c.revision > 0 && c.inForce) newestCertificates = std::max(newestCertificates, c.revision);
+    if (c.key == config::regimesKey && c.ifMatch.empty()) continue;
+    if ((c.key.rfind("family:", 0) != 0 && c.key != config::regimesKey) || c.revision == 0 || !(c.status == 200 || c.status == 201 || c.pending)) continue;
     std::string& before = accepted[{c.key, c.ifMatch}];
     if (!before.empty()) violation("two changes built on " + c.ifMatch + " of " + c.key + " were both accepted");
     before = c.id;
-    if (c.key == family && c.stamp > newest) {
-      newest = c.stamp;
+    if (c.key == family && c.revision > newest) {
+      newest = c.revision;
       last = &c;
     }
   }
@@ -74,21 +74,21 @@
   if (alone && greyFair_ >= 30 && greyHits_ > greyShare * greyFair_)
     violation("grey replicas went on drawing work: " + std::to_string(greyHits_) + " requests, a fair share is " + std::to_string(greyFair_));
   std::shared_ptr<bool> const read = std::make_shared<bool>(false);
-  std::string const link = someSubstation();
+  std::string const link = someController();
   if (link.empty()) {
-    violation("no substation is alive at the end");
+    violation("no controller is alive at the end");
     return;
   }
   std::uint64_t const token = nextCall_++;
   std::string const want = last == nullptr ? "" : last->what;
   answers_[{link, token}] = [this, read, newest, want](int status, QJsonObject const& body) {
     *read = true;
-    std::uint64_t const stamp = static_cast<std::uint64_t>(body.value("stamp").toInteger());
+    std::uint64_t const revision = static_cast<std::uint64_t>(body.value("stamp").toInteger());
     if (status != 200) violation("the configuration could not be read back: " + std::to_string(status));
-    if (stamp < newest) violation("acknowledged change lost: stamp " + std::to_string(stamp) + ", acknowledged " + std::to_string(newest));
-    if (stamp == newest && newest > 0 && body.value("spec").toObject() != core::parseJson(want).toObject())
+    if (revision < newest) violation("acknowledged change lost: revision " + std::to_string(revision) + ", acknowledged " + std::to_string(newest));
+    if (revision == newest && newest > 0 && body.value("spec").toObject() != core::parseJson(want).toObject())
       violation("an acknowledged change was altered");
-    if (stamp > newest) {
+    if (revision > newest) {
       bool unknown = false;
       for (Change const& c : changes_)
         unknown = unknown || (c.key == family && (c.status == 504 || c.status == 0) && core::jsonText(body.value("spec")) == core::jsonText(core::parseJson(c.what.empty() || c.what[0] != '{' ? "{}" : c.what)));
@@ -96,20 +96,20 @@
     }
   };
   if (newestCertificates > 0) {
-    signal::Call kept;
+    transport::Call kept;
     kept.token = nextCall_++;
     kept.method = "GET";
     kept.path = "/v1/certificates";
     answers_[{link, kept.token}] = [this, newestCertificates](int status, QJsonObject const& body) {
       ++result_.counts["certificates-read"];
       if (status != 200 || static_cast<std::uint64_t>(body.value("stamp").toInteger()) < newestCertificates)
-        violation("acknowledged certificates lost: status " + std::to_string(status) + ", stamp " + std::to_string(body.value("stamp").toInteger()) +
+        violation("acknowledged certificates lost: status " + std::to_string(status) + ", revision " + std::to_string(body.value("stamp").toInteger()) +
                   ", acknowledged " + std::to_string(newestCertificates));
     };
     Node& at = *node(link);
     run(at, at.control->operatorCall(local(at), kept));
   }
-  signal::Call call;
+  transport::Call call;
   call.token = token;
   call.method = "GET";
   call.path = templatePath;
@@ -117,28 +117,28 @@
   run(n, n.control->operatorCall(local(n), call));
   after(12000, [this, read] {
     if (!*read) violation("the configuration could not be read back: no answer");
-    std::size_t standing = 0;
+    std::size_t servingLease = 0;
     std::size_t all = 0;
     for (std::map<std::string, Node>::value_type const& k : nodes_) {
       if (!k.second.data) continue;
       ++all;
-      standing += k.second.alive && k.second.data->standing(local(k.second)) ? 1 : 0;
+      servingLease += k.second.alive && k.second.data->servingLease(local(k.second)) ? 1 : 0;
     }
     std::set<std::size_t> sizes;
     std::size_t voting = 0;
     std::size_t disks = 0;
     for (std::map<std::string, Node>::value_type const& k : nodes_) {
       if (!k.second.control) continue;
-      mooring::Mooring const& m = k.second.control->mooring();
+      consensus::Registers const& m = k.second.control->registers();
       ++disks;
-      sizes.insert(m.cohort().size());
-      voting += m.voting() && std::any_of(m.cohort().begin(), m.cohort().end(), [&](mooring::Member const& c) { return c.id == m.self().id; }) ? 1 : 0;
+      sizes.insert(m.membership().size());
+      voting += m.voting() && std::any_of(m.membership().begin(), m.membership().end(), [&](consensus::Member const& c) { return c.id == m.self().id; }) ? 1 : 0;
     }
     if (voting < disks || sizes != std::set<std::size_t>{disks})
-      violation("only " + std::to_string(voting) + " of " + std::to_string(disks) + " disks vote after all was healed, the cohort is of " +
+      violation("only " + std::to_string(voting) + " of " + std::to_string(disks) + " disks vote after all was healed, the membership is of " +
                 std::to_string(*sizes.begin()) + " to " + std::to_string(*sizes.rbegin()));
-    if (standing < all) violation("only " + std::to_string(standing) + " of " + std::to_string(all) + " nacelles serve after all was healed");
+    if (servingLease < all) violation("only " + std::to_string(servingLease) + " of " + std::to_string(all) + " routers serve after all was healed");
   });
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
