--- a/yard/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -1,47 +1,47 @@
 #include <algorithm>
 #include <array>
 
-#include <corkward/blueprint/regimes.h>
+#include <corkward/config/regimes.h>
 #include <corkward/core/json.h>
 
 #include "internal.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 World::Replica* World::replica(std::string const& address) {
   std::map<std::string, Replica>::iterator const it = replicas_.find(address);
   return it == replicas_.end() ? nullptr : &it->second;
 }
 
-void World::nameLife(Node& n, rotor::Connect const& m) {
+void World::nameLife(Node& n, dataplane::Connect const& m) {
   std::string const link = n.link;
   std::uint64_t const life = n.life;
-  std::uint64_t const turn = relays_.at({link, m.call}).turn;
+  std::uint64_t const turn = upstreams_.at({link, m.call}).turn;
   after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, m, turn] {
-    std::map<std::pair<std::string, std::uint64_t>, Relayed>::iterator const it = relays_.find({link, m.call});
-    if (it == relays_.end() || it->second.turn != turn) return;
+    std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({link, m.call});
+    if (it == upstreams_.end() || it->second.turn != turn) return;
     Replica const* const to = replica(m.address);
     if (to == nullptr || to->dark) return;
     it->second.process = to->life;
     bool const named = to->up && (lifeOf(*to) == m.life || plan_.mutation == Mutation::skipLife);
     after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, m, turn, named] {
       toNode(link, life, [this, link, m, turn, named] {
-        std::map<std::pair<std::string, std::uint64_t>, Relayed>::const_iterator const still = relays_.find({link, m.call});
-        if (still == relays_.end() || still->second.turn != turn) return;
+        std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still = upstreams_.find({link, m.call});
+        if (still == upstreams_.end() || still->second.turn != turn) return;
         Node& k = *node(link);
         Replica const& other = *replica(m.address);
         if (named && other.up && other.life == still->second.process) {
           run(k, k.data->connected(local(k), m.call));
         } else {
           ++result_.counts["life-denied"];
-          run(k, k.data->connectDenied(local(k), m.call));
+          run(k, k.data->connectRejected(local(k), m.call));
         }
       });
     });
   });
 }
 
-void World::connect(Node& n, rotor::Connect m) {
+void World::connect(Node& n, dataplane::Connect m) {
   abandon(n, m.call);
   if (plan_.mutation == Mutation::resumeAnywhere && m.resume && !m.life.empty()) {
     std::map<std::string, Replica>::const_iterator it = replicas_.begin();
@@ -49,7 +49,7 @@
     m.address = it->first;
     m.life = lifeOf(it->second);
   }
-  Relayed& r = relays_[{n.link, m.call}];
+  Forwarded& r = upstreams_[{n.link, m.call}];
   r.address = m.address;
   r.connect = m;
   r.caller = callerOf_[{n.link, m.call}];
@@ -81,46 +81,46 @@
   bool const up = to->up && !(to->grey > 0 && rng_.chance(to->grey / 4));
   after(r.kept ? 0 : 1 + static_cast<Tick>(rng_.below(3)), [this, link, life, call = m.call, up, turn] {
     toNode(link, life, [this, link, call, up, turn] {
-      std::map<std::pair<std::string, std::uint64_t>, Relayed>::const_iterator const it = relays_.find({link, call});
-      if (it == relays_.end() || it->second.turn != turn) return;
+      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const it = upstreams_.find({link, call});
+      if (it == upstreams_.end() || it->second.turn != turn) return;
       Node& k = *node(link);
       if (up)
         run(k, k.data->connected(local(k), call));
       else
-        run(k, k.data->connectDenied(local(k), call));
+        run(k, k.data->connectRejected(local(k), call));
     });
   });
 }
 
 void World::handOver(Node& n, std::uint64_t call) {
-  std::map<std::pair<std::string, std::uint64_t>, Relayed>::iterator const it = relays_.find({n.link, call});
-  if (it == relays_.end()) return;
+  std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({n.link, call});
+  if (it == upstreams_.end()) return;
   std::string const link = n.link;
   std::uint64_t const life = n.life;
   std::uint64_t const turn = it->second.turn;
-  std::uint64_t const have = n.data->stampOf(family);
+  std::uint64_t const have = n.data->revisionOf(family);
   for (Change const& c : changes_)
-    if (c.key == family && c.inForce && c.answeredAt >= 0 && c.answeredAt < now_ && have < c.stamp)
-      violation("older blueprint served: " + link + " has " + std::to_string(have) + ", in force since " + std::to_string(c.answeredAt) + " is " +
-                std::to_string(c.stamp));
+    if (c.key == family && c.inForce && c.answeredAt >= 0 && c.answeredAt < now_ && have < c.revision)
+      violation("older configuration served: " + link + " has " + std::to_string(have) + ", in force since " + std::to_string(c.answeredAt) + " is " +
+                std::to_string(c.revision));
   if (plan_.regimes && callers_.at(it->second.caller).instance == regulated) {
-    std::uint64_t const certificates = n.data->stampOf(blueprint::regimesKey);
+    std::uint64_t const certificates = n.data->revisionOf(config::regimesKey);
     for (Change const& c : changes_)
-      if (c.key == blueprint::regimesKey && c.inForce && c.answeredAt >= 0 && c.answeredAt < now_ && certificates < c.stamp)
+      if (c.key == config::regimesKey && c.inForce && c.answeredAt >= 0 && c.answeredAt < now_ && certificates < c.revision)
         violation("older certificates in force: " + link + " has " + std::to_string(certificates) + ", in force since " + std::to_string(c.answeredAt) +
-                  " is " + std::to_string(c.stamp));
+                  " is " + std::to_string(c.revision));
   }
   bool const named = !it->second.connect.life.empty();
   after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, call, turn, named] {
-    std::map<std::pair<std::string, std::uint64_t>, Relayed>::iterator const r = relays_.find({link, call});
-    if (r == relays_.end() || r->second.turn != turn) return;
+    std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const r = upstreams_.find({link, call});
+    if (r == upstreams_.end() || r->second.turn != turn) return;
     Replica* const to = replica(r->second.address);
     if (to == nullptr || !to->up || r->second.dead || (named && to->life != r->second.process)) {
       if (r->second.dead) ++result_.counts["forgotten-connections"];
       toNode(link, life, [this, link, call, turn] {
-        std::map<std::pair<std::string, std::uint64_t>, Relayed>::const_iterator const still = relays_.find({link, call});
-        if (still == relays_.end() || still->second.turn != turn) return;
-        fed(*node(link), call, [](rotor::Stream& st) { return st.ended(false); });
+        std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still = upstreams_.find({link, call});
+        if (still == upstreams_.end() || still->second.turn != turn) return;
+        fed(*node(link), call, [](dataplane::Stream& st) { return st.ended(false); });
       });
       return;
     }
@@ -129,11 +129,11 @@
   });
 }
 
-void World::reach(Node& n, std::uint64_t life, std::uint64_t call, Replica& r, rotor::Connect const& m) {
-  Relayed& relayed = relays_.at({n.link, call});
-  std::string const id = relayed.caller;
+void World::reach(Node& n, std::uint64_t life, std::uint64_t call, Replica& r, dataplane::Connect const& m) {
+  Forwarded& forwarded = upstreams_.at({n.link, call});
+  std::string const id = forwarded.caller;
   Caller const& asks = callers_.at(id);
-  judgeRegime(asks, n, r, relayed);
+  checkRegime(asks, n, r, forwarded);
   bool const tale = asks.path == "tale";
   int const told = tale ? QString::fromStdString(streams_[{n.link, call}].resume().lastEvent).toInt() : 0;
   if (tale && m.resume) {
@@ -148,9 +148,9 @@
     violation("zone " + r.zone + " reached " + std::to_string(now_ - zone->second.first) + " ms after its evacuation was acknowledged");
   if (m.path.rfind("mark-", 0) == 0)
     for (Change const& c : changes_)
-      if (c.key == family && c.inForce && c.answeredAt >= 0 && now_ > c.answeredAt + 2000 && !c.mark.empty() && c.stamp > 0)
+      if (c.key == family && c.inForce && c.answeredAt >= 0 && now_ > c.answeredAt + 2000 && !c.mark.empty() && c.revision > 0)
         for (Change const& o : changes_)
-          if (o.mark == m.path && o.stamp > 0 && o.stamp < c.stamp) violation("a path taken away by an acknowledged change reached a replica");
+          if (o.mark == m.path && o.revision > 0 && o.revision < c.revision) violation("a path taken away by an acknowledged change reached a replica");
   if (r.state == "cold") r.coldHits.push_back(now_);
   int const before = handOvers_[id]++;
   (before == 0 ? firsts_ : repeats_).push_back(now_);
@@ -158,34 +158,34 @@
   if (plan_.mutation == Mutation::resendUnseen)
     for (int i = 0; i < 3; ++i) repeats_.push_back(now_);
   if (m.resume && !tale) {
-    rotor::Resume const asked = streams_[{n.link, call}].resume();
+    dataplane::Resume const asked = streams_[{n.link, call}].resume();
     std::string const wanted = asked.run;
     std::map<std::string, Run>::iterator const known = r.runs.find(wanted);
     ++result_.counts[known != r.runs.end() ? "resumed" : "resume-denied"];
-    relayed.run = wanted;
+    forwarded.run = wanted;
     if (known == r.runs.end()) {
-      wire(n.link, life, call, relayed.turn, [](rotor::Stream& st) { return st.head(rotor::Head{410, {}, 0}); });
+      wire(n.link, life, call, forwarded.turn, [](dataplane::Stream& st) { return st.head(dataplane::Head{410, {}, 0}); });
       return;
     }
     Run& again = known->second;
     again.life = life;
     again.alive = true;
-    again.turn = relayed.turn;
+    again.turn = forwarded.turn;
     std::size_t from = std::min<std::size_t>(asked.offset, again.made.size());
-    rotor::Head const head{.status = 206, .run = wanted, .offset = std::to_string(from)};
+    dataplane::Head const head{.status = 206, .run = wanted, .offset = std::to_string(from)};
     if (plan_.mutation == Mutation::resumeGap) from = std::min(from + word(wanted, 1).size(), again.made.size());
     if (plan_.mutation == Mutation::resumeRepeat) from = from > word(wanted, 1).size() ? from - word(wanted, 1).size() : 0;
     std::string bytes = again.made.substr(from);
     if (plan_.mutation == Mutation::resumeOther) bytes = word(r.address + "#other", 0) + bytes;
     bool const done = again.done;
-    wire(n.link, life, call, relayed.turn, [head](rotor::Stream& st) { return st.head(head); });
-    if (!bytes.empty()) wire(n.link, life, call, relayed.turn, [bytes](rotor::Stream& st) { return st.piece(bytes); });
-    if (done) wire(n.link, life, call, relayed.turn, [](rotor::Stream& st) { return st.ended(true); });
+    wire(n.link, life, call, forwarded.turn, [head](dataplane::Stream& st) { return st.head(head); });
+    if (!bytes.empty()) wire(n.link, life, call, forwarded.turn, [bytes](dataplane::Stream& st) { return st.piece(bytes); });
+    if (done) wire(n.link, life, call, forwarded.turn, [](dataplane::Stream& st) { return st.ended(true); });
     return;
   }
   countGrey(r);
   if (r.queue.size() > 40) {
-    wire(n.link, life, call, relayed.turn, [](rotor::Stream& st) { return st.head(rotor::Head{.status = 503, .length = 0, .notRun = true}); });
+    wire(n.link, life, call, forwarded.turn, [](dataplane::Stream& st) { return st.head(dataplane::Head{.status = 503, .length = 0, .notRun = true}); });
     return;
   }
   std::map<std::string, Caller>::iterator const caller = callers_.find(id);
@@ -195,7 +195,7 @@
   run.call = call;
   run.node = n.link;
   run.life = life;
-  run.turn = relayed.turn;
+  run.turn = forwarded.turn;
   run.events = tale;
   run.from = told + (plan_.mutation == Mutation::eventGap && told > 0 ? 1 : 0);
   if (caller != callers_.end()) {
@@ -213,9 +213,9 @@
                                                                  (caller->second.earlierNotRun ? ", earlier said not run" : ", earlier unknown") +
                                                                  (caller->second.call == call ? "" : ", by an older attempt"));
     ranAttempts_.insert({id, call});
-    if (deniedNotRun_.count({id, call}) > 0) violation("denied as not run, but runs: " + id);
+    if (rejectedNotRun_.count({id, call}) > 0) violation("rejected as not run, but runs: " + id);
   }
-  relayed.run = run.run;
+  forwarded.run = run.run;
   std::string const prefix = caller == callers_.end() ? "" : caller->second.prefix;
   if (!prefix.empty()) {
     run.hit = !r.prefixes.insert(prefix).second;
@@ -247,12 +247,12 @@
   Run const b = run;
   if (b.grey == Grey::dropped) {
     r.runs.erase(b.run);
-    wire(b.node, b.life, b.call, b.turn, [](rotor::Stream& st) { return st.ended(false); });
+    wire(b.node, b.life, b.call, b.turn, [](dataplane::Stream& st) { return st.ended(false); });
     return;
   }
-  wire(b.node, b.life, b.call, b.turn, [b](rotor::Stream& st) { return st.head(rotor::Head{.status = 500, .failed = true, .run = b.run}); });
-  wire(b.node, b.life, b.call, b.turn, [b](rotor::Stream& st) { return st.piece(b.made); });
-  wire(b.node, b.life, b.call, b.turn, [](rotor::Stream& st) { return st.ended(true); });
+  wire(b.node, b.life, b.call, b.turn, [b](dataplane::Stream& st) { return st.head(dataplane::Head{.status = 500, .failed = true, .run = b.run}); });
+  wire(b.node, b.life, b.call, b.turn, [b](dataplane::Stream& st) { return st.piece(b.made); });
+  wire(b.node, b.life, b.call, b.turn, [](dataplane::Stream& st) { return st.ended(true); });
 }
 
 void World::countGrey(Replica const& r) {
@@ -304,26 +304,26 @@
     serveNext(r);
   }
   if (r.dark || !now.alive) return;
-  if (k == 0) wire(now.node, now.life, now.call, now.turn, [name, events = now.events](rotor::Stream& st) { return st.head(rotor::Head{.status = 200, .run = name, .events = events}); });
-  if (!bytes.empty()) wire(now.node, now.life, now.call, now.turn, [bytes](rotor::Stream& st) { return st.piece(bytes); });
+  if (k == 0) wire(now.node, now.life, now.call, now.turn, [name, events = now.events](dataplane::Stream& st) { return st.head(dataplane::Head{.status = 200, .run = name, .events = events}); });
+  if (!bytes.empty()) wire(now.node, now.life, now.call, now.turn, [bytes](dataplane::Stream& st) { return st.piece(bytes); });
   if (now.grey == Grey::cut && k == 1 && k < words) {
     r.runs.at(name).alive = false;
-    wire(now.node, now.life, now.call, now.turn, [](rotor::Stream& st) { return st.ended(false); });
+    wire(now.node, now.life, now.call, now.turn, [](dataplane::Stream& st) { return st.ended(false); });
     return;
   }
-  if (k == words) wire(now.node, now.life, now.call, now.turn, [](rotor::Stream& st) { return st.ended(true); });
+  if (k == words) wire(now.node, now.life, now.call, now.turn, [](dataplane::Stream& st) { return st.ended(true); });
 }
 
 void World::wire(std::string const& link, std::uint64_t life, std::uint64_t call, std::uint64_t turn, Fed event) {
-  std::map<std::pair<std::string, std::uint64_t>, Relayed>::iterator const it = relays_.find({link, call});
-  if (it == relays_.end() || it->second.turn != turn) return;
+  std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({link, call});
+  if (it == upstreams_.end() || it->second.turn != turn) return;
   it->second.underWay.push_back(std::move(event));
   if (it->second.underWay.size() == 1) after(2, [this, link, life, call, turn] { arrive(link, life, call, turn); });
 }
 
 void World::arrive(std::string const& link, std::uint64_t life, std::uint64_t call, std::uint64_t turn) {
-  std::map<std::pair<std::string, std::uint64_t>, Relayed>::iterator const it = relays_.find({link, call});
-  if (it == relays_.end() || it->second.turn != turn || it->second.underWay.empty()) return;
+  std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({link, call});
+  if (it == upstreams_.end() || it->second.turn != turn || it->second.underWay.empty()) return;
   Replica const* const r = replica(it->second.address);
   Node const* const n = node(link);
   bool const cut = n != nullptr && r != nullptr && n->zone != r->zone && (zoneCuts_.count(n->zone) > 0 || zoneCuts_.count(r->zone) > 0);
@@ -336,22 +336,22 @@
   it->second.underWay.clear();
   for (Fed const& event : events)
     toNode(link, life, [this, link, call, turn, event] {
-      std::map<std::pair<std::string, std::uint64_t>, Relayed>::const_iterator const still = relays_.find({link, call});
-      if (still == relays_.end() || still->second.turn != turn) return;
+      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still = upstreams_.find({link, call});
+      if (still == upstreams_.end() || still->second.turn != turn) return;
       fed(*node(link), call, event);
     });
 }
 
 void World::fed(Node& n, std::uint64_t call, Fed const& event) {
-  std::map<std::pair<std::string, std::uint64_t>, Relayed>::const_iterator const it = relays_.find({n.link, call});
-  if (it == relays_.end()) return;
+  std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const it = upstreams_.find({n.link, call});
+  if (it == upstreams_.end()) return;
   std::string const id = it->second.caller;
   std::pair<std::string, std::uint64_t> const key{n.link, call};
-  rotor::StreamSteps steps = event(streams_[key]);
-  if (it->second.dead && it->second.rested && steps.ended == rotor::End::broken) steps.ended = rotor::End::forgotten;
-  if (plans(Fault::forgetConnections) && steps.ended == rotor::End::whole) idle_[{n.link, it->second.address}].push_back(Idle{now_});
-  if (plan_.mutation == Mutation::cutLooksWhole && steps.ended && *steps.ended == rotor::End::broken && streams_[key].begun()) {
-    steps.ended = rotor::End::whole;
+  dataplane::StreamSteps steps = event(streams_[key]);
+  if (it->second.dead && it->second.rested && steps.ended == dataplane::End::broken) steps.ended = dataplane::End::forgotten;
+  if (plans(Fault::forgetConnections) && steps.ended == dataplane::End::whole) idle_[{n.link, it->second.address}].push_back(Idle{now_});
+  if (plan_.mutation == Mutation::cutLooksWhole && steps.ended && *steps.ended == dataplane::End::broken && streams_[key].begun()) {
+    steps.ended = dataplane::End::whole;
     steps.finish = true;
   }
   if (steps.failed) run(n, n.data->failed(local(n), call));
@@ -410,11 +410,11 @@
 }
 
 void World::abandon(Node& n, std::uint64_t call) {
-  std::map<std::pair<std::string, std::uint64_t>, Relayed>::iterator const it = relays_.find({n.link, call});
-  if (it == relays_.end()) return;
+  std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({n.link, call});
+  if (it == upstreams_.end()) return;
   Replica* const r = replica(it->second.address);
   if (r != nullptr && r->runs.count(it->second.run) > 0) r->runs.at(it->second.run).alive = false;
-  relays_.erase(it);
+  upstreams_.erase(it);
 }
 
 void World::crash(Replica& r) {
@@ -433,7 +433,7 @@
   r.runs.clear();
   for (Run const& run : hit)
     after(1 + static_cast<Tick>(rng_.below(5)),
-          [this, run] { wire(run.node, run.life, run.call, run.turn, [](rotor::Stream& st) { return st.ended(false); }); });
+          [this, run] { wire(run.node, run.life, run.call, run.turn, [](dataplane::Stream& st) { return st.ended(false); }); });
 }
 
 void World::breakStreams(Replica& r) {
@@ -441,7 +441,7 @@
     if (!run.second.alive) continue;
     run.second.alive = false;
     Run const& b = run.second;
-    wire(b.node, b.life, b.call, b.turn, [](rotor::Stream& st) { return st.ended(false); });
+    wire(b.node, b.life, b.call, b.turn, [](dataplane::Stream& st) { return st.ended(false); });
   }
 }
 
@@ -479,4 +479,4 @@
   });
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/sim/sweep.cpp
+++ b/testing/sim/sweep.cpp
@@ -8,7 +8,7 @@
 
 #include "world.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 namespace po = boost::program_options;
 
@@ -26,25 +26,25 @@
   Tick every = 0;
   std::string deployment;
   bool plain = false;
-  int nacelles = 0;
+  int routers = 0;
   bool traffic = false;
   bool withRegimes = false;
   bool unbound = false;
-  governor::Figures figures = governor::figures;
-  po::options_description flags("yard-sweep: simulated fleets over many seeds");
+  scaling::Figures figures = scaling::figures;
+  po::options_description flags("corkward-sweep: simulated fleets over many seeds");
   flags.add_options()("from", po::value(&from), "first seed")("count", po::value(&count), "seeds")("jobs", po::value(&jobs), "threads")(
       "fault", po::value(&names), "cause this failure alone; may be repeated; without it, a random set for each seed")(
       "demand", po::value(&demand), "requests a second")("every", po::value(&every), "mean ms between failures")("minutes", po::value(&minutes), "minutes of failures instead of one")("surge", po::value(&surge), "times the demand in the middle third")(
       "deployment", po::value(&deployment), "calm, at the sizes of harmattan or lernkarten")("plain", po::bool_switch(&plain), "whole pool, fewest in flight")(
       "width", po::value(&figures.width), "each width")("calm-for", po::value(&figures.calmFor), "give-back wait, ms")(
       "slack", po::value(&figures.prefixSlack), "prefix slack")("prefixes", po::value(&prefixes), "other prefixes")("skip", po::value(&skip), "ms at the start whose first words do not count")("first-limit", po::value(&figures.firstLimit), "limit per replica at the start")(
-      "bulk-share", po::value(&figures.bulkShare), "share of the cap for long requests")("nacelles", po::value(&nacelles), "how many instead of eight")("traffic", po::bool_switch(&traffic), "print messages and bytes a second and node, by sender and kind")("counts", po::bool_switch(&counts), "print what each run counted")("regimes", po::bool_switch(&withRegimes), "a tenant of a regime, and certificates that change all the time")("unbound", po::bool_switch(&unbound), "the same, but the tenant is of no regime")("list", "list the failures")("help", "print this");
+      "bulk-share", po::value(&figures.bulkShare), "share of the cap for long requests")("nacelles", po::value(&routers), "how many instead of eight")("traffic", po::bool_switch(&traffic), "print messages and bytes a second and node, by sender and kind")("counts", po::bool_switch(&counts), "print what each run counted")("regimes", po::bool_switch(&withRegimes), "a tenant of a regime, and certificates that change all the time")("unbound", po::bool_switch(&unbound), "the same, but the tenant is of no regime")("list", "list the failures")("help", "print this");
   po::variables_map vm;
   try {
     po::store(po::parse_command_line(argc, argv, flags), vm);
     po::notify(vm);
   } catch (po::error const& e) {
-    std::cerr << "yard-sweep: " << e.what() << "\n";
+    std::cerr << "corkward-sweep: " << e.what() << "\n";
     return 2;
   }
   if (vm.count("help") > 0) {
@@ -56,7 +56,7 @@
     return 0;
   }
   if (!deployment.empty() && deployment != "harmattan" && deployment != "lernkarten") {
-    std::cerr << "yard-sweep: no such deployment: " << deployment << "\n";
+    std::cerr << "corkward-sweep: no such deployment: " << deployment << "\n";
     return 2;
   }
   std::vector<Fault> faults;
@@ -68,7 +68,7 @@
         found = true;
       }
     if (!found) {
-      std::cerr << "yard-sweep: no such failure: " << n << "\n";
+      std::cerr << "corkward-sweep: no such failure: " << n << "\n";
       return 2;
     }
   }
@@ -86,7 +86,7 @@
           plan = only(seed, faults);
           plan.demand = 125;
           if (deployment == "lernkarten") {
-            plan.substations = 4;
+            plan.controllers = 4;
             plan.others = 4;
             plan.zones = 4;
             plan.demand = 140;
@@ -95,7 +95,7 @@
         if (withRegimes && faults.empty() && deployment.empty()) plan = regimes(seed);
         plan.regimes = withRegimes;
         plan.bound = !unbound;
-        if (nacelles > 0) plan.nacelles = nacelles;
+        if (routers > 0) plan.routers = routers;
         plan.traffic = traffic;
         if (demand > 0) plan.demand = demand;
         plan.surge = surge;
@@ -127,7 +127,7 @@
         }
         double const seconds = static_cast<double>(plan.length - 10000) / 1000.0;
         for (std::map<std::pair<std::string, std::string>, std::pair<std::size_t, std::size_t>>::value_type const& t : result.traffic) {
-          double const each = seconds * (t.first.first == "nacelle" ? plan.nacelles : plan.substations);
+          double const each = seconds * (t.first.first == transport::routerRole ? plan.routers : plan.controllers);
           std::cout << "seed " << seed << " traffic " << t.first.first << " " << t.first.second << " messages=" << static_cast<double>(t.second.first) / each
                     << " bytes=" << static_cast<double>(t.second.second) / each << "\n";
         }
@@ -157,6 +157,6 @@
   return bad == 0 ? 0 : 1;
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
 
-int main(int argc, char** argv) { return corkward::yard::sweep(argc, argv); }
+int main(int argc, char** argv) { return corkward::testing::sweep(argc, argv); }
--- a/yard/sim/world.cpp
+++ b/testing/sim/world.cpp
@@ -4,7 +4,7 @@
 
 #include "internal.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 Plan only(std::uint64_t seed, std::vector<Fault> faults) {
   Plan p;
@@ -18,7 +18,7 @@
   p.seed = seed;
   core::Rng rng(seed ^ 0xC0);
   if (rng.chance(0.5)) {
-    p.substations = 4;
+    p.controllers = 4;
     p.others = 4;
     p.zones = 4;
   }
@@ -39,7 +39,7 @@
   Plan p = chaos(seed, false);
   core::Rng rng(seed ^ 0x4E);
   p.regimes = true;
-  p.certifiedNacelles = rng.chance(0.5);
+  p.certifiedRouters = rng.chance(0.5);
   p.demand = 60;
   if (rng.chance(0.7)) p.faults.push_back(Fault::reuseAddress);
   if (rng.chance(0.5)) p.faults.push_back(Fault::breakStreams);
@@ -47,7 +47,7 @@
 }
 
 World::World(Plan plan) : plan_(std::move(plan)), rng_(plan_.seed), demandNow_(plan_.demand) {
-  for (int i = 1; i <= plan_.substations; ++i) {
+  for (int i = 1; i <= plan_.controllers; ++i) {
     Node n;
     n.link = "s" + std::to_string(i);
     n.zone = "z" + std::to_string(i % plan_.zones + 1);
@@ -55,7 +55,7 @@
     n.disk->lying = plan_.mutation == Mutation::lyingDisk;
     nodes_.emplace(n.link, std::move(n));
   }
-  for (int i = 1; i <= plan_.nacelles; ++i) {
+  for (int i = 1; i <= plan_.routers; ++i) {
     Node n;
     n.link = "n" + std::to_string(i);
     n.zone = "z" + std::to_string(i % plan_.zones + 1);
@@ -135,38 +135,38 @@
   n.writing = false;
   n.offset = static_cast<Tick>(rng_.below(1000000));
   n.rate = 1.0 + plan_.clockSpread * (static_cast<double>(rng_.below(400)) - 200.0) / 200.0;
-  signal::Contact self;
+  transport::Contact self;
   self.link = n.link;
   self.http = n.link + "-http";
   self.zone = n.zone;
   self.inc = static_cast<std::uint64_t>(std::max<Tick>(1, 1000000 + now_ + wallJump_));
   std::vector<std::string> const seeds{"s1", "s2", "s3"};
   if (n.disk) {
-    self.role = "substation";
+    self.role = transport::controllerRole;
     std::vector<std::string> founders;
     for (int i = 1; now_ == 0 && i <= plan_.founders; ++i) founders.push_back("s" + std::to_string(i));
-    substation::Tuning t;
-    t.mooring.replaceDarkAfter = plan_.replaceDarkAfter;
-    if (plan_.mutation == Mutation::neverGrow) t.mooring.mostMembers = 3;
+    control::Tuning t;
+    t.registers.replaceDarkAfter = plan_.replaceDarkAfter;
+    if (plan_.mutation == Mutation::neverGrow) t.registers.mostMembers = 3;
     if (plan_.mutation == Mutation::earlyAck) t.fenceMargin = -t.fence;
     if (plan_.mutation == Mutation::warmForever) t.warmLease = -1000000;
-    n.control = std::make_unique<substation::Plane>(self, "m" + std::to_string(rng_.next()), seeds, founders, rng_.next(), t);
-    n.ledger = std::make_unique<ledger::Ledger>(*n.disk, 20000);
+    n.control = std::make_unique<control::Controller>(self, "m" + std::to_string(rng_.next()), seeds, founders, rng_.next(), t);
+    n.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*n.disk, 20000);
     n.disk->full = false;
     n.disk->failing = false;
     n.diskStalled = false;
-    ledger::Recovered const got = n.ledger->recover();
+    storage::Recovered const got = n.writeAheadLog->recover();
     if (got.damaged) {
       ++result_.counts["ledger-damaged"];
       for (std::string const& name : n.disk->list())
         if (name.rfind("damaged-", 0) != 0) n.disk->rename(name, "damaged-" + std::to_string(now_) + "-" + name);
-      n.ledger = std::make_unique<ledger::Ledger>(*n.disk, 20000);
-      n.ledger->recover();
+      n.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*n.disk, 20000);
+      n.writeAheadLog->recover();
     }
     run(n, n.control->restore(got.slots, got.damaged, local(n)));
   } else {
-    self.role = "nacelle";
-    rotor::Tuning t;
+    self.role = transport::routerRole;
+    dataplane::Tuning t;
     if (plan_.mutation == Mutation::noFence || plan_.mutation == Mutation::forgetLeaving) t.confirmFor = 1000000000;
     if (plan_.mutation == Mutation::vouchTooSoon) t.ageMargin = -1000000000;
     if (plan_.mutation == Mutation::warmForever) t.warmLease = 1000000000;
@@ -177,7 +177,7 @@
       t.figures.firstPart = 1000;
       t.figures.calmFor = 1000000000;
     }
-    n.data = std::make_unique<rotor::Plane>(self, seeds, rng_.next(), t);
+    n.data = std::make_unique<dataplane::RequestRouter>(self, seeds, rng_.next(), t);
     run(n, n.data->started(local(n)));
   }
   std::string const link = n.link;
@@ -219,19 +219,19 @@
   if (n.disk) {
     if (!n.writes.empty() && rng_.chance(0.5)) {
       std::string bytes;
-      for (ledger::Record const& r : n.writes.front().first) bytes += ledger::frame(r);
+      for (storage::Record const& r : n.writes.front().first) bytes += storage::frame(r);
       n.disk->tear(bytes, rng_);
     }
     if (power) n.disk->powerLoss(rng_);
     n.writes.clear();
-    n.ledger.reset();
+    n.writeAheadLog.reset();
     n.control.reset();
     return;
   }
   n.data.reset();
   std::erase_if(idle_, [&](std::map<std::pair<std::string, std::string>, std::vector<Idle>>::value_type const& i) { return i.first.first == n.link; });
   std::vector<std::pair<std::string, std::uint64_t>> gone;
-  for (std::map<std::pair<std::string, std::uint64_t>, Relayed>::value_type const& r : relays_)
+  for (std::map<std::pair<std::string, std::uint64_t>, Forwarded>::value_type const& r : upstreams_)
     if (r.first.first == n.link) gone.push_back(r.first);
   for (std::pair<std::string, std::uint64_t> const& g : gone) {
     abandon(n, g.second);
@@ -267,32 +267,32 @@
   return !rng_.chance(loss_);
 }
 
-signal::Message World::mutated(signal::Message const& message) const {
+transport::Message World::mutated(transport::Message const& message) const {
   if (plan_.mutation != Mutation::forgetHints && plan_.mutation != Mutation::youngAges) return message;
-  signal::Message out = message;
-  signal::Touch* const t = std::get_if<signal::Touch>(&out);
+  transport::Message out = message;
+  transport::Touch* const t = std::get_if<transport::Touch>(&out);
   if (plan_.mutation == Mutation::youngAges) {
     if (t != nullptr) t->ages.assign(t->ages.size(), '\0');
     return out;
   }
   if (t != nullptr) t->hints.clear();
-  if (signal::Confirm* const c = std::get_if<signal::Confirm>(&out)) c->hints.clear();
+  if (transport::Confirm* const c = std::get_if<transport::Confirm>(&out)) c->hints.clear();
   return out;
 }
 
-void World::tally(std::string const& from, signal::Send const& s) {
+void World::tally(std::string const& from, transport::Send const& s) {
   if (!plan_.traffic || now_ < trafficFrom || now_ >= trafficFrom - 10000 + plan_.length) return;
-  std::pair<std::size_t, std::size_t>& t = result_.traffic[{node(from)->disk ? "substation" : "nacelle", signal::kind(s.message)}];
+  std::pair<std::size_t, std::size_t>& t = result_.traffic[{node(from)->disk ? transport::controllerRole : transport::routerRole, transport::kind(s.message)}];
   ++t.first;
-  t.second += signal::pack(signal::Envelope{from, s.message}).size();
+  t.second += transport::pack(transport::Envelope{from, s.message}).size();
 }
 
-void World::send(std::string const& from, signal::Send const& s) {
+void World::send(std::string const& from, transport::Send const& s) {
   ++result_.counts["messages"];
   tally(from, s);
   Node const* const to = node(s.to);
   if (to == nullptr || !to->alive || !passes(from, s.to)) return;
-  if (plan_.mutation == Mutation::forgetHints && std::holds_alternative<signal::Hint>(s.message)) return;
+  if (plan_.mutation == Mutation::forgetHints && std::holds_alternative<transport::Hint>(s.message)) return;
   std::uint64_t const life = to->life;
   int const copies = rng_.chance(duplication_) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
@@ -312,24 +312,24 @@
   }
 }
 
-void World::run(Node& n, substation::Commands&& c) {
+void World::run(Node& n, control::Commands&& c) {
   std::string const link = n.link;
   std::uint64_t const life = n.life;
   if (!c.persists.empty()) {
-    std::pair<std::vector<ledger::Record>, std::vector<std::uint64_t>> write;
-    for (mooring::Persist const& p : c.persists) {
-      write.first.push_back(ledger::Record{p.key, p.payload});
+    std::pair<std::vector<storage::Record>, std::vector<std::uint64_t>> write;
+    for (consensus::Persist const& p : c.persists) {
+      write.first.push_back(storage::Record{p.key, p.payload});
       write.second.push_back(p.ticket);
     }
     n.writes.push_back(std::move(write));
     disk(n);
   }
-  for (core::Note const& note : c.notes)
-    if (note.event.find("member") != std::string::npos || note.event == "struck-off") ++result_.counts[note.event];
-  for (core::Note const& note : c.notes)
-    if (note.event == "absurd-message") violation("two values under one stamp at " + link);
-  for (signal::Send const& s : c.sends) send(link, s);
-  for (substation::Answer const& a : c.answers) {
+  for (core::LogEvent const& logEvent : c.logEvents)
+    if (logEvent.event.find("member") != std::string::npos || logEvent.event == "struck-off") ++result_.counts[logEvent.event];
+  for (core::LogEvent const& logEvent : c.logEvents)
+    if (logEvent.event == "absurd-message") violation("two values under one revision at " + link);
+  for (transport::Send const& s : c.sends) send(link, s);
+  for (control::Answer const& a : c.answers) {
     std::map<std::pair<std::string, std::uint64_t>, std::function<void(int, QJsonObject const&)>>::iterator const it =
         answers_.find({link, a.token});
     if (it == answers_.end()) continue;
@@ -361,12 +361,12 @@
     if (m == nullptr || !m->alive || m->life != life) return;
     m->writing = false;
     if (m->diskStalled || m->writes.empty()) return;
-    std::pair<std::vector<ledger::Record>, std::vector<std::uint64_t>> const write = std::move(m->writes.front());
+    std::pair<std::vector<storage::Record>, std::vector<std::uint64_t>> const write = std::move(m->writes.front());
     m->writes.pop_front();
     bool ok = true;
     try {
-      m->ledger->write(write.first);
-    } catch (ledger::Error const&) {
+      m->writeAheadLog->write(write.first);
+    } catch (storage::Error const&) {
       ok = false;
     }
     toNode(link, life, [this, link, write, ok] {
@@ -379,31 +379,31 @@
   });
 }
 
-void World::run(Node& n, rotor::Commands&& c) {
-  for (signal::Send const& s : c.sends) send(n.link, s);
-  for (rotor::CallCommand const& v : c.calls) {
-    if (rotor::Connect const* const m = std::get_if<rotor::Connect>(&v)) {
+void World::run(Node& n, dataplane::Commands&& c) {
+  for (transport::Send const& s : c.sends) send(n.link, s);
+  for (dataplane::CallCommand const& v : c.calls) {
+    if (dataplane::Connect const* const m = std::get_if<dataplane::Connect>(&v)) {
       connect(n, *m);
-    } else if (rotor::HandOver const* const h = std::get_if<rotor::HandOver>(&v)) {
+    } else if (dataplane::HandOver const* const h = std::get_if<dataplane::HandOver>(&v)) {
       handOver(n, h->call);
-    } else if (rotor::Record const* const w = std::get_if<rotor::Record>(&v)) {
+    } else if (dataplane::Record const* const w = std::get_if<dataplane::Record>(&v)) {
       ++result_.counts["records"];
-      std::map<std::pair<std::string, std::uint64_t>, Relayed>::iterator const it = relays_.find({n.link, w->call});
-      bool const before = w->happened == rotor::Happened::handedOver || w->happened == rotor::Happened::resumed;
-      if (it != relays_.end() && before && plan_.mutation != Mutation::unrecorded) it->second.recorded = w->life;
-    } else if (rotor::Abandon const* const a = std::get_if<rotor::Abandon>(&v)) {
+      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({n.link, w->call});
+      bool const before = w->happened == dataplane::Happened::handedOver || w->happened == dataplane::Happened::resumed;
+      if (it != upstreams_.end() && before && plan_.mutation != Mutation::unrecorded) it->second.recorded = w->life;
+    } else if (dataplane::Abandon const* const a = std::get_if<dataplane::Abandon>(&v)) {
       abandon(n, a->call);
-    } else if (rotor::Deny const* const d = std::get_if<rotor::Deny>(&v)) {
+    } else if (dataplane::Reject const* const d = std::get_if<dataplane::Reject>(&v)) {
       std::string const id = callerOf_[{n.link, d->call}];
-      rotor::Deny deny = *d;
-      if (plan_.mutation == Mutation::sayNotRun && deny.status == 502) deny.notRun = true;
+      dataplane::Reject reject = *d;
+      if (plan_.mutation == Mutation::sayNotRun && reject.status == 502) reject.notRun = true;
       abandon(n, d->call);
       streams_.erase({n.link, d->call});
-      after(1, [this, id, deny, link = n.link] {
+      after(1, [this, id, reject, link = n.link] {
         std::map<std::string, Caller>::const_iterator const it = callers_.find(id);
-        if (it != callers_.end() && it->second.open && it->second.call == deny.call && it->second.node == link) callerDenied(id, deny);
+        if (it != callers_.end() && it->second.open && it->second.call == reject.call && it->second.node == link) callerRejected(id, reject);
       });
-    } else if (rotor::Abort const* const b = std::get_if<rotor::Abort>(&v)) {
+    } else if (dataplane::Abort const* const b = std::get_if<dataplane::Abort>(&v)) {
       std::string const id = callerOf_[{n.link, b->call}];
       abandon(n, b->call);
       streams_.erase({n.link, b->call});
@@ -471,4 +471,4 @@
   return result_;
 }
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/sim/world.h
+++ b/testing/sim/world.h
@@ -10,30 +10,30 @@
 #include <string>
 #include <vector>
 
-#include <corkward/rotor/plane.h>
-#include <corkward/rotor/stream.h>
-#include <corkward/substation/plane.h>
+#include <corkward/dataplane/request_router.h>
+#include <corkward/dataplane/stream.h>
+#include <corkward/control/controller.h>
 
 #include "body.h"
 #include "disk.h"
 
-namespace corkward::yard {
+namespace corkward::testing {
 
 using core::Tick;
 
 /// Failures of the brief that a run may cause.
 enum class Fault {
-  killNacelle,
+  killRouter,
   killHerd,
   killControl,
   killAll,
-  freezeNacelle,
-  freezeSubstation,
+  freezeRouter,
+  freezeController,
   isolateMember,
   splitCore,
   cutCore,
   cutZone,
-  isolateNacelle,
+  isolateRouter,
   oneWayCut,
   diskSlow,
   diskStall,
@@ -53,8 +53,8 @@
   hardRetries,
   rollReplicas,
   coldReplicas,
-  restartNacelle,
-  restartSubstation,
+  restartRouter,
+  restartController,
   changeStorm,
   races,
   bigTemplate,
@@ -67,8 +67,8 @@
   flapReplicas,
   resetConnections,
   forgetConnections,
-  slowNacelle,
-  slowSubstation,
+  slowRouter,
+  slowController,
   scaleOut,
   zoneLoss,
   shiftLengths,
@@ -80,17 +80,17 @@
   char const* name;
 };
 
-inline constexpr FaultRow faultTable[] = {{Fault::killNacelle, "kill-nacelle"},
+inline constexpr FaultRow faultTable[] = {{Fault::killRouter, "kill-router"},
                                           {Fault::killHerd, "kill-herd"},
                                           {Fault::killControl, "kill-control"},
                                           {Fault::killAll, "kill-all"},
-                                          {Fault::freezeNacelle, "freeze-nacelle"},
-                                          {Fault::freezeSubstation, "freeze-substation"},
+                                          {Fault::freezeRouter, "freeze-router"},
+                                          {Fault::freezeController, "freeze-controller"},
                                           {Fault::isolateMember, "isolate-member"},
                                           {Fault::splitCore, "split-core"},
                                           {Fault::cutCore, "cut-core"},
                                           {Fault::cutZone, "cut-zone"},
-                                          {Fault::isolateNacelle, "isolate-nacelle"},
+                                          {Fault::isolateRouter, "isolate-router"},
                                           {Fault::oneWayCut, "one-way-cut"},
                                           {Fault::diskSlow, "disk-slow"},
                                           {Fault::diskStall, "disk-stall"},
@@ -110,8 +110,8 @@
                                           {Fault::hardRetries, "hard-retries"},
                                           {Fault::rollReplicas, "roll-replicas"},
                                           {Fault::coldReplicas, "cold-replicas"},
-                                          {Fault::restartNacelle, "restart-nacelle"},
-                                          {Fault::restartSubstation, "restart-substation"},
+                                          {Fault::restartRouter, "restart-router"},
+                                          {Fault::restartController, "restart-controller"},
                                           {Fault::changeStorm, "change-storm"},
                                           {Fault::races, "races"},
                                           {Fault::bigTemplate, "big-template"},
@@ -124,8 +124,8 @@
                                           {Fault::flapReplicas, "flap-replicas"},
                                           {Fault::resetConnections, "reset-connections"},
                                           {Fault::forgetConnections, "forget-connections"},
-                                          {Fault::slowNacelle, "slow-nacelle"},
-                                          {Fault::slowSubstation, "slow-substation"},
+                                          {Fault::slowRouter, "slow-router"},
+                                          {Fault::slowController, "slow-controller"},
                                           {Fault::scaleOut, "scale-out"},
                                           {Fault::zoneLoss, "zone-loss"},
                                           {Fault::shiftLengths, "shift-lengths"},
@@ -142,7 +142,7 @@
   warmForever,
   lyingDisk,
   rewriteIfMatch,
-  denyAccepted,
+  rejectAccepted,
   dropOnRestart,
   noReturn,
   forgetLeaving,
@@ -166,12 +166,12 @@
 /// Sizes and failures of one run; everything else follows from the seed.
 struct Plan {
   std::uint64_t seed = 1;
-  int substations = 3;
-  /// The first so many substations found the cohort at their first start; nobody is told of founders later.
+  int controllers = 3;
+  /// The first so many controllers found the membership at their first start; nobody is told of founders later.
   int founders = 3;
-  /// See mooring::Tuning.
+  /// See consensus::Tuning.
   Tick replaceDarkAfter = 20000;
-  int nacelles = 8;
+  int routers = 8;
   int models = 9;
   int others = 3;
   int zones = 3;
@@ -185,7 +185,7 @@
   Mutation mutation = Mutation::none;
   /// Whole pool, fewest in flight: the plain variant for comparisons.
   bool plain = false;
-  governor::Figures figures = governor::figures;
+  scaling::Figures figures = scaling::figures;
   int prefixes = 40;
   /// How far a clock's rate may be from the true one; two clocks differ by up to twice as much.
   double clockSpread = 0.002;
@@ -196,8 +196,8 @@
   bool regimes = false;
   /// False: all of that but the tenant's regime, for comparisons.
   bool bound = true;
-  /// Nacelles need certificates, too; those in the last zone have none, ever.
-  bool certifiedNacelles = false;
+  /// Routers need certificates, too; those in the last zone have none, ever.
+  bool certifiedRouters = false;
   /// Messages are packed and counted, by kind and by the role of the sender; costs time.
   bool traffic = false;
 };
@@ -243,11 +243,11 @@
     Tick offset = 0;
     double rate = 1.0;
     std::deque<std::function<void()>> inbox;
-    std::unique_ptr<substation::Plane> control;
-    std::unique_ptr<rotor::Plane> data;
+    std::unique_ptr<control::Controller> control;
+    std::unique_ptr<dataplane::RequestRouter> data;
     std::unique_ptr<SimDisk> disk;
-    std::unique_ptr<ledger::Ledger> ledger;
-    std::deque<std::pair<std::vector<ledger::Record>, std::vector<std::uint64_t>>> writes;
+    std::unique_ptr<storage::WriteAheadLog> writeAheadLog;
+    std::deque<std::pair<std::vector<storage::Record>, std::vector<std::uint64_t>>> writes;
     bool writing = false;
     Tick diskDelay = 2;
     bool diskStalled = false;
@@ -325,12 +325,12 @@
     int status = 0;
     std::string got;
   };
-  using Fed = std::function<rotor::StreamSteps(rotor::Stream&)>;
-  struct Relayed {
+  using Fed = std::function<dataplane::StreamSteps(dataplane::Stream&)>;
+  struct Forwarded {
     std::string address;
     std::string run;
     std::string caller;
-    rotor::Connect connect;
+    dataplane::Connect connect;
     std::uint64_t turn = 0;
     /// On a kept connection, which the replica has forgotten, and which was idle for long.
     bool kept = false;
@@ -356,7 +356,7 @@
     std::string mark;
     std::string what;
     int status = 0;
-    std::uint64_t stamp = 0;
+    std::uint64_t revision = 0;
     bool inForce = false;
     bool pending = false;
     Tick sentAt = 0;
@@ -367,7 +367,7 @@
   void after(Tick delay, std::function<void()> act) { at(now_ + delay, std::move(act)); }
   Tick local(Node const& n) const;
   Node* node(std::string const& link);
-  /// Whether a majority of the nacelles has run without a break since before that time.
+  /// Whether a majority of the routers has run without a break since before that time.
   bool mostLiveSince(Tick since) const;
   void toNode(std::string const& link, std::uint64_t life, std::function<void()> act);
   void boot(Node& n);
@@ -378,16 +378,16 @@
   void unslow(Node& n);
   void tick(Node& n);
   void clock(std::string const& link, std::uint64_t life);
-  void send(std::string const& from, signal::Send const& s);
-  void tally(std::string const& from, signal::Send const& s);
+  void send(std::string const& from, transport::Send const& s);
+  void tally(std::string const& from, transport::Send const& s);
   bool passes(std::string const& from, std::string const& to);
-  void run(Node& n, substation::Commands&& c);
-  void run(Node& n, rotor::Commands&& c);
+  void run(Node& n, control::Commands&& c);
+  void run(Node& n, dataplane::Commands&& c);
   void disk(Node& n);
-  void connect(Node& n, rotor::Connect m);
+  void connect(Node& n, dataplane::Connect m);
   void handOver(Node& n, std::uint64_t call);
   void abandon(Node& n, std::uint64_t call);
-  void reach(Node& n, std::uint64_t life, std::uint64_t call, Replica& r, rotor::Connect const& m);
+  void reach(Node& n, std::uint64_t life, std::uint64_t call, Replica& r, dataplane::Connect const& m);
   void serveNext(Replica& r);
   void emit(std::string const& address, std::uint64_t life, std::string const& name, int k, int words);
   /// An event of a replica's connection on its way to the node: in order, late across a cut, never for a closed connection.
@@ -412,7 +412,7 @@
   void callerSends(std::string const& id);
   /// A caller that retries hard comes back although it was not told to.
   bool again(Caller& c);
-  void callerDenied(std::string const& id, rotor::Deny const& d);
+  void callerRejected(std::string const& id, dataplane::Reject const& d);
   void callerCut(std::string const& id);
   void callerEnds(std::string const& id, std::string const& outcome);
   void operatorTurn();
@@ -429,28 +429,28 @@
   void certificateTurn();
   void watchLives();
   /// A request of that instance has reached the replica: may it?
-  void judgeRegime(Caller const& caller, Node const& from, Replica const& r, Relayed const& relayed);
+  void checkRegime(Caller const& caller, Node const& from, Replica const& r, Forwarded const& forwarded);
   /// Opens a connection that stands once the replica has named its life.
-  void nameLife(Node& n, rotor::Connect const& m);
+  void nameLife(Node& n, dataplane::Connect const& m);
   /// Whether what the caller has so far is one run's, or one row of events, from the first on without gap or repeat.
   bool oneBody(Caller const& caller) const;
   void change(std::string const& key, std::string const& what, std::string const& method, std::string const& path, std::string const& body,
               std::string const& ifMatch, std::string const& mark, std::function<void(int, QJsonObject const&)> then = {});
   void putTemplate(std::string const& ifMatch, int extraPaths, std::function<void(int, QJsonObject const&)> then = {});
   void platform();
-  /// Shows a list to a substation and to two nacelles, again and again until it is acknowledged or overtaken.
+  /// Shows a list to a controller and to two routers, again and again until it is acknowledged or overtaken.
   void showList(std::string const& pool, std::uint64_t generation, std::vector<std::string> const& leaving, std::string const& body);
   /// The message as the plan's mutation leaves it.
-  signal::Message mutated(signal::Message const& message) const;
+  transport::Message mutated(transport::Message const& message) const;
   void cause(Fault f);
   void replaceReplica(std::string const& address);
   void heal();
   void watch();
   void finalChecks();
   void violation(std::string const& what);
-  std::string someSubstation();
+  std::string someController();
   int live(bool control) const;
-  /// Every disk is up, votes, and knows a cohort of all of them: one may be lost.
+  /// Every disk is up, votes, and knows a membership of all of them: one may be lost.
   bool wholeCore() const;
 
   Plan plan_;
@@ -473,8 +473,8 @@
   double loss_ = 0;
   double duplication_ = 0;
   Tick wallJump_ = 0;
-  std::map<std::pair<std::string, std::uint64_t>, Relayed> relays_;
-  std::map<std::pair<std::string, std::uint64_t>, rotor::Stream> streams_;
+  std::map<std::pair<std::string, std::uint64_t>, Forwarded> upstreams_;
+  std::map<std::pair<std::string, std::uint64_t>, dataplane::Stream> streams_;
   std::map<std::string, Caller> callers_;
   std::map<std::pair<std::string, std::uint64_t>, std::string> callerOf_;
   std::uint64_t nextCall_ = 1;
@@ -493,10 +493,10 @@
   std::vector<Change> changes_;
   std::map<std::string, std::pair<Tick, bool>> zoneShown_;
   std::map<std::pair<std::string, std::uint64_t>, std::function<void(int, QJsonObject const&)>> answers_;
-  std::string lastStamp_;
+  std::string lastRevision_;
   std::string lastMark_;
   std::map<std::string, std::vector<std::string>> runsOf_;
-  std::set<std::pair<std::string, std::uint64_t>> deniedNotRun_;
+  std::set<std::pair<std::string, std::uint64_t>> rejectedNotRun_;
   std::set<std::pair<std::string, std::uint64_t>> ranAttempts_;
   std::deque<Tick> firsts_;
   std::deque<Tick> repeats_;
@@ -507,7 +507,7 @@
   int grown_ = 0;
   bool totalOutage_ = false;
   std::map<std::string, int> seenKinds_;
-  std::string certificateStamp_ = "0";
+  std::string certificateRevision_ = "0";
   /// Changes of each certificate, as they were sent.
   std::map<std::string, std::uint64_t> certificateTurns_;
   /// Certificates that are out of force for certain, since when.
@@ -528,4 +528,4 @@
 /// A plan that causes the named failures alone.
 Plan only(std::uint64_t seed, std::vector<Fault> faults);
 
-}  // namespace corkward::yard
+}  // namespace corkward::testing
--- a/yard/test/capacity_page_test.py
+++ b/testing/test/capacity_page_test.py
@@ -1,4 +1,4 @@
-"""Tests of the capacity page's tables: python3 yard/test/capacity_page_test.py"""
+"""Tests of the capacity page's tables: python3 testing/test/capacity_page_test.py"""
 
 import pathlib
 import sys
@@ -41,22 +41,22 @@
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
 
-    def figures(self, text="# yard-capacity --part rest\nmeasure,role,unit,kind,of,size,value\nm,nacelle,bytes,counted,nodes,10,100\nm,nacelle,bytes,counted,nodes,20,300\n"):
+    def figures(self, text="# corkward-capacity --part rest\nmeasure,role,unit,kind,of,size,value\nm,router,bytes,counted,nodes,10,100\nm,router,bytes,counted,nodes,20,300\n"):
         (pathlib.Path(self.folder.name) / "run.csv").write_text(text)
         return tables.Figures(pathlib.Path(self.folder.name))
 
     def test_values_between_and_past_the_sizes(self):
         f = self.figures()
-        self.assertEqual(f.at("run", "m", "nacelle", "bytes", 10), 100)
-        self.assertEqual(f.at("run", "m", "nacelle", "bytes", 15), 200)
-        self.assertEqual(f.at("run", "m", "nacelle", "bytes", 30), 500)
+        self.assertEqual(f.at("run", "m", "router", "bytes", 10), 100)
+        self.assertEqual(f.at("run", "m", "router", "bytes", 15), 200)
+        self.assertEqual(f.at("run", "m", "router", "bytes", 30), 500)
 
     def test_what_is_not_recorded_is_never_taken_for_nothing(self):
         f = self.figures()
         with self.assertRaises(ValueError):
-            f.at("run", "absent", "nacelle", "bytes", 30)
+            f.at("run", "absent", "router", "bytes", 30)
         with self.assertRaises(ValueError):
-            f.only("run", "m", "nacelle", "bytes")
+            f.only("run", "m", "router", "bytes")
 
     def test_figures_without_their_command_are_denied(self):
         with self.assertRaises(ValueError):
@@ -72,7 +72,7 @@
         self.assertEqual(tables.made(self.page, self.figures), self.page)
 
     def test_a_changed_figure_shows(self):
-        key = ("rest-nodes", "sent.all", "nacelle", "bytes/s")
+        key = ("rest-nodes", "sent.all", "router", "bytes/s")
         self.figures.points[key] = [(x, 3 * y) for x, y in self.figures.points[key]]
         self.assertNotEqual(tables.made(self.page, self.figures), self.page)
 
--- a/yard/test/capacity_test.cpp
+++ b/testing/test/capacity_test.cpp
@@ -7,9 +7,9 @@
 #include "parts.h"
 #include "rig.h"
 
-namespace capacity = corkward::yard::capacity;
+namespace capacity = corkward::testing::capacity;
 namespace core = corkward::core;
-namespace signal = corkward::signal;
+namespace transport = corkward::transport;
 
 namespace {
 
@@ -20,7 +20,7 @@
 };
 
 Outcome rig(std::vector<std::string> const& words) {
-  std::vector<char const*> argv{"yard-capacity"};
+  std::vector<char const*> argv{"corkward-capacity"};
   for (std::string const& w : words) argv.push_back(w.c_str());
   std::ostringstream out;
   std::ostringstream errors;
@@ -111,10 +111,10 @@
 TEST_CASE("each size of a sweep gives its rows") {
   Outcome const o = rig({"--part", "rest", "--sweep", "nodes=2,3", "--control", "1", "--tenants", "2", "--seconds", "1"});
   REQUIRE(o.code == 0);
-  CHECK(o.out.rfind("# yard-capacity --part rest --sweep nodes=2,3", 0) == 0);
+  CHECK(o.out.rfind("# corkward-capacity --part rest --sweep nodes=2,3", 0) == 0);
   CHECK(o.out.find("\nmeasure,role,unit,kind,of,size,value\n") != std::string::npos);
-  CHECK(o.out.find("\nstanding,nacelle,share,counted,nodes,2,1\n") != std::string::npos);
-  CHECK(o.out.find("\nstanding,nacelle,share,counted,nodes,3,1\n") != std::string::npos);
+  CHECK(o.out.find("\nstanding,router,share,counted,nodes,2,1\n") != std::string::npos);
+  CHECK(o.out.find("\nstanding,router,share,counted,nodes,3,1\n") != std::string::npos);
 }
 
 TEST_CASE("what all send is what all take, and the duties add up") {
@@ -125,8 +125,8 @@
   capacity::Rows const rows = capacity::findPart("rest")->run(sizes);
   double sent = 0;
   double taken = 0;
-  for (char const* const role : {"nacelle", "substation"}) {
-    double const n = static_cast<double>(role == std::string("nacelle") ? sizes.nodes : sizes.control);
+  for (char const* const role : {"router", "controller"}) {
+    double const n = static_cast<double>(role == std::string("router") ? sizes.nodes : sizes.control);
     double const all = valueOf(rows, "sent.all", role, "bytes/s");
     double duties = 0;
     for (capacity::Row const& r : rows)
@@ -137,8 +137,8 @@
   }
   CHECK(sent > 0);
   CHECK(taken == Approx(sent).epsilon(0.02));
-  CHECK(valueOf(rows, "disk", "substation", "bytes/s") > 0);
-  CHECK(valueOf(rows, "sent.news", "substation", "bytes/s") > 0);
+  CHECK(valueOf(rows, "disk", "controller", "bytes/s") > 0);
+  CHECK(valueOf(rows, "sent.news", "controller", "bytes/s") > 0);
 }
 
 TEST_CASE("the links that a node holds stop growing with the fleet") {
@@ -148,7 +148,7 @@
   std::map<std::int64_t, double> held;
   for (std::int64_t const nodes : {16, 64, 128}) {
     sizes.nodes = nodes;
-    held[nodes] = valueOf(capacity::findPart("links")->run(sizes), "links.held", "nacelle", "links");
+    held[nodes] = valueOf(capacity::findPart("links")->run(sizes), "links.held", "router", "links");
   }
   CAPTURE(held[16], held[64], held[128]);
   CHECK(held[16] < 18);
@@ -160,7 +160,7 @@
   capacity::Rows const rows = capacity::findPart("change")->run(small());
   CHECK(valueOf(rows, "answered", "operator", "share") == 1);
   CHECK(valueOf(rows, "in_force.most", "operator", "ms") > 0);
-  CHECK(valueOf(rows, "everywhere.most", "nacelle", "ms") > 0);
+  CHECK(valueOf(rows, "everywhere.most", "router", "ms") > 0);
 }
 
 TEST_CASE("a hollow fleet goes by what passes between its processes") {
@@ -171,9 +171,9 @@
   fleet.configure();
   REQUIRE(fleet.startNodes());
   fleet.run(4000);
-  REQUIRE(fleet.standing() == 4);
+  REQUIRE(fleet.servingLease() == 4);
   for (std::size_t i = fleet.firstNode(); i < fleet.processes().size(); ++i) fleet.kill(i);
-  CHECK(fleet.standing() == 0);
+  CHECK(fleet.servingLease() == 0);
   CHECK(fleet.alive(false) == 0);
   std::uint64_t const token = fleet.change(0, 0);
   CHECK_FALSE(fleet.answer(token).has_value());
@@ -184,12 +184,12 @@
 }
 
 TEST_CASE("messages count for the duty they are for") {
-  CHECK(capacity::dutyOf(signal::Shuffle{}) == "shuffles");
-  CHECK(capacity::dutyOf(signal::Beat{}) == "beats");
-  CHECK(capacity::dutyOf(signal::Holding{}) == "holdings");
-  signal::News news;
+  CHECK(capacity::dutyOf(transport::Shuffle{}) == "shuffles");
+  CHECK(capacity::dutyOf(transport::Heartbeat{}) == "beats");
+  CHECK(capacity::dutyOf(transport::Holding{}) == "holdings");
+  transport::News news;
   CHECK(capacity::dutyOf(news) == "news");
-  news.items.push_back(signal::Item{"family:desk", 1, {}});
+  news.items.push_back(transport::Item{"family:desk", 1, {}});
   CHECK(capacity::dutyOf(news) == "news");
   news.items.front().key = "roster";
   CHECK(capacity::dutyOf(news) == "roster");
@@ -215,13 +215,13 @@
   sizes.sessions = 300;
   sizes.prefixes = 400;
   capacity::Rows const rows = capacity::findPart("state")->run(sizes);
-  CHECK(valueOf(rows, "held.ids", "nacelle", "ids") == 300);
-  CHECK(valueOf(rows, "held.credits", "nacelle", "credits") == 4);
-  CHECK(valueOf(rows, "held.prefixes", "nacelle", "prefixes") == 400);
-  CHECK(valueOf(rows, "calls", "nacelle", "bytes") > 200 * 100);
+  CHECK(valueOf(rows, "held.ids", "router", "ids") == 300);
+  CHECK(valueOf(rows, "held.credits", "router", "credits") == 4);
+  CHECK(valueOf(rows, "held.prefixes", "router", "prefixes") == 400);
+  CHECK(valueOf(rows, "calls", "router", "bytes") > 200 * 100);
   sizes.calls = 5;
   capacity::Rows const costs = capacity::findPart("cost")->run(sizes);
-  CHECK(valueOf(costs, "in_hand", "nacelle", "calls") == 5);
-  CHECK(valueOf(costs, "request", "nacelle", "us") > 0);
-  CHECK(valueOf(costs, "piece.passed", "nacelle", "bytes") == 32);
+  CHECK(valueOf(costs, "in_hand", "router", "calls") == 5);
+  CHECK(valueOf(costs, "request", "router", "us") > 0);
+  CHECK(valueOf(costs, "piece.passed", "router", "bytes") == 32);
 }
--- a/yard/test/fleet_test.cpp
+++ b/testing/test/fleet_test.cpp
@@ -10,25 +10,25 @@
 #include <corkward/core/json.h>
 
 #include "chaos.h"
-#include <corkward/door/server.h>
+#include <corkward/http/server.h>
 
 #include "fleet.h"
 #include "traffic.h"
 
 namespace core = corkward::core;
-namespace door = corkward::door;
-namespace yard = corkward::yard;
+namespace http = corkward::http;
+namespace testing = corkward::testing;
 
 namespace {
 
-/// Exit codes of `corkward`: the substations ask to come back, or none answers.
+/// Exit codes of `corkward`: the controllers ask to come back, or none answers.
 constexpr int comeBack = 5;
 constexpr int nobody = 7;
 
-yard::Deployment const& named(std::string const& name) {
-  for (yard::Deployment const& d : yard::deployments)
+testing::Deployment const& named(std::string const& name) {
+  for (testing::Deployment const& d : testing::deployments)
     if (name == d.name) return d;
-  throw yard::FleetError("no deployment " + name);
+  throw testing::FleetError("no deployment " + name);
 }
 
 /// One application for all tests of the program.
@@ -37,16 +37,16 @@
   static QCoreApplication app(argc, nullptr);
 }
 
-void bringUp(yard::Fleet& fleet) {
+void bringUp(testing::Fleet& fleet) {
   fleet.startAll();
-  fleet.until("ready substations", [&] {
-    for (yard::Node& n : fleet.substations())
+  fleet.until("ready controllers", [&] {
+    for (testing::Node& n : fleet.controllers())
       if (fleet.get(n.http, "/readyz").status != 200) return false;
     return true;
   });
   fleet.giveLists();
-  fleet.loadBlueprints();
-  fleet.untilReady(fleet.nacelles().size());
+  fleet.loadConfigurations();
+  fleet.untilReady(fleet.routers().size());
 }
 
 struct Raw {
@@ -55,8 +55,8 @@
 };
 
 /// Sends bytes as they are and waits for the end of the connection or for the words.
-Raw raw(yard::Fleet& fleet, std::string const& address, std::string const& bytes, std::string const& words) {
-  std::pair<std::string, std::uint16_t> const at = door::splitAddress(address);
+Raw raw(testing::Fleet& fleet, std::string const& address, std::string const& bytes, std::string const& words) {
+  std::pair<std::string, std::uint16_t> const at = http::splitAddress(address);
   QTcpSocket socket;
   Raw out;
   socket.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
@@ -82,20 +82,20 @@
   return n;
 }
 
-std::size_t runsOf(yard::Fleet& fleet, std::string const& id) {
+std::size_t runsOf(testing::Fleet& fleet, std::string const& id) {
   std::size_t n = 0;
-  for (yard::Node const& r : fleet.replicas()) n += linesWith(r.record, " " + id + " ");
+  for (testing::Node const& r : fleet.replicas()) n += linesWith(r.record, " " + id + " ");
   return n;
 }
 
-void soundly(yard::Report const& report) {
+void soundly(testing::Report const& report) {
   CHECK(report.runTwice == 0);
   CHECK(report.badBodies == 0);
-  CHECK(report.deniedButRan == 0);
+  CHECK(report.rejectedButRan == 0);
   CHECK(report.outcomes.count("served") == 1);
 }
 
-void drainTraffic(yard::Fleet& fleet, yard::Traffic& traffic) {
+void drainTraffic(testing::Fleet& fleet, testing::Traffic& traffic) {
   traffic.stopCalling();
   fleet.until("the last answers", [&] { return traffic.open() == 0; }, 90000);
 }
@@ -104,26 +104,26 @@
 
 TEST_CASE("bad input gets a definite answer, changes nothing and takes no process down", "[input]") {
   application();
-  yard::Fleet fleet(named("small"));
+  testing::Fleet fleet(named("small"));
   bringUp(fleet);
-  yard::Node& sub = fleet.firstSubstation();
-  yard::Node& nac = fleet.nacelles().front();
+  testing::Node& sub = fleet.firstController();
+  testing::Node& nac = fleet.routers().front();
   std::string const t = "/v1/templates/fault-desk";
-  yard::Reply const before = fleet.call(sub, "GET", t);
+  testing::Reply const before = fleet.call(sub, "GET", t);
   REQUIRE(before.status == 200);
-  std::string const stamp = std::to_string(before.body.value("stamp").toInteger());
+  std::string const revision = std::to_string(before.body.value("stamp").toInteger());
   constexpr char const* good = R"({"paths":[{"path":"a","pool":"model","class":"short"}]})";
-  CHECK(fleet.call(sub, "PUT", t, "{", stamp).status == 400);
-  CHECK(fleet.call(sub, "PUT", t, R"({"paths":[]})", stamp).status == 422);
-  CHECK(fleet.call(sub, "PUT", t, R"({"surprise":1})", stamp).body.value("pointer").toString() == "/template/surprise");
+  CHECK(fleet.call(sub, "PUT", t, "{", revision).status == 400);
+  CHECK(fleet.call(sub, "PUT", t, R"({"paths":[]})", revision).status == 422);
+  CHECK(fleet.call(sub, "PUT", t, R"({"surprise":1})", revision).body.value("pointer").toString() == "/template/surprise");
   CHECK(fleet.call(sub, "PUT", t, good).status == 428);
   CHECK(fleet.call(sub, "PUT", t, good, "12345").status == 412);
-  CHECK(fleet.call(sub, "PUT", t, std::string(3 << 20, ' '), stamp).status == 413);
+  CHECK(fleet.call(sub, "PUT", t, std::string(3 << 20, ' '), revision).status == 413);
   CHECK(fleet.call(sub, "PUT", t + "/instances/neu", R"({"parameters":{}})", "0").status == 422);
   CHECK(fleet.call(sub, "PUT", t + "/instances/neu", R"({"parameters":{"site":"x","extra":1}})", "0").status == 422);
   CHECK(fleet.call(sub, "PUT", "/v1/templates/none/instances/neu", "{}", "0").status == 404);
   CHECK(fleet.call(sub, "GET", "/v1/templates/none").status == 404);
-  CHECK(fleet.call(sub, "DELETE", t, "", stamp).status == 422);
+  CHECK(fleet.call(sub, "DELETE", t, "", revision).status == 422);
   CHECK(fleet.call(sub, "POST", t, "{}").status == 405);
   CHECK(fleet.call(sub, "GET", "/v1/nowhere").status == 404);
   CHECK(fleet.call(sub, "PUT", "/v1/platform/pools/model", R"({"generation":1,"replicas":[]})").status == 409);
@@ -146,7 +146,7 @@
   CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Attempt: zero\r\n", "{}"), "outcome").got.find(" 400 ") != std::string::npos);
   CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Attempt: 2\r\n", "{}"), "outcome").got.find(" 409 ") != std::string::npos);
   {
-    std::pair<std::string, std::uint16_t> const at = door::splitAddress(nac.http);
+    std::pair<std::string, std::uint16_t> const at = http::splitAddress(nac.http);
     QTcpSocket cut;
     cut.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
     cut.write("POST /v1/fault-desk.nord/pitch HTTP/1.1\r\nCorkward-Request-Id: truncated\r\nContent-Length: 100\r\n\r\nhalf");
@@ -154,9 +154,9 @@
     cut.disconnectFromHost();
   }
   core::Rng rng(7);
-  for (yard::Node const* const n : {&sub, &nac})
+  for (testing::Node const* const n : {&sub, &nac})
     for (int i = 0; i < 20; ++i) {
-      std::pair<std::string, std::uint16_t> const at = door::splitAddress(n->link);
+      std::pair<std::string, std::uint16_t> const at = http::splitAddress(n->link);
       QTcpSocket socket;
       socket.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
       fleet.until("the link port", [&] { return socket.state() == QAbstractSocket::ConnectedState; });
@@ -166,22 +166,22 @@
       socket.write(bytes);
       fleet.until("garbage to leave", [&] { return socket.bytesToWrite() == 0 || socket.state() != QAbstractSocket::ConnectedState; });
     }
-  yard::Traffic traffic(fleet, 3, 1.0);
+  testing::Traffic traffic(fleet, 3, 1.0);
   for (int i = 0; i < 20; ++i) traffic.send(i % 2 == 0 ? "short" : "urgent");
   drainTraffic(fleet, traffic);
   CHECK(traffic.outcomes()["served"] == 20);
   CHECK(runsOf(fleet, "truncated") == 0);
-  for (std::vector<yard::Node>* const group : {&fleet.substations(), &fleet.nacelles()})
-    for (yard::Node const& n : *group) CHECK(n.process->state() == QProcess::Running);
+  for (std::vector<testing::Node>* const group : {&fleet.controllers(), &fleet.routers()})
+    for (testing::Node const& n : *group) CHECK(n.process->state() == QProcess::Running);
 }
 
 TEST_CASE("run-once and whole bodies at the wire", "[wire]") {
   application();
-  yard::Fleet fleet(named("small"));
-  for (yard::Node& n : fleet.replicas())
+  testing::Fleet fleet(named("small"));
+  for (testing::Node& n : fleet.replicas())
     if (n.pool == "model") n.flags += {"--first-ms", "300", "--gap-ms", "20", "--drop-after", "3"};
   bringUp(fleet);
-  yard::Node& nac = fleet.nacelles().front();
+  testing::Node& nac = fleet.routers().front();
   SECTION("a replica that breaks in mid-stream leaves a body that cannot look complete, and no second run") {
     Raw const r = raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\n", "{}"), "");
     CHECK(r.closed);
@@ -192,7 +192,7 @@
     Raw const again = raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\nCorkward-Attempt: 2\r\n", "{}"), "outcome");
     CHECK(again.got.find(" 409 ") != std::string::npos);
     CHECK(again.got.find("\"unknown\"") != std::string::npos);
-    Raw const elsewhere = raw(fleet, fleet.nacelles()[1].http,
+    Raw const elsewhere = raw(fleet, fleet.routers()[1].http,
                               post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\nCorkward-Attempt: 2\r\n", "{}"), "outcome");
     CHECK(elsewhere.got.find(" 409 ") != std::string::npos);
     CHECK(runsOf(fleet, "broken1") == lines);
@@ -207,20 +207,20 @@
       body += r.got.substr(line + 2, size);
       at = line + 2 + size + 2;
     }
-    yard::BodyVerdict const v = yard::checkBody(body);
+    testing::BodyVerdict const v = testing::checkBody(body);
     CHECK(v.whole);
     CHECK(v.oneRun);
     std::size_t resumes = 0;
-    for (yard::Node const& n : fleet.replicas()) resumes += linesWith(n.record, " resume ");
+    for (testing::Node const& n : fleet.replicas()) resumes += linesWith(n.record, " resume ");
     CHECK(resumes == 1);
   }
-  SECTION("a replica killed after the hand-over is unknown, never denied") {
-    std::pair<std::string, std::uint16_t> const at = door::splitAddress(nac.http);
+  SECTION("a replica killed after the hand-over is unknown, never rejected") {
+    std::pair<std::string, std::uint16_t> const at = http::splitAddress(nac.http);
     QTcpSocket socket;
     socket.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
     socket.write(QByteArray::fromStdString(post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: killed1\r\n", "{}")));
     fleet.until("the run", [&] { return runsOf(fleet, "killed1") == 1; });
-    for (yard::Node& n : fleet.replicas())
+    for (testing::Node& n : fleet.replicas())
       if (n.pool == "model") fleet.kill9(n);
     std::string got;
     fleet.until("an answer", [&] {
@@ -236,7 +236,7 @@
     CHECK(none.got.find("retry-after: ") != std::string::npos);
   }
   SECTION("a caller that is gone is told to its replica") {
-    std::pair<std::string, std::uint16_t> const at = door::splitAddress(nac.http);
+    std::pair<std::string, std::uint16_t> const at = http::splitAddress(nac.http);
     QTcpSocket socket;
     socket.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
     socket.write(QByteArray::fromStdString(post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: gone1\r\n", "{}")));
@@ -244,71 +244,71 @@
     socket.abort();
     fleet.until("the replica to notice", [&] {
       std::size_t n = 0;
-      for (yard::Node const& r : fleet.replicas()) n += linesWith(r.record, " gone ");
+      for (testing::Node const& r : fleet.replicas()) n += linesWith(r.record, " gone ");
       return n == 1;
     });
   }
 }
 
-TEST_CASE("nacelles and substations are killed, frozen, restarted and wiped under traffic", "[faults]") {
+TEST_CASE("routers and controllers are killed, frozen, restarted and wiped under traffic", "[faults]") {
   application();
-  yard::Fleet fleet(named("small"));
+  testing::Fleet fleet(named("small"));
   bringUp(fleet);
-  yard::Traffic traffic(fleet, 5, 2.0);
+  testing::Traffic traffic(fleet, 5, 2.0);
   traffic.startCalling();
   std::string const t = "/v1/templates/fault-desk/instances/nord";
   std::function<void(int)> const patch = [&](int aim) {
     fleet.until("a change", [&] {
-      yard::Reply const now = fleet.call(fleet.firstSubstation(), "GET", t);
+      testing::Reply const now = fleet.call(fleet.firstController(), "GET", t);
       if (now.status != 200) return false;
-      yard::Reply const r = fleet.call(fleet.firstSubstation(), "PATCH", t, R"({"parameters":{"pitch-aim":)" + std::to_string(aim) + "}}",
+      testing::Reply const r = fleet.call(fleet.firstController(), "PATCH", t, R"({"parameters":{"pitch-aim":)" + std::to_string(aim) + "}}",
                                        std::to_string(now.body.value("stamp").toInteger()));
       return r.status == 200;
     });
   };
   patch(701);
-  fleet.kill9(fleet.nacelles()[0]);
+  fleet.kill9(fleet.routers()[0]);
   patch(702);
-  fleet.start(fleet.nacelles()[0]);
+  fleet.start(fleet.routers()[0]);
   fleet.untilReady(3);
-  fleet.freeze(fleet.nacelles()[1]);
+  fleet.freeze(fleet.routers()[1]);
   patch(703);
-  fleet.wake(fleet.nacelles()[1]);
+  fleet.wake(fleet.routers()[1]);
   fleet.untilReady(3);
-  CHECK(fleet.stop(fleet.nacelles()[2]) == 0);
-  fleet.start(fleet.nacelles()[2]);
-  fleet.kill9(fleet.substations()[0]);
+  CHECK(fleet.stop(fleet.routers()[2]) == 0);
+  fleet.start(fleet.routers()[2]);
+  fleet.kill9(fleet.controllers()[0]);
   patch(704);
-  fleet.wipe(fleet.substations()[0]);
-  fleet.start(fleet.substations()[0]);
+  fleet.wipe(fleet.controllers()[0]);
+  fleet.start(fleet.controllers()[0]);
   fleet.until("the empty member to vote", [&] {
-    return fleet.get(fleet.substations()[0].http, "/v1/fleet").body.value("voting").toBool() &&
-           fleet.get(fleet.substations()[0].http, "/readyz").status == 200;
+    return fleet.get(fleet.controllers()[0].http, "/v1/fleet").body.value("voting").toBool() &&
+           fleet.get(fleet.controllers()[0].http, "/readyz").status == 200;
   });
-  CHECK(fleet.stop(fleet.substations()[1]) == 0);
+  CHECK(fleet.stop(fleet.controllers()[1]) == 0);
   patch(705);
-  fleet.start(fleet.substations()[1]);
+  fleet.start(fleet.controllers()[1]);
   fleet.untilReady(3);
   std::size_t const beforeOutage = traffic.outcomes()["served"];
-  for (yard::Node& n : fleet.substations()) fleet.kill9(n);
+  for (testing::Node& n : fleet.controllers()) fleet.kill9(n);
   fleet.until("traffic without control", [&] { return traffic.outcomes()["served"] > beforeOutage + 60; });
-  for (yard::Node& n : fleet.substations()) fleet.start(n);
+  for (testing::Node& n : fleet.controllers()) fleet.start(n);
   fleet.untilReady(3);
   drainTraffic(fleet, traffic);
   soundly(traffic.report());
-  CHECK(fleet.call(fleet.firstSubstation(), "GET", t).body.value("spec").toObject().value("parameters").toObject().value("pitch-aim").toInteger() == 705);
+  CHECK(fleet.call(fleet.firstController(), "GET", t).body.value("spec").toObject().value("parameters").toObject().value("pitch-aim").toInteger() == 705);
 }
 
 TEST_CASE("both deployments keep every rule while real processes fail at random", "[chaos]") {
   application();
   for (char const* const name : {"harmattan", "lernkarten"}) {
-    yard::ChaosPlan plan;
+    testing::ChaosPlan plan;
     plan.deployment = name;
     plan.seed = 3;
     plan.events = 8;
     plan.scale = 0.6;
     plan.timed = false;
-    yard::ChaosResult const r = yard::chaos(plan);
+    testing::ChaosResult const r = testing::chaos(plan);
     for (std::string const& v : r.violations) std::cerr << name << ": " << v << "\n";
     CHECK(r.violations.empty());
     CHECK(r.harmed > 0);
@@ -319,53 +319,53 @@
 
 TEST_CASE("after every process was killed the fleet serves again, with what was acknowledged", "[outage]") {
   application();
-  yard::Fleet fleet(named("small"));
+  testing::Fleet fleet(named("small"));
   bringUp(fleet);
   std::string const t = "/v1/templates/fault-desk";
-  yard::Reply const before = fleet.call(fleet.firstSubstation(), "GET", t);
-  for (std::vector<yard::Node>* const group : {&fleet.nacelles(), &fleet.substations(), &fleet.replicas()})
-    for (yard::Node& n : *group) fleet.kill9(n);
+  testing::Reply const before = fleet.call(fleet.firstController(), "GET", t);
+  for (std::vector<testing::Node>* const group : {&fleet.routers(), &fleet.controllers(), &fleet.replicas()})
+    for (testing::Node& n : *group) fleet.kill9(n);
   fleet.startAll();
   fleet.untilReady(3);
-  yard::Traffic traffic(fleet, 9, 1.0);
+  testing::Traffic traffic(fleet, 9, 1.0);
   for (int i = 0; i < 30; ++i) traffic.send("short");
   drainTraffic(fleet, traffic);
   CHECK(traffic.outcomes()["served"] == 30);
-  CHECK(fleet.call(fleet.firstSubstation(), "GET", t).body == before.body);
+  CHECK(fleet.call(fleet.firstController(), "GET", t).body == before.body);
 }
 
 TEST_CASE("both deployments run whole: two instances, their mix, a leaving replica and an evacuated zone", "[deployments]") {
   application();
   for (char const* const name : {"harmattan", "lernkarten"}) {
-    yard::Fleet fleet(named(name));
+    testing::Fleet fleet(named(name));
     bringUp(fleet);
-    yard::Traffic traffic(fleet, 11, 1.0);
+    testing::Traffic traffic(fleet, 11, 1.0);
     traffic.startCalling();
     fleet.until("traffic", [&] { return traffic.outcomes()["served"] > 200; });
     fleet.giveLists({{"model1", "leaving"}, {"model2", "cold"}});
     std::size_t const model1 = linesWith(fleet.replicas()[0].record, " run ");
     CHECK(fleet.change("PUT", "/v1/evacuations/z2").status == 200);
     std::vector<std::size_t> z2;
-    for (yard::Node const& r : fleet.replicas()) z2.push_back(linesWith(r.record, " run "));
+    for (testing::Node const& r : fleet.replicas()) z2.push_back(linesWith(r.record, " run "));
     std::size_t const served = traffic.outcomes()["served"];
     fleet.until("traffic beside the zone", [&] { return traffic.outcomes()["served"] > served + 300; });
     CHECK(linesWith(fleet.replicas()[0].record, " run ") <= model1 + 8);
     for (std::size_t i = 0; i < z2.size(); ++i)
       if (fleet.replicas()[i].zone == "z2") CHECK(linesWith(fleet.replicas()[i].record, " run ") <= z2[i] + 8);
-    for (yard::Node const& n : fleet.nacelles())
+    for (testing::Node const& n : fleet.routers())
       if (n.zone == "z2") CHECK(fleet.get(n.http, "/readyz").status == 503);
     CHECK(fleet.change("DELETE", "/v1/evacuations/z2").status == 200);
-    fleet.untilReady(fleet.nacelles().size());
+    fleet.untilReady(fleet.routers().size());
     drainTraffic(fleet, traffic);
-    yard::Report const report = traffic.report();
+    testing::Report const report = traffic.report();
     soundly(report);
-    std::cerr << name << "\n" << yard::text(report);
+    std::cerr << name << "\n" << testing::text(report);
   }
 }
 
 TEST_CASE("the command line, the runbooks, the rules and the settings are checked and do what they say", "[tools]") {
   application();
-  yard::Fleet fleet(named("small"));
+  testing::Fleet fleet(named("small"));
   std::string const conf = fleet.folder() + "/x.conf";
   struct Row {
     std::vector<std::string> flags;
@@ -380,14 +380,14 @@
                               {{"--link", "127.0.0.1:1", "--http", "127.0.0.1:2", "--zone", "z"}, "seed: missing"},
                               {{"--settings", "/nowhere"}, "settings: cannot be read"}};
   for (Row const& r : rows) {
-    yard::Fleet::Tool const t = fleet.tool("corkward-nacelle", r.flags);
+    testing::Fleet::Tool const t = fleet.tool("corkward-router", r.flags);
     CHECK(t.code == 2);
     CHECK(t.err.find(r.name) != std::string::npos);
   }
   std::vector<std::string> check = good;
   check.push_back("--check");
-  CHECK(fleet.tool("corkward-nacelle", check).code == 0);
-  for (char const* const program : {"corkward-nacelle", "corkward-substation"}) {
+  CHECK(fleet.tool("corkward-router", check).code == 0);
+  for (char const* const program : {"corkward-router", "corkward-control"}) {
     std::string const example = CORKWARD_SOURCE "/examples/settings/" + std::string(program).substr(9) + ".conf";
     CHECK(fleet.tool(program, {"--settings", example, "--check"}).code == 0);
     CHECK(fleet.tool(program, {"--help"}).out.find("--drain-limit") != std::string::npos);
@@ -397,22 +397,22 @@
   REQUIRE(file.open(QIODevice::WriteOnly));
   file.write("link = 127.0.0.1:1\nbogus = 3\n");
   file.close();
-  yard::Fleet::Tool const bogus = fleet.tool("corkward-substation", {"--settings", conf});
+  testing::Fleet::Tool const bogus = fleet.tool("corkward-control", {"--settings", conf});
   CHECK(bogus.code == 2);
   CHECK(bogus.err.find("bogus") != std::string::npos);
 
   bringUp(fleet);
   std::vector<std::string> subs;
-  for (yard::Node const& n : fleet.substations()) {
+  for (testing::Node const& n : fleet.controllers()) {
     subs.push_back("--substation");
     subs.push_back(n.http);
   }
-  std::function<yard::Fleet::Tool(std::string, std::vector<std::string>, std::string)> const run = [&](std::string const& program, std::vector<std::string> words,
+  std::function<testing::Fleet::Tool(std::string, std::vector<std::string>, std::string)> const run = [&](std::string const& program, std::vector<std::string> words,
                                                                                                    std::string const& input) {
     words.insert(words.end(), subs.begin(), subs.end());
     if (program != "corkward") return fleet.tool(program, words, input);
     words.insert(words.end(), {"--wait", "60"});
-    yard::Fleet::Tool out;
+    testing::Fleet::Tool out;
     fleet.until("an answer other than to come back", [&] {
       out = fleet.tool(program, words, input);
       return out.code != comeBack && out.code != nobody;
@@ -427,10 +427,10 @@
   CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "1"}, "{").code == 3);
   CHECK(run("corkward", {"dance"}, "").code == 2);
   CHECK(fleet.tool("corkward", {"fleet", "--substation", "127.0.0.1:1"}).code == 7);
-  yard::Fleet::Tool const asJson = run("corkward", {"template-get", "neu", "--json"}, "");
+  testing::Fleet::Tool const asJson = run("corkward", {"template-get", "neu", "--json"}, "");
   CHECK(core::parseJson(asJson.out).toObject().value("stamp").toInteger() == 1);
 
-  std::string const whole = CORKWARD_SOURCE "/examples/blueprint.json";
+  std::string const whole = CORKWARD_SOURCE "/examples/configuration.json";
   CHECK(run("corkward", {"blueprint-get"}, "").code == 3);
   CHECK(run("corkward", {"blueprint-put", whole, "--stamp", "0", "--dry-run"}, "").code == 0);
   CHECK(run("corkward", {"blueprint-get"}, "").code == 3);
@@ -449,22 +449,22 @@
   CHECK(run("corkward", {"blueprint-put", "-", "--stamp", "9"}, core::jsonText(large)).code == 0);
 
   std::string const books = CORKWARD_SOURCE "/examples/runbooks/";
-  CHECK(run("corkward-workorder", {books + "evacuate-zone.json"}, "").code == 2);
-  CHECK(run("corkward-workorder", {books + "evacuate-zone.json", "--set", "zone=z2", "--check"}, "").code == 0);
-  CHECK(run("corkward-workorder", {books + "evacuate-zone.json", "--set", "zone=z2", "--dry-run"}, "").code == 0);
-  CHECK_FALSE(fleet.call(fleet.firstSubstation(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
-  CHECK(run("corkward-workorder", {books + "evacuate-zone.json", "--set", "zone=z2"}, "").code == 0);
-  CHECK(fleet.call(fleet.firstSubstation(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
-  CHECK(run("corkward-workorder", {books + "lift-zone.json", "--set", "zone=z2"}, "").code == 0);
-  CHECK_FALSE(fleet.call(fleet.firstSubstation(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
-  CHECK(run("corkward-workorder", {books + "read-back.json", "--set", "file=" + fleet.folder() + "/saved.json"}, "").code == 0);
-  CHECK(run("corkward-workorder", {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "").code == 0);
+  CHECK(run("corkward-runbook", {books + "evacuate-zone.json"}, "").code == 2);
+  CHECK(run("corkward-runbook", {books + "evacuate-zone.json", "--set", "zone=z2", "--check"}, "").code == 0);
+  CHECK(run("corkward-runbook", {books + "evacuate-zone.json", "--set", "zone=z2", "--dry-run"}, "").code == 0);
+  CHECK_FALSE(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
+  CHECK(run("corkward-runbook", {books + "evacuate-zone.json", "--set", "zone=z2"}, "").code == 0);
+  CHECK(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
+  CHECK(run("corkward-runbook", {books + "lift-zone.json", "--set", "zone=z2"}, "").code == 0);
+  CHECK_FALSE(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
+  CHECK(run("corkward-runbook", {books + "read-back.json", "--set", "file=" + fleet.folder() + "/saved.json"}, "").code == 0);
+  CHECK(run("corkward-runbook", {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "").code == 0);
   CHECK(run("corkward", {"template-delete", "neu", "--stamp", "1"}, "").code == 0);
-  yard::Fleet::Tool const differs =
-      run("corkward-workorder", {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "");
+  testing::Fleet::Tool const differs =
+      run("corkward-runbook", {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "");
   CHECK(differs.code == 1);
   CHECK(differs.out.find("template neu differs") != std::string::npos);
-  CHECK(run("corkward-workorder", {books + "rolling-restart.json", "--set", "node=n"}, "no\n").code == 1);
+  CHECK(run("corkward-runbook", {books + "rolling-restart.json", "--set", "node=n"}, "no\n").code == 1);
 
   std::string const declared = fleet.folder() + "/declared";
   std::function<void(std::string const&, std::string const&)> const declareIn = [&](std::string const& name, std::string const& text) {
@@ -480,18 +480,18 @@
   CHECK(run("corkward", {"template-get", "kept"}, "").code == 3);
   CHECK(run("corkward", {"apply", declared}, "").code == 0);
   CHECK(run("corkward", {"diff", declared}, "").code == 0);
-  yard::Fleet::Tool const unchanged = run("corkward", {"apply", declared, "--json"}, "");
+  testing::Fleet::Tool const unchanged = run("corkward", {"apply", declared, "--json"}, "");
   CHECK(unchanged.out.find("\"changes\":[]") != std::string::npos);
-  CHECK(fleet.call(fleet.firstSubstation(), "GET", "/v1/templates/kept").body.value("stamp").toInteger() == 1);
+  CHECK(fleet.call(fleet.firstController(), "GET", "/v1/templates/kept").body.value("stamp").toInteger() == 1);
   declareIn("t.json", R"({"template":"kept","spec":{"parameters":{"site":{"type":"string"},"aim":{"type":"integer"}},"paths":[{"path":"a","pool":"model","class":"short"}]}})");
-  yard::Fleet::Tool const missing = run("corkward", {"apply", declared}, "");
+  testing::Fleet::Tool const missing = run("corkward", {"apply", declared}, "");
   CHECK(missing.code == 2);
   CHECK(missing.err.find("aim") != std::string::npos);
   declareIn("t.json", R"({"template":"kept","spec":{"parameters":{"site":{"type":"string"},"aim":{"type":"integer","default":3}},"paths":[{"path":"a","pool":"model","class":"short"}]}})");
   declareIn("i.json", R"({"template":"kept","instance":"nord","spec":{"parameters":{"site":"n","aim":4}}})");
   CHECK(run("corkward", {"apply", declared}, "").code == 0);
   declareIn("again.json", R"({"template":"kept","instance":"nord","spec":{}})");
-  yard::Fleet::Tool const doubled = run("corkward", {"apply", declared}, "");
+  testing::Fleet::Tool const doubled = run("corkward", {"apply", declared}, "");
   CHECK(doubled.code == 2);
   CHECK(doubled.err.find("again.json") != std::string::npos);
   declareIn("again.json", "{");
@@ -502,44 +502,44 @@
   QFile::remove(core::qstr(declared + "/i.json"));
   CHECK(run("corkward", {"diff", declared}, "").code == 0);
   CHECK(run("corkward", {"diff", declared, "--prune"}, "").out.find("remove /v1/templates/kept/instances/nord") != std::string::npos);
-  CHECK(fleet.call(fleet.firstSubstation(), "GET", "/v1/templates/kept/instances/nord").status == 200);
+  CHECK(fleet.call(fleet.firstController(), "GET", "/v1/templates/kept/instances/nord").status == 200);
 
   std::string const rules = CORKWARD_SOURCE "/examples/rules/zones.yml";
-  CHECK(run("corkward-workorder", {"--rules", rules, "--check"}, "").code == 0);
+  CHECK(run("corkward-runbook", {"--rules", rules, "--check"}, "").code == 0);
   QFile badRules(core::qstr(fleet.folder() + "/bad.yml"));
   REQUIRE(badRules.open(QIODevice::WriteOnly));
   badRules.write("groups:\n- name: g\n  rules:\n  - alert: a\n    expr: rate(x[1m]) > 1\n    annotations: {runbook: evacuate-zone.json}\n");
   badRules.close();
-  yard::Fleet::Tool const bad = run("corkward-workorder", {"--rules", fleet.folder() + "/bad.yml", "--check"}, "");
+  testing::Fleet::Tool const bad = run("corkward-runbook", {"--rules", fleet.folder() + "/bad.yml", "--check"}, "");
   CHECK(bad.code == 2);
   CHECK(bad.err.find("line 5") != std::string::npos);
-  yard::Node const& lost = fleet.nacelles()[1];
+  testing::Node const& lost = fleet.routers()[1];
   REQUIRE(lost.zone == "z2");
-  fleet.kill9(fleet.nacelles()[1]);
+  fleet.kill9(fleet.routers()[1]);
   QFile quick(core::qstr(fleet.folder() + "/quick.yml"));
   REQUIRE(quick.open(QIODevice::WriteOnly));
   quick.write("groups:\n- name: g\n  rules:\n  - alert: a\n    expr: sum(corkward_up{zone=\"z2\"}) < 1\n    for: 1s\n    annotations: {runbook: evacuate-zone.json, parameters: {zone: z2}}\n");
   quick.close();
   QFile::copy(core::qstr(books + "evacuate-zone.json"), core::qstr(fleet.folder() + "/evacuate-zone.json"));
-  yard::Fleet::Tool const fired =
-      run("corkward-workorder", {"--rules", fleet.folder() + "/quick.yml", "--target", "z2=" + lost.http, "--every", "1", "--acts", "1"}, "");
+  testing::Fleet::Tool const fired =
+      run("corkward-runbook", {"--rules", fleet.folder() + "/quick.yml", "--target", "z2=" + lost.http, "--every", "1", "--acts", "1"}, "");
   CHECK(fired.out.find("alert=a runbook=") != std::string::npos);
-  yard::Node next;
+  testing::Node next;
   next.name = "second-watch";
-  next.program = CORKWARD_BIN "/programs/corkward-workorder";
-  for (yard::Node const& s : fleet.substations()) next.flags += {"--substation", core::qstr(s.http)};
+  next.program = CORKWARD_BIN "/programs/corkward-runbook";
+  for (testing::Node const& s : fleet.controllers()) next.flags += {"--substation", core::qstr(s.http)};
   next.flags += {"--rules", core::qstr(fleet.folder() + "/quick.yml"), "--target", core::qstr("z2=" + lost.http), "--every", "1"};
   CHECK(fleet.change("DELETE", "/v1/evacuations/z2").status == 200);
   fleet.start(next);
   std::string const said = fleet.folder() + "/second-watch.out";
   fleet.until("the second watch to find the alert done", [&] { return linesWith(said, "state=done") > 0; });
   CHECK(linesWith(said, "runbook=") == 0);
-  CHECK_FALSE(fleet.call(fleet.firstSubstation(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
-  fleet.start(fleet.nacelles()[1]);
-  fleet.until("the alert to cease", [&] { return fleet.call(fleet.firstSubstation(), "GET", "/v1/alerts/a").body.value("state").toString() == "clear"; });
-  fleet.kill9(fleet.nacelles()[1]);
+  CHECK_FALSE(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
+  fleet.start(fleet.routers()[1]);
+  fleet.until("the alert to cease", [&] { return fleet.call(fleet.firstController(), "GET", "/v1/alerts/a").body.value("state").toString() == "clear"; });
+  fleet.kill9(fleet.routers()[1]);
   fleet.until("the second watch to act", [&] { return linesWith(said, "runbook=") > 0; });
-  fleet.until("the evacuation", [&] { return fleet.call(fleet.firstSubstation(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool(); });
+  fleet.until("the evacuation", [&] { return fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool(); });
   fleet.kill9(next);
-  CHECK(fleet.call(fleet.firstSubstation(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
+  CHECK(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
 }
--- a/yard/test/regimes_test.cpp
+++ b/testing/test/regimes_test.cpp
@@ -9,16 +9,16 @@
 #include <sstream>
 
 #include <corkward/core/json.h>
-#include <corkward/door/relay.h>
+#include <corkward/http/upstream_connection.h>
 
 #include "clock.h"
 #include "fleet.h"
 #include "traffic.h"
 
 namespace core = corkward::core;
-namespace door = corkward::door;
+namespace http = corkward::http;
 namespace programs = corkward::programs;
-namespace yard = corkward::yard;
+namespace testing = corkward::testing;
 
 namespace {
 
@@ -32,14 +32,14 @@
 
 /// A fleet in which the tenant nord is of a regime, and of the models those in z1 alone are certified.
 struct Ward {
-  yard::Fleet fleet;
+  testing::Fleet fleet;
   int changes = 0;
 
-  Ward() : fleet(yard::deployments[2]) {
+  Ward() : fleet(testing::deployments[2]) {
     fleet.withRegimes();
     fleet.startAll();
-    fleet.until("ready substations", [&] {
-      for (yard::Node& n : fleet.substations())
+    fleet.until("ready controllers", [&] {
+      for (testing::Node& n : fleet.controllers())
         if (fleet.get(n.http, "/readyz").status != 200) return false;
       return true;
     });
@@ -54,7 +54,7 @@
     change("PUT", "/v1/templates/fault-desk/instances/sued", R"({"parameters":{"site":"sued"}})", "0");
     change("PUT", "/v1/templates/pilot", pilot, "0");
     change("PUT", "/v1/templates/pilot/instances/n", "{}", "0");
-    fleet.untilReady(fleet.nacelles().size());
+    fleet.untilReady(fleet.routers().size());
   }
   /// The platform gives its lists until they are acknowledged.
   void lists() {
@@ -62,14 +62,14 @@
       try {
         fleet.giveLists();
         return true;
-      } catch (yard::FleetError const&) {
+      } catch (testing::FleetError const&) {
         return false;
       }
     });
   }
-  /// Reads a page until a substation can.
-  yard::Reply read(std::string const& path) {
-    yard::Reply out;
+  /// Reads a page until a controller can.
+  testing::Reply read(std::string const& path) {
+    testing::Reply out;
     fleet.until(path + " to be read", [&] {
       out = call("GET", path);
       return out.status == 200;
@@ -77,20 +77,20 @@
     return out;
   }
   /// Sends a change, under one id, until it is acknowledged.
-  yard::Reply change(std::string const& method, std::string const& path, std::string const& body, std::string const& ifMatch) {
+  testing::Reply change(std::string const& method, std::string const& path, std::string const& body, std::string const& ifMatch) {
     std::string const id = "change-" + std::to_string(++changes);
-    yard::Reply out;
+    testing::Reply out;
     fleet.until(method + " " + path + " to be acknowledged", [&] {
-      out = fleet.call(fleet.firstSubstation(), method, path, body, ifMatch, id);
-      if (out.status == 400 || out.status == 404 || out.status == 422) throw yard::FleetError(path + ": " + core::jsonText(out.body));
+      out = fleet.call(fleet.firstController(), method, path, body, ifMatch, id);
+      if (out.status == 400 || out.status == 404 || out.status == 422) throw testing::FleetError(path + ": " + core::jsonText(out.body));
       return out.status == 200 || out.status == 201;
     });
     return out;
   }
-  yard::Reply call(std::string const& method, std::string const& path, std::string const& body = "", std::string const& ifMatch = "") {
-    return fleet.call(fleet.firstSubstation(), method, path, body, ifMatch);
+  testing::Reply call(std::string const& method, std::string const& path, std::string const& body = "", std::string const& ifMatch = "") {
+    return fleet.call(fleet.firstController(), method, path, body, ifMatch);
   }
-  bool certified(yard::Node const& replica) const { return replica.pool != "model" || replica.zone == "z1"; }
+  bool certified(testing::Node const& replica) const { return replica.pool != "model" || replica.zone == "z1"; }
 };
 
 struct Line {
@@ -121,34 +121,34 @@
   return all.find(" asked ") != std::string::npos;
 }
 
-std::set<std::string> regulatedIds(yard::Traffic const& traffic) {
+std::set<std::string> regulatedIds(testing::Traffic const& traffic) {
   std::set<std::string> out;
-  for (yard::CallerRecord const& r : traffic.records())
+  for (testing::CallerRecord const& r : traffic.records())
     if (r.instance == regulated) out.insert(r.id);
   return out;
 }
 
 /// One caller of a row of events.
 struct Tale {
-  std::unique_ptr<door::Relay> relay;
+  std::unique_ptr<http::UpstreamConnection> forwarder;
   std::string got;
   int status = 0;
   bool over = false;
   bool whole = false;
 
   void begin(std::string const& node, std::string const& id) {
-    door::Relay::Events e;
+    http::UpstreamConnection::Events e;
     e.connected = [this, id] {
-      relay->send(door::ReplicaRequest{"POST", "/v1/pilot.n/tale", {{"corkward-request-id", id}, {"corkward-attempt", "1"}}}, "{}");
+      forwarder->send(http::ReplicaRequest{"POST", "/v1/pilot.n/tale", {{"corkward-request-id", id}, {"corkward-attempt", "1"}}}, "{}");
     };
-    e.denied = [this] { over = true; };
-    e.head = [this](door::ReplicaHead const& head) { status = head.status; };
+    e.rejected = [this] { over = true; };
+    e.head = [this](http::ReplicaHead const& head) { status = head.status; };
     e.piece = [this](std::string bytes) { got += bytes; };
     e.ended = [this](bool end) {
       whole = end;
       over = true;
     };
-    relay = std::make_unique<door::Relay>(node, std::move(e), nullptr);
+    forwarder = std::make_unique<http::UpstreamConnection>(node, std::move(e), nullptr);
   }
 };
 
@@ -169,8 +169,8 @@
 TEST_CASE("no regulated request reaches an uncertified process, though certified ones are busy, die, and lose their addresses", "[regimes]") {
   application();
   Ward ward;
-  yard::Fleet& fleet = ward.fleet;
-  yard::Traffic traffic(fleet, 11, 1.0);
+  testing::Fleet& fleet = ward.fleet;
+  testing::Traffic traffic(fleet, 11, 1.0);
   traffic.startCalling();
   fleet.runFor(4000);
 
@@ -178,23 +178,23 @@
   core::Tick const revokedFrom = programs::now();
   fleet.runFor(1500);
   core::Tick const revokedUntil = programs::now();
-  yard::Reply const left = ward.read(page);
-  std::string const stamp = std::to_string(left.body.value("stamp").toInteger());
+  testing::Reply const left = ward.read(page);
+  std::string const revision = std::to_string(left.body.value("stamp").toInteger());
   std::string const again = core::jsonText(QJsonObject{{"certificates", QJsonObject{{"model-z1", certificate("model", "z1")}}}});
-  ward.change("PATCH", page, again, stamp);
-  yard::Reply late;
+  ward.change("PATCH", page, again, revision);
+  testing::Reply late;
   fleet.until("a late change to be judged", [&] {
-    late = ward.call("PATCH", page, again, stamp);
+    late = ward.call("PATCH", page, again, revision);
     return late.status != 503 && late.status != 504;
   });
   CHECK(late.status == 412);
   fleet.runFor(2000);
 
-  yard::Node& lost = fleet.replicas().front();
+  testing::Node& lost = fleet.replicas().front();
   REQUIRE(ward.certified(lost));
   REQUIRE(lost.pool == "model");
   fleet.kill9(lost);
-  yard::Node imposter;
+  testing::Node imposter;
   imposter.name = "imposter";
   imposter.record = fleet.folder() + "/imposter.record";
   imposter.program = lost.program;
@@ -213,7 +213,7 @@
   std::set<std::string> const ids = regulatedIds(traffic);
   std::size_t ran = 0;
   std::size_t elsewhere = 0;
-  for (yard::Node const& r : fleet.replicas())
+  for (testing::Node const& r : fleet.replicas())
     for (Line const& l : recordOf(r.record)) {
       if (ids.count(l.id) == 0) {
         elsewhere += ward.certified(r) ? 0 : 1;
@@ -227,37 +227,37 @@
   for (Line const& l : recordOf(imposter.record)) CHECK(ids.count(l.id) == 0);
   CHECK(ran > 50);
   CHECK(elsewhere > 50);
-  yard::Report const report = traffic.report();
+  testing::Report const report = traffic.report();
   CHECK(report.runTwice == 0);
   CHECK(report.badBodies == 0);
-  CHECK(report.deniedButRan == 0);
+  CHECK(report.rejectedButRan == 0);
 
   std::vector<std::string> words{"regime", "report", "--json"};
-  for (yard::Node& n : fleet.nacelles()) {
+  for (testing::Node& n : fleet.routers()) {
     QJsonObject const head = fleet.get(n.http, "/v1/state").body.value("audit").toObject();
     words.push_back("--head");
     words.push_back(n.link + "=" + std::to_string(head.value("n").toInteger()) + ":" + core::str(head.value("hash").toString()));
     CHECK(fleet.stop(n) == 0);
   }
-  for (yard::Node const& n : fleet.nacelles()) words.push_back(fleet.auditFolder(n));
-  yard::Fleet::Tool const told = fleet.tool("corkward", words);
+  for (testing::Node const& n : fleet.routers()) words.push_back(fleet.auditFolder(n));
+  testing::Fleet::Tool const told = fleet.tool("corkward", words);
   INFO(told.out << told.err);
   CHECK(told.code == 0);
   QJsonObject const out = core::parseJson(told.out).toObject();
   std::size_t handed = 0;
-  std::size_t denied = 0;
+  std::size_t rejected = 0;
   for (QJsonValue const s : out.value("regimes").toObject().value("health").toArray())
     for (QJsonValue const v : s.toObject().value("counts").toArray()) {
       QJsonObject const c = v.toObject();
       std::size_t const n = static_cast<std::size_t>(c.value("count").toInteger());
-      if (c.value("what") == "denied") denied += n;
+      if (c.value("what") == "denied") rejected += n;
       if (c.value("what") != "handed-over") continue;
       handed += n;
       CHECK(c.value("certificate") == (c.value("pool") == "model" ? "model-z1" : "gateway"));
     }
   CHECK(handed >= ran);
-  CHECK(denied > 0);
-  QFile file(core::qstr(fleet.auditFolder(fleet.nacelles().front()) + "/audit-000000000001"));
+  CHECK(rejected > 0);
+  QFile file(core::qstr(fleet.auditFolder(fleet.routers().front()) + "/audit-000000000001"));
   REQUIRE(file.open(QIODevice::ReadWrite));
   file.seek(70);
   file.write("x");
@@ -268,18 +268,18 @@
 TEST_CASE("a row of events of a regime goes on once, at its place, at another certified replica, else ends broken", "[regimes]") {
   application();
   Ward ward;
-  yard::Fleet& fleet = ward.fleet;
-  std::vector<yard::Node*> certified;
-  for (yard::Node& r : fleet.replicas())
+  testing::Fleet& fleet = ward.fleet;
+  std::vector<testing::Node*> certified;
+  for (testing::Node& r : fleet.replicas())
     if (r.pool == "model" && ward.certified(r)) certified.push_back(&r);
   REQUIRE(certified.size() == 2);
   for (int round = 0; round < 2; ++round) {
     std::string const id = "tale-" + std::to_string(round);
     Tale tale;
-    tale.begin(fleet.nacelles().front().http, id);
+    tale.begin(fleet.routers().front().http, id);
     fleet.until("some events", [&] { return tale.got.size() > 300 || tale.over; });
     REQUIRE_FALSE(tale.over);
-    for (yard::Node* const r : certified)
+    for (testing::Node* const r : certified)
       for (Line const& l : recordOf(r->record))
         if (l.id == id && r->process) fleet.kill9(*r);
     fleet.until("the end", [&] { return tale.over; });
@@ -287,30 +287,30 @@
     if (round == 0) CHECK(tale.got == taleOf(id, 60));
     CHECK(taleOf(id, 60).rfind(tale.got, 0) == 0);
   }
-  for (yard::Node const& r : fleet.replicas())
+  for (testing::Node const& r : fleet.replicas())
     if (!ward.certified(r))
       for (Line const& l : recordOf(r.record)) CHECK(l.id.rfind("tale-", 0) != 0);
-  Tale denied;
-  denied.begin(fleet.nacelles().front().http, "tale-denied");
-  fleet.until("a denial", [&] { return denied.over; });
-  CHECK(denied.status == 503);
+  Tale rejected;
+  rejected.begin(fleet.routers().front().http, "tale-denied");
+  fleet.until("a rejection", [&] { return rejected.over; });
+  CHECK(rejected.status == 503);
 }
 
-TEST_CASE("a nacelle whose records cannot be kept serves nothing of a regime and everything else", "[regimes]") {
+TEST_CASE("a router whose records cannot be kept serves nothing of a regime and everything else", "[regimes]") {
   application();
   Ward ward;
-  yard::Fleet& fleet = ward.fleet;
-  std::string const http = fleet.nacelles().front().http;
-  REQUIRE(fleet.stop(fleet.nacelles().front()) == 0);
-  std::string const folder = fleet.auditFolder(fleet.nacelles().front());
-  fleet.nacelles().front().flags += {"--audit", ""};
-  fleet.start(fleet.nacelles().front());
-  fleet.untilReady(fleet.nacelles().size());
+  testing::Fleet& fleet = ward.fleet;
+  std::string const http = fleet.routers().front().http;
+  REQUIRE(fleet.stop(fleet.routers().front()) == 0);
+  std::string const folder = fleet.auditFolder(fleet.routers().front());
+  fleet.routers().front().flags += {"--audit", ""};
+  fleet.start(fleet.routers().front());
+  fleet.untilReady(fleet.routers().size());
   Tale tale;
   tale.begin(http, "tale-1");
-  fleet.until("a denial", [&] { return tale.over; });
+  fleet.until("a rejection", [&] { return tale.over; });
   CHECK(tale.status == 503);
-  yard::Node at;
+  testing::Node at;
   at.http = http;
   CHECK(fleet.call(at, "POST", "/v1/fault-desk.sued/pitch", "{}").status == 200);
   CHECK(fleet.call(at, "POST", "/v1/fault-desk.nord/pitch", "{}").status == 503);
--- a/yard/test/sim_test.cpp
+++ b/testing/test/sim_test.cpp
@@ -4,14 +4,14 @@
 
 #include "world.h"
 
-namespace yard = corkward::yard;
-using yard::Fault;
-using yard::Mutation;
+namespace testing = corkward::testing;
+using testing::Fault;
+using testing::Mutation;
 
 namespace {
 
-yard::Result clean(yard::Plan const& plan) {
-  yard::Result result = yard::World(plan).run();
+testing::Result clean(testing::Plan const& plan) {
+  testing::Result result = testing::World(plan).run();
   for (std::string const& v : result.violations) std::cerr << "seed " << plan.seed << ": " << v << "\n";
   CHECK(result.violations.empty());
   CHECK(result.counts.at("served") > 500);
@@ -26,18 +26,18 @@
 }  // namespace
 
 TEST_CASE("control is killed, cut, split and frozen", "[control]") {
-  for (Fault const f : {Fault::killControl, Fault::killAll, Fault::freezeSubstation, Fault::isolateMember, Fault::splitCore, Fault::cutCore,
-                        Fault::restartSubstation, Fault::wipeSameAddress, Fault::returnNewAddress, Fault::powerLoss})
-    for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(yard::only(seed, {f}));
+  for (Fault const f : {Fault::killControl, Fault::killAll, Fault::freezeController, Fault::isolateMember, Fault::splitCore, Fault::cutCore,
+                        Fault::restartController, Fault::wipeSameAddress, Fault::returnNewAddress, Fault::powerLoss})
+    for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {f}));
 }
 
-TEST_CASE("the cohort of disks grows, strikes off who is dark and takes back who returns", "[cohort]") {
+TEST_CASE("the membership of disks grows, strikes off who is dark and takes back who returns", "[membership]") {
   std::map<std::string, std::size_t> counts;
-  for (Fault const f : {Fault::growCore, Fault::longAbsence, Fault::wipeSameAddress, Fault::returnNewAddress, Fault::killControl, Fault::freezeSubstation,
+  for (Fault const f : {Fault::growCore, Fault::longAbsence, Fault::wipeSameAddress, Fault::returnNewAddress, Fault::killControl, Fault::freezeController,
                         Fault::isolateMember, Fault::splitCore, Fault::diskStall, Fault::diskDamage})
-    for (int const substations : {3, 4, 6}) {
-      yard::Plan plan = yard::only(static_cast<std::uint64_t>(substations), {f, Fault::growCore, Fault::longAbsence});
-      plan.substations = substations;
+    for (int const controllers : {3, 4, 6}) {
+      testing::Plan plan = testing::only(static_cast<std::uint64_t>(controllers), {f, Fault::growCore, Fault::longAbsence});
+      plan.controllers = controllers;
       plan.zones = 4;
       plan.replaceDarkAfter = 3000;
       plan.every = 4000;
@@ -45,34 +45,34 @@
     }
   for (char const* change : {"add-member", "replace-member", "strike-member", "struck-off"}) CHECK(counts[change] > 0);
   for (int const founders : {1, 2}) {
-    yard::Plan plan = yard::only(static_cast<std::uint64_t>(founders), {Fault::killControl, Fault::longAbsence});
+    testing::Plan plan = testing::only(static_cast<std::uint64_t>(founders), {Fault::killControl, Fault::longAbsence});
     plan.founders = founders;
     plan.replaceDarkAfter = 3000;
     clean(plan);
   }
 }
 
-TEST_CASE("nacelles are killed, cut, frozen and restarted", "[nacelles]") {
-  for (Fault const f : {Fault::killNacelle, Fault::killHerd, Fault::freezeNacelle, Fault::cutZone, Fault::isolateNacelle, Fault::oneWayCut,
-                        Fault::lossyNetwork, Fault::restartNacelle, Fault::wallClockJump})
-    for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(yard::only(seed, {f}));
+TEST_CASE("routers are killed, cut, frozen and restarted", "[routers]") {
+  for (Fault const f : {Fault::killRouter, Fault::killHerd, Fault::freezeRouter, Fault::cutZone, Fault::isolateRouter, Fault::oneWayCut,
+                        Fault::lossyNetwork, Fault::restartRouter, Fault::wallClockJump})
+    for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {f}));
 }
 
 TEST_CASE("disks are slow, stalled, full, failing and damaged", "[disks]") {
   for (Fault const f : {Fault::diskSlow, Fault::diskStall, Fault::diskFull, Fault::diskFail, Fault::diskDamage})
-    for (std::uint64_t seed = 1; seed <= 3; ++seed) clean(yard::only(seed, {f}));
+    for (std::uint64_t seed = 1; seed <= 3; ++seed) clean(testing::only(seed, {f}));
 }
 
 TEST_CASE("replicas crash, go dark, vanish, slow down and are replaced; callers crowd", "[replicas]") {
   for (Fault const f : {Fault::breakStreams, Fault::breakMany, Fault::replicaCrash, Fault::replicaDark, Fault::replicaVanish, Fault::allSlow, Fault::crowd, Fault::hardRetries,
                         Fault::rollReplicas, Fault::coldReplicas, Fault::evacuate})
-    for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(yard::only(seed, {f}));
+    for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {f}));
 }
 
 TEST_CASE("many replicas break at once while callers retry hard", "[replicas]") {
   for (Fault const f : {Fault::breakMany, Fault::breakStreams})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      yard::Plan plan = yard::only(seed, {f, Fault::hardRetries});
+      testing::Plan plan = testing::only(seed, {f, Fault::hardRetries});
       plan.every = 2000;
       clean(plan);
     }
@@ -80,15 +80,15 @@
 
 TEST_CASE("changes storm, race and grow large", "[changes]") {
   for (Fault const f : {Fault::changeStorm, Fault::races, Fault::bigTemplate})
-    for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(yard::only(seed, {f}));
-  for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(yard::only(seed, {Fault::races, Fault::splitCore, Fault::killControl}));
+    for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {f}));
+  for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {Fault::races, Fault::splitCore, Fault::killControl}));
 }
 
 TEST_CASE("replicas are replaced while control is killed, cut, split or stalled", "[leaving]") {
-  for (Fault const f : {Fault::killControl, Fault::cutCore, Fault::splitCore, Fault::isolateMember, Fault::diskStall, Fault::killHerd, Fault::freezeNacelle,
-                        Fault::isolateNacelle, Fault::killAll})
+  for (Fault const f : {Fault::killControl, Fault::cutCore, Fault::splitCore, Fault::isolateMember, Fault::diskStall, Fault::killHerd, Fault::freezeRouter,
+                        Fault::isolateRouter, Fault::killAll})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-      yard::Plan plan = yard::only(seed, {f, Fault::rollReplicas, Fault::killNacelle});
+      testing::Plan plan = testing::only(seed, {f, Fault::rollReplicas, Fault::killRouter});
       plan.every = 2500;
       clean(plan);
     }
@@ -96,10 +96,10 @@
 
 TEST_CASE("replicas turn grey and flap, connections are reset and forgotten, machines slow down, replicas join in numbers, a zone loses power, crowds shift", "[grown]") {
   std::map<std::string, std::size_t> counts;
-  for (Fault const f : {Fault::greyReplicas, Fault::flapReplicas, Fault::resetConnections, Fault::forgetConnections, Fault::slowNacelle, Fault::slowSubstation,
+  for (Fault const f : {Fault::greyReplicas, Fault::flapReplicas, Fault::resetConnections, Fault::forgetConnections, Fault::slowRouter, Fault::slowController,
                         Fault::scaleOut, Fault::zoneLoss, Fault::shiftLengths})
     for (std::uint64_t seed = 1; seed <= 2; ++seed)
-      for (std::map<std::string, std::size_t>::value_type const& c : clean(yard::only(seed, {f})).counts) counts[c.first] += c.second;
+      for (std::map<std::string, std::size_t>::value_type const& c : clean(testing::only(seed, {f})).counts) counts[c.first] += c.second;
   for (char const* happened : {"grey-fates", "replica-failed", "grey-fair", "reset-callers", "reset-streams", "forgotten-connections", "slowed-events",
                                "joined", "lost-zones", "long-prompts", "long-answers"}) {
     INFO(happened);
@@ -108,20 +108,20 @@
 }
 
 TEST_CASE("random sets of failures together", "[chaos]") {
-  for (std::uint64_t seed = 1; seed <= 16; ++seed) clean(yard::chaos(seed));
+  for (std::uint64_t seed = 1; seed <= 16; ++seed) clean(testing::chaos(seed));
 }
 
 TEST_CASE("larger fleets stand without control on what neighbours pass on, and break no rule", "[sizes]") {
-  for (int const nacelles : {12, 24, 48, 96}) {
-    yard::Plan cut = yard::only(1, {Fault::cutCore, Fault::killControl});
-    cut.nacelles = nacelles;
+  for (int const routers : {12, 24, 48, 96}) {
+    testing::Plan cut = testing::only(1, {Fault::cutCore, Fault::killControl});
+    cut.routers = routers;
     cut.every = 4000;
-    yard::Result const result = yard::World(cut).run();
-    for (std::string const& v : result.violations) std::cerr << nacelles << " nacelles: " << v << "\n";
+    testing::Result const result = testing::World(cut).run();
+    for (std::string const& v : result.violations) std::cerr << routers << " routers: " << v << "\n";
     CHECK(result.violations.empty());
     CHECK(static_cast<double>(result.counts.at("standing-held")) >= 0.99 * static_cast<double>(result.counts.at("standing-looks")));
-    yard::Plan random = yard::chaos(static_cast<std::uint64_t>(nacelles));
-    random.nacelles = nacelles;
+    testing::Plan random = testing::chaos(static_cast<std::uint64_t>(routers));
+    random.routers = routers;
     clean(random);
   }
 }
@@ -129,12 +129,12 @@
 TEST_CASE("certificates are declared, raced and revoked while everything fails", "[regimes]") {
   std::map<std::string, std::size_t> counts;
   for (std::vector<Fault> const& faults :
-       std::vector<std::vector<Fault>>{{Fault::killControl, Fault::powerLoss}, {Fault::isolateNacelle, Fault::freezeNacelle, Fault::oneWayCut},
+       std::vector<std::vector<Fault>>{{Fault::killControl, Fault::powerLoss}, {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayCut},
                                        {Fault::splitCore, Fault::cutCore, Fault::isolateMember}, {Fault::wipeSameAddress, Fault::returnNewAddress},
                                        {Fault::rollReplicas, Fault::replicaCrash, Fault::breakStreams}, {Fault::evacuate, Fault::coldReplicas},
                                        {Fault::killHerd, Fault::killAll}})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-      yard::Plan plan = yard::only(seed, faults);
+      testing::Plan plan = testing::only(seed, faults);
       plan.regimes = true;
       plan.every = 3000;
       for (std::map<std::string, std::size_t>::value_type const& c : clean(plan).counts) counts[c.first] += c.second;
@@ -147,7 +147,7 @@
 TEST_CASE("no request of a regime runs where it may not while everything fails together", "[regimes]") {
   std::map<std::string, std::size_t> counts;
   for (std::uint64_t seed = 1; seed <= 24; ++seed)
-    for (std::map<std::string, std::size_t>::value_type const& c : clean(yard::regimes(seed)).counts) counts[c.first] += c.second;
+    for (std::map<std::string, std::size_t>::value_type const& c : clean(testing::regimes(seed)).counts) counts[c.first] += c.second;
   for (char const* happened : {"revoked", "life-denied", "tales-resumed", "tales-served-after-resume", "change-412"}) {
     INFO(happened);
     CHECK(counts[happened] >= 20);
@@ -162,9 +162,9 @@
     std::vector<Fault> faults;
     char const* says;
   };
-  std::vector<Row> const rows{{Mutation::noFence, {Fault::isolateNacelle, Fault::freezeNacelle}, "older certificates in force"},
-                              {Mutation::noFence, {Fault::isolateNacelle, Fault::freezeNacelle}, "was out of force"},
-                              {Mutation::earlyAck, {Fault::isolateNacelle, Fault::freezeNacelle, Fault::oneWayCut}, "older certificates in force"},
+  std::vector<Row> const rows{{Mutation::noFence, {Fault::isolateRouter, Fault::freezeRouter}, "older certificates in force"},
+                              {Mutation::noFence, {Fault::isolateRouter, Fault::freezeRouter}, "was out of force"},
+                              {Mutation::earlyAck, {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayCut}, "older certificates in force"},
                               {Mutation::ignoreExpiry, {Fault::crowd}, "was out of force"},
                               {Mutation::skipLife, {Fault::reuseAddress}, "never had a certificate"},
                               {Mutation::skipLife, {Fault::reuseAddress}, "never on the platform's list"},
@@ -176,12 +176,12 @@
   for (Row const& row : rows) {
     bool found = false;
     for (std::uint64_t seed = 1; seed <= 24 && !found; ++seed) {
-      yard::Plan plan = yard::only(seed, row.faults);
+      testing::Plan plan = testing::only(seed, row.faults);
       plan.regimes = true;
       plan.mutation = row.mutation;
       plan.every = 2000;
       plan.demand = 80;
-      for (std::string const& v : yard::World(plan).run().violations) found = found || v.find(row.says) != std::string::npos;
+      for (std::string const& v : testing::World(plan).run().violations) found = found || v.find(row.says) != std::string::npos;
     }
     INFO(row.says << " under mutation " << static_cast<int>(row.mutation));
     CHECK(found);
@@ -191,9 +191,9 @@
 TEST_CASE("seeds that once failed", "[kept]") {
   for (Kept const& k : std::vector<Kept>{{2, {Fault::splitCore}}, {8, {Fault::splitCore}}, {3, {Fault::cutZone}}, {5, {Fault::cutZone}},
                                          {6, {Fault::killHerd}}})
-    clean(yard::only(k.seed, k.faults));
-  for (std::uint64_t const seed : {89, 107, 126, 1534}) clean(yard::chaos(seed, false));
-  for (std::uint64_t const seed : {541, 913}) clean(yard::chaos(seed));
+    clean(testing::only(k.seed, k.faults));
+  for (std::uint64_t const seed : {89, 107, 126, 1534}) clean(testing::chaos(seed, false));
+  for (std::uint64_t const seed : {541, 913}) clean(testing::chaos(seed));
 }
 
 TEST_CASE("every oracle can fail", "[mutation]") {
@@ -205,38 +205,38 @@
     double demand = 40;
   };
   std::vector<Row> const rows{
-      {Mutation::noFence, {Fault::isolateNacelle, Fault::freezeNacelle}, "older blueprint served"},
-      {Mutation::earlyAck, {Fault::isolateNacelle, Fault::freezeNacelle, Fault::oneWayCut}, "older blueprint served"},
-      {Mutation::forgetLeaving, {Fault::isolateNacelle, Fault::rollReplicas}, "after it was shown leaving", 1200, 80},
-      {Mutation::forgetLeaving, {Fault::isolateNacelle, Fault::evacuate}, "after its evacuation was acknowledged"},
-      {Mutation::youngAges, {Fault::cutZone}, "older blueprint served"},
+      {Mutation::noFence, {Fault::isolateRouter, Fault::freezeRouter}, "older configuration served"},
+      {Mutation::earlyAck, {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayCut}, "older configuration served"},
+      {Mutation::forgetLeaving, {Fault::isolateRouter, Fault::rollReplicas}, "after it was shown leaving", 1200, 80},
+      {Mutation::forgetLeaving, {Fault::isolateRouter, Fault::evacuate}, "after its evacuation was acknowledged"},
+      {Mutation::youngAges, {Fault::cutZone}, "older configuration served"},
       {Mutation::forgetHints, {Fault::killControl, Fault::rollReplicas}, "after it was shown leaving", 1200, 80},
       {Mutation::resumeGap, {Fault::breakStreams}, "a gap, a repeat or a join", 1500, 80},
       {Mutation::resumeRepeat, {Fault::breakStreams}, "a gap, a repeat or a join", 1500, 80},
       {Mutation::resumeOther, {Fault::breakStreams}, "a gap, a repeat or a join", 1500, 80},
       {Mutation::cutLooksWhole, {Fault::breakStreams}, "a cut body looks whole"},
       {Mutation::foreignBody, {Fault::crowd}, "a body of somebody else"},
-      {Mutation::vouchTooSoon, {Fault::killNacelle}, "run twice"},
-      {Mutation::sayNotRun, {Fault::replicaCrash}, "denied as not run, but ran"},
+      {Mutation::vouchTooSoon, {Fault::killRouter}, "run twice"},
+      {Mutation::sayNotRun, {Fault::replicaCrash}, "rejected as not run, but ran"},
       {Mutation::resendUnseen, {Fault::crowd}, "over first hand-overs"},
-      {Mutation::warmForever, {Fault::coldReplicas, Fault::isolateNacelle, Fault::crowd}, "cold replica"},
+      {Mutation::warmForever, {Fault::coldReplicas, Fault::isolateRouter, Fault::crowd}, "cold replica"},
       {Mutation::lyingDisk, {Fault::powerLoss, Fault::killAll}, "acknowledged change lost"},
       {Mutation::rewriteIfMatch, {Fault::races}, "both accepted"},
-      {Mutation::denyAccepted, {Fault::killNacelle}, "a denied change is in force"},
-      {Mutation::dropOnRestart, {Fault::restartNacelle}, "a planned restart dropped"},
+      {Mutation::rejectAccepted, {Fault::killRouter}, "a rejected change is in force"},
+      {Mutation::dropOnRestart, {Fault::restartRouter}, "a planned restart dropped"},
       {Mutation::noReturn, {Fault::killAll}, "service was not back"},
       {Mutation::neverGrow, {Fault::growCore}, "disks vote after all was healed"},
       {Mutation::blindTrust, {Fault::greyReplicas}, "grey replicas went on drawing work"}};
   for (Row const& row : rows) {
     bool found = false;
     for (std::uint64_t seed = 1; seed <= 24 && !found; ++seed) {
-      yard::Plan plan = yard::only(seed, row.faults);
+      testing::Plan plan = testing::only(seed, row.faults);
       plan.mutation = row.mutation;
       plan.every = row.every;
       plan.demand = row.demand;
       std::vector<std::string> violations;
       try {
-        violations = yard::World(plan).run().violations;
+        violations = testing::World(plan).run().violations;
       } catch (corkward::core::InvariantError const& e) {
         violations.push_back(e.what());
       }
--- a/signal/include/corkward/signal/link.h
+++ b/transport/include/corkward/transport/link.h
@@ -8,11 +8,11 @@
 #include <string>
 #include <thread>
 
-#include <corkward/signal/message.h>
+#include <corkward/transport/message.h>
 
-namespace corkward::signal {
+namespace corkward::transport {
 
-/// Held nng connections between our own processes: one pull socket listens, one push socket per cohort member dials.
+/// Held nng connections between our own processes: one pull socket listens, one push socket per membership member dials.
 /// Messages are handed over on the thread of the object that the link was made for. What cannot be queued is dropped:
 /// every protocol above repeats itself.
 /// A dial to a machine that is down may hang for seconds after that machine is back. So a way that is not connected is
@@ -20,7 +20,7 @@
 class Link {
  public:
   /// Listens at ip:port; port 0 takes a free one. With `listen` it listens there, and is reached by others at `name`.
-  /// Throws signal::Error.
+  /// Throws transport::Error.
   Link(QObject* owner, std::string const& name, std::function<void(Envelope)> arrived, std::string const& listen = "");
   ~Link();
   Link(Link const&) = delete;
--- a/signal/include/corkward/signal/message.h
+++ b/transport/include/corkward/transport/message.h
@@ -11,7 +11,7 @@
 #include <corkward/core/error.h>
 #include <corkward/core/types.h>
 
-namespace corkward::signal {
+namespace corkward::transport {
 
 /// An error of the links and their framing.
 class Error : public core::Error {
@@ -20,29 +20,29 @@
 };
 
 /// Rising number of an ownership; the member's id breaks ties.
-struct Epoch {
+struct Ballot {
   std::uint64_t n = 0;
   std::string member;
-  std::strong_ordering operator<=>(Epoch const&) const = default;
-  bool operator==(Epoch const&) const = default;
+  std::strong_ordering operator<=>(Ballot const&) const = default;
+  bool operator==(Ballot const&) const = default;
   template <class F>
   void each(F& f) { f("n", n); f("m", member); }
 };
 
-/// Key -> newest stamp.
-using Stamps = std::map<std::string, std::uint64_t>;
+/// Key -> newest revision.
+using Revisions = std::map<std::string, std::uint64_t>;
 
-/// Stands for a set of keys with their stamps: the sum of one 64-bit hash for each pair, and how many there are.
+/// Stands for a set of keys with their revisions: the sum of one 64-bit hash for each pair, and how many there are.
 struct Digest {
   std::uint64_t sum = 0;
   std::uint64_t count = 0;
-  /// Puts the key under its newer stamp; stamp 0 stands for no such key.
+  /// Puts the key under its newer revision; revision 0 stands for no such key.
   void replace(std::string const& key, std::uint64_t before, std::uint64_t after);
   bool operator==(Digest const&) const = default;
 };
 
 /// Digest of a set.
-Digest digestOf(Stamps const& stamps);
+Digest digestOf(Revisions const& revisions);
 
 /// One bit for each place of an agreed list, eight to a byte.
 class Bits {
@@ -59,12 +59,17 @@
 /// One key with its value as it was accepted on a majority of the disks.
 struct Item {
   std::string key;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   QJsonObject value;
   template <class F>
-  void each(F& f) { f("k", key); f("s", stamp); f("v", value); }
+  void each(F& f) { f("k", key); f("s", revision); f("v", value); }
 };
 
+/// Role of a router in `Contact::role`. The text is what earlier releases send, so that mixed releases understand each other.
+inline constexpr char const* routerRole = "nacelle";
+/// Role of a controller in `Contact::role`, as earlier releases send it.
+inline constexpr char const* controllerRole = "substation";
+
 /// What one node tells of another in a shuffle.
 struct Contact {
   std::string link;
@@ -82,7 +87,7 @@
 struct Shuffle {
   std::vector<Contact> contacts;
   bool reply = false;
-  /// Stamp of the roster that the sender goes by, 0 for none, and contacts that differ from what this roster says of
+  /// Revision of the roster that the sender goes by, 0 for none, and contacts that differ from what this roster says of
   /// them by incarnation and age alone: place on the roster by link, incarnation, age, and so on.
   std::uint64_t roster = 0;
   std::vector<std::uint64_t> known = {};
@@ -93,86 +98,86 @@
 /// Asks a member to promise an epoch of a key.
 struct Prepare {
   std::string key;
-  Epoch epoch;
+  Ballot ballot;
   std::string member;
-  std::uint64_t cohort = 0;
+  std::uint64_t membership = 0;
   template <class F>
-  void each(F& f) { f("k", key); f("e", epoch); f("m", member); f("c", cohort); }
+  void each(F& f) { f("k", key); f("e", ballot); f("m", member); f("c", membership); }
 };
 
 struct Promise {
   std::string key;
-  Epoch epoch;
+  Ballot ballot;
   std::string member;
   bool ok = false;
-  Epoch promised;
-  Epoch acceptedEpoch;
-  std::uint64_t stamp = 0;
+  Ballot promised;
+  Ballot acceptedBallot;
+  std::uint64_t revision = 0;
   QJsonObject value;
   template <class F>
   void each(F& f) {
-    f("k", key); f("e", epoch); f("m", member); f("o", ok); f("p", promised); f("a", acceptedEpoch); f("s", stamp); f("v", value);
+    f("k", key); f("e", ballot); f("m", member); f("o", ok); f("p", promised); f("a", acceptedBallot); f("s", revision); f("v", value);
   }
 };
 
 struct Accept {
   std::string key;
-  Epoch epoch;
+  Ballot ballot;
   std::string member;
-  std::uint64_t cohort = 0;
-  std::uint64_t stamp = 0;
+  std::uint64_t membership = 0;
+  std::uint64_t revision = 0;
   QJsonObject value;
   template <class F>
-  void each(F& f) { f("k", key); f("e", epoch); f("m", member); f("c", cohort); f("s", stamp); f("v", value); }
+  void each(F& f) { f("k", key); f("e", ballot); f("m", member); f("c", membership); f("s", revision); f("v", value); }
 };
 
 struct Accepted {
   std::string key;
-  Epoch epoch;
+  Ballot ballot;
   std::string member;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   bool ok = false;
-  Epoch promised;
+  Ballot promised;
   template <class F>
-  void each(F& f) { f("k", key); f("e", epoch); f("m", member); f("s", stamp); f("o", ok); f("p", promised); }
+  void each(F& f) { f("k", key); f("e", ballot); f("m", member); f("s", revision); f("o", ok); f("p", promised); }
 };
 
 /// Tells that an item is on a majority of the disks.
 struct Commit {
-  Epoch epoch;
+  Ballot ballot;
   Item item;
   template <class F>
-  void each(F& f) { f("e", epoch); f("i", item); }
+  void each(F& f) { f("e", ballot); f("i", item); }
 };
 
 /// Names the receiver as the successor of a key's owner.
 struct Handover {
   std::string key;
-  Epoch epoch;
+  Ballot ballot;
   template <class F>
-  void each(F& f) { f("k", key); f("e", epoch); }
+  void each(F& f) { f("k", key); f("e", ballot); }
 };
 
-/// Standing of one cohort member, sent to the others.
-struct Beat {
+/// Standing of one membership member, sent to the others.
+struct Heartbeat {
   core::Tick tick = 0;
   std::string member;
   bool empty = false;
   bool voting = false;
-  std::uint64_t cohort = 0;
-  /// Stamp of the cohort under which the member last brought its state up to a majority's.
-  std::uint64_t settled = 0;
-  /// Empty for a member that said it has this cohort.
-  QJsonObject cohortValue;
+  std::uint64_t membership = 0;
+  /// Revision of the membership under which the member last brought its state up to a majority's.
+  std::uint64_t caughtUp = 0;
+  /// Empty for a member that said it has this membership.
+  QJsonObject membershipValue;
   /// What the sender knows to be on a majority of the disks.
   Digest known;
   /// Keys that the sender owns, with their epochs.
   Digest owns;
   /// The same in full, after a change or when it was asked for.
-  Stamps owned;
+  Revisions owned;
   template <class F>
   void each(F& f) {
-    f("t", tick); f("m", member); f("e", empty); f("v", voting); f("c", cohort); f("s", settled); f("cv", cohortValue); f("k", known); f("d", owns); f("o", owned);
+    f("t", tick); f("m", member); f("e", empty); f("v", voting); f("c", membership); f("s", caughtUp); f("cv", membershipValue); f("k", known); f("d", owns); f("o", owned);
   }
 };
 
@@ -183,31 +188,31 @@
   void each(F&) {}
 };
 
-struct BeatEcho {
+struct HeartbeatEcho {
   core::Tick tick = 0;
   std::string member;
   bool voting = false;
-  /// Newest stamps this member has accepted, committed or not.
+  /// Newest revisions this member has accepted, committed or not.
   Digest digest;
   /// The same in full, when what the asker knows is another set.
-  Stamps accepted;
+  Revisions accepted;
   /// Keys of the asker for which this member has promised a higher epoch.
-  Stamps higher;
+  Revisions higher;
   /// The asker's keys are not known here as it owns them now.
   bool wantOwned = false;
   template <class F>
   void each(F& f) { f("t", tick); f("m", member); f("v", voting); f("d", digest); f("a", accepted); f("h", higher); f("w", wantOwned); }
 };
 
-/// One slot of a member's ledger, for a member that copies.
+/// One slot of a member's write-ahead log, for a member that copies.
 struct Slot {
   std::string key;
-  Epoch promised;
-  Epoch acceptedEpoch;
-  std::uint64_t stamp = 0;
+  Ballot promised;
+  Ballot acceptedBallot;
+  std::uint64_t revision = 0;
   QJsonObject value;
   template <class F>
-  void each(F& f) { f("k", key); f("p", promised); f("a", acceptedEpoch); f("s", stamp); f("v", value); }
+  void each(F& f) { f("k", key); f("p", promised); f("a", acceptedBallot); f("s", revision); f("v", value); }
 };
 
 /// Asks for a value that is on a majority, or, when copying, for all slots that are newer than the asker's.
@@ -215,20 +220,20 @@
   std::string key;
   bool copy = false;
   std::string member;
-  std::uint64_t cohort = 0;
+  std::uint64_t membership = 0;
   /// The asker's slots without their values.
   std::vector<Slot> have = {};
   template <class F>
-  void each(F& f) { f("k", key); f("c", copy); f("m", member); f("n", cohort); f("h", have); }
+  void each(F& f) { f("k", key); f("c", copy); f("m", member); f("n", membership); f("h", have); }
 };
 
 struct Copy {
   std::string member;
-  /// Stamp of the cohort that the answering member goes by.
-  std::uint64_t cohort = 0;
+  /// Revision of the membership that the answering member goes by.
+  std::uint64_t membership = 0;
   std::vector<Slot> slots;
   template <class F>
-  void each(F& f) { f("m", member); f("n", cohort); f("s", slots); }
+  void each(F& f) { f("m", member); f("n", membership); f("s", slots); }
 };
 
 struct Call {
@@ -243,7 +248,7 @@
   void each(F& f) { f("t", token); f("m", method); f("p", path); f("i", ifMatch); f("c", changeId); f("d", dryRun); f("b", body); }
 };
 
-struct Outcome {
+struct CallResponse {
   std::uint64_t token = 0;
   int status = 0;
   QJsonObject body;
@@ -260,28 +265,28 @@
   void each(F& f) { f("n", number); f("w", whole); f("i", items); }
 };
 
-/// What a nacelle has in force of the keys that the news named, and a digest of all that it has; told to the
-/// substations that hold it.
+/// What a router has in force of the keys that the news named, and a digest of all that it has; told to the
+/// controllers that hold it.
 struct NewsAck {
   std::uint64_t number = 0;
   std::string link;
   std::uint64_t inc = 0;
-  Stamps stamps;
+  Revisions revisions;
   Digest digest;
   template <class F>
-  void each(F& f) { f("n", number); f("l", link); f("i", inc); f("s", stamps); f("d", digest); }
+  void each(F& f) { f("n", number); f("l", link); f("i", inc); f("s", revisions); f("d", digest); }
 };
 
-/// Which nacelles have a key under that stamp or a newer one.
+/// Which routers have a key under that revision or a newer one.
 struct Reached {
   std::string key;
-  std::uint64_t stamp = 0;
-  Bits nacelles;
+  std::uint64_t revision = 0;
+  Bits routers;
   template <class F>
-  void each(F& f) { f("k", key); f("s", stamp); f("b", nacelles); }
+  void each(F& f) { f("k", key); f("s", revision); f("b", routers); }
 };
 
-/// What a substation tells the others of the nacelles that it holds. Bits go by the links of the roster of that stamp
+/// What a controller tells the others of the routers that it holds. Bits go by the links of the roster of that revision
 /// and of the one before it, sorted.
 struct Holding {
   std::uint64_t roster = 0;
@@ -300,19 +305,19 @@
   void each(F& f) { f("r", roster); f("d", digest); f("h", heard); f("w", whole); f("f", fresh); f("e", reached); f("a", asked); }
 };
 
-/// A nacelle asks a substation for a confirmation of its standing.
+/// A router asks a controller for a confirmation of its serving lease.
 struct Ask {
   core::Tick tick = 0;
   Contact self;
   bool wantWhole = false;
-  /// The image need not be confirmed by a majority.
+  /// The snapshot need not be confirmed by a majority.
   bool anyWhole = false;
-  /// What the nacelle has in force.
+  /// What the router has in force.
   Digest digest;
-  /// The same in full, when the substation asked for it.
-  Stamps stamps;
+  /// The same in full, when the controller asked for it.
+  Revisions revisions;
   template <class F>
-  void each(F& f) { f("t", tick); f("c", self); f("w", wantWhole); f("y", anyWhole); f("d", digest); f("s", stamps); }
+  void each(F& f) { f("t", tick); f("c", self); f("w", wantWhole); f("y", anyWhole); f("d", digest); f("s", revisions); }
 };
 
 /// A platform's list that is newer than the one in force. It only ever takes away: what it does not name, or names
@@ -330,20 +335,20 @@
   core::Tick tick = 0;
   bool inTouch = false;
   core::Tick age = 0;
-  /// What the substation knows to be on a majority of the disks: all that the nacelle must know for this to count.
+  /// What the controller knows to be on a majority of the disks: all that the router must know for this to count.
   Digest digest;
   /// The same in full, when the asker's digest is another.
-  Stamps stamps;
-  /// The substation does not know what the nacelle has.
-  bool wantStamps = false;
-  /// Newest stamp of the roster that is known to be in force.
+  Revisions revisions;
+  /// The controller does not know what the router has.
+  bool wantRevisions = false;
+  /// Newest revision of the roster that is known to be in force.
   std::uint64_t roster = 0;
   std::vector<Hint> hints;
   template <class F>
-  void each(F& f) { f("t", tick); f("i", inTouch); f("a", age); f("d", digest); f("s", stamps); f("w", wantStamps); f("r", roster); f("h", hints); }
+  void each(F& f) { f("t", tick); f("i", inTouch); f("a", age); f("d", digest); f("s", revisions); f("w", wantRevisions); f("r", roster); f("h", hints); }
 };
 
-/// Contact between nacelles, with what each has in force.
+/// Contact between routers, with what each has in force.
 struct Touch {
   core::Tick tick = 0;
   bool echo = false;
@@ -352,18 +357,18 @@
   std::string link;
   Digest digest;
   /// The same in full, in an echo when the asker's digest is another.
-  Stamps stamps;
+  Revisions revisions;
   /// The asker lacks control, and wants ages.
   bool wantAges = false;
-  /// Stamp of the roster that the ages go by.
+  /// Revision of the roster that the ages go by.
   std::uint64_t roster = 0;
-  /// For each link of that roster, sorted, one byte: in units of ageUnit, how long ago at the most that nacelle had
+  /// For each link of that roster, sorted, one byte: in units of ageUnit, how long ago at the most that router had
   /// nothing in force which the sender lacks; 255: longer, or not known.
   std::string ages;
   std::vector<Hint> hints;
   template <class F>
   void each(F& f) {
-    f("t", tick); f("e", echo); f("w", wantWhole); f("h", whole); f("l", link); f("d", digest); f("s", stamps); f("a", wantAges);
+    f("t", tick); f("e", echo); f("w", wantWhole); f("h", whole); f("l", link); f("d", digest); f("s", revisions); f("a", wantAges);
     f("r", roster); f("g", ages); f("n", hints);
   }
 };
@@ -393,7 +398,7 @@
   bool clear = false;
   /// The id is remembered here.
   bool known = false;
-  /// It had reached a replica from here, which may have denied it.
+  /// It had reached a replica from here, which may have rejected it.
   bool reached = false;
   /// How far back this node remembers.
   core::Tick memory = 0;
@@ -403,7 +408,7 @@
   void each(F& f) { f("t", token); f("w", who); f("c", clear); f("k", known); f("r", reached); f("m", memory); f("n", claimants); }
 };
 
-/// Ids that a leaving nacelle leaves to its successors.
+/// Ids that a leaving router leaves to its successors.
 struct SeenLeft {
   /// Name of this run of the leaving process.
   std::string who;
@@ -431,14 +436,14 @@
   std::string replica;
   std::string member;
   bool ok = false;
-  std::uint64_t epoch = 0;
+  std::uint64_t term = 0;
   std::string holder;
   template <class F>
-  void each(F& f) { f("t", tick); f("r", replica); f("m", member); f("o", ok); f("e", epoch); f("h", holder); }
+  void each(F& f) { f("t", tick); f("r", replica); f("m", member); f("o", ok); f("e", term); f("h", holder); }
 };
 
-using Message = std::variant<Shuffle, Prepare, Promise, Accept, Accepted, Commit, Handover, Beat, BeatEcho, Fetch,
-                             Copy, Call, Outcome, News, NewsAck, Holding, Ask, Confirm, Hint, Touch, SeenAsk, SeenEcho, SeenLeft,
+using Message = std::variant<Shuffle, Prepare, Promise, Accept, Accepted, Commit, Handover, Heartbeat, HeartbeatEcho, Fetch,
+                             Copy, Call, CallResponse, News, NewsAck, Holding, Ask, Confirm, Hint, Touch, SeenAsk, SeenEcho, SeenLeft,
                              WarmAsk, WarmGrant, NoDisk>;
 
 /// Command: send a message to the process that listens at the link address.
@@ -455,7 +460,7 @@
   std::uint64_t run = 0;
 };
 
-/// Wire form (CBOR). Throws signal::Error on anything that is not a whole, well-typed envelope.
+/// Wire form (CBOR). Throws transport::Error on anything that is not a whole, well-typed envelope.
 std::string pack(Envelope const& envelope);
 Envelope unpack(std::string const& bytes);
 
--- a/signal/src/link.cpp
+++ b/transport/src/link.cpp
@@ -1,4 +1,4 @@
-#include <corkward/signal/link.h>
+#include <corkward/transport/link.h>
 
 #include <QMetaObject>
 #include <QRandomGenerator>
@@ -7,7 +7,7 @@
 #include <nng/protocol/pipeline0/pull.h>
 #include <nng/protocol/pipeline0/push.h>
 
-namespace corkward::signal {
+namespace corkward::transport {
 
 namespace {
 
--- a/signal/src/message.cpp
+++ b/transport/src/message.cpp
@@ -1,4 +1,4 @@
-#include <corkward/signal/message.h>
+#include <corkward/transport/message.h>
 
 #include <QCborArray>
 #include <QCborMap>
@@ -7,7 +7,7 @@
 #include <functional>
 #include <type_traits>
 
-namespace corkward::signal {
+namespace corkward::transport {
 
 namespace {
 
@@ -34,9 +34,9 @@
     for (T const& item : v) out.append(put(item));
     return out;
   }
-  static QCborValue put(Stamps const& v) {
+  static QCborValue put(Revisions const& v) {
     QCborArray out;
-    for (Stamps::value_type const& item : v) {
+    for (Revisions::value_type const& item : v) {
       out.append(put(item.first));
       out.append(put(item.second));
     }
@@ -60,7 +60,7 @@
   [[noreturn]] static void wrong() { throw Error("field of the wrong type"); }
   static void get(QCborValue const& c, bool& v) { if (!c.isBool()) wrong(); v = c.toBool(); }
   static void get(QCborValue const& c, int& v) { if (!c.isInteger()) wrong(); v = static_cast<int>(c.toInteger()); }
-  /// No time, stamp, epoch or age of ours is below zero or comes near this.
+  /// No time, revision, epoch or age of ours is below zero or comes near this.
   static constexpr qint64 most = qint64{1} << 53;
   static void get(QCborValue const& c, std::int64_t& v) {
     if (!c.isInteger() || c.toInteger() < 0 || c.toInteger() > most) wrong();
@@ -78,7 +78,7 @@
     if (!c.isArray()) wrong();
     for (QCborValue const item : c.toArray()) get(item, v.emplace_back());
   }
-  static void get(QCborValue const& c, Stamps& v) {
+  static void get(QCborValue const& c, Revisions& v) {
     if (!c.isArray() || c.toArray().size() % 2 != 0) wrong();
     QCborArray const pairs = c.toArray();
     for (qsizetype i = 0; i < pairs.size(); i += 2) {
@@ -119,16 +119,16 @@
 }  // namespace
 
 void Digest::replace(std::string const& key, std::uint64_t before, std::uint64_t after) {
-  std::function<std::uint64_t(std::uint64_t)> const part = [&](std::uint64_t stamp) {
-    return stamp == 0 ? 0 : core::stableHash(key + "=" + std::to_string(stamp));
+  std::function<std::uint64_t(std::uint64_t)> const part = [&](std::uint64_t revision) {
+    return revision == 0 ? 0 : core::stableHash(key + "=" + std::to_string(revision));
   };
   sum += part(after) - part(before);
   count += static_cast<std::uint64_t>(after > 0) - static_cast<std::uint64_t>(before > 0);
 }
 
-Digest digestOf(Stamps const& stamps) {
+Digest digestOf(Revisions const& revisions) {
   Digest out;
-  for (Stamps::value_type const& s : stamps) out.replace(s.first, 0, s.second);
+  for (Revisions::value_type const& s : revisions) out.replace(s.first, 0, s.second);
   return out;
 }
 
--- a/signal/test/fill.h
+++ b/transport/test/fill.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include <corkward/core/types.h>
-#include <corkward/signal/message.h>
+#include <corkward/transport/message.h>
 
-namespace corkward::signal {
+namespace corkward::transport {
 
 /// Fills messages with values that are well typed, often well known and often absurd.
 struct Filler {
@@ -22,7 +22,7 @@
     if (rng.chance(0.3)) v = QJsonObject{{"members", 7}, {"nodes", "x"}, {"evacuated", true}};
     if (rng.chance(0.2)) v = QJsonObject{{"generation", 5}, {"replicas", QJsonObject()}};
   }
-  void fill(Stamps& v) {
+  void fill(Revisions& v) {
     for (std::uint64_t i = rng.below(3); i > 0; --i) v[names[rng.below(names.size())]] = number();
   }
   void fill(Digest& v) {
--- a/signal/test/signal_test.cpp
+++ b/transport/test/transport_test.cpp
@@ -7,46 +7,46 @@
 #include <sys/socket.h>
 #include <unistd.h>
 #include <corkward/core/json.h>
-#include <corkward/signal/link.h>
+#include <corkward/transport/link.h>
 
 namespace core = corkward::core;
-namespace signal = corkward::signal;
+namespace transport = corkward::transport;
 
 TEST_CASE("an envelope comes back as it was, and no damaged one is taken for whole") {
-  signal::Accept accept;
+  transport::Accept accept;
   accept.key = "family:fault";
-  accept.epoch = signal::Epoch{7, "m1"};
-  accept.stamp = 12;
+  accept.ballot = transport::Ballot{7, "m1"};
+  accept.revision = 12;
   accept.value = core::parseJson(R"({"a":[1,2,{"b":"ü"}],"n":null})").toObject();
-  std::string const bytes = signal::pack(signal::Envelope{"127.0.0.1:1", accept});
-  signal::Envelope const back = signal::unpack(bytes);
-  signal::Accept const& got = std::get<signal::Accept>(back.message);
-  CHECK(got.epoch == accept.epoch);
-  CHECK(got.stamp == 12);
+  std::string const bytes = transport::pack(transport::Envelope{"127.0.0.1:1", accept});
+  transport::Envelope const back = transport::unpack(bytes);
+  transport::Accept const& got = std::get<transport::Accept>(back.message);
+  CHECK(got.ballot == accept.ballot);
+  CHECK(got.revision == 12);
   CHECK(got.value == accept.value);
   for (std::size_t cut = 0; cut < bytes.size(); ++cut)
-    CHECK_THROWS_AS(signal::unpack(bytes.substr(0, cut)), signal::Error);
+    CHECK_THROWS_AS(transport::unpack(bytes.substr(0, cut)), transport::Error);
 }
 
 TEST_CASE("a digest follows the set, whatever the order, and comes back over the wire") {
-  signal::Stamps const stamps{{"family:desk", 5}, {"family:fault", 6}};
-  signal::Digest built;
+  transport::Revisions const revisions{{"family:desk", 5}, {"family:fault", 6}};
+  transport::Digest built;
   built.replace("family:fault", 0, 2);
   built.replace("family:desk", 0, 5);
-  CHECK_FALSE(built == signal::digestOf(stamps));
+  CHECK_FALSE(built == transport::digestOf(revisions));
   built.replace("family:fault", 2, 6);
-  CHECK(built == signal::digestOf(stamps));
-  CHECK_FALSE(built == signal::digestOf({{"family:desk", 6}, {"family:fault", 5}}));
+  CHECK(built == transport::digestOf(revisions));
+  CHECK_FALSE(built == transport::digestOf({{"family:desk", 6}, {"family:fault", 5}}));
   built.replace("family:desk", 5, 0);
-  CHECK(built == signal::digestOf({{"family:fault", 6}}));
-  signal::Confirm c;
-  c.digest = signal::digestOf(stamps);
-  CHECK(std::get<signal::Confirm>(signal::unpack(signal::pack(signal::Envelope{"s", c})).message).digest == c.digest);
+  CHECK(built == transport::digestOf({{"family:fault", 6}}));
+  transport::Confirm c;
+  c.digest = transport::digestOf(revisions);
+  CHECK(std::get<transport::Confirm>(transport::unpack(transport::pack(transport::Envelope{"s", c})).message).digest == c.digest);
 }
 
 TEST_CASE("random bytes never pass for an envelope and never crash the reader") {
   core::Rng rng(42);
-  std::string const good = signal::pack(signal::Envelope{"a", signal::SeenAsk{1, "id", 2, 0, ""}});
+  std::string const good = transport::pack(transport::Envelope{"a", transport::SeenAsk{1, "id", 2, 0, ""}});
   int thrown = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string bytes = good;
@@ -57,8 +57,8 @@
       for (int i = 0; i < 3; ++i) bytes[rng.below(bytes.size())] = static_cast<char>(rng.next());
     }
     try {
-      signal::unpack(bytes);
-    } catch (signal::Error const&) {
+      transport::unpack(bytes);
+    } catch (transport::Error const&) {
       ++thrown;
     }
   }
@@ -70,16 +70,16 @@
   QCoreApplication app(argc, nullptr);
   QObject owner;
   std::vector<std::uint64_t> got;
-  std::unique_ptr<signal::Link> b;
-  signal::Link a(&owner, "127.0.0.1:0", [&](signal::Envelope e) {
-    if (!std::holds_alternative<signal::SeenEcho>(e.message)) return;
-    got.push_back(std::get<signal::SeenEcho>(e.message).token);
+  std::unique_ptr<transport::Link> b;
+  transport::Link a(&owner, "127.0.0.1:0", [&](transport::Envelope e) {
+    if (!std::holds_alternative<transport::SeenEcho>(e.message)) return;
+    got.push_back(std::get<transport::SeenEcho>(e.message).token);
     if (got.size() == 10) QCoreApplication::quit();
   });
-  b = std::make_unique<signal::Link>(&owner, "127.0.0.1:0", [&](signal::Envelope e) {
-    b->send(e.from, signal::SeenEcho{std::get<signal::SeenAsk>(e.message).token, b->address(), true, false, false, 0, {}});
+  b = std::make_unique<transport::Link>(&owner, "127.0.0.1:0", [&](transport::Envelope e) {
+    b->send(e.from, transport::SeenEcho{std::get<transport::SeenAsk>(e.message).token, b->address(), true, false, false, 0, {}});
   });
-  for (std::uint64_t i = 1; i <= 10; ++i) a.send(b->address(), signal::SeenAsk{i, "x", 2, 0, ""});
+  for (std::uint64_t i = 1; i <= 10; ++i) a.send(b->address(), transport::SeenAsk{i, "x", 2, 0, ""});
   QTimer::singleShot(30000, [] { QCoreApplication::exit(1); });
   CHECK(QCoreApplication::exec() == 0);
   CHECK(got == std::vector<std::uint64_t>{1, 2, 3, 4, 5, 6, 7, 8, 9, 10});
@@ -135,20 +135,20 @@
   QObject owner;
   BlackHole hole;
   std::uint64_t got = 0;
-  signal::SeenAsk const ask{1, "x", 2, 0, ""};
-  signal::Link a(&owner, "127.0.0.1:0", [](signal::Envelope) {});
+  transport::SeenAsk const ask{1, "x", 2, 0, ""};
+  transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
   a.send(hole.address(), ask);
   CHECK(a.held() == 1);
-  signal::Link early(&owner, hole.address(), [](signal::Envelope) {}, "127.0.0.1:0");
+  transport::Link early(&owner, hole.address(), [](transport::Envelope) {}, "127.0.0.1:0");
   waitFor([&] { return a.redials() > 0; }, [&] { early.send(a.address(), ask); });
   hole.end();
-  std::unique_ptr<signal::Link> b;
+  std::unique_ptr<transport::Link> b;
   waitFor(
       [&] { return got > 0; },
       [&] {
         try {
-          if (!b) b = std::make_unique<signal::Link>(&owner, hole.address(), [&](signal::Envelope) { ++got; });
-        } catch (signal::Error const&) {
+          if (!b) b = std::make_unique<transport::Link>(&owner, hole.address(), [&](transport::Envelope) { ++got; });
+        } catch (transport::Error const&) {
           return;
         }
         b->send(a.address(), ask);
@@ -165,15 +165,15 @@
   QCoreApplication app(argc, nullptr);
   QObject owner;
   std::uint64_t got = 0;
-  signal::SeenAsk const ask{1, "x", 2, 0, ""};
-  signal::Link a(&owner, "127.0.0.1:0", [](signal::Envelope) {});
-  signal::Link former(&owner, "127.0.0.1:0", [&](signal::Envelope) { ++got; });
+  transport::SeenAsk const ask{1, "x", 2, 0, ""};
+  transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
+  transport::Link former(&owner, "127.0.0.1:0", [&](transport::Envelope) { ++got; });
   waitFor([&] { return got > 20; }, [&] {
     a.send(former.address(), ask);
     former.send(a.address(), ask);
   });
   CHECK(a.redials() == 0);
-  signal::Link latter(&owner, former.address(), [](signal::Envelope) {}, "127.0.0.1:0");
+  transport::Link latter(&owner, former.address(), [](transport::Envelope) {}, "127.0.0.1:0");
   waitFor([&] { return a.redials() > 0; }, [&] { latter.send(a.address(), ask); });
   std::uint64_t const before = got;
   waitFor([&] { return got > before + 50; }, [&] {
--- a/yard/capacity/main.cpp
+++ /dev/null
@@ -1,5 +0,0 @@
-#include <iostream>
-
-#include "rig.h"
-
-int main(int argc, char** argv) { return corkward::yard::capacity::rig(argc, argv, std::cout, std::cerr); }
