--- a/alerting/src/rules.cpp
+++ b/alerting/src/rules.cpp
@@ -44,7 +44,9 @@
   std::string name() {
     space();
     std::size_t const from = at_;
-    while (at_ < text_.size() && (std::isalnum(static_cast<unsigned char>(text_[at_])) != 0 || text_[at_] == '_' || text_[at_] == ':')) ++at_;
+    while (at_ < text_.size() &&
+           (std::isalnum(static_cast<unsigned char>(text_[at_])) != 0 || text_[at_] == '_' || text_[at_] == ':'))
+      ++at_;
     if (from == at_ || std::isdigit(static_cast<unsigned char>(text_[from])) != 0) wrong("a name is needed");
     return text_.substr(from, at_ - from);
   }
@@ -93,7 +95,8 @@
 void onlyKeys(YAML::Node const& n, std::set<std::string> const& allowed) {
   if (!n.IsMap()) throw Error(place(n) + "must be a mapping");
   for (YAML::const_iterator it = n.begin(); it != n.end(); ++it)
-    if (allowed.count(it->first.as<std::string>()) == 0) throw Error(place(it->first) + "unknown field " + it->first.as<std::string>());
+    if (allowed.count(it->first.as<std::string>()) == 0)
+      throw Error(place(it->first) + "unknown field " + it->first.as<std::string>());
 }
 
 std::string textAt(YAML::Node const& n, char const* key) {
@@ -171,7 +174,8 @@
         onlyKeys(logEvents, {"runbook", "parameters", "summary"});
         rule.runbook = textAt(logEvents, "runbook");
         if (logEvents["parameters"]) {
-          if (!logEvents["parameters"].IsMap()) throw Error(place(logEvents["parameters"]) + "parameters must be a mapping");
+          if (!logEvents["parameters"].IsMap())
+            throw Error(place(logEvents["parameters"]) + "parameters must be a mapping");
           for (YAML::const_iterator it = logEvents["parameters"].begin(); it != logEvents["parameters"].end(); ++it)
             rule.parameters[it->first.as<std::string>()] = it->second.as<std::string>();
         }
@@ -204,7 +208,8 @@
 bool holds(Expression const& expr, std::vector<Sample> const& samples) {
   std::vector<double> values;
   for (Sample const& s : samples) {
-    bool const fits = s.metric == expr.metric && std::all_of(expr.labels.begin(), expr.labels.end(), [&](Labels::value_type const& l) {
+    bool const fits = s.metric == expr.metric &&
+                      std::all_of(expr.labels.begin(), expr.labels.end(), [&](Labels::value_type const& l) {
                         Labels::const_iterator const it = s.labels.find(l.first);
                         return it != s.labels.end() && it->second == l.second;
                       });
--- a/alerting/test/rules_test.cpp
+++ b/alerting/test/rules_test.cpp
@@ -22,7 +22,8 @@
 
 TEST_CASE("an alert fires once when it has held long enough, and again only after it ceased") {
   alerting::Watch watch(alerting::readRules(good));
-  std::vector<alerting::Sample> const dark = alerting::readSamples("# TYPE x gauge\ncorkward_up{zone=\"z2\",node=\"a\"} 0\ncorkward_up{zone=\"z1\"} 1\n");
+  std::vector<alerting::Sample> const dark =
+      alerting::readSamples("# TYPE x gauge\ncorkward_up{zone=\"z2\",node=\"a\"} 0\ncorkward_up{zone=\"z1\"} 1\n");
   std::vector<alerting::Sample> const lit = alerting::readSamples("corkward_up{zone=\"z2\"} 1\n");
   CHECK(watch.look(0, dark).empty());
   CHECK(watch.look(9999, dark).empty());
@@ -38,7 +39,8 @@
 }
 
 TEST_CASE("what is not understood is rejected with its place, never ignored") {
-  for (char const* expr : {"rate(x[5m]) > 1", "x > 1 and y > 2", "x", "x >", "x{a=b} > 1", "sum(x > 1", "x{a=\"b\"} > 1 or", "5 > 3", "avg(x) > 1"})
+  for (char const* expr : {"rate(x[5m]) > 1", "x > 1 and y > 2", "x", "x >", "x{a=b} > 1", "sum(x > 1",
+                           "x{a=\"b\"} > 1 or", "5 > 3", "avg(x) > 1"})
     CHECK_THROWS_AS(alerting::readExpression(expr), alerting::Error);
   std::string const bad = std::string(good) + "    labels: {a: b}\n";
   try {
@@ -47,7 +49,8 @@
   } catch (alerting::Error const& e) {
     CHECK(std::string(e.what()).find("line 11") != std::string::npos);
   }
-  for (char const* yaml : {"groups: 3", "x: 1", "groups:\n- name: g\n  rules:\n  - alert: a\n    expr: x > 1\n", "groups: [", "- 1"})
+  for (char const* yaml :
+       {"groups: 3", "x: 1", "groups:\n- name: g\n  rules:\n  - alert: a\n    expr: x > 1\n", "groups: [", "- 1"})
     CHECK_THROWS_AS(alerting::readRules(yaml), alerting::Error);
   CHECK_THROWS_AS(alerting::readSamples("x{a=\"b\" 1\n"), alerting::Error);
 }
--- a/audit/include/corkward/audit/trail.h
+++ b/audit/include/corkward/audit/trail.h
@@ -48,7 +48,8 @@
  public:
   /// Goes on after the newest record in the folder; a last line that was torn is cut off. The folder must outlive it.
   Trail(storage::Folder& folder, std::string node, std::int64_t wall, Bounds bounds = {});
-  /// Counts one request. The first of its kind in a span is in the file when this returns, the others when the span ends.
+  /// Counts one request. The first of its kind in a span is in the file when this returns, the others when the span
+  /// ends.
   void count(Kind const& kind, std::int64_t wall);
   /// Writes the counts of a span that has ended.
   void clockEvent(std::int64_t wall);
--- a/audit/src/report.cpp
+++ b/audit/src/report.cpp
@@ -16,9 +16,10 @@
   std::string Kind::*field;
 };
 
-constexpr FieldRow fieldTable[] = {{"what", &Kind::what}, {"regime", &Kind::regime}, {"instance", &Kind::instance},
-                                   {"pool", &Kind::pool}, {"address", &Kind::address}, {"life", &Kind::life},
-                                   {"zone", &Kind::zone}, {"certificate", &Kind::certificate}, {"reason", &Kind::reason}};
+constexpr FieldRow fieldTable[] = {
+    {"what", &Kind::what}, {"regime", &Kind::regime},           {"instance", &Kind::instance},
+    {"pool", &Kind::pool}, {"address", &Kind::address},         {"life", &Kind::life},
+    {"zone", &Kind::zone}, {"certificate", &Kind::certificate}, {"reason", &Kind::reason}};
 
 std::int64_t wallOf(QJsonObject const& record, char const* field) {
   return QDateTime::fromString(record.value(QLatin1String(field)).toString(), Qt::ISODateWithMs).toMSecsSinceEpoch();
@@ -40,16 +41,23 @@
   if (!life.isEmpty()) lives.append(life);
   QJsonArray faults;
   for (Fault const& f : t.faults)
-    faults.append(QJsonObject{{"file", core::qstr(f.file)}, {"line", static_cast<qint64>(f.line)}, {"reason", core::qstr(f.reason)}});
+    faults.append(QJsonObject{
+        {"file", core::qstr(f.file)}, {"line", static_cast<qint64>(f.line)}, {"reason", core::qstr(f.reason)}});
   for (std::pair<std::string, Head> const& h : ask.heads) {
     if (h.first != t.node || h.second.number < t.first) continue;
     std::map<std::uint64_t, std::string>::const_iterator const it = t.hashes.find(h.second.number);
     if (it != t.hashes.end() && it->second == h.second.hash) continue;
-    faults.append(QJsonObject{{"reason", core::qstr("record " + std::to_string(h.second.number) + " that was noted elsewhere is not in the trail")}});
+    faults.append(QJsonObject{{"reason", core::qstr("record " + std::to_string(h.second.number) +
+                                                    " that was noted elsewhere is not in the trail")}});
   }
   whole = whole && faults.isEmpty();
-  return QJsonObject{{"node", core::qstr(t.node)}, {"first", static_cast<qint64>(t.first)}, {"faults", faults}, {"lives", lives}, {"tornEnd", t.tornEnd},
-                     {"head", QJsonObject{{"n", static_cast<qint64>(t.head.number)}, {"hash", core::qstr(t.head.hash)}}}};
+  return QJsonObject{
+      {"node", core::qstr(t.node)},
+      {"first", static_cast<qint64>(t.first)},
+      {"faults", faults},
+      {"lives", lives},
+      {"tornEnd", t.tornEnd},
+      {"head", QJsonObject{{"n", static_cast<qint64>(t.head.number)}, {"hash", core::qstr(t.head.hash)}}}};
 }
 
 }  // namespace
@@ -86,7 +94,8 @@
       std::string const prev = core::str(line.record.value("prev").toString());
       if (out.records.empty()) {
         out.first = n;
-        if (n == 1 && !prev.empty()) out.faults.push_back(Fault{file, i + 1, "is the first record and names one before"});
+        if (n == 1 && !prev.empty())
+          out.faults.push_back(Fault{file, i + 1, "is the first record and names one before"});
       } else if (n != out.head.number + 1 || prev != out.head.hash) {
         out.faults.push_back(Fault{file, i + 1, "does not follow record " + std::to_string(out.head.number)});
       }
@@ -109,7 +118,8 @@
       if (!r.contains("count")) continue;
       Kind const kind = kindOf(r);
       std::int64_t const span = wallOf(r, "span");
-      if ((!ask.regime.empty() && kind.regime != ask.regime) || span < ask.from || (ask.until > 0 && span >= ask.until)) continue;
+      if ((!ask.regime.empty() && kind.regime != ask.regime) || span < ask.from || (ask.until > 0 && span >= ask.until))
+        continue;
       sums[kind.regime][span - span % ask.span][kind] += static_cast<std::uint64_t>(r.value("count").toInteger());
     }
   }
@@ -117,7 +127,8 @@
     bool const known = std::any_of(trails.begin(), trails.end(), [&](TrailView const& t) { return t.node == h.first; });
     if (known) continue;
     whole = false;
-    nodes.append(QJsonObject{{"node", core::qstr(h.first)}, {"faults", QJsonArray{QJsonObject{{"reason", "no trail of this node was given"}}}}});
+    nodes.append(QJsonObject{{"node", core::qstr(h.first)},
+                             {"faults", QJsonArray{QJsonObject{{"reason", "no trail of this node was given"}}}}});
   }
   QJsonObject regimes;
   for (std::pair<std::string const, std::map<std::int64_t, std::map<Kind, std::uint64_t>>> const& regime : sums) {
--- a/audit/src/trail.cpp
+++ b/audit/src/trail.cpp
@@ -21,7 +21,9 @@
 
 }  // namespace
 
-std::string timeText(std::int64_t wall) { return core::str(QDateTime::fromMSecsSinceEpoch(wall, Qt::UTC).toString(Qt::ISODateWithMs)); }
+std::string timeText(std::int64_t wall) {
+  return core::str(QDateTime::fromMSecsSinceEpoch(wall, Qt::UTC).toString(Qt::ISODateWithMs));
+}
 
 std::string hashOf(std::string const& text) {
   return QCryptographicHash::hash(QByteArray::fromStdString(text), QCryptographicHash::Sha256).toHex().toStdString();
@@ -65,7 +67,11 @@
 }
 
 Trail::Trail(storage::Folder& folder, std::string node, std::int64_t wall, Bounds bounds)
-    : folder_(folder), node_(std::move(node)), bounds_(bounds), files_(trailFiles(folder)), span_(wall - wall % spanMs) {
+    : folder_(folder),
+      node_(std::move(node)),
+      bounds_(bounds),
+      files_(trailFiles(folder)),
+      span_(wall - wall % spanMs) {
   for (std::size_t i = files_.size(); i > 0 && head_.number == 0; --i) {
     std::vector<Line> lines = readLines(folder_.read(files_[i - 1]));
     if (!lines.empty() && lines.back().torn) {
@@ -83,7 +89,9 @@
   begin(wall);
 }
 
-void Trail::begin(std::int64_t wall) { write(QJsonObject{{"what", "opened"}, {"node", core::qstr(node_)}}, wall); }
+void Trail::begin(std::int64_t wall) {
+  write(QJsonObject{{"what", "opened"}, {"node", core::qstr(node_)}}, wall);
+}
 
 void Trail::write(QJsonObject record, std::int64_t wall) {
   record.insert("n", static_cast<qint64>(head_.number + 1));
@@ -136,7 +144,9 @@
   }
 }
 
-void Trail::probe(std::int64_t wall) { write(QJsonObject{{"what", "probed"}}, wall); }
+void Trail::probe(std::int64_t wall) {
+  write(QJsonObject{{"what", "probed"}}, wall);
+}
 
 void Trail::close(std::int64_t wall) {
   writeCounts(wall);
--- a/audit/test/trail_test.cpp
+++ b/audit/test/trail_test.cpp
@@ -41,7 +41,9 @@
 
 std::int64_t const noon = QDateTime::fromString("2026-06-01T12:00:00Z", Qt::ISODate).toMSecsSinceEpoch();
 
-audit::Kind handed(std::string const& life) { return audit::Kind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", life, "z1", "c1", {}}; }
+audit::Kind handed(std::string const& life) {
+  return audit::Kind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", life, "z1", "c1", {}};
+}
 
 audit::Kind rejected() {
   audit::Kind k;
@@ -58,12 +60,15 @@
   for (QJsonValue const s : report.value("regimes").toObject().value(regime).toArray())
     for (QJsonValue const c : s.toObject().value("counts").toArray()) {
       QJsonObject const row = c.toObject();
-      out[core::str(row.value("what").toString() + " " + row.value("life").toString())] += row.value("count").toInteger();
+      out[core::str(row.value("what").toString() + " " + row.value("life").toString())] +=
+          row.value("count").toInteger();
     }
   return out;
 }
 
-QJsonObject reportOf(MemoryFolder& folder, audit::Ask const& ask = {}) { return audit::report({audit::readTrail(folder)}, ask); }
+QJsonObject reportOf(MemoryFolder& folder, audit::Ask const& ask = {}) {
+  return audit::report({audit::readTrail(folder)}, ask);
+}
 
 }  // namespace
 
@@ -74,9 +79,11 @@
   CHECK(countsOf(reportOf(folder), "health")["handed-over r1"] == 1);
   for (int i = 0; i < 5; ++i) trail.count(handed("r1"), noon + 20 + i);
   trail.count(handed("r2"), noon + 30);
-  CHECK(countsOf(reportOf(folder), "health") == std::map<std::string, qint64>{{"handed-over r1", 1}, {"handed-over r2", 1}});
+  CHECK(countsOf(reportOf(folder), "health") ==
+        std::map<std::string, qint64>{{"handed-over r1", 1}, {"handed-over r2", 1}});
   trail.clockEvent(noon + audit::spanMs);
-  CHECK(countsOf(reportOf(folder), "health") == std::map<std::string, qint64>{{"handed-over r1", 6}, {"handed-over r2", 1}});
+  CHECK(countsOf(reportOf(folder), "health") ==
+        std::map<std::string, qint64>{{"handed-over r1", 6}, {"handed-over r2", 1}});
   trail.count(handed("r1"), noon + audit::spanMs + 1);
   CHECK(countsOf(reportOf(folder), "health")["handed-over r1"] == 7);
   trail.count(rejected(), noon + audit::spanMs + 2);
@@ -162,7 +169,9 @@
   audit::Ask ask;
   ask.heads = {{"n1", head}};
   CHECK_FALSE(shows([](std::map<std::string, std::string>&) {}, ask));
-  std::function<void(std::map<std::string, std::string>&)> const cutShort = [&](std::map<std::string, std::string>& f) { f.erase(last); };
+  std::function<void(std::map<std::string, std::string>&)> const cutShort = [&](std::map<std::string, std::string>& f) {
+    f.erase(last);
+  };
   CHECK_FALSE(shows(cutShort, {}));
   CHECK(shows(cutShort, ask));
   ask.heads = {{"n2", head}};
@@ -207,7 +216,8 @@
   std::string const& foreign = other.files.begin()->second;
   std::size_t const from = text.find('\n') + 1;
   std::size_t const foreignFrom = foreign.find('\n') + 1;
-  text.replace(from, text.find('\n', from) - from, foreign.substr(foreignFrom, foreign.find('\n', foreignFrom) - foreignFrom));
+  text.replace(from, text.find('\n', from) - from,
+               foreign.substr(foreignFrom, foreign.find('\n', foreignFrom) - foreignFrom));
   CHECK_FALSE(reportOf(folder).value("whole").toBool());
 }
 
--- a/config/include/corkward/config/config.h
+++ b/config/include/corkward/config/config.h
@@ -11,7 +11,8 @@
 
 namespace corkward::config {
 
-/// A configuration that is valid JSON but not a valid template, instance, pool or zone; says the place as a JSON pointer.
+/// A configuration that is valid JSON but not a valid template, instance, pool or zone; says the place as a JSON
+/// pointer.
 class Error : public core::Error {
  public:
   Error(std::string pointer, std::string reason)
@@ -124,7 +125,8 @@
 
 /// True for names of templates, instances and alerts: a-z, 0-9 and '-', at most 63, not starting with '-'.
 bool validName(std::string const& name);
-/// True for what a platform may call its pools and zones: a text of one line, at most maxText bytes, neither "." nor "..".
+/// True for what a platform may call its pools and zones: a text of one line, at most maxText bytes, neither "." nor
+/// "..".
 bool validLabel(std::string const& label);
 /// A label as one part of a page's address, percent-encoded, and back.
 std::string addressPart(std::string const& label);
@@ -155,7 +157,9 @@
 };
 
 /// Name of a replica within its pool: its address, and its life where the platform tells it.
-inline std::string lifeName(Replica const& r) { return r.id.empty() ? r.address : r.address + "|" + r.id; }
+inline std::string lifeName(Replica const& r) {
+  return r.id.empty() ? r.address : r.address + "|" + r.id;
+}
 
 /// The platform's list of one pool.
 struct Pool {
@@ -171,4 +175,4 @@
 /// The list as readPool reads it.
 QJsonObject poolJson(Pool const& pool);
 
-}  // namespace corkward::configuration
+}  // namespace corkward::config
--- a/config/include/corkward/config/regimes.h
+++ b/config/include/corkward/config/regimes.h
@@ -17,8 +17,9 @@
 /// What the carriers of a certificate are.
 enum class Carrier { replicas, routers };
 
-/// A certificate for one regime. Of replicas: for each life that the platform lists in that zone of that pool, or for one
-/// life alone. Of routers: for each in that zone, or for the one with that link in that zone. An address alone carries none.
+/// A certificate for one regime. Of replicas: for each life that the platform lists in that zone of that pool, or for
+/// one life alone. Of routers: for each in that zone, or for the one with that link in that zone. An address alone
+/// carries none.
 struct Certificate {
   std::string name;
   std::string regime;
@@ -50,7 +51,8 @@
 
 /// Key of regimes and certificates.
 inline constexpr char const* regimesKey = "certificates";
-/// A certificate counts from this long after its beginning until this long before its end, so that clocks may differ by it.
+/// A certificate counts from this long after its beginning until this long before its end, so that clocks may differ by
+/// it.
 inline constexpr std::int64_t wallMargin = 60000;
 inline constexpr std::size_t maxRegimes = 64;
 inline constexpr std::size_t maxCertificates = 4096;
@@ -62,11 +64,13 @@
 
 /// Whether it counts at that moment.
 bool counts(Certificate const& certificate, Wall now);
-/// The certificate under which this replica may have requests of the regime now; null: none, or in doubt. A replica whose
-/// life is not told has none.
-Certificate const* certifies(Regimes const& regimes, std::string const& regime, std::string const& pool, Replica const& replica, Wall now);
+/// The certificate under which this replica may have requests of the regime now; null: none, or in doubt. A replica
+/// whose life is not told has none.
+Certificate const* certifies(Regimes const& regimes, std::string const& regime, std::string const& pool,
+                             Replica const& replica, Wall now);
 /// Whether this router may hand requests of the regime on now.
-bool routerMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone, Wall now);
+bool routerMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone,
+               Wall now);
 
 /// Why no request of the regime could be served in the pool, as a JSON pointer into the regimes and a reason; nothing:
 /// it can. Without a time only what has no certificate at all is a fault.
@@ -74,7 +78,8 @@
   std::string pointer;
   std::string reason;
 };
-std::optional<RegimeFault> faultOf(Regimes const& regimes, std::string const& regime, std::string const& pool, Wall now);
+std::optional<RegimeFault> faultOf(Regimes const& regimes, std::string const& regime, std::string const& pool,
+                                   Wall now);
 
 /// A tenant's path that wants a regime.
 struct RegimeUse {
@@ -85,4 +90,4 @@
 /// What the paths want of regimes, each once.
 std::vector<RegimeUse> regimeUses(std::vector<Path> const& paths);
 
-}  // namespace corkward::configuration
+}  // namespace corkward::config
--- a/config/src/checks.h
+++ b/config/src/checks.h
@@ -12,7 +12,8 @@
 
 /// Denies fields that are not among the allowed ones.
 inline void onlyFields(QJsonObject const& o, std::initializer_list<char const*> allowed, std::string const& at) {
-  qsizetype const known = std::count_if(allowed.begin(), allowed.end(), [&](char const* a) { return o.contains(QLatin1String(a)); });
+  qsizetype const known =
+      std::count_if(allowed.begin(), allowed.end(), [&](char const* a) { return o.contains(QLatin1String(a)); });
   if (known == o.size()) return;
   for (QString const& k : o.keys())
     if (std::none_of(allowed.begin(), allowed.end(), [&](char const* a) { return k == QLatin1String(a); }))
@@ -24,4 +25,4 @@
   return v.isDouble() && v.toDouble() == static_cast<double>(v.toInteger());
 }
 
-}  // namespace corkward::configuration
+}  // namespace corkward::config
--- a/config/src/config.cpp
+++ b/config/src/config.cpp
@@ -84,8 +84,8 @@
   if (path.empty() || path.size() > 256 || path.front() == '/' || path.back() == '/') return false;
   char last = '/';
   for (char const c : path) {
-    bool const ok = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_' ||
-                    c == '.' || c == '/';
+    bool const ok = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' ||
+                    c == '_' || c == '.' || c == '/';
     if (!ok || (c == '/' && last == '/') || (c == '.' && last == '.')) return false;
     last = c;
   }
@@ -107,7 +107,8 @@
   return one.contains("regime") ? at + "/regime" : "/template/regime";
 }
 
-std::string regimeOf(QJsonObject const& spec, QJsonObject const& one, QJsonObject const& parameters, std::string const& at) {
+std::string regimeOf(QJsonObject const& spec, QJsonObject const& one, QJsonObject const& parameters,
+                     std::string const& at) {
   if (!one.contains("regime") && !spec.contains("regime")) return "";
   std::string const place = regimePlace(one, at);
   QJsonValue const v = one.contains("regime") ? one.value("regime") : fill(spec.value("regime"), parameters, place);
@@ -140,7 +141,8 @@
     p.instance = instance;
     p.path = str(fill(row.value("path"), parameters, place + "/path").toString());
     if (!validPath(p.path)) throw Error(place + "/path", "not a valid path: " + p.path);
-    if (!seen.insert(p.path).second) throw Error(place + "/path", "ambiguous: " + p.path + " stands twice in " + instance);
+    if (!seen.insert(p.path).second)
+      throw Error(place + "/path", "ambiguous: " + p.path + " stands twice in " + instance);
     p.pool = str(fill(row.value("pool"), parameters, place + "/pool").toString());
     p.shares = {Share{p.pool, 1}};
     QJsonValue const cls = fill(row.value("class"), parameters, place + "/class");
@@ -181,7 +183,8 @@
   if (!spec.value("paths").isArray()) throw Error("/template/paths", "must be a list");
   QJsonArray const rows = spec.value("paths").toArray();
   if (rows.isEmpty()) throw Error("/template/paths", "must not be empty");
-  if (static_cast<std::size_t>(rows.size()) > maxPaths) throw Error("/template/paths", "more than " + std::to_string(maxPaths));
+  if (static_cast<std::size_t>(rows.size()) > maxPaths)
+    throw Error("/template/paths", "more than " + std::to_string(maxPaths));
   for (qsizetype i = 0; i < rows.size(); ++i) {
     std::string const at = "/template/paths/" + std::to_string(i);
     if (!rows.at(i).isObject()) throw Error(at, "must be an object");
@@ -203,12 +206,17 @@
 bool validLabel(std::string const& label) {
   if (label.empty() || label.size() > maxText || label == "." || label == "..") return false;
   QString const text = core::qstr(label);
-  return str(text) == label && std::none_of(text.begin(), text.end(), [](QChar c) { return c.category() == QChar::Other_Control; });
+  return str(text) == label &&
+         std::none_of(text.begin(), text.end(), [](QChar c) { return c.category() == QChar::Other_Control; });
 }
 
-std::string addressPart(std::string const& label) { return QUrl::toPercentEncoding(core::qstr(label)).toStdString(); }
+std::string addressPart(std::string const& label) {
+  return QUrl::toPercentEncoding(core::qstr(label)).toStdString();
+}
 
-std::string labelOf(std::string const& addressPart) { return QByteArray::fromPercentEncoding(QByteArray::fromStdString(addressPart)).toStdString(); }
+std::string labelOf(std::string const& addressPart) {
+  return QByteArray::fromPercentEncoding(QByteArray::fromStdString(addressPart)).toStdString();
+}
 
 void checkFamily(QJsonObject const& family, PoolKnown const& known, RegimeFaultOf const& regimeFault) {
   QJsonObject const instances = family.value("instances").toObject();
@@ -229,7 +237,8 @@
       if (!known(p.pool)) throw Error(at, "no pool named " + p.pool);
       std::string const fault = p.regime.empty() ? "" : regimeFault(p.regime, p.pool);
       if (!fault.empty()) throw Error(regimePlace(one, at), fault);
-      if (++rendered > maxRendered) throw Error("/instances", "more than " + std::to_string(maxRendered) + " paths in all");
+      if (++rendered > maxRendered)
+        throw Error("/instances", "more than " + std::to_string(maxRendered) + " paths in all");
     }
   }
 }
@@ -240,7 +249,8 @@
   QJsonObject const instances = family.value("instances").toObject();
   for (QString const& name : instances.keys()) {
     QJsonObject const one = instances.value(name).toObject().value("spec").toObject();
-    std::vector<Path> const paths = renderInstance(templateName + "." + str(name), spec, one, "/instances/" + str(name));
+    std::vector<Path> const paths =
+        renderInstance(templateName + "." + str(name), spec, one, "/instances/" + str(name));
     out.insert(out.end(), paths.begin(), paths.end());
   }
   return out;
@@ -254,12 +264,16 @@
 QJsonObject poolJson(Pool const& pool) {
   QJsonArray rows;
   for (Replica const& r : pool.replicas) {
-    QJsonObject row{{"address", core::qstr(r.address)}, {"zone", core::qstr(r.zone)},
-                    {"state", r.state == ReplicaState::serving ? "serving" : r.state == ReplicaState::cold ? "cold" : "leaving"}};
+    QJsonObject row{{"address", core::qstr(r.address)},
+                    {"zone", core::qstr(r.zone)},
+                    {"state", r.state == ReplicaState::serving ? "serving"
+                              : r.state == ReplicaState::cold  ? "cold"
+                                                               : "leaving"}};
     if (!r.id.empty()) row.insert("id", core::qstr(r.id));
     rows.append(row);
   }
-  return QJsonObject{{"generation", static_cast<qint64>(pool.generation)}, {"coldRate", pool.coldRate}, {"replicas", rows}};
+  return QJsonObject{
+      {"generation", static_cast<qint64>(pool.generation)}, {"coldRate", pool.coldRate}, {"replicas", rows}};
 }
 
 Pool readPool(QJsonObject const& value) {
@@ -285,13 +299,16 @@
     Replica r;
     if (row.contains("id")) {
       r.id = str(row.value("id").toString());
-      if (r.id.empty() || r.id.size() > maxText) throw Error(at + "/id", "must be a text of 1 to " + std::to_string(maxText) + " bytes");
+      if (r.id.empty() || r.id.size() > maxText)
+        throw Error(at + "/id", "must be a text of 1 to " + std::to_string(maxText) + " bytes");
       if (!ids.insert(r.id).second) throw Error(at + "/id", "stands twice");
     }
     r.address = str(row.value("address").toString());
     std::size_t const colon = r.address.rfind(':');
-    bool digits = colon != std::string::npos && colon > 0 && colon + 1 < r.address.size() && r.address.size() - colon <= 6;
-    for (std::size_t k = colon + 1; digits && k < r.address.size(); ++k) digits = r.address[k] >= '0' && r.address[k] <= '9';
+    bool digits =
+        colon != std::string::npos && colon > 0 && colon + 1 < r.address.size() && r.address.size() - colon <= 6;
+    for (std::size_t k = colon + 1; digits && k < r.address.size(); ++k)
+      digits = r.address[k] >= '0' && r.address[k] <= '9';
     if (!digits || std::stoi(r.address.substr(colon + 1)) > 65535 || std::stoi(r.address.substr(colon + 1)) == 0)
       throw Error(at + "/address", "must be ip:port");
     if (!seen.insert(r.address).second) throw Error(at + "/address", "stands twice");
@@ -315,4 +332,4 @@
   return out;
 }
 
-}  // namespace corkward::configuration
+}  // namespace corkward::config
--- a/config/src/regimes.cpp
+++ b/config/src/regimes.cpp
@@ -24,7 +24,8 @@
 std::string textAt(QJsonObject const& o, char const* field, std::string const& at) {
   if (!o.contains(QLatin1String(field))) return "";
   std::string const out = str(o.value(QLatin1String(field)).toString());
-  if (out.empty() || out.size() > maxText) throw Error(at + "/" + field, "must be a text of 1 to " + std::to_string(maxText) + " bytes");
+  if (out.empty() || out.size() > maxText)
+    throw Error(at + "/" + field, "must be a text of 1 to " + std::to_string(maxText) + " bytes");
   return out;
 }
 
@@ -36,14 +37,16 @@
   QString const text = o.value(QLatin1String(field)).toString();
   QDateTime const t = QDateTime::fromString(text, Qt::ISODate);
   if (!t.isValid() || !text.endsWith('Z'))
-    throw Error(at + "/" + field, o.contains(QLatin1String(field)) ? "must be a time in UTC, as 2027-01-31T00:00:00Z" : "missing");
+    throw Error(at + "/" + field,
+                o.contains(QLatin1String(field)) ? "must be a time in UTC, as 2027-01-31T00:00:00Z" : "missing");
   return t.toMSecsSinceEpoch();
 }
 
 QJsonObject partAt(QJsonObject const& spec, char const* field, std::size_t most) {
   QJsonValue const v = spec.value(QLatin1String(field));
   if (!v.isObject()) throw Error(std::string("/") + field, v.isUndefined() ? "missing" : "must be an object");
-  if (static_cast<std::size_t>(v.toObject().size()) > most) throw Error(std::string("/") + field, "more than " + std::to_string(most));
+  if (static_cast<std::size_t>(v.toObject().size()) > most)
+    throw Error(std::string("/") + field, "more than " + std::to_string(most));
   return v.toObject();
 }
 
@@ -58,7 +61,8 @@
   noteAt(row, at);
   Regime out;
   QString const routers = row.value("nacelles").toString();
-  if (routers != QLatin1String("certified") && routers != QLatin1String("any")) throw Error(at + "/nacelles", "must be certified or any");
+  if (routers != QLatin1String("certified") && routers != QLatin1String("any"))
+    throw Error(at + "/nacelles", "must be certified or any");
   out.certifiedRouters = routers == QLatin1String("certified");
   if (row.contains("reserve")) {
     out.reserve = row.value("reserve").toDouble(-1);
@@ -92,13 +96,15 @@
     out.address = textAt(row, "address", at);
     out.life = textAt(row, "life", at);
     if (out.address.empty() && !out.life.empty()) throw Error(at + "/address", "missing beside life");
-    if (!out.address.empty() && out.life.empty()) throw Error(at + "/life", "missing beside address: an address alone carries no certificate");
+    if (!out.address.empty() && out.life.empty())
+      throw Error(at + "/life", "missing beside address: an address alone carries no certificate");
   } else {
     out.link = textAt(row, "link", at);
   }
   out.from = row.contains("from") ? timeAt(row, "from", at) : 0;
   out.until = timeAt(row, "until", at);
-  if (out.until - out.from <= 2 * wallMargin) throw Error(at + "/until", "must be more than " + std::to_string(2 * wallMargin / 1000) + " s after the beginning");
+  if (out.until - out.from <= 2 * wallMargin)
+    throw Error(at + "/until", "must be more than " + std::to_string(2 * wallMargin / 1000) + " s after the beginning");
   return out;
 }
 
@@ -128,30 +134,38 @@
 }
 
 bool counts(Certificate const& certificate, Wall now) {
-  return now && (certificate.from == 0 || *now >= certificate.from + wallMargin) && *now < certificate.until - wallMargin;
+  return now && (certificate.from == 0 || *now >= certificate.from + wallMargin) &&
+         *now < certificate.until - wallMargin;
 }
 
-Certificate const* certifies(Regimes const& regimes, std::string const& regime, std::string const& pool, Replica const& replica, Wall now) {
+Certificate const* certifies(Regimes const& regimes, std::string const& regime, std::string const& pool,
+                             Replica const& replica, Wall now) {
   if (replica.id.empty() || regimes.regimes.count(regime) == 0) return nullptr;
   for (std::map<std::string, Certificate>::value_type const& entry : regimes.certificates) {
     Certificate const& c = entry.second;
-    if (c.carrier != Carrier::replicas || c.regime != regime || c.pool != pool || c.zone != replica.zone || !counts(c, now)) continue;
+    if (c.carrier != Carrier::replicas || c.regime != regime || c.pool != pool || c.zone != replica.zone ||
+        !counts(c, now))
+      continue;
     if (c.life.empty() || (c.life == replica.id && c.address == replica.address)) return &c;
   }
   return nullptr;
 }
 
-bool routerMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone, Wall now) {
+bool routerMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone,
+               Wall now) {
   std::map<std::string, Regime>::const_iterator const it = regimes.regimes.find(regime);
   if (it == regimes.regimes.end() || !now) return false;
   if (!it->second.certifiedRouters) return true;
-  return std::any_of(regimes.certificates.begin(), regimes.certificates.end(), [&](std::map<std::string, Certificate>::value_type const& entry) {
-    Certificate const& c = entry.second;
-    return c.carrier == Carrier::routers && c.regime == regime && c.zone == zone && (c.link.empty() || c.link == link) && counts(c, now);
-  });
+  return std::any_of(regimes.certificates.begin(), regimes.certificates.end(),
+                     [&](std::map<std::string, Certificate>::value_type const& entry) {
+                       Certificate const& c = entry.second;
+                       return c.carrier == Carrier::routers && c.regime == regime && c.zone == zone &&
+                              (c.link.empty() || c.link == link) && counts(c, now);
+                     });
 }
 
-std::optional<RegimeFault> faultOf(Regimes const& regimes, std::string const& regime, std::string const& pool, Wall now) {
+std::optional<RegimeFault> faultOf(Regimes const& regimes, std::string const& regime, std::string const& pool,
+                                   Wall now) {
   std::map<std::string, Regime>::const_iterator const it = regimes.regimes.find(regime);
   if (it == regimes.regimes.end()) return RegimeFault{"/regimes/" + regime, "no regime named " + regime};
   bool replicas = false;
@@ -162,7 +176,9 @@
     replicas = replicas || (c.carrier == Carrier::replicas && c.pool == pool);
     routers = routers || c.carrier == Carrier::routers;
   }
-  if (!replicas) return RegimeFault{"/certificates", "regime " + regime + " has no certificate in force for replicas of pool " + pool};
+  if (!replicas)
+    return RegimeFault{"/certificates",
+                       "regime " + regime + " has no certificate in force for replicas of pool " + pool};
   if (!routers) return RegimeFault{"/certificates", "regime " + regime + " has no certificate in force for any router"};
   return std::nullopt;
 }
@@ -171,8 +187,9 @@
   std::set<std::tuple<std::string, std::string, std::string>> seen;
   std::vector<RegimeUse> out;
   for (Path const& p : paths)
-    if (!p.regime.empty() && seen.emplace(p.instance, p.regime, p.pool).second) out.push_back(RegimeUse{p.instance, p.regime, p.pool});
+    if (!p.regime.empty() && seen.emplace(p.instance, p.regime, p.pool).second)
+      out.push_back(RegimeUse{p.instance, p.regime, p.pool});
   return out;
 }
 
-}  // namespace corkward::configuration
+}  // namespace corkward::config
--- a/config/src/whole.cpp
+++ b/config/src/whole.cpp
@@ -59,11 +59,13 @@
 std::string text(QJsonObject const& o, char const* name, std::size_t longest, std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
   std::string const out = str(v.toString());
-  if (out.empty() || out.size() > longest) throw Error(at + "/" + name, "must be a text of 1 to " + std::to_string(longest) + " bytes");
+  if (out.empty() || out.size() > longest)
+    throw Error(at + "/" + name, "must be a text of 1 to " + std::to_string(longest) + " bytes");
   return out;
 }
 
-qint64 integer(QJsonObject const& o, char const* name, qint64 least, qint64 most, qint64 otherwise, std::string const& at) {
+qint64 integer(QJsonObject const& o, char const* name, qint64 least, qint64 most, qint64 otherwise,
+               std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
   if (v.isUndefined()) return otherwise;
   if (!isInteger(v) || v.toInteger() < least || v.toInteger() > most)
@@ -96,14 +98,17 @@
     return {Share{knownPool(row, pools, at), 1}};
   }
   QJsonValue const v = row.value("shares");
-  if (!v.isArray()) throw Error(at + (v.isUndefined() ? "/pool" : "/shares"), v.isUndefined() ? "missing, and no shares" : "must be a list");
+  if (!v.isArray())
+    throw Error(at + (v.isUndefined() ? "/pool" : "/shares"),
+                v.isUndefined() ? "missing, and no shares" : "must be a list");
   std::vector<Share> out;
   QJsonArray const list = v.toArray();
   for (qsizetype i = 0; i < list.size(); ++i) {
     std::string const place = at + "/shares/" + std::to_string(i);
     QJsonObject const one = itemAt(list, i, place);
     onlyFields(one, {"pool", "share"}, place);
-    Share const share{knownPool(one, pools, place), static_cast<std::uint32_t>(neededInteger(one, "share", 0, mostCount, place))};
+    Share const share{knownPool(one, pools, place),
+                      static_cast<std::uint32_t>(neededInteger(one, "share", 0, mostCount, place))};
     if (share.weight > 0) out.push_back(share);
   }
   if (out.empty()) throw Error(at + "/shares", "the weights sum to 0");
@@ -129,8 +134,9 @@
 }
 
 Path readPath(QJsonObject const& row, PoolNames const& pools, std::string const& at) {
-  onlyFields(row, {"name", "host", "prefix", "kind", "deadlineMs", "aimMs", "gapAimMs", "urgency", "tries", "resumable", "affine", "pool",
-                   "shares", "extra"},
+  onlyFields(row,
+             {"name", "host", "prefix", "kind", "deadlineMs", "aimMs", "gapAimMs", "urgency", "tries", "resumable",
+              "affine", "pool", "shares", "extra"},
              at);
   Path out;
   out.instance = text(row, "name", maxText, at);
@@ -138,8 +144,8 @@
   out.prefix = text(row, "prefix", maxPlace, at);
   if (out.prefix.front() != '/' || out.prefix.back() != '/') throw Error(at + "/prefix", "must begin and end with /");
   QString const kind = row.value("kind").toString();
-  KindRow const* const found =
-      std::find_if(std::begin(kindTable), std::end(kindTable), [&](KindRow const& k) { return kind == QLatin1String(k.name); });
+  KindRow const* const found = std::find_if(std::begin(kindTable), std::end(kindTable),
+                                            [&](KindRow const& k) { return kind == QLatin1String(k.name); });
   if (found == std::end(kindTable)) throw Error(at + "/kind", "must be once, repeatable or stream");
   out.deadline = neededInteger(row, "deadlineMs", 1, mostNumber, at);
   out.aim = integer(row, "aimMs", 0, mostNumber, 0, at);
@@ -147,7 +153,10 @@
   out.cls = std::find_if(std::begin(classRules), std::end(classRules), [&](ClassRule const& r) {
               return aim <= r.aimAtMost && out.deadline >= r.deadlineAtLeast;
             })->cls;
-  if (out.aim == 0) out.aim = std::find_if(std::begin(classTable), std::end(classTable), [&](ClassRow const& c) { return c.cls == out.cls; })->aim;
+  if (out.aim == 0)
+    out.aim = std::find_if(std::begin(classTable), std::end(classTable), [&](ClassRow const& c) {
+                return c.cls == out.cls;
+              })->aim;
   out.gapAim = integer(row, "gapAimMs", 0, mostNumber, 0, at);
   out.urgency = static_cast<int>(integer(row, "urgency", 0, 9, 5, at));
   out.tries = static_cast<int>(integer(row, "tries", 1, mostCount, 1, at));
@@ -231,7 +240,8 @@
     out.paths.push_back(readPath(itemAt(pathRows, i, at), pools, at));
     Path const& p = out.paths.back();
     if (!names.insert(p.instance).second) throw Error(at + "/name", "stands twice");
-    if (!places.emplace(p.host, p.prefix).second) throw Error(at + "/prefix", "another path has the same host and prefix");
+    if (!places.emplace(p.host, p.prefix).second)
+      throw Error(at + "/prefix", "another path has the same host and prefix");
   }
   out.http = readHttp(spec.value("door"));
   objectIfSaid(spec, "extra", "");
@@ -256,4 +266,4 @@
   return out;
 }
 
-}  // namespace corkward::configuration
+}  // namespace corkward::config
--- a/config/test/config_test.cpp
+++ b/config/test/config_test.cpp
@@ -14,11 +14,16 @@
 }
 
 /// No template here has a regime.
-std::string noRegime(std::string const&, std::string const&) { return "not asked for"; }
+std::string noRegime(std::string const&, std::string const&) {
+  return "not asked for";
+}
 
-bool known(std::string const& pool) { return pool == "model" || pool == "gateway"; }
+bool known(std::string const& pool) {
+  return pool == "model" || pool == "gateway";
+}
 
-constexpr char const* good = R"({"parameters":{"farm":{"type":"string"},"aim":{"type":"integer","default":500,"min":50,"max":900}},
+constexpr char const* good =
+    R"({"parameters":{"farm":{"type":"string"},"aim":{"type":"integer","default":500,"min":50,"max":900}},
   "paths":[{"path":"narrate/${farm}","pool":"model","class":"long"},
            {"path":"pitch","pool":"model","class":"short","aimMs":"${aim}"},
            {"path":"ack","pool":"gateway","class":"urgent"}]})";
@@ -50,14 +55,16 @@
       {R"({"paths":[]})", "{}", "/template/paths"},
       {R"({"paths":[{"path":"a","pool":"model","class":"short","y":1}]})", "{}", "/template/paths/0/y"},
       {R"({"paths":[{"path":"a","pool":"model"}]})", "{}", "/template/paths/0/class"},
-      {R"({"parameters":{"p":{"type":"float"}},"paths":[{"path":"a","pool":"model","class":"short"}]})", "{}", "/template/parameters/p/type"},
+      {R"({"parameters":{"p":{"type":"float"}},"paths":[{"path":"a","pool":"model","class":"short"}]})", "{}",
+       "/template/parameters/p/type"},
       {one, R"({"i":{"spec":{"parameters":{"extra":1}}}})", "/instances/i/parameters/extra"},
       {one, R"({"i":{"spec":{"surprise":1}}})", "/instances/i/surprise"},
       {good, R"({"i":{"spec":{}}})", "/instances/i/parameters/farm"},
       {good, R"({"i":{"spec":{"parameters":{"farm":7}}}})", "/instances/i/parameters/farm"},
       {good, R"({"i":{"spec":{"parameters":{"farm":"f","aim":901}}}})", "/instances/i/parameters/aim"},
       {good, R"({"i":{"spec":{"parameters":{"farm":"../x"}}}})", "/template/paths/0/path"},
-      {R"({"paths":[{"path":"a","pool":"model","class":"short"},{"path":"a","pool":"model","class":"long"}]})", R"({"i":{"spec":{}}})", "/template/paths/1/path"},
+      {R"({"paths":[{"path":"a","pool":"model","class":"short"},{"path":"a","pool":"model","class":"long"}]})",
+       R"({"i":{"spec":{}}})", "/template/paths/1/path"},
       {R"({"paths":[{"path":"a","pool":"nowhere","class":"short"}]})", R"({"i":{"spec":{}}})", "/instances/i"},
       {R"({"paths":[{"path":"a","pool":"model","class":"${c}"}]})", R"({"i":{"spec":{}}})", "/template/paths/0/class"}};
   for (Row const& r : rows) {
@@ -80,7 +87,8 @@
   }
   CHECK(config::labelOf("Wt.A") == "Wt.A");
   CHECK(config::addressPart("zh-a.B_1") == "zh-a.B_1");
-  for (std::string const& name : {std::string(), std::string("."), std::string(".."), std::string("a\nb"), std::string("a\0b", 3), std::string("\xff"), std::string(129, 'a')}) {
+  for (std::string const& name : {std::string(), std::string("."), std::string(".."), std::string("a\nb"),
+                                  std::string("a\0b", 3), std::string("\xff"), std::string(129, 'a')}) {
     INFO(name);
     CHECK_FALSE(config::validLabel(name));
   }
@@ -89,12 +97,14 @@
 
 TEST_CASE("a platform list is checked whole") {
   config::Pool const p = config::readPool(
-      core::parseJson(R"({"generation":3,"coldRate":1.5,"replicas":[{"address":"127.0.0.1:80","zone":"z1","state":"cold"}]})").toObject());
+      core::parseJson(
+          R"({"generation":3,"coldRate":1.5,"replicas":[{"address":"127.0.0.1:80","zone":"z1","state":"cold"}]})")
+          .toObject());
   CHECK(p.replicas.at(0).state == config::ReplicaState::cold);
-  for (char const* bad :
-       {R"({"generation":0,"replicas":[]})", R"({"generation":1})", R"({"generation":1,"replicas":[{"address":"x","zone":"z","state":"cold"}]})",
-        R"({"generation":1,"replicas":[{"address":"127.0.0.1:80","zone":"z","state":"warm"}]})",
-        R"({"generation":1,"replicas":[{"address":"127.0.0.1:99999","zone":"z","state":"cold"}]})",
-        R"({"generation":1,"coldRate":-1,"replicas":[]})"})
+  for (char const* bad : {R"({"generation":0,"replicas":[]})", R"({"generation":1})",
+                          R"({"generation":1,"replicas":[{"address":"x","zone":"z","state":"cold"}]})",
+                          R"({"generation":1,"replicas":[{"address":"127.0.0.1:80","zone":"z","state":"warm"}]})",
+                          R"({"generation":1,"replicas":[{"address":"127.0.0.1:99999","zone":"z","state":"cold"}]})",
+                          R"({"generation":1,"coldRate":-1,"replicas":[]})"})
     CHECK_THROWS_AS(config::readPool(core::parseJson(bad).toObject()), config::Error);
 }
--- a/config/test/regimes_test.cpp
+++ b/config/test/regimes_test.cpp
@@ -20,9 +20,13 @@
     "h-node": {"regime": "health", "carrier": "nacelles", "zone": "z2", "link": "10.0.0.9:1", "until": "2027-01-01T00:00:00Z"},
     "e-z2": {"regime": "export", "carrier": "replicas", "pool": "model", "zone": "z2", "until": "2026-06-01T00:00:00Z"}}})";
 
-QJsonObject object(std::string const& text) { return core::parseJson(text).toObject(); }
+QJsonObject object(std::string const& text) {
+  return core::parseJson(text).toObject();
+}
 
-std::int64_t at(char const* time) { return QDateTime::fromString(time, Qt::ISODate).toMSecsSinceEpoch(); }
+std::int64_t at(char const* time) {
+  return QDateTime::fromString(time, Qt::ISODate).toMSecsSinceEpoch();
+}
 
 config::Replica replica(char const* address, char const* life, char const* zone) {
   return config::Replica{life, address, zone, config::ReplicaState::serving};
@@ -86,7 +90,8 @@
   r.certificates.erase("h-nodes");
   CHECK_FALSE(config::faultOf(r, "health", "model", now));
   r.certificates.erase("h-node");
-  CHECK(config::faultOf(r, "health", "model", now)->reason == "regime health has no certificate in force for any router");
+  CHECK(config::faultOf(r, "health", "model", now)->reason ==
+        "regime health has no certificate in force for any router");
 }
 
 TEST_CASE("what is no valid declaration of regimes is rejected with its place") {
@@ -105,17 +110,27 @@
       {R"({"regimes": {"a": {"nacelles": "some"}}, "certificates": {}})", "/regimes/a/nacelles"},
       {R"({"regimes": {"a": {"nacelles": "any", "reserve": 2}}, "certificates": {}})", "/regimes/a/reserve"},
       {R"({"regimes": {"a": {"nacelles": "any", "share": 2}}, "certificates": {}})", "/regimes/a/share"},
-      {R"({"regimes": {}, "certificates": {"c": {"regime": "a", "carrier": "replicas", "pool": "m", "zone": "z", "until": "2027-01-01T00:00:00Z"}}})", "/certificates/c/regime"},
+      {R"({"regimes": {}, "certificates": {"c": {"regime": "a", "carrier": "replicas", "pool": "m", "zone": "z", "until": "2027-01-01T00:00:00Z"}}})",
+       "/certificates/c/regime"},
       {R"({"regimes": {}, "certificates": {"c": {}}})", "/certificates/c/carrier"},
-      {R"({"regimes": {}, "certificates": {"c": {"carrier": "replicas", "regime": "a", "zone": "z", "until": "2027-01-01T00:00:00Z"}}})", "/certificates/c/pool"},
-      {R"({"regimes": {}, "certificates": {"c": {"carrier": "replicas", "regime": "a", "pool": "m", "until": "2027-01-01T00:00:00Z"}}})", "/certificates/c/zone"},
-      {R"({"regimes": {}, "certificates": {"c": {"carrier": "replicas", "regime": "a", "pool": "m", "zone": "z", "address": "1.2.3.4:5", "until": "2027-01-01T00:00:00Z"}}})", "/certificates/c/life"},
-      {R"({"regimes": {}, "certificates": {"c": {"carrier": "replicas", "regime": "a", "pool": "m", "zone": "z", "life": "x", "until": "2027-01-01T00:00:00Z"}}})", "/certificates/c/address"},
-      {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "pool": "m", "zone": "z", "until": "2027-01-01T00:00:00Z"}}})", "/certificates/c/pool"},
-      {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "zone": "z"}}})", "/certificates/c/until"},
-      {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "zone": "z", "until": "2027-01-01T00:00:00"}}})", "/certificates/c/until"},
-      {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "zone": "z", "until": "2027-13-01T00:00:00Z"}}})", "/certificates/c/until"},
-      {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "zone": "z", "from": "2027-01-01T00:00:00Z", "until": "2027-01-01T00:02:00Z"}}})", "/certificates/c/until"}};
+      {R"({"regimes": {}, "certificates": {"c": {"carrier": "replicas", "regime": "a", "zone": "z", "until": "2027-01-01T00:00:00Z"}}})",
+       "/certificates/c/pool"},
+      {R"({"regimes": {}, "certificates": {"c": {"carrier": "replicas", "regime": "a", "pool": "m", "until": "2027-01-01T00:00:00Z"}}})",
+       "/certificates/c/zone"},
+      {R"({"regimes": {}, "certificates": {"c": {"carrier": "replicas", "regime": "a", "pool": "m", "zone": "z", "address": "1.2.3.4:5", "until": "2027-01-01T00:00:00Z"}}})",
+       "/certificates/c/life"},
+      {R"({"regimes": {}, "certificates": {"c": {"carrier": "replicas", "regime": "a", "pool": "m", "zone": "z", "life": "x", "until": "2027-01-01T00:00:00Z"}}})",
+       "/certificates/c/address"},
+      {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "pool": "m", "zone": "z", "until": "2027-01-01T00:00:00Z"}}})",
+       "/certificates/c/pool"},
+      {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "zone": "z"}}})",
+       "/certificates/c/until"},
+      {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "zone": "z", "until": "2027-01-01T00:00:00"}}})",
+       "/certificates/c/until"},
+      {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "zone": "z", "until": "2027-13-01T00:00:00Z"}}})",
+       "/certificates/c/until"},
+      {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "zone": "z", "from": "2027-01-01T00:00:00Z", "until": "2027-01-01T00:02:00Z"}}})",
+       "/certificates/c/until"}};
   for (Row const& r : rows) {
     try {
       config::readRegimes(object(r.spec));
@@ -136,25 +151,35 @@
   constexpr Row rows[] = {
       {R"({"paths":[{"path":"a","pool":"model","class":"short"}]})", R"({})", ""},
       {R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({})", "health"},
-      {R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({"regime":"export"})", "export"},
+      {R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({"regime":"export"})",
+       "export"},
       {R"({"paths":[{"path":"a","pool":"model","class":"short"}]})", R"({"regime":"export"})", "export"},
-      {R"({"regime":"${r}","parameters":{"r":{"type":"string","default":"health"}},"paths":[{"path":"a","pool":"model","class":"short"}]})", R"({"parameters":{"r":"export"}})", "export"},
-      {R"({"regime":"${r}","parameters":{"r":{"type":"string","default":""}},"paths":[{"path":"a","pool":"model","class":"short"}]})", R"({})", "/template/regime"},
-      {R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({"regime":""})", "/instances/i/regime"},
-      {R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({"regime":null})", "/instances/i/regime"},
+      {R"({"regime":"${r}","parameters":{"r":{"type":"string","default":"health"}},"paths":[{"path":"a","pool":"model","class":"short"}]})",
+       R"({"parameters":{"r":"export"}})", "export"},
+      {R"({"regime":"${r}","parameters":{"r":{"type":"string","default":""}},"paths":[{"path":"a","pool":"model","class":"short"}]})",
+       R"({})", "/template/regime"},
+      {R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({"regime":""})",
+       "/instances/i/regime"},
+      {R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({"regime":null})",
+       "/instances/i/regime"},
       {R"({"regime":7,"paths":[{"path":"a","pool":"model","class":"short"}]})", R"({})", "/template/regime"},
       {R"({"regime":"nobody","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({})", "/template/regime"},
-      {R"({"paths":[{"path":"a","pool":"gateway","class":"short"}]})", R"({"regime":"health"})", "/instances/i/regime"}};
+      {R"({"paths":[{"path":"a","pool":"gateway","class":"short"}]})", R"({"regime":"health"})",
+       "/instances/i/regime"}};
   config::Regimes const regimes = config::readRegimes(object(good));
   for (Row const& r : rows) {
-    QJsonObject const family{{"template", QJsonObject{{"spec", object(r.spec)}, {"stamp", 1}}},
-                             {"instances", QJsonObject{{"i", QJsonObject{{"spec", object(r.instance)}, {"stamp", 2}}}}}};
+    QJsonObject const family{
+        {"template", QJsonObject{{"spec", object(r.spec)}, {"stamp", 1}}},
+        {"instances", QJsonObject{{"i", QJsonObject{{"spec", object(r.instance)}, {"stamp", 2}}}}}};
     std::string out;
     try {
-      config::checkFamily(family, [](std::string const&) { return true; }, [&](std::string const& regime, std::string const& pool) {
-        std::optional<config::RegimeFault> const fault = config::faultOf(regimes, regime, pool, at("2026-03-01T00:00:00Z"));
-        return fault ? fault->reason : std::string();
-      });
+      config::checkFamily(
+          family, [](std::string const&) { return true; },
+          [&](std::string const& regime, std::string const& pool) {
+            std::optional<config::RegimeFault> const fault =
+                config::faultOf(regimes, regime, pool, at("2026-03-01T00:00:00Z"));
+            return fault ? fault->reason : std::string();
+          });
       out = config::render("t", family).at(0).regime;
       CHECK(config::regimeUses(config::render("t", family)).size() == (out.empty() ? 0 : 1));
     } catch (config::Error const& e) {
--- a/config/test/whole_test.cpp
+++ b/config/test/whole_test.cpp
@@ -11,13 +11,17 @@
 
 namespace {
 
-QJsonObject object(std::string const& text) { return core::parseJson(text).toObject(); }
+QJsonObject object(std::string const& text) {
+  return core::parseJson(text).toObject();
+}
 
-constexpr char const* pools = R"([{"name":"big","standing":"/health","connections":650,"coldRate":2.5,"coldMs":3000,"slots":128,"tokens":729140,"extra":{"weights":[1]}},
+constexpr char const* pools =
+    R"([{"name":"big","standing":"/health","connections":650,"coldRate":2.5,"coldMs":3000,"slots":128,"tokens":729140,"extra":{"weights":[1]}},
   {"name":"small"}])";
 
 std::string path(std::string const& fields) {
-  return R"({"version":7,"pools":)" + std::string(pools) + R"(,"paths":[{"name":"p","host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"big")" +
+  return R"({"version":7,"pools":)" + std::string(pools) +
+         R"(,"paths":[{"name":"p","host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"big")" +
          (fields.empty() ? "" : "," + fields) + "}]}";
 }
 
@@ -53,13 +57,16 @@
   return "";
 }
 
-config::Path read(std::string const& fields) { return config::readWhole(object(path(fields))).paths.at(0); }
+config::Path read(std::string const& fields) {
+  return config::readWhole(object(path(fields))).paths.at(0);
+}
 
 }  // namespace
 
 TEST_CASE("a whole configuration is read with its defaults") {
-  config::Whole const w = config::readWhole(object(
-      R"({"version":7.0,"pools":)" + std::string(pools) + R"(,"door":{"headBytes":16384,"bodyBytes":4194304,"headMs":3000,"idleMs":15000},"extra":{"x":[1,{}]},
+  config::Whole const w = config::readWhole(
+      object(R"({"version":7.0,"pools":)" + std::string(pools) +
+             R"(,"door":{"headBytes":16384,"bodyBytes":4194304,"headMs":3000,"idleMs":15000},"extra":{"x":[1,{}]},
       "paths":[{"name":"Pfad 1/ü","host":"a.example","prefix":"/x/","kind":"stream","deadlineMs":15000.0,"aimMs":800,"gapAimMs":400,"urgency":0,
                 "tries":2,"resumable":true,"affine":true,"shares":[{"pool":"small","share":0},{"pool":"big","share":90},{"pool":"small","share":10.0}],"extra":{"a":1}},
                {"name":"b","host":"a.example","prefix":"/","kind":"repeatable","deadlineMs":1500,"pool":"small"}]})"));
@@ -72,7 +79,8 @@
   CHECK((a.stream && a.resumable && a.repeatable));
   CHECK((a.deadline == 15000 && a.aim == 800 && a.gapAim == 400 && a.urgency == 0 && a.tries == 2));
   REQUIRE(a.shares.size() == 2);
-  CHECK((a.shares[0].pool == "big" && a.shares[0].weight == 90 && a.shares[1].pool == "small" && a.shares[1].weight == 10));
+  CHECK((a.shares[0].pool == "big" && a.shares[0].weight == 90 && a.shares[1].pool == "small" &&
+         a.shares[1].weight == 10));
   CHECK(a.pool == "big");
   CHECK(a.cls == config::Class::bulk);
   config::Path const& b = w.paths[1];
@@ -80,7 +88,8 @@
   CHECK((b.cls == config::Class::quick && b.aim == 800));
   CHECK((b.shares.size() == 1 && b.shares[0].pool == "small" && b.shares[0].weight == 1));
   REQUIRE(w.pools.size() == 2);
-  CHECK((w.pools[0].connections == 650 && w.pools[0].coldRate == 2.5 && w.pools[0].coldFor == 3000 && w.pools[0].slots == 128 && w.pools[0].tokens == 729140));
+  CHECK((w.pools[0].connections == 650 && w.pools[0].coldRate == 2.5 && w.pools[0].coldFor == 3000 &&
+         w.pools[0].slots == 128 && w.pools[0].tokens == 729140));
   CHECK((w.pools[1].connections == 0 && w.pools[1].coldRate == 0));
   CHECK((w.http.headBytes == 16384 && w.http.bodyBytes == 4194304 && w.http.headMs == 3000 && w.http.idleMs == 15000));
 }
@@ -91,8 +100,10 @@
   CHECK(read(R"("aimMs":0)").cls == config::Class::quick);
   config::Path const slow = config::readWhole(object(without("deadlineMs", R"({"deadlineMs":10000})"))).paths.at(0);
   CHECK((slow.cls == config::Class::bulk && slow.aim == 2500));
-  CHECK(config::readWhole(object(without("deadlineMs", R"({"deadlineMs":9999})"))).paths.at(0).cls == config::Class::quick);
-  CHECK(config::readWhole(object(without("deadlineMs", R"({"deadlineMs":20000,"aimMs":100})"))).paths.at(0).cls == config::Class::urgent);
+  CHECK(config::readWhole(object(without("deadlineMs", R"({"deadlineMs":9999})"))).paths.at(0).cls ==
+        config::Class::quick);
+  CHECK(config::readWhole(object(without("deadlineMs", R"({"deadlineMs":20000,"aimMs":100})"))).paths.at(0).cls ==
+        config::Class::urgent);
 }
 
 TEST_CASE("only a stream can be resumable, and only what may run again is repeatable") {
@@ -100,9 +111,11 @@
   CHECK_FALSE(read("").repeatable);
   config::Path const plain = config::readWhole(object(without("kind", R"({"kind":"stream"})"))).paths.at(0);
   CHECK((plain.stream && !plain.resumable && !plain.repeatable));
-  config::Path const resumed = config::readWhole(object(without("kind", R"({"kind":"stream","resumable":true})"))).paths.at(0);
+  config::Path const resumed =
+      config::readWhole(object(without("kind", R"({"kind":"stream","resumable":true})"))).paths.at(0);
   CHECK((resumed.stream && resumed.resumable && resumed.repeatable));
-  CHECK_FALSE(config::readWhole(object(without("kind", R"({"kind":"repeatable","resumable":true})"))).paths.at(0).resumable);
+  CHECK_FALSE(
+      config::readWhole(object(without("kind", R"({"kind":"repeatable","resumable":true})"))).paths.at(0).resumable);
 }
 
 TEST_CASE("what is not a valid whole configuration is rejected with its place") {
@@ -150,8 +163,10 @@
       {poolsOf(R"({"name":"a","extra":[]})"), "/pools/0/extra"},
       {rowsOf("[]"), "/paths/0"},
       {rowsOf("{" + at + R"(,"surprise":1})"), "/paths/0/surprise"},
-      {rowsOf("{" + at + R"(},{"name":"p","host":"h","prefix":"/b/","kind":"once","deadlineMs":3000,"pool":"a"})"), "/paths/1/name"},
-      {rowsOf("{" + at + R"(},{"name":"q","host":"h","prefix":"/a/","kind":"stream","deadlineMs":30,"pool":"a"})"), "/paths/1/prefix"},
+      {rowsOf("{" + at + R"(},{"name":"p","host":"h","prefix":"/b/","kind":"once","deadlineMs":3000,"pool":"a"})"),
+       "/paths/1/name"},
+      {rowsOf("{" + at + R"(},{"name":"q","host":"h","prefix":"/a/","kind":"stream","deadlineMs":30,"pool":"a"})"),
+       "/paths/1/prefix"},
       {without("name"), "/paths/0/name"},
       {without("name", R"({"name":")" + longText + R"("})"), "/paths/0/name"},
       {without("host"), "/paths/0/host"},
@@ -180,9 +195,11 @@
       {without("pool", R"({"shares":{}})"), "/paths/0/shares"},
       {without("pool", R"({"shares":[]})"), "/paths/0/shares"},
       {without("pool", R"({"shares":[{"pool":"big","share":0},{"pool":"small","share":0}]})"), "/paths/0/shares"},
-      {without("pool", R"({"shares":[{"pool":"big","share":2},{"pool":"small","share":-1}]})"), "/paths/0/shares/1/share"},
+      {without("pool", R"({"shares":[{"pool":"big","share":2},{"pool":"small","share":-1}]})"),
+       "/paths/0/shares/1/share"},
       {without("pool", R"({"shares":[{"pool":"big"}]})"), "/paths/0/shares/0/share"},
-      {without("pool", R"({"shares":[{"pool":"big","share":1},{"pool":"nowhere","share":0}]})"), "/paths/0/shares/1/pool"},
+      {without("pool", R"({"shares":[{"pool":"big","share":1},{"pool":"nowhere","share":0}]})"),
+       "/paths/0/shares/1/pool"},
       {without("pool", R"({"shares":[{"pool":"big","share":1,"surprise":1}]})"), "/paths/0/shares/0/surprise"},
       {without("pool", R"({"shares":[1]})"), "/paths/0/shares/0"}};
   CHECK(faultOf(path("")).empty());
@@ -195,7 +212,8 @@
 TEST_CASE("a patch replaces in place, appends and drops, and says the new version") {
   char const* const current = R"({"version":3,"extra":{"old":1},"door":{"headMs":5},"pools":[{"name":"a"},{"name":"b"}],
     "paths":[{"name":"x","n":1},{"name":"y","n":2},{"name":"z","n":3}]})";
-  QJsonObject const out = config::patchWhole(object(current), object(R"({"version":9,"set":{"paths":[{"name":"new","n":7},{"name":"y","n":8}]},
+  QJsonObject const out = config::patchWhole(
+      object(current), object(R"({"version":9,"set":{"paths":[{"name":"new","n":7},{"name":"y","n":8}]},
     "drop":{"paths":["x","never"],"pools":["a"]},"extra":{"fresh":2}})"));
   CHECK(out == object(R"({"version":9,"extra":{"fresh":2},"door":{"headMs":5},"pools":[{"name":"b"}],
     "paths":[{"name":"y","n":8},{"name":"z","n":3},{"name":"new","n":7}]})"));
@@ -213,8 +231,9 @@
 }
 
 TEST_CASE("a rendered path shares its requests over its one pool") {
-  QJsonObject const family{{"template", object(R"({"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]},"stamp":1})")},
-                           {"instances", object(R"({"i":{"spec":{},"stamp":2}})")}};
+  QJsonObject const family{
+      {"template", object(R"({"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]},"stamp":1})")},
+      {"instances", object(R"({"i":{"spec":{},"stamp":2}})")}};
   config::Path const p = config::render("t", family).at(0);
   REQUIRE(p.shares.size() == 1);
   CHECK((p.shares[0].pool == "model" && p.shares[0].weight == 1));
@@ -224,10 +243,12 @@
   config::Pool const p = config::readPool(object(
       R"({"generation":1,"replicas":[{"id":"i-7f","address":"127.0.0.1:80","zone":"z","state":"cold"},{"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
   CHECK((p.replicas.at(0).id == "i-7f" && p.replicas.at(1).id.empty()));
-  std::function<std::string(std::string const&, std::string const&)> const fault = [](std::string const& one, std::string const& two) -> std::string {
+  std::function<std::string(std::string const&, std::string const&)> const fault =
+      [](std::string const& one, std::string const& two) -> std::string {
     try {
-      config::readPool(object(R"({"generation":1,"replicas":[{"id":)" + one + R"(,"address":"127.0.0.1:80","zone":"z","state":"cold"},{"id":)" + two +
-                                 R"(,"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
+      config::readPool(object(R"({"generation":1,"replicas":[{"id":)" + one +
+                              R"(,"address":"127.0.0.1:80","zone":"z","state":"cold"},{"id":)" + two +
+                              R"(,"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
     } catch (config::Error const& e) {
       return e.pointer();
     }
--- a/consensus/include/corkward/consensus/registers.h
+++ b/consensus/include/corkward/consensus/registers.h
@@ -58,7 +58,7 @@
 
 /// Decides on a call, given the key's current value (revision 0: none yet). Pure.
 using Validator = std::function<Verdict(std::string const& key, std::uint64_t revision, QJsonObject const& value,
-                                    transport::Call const& call)>;
+                                        transport::Call const& call)>;
 
 /// Command: write the record and sync it, then report the ticket.
 struct Persist {
@@ -98,13 +98,15 @@
 /// One member of the membership: per-key registers with an owner each, synced on a majority before an answer.
 class Registers {
  public:
-  /// The member's id is a name that was never used before; a disk that has one keeps it, and a member that was struck off
-  /// makes its next one from it. Founders are link addresses, this member's own among them when it may found; they count
-  /// at the first start of an empty disk, which keeps them until the membership is founded. A founder that says it has no disk
-  /// does not count.
-  Registers(Member self, std::vector<std::string> founders, Validator validator, std::uint64_t seed, Tuning tuning = {});
+  /// The member's id is a name that was never used before; a disk that has one keeps it, and a member that was struck
+  /// off makes its next one from it. Founders are link addresses, this member's own among them when it may found; they
+  /// count at the first start of an empty disk, which keeps them until the membership is founded. A founder that says
+  /// it has no disk does not count.
+  Registers(Member self, std::vector<std::string> founders, Validator validator, std::uint64_t seed,
+            Tuning tuning = {});
 
-  /// Takes what the write-ahead log gave back. Damaged: nothing of it counts, and this machine joins anew under a fresh id.
+  /// Takes what the write-ahead log gave back. Damaged: nothing of it counts, and this machine joins anew under a fresh
+  /// id.
   Commands restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now);
 
   Commands arrived(Tick now, std::string const& from, transport::Message const& message);
--- a/consensus/src/registers.cpp
+++ b/consensus/src/registers.cpp
@@ -36,8 +36,7 @@
 
 QJsonObject membershipJson(std::vector<Member> const& members) {
   QJsonArray list;
-  for (Member const& m : members)
-    list.append(QJsonObject{{"id", core::qstr(m.id)}, {"link", core::qstr(m.link)}});
+  for (Member const& m : members) list.append(QJsonObject{{"id", core::qstr(m.id)}, {"link", core::qstr(m.link)}});
   return QJsonObject{{"members", list}};
 }
 
@@ -52,8 +51,14 @@
   return out;
 }
 
-Registers::Registers(Member self, std::vector<std::string> founders, Validator validator, std::uint64_t seed, Tuning tuning)
-    : self_(std::move(self)), freshId_(self_.id), founders_(std::move(founders)), validator_(std::move(validator)), tuning_(tuning), rng_(seed) {}
+Registers::Registers(Member self, std::vector<std::string> founders, Validator validator, std::uint64_t seed,
+                     Tuning tuning)
+    : self_(std::move(self)),
+      freshId_(self_.id),
+      founders_(std::move(founders)),
+      validator_(std::move(validator)),
+      tuning_(tuning),
+      rng_(seed) {}
 
 Commands Registers::restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now) {
   Commands out;
@@ -93,7 +98,9 @@
   return out;
 }
 
-Registers::Reg& Registers::reg(std::string const& key) { return regs_[key]; }
+Registers::Reg& Registers::reg(std::string const& key) {
+  return regs_[key];
+}
 
 bool Registers::isMember(std::string const& id) const {
   return std::any_of(membership_.begin(), membership_.end(), [&](Member const& m) { return m.id == id; });
@@ -111,16 +118,17 @@
 }
 
 std::size_t Registers::ownedCount() const {
-  return static_cast<std::size_t>(std::count_if(regs_.begin(), regs_.end(), [](std::map<std::string, Reg>::value_type const& r) {
-    return r.second.role == Role::owner;
-  }));
+  return static_cast<std::size_t>(
+      std::count_if(regs_.begin(), regs_.end(),
+                    [](std::map<std::string, Reg>::value_type const& r) { return r.second.role == Role::owner; }));
 }
 
 std::string Registers::ownerLink(std::string const& key, Tick now) const {
   std::map<std::string, Reg>::const_iterator const it = regs_.find(key);
   if (it == regs_.end()) return "";
   if (it->second.role == Role::owner) return self_.link;
-  if (it->second.owner.empty() || it->second.owner == self_.id || now - it->second.ownerHeard > tuning_.ownerSilence) return "";
+  if (it->second.owner.empty() || it->second.owner == self_.id || now - it->second.ownerHeard > tuning_.ownerSilence)
+    return "";
   for (Member const& m : membership_)
     if (m.id == it->second.owner) return m.link;
   return "";
@@ -188,7 +196,8 @@
   for (std::map<std::string, Reg>::value_type& r : regs_) {
     stepDown(out, now, r.first, r.second, "struck off");
     for (Pending const& p : r.second.queue)
-      out.decided.push_back(Decided{p.call.token, r.first, 0, 503, {{"error", "not accepted"}, {"reason", "this member was struck off"}}});
+      out.decided.push_back(Decided{
+          p.call.token, r.first, 0, 503, {{"error", "not accepted"}, {"reason", "this member was struck off"}}});
   }
   regs_.clear();
   unsure_.clear();
@@ -242,7 +251,8 @@
     for (std::map<std::string, Reg>::value_type& r : regs_) stepDown(out, now, r.first, r.second, "disk stalled");
 }
 
-void Registers::sendWhenSynced(Commands& out, Tick now, Reg const& r, std::string const& to, transport::Message message) {
+void Registers::sendWhenSynced(Commands& out, Tick now, Reg const& r, std::string const& to,
+                               transport::Message message) {
   std::map<std::uint64_t, std::vector<transport::Send>>::iterator const it = deferred_.find(r.ticket);
   if (it != deferred_.end())
     it->second.push_back(transport::Send{to, std::move(message)});
@@ -315,8 +325,13 @@
   r.electionAt = 0;
   r.promises.clear();
   if (r.proposal && r.proposal->token != 0)
-    out.decided.push_back(Decided{r.proposal->token, key, 0, 504,
-                                  {{"error", "unknown"}, {"reason", "ownership was lost while the change was being written; ask by its change id"}}});
+    out.decided.push_back(
+        Decided{r.proposal->token,
+                key,
+                0,
+                504,
+                {{"error", "unknown"},
+                 {"reason", "ownership was lost while the change was being written; ask by its change id"}}});
   r.proposal.reset();
   for (Read const& read : r.reads)
     out.decided.push_back(Decided{read.token, key, 0, 503, {{"error", "not confirmed"}}});
@@ -325,7 +340,8 @@
 
 void Registers::on(Commands& out, Tick now, std::string const& from, transport::Prepare const& m) {
   if (!voting() || stalled_ || !isMember(m.member)) return;
-  std::uint64_t const guard = m.key == membershipKey ? membershipRevision_ : std::max(membershipRevision_, reg(membershipKey).revision);
+  std::uint64_t const guard =
+      m.key == membershipKey ? membershipRevision_ : std::max(membershipRevision_, reg(membershipKey).revision);
   Reg& r = reg(m.key);
   r.highest = std::max(r.highest, m.ballot.n);
   r.unowned = false;
@@ -339,8 +355,9 @@
     r.ownerHeard = now;
     persist(out, now, m.key, r);
   }
-  sendWhenSynced(out, now, r, from,
-                 transport::Promise{m.key, m.ballot, self_.id, true, r.promised, r.acceptedBallot, r.revision, r.value});
+  sendWhenSynced(
+      out, now, r, from,
+      transport::Promise{m.key, m.ballot, self_.id, true, r.promised, r.acceptedBallot, r.revision, r.value});
 }
 
 void Registers::on(Commands& out, Tick now, std::string const&, transport::Promise const& m) {
@@ -388,7 +405,8 @@
   std::vector<Member> targets = membership_;
   if (key == membershipKey)
     for (Member const& m : membersOf(r.proposal->value))
-      if (std::none_of(targets.begin(), targets.end(), [&](Member const& t) { return t.id == m.id; })) targets.push_back(m);
+      if (std::none_of(targets.begin(), targets.end(), [&](Member const& t) { return t.id == m.id; }))
+        targets.push_back(m);
   std::set<std::string> const yes = r.proposal->yes;
   for (Member const& m : targets)
     if (yes.count(m.id) == 0) send(out, now, m.link, accept);
@@ -398,7 +416,8 @@
   bool const joining = m.key == membershipKey && !voting_ && !diskFailed_ && !leaving_ && empty_ && nameTicket_ == 0;
   if (stalled_ || (!voting() && !joining)) return;
   if (!joining && !isMember(m.member)) return;
-  std::uint64_t const guard = m.key == membershipKey ? membershipRevision_ : std::max(membershipRevision_, reg(membershipKey).revision);
+  std::uint64_t const guard =
+      m.key == membershipKey ? membershipRevision_ : std::max(membershipRevision_, reg(membershipKey).revision);
   Reg& r = reg(m.key);
   if (guard > m.membership || m.ballot < r.promised) {
     send(out, now, from, transport::Accepted{m.key, m.ballot, self_.id, m.revision, false, r.promised});
@@ -407,7 +426,8 @@
   if (r.acceptedBallot == m.ballot && m.revision < r.revision) return;
   bool const same = r.acceptedBallot == m.ballot && r.revision == m.revision;
   if (same && r.value != m.value) {
-    out.logEvents.push_back(core::LogEvent{"absurd-message", {{"key", m.key}, {"what", "two values under one epoch and revision"}}});
+    out.logEvents.push_back(
+        core::LogEvent{"absurd-message", {{"key", m.key}, {"what", "two values under one epoch and revision"}}});
     return;
   }
   if (!same) {
@@ -481,7 +501,8 @@
   std::map<std::string, Committed>::const_iterator const it = committed_.find(item.key);
   if (it != committed_.end() && it->second.revision >= item.revision) {
     if (it->second.revision == item.revision && it->second.value != item.value)
-      out.logEvents.push_back(core::LogEvent{"absurd-message", {{"key", item.key}, {"what", "two values under one revision"}}});
+      out.logEvents.push_back(
+          core::LogEvent{"absurd-message", {{"key", item.key}, {"what", "two values under one revision"}}});
     return;
   }
   Committed const c{item.key, item.revision, item.value};
@@ -514,8 +535,9 @@
   }
   empty_ = false;
   std::uint64_t const ticket = nextTicket_++;
-  out.persists.push_back(Persist{ticket, configRecord,
-                                 core::jsonText(QJsonObject{{"s", static_cast<qint64>(revision)}, {"v", value}, {"i", core::qstr(self_.id)}})});
+  out.persists.push_back(Persist{
+      ticket, configRecord,
+      core::jsonText(QJsonObject{{"s", static_cast<qint64>(revision)}, {"v", value}, {"i", core::qstr(self_.id)}})});
   writing_[ticket] = now;
   if (revision == 1 && !voting_ && catchUpTicket_ == 0) firstVote(out, now);
 }
@@ -579,7 +601,9 @@
   if (seeking()) to.insert(neighbours_.begin(), neighbours_.end());
   to.erase(self_.link);
   for (std::string const& link : to) {
-    std::function<bool(Member const&)> const has = [&](Member const& m) { return m.link == link && others_[m.id].membership == membershipRevision_; };
+    std::function<bool(Member const&)> const has = [&](Member const& m) {
+      return m.link == link && others_[m.id].membership == membershipRevision_;
+    };
     transport::Heartbeat one = b;
     if (std::any_of(membership_.begin(), membership_.end(), has)) one.membershipValue = QJsonObject();
     out.sends.push_back(transport::Send{link, std::move(one)});
@@ -591,7 +615,8 @@
 }
 
 void Registers::on(Commands& out, Tick now, std::string const& from, transport::Heartbeat const& m) {
-  if (m.membership > membershipRevision_ && !m.membershipValue.isEmpty()) adoptMembership(out, m.membership, m.membershipValue, now);
+  if (m.membership > membershipRevision_ && !m.membershipValue.isEmpty())
+    adoptMembership(out, m.membership, m.membershipValue, now);
   if (!isMember(m.member)) {
     newcomers_[m.member] = Newcomer{from, now, m.empty};
     if (!empty_ && !leaving_) out.sends.push_back(transport::Send{from, servingLease(now)});
@@ -652,7 +677,8 @@
   if (!m.wantOwned) readsAnswered(out, now, m.member, m.tick, m.higher);
 }
 
-void Registers::readsAnswered(Commands& out, Tick now, std::string const& member, Tick tick, transport::Revisions const& higher) {
+void Registers::readsAnswered(Commands& out, Tick now, std::string const& member, Tick tick,
+                              transport::Revisions const& higher) {
   for (std::map<std::string, Reg>::value_type& r : regs_) {
     if (r.second.role != Role::owner || higher.count(r.first) > 0) continue;
     std::vector<Read> waiting;
@@ -680,7 +706,8 @@
 Commands Registers::call(Tick now, std::string const& key, transport::Call const& call) {
   Commands out;
   if (!voting() || stalled_) {
-    out.decided.push_back(Decided{call.token, key, 0, 503, {{"error", "not accepted"}, {"reason", "this member cannot vote"}}});
+    out.decided.push_back(
+        Decided{call.token, key, 0, 503, {{"error", "not accepted"}, {"reason", "this member cannot vote"}}});
     return out;
   }
   Reg& r = reg(key);
@@ -696,7 +723,9 @@
   Commands out;
   if (now - lastClock_ > tuning_.ownerSilence) wokeAt_ = now;
   lastClock_ = now;
-  std::erase_if(newcomers_, [&](std::map<std::string, Newcomer>::value_type const& n) { return now - n.second.heard > tuning_.ownerSilence; });
+  std::erase_if(newcomers_, [&](std::map<std::string, Newcomer>::value_type const& n) {
+    return now - n.second.heard > tuning_.ownerSilence;
+  });
   if (leaving_) leave(out, now);
   watchDisk(out, now);
   watchQuorum(now);
@@ -708,7 +737,10 @@
   for (std::string const& key : keys) {
     Reg& r = reg(key);
     while (!r.queue.empty() && now - r.queue.front().since > tuning_.callLimit) {
-      out.decided.push_back(Decided{r.queue.front().call.token, key, 0, 503,
+      out.decided.push_back(Decided{r.queue.front().call.token,
+                                    key,
+                                    0,
+                                    503,
                                     {{"error", "not accepted"}, {"reason", "no majority of the disks could be had"}}});
       r.queue.pop_front();
     }
@@ -718,11 +750,16 @@
       r.queue.clear();
     }
     if (r.proposal && r.proposal->token != 0 && now - r.proposal->since > tuning_.callLimit) {
-      out.decided.push_back(Decided{r.proposal->token, key, 0, 504,
-                                    {{"error", "unknown"}, {"reason", "a majority did not answer in time; ask by the change id"}}});
+      out.decided.push_back(
+          Decided{r.proposal->token,
+                  key,
+                  0,
+                  504,
+                  {{"error", "unknown"}, {"reason", "a majority did not answer in time; ask by the change id"}}});
       r.proposal->token = 0;
     }
-    if (r.role == Role::owner && r.proposal && now - r.proposal->sentAt >= tuning_.resendEvery) sendProposal(out, now, key, r);
+    if (r.role == Role::owner && r.proposal && now - r.proposal->sentAt >= tuning_.resendEvery)
+      sendProposal(out, now, key, r);
     if (r.role == Role::preparing && now - r.roleSince > tuning_.ownerSilence) {
       stepDown(out, now, key, r, "no majority promised");
       r.electionAt = now + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(tuning_.electionSpread)));
@@ -737,11 +774,13 @@
     bool const wanted = !r.queue.empty() || r.revision > 0 || committed_.count(key) > 0;
     bool const restarted = r.unowned && quorumAt_ >= 0 && now - quorumAt_ >= tuning_.restartPause;
     bool const next = r.unowned && quorumAt_ >= 0 && (restarted || allSaidOwned()) && firstFor(key, now);
-    if (r.role == Role::idle && wanted && voting() && !stalled_ && (restarted || next || now - r.ownerHeard > tuning_.ownerSilence)) {
+    if (r.role == Role::idle && wanted && voting() && !stalled_ &&
+        (restarted || next || now - r.ownerHeard > tuning_.ownerSilence)) {
       if (next)
         startElection(out, now, key, r);
       else if (r.electionAt == 0)
-        r.electionAt = now + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(restarted ? tuning_.restartSpread : tuning_.electionSpread)));
+        r.electionAt = now + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(
+                                 restarted ? tuning_.restartSpread : tuning_.electionSpread)));
       else if (now >= r.electionAt)
         startElection(out, now, key, r);
     }
@@ -755,7 +794,8 @@
         now - r.fetchedAt >= tuning_.resendEvery) {
       r.fetchedAt = now;
       for (Member const& m : membership_)
-        if (m.id != self_.id) out.sends.push_back(transport::Send{m.link, transport::Fetch{key, false, self_.id, membershipRevision_}});
+        if (m.id != self_.id)
+          out.sends.push_back(transport::Send{m.link, transport::Fetch{key, false, self_.id, membershipRevision_}});
     }
   }
   for (std::map<std::string, Other>::value_type const& o : others_)
@@ -820,18 +860,21 @@
       newest.ticket = std::max(newest.ticket, r.second.ticket);
       transport::Slot const& theirs = have[r.first];
       if (theirs.promised < r.second.promised || newer(r.second, theirs))
-        copy.slots.push_back(transport::Slot{r.first, r.second.promised, r.second.acceptedBallot, r.second.revision, r.second.value});
+        copy.slots.push_back(
+            transport::Slot{r.first, r.second.promised, r.second.acceptedBallot, r.second.revision, r.second.value});
     }
     sendWhenSynced(out, now, newest, from, copy);
     return;
   }
   std::map<std::string, Committed>::const_iterator const it = committed_.find(m.key);
   if (it != committed_.end())
-    out.sends.push_back(transport::Send{from, transport::Commit{reg(m.key).promised, transport::Item{m.key, it->second.revision, it->second.value}}});
+    out.sends.push_back(transport::Send{
+        from, transport::Commit{reg(m.key).promised, transport::Item{m.key, it->second.revision, it->second.value}}});
 }
 
 void Registers::on(Commands& out, Tick now, std::string const&, transport::Copy const& m) {
-  if (m.membership != membershipRevision_ || caughtUp_ == membershipRevision_ || catchUpTicket_ != 0 || diskFailed_ || !isMember(self_.id) || !isMember(m.member))
+  if (m.membership != membershipRevision_ || caughtUp_ == membershipRevision_ || catchUpTicket_ != 0 || diskFailed_ ||
+      !isMember(self_.id) || !isMember(m.member))
     return;
   copies_.insert(m.member);
   copyAskedAt_ = -1;
@@ -847,7 +890,8 @@
       r.value = s.value;
       accepted(now, s.key, r);
     }
-    if (r.role != Role::idle && r.mine < r.promised) stepDown(out, now, s.key, r, "a member has promised a higher epoch");
+    if (r.role != Role::idle && r.mine < r.promised)
+      stepDown(out, now, s.key, r, "a member has promised a higher epoch");
     if (!voting_) r.ownerHeard = now;
     persist(out, now, s.key, r);
   }
@@ -862,7 +906,8 @@
   for (std::string const& link : links) {
     Member seen = link == self_.link ? self_ : Member{};
     for (std::map<std::string, Newcomer>::value_type const& n : newcomers_)
-      if (n.second.link == link && n.second.empty && now - n.second.heard < 3 * tuning_.heartbeatEvery) seen = Member{n.first, link};
+      if (n.second.link == link && n.second.empty && now - n.second.heard < 3 * tuning_.heartbeatEvery)
+        seen = Member{n.first, link};
     if (seen.id.empty()) return;
     members.push_back(seen);
   }
@@ -900,10 +945,12 @@
   propose(out, now, membershipKey, it->second, std::move(p));
 }
 
-std::vector<Member> Registers::nextMembership(std::set<std::string> const& caughtUp, Tick now, core::LogEvent& logEvent) const {
+std::vector<Member> Registers::nextMembership(std::set<std::string> const& caughtUp, Tick now,
+                                              core::LogEvent& logEvent) const {
   Member const* darkest = nullptr;
   for (Member const& m : membership_)
-    if (darkFor(m, now) > tuning_.replaceDarkAfter && (darkest == nullptr || darkFor(*darkest, now) < darkFor(m, now))) darkest = &m;
+    if (darkFor(m, now) > tuning_.replaceDarkAfter && (darkest == nullptr || darkFor(*darkest, now) < darkFor(m, now)))
+      darkest = &m;
   std::optional<Member> come;
   Member const* gone = nullptr;
   for (std::map<std::string, Newcomer>::value_type const& n : newcomers_) {
--- a/consensus/test/cluster.h
+++ b/consensus/test/cluster.h
@@ -47,7 +47,8 @@
     m.writes.clear();
     m.inbox.clear();
     ++m.life;
-    m.member = std::make_unique<Registers>(Member{link + "#" + std::to_string(++m.boots), link}, std::move(founders), validator, rng.next(), tuning_);
+    m.member = std::make_unique<Registers>(Member{link + "#" + std::to_string(++m.boots), link}, std::move(founders),
+                                           validator, rng.next(), tuning_);
     take(m, m.member->restore(m.disk, false, now));
     clock(link, m.life);
   }
@@ -142,7 +143,8 @@
       for (std::map<std::string, Machine>::value_type const& m : machines) {
         if (m.second.disk.count("meta") == 0) continue;
         QJsonObject const meta = core::parseJson(m.second.disk.at("meta")).toObject();
-        if (core::str(meta.value("id").toString()) == c.id && meta.value("voting").toBool()) disks.push_back(Held{c.id, &m.second.disk, {}, false});
+        if (core::str(meta.value("id").toString()) == c.id && meta.value("voting").toBool())
+          disks.push_back(Held{c.id, &m.second.disk, {}, false});
       }
     std::size_t const most = membersOf(membership).size() / 2 + 1;
     std::vector<std::string> out;
@@ -251,7 +253,8 @@
     for (Committed const& k : c.commits) {
       std::string& text = committed_[{k.key, k.revision}];
       std::string const here = core::jsonText(k.value);
-      if (!text.empty() && text != here) wrong.push_back("two values of " + k.key + " under revision " + std::to_string(k.revision));
+      if (!text.empty() && text != here)
+        wrong.push_back("two values of " + k.key + " under revision " + std::to_string(k.revision));
       text = here;
       newest[k.key] = std::max(newest[k.key], k.revision);
     }
@@ -269,7 +272,8 @@
       if (watch) watch(m.link, s);
       std::map<std::string, Machine>::const_iterator const it = machines.find(s.to);
       if (it == machines.end() || !it->second.member || cuts.count({m.link, s.to}) > 0 || rng.chance(loss)) continue;
-      after(1 + static_cast<Tick>(rng.below(4)), [this, from = m.link, link = s.to, life = it->second.life, message = s.message] {
+      after(1 + static_cast<Tick>(rng.below(4)), [this, from = m.link, link = s.to, life = it->second.life,
+                                                  message = s.message] {
         to(link, life, [this, from, link, message] { take(machines.at(link), at(link).arrived(now, from, message)); });
       });
     }
--- a/consensus/test/registers_test.cpp
+++ b/consensus/test/registers_test.cpp
@@ -7,8 +7,8 @@
 namespace core = corkward::core;
 namespace consensus = corkward::consensus;
 namespace transport = corkward::transport;
-using core::Tick;
 using consensus::Cluster;
+using core::Tick;
 
 namespace {
 
@@ -22,7 +22,8 @@
 
 /// A membership of the named machines, founded by the first three of them, with something acknowledged.
 void moor(Cluster& cluster, std::vector<std::string> const& links) {
-  std::vector<std::string> const founders(links.begin(), links.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(3, links.size())));
+  std::vector<std::string> const founders(
+      links.begin(), links.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(3, links.size())));
   for (std::string const& l : links) cluster.boot(l, founders);
   REQUIRE(cluster.until([&] { return cluster.calm(); }, 6000) >= 0);
   std::uint64_t const token = cluster.call(links.front(), "k");
@@ -206,9 +207,12 @@
       bool learned = false;
       cluster.watch = [&](std::string const& from, transport::Send const& s) {
         if (from != "d" || !learned) return;
-        if (transport::Promise const* const p = std::get_if<transport::Promise>(&s.message)) oldVoice = oldVoice || p->member == old;
-        if (transport::Accepted const* const p = std::get_if<transport::Accepted>(&s.message)) oldVoice = oldVoice || p->member == old;
-        if (transport::Copy const* const p = std::get_if<transport::Copy>(&s.message)) oldVoice = oldVoice || p->member == old;
+        if (transport::Promise const* const p = std::get_if<transport::Promise>(&s.message))
+          oldVoice = oldVoice || p->member == old;
+        if (transport::Accepted const* const p = std::get_if<transport::Accepted>(&s.message))
+          oldVoice = oldVoice || p->member == old;
+        if (transport::Copy const* const p = std::get_if<transport::Copy>(&s.message))
+          oldVoice = oldVoice || p->member == old;
       };
       if (frozen)
         cluster.thaw("d");
@@ -471,7 +475,9 @@
         break;
       case 6:
         for (std::string const& l : up) cluster.kill(l);
-        for (std::string const& l : up) later.emplace_back(cluster.now + static_cast<Tick>(cluster.rng.below(1000)), [&cluster, l] { cluster.boot(l); });
+        for (std::string const& l : up)
+          later.emplace_back(cluster.now + static_cast<Tick>(cluster.rng.below(1000)),
+                             [&cluster, l] { cluster.boot(l); });
         break;
       case 7:
         if (!whole) break;
@@ -497,7 +503,8 @@
   CHECK(cluster.until([&] { return cluster.calm(); }, 20000) >= 0);
   cluster.run(3000);
   std::size_t acknowledged = 0;
-  for (std::map<std::string, std::set<std::string>>::value_type const& a : cluster.acknowledged) acknowledged += a.second.size();
+  for (std::map<std::string, std::set<std::string>>::value_type const& a : cluster.acknowledged)
+    acknowledged += a.second.size();
   CHECK(acknowledged > 50);
   sound(cluster);
 }
--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -66,8 +66,8 @@
 /// The control plane of one machine as a pure reducer over its events.
 class Controller {
  public:
-  Controller(transport::Contact self, std::string memberId, std::vector<std::string> seeds, std::vector<std::string> founders,
-        std::uint64_t seed, Tuning tuning = {});
+  Controller(transport::Contact self, std::string memberId, std::vector<std::string> seeds,
+             std::vector<std::string> founders, std::uint64_t seed, Tuning tuning = {});
 
   Commands restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now);
   Commands arrived(Tick now, std::string const& from, transport::Message const& message);
@@ -159,7 +159,8 @@
   };
 
   Lease* grant(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc, Tick lease, bool& ok);
-  void release(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc, std::string const& successor, Tick lease);
+  void release(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc,
+               std::string const& successor, Tick lease);
   Answer dutyPage(Tick now, transport::Call const& call, std::string const& name);
   Around around() const;
   void take(Commands& out, Tick now, consensus::Commands&& from);
@@ -225,4 +226,4 @@
   bool draining_ = false;
 };
 
-}  // namespace corkward::controller
+}  // namespace corkward::control
--- a/control/include/corkward/control/guide.h
+++ b/control/include/corkward/control/guide.h
@@ -15,7 +15,8 @@
 inline constexpr char const* guideRole = "guide";
 
 /// Reducer of a machine that serves operators without a disk: it holds nothing and is never a member. It knows which
-/// controllers answer, names them to processes that enter here, and tells disks that it founds nothing. It is named to nobody.
+/// controllers answer, names them to processes that enter here, and tells disks that it founds nothing. It is named to
+/// nobody.
 class Guide {
  public:
   Guide(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed);
@@ -33,4 +34,4 @@
   Tick askAt_ = 0;
 };
 
-}  // namespace corkward::controller
+}  // namespace corkward::control
--- a/control/include/corkward/control/validator.h
+++ b/control/include/corkward/control/validator.h
@@ -27,7 +27,9 @@
 struct Around {
   config::PoolKnown poolKnown;
   /// Why a regime could not be served in a pool under these certificates.
-  std::function<std::optional<config::RegimeFault>(config::Regimes const&, std::string const& regime, std::string const& pool)> regimeFault = {};
+  std::function<std::optional<config::RegimeFault>(config::Regimes const&, std::string const& regime,
+                                                   std::string const& pool)>
+      regimeFault = {};
   /// Regimes and certificates in place.
   std::function<config::Regimes()> regimes = {};
   /// What the tenants in place want of regimes.
@@ -35,6 +37,7 @@
 };
 
 /// Judges every call on every kind of key.
-consensus::Verdict validator(std::string const& key, std::uint64_t revision, QJsonObject const& value, transport::Call const& call, Around const& around);
+consensus::Verdict validator(std::string const& key, std::uint64_t revision, QJsonObject const& value,
+                             transport::Call const& call, Around const& around);
 
-}  // namespace corkward::controller
+}  // namespace corkward::control
--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -28,25 +28,30 @@
   return body;
 }
 
-bool isChange(std::string const& method) { return method == "PUT" || method == "PATCH" || method == "DELETE"; }
+bool isChange(std::string const& method) {
+  return method == "PUT" || method == "PATCH" || method == "DELETE";
+}
 
 }  // namespace
 
-Controller::Controller(transport::Contact self, std::string memberId, std::vector<std::string> seeds, std::vector<std::string> founders,
-             std::uint64_t seed, Tuning tuning)
+Controller::Controller(transport::Contact self, std::string memberId, std::vector<std::string> seeds,
+                       std::vector<std::string> founders, std::uint64_t seed, Tuning tuning)
     : tuning_(tuning),
       partialView_(self, std::move(seeds), seed ^ 0x51),
-      registers_(consensus::Member{std::move(memberId), self.link}, std::move(founders),
-               [this](std::string const& key, std::uint64_t revision, QJsonObject const& value, transport::Call const& call) {
-                 return validator(key, revision, value, call, around());
-               },
-               seed ^ 0x77, tuning.registers) {}
+      registers_(
+          consensus::Member{std::move(memberId), self.link}, std::move(founders),
+          [this](std::string const& key, std::uint64_t revision, QJsonObject const& value,
+                 transport::Call const& call) { return validator(key, revision, value, call, around()); },
+          seed ^ 0x77, tuning.registers) {}
 
 Around Controller::around() const {
   Around out;
-  out.poolKnown = [this](std::string const& pool) { return wholePools_.count(pool) > 0 || registers_.committed().count("pool:" + pool) > 0; };
+  out.poolKnown = [this](std::string const& pool) {
+    return wholePools_.count(pool) > 0 || registers_.committed().count("pool:" + pool) > 0;
+  };
   out.regimes = [this] {
-    std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find(config::regimesKey);
+    std::map<std::string, consensus::Committed>::const_iterator const it =
+        registers_.committed().find(config::regimesKey);
     return it == registers_.committed().end() ? config::Regimes{} : config::keptRegimes(it->second.value);
   };
   out.regimeUses = [this] {
@@ -60,13 +65,16 @@
   };
   out.regimeFault = [this](config::Regimes const& regimes, std::string const& regime, std::string const& pool) {
     std::optional<config::RegimeFault> fault = config::faultOf(regimes, regime, pool, wall_);
-    std::map<std::string, consensus::Committed>::const_iterator const list = registers_.committed().find("pool:" + pool);
+    std::map<std::string, consensus::Committed>::const_iterator const list =
+        registers_.committed().find("pool:" + pool);
     if (fault || !wall_ || list == registers_.committed().end()) return fault;
     std::vector<config::Replica> const replicas = config::keptPool(list->second.value).replicas;
     bool const any = std::any_of(replicas.begin(), replicas.end(), [&](config::Replica const& r) {
       return config::certifies(regimes, regime, pool, r, wall_) != nullptr;
     });
-    if (!any) fault = config::RegimeFault{"/certificates", "no replica on the list of pool " + pool + " is certified for regime " + regime};
+    if (!any)
+      fault = config::RegimeFault{"/certificates",
+                                  "no replica on the list of pool " + pool + " is certified for regime " + regime};
     return fault;
   };
   return out;
@@ -122,10 +130,12 @@
   CallState const state = std::move(it->second);
   calls_.erase(it);
   if (state.call.method == rosterMethod) rosterCalling_ = false;
-  if (!body.contains("changeId") && isChange(state.call.method)) body.insert("changeId", core::qstr(state.call.changeId));
+  if (!body.contains("changeId") && isChange(state.call.method))
+    body.insert("changeId", core::qstr(state.call.changeId));
   journal_.append(now, "answered_" + std::to_string(status), state.call.path);
   if (isChange(state.call.method))
-    out.logEvents.push_back(core::LogEvent{"change", {{"path", state.call.path}, {"status", std::to_string(status)}, {"change-id", state.call.changeId}}});
+    out.logEvents.push_back(core::LogEvent{
+        "change", {{"path", state.call.path}, {"status", std::to_string(status)}, {"change-id", state.call.changeId}}});
   if (!state.from.empty())
     out.sends.push_back(transport::Send{state.from, transport::CallResponse{state.token, status, body}});
   else if (state.token != 0)
@@ -162,7 +172,8 @@
   } else if (call.body.size() > (whole ? maxWholeBody : maxBody)) {
     out.answers.push_back(Answer{call.token, 413, {{"error", "too large"}}});
   } else if (draining_ || calls_.size() >= maxCalls) {
-    out.answers.push_back(Answer{call.token, 503, {{"error", "not accepted"}, {"reason", draining_ ? "leaving" : "too many calls in hand"}}});
+    out.answers.push_back(Answer{
+        call.token, 503, {{"error", "not accepted"}, {"reason", draining_ ? "leaving" : "too many calls in hand"}}});
   } else {
     std::uint64_t const id = nextCall_++;
     CallState state;
@@ -215,7 +226,8 @@
     p.second.generation = std::max(generationOf(p.first), hinted == hints_.end() ? 0 : hinted->second.generation) + 1;
     hint(out, now, p.first, p.second);
     std::map<std::string, std::uint64_t>::const_iterator const before = listCalls_.find(p.first);
-    if (draining_ || calls_.size() >= maxCalls || (before != listCalls_.end() && calls_.count(before->second) > 0)) continue;
+    if (draining_ || calls_.size() >= maxCalls || (before != listCalls_.end() && calls_.count(before->second) > 0))
+      continue;
     std::uint64_t const id = nextCall_++;
     CallState state;
     state.key = key;
@@ -234,12 +246,15 @@
 bool Controller::readsLists(Tick now) const {
   if (draining_ || registers_.membership().empty()) return false;
   std::string const owner = registers_.ownerLink(rosterKey, now);
-  return owner == registers_.self().link || (owner.empty() && registers_.membership().front().id == registers_.self().id);
+  return owner == registers_.self().link ||
+         (owner.empty() && registers_.membership().front().id == registers_.self().id);
 }
 
 std::uint64_t Controller::generationOf(std::string const& pool) const {
   std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find("pool:" + pool);
-  return it == registers_.committed().end() ? 0 : static_cast<std::uint64_t>(it->second.value.value("generation").toInteger());
+  return it == registers_.committed().end()
+             ? 0
+             : static_cast<std::uint64_t>(it->second.value.value("generation").toInteger());
 }
 
 void Controller::on(Commands& out, Tick now, std::string const&, transport::Hint const& m) {
@@ -352,7 +367,8 @@
     return out;
   };
   roster_ = RosterView{links("nodes"), links("previous"), links("gone"), {}};
-  std::set_union(roster_.nodes.begin(), roster_.nodes.end(), roster_.previous.begin(), roster_.previous.end(), std::back_inserter(roster_.places));
+  std::set_union(roster_.nodes.begin(), roster_.nodes.end(), roster_.previous.begin(), roster_.previous.end(),
+                 std::back_inserter(roster_.places));
 }
 
 void Controller::learned(std::string const& link, std::string const& key, std::uint64_t revision) {
@@ -433,7 +449,8 @@
     }
   } else if (current && !exact && n.known) {
     transport::Digest expected = digest_;
-    for (transport::Revisions::value_type const& b : n.behind) expected.replace(b.first, committedRevision(b.first), b.second);
+    for (transport::Revisions::value_type const& b : n.behind)
+      expected.replace(b.first, committedRevision(b.first), b.second);
     exact = expected == m.digest;
   }
   transport::Confirm c;
@@ -443,7 +460,8 @@
   c.age = std::max<Tick>(age, 0);
   c.digest = digest_;
   if (!(m.digest == digest_))
-    for (std::map<std::string, consensus::Committed>::value_type const& k : registers_.committed()) c.revisions[k.first] = k.second.revision;
+    for (std::map<std::string, consensus::Committed>::value_type const& k : registers_.committed())
+      c.revisions[k.first] = k.second.revision;
   c.wantRevisions = !exact;
   c.roster = rosterInForce() ? committedRevision(rosterKey) : 0;
   for (std::map<std::string, transport::Hint>::iterator h = hints_.begin(); h != hints_.end();)
@@ -480,7 +498,8 @@
   } else {
     for (transport::Revisions::value_type const& b : n.behind) {
       std::map<std::string, std::pair<std::uint64_t, Tick>>::const_iterator const before = n.pushed.find(b.first);
-      bool const again = before != n.pushed.end() && before->second.first >= committedRevision(b.first) && now - before->second.second < tuning_.repushEvery;
+      bool const again = before != n.pushed.end() && before->second.first >= committedRevision(b.first) &&
+                         now - before->second.second < tuning_.repushEvery;
       if (!again) add(b.first);
     }
     if (news.items.empty()) return;
@@ -501,7 +520,8 @@
     if (n->second.known && n->second.behind.empty()) h.whole.set(place);
   }
   for (std::map<std::string, Router>::value_type const& n : routers_)
-    if (n.second.asked >= 0 && now - n.second.asked <= tuning_.heldFor && roster_.nodes.count(n.first) == 0) h.fresh.push_back(n.second.contact);
+    if (n.second.asked >= 0 && now - n.second.asked <= tuning_.heldFor && roster_.nodes.count(n.first) == 0)
+      h.fresh.push_back(n.second.contact);
   return h;
 }
 
@@ -509,20 +529,25 @@
   if (now < holdingAt_) return;
   transport::Holding h = holding(now);
   Tick youngest = -1;
-  std::function<void(std::string const&, std::uint64_t, Tick)> const ask = [&](std::string const& key, std::uint64_t revision, Tick since) {
+  std::function<void(std::string const&, std::uint64_t, Tick)> const ask = [&](std::string const& key,
+                                                                               std::uint64_t revision, Tick since) {
     youngest = std::max(youngest, since);
     if (h.asked.size() < maxAsked) h.asked.push_back(transport::Reached{key, revision, {}});
   };
   for (Force const& f : forces_) ask(f.key, f.revision, f.since);
   for (std::string const& key : unsettled_) ask(key, settling_.at(key).revision, settling_.at(key).since);
   bool const young = youngest >= 0 && now - youngest < tuning_.youngFor;
-  holdingAt_ = now + (h.asked.empty() ? tuning_.holdingEvery : young ? tuning_.holdingWhileYoung : tuning_.holdingWhileAsking);
+  holdingAt_ = now + (h.asked.empty() ? tuning_.holdingEvery
+                      : young         ? tuning_.holdingWhileYoung
+                                      : tuning_.holdingWhileAsking);
   for (consensus::Member const& m : registers_.membership())
     if (m.link != registers_.self().link) out.sends.push_back(transport::Send{m.link, h});
 }
 
 void Controller::on(Commands& out, Tick now, std::string const& from, transport::Holding const& m) {
-  std::function<bool(consensus::Member const&)> const sender = [&](consensus::Member const& c) { return c.link == from; };
+  std::function<bool(consensus::Member const&)> const sender = [&](consensus::Member const& c) {
+    return c.link == from;
+  };
   if (std::none_of(registers_.membership().begin(), registers_.membership().end(), sender)) return;
   for (transport::Contact const& c : m.fresh) {
     if (c.link.empty() || c.role != transport::routerRole) continue;
@@ -552,7 +577,8 @@
       std::map<std::string, Router>::const_iterator const n = routers_.find(roster_.places[place]);
       if (n == routers_.end() || n->second.asked < 0) continue;
       transport::Revisions::const_iterator const behind = n->second.behind.find(asked.key);
-      if (behind == n->second.behind.end() ? have && n->second.known : behind->second >= asked.revision) r.routers.set(place);
+      if (behind == n->second.behind.end() ? have && n->second.known : behind->second >= asked.revision)
+        r.routers.set(place);
     }
     answer.reached.push_back(std::move(r));
   }
@@ -578,15 +604,17 @@
 
 Controller::InForce Controller::inForce(Tick now, std::string const& key, std::uint64_t revision, Tick since) const {
   std::map<std::string, Settling>::const_iterator const settling = settling_.find(key);
-  if (settling != settling_.end() && settling->second.inForce && settling->second.revision >= revision) return InForce::yes;
+  if (settling != settling_.end() && settling->second.inForce && settling->second.revision >= revision)
+    return InForce::yes;
   Tick const age = registers_.majorityAge(now);
   if (age < 0 || now - age < since || settling == settling_.end()) return InForce::no;
   std::uint64_t const roster = committedRevision(rosterKey);
   std::map<std::string, Settling>::const_iterator const rosterSettling = settling_.find(rosterKey);
-  std::function<bool(Settling const&, std::string const&, std::uint64_t)> const knows = [](Settling const& s, std::string const& link, std::uint64_t least) {
-    transport::Revisions::const_iterator const it = s.has.find(link);
-    return it != s.has.end() && it->second >= least;
-  };
+  std::function<bool(Settling const&, std::string const&, std::uint64_t)> const knows =
+      [](Settling const& s, std::string const& link, std::uint64_t least) {
+        transport::Revisions::const_iterator const it = s.has.find(link);
+        return it != s.has.end() && it->second >= least;
+      };
   bool all = true;
   bool settled = true;
   for (std::set<std::string> const* const links : {&roster_.nodes, &roster_.previous}) {
@@ -659,12 +687,15 @@
 void Controller::considerRoster(Commands& out, Tick now) {
   if (now < rosterAt_ || rosterCalling_ || draining_ || !ready(now)) return;
   rosterAt_ = now + 300;
-  std::function<bool(std::map<std::string, Router>::value_type const&)> const silent = [&](std::map<std::string, Router>::value_type const& n) {
-    return n.second.heard >= 0 && now - n.second.heard > tuning_.forgetAfter;
-  };
+  std::function<bool(std::map<std::string, Router>::value_type const&)> const silent =
+      [&](std::map<std::string, Router>::value_type const& n) {
+        return n.second.heard >= 0 && now - n.second.heard > tuning_.forgetAfter;
+      };
   if (std::any_of(routers_.begin(), routers_.end(), silent)) {
     std::set<std::string> const& kept = roster_.nodes;
-    std::erase_if(routers_, [&](std::map<std::string, Router>::value_type const& n) { return silent(n) && kept.count(n.first) == 0; });
+    std::erase_if(routers_, [&](std::map<std::string, Router>::value_type const& n) {
+      return silent(n) && kept.count(n.first) == 0;
+    });
   }
   std::string const owner = registers_.ownerLink(rosterKey, now);
   if (owner != registers_.self().link && (!owner.empty() || committedRevision(rosterKey) > 0)) return;
@@ -678,8 +709,8 @@
   bool changed = false;
   std::set<std::string> gone = roster_.gone;
   for (std::map<std::string, Router>::value_type const& n : routers_) {
-    if (n.second.heard < 0 || now - n.second.heard > 2000 || n.second.contact.role != transport::routerRole || n.second.contact.draining ||
-        nodes.count(n.first) > 0)
+    if (n.second.heard < 0 || now - n.second.heard > 2000 || n.second.contact.role != transport::routerRole ||
+        n.second.contact.draining || nodes.count(n.first) > 0)
       continue;
     nodes[n.first] = QJsonObject{{"link", core::qstr(n.first)},
                                  {"http", core::qstr(n.second.contact.http)},
@@ -717,7 +748,8 @@
   take(out, now, registers_.call(now, rosterKey, state.call));
 }
 
-Controller::Lease* Controller::grant(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc, Tick term, bool& ok) {
+Controller::Lease* Controller::grant(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc,
+                                     Tick term, bool& ok) {
   if (!ready(now) || now - started_ < term + 500) return nullptr;
   if (joinedAt_ >= 0 && now - joinedAt_ < term + tuning_.fence + 500) return nullptr;
   if (leases_.size() >= maxLeases && leases_.count(what) == 0) return nullptr;
@@ -735,7 +767,8 @@
   return &lease;
 }
 
-void Controller::release(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc, std::string const& successor, Tick term) {
+void Controller::release(Tick now, std::string const& what, std::string const& holder, std::uint64_t inc,
+                         std::string const& successor, Tick term) {
   std::map<std::string, Lease>::iterator const it = leases_.find(what);
   if (it == leases_.end() || it->second.holder != holder || it->second.inc != inc) return;
   it->second.holder = successor;
@@ -751,7 +784,8 @@
   bool ok = false;
   Lease const* const lease = grant(now, m.replica, m.link, m.inc, tuning_.warmLease, ok);
   if (lease == nullptr) return;
-  out.sends.push_back(transport::Send{from, transport::WarmGrant{m.tick, m.replica, registers_.self().id, ok, lease->term, lease->holder}});
+  out.sends.push_back(transport::Send{
+      from, transport::WarmGrant{m.tick, m.replica, registers_.self().id, ok, lease->term, lease->holder}});
 }
 
 Answer Controller::dutyPage(Tick now, transport::Call const& call, std::string const& name) {
@@ -765,7 +799,10 @@
   std::string const holder = core::str(body.value("holder").toString());
   std::string const successor = core::str(body.value("successor").toString());
   if (holder.empty() || holder.size() > 64 || successor.size() > 64)
-    return {call.token, 422, {{"error", "not a valid duty"}, {"reason", "holder must be a name of 1 to 64 bytes"}, {"pointer", "/holder"}}};
+    return {
+        call.token,
+        422,
+        {{"error", "not a valid duty"}, {"reason", "holder must be a name of 1 to 64 bytes"}, {"pointer", "/holder"}}};
   std::string const what = "duty " + name;
   if (call.method == "DELETE") {
     release(now, what, holder, 1, successor, tuning_.dutyLease);
@@ -774,16 +811,26 @@
   bool ok = false;
   Lease* const lease = grant(now, what, holder, 1, tuning_.dutyLease, ok);
   if (lease == nullptr)
-    return {call.token, 503, {{"error", "not granted"}, {"reason", "not in touch with a majority, or started too lately to know who has it"}}};
+    return {call.token,
+            503,
+            {{"error", "not granted"},
+             {"reason", "not in touch with a majority, or started too lately to know who has it"}}};
   if (!ok) lease->waiting[holder] = now;
-  std::erase_if(lease->waiting, [&](std::map<std::string, Tick>::value_type const& w) { return now - w.second > tuning_.dutyLease; });
+  std::erase_if(lease->waiting,
+                [&](std::map<std::string, Tick>::value_type const& w) { return now - w.second > tuning_.dutyLease; });
   QJsonArray members;
   for (consensus::Member const& m : registers_.membership()) members.append(core::qstr(m.id));
   QJsonArray waiting;
   for (std::map<std::string, Tick>::value_type const& w : lease->waiting) waiting.append(core::qstr(w.first));
-  return {call.token, 200, {{"granted", ok}, {"holder", core::qstr(lease->holder)}, {"epoch", static_cast<qint64>(lease->term)},
-                            {"member", core::qstr(registers_.self().id)}, {"cohort", members}, {"waiting", waiting},
-                            {"cohortStamp", static_cast<qint64>(committedRevision("cohort"))}}};
+  return {call.token,
+          200,
+          {{"granted", ok},
+           {"holder", core::qstr(lease->holder)},
+           {"epoch", static_cast<qint64>(lease->term)},
+           {"member", core::qstr(registers_.self().id)},
+           {"cohort", members},
+           {"waiting", waiting},
+           {"cohortStamp", static_cast<qint64>(committedRevision("cohort"))}}};
 }
 
 Commands Controller::written(Tick now, std::uint64_t ticket, bool ok) {
@@ -812,21 +859,23 @@
       late.push_back(c.first);
     else if (c.second.forwarded && now - c.second.sentAt > tuning_.resendEvery)
       again.push_back(c.first);
-    else if (c.second.from.empty() && !c.second.forwarded && !forcing && c.second.call.method != rosterMethod && !registers_.owns(c.second.key) &&
-             registers_.ownerLink(c.second.key, now) != "")
+    else if (c.second.from.empty() && !c.second.forwarded && !forcing && c.second.call.method != rosterMethod &&
+             !registers_.owns(c.second.key) && registers_.ownerLink(c.second.key, now) != "")
       again.push_back(c.first);
   }
   for (std::uint64_t const id : again) route(out, now, id);
   for (std::uint64_t const id : late) {
     bool const change = isChange(calls_.at(id).call.method);
     finish(out, now, id, change ? 504 : 503,
-           {{"error", change ? "unknown" : "not confirmed"}, {"reason", "the key's owner did not answer in time; ask by the change id"}});
+           {{"error", change ? "unknown" : "not confirmed"},
+            {"reason", "the key's owner did not answer in time; ask by the change id"}});
   }
   if (!forces_.empty()) {
     for (std::string const& link : roster_.nodes) {
       std::function<bool(Force const&)> const lacks = [&](Force const& f) {
         std::map<std::string, Settling>::const_iterator const s = settling_.find(f.key);
-        transport::Revisions::const_iterator const has = s == settling_.end() ? transport::Revisions::const_iterator() : s->second.has.find(link);
+        transport::Revisions::const_iterator const has =
+            s == settling_.end() ? transport::Revisions::const_iterator() : s->second.has.find(link);
         return s == settling_.end() || has == s->second.has.end() || has->second < f.revision;
       };
       if (std::none_of(forces_.begin(), forces_.end(), lacks)) continue;
@@ -866,7 +915,8 @@
     status = 200;
     QJsonArray names;
     for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed())
-      if (c.first.rfind("family:", 0) == 0 && c.second.value.contains("template")) names.append(core::qstr(c.first.substr(7)));
+      if (c.first.rfind("family:", 0) == 0 && c.second.value.contains("template"))
+        names.append(core::qstr(c.first.substr(7)));
     return QJsonObject{{"templates", names}};
   }
   std::string const changes = "/v1/changes/";
@@ -879,19 +929,23 @@
     for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed())
       for (QJsonValue const v : c.second.value.value("changes").toArray())
         if (v.toObject().value("id").toString() == id) {
-          QJsonObject body{{"changeId", id}, {"key", core::qstr(c.first)}, {"status", v.toObject().value("status")},
+          QJsonObject body{{"changeId", id},
+                           {"key", core::qstr(c.first)},
+                           {"status", v.toObject().value("status")},
                            {"stamp", v.toObject().value("stamp")}};
           if (v.toObject().contains("version")) body.insert("version", v.toObject().value("version"));
           status = 200;
           if (!tuning_.awaitInForce) return body;
           body.insert("inForce", true);
           std::map<std::string, Settling>::const_iterator const s = settling_.find(c.first);
-          bool const force = s != settling_.end() && s->second.revision == c.second.revision && isInForce(now, c.first, s->second);
+          bool const force =
+              s != settling_.end() && s->second.revision == c.second.revision && isInForce(now, c.first, s->second);
           status = force ? 200 : 504;
           return force ? body : pendingBody(body, static_cast<std::uint64_t>(v.toObject().value("stamp").toInteger()));
         }
     status = 404;
-    return QJsonObject{{"error", "not found"}, {"reason", "not accepted so far; final once a later change of the same template was accepted"}};
+    return QJsonObject{{"error", "not found"},
+                       {"reason", "not accepted so far; final once a later change of the same template was accepted"}};
   }
   return {};
 }
@@ -922,28 +976,37 @@
     revisions.insert(core::qstr(c.first), static_cast<qint64>(c.second.revision));
     owners.insert(core::qstr(c.first), core::qstr(registers_.ownerLink(c.first, now)));
   }
-  return QJsonObject{{"self", core::qstr(registers_.self().link)}, {"member", core::qstr(registers_.self().id)},
-                     {"voting", registers_.voting()}, {"diskOk", registers_.diskOk()}, {"ready", ready(now)},
+  return QJsonObject{{"self", core::qstr(registers_.self().link)},
+                     {"member", core::qstr(registers_.self().id)},
+                     {"voting", registers_.voting()},
+                     {"diskOk", registers_.diskOk()},
+                     {"ready", ready(now)},
                      {"majorityAgeMs", static_cast<qint64>(registers_.majorityAge(now))},
-                     {"cohort", members}, {"nacelles", nodes}, {"stamps", revisions}, {"owners", owners}};
+                     {"cohort", members},
+                     {"nacelles", nodes},
+                     {"stamps", revisions},
+                     {"owners", owners}};
 }
 
 std::string Controller::metrics(Tick now) const {
   std::string out = "# TYPE corkward_substation_events_total counter\n";
   for (std::map<std::string, std::uint64_t>::value_type const& c : journal_.counts())
     out += "corkward_substation_events_total{event=\"" + c.first + "\"} " + std::to_string(c.second) + "\n";
-  out += "# TYPE corkward_substation_ready gauge\ncorkward_substation_ready " + std::string(ready(now) ? "1" : "0") + "\n";
+  out +=
+      "# TYPE corkward_substation_ready gauge\ncorkward_substation_ready " + std::string(ready(now) ? "1" : "0") + "\n";
   out += "# TYPE corkward_substation_majority_age_ms gauge\ncorkward_substation_majority_age_ms " +
          std::to_string(registers_.majorityAge(now)) + "\n";
-  out += "# TYPE corkward_substation_owned_keys gauge\ncorkward_substation_owned_keys " + std::to_string(registers_.ownedCount()) + "\n";
-  out += "# TYPE corkward_substation_calls_in_hand gauge\ncorkward_substation_calls_in_hand " + std::to_string(calls_.size()) + "\n";
+  out += "# TYPE corkward_substation_owned_keys gauge\ncorkward_substation_owned_keys " +
+         std::to_string(registers_.ownedCount()) + "\n";
+  out += "# TYPE corkward_substation_calls_in_hand gauge\ncorkward_substation_calls_in_hand " +
+         std::to_string(calls_.size()) + "\n";
   config::Regimes const regimes = around().regimes();
   if (!wall_ || regimes.certificates.empty()) return out;
   out += "# TYPE corkward_substation_certificate_seconds_left gauge\n";
   for (std::map<std::string, config::Certificate>::value_type const& c : regimes.certificates)
-    out += "corkward_substation_certificate_seconds_left{certificate=\"" + c.first + "\",regime=\"" + c.second.regime + "\"} " +
-           std::to_string((c.second.until - config::wallMargin - *wall_) / 1000) + "\n";
+    out += "corkward_substation_certificate_seconds_left{certificate=\"" + c.first + "\",regime=\"" + c.second.regime +
+           "\"} " + std::to_string((c.second.until - config::wallMargin - *wall_) / 1000) + "\n";
   return out;
 }
 
-}  // namespace corkward::controller
+}  // namespace corkward::control
--- a/control/src/guide.cpp
+++ b/control/src/guide.cpp
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-Guide::Guide(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed) : partialView_(std::move(self), std::move(seeds), seed) {}
+Guide::Guide(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed)
+    : partialView_(std::move(self), std::move(seeds), seed) {}
 
 std::vector<transport::Send> Guide::arrived(Tick now, std::string const& from, transport::Message const& message) {
   std::map<std::string, Tick>::iterator const known = controllers_.find(from);
@@ -20,7 +21,8 @@
   if (transport::Shuffle const* const shuffle = std::get_if<transport::Shuffle>(&message); shuffle != nullptr) {
     partialView_.arrived(now, from, transport::Shuffle{shuffle->contacts, false, 0, {}});
     if (!shuffle->reply) return {};
-    return {transport::Send{from, transport::Shuffle{partialView_.ofRole(transport::controllerRole, now), false, 0, {}}}};
+    return {
+        transport::Send{from, transport::Shuffle{partialView_.ofRole(transport::controllerRole, now), false, 0, {}}}};
   }
   transport::Heartbeat const* const heartbeat = std::get_if<transport::Heartbeat>(&message);
   if (heartbeat == nullptr || !heartbeat->empty) return {};
@@ -28,7 +30,8 @@
 }
 
 std::vector<transport::Send> Guide::clockEvent(Tick now) {
-  for (transport::Contact const& c : partialView_.ofRole(transport::controllerRole, now)) controllers_.try_emplace(c.link, -1);
+  for (transport::Contact const& c : partialView_.ofRole(transport::controllerRole, now))
+    controllers_.try_emplace(c.link, -1);
   if (now < askAt_) return {};
   askAt_ = now + askEvery;
   std::set<std::string> to(partialView_.seeds().begin(), partialView_.seeds().end());
@@ -49,4 +52,4 @@
   return answering.empty() ? all : answering;
 }
 
-}  // namespace corkward::controller
+}  // namespace corkward::control
--- a/control/src/validator.cpp
+++ b/control/src/validator.cpp
@@ -23,17 +23,20 @@
 Verdict replay(int status, std::uint64_t revision, std::string const& changeId) {
   Verdict v;
   v.status = status;
-  v.body = QJsonObject{{"changeId", core::qstr(changeId)}, {"stamp", static_cast<qint64>(revision)}, {"replayed", true}};
+  v.body =
+      QJsonObject{{"changeId", core::qstr(changeId)}, {"stamp", static_cast<qint64>(revision)}, {"replayed", true}};
   return v;
 }
 
 std::string bare(std::string const& ifMatch) {
-  if (ifMatch.size() >= 2 && ifMatch.front() == '"' && ifMatch.back() == '"') return ifMatch.substr(1, ifMatch.size() - 2);
+  if (ifMatch.size() >= 2 && ifMatch.front() == '"' && ifMatch.back() == '"')
+    return ifMatch.substr(1, ifMatch.size() - 2);
   return ifMatch;
 }
 
 Verdict stale(transport::Call const& call, qint64 newest) {
-  Verdict v = reject(412, "stale revision", "built on " + bare(call.ifMatch) + ", but the newest is " + std::to_string(newest));
+  Verdict v =
+      reject(412, "stale revision", "built on " + bare(call.ifMatch) + ", but the newest is " + std::to_string(newest));
   v.body.insert("stamp", newest);
   return v;
 }
@@ -53,7 +56,8 @@
 }
 
 QString digestOf(transport::Call const& call) {
-  return QString::number(core::stableHash(call.method + " " + call.path + " " + bare(call.ifMatch) + " " + call.body), 16);
+  return QString::number(core::stableHash(call.method + " " + call.path + " " + bare(call.ifMatch) + " " + call.body),
+                         16);
 }
 
 QJsonObject readBody(transport::Call const& call) {
@@ -63,7 +67,7 @@
 }
 
 Verdict validateFamily(std::uint64_t revision, QJsonObject const& family, transport::Call const& call,
-                    Around const& around) {
+                       Around const& around) {
   Target const target = *targetOf(call.path);
   bool const ofInstance = !target.instance.empty();
   QJsonObject const instances = family.value("instances").toObject();
@@ -82,7 +86,8 @@
     return v;
   }
   if (call.ifMatch.empty())
-    return reject(428, "revision missing", "say If-Match with the revision the change was built on, 0 to make a new one");
+    return reject(428, "revision missing",
+                  "say If-Match with the revision the change was built on, 0 to make a new one");
   if (bare(call.ifMatch) != std::to_string(have)) return stale(call, have);
   if (call.method != "PUT" && have == 0)
     return reject(404, "not found", "no such " + std::string(ofInstance ? "instance" : "template"));
@@ -157,27 +162,36 @@
     v.body = QJsonObject{{"spec", spec}, {"version", have}, {"stamp", static_cast<qint64>(revision)}};
     return v;
   }
-  if (call.method != "PUT" && call.method != "PATCH") return reject(405, "method not allowed", "the configuration is read, put or patched");
+  if (call.method != "PUT" && call.method != "PATCH")
+    return reject(405, "method not allowed", "the configuration is read, put or patched");
   if (call.ifMatch.empty())
-    return reject(428, "version missing", "say If-Match with the version the change was built on, 0 when there is none so far");
+    return reject(428, "version missing",
+                  "say If-Match with the version the change was built on, 0 when there is none so far");
   try {
     QJsonObject next = readBody(call);
     qint64 const version = next.value("version").toInteger();
-    if (call.method == "PUT" && version == have && have > 0 && next == spec) return replayWhole(revision, have, call.changeId);
+    if (call.method == "PUT" && version == have && have > 0 && next == spec)
+      return replayWhole(revision, have, call.changeId);
     if (bare(call.ifMatch) != std::to_string(have))
-      return rejectWhole(reject(412, "stale version", "built on " + bare(call.ifMatch) + ", but the newest is " + std::to_string(have)), revision, have);
+      return rejectWhole(reject(412, "stale version",
+                                "built on " + bare(call.ifMatch) + ", but the newest is " + std::to_string(have)),
+                         revision, have);
     if (call.method == "PATCH" && have == 0) return reject(404, "not found", "no configuration so far");
     if (version <= have)
-      return rejectWhole(reject(422, "not a valid configuration", "must be an integer above " + std::to_string(have), "/version"), revision, have);
+      return rejectWhole(
+          reject(422, "not a valid configuration", "must be an integer above " + std::to_string(have), "/version"),
+          revision, have);
     if (call.method == "PATCH") {
       next = config::patchWhole(spec, next);
       bool const mayPass = wholeBytes(current.value("changes").toArray(), call) > static_cast<qint64>(maxWholeBody);
-      if (mayPass && core::jsonText(next).size() > maxWholeBody) return reject(413, "too large", "the configuration would pass its limit");
+      if (mayPass && core::jsonText(next).size() > maxWholeBody)
+        return reject(413, "too large", "the configuration would pass its limit");
     }
     config::readWhole(next);
     Verdict v;
     v.status = have == 0 ? 201 : 200;
-    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"version", version}, {"stamp", static_cast<qint64>(revision) + 1}};
+    v.body = QJsonObject{
+        {"changeId", core::qstr(call.changeId)}, {"version", version}, {"stamp", static_cast<qint64>(revision) + 1}};
     if (call.dryRun) {
       v.status = 200;
       v.body.insert("dryRun", true);
@@ -232,7 +246,8 @@
   Verdict v;
   v.change = !call.dryRun;
   v.value = QJsonObject{{"evacuated", want}};
-  v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}, {"evacuated", want}};
+  v.body = QJsonObject{
+      {"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}, {"evacuated", want}};
   return v;
 }
 
@@ -246,7 +261,8 @@
   return out;
 }
 
-Verdict validateRegimes(std::uint64_t revision, QJsonObject const& current, transport::Call const& call, Around const& around) {
+Verdict validateRegimes(std::uint64_t revision, QJsonObject const& current, transport::Call const& call,
+                        Around const& around) {
   std::string const name = targetOf(call.path)->instance;
   QJsonObject const spec = current.value("spec").toObject();
   Verdict v;
@@ -260,11 +276,15 @@
     return v;
   }
   bool const revokes = call.method == "DELETE" && !name.empty();
-  if (!revokes && !name.empty()) return reject(405, "method not allowed", "a certificate is read or deleted; declare it with all others");
-  if (!revokes && call.method == "DELETE") return reject(405, "method not allowed", "certificates are put, patched, or deleted one by one");
+  if (!revokes && !name.empty())
+    return reject(405, "method not allowed", "a certificate is read or deleted; declare it with all others");
+  if (!revokes && call.method == "DELETE")
+    return reject(405, "method not allowed", "certificates are put, patched, or deleted one by one");
   if (!revokes && call.ifMatch.empty())
-    return reject(428, "revision missing", "say If-Match with the revision the change was built on, 0 when there are none so far");
-  if (!call.ifMatch.empty() && bare(call.ifMatch) != std::to_string(revision)) return stale(call, static_cast<qint64>(revision));
+    return reject(428, "revision missing",
+                  "say If-Match with the revision the change was built on, 0 when there are none so far");
+  if (!call.ifMatch.empty() && bare(call.ifMatch) != std::to_string(revision))
+    return stale(call, static_cast<qint64>(revision));
   if (call.method != "PUT" && revision == 0) return reject(404, "not found", "no certificates so far");
   try {
     QJsonObject next = spec;
@@ -278,8 +298,11 @@
     }
     std::vector<config::RegimeFault> const faults = uncovered(config::readRegimes(next), around);
     if (!revokes && !faults.empty())
-      return reject(422, "not a valid declaration", faults.front().reason + "; a certificate that must end at once is deleted by its name", faults.front().pointer);
-    if (core::jsonText(next).size() > maxBody) return reject(413, "too large", "the certificates would pass their limit");
+      return reject(422, "not a valid declaration",
+                    faults.front().reason + "; a certificate that must end at once is deleted by its name",
+                    faults.front().pointer);
+    if (core::jsonText(next).size() > maxBody)
+      return reject(413, "too large", "the certificates would pass their limit");
     v.status = revision == 0 ? 201 : 200;
     v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
     if (!faults.empty()) {
@@ -315,7 +338,8 @@
   try {
     QJsonObject const next = readBody(call);
     QString const state = next.value("state").toString();
-    if (state != "clear" && state != "claimed" && state != "done") return reject(422, "not a valid alert", "must be clear, claimed or done", "/state");
+    if (state != "clear" && state != "claimed" && state != "done")
+      return reject(422, "not a valid alert", "must be clear, claimed or done", "/state");
     if (next.size() != 2 || !next.value("by").isString() || next.value("by").toString().size() > 64)
       return reject(422, "not a valid alert", "must have state and by, a name of up to 64 bytes", "/by");
     v.change = !call.dryRun;
@@ -335,7 +359,8 @@
   for (QJsonValue const n : current.value("nodes").toArray())
     if (n.toObject().value("link").toString() != link) nodes.append(n);
   bool known = nodes.size() < current.value("nodes").toArray().size();
-  for (QJsonValue const n : current.value("previous").toArray()) known = known || n.toObject().value("link").toString() == link;
+  for (QJsonValue const n : current.value("previous").toArray())
+    known = known || n.toObject().value("link").toString() == link;
   if (!known) return reject(404, "not found", "no such node on the roster");
   gone.append(link);
   while (gone.size() > 64) gone.removeFirst();
@@ -363,48 +388,57 @@
   if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "blueprint") return Target{config::wholeKey, "", ""};
   if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "certificates") return Target{config::regimesKey, "", ""};
   if (parts.size() < 3 || parts[0] != "v1") return std::nullopt;
-  if (parts[1] == "certificates" && parts.size() == 3 && config::validName(parts[2])) return Target{config::regimesKey, "", parts[2]};
+  if (parts[1] == "certificates" && parts.size() == 3 && config::validName(parts[2]))
+    return Target{config::regimesKey, "", parts[2]};
   if (parts[1] == "templates" && config::validName(parts[2])) {
     if (parts.size() == 3) return Target{"family:" + parts[2], parts[2], ""};
     if (parts.size() == 5 && parts[3] == "instances" && config::validName(parts[4]))
       return Target{"family:" + parts[2], parts[2], parts[4]};
   }
   std::string const label = config::labelOf(parts.back());
-  if (parts[1] == "evacuations" && parts.size() == 3 && config::validLabel(label)) return Target{"zone:" + label, "", ""};
-  if (parts[1] == "alerts" && parts.size() == 3 && config::validName(parts[2])) return Target{"alert:" + parts[2], "", ""};
+  if (parts[1] == "evacuations" && parts.size() == 3 && config::validLabel(label))
+    return Target{"zone:" + label, "", ""};
+  if (parts[1] == "alerts" && parts.size() == 3 && config::validName(parts[2]))
+    return Target{"alert:" + parts[2], "", ""};
   if (parts[1] == "platform" && parts.size() == 4 && parts[2] == "pools" && config::validLabel(label))
     return Target{"pool:" + label, "", ""};
   if (parts[1] == "roster" && parts.size() == 3) return Target{"roster", "", ""};
-  if (parts[1] == "nodes" && parts.size() == 3 && !parts[2].empty() && parts[2].size() < 64) return Target{"roster", "", parts[2]};
+  if (parts[1] == "nodes" && parts.size() == 3 && !parts[2].empty() && parts[2].size() < 64)
+    return Target{"roster", "", parts[2]};
   return std::nullopt;
 }
 
-consensus::Verdict validator(std::string const& key, std::uint64_t revision, QJsonObject const& value, transport::Call const& call,
-                       Around const& around) {
+consensus::Verdict validator(std::string const& key, std::uint64_t revision, QJsonObject const& value,
+                             transport::Call const& call, Around const& around) {
   QJsonArray window = value.value("changes").toArray();
   for (QJsonValue const c : window) {
     QJsonObject const o = c.toObject();
-    if (call.method == "GET" || call.dryRun || call.changeId.empty() || o.value("id").toString() != core::qstr(call.changeId)) continue;
+    if (call.method == "GET" || call.dryRun || call.changeId.empty() ||
+        o.value("id").toString() != core::qstr(call.changeId))
+      continue;
     if (o.value("digest").toString() != digestOf(call))
       return reject(409, "change id reused", "the id " + call.changeId + " stands for another change");
-    Verdict again = replay(o.value("status").toInt(), static_cast<std::uint64_t>(o.value("stamp").toInteger()), call.changeId);
+    Verdict again =
+        replay(o.value("status").toInt(), static_cast<std::uint64_t>(o.value("stamp").toInteger()), call.changeId);
     if (o.contains("version")) again.body.insert("version", o.value("version"));
     return again;
   }
   QJsonObject bare = value;
   bare.remove("changes");
-  Verdict v = key.rfind("family:", 0) == 0 ? validateFamily(revision, bare, call, around)
-              : key.rfind("pool:", 0) == 0 ? validatePool(revision, bare, call)
-              : key.rfind("zone:", 0) == 0 ? validateZone(revision, bare, call)
+  Verdict v = key.rfind("family:", 0) == 0  ? validateFamily(revision, bare, call, around)
+              : key.rfind("pool:", 0) == 0  ? validatePool(revision, bare, call)
+              : key.rfind("zone:", 0) == 0  ? validateZone(revision, bare, call)
               : key.rfind("alert:", 0) == 0 ? validateAlert(revision, bare, call)
-              : key == "roster"            ? validateRoster(revision, bare, call)
-              : key == config::regimesKey ? validateRegimes(revision, bare, call, around)
-              : key == config::wholeKey ? validateWhole(revision, value, call)
-                                           : reject(404, "not found", "no such key");
+              : key == "roster"             ? validateRoster(revision, bare, call)
+              : key == config::regimesKey   ? validateRegimes(revision, bare, call, around)
+              : key == config::wholeKey     ? validateWhole(revision, value, call)
+                                            : reject(404, "not found", "no such key");
   if (!v.change) return v;
   bool const whole = key == config::wholeKey;
   if (whole || !call.changeId.empty()) {
-    QJsonObject entry{{"id", core::qstr(call.changeId)}, {"digest", digestOf(call)}, {"status", v.status},
+    QJsonObject entry{{"id", core::qstr(call.changeId)},
+                      {"digest", digestOf(call)},
+                      {"status", v.status},
                       {"stamp", static_cast<qint64>(revision) + 1}};
     if (whole) {
       entry.insert("version", v.body.value("version"));
@@ -417,4 +451,4 @@
   return v;
 }
 
-}  // namespace corkward::controller
+}  // namespace corkward::control
--- a/control/test/controller_test.cpp
+++ b/control/test/controller_test.cpp
@@ -140,7 +140,8 @@
   rig.run(5000);
   CHECK(rig.evacuate("z3", 700) == 200);
   std::set<std::string> nodes;
-  for (QJsonValue const v : rig.reducer.fleet(rig.now).value("nacelles").toArray()) nodes.insert(core::str(v.toObject().value("link").toString()));
+  for (QJsonValue const v : rig.reducer.fleet(rig.now).value("nacelles").toArray())
+    nodes.insert(core::str(v.toObject().value("link").toString()));
   CHECK(nodes == std::set<std::string>{"d", "e", "f"});
 }
 
@@ -171,15 +172,17 @@
 
 TEST_CASE("well-typed messages with absurd values break no invariant") {
   core::Rng rng(23);
-  std::vector<std::string> const names{"n1", "n2", "s1", "m1", "m2", "roster", "cohort", "pool:model", "family:desk", "zone:z1", "x", ""};
+  std::vector<std::string> const names{"n1",     "n2",         "s1",          "m1",      "m2", "roster",
+                                       "cohort", "pool:model", "family:desk", "zone:z1", "x",  ""};
   for (int round = 0; round < 30; ++round) {
     Rig rig;
     rig.alive = {"a", "b", "c"};
     rig.run(3000);
     for (int i = 0; i < 400; ++i) {
       rig.now += static_cast<core::Tick>(rng.below(40));
-      rig.take(rig.reducer.arrived(rig.now, names[rng.below(names.size())],
-                                 transport::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<transport::Message>))));
+      rig.take(rig.reducer.arrived(
+          rig.now, names[rng.below(names.size())],
+          transport::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<transport::Message>))));
       if (i % 9 == 0) rig.take(rig.reducer.clockEvent(rig.now));
       if (i % 40 == 0) rig.call("PUT", "/v1/evacuations/z1");
     }
--- a/control/test/guide_test.cpp
+++ b/control/test/guide_test.cpp
@@ -19,7 +19,9 @@
   return c;
 }
 
-transport::Shuffle told(std::vector<transport::Contact> contacts) { return transport::Shuffle{std::move(contacts), false, 0, {}}; }
+transport::Shuffle told(std::vector<transport::Contact> contacts) {
+  return transport::Shuffle{std::move(contacts), false, 0, {}};
+}
 
 }  // namespace
 
@@ -38,13 +40,16 @@
 TEST_CASE("a guide brings processes together, and sends operators to controllers that answer") {
   control::Guide guide(contact("g", "guide"), {"g"}, 1);
   CHECK(guide.controllers(0).empty());
-  guide.arrived(100, "n", told({contact("n", transport::routerRole), contact("s", transport::controllerRole), contact("t", transport::controllerRole)}));
+  guide.arrived(100, "n",
+                told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
+                      contact("t", transport::controllerRole)}));
   guide.clockEvent(200);
   CHECK(guide.controllers(200) == std::vector<std::string>{"s", "t"});
   guide.arrived(300, "t", told({contact("t", transport::controllerRole)}));
   CHECK(guide.controllers(400) == std::vector<std::string>{"t"});
   CHECK(guide.controllers(9000) == std::vector<std::string>{"s", "t"});
-  std::vector<transport::Send> const out = guide.arrived(9000, "m", transport::Shuffle{{contact("m", transport::routerRole)}, true, 0, {}});
+  std::vector<transport::Send> const out =
+      guide.arrived(9000, "m", transport::Shuffle{{contact("m", transport::routerRole)}, true, 0, {}});
   REQUIRE(out.size() == 1);
   CHECK(out[0].to == "m");
   std::vector<transport::Contact> const shown = std::get<transport::Shuffle>(out[0].message).contacts;
@@ -55,7 +60,9 @@
 
 TEST_CASE("a guide asks the seeds and all controllers that it knows, and is named to nobody") {
   control::Guide guide(contact("g", "guide"), {"g", "s", "u"}, 1);
-  guide.arrived(100, "n", told({contact("n", transport::routerRole), contact("s", transport::controllerRole), contact("t", transport::controllerRole)}));
+  guide.arrived(100, "n",
+                told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
+                      contact("t", transport::controllerRole)}));
   std::set<std::string> to;
   for (transport::Send const& s : guide.clockEvent(200)) {
     to.insert(s.to);
--- a/control/test/regimes_test.cpp
+++ b/control/test/regimes_test.cpp
@@ -16,14 +16,17 @@
 
 constexpr char const* page = "/v1/certificates";
 
-std::int64_t at(char const* time) { return QDateTime::fromString(time, Qt::ISODate).toMSecsSinceEpoch(); }
+std::int64_t at(char const* time) {
+  return QDateTime::fromString(time, Qt::ISODate).toMSecsSinceEpoch();
+}
 
 QJsonObject certificate(char const* pool, char const* zone, char const* until) {
   return QJsonObject{{"regime", "health"}, {"carrier", "replicas"}, {"pool", pool}, {"zone", zone}, {"until", until}};
 }
 
 QJsonObject declared(QJsonObject const& certificates) {
-  return QJsonObject{{"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", "any"}}}}}, {"certificates", certificates}};
+  return QJsonObject{{"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", "any"}}}}},
+                     {"certificates", certificates}};
 }
 
 constexpr char const* farAway = "2030-01-01T00:00:00Z";
@@ -36,10 +39,12 @@
 
   Desk() {
     rig.reducer.wallTime(at("2026-06-01T00:00:00Z"));
-    call("PUT", "/v1/platform/pools/model", R"({"generation":1,"replicas":[{"id":"r1","address":"10.0.0.1:80","zone":"z1","state":"serving"},
+    call("PUT", "/v1/platform/pools/model",
+         R"({"generation":1,"replicas":[{"id":"r1","address":"10.0.0.1:80","zone":"z1","state":"serving"},
       {"id":"r2","address":"10.0.0.2:80","zone":"z2","state":"serving"}]})");
   }
-  int call(std::string const& method, std::string const& path, std::string const& body = "", std::string const& ifMatch = "", std::string const& id = "") {
+  int call(std::string const& method, std::string const& path, std::string const& body = "",
+           std::string const& ifMatch = "", std::string const& id = "") {
     std::uint64_t const t = rig.call(method, path, body, ifMatch, id);
     rig.run(700);
     last = rig.answers[t];
@@ -67,7 +72,11 @@
   CHECK(d.last.body.value("replayed").toBool());
   CHECK(d.put({{"c1", certificate("model", "z1", farAway)}}, "0", "racing") == 412);
   CHECK(d.last.body.value("stamp").toInteger() == 1);
-  CHECK(d.call("PATCH", page, R"({"certificates":{"c2":{"regime":"health","carrier":"replicas","pool":"model","zone":"z2","until":"2030-01-01T00:00:00Z"}}})", "1") == 200);
+  CHECK(
+      d.call(
+          "PATCH", page,
+          R"({"certificates":{"c2":{"regime":"health","carrier":"replicas","pool":"model","zone":"z2","until":"2030-01-01T00:00:00Z"}}})",
+          "1") == 200);
   CHECK(d.call("GET", page) == 200);
   CHECK(d.last.body.value("spec").toObject().value("certificates").toObject().keys() == QStringList{"c1", "c2"});
   CHECK(d.call("GET", std::string(page) + "/c2") == 200);
@@ -114,12 +123,14 @@
   CHECK(d.pointer() == "/template/regime");
   REQUIRE(d.put({{"other", certificate("gateway", "z1", farAway)}}, "0") == 201);
   CHECK(d.call("PUT", tenant, "{}", "0") == 422);
-  CHECK(d.last.body.value("reason").toString() == "regime health has no certificate in force for replicas of pool model");
+  CHECK(d.last.body.value("reason").toString() ==
+        "regime health has no certificate in force for replicas of pool model");
   REQUIRE(d.put({{"old", certificate("model", "z1", "2026-01-01T00:00:00Z")}}, "1") == 200);
   CHECK(d.call("PUT", tenant, "{}", "0") == 422);
   REQUIRE(d.put({{"nowhere", certificate("model", "z9", farAway)}}, "2") == 200);
   CHECK(d.call("PUT", tenant, "{}", "0") == 422);
-  CHECK(d.last.body.value("reason").toString() == "no replica on the list of pool model is certified for regime health");
+  CHECK(d.last.body.value("reason").toString() ==
+        "no replica on the list of pool model is certified for regime health");
   CHECK(d.call("PUT", tenant, R"({"regime":"export"})", "0") == 422);
   CHECK(d.pointer() == "/instances/nord/regime");
   REQUIRE(d.put({{"c1", certificate("model", "z1", farAway)}}, "3") == 200);
@@ -129,7 +140,8 @@
 
 TEST_CASE("certificates that tenants need are kept, unless they are revoked by name, which says who is left without") {
   Desk d;
-  REQUIRE(d.put({{"c1", certificate("model", "z1", farAway)}, {"c2", certificate("model", "z2", farAway)}}, "0") == 201);
+  REQUIRE(d.put({{"c1", certificate("model", "z1", farAway)}, {"c2", certificate("model", "z2", farAway)}}, "0") ==
+          201);
   REQUIRE(d.call("PUT", "/v1/templates/desk", regulated, "0") == 201);
   REQUIRE(d.call("PUT", "/v1/templates/desk/instances/nord", "{}", "0") == 201);
   CHECK(d.put({}, "1") == 422);
@@ -149,7 +161,9 @@
   Desk d;
   CHECK(d.rig.reducer.metrics(d.rig.now).find("certificate_seconds_left") == std::string::npos);
   REQUIRE(d.put({{"c1", certificate("model", "z1", "2026-06-01T01:00:00Z")}}, "0") == 201);
-  CHECK(d.rig.reducer.metrics(d.rig.now).find("corkward_substation_certificate_seconds_left{certificate=\"c1\",regime=\"health\"} 3540\n") != std::string::npos);
+  CHECK(d.rig.reducer.metrics(d.rig.now).find(
+            "corkward_substation_certificate_seconds_left{certificate=\"c1\",regime=\"health\"} 3540\n") !=
+        std::string::npos);
 }
 
 TEST_CASE("of two operators on one revision one is taken, a revocation among them") {
@@ -159,7 +173,10 @@
   std::uint64_t const b = d.rig.call("DELETE", std::string(page) + "/c1", "", "1");
   d.rig.run(700);
   CHECK(d.rig.statusOf(a) + d.rig.statusOf(b) == 200 + 412);
-  std::uint64_t const c = d.rig.call("PATCH", page, R"({"certificates":{"c3":{"regime":"health","carrier":"replicas","pool":"model","zone":"z1","until":"2030-01-01T00:00:00Z"}}})", "2");
+  std::uint64_t const c = d.rig.call(
+      "PATCH", page,
+      R"({"certificates":{"c3":{"regime":"health","carrier":"replicas","pool":"model","zone":"z1","until":"2030-01-01T00:00:00Z"}}})",
+      "2");
   std::uint64_t const e = d.rig.call("DELETE", std::string(page) + "/c1");
   d.rig.run(700);
   CHECK(d.rig.statusOf(c) == 200);
--- a/control/test/rig.h
+++ b/control/test/rig.h
@@ -62,8 +62,8 @@
       }
     }
   }
-  std::uint64_t call(std::string const& method, std::string const& path, std::string const& body = "", std::string const& ifMatch = "",
-                     std::string const& changeId = "") {
+  std::uint64_t call(std::string const& method, std::string const& path, std::string const& body = "",
+                     std::string const& ifMatch = "", std::string const& changeId = "") {
     transport::Call c;
     c.token = next++;
     c.method = method;
@@ -82,4 +82,4 @@
   }
 };
 
-}  // namespace corkward::controller
+}  // namespace corkward::control
--- a/control/test/whole_test.cpp
+++ b/control/test/whole_test.cpp
@@ -21,13 +21,17 @@
 constexpr char const* page = "/v1/blueprint";
 
 QJsonObject pathRow(std::string const& name, std::string const& pool = "big") {
-  return QJsonObject{{"name", core::qstr(name)}, {"host", "h"}, {"prefix", core::qstr("/" + name + "/")}, {"kind", "once"}, {"deadlineMs", 3000}, {"pool", core::qstr(pool)}};
+  return QJsonObject{{"name", core::qstr(name)}, {"host", "h"},        {"prefix", core::qstr("/" + name + "/")},
+                     {"kind", "once"},           {"deadlineMs", 3000}, {"pool", core::qstr(pool)}};
 }
 
 QJsonObject spec(qint64 version, std::vector<std::string> const& paths = {"a"}, QString const& by = "") {
   QJsonArray rows;
   for (std::string const& p : paths) rows.append(pathRow(p));
-  return QJsonObject{{"version", version}, {"paths", rows}, {"pools", QJsonArray{QJsonObject{{"name", "big"}}}}, {"extra", QJsonObject{{"by", by}}}};
+  return QJsonObject{{"version", version},
+                     {"paths", rows},
+                     {"pools", QJsonArray{QJsonObject{{"name", "big"}}}},
+                     {"extra", QJsonObject{{"by", by}}}};
 }
 
 QJsonObject patchOf(qint64 version, std::vector<std::string> const& paths, QString const& by = "") {
@@ -41,14 +45,19 @@
   Rig rig;
   control::Answer last;
 
-  int call(std::string const& method, std::string const& body = "", std::string const& ifMatch = "", std::string const& id = "") {
+  int call(std::string const& method, std::string const& body = "", std::string const& ifMatch = "",
+           std::string const& id = "") {
     std::uint64_t const t = rig.call(method, page, body, ifMatch, id);
     rig.run(700);
     last = rig.answers[t];
     return last.status;
   }
-  int put(QJsonObject const& value, std::string const& ifMatch, std::string const& id = "") { return call("PUT", core::jsonText(value), ifMatch, id); }
-  int patch(QJsonObject const& value, std::string const& ifMatch, std::string const& id = "") { return call("PATCH", core::jsonText(value), ifMatch, id); }
+  int put(QJsonObject const& value, std::string const& ifMatch, std::string const& id = "") {
+    return call("PUT", core::jsonText(value), ifMatch, id);
+  }
+  int patch(QJsonObject const& value, std::string const& ifMatch, std::string const& id = "") {
+    return call("PATCH", core::jsonText(value), ifMatch, id);
+  }
   qint64 version() {
     call("GET");
     return last.body.value("version").toInteger();
@@ -98,28 +107,31 @@
   };
   QJsonObject unknownPool = spec(6);
   unknownPool.insert("paths", QJsonArray{pathRow("a", "nowhere")});
-  Row const rows[] = {{"PUT", "", 400, "/"},
-                      {"PUT", "{", 400, "/"},
-                      {"PUT", "[]", 400, "/"},
-                      {"PUT", R"({"version":6,"version":7})", 400, "/"},
-                      {"PUT", R"({"version":99999999999999999999})", 400, "/"},
-                      {"PUT", "{}", 422, "/version"},
-                      {"PUT", core::jsonText(spec(4)), 422, "/version"},
-                      {"PUT", core::jsonText(spec(5, {"other"})), 422, "/version"},
-                      {"PUT", R"({"version":"6","paths":[],"pools":[]})", 422, "/version"},
-                      {"PUT", R"({"version":6.5,"paths":[],"pools":[]})", 422, "/version"},
-                      {"PUT", R"({"version":6,"paths":[]})", 422, "/pools"},
-                      {"PUT", R"({"version":6,"paths":[],"pools":[],"surprise":1})", 422, "/surprise"},
-                      {"PUT", core::jsonText(unknownPool), 422, "/paths/0/pool"},
-                      {"PUT", core::jsonText(spec(6, {"a", "a"})), 422, "/paths/1/name"},
-                      {"PATCH", "7", 400, "/"},
-                      {"PATCH", "{}", 422, "/version"},
-                      {"PATCH", core::jsonText(patchOf(5, {"b"})), 422, "/version"},
-                      {"PATCH", R"({"version":6,"surprise":1})", 422, "/surprise"},
-                      {"PATCH", R"({"version":6,"drop":{"pools":["big"]}})", 422, "/paths/0/pool"},
-                      {"PATCH", R"({"version":6,"set":{"paths":[{"name":"b"}]}})", 422, "/paths/1/host"},
-                      {"PATCH", R"({"version":6,"set":{"paths":[{"name":"b","host":"h","prefix":"/a/","kind":"once","deadlineMs":1,"pool":"big"}]}})", 422, "/paths/1/prefix"},
-                      {"PATCH", R"({"version":6,"door":7})", 422, "/door"}};
+  Row const rows[] = {
+      {"PUT", "", 400, "/"},
+      {"PUT", "{", 400, "/"},
+      {"PUT", "[]", 400, "/"},
+      {"PUT", R"({"version":6,"version":7})", 400, "/"},
+      {"PUT", R"({"version":99999999999999999999})", 400, "/"},
+      {"PUT", "{}", 422, "/version"},
+      {"PUT", core::jsonText(spec(4)), 422, "/version"},
+      {"PUT", core::jsonText(spec(5, {"other"})), 422, "/version"},
+      {"PUT", R"({"version":"6","paths":[],"pools":[]})", 422, "/version"},
+      {"PUT", R"({"version":6.5,"paths":[],"pools":[]})", 422, "/version"},
+      {"PUT", R"({"version":6,"paths":[]})", 422, "/pools"},
+      {"PUT", R"({"version":6,"paths":[],"pools":[],"surprise":1})", 422, "/surprise"},
+      {"PUT", core::jsonText(unknownPool), 422, "/paths/0/pool"},
+      {"PUT", core::jsonText(spec(6, {"a", "a"})), 422, "/paths/1/name"},
+      {"PATCH", "7", 400, "/"},
+      {"PATCH", "{}", 422, "/version"},
+      {"PATCH", core::jsonText(patchOf(5, {"b"})), 422, "/version"},
+      {"PATCH", R"({"version":6,"surprise":1})", 422, "/surprise"},
+      {"PATCH", R"({"version":6,"drop":{"pools":["big"]}})", 422, "/paths/0/pool"},
+      {"PATCH", R"({"version":6,"set":{"paths":[{"name":"b"}]}})", 422, "/paths/1/host"},
+      {"PATCH",
+       R"({"version":6,"set":{"paths":[{"name":"b","host":"h","prefix":"/a/","kind":"once","deadlineMs":1,"pool":"big"}]}})",
+       422, "/paths/1/prefix"},
+      {"PATCH", R"({"version":6,"door":7})", 422, "/door"}};
   for (Row const& r : rows) {
     INFO(r.method << " " << r.body);
     CHECK(d.call(r.method, r.body, "5") == r.status);
@@ -137,14 +149,16 @@
   REQUIRE(d.patch(patchOf(6, {"b"}), "5", "two") == 200);
   REQUIRE(d.put(spec(7, {"c"}), "6", "three") == 200);
   CHECK(d.put(spec(5), "0", "one") == 201);
-  CHECK((d.last.body.value("replayed").toBool() && d.last.body.value("version").toInteger() == 5 && d.last.body.value("stamp").toInteger() == 1));
+  CHECK((d.last.body.value("replayed").toBool() && d.last.body.value("version").toInteger() == 5 &&
+         d.last.body.value("stamp").toInteger() == 1));
   CHECK(d.patch(patchOf(6, {"b"}), "5", "two") == 200);
   CHECK((d.last.body.value("replayed").toBool() && d.last.body.value("version").toInteger() == 6));
   CHECK(d.patch(patchOf(6, {"x"}), "5", "two") == 409);
   CHECK(d.patch(patchOf(8, {"b"}), "7", "two") == 409);
   for (char const* ifMatch : {"0", "5", "6", "7", "99"}) {
     CHECK(d.put(spec(7, {"c"}), ifMatch) == 200);
-    CHECK((d.last.body.value("replayed").toBool() && d.last.body.value("version").toInteger() == 7 && d.last.body.value("stamp").toInteger() == 3));
+    CHECK((d.last.body.value("replayed").toBool() && d.last.body.value("version").toInteger() == 7 &&
+           d.last.body.value("stamp").toInteger() == 3));
   }
   CHECK(d.put(spec(6, {"b"}), "5") == 412);
   CHECK(d.put(spec(7, {"d"}), "6") == 412);
@@ -193,7 +207,8 @@
   for (int i = 0; i < 4; ++i) {
     QJsonObject row = pathRow("p" + std::to_string(i));
     row.insert("extra", QJsonObject{{"text", QString(2 << 20, 'x')}});
-    statuses.push_back(d.patch(QJsonObject{{"version", 6 + i}, {"set", QJsonObject{{"paths", QJsonArray{row}}}}}, std::to_string(5 + i)));
+    statuses.push_back(d.patch(QJsonObject{{"version", 6 + i}, {"set", QJsonObject{{"paths", QJsonArray{row}}}}},
+                               std::to_string(5 + i)));
   }
   CHECK(statuses == std::vector<int>{200, 200, 413, 412});
   QJsonObject row = pathRow("p0");
@@ -225,7 +240,10 @@
   for (int i = 0; i < 2000; ++i) names.push_back("p" + std::to_string(i));
   Desk d;
   REQUIRE(d.put(spec(5, names), "0") == 201);
-  CHECK(d.patch(QJsonObject{{"version", 6}, {"set", QJsonObject{{"paths", QJsonArray{pathRow("new")}}}}, {"drop", QJsonObject{{"paths", QJsonArray{"p7"}}}}}, "5") == 200);
+  CHECK(d.patch(QJsonObject{{"version", 6},
+                            {"set", QJsonObject{{"paths", QJsonArray{pathRow("new")}}}},
+                            {"drop", QJsonObject{{"paths", QJsonArray{"p7"}}}}},
+                "5") == 200);
   REQUIRE(d.call("GET") == 200);
   QJsonArray const rows = d.last.body.value("spec").toObject().value("paths").toArray();
   REQUIRE(rows.size() == 2000);
@@ -300,8 +318,9 @@
     m.seen = 0;
     control::Tuning tuning;
     tuning.awaitInForce = false;
-    m.reducer = std::make_unique<control::Controller>(Rig::contact(link, transport::controllerRole), "m" + link + std::to_string(m.life), std::vector<std::string>{},
-                                                  std::vector<std::string>{"s1", "s2", "s3"}, rng.next(), tuning);
+    m.reducer = std::make_unique<control::Controller>(Rig::contact(link, transport::controllerRole),
+                                                      "m" + link + std::to_string(m.life), std::vector<std::string>{},
+                                                      std::vector<std::string>{"s1", "s2", "s3"}, rng.next(), tuning);
     take(link, m.reducer->restore(m.disk, false, now));
   }
   void later(core::Tick how, std::string const& to, std::function<control::Commands(control::Controller&)> run) {
@@ -321,7 +340,9 @@
       for (int copies = !calm && rng.chance(0.05) ? 0 : !calm && rng.chance(0.03) ? 2 : 1; copies > 0; --copies) {
         transport::Message const message = s.message;
         events.emplace(now + 1 + static_cast<core::Tick>(rng.below(20)),
-                       Event{s.to, 0, [this, link, message](control::Controller& reducer) { return reducer.arrived(now, link, message); }});
+                       Event{s.to, 0, [this, link, message](control::Controller& reducer) {
+                               return reducer.arrived(now, link, message);
+                             }});
       }
     }
     for (control::Answer const& a : c.answers) answered(a);
@@ -352,7 +373,8 @@
     transport::Call call = c.call;
     call.token = token++;
     byToken[call.token] = c.id;
-    std::map<std::string, Member>::iterator const to = std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
+    std::map<std::string, Member>::iterator const to =
+        std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
     take(to->first, to->second.reducer->operatorCall(now, call));
   }
   void read() {
@@ -361,22 +383,29 @@
     call.method = "GET";
     call.path = page;
     reads[call.token] = newestRead;
-    std::map<std::string, Member>::iterator const to = std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
+    std::map<std::string, Member>::iterator const to =
+        std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
     take(to->first, to->second.reducer->operatorCall(now, call));
   }
   void operate() {
     if (rng.chance(0.3) && !changes.empty()) {
-      send(changes.at("c" + std::to_string(changes.size() - 1 - rng.below(std::min<std::size_t>(changes.size(), config::changeWindow / 2)))));
+      send(
+          changes.at("c" + std::to_string(changes.size() - 1 -
+                                          rng.below(std::min<std::size_t>(changes.size(), config::changeWindow / 2)))));
       return;
     }
     Change c;
     c.id = "c" + std::to_string(changes.size());
-    qint64 const base = chain.empty() || rng.chance(0.1) ? 0 : std::prev(chain.end(), chain.size() > 1 && rng.chance(0.2) ? 2 : 1)->second.value("version").toInteger();
+    qint64 const base =
+        chain.empty() || rng.chance(0.1)
+            ? 0
+            : std::prev(chain.end(), chain.size() > 1 && rng.chance(0.2) ? 2 : 1)->second.value("version").toInteger();
     qint64 const version = base + static_cast<qint64>(rng.below(4));
     bool const whole = base == 0 || rng.chance(0.3);
     std::string const name = "p" + std::to_string(rng.below(6));
     c.valid = version > base;
-    QJsonObject body = whole ? spec(version, {name, "q"}, core::qstr(c.id)) : patchOf(version, {name}, core::qstr(c.id));
+    QJsonObject body =
+        whole ? spec(version, {name, "q"}, core::qstr(c.id)) : patchOf(version, {name}, core::qstr(c.id));
     if (rng.chance(0.1)) {
       body.insert("surprise", 1);
       c.valid = false;
@@ -401,7 +430,9 @@
     if (now % 25 == 0)
       for (std::map<std::string, Member>::value_type& m : members) take(m.first, m.second.reducer->clockEvent(now));
   }
-  std::string by(QJsonObject const& value) const { return core::str(value.value("extra").toObject().value("by").toString()); }
+  std::string by(QJsonObject const& value) const {
+    return core::str(value.value("extra").toObject().value("by").toString());
+  }
   void validator() {
     QJsonObject before;
     std::uint64_t revision = 0;
@@ -441,14 +472,17 @@
       c.step();
       if (c.now > 4000 && c.rng.chance(0.05)) c.operate();
       if (c.now > 4000 && c.rng.chance(0.02)) c.read();
-      if (c.now > 6000 && c.rng.chance(0.001)) c.start(std::next(c.members.begin(), static_cast<std::ptrdiff_t>(c.rng.below(3)))->first);
+      if (c.now > 6000 && c.rng.chance(0.001))
+        c.start(std::next(c.members.begin(), static_cast<std::ptrdiff_t>(c.rng.below(3)))->first);
     }
     c.calm = true;
     for (core::Tick const until = c.now + 15000; c.now < until;) c.step();
-    for (std::map<std::string, Membership::Member>::value_type const& m : c.members) CHECK(m.second.seen == c.chain.rbegin()->first);
+    for (std::map<std::string, Membership::Member>::value_type const& m : c.members)
+      CHECK(m.second.seen == c.chain.rbegin()->first);
     c.validator();
     most = std::max(most, c.chain.size());
-    for (std::map<std::string, Membership::Change>::value_type const& k : c.changes) taken += k.second.status == 200 || k.second.status == 201 ? 1 : 0;
+    for (std::map<std::string, Membership::Change>::value_type const& k : c.changes)
+      taken += k.second.status == 200 || k.second.status == 201 ? 1 : 0;
   }
   CHECK(most > 20);
   CHECK(taken > 200);
--- a/core/include/corkward/core/json.h
+++ b/core/include/corkward/core/json.h
@@ -18,7 +18,11 @@
 QJsonValue mergePatch(QJsonValue const& target, QJsonValue const& patch);
 
 /// Shorthands between the string types.
-inline std::string str(QString const& s) { return s.toStdString(); }
-inline QString qstr(std::string const& s) { return QString::fromStdString(s); }
+inline std::string str(QString const& s) {
+  return s.toStdString();
+}
+inline QString qstr(std::string const& s) {
+  return QString::fromStdString(s);
+}
 
 }  // namespace corkward::core
--- a/core/src/json.cpp
+++ b/core/src/json.cpp
@@ -38,7 +38,10 @@
   if (ec != simdjson::SUCCESS) throw JsonError(simdjson::error_message(ec));
   check(root, 0);
   QJsonParseError error;
-  QJsonArray const wrapped = QJsonDocument::fromJson("[" + QByteArray::fromRawData(text.data(), static_cast<qsizetype>(text.size())) + "]", &error).array();
+  QJsonArray const wrapped =
+      QJsonDocument::fromJson("[" + QByteArray::fromRawData(text.data(), static_cast<qsizetype>(text.size())) + "]",
+                              &error)
+          .array();
   if (error.error != QJsonParseError::NoError) throw JsonError(error.errorString().toStdString());
   return wrapped.first();
 }
--- a/core/test/core_test.cpp
+++ b/core/test/core_test.cpp
@@ -39,15 +39,17 @@
     char const* text;
     char const* want;
   };
-  constexpr Row rows[] = {{"7", "7"},
-                          {" \"x\" ", "\"x\""},
-                          {"null", "null"},
-                          {"[9223372036854775807,-9223372036854775808]", "[9223372036854775807,-9223372036854775808]"},
-                          {R"({"b":[{},[],true,null,0.5],"a":"\u00e9\n"})", R"({"a":"é\n","b":[{},[],true,null,0.5]})"}};
+  constexpr Row rows[] = {
+      {"7", "7"},
+      {" \"x\" ", "\"x\""},
+      {"null", "null"},
+      {"[9223372036854775807,-9223372036854775808]", "[9223372036854775807,-9223372036854775808]"},
+      {R"({"b":[{},[],true,null,0.5],"a":"\u00e9\n"})", R"({"a":"é\n","b":[{},[],true,null,0.5]})"}};
   for (Row const& r : rows) CHECK(core::jsonText(core::parseJson(r.text)) == r.want);
   CHECK(core::parseJson("[3.0]").toArray().first().toInteger() == 3);
   CHECK(core::parseJson("[1e2]").toArray().first().toInteger() == 100);
-  for (char const* text : {R"({"a":1,"\u0061":2})", R"([{"x":{"a":1,"b":2,"a":3}}])", "[18446744073709551615]", "1 2", "{}]", "\xef\xbb\xbf{", "],["})
+  for (char const* text : {R"({"a":1,"\u0061":2})", R"([{"x":{"a":1,"b":2,"a":3}}])", "[18446744073709551615]", "1 2",
+                           "{}]", "\xef\xbb\xbf{", "],["})
     CHECK_THROWS_AS(core::parseJson(text), core::JsonError);
   CHECK(core::parseJson(std::string(32, '[') + std::string(32, ']')).isArray());
   CHECK_THROWS_AS(core::parseJson(std::string(34, '[') + std::string(34, ']')), core::JsonError);
--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -49,7 +49,8 @@
   Tick vouchAfter = 60000;
   /// What is added to an age that is said: for the way, a slow head, and clocks whose rates differ.
   Tick ageMargin = 15000;
-  /// How long after its start a router sends no clients here, and rejects ids of unsaid age when too few remember far enough.
+  /// How long after its start a router sends no clients here, and rejects ids of unsaid age when too few remember far
+  /// enough.
   Tick youngWait = 3000;
   /// How far a majority must remember when others do not answer.
   Tick dimWait = 10000;
@@ -84,8 +85,8 @@
   Tick streamIdle = 10000;
   /// A router whose roster is smaller than this cannot stand on its neighbours alone.
   std::size_t leastRoster = 3;
-  /// False: whoever has a whole snapshot serves, without confirmations, roster or joining wait, and takes the snapshot from
-  /// anyone who offers it; for callers whose own rules bound how old a configuration may be.
+  /// False: whoever has a whole snapshot serves, without confirmations, roster or joining wait, and takes the snapshot
+  /// from anyone who offers it; for callers whose own rules bound how old a configuration may be.
   bool fenced = true;
   /// Records of regimes' work can be kept here; without them nothing of a regime is handed on.
   bool records = false;
@@ -145,8 +146,8 @@
   bool resume = false;
   /// The request may run once only: no connection may be used that the replica could be about to close.
   bool fresh = true;
-  /// Not empty: a request of a regime. A connection of its own is opened, and it stands only once the replica has named this
-  /// life on it; another life, another answer or none counts as a rejected connection.
+  /// Not empty: a request of a regime. A connection of its own is opened, and it stands only once the replica has named
+  /// this life on it; another life, another answer or none counts as a rejected connection.
   std::string life = {};
   /// The path's answer is a row of events with ids.
   bool events = false;
@@ -159,8 +160,8 @@
   /// Milliseconds that the caller still waits.
   Tick left = 0;
   int urgency = 5;
-  /// Not empty: a request of a regime. The Record of it stands before this, and it goes out at once when that is written; else
-  /// it ended as End::notRun.
+  /// Not empty: a request of a regime. The Record of it stands before this, and it goes out at once when that is
+  /// written; else it ended as End::notRun.
   std::string regime = {};
 };
 /// Command: close the replica's connection, if there is one.
@@ -254,13 +255,15 @@
   Commands moving(Tick now, CallId call);
   Commands ended(Tick now, CallId call, End end);
   Commands callerGone(Tick now, CallId call);
-  /// The platform's list as told to this node: what it takes away is out of use at once, what it adds waits for control.
+  /// The platform's list as told to this node: what it takes away is out of use at once, what it adds waits for
+  /// control.
   Commands platformList(Tick now, CallId call, std::string const& pool, std::string const& body);
   /// Other figures and seeds from here on; scalers that stand keep theirs.
   void retune(Tuning const& tuning, std::vector<std::string> seeds);
   /// No new work from here on; ids and duties go to the others.
   Commands drain(Tick now);
-  /// Wall time at that tick, in milliseconds since 1970; told with each clock event. Within one life it never goes back.
+  /// Wall time at that tick, in milliseconds since 1970; told with each clock event. Within one life it never goes
+  /// back.
   void wallTime(Tick now, std::int64_t wall);
   /// Wall time at a tick; nothing before it was told.
   config::Wall wallAt(Tick now) const;
@@ -311,7 +314,8 @@
     bool dispatched = false;
     /// Some attempt of this id may have reached a replica before.
     bool reached = false;
-    /// Some replica may have run it and is not asked any more, so that no rejection may say "not run"; on the product's own surface.
+    /// Some replica may have run it and is not asked any more, so that no rejection may say "not run"; on the product's
+    /// own surface.
     bool mayHaveRun = false;
     int resumes = 0;
     std::uint64_t prefix = 0;
@@ -440,7 +444,8 @@
   Index poolIndex(std::string const& name);
   void applyWhole(QJsonObject const& value);
   void forgetRoutes(std::string const& owner);
-  void addRow(std::string const& owner, std::string const& route, config::Path const& path, std::string const& instance);
+  void addRow(std::string const& owner, std::string const& route, config::Path const& path,
+              std::string const& instance);
   HandOver handOver(Tick now, CallId id);
   std::int64_t unread(Call const& call, Index replica, Index home) const;
   void haveRead(Call& call);
@@ -570,8 +575,8 @@
   std::map<std::string, Tick> fetchedAt_;
   /// A neighbour has sent a whole snapshot.
   bool snapshotSeen_ = false;
-  /// Control has vouched for this life's snapshot. Until then this node is none of the majority that it stands on: its life
-  /// before may have been counted for a change that it lacks now.
+  /// Control has vouched for this life's snapshot. Until then this node is none of the majority that it stands on: its
+  /// life before may have been counted for a change that it lacks now.
   bool vouched_ = false;
   core::Rng rng_;
   std::map<CreditKey, Credit> credits_;
@@ -604,7 +609,8 @@
   bool bound_ = false;
   /// What binds an instance, by the newest of its paths.
   std::map<Index, std::string> instanceRegimes_;
-  /// Replicas that have a certificate for a regime, and the share of their room that other work leaves free; as of certifiedAt_.
+  /// Replicas that have a certificate for a regime, and the share of their room that other work leaves free; as of
+  /// certifiedAt_.
   std::map<std::string, std::set<Index>> certified_;
   std::map<Index, double> reserved_;
   Tick certifiedAt_ = -1;
@@ -612,4 +618,4 @@
   std::optional<std::int64_t> wallAhead_;
 };
 
-}  // namespace corkward::data plane
+}  // namespace corkward::dataplane
--- a/dataplane/include/corkward/dataplane/stream.h
+++ b/dataplane/include/corkward/dataplane/stream.h
@@ -65,12 +65,12 @@
   std::optional<End> ended;
 };
 
-/// What passes from one call's replica connections to its caller, as a pure reducer: which run it is, how far it has come,
-/// and whether the end may be told. The HTTP edge and the simulator run the same one.
+/// What passes from one call's replica connections to its caller, as a pure reducer: which run it is, how far it has
+/// come, and whether the end may be told. The HTTP edge and the simulator run the same one.
 class Stream {
  public:
-  /// Rows of events are passed on in whole events and may go on at another replica after the last one passed on. Answers
-  /// that are no such row are passed on as they are. Only before the first connection.
+  /// Rows of events are passed on in whole events and may go on at another replica after the last one passed on.
+  /// Answers that are no such row are passed on as they are. Only before the first connection.
   /// @param lastId id of the last event that the caller says it has; empty: none.
   void asEvents(std::string lastId);
   /// A connection is opened, for the first time or to resume. When nothing was passed on yet, it starts over.
@@ -117,4 +117,4 @@
   Event event_;
 };
 
-}  // namespace corkward::data plane
+}  // namespace corkward::dataplane
--- a/dataplane/src/calls.cpp
+++ b/dataplane/src/calls.cpp
@@ -13,7 +13,9 @@
   return out;
 }
 
-std::string const& RequestRouter::addressOf(Index replica) const { return replicas_[replica].address; }
+std::string const& RequestRouter::addressOf(Index replica) const {
+  return replicas_[replica].address;
+}
 
 double RequestRouter::coldRate(Index pool) const {
   PoolView const& view = poolViews_[pool];
@@ -22,11 +24,13 @@
 
 Index RequestRouter::findPath(Request const& request) const {
   if (!request.instance.empty()) {
-    std::unordered_map<std::string, Index>::const_iterator const it = routes_.find(request.instance + "/" + request.path);
+    std::unordered_map<std::string, Index>::const_iterator const it =
+        routes_.find(request.instance + "/" + request.path);
     return it == routes_.end() ? core::Names::none : it->second;
   }
   std::string const key = request.host + request.target.substr(0, request.target.find_first_of("?#"));
-  for (std::size_t slash = key.rfind('/'); slash != std::string::npos && slash >= request.host.size(); slash = key.rfind('/', slash - 1)) {
+  for (std::size_t slash = key.rfind('/'); slash != std::string::npos && slash >= request.host.size();
+       slash = key.rfind('/', slash - 1)) {
     std::unordered_map<std::string, Index>::const_iterator const it = routes_.find(key.substr(0, slash + 1));
     if (it != routes_.end()) return it->second;
     if (slash == 0) break;
@@ -46,7 +50,8 @@
   }
   std::function<bool(Index)> const serves = [&](Index pool) {
     std::vector<Index> const& all = poolViews_[pool].replicas;
-    return std::any_of(all.begin(), all.end(), [&](Index const r) { return usable(now, r) && mayDraw(row.path.regime, r); });
+    return std::any_of(all.begin(), all.end(),
+                       [&](Index const r) { return usable(now, r) && mayDraw(row.path.regime, r); });
   };
   if (row.shares.size() < 2 || serves(chosen)) return chosen;
   for (std::pair<Index, std::uint32_t> const& s : row.shares)
@@ -56,7 +61,8 @@
 
 bool RequestRouter::usable(Tick now, Index replica) const {
   Replica const& r = replicas_[replica];
-  if (!r.listed || r.away || r.state == config::ReplicaState::leaving || evacuated(r.zone) || now < r.coolUntil) return false;
+  if (!r.listed || r.away || r.state == config::ReplicaState::leaving || evacuated(r.zone) || now < r.coolUntil)
+    return false;
   return r.state == config::ReplicaState::serving || warmHeld(now, replica);
 }
 
@@ -68,10 +74,12 @@
     if (!replicas_[r].reliability.trusted() && usable(now, r)) worst.push_back(r);
   }
   if (worst.empty()) return;
-  std::size_t const serving = static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](Index const r) { return usable(now, r); }));
+  std::size_t const serving =
+      static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](Index const r) { return usable(now, r); }));
   if (2 * worst.size() > serving) return;
   std::sort(worst.begin(), worst.end(), [&](Index const a, Index const b) {
-    return std::pair(-replicas_[a].reliability.rate(now, tuning_.figures), a) < std::pair(-replicas_[b].reliability.rate(now, tuning_.figures), b);
+    return std::pair(-replicas_[a].reliability.rate(now, tuning_.figures), a) <
+           std::pair(-replicas_[b].reliability.rate(now, tuning_.figures), b);
   });
   worst.resize(std::min(worst.size(), serving / 3));
   for (Index const r : worst) replicas_[r].avoided = true;
@@ -84,9 +92,11 @@
   bool const before = r.reliability.trusted();
   bool const rests = r.reliability.outcome(now, bad, tuning_.figures);
   if (rests)
-    logEvent(out, now, "replica-distrusted", {{"replica", replicaNames_.name(call.replica)},
-                                          {"rate", std::to_string(r.reliability.rate(now, tuning_.figures))}});
-  if (!before && r.reliability.trusted()) logEvent(out, now, "replica-trusted", {{"replica", replicaNames_.name(call.replica)}});
+    logEvent(out, now, "replica-distrusted",
+             {{"replica", replicaNames_.name(call.replica)},
+              {"rate", std::to_string(r.reliability.rate(now, tuning_.figures))}});
+  if (!before && r.reliability.trusted())
+    logEvent(out, now, "replica-trusted", {{"replica", replicaNames_.name(call.replica)}});
   if (!before || rests) poolViews_[r.pool].changed = true;
   if (rests || before != r.reliability.trusted()) avoidWorst(now, r.pool);
 }
@@ -111,13 +121,15 @@
     std::map<Index, Warm>::const_iterator const w = warm_.find(ix);
     for (Tick const at : {r.coolUntil, cold && w != warm_.end() ? w->second.until : 0, r.reliability.restUntil()})
       if (at > now) view.changesAt = std::min(view.changesAt, at);
-    if (usable(now, ix) && !(r.avoided && r.reliability.resting(now))) all.push_back(scaling::Candidate{ix, cold, r.hash});
+    if (usable(now, ix) && !(r.avoided && r.reliability.resting(now)))
+      all.push_back(scaling::Candidate{ix, cold, r.hash});
   }
   std::map<std::string, scaling::Candidates> candidates = byRegime(all);
   if (candidates == view.candidates && !view.rebound) return;
   view.candidates = std::move(candidates);
   view.rebound = false;
-  for (std::map<CreditKey, Credit>::iterator c = credits_.lower_bound({pool, 0}); c != credits_.end() && c->first.first == pool; ++c) {
+  for (std::map<CreditKey, Credit>::iterator c = credits_.lower_bound({pool, 0});
+       c != credits_.end() && c->first.first == pool; ++c) {
     c->second.scaler.candidates(candidatesOf(view, regimeOf(c->first.second)));
     if (!c->second.scaler.atRest()) wake(now, c->first);
   }
@@ -146,7 +158,8 @@
     return it->second;
   }
   refreshCandidates(out, now);
-  scaling::Scaler scaler(seed_ ^ core::stableHash(partialView_.self().link + instances_.name(key.second)), tuning_.figures);
+  scaling::Scaler scaler(seed_ ^ core::stableHash(partialView_.self().link + instances_.name(key.second)),
+                         tuning_.figures);
   scaler.candidates(candidatesOf(poolViews_[key.first], regimeOf(key.second)));
   it = credits_.emplace(key, Credit{std::move(scaler), {}, 0, {}}).first;
   awake_.insert(key);
@@ -228,7 +241,8 @@
     } else if (request.age < 0) {
       reject(out, now, id, 409, "a later attempt that does not say its age cannot be looked up", false, 0);
     } else if (!remembers(now, request.age)) {
-      reject(out, now, id, 409, "this node does not remember far enough to say whether an earlier attempt ran", false, 0);
+      reject(out, now, id, 409, "this node does not remember far enough to say whether an earlier attempt ran", false,
+             0);
     } else {
       askOthers(out, now, id);
       if (calls_.at(id).waiting.empty()) admit(out, now, id);
@@ -277,10 +291,15 @@
   std::size_t const bound = std::max(tuning_.heldLeast, static_cast<std::size_t>(tuning_.heldPerCap * c.scaler.cap()));
   bool const none = c.scaler.part().empty();
   Tick const wait = expectedWait(c, row.path.cls);
-  bool const late = wait > static_cast<Tick>(tuning_.heldAims * static_cast<double>(row.path.aim)) || now + wait > call.until;
+  bool const late =
+      wait > static_cast<Tick>(tuning_.heldAims * static_cast<double>(row.path.aim)) || now + wait > call.until;
   bool const slow = c.scaler.allSlow() && ahead >= static_cast<std::size_t>(std::max(1.0, c.scaler.cap()));
   if (none || ahead >= bound || late || slow) {
-    reject(out, now, id, 503, none ? "no replica" : slow ? "all replicas slow" : "too much held", true, comeBack(c, row.path.cls));
+    reject(out, now, id, 503,
+           none   ? "no replica"
+           : slow ? "all replicas slow"
+                  : "too much held",
+           true, comeBack(c, row.path.cls));
     return;
   }
   c.held[lane(row.path.cls)].push_back(id);
@@ -302,7 +321,9 @@
   int const step = c.scaler.look(now, held, wanted);
   if (step == 0) return;
   logEvent(out, now, step > 0 ? "widened" : "gave-back",
-       {{"instance", instances_.name(key.second)}, {"pool", pools_.name(key.first)}, {"part", std::to_string(c.scaler.part().size())}});
+           {{"instance", instances_.name(key.second)},
+            {"pool", pools_.name(key.first)},
+            {"part", std::to_string(c.scaler.part().size())}});
   if (step > 0) pump(out, now, key);
 }
 
@@ -312,8 +333,7 @@
     if (!usable(now, p.replica)) continue;
     if (p.cold) {
       std::map<Index, Warm>::const_iterator const w = warm_.find(p.replica);
-      if (w == warm_.end() || now >= w->second.until ||
-          !w->second.bucket.has(now, coldRate(replicas_[p.replica].pool)))
+      if (w == warm_.end() || now >= w->second.until || !w->second.bucket.has(now, coldRate(replicas_[p.replica].pool)))
         continue;
     } else if (!warmRoom) {
       continue;
@@ -330,7 +350,8 @@
   std::size_t const replicas = regime.empty() ? poolViews_[key.first].replicas.size() : c.scaler.candidates();
   double const poolCap = tuning_.nodeLimitPerReplica * static_cast<double>(std::max<std::size_t>(replicas, 1));
   std::vector<std::pair<CreditKey, int>> active;
-  for (std::set<CreditKey>::const_iterator k = awake_.lower_bound({key.first, 0}); k != awake_.end() && k->first == key.first; ++k) {
+  for (std::set<CreditKey>::const_iterator k = awake_.lower_bound({key.first, 0});
+       k != awake_.end() && k->first == key.first; ++k) {
     if (regimeOf(k->second) != regime) continue;
     Credit const& o = credits_.at(*k);
     if (*k == key || o.scaler.inFlight() > 0 || o.heldCount() > 0) active.emplace_back(*k, o.scaler.inFlight());
@@ -349,7 +370,8 @@
   Credit& c = credits_.at(key);
   bool const room = mayTry(now, c, key, call);
   std::int64_t chosen = choose(now, call, usableOf(now, c, room));
-  if (chosen < 0 && room && call.dispatched && !regimeOf(call).empty()) chosen = choose(now, call, beyondPart(now, call.pool));
+  if (chosen < 0 && room && call.dispatched && !regimeOf(call).empty())
+    chosen = choose(now, call, beyondPart(now, call.pool));
   if (chosen < 0) return false;
   Index const replica = static_cast<Index>(chosen);
   if (replicas_[replica].state == config::ReplicaState::cold) {
@@ -369,7 +391,8 @@
   call.counted = true;
   credits_.at({call.pool, row.instance}).scaler.sent(replica, row.path.cls == config::Class::bulk);
   ++replicas_[replica].inFlight;
-  out.calls.push_back(Connect{id, addressOf(replica), row.path.path, false, !row.path.repeatable, regimeOf(call).empty() ? "" : replicas_[replica].id, ownEvents(row.path)});
+  out.calls.push_back(Connect{id, addressOf(replica), row.path.path, false, !row.path.repeatable,
+                              regimeOf(call).empty() ? "" : replicas_[replica].id, ownEvents(row.path)});
 }
 
 bool RequestRouter::mayBeHome(Index replica) const {
@@ -389,7 +412,9 @@
 }
 
 bool RequestRouter::readsApart(Call const& call) const {
-  if (static_cast<double>(call.request.parts.back().tokens) <= tuning_.figures.withinAim * static_cast<double>(rows_[call.path].path.aim)) return false;
+  if (static_cast<double>(call.request.parts.back().tokens) <=
+      tuning_.figures.withinAim * static_cast<double>(rows_[call.path].path.aim))
+    return false;
   std::vector<Index> const& all = poolViews_[call.pool].replicas;
   return std::any_of(all.begin(), all.end(), [&](Index const r) { return replicas_[r].apart && mayBeHome(r); });
 }
@@ -430,7 +455,9 @@
   scaling::Scaler const& scaler = credits_.at({call.pool, rows_[call.path].instance}).scaler;
   std::vector<scaling::Candidate> choices;
   for (scaling::Candidate const& c : all)
-    if (std::find(call.handedTo.begin(), call.handedTo.end(), c.replica) == call.handedTo.end() && fits(now, call, c.replica)) choices.push_back(c);
+    if (std::find(call.handedTo.begin(), call.handedTo.end(), c.replica) == call.handedTo.end() &&
+        fits(now, call, c.replica))
+      choices.push_back(c);
   std::function<bool(scaling::Candidate const&)> const avoid = [&](scaling::Candidate const& c) {
     Replica const& r = replicas_[c.replica];
     return r.avoided && (r.reliability.resting(now) || r.inFlight > 0);
@@ -446,8 +473,9 @@
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_) {
     Call const& other = c.second;
     if (other.phase != Phase::handed || other.reading == 0) continue;
-    double const late = static_cast<double>(now - other.handedAt - tuning_.figures.wordSlack) * tuning_.figures.readPerMs -
-                        static_cast<double>(other.reading);
+    double const late =
+        static_cast<double>(now - other.handedAt - tuning_.figures.wordSlack) * tuning_.figures.readPerMs -
+        static_cast<double>(other.reading);
     double& worst = heldUp[other.replica];
     worst = std::max(worst, late);
   }
@@ -459,7 +487,8 @@
                         tuning_.figures.unreadWeight * static_cast<double>(unread(call, c.replica, at)) +
                         static_cast<double>(replicas_[c.replica].reading) +
                         (replicas_[c.replica].apart != apart ? tuning_.figures.wrongKind : 0.0);
-    std::uint64_t const order = core::Rng(call.request.parts[call.request.parts.size() - 2].hash ^ replicas_[c.replica].hash).next();
+    std::uint64_t const order =
+        core::Rng(call.request.parts[call.request.parts.size() - 2].hash ^ replicas_[c.replica].hash).next();
     if (best >= 0 && (cost > bestCost || (cost == bestCost && order >= bestOrder))) continue;
     best = static_cast<std::int64_t>(c.replica);
     bestCost = cost;
@@ -518,7 +547,8 @@
   uncount(out, now, gone);
 }
 
-void RequestRouter::reject(Commands& out, Tick now, CallId id, int status, std::string reason, bool notRun, double retryAfter) {
+void RequestRouter::reject(Commands& out, Tick now, CallId id, int status, std::string reason, bool notRun,
+                           double retryAfter) {
   Call& call = calls_.at(id);
   CORKWARD_INVARIANT(call.phase != Phase::streaming);
   CORKWARD_INVARIANT(!notRun || call.phase != Phase::handed);
@@ -557,7 +587,8 @@
   }
   std::vector<std::pair<Index, std::uint32_t>> const& shares = rows_[path].shares;
   bool const rebound = rows_[path].path.regime != rows_[call.path].path.regime;
-  if (rebound || std::none_of(shares.begin(), shares.end(), [&](std::pair<Index, std::uint32_t> const& s) { return s.first == call.pool; })) {
+  if (rebound || std::none_of(shares.begin(), shares.end(),
+                              [&](std::pair<Index, std::uint32_t> const& s) { return s.first == call.pool; })) {
     out.calls.push_back(Abandon{id});
     call.phase = Phase::held;
     uncount(out, now, call);
@@ -613,7 +644,8 @@
     replicas_[call.replica].reading += call.reading;
   }
   std::optional<config::PoolTerms> const& terms = poolViews_[call.pool].terms;
-  for (std::size_t i = 0; i + 1 < parts.size(); ++i) kept_.sent(call.replica, parts[i].hash, parts[i].tokens, terms ? terms->tokens / 2 : 0);
+  for (std::size_t i = 0; i + 1 < parts.size(); ++i)
+    kept_.sent(call.replica, parts[i].hash, parts[i].tokens, terms ? terms->tokens / 2 : 0);
   int rank = rows_[call.path].path.urgency;
   if (!parts.empty() && tuning_.ranksBySize) {
     std::int64_t tokens = 0;
@@ -645,13 +677,16 @@
   if (chosen < 0 && !regimeOf(call).empty()) chosen = choose(now, call, beyondPart(now, call.pool));
   if (chosen < 0 || !servingLease(now)) return false;
   call.replica = static_cast<Index>(chosen);
-  if (replicas_[call.replica].state == config::ReplicaState::cold && !warm_.at(call.replica).bucket.take(now, coldRate(call.pool))) return false;
+  if (replicas_[call.replica].state == config::ReplicaState::cold &&
+      !warm_.at(call.replica).bucket.take(now, coldRate(call.pool)))
+    return false;
   c.scaler.sent(call.replica, row.path.cls == config::Class::bulk);
   ++replicas_[call.replica].inFlight;
   call.counted = true;
   call.phase = Phase::handed;
   call.phaseAt = now;
-  out.calls.push_back(Connect{id, addressOf(call.replica), row.path.path, true, false, regimeOf(call).empty() ? "" : replicas_[call.replica].id, ownEvents(row.path)});
+  out.calls.push_back(Connect{id, addressOf(call.replica), row.path.path, true, false,
+                              regimeOf(call).empty() ? "" : replicas_[call.replica].id, ownEvents(row.path)});
   return true;
 }
 
@@ -689,7 +724,8 @@
     return out;
   }
   cool(it->second.replica, now + tuning_.coolFor);
-  logEvent(out, now, "replica-cooled", {{"replica", replicaNames_.name(it->second.replica)}, {"why", "connect rejected"}});
+  logEvent(out, now, "replica-cooled",
+           {{"replica", replicaNames_.name(it->second.replica)}, {"why", "connect rejected"}});
   retry(out, now, id, "replica refused the connection");
   refreshCandidates(out, now);
   return out;
@@ -731,7 +767,9 @@
   if (chosen < 0) return out;
   Index const replica = static_cast<Index>(chosen);
   bool const cold = replicas_[replica].state == config::ReplicaState::cold;
-  if ((cold && !warm_.at(replica).bucket.take(now, coldRate(call.pool))) || !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance)) return out;
+  if ((cold && !warm_.at(replica).bucket.take(now, coldRate(call.pool))) ||
+      !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance))
+    return out;
   count(now, "retried_dispatched");
   call.mayHaveRun = row.path.host.empty();
   out.calls.push_back(Abandon{id});
@@ -771,7 +809,8 @@
   if (row.path.stream || !row.path.host.empty()) {
     bool const fromStart = !streaming && call.resumes == 0;
     bool const once = !fromStart && !regimeOf(call).empty() && now < call.until;
-    bool const again = (end == End::notRun || (end == End::broken && row.path.repeatable)) && !spent && (once || mayGoOn(now, call)) && servingLease(now) &&
+    bool const again = (end == End::notRun || (end == End::broken && row.path.repeatable)) && !spent &&
+                       (once || mayGoOn(now, call)) && servingLease(now) &&
                        budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
     if (end == End::notRun) {
       count(now, "replica_not_run");
@@ -807,14 +846,16 @@
     retry(out, now, id, "replica said not run");
     return out;
   }
-  bool const mayResume = end == End::broken && call.runKnown && row.path.resumable && call.resumes < tuning_.resumes && !spent && lawful(now, call) &&
-                         r.listed && servingLease(now) && budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
+  bool const mayResume = end == End::broken && call.runKnown && row.path.resumable && call.resumes < tuning_.resumes &&
+                         !spent && lawful(now, call) && r.listed && servingLease(now) &&
+                         budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
   if (mayResume) {
     ++call.resumes;
     call.phase = Phase::handed;
     call.phaseAt = now;
     count(now, "resumed");
-    out.calls.push_back(Connect{id, addressOf(call.replica), row.path.path, true, true, regimeOf(call).empty() ? "" : r.id, ownEvents(row.path)});
+    out.calls.push_back(Connect{id, addressOf(call.replica), row.path.path, true, true,
+                                regimeOf(call).empty() ? "" : r.id, ownEvents(row.path)});
     return out;
   }
   if (streaming || call.resumes > 0) {
@@ -840,10 +881,11 @@
   if (it == calls_.end()) return out;
   count(now, "caller_gone");
   if (it->second.counted) out.calls.push_back(Abandon{id});
-  if (it->second.phase == Phase::handed || it->second.phase == Phase::streaming) record(out, now, it->second, Happened::broken, "the caller went away");
+  if (it->second.phase == Phase::handed || it->second.phase == Phase::streaming)
+    record(out, now, it->second, Happened::broken, "the caller went away");
   unhold(id);
   drop(out, now, id);
   return out;
 }
 
-}  // namespace corkward::data plane
+}  // namespace corkward::dataplane
--- a/dataplane/src/ids.cpp
+++ b/dataplane/src/ids.cpp
@@ -15,7 +15,8 @@
   for (std::string const& link : rosterOthers()) {
     call.waiting.insert(link);
     out.sends.push_back(
-        transport::Send{link, transport::SeenAsk{id, call.request.instance + "|" + call.request.id, call.request.attempt, std::max<Tick>(call.request.age, 0), who_}});
+        transport::Send{link, transport::SeenAsk{id, call.request.instance + "|" + call.request.id,
+                                                 call.request.attempt, std::max<Tick>(call.request.age, 0), who_}});
   }
 }
 
@@ -67,8 +68,10 @@
   }
   Seen& s = remember(now, m.id);
   s.promisedAway = std::max(s.promisedAway, m.attempt);
-  if (m.attempt == 0 && std::find(s.claimants.begin(), s.claimants.end(), m.who) == s.claimants.end()) s.claimants.push_back(m.who);
-  out.sends.push_back(transport::Send{from, transport::SeenEcho{m.token, who_, clear, known, reached, now - memoryFrom_, claimants}});
+  if (m.attempt == 0 && std::find(s.claimants.begin(), s.claimants.end(), m.who) == s.claimants.end())
+    s.claimants.push_back(m.who);
+  out.sends.push_back(
+      transport::Send{from, transport::SeenEcho{m.token, who_, clear, known, reached, now - memoryFrom_, claimants}});
 }
 
 void RequestRouter::on(Commands& out, Tick now, std::string const& from, transport::SeenEcho const& m) {
@@ -105,7 +108,8 @@
 }
 
 void RequestRouter::expireSeen(Tick now) {
-  while (!seenOrder_.empty() && (now - seenOrder_.front().first > tuning_.seenFor || seen_.size() > tuning_.seenBound)) {
+  while (!seenOrder_.empty() &&
+         (now - seenOrder_.front().first > tuning_.seenFor || seen_.size() > tuning_.seenBound)) {
     std::pair<Tick, std::string> const front = seenOrder_.front();
     seenOrder_.pop_front();
     std::unordered_map<std::string, Seen>::iterator const it = seen_.find(front.second);
@@ -123,7 +127,8 @@
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return;
   if (!it->second.request.id.empty()) {
-    std::unordered_map<std::string, Seen>::iterator const s = seen_.find(it->second.request.instance + "|" + it->second.request.id);
+    std::unordered_map<std::string, Seen>::iterator const s =
+        seen_.find(it->second.request.instance + "|" + it->second.request.id);
     if (s != seen_.end() && s->second.call == id) {
       s->second.call = 0;
       s->second.at = now;
@@ -132,4 +137,4 @@
   calls_.erase(it);
 }
 
-}  // namespace corkward::data plane
+}  // namespace corkward::dataplane
--- a/dataplane/src/internal.h
+++ b/dataplane/src/internal.h
@@ -15,11 +15,17 @@
 inline constexpr int unknownAge = 255;
 inline constexpr std::size_t digestsKept = 64;
 
-inline std::size_t majorityOf(std::size_t n) { return n / 2 + 1; }
+inline std::size_t majorityOf(std::size_t n) {
+  return n / 2 + 1;
+}
 
 /// The path's rows of events are asked for on the product's own surface, not as a whole configuration's path.
-inline bool ownEvents(config::Path const& path) { return path.stream && path.host.empty(); }
+inline bool ownEvents(config::Path const& path) {
+  return path.stream && path.host.empty();
+}
 
-inline std::size_t lane(config::Class cls) { return static_cast<std::size_t>(cls); }
+inline std::size_t lane(config::Class cls) {
+  return static_cast<std::size_t>(cls);
+}
 
-}  // namespace corkward::data plane
+}  // namespace corkward::dataplane
