--- a/dataplane/src/news.cpp
+++ b/dataplane/src/news.cpp
@@ -67,7 +67,9 @@
   std::string out;
   for (std::map<std::string, std::string>::value_type const& z : roster_.zones) {
     std::map<std::string, Tick>::const_iterator const it = heard_.find(z.first);
-    Tick const age = z.first == partialView_.self().link ? 0 : it == heard_.end() ? tuning_.confirmFor + 1 : now - it->second;
+    Tick const age = z.first == partialView_.self().link ? 0
+                     : it == heard_.end()                ? tuning_.confirmFor + 1
+                                                         : now - it->second;
     Tick const units = (age + transport::ageUnit - 1) / transport::ageUnit;
     out += static_cast<char>(age > tuning_.confirmFor || units >= unknownAge ? unknownAge : units);
   }
@@ -123,7 +125,8 @@
   for (std::string const& link : known) {
     HeldLink& l = controllers_[link];
     bool const silent = l.silentAt >= 0 && now - l.silentAt < tuning_.passOver;
-    ranked[{silent ? l.silentAt : 0, zones[link] != partialView_.self().zone, core::stableHash(link + partialView_.self().link)}] = link;
+    ranked[{silent ? l.silentAt : 0, zones[link] != partialView_.self().zone,
+            core::stableHash(link + partialView_.self().link)}] = link;
   }
   held_.clear();
   std::size_t live = 0;
@@ -157,7 +160,8 @@
   std::erase_if(neighbours_, [&](std::map<std::string, HeldLink>::value_type const& n) {
     bool const silent = n.second.unanswered >= 0 && now - n.second.unanswered > every + every / 2;
     if (silent) silent_[n.first] = now;
-    return silent || now - n.second.since > tuning_.neighbourFor || !std::binary_search(known.begin(), known.end(), n.first);
+    return silent || now - n.second.since > tuning_.neighbourFor ||
+           !std::binary_search(known.begin(), known.end(), n.first);
   });
   std::function<bool(std::string const&)> const near = [&](std::string const& link) {
     std::map<std::string, std::string>::const_iterator const it = roster_.zones.find(link);
@@ -174,7 +178,8 @@
     };
     return !silent(a) && silent(b);
   });
-  while (neighbours_.size() > wanted) neighbours_.erase(std::next(neighbours_.begin(), static_cast<std::ptrdiff_t>(rng_.below(neighbours_.size()))));
+  while (neighbours_.size() > wanted)
+    neighbours_.erase(std::next(neighbours_.begin(), static_cast<std::ptrdiff_t>(rng_.below(neighbours_.size()))));
   while (neighbours_.size() < wanted && !free.empty()) {
     std::size_t nearOnes = 0;
     for (std::map<std::string, HeldLink>::value_type const& n : neighbours_) nearOnes += near(n.first) ? 1 : 0;
@@ -205,7 +210,8 @@
   touch.wantAges = lacking && tuning_.fenced;
   touch.hints = hints();
   bool const wantWhole = !whole_ && !snapshotSeen_ && now - started_ > 2000;
-  std::vector<std::string> const to = chooseNeighbours(now, lacking ? tuning_.neighbours : tuning_.neighboursAtRest, every);
+  std::vector<std::string> const to =
+      chooseNeighbours(now, lacking ? tuning_.neighbours : tuning_.neighboursAtRest, every);
   std::size_t const asked = wantWhole && !to.empty() ? rng_.below(to.size()) : to.size();
   for (std::size_t i = 0; i < to.size(); ++i) {
     HeldLink& n = neighbours_[to[i]];
@@ -217,7 +223,9 @@
 
 bool RequestRouter::confirmedWithin(Tick now, Tick age) const {
   return std::any_of(confirmations_.begin(), confirmations_.end(),
-                     [&](std::map<std::string, Confirmation>::value_type const& c) { return c.second.good >= 0 && now - c.second.good <= age; });
+                     [&](std::map<std::string, Confirmation>::value_type const& c) {
+                       return c.second.good >= 0 && now - c.second.good <= age;
+                     });
 }
 
 bool RequestRouter::mostHeard(Tick now) const {
@@ -236,11 +244,14 @@
   return confirmedWithin(now, tuning_.confirmFor) || mostHeard(now);
 }
 
-bool RequestRouter::evacuated(std::string const& zone) const { return evacuated_.count(zone) > 0; }
+bool RequestRouter::evacuated(std::string const& zone) const {
+  return evacuated_.count(zone) > 0;
+}
 
 bool RequestRouter::ready(Tick now) const {
   bool const young = tuning_.fenced && now - started_ < tuning_.youngWait;
-  return !draining_ && !young && servingLease(now) && !(tuning_.evacuationFailsReady && evacuated(partialView_.self().zone)) && !rows_.empty();
+  return !draining_ && !young && servingLease(now) &&
+         !(tuning_.evacuationFailsReady && evacuated(partialView_.self().zone)) && !rows_.empty();
 }
 
 void RequestRouter::apply(Commands& out, Tick now, std::vector<transport::Item> const& items) {
@@ -277,7 +288,8 @@
   ++configurationRevision_;
 }
 
-void RequestRouter::addRow(std::string const& owner, std::string const& route, config::Path const& path, std::string const& instance) {
+void RequestRouter::addRow(std::string const& owner, std::string const& route, config::Path const& path,
+                           std::string const& instance) {
   Row row{path, poolIndex(path.pool), instances_.index(instance), {}};
   for (config::Share const& s : path.shares)
     if (s.weight > 0) row.shares.emplace_back(poolIndex(s.pool), s.weight);
@@ -411,10 +423,12 @@
     config::Pool const list = config::readPool(v.toObject());
     std::map<std::string, Key>::const_iterator const key = keys_.find("pool:" + pool);
     std::uint64_t const have = key == keys_.end() ? 0 : poolViews_[pools_.index(pool)].generation;
-    std::uint64_t const newest = key == keys_.end() ? 0 : std::max(have, poolViews_[pools_.index(pool)].hint.generation);
+    std::uint64_t const newest =
+        key == keys_.end() ? 0 : std::max(have, poolViews_[pools_.index(pool)].hint.generation);
     if (list.generation < newest) {
       answer.status = 409;
-      answer.body = {{"error", "older generation"}, {"reason", core::qstr("the list known here has generation " + std::to_string(newest))}};
+      answer.body = {{"error", "older generation"},
+                     {"reason", core::qstr("the list known here has generation " + std::to_string(newest))}};
     } else if (list.generation == have) {
       answer.body = {{"generation", static_cast<qint64>(have)}, {"inForce", true}};
     } else {
@@ -425,15 +439,20 @@
       }
       on(out, now, "", hint);
       answer.status = 504;
-      answer.body = {{"error", "pending"}, {"pending", true}, {"inForce", false}, {"generation", static_cast<qint64>(list.generation)},
-                     {"reason", "what the list takes away is out of use here; the rest waits for a majority of the disks"}};
+      answer.body = {
+          {"error", "pending"},
+          {"pending", true},
+          {"inForce", false},
+          {"generation", static_cast<qint64>(list.generation)},
+          {"reason", "what the list takes away is out of use here; the rest waits for a majority of the disks"}};
     }
   } catch (core::JsonError const& e) {
     answer.status = 400;
     answer.body = {{"error", "malformed"}, {"reason", e.what()}, {"pointer", "/"}};
   } catch (config::Error const& e) {
     answer.status = 422;
-    answer.body = {{"error", "not a valid list"}, {"reason", core::qstr(e.reason())}, {"pointer", core::qstr(e.pointer())}};
+    answer.body = {
+        {"error", "not a valid list"}, {"reason", core::qstr(e.reason())}, {"pointer", core::qstr(e.pointer())}};
   }
   count(now, "list_told_" + std::to_string(answer.status), pool);
   out.calls.push_back(std::move(answer));
@@ -493,7 +512,8 @@
   if (!takeHint(out, now, m)) return;
   std::vector<std::string> others = rosterOthers();
   for (std::size_t i = others.size(); i > 1; --i) std::swap(others[i - 1], others[rng_.below(i)]);
-  std::set<std::string> to(others.begin(), others.begin() + static_cast<std::ptrdiff_t>(std::min(others.size(), tuning_.neighbours)));
+  std::set<std::string> to(others.begin(),
+                           others.begin() + static_cast<std::ptrdiff_t>(std::min(others.size(), tuning_.neighbours)));
   to.insert(held_.begin(), held_.end());
   for (std::string const& link : to) out.sends.push_back(transport::Send{link, m});
 }
@@ -502,7 +522,8 @@
   transport::News news;
   for (std::map<std::string, Key>::value_type const& k : keys_) {
     transport::Revisions::const_iterator const it = have.find(k.first);
-    if (it == have.end() || it->second < k.second.revision) news.items.push_back(transport::Item{k.first, k.second.revision, k.second.value});
+    if (it == have.end() || it->second < k.second.revision)
+      news.items.push_back(transport::Item{k.first, k.second.revision, k.second.value});
   }
   if (!news.items.empty()) out.sends.push_back(transport::Send{to, std::move(news)});
 }
@@ -561,4 +582,4 @@
   out.sends.push_back(transport::Send{from, std::move(news)});
 }
 
-}  // namespace corkward::data plane
+}  // namespace corkward::dataplane
--- a/dataplane/src/regimes.cpp
+++ b/dataplane/src/regimes.cpp
@@ -29,7 +29,8 @@
   config::Wall const wall = wallAt(now);
   if (!wall) return "no wall time, so no certificate counts";
   if (regimes_.regimes.count(regime) == 0) return "no regime " + regime + " is declared";
-  if (!config::routerMay(regimes_, regime, partialView_.self().link, partialView_.self().zone, wall)) return "this node is not certified for regime " + regime;
+  if (!config::routerMay(regimes_, regime, partialView_.self().link, partialView_.self().zone, wall))
+    return "this node is not certified for regime " + regime;
   return "";
 }
 
@@ -43,7 +44,8 @@
 config::Certificate const* RequestRouter::certificate(Tick now, std::string const& regime, Index replica) const {
   Replica const& r = replicas_[replica];
   if (!r.listed) return nullptr;
-  return config::certifies(regimes_, regime, pools_.name(r.pool), config::Replica{r.id, r.address, r.zone, r.state}, wallAt(now));
+  return config::certifies(regimes_, regime, pools_.name(r.pool), config::Replica{r.id, r.address, r.zone, r.state},
+                           wallAt(now));
 }
 
 bool RequestRouter::lawful(Tick now, Call const& call) const {
@@ -74,7 +76,8 @@
   std::map<std::string, scaling::Candidates> out;
   std::function<void(std::string const&)> const draw = [&](std::string const& regime) {
     std::vector<scaling::Candidate> some;
-    std::copy_if(all.begin(), all.end(), std::back_inserter(some), [&](scaling::Candidate const& c) { return mayDraw(regime, c.replica); });
+    std::copy_if(all.begin(), all.end(), std::back_inserter(some),
+                 [&](scaling::Candidate const& c) { return mayDraw(regime, c.replica); });
     out[regime] = scaling::Candidates(std::move(some));
   };
   draw(unbound);
@@ -160,7 +163,8 @@
         reject(out, now, id, 503, shut, true, tuning_.comeBack);
     } else if (!why->second.first.empty() || !mayStay) {
       leave(out, now, id, why->second.first.empty() ? "no certificate any more" : why->second.first);
-    } else if (call.phase == Phase::handed && call.resumes > 0 && call.handedTo.back() != call.replica && now - call.phaseAt > tuning_.connectLimit) {
+    } else if (call.phase == Phase::handed && call.resumes > 0 && call.handedTo.back() != call.replica &&
+               now - call.phaseAt > tuning_.connectLimit) {
       out.calls.push_back(Abandon{id});
       Commands const more = connectRejected(now, id);
       out.calls.insert(out.calls.end(), more.calls.begin(), more.calls.end());
@@ -180,7 +184,8 @@
     return;
   }
   if (call.phase == Phase::streaming || call.resumes > 0) {
-    bool const again = open && row.path.stream && call.runKnown && call.resumes == 0 && budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
+    bool const again = open && row.path.stream && call.runKnown && call.resumes == 0 &&
+                       budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
     if (again) {
       ++call.resumes;
       count(now, "resumed");
@@ -201,4 +206,4 @@
   if (!tryConnect(out, now, id)) credits_.at({call.pool, row.instance}).held[lane(row.path.cls)].push_front(id);
 }
 
-}  // namespace corkward::data plane
+}  // namespace corkward::dataplane
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -17,9 +17,15 @@
 }  // namespace
 
 RequestRouter::RequestRouter(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed, Tuning tuning)
-    : tuning_(tuning), seed_(seed), who_(self.link + "#" + std::to_string(seed)), partialView_(std::move(self), std::move(seeds), seed ^ 0x91), rng_(seed ^ 0x3b) {}
+    : tuning_(tuning),
+      seed_(seed),
+      who_(self.link + "#" + std::to_string(seed)),
+      partialView_(std::move(self), std::move(seeds), seed ^ 0x91),
+      rng_(seed ^ 0x3b) {}
 
-void RequestRouter::count(Tick now, std::string const& what, std::string const& about) { journal_.append(now, what, about); }
+void RequestRouter::count(Tick now, std::string const& what, std::string const& about) {
+  journal_.append(now, what, about);
+}
 
 void RequestRouter::logEvent(Commands& out, Tick now, std::string event, std::map<std::string, std::string> fields) {
   count(now, event, fields.empty() ? "" : fields.begin()->second);
@@ -85,7 +91,8 @@
         (call.phase == Phase::connecting && now - call.phaseAt > tuning_.connectLimit) ||
         (call.phase == Phase::streaming && now - call.phaseAt > tuning_.streamIdle) ||
         (call.phase == Phase::held &&
-         now - call.arrived > static_cast<Tick>(2 * tuning_.heldAims * static_cast<double>(rows_[call.path].path.aim))) ||
+         now - call.arrived >
+             static_cast<Tick>(2 * tuning_.heldAims * static_cast<double>(rows_[call.path].path.aim))) ||
         (call.phase != Phase::streaming && now >= call.until))
       late.push_back(c.first);
   }
@@ -103,7 +110,8 @@
         break;
       case Phase::held: {
         Row const& row = rows_[it->second.path];
-        reject(out, now, id, 503, "held too long", true, comeBack(credits_.at({it->second.pool, row.instance}), row.path.cls));
+        reject(out, now, id, 503, "held too long", true,
+               comeBack(credits_.at({it->second.pool, row.instance}), row.path.cls));
         break;
       }
       case Phase::connecting: {
@@ -146,15 +154,26 @@
 }
 
 Held RequestRouter::held() const {
-  return Held{replicaNames_.known(), instances_.known(), credits_.size(), awake_.size(), confirmations_.size() + echoes_.size() + heard_.size() + controllers_.size() + neighbours_.size() + silent_.size() + fetchedAt_.size(),
-              seen_.size(), prefixes_.size(), calls_.size()};
+  return Held{replicaNames_.known(),
+              instances_.known(),
+              credits_.size(),
+              awake_.size(),
+              confirmations_.size() + echoes_.size() + heard_.size() + controllers_.size() + neighbours_.size() +
+                  silent_.size() + fetchedAt_.size(),
+              seen_.size(),
+              prefixes_.size(),
+              calls_.size()};
 }
 
 void RequestRouter::freeGone(Tick now) {
   std::function<bool(Tick)> const old = [&](Tick at) { return now - at > tuning_.vouchAfter; };
-  std::erase_if(confirmations_, [&](std::map<std::string, Confirmation>::value_type const& c) { return old(c.second.at); });
-  std::erase_if(echoes_, [&](std::map<std::string, transport::Touch>::value_type const& e) { return old(e.second.tick); });
-  std::erase_if(controllers_, [&](std::map<std::string, HeldLink>::value_type const& l) { return old(std::max(l.second.since, l.second.good)); });
+  std::erase_if(confirmations_,
+                [&](std::map<std::string, Confirmation>::value_type const& c) { return old(c.second.at); });
+  std::erase_if(echoes_,
+                [&](std::map<std::string, transport::Touch>::value_type const& e) { return old(e.second.tick); });
+  std::erase_if(controllers_, [&](std::map<std::string, HeldLink>::value_type const& l) {
+    return old(std::max(l.second.since, l.second.good));
+  });
   for (std::map<std::string, Tick>* const times : {&heard_, &fetchedAt_, &silent_})
     std::erase_if(*times, [&](std::map<std::string, Tick>::value_type const& t) { return old(t.second); });
   expireSeen(now);
@@ -164,7 +183,8 @@
     replicasUsed.insert(c.second.replica);
     instancesUsed.insert(rows_.empty() ? 0 : rows_[c.second.path].instance);
   }
-  for (std::unordered_map<std::string, Index>::value_type const& r : routes_) instancesUsed.insert(rows_[r.second].instance);
+  for (std::unordered_map<std::string, Index>::value_type const& r : routes_)
+    instancesUsed.insert(rows_[r.second].instance);
   std::erase_if(credits_, [&](std::map<CreditKey, Credit>::value_type const& c) {
     return instancesUsed.count(c.first.second) == 0 && c.second.scaler.inFlight() == 0 && c.second.heldCount() == 0;
   });
@@ -196,7 +216,9 @@
   wallAhead_ = std::max(wallAhead_.value_or(wall - now), wall - now);
 }
 
-config::Wall RequestRouter::wallAt(Tick now) const { return wallAhead_ ? config::Wall(now + *wallAhead_) : std::nullopt; }
+config::Wall RequestRouter::wallAt(Tick now) const {
+  return wallAhead_ ? config::Wall(now + *wallAhead_) : std::nullopt;
+}
 
 Commands RequestRouter::drain(Tick now) {
   Commands out;
@@ -220,8 +242,9 @@
     w.second.until = -1;
     poolViews_[replicas_[w.first].pool].changed = true;
     for (std::string const& s : controllers(now))
-      out.sends.push_back(transport::Send{s, transport::WarmAsk{now, replicaNames_.name(w.first), partialView_.self().link, partialView_.self().inc, true,
-                                                          others.empty() ? "" : others[w.first % others.size()]}});
+      out.sends.push_back(transport::Send{
+          s, transport::WarmAsk{now, replicaNames_.name(w.first), partialView_.self().link, partialView_.self().inc,
+                                true, others.empty() ? "" : others[w.first % others.size()]}});
   }
   std::vector<CallId> waiting;
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_)
@@ -234,11 +257,15 @@
   std::string out = "# TYPE corkward_nacelle_events_total counter\n";
   for (std::map<std::string, std::uint64_t>::value_type const& c : journal_.counts())
     out += "corkward_nacelle_events_total{event=\"" + c.first + "\"} " + std::to_string(c.second) + "\n";
-  out += "# TYPE corkward_nacelle_standing gauge\ncorkward_nacelle_standing " + std::string(servingLease(now) ? "1" : "0") + "\n";
+  out += "# TYPE corkward_nacelle_standing gauge\ncorkward_nacelle_standing " +
+         std::string(servingLease(now) ? "1" : "0") + "\n";
   out += "# TYPE corkward_nacelle_in_hand gauge\ncorkward_nacelle_in_hand " + std::to_string(calls_.size()) + "\n";
-  out += "# TYPE corkward_nacelle_part gauge\n# TYPE corkward_nacelle_cap gauge\n# TYPE corkward_nacelle_in_flight gauge\n# TYPE corkward_nacelle_held gauge\n";
+  out +=
+      "# TYPE corkward_nacelle_part gauge\n# TYPE corkward_nacelle_cap gauge\n# TYPE corkward_nacelle_in_flight "
+      "gauge\n# TYPE corkward_nacelle_held gauge\n";
   for (std::map<CreditKey, Credit>::value_type const& c : credits_) {
-    std::string const labels = "{instance=\"" + instances_.name(c.first.second) + "\",pool=\"" + pools_.name(c.first.first) + "\"} ";
+    std::string const labels =
+        "{instance=\"" + instances_.name(c.first.second) + "\",pool=\"" + pools_.name(c.first.first) + "\"} ";
     out += "corkward_nacelle_part" + labels + std::to_string(c.second.scaler.part().size()) + "\n";
     out += "corkward_nacelle_cap" + labels + std::to_string(c.second.scaler.cap()) + "\n";
     out += "corkward_nacelle_in_flight" + labels + std::to_string(c.second.scaler.inFlight()) + "\n";
@@ -249,11 +276,17 @@
 
 QJsonObject RequestRouter::state(Tick now) const {
   QJsonObject revisionsOut;
-  for (std::map<std::string, Key>::value_type const& k : keys_) revisionsOut.insert(core::qstr(k.first), static_cast<qint64>(k.second.revision));
-  return QJsonObject{{"link", core::qstr(partialView_.self().link)}, {"zone", core::qstr(partialView_.self().zone)},
-                     {"standing", servingLease(now)}, {"ready", ready(now)}, {"draining", draining_}, {"whole", whole_},
-                     {"rosterSize", static_cast<qint64>(rosterSize())}, {"inHand", static_cast<qint64>(calls_.size())},
+  for (std::map<std::string, Key>::value_type const& k : keys_)
+    revisionsOut.insert(core::qstr(k.first), static_cast<qint64>(k.second.revision));
+  return QJsonObject{{"link", core::qstr(partialView_.self().link)},
+                     {"zone", core::qstr(partialView_.self().zone)},
+                     {"standing", servingLease(now)},
+                     {"ready", ready(now)},
+                     {"draining", draining_},
+                     {"whole", whole_},
+                     {"rosterSize", static_cast<qint64>(rosterSize())},
+                     {"inHand", static_cast<qint64>(calls_.size())},
                      {"stamps", revisionsOut}};
 }
 
-}  // namespace corkward::data plane
+}  // namespace corkward::dataplane
--- a/dataplane/src/stream.cpp
+++ b/dataplane/src/stream.cpp
@@ -66,8 +66,9 @@
   if (head.foreign) return over(End::broken);
   if (resuming_) {
     if (row_ && head.notRun) return over(End::notRun);
-    bool const same = row_ ? head.status >= 200 && head.status < 300 && head.events && !unnumbered_
-                           : head.status == 206 && !head.run.empty() && head.run == run_ && head.offset == std::to_string(offset_);
+    bool const same =
+        row_ ? head.status >= 200 && head.status < 300 && head.events && !unnumbered_
+             : head.status == 206 && !head.run.empty() && head.run == run_ && head.offset == std::to_string(offset_);
     if (!same) return over(row_ && head.failed ? End::broken : End::otherRun);
     if (row_) {
       head_.length = head.length;
@@ -138,7 +139,8 @@
 
 void Stream::line(std::size_t from, std::size_t to) {
   std::string::const_iterator const first = tail_.cbegin() + static_cast<std::ptrdiff_t>(from);
-  std::size_t const nameEnd = from + static_cast<std::size_t>(std::find(first, tail_.cbegin() + static_cast<std::ptrdiff_t>(to), ':') - first);
+  std::size_t const nameEnd =
+      from + static_cast<std::size_t>(std::find(first, tail_.cbegin() + static_cast<std::ptrdiff_t>(to), ':') - first);
   if (tail_.compare(from, nameEnd - from, "data") == 0) event_.data = true;
   if (tail_.compare(from, nameEnd - from, "id") != 0) return;
   std::size_t value = std::min(nameEnd + 1, to);
@@ -182,4 +184,4 @@
   return out;
 }
 
-}  // namespace corkward::data plane
+}  // namespace corkward::dataplane
--- a/dataplane/src/warm.cpp
+++ b/dataplane/src/warm.cpp
@@ -16,8 +16,8 @@
   for (std::size_t p = 0; p < poolViews_.size(); ++p) {
     for (Index const r : poolViews_[p].replicas) {
       Warm& w = warm_.try_emplace(r).first->second;
-      bool const want = !draining_ && whole_ && replicas_[r].state == config::ReplicaState::cold && replicas_[r].listed &&
-                        !evacuated(replicas_[r].zone);
+      bool const want = !draining_ && whole_ && replicas_[r].state == config::ReplicaState::cold &&
+                        replicas_[r].listed && !evacuated(replicas_[r].zone);
       if (!want) {
         poolViews_[p].changed = poolViews_[p].changed || now < w.until;
         w.until = -1;
@@ -34,7 +34,8 @@
       if (!held && now - openSince < rank * 2 * tuning_.warmEvery) continue;
       if (w.grants.size() > 8) w.grants.erase(w.grants.begin());
       for (std::string const& s : subs)
-        out.sends.push_back(transport::Send{s, transport::WarmAsk{now, name, partialView_.self().link, partialView_.self().inc, false, ""}});
+        out.sends.push_back(transport::Send{
+            s, transport::WarmAsk{now, name, partialView_.self().link, partialView_.self().inc, false, ""}});
     }
   }
 }
@@ -62,4 +63,4 @@
   refreshCandidates(out, now);
 }
 
-}  // namespace corkward::data plane
+}  // namespace corkward::dataplane
--- a/dataplane/test/grey_test.cpp
+++ b/dataplane/test/grey_test.cpp
@@ -18,7 +18,9 @@
 
 enum class Fate { whole, broken, failed, rejected, slow, forgotten };
 
-std::string addressOf(int replica) { return "10.0.0." + std::to_string(replica) + ":80"; }
+std::string addressOf(int replica) {
+  return "10.0.0." + std::to_string(replica) + ":80";
+}
 
 /// One node whose requests to one pool end as the fates say.
 struct Load {
@@ -63,7 +65,8 @@
       list.append(QJsonObject{{"address", core::qstr(addressOf(i))}, {"zone", "z1"}, {"state", "serving"}});
     QJsonObject const spec = core::parseJson(R"({"version":1,"pools":[{"name":"model"}],"paths":[
       {"name":"o","host":"h","prefix":"/once/","kind":"once","deadlineMs":3000,"aimMs":200,"pool":"model"},
-      {"name":"r","host":"h","prefix":"/again/","kind":"repeatable","deadlineMs":3000,"aimMs":200,"tries":2,"pool":"model"}]})").toObject();
+      {"name":"r","host":"h","prefix":"/again/","kind":"repeatable","deadlineMs":3000,"aimMs":200,"tries":2,"pool":"model"}]})")
+                                 .toObject();
     transport::News news;
     news.number = 1;
     news.whole = true;
@@ -90,7 +93,9 @@
     ++connects[m.address];
     at[m.call] = m.address;
     bool const refuse = fate(m.address) == Fate::rejected;
-    after(1, [this, call = m.call, refuse] { run(refuse ? reducer.connectRejected(now, call) : reducer.connected(now, call)); });
+    after(1, [this, call = m.call, refuse] {
+      run(refuse ? reducer.connectRejected(now, call) : reducer.connected(now, call));
+    });
   }
   void act(dataplane::HandOver const& m) {
     std::string const address = at.at(m.call);
@@ -106,7 +111,9 @@
         dataplane::Commands const c = reducer.failed(now, call);
         run(c);
         for (dataplane::CallCommand const& v : c.calls)
-          if (dataplane::Connect const* const again = std::get_if<dataplane::Connect>(&v); again != nullptr && again->call == call) return;
+          if (dataplane::Connect const* const again = std::get_if<dataplane::Connect>(&v);
+              again != nullptr && again->call == call)
+            return;
         ++passedOn;
       }
       run(reducer.firstWord(now, call, false));
@@ -188,7 +195,9 @@
 
 TEST_CASE("a replica that goes down and up by turns is tried less and less often") {
   Load load(10, 5);
-  load.fate = [&](std::string const& a) { return a == addressOf(3) && (load.now / 700) % 2 == 0 ? Fate::rejected : Fate::whole; };
+  load.fate = [&](std::string const& a) {
+    return a == addressOf(3) && (load.now / 700) % 2 == 0 ? Fate::rejected : Fate::whole;
+  };
   load.go(30000, 5);
   load.reached.clear();
   load.connects.clear();
@@ -205,7 +214,8 @@
   load.reached.clear();
   load.go(20000, 5);
   CHECK(load.distrusts > 9);
-  CHECK(std::all_of(load.rejected.begin(), load.rejected.end(), [](dataplane::Reject const& d) { return d.status == 502; }));
+  CHECK(std::all_of(load.rejected.begin(), load.rejected.end(),
+                    [](dataplane::Reject const& d) { return d.status == 502; }));
   for (int r = 1; r <= 9; ++r) CHECK(load.share(r) > 0.5 / 9);
 }
 
@@ -259,7 +269,9 @@
 
 TEST_CASE("a kept connection that was forgotten says nothing of its replica") {
   Load load(10, 11);
-  load.fate = [&](std::string const& a) { return a == addressOf(3) && load.rng.chance(0.5) ? Fate::forgotten : Fate::whole; };
+  load.fate = [&](std::string const& a) {
+    return a == addressOf(3) && load.rng.chance(0.5) ? Fate::forgotten : Fate::whole;
+  };
   load.path = "/again/";
   load.go(20000, 5);
   CHECK(load.distrusts == 0);
--- a/dataplane/test/prompt_test.cpp
+++ b/dataplane/test/prompt_test.cpp
@@ -36,9 +36,12 @@
     reducer.started(0);
     QJsonArray list;
     for (int i = 1; i <= replicas; ++i)
-      list.append(QJsonObject{{"address", core::qstr("10.0.0." + std::to_string(i) + ":80")}, {"zone", "z1"}, {"state", "serving"}});
-    QJsonObject const spec = core::parseJson(R"({"version":1,"pools":[{"name":"model","slots":24,"tokens":400000}],"paths":[
-      {"name":"s","host":"h","prefix":"/p/","kind":"stream","deadlineMs":12000,"aimMs":600,"pool":"model","affine":true}]})").toObject();
+      list.append(QJsonObject{
+          {"address", core::qstr("10.0.0." + std::to_string(i) + ":80")}, {"zone", "z1"}, {"state", "serving"}});
+    QJsonObject const spec =
+        core::parseJson(R"({"version":1,"pools":[{"name":"model","slots":24,"tokens":400000}],"paths":[
+      {"name":"s","host":"h","prefix":"/p/","kind":"stream","deadlineMs":12000,"aimMs":600,"pool":"model","affine":true}]})")
+            .toObject();
     transport::News news;
     news.number = 1;
     news.whole = true;
--- a/dataplane/test/regimes_test.cpp
+++ b/dataplane/test/regimes_test.cpp
@@ -16,7 +16,9 @@
 
 constexpr std::int64_t wall0 = 1800000000000;
 
-std::string timeText(std::int64_t wall) { return core::str(QDateTime::fromMSecsSinceEpoch(wall, Qt::UTC).toString(Qt::ISODate)); }
+std::string timeText(std::int64_t wall) {
+  return core::str(QDateTime::fromMSecsSinceEpoch(wall, Qt::UTC).toString(Qt::ISODate));
+}
 
 struct Life {
   char const* address;
@@ -32,18 +34,30 @@
   return QJsonObject{{"generation", generation}, {"coldRate", 2.0}, {"replicas", rows}};
 }
 
-QJsonObject certificates(std::vector<std::pair<char const*, std::int64_t>> const& zones, char const* routers = "any", double reserve = 0.5) {
+QJsonObject certificates(std::vector<std::pair<char const*, std::int64_t>> const& zones, char const* routers = "any",
+                         double reserve = 0.5) {
   QJsonObject all;
   for (std::pair<char const*, std::int64_t> const& z : zones)
-    all.insert(z.first, QJsonObject{{"regime", "health"}, {"carrier", "replicas"}, {"pool", "model"}, {"zone", z.first}, {"until", core::qstr(timeText(z.second))}});
-  return QJsonObject{{"spec", QJsonObject{{"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", routers}, {"reserve", reserve}}}}}, {"certificates", all}}}};
+    all.insert(z.first, QJsonObject{{"regime", "health"},
+                                    {"carrier", "replicas"},
+                                    {"pool", "model"},
+                                    {"zone", z.first},
+                                    {"until", core::qstr(timeText(z.second))}});
+  return QJsonObject{
+      {"spec",
+       QJsonObject{{"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", routers}, {"reserve", reserve}}}}},
+                   {"certificates", all}}}};
 }
 
 QJsonObject family(char const* regime) {
-  QJsonObject spec = core::parseJson(R"({"paths":[{"path":"a","pool":"model","class":"short"},{"path":"r","pool":"model","class":"short","resumable":true},
-    {"path":"e","pool":"model","class":"long","resumable":true,"events":true},{"path":"f","pool":"model","class":"long","events":true}]})").toObject();
+  QJsonObject spec =
+      core::parseJson(
+          R"({"paths":[{"path":"a","pool":"model","class":"short"},{"path":"r","pool":"model","class":"short","resumable":true},
+    {"path":"e","pool":"model","class":"long","resumable":true,"events":true},{"path":"f","pool":"model","class":"long","events":true}]})")
+          .toObject();
   if (*regime != 0) spec.insert("regime", regime);
-  return QJsonObject{{"template", QJsonObject{{"stamp", 1}, {"spec", spec}}}, {"instances", QJsonObject{{"nord", QJsonObject{{"stamp", 1}, {"spec", QJsonObject{}}}}}}};
+  return QJsonObject{{"template", QJsonObject{{"stamp", 1}, {"spec", spec}}},
+                     {"instances", QJsonObject{{"nord", QJsonObject{{"stamp", 1}, {"spec", QJsonObject{}}}}}}};
 }
 
 /// One router with a bound tenant (law) and a free one (desk); zones z1 and z2 of three are certified.
@@ -68,7 +82,11 @@
     return t;
   }
   static std::vector<Life> lives() {
-    return {{"10.0.0.1:80", "L1", "z1"}, {"10.0.0.2:80", "L2", "z2"}, {"10.0.0.3:80", "L3", "z3"}, {"10.0.0.4:80", "L4", "z3"}, {"10.0.0.5:80", "L5", "z3"}};
+    return {{"10.0.0.1:80", "L1", "z1"},
+            {"10.0.0.2:80", "L2", "z2"},
+            {"10.0.0.3:80", "L3", "z3"},
+            {"10.0.0.4:80", "L4", "z3"},
+            {"10.0.0.5:80", "L5", "z3"}};
   }
   explicit Rig(dataplane::Tuning const& tuning = kept(), bool told = true) : reducer(self(), {"s1"}, 7, tuning) {
     reducer.started(0);
@@ -125,7 +143,8 @@
   }
   template <class T>
   static std::size_t count(dataplane::Commands const& c) {
-    return static_cast<std::size_t>(std::count_if(c.calls.begin(), c.calls.end(), [](dataplane::CallCommand const& v) { return std::holds_alternative<T>(v); }));
+    return static_cast<std::size_t>(std::count_if(
+        c.calls.begin(), c.calls.end(), [](dataplane::CallCommand const& v) { return std::holds_alternative<T>(v); }));
   }
   template <class T>
   static T find(dataplane::Commands const& c) {
@@ -135,12 +154,15 @@
     return T{};
   }
   bool rejectedNotRun() const {
-    return count<dataplane::Reject>(last) == 1 && count<dataplane::HandOver>(last) == 0 && find<dataplane::Reject>(last).status == 503 && find<dataplane::Reject>(last).notRun &&
+    return count<dataplane::Reject>(last) == 1 && count<dataplane::HandOver>(last) == 0 &&
+           find<dataplane::Reject>(last).status == 503 && find<dataplane::Reject>(last).notRun &&
            find<dataplane::Reject>(last).retryAfter > 0;
   }
 };
 
-bool certifiedAddress(std::string const& a) { return a == "10.0.0.1:80" || a == "10.0.0.2:80"; }
+bool certifiedAddress(std::string const& a) {
+  return a == "10.0.0.1:80" || a == "10.0.0.2:80";
+}
 
 }  // namespace
 
@@ -175,8 +197,12 @@
 
 TEST_CASE("a router that is not sure rejects a regime's requests at once, and others not") {
   dataplane::Tuning plain = Rig::kept();
-  SECTION("records cannot be kept") { plain.records = false; }
-  SECTION("there is no fence") { plain.fenced = false; }
+  SECTION("records cannot be kept") {
+    plain.records = false;
+  }
+  SECTION("there is no fence") {
+    plain.fenced = false;
+  }
   Rig rig(plain, plain.records == false || plain.fenced == false);
   if (plain.records && plain.fenced) {
     SECTION("no wall time was told") {}
@@ -190,7 +216,10 @@
     }
     SECTION("the list tells no lives") {
       rig.reducer.wallTime(rig.now, wall0);
-      rig.news("pool:model", core::parseJson(R"({"generation":2,"replicas":[{"address":"10.0.0.1:80","zone":"z1","state":"serving"}]})").toObject());
+      rig.news(
+          "pool:model",
+          core::parseJson(R"({"generation":2,"replicas":[{"address":"10.0.0.1:80","zone":"z1","state":"serving"}]})")
+              .toObject());
     }
   }
   rig.ask();
@@ -204,7 +233,11 @@
   QJsonObject value = certificates({{"z1", wall0 + 1000000}}, "certified");
   QJsonObject spec = value.value("spec").toObject();
   QJsonObject all = spec.value("certificates").toObject();
-  all.insert("mine", QJsonObject{{"regime", "health"}, {"carrier", "nacelles"}, {"zone", "z1"}, {"link", "n1"}, {"until", core::qstr(timeText(wall0 + 200000))}});
+  all.insert("mine", QJsonObject{{"regime", "health"},
+                                 {"carrier", "nacelles"},
+                                 {"zone", "z1"},
+                                 {"link", "n1"},
+                                 {"until", core::qstr(timeText(wall0 + 200000))}});
   spec.insert("certificates", all);
   rig.news("certificates", QJsonObject{{"spec", spec}});
   CHECK(Rig::count<dataplane::Connect>(rig.ask()) == 1);
@@ -323,7 +356,9 @@
     rig.now += 1600;
     rig.last = rig.reducer.clockEvent(rig.now);
   }
-  SECTION("the regime is gone") { rig.news("certificates", QJsonObject{}); }
+  SECTION("the regime is gone") {
+    rig.news("certificates", QJsonObject{});
+  }
   SECTION("all certificates have ended") {
     rig.reducer.wallTime(rig.now, wall0 + 950000);
     rig.pass(1100);
--- a/dataplane/test/request_router_test.cpp
+++ b/dataplane/test/request_router_test.cpp
@@ -40,20 +40,24 @@
     news.items = {{"cohort", 1, core::parseJson(R"({"members":[{"id":"m1","link":"s1"}]})").toObject()},
                   {"roster", rosterRevision, roster(rosterRevision == 1)},
                   {"pool:model", 1, pool(1, "serving")},
-                  {"family:desk", 1, core::parseJson(R"({"template":{"stamp":1,"spec":{"paths":[
+                  {"family:desk", 1,
+                   core::parseJson(R"({"template":{"stamp":1,"spec":{"paths":[
                      {"path":"a","pool":"model","class":"short"},{"path":"r","pool":"model","class":"short","resumable":true}]}},
-                     "instances":{"nord":{"stamp":1,"spec":{}},"sued":{"stamp":1,"spec":{}}}})").toObject()}};
+                     "instances":{"nord":{"stamp":1,"spec":{}},"sued":{"stamp":1,"spec":{}}}})")
+                       .toObject()}};
     reducer.arrived(now, "s1", news);
     confirm();
   }
   static QJsonObject roster(bool before) {
-    return core::parseJson(R"({"nodes":[{"link":"n1"},{"link":"n2"},{"link":"n3"}],"previous":[)" + std::string(before ? R"({"link":"n1"},)" : "") +
-                           R"({"link":"n2"},{"link":"n3"}]})")
+    return core::parseJson(R"({"nodes":[{"link":"n1"},{"link":"n2"},{"link":"n3"}],"previous":[)" +
+                           std::string(before ? R"({"link":"n1"},)" : "") + R"({"link":"n2"},{"link":"n3"}]})")
         .toObject();
   }
   static QJsonObject pool(int generation, char const* state) {
-    return core::parseJson(R"({"generation":)" + std::to_string(generation) + R"(,"replicas":[{"address":"10.0.0.1:80","zone":"z1","state":")" + state +
-                           R"("},{"address":"10.0.0.2:80","zone":"z2","state":"serving"},{"address":"10.0.0.3:80","zone":"z2","state":"serving"}]})")
+    return core::parseJson(
+               R"({"generation":)" + std::to_string(generation) +
+               R"(,"replicas":[{"address":"10.0.0.1:80","zone":"z1","state":")" + state +
+               R"("},{"address":"10.0.0.2:80","zone":"z2","state":"serving"},{"address":"10.0.0.3:80","zone":"z2","state":"serving"}]})")
         .toObject();
   }
   /// A list of that generation which serves all but one.
@@ -69,7 +73,8 @@
     c.inTouch = true;
     reducer.arrived(now, "s1", c);
   }
-  dataplane::Commands ask(std::string const& id, std::uint64_t attempt = 1, std::string const& instance = "desk.nord", std::string const& path = "a") {
+  dataplane::Commands ask(std::string const& id, std::uint64_t attempt = 1, std::string const& instance = "desk.nord",
+                          std::string const& path = "a") {
     dataplane::Request r;
     r.call = next++;
     r.instance = instance;
@@ -162,7 +167,8 @@
   REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
   CHECK(Rig::find<dataplane::HandOver>(rig.reducer.connected(rig.now, 1)) != nullptr);
   dataplane::Commands const clock = rig.reducer.clockEvent(rig.now);
-  CHECK(std::any_of(clock.sends.begin(), clock.sends.end(), [](transport::Send const& s) { return std::holds_alternative<transport::Ask>(s.message); }));
+  CHECK(std::any_of(clock.sends.begin(), clock.sends.end(),
+                    [](transport::Send const& s) { return std::holds_alternative<transport::Ask>(s.message); }));
   news.items = {{"zone:z1", 1, QJsonObject{{"evacuated", true}}}};
   rig.reducer.arrived(rig.now, "s1", news);
   CHECK(rig.reducer.servingLease(rig.now));
@@ -294,10 +300,12 @@
 namespace {
 
 /// Answers every question about an id as the given nodes would.
-dataplane::Commands echo(Rig& rig, dataplane::Commands const& asked, std::string const& link, bool clear, bool known = false, std::vector<std::string> claimants = {}) {
+dataplane::Commands echo(Rig& rig, dataplane::Commands const& asked, std::string const& link, bool clear,
+                         bool known = false, std::vector<std::string> claimants = {}) {
   for (transport::Send const& s : asked.sends)
     if (transport::SeenAsk const* const m = std::get_if<transport::SeenAsk>(&s.message); m != nullptr && s.to == link)
-      return rig.reducer.arrived(rig.now, link, transport::SeenEcho{m->token, link, clear, known, false, 70000, std::move(claimants)});
+      return rig.reducer.arrived(rig.now, link,
+                                 transport::SeenEcho{m->token, link, clear, known, false, 70000, std::move(claimants)});
   return {};
 }
 
@@ -400,16 +408,17 @@
 TEST_CASE("a confirmation by digest counts when the digest is one that this router has or had") {
   Rig rig;
   transport::Revisions const first{{"cohort", 1}, {"family:desk", 1}, {"pool:model", 1}, {"roster", 1}};
-  std::function<bool(transport::Digest const&, transport::Revisions const&)> const counts = [&](transport::Digest const& digest, transport::Revisions const& revisions) {
-    rig.now += 2000;
-    transport::Confirm c;
-    c.tick = rig.now;
-    c.inTouch = true;
-    c.digest = digest;
-    c.revisions = revisions;
-    rig.reducer.arrived(rig.now, "s1", c);
-    return rig.reducer.servingLease(rig.now);
-  };
+  std::function<bool(transport::Digest const&, transport::Revisions const&)> const counts =
+      [&](transport::Digest const& digest, transport::Revisions const& revisions) {
+        rig.now += 2000;
+        transport::Confirm c;
+        c.tick = rig.now;
+        c.inTouch = true;
+        c.digest = digest;
+        c.revisions = revisions;
+        rig.reducer.arrived(rig.now, "s1", c);
+        return rig.reducer.servingLease(rig.now);
+      };
   CHECK(counts(transport::digestOf(first), {}));
   transport::Revisions newer = first;
   newer["zone:z2"] = 1;
@@ -461,7 +470,9 @@
   CHECK(echo->ages == std::string{'\x00', '\x0a', '\x32', '\xff', '\x5a'});
 }
 
-TEST_CASE("a node that restarts without control stands on a majority of others, itself not counted until control vouches for it") {
+TEST_CASE(
+    "a node that restarts without control stands on a majority of others, itself not counted until control vouches for "
+    "it") {
   dataplane::RequestRouter reducer(Rig::self(), {"s1"}, 7);
   reducer.started(1000);
   QJsonArray nodes;
@@ -617,7 +628,8 @@
       reducer.started(0);
       transport::News news;
       news.whole = true;
-      news.items = {{"pool:model", 1, Rig::pool(1, "serving")}, {"family:desk", 1, donor.reducer.valueOf("family:desk")}};
+      news.items = {{"pool:model", 1, Rig::pool(1, "serving")},
+                    {"family:desk", 1, donor.reducer.valueOf("family:desk")}};
       reducer.arrived(0, "s1", news);
       went.emplace_back();
       for (std::uint64_t i = 0; i < 3; ++i) {
@@ -686,7 +698,9 @@
   SECTION("a body shorter or longer than its length is broken") {
     s.head({200, {}, 4});
     CHECK_FALSE(s.piece("abc").ended);
-    SECTION("shorter") { CHECK(s.ended(true).ended == dataplane::End::broken); }
+    SECTION("shorter") {
+      CHECK(s.ended(true).ended == dataplane::End::broken);
+    }
     SECTION("longer") {
       dataplane::StreamSteps const longer = s.piece("de");
       CHECK(longer.ended == dataplane::End::broken);
@@ -708,13 +722,17 @@
 
 TEST_CASE("well-typed messages with absurd values break no invariant and give no serving lease") {
   core::Rng rng(17);
-  std::vector<std::string> const names{"n1", "n2", "s1", "m1", "roster", "cohort", "pool:model", "family:desk", "zone:z1", "model", "x", "", "model|10.0.0.1:80"};
+  std::vector<std::string> const names{
+      "n1",          "n2",      "s1",    "m1", "roster", "cohort",           "pool:model",
+      "family:desk", "zone:z1", "model", "x",  "",       "model|10.0.0.1:80"};
   for (int round = 0; round < 40; ++round) {
     Rig rig;
     for (int i = 0; i < 500; ++i) {
       rig.now += static_cast<core::Tick>(rng.below(60));
       std::string const from = names[rng.below(names.size())];
-      rig.reducer.arrived(rig.now, from, transport::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<transport::Message>)));
+      rig.reducer.arrived(
+          rig.now, from,
+          transport::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<transport::Message>)));
       if (i % 5 == 0) rig.ask("f" + std::to_string(i), rng.below(3));
       if (i % 7 == 0) rig.reducer.connected(rig.now, rng.below(rig.next));
       if (i % 9 == 0) rig.reducer.clockEvent(rig.now);
@@ -734,9 +752,14 @@
   for (std::uint64_t g = 2; g < 400; ++g) {
     std::string const n = std::to_string(g);
     transport::News news;
-    QJsonObject pool = core::parseJson(R"({"generation":)" + n + R"(,"replicas":[{"address":"10.1.0.1:)" + n + R"(","zone":"z1","state":"serving"}]})").toObject();
-    QJsonObject family = core::parseJson(R"({"template":{"stamp":1,"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]}},"instances":{"i)" + n +
-                                         R"(":{"stamp":1,"spec":{}}}})").toObject();
+    QJsonObject pool = core::parseJson(R"({"generation":)" + n + R"(,"replicas":[{"address":"10.1.0.1:)" + n +
+                                       R"(","zone":"z1","state":"serving"}]})")
+                           .toObject();
+    QJsonObject family =
+        core::parseJson(
+            R"({"template":{"stamp":1,"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]}},"instances":{"i)" +
+            n + R"(":{"stamp":1,"spec":{}}}})")
+            .toObject();
     news.items = {{"pool:model", g, pool}, {"family:desk", g, family}};
     rig.reducer.arrived(rig.now, "s1", news);
     rig.confirm();
@@ -768,7 +791,8 @@
   dataplane::Tuning tuning;
   tuning.seenBound = 50;
   Rig rig(tuning);
-  for (std::uint64_t i = 0; i < 300; ++i) rig.reducer.arrived(rig.now, "n2", transport::SeenAsk{i, "desk.nord|" + std::to_string(i), 0, 0, "n2#1"});
+  for (std::uint64_t i = 0; i < 300; ++i)
+    rig.reducer.arrived(rig.now, "n2", transport::SeenAsk{i, "desk.nord|" + std::to_string(i), 0, 0, "n2#1"});
   rig.now += 11000;
   rig.reducer.clockEvent(rig.now);
   CHECK(rig.reducer.held().ids <= 50);
@@ -809,26 +833,34 @@
   void list(std::set<int> const& serving) {
     replicas = serving;
     QJsonArray out;
-    for (int const r : replicas) out.append(QJsonObject{{"address", core::qstr(address(r))}, {"zone", "z1"}, {"state", "serving"}});
+    for (int const r : replicas)
+      out.append(QJsonObject{{"address", core::qstr(address(r))}, {"zone", "z1"}, {"state", "serving"}});
     transport::News news;
     news.number = ++revision;
     news.whole = revision == 1;
     if (news.whole)
-      news.items = {{"family:desk", 1, core::parseJson(R"({"template":{"stamp":1,"spec":{"paths":[{"path":"a","pool":"model","class":"short","aimMs":8000}]}},
-                       "instances":{"nord":{"stamp":1,"spec":{}},"sued":{"stamp":1,"spec":{}},"west":{"stamp":1,"spec":{}}}})").toObject()}};
-    news.items.push_back({"pool:model", revision, QJsonObject{{"generation", static_cast<qint64>(revision)}, {"replicas", out}}});
+      news.items = {
+          {"family:desk", 1,
+           core::parseJson(
+               R"({"template":{"stamp":1,"spec":{"paths":[{"path":"a","pool":"model","class":"short","aimMs":8000}]}},
+                       "instances":{"nord":{"stamp":1,"spec":{}},"sued":{"stamp":1,"spec":{}},"west":{"stamp":1,"spec":{}}}})")
+               .toObject()}};
+    news.items.push_back(
+        {"pool:model", revision, QJsonObject{{"generation", static_cast<qint64>(revision)}, {"replicas", out}}});
     reducer.arrived(now, "s1", news);
     lookAtCandidates();
   }
   void lookAtCandidates() {
     std::vector<corkward::scaling::Candidate> all;
-    for (int const r : replicas) all.push_back({static_cast<core::Index>(r), false, core::stableHash("model|" + address(r))});
+    for (int const r : replicas)
+      all.push_back({static_cast<core::Index>(r), false, core::stableHash("model|" + address(r))});
     for (std::map<std::string, corkward::scaling::Scaler>::value_type& s : scalers) s.second.candidates(all);
   }
   corkward::scaling::Scaler& scaler(std::string const& tenant) {
     std::map<std::string, corkward::scaling::Scaler>::iterator it = scalers.find(tenant);
     if (it != scalers.end()) return it->second;
-    it = scalers.emplace(tenant, corkward::scaling::Scaler(seed ^ core::stableHash("n1desk." + tenant), tuning.figures)).first;
+    it = scalers.emplace(tenant, corkward::scaling::Scaler(seed ^ core::stableHash("n1desk." + tenant), tuning.figures))
+             .first;
     lookAtCandidates();
     return it->second;
   }
@@ -864,9 +896,10 @@
     std::string const metrics = reducer.metrics(now);
     for (std::map<std::string, corkward::scaling::Scaler>::value_type const& s : scalers) {
       std::string const labels = "{instance=\"desk." + s.first + "\",pool=\"model\"} ";
-      for (std::string const& line : {"corkward_nacelle_part" + labels + std::to_string(s.second.part().size()) + "\n",
-                                      "corkward_nacelle_cap" + labels + std::to_string(s.second.cap()) + "\n",
-                                      "corkward_nacelle_in_flight" + labels + std::to_string(s.second.inFlight()) + "\n"}) {
+      for (std::string const& line :
+           {"corkward_nacelle_part" + labels + std::to_string(s.second.part().size()) + "\n",
+            "corkward_nacelle_cap" + labels + std::to_string(s.second.cap()) + "\n",
+            "corkward_nacelle_in_flight" + labels + std::to_string(s.second.inFlight()) + "\n"}) {
         CAPTURE(now, line, metrics);
         REQUIRE(metrics.find(line) != std::string::npos);
       }
@@ -901,7 +934,8 @@
       for (std::map<std::string, corkward::scaling::Scaler>::value_type& s : twins.scalers) s.second.look(twins.now, 0);
     }
     twins.compare();
-    for (std::map<std::string, corkward::scaling::Scaler>::value_type const& s : twins.scalers) widest = std::max(widest, s.second.part().size());
+    for (std::map<std::string, corkward::scaling::Scaler>::value_type const& s : twins.scalers)
+      widest = std::max(widest, s.second.part().size());
     allAsleep += twins.scalers.size() == 3 && twins.reducer.held().creditsAwake == 0 ? 1 : 0;
   }
   CHECK(widest >= 3);
@@ -922,7 +956,8 @@
       return true;
     });
     for (transport::Send const& s : rig.reducer.clockEvent(rig.now).sends) {
-      if (transport::Ask const* const ask = std::get_if<transport::Ask>(&s.message); ask != nullptr && rig.now < silentFrom) {
+      if (transport::Ask const* const ask = std::get_if<transport::Ask>(&s.message);
+          ask != nullptr && rig.now < silentFrom) {
         transport::Confirm c;
         c.tick = ask->tick;
         c.inTouch = true;
--- a/dataplane/test/stream_test.cpp
+++ b/dataplane/test/stream_test.cpp
@@ -23,7 +23,9 @@
   return out;
 }
 
-dataplane::Head rowHead() { return {.status = 200, .fields = {{"content-type", "text/event-stream"}}, .events = true}; }
+dataplane::Head rowHead() {
+  return {.status = 200, .fields = {{"content-type", "text/event-stream"}}, .events = true};
+}
 
 /// What a caller has after the steps.
 struct Caller {
@@ -91,15 +93,25 @@
   s.ended(false);
   s.connecting(true);
   CHECK_FALSE(s.head(rowHead()).ended);
-  SECTION("repeated") { c.take(s.piece("id: 10\ndata: b\n\n")); }
-  SECTION("earlier") { c.take(s.piece("id: 9\ndata: a\n\n")); }
-  SECTION("earlier with zeros before it") { c.take(s.piece("id: 009\ndata: a\n\n")); }
+  SECTION("repeated") {
+    c.take(s.piece("id: 10\ndata: b\n\n"));
+  }
+  SECTION("earlier") {
+    c.take(s.piece("id: 9\ndata: a\n\n"));
+  }
+  SECTION("earlier with zeros before it") {
+    c.take(s.piece("id: 009\ndata: a\n\n"));
+  }
   SECTION("later and then repeated") {
     c.take(s.piece("id: 11\ndata: c\n\nid: 11\ndata: c\n\n"));
     CHECK(c.got == "id: 9\ndata: a\n\nid: 10\ndata: b\n\nid: 11\ndata: c\n\n");
   }
-  SECTION("without an id") { c.take(s.piece("data: c\n\n")); }
-  SECTION("with an id that has no order") { c.take(s.piece("id: x\ndata: c\n\n")); }
+  SECTION("without an id") {
+    c.take(s.piece("data: c\n\n"));
+  }
+  SECTION("with an id that has no order") {
+    c.take(s.piece("id: x\ndata: c\n\n"));
+  }
   SECTION("as the last one, not closed by a blank line") {
     c.take(s.piece("id: 10\ndata: b\n"));
     CHECK_FALSE(c.end);
@@ -118,10 +130,18 @@
   s.piece("id: 1\ndata: a\n\n");
   s.ended(false);
   s.connecting(true);
-  SECTION("another status") { CHECK(s.head({.status = 500, .events = true}).ended == dataplane::End::otherRun); }
-  SECTION("another type") { CHECK(s.head({.status = 200}).ended == dataplane::End::otherRun); }
-  SECTION("said not to have run") { CHECK(s.head({.status = 503, .notRun = true}).ended == dataplane::End::notRun); }
-  SECTION("an answer to another request") { CHECK(s.head({.status = 200, .foreign = true, .events = true}).ended == dataplane::End::broken); }
+  SECTION("another status") {
+    CHECK(s.head({.status = 500, .events = true}).ended == dataplane::End::otherRun);
+  }
+  SECTION("another type") {
+    CHECK(s.head({.status = 200}).ended == dataplane::End::otherRun);
+  }
+  SECTION("said not to have run") {
+    CHECK(s.head({.status = 503, .notRun = true}).ended == dataplane::End::notRun);
+  }
+  SECTION("an answer to another request") {
+    CHECK(s.head({.status = 200, .foreign = true, .events = true}).ended == dataplane::End::broken);
+  }
   SECTION("shorter than its length") {
     s.head({.status = 200, .length = 99, .events = true});
     s.piece("id: 2\ndata: b\n\n");
@@ -183,9 +203,15 @@
   bool const asEvents = GENERATE(false, true);
   if (asEvents) s.asEvents("");
   s.connecting(false);
-  SECTION("empty") { c.take(s.head({.status = 200, .length = 0, .events = asEvents})); }
-  SECTION("in chunks") { c.take(s.head({.status = 200, .events = asEvents})); }
-  SECTION("no body") { c.take(s.head({.status = 200, .length = 7, .bodiless = true})); }
+  SECTION("empty") {
+    c.take(s.head({.status = 200, .length = 0, .events = asEvents}));
+  }
+  SECTION("in chunks") {
+    c.take(s.head({.status = 200, .events = asEvents}));
+  }
+  SECTION("no body") {
+    c.take(s.head({.status = 200, .length = 7, .bodiless = true}));
+  }
   c.take(s.ended(true));
   CHECK(c.begun == 1);
   CHECK(c.finished == 1);
@@ -218,7 +244,9 @@
 
 TEST_CASE("random rows pass on a prefix of what came, whatever the pieces") {
   core::Rng rng(5);
-  constexpr char const* parts[] = {"id: 1", "id:2", "id", ":", "data: x", "\n", "\r", "\r\n", "\n\n", "id: 18446744073709551616", "\xEF\xBB\xBF", "id: -1", "event: e"};
+  constexpr char const* parts[] = {"id: 1",        "id:2",   "id",      ":",    "data: x",
+                                   "\n",           "\r",     "\r\n",    "\n\n", "id: 18446744073709551616",
+                                   "\xEF\xBB\xBF", "id: -1", "event: e"};
   for (int round = 0; round < 3000; ++round) {
     std::string bytes;
     for (std::uint64_t i = rng.below(40); i > 0; --i) bytes += parts[rng.below(std::size(parts))];
--- a/gossip/include/corkward/gossip/partial_view.h
+++ b/gossip/include/corkward/gossip/partial_view.h
@@ -39,7 +39,8 @@
   transport::Contact const& self() const { return self_; }
   void setSeeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
   std::vector<std::string> const& seeds() const { return seeds_; }
-  /// The routers that the roster of that revision names. What it says of them is left out between processes that go by it.
+  /// The routers that the roster of that revision names. What it says of them is left out between processes that go by
+  /// it.
   void setRoster(std::uint64_t revision, std::vector<transport::Contact> nodes);
   void setDraining() { self_.draining = true; }
   /// Contacts of a role, ages as of now.
@@ -70,4 +71,4 @@
   bool alike_ = false;
 };
 
-}  // namespace corkward::partial view
+}  // namespace corkward::gossip
--- a/gossip/src/partial_view.cpp
+++ b/gossip/src/partial_view.cpp
@@ -43,24 +43,26 @@
   seen.at = at;
   if (view_.size() <= viewBound) return;
   std::map<std::string, Seen>::iterator const oldest =
-      std::min_element(view_.begin(), view_.end(), [](std::map<std::string, Seen>::value_type const& a, std::map<std::string, Seen>::value_type const& b) {
-        return a.second.at < b.second.at;
-      });
+      std::min_element(view_.begin(), view_.end(),
+                       [](std::map<std::string, Seen>::value_type const& a,
+                          std::map<std::string, Seen>::value_type const& b) { return a.second.at < b.second.at; });
   view_.erase(oldest);
 }
 
 void PartialView::setRoster(std::uint64_t revision, std::vector<transport::Contact> nodes) {
-  std::sort(nodes.begin(), nodes.end(), [](transport::Contact const& a, transport::Contact const& b) { return a.link < b.link; });
+  std::sort(nodes.begin(), nodes.end(),
+            [](transport::Contact const& a, transport::Contact const& b) { return a.link < b.link; });
   rosterRevision_ = revision;
   roster_ = std::move(nodes);
   alike_ = false;
 }
 
 std::ptrdiff_t PartialView::place(transport::Contact const& contact) const {
-  std::vector<transport::Contact>::const_iterator const it = std::lower_bound(
-      roster_.begin(), roster_.end(), contact.link, [](transport::Contact const& c, std::string const& link) { return c.link < link; });
-  bool const same = it != roster_.end() && it->link == contact.link && it->http == contact.http && it->role == contact.role &&
-                    it->zone == contact.zone && it->draining == contact.draining;
+  std::vector<transport::Contact>::const_iterator const it =
+      std::lower_bound(roster_.begin(), roster_.end(), contact.link,
+                       [](transport::Contact const& c, std::string const& link) { return c.link < link; });
+  bool const same = it != roster_.end() && it->link == contact.link && it->http == contact.http &&
+                    it->role == contact.role && it->zone == contact.zone && it->draining == contact.draining;
   return same ? it - roster_.begin() : -1;
 }
 
@@ -80,13 +82,15 @@
     if (at < 0)
       shuffle.contacts.push_back(std::move(c));
     else
-      shuffle.known.insert(shuffle.known.end(), {static_cast<std::uint64_t>(at), c.inc, static_cast<std::uint64_t>(c.age)});
+      shuffle.known.insert(shuffle.known.end(),
+                           {static_cast<std::uint64_t>(at), c.inc, static_cast<std::uint64_t>(c.age)});
   }
   shuffle.contacts.push_back(self_);
   return shuffle;
 }
 
-std::vector<transport::Send> PartialView::arrived(Tick now, std::string const& from, transport::Shuffle const& shuffle) {
+std::vector<transport::Send> PartialView::arrived(Tick now, std::string const& from,
+                                                  transport::Shuffle const& shuffle) {
   alike_ = rosterRevision_ > 0 && shuffle.roster == rosterRevision_;
   for (transport::Contact const& c : shuffle.contacts) merge(now, c);
   for (std::size_t i = 0; alike_ && i + 2 < shuffle.known.size(); i += 3) {
@@ -151,4 +155,4 @@
   return a > suspectAfter ? ServingLease::suspected : ServingLease::alive;
 }
 
-}  // namespace corkward::partial view
+}  // namespace corkward::gossip
--- a/gossip/test/partial_view_test.cpp
+++ b/gossip/test/partial_view_test.cpp
@@ -20,7 +20,9 @@
   return c;
 }
 
-std::string node(int n) { return "10.0.0." + std::to_string(n) + ":7000"; }
+std::string node(int n) {
+  return "10.0.0." + std::to_string(n) + ":7000";
+}
 
 std::vector<transport::Contact> roster(int nodes) {
   std::vector<transport::Contact> out;
@@ -38,7 +40,9 @@
   std::uint64_t known = 0;
   std::uint64_t whole = 0;
 
-  void add(transport::Contact const& c, std::uint64_t seed) { all.emplace(c.link, gossip::PartialView(c, {node(1)}, seed)); }
+  void add(transport::Contact const& c, std::uint64_t seed) {
+    all.emplace(c.link, gossip::PartialView(c, {node(1)}, seed));
+  }
   void deliver(std::string const& from, std::vector<transport::Send> const& sends) {
     for (transport::Send const& s : sends) {
       transport::Message const m = s.message;
@@ -66,7 +70,9 @@
   draining.draining = true;
   transport::Contact elsewhere = contact(node(6));
   elsewhere.zone = "z2";
-  for (transport::Contact const& c : {contact(node(4)), draining, elsewhere, contact("10.0.9.1:7000", transport::controllerRole)}) sender.heard(1000, c);
+  for (transport::Contact const& c :
+       {contact(node(4)), draining, elsewhere, contact("10.0.9.1:7000", transport::controllerRole)})
+    sender.heard(1000, c);
   for (gossip::PartialView* const l : {&sender, &receiver}) l->setRoster(7, roster(8));
   stranger.setRoster(6, roster(7));
 
@@ -111,7 +117,8 @@
   CHECK(l.self().inc == 1700000000000);
 }
 
-TEST_CASE("views are the same whether a common roster shortens what is sent or not, and little older with two rosters") {
+TEST_CASE(
+    "views are the same whether a common roster shortens what is sent or not, and little older with two rosters") {
   std::vector<Fleet> fleets(3);
   for (Fleet& f : fleets) {
     for (int n = 1; n <= 30; ++n) f.add(contact(node(n)), static_cast<std::uint64_t>(n));
@@ -122,7 +129,8 @@
   }
   for (std::map<std::string, gossip::PartialView>::value_type& l : fleets[1].all) l.second.setRoster(1, roster(30));
   int turn = 0;
-  for (std::map<std::string, gossip::PartialView>::value_type& l : fleets[2].all) l.second.setRoster(++turn % 2 == 0 ? 2 : 3, roster(29));
+  for (std::map<std::string, gossip::PartialView>::value_type& l : fleets[2].all)
+    l.second.setRoster(++turn % 2 == 0 ? 2 : 3, roster(29));
   std::vector<core::Tick> ages(3, 0);
   for (int second = 0; second < 60; ++second) {
     for (std::size_t f = 0; f < fleets.size(); ++f) {
--- a/http/include/corkward/http/fields.h
+++ b/http/include/corkward/http/fields.h
@@ -24,4 +24,4 @@
 FieldList endToEnd(Fields const& fields);
 FieldList endToEnd(FieldList const& fields);
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/include/corkward/http/mapping.h
+++ b/http/include/corkward/http/mapping.h
@@ -57,4 +57,4 @@
   std::string rejectBody(dataplane::Reject const& reject) const override;
 };
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/include/corkward/http/operator_mapping.h
+++ b/http/include/corkward/http/operator_mapping.h
@@ -39,4 +39,4 @@
   WholeAnswer answer(transport::Call const& call, int status, QJsonObject const& body) const override;
 };
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/include/corkward/http/server.h
+++ b/http/include/corkward/http/server.h
@@ -70,7 +70,8 @@
   void answer(std::uint64_t id, int status, FieldList const& fields, std::string const& body);
   /// Starts an answer; length below zero: in chunks. An answer that has no body has none, whatever is told.
   /// @param reason words of the status; empty: the usual ones
-  void begin(std::uint64_t id, int status, FieldList const& fields, std::int64_t length, std::string const& reason = {});
+  void begin(std::uint64_t id, int status, FieldList const& fields, std::int64_t length,
+             std::string const& reason = {});
   void piece(std::uint64_t id, std::string const& bytes);
   /// The body's own end was seen.
   void finish(std::uint64_t id);
@@ -115,4 +116,4 @@
 /// Splits ip:port. Throws http::Error.
 std::pair<std::string, std::uint16_t> splitAddress(std::string const& address);
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/include/corkward/http/upstream_connection.h
+++ b/http/include/corkward/http/upstream_connection.h
@@ -67,7 +67,8 @@
  private:
   friend class UpstreamPool;
   struct State;
-  UpstreamConnection(std::string const& address, Events events, QObject* parent, UpstreamPool* upstreams, QTcpSocket* kept, bool rested = false);
+  UpstreamConnection(std::string const& address, Events events, QObject* parent, UpstreamPool* upstreams,
+                     QTcpSocket* kept, bool rested = false);
   void open();
   void attach();
   void ready();
@@ -83,4 +84,4 @@
   std::unique_ptr<State> state_;
 };
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/include/corkward/http/upstream_pool.h
+++ b/http/include/corkward/http/upstream_pool.h
@@ -23,8 +23,8 @@
   core::Tick freshIdleLimit = 0;
 };
 
-/// Lends connections to replicas. One goes back only when its request was written whole, its answer was whole with nothing
-/// after it, and neither side said that it ends; one that says anything while it is idle is thrown away.
+/// Lends connections to replicas. One goes back only when its request was written whole, its answer was whole with
+/// nothing after it, and neither side said that it ends; one that says anything while it is idle is thrown away.
 class UpstreamPool : public QObject {
  public:
   /// @param now monotonic milliseconds
@@ -60,4 +60,4 @@
   QTimer sweep_;
 };
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/src/fields.cpp
+++ b/http/src/fields.cpp
@@ -8,9 +8,17 @@
 
 namespace {
 
-constexpr std::array<char const*, 11> ofOneConnection{"connection", "keep-alive",        "proxy-connection", "proxy-authenticate",
-                                                     "proxy-authorization", "te",    "trailer",          "transfer-encoding",
-                                                     "upgrade",    "content-length", "expect"};
+constexpr std::array<char const*, 11> ofOneConnection{"connection",
+                                                      "keep-alive",
+                                                      "proxy-connection",
+                                                      "proxy-authenticate",
+                                                      "proxy-authorization",
+                                                      "te",
+                                                      "trailer",
+                                                      "transfer-encoding",
+                                                      "upgrade",
+                                                      "content-length",
+                                                      "expect"};
 
 template <class List>
 FieldList passedOn(List const& fields) {
@@ -47,7 +55,11 @@
   return it == fields.end() ? "" : it->second;
 }
 
-FieldList endToEnd(Fields const& fields) { return passedOn(fields); }
-FieldList endToEnd(FieldList const& fields) { return passedOn(fields); }
+FieldList endToEnd(Fields const& fields) {
+  return passedOn(fields);
+}
+FieldList endToEnd(FieldList const& fields) {
+  return passedOn(fields);
+}
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/src/mapping.cpp
+++ b/http/src/mapping.cpp
@@ -13,7 +13,9 @@
 constexpr char const* lastEventId = "last-event-id";
 
 bool number(std::string const& text, std::uint64_t most, std::uint64_t& out) {
-  if (text.empty() || text.size() > 12 || !std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; })) return false;
+  if (text.empty() || text.size() > 12 ||
+      !std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; }))
+    return false;
   out = std::stoull(text);
   return out <= most;
 }
@@ -30,7 +32,8 @@
 CallerRequest OwnMapping::callerRequest(Request const& request) const {
   if (request.target.rfind("/v1/", 0) != 0 || request.target.size() > 1024) return fault(404, "no such page");
   if (request.method != "POST") return fault(405, "POST is needed");
-  std::string const rest = request.target.substr(4, request.target.find('?') == std::string::npos ? std::string::npos : request.target.find('?') - 4);
+  std::string const rest = request.target.substr(
+      4, request.target.find('?') == std::string::npos ? std::string::npos : request.target.find('?') - 4);
   std::size_t const slash = rest.find('/');
   if (slash == std::string::npos || slash == 0 || slash + 1 == rest.size()) return fault(404, "no such page");
   dataplane::Request r;
@@ -57,7 +60,8 @@
   r.earlierReached = earlier == "not-run-reached";
   std::string const age = field(request.fields, "corkward-age-ms");
   std::uint64_t old = 0;
-  if (!age.empty() && !number(age, 99999999999, old)) return fault(400, "corkward-age-ms: must be a number from 0 to 99999999999");
+  if (!age.empty() && !number(age, 99999999999, old))
+    return fault(400, "corkward-age-ms: must be a number from 0 to 99999999999");
   r.age = age.empty() ? -1 : static_cast<core::Tick>(old);
   CallerRequest out;
   std::string const last = field(request.fields, lastEventId);
@@ -103,7 +107,8 @@
 FieldList OwnMapping::rejectFields(dataplane::Reject const& reject) const {
   FieldList out{{"content-type", "application/json"}, {"corkward-outcome", reject.notRun ? "not-run" : "unknown"}};
   if (reject.notRun) out.emplace_back("corkward-earlier", reject.reached ? "not-run-reached" : "not-run");
-  if (reject.retryAfter > 0) out.emplace_back("retry-after", core::str(QString::number(std::ceil(reject.retryAfter), 'f', 0)));
+  if (reject.retryAfter > 0)
+    out.emplace_back("retry-after", core::str(QString::number(std::ceil(reject.retryAfter), 'f', 0)));
   return out;
 }
 
@@ -113,4 +118,4 @@
   return core::jsonText(body) + "\n";
 }
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/src/operator_mapping.cpp
+++ b/http/src/operator_mapping.cpp
@@ -32,9 +32,10 @@
 WholeAnswer OwnOperatorMapping::answer(transport::Call const&, int status, QJsonObject const& body) const {
   WholeAnswer out{status, {{"content-type", "application/json"}}, core::jsonText(body) + "\n"};
   char const* const tag = body.contains("version") ? "version" : "stamp";
-  if (body.contains(tag) && status < 300) out.fields.emplace_back("etag", "\"" + std::to_string(body.value(tag).toInteger()) + "\"");
+  if (body.contains(tag) && status < 300)
+    out.fields.emplace_back("etag", "\"" + std::to_string(body.value(tag).toInteger()) + "\"");
   if (status == 503) out.fields.emplace_back("retry-after", "1");
   return out;
 }
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/src/server.cpp
+++ b/http/src/server.cpp
@@ -20,7 +20,9 @@
 
 constexpr int acceptAtOnce = 16;
 
-bool bodilessStatus(int status) { return status < 200 || status == 204 || status == 304; }
+bool bodilessStatus(int status) {
+  return status < 200 || status == 204 || status == 304;
+}
 
 }  // namespace
 
@@ -71,7 +73,8 @@
     if (!server->listen(QHostAddress(QString::fromStdString(at.first)), at.second))
       throw Error("listen at " + address + ": " + server->errorString().toStdString());
     addresses_.push_back(at.first + ":" + std::to_string(server->serverPort()));
-    QObject::connect(server, &QTcpServer::newConnection, this, [this, index] { accept(index); }, Qt::QueuedConnection);
+    QObject::connect(
+        server, &QTcpServer::newConnection, this, [this, index] { accept(index); }, Qt::QueuedConnection);
   }
 }
 
@@ -155,8 +158,8 @@
       conn->timer->start(limits_.headMs);
     }
     boost::beast::error_code ec;
-    std::size_t const used =
-        conn->parser->put(boost::asio::buffer(conn->buffer.constData(), static_cast<std::size_t>(conn->buffer.size())), ec);
+    std::size_t const used = conn->parser->put(
+        boost::asio::buffer(conn->buffer.constData(), static_cast<std::size_t>(conn->buffer.size())), ec);
     conn->buffer.remove(0, static_cast<qsizetype>(used));
     if (ec && ec != beastHttp::error::need_more) {
       int const status = ec == beastHttp::error::body_limit ? 413 : ec == beastHttp::error::header_limit ? 431 : 400;
@@ -186,7 +189,8 @@
     for (beastHttp::request<beastHttp::string_body>::value_type const& f : message) {
       std::string const name = lower(std::string(f.name_string()));
       std::pair<Fields::iterator, bool> const at = request.fields.emplace(name, std::string(f.value()));
-      if (!at.second) at.first->second.append(name == "cookie" ? "; " : ", ").append(f.value().data(), f.value().size());
+      if (!at.second)
+        at.first->second.append(name == "cookie" ? "; " : ", ").append(f.value().data(), f.value().size());
     }
     conn->keep = message.keep_alive();
     conn->headAsked = message.method() == beastHttp::verb::head;
@@ -214,7 +218,8 @@
   conn->timer->start(lingerMs);
 }
 
-std::string Server::headOf(Conn& conn, int status, FieldList const& fields, std::int64_t length, std::string const& reason) {
+std::string Server::headOf(Conn& conn, int status, FieldList const& fields, std::int64_t length,
+                           std::string const& reason) {
   beastHttp::response<beastHttp::empty_body> message;
   message.version(11);
   message.result(static_cast<unsigned>(status));
@@ -225,7 +230,8 @@
   conn.chunked = length < 0 && !conn.bodiless;
   conn.told = !conn.keep || leaving_;
   if (conn.chunked) message.chunked(true);
-  if (length >= 0 && !(bodilessStatus(status) && status != 304)) message.content_length(static_cast<std::uint64_t>(length));
+  if (length >= 0 && !(bodilessStatus(status) && status != 304))
+    message.content_length(static_cast<std::uint64_t>(length));
   if (conn.told) message.set(beastHttp::field::connection, "close");
   return headText(message);
 }
@@ -244,7 +250,8 @@
   done(byId_.at(id));
 }
 
-void Server::begin(std::uint64_t id, int status, FieldList const& fields, std::int64_t length, std::string const& reason) {
+void Server::begin(std::uint64_t id, int status, FieldList const& fields, std::int64_t length,
+                   std::string const& reason) {
   Conn* const conn = find(id);
   if (conn == nullptr) return;
   conn->begun = true;
@@ -362,4 +369,4 @@
   return conn == nullptr ? 0 : conn->socket->bytesToWrite();
 }
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/src/upstream_connection.cpp
+++ b/http/src/upstream_connection.cpp
@@ -83,13 +83,16 @@
   }
 };
 
-UpstreamConnection::UpstreamConnection(std::string const& address, Events events, QObject* parent) : UpstreamConnection(address, std::move(events), parent, nullptr, nullptr) {}
+UpstreamConnection::UpstreamConnection(std::string const& address, Events events, QObject* parent)
+    : UpstreamConnection(address, std::move(events), parent, nullptr, nullptr) {}
 
-UpstreamConnection::UpstreamConnection(std::string const& address, std::string life, Events events, QObject* parent) : UpstreamConnection(address, std::move(events), parent) {
+UpstreamConnection::UpstreamConnection(std::string const& address, std::string life, Events events, QObject* parent)
+    : UpstreamConnection(address, std::move(events), parent) {
   state_->life = std::move(life);
 }
 
-UpstreamConnection::UpstreamConnection(std::string const& address, Events events, QObject* parent, UpstreamPool* upstreams, QTcpSocket* kept, bool rested)
+UpstreamConnection::UpstreamConnection(std::string const& address, Events events, QObject* parent,
+                                       UpstreamPool* upstreams, QTcpSocket* kept, bool rested)
     : QObject(parent), events_(std::move(events)), address_(address), socket_(kept), state_(std::make_unique<State>()) {
   state_->upstreams = upstreams;
   state_->kept = kept != nullptr;
@@ -100,7 +103,8 @@
   }
   socket_->setParent(this);
   attach();
-  QMetaObject::invokeMethod(this, [this] { ready(); }, Qt::QueuedConnection);
+  QMetaObject::invokeMethod(
+      this, [this] { ready(); }, Qt::QueuedConnection);
 }
 
 UpstreamConnection::~UpstreamConnection() {
@@ -117,7 +121,8 @@
   attach();
   QObject::connect(socket_, &QTcpSocket::connected, this, [this] {
     socket_->setSocketOption(QAbstractSocket::LowDelayOption, 1);
-    QMetaObject::invokeMethod(this, [this] { ready(); }, Qt::QueuedConnection);
+    QMetaObject::invokeMethod(
+        this, [this] { ready(); }, Qt::QueuedConnection);
   });
   std::pair<std::string, std::uint16_t> const at = splitAddress(address_);
   socket_->connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
@@ -177,13 +182,14 @@
   state_->buffer += socket_->readAll();
   State::Parser& parser = *state_->parser;
   boost::beast::error_code ec;
-  std::size_t const used = parser.put(boost::asio::buffer(state_->buffer.constData(), static_cast<std::size_t>(state_->buffer.size())), ec);
+  std::size_t const used =
+      parser.put(boost::asio::buffer(state_->buffer.constData(), static_cast<std::size_t>(state_->buffer.size())), ec);
   state_->buffer.remove(0, static_cast<qsizetype>(used));
   bool const more = !parser.is_header_done() && (!ec || ec == beastHttp::error::need_more);
   if (more) return;
-  bool const named = parser.is_header_done() && parser.get().result_int() == 200 && parser.get().version() == 11 && parser.get().keep_alive() &&
-                     parser.content_length() && *parser.content_length() == 0 && state_->buffer.isEmpty() &&
-                     std::string(parser.get()[lifeField]) == state_->life;
+  bool const named = parser.is_header_done() && parser.get().result_int() == 200 && parser.get().version() == 11 &&
+                     parser.get().keep_alive() && parser.content_length() && *parser.content_length() == 0 &&
+                     state_->buffer.isEmpty() && std::string(parser.get()[lifeField]) == state_->life;
   if (!named) {
     rejected();
     return;
@@ -213,8 +219,10 @@
   message.target(request.target);
   if (field(request.fields, "host").empty()) message.set(beastHttp::field::host, address_);
   for (FieldList::value_type const& f : request.fields) message.insert(f.first, f.second);
-  if (!state_->upstreams || state_->upstreams->kept_.perReplica == 0) message.set(beastHttp::field::connection, "close");
-  bool const bare = body.empty() && (request.method == "GET" || request.method == "HEAD" || request.method == "DELETE" || request.method == "OPTIONS");
+  if (!state_->upstreams || state_->upstreams->kept_.perReplica == 0)
+    message.set(beastHttp::field::connection, "close");
+  bool const bare = body.empty() && (request.method == "GET" || request.method == "HEAD" ||
+                                     request.method == "DELETE" || request.method == "OPTIONS");
   if (!bare) message.content_length(body.size());
   state_->noBody = request.method == "HEAD";
   state_->fresh();
@@ -233,12 +241,15 @@
         QPointer<UpstreamConnection> const alive(this);
         if (state_->paused || state_->over || socket_ == nullptr) return;
         readable();
-        if (alive && !state_->paused && socket_ != nullptr && socket_->state() == QAbstractSocket::UnconnectedState) over(false);
+        if (alive && !state_->paused && socket_ != nullptr && socket_->state() == QAbstractSocket::UnconnectedState)
+          over(false);
       },
       Qt::QueuedConnection);
 }
 
-bool UpstreamConnection::forgotten() const { return state_->kept && state_->rested && !state_->headSeen; }
+bool UpstreamConnection::forgotten() const {
+  return state_->kept && state_->rested && !state_->headSeen;
+}
 
 void UpstreamConnection::stop() {
   state_->over = true;
@@ -248,7 +259,8 @@
 }
 
 void UpstreamConnection::release() {
-  bool const may = !state_->over && socket_ != nullptr && state_->upstreams && state_->upstreams->kept_.perReplica > 0 && state_->headSeen;
+  bool const may = !state_->over && socket_ != nullptr && state_->upstreams &&
+                   state_->upstreams->kept_.perReplica > 0 && state_->headSeen;
   if (!may) {
     stop();
     deleteLater();
@@ -282,8 +294,9 @@
 }
 
 void UpstreamConnection::giveBack() {
-  bool const may = state_->upstreams && state_->upstreams->kept_.perReplica > 0 && state_->parser->get().version() == 11 && state_->parser->keep_alive() &&
-                   state_->buffer.isEmpty() && socket_->bytesToWrite() == 0 && quiet(*socket_);
+  bool const may = state_->upstreams && state_->upstreams->kept_.perReplica > 0 &&
+                   state_->parser->get().version() == 11 && state_->parser->keep_alive() && state_->buffer.isEmpty() &&
+                   socket_->bytesToWrite() == 0 && quiet(*socket_);
   if (!may) return;
   QTcpSocket* const socket = std::exchange(socket_, nullptr);
   socket->disconnect(this);
@@ -321,7 +334,8 @@
       parser.get().body().data = part.data();
       parser.get().body().size = part.size();
     }
-    std::size_t const used = parser.put(boost::asio::buffer(state_->buffer.constData(), static_cast<std::size_t>(state_->buffer.size())), ec);
+    std::size_t const used = parser.put(
+        boost::asio::buffer(state_->buffer.constData(), static_cast<std::size_t>(state_->buffer.size())), ec);
     state_->buffer.remove(0, static_cast<qsizetype>(used));
     if (state_->headSeen) gathered.append(part.data(), part.size() - parser.get().body().size);
     if (ec && ec != beastHttp::error::need_more && ec != beastHttp::error::need_buffer) {
@@ -338,7 +352,8 @@
       ReplicaHead head;
       head.status = status;
       head.reason = std::string(parser.get().reason());
-      for (beastHttp::fields::value_type const& f : parser.get()) head.fields.emplace_back(std::string(f.name_string()), std::string(f.value()));
+      for (beastHttp::fields::value_type const& f : parser.get())
+        head.fields.emplace_back(std::string(f.name_string()), std::string(f.value()));
       head.bodiless = state_->noBody || status == 204 || status == 304;
       std::string const coding = lower(field(head.fields, "content-encoding"));
       bool const coded = status / 100 == 2 && !coding.empty() && coding != "identity";
@@ -376,4 +391,4 @@
   }
 }
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/src/upstream_pool.cpp
+++ b/http/src/upstream_pool.cpp
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-UpstreamPool::UpstreamPool(Kept kept, std::function<core::Tick()> now, QObject* parent) : QObject(parent), kept_(kept), now_(std::move(now)) {
+UpstreamPool::UpstreamPool(Kept kept, std::function<core::Tick()> now, QObject* parent)
+    : QObject(parent), kept_(kept), now_(std::move(now)) {
   QObject::connect(&sweep_, &QTimer::timeout, this, [this] { sweep(); });
 }
 
@@ -27,7 +28,8 @@
     for (Idle const& i : a.second) i.socket->disconnect();
 }
 
-UpstreamConnection* UpstreamPool::lend(std::string const& address, bool fresh, UpstreamConnection::Events events, QObject* parent) {
+UpstreamConnection* UpstreamPool::lend(std::string const& address, bool fresh, UpstreamConnection::Events events,
+                                       QObject* parent) {
   core::Tick const now = now_();
   QTcpSocket* socket = nullptr;
   bool rested = false;
@@ -37,8 +39,8 @@
     if (fresh && now - last.since >= std::min(kept_.freshIdleLimit, last.limit)) break;
     it->second.pop_back();
     --count_;
-    if (now - last.since < std::min(kept_.idleLimit, last.limit) && last.socket->state() == QAbstractSocket::ConnectedState &&
-        last.socket->bytesAvailable() == 0) {
+    if (now - last.since < std::min(kept_.idleLimit, last.limit) &&
+        last.socket->state() == QAbstractSocket::ConnectedState && last.socket->bytesAvailable() == 0) {
       last.socket->disconnect(this);
       socket = last.socket;
       rested = now - last.since >= restedAfter;
@@ -107,4 +109,4 @@
   if (count_ == 0) sweep_.stop();
 }
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/src/wire.h
+++ b/http/src/wire.h
@@ -10,7 +10,8 @@
 /// Appends a sequence of buffers to text.
 template <class Buffers>
 void append(std::string& out, Buffers const& buffers) {
-  for (boost::asio::const_buffer const b : boost::beast::buffers_range_ref(buffers)) out.append(static_cast<char const*>(b.data()), b.size());
+  for (boost::asio::const_buffer const b : boost::beast::buffers_range_ref(buffers))
+    out.append(static_cast<char const*>(b.data()), b.size());
 }
 
 /// The head of a message as it goes on the wire.
@@ -25,6 +26,8 @@
 }
 
 /// Bytes go into the socket's own buffer together, so that what is written together leaves together.
-inline void put(QTcpSocket& socket, std::string const& bytes) { socket.write(bytes.data(), static_cast<qint64>(bytes.size())); }
+inline void put(QTcpSocket& socket, std::string const& bytes) {
+  socket.write(bytes.data(), static_cast<qint64>(bytes.size()));
+}
 
-}  // namespace corkward::HTTP edge
+}  // namespace corkward::http
--- a/http/test/http_test.cpp
+++ b/http/test/http_test.cpp
@@ -132,7 +132,8 @@
     ++served;
     http->answer(r.id, 200, {}, "ok");
   };
-  http::Server server("127.0.0.1:0", http::Limits{.head = 2048, .body = 4096, .headMs = 100, .idleMs = 100}, std::move(e));
+  http::Server server("127.0.0.1:0", http::Limits{.head = 2048, .body = 4096, .headMs = 100, .idleMs = 100},
+                      std::move(e));
   http = &server;
   std::pair<std::string, std::uint16_t> const at = http::splitAddress(server.address());
   std::string const good = "POST /v1/a/b HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
@@ -150,7 +151,8 @@
     QTcpSocket socket;
     socket.connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
     socket.write(QByteArray::fromStdString(bytes));
-    REQUIRE(until([&] { return socket.bytesAvailable() > 0 || (socket.state() == QAbstractSocket::UnconnectedState); }));
+    REQUIRE(
+        until([&] { return socket.bytesAvailable() > 0 || (socket.state() == QAbstractSocket::UnconnectedState); }));
   }
   std::size_t const before = served;
   QTcpSocket socket;
--- a/http/test/server_test.cpp
+++ b/http/test/server_test.cpp
@@ -30,9 +30,11 @@
   void say(std::string const& bytes) { socket.write(QByteArray::fromStdString(bytes)); }
   bool has(std::string const& text) {
     return until([&] {
-      got += socket.readAll().toStdString();
-      return got.find(text) != std::string::npos || (socket.state() == QAbstractSocket::UnconnectedState && socket.bytesAvailable() == 0);
-    }) && got.find(text) != std::string::npos;
+             got += socket.readAll().toStdString();
+             return got.find(text) != std::string::npos ||
+                    (socket.state() == QAbstractSocket::UnconnectedState && socket.bytesAvailable() == 0);
+           }) &&
+           got.find(text) != std::string::npos;
   }
   bool ends() {
     return until([&] {
@@ -46,7 +48,8 @@
 
 /// A caller whose connection needs no turn of the event loop.
 struct Caller {
-  explicit Caller(std::string const& address) : fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)), connected(connectTo(fd, address)) {}
+  explicit Caller(std::string const& address)
+      : fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)), connected(connectTo(fd, address)) {}
   ~Caller() { ::close(fd); }
   static bool connectTo(int fd, std::string const& address) {
     std::pair<std::string, std::uint16_t> const at = http::splitAddress(address);
@@ -57,22 +60,26 @@
     return ::connect(fd, reinterpret_cast<sockaddr const*>(&in), sizeof in) == 0;
   }
   static bool reaches(std::string const& address) { return Caller(address).connected; }
-  void say(std::string const& bytes) { REQUIRE(::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size())); }
+  void say(std::string const& bytes) {
+    REQUIRE(::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
+  }
   bool hears(std::string const& text) {
     std::string got;
     return until([&] {
-      char part[1024];
-      ssize_t const n = ::recv(fd, part, sizeof part, MSG_DONTWAIT);
-      if (n > 0) got.append(part, static_cast<std::size_t>(n));
-      return n == 0 || (n < 0 && errno != EAGAIN) || got.find(text) != std::string::npos;
-    }) && got.find(text) != std::string::npos;
+             char part[1024];
+             ssize_t const n = ::recv(fd, part, sizeof part, MSG_DONTWAIT);
+             if (n > 0) got.append(part, static_cast<std::size_t>(n));
+             return n == 0 || (n < 0 && errno != EAGAIN) || got.find(text) != std::string::npos;
+           }) &&
+           got.find(text) != std::string::npos;
   }
   int fd;
   bool connected;
 };
 
 struct Rig {
-  explicit Rig(std::vector<std::string> const& addresses = {"127.0.0.1:0"}, http::Limits limits = {}) : server(addresses, limits, events()) {}
+  explicit Rig(std::vector<std::string> const& addresses = {"127.0.0.1:0"}, http::Limits limits = {})
+      : server(addresses, limits, events()) {}
   http::Server::Events events() {
     http::Server::Events e;
     e.request = [this](http::Request r) {
@@ -114,7 +121,8 @@
   Client c(rig.server.address());
   c.say(request("GET"));
   REQUIRE(c.has("\r\n\r\nok"));
-  CHECK(c.got == "HTTP/1.1 299 Fine So Far\r\nSet-Cookie: a\r\nSet-Cookie: b\r\nX-Case: C\r\nContent-Length: 2\r\n\r\nok");
+  CHECK(c.got ==
+        "HTTP/1.1 299 Fine So Far\r\nSet-Cookie: a\r\nSet-Cookie: b\r\nX-Case: C\r\nContent-Length: 2\r\n\r\nok");
 }
 
 TEST_CASE("answers to HEAD, 204 and 304 have no body, and the connection goes on") {
@@ -267,7 +275,8 @@
   request.id = 7;
   request.method = "POST";
   request.target = "/v1/desk.nord/answers/diagnosis?x=1";
-  request.fields = {{"corkward-request-id", "q1"}, {"corkward-attempt", "2"}, {"content-type", "text/plain"}, {"x-other", "y"}};
+  request.fields = {
+      {"corkward-request-id", "q1"}, {"corkward-attempt", "2"}, {"content-type", "text/plain"}, {"x-other", "y"}};
   http::CallerRequest const caller = mapping.callerRequest(request);
   REQUIRE(caller.request);
   CHECK(caller.request->instance == "desk.nord");
@@ -275,15 +284,18 @@
   CHECK_FALSE(caller.events);
   dataplane::HandOver const handOver;
   dataplane::Resume resume;
-  http::ReplicaRequest sent = mapping.replicaRequest({request, *caller.request, caller.request->path, handOver, resume});
+  http::ReplicaRequest sent =
+      mapping.replicaRequest({request, *caller.request, caller.request->path, handOver, resume});
   CHECK(sent.method == "POST");
   CHECK(sent.target == "/answers/diagnosis");
-  CHECK(sent.fields == http::FieldList{{"content-type", "text/plain"}, {"corkward-attempt", "2"}, {"corkward-request-id", "q1"}});
+  CHECK(sent.fields ==
+        http::FieldList{{"content-type", "text/plain"}, {"corkward-attempt", "2"}, {"corkward-request-id", "q1"}});
   resume = {true, "r1", 9, ""};
   sent = mapping.replicaRequest({request, *caller.request, caller.request->path, handOver, resume});
   CHECK(http::field(sent.fields, "corkward-run") == "r1");
   CHECK(http::field(sent.fields, "corkward-offset") == "9");
-  dataplane::Head const head = mapping.head({200, "OK", {{"Corkward-Run", "r1"}, {"Content-Type", "a/b"}, {"X-Own", "z"}}, 4, false}, request);
+  dataplane::Head const head =
+      mapping.head({200, "OK", {{"Corkward-Run", "r1"}, {"Content-Type", "a/b"}, {"X-Own", "z"}}, 4, false}, request);
   CHECK(head.run == "r1");
   CHECK(head.length == 4);
   CHECK(head.fields == http::FieldList{{"content-type", "a/b"}, {"corkward-run", "r1"}, {"corkward-outcome", "run"}});
@@ -301,8 +313,9 @@
 }
 
 TEST_CASE("fields of one connection do not go on to the next") {
-  http::FieldList const fields{{"Connection", "x-hop, Keep-Alive"}, {"X-Hop", "1"}, {"X-End", "2"}, {"keep-alive", "timeout=5"},
-                               {"Transfer-Encoding", "chunked"}, {"TE", "trailers"}, {"X-End", "3"}, {"Content-Length", "4"}};
+  http::FieldList const fields{
+      {"Connection", "x-hop, Keep-Alive"}, {"X-Hop", "1"},     {"X-End", "2"}, {"keep-alive", "timeout=5"},
+      {"Transfer-Encoding", "chunked"},    {"TE", "trailers"}, {"X-End", "3"}, {"Content-Length", "4"}};
   CHECK(http::endToEnd(fields) == http::FieldList{{"X-End", "2"}, {"X-End", "3"}});
   CHECK(http::endToEnd(http::Fields{{"connection", "close"}, {"a", "b"}}) == http::FieldList{{"a", "b"}});
 }
--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -87,7 +87,8 @@
     upstream = upstreams.lend(address, fresh, std::move(e), &owner);
   }
   Got wait() {
-    REQUIRE(until([this] { return got.rejected || got.ended >= 0 || (got.status != 0 && (stopAtHead || releaseAtHead)); }));
+    REQUIRE(
+        until([this] { return got.rejected || got.ended >= 0 || (got.status != 0 && (stopAtHead || releaseAtHead)); }));
     return got;
   }
   QObject owner;
@@ -98,7 +99,8 @@
 };
 
 struct Rig {
-  explicit Rig(std::vector<Script::Line> lines, http::Kept kept = {2, 5000, 0}) : replica(std::move(lines)), upstreams(kept, [this] { return now; }) {}
+  explicit Rig(std::vector<Script::Line> lines, http::Kept kept = {2, 5000, 0})
+      : replica(std::move(lines)), upstreams(kept, [this] { return now; }) {}
   Got ask(bool fresh = false) { return Ask(upstreams, replica.address(), fresh).wait(); }
   core::Tick now = 1000;
   Script replica;
@@ -140,7 +142,9 @@
   constexpr Row rows[] = {
       {good, 1, true},
       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 1, true},
-      {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 1, true},
+      {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: "
+       "2\r\n\r\nok",
+       1, true},
       {"HTTP/1.1 204 No Content\r\n\r\n", 1, true},
       {"HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n", 1, true},
       {"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok", 1, true},
@@ -172,8 +176,9 @@
 
 TEST_CASE("an answer that is cut at any byte does not look whole") {
   application();
-  std::string const bytes = GENERATE("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
-                                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n");
+  std::string const bytes =
+      GENERATE("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
+               "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n");
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     Rig rig({{bytes.substr(0, cut), true}});
     Got const got = rig.ask();
@@ -190,7 +195,8 @@
     core::Tick idle;
     bool forgotten;
   };
-  for (Row const& r : {Row{"", 600, true}, Row{"", 10, false}, Row{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", 600, false}}) {
+  for (Row const& r :
+       {Row{"", 600, true}, Row{"", 10, false}, Row{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", 600, false}}) {
     Rig rig({{good, false}, {r.bytes, true}, {"", true}});
     rig.ask();
     REQUIRE(rig.upstreams.idle() == 1);
@@ -208,9 +214,15 @@
   Rig rig({});
   rig.ask();
   REQUIRE(rig.upstreams.idle() == 1);
-  SECTION("closed") { rig.replica.last->disconnectFromHost(); }
-  SECTION("reset") { rig.replica.last->abort(); }
-  SECTION("a late answer") { rig.replica.last->write(good); }
+  SECTION("closed") {
+    rig.replica.last->disconnectFromHost();
+  }
+  SECTION("reset") {
+    rig.replica.last->abort();
+  }
+  SECTION("a late answer") {
+    rig.replica.last->write(good);
+  }
   REQUIRE(until([&] { return rig.upstreams.idle() == 0; }));
   CHECK(rig.ask().ended == 1);
   CHECK(rig.replica.connections == 2);
@@ -223,7 +235,9 @@
   QTcpSocket* const old = rig.replica.last;
   Ask again(rig.upstreams, rig.replica.address());
   CHECK_FALSE(again.got.connected);
-  SECTION("closed") { old->disconnectFromHost(); }
+  SECTION("closed") {
+    old->disconnectFromHost();
+  }
   SECTION("a late answer") {
     old->write(good);
     old->flush();
@@ -272,8 +286,8 @@
     bool reused;
   };
   constexpr char const* told = "HTTP/1.1 200 OK\r\nKeep-Alive: max=9, timeout=4\r\nContent-Length: 2\r\n\r\nok";
-  constexpr Row rows[] = {{good, 0, false, 4999, true}, {good, 0, false, 5000, false}, {told, 0, false, 1999, true},
-                          {told, 0, false, 2000, false}, {good, 0, true, 0, false},    {good, 50, true, 49, true},
+  constexpr Row rows[] = {{good, 0, false, 4999, true},  {good, 0, false, 5000, false}, {told, 0, false, 1999, true},
+                          {told, 0, false, 2000, false}, {good, 0, true, 0, false},     {good, 50, true, 49, true},
                           {good, 50, true, 50, false}};
   for (Row const& r : rows) {
     INFO(r.age << " " << r.freshLimit << " " << r.fresh);
@@ -303,7 +317,8 @@
 TEST_CASE("an answer that is not wanted ends its connection, or is read to its end when it is short") {
   application();
   bool const stop = GENERATE(true, false);
-  std::string const bytes = GENERATE(std::string(good), "HTTP/1.1 503 Full\r\nContent-Length: 100000\r\n\r\n" + std::string(100000, 'x'));
+  std::string const bytes =
+      GENERATE(std::string(good), "HTTP/1.1 503 Full\r\nContent-Length: 100000\r\n\r\n" + std::string(100000, 'x'));
   bool const kept = !stop && bytes == good;
   Rig rig({{bytes, false}});
   {
--- a/programs/cli/declare.cpp
+++ b/programs/cli/declare.cpp
@@ -23,13 +23,17 @@
 
 /// The same change on the same revision has the same id, so sending it again is harmless.
 std::string changeIdOf(OperatorCall const& call) {
-  return "apply-" + QString::number(core::stableHash(call.method + " " + call.path + " " + call.revision + " " + call.body), 16).toStdString();
+  return "apply-" +
+         QString::number(core::stableHash(call.method + " " + call.path + " " + call.revision + " " + call.body), 16)
+             .toStdString();
 }
 
-PlannedChange changeOf(std::string const& action, std::string const& method, std::string const& path, QJsonObject const* spec, qint64 revision) {
+PlannedChange changeOf(std::string const& action, std::string const& method, std::string const& path,
+                       QJsonObject const* spec, qint64 revision) {
   PlannedChange out;
   out.action = action;
-  out.call = OperatorCall{method, path, spec == nullptr ? "" : core::jsonText(*spec), std::to_string(revision), "", false};
+  out.call =
+      OperatorCall{method, path, spec == nullptr ? "" : core::jsonText(*spec), std::to_string(revision), "", false};
   out.call.changeId = changeIdOf(out.call);
   return out;
 }
@@ -56,7 +60,8 @@
 OperatorOutcome read(Ask const& ask, std::string const& path) {
   OperatorOutcome const out = ask(OperatorCall{"GET", path, "", "", "", false});
   if (out.status != 200 && out.status != 404)
-    throw core::Error("cannot read " + path + ": " + (out.status == 0 ? "no answer: " + out.error : "status " + std::to_string(out.status)));
+    throw core::Error("cannot read " + path + ": " +
+                      (out.status == 0 ? "no answer: " + out.error : "status " + std::to_string(out.status)));
   return out;
 }
 
@@ -85,13 +90,16 @@
     all.insert(core::qstr(d.instance), entry);
     family.insert("instances", all);
   }
-  config::checkFamily(family, known.pool, [&](std::string const& regime, std::string const& pool) { return known.regimeFault(regime, pool); });
+  config::checkFamily(family, known.pool, [&](std::string const& regime, std::string const& pool) {
+    return known.regimeFault(regime, pool);
+  });
 }
 
 std::vector<PlannedChange> planFamily(std::string const& name, Family const& f, bool prune, Known const& known) {
   std::vector<Declaration const*> changed;
   QJsonObject const have = f.now.value("instances").toObject();
-  bool const ownChanged = f.own != nullptr && f.now.value("template").toObject().value("spec") != QJsonValue(f.own->spec);
+  bool const ownChanged =
+      f.own != nullptr && f.now.value("template").toObject().value("spec") != QJsonValue(f.own->spec);
   for (Declaration const* const d : f.instances)
     if (have.value(core::qstr(d->instance)).toObject().value("spec") != QJsonValue(d->spec)) changed.push_back(d);
   std::vector<Declaration const*> order = changed;
@@ -119,17 +127,22 @@
   if (!fault.empty()) throw UsageError(firstFault);
   std::vector<PlannedChange> out;
   for (Declaration const* const d : order) {
-    QJsonObject const entry = d->instance.empty() ? f.now.value("template").toObject() : have.value(core::qstr(d->instance)).toObject();
+    QJsonObject const entry =
+        d->instance.empty() ? f.now.value("template").toObject() : have.value(core::qstr(d->instance)).toObject();
     qint64 const revision = entry.value("stamp").toInteger();
     out.push_back(changeOf(revision == 0 ? "create" : "change", "PUT", d->path(), &d->spec, revision));
   }
   if (!prune) return out;
   for (QString const& i : have.keys()) {
-    bool const kept = std::any_of(f.instances.begin(), f.instances.end(), [&](Declaration const* d) { return core::qstr(d->instance) == i; });
-    if (!kept) out.push_back(changeOf("remove", "DELETE", pathOf(name, core::str(i)), nullptr, have.value(i).toObject().value("stamp").toInteger()));
+    bool const kept = std::any_of(f.instances.begin(), f.instances.end(),
+                                  [&](Declaration const* d) { return core::qstr(d->instance) == i; });
+    if (!kept)
+      out.push_back(changeOf("remove", "DELETE", pathOf(name, core::str(i)), nullptr,
+                             have.value(i).toObject().value("stamp").toInteger()));
   }
   if (f.own == nullptr && f.instances.empty() && !f.now.isEmpty())
-    out.push_back(changeOf("remove", "DELETE", pathOf(name, ""), nullptr, f.now.value("template").toObject().value("stamp").toInteger()));
+    out.push_back(changeOf("remove", "DELETE", pathOf(name, ""), nullptr,
+                           f.now.value("template").toObject().value("stamp").toInteger()));
   return out;
 }
 
@@ -147,7 +160,8 @@
   QJsonObject out = prune ? QJsonObject{{"template", f.now.value("template")}} : f.now;
   QJsonObject instances = out.value("instances").toObject();
   if (f.own != nullptr) out.insert("template", QJsonObject{{"spec", f.own->spec}});
-  for (Declaration const* const d : f.instances) instances.insert(core::qstr(d->instance), QJsonObject{{"spec", d->spec}});
+  for (Declaration const* const d : f.instances)
+    instances.insert(core::qstr(d->instance), QJsonObject{{"spec", d->spec}});
   out.insert("instances", instances);
   return out;
 }
@@ -171,12 +185,15 @@
 
 void say(std::vector<PlannedChange> const& plan, std::string const& head) {
   std::cout << head << "\n";
-  for (PlannedChange const& c : plan) std::cout << "  " << c.action << " " << c.call.path << " (stamp " << c.call.revision << ")\n";
+  for (PlannedChange const& c : plan)
+    std::cout << "  " << c.action << " " << c.call.path << " (stamp " << c.call.revision << ")\n";
 }
 
 }  // namespace
 
-std::string Declaration::path() const { return templateName.empty() ? certificatesPath : pathOf(templateName, instance); }
+std::string Declaration::path() const {
+  return templateName.empty() ? certificatesPath : pathOf(templateName, instance);
+}
 
 std::vector<Declaration> readFolder(std::string const& folder) {
   if (!QDir(core::qstr(folder)).exists()) throw UsageError("no such folder: " + folder);
@@ -201,15 +218,18 @@
     if (o.contains("regimes")) {
       d.spec = o;
       out.push_back(d);
-      if (!seen.emplace(d.path(), file).second) throw UsageError(file + ": /regimes: regimes stand in " + seen.at(d.path()) + " already");
+      if (!seen.emplace(d.path(), file).second)
+        throw UsageError(file + ": /regimes: regimes stand in " + seen.at(d.path()) + " already");
       continue;
     }
     for (QString const& k : o.keys())
-      if (k != "template" && k != "instance" && k != "spec") throw UsageError(file + ": /" + core::str(k) + ": unknown field");
+      if (k != "template" && k != "instance" && k != "spec")
+        throw UsageError(file + ": /" + core::str(k) + ": unknown field");
     d.templateName = core::str(o.value("template").toString());
     if (!config::validName(d.templateName)) throw UsageError(file + ": /template: must be a name");
     d.instance = core::str(o.value("instance").toString());
-    if (o.contains("instance") && !config::validName(d.instance)) throw UsageError(file + ": /instance: must be a name");
+    if (o.contains("instance") && !config::validName(d.instance))
+      throw UsageError(file + ": /instance: must be a name");
     if (!o.value("spec").isObject()) throw UsageError(file + ": /spec: must be an object");
     d.spec = o.value("spec").toObject();
     std::string const before = seen.try_emplace(d.path(), file).first->second;
@@ -234,30 +254,35 @@
       f.instances.push_back(&d);
   }
   if (prune)
-    for (QJsonValue const v : read(ask, "/v1/templates").body.value("templates").toArray()) families.try_emplace(core::str(v.toString()));
+    for (QJsonValue const v : read(ask, "/v1/templates").body.value("templates").toArray())
+      families.try_emplace(core::str(v.toString()));
   std::map<std::string, bool> pools;
   for (QJsonValue const p : read(ask, "/v1/blueprint").body.value("spec").toObject().value("pools").toArray())
     pools[core::str(p.toObject().value("name").toString())] = true;
   OperatorOutcome const inForce = read(ask, certificatesPath);
   Known known{[&](std::string const& pool) {
                 std::map<std::string, bool>::const_iterator const it = pools.find(pool);
-                return it != pools.end() ? it->second : (pools[pool] = read(ask, "/v1/platform/pools/" + config::addressPart(pool)).status == 200);
+                return it != pools.end()
+                           ? it->second
+                           : (pools[pool] = read(ask, "/v1/platform/pools/" + config::addressPart(pool)).status == 200);
               },
               config::keptRegimes(inForce.body), QDateTime::currentMSecsSinceEpoch()};
   for (std::map<std::string, Family>::value_type& f : families) {
     f.second.now = familyInForce(ask, f.first);
     if (f.second.now.isEmpty() && f.second.own == nullptr && !f.second.instances.empty())
-      throw UsageError(f.second.instances.front()->file + ": /template: " + f.first + " is neither declared nor in force");
+      throw UsageError(f.second.instances.front()->file + ": /template: " + f.first +
+                       " is neither declared nor in force");
   }
-  if (certificates == nullptr || inForce.body.value("spec") == QJsonValue(certificates->spec)) return planFamilies(families, prune, known);
+  if (certificates == nullptr || inForce.body.value("spec") == QJsonValue(certificates->spec))
+    return planFamilies(families, prune, known);
   Known next = known;
   try {
     next.regimes = config::readRegimes(certificates->spec);
   } catch (config::Error const& e) {
     throw UsageError(certificates->file + ": " + e.what());
   }
-  PlannedChange const own = changeOf(inForce.status == 404 ? "create" : "change", "PUT", certificatesPath, &certificates->spec,
-                                     inForce.body.value("stamp").toInteger());
+  PlannedChange const own = changeOf(inForce.status == 404 ? "create" : "change", "PUT", certificatesPath,
+                                     &certificates->spec, inForce.body.value("stamp").toInteger());
   std::string const before = uncovered(families, false, prune, next);
   std::string const after = uncovered(families, true, prune, next);
   if (!after.empty()) throw UsageError(certificates->file + ": /certificates: " + after);
@@ -271,15 +296,18 @@
     out.push_back(own);
     return out;
   } catch (UsageError const& e) {
-    throw UsageError(std::string(e.what()) + "; with the declared certificates first: " + before + "; declare this in two steps");
+    throw UsageError(std::string(e.what()) + "; with the declared certificates first: " + before +
+                     "; declare this in two steps");
   }
 }
 
-int declare(std::vector<std::string> const& controllers, ApplyWays const& ways, std::function<int(int)> const& exitCode) {
+int declare(std::vector<std::string> const& controllers, ApplyWays const& ways,
+            std::function<int(int)> const& exitCode) {
   std::vector<Declaration> const declared = readFolder(ways.folder);
   std::vector<PlannedChange> plan;
   try {
-    plan = planChanges(declared, ways.prune, [&](OperatorCall const& c) { return callOperator(controllers, c, ways.limitSeconds); });
+    plan = planChanges(declared, ways.prune,
+                       [&](OperatorCall const& c) { return callOperator(controllers, c, ways.limitSeconds); });
   } catch (UsageError const&) {
     throw;
   } catch (core::Error const& e) {
@@ -292,7 +320,9 @@
   int code = !ways.apply && !plan.empty() ? 1 : 0;
   std::size_t done = 0;
   for (PlannedChange const& c : plan) {
-    QJsonObject row{{"action", core::qstr(c.action)}, {"path", core::qstr(c.call.path)}, {"stamp", core::qstr(c.call.revision).toLongLong()},
+    QJsonObject row{{"action", core::qstr(c.action)},
+                    {"path", core::qstr(c.call.path)},
+                    {"stamp", core::qstr(c.call.revision).toLongLong()},
                     {"changeId", core::qstr(c.call.changeId)}};
     if (send && code == 0) {
       OperatorOutcome out = callOperator(controllers, c.call, ways.limitSeconds);
@@ -304,11 +334,16 @@
       if (!ok) row.insert("outcome", out.body);
       if (!ways.json)
         std::cout << (ok ? "done " : "stopped at ") << c.call.path << ": status " << out.status
-                  << (ok ? "" : " " + core::str(out.body.value("pointer").toString()) + " " + core::str(out.body.value("reason").toString())) << "\n";
+                  << (ok ? ""
+                         : " " + core::str(out.body.value("pointer").toString()) + " " +
+                               core::str(out.body.value("reason").toString()))
+                  << "\n";
     }
     account.append(row);
   }
-  if (ways.json) std::cout << core::jsonText(QJsonObject{{"changes", account}, {"done", static_cast<qint64>(done)}, {"code", code}}) << "\n";
+  if (ways.json)
+    std::cout << core::jsonText(QJsonObject{{"changes", account}, {"done", static_cast<qint64>(done)}, {"code", code}})
+              << "\n";
   if (!ways.json && send && !plan.empty()) std::cout << done << " of " << plan.size() << " done\n";
   return code;
 }
--- a/programs/cli/declare.h
+++ b/programs/cli/declare.h
@@ -44,6 +44,7 @@
   int limitSeconds = 15;
   int waitSeconds = 60;
 };
-int declare(std::vector<std::string> const& controllers, ApplyWays const& ways, std::function<int(int)> const& exitCode);
+int declare(std::vector<std::string> const& controllers, ApplyWays const& ways,
+            std::function<int(int)> const& exitCode);
 
 }  // namespace corkward::programs
--- a/programs/cli/regime_report.cpp
+++ b/programs/cli/regime_report.cpp
@@ -19,7 +19,8 @@
 std::int64_t timeOf(char const* flag, std::string const& text) {
   if (text.empty()) return 0;
   QDateTime const t = QDateTime::fromString(core::qstr(text), Qt::ISODate);
-  if (!t.isValid() || text.back() != 'Z') throw UsageError(std::string(flag) + ": must be a time in UTC, as 2027-01-31T00:00:00Z");
+  if (!t.isValid() || text.back() != 'Z')
+    throw UsageError(std::string(flag) + ": must be a time in UTC, as 2027-01-31T00:00:00Z");
   return t.toMSecsSinceEpoch();
 }
 
@@ -28,29 +29,35 @@
   std::size_t const colon = text.rfind(':');
   bool ok = equals != std::string::npos && equals > 0 && colon != std::string::npos && colon > equals;
   std::uint64_t const number = ok ? core::qstr(text.substr(equals + 1, colon - equals - 1)).toULongLong(&ok) : 0;
-  if (!ok || number == 0 || text.size() - colon - 1 != 64) throw UsageError("head: must be NODE=NUMBER:HASH, but is " + text);
+  if (!ok || number == 0 || text.size() - colon - 1 != 64)
+    throw UsageError("head: must be NODE=NUMBER:HASH, but is " + text);
   return {text.substr(0, equals), audit::Head{number, text.substr(colon + 1)}};
 }
 
-std::string text(QJsonObject const& o, char const* field) { return core::str(o.value(QLatin1String(field)).toString()); }
+std::string text(QJsonObject const& o, char const* field) {
+  return core::str(o.value(QLatin1String(field)).toString());
+}
 
 void sayCount(QJsonObject const& c) {
   std::cout << "  " << text(c, "what") << " " << c.value("count").toInteger() << " of " << text(c, "instance");
   if (c.contains("life"))
-    std::cout << " at " << text(c, "pool") << " " << text(c, "address") << " life " << text(c, "life") << " zone " << text(c, "zone") << " under "
-              << text(c, "certificate");
+    std::cout << " at " << text(c, "pool") << " " << text(c, "address") << " life " << text(c, "life") << " zone "
+              << text(c, "zone") << " under " << text(c, "certificate");
   if (c.contains("reason")) std::cout << ": " << text(c, "reason");
   std::cout << "\n";
 }
 
 void sayNode(QJsonObject const& n) {
   QJsonObject const head = n.value("head").toObject();
-  std::cout << "node " << text(n, "node") << ": records " << n.value("first").toInteger() << " to " << head.value("n").toInteger() << ", newest "
-            << text(head, "hash") << (n.value("tornEnd").toBool() ? ", the end is torn" : "") << "\n";
+  std::cout << "node " << text(n, "node") << ": records " << n.value("first").toInteger() << " to "
+            << head.value("n").toInteger() << ", newest " << text(head, "hash")
+            << (n.value("tornEnd").toBool() ? ", the end is torn" : "") << "\n";
   for (QJsonValue const l : n.value("lives").toArray()) {
     QJsonObject const life = l.toObject();
     std::cout << "  " << text(life, "from") << " to " << text(life, "until")
-              << (life.value("countsAreLeast").toBool() ? ": no end was written, its last minute's counts are the least" : ": complete") << "\n";
+              << (life.value("countsAreLeast").toBool() ? ": no end was written, its last minute's counts are the least"
+                                                        : ": complete")
+              << "\n";
   }
   for (QJsonValue const f : n.value("faults").toArray()) {
     QJsonObject const fault = f.toObject();
@@ -63,7 +70,8 @@
 }  // namespace
 
 int reportRegimes(ReportWays const& ways) {
-  if (ways.spanMinutes < 1 || ways.spanMinutes > mostMinutes) throw UsageError("span: must be 1 to " + std::to_string(mostMinutes));
+  if (ways.spanMinutes < 1 || ways.spanMinutes > mostMinutes)
+    throw UsageError("span: must be 1 to " + std::to_string(mostMinutes));
   audit::Ask ask;
   ask.regime = ways.regime;
   ask.from = timeOf("from", ways.from);
--- a/programs/common/clock.cpp
+++ b/programs/common/clock.cpp
@@ -48,9 +48,13 @@
   return (static_cast<std::uint64_t>(device()) << 32) | device();
 }
 
-std::string freshName() { return QUuid::createUuid().toString(QUuid::Id128).toStdString(); }
+std::string freshName() {
+  return QUuid::createUuid().toString(QUuid::Id128).toStdString();
+}
 
-void onReload(QObject* owner, std::function<void()> function) { onSignals(owner, reloadPipe, {SIGHUP}, std::move(function)); }
+void onReload(QObject* owner, std::function<void()> function) {
+  onSignals(owner, reloadPipe, {SIGHUP}, std::move(function));
+}
 
 void onTermination(QObject* owner, std::function<void()> function) {
   ::signal(SIGPIPE, SIG_IGN);
--- a/programs/common/operator_client.cpp
+++ b/programs/common/operator_client.cpp
@@ -26,10 +26,11 @@
     QNetworkRequest request(url);
     request.setTransferTimeout(limitSeconds * 1000);
     request.setHeader(QNetworkRequest::ContentTypeHeader, "application/json");
-    if (!call.revision.empty()) request.setRawHeader("If-Match", QByteArray::fromStdString("\"" + call.revision + "\""));
+    if (!call.revision.empty())
+      request.setRawHeader("If-Match", QByteArray::fromStdString("\"" + call.revision + "\""));
     if (!call.changeId.empty()) request.setRawHeader("Corkward-Change-Id", QByteArray::fromStdString(call.changeId));
-    QNetworkReply* const reply =
-        manager.sendCustomRequest(request, QByteArray::fromStdString(call.method), QByteArray::fromStdString(call.body));
+    QNetworkReply* const reply = manager.sendCustomRequest(request, QByteArray::fromStdString(call.method),
+                                                           QByteArray::fromStdString(call.body));
     QEventLoop loop;
     QObject::connect(reply, &QNetworkReply::finished, &loop, &QEventLoop::quit);
     if (!reply->isFinished()) loop.exec();
@@ -49,8 +50,8 @@
   return out;
 }
 
-OperatorOutcome waitInForce(std::vector<std::string> const& controllers, OperatorCall const& call, OperatorOutcome first, int limitSeconds,
-                            int waitSeconds) {
+OperatorOutcome waitInForce(std::vector<std::string> const& controllers, OperatorCall const& call,
+                            OperatorOutcome first, int limitSeconds, int waitSeconds) {
   core::Tick const until = now() + waitSeconds * core::Tick{1000};
   OperatorOutcome out = std::move(first);
   while ((out.status == 0 || out.status == 503 || out.status == 504) && now() < until) {
@@ -65,7 +66,8 @@
 std::string readFile(std::string const& path) {
   if (path == "-") return std::string(std::istreambuf_iterator<char>(std::cin), {});
   QFile file(QString::fromStdString(path));
-  if (!file.open(QIODevice::ReadOnly)) throw UsageError("cannot read " + path + ": " + file.errorString().toStdString());
+  if (!file.open(QIODevice::ReadOnly))
+    throw UsageError("cannot read " + path + ": " + file.errorString().toStdString());
   return file.readAll().toStdString();
 }
 
--- a/programs/common/operator_client.h
+++ b/programs/common/operator_client.h
@@ -39,8 +39,8 @@
 OperatorOutcome callOperator(std::vector<std::string> const& controllers, OperatorCall const& call, int limitSeconds);
 
 /// Sends a change again under its id until it is in force, rejected, or the time is over; the newest outcome.
-OperatorOutcome waitInForce(std::vector<std::string> const& controllers, OperatorCall const& call, OperatorOutcome first, int limitSeconds,
-                            int waitSeconds);
+OperatorOutcome waitInForce(std::vector<std::string> const& controllers, OperatorCall const& call,
+                            OperatorOutcome first, int limitSeconds, int waitSeconds);
 
 /// Reads a file, or standard input for "-". Throws UsageError.
 std::string readFile(std::string const& path);
--- a/programs/common/process.cpp
+++ b/programs/common/process.cpp
@@ -24,9 +24,13 @@
   return c;
 }
 
-void chooseEventLoop() { qputenv("QT_NO_GLIB", "1"); }
+void chooseEventLoop() {
+  qputenv("QT_NO_GLIB", "1");
+}
 
-std::string pathOf(http::Request const& request) { return request.target.substr(0, request.target.find('?')); }
+std::string pathOf(http::Request const& request) {
+  return request.target.substr(0, request.target.find('?'));
+}
 
 bool plainPage(http::Server& server, http::Request const& request, std::function<bool()> const& ready,
                std::function<std::string()> const& metrics) {
@@ -46,13 +50,16 @@
   return true;
 }
 
-FolderLock::FolderLock(char const* setting, std::string const& folder) : fd_(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)) {
+FolderLock::FolderLock(char const* setting, std::string const& folder)
+    : fd_(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)) {
   if (fd_ >= 0 && ::flock(fd_, LOCK_EX | LOCK_NB) == 0) return;
   if (fd_ >= 0) ::close(fd_);
   throw SettingsError(std::string(setting) + ": in use by another process: " + folder);
 }
 
-FolderLock::~FolderLock() { ::close(fd_); }
+FolderLock::~FolderLock() {
+  ::close(fd_);
+}
 
 bool Drain::begin() {
   if (until_ != 0) return false;
--- a/programs/common/process.h
+++ b/programs/common/process.h
@@ -36,7 +36,8 @@
   int fd_;
 };
 
-/// The end of a process after SIGTERM: when nothing is in hand, its HTTP edge is closed and nobody waits at it, or at the limit.
+/// The end of a process after SIGTERM: when nothing is in hand, its HTTP edge is closed and nobody waits at it, or at
+/// the limit.
 class Drain {
  public:
   /// @param least for how long callers may still come, though nothing is in hand
--- a/programs/common/settings.cpp
+++ b/programs/common/settings.cpp
@@ -49,27 +49,35 @@
   std::string const program = disk ? "corkward-controller" : "corkward-router";
   po::options_description shared("Settings, in the file or as flags");
   shared.add_options()("link", po::value<std::string>(&s.link), "own address for other processes, ip:port")(
-      "listen", po::value<std::string>(&s.listen), "address to listen at for links, when others reach it at another one")(
-      "http", po::value<std::string>(&s.http), disk ? "own address for operators and the platform, ip:port" : "own address for callers, ip:port")(
+      "listen", po::value<std::string>(&s.listen),
+      "address to listen at for links, when others reach it at another one")(
+      "http", po::value<std::string>(&s.http),
+      disk ? "own address for operators and the platform, ip:port" : "own address for callers, ip:port")(
       "zone", po::value<std::string>(&s.zone), "own zone")(
-      "seed", po::value<std::vector<std::string>>(&s.seeds), "link address of another process to enter by; up to 8 times")(
-      "log-file", po::value<std::string>(&s.logFile), "file for the log; standard error when empty")(
+      "seed", po::value<std::vector<std::string>>(&s.seeds),
+      "link address of another process to enter by; up to 8 times")("log-file", po::value<std::string>(&s.logFile),
+                                                                    "file for the log; standard error when empty")(
       "log-level", po::value<std::string>(&s.logLevel)->default_value("info"), "trace, debug, info, warn or error")(
-      "drain-limit", po::value<int>(&s.drainLimit)->default_value(60), "seconds that work in hand may take after SIGTERM, 1 to 3600");
+      "drain-limit", po::value<int>(&s.drainLimit)->default_value(60),
+      "seconds that work in hand may take after SIGTERM, 1 to 3600");
   if (disk)
     shared.add_options()("data", po::value<std::string>(&s.data), "folder for this machine's write-ahead log")(
-        "founder", po::value<std::vector<std::string>>(&s.founders), "link address of a founder of the membership, once for each; counts at the first start of an empty folder");
+        "founder", po::value<std::vector<std::string>>(&s.founders),
+        "link address of a founder of the membership, once for each; counts at the first start of an empty folder");
   else
-    shared.add_options()("audit", po::value<std::string>(&s.audit), "folder for the records of regimes' work; without it nothing of a regime is served here")(
-        "audit-megabytes", po::value<int>(&s.auditMegabytes)->default_value(64), "most that the records take, 2 to 65536");
+    shared.add_options()("audit", po::value<std::string>(&s.audit),
+                         "folder for the records of regimes' work; without it nothing of a regime is served here")(
+        "audit-megabytes", po::value<int>(&s.auditMegabytes)->default_value(64),
+        "most that the records take, 2 to 65536");
   po::options_description flags("Flags");
-  flags.add_options()("settings", po::value<std::string>(), "settings file: name = value lines")("check", "check the settings and exit")(
-      "help", "print this and exit")("version", "print the version and exit");
+  flags.add_options()("settings", po::value<std::string>(), "settings file: name = value lines")(
+      "check", "check the settings and exit")("help", "print this and exit")("version", "print the version and exit");
   po::options_description all(program);
   all.add(flags).add(shared);
   po::variables_map vm;
   try {
-    po::store(po::command_line_parser(argc, argv).options(all).positional(po::positional_options_description()).run(), vm);
+    po::store(po::command_line_parser(argc, argv).options(all).positional(po::positional_options_description()).run(),
+              vm);
     if (vm.count("help") > 0) {
       std::cout << all << "\n";
       return std::nullopt;
--- a/programs/control/control_daemon.cpp
+++ b/programs/control/control_daemon.cpp
@@ -19,7 +19,8 @@
 
 }  // namespace
 
-ControlDaemon::ControlDaemon(Settings const& s, control::Tuning const& tuning, http::OperatorMapping const& mapping, ControllerSurface surface)
+ControlDaemon::ControlDaemon(Settings const& s, control::Tuning const& tuning, http::OperatorMapping const& mapping,
+                             ControllerSurface surface)
     : settings_(s),
       tuning_(tuning),
       mapping_(mapping),
@@ -30,7 +31,8 @@
       lock_("data", s.data),
       log_(std::make_unique<storage::WriteAheadLog>(*folder_)),
       reducer_(std::in_place, contactOf(s, transport::controllerRole), freshName(), s.seeds, s.founders, seed_, tuning),
-      link_(this, s.link, [this](transport::Envelope e) { run(reducer_->arrived(now(), e.from, e.message)); }, s.listen),
+      link_(
+          this, s.link, [this](transport::Envelope e) { run(reducer_->arrived(now(), e.from, e.message)); }, s.listen),
       server_(surface_.http.empty() ? std::vector<std::string>{s.http} : surface_.http, surface_.limits, events()),
       disk_(1) {
   storage::Recovered got = log_->recover();
@@ -54,9 +56,13 @@
   return e;
 }
 
-void ControlDaemon::platformLists(std::map<std::string, config::Pool> const& lists) { run(reducer_->platformLists(now(), lists)); }
+void ControlDaemon::platformLists(std::map<std::string, config::Pool> const& lists) {
+  run(reducer_->platformLists(now(), lists));
+}
 
-bool ControlDaemon::readsLists() const { return reducer_->readsLists(now()); }
+bool ControlDaemon::readsLists() const {
+  return reducer_->readsLists(now());
+}
 
 void ControlDaemon::retune(std::vector<std::string> const& seeds) {
   settings_.seeds = seeds;
@@ -73,7 +79,9 @@
 
 void ControlDaemon::serve(http::Request request) {
   if (surface_.pages && surface_.pages(*this, request)) return;
-  if (surface_.ownPages && plainPage(server_, request, [this] { return ready(); }, [this] { return metrics(); })) return;
+  if (surface_.ownPages && plainPage(
+                               server_, request, [this] { return ready(); }, [this] { return metrics(); }))
+    return;
   http::OperatorRequest asked = mapping_.operatorCall(request, freshName());
   if (!asked.call) {
     server_.answer(request.id, asked.answer.status, asked.answer.fields, asked.answer.body);
@@ -91,11 +99,13 @@
   run(reducer_->operatorCall(now(), call));
 }
 
-bool ControlDaemon::ready() const { return reducer_->ready(now()); }
+bool ControlDaemon::ready() const {
+  return reducer_->ready(now());
+}
 
 std::string ControlDaemon::metrics() const {
-  return reducer_->metrics(now()) + "# TYPE corkward_garbage_frames_total counter\ncorkward_garbage_frames_total " + std::to_string(link_.garbage()) +
-         "\n";
+  return reducer_->metrics(now()) + "# TYPE corkward_garbage_frames_total counter\ncorkward_garbage_frames_total " +
+         std::to_string(link_.garbage()) + "\n";
 }
 
 void ControlDaemon::answer(control::Answer const& a) {
@@ -152,13 +162,15 @@
       if (got.damaged) setAside();
       std::vector<storage::Record> records{storage::Record{triedRecord, ""}};
       if (!got.damaged)
-        for (std::map<std::string, std::string>::value_type const& s : got.slots) records.push_back(storage::Record{s.first, s.second});
+        for (std::map<std::string, std::string>::value_type const& s : got.slots)
+          records.push_back(storage::Record{s.first, s.second});
       log_->write(records);
     } catch (storage::Error const&) {
       return;
     }
     ++diskLife_;
-    QMetaObject::invokeMethod(this, [this, got] { startOver(got); }, Qt::QueuedConnection);
+    QMetaObject::invokeMethod(
+        this, [this, got] { startOver(got); }, Qt::QueuedConnection);
   });
 }
 
@@ -169,8 +181,10 @@
   std::vector<std::uint64_t> open;
   for (std::unordered_map<std::uint64_t, transport::Call>::value_type const& c : calls_) open.push_back(c.first);
   for (std::uint64_t const token : open)
-    answer(control::Answer{token, 504, {{"error", "unknown"}, {"reason", "this machine's disk had failed; ask again"}}});
-  reducer_.emplace(contactOf(settings_, transport::controllerRole), freshName(), settings_.seeds, settings_.founders, freshSeed(), tuning_);
+    answer(
+        control::Answer{token, 504, {{"error", "unknown"}, {"reason", "this machine's disk had failed; ask again"}}});
+  reducer_.emplace(contactOf(settings_, transport::controllerRole), freshName(), settings_.seeds, settings_.founders,
+                   freshSeed(), tuning_);
   run(reducer_->restore(got.slots, got.damaged, now()));
   if (draining_) run(reducer_->drain(now()));
 }
--- a/programs/control/control_daemon.h
+++ b/programs/control/control_daemon.h
@@ -41,7 +41,8 @@
 class ControlDaemon : public QObject {
  public:
   /// The mapping must outlive it.
-  ControlDaemon(Settings const& settings, control::Tuning const& tuning, http::OperatorMapping const& mapping, ControllerSurface surface = {});
+  ControlDaemon(Settings const& settings, control::Tuning const& tuning, http::OperatorMapping const& mapping,
+                ControllerSurface surface = {});
 
   http::Server& server() { return server_; }
   control::Controller const& reducer() const { return *reducer_; }
@@ -63,8 +64,8 @@
   void answer(control::Answer const& a);
   void run(control::Commands&& commands);
   void probe(std::string const& link);
-  /// Reads the write-ahead log again and writes what it says anew, on the worker; when that goes well the plane starts over from it, as
-  /// after a restart of the process.
+  /// Reads the write-ahead log again and writes what it says anew, on the worker; when that goes well the plane starts
+  /// over from it, as after a restart of the process.
   void tryDisk();
   void startOver(storage::Recovered const& got);
   void clockEvent();
--- a/programs/control/main.cpp
+++ b/programs/control/main.cpp
@@ -16,5 +16,6 @@
 }  // namespace corkward::programs
 
 int main(int argc, char** argv) {
-  return corkward::programs::runProgram<corkward::programs::OwnController>("corkward-controller", corkward::programs::Role::controller, argc, argv);
+  return corkward::programs::runProgram<corkward::programs::OwnController>(
+      "corkward-controller", corkward::programs::Role::controller, argc, argv);
 }
--- a/programs/router/main.cpp
+++ b/programs/router/main.cpp
@@ -16,5 +16,6 @@
 }  // namespace corkward::programs
 
 int main(int argc, char** argv) {
-  return corkward::programs::runProgram<corkward::programs::OwnRouter>("corkward-router", corkward::programs::Role::router, argc, argv);
+  return corkward::programs::runProgram<corkward::programs::OwnRouter>("corkward-router",
+                                                                       corkward::programs::Role::router, argc, argv);
 }
--- a/programs/router/records.cpp
+++ b/programs/router/records.cpp
@@ -22,10 +22,13 @@
 };
 
 constexpr HappenedRow happenedTable[] = {
-    {dataplane::Happened::handedOver, "handed-over"}, {dataplane::Happened::resumed, "resumed"}, {dataplane::Happened::served, "served"},
-    {dataplane::Happened::notRun, "not-run"},         {dataplane::Happened::broken, "broken"},   {dataplane::Happened::rejected, "denied"}};
+    {dataplane::Happened::handedOver, "handed-over"}, {dataplane::Happened::resumed, "resumed"},
+    {dataplane::Happened::served, "served"},          {dataplane::Happened::notRun, "not-run"},
+    {dataplane::Happened::broken, "broken"},          {dataplane::Happened::rejected, "denied"}};
 
-std::int64_t wall() { return QDateTime::currentMSecsSinceEpoch(); }
+std::int64_t wall() {
+  return QDateTime::currentMSecsSinceEpoch();
+}
 
 audit::Kind kindOf(dataplane::Record const& r) {
   audit::Kind out;
@@ -44,7 +47,8 @@
 
 }  // namespace
 
-Records::Records(QObject* owner, Settings const& settings, Works works) : owner_(owner), node_(settings.link), works_(std::move(works)) {
+Records::Records(QObject* owner, Settings const& settings, Works works)
+    : owner_(owner), node_(settings.link), works_(std::move(works)) {
   if (settings.audit.empty()) return;
   bounds_.segments = static_cast<std::size_t>(settings.auditMegabytes);
   folder_ = storage::openFolder(settings.audit);
@@ -54,7 +58,9 @@
   tell(true, "");
 }
 
-void Records::open() { trail_ = std::make_unique<audit::Trail>(*folder_, node_, wall(), bounds_); }
+void Records::open() {
+  trail_ = std::make_unique<audit::Trail>(*folder_, node_, wall(), bounds_);
+}
 
 void Records::tell(bool works, std::string const& why) {
   if (ok_ == works) return;
@@ -86,7 +92,8 @@
   }
   if (now() < headAt_) return;
   headAt_ = now() + headEvery;
-  core::writeLog(core::LogEvent{"audit-head", {{"n", std::to_string(trail_->head().number)}, {"hash", trail_->head().hash}}});
+  core::writeLog(
+      core::LogEvent{"audit-head", {{"n", std::to_string(trail_->head().number)}, {"hash", trail_->head().hash}}});
 }
 
 void Records::sync() {
@@ -119,7 +126,8 @@
 
 std::optional<QJsonObject> Records::head() const {
   if (trail_ == nullptr) return std::nullopt;
-  return QJsonObject{{"n", static_cast<qint64>(trail_->head().number)}, {"hash", core::qstr(trail_->head().hash)}, {"works", ok_}};
+  return QJsonObject{
+      {"n", static_cast<qint64>(trail_->head().number)}, {"hash", core::qstr(trail_->head().hash)}, {"works", ok_}};
 }
 
 }  // namespace corkward::programs
--- a/programs/router/router_daemon.cpp
+++ b/programs/router/router_daemon.cpp
@@ -20,14 +20,16 @@
 
 }  // namespace
 
-RouterDaemon::RouterDaemon(Settings const& s, dataplane::Tuning const& tuning, http::Mapping const& mapping, RouterSurface surface)
+RouterDaemon::RouterDaemon(Settings const& s, dataplane::Tuning const& tuning, http::Mapping const& mapping,
+                           RouterSurface surface)
     : settings_(s),
       mapping_(mapping),
       surface_(std::move(surface)),
       drain_(s.drainLimit, tuning.drainServe),
       reducer_(contactOf(s, transport::routerRole), s.seeds, freshSeed(), tuning),
       records_(this, s, [this](bool works) { reducer_.recording(works); }),
-      link_(this, s.link, [this](transport::Envelope e) { run(reducer_.arrived(now(), e.from, e.message)); }, s.listen),
+      link_(
+          this, s.link, [this](transport::Envelope e) { run(reducer_.arrived(now(), e.from, e.message)); }, s.listen),
       upstreams_(surface_.kept, [] { return now(); }),
       server_(surface_.http.empty() ? std::vector<std::string>{s.http} : surface_.http, surface_.limits, events()) {
   run(reducer_.started(now()));
@@ -42,31 +44,40 @@
   e.gone = [this](std::uint64_t id) { gone(id); };
   e.room = [this](std::uint64_t id) {
     std::unordered_map<std::uint64_t, Call>::iterator const it = calls_.find(id);
-    if (it == calls_.end() || it->second.pausedSince == 0 || it->second.upstream == nullptr || server_.waiting(id) >= callerBuffer / 2) return;
+    if (it == calls_.end() || it->second.pausedSince == 0 || it->second.upstream == nullptr ||
+        server_.waiting(id) >= callerBuffer / 2)
+      return;
     it->second.pausedSince = 0;
     it->second.upstream->pause(false);
   };
   return e;
 }
 
-bool RouterDaemon::ready() const { return reducer_.ready(now()); }
+bool RouterDaemon::ready() const {
+  return reducer_.ready(now());
+}
 
 std::string RouterDaemon::metrics() const {
-  return reducer_.metrics(now()) + "# TYPE corkward_garbage_frames_total counter\ncorkward_garbage_frames_total " + std::to_string(link_.garbage()) +
-         "\n# TYPE corkward_replica_connections_total counter\ncorkward_replica_connections_total " + std::to_string(upstreams_.opened()) +
+  return reducer_.metrics(now()) + "# TYPE corkward_garbage_frames_total counter\ncorkward_garbage_frames_total " +
+         std::to_string(link_.garbage()) +
+         "\n# TYPE corkward_replica_connections_total counter\ncorkward_replica_connections_total " +
+         std::to_string(upstreams_.opened()) +
          "\n# TYPE corkward_replica_connections_reused_total counter\ncorkward_replica_connections_reused_total " +
          std::to_string(upstreams_.reused()) + "\n";
 }
 
 bool RouterDaemon::ownPage(http::Request const& request) {
-  if (plainPage(server_, request, [this] { return ready(); }, [this] { return metrics(); })) return true;
+  if (plainPage(
+          server_, request, [this] { return ready(); }, [this] { return metrics(); }))
+    return true;
   std::string const path = pathOf(request);
   if (path == "/v1/state" && request.method == "GET") {
     QJsonObject state = reducer_.state(now());
     if (std::optional<QJsonObject> const head = records_.head()) state.insert("audit", *head);
     server_.answer(request.id, 200, {{"content-type", "application/json"}}, core::jsonText(state) + "\n");
   } else if (path.rfind(listPath, 0) == 0 && request.method == "PUT") {
-    run(reducer_.platformList(now(), request.id, config::labelOf(path.substr(std::string(listPath).size())), request.body));
+    run(reducer_.platformList(now(), request.id, config::labelOf(path.substr(std::string(listPath).size())),
+                              request.body));
   } else {
     return false;
   }
@@ -100,7 +111,9 @@
   reducer_.recording(records);
 }
 
-void RouterDaemon::platformList(std::string const& pool, std::string const& body) { run(reducer_.platformList(now(), 0, pool, body)); }
+void RouterDaemon::platformList(std::string const& pool, std::string const& body) {
+  run(reducer_.platformList(now(), 0, pool, body));
+}
 
 void RouterDaemon::run(dataplane::Commands&& commands) {
   if (surface_.limitsUnder && reducer_.httpTerms() != httpTerms_) {
@@ -109,8 +122,7 @@
   }
   for (transport::Send const& s : commands.sends) link_.send(s.to, s.message);
   for (core::LogEvent const& n : commands.logEvents) core::writeLog(n);
-  for (dataplane::CallCommand const& c : commands.calls)
-    std::visit([this](auto const& m) { this->act(m); }, c);
+  for (dataplane::CallCommand const& c : commands.calls) std::visit([this](auto const& m) { this->act(m); }, c);
 }
 
 void RouterDaemon::act(dataplane::Connect const& m) {
@@ -129,7 +141,8 @@
   e.head = [this, id](http::ReplicaHead const& head) { replicaHead(id, head); };
   e.piece = [this, id](std::string bytes) { replicaPiece(id, std::move(bytes)); };
   e.ended = [this, id](bool whole) { replicaEnded(id, whole); };
-  it->second.upstream = m.life.empty() ? upstreams_.lend(m.address, m.fresh, std::move(e), this) : new http::UpstreamConnection(m.address, m.life, std::move(e), this);
+  it->second.upstream = m.life.empty() ? upstreams_.lend(m.address, m.fresh, std::move(e), this)
+                                       : new http::UpstreamConnection(m.address, m.life, std::move(e), this);
 }
 
 void RouterDaemon::act(dataplane::HandOver const& m) {
@@ -142,10 +155,13 @@
     return;
   }
   dataplane::Resume const resume = call.stream.resume();
-  call.upstream->send(mapping_.replicaRequest(http::Dispatch{call.request, call.caller, call.path, m, resume}), call.request.body);
+  call.upstream->send(mapping_.replicaRequest(http::Dispatch{call.request, call.caller, call.path, m, resume}),
+                      call.request.body);
 }
 
-void RouterDaemon::act(dataplane::Abandon const& m) { abandon(m.call); }
+void RouterDaemon::act(dataplane::Abandon const& m) {
+  abandon(m.call);
+}
 
 void RouterDaemon::act(dataplane::Record const& m) {
   bool const written = records_.write(m);
@@ -221,7 +237,9 @@
     run(reducer_.moving(now(), id));
   }
   it = calls_.find(id);
-  if (it == calls_.end() || server_.waiting(id) <= callerBuffer || it->second.upstream == nullptr || it->second.pausedSince != 0) return;
+  if (it == calls_.end() || server_.waiting(id) <= callerBuffer || it->second.upstream == nullptr ||
+      it->second.pausedSince != 0)
+    return;
   it->second.pausedSince = now();
   it->second.upstream->pause(true);
 }
--- a/programs/router/router_daemon.h
+++ b/programs/router/router_daemon.h
@@ -35,7 +35,8 @@
   std::function<bool(RouterDaemon&, http::Request const&)> pages = {};
   /// Whether the product's own pages (/healthz, /readyz, /metrics, /v1/state, platform lists) are served, after those.
   bool ownPages = true;
-  /// Bounds of the callers' HTTP edge under the whole configuration's terms, taken over when these change; empty: as they are.
+  /// Bounds of the callers' HTTP edge under the whole configuration's terms, taken over when these change; empty: as
+  /// they are.
   std::function<http::Limits(config::HttpTerms const&)> limitsUnder = {};
 };
 
@@ -43,7 +44,8 @@
 class RouterDaemon : public QObject {
  public:
   /// The mapping must outlive it.
-  RouterDaemon(Settings const& settings, dataplane::Tuning const& tuning, http::Mapping const& mapping, RouterSurface surface = {});
+  RouterDaemon(Settings const& settings, dataplane::Tuning const& tuning, http::Mapping const& mapping,
+               RouterSurface surface = {});
 
   http::Server& server() { return server_; }
   http::UpstreamPool& upstreams() { return upstreams_; }
--- a/programs/runbook/duty.cpp
+++ b/programs/runbook/duty.cpp
@@ -24,7 +24,9 @@
   return callOperator({controller}, {method, "/v1/duties/" + name_, core::jsonText(body), "", "", false}, askSeconds);
 }
 
-bool Duty::held() const { return now() < until_; }
+bool Duty::held() const {
+  return now() < until_;
+}
 
 bool Duty::renew() {
   core::Tick const asked = now();
--- a/programs/runbook/main.cpp
+++ b/programs/runbook/main.cpp
@@ -49,14 +49,17 @@
 
   /// True when every step was done. Steps of one run name have the same change ids, so what was done is not done again.
   bool carryOut(runbook::Runbook const& book, std::string const& run = freshName()) {
-    logEvent("runbook=" + book.name + " run=" + run + (dryRun_ ? " dry-run=yes" : "") + " steps=" + std::to_string(book.steps.size()));
+    logEvent("runbook=" + book.name + " run=" + run + (dryRun_ ? " dry-run=yes" : "") +
+             " steps=" + std::to_string(book.steps.size()));
     for (std::size_t i = 0; i < book.steps.size(); ++i) {
       runbook::Step const& step = book.steps[i];
-      Outcome const out = may_ && !may_() ? Outcome{false, "the duty is no longer held"} : take(step, run + "-" + std::to_string(i));
-      logEvent("run=" + run + " step=" + std::to_string(i + 1) + " do=" + runbook::kindName(step.kind) + " name=\"" + step.name + "\" outcome=" +
-           (out.ok ? "done" : "failed") + " said=\"" + out.said + "\"");
+      Outcome const out =
+          may_ && !may_() ? Outcome{false, "the duty is no longer held"} : take(step, run + "-" + std::to_string(i));
+      logEvent("run=" + run + " step=" + std::to_string(i + 1) + " do=" + runbook::kindName(step.kind) + " name=\"" +
+               step.name + "\" outcome=" + (out.ok ? "done" : "failed") + " said=\"" + out.said + "\"");
       if (!out.ok) {
-        logEvent("run=" + run + " stopped-at=" + std::to_string(i + 1) + " not-done=" + std::to_string(book.steps.size() - i));
+        logEvent("run=" + run + " stopped-at=" + std::to_string(i + 1) +
+                 " not-done=" + std::to_string(book.steps.size() - i));
         return false;
       }
     }
@@ -77,12 +80,16 @@
   Outcome take(runbook::Step const& step, std::string const& changeId) {
     switch (step.kind) {
       case runbook::Kind::evacuate:
-        return change({"PUT", "/v1/evacuations/" + config::addressPart(step.words.at("zone")), "", "", changeId, dryRun_}, step);
+        return change(
+            {"PUT", "/v1/evacuations/" + config::addressPart(step.words.at("zone")), "", "", changeId, dryRun_}, step);
       case runbook::Kind::lift:
-        return change({"DELETE", "/v1/evacuations/" + config::addressPart(step.words.at("zone")), "", "", changeId, dryRun_}, step);
+        return change(
+            {"DELETE", "/v1/evacuations/" + config::addressPart(step.words.at("zone")), "", "", changeId, dryRun_},
+            step);
       case runbook::Kind::putTemplate:
       case runbook::Kind::patchTemplate:
-        return onNewest("/v1/templates/" + step.words.at("template"), step.kind == runbook::Kind::putTemplate, step, changeId);
+        return onNewest("/v1/templates/" + step.words.at("template"), step.kind == runbook::Kind::putTemplate, step,
+                        changeId);
       case runbook::Kind::putInstance:
       case runbook::Kind::patchInstance:
         return onNewest("/v1/templates/" + step.words.at("template") + "/instances/" + step.words.at("instance"),
@@ -101,9 +108,11 @@
 
   Outcome onNewest(std::string const& path, bool put, runbook::Step const& step, std::string const& changeId) {
     OperatorOutcome const before = call({"GET", "/v1/changes/" + changeId, "", "", "", false});
-    if (before.status == 200 || before.body.value("pending").toBool()) return {true, "done before, revision " + std::to_string(before.body.value("stamp").toInteger())};
+    if (before.status == 200 || before.body.value("pending").toBool())
+      return {true, "done before, revision " + std::to_string(before.body.value("stamp").toInteger())};
     OperatorOutcome const now = call({"GET", path, "", "", "", false});
-    if (now.status != 200 && !(put && now.status == 404)) return {false, "reading it: status " + std::to_string(now.status)};
+    if (now.status != 200 && !(put && now.status == 404))
+      return {false, "reading it: status " + std::to_string(now.status)};
     std::string const revision = now.status == 404 ? "0" : now.revision;
     return change({put ? "PUT" : "PATCH", path, core::jsonText(step.body), revision, changeId, dryRun_}, step);
   }
@@ -115,7 +124,9 @@
       if (out.status == 200 || out.status == 201) return {true, "stamp " + out.revision};
       bool const again = out.status == 0 || out.status == 503 || out.status == 504;
       if (!again || now() >= until)
-        return {false, out.status == 0 ? "no answer: " + out.error : "status " + std::to_string(out.status) + " " + core::str(out.body.value("reason").toString())};
+        return {false, out.status == 0 ? "no answer: " + out.error
+                                       : "status " + std::to_string(out.status) + " " +
+                                             core::str(out.body.value("reason").toString())};
       pause(pollMs);
     }
   }
@@ -151,7 +162,9 @@
         if (one.status != 200) return {false, {}};
         instances.insert(i.toString(), one.body);
       }
-      all.insert(n.toString(), QJsonObject{{"spec", t.body.value("spec")}, {"stamp", t.body.value("stamp")}, {"instances", instances}});
+      all.insert(
+          n.toString(),
+          QJsonObject{{"spec", t.body.value("spec")}, {"stamp", t.body.value("stamp")}, {"instances", instances}});
     }
     return {true, all};
   }
@@ -172,7 +185,8 @@
     QJsonValue const saved = core::parseJson(readFile(path));
     if (saved == QJsonValue(all.second)) return {true, "as saved"};
     for (QString const& k : saved.toObject().keys())
-      if (saved.toObject().value(k) != all.second.value(k)) return {false, "template " + core::str(k) + " differs from " + path};
+      if (saved.toObject().value(k) != all.second.value(k))
+        return {false, "template " + core::str(k) + " differs from " + path};
     return {false, "there are templates that " + path + " does not have"};
   }
 
@@ -203,7 +217,8 @@
 }
 
 std::string besideOf(std::string const& folder, std::string const& name) {
-  if (name.find('/') != std::string::npos || name.find("..") != std::string::npos) throw UsageError("runbook: must be a name without folders: " + name);
+  if (name.find('/') != std::string::npos || name.find("..") != std::string::npos)
+    throw UsageError("runbook: must be a name without folders: " + name);
   return folder + "/" + name;
 }
 
@@ -236,9 +251,16 @@
 /// state, so that after a takeover nobody acts on it a second time.
 class Watcher {
  public:
-  Watcher(std::vector<std::string> const& controllers, Foreman& foreman, std::vector<alerting::Rule> rules, std::string const& folder)
-      : controllers_(controllers), foreman_(foreman), rules_(rules), watch_(std::move(rules)), me_(freshName()), duty_(controllers, "alert-watch", me_) {
-    for (alerting::Rule const& r : rules_) books_[r.alert] = runbook::readRunbook(readFile(besideOf(folder, r.runbook)), r.parameters);
+  Watcher(std::vector<std::string> const& controllers, Foreman& foreman, std::vector<alerting::Rule> rules,
+          std::string const& folder)
+      : controllers_(controllers),
+        foreman_(foreman),
+        rules_(rules),
+        watch_(std::move(rules)),
+        me_(freshName()),
+        duty_(controllers, "alert-watch", me_) {
+    for (alerting::Rule const& r : rules_)
+      books_[r.alert] = runbook::readRunbook(readFile(besideOf(folder, r.runbook)), r.parameters);
     foreman_.guard([this] { return duty_.renew(); });
   }
 
@@ -246,11 +268,13 @@
     std::vector<alerting::Rule> const holding = watch_.look(now(), scrape(targets));
     bool const had = had_;
     had_ = duty_.renew();
-    if (had_ != had) std::cout << "duty=alert-watch held=" << (had_ ? "yes" : "no") << " epoch=" << duty_.term() << std::endl;
+    if (had_ != had)
+      std::cout << "duty=alert-watch held=" << (had_ ? "yes" : "no") << " epoch=" << duty_.term() << std::endl;
     if (!had_) return;
     if (!had) known_.clear();
     for (alerting::Rule const& r : rules_) {
-      bool const holds = std::any_of(holding.begin(), holding.end(), [&](alerting::Rule const& h) { return h.alert == r.alert; });
+      bool const holds =
+          std::any_of(holding.begin(), holding.end(), [&](alerting::Rule const& h) { return h.alert == r.alert; });
       if (!holds && watch_.rising(r.alert)) continue;
       std::map<std::string, std::string>::const_iterator const known = known_.find(r.alert);
       if (known != known_.end() && known->second == (holds ? "done" : "clear")) continue;
@@ -270,7 +294,9 @@
     std::string name;
     for (char const c : r.alert) {
       if (std::isupper(static_cast<unsigned char>(c)) && !name.empty() && name.back() != '-') name += '-';
-      name += std::isalnum(static_cast<unsigned char>(c)) ? static_cast<char>(std::tolower(static_cast<unsigned char>(c))) : '-';
+      name += std::isalnum(static_cast<unsigned char>(c))
+                  ? static_cast<char>(std::tolower(static_cast<unsigned char>(c)))
+                  : '-';
     }
     return "/v1/alerts/" + name;
   }
@@ -278,7 +304,9 @@
   /// Puts a state on the revision that was read; the new revision, or -1 when it was not taken.
   qint64 put(alerting::Rule const& r, char const* state, qint64 revision) {
     QJsonObject const body{{"state", state}, {"by", core::qstr(me_)}};
-    OperatorOutcome const out = callOperator(controllers_, {"PUT", pathOf(r), core::jsonText(body), std::to_string(revision), freshName(), false}, callSeconds);
+    OperatorOutcome const out = callOperator(
+        controllers_, {"PUT", pathOf(r), core::jsonText(body), std::to_string(revision), freshName(), false},
+        callSeconds);
     bool const taken = out.status == 200 || out.body.value("pending").toBool();
     return taken ? out.body.value("stamp").toInteger() : -1;
   }
@@ -300,7 +328,8 @@
     if (state == "clear") revision = put(r, "claimed", revision);
     if (revision < 0) return;
     std::cout << "alert=" << r.alert << " runbook=" << r.runbook << " claim=" << revision << std::endl;
-    foreman_.carryOut(books_.at(r.alert), "alert-" + pathOf(r).substr(std::string("/v1/alerts/").size()) + "-" + std::to_string(revision));
+    foreman_.carryOut(books_.at(r.alert),
+                      "alert-" + pathOf(r).substr(std::string("/v1/alerts/").size()) + "-" + std::to_string(revision));
     ++acted_;
     if (duty_.held() && put(r, "done", revision) >= 0) known_[r.alert] = "done";
   }
@@ -345,11 +374,15 @@
   int acts = 0;
   po::options_description flags("Flags");
   flags.add_options()("substation", po::value(&controllers)->default_value({"127.0.0.1:9100"}, "127.0.0.1:9100"),
-                      "address of a controller, ip:port; give all of them")("set", po::value(&sets), "name=value for a parameter of the runbook")(
-      "check", "check the runbook or the rules and exit")("dry-run", "say what each step would do; changes are only checked")(
-      "yes", "take every confirm step as done")("account", po::value(&account), "file that the account is added to")(
-      "rules", po::value(&rules), "watch with this rule file; its runbooks stand beside it")("target", po::value(&targets), "metrics page to watch, ip:port or zone=ip:port")(
-      "every", po::value(&every)->default_value(5), "seconds between two looks, 1 to 600")("rounds", po::value(&rounds)->default_value(0), "looks before the end; 0 for no end")(
+                      "address of a controller, ip:port; give all of them")(
+      "set", po::value(&sets), "name=value for a parameter of the runbook")("check",
+                                                                            "check the runbook or the rules and exit")(
+      "dry-run", "say what each step would do; changes are only checked")("yes", "take every confirm step as done")(
+      "account", po::value(&account), "file that the account is added to")(
+      "rules", po::value(&rules), "watch with this rule file; its runbooks stand beside it")(
+      "target", po::value(&targets), "metrics page to watch, ip:port or zone=ip:port")(
+      "every", po::value(&every)->default_value(5), "seconds between two looks, 1 to 600")(
+      "rounds", po::value(&rounds)->default_value(0), "looks before the end; 0 for no end")(
       "acts", po::value(&acts)->default_value(0), "runbooks carried out before the end; 0 for no end")(
       "help", "print this and exit")("version", "print the version and exit");
   po::options_description hidden;
@@ -363,7 +396,8 @@
     po::store(po::command_line_parser(argc, argv).options(all).positional(positional).run(), vm);
     po::notify(vm);
     if (vm.count("help") > 0) {
-      std::cout << "corkward-runbook [flags] RUNBOOK\ncorkward-runbook [flags] --rules FILE --target ...\n\n" << flags
+      std::cout << "corkward-runbook [flags] RUNBOOK\ncorkward-runbook [flags] --rules FILE --target ...\n\n"
+                << flags
                 << "\nExit codes: 0 done, 1 a step failed and the rest was not done, 2 bad use and nothing done\n";
       return 0;
     }
@@ -406,4 +440,6 @@
 
 }  // namespace corkward::programs
 
-int main(int argc, char** argv) { return corkward::programs::runRunbook(argc, argv); }
+int main(int argc, char** argv) {
+  return corkward::programs::runRunbook(argc, argv);
+}
--- a/programs/test/declare_test.cpp
+++ b/programs/test/declare_test.cpp
@@ -65,9 +65,11 @@
   }
 }
 
-constexpr char const* tenantTemplate = R"({"template":"desk","spec":{"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]}})";
+constexpr char const* tenantTemplate =
+    R"({"template":"desk","spec":{"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]}})";
 constexpr char const* tenant = R"({"template":"desk","instance":"nord","spec":{}})";
-constexpr char const* certificates = R"({"regimes":{"health":{"nacelles":"any"}},"certificates":{"c1":{"regime":"health","carrier":"replicas",
+constexpr char const* certificates =
+    R"({"regimes":{"health":{"nacelles":"any"}},"certificates":{"c1":{"regime":"health","carrier":"replicas",
   "pool":"model","zone":"z1","until":"2099-01-01T00:00:00Z"}}})";
 constexpr char const* none = R"({"regimes":{},"certificates":{}})";
 
@@ -86,10 +88,11 @@
   CHECK(faultOf(folder, withPool()).find("no regime named health") != std::string::npos);
   folder.write("z-certificates.json", certificates);
   CHECK(plan(folder, withPool()) == std::vector<std::string>{"create /v1/certificates 0", "create /v1/templates/desk 0",
-                                                            "create /v1/templates/desk/instances/nord 0"});
+                                                             "create /v1/templates/desk/instances/nord 0"});
   Desk settled = withPool();
   settled.hold("/v1/certificates", certificates, 4);
-  settled.hold("/v1/templates/desk", R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", 1, {"nord"});
+  settled.hold("/v1/templates/desk", R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", 1,
+               {"nord"});
   settled.hold("/v1/templates/desk/instances/nord", "{}", 2);
   CHECK(plan(folder, settled).empty());
 }
@@ -97,7 +100,8 @@
 TEST_CASE("certificates that tenants in force still need go after the tenants that give them up") {
   Desk desk = withPool();
   desk.hold("/v1/certificates", certificates, 4);
-  desk.hold("/v1/templates/desk", R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", 1, {"nord"});
+  desk.hold("/v1/templates/desk", R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", 1,
+            {"nord"});
   desk.hold("/v1/templates/desk/instances/nord", "{}", 2);
   Folder folder;
   folder.write("desk.json", R"({"template":"desk","spec":{"paths":[{"path":"a","pool":"model","class":"short"}]}})");
@@ -105,11 +109,13 @@
   folder.write("certificates.json", none);
   CHECK(plan(folder, desk) == std::vector<std::string>{"change /v1/templates/desk 1", "change /v1/certificates 4"});
   folder.write("desk.json", tenantTemplate);
-  CHECK(faultOf(folder, desk).find("certificates.json: /certificates: desk.nord: no regime named health") != std::string::npos);
+  CHECK(faultOf(folder, desk).find("certificates.json: /certificates: desk.nord: no regime named health") !=
+        std::string::npos);
 }
 
 TEST_CASE("the examples of regimes are valid, certificates first") {
-  std::vector<programs::PlannedChange> const changes = programs::planChanges(programs::readFolder(CORKWARD_SOURCE "/examples/regimes"), false, withPool());
+  std::vector<programs::PlannedChange> const changes =
+      programs::planChanges(programs::readFolder(CORKWARD_SOURCE "/examples/regimes"), false, withPool());
   REQUIRE(changes.size() == 3);
   CHECK(changes[0].call.path == "/v1/certificates");
   CHECK(changes[2].call.path == "/v1/templates/pilot-desk/instances/nord");
@@ -117,7 +123,9 @@
 
 TEST_CASE("bad declarations of certificates are told by file and place, before anything is sent") {
   Folder folder;
-  folder.write("c.json", R"({"regimes":{"health":{"nacelles":"any"}},"certificates":{"c1":{"regime":"health","carrier":"replicas","pool":"m","zone":"z1"}}})");
+  folder.write(
+      "c.json",
+      R"({"regimes":{"health":{"nacelles":"any"}},"certificates":{"c1":{"regime":"health","carrier":"replicas","pool":"m","zone":"z1"}}})");
   CHECK(faultOf(folder, withPool()).find("c.json: /certificates/c1/until: missing") != std::string::npos);
   folder.write("c.json", certificates);
   folder.write("d.json", none);
@@ -129,7 +137,8 @@
   {
     std::unique_ptr<storage::Folder> const disk = storage::openFolder(folder.path());
     audit::Trail trail(*disk, "n1", 1780000000000);
-    trail.count(audit::Kind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}}, 1780000000000);
+    trail.count(audit::Kind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}},
+                1780000000000);
     trail.close(1780000000001);
   }
   programs::ReportWays ways;
@@ -139,7 +148,10 @@
   CHECK(programs::reportRegimes(ways) == 0);
   ways.heads = {"n1=2:" + std::string(64, 'a')};
   CHECK(programs::reportRegimes(ways) == 1);
-  for (char const* bad : {"n1", "n1=2", "n1=x:" "0", "=2:0"}) {
+  for (char const* bad : {"n1", "n1=2",
+                          "n1=x:"
+                          "0",
+                          "=2:0"}) {
     ways.heads = {bad};
     CHECK_THROWS_AS(programs::reportRegimes(ways), programs::UsageError);
   }
--- a/runbook/include/corkward/runbook/runbook.h
+++ b/runbook/include/corkward/runbook/runbook.h
@@ -12,7 +12,8 @@
 /// A runbook that cannot be carried out as written; says the place as a JSON pointer. Nothing was done.
 class Error : public core::Error {
  public:
-  Error(std::string pointer, std::string const& reason) : core::Error(pointer + ": " + reason), pointer_(std::move(pointer)) {}
+  Error(std::string pointer, std::string const& reason)
+      : core::Error(pointer + ": " + reason), pointer_(std::move(pointer)) {}
   std::string const& pointer() const { return pointer_; }
 
  private:
--- a/runbook/src/runbook.cpp
+++ b/runbook/src/runbook.cpp
@@ -19,16 +19,17 @@
   char const* object;
 };
 
-constexpr std::array<KindRow, 10> kindTable{{{"evacuate", Kind::evacuate, true, {"zone"}, nullptr},
-                                             {"lift", Kind::lift, true, {"zone"}, nullptr},
-                                             {"put-template", Kind::putTemplate, true, {"template"}, "spec"},
-                                             {"patch-template", Kind::patchTemplate, true, {"template"}, "patch"},
-                                             {"put-instance", Kind::putInstance, true, {"template", "instance"}, "spec"},
-                                             {"patch-instance", Kind::patchInstance, true, {"template", "instance"}, "patch"},
-                                             {"wait", Kind::wait, false, {"page"}, "expect"},
-                                             {"verify", Kind::verify, false, {"file"}, nullptr},
-                                             {"save", Kind::save, false, {"file"}, nullptr},
-                                             {"confirm", Kind::confirm, false, {"say"}, nullptr}}};
+constexpr std::array<KindRow, 10> kindTable{
+    {{"evacuate", Kind::evacuate, true, {"zone"}, nullptr},
+     {"lift", Kind::lift, true, {"zone"}, nullptr},
+     {"put-template", Kind::putTemplate, true, {"template"}, "spec"},
+     {"patch-template", Kind::patchTemplate, true, {"template"}, "patch"},
+     {"put-instance", Kind::putInstance, true, {"template", "instance"}, "spec"},
+     {"patch-instance", Kind::patchInstance, true, {"template", "instance"}, "patch"},
+     {"wait", Kind::wait, false, {"page"}, "expect"},
+     {"verify", Kind::verify, false, {"file"}, nullptr},
+     {"save", Kind::save, false, {"file"}, nullptr},
+     {"confirm", Kind::confirm, false, {"say"}, nullptr}}};
 
 constexpr std::array<char const*, 5> expectWords{"pointer", "equals", "atLeast", "atMost", "each"};
 
@@ -74,7 +75,8 @@
   if (tests != 1) throw Error(at, "wants one of equals, atLeast and atMost");
   if (e.contains("each") && !e.value("each").isString()) throw Error(at + "/each", "must be a text");
   for (char const* n : {"atLeast", "atMost"})
-    if (e.contains(QLatin1String(n)) && !e.value(QLatin1String(n)).isDouble()) throw Error(at + "/" + n, "must be a number");
+    if (e.contains(QLatin1String(n)) && !e.value(QLatin1String(n)).isDouble())
+      throw Error(at + "/" + n, "must be a number");
 }
 
 bool holds(QJsonValue const& seen, QJsonObject const& expect) {
@@ -86,21 +88,27 @@
 
 }  // namespace
 
-char const* kindName(Kind kind) { return rowOf(kind).name; }
+char const* kindName(Kind kind) {
+  return rowOf(kind).name;
+}
 
-bool changes(Kind kind) { return rowOf(kind).changes; }
+bool changes(Kind kind) {
+  return rowOf(kind).changes;
+}
 
 Runbook readRunbook(std::string const& text, std::map<std::string, std::string> const& parameters) {
   QJsonValue const root = core::parseJson(text);
   if (!root.isObject()) throw Error("/", "must be an object");
   QJsonObject const book = root.toObject();
   for (QString const& k : book.keys())
-    if (k != "runbook" && k != "note" && k != "parameters" && k != "steps") throw Error("/" + core::str(k), "unknown field");
+    if (k != "runbook" && k != "note" && k != "parameters" && k != "steps")
+      throw Error("/" + core::str(k), "unknown field");
   Runbook out;
   out.name = core::str(book.value("runbook").toString());
   if (out.name.empty()) throw Error("/runbook", "missing name");
   std::set<std::string> declared;
-  if (book.contains("parameters") && !book.value("parameters").isArray()) throw Error("/parameters", "must be a list of names");
+  if (book.contains("parameters") && !book.value("parameters").isArray())
+    throw Error("/parameters", "must be a list of names");
   for (QJsonValue const p : book.value("parameters").toArray()) {
     std::string const name = core::str(p.toString());
     if (name.empty() || !declared.insert(name).second) throw Error("/parameters", "must be a list of different names");
@@ -108,7 +116,8 @@
   }
   for (std::map<std::string, std::string>::value_type const& p : parameters)
     if (declared.count(p.first) == 0) throw Error("/parameters", "the runbook has no parameter " + p.first);
-  if (!book.value("steps").isArray() || book.value("steps").toArray().isEmpty()) throw Error("/steps", "must be a list with steps");
+  if (!book.value("steps").isArray() || book.value("steps").toArray().isEmpty())
+    throw Error("/steps", "must be a list with steps");
   QJsonArray const steps = book.value("steps").toArray();
   for (qsizetype i = 0; i < steps.size(); ++i) {
     std::string const at = "/steps/" + std::to_string(i);
@@ -168,13 +177,14 @@
   Expectation out;
   out.seen = at.isUndefined() ? "nothing" : core::jsonText(at);
   if (!expect.contains("each")) {
-    out.met = at.isArray() && !expect.contains("equals") ? holds(static_cast<qint64>(at.toArray().size()), expect) : holds(at, expect);
+    out.met = at.isArray() && !expect.contains("equals") ? holds(static_cast<qint64>(at.toArray().size()), expect)
+                                                         : holds(at, expect);
     return out;
   }
   QJsonArray const items = at.toArray();
   out.met = at.isArray() && std::all_of(items.begin(), items.end(), [&](QJsonValue const& item) {
-    return holds(item.toObject().value(expect.value("each").toString()), expect);
-  });
+              return holds(item.toObject().value(expect.value("each").toString()), expect);
+            });
   return out;
 }
 
--- a/runbook/test/runbook_test.cpp
+++ b/runbook/test/runbook_test.cpp
@@ -21,15 +21,16 @@
     char const* text;
     char const* pointer;
   };
-  constexpr Row rows[] = {{R"({"steps":[]})", "/runbook"},
-                          {R"({"runbook":"r","steps":[]})", "/steps"},
-                          {R"({"runbook":"r","steps":[{"do":"dance"}]})", "/steps/0/do"},
-                          {R"({"runbook":"r","steps":[{"do":"lift"}]})", "/steps/0/zone"},
-                          {R"({"runbook":"r","steps":[{"do":"lift","zone":"${z}"}]})", "/steps/0/zone"},
-                          {R"({"runbook":"r","steps":[{"do":"lift","zone":"z","extra":1}]})", "/steps/0/extra"},
-                          {R"({"runbook":"r","steps":[{"do":"wait","page":"/v1/fleet","expect":{"pointer":"/a"}}]})", "/steps/0/expect"},
-                          {R"({"runbook":"r","parameters":["p"],"steps":[{"do":"lift","zone":"z"}]})", "/parameters"},
-                          {R"({"runbook":"r","steps":[{"do":"lift","zone":"z","limitSeconds":0}]})", "/steps/0/limitSeconds"}};
+  constexpr Row rows[] = {
+      {R"({"steps":[]})", "/runbook"},
+      {R"({"runbook":"r","steps":[]})", "/steps"},
+      {R"({"runbook":"r","steps":[{"do":"dance"}]})", "/steps/0/do"},
+      {R"({"runbook":"r","steps":[{"do":"lift"}]})", "/steps/0/zone"},
+      {R"({"runbook":"r","steps":[{"do":"lift","zone":"${z}"}]})", "/steps/0/zone"},
+      {R"({"runbook":"r","steps":[{"do":"lift","zone":"z","extra":1}]})", "/steps/0/extra"},
+      {R"({"runbook":"r","steps":[{"do":"wait","page":"/v1/fleet","expect":{"pointer":"/a"}}]})", "/steps/0/expect"},
+      {R"({"runbook":"r","parameters":["p"],"steps":[{"do":"lift","zone":"z"}]})", "/parameters"},
+      {R"({"runbook":"r","steps":[{"do":"lift","zone":"z","limitSeconds":0}]})", "/steps/0/limitSeconds"}};
   for (Row const& r : rows) {
     try {
       runbook::readRunbook(r.text, {});
@@ -38,14 +39,19 @@
       CHECK(e.pointer() == r.pointer);
     }
   }
-  CHECK_THROWS_AS(runbook::readRunbook(R"({"runbook":"r","steps":[{"do":"lift","zone":"z"}]})", {{"unasked", "1"}}), runbook::Error);
+  CHECK_THROWS_AS(runbook::readRunbook(R"({"runbook":"r","steps":[{"do":"lift","zone":"z"}]})", {{"unasked", "1"}}),
+                  runbook::Error);
 }
 
 TEST_CASE("expectations look at pages, never guess") {
-  QJsonObject const page = core::parseJson(R"({"voting":true,"cohort":[1,2,3],"nacelles":[{"keysBehind":0},{"keysBehind":2}]})").toObject();
+  QJsonObject const page =
+      core::parseJson(R"({"voting":true,"cohort":[1,2,3],"nacelles":[{"keysBehind":0},{"keysBehind":2}]})").toObject();
   CHECK(runbook::meets(page, core::parseJson(R"({"pointer":"/voting","equals":true})").toObject()).met);
   CHECK(runbook::meets(page, core::parseJson(R"({"pointer":"/cohort","atLeast":3})").toObject()).met);
-  CHECK_FALSE(runbook::meets(page, core::parseJson(R"({"pointer":"/nacelles","each":"keysBehind","equals":0})").toObject()).met);
-  CHECK(runbook::meets(page, core::parseJson(R"({"pointer":"/nacelles","each":"keysBehind","atMost":2})").toObject()).met);
+  CHECK_FALSE(
+      runbook::meets(page, core::parseJson(R"({"pointer":"/nacelles","each":"keysBehind","equals":0})").toObject())
+          .met);
+  CHECK(runbook::meets(page, core::parseJson(R"({"pointer":"/nacelles","each":"keysBehind","atMost":2})").toObject())
+            .met);
   CHECK_FALSE(runbook::meets(page, core::parseJson(R"({"pointer":"/nowhere","equals":true})").toObject()).met);
 }
--- a/scaling/include/corkward/scaling/scaling.h
+++ b/scaling/include/corkward/scaling/scaling.h
@@ -35,8 +35,8 @@
   Tick cutEvery = 500;
   /// While answers take less than this share of their aims, the limit is raised for a request that finds no room.
   double steady = 0.0;
-  /// The limit falls to this share with each look at which less than `used` of the cap is in use; below 1 a widening also
-  /// leaves the cap as it is, since the limit is raised on demand.
+  /// The limit falls to this share with each look at which less than `used` of the cap is in use; below 1 a widening
+  /// also leaves the cap as it is, since the limit is raised on demand.
   double ease = 1.0;
   double used = 0.85;
   /// What one request in flight weighs in the pick, in tokens to be read anew.
@@ -149,12 +149,13 @@
   /// The seed orders this node's preference among replicas; nodes choose apart.
   explicit Scaler(std::uint64_t seed, Figures const& f = figures);
 
-  /// New candidates. Those of the part that are gone leave at once and are replaced one for one; neither counts as a step.
+  /// New candidates. Those of the part that are gone leave at once and are replaced one for one; neither counts as a
+  /// step.
   void candidates(Candidates all);
   /// Before anything was sent: the part begins with this replica, if it is a candidate.
   void begin(Index wanted);
-  /// One look at the demand; held counts no echoes. Takes at most one step and returns +1, -1 or 0. A widening takes the
-  /// wanted candidate, if that is outside the part, else the next in this node's order.
+  /// One look at the demand; held counts no echoes. Takes at most one step and returns +1, -1 or 0. A widening takes
+  /// the wanted candidate, if that is outside the part, else the next in this node's order.
   int look(Tick now, std::size_t held, std::int64_t wanted = -1);
   /// True when looks with nothing held change nothing until a request is sent or candidates change.
   bool atRest() const;
@@ -237,7 +238,8 @@
 class Kept {
  public:
   explicit Kept(std::size_t bound = figures.parts) : bound_(bound) {}
-  /// A part, named by a hash of itself and all before it, was sent. Memory: tokens that the replica keeps; 0: not known.
+  /// A part, named by a hash of itself and all before it, was sent. Memory: tokens that the replica keeps; 0: not
+  /// known.
   void sent(Index replica, std::uint64_t part, std::int64_t tokens, std::int64_t memory);
   bool has(Index replica, std::uint64_t part) const;
   void forget(Index replica);
@@ -283,7 +285,8 @@
   std::deque<Tick> allowed_;
 };
 
-/// Own retries at each pool and over all: one more has to be within both, so that no pool's requests pay for repeats at another.
+/// Own retries at each pool and over all: one more has to be within both, so that no pool's requests pay for repeats at
+/// another.
 class RetryBudgets {
  public:
   void first(Tick now, Index pool);
@@ -309,4 +312,4 @@
   Tick at_;
 };
 
-}  // namespace corkward::governor
+}  // namespace corkward::scaling
--- a/scaling/src/scaling.cpp
+++ b/scaling/src/scaling.cpp
@@ -17,7 +17,9 @@
   CORKWARD_INVARIANT(f.calmFor >= 5000 && f.width > 0);
 }
 
-std::uint64_t Scaler::order(Candidate const& c) const { return core::Rng(seed_ ^ c.hash).next(); }
+std::uint64_t Scaler::order(Candidate const& c) const {
+  return core::Rng(seed_ ^ c.hash).next();
+}
 
 bool Scaler::has(Index replica) const {
   return std::any_of(part_.begin(), part_.end(), [&](Candidate const& p) { return p.replica == replica; });
@@ -154,10 +156,12 @@
   } else if (inFlight_ >= f_.calmShare * cap()) {
     limit_ = std::min(f_.maxLimit, limit_ + 1.0 / std::max(1.0, cap()));
   }
-  bool const all = !part_.empty() && std::all_of(part_.begin(), part_.end(), [&](Candidate const& c) { return slow(c.replica); });
+  bool const all =
+      !part_.empty() && std::all_of(part_.begin(), part_.end(), [&](Candidate const& c) { return slow(c.replica); });
   if (!all)
     allSlow_ = false;
-  else if (answersSinceWidening_ >= f_.judgeAfter && (part_.size() == all_.size() || (part_.size() > 1 && mean_ >= meanAtWidening_)))
+  else if (answersSinceWidening_ >= f_.judgeAfter &&
+           (part_.size() == all_.size() || (part_.size() > 1 && mean_ >= meanAtWidening_)))
     allSlow_ = true;
 }
 
@@ -206,7 +210,8 @@
   byPrefix_[prefix] = {replica, ++turn_};
   order_.emplace_back(prefix, turn_);
   while (byPrefix_.size() > bound_ || order_.size() > 4 * bound_) {
-    std::unordered_map<std::uint64_t, std::pair<Index, std::uint64_t>>::const_iterator const it = byPrefix_.find(order_.front().first);
+    std::unordered_map<std::uint64_t, std::pair<Index, std::uint64_t>>::const_iterator const it =
+        byPrefix_.find(order_.front().first);
     if (it != byPrefix_.end() && it->second.second == order_.front().second) byPrefix_.erase(it);
     order_.pop_front();
   }
@@ -221,7 +226,8 @@
   while (!m.order.empty()) {
     std::pair<std::uint64_t, std::uint64_t> const oldest = m.order.front();
     m.order.pop_front();
-    std::unordered_map<std::uint64_t, std::pair<std::int64_t, std::uint64_t>>::const_iterator const it = m.parts.find(oldest.first);
+    std::unordered_map<std::uint64_t, std::pair<std::int64_t, std::uint64_t>>::const_iterator const it =
+        m.parts.find(oldest.first);
     if (it == m.parts.end() || it->second.second != oldest.second) continue;
     m.tokens -= it->second.first;
     m.parts.erase(it);
@@ -268,7 +274,9 @@
   std::uint64_t bestOrder = 0;
   for (Candidate const& c : usable) {
     int const n = scaler.inFlightAt(c.replica);
-    if (static_cast<std::int64_t>(c.replica) == last && !scaler.slow(c.replica) && n <= fewest + scaler.figuresUsed().prefixSlack) return last;
+    if (static_cast<std::int64_t>(c.replica) == last && !scaler.slow(c.replica) &&
+        n <= fewest + scaler.figuresUsed().prefixSlack)
+      return last;
     std::uint64_t const order = core::Rng(prefix ^ c.hash).next();
     if (n != fewest || (best >= 0 && order >= bestOrder)) continue;
     best = static_cast<std::int64_t>(c.replica);
@@ -278,7 +286,10 @@
 }
 
 void Prefixes::forget(Index replica) {
-  std::erase_if(byPrefix_, [&](std::unordered_map<std::uint64_t, std::pair<Index, std::uint64_t>>::value_type const& p) { return p.second.first == replica; });
+  std::erase_if(byPrefix_,
+                [&](std::unordered_map<std::uint64_t, std::pair<Index, std::uint64_t>>::value_type const& p) {
+                  return p.second.first == replica;
+                });
 }
 
 double Reliability::rate(Tick now, Figures const& f) const {
@@ -319,7 +330,8 @@
 
 bool RetryBudget::mayRetry(Tick now, std::size_t nodes, double ofAll) {
   expire(now);
-  return earned_ >= 1.0 || static_cast<double>(allowed_.size()) + 1.0 <= ofAll / static_cast<double>(std::max<std::size_t>(nodes, 1));
+  return earned_ >= 1.0 ||
+         static_cast<double>(allowed_.size()) + 1.0 <= ofAll / static_cast<double>(std::max<std::size_t>(nodes, 1));
 }
 
 bool RetryBudget::retry(Tick now, std::size_t nodes, double ofAll) {
@@ -338,7 +350,8 @@
 
 RetryBudget& RetryBudgets::at(Tick now, Index pool) {
   if (pools_.size() > poolsKept && pools_.count(pool) == 0)
-    for (std::map<Index, RetryBudget>::iterator it = pools_.begin(); it != pools_.end();) it = it->second.idle(now) ? pools_.erase(it) : std::next(it);
+    for (std::map<Index, RetryBudget>::iterator it = pools_.begin(); it != pools_.end();)
+      it = it->second.idle(now) ? pools_.erase(it) : std::next(it);
   return pools_[pool];
 }
 
@@ -348,7 +361,8 @@
 }
 
 bool RetryBudgets::retry(Tick now, Index pool, std::size_t nodes, double ofAll) {
-  return at(now, pool).mayRetry(now, nodes, ofAll) && all_.retry(now, nodes, ofAll) && pools_.at(pool).retry(now, nodes, ofAll);
+  return at(now, pool).mayRetry(now, nodes, ofAll) && all_.retry(now, nodes, ofAll) &&
+         pools_.at(pool).retry(now, nodes, ofAll);
 }
 
 bool ColdBucket::has(Tick now, double rate) const {
@@ -363,4 +377,4 @@
   return true;
 }
 
-}  // namespace corkward::governor
+}  // namespace corkward::scaling
--- a/storage/include/corkward/storage/write_ahead_log.h
+++ b/storage/include/corkward/storage/write_ahead_log.h
@@ -73,4 +73,4 @@
   bool failed_ = false;
 };
 
-}  // namespace corkward::write-ahead log
+}  // namespace corkward::storage
--- a/storage/src/folder.cpp
+++ b/storage/src/folder.cpp
@@ -11,7 +11,9 @@
 
 namespace {
 
-[[noreturn]] void fail(std::string const& what) { throw Error(what + ": " + std::strerror(errno)); }
+[[noreturn]] void fail(std::string const& what) {
+  throw Error(what + ": " + std::strerror(errno));
+}
 
 class Fd {
  public:
@@ -88,6 +90,8 @@
 
 }  // namespace
 
-std::unique_ptr<Folder> openFolder(std::string const& path) { return std::make_unique<DiskFolder>(path); }
+std::unique_ptr<Folder> openFolder(std::string const& path) {
+  return std::make_unique<DiskFolder>(path);
+}
 
-}  // namespace corkward::write-ahead log
+}  // namespace corkward::storage
--- a/storage/src/write_ahead_log.cpp
+++ b/storage/src/write_ahead_log.cpp
@@ -94,7 +94,8 @@
   return out + body;
 }
 
-WriteAheadLog::WriteAheadLog(Folder& folder, std::uint64_t segmentBytes) : folder_(folder), segmentBytes_(segmentBytes) {}
+WriteAheadLog::WriteAheadLog(Folder& folder, std::uint64_t segmentBytes)
+    : folder_(folder), segmentBytes_(segmentBytes) {}
 
 Recovered WriteAheadLog::recover() {
   Recovered out;
@@ -182,4 +183,4 @@
   }
 }
 
-}  // namespace corkward::write-ahead log
+}  // namespace corkward::storage
--- a/storage/test/write_ahead_log_test.cpp
+++ b/storage/test/write_ahead_log_test.cpp
@@ -113,7 +113,8 @@
       for (std::map<std::string, std::string>::value_type const& s : sure) REQUIRE(got.slots.at(s.first) == s.second);
       sure = got.slots;
       for (int i = 0; i < 40; ++i) {
-        storage::Record const r{"k" + std::to_string(rng.below(6)), std::string(rng.below(80), 'x') + std::to_string(i)};
+        storage::Record const r{"k" + std::to_string(rng.below(6)),
+                                std::string(rng.below(80), 'x') + std::to_string(i)};
         if (rng.chance(0.02)) {
           folder.failSync = true;
           CHECK_THROWS_AS(log.write({r}), storage::Error);
--- a/testing/capacity/fleet.cpp
+++ b/testing/capacity/fleet.cpp
@@ -19,22 +19,34 @@
 constexpr Tick idleAfter = std::chrono::milliseconds(transport::Link::idleAfter).count();
 
 std::string address(int net, std::size_t ix, int port) {
-  return "10." + std::to_string(net) + "." + std::to_string(ix / 250) + "." + std::to_string(ix % 250 + 1) + ":" + std::to_string(port);
+  return "10." + std::to_string(net) + "." + std::to_string(ix / 250) + "." + std::to_string(ix % 250 + 1) + ":" +
+         std::to_string(port);
 }
 
-std::string zoneName(int zone) { return "z" + std::to_string(zone + 1); }
+std::string zoneName(int zone) {
+  return "z" + std::to_string(zone + 1);
+}
 
-std::string templateName(std::int64_t ix) { return "desk" + std::to_string(ix + 1); }
+std::string templateName(std::int64_t ix) {
+  return "desk" + std::to_string(ix + 1);
+}
 
-std::string modelName(std::int64_t ix) { return "model" + std::to_string(ix + 1); }
+std::string modelName(std::int64_t ix) {
+  return "model" + std::to_string(ix + 1);
+}
 
 }  // namespace
 
-std::string Fleet::familyOf(Sizes const& sizes, std::int64_t tenant) { return templateName(tenant % sizes.templates); }
+std::string Fleet::familyOf(Sizes const& sizes, std::int64_t tenant) {
+  return templateName(tenant % sizes.templates);
+}
 
-std::string Fleet::instanceOf(Sizes const& sizes, std::int64_t tenant) { return "tenant" + std::to_string(tenant / sizes.templates + 1); }
+std::string Fleet::instanceOf(Sizes const& sizes, std::int64_t tenant) {
+  return "tenant" + std::to_string(tenant / sizes.templates + 1);
+}
 
-Fleet::Fleet(Sizes const& sizes, dataplane::Tuning const& tuning) : sizes_(sizes), tuning_(tuning), rng_(static_cast<std::uint64_t>(sizes.seed)) {
+Fleet::Fleet(Sizes const& sizes, dataplane::Tuning const& tuning)
+    : sizes_(sizes), tuning_(tuning), rng_(static_cast<std::uint64_t>(sizes.seed)) {
   for (std::int64_t i = 0; i < sizes.control + sizes.nodes + 1; ++i) {
     bool const control = i < sizes.control;
     std::int64_t const ix = control ? i : i - sizes.control;
@@ -73,7 +85,8 @@
   }
   if (p.disk) {
     self.role = transport::controllerRole;
-    p.control = std::make_unique<control::Controller>(self, "m" + std::to_string(rng_.next()), seeds, founders, rng_.next());
+    p.control =
+        std::make_unique<control::Controller>(self, "m" + std::to_string(rng_.next()), seeds, founders, rng_.next());
     p.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*p.disk);
     storage::Recovered const got = p.writeAheadLog->recover();
     p.diskFree = now_;
@@ -117,9 +130,12 @@
 void Fleet::configure() {
   std::vector<std::uint64_t> open;
   std::function<void()> const wait = [&] {
-    bool const all = until([&] { return std::all_of(open.begin(), open.end(), [&](std::uint64_t t) { return answer(t).has_value(); }); }, answerLimit);
+    bool const all = until(
+        [&] { return std::all_of(open.begin(), open.end(), [&](std::uint64_t t) { return answer(t).has_value(); }); },
+        answerLimit);
     for (std::uint64_t const t : open)
-      if (!all || answer(t)->status > 201) throw SizesError("tenants: the control machines did not take the configuration");
+      if (!all || answer(t)->status > 201)
+        throw SizesError("tenants: the control machines did not take the configuration");
     open.clear();
   };
   for (std::int64_t m = 0; m < sizes_.models; ++m) {
@@ -128,25 +144,32 @@
       list.append(QJsonObject{{"address", core::qstr(address(9, static_cast<std::size_t>(r), 8000))},
                               {"zone", core::qstr(zoneName(static_cast<int>(r % sizes_.zones)))},
                               {"state", "serving"}});
-    open.push_back(call(0, "PUT", "/v1/platform/pools/" + modelName(m), core::jsonText(QJsonObject{{"generation", 1}, {"coldRate", 2}, {"replicas", list}}), ""));
+    open.push_back(call(0, "PUT", "/v1/platform/pools/" + modelName(m),
+                        core::jsonText(QJsonObject{{"generation", 1}, {"coldRate", 2}, {"replicas", list}}), ""));
   }
   wait();
   for (std::int64_t t = 0; t < sizes_.templates; ++t) {
     QJsonArray paths;
     for (std::int64_t i = 0; i < sizes_.paths; ++i)
-      paths.append(QJsonObject{{"path", core::qstr("path" + std::to_string(i + 1))}, {"pool", core::qstr(modelName(t % sizes_.models))}, {"class", "short"}});
+      paths.append(QJsonObject{{"path", core::qstr("path" + std::to_string(i + 1))},
+                               {"pool", core::qstr(modelName(t % sizes_.models))},
+                               {"class", "short"}});
     QJsonObject const site{{"type", "string"}};
-    open.push_back(call(0, "PUT", "/v1/templates/" + templateName(t), core::jsonText(QJsonObject{{"parameters", QJsonObject{{"site", site}}}, {"paths", paths}}), "0"));
+    open.push_back(call(0, "PUT", "/v1/templates/" + templateName(t),
+                        core::jsonText(QJsonObject{{"parameters", QJsonObject{{"site", site}}}, {"paths", paths}}),
+                        "0"));
   }
   wait();
   for (std::int64_t i = 0; i < sizes_.tenants; ++i) {
-    open.push_back(call(0, "PUT", "/v1/templates/" + familyOf(sizes_, i) + "/instances/" + instanceOf(sizes_, i), R"({"parameters":{"site":"lagos-west"}})", "0"));
+    open.push_back(call(0, "PUT", "/v1/templates/" + familyOf(sizes_, i) + "/instances/" + instanceOf(sizes_, i),
+                        R"({"parameters":{"site":"lagos-west"}})", "0"));
     if (i % sizes_.templates == sizes_.templates - 1) wait();
   }
   wait();
 }
 
-std::uint64_t Fleet::call(std::size_t at, std::string const& method, std::string const& path, std::string const& body, std::string const& ifMatch) {
+std::uint64_t Fleet::call(std::size_t at, std::string const& method, std::string const& path, std::string const& body,
+                          std::string const& ifMatch) {
   transport::Call c;
   c.token = nextToken_++;
   c.method = method;
@@ -166,30 +189,41 @@
 std::uint64_t Fleet::change(std::size_t at, std::int64_t tenant) {
   std::string const path = "/v1/templates/" + familyOf(sizes_, tenant) + "/instances/" + instanceOf(sizes_, tenant);
   std::map<std::string, consensus::Committed> const& held = processes_[at].control->registers().committed();
-  std::map<std::string, consensus::Committed>::const_iterator const it = held.find("family:" + familyOf(sizes_, tenant));
+  std::map<std::string, consensus::Committed>::const_iterator const it =
+      held.find("family:" + familyOf(sizes_, tenant));
   qint64 revision = 0;
   if (it != held.end())
-    revision = it->second.value.value("instances").toObject().value(core::qstr(instanceOf(sizes_, tenant))).toObject().value("stamp").toInteger();
-  return call(at, "PATCH", path, R"({"parameters":{"site":"site-)" + std::to_string(nextNote_++) + R"("}})", std::to_string(revision));
+    revision = it->second.value.value("instances")
+                   .toObject()
+                   .value(core::qstr(instanceOf(sizes_, tenant)))
+                   .toObject()
+                   .value("stamp")
+                   .toInteger();
+  return call(at, "PATCH", path, R"({"parameters":{"site":"site-)" + std::to_string(nextNote_++) + R"("}})",
+              std::to_string(revision));
 }
 
 std::uint64_t Fleet::revisionOfTenant(std::int64_t tenant) const {
   std::uint64_t newest = 0;
   for (Process const& p : processes_) {
     if (!p.control) continue;
-    std::map<std::string, consensus::Committed>::const_iterator const it = p.control->registers().committed().find("family:" + familyOf(sizes_, tenant));
+    std::map<std::string, consensus::Committed>::const_iterator const it =
+        p.control->registers().committed().find("family:" + familyOf(sizes_, tenant));
     if (it != p.control->registers().committed().end()) newest = std::max(newest, it->second.revision);
   }
   return newest;
 }
 
 std::size_t Fleet::alive(bool control) const {
-  return static_cast<std::size_t>(std::count_if(processes_.begin(), processes_.end(), [&](Process const& p) { return p.alive && (p.disk != nullptr) == control; }));
+  return static_cast<std::size_t>(std::count_if(processes_.begin(), processes_.end(), [&](Process const& p) {
+    return p.alive && (p.disk != nullptr) == control;
+  }));
 }
 
 std::size_t Fleet::aliveIn(int region) const {
-  return static_cast<std::size_t>(
-      std::count_if(processes_.begin(), processes_.end(), [&](Process const& p) { return p.alive && p.data && (region < 0 || p.region == region); }));
+  return static_cast<std::size_t>(std::count_if(processes_.begin(), processes_.end(), [&](Process const& p) {
+    return p.alive && p.data && (region < 0 || p.region == region);
+  }));
 }
 
 std::size_t Fleet::servingLease(int region) const {
@@ -236,15 +270,23 @@
   return sum;
 }
 
-void Fleet::dropUnderWay() { events_ = {}; }
+void Fleet::dropUnderWay() {
+  events_ = {};
+}
 
 void Fleet::act(Event& event) {
   Process const& p = processes_[event.to];
   if (!p.alive || p.life != event.life) return;
   switch (event.what) {
-    case What::clock: clock(event.to); break;
-    case What::message: deliver(event); break;
-    case What::written: written(event); break;
+    case What::clock:
+      clock(event.to);
+      break;
+    case What::message:
+      deliver(event);
+      break;
+    case What::written:
+      written(event);
+      break;
   }
 }
 
@@ -347,12 +389,15 @@
   std::size_t out = 0;
   for (std::size_t i = 0; i < processes_.size(); ++i) {
     if (!processes_[i].alive || (processes_[i].disk != nullptr) != control) continue;
-    for (std::unordered_map<std::size_t, Tick>::value_type const& w : ways_[i]) out += now_ - w.second < idleAfter ? 1 : 0;
+    for (std::unordered_map<std::size_t, Tick>::value_type const& w : ways_[i])
+      out += now_ - w.second < idleAfter ? 1 : 0;
   }
   return out;
 }
 
-Tick Fleet::delay(Process const& a, Process const& b) const { return a.region == b.region ? within : within + sizes_.apart; }
+Tick Fleet::delay(Process const& a, Process const& b) const {
+  return a.region == b.region ? within : within + sizes_.apart;
+}
 
 void Fleet::send(std::size_t from, transport::Send const& send) {
   Process const& p = processes_[from];
@@ -368,7 +413,8 @@
   }
   std::unordered_map<std::string, std::size_t>::const_iterator const it = byLink_.find(send.to);
   if (it == byLink_.end()) return;
-  std::pair<std::unordered_map<std::size_t, Tick>::iterator, bool> const way = ways_[from].try_emplace(it->second, now_);
+  std::pair<std::unordered_map<std::size_t, Tick>::iterator, bool> const way =
+      ways_[from].try_emplace(it->second, now_);
   if (way.second || now_ - way.first->second >= idleAfter) ++dialled_[p.disk ? 1 : 0];
   way.first->second = now_;
   Process const& to = processes_[it->second];
--- a/testing/capacity/fleet.h
+++ b/testing/capacity/fleet.h
@@ -70,7 +70,8 @@
   Tick now() const { return now_; }
 
   /// An operator's call at a control machine; the answer comes under the token.
-  std::uint64_t call(std::size_t at, std::string const& method, std::string const& path, std::string const& body, std::string const& ifMatch);
+  std::uint64_t call(std::size_t at, std::string const& method, std::string const& path, std::string const& body,
+                     std::string const& ifMatch);
   std::optional<Answered> answer(std::uint64_t token) const;
   /// Changes one tenant's parameter; the answer comes under the token.
   std::uint64_t change(std::size_t at, std::int64_t tenant);
@@ -96,7 +97,8 @@
   Tick counted() const { return now_ - countFrom_; }
   /// Bytes and records that went to the disks since the count began.
   std::uint64_t diskBytes() const { return diskBytes_; }
-  /// Ways that the processes of a role hold as transport::Link does, all together, and how often one was dialled so far.
+  /// Ways that the processes of a role hold as transport::Link does, all together, and how often one was dialled so
+  /// far.
   std::size_t waysHeld(bool control) const;
   std::uint64_t dialled(bool control) const { return dialled_[control ? 1 : 0]; }
   /// What the simulated disks hold, which a real process would not hold in memory.
--- a/testing/capacity/main.cpp
+++ b/testing/capacity/main.cpp
@@ -2,4 +2,6 @@
 
 #include "rig.h"
 
-int main(int argc, char** argv) { return corkward::testing::capacity::rig(argc, argv, std::cout, std::cerr); }
+int main(int argc, char** argv) {
+  return corkward::testing::capacity::rig(argc, argv, std::cout, std::cerr);
+}
