--- a/testing/capacity/parts.cpp
+++ b/testing/capacity/parts.cpp
@@ -35,7 +35,9 @@
   return values[values.size() / 2];
 }
 
-void failed(std::string const& what) { throw SizesError(what); }
+void failed(std::string const& what) {
+  throw SizesError(what);
+}
 
 /// A whole fleet that stands and is at rest.
 void bring(Fleet& fleet) {
@@ -50,7 +52,8 @@
   if (sizes.changes == 0) return made;
   Tick const every = std::max<Tick>(dayMs / sizes.changes, 1);
   for (Tick const end = fleet.now() + step; dueAt < end; dueAt += every)
-    made.push_back(fleet.change(rng.below(static_cast<std::uint64_t>(sizes.control)), static_cast<std::int64_t>(rng.below(static_cast<std::uint64_t>(sizes.tenants)))));
+    made.push_back(fleet.change(rng.below(static_cast<std::uint64_t>(sizes.control)),
+                                static_cast<std::int64_t>(rng.below(static_cast<std::uint64_t>(sizes.tenants)))));
   return made;
 }
 
@@ -87,10 +90,15 @@
       }
       us += t.packUs + t.unpackUs + t.handleUs;
       duties[t.duty].handleUs += t.packUs + t.unpackUs + t.handleUs;
-      if (t.sent > 0) out.push_back({"pack." + t.kind, role, "us/message", timed, t.packUs / static_cast<double>(t.sent)});
-      if (t.sent > 0) out.push_back({"size." + t.kind, role, "bytes/message", counted, static_cast<double>(t.sentBytes) / static_cast<double>(t.sent)});
-      if (t.taken > 0) out.push_back({"unpack." + t.kind, role, "us/message", timed, t.unpackUs / static_cast<double>(t.taken)});
-      if (t.taken > 0) out.push_back({"handle." + t.kind, role, "us/message", timed, t.handleUs / static_cast<double>(t.taken)});
+      if (t.sent > 0)
+        out.push_back({"pack." + t.kind, role, "us/message", timed, t.packUs / static_cast<double>(t.sent)});
+      if (t.sent > 0)
+        out.push_back({"size." + t.kind, role, "bytes/message", counted,
+                       static_cast<double>(t.sentBytes) / static_cast<double>(t.sent)});
+      if (t.taken > 0)
+        out.push_back({"unpack." + t.kind, role, "us/message", timed, t.unpackUs / static_cast<double>(t.taken)});
+      if (t.taken > 0)
+        out.push_back({"handle." + t.kind, role, "us/message", timed, t.handleUs / static_cast<double>(t.taken)});
     }
     duties["all"] = sum;
     duties["all"].handleUs = us;
@@ -98,14 +106,20 @@
     for (std::map<std::string, Tally>::value_type const& d : duties) {
       out.push_back({"cpu." + d.first, role, "us/s", timed, perSecond(d.second.handleUs, ms, n)});
       if (d.first == "clock") continue;
-      out.push_back({"sent." + d.first, role, "messages/s", counted, perSecond(static_cast<double>(d.second.sent), ms, n)});
-      out.push_back({"sent." + d.first, role, "bytes/s", counted, perSecond(static_cast<double>(d.second.sentBytes), ms, n)});
-      out.push_back({"taken." + d.first, role, "messages/s", counted, perSecond(static_cast<double>(d.second.taken), ms, n)});
-      out.push_back({"taken." + d.first, role, "bytes/s", counted, perSecond(static_cast<double>(d.second.takenBytes), ms, n)});
+      out.push_back(
+          {"sent." + d.first, role, "messages/s", counted, perSecond(static_cast<double>(d.second.sent), ms, n)});
+      out.push_back(
+          {"sent." + d.first, role, "bytes/s", counted, perSecond(static_cast<double>(d.second.sentBytes), ms, n)});
+      out.push_back(
+          {"taken." + d.first, role, "messages/s", counted, perSecond(static_cast<double>(d.second.taken), ms, n)});
+      out.push_back(
+          {"taken." + d.first, role, "bytes/s", counted, perSecond(static_cast<double>(d.second.takenBytes), ms, n)});
     }
   }
-  out.push_back({"disk", "controller", "bytes/s", counted, perSecond(static_cast<double>(fleet.diskBytes()), ms, fleet.alive(true))});
-  out.push_back({"standing", "router", "share", counted, static_cast<double>(fleet.servingLease()) / static_cast<double>(sizes.nodes)});
+  out.push_back({"disk", "controller", "bytes/s", counted,
+                 perSecond(static_cast<double>(fleet.diskBytes()), ms, fleet.alive(true))});
+  out.push_back({"standing", "router", "share", counted,
+                 static_cast<double>(fleet.servingLease()) / static_cast<double>(sizes.nodes)});
   out.push_back({"page.fleet", "operator", "bytes", counted,
                  static_cast<double>(core::jsonText(fleet.processes().front().control->fleet(fleet.now())).size())});
   fleet.count(false);
@@ -115,7 +129,8 @@
   double const control = static_cast<double>(heapBytes() - empty - fleet.disksHold());
   out.push_back({"state", "router", "bytes", heap, (all - control) / static_cast<double>(sizes.nodes)});
   out.push_back({"state", "controller", "bytes", heap, control / static_cast<double>(sizes.control)});
-  out.push_back({"state.before_nodes", "controller", "bytes", heap, static_cast<double>(withControl - empty) / static_cast<double>(sizes.control)});
+  out.push_back({"state.before_nodes", "controller", "bytes", heap,
+                 static_cast<double>(withControl - empty) / static_cast<double>(sizes.control)});
   return out;
 }
 
@@ -129,7 +144,8 @@
   std::array<double, 2> held{};
   for (std::int64_t s = 0; s < sizes.seconds; ++s) {
     fleet.run(1000);
-    for (bool const control : {false, true}) held[control ? 1 : 0] += static_cast<double>(fleet.waysHeld(control)) / static_cast<double>(sizes.seconds);
+    for (bool const control : {false, true})
+      held[control ? 1 : 0] += static_cast<double>(fleet.waysHeld(control)) / static_cast<double>(sizes.seconds);
   }
   Rows out;
   for (bool const control : {false, true}) {
@@ -137,7 +153,8 @@
     double const n = static_cast<double>(fleet.alive(control));
     out.push_back({"links.held", role, "links", counted, held[control ? 1 : 0] / n});
     out.push_back({"links.dialled", role, "links/s", counted,
-                   perSecond(static_cast<double>(fleet.dialled(control) - before[control ? 1 : 0]), fleet.now() - from, fleet.alive(control))});
+                   perSecond(static_cast<double>(fleet.dialled(control) - before[control ? 1 : 0]), fleet.now() - from,
+                             fleet.alive(control))});
   }
   return out;
 }
@@ -188,8 +205,10 @@
   Rows out;
   out.push_back({"answered", "operator", "share", counted, static_cast<double>(in) / changesTried});
   out.push_back({"in_force.median", "operator", "ms", counted, middle(answers)});
-  out.push_back({"in_force.most", "operator", "ms", counted, answers.empty() ? -1 : *std::max_element(answers.begin(), answers.end())});
-  out.push_back({"everywhere.most", "router", "ms", counted, everywhere.empty() ? -1 : *std::max_element(everywhere.begin(), everywhere.end())});
+  out.push_back({"in_force.most", "operator", "ms", counted,
+                 answers.empty() ? -1 : *std::max_element(answers.begin(), answers.end())});
+  out.push_back({"everywhere.most", "router", "ms", counted,
+                 everywhere.empty() ? -1 : *std::max_element(everywhere.begin(), everywhere.end())});
   for (bool const control : {false, true}) {
     char const* const role = control ? "controller" : "router";
     double const n = static_cast<double>(fleet.alive(control)) * changesTried;
@@ -197,11 +216,13 @@
       Tally const& t = (control ? controlSums : nodeSums)[duty];
       out.push_back({std::string("change.sent.") + duty, role, "messages", counted, static_cast<double>(t.sent) / n});
       out.push_back({std::string("change.sent.") + duty, role, "bytes", counted, static_cast<double>(t.sentBytes) / n});
-      out.push_back({std::string("change.taken.") + duty, role, "bytes", counted, static_cast<double>(t.takenBytes) / n});
+      out.push_back(
+          {std::string("change.taken.") + duty, role, "bytes", counted, static_cast<double>(t.takenBytes) / n});
       out.push_back({std::string("change.cpu.") + duty, role, "us", timed, t.handleUs / n});
     }
   }
-  out.push_back({"change.disk", "controller", "bytes", counted, disk / static_cast<double>(sizes.control) / changesTried});
+  out.push_back(
+      {"change.disk", "controller", "bytes", counted, disk / static_cast<double>(sizes.control) / changesTried});
   return out;
 }
 
@@ -275,13 +296,15 @@
   for (bool const control : {false, true}) {
     double us = fleet.clockUs(control);
     for (Tally const& t : fleet.tallies(control).all()) us += t.packUs + t.unpackUs + t.handleUs;
-    out.push_back({"recover.cpu", control ? "controller" : "router", "us", timed, us / static_cast<double>(fleet.alive(control))});
+    out.push_back({"recover.cpu", control ? "controller" : "router", "us", timed,
+                   us / static_cast<double>(fleet.alive(control))});
   }
   return out;
 }
 
 double shareOf(Fleet const& fleet, int region) {
-  return static_cast<double>(fleet.servingLease(region)) / static_cast<double>(std::max<std::size_t>(fleet.aliveIn(region), 1));
+  return static_cast<double>(fleet.servingLease(region)) /
+         static_cast<double>(std::max<std::size_t>(fleet.aliveIn(region), 1));
 }
 
 /// Regions lose each other for ten seconds; a change is tried in each.
@@ -305,8 +328,10 @@
     out.push_back({"split.members." + name, "controller", "machines", counted, static_cast<double>(members[t.first])});
     out.push_back({"split.standing." + name, "router", "share", counted, shareOf(fleet, t.first)});
     bool const taken = fleet.answer(t.second) && fleet.answer(t.second)->status == 200;
-    out.push_back({"split.status." + name, "operator", "status", counted, fleet.answer(t.second) ? static_cast<double>(fleet.answer(t.second)->status) : 0});
-    out.push_back({"split.change." + name, "operator", "ms", counted, taken ? static_cast<double>(fleet.answer(t.second)->at - from) : -1});
+    out.push_back({"split.status." + name, "operator", "status", counted,
+                   fleet.answer(t.second) ? static_cast<double>(fleet.answer(t.second)->status) : 0});
+    out.push_back({"split.change." + name, "operator", "ms", counted,
+                   taken ? static_cast<double>(fleet.answer(t.second)->at - from) : -1});
   }
   fleet.cutRegions(false);
   Tick const joined = fleet.now();
@@ -338,12 +363,14 @@
   fleet.until([&] { return fleet.answer(token).has_value(); }, longest);
   bool const taken = fleet.answer(token) && fleet.answer(token)->status == 200;
   out.push_back({"zone.standing", "router", "least share of the rest", counted, least});
-  out.push_back({"zone.change", "operator", "ms", counted, taken ? static_cast<double>(fleet.answer(token)->at - from) : -1});
+  out.push_back(
+      {"zone.change", "operator", "ms", counted, taken ? static_cast<double>(fleet.answer(token)->at - from) : -1});
   std::uint64_t const next = fleet.change(first, 0);
   Tick const again = fleet.now();
   fleet.until([&] { return fleet.answer(next).has_value(); }, longest);
   bool const nextTaken = fleet.answer(next) && fleet.answer(next)->status == 200;
-  out.push_back({"zone.next_change", "operator", "ms", counted, nextTaken ? static_cast<double>(fleet.answer(next)->at - again) : -1});
+  out.push_back({"zone.next_change", "operator", "ms", counted,
+                 nextTaken ? static_cast<double>(fleet.answer(next)->at - again) : -1});
   return out;
 }
 
@@ -363,7 +390,8 @@
 /// Requests at one node, handed over and ended at once as told.
 class Callers {
  public:
-  Callers(Fleet& fleet, Sizes const& sizes) : fleet_(fleet), sizes_(sizes), node_(*fleet.processes()[fleet.firstNode()].data) {}
+  Callers(Fleet& fleet, Sizes const& sizes)
+      : fleet_(fleet), sizes_(sizes), node_(*fleet.processes()[fleet.firstNode()].data) {}
 
   /// Begins one up to its first word, and returns its name.
   dataplane::CallId begin(std::int64_t tenant, std::string const& id, std::string const& prefix) {
@@ -380,7 +408,8 @@
     for (dataplane::CallCommand const& v : c.calls)
       if (std::holds_alternative<dataplane::Connect>(v)) {
         dataplane::Commands more = node_.connected(fleet_.now(), r.call);
-        for (dataplane::CallCommand const& h : more.calls) handed = handed || std::holds_alternative<dataplane::HandOver>(h);
+        for (dataplane::CallCommand const& h : more.calls)
+          handed = handed || std::holds_alternative<dataplane::HandOver>(h);
       } else if (std::holds_alternative<dataplane::HandOver>(v)) {
         handed = true;
       } else if (dataplane::Reject const* const d = std::get_if<dataplane::Reject>(&v)) {
@@ -405,16 +434,19 @@
   if (sizes.tenants == 0) failed("tenants: requests need a tenant");
 }
 
-/// Bytes that one node and one control machine hold: configuration, credits, calls, streams, ids, prefixes. Messages are
-/// packed and unpacked from the start, since values that are handed over as they are would be shared and count once.
+/// Bytes that one node and one control machine hold: configuration, credits, calls, streams, ids, prefixes. Messages
+/// are packed and unpacked from the start, since values that are handed over as they are would be shared and count
+/// once.
 Rows state(Sizes const& sizes) {
   needTenants(sizes);
   Rows out;
   std::uint64_t at = heapBytes();
   std::uint64_t disks = 0;
-  std::function<void(char const*, char const*, double)> const grown = [&](char const* measure, char const* role, double share) {
+  std::function<void(char const*, char const*, double)> const grown = [&](char const* measure, char const* role,
+                                                                          double share) {
     std::uint64_t const now = heapBytes();
-    out.push_back({measure, role, "bytes", heap, (static_cast<double>(now) - static_cast<double>(at) - static_cast<double>(disks)) / share});
+    out.push_back({measure, role, "bytes", heap,
+                   (static_cast<double>(now) - static_cast<double>(at) - static_cast<double>(disks)) / share});
     at = heapBytes();
     disks = 0;
   };
@@ -443,7 +475,13 @@
     std::vector<dataplane::Stream> streams(static_cast<std::size_t>(sizes.calls));
     for (dataplane::Stream& s : streams) {
       s.connecting(false);
-      s.head(dataplane::Head{200, {{"corkward-run", "run-0123456789abcdef"}, {"content-type", "text/event-stream"}}, -1, false, false, {}, {}});
+      s.head(dataplane::Head{200,
+                             {{"corkward-run", "run-0123456789abcdef"}, {"content-type", "text/event-stream"}},
+                             -1,
+                             false,
+                             false,
+                             {},
+                             {}});
       s.piece("data: 012345678901234567890123\n\n");
     }
     grown("streams", "router", 1);
@@ -452,10 +490,12 @@
   for (std::int64_t i = 0; i < sizes.sessions; ++i)
     callers.end(callers.begin(i % sizes.tenants, "0b9f8a52-53b5-4d0e-9a36-" + std::to_string(100000000000 + i), ""));
   grown("ids", "router", 1);
-  for (std::int64_t i = 0; i < sizes.prefixes; ++i) callers.end(callers.begin(i % sizes.tenants, "", "prefix-" + std::to_string(i)));
+  for (std::int64_t i = 0; i < sizes.prefixes; ++i)
+    callers.end(callers.begin(i % sizes.tenants, "", "prefix-" + std::to_string(i)));
   grown("prefixes", "router", 1);
   dataplane::Held const held = callers.node().held();
-  out.push_back({"page.metrics", "operator", "bytes", counted, static_cast<double>(callers.node().metrics(fleet.now()).size())});
+  out.push_back(
+      {"page.metrics", "operator", "bytes", counted, static_cast<double>(callers.node().metrics(fleet.now()).size())});
   out.push_back({"held.ids", "router", "ids", counted, static_cast<double>(held.ids)});
   out.push_back({"held.prefixes", "router", "prefixes", counted, static_cast<double>(held.prefixes)});
   out.push_back({"held.credits", "router", "credits", counted, static_cast<double>(held.credits)});
@@ -478,7 +518,8 @@
     double const from = threadUs();
     for (int i = 0; i < blockRequests; ++i) {
       std::int64_t const tenant = static_cast<std::int64_t>(rng.below(static_cast<std::uint64_t>(sizes.tenants)));
-      callers.end(callers.begin(tenant, "0b9f8a52-53b5-4d0e-9a36-" + std::to_string(100000000000 + id++), "prefix-" + std::to_string(rng.below(1000))));
+      callers.end(callers.begin(tenant, "0b9f8a52-53b5-4d0e-9a36-" + std::to_string(100000000000 + id++),
+                                "prefix-" + std::to_string(rng.below(1000))));
     }
     request.push_back((threadUs() - from) / blockRequests);
   }
--- a/testing/capacity/rig.cpp
+++ b/testing/capacity/rig.cpp
@@ -17,22 +17,24 @@
   std::string sweepText;
   std::string file;
   std::map<std::string, std::int64_t> given;
-  po::options_description flags("corkward-capacity: slopes of the real reducers and codecs, many hollow processes in one, in virtual time");
+  po::options_description flags(
+      "corkward-capacity: slopes of the real reducers and codecs, many hollow processes in one, in virtual time");
   po::options_description_easy_init add = flags.add_options();
   add("part", po::value(&part), "what is measured");
   add("sweep", po::value(&sweepText), "NAME=VALUE,VALUE,...: run at each of these sizes");
   add("out", po::value(&file), "file for the CSV instead of standard output");
   add("help", "print this");
   Sizes const defaults;
-  for (SizeRow const& r : sizeTable)
-    add(r.name, po::value(&given[r.name])->default_value(defaults.*(r.field)), r.what);
+  for (SizeRow const& r : sizeTable) add(r.name, po::value(&given[r.name])->default_value(defaults.*(r.field)), r.what);
   try {
     po::variables_map vm;
-    po::store(po::command_line_parser(argc, argv).options(flags).positional(po::positional_options_description()).run(), vm);
+    po::store(po::command_line_parser(argc, argv).options(flags).positional(po::positional_options_description()).run(),
+              vm);
     po::notify(vm);
     if (vm.count("help") > 0) {
       out << flags << "\nparts:\n";
-      for (PartRow const* p = partTable; p->name != nullptr; ++p) out << "  " << std::left << std::setw(10) << p->name << p->what << "\n";
+      for (PartRow const* p = partTable; p->name != nullptr; ++p)
+        out << "  " << std::left << std::setw(10) << p->name << p->what << "\n";
       return 0;
     }
     PartRow const* const chosen = findPart(part);
@@ -65,7 +67,8 @@
       Sizes one = sizes;
       setSize(one, sweep.name, value);
       for (Row const& r : chosen->run(one))
-        to << r.measure << "," << r.role << "," << r.unit << "," << r.kind << "," << sweep.name << "," << value << "," << r.value << "\n";
+        to << r.measure << "," << r.role << "," << r.unit << "," << r.kind << "," << sweep.name << "," << value << ","
+           << r.value << "\n";
       to.flush();
     }
     if (!to) throw SizesError("out: cannot be written");
--- a/testing/capacity/sizes.cpp
+++ b/testing/capacity/sizes.cpp
@@ -10,10 +10,12 @@
 namespace corkward::testing::capacity {
 
 void setSize(Sizes& sizes, std::string const& name, std::int64_t value) {
-  SizeRow const* const row = std::find_if(std::begin(sizeTable), std::end(sizeTable), [&](SizeRow const& r) { return name == r.name; });
+  SizeRow const* const row =
+      std::find_if(std::begin(sizeTable), std::end(sizeTable), [&](SizeRow const& r) { return name == r.name; });
   if (row == std::end(sizeTable)) throw SizesError("sweep: no such size: " + name);
   if (value < row->least || value > row->most)
-    throw SizesError(name + ": must be " + std::to_string(row->least) + " to " + std::to_string(row->most) + ", not " + std::to_string(value));
+    throw SizesError(name + ": must be " + std::to_string(row->least) + " to " + std::to_string(row->most) + ", not " +
+                     std::to_string(value));
   sizes.*(row->field) = value;
 }
 
@@ -38,7 +40,8 @@
   boost::split(parts, list, boost::is_any_of(","));
   for (std::string const& part : parts) {
     std::int64_t value = 0;
-    if (!boost::conversion::try_lexical_convert(part, value)) throw SizesError("sweep: not a whole number for " + out.name + ": " + part);
+    if (!boost::conversion::try_lexical_convert(part, value))
+      throw SizesError("sweep: not a whole number for " + out.name + ": " + part);
     Sizes scratch;
     setSize(scratch, out.name, value);
     out.values.push_back(value);
--- a/testing/capacity/tally.h
+++ b/testing/capacity/tally.h
@@ -16,14 +16,19 @@
 };
 
 /// Kinds that are not named here, newer ones too, count under "other". News count by the key that they carry.
-inline constexpr DutyRow dutyTable[] = {
-    {"ask", "confirmations"},  {"confirm", "confirmations"}, {"touch", "contacts"},     {"shuffle", "shuffles"},
-    {"hint", "list"},          {"news", "news"},             {"news-ack", "news"},      {"fetch", "news"},
-    {"prepare", "agreement"},  {"promise", "agreement"},     {"accept", "agreement"},   {"accepted", "agreement"},
-    {"commit", "agreement"},   {"handover", "agreement"},    {"found", "agreement"},    {"beat", "beats"},
-    {"beat-echo", "beats"},    {"copy", "copy"},             {"call", "operators"},     {"outcome", "operators"},
-    {"holding", "holdings"},   {"seen-ask", "ids"},         {"seen-echo", "ids"},       {"seen-left", "ids"},
-    {"warm-ask", "warming"},   {"warm-grant", "warming"}};
+inline constexpr DutyRow dutyTable[] = {{"ask", "confirmations"}, {"confirm", "confirmations"},
+                                        {"touch", "contacts"},    {"shuffle", "shuffles"},
+                                        {"hint", "list"},         {"news", "news"},
+                                        {"news-ack", "news"},     {"fetch", "news"},
+                                        {"prepare", "agreement"}, {"promise", "agreement"},
+                                        {"accept", "agreement"},  {"accepted", "agreement"},
+                                        {"commit", "agreement"},  {"handover", "agreement"},
+                                        {"found", "agreement"},   {"beat", "beats"},
+                                        {"beat-echo", "beats"},   {"copy", "copy"},
+                                        {"call", "operators"},    {"outcome", "operators"},
+                                        {"holding", "holdings"},  {"seen-ask", "ids"},
+                                        {"seen-echo", "ids"},     {"seen-left", "ids"},
+                                        {"warm-ask", "warming"},  {"warm-grant", "warming"}};
 
 /// Duty of one message.
 std::string dutyOf(transport::Message const& message);
--- a/testing/common/body.cpp
+++ b/testing/common/body.cpp
@@ -4,7 +4,9 @@
 
 namespace corkward::testing {
 
-std::string word(std::string const& run, std::uint64_t n) { return run + " " + std::to_string(n) + "\n"; }
+std::string word(std::string const& run, std::uint64_t n) {
+  return run + " " + std::to_string(n) + "\n";
+}
 
 std::string bodyOf(std::string const& run, std::uint64_t words) {
   std::string out;
--- a/testing/fleet/chaos.cpp
+++ b/testing/fleet/chaos.cpp
@@ -69,7 +69,8 @@
     if (plan_.outage) outage();
     fleet_.untilReady(fleet_.routers().size());
     traffic_->stopCalling();
-    fleet_.until("the last answers", [&] { return traffic_->open() == 0 && !putting_; }, 90000);
+    fleet_.until(
+        "the last answers", [&] { return traffic_->open() == 0 && !putting_; }, 90000);
     validator();
     return std::move(result_);
   }
@@ -84,7 +85,8 @@
   void violation(std::string const& what) { result_.violations.push_back(what); }
   void logEvent(std::string const& what) {
     if (plan_.loud) std::cerr << what << std::endl;
-    result_.timeline.push_back(std::to_string(began_ == 0 ? 0 : programs::now() - began_) + " " + what); }
+    result_.timeline.push_back(std::to_string(began_ == 0 ? 0 : programs::now() - began_) + " " + what);
+  }
   std::size_t served() { return traffic_->outcomes()["served"]; }
 
   void tapAll() {
@@ -113,24 +115,31 @@
       for (Node const& r : fleet_.replicas()) {
         if (r.pool != pool) continue;
         std::string const state = states_.count(r.name) > 0 ? states_.at(r.name) : "serving";
-        list.append(QJsonObject{{"address", core::qstr(r.shown)}, {"zone", core::qstr(r.zone)}, {"state", core::qstr(state)}});
+        list.append(
+            QJsonObject{{"address", core::qstr(r.shown)}, {"zone", core::qstr(r.zone)}, {"state", core::qstr(state)}});
       }
-      show(pool, generation_, core::jsonText(QJsonObject{{"generation", static_cast<qint64>(generation_)}, {"coldRate", 2}, {"replicas", list}}), left);
+      show(pool, generation_,
+           core::jsonText(
+               QJsonObject{{"generation", static_cast<qint64>(generation_)}, {"coldRate", 2}, {"replicas", list}}),
+           left);
     }
   }
 
-  void show(std::string const& pool, std::uint64_t generation, std::string const& body, std::shared_ptr<int> const& left) {
+  void show(std::string const& pool, std::uint64_t generation, std::string const& body,
+            std::shared_ptr<int> const& left) {
     if (generation != generation_) return;
-    std::vector<Node*> to{&fleet_.controllers()[rng_.below(fleet_.controllers().size())], &fleet_.routers()[rng_.below(fleet_.routers().size())],
+    std::vector<Node*> to{&fleet_.controllers()[rng_.below(fleet_.controllers().size())],
+                          &fleet_.routers()[rng_.below(fleet_.routers().size())],
                           &fleet_.routers()[rng_.below(fleet_.routers().size())]};
     std::shared_ptr<bool> const done = std::make_shared<bool>(false);
     for (std::size_t i = 0; i < to.size(); ++i) {
       if (!to[i]->process) continue;
-      fleet_.callAsync(to[i]->http, "PUT", "/v1/platform/pools/" + pool, body, "", "", 6000, [this, i, done, left, generation](Reply const& r) {
-        if (i != 0 || r.status != 200 || *done || generation != generation_) return;
-        *done = true;
-        if (--*left == 0) listDone_ = true;
-      });
+      fleet_.callAsync(to[i]->http, "PUT", "/v1/platform/pools/" + pool, body, "", "", 6000,
+                       [this, i, done, left, generation](Reply const& r) {
+                         if (i != 0 || r.status != 200 || *done || generation != generation_) return;
+                         *done = true;
+                         if (--*left == 0) listDone_ = true;
+                       });
     }
     QTimer::singleShot(600, &fleet_, [this, pool, generation, body, left, done] {
       if (!*done) show(pool, generation, body, left);
@@ -181,20 +190,22 @@
     return {mark, spec};
   }
 
-  void put(std::string const& path, std::pair<std::string, QJsonObject> const& what, std::string const& revision, std::shared_ptr<int> const& left) {
+  void put(std::string const& path, std::pair<std::string, QJsonObject> const& what, std::string const& revision,
+           std::shared_ptr<int> const& left) {
     Node const& to = fleet_.controllers()[rng_.below(fleet_.controllers().size())];
     std::size_t const ix = puts_.size();
     puts_.push_back(Put{what.first, what.second, revision, 0, 0, -1});
-    fleet_.callAsync(to.http, "PUT", path, core::jsonText(what.second), revision, "id-" + what.first, 14000, [this, ix, left](Reply const& r) {
-      Put& p = puts_[ix];
-      p.status = r.status;
-      p.pending = r.body.value("pending").toBool();
-      p.revision = r.body.value("stamp").toInteger();
-      p.answeredAt = programs::now();
-      ++result_.changes;
-      if (--*left == 0) putting_ = false;
-      probe();
-    });
+    fleet_.callAsync(to.http, "PUT", path, core::jsonText(what.second), revision, "id-" + what.first, 14000,
+                     [this, ix, left](Reply const& r) {
+                       Put& p = puts_[ix];
+                       p.status = r.status;
+                       p.pending = r.body.value("pending").toBool();
+                       p.revision = r.body.value("stamp").toInteger();
+                       p.answeredAt = programs::now();
+                       ++result_.changes;
+                       if (--*left == 0) putting_ = false;
+                       probe();
+                     });
   }
 
   /// Asks for paths that acknowledged changes have taken away, at any router.
@@ -202,7 +213,8 @@
     for (std::size_t i = 0; i < puts_.size(); ++i) {
       Node const& n = fleet_.routers()[rng_.below(fleet_.routers().size())];
       if (!n.process) continue;
-      fleet_.callAsync(n.http, "POST", "/v1/" + fleet_.instances()[0] + "/" + puts_[i].mark, "{}", "", "", 8000, [](Reply const&) {});
+      fleet_.callAsync(n.http, "POST", "/v1/" + fleet_.instances()[0] + "/" + puts_[i].mark, "{}", "", "", 8000,
+                       [](Reply const&) {});
     }
   }
 
@@ -391,7 +403,8 @@
     fleet_.startAll();
     fleet_.until("service after the outage", [&] { return served() >= before + 20; });
     result_.back = programs::now() - start;
-    if (plan_.timed && result_.back > 12000) violation("service was back only " + std::to_string(result_.back) + " ms after a total outage");
+    if (plan_.timed && result_.back > 12000)
+      violation("service was back only " + std::to_string(result_.back) + " ms after a total outage");
   }
 
   std::vector<Arrival> arrivalsAt(Node const& r) const {
@@ -418,7 +431,8 @@
     Report const& r = result_.report;
     checkRuns();
     if (r.badBodies > 0) violation(std::to_string(r.badBodies) + " bodies looked whole or joined and were not");
-    if (r.rejectedButRan > 0) violation(std::to_string(r.rejectedButRan) + " requests were rejected as not run and ran");
+    if (r.rejectedButRan > 0)
+      violation(std::to_string(r.rejectedButRan) + " requests were rejected as not run and ran");
     std::vector<std::pair<Tick, std::string>> all;
     for (Node const& n : fleet_.replicas())
       for (Arrival const& a : arrivalsAt(n)) {
@@ -429,10 +443,13 @@
             violation(n.name + " was reached " + std::to_string(a.at - b.from) + " ms after it was shown leaving");
         for (Ban const& b : zones_)
           if (b.name == n.zone && a.at > b.from + 5000 && (b.until < 0 || a.at < b.until))
-            violation(n.name + " was reached " + std::to_string(a.at - b.from) + " ms after its zone's evacuation was acknowledged");
+            violation(n.name + " was reached " + std::to_string(a.at - b.from) +
+                      " ms after its zone's evacuation was acknowledged");
         for (Put const& p : puts_)
-          if ((p.status == 200 || p.status == 201) && a.at > p.answeredAt + 2000 && revisionOf(a.path) > 0 && revisionOf(a.path) < p.revision)
-            violation(a.path + " reached a replica " + std::to_string(a.at - p.answeredAt) + " ms after " + p.mark + " was in force");
+          if ((p.status == 200 || p.status == 201) && a.at > p.answeredAt + 2000 && revisionOf(a.path) > 0 &&
+              revisionOf(a.path) < p.revision)
+            violation(a.path + " reached a replica " + std::to_string(a.at - p.answeredAt) + " ms after " + p.mark +
+                      " was in force");
       }
     for (Node const& n : fleet_.replicas()) checkCold(n);
     checkRepeats(all);
@@ -474,7 +491,8 @@
       for (Arrival const& a : arrivalsAt(n))
         if (a.at >= b.from && (b.until < 0 || a.at < b.until)) hits.push_back(a.at);
       for (std::size_t i = 0; i + 7 < hits.size(); ++i)
-        if (hits[i + 7] - hits[i] < 3000) violation(n.name + " was cold and had 8 requests in " + std::to_string(hits[i + 7] - hits[i]) + " ms");
+        if (hits[i + 7] - hits[i] < 3000)
+          violation(n.name + " was cold and had 8 requests in " + std::to_string(hits[i + 7] - hits[i]) + " ms");
     }
   }
 
@@ -483,14 +501,17 @@
     std::set<std::string> seen;
     std::vector<Tick> firsts;
     std::vector<Tick> repeats;
-    for (std::pair<Tick, std::string> const& a : all) (seen.insert(a.second).second ? firsts : repeats).push_back(a.first);
+    for (std::pair<Tick, std::string> const& a : all)
+      (seen.insert(a.second).second ? firsts : repeats).push_back(a.first);
     result_.repeats = repeats.size();
     for (Tick const end : repeats) {
       std::function<std::size_t(std::vector<Tick> const&)> const in = [end](std::vector<Tick> const& v) {
-        return static_cast<std::size_t>(std::upper_bound(v.begin(), v.end(), end) - std::lower_bound(v.begin(), v.end(), end - 10000));
+        return static_cast<std::size_t>(std::upper_bound(v.begin(), v.end(), end) -
+                                        std::lower_bound(v.begin(), v.end(), end - 10000));
       };
       if (static_cast<double>(in(repeats)) > 0.2 * static_cast<double>(in(firsts)) + 20.0)
-        violation(std::to_string(in(repeats)) + " repeats over " + std::to_string(in(firsts)) + " first hand-overs in 10 s");
+        violation(std::to_string(in(repeats)) + " repeats over " + std::to_string(in(firsts)) +
+                  " first hand-overs in 10 s");
     }
   }
 
@@ -499,19 +520,24 @@
     qint64 newest = 0;
     for (Put const& p : puts_) {
       bool const yes = p.status == 200 || p.status == 201 || p.pending;
-      if (yes && ++accepted[p.ifMatch] > 1) violation("two changes built on revision " + p.ifMatch + " were both accepted");
+      if (yes && ++accepted[p.ifMatch] > 1)
+        violation("two changes built on revision " + p.ifMatch + " were both accepted");
       if (yes) newest = std::max(newest, p.revision);
     }
-    Reply const now = fleet_.call(fleet_.firstController(), "GET", std::string("/v1/templates/") + fleet_.deployment().family);
+    Reply const now =
+        fleet_.call(fleet_.firstController(), "GET", std::string("/v1/templates/") + fleet_.deployment().family);
     qint64 const revision = now.body.value("stamp").toInteger();
     if (now.status != 200) violation("the configuration could not be read back: " + std::to_string(now.status));
-    if (revision < newest) violation("an acknowledged change is lost: revision " + std::to_string(revision) + " of " + std::to_string(newest));
+    if (revision < newest)
+      violation("an acknowledged change is lost: revision " + std::to_string(revision) + " of " +
+                std::to_string(newest));
     bool told = newest == 0 || revision == 1;
     for (Put const& p : puts_) {
       bool const same = now.body.value("spec").toObject() == p.spec;
       bool const rejected = p.status >= 400 && p.status < 500;
       if (same && rejected) violation("a rejected change is what stands at the end: " + p.mark);
-      told = told || (same && !rejected && (revision > newest ? !(p.status >= 200 && p.status < 300) : p.revision == revision));
+      told = told ||
+             (same && !rejected && (revision > newest ? !(p.status >= 200 && p.status < 300) : p.revision == revision));
     }
     if (!told) violation("what stands at the end is no change that was acknowledged or left unknown");
   }
@@ -553,6 +579,8 @@
 
 }  // namespace
 
-ChaosResult chaos(ChaosPlan const& plan) { return Chaos(plan).run(); }
+ChaosResult chaos(ChaosPlan const& plan) {
+  return Chaos(plan).run();
+}
 
 }  // namespace corkward::testing
--- a/testing/fleet/chaos_main.cpp
+++ b/testing/fleet/chaos_main.cpp
@@ -13,9 +13,10 @@
   ChaosPlan plan;
   std::uint64_t count = 1;
   po::options_description flags("corkward-chaos: a deployment of real processes under seeded failures");
-  flags.add_options()("deployment", po::value(&plan.deployment), "harmattan, lernkarten or small")("from", po::value(&plan.seed), "first seed")(
-      "count", po::value(&count), "seeds")("events", po::value(&plan.events), "failures in a run")("scale", po::value(&plan.scale), "times the deployment's demand")(
-      "help", "print this");
+  flags.add_options()("deployment", po::value(&plan.deployment), "harmattan, lernkarten or small")(
+      "from", po::value(&plan.seed), "first seed")("count", po::value(&count), "seeds")(
+      "events", po::value(&plan.events), "failures in a run")("scale", po::value(&plan.scale),
+                                                              "times the deployment's demand")("help", "print this");
   po::variables_map vm;
   try {
     po::store(po::parse_command_line(argc, argv, flags), vm);
@@ -33,9 +34,10 @@
   for (std::uint64_t i = 0; i < count; ++i, ++plan.seed) {
     try {
       ChaosResult const r = chaos(plan);
-      std::cout << plan.deployment << " seed " << plan.seed << ": harmed " << r.harmed << ", changes " << r.changes << ", repeats " << r.repeats
-                << ", back after " << r.back << " ms;";
-      for (std::map<std::string, std::size_t>::value_type const& o : r.report.outcomes) std::cout << " " << o.first << " " << o.second;
+      std::cout << plan.deployment << " seed " << plan.seed << ": harmed " << r.harmed << ", changes " << r.changes
+                << ", repeats " << r.repeats << ", back after " << r.back << " ms;";
+      for (std::map<std::string, std::size_t>::value_type const& o : r.report.outcomes)
+        std::cout << " " << o.first << " " << o.second;
       std::cout << std::endl;
       if (!r.violations.empty()) {
         ++bad;
@@ -55,4 +57,6 @@
 
 }  // namespace corkward::testing
 
-int main(int argc, char** argv) { return corkward::testing::runChaos(argc, argv); }
+int main(int argc, char** argv) {
+  return corkward::testing::runChaos(argc, argv);
+}
--- a/testing/fleet/fleet.cpp
+++ b/testing/fleet/fleet.cpp
@@ -45,7 +45,8 @@
   for (int i = 0; i < deployment.models + deployment.others; ++i) {
     Node n;
     bool const model = i < deployment.models;
-    n.name = model ? "model" + std::to_string(i + 1) : std::string(deployment.otherPool) + std::to_string(i - deployment.models + 1);
+    n.name = model ? "model" + std::to_string(i + 1)
+                   : std::string(deployment.otherPool) + std::to_string(i - deployment.models + 1);
     n.http = freeAddress(net_ + std::to_string(100 + i));
     n.zone = "z" + std::to_string(i % deployment.zones + 1);
     n.pool = model ? "model" : deployment.otherPool;
@@ -71,7 +72,8 @@
       for (std::size_t i = 0; i < 3; ++i) text += "seed = " + controllers_[i % controllers_.size()].link + "\n";
       if (!disk && regimes_) text += "audit = " + auditFolder(n) + "\n";
       if (disk) text += "data = " + n.data + "\n";
-      for (std::size_t i = 0; disk && i < std::min<std::size_t>(3, controllers_.size()); ++i) text += "founder = " + controllers_[i].link + "\n";
+      for (std::size_t i = 0; disk && i < std::min<std::size_t>(3, controllers_.size()); ++i)
+        text += "founder = " + controllers_[i].link + "\n";
       text += "log-file = " + folder() + "/" + n.name + ".log\n";
       settings.write(QByteArray::fromStdString(text));
       n.flags = {"--settings", settings.fileName()};
@@ -137,18 +139,25 @@
   node.process.reset();
 }
 
-void Fleet::freeze(Node& node) { ::kill(static_cast<pid_t>(node.process->processId()), SIGSTOP); }
-void Fleet::wake(Node& node) { ::kill(static_cast<pid_t>(node.process->processId()), SIGCONT); }
+void Fleet::freeze(Node& node) {
+  ::kill(static_cast<pid_t>(node.process->processId()), SIGSTOP);
+}
+void Fleet::wake(Node& node) {
+  ::kill(static_cast<pid_t>(node.process->processId()), SIGCONT);
+}
 
 int Fleet::stop(Node& node) {
   node.process->terminate();
-  until(node.name + " to stop", [&] { return node.process->state() == QProcess::NotRunning; }, 90000);
+  until(
+      node.name + " to stop", [&] { return node.process->state() == QProcess::NotRunning; }, 90000);
   int const code = node.process->exitStatus() == QProcess::NormalExit ? node.process->exitCode() : -1;
   node.process.reset();
   return code;
 }
 
-void Fleet::wipe(Node& node) { QDir(core::qstr(node.data)).removeRecursively(); }
+void Fleet::wipe(Node& node) {
+  QDir(core::qstr(node.data)).removeRecursively();
+}
 
 void Fleet::until(std::string const& what, std::function<bool()> const& condition, int limitMs) {
   QElapsedTimer clock;
@@ -165,8 +174,8 @@
   loop.exec();
 }
 
-QNetworkRequest Fleet::requestOf(std::string const& http, std::string const& path, std::string const& ifMatch, std::string const& changeId,
-                                 int limitMs) const {
+QNetworkRequest Fleet::requestOf(std::string const& http, std::string const& path, std::string const& ifMatch,
+                                 std::string const& changeId, int limitMs) const {
   QNetworkRequest request(QUrl(core::qstr("http://" + http + path)));
   request.setTransferTimeout(limitMs);
   request.setHeader(QNetworkRequest::ContentTypeHeader, "application/json");
@@ -189,8 +198,8 @@
   return out;
 }
 
-Reply Fleet::change(std::string const& method, std::string const& path, std::string const& body, std::string const& ifMatch,
-                    std::string const& changeId) {
+Reply Fleet::change(std::string const& method, std::string const& path, std::string const& body,
+                    std::string const& ifMatch, std::string const& changeId) {
   std::string const id = changeId.empty() ? "fleet-" + std::to_string(nextChange_++) : changeId;
   Reply out;
   until("an answer for good to " + method + " " + path, [&] {
@@ -200,19 +209,21 @@
   return out;
 }
 
-void Fleet::callAsync(std::string const& http, std::string const& method, std::string const& path, std::string const& body,
-                      std::string const& ifMatch, std::string const& changeId, int limitMs, std::function<void(Reply)> done) {
-  QNetworkReply* const reply = manager_.sendCustomRequest(requestOf(http, path, ifMatch, changeId, limitMs), QByteArray::fromStdString(method),
-                                                          QByteArray::fromStdString(body));
+void Fleet::callAsync(std::string const& http, std::string const& method, std::string const& path,
+                      std::string const& body, std::string const& ifMatch, std::string const& changeId, int limitMs,
+                      std::function<void(Reply)> done) {
+  QNetworkReply* const reply =
+      manager_.sendCustomRequest(requestOf(http, path, ifMatch, changeId, limitMs), QByteArray::fromStdString(method),
+                                 QByteArray::fromStdString(body));
   QObject::connect(reply, &QNetworkReply::finished, this, [this, reply, done] {
     if (closing_) return;
     Reply out;
     out.status = reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
     if (out.status != 0) try {
-      out.body = core::parseJson(reply->readAll().toStdString()).toObject();
-    } catch (core::JsonError const&) {
-      out.body = {};
-    }
+        out.body = core::parseJson(reply->readAll().toStdString()).toObject();
+      } catch (core::JsonError const&) {
+        out.body = {};
+      }
     reply->deleteLater();
     done(out);
   });
@@ -225,9 +236,10 @@
   process.start(core::qstr(CORKWARD_BIN "/programs/" + program), flags);
   process.write(QByteArray::fromStdString(input));
   process.closeWriteChannel();
-  until(program + " to end", [&] { return process.state() == QProcess::NotRunning; }, 60000);
-  return Tool{process.exitStatus() == QProcess::NormalExit ? process.exitCode() : -1, process.readAllStandardOutput().toStdString(),
-              process.readAllStandardError().toStdString()};
+  until(
+      program + " to end", [&] { return process.state() == QProcess::NotRunning; }, 60000);
+  return Tool{process.exitStatus() == QProcess::NormalExit ? process.exitCode() : -1,
+              process.readAllStandardOutput().toStdString(), process.readAllStandardError().toStdString()};
 }
 
 Reply Fleet::get(std::string const& address, std::string const& path) {
@@ -259,15 +271,16 @@
       std::map<std::string, std::string>::const_iterator const it = states.find(r.name);
       if (it != states.end() && it->second == "gone") continue;
       QJsonObject row{{"address", core::qstr(r.shown.empty() ? r.http : r.shown)},
-                              {"zone", core::qstr(r.zone)},
-                              {"state", core::qstr(it == states.end() ? "serving" : it->second)}};
+                      {"zone", core::qstr(r.zone)},
+                      {"state", core::qstr(it == states.end() ? "serving" : it->second)}};
       if (!r.life.empty()) row.insert("id", core::qstr(r.life));
       list.append(row);
     }
-    std::string const body =
-        core::jsonText(QJsonObject{{"generation", static_cast<qint64>(generation_)}, {"coldRate", 2}, {"replicas", list}});
+    std::string const body = core::jsonText(
+        QJsonObject{{"generation", static_cast<qint64>(generation_)}, {"coldRate", 2}, {"replicas", list}});
     Reply const r = change("PUT", "/v1/platform/pools/" + pool, body);
-    if (r.status != 200) throw FleetError("pool " + pool + ": status " + std::to_string(r.status) + " " + core::jsonText(r.body));
+    if (r.status != 200)
+      throw FleetError("pool " + pool + ": status " + std::to_string(r.status) + " " + core::jsonText(r.body));
   }
 }
 
@@ -283,8 +296,10 @@
   Reply const t = change("PUT", "/v1/templates/" + family, file.readAll().toStdString(), "0");
   if (t.status != 201) throw FleetError("template: status " + std::to_string(t.status) + " " + core::jsonText(t.body));
   for (std::string const& name : {std::string("nord"), std::string("sued")}) {
-    Reply const i = change("PUT", "/v1/templates/" + family + "/instances/" + name, R"({"parameters":{"site":")" + name + "\"}}", "0");
-    if (i.status != 201) throw FleetError("instance: status " + std::to_string(i.status) + " " + core::jsonText(i.body));
+    Reply const i = change("PUT", "/v1/templates/" + family + "/instances/" + name,
+                           R"({"parameters":{"site":")" + name + "\"}}", "0");
+    if (i.status != 201)
+      throw FleetError("instance: status " + std::to_string(i.status) + " " + core::jsonText(i.body));
   }
 }
 
--- a/testing/fleet/fleet.h
+++ b/testing/fleet/fleet.h
@@ -82,8 +82,8 @@
   void start(Node& node, std::uint64_t fileLimit = 0);
   /// Puts a tap before every link address. Before anything is started.
   void tapLinks(std::function<std::string(std::string const& listen)> const& tap);
-  /// Replicas have lives, which the platform's lists tell, and routers keep records of regimes' work. Before anything is
-  /// started.
+  /// Replicas have lives, which the platform's lists tell, and routers keep records of regimes' work. Before anything
+  /// is started.
   void withRegimes();
   /// Folder of a router's records.
   std::string auditFolder(Node const& router) const { return folder() + "/" + router.name + ".audit"; }
@@ -102,12 +102,13 @@
   /// One call to a controller, waited for.
   Reply call(Node const& node, std::string const& method, std::string const& path, std::string const& body = "",
              std::string const& ifMatch = "", std::string const& changeId = "");
-  /// A change sent as an operator sends it: again under its one id, to any ready controller, until the answer is for good.
-  Reply change(std::string const& method, std::string const& path, std::string const& body = "", std::string const& ifMatch = "",
-               std::string const& changeId = "");
+  /// A change sent as an operator sends it: again under its one id, to any ready controller, until the answer is for
+  /// good.
+  Reply change(std::string const& method, std::string const& path, std::string const& body = "",
+               std::string const& ifMatch = "", std::string const& changeId = "");
   /// The same as call, without waiting; status 0 when there was no answer in time.
-  void callAsync(std::string const& http, std::string const& method, std::string const& path, std::string const& body, std::string const& ifMatch,
-                 std::string const& changeId, int limitMs, std::function<void(Reply)> done);
+  void callAsync(std::string const& http, std::string const& method, std::string const& path, std::string const& body,
+                 std::string const& ifMatch, std::string const& changeId, int limitMs, std::function<void(Reply)> done);
   struct Tool {
     int code = -1;
     std::string out;
@@ -137,7 +138,8 @@
 
  private:
   void writeSettings();
-  QNetworkRequest requestOf(std::string const& http, std::string const& path, std::string const& ifMatch, std::string const& changeId, int limitMs) const;
+  QNetworkRequest requestOf(std::string const& http, std::string const& path, std::string const& ifMatch,
+                            std::string const& changeId, int limitMs) const;
   std::string freeAddress(std::string const& ip);
   Deployment deployment_;
   QTemporaryDir folder_;
--- a/testing/fleet/main.cpp
+++ b/testing/fleet/main.cpp
@@ -47,7 +47,8 @@
 
 /// Prints what the processes of each role use at rest, a mean over them, in the form of corkward-capacity's figures.
 void printUsage(Fleet& fleet, int seconds) {
-  std::vector<std::pair<std::string, std::vector<Node>*>> const roles{{"router", &fleet.routers()}, {"control", &fleet.controllers()}};
+  std::vector<std::pair<std::string, std::vector<Node>*>> const roles{{"router", &fleet.routers()},
+                                                                      {"control", &fleet.controllers()}};
   std::map<std::string, double> before;
   for (std::pair<std::string, std::vector<Node>*> const& r : roles)
     for (Node const& n : *r.second) before[n.name] = usageOf(n).cpuUs;
@@ -83,10 +84,12 @@
   int usage = 0;
   po::options_description flags("corkward-fleet: a fleet of real processes on loopback");
   flags.add_options()("deployment", po::value(&name)->default_value("harmattan"), "harmattan, lernkarten or small")(
-      "seconds", po::value(&seconds)->default_value(10), "how long callers call")("scale", po::value(&scale)->default_value(1.0), "times the deployment's demand")(
+      "seconds", po::value(&seconds)->default_value(10), "how long callers call")(
+      "scale", po::value(&scale)->default_value(1.0), "times the deployment's demand")(
       "nodes", po::value(&nodes), "so many routers instead of the deployment's, 1 to 100")(
       "usage", po::value(&usage), "print as CSV what the processes use at rest in so many seconds, 1 to 600, and end")(
-      "hold", po::bool_switch(&hold), "keep the fleet running until a line is read from standard input")("help", "print this");
+      "hold", po::bool_switch(&hold), "keep the fleet running until a line is read from standard input")("help",
+                                                                                                         "print this");
   po::variables_map vm;
   try {
     po::store(po::parse_command_line(argc, argv, flags), vm);
@@ -133,8 +136,10 @@
       return 0;
     }
     std::cout << "fleet " << chosen->name << " is up\n";
-    for (Node const& n : fleet.controllers()) std::cout << "  " << n.name << " " << n.http << " pid " << n.process->processId() << "\n";
-    for (Node const& n : fleet.routers()) std::cout << "  " << n.name << " " << n.http << " pid " << n.process->processId() << "\n";
+    for (Node const& n : fleet.controllers())
+      std::cout << "  " << n.name << " " << n.http << " pid " << n.process->processId() << "\n";
+    for (Node const& n : fleet.routers())
+      std::cout << "  " << n.name << " " << n.http << " pid " << n.process->processId() << "\n";
     std::cout << std::flush;
     if (hold) {
       std::cout << "press return to end\n" << std::flush;
@@ -146,7 +151,8 @@
     traffic.startCalling();
     fleet.runFor(seconds * 1000);
     traffic.stopCalling();
-    fleet.until("the last answers", [&] { return traffic.open() == 0; }, 60000);
+    fleet.until(
+        "the last answers", [&] { return traffic.open() == 0; }, 60000);
     std::cout << text(traffic.report());
     return 0;
   } catch (core::Error const& e) {
@@ -157,4 +163,6 @@
 
 }  // namespace corkward::testing
 
-int main(int argc, char** argv) { return corkward::testing::runFleet(argc, argv); }
+int main(int argc, char** argv) {
+  return corkward::testing::runFleet(argc, argv);
+}
--- a/testing/fleet/tap.h
+++ b/testing/fleet/tap.h
@@ -12,8 +12,9 @@
 
 namespace corkward::testing {
 
-/// A relay between two processes that passes bytes on, and for a share of the connections does harm at a byte drawn from
-/// its seed: cuts, stalls, trickles, stays dark or answers garbage. It can also cut or hold every connection at once.
+/// A relay between two processes that passes bytes on, and for a share of the connections does harm at a byte drawn
+/// from its seed: cuts, stalls, trickles, stays dark or answers garbage. It can also cut or hold every connection at
+/// once.
 class Tap : public QObject {
  public:
   Tap(std::string const& target, std::string const& ip, std::uint64_t seed);
--- a/testing/fleet/traffic.cpp
+++ b/testing/fleet/traffic.cpp
@@ -29,7 +29,9 @@
   looks_.start(200);
 }
 
-void Traffic::stopCalling() { arrivals_.stop(); }
+void Traffic::stopCalling() {
+  arrivals_.stop();
+}
 
 void Traffic::look() {
   for (Node const& n : fleet_.routers()) {
@@ -70,7 +72,8 @@
   o.record.instance = o.instance;
   o.path = cls == "urgent" ? d.quickPath : cls == "long" ? d.bulkPath : d.shortPath;
   if (cls != "urgent") o.prefix = "turbine-" + std::to_string(rng_.chance(0.3) ? 0 : rng_.below(40));
-  o.body = core::jsonText(QJsonObject{{"prefix", core::qstr(o.prefix)}, {"text", core::qstr(std::string(cls == "long" ? 4000 : 200, 'x'))}});
+  o.body = core::jsonText(QJsonObject{{"prefix", core::qstr(o.prefix)},
+                                      {"text", core::qstr(std::string(cls == "long" ? 4000 : 200, 'x'))}});
   o.deadline = o.record.began + callerLimit;
   o.record.numbered = rng_.chance(0.7);
   std::string const id = o.record.id;
@@ -103,13 +106,15 @@
   http::UpstreamConnection::Events e;
   e.connected = [this, id] {
     Open& open = open_.at(id);
-    http::ReplicaRequest request{"POST", "/v1/" + open.instance + "/" + open.path,
+    http::ReplicaRequest request{"POST",
+                                 "/v1/" + open.instance + "/" + open.path,
                                  {{"content-type", "application/json"}, {"corkward-request-id", open.record.id}}};
     if (!open.prefix.empty()) request.fields.emplace_back("corkward-prefix", open.prefix);
     if (open.record.numbered) {
       request.fields.emplace_back("corkward-attempt", std::to_string(open.record.attempts));
       request.fields.emplace_back("corkward-age-ms", std::to_string(programs::now() - open.record.began));
-      if (open.record.attempts > 1 && open.earlierNotRun) request.fields.emplace_back("corkward-earlier", open.earlierReached ? "not-run-reached" : "not-run");
+      if (open.record.attempts > 1 && open.earlierNotRun)
+        request.fields.emplace_back("corkward-earlier", open.earlierReached ? "not-run-reached" : "not-run");
     }
     open.forwarder->send(request, open.body);
   };
@@ -128,7 +133,8 @@
   e.head = [this, id](http::ReplicaHead head) { open_.at(id).head = std::move(head); };
   e.piece = [this, id](std::string bytes) {
     Open& open = open_.at(id);
-    if (open.head.status == 200 && open.record.firstWord < 0) open.record.firstWord = programs::now() - open.record.began;
+    if (open.head.status == 200 && open.record.firstWord < 0)
+      open.record.firstWord = programs::now() - open.record.began;
     open.got += bytes;
   };
   e.ended = [this, id](bool whole) { ended(id, whole); };
@@ -200,7 +206,8 @@
       if (more.size() > 5 && more.substr(more.size() - 5) == "/miss") ++out.prefixMisses;
     }
   }
-  for (std::map<std::string, std::set<std::string>>::value_type const& r : runsOf) out.runTwice += r.second.size() > 1 ? 1 : 0;
+  for (std::map<std::string, std::set<std::string>>::value_type const& r : runsOf)
+    out.runTwice += r.second.size() > 1 ? 1 : 0;
   for (CallerRecord const& r : done_) {
     ++out.requests;
     ++out.outcomes[r.outcome];
@@ -214,14 +221,16 @@
 std::string text(Report const& report) {
   std::ostringstream out;
   out << "requests " << report.requests << "\n";
-  for (std::map<std::string, std::size_t>::value_type const& o : report.outcomes) out << "  " << o.first << " " << o.second << "\n";
-  out << "run twice " << report.runTwice << ", bad bodies " << report.badBodies << ", rejected but ran " << report.rejectedButRan
-      << ", runs at replicas " << report.replicaRuns << "\n";
+  for (std::map<std::string, std::size_t>::value_type const& o : report.outcomes)
+    out << "  " << o.first << " " << o.second << "\n";
+  out << "run twice " << report.runTwice << ", bad bodies " << report.badBodies << ", rejected but ran "
+      << report.rejectedButRan << ", runs at replicas " << report.replicaRuns << "\n";
   out << "prefix hits " << report.prefixHits << ", misses " << report.prefixMisses << "\n";
   for (std::map<std::string, std::vector<core::Tick>>::value_type const& f : report.firstWords) {
     std::vector<core::Tick> t = f.second;
     std::sort(t.begin(), t.end());
-    out << "first word, " << f.first << ": median " << t[t.size() / 2] << " ms, 99% " << t[t.size() * 99 / 100] << " ms (" << t.size() << ")\n";
+    out << "first word, " << f.first << ": median " << t[t.size() / 2] << " ms, 99% " << t[t.size() * 99 / 100]
+        << " ms (" << t.size() << ")\n";
   }
   return out.str();
 }
--- a/testing/replica/main.cpp
+++ b/testing/replica/main.cpp
@@ -34,7 +34,10 @@
   };
 
   explicit Replica(Ways const& ways)
-      : ways_(ways), name_(programs::freshName().substr(0, 8)), record_(ways.record, std::ios::app), server_(ways.http, http::Limits{}, events()) {
+      : ways_(ways),
+        name_(programs::freshName().substr(0, 8)),
+        record_(ways.record, std::ios::app),
+        server_(ways.http, http::Limits{}, events()) {
     write("up", "", "", "");
   }
 
@@ -61,8 +64,8 @@
   }
 
   void write(std::string const& what, std::string const& run, std::string const& id, std::string const& more) {
-    record_ << programs::now() << " " << what << " " << (run.empty() ? "-" : run) << " " << (id.empty() ? "-" : id) << " "
-            << (more.empty() ? "-" : more) << std::endl;
+    record_ << programs::now() << " " << what << " " << (run.empty() ? "-" : run) << " " << (id.empty() ? "-" : id)
+            << " " << (more.empty() ? "-" : more) << std::endl;
   }
 
   void take(http::Request r) {
@@ -105,7 +108,11 @@
     bool const hit = !prefix.empty() && prefixes_.count(prefix) > 0;
     if (hit) run.firstMs /= 4;
     if (!prefix.empty()) prefixes_[prefix] = 1;
-    write(run.next > 0 ? "go-on" : "run", run.run, id, attempt + "/" + target.substr(1) + "/" + (prefix.empty() ? "none" : hit ? "hit" : "miss"));
+    write(run.next > 0 ? "go-on" : "run", run.run, id,
+          attempt + "/" + target.substr(1) + "/" +
+              (prefix.empty() ? "none"
+               : hit          ? "hit"
+                              : "miss"));
     queue_.push_back(run);
     next();
   }
@@ -215,9 +222,12 @@
   boost::program_options::options_description flags("standin-replica");
   flags.add_options()("http", boost::program_options::value(&w.http)->required(), "own address")(
       "record", boost::program_options::value(&w.record)->required(), "file that every run is written to")(
-      "slots", boost::program_options::value(&w.slots), "runs at a time")("queue", boost::program_options::value(&w.queue), "runs that wait")(
-      "first-ms", boost::program_options::value(&w.firstMs), "time to the first word")("gap-ms", boost::program_options::value(&w.gapMs), "time between words")(
-      "words", boost::program_options::value(&w.words), "words of a short run")("long-words", boost::program_options::value(&w.longWords), "words of a long run")(
+      "slots", boost::program_options::value(&w.slots), "runs at a time")(
+      "queue", boost::program_options::value(&w.queue), "runs that wait")(
+      "first-ms", boost::program_options::value(&w.firstMs), "time to the first word")(
+      "gap-ms", boost::program_options::value(&w.gapMs), "time between words")(
+      "words", boost::program_options::value(&w.words), "words of a short run")(
+      "long-words", boost::program_options::value(&w.longWords), "words of a long run")(
       "life", boost::program_options::value(&w.life), "name of this life, told to who asks for it")(
       "drop-after", boost::program_options::value(&w.dropAfter), "cut every stream after so many words");
   try {
--- a/testing/sim/callers.cpp
+++ b/testing/sim/callers.cpp
@@ -28,7 +28,8 @@
     c.resumable = true;
   }
   if (c.cls != "urgent" && rng_.chance(0.03) && !lastMark_.empty()) c.path = lastMark_;
-  if (c.cls != "urgent") c.prefix = rng_.chance(0.3) ? "hot" : "p" + std::to_string(rng_.below(static_cast<std::uint64_t>(plan_.prefixes)));
+  if (c.cls != "urgent")
+    c.prefix = rng_.chance(0.3) ? "hot" : "p" + std::to_string(rng_.below(static_cast<std::uint64_t>(plan_.prefixes)));
   c.hard = rng_.chance(hardShare_);
   c.numbered = rng_.chance(0.7);
   c.began = now_;
@@ -118,7 +119,8 @@
     callerEnds(id, d.notRun ? "denied" : "unknown");
     return;
   }
-  Tick const wait = c.hard ? static_cast<Tick>(20 + rng_.below(100)) : d.retryAfter * 1000 + static_cast<Tick>(rng_.below(500));
+  Tick const wait =
+      c.hard ? static_cast<Tick>(20 + rng_.below(100)) : d.retryAfter * 1000 + static_cast<Tick>(rng_.below(500));
   after(wait, [this, id] { callerSends(id); });
 }
 
@@ -128,7 +130,8 @@
   Caller& c = it->second;
   c.open = false;
   c.earlierNotRun = false;
-  if (c.status < 500 && !c.got.empty() && !oneBody(c)) violation("a stream has a gap, a repeat or a join, and was cut: " + id);
+  if (c.status < 500 && !c.got.empty() && !oneBody(c))
+    violation("a stream has a gap, a repeat or a join, and was cut: " + id);
   if (c.worded || c.attempt >= 4 || now_ > c.deadline) {
     callerEnds(id, c.worded ? "broken" : "cut");
     return;
--- a/testing/sim/certificates.cpp
+++ b/testing/sim/certificates.cpp
@@ -18,13 +18,19 @@
 
 }  // namespace
 
-std::string World::lifeOf(Replica const& r) const { return r.address + "/" + std::to_string(r.life); }
+std::string World::lifeOf(Replica const& r) const {
+  return r.address + "/" + std::to_string(r.life);
+}
 
-std::int64_t World::wall() const { return wallBegin + now_ + wallJump_; }
+std::int64_t World::wall() const {
+  return wallBegin + now_ + wallJump_;
+}
 
 QJsonObject World::certificateFor(std::string const& name, Tick lasts) const {
   std::size_t const dash = name.rfind('-');
-  QJsonObject out{{"regime", regime}, {"carrier", "nacelles"}, {"zone", core::qstr(name.substr(dash + 1))},
+  QJsonObject out{{"regime", regime},
+                  {"carrier", "nacelles"},
+                  {"zone", core::qstr(name.substr(dash + 1))},
                   {"until", QDateTime::fromMSecsSinceEpoch(wallBegin + now_ + lasts, Qt::UTC).toString(Qt::ISODate)}};
   if (name.rfind(ofRouters, 0) == 0) return out;
   out.insert("carrier", "replicas");
@@ -43,19 +49,23 @@
 void World::declareRegime() {
   QJsonObject all;
   for (std::string const& name : certificateNames()) all.insert(core::qstr(name), certificateFor(name, farAway));
-  QJsonObject const spec{{"regimes", QJsonObject{{regime, QJsonObject{{"nacelles", plan_.certifiedRouters ? "certified" : "any"}}}}}, {"certificates", all}};
-  change(config::regimesKey, core::jsonText(spec), "PUT", page, core::jsonText(spec), "0", "", [this](int status, QJsonObject const& body) {
-    if (status == 200 || status == 201) {
-      certificateRevision_ = std::to_string(body.value("stamp").toInteger());
-      certificateTurn();
-    } else {
-      after(700, [this] { declareRegime(); });
-    }
-  });
+  QJsonObject const spec{
+      {"regimes", QJsonObject{{regime, QJsonObject{{"nacelles", plan_.certifiedRouters ? "certified" : "any"}}}}},
+      {"certificates", all}};
+  change(config::regimesKey, core::jsonText(spec), "PUT", page, core::jsonText(spec), "0", "",
+         [this](int status, QJsonObject const& body) {
+           if (status == 200 || status == 201) {
+             certificateRevision_ = std::to_string(body.value("stamp").toInteger());
+             certificateTurn();
+           } else {
+             after(700, [this] { declareRegime(); });
+           }
+         });
 }
 
 void World::declareRegulated() {
-  change("family:desk/nord", "", "PUT", std::string(templatePath) + "/instances/nord", plan_.bound ? R"({"parameters":{"site":"s"},"regime":"health"})" : R"({"parameters":{"site":"s"}})", "0", "",
+  change("family:desk/nord", "", "PUT", std::string(templatePath) + "/instances/nord",
+         plan_.bound ? R"({"parameters":{"site":"s"},"regime":"health"})" : R"({"parameters":{"site":"s"}})", "0", "",
          [this](int status, QJsonObject const&) {
            if (status != 200 && status != 201 && status != 412 && !quiet_) after(700, [this] { declareRegulated(); });
          });
@@ -72,24 +82,26 @@
   bool const jumps = std::find(plan_.faults.begin(), plan_.faults.end(), Fault::wallClockJump) != plan_.faults.end();
   Tick const until = now_ + lasts - config::wallMargin + clocksDiffer + (jumps ? mostBack : 0);
   std::string const body = core::jsonText(QJsonObject{{"certificates", all}});
-  change(config::regimesKey, "", "PATCH", page, body, certificateRevision_, "", [this, names, turns, until](int status, QJsonObject const& answer) {
-    if (answer.contains("stamp")) certificateRevision_ = std::to_string(answer.value("stamp").toInteger());
-    if (status != 200) return;
-    for (std::string const& name : names)
-      at(std::max(now_, until), [this, name, turn = turns.at(name)] {
-        if (certificateTurns_[name] == turn) outSince_[name] = now_;
-      });
-  });
+  change(config::regimesKey, "", "PATCH", page, body, certificateRevision_, "",
+         [this, names, turns, until](int status, QJsonObject const& answer) {
+           if (answer.contains("stamp")) certificateRevision_ = std::to_string(answer.value("stamp").toInteger());
+           if (status != 200) return;
+           for (std::string const& name : names)
+             at(std::max(now_, until), [this, name, turn = turns.at(name)] {
+               if (certificateTurns_[name] == turn) outSince_[name] = now_;
+             });
+         });
 }
 
 void World::revoke(std::string const& name) {
   std::uint64_t const turn = ++certificateTurns_[name];
-  change(config::regimesKey, "", "DELETE", std::string(page) + "/" + name, "", "", "", [this, name, turn](int status, QJsonObject const& answer) {
-    if (status != 200 || !answer.value("inForce").toBool()) return;
-    ++result_.counts["revoked"];
-    certificateRevision_ = std::to_string(answer.value("stamp").toInteger());
-    if (certificateTurns_[name] == turn) outSince_[name] = now_;
-  });
+  change(config::regimesKey, "", "DELETE", std::string(page) + "/" + name, "", "", "",
+         [this, name, turn](int status, QJsonObject const& answer) {
+           if (status != 200 || !answer.value("inForce").toBool()) return;
+           ++result_.counts["revoked"];
+           certificateRevision_ = std::to_string(answer.value("stamp").toInteger());
+           if (certificateTurns_[name] == turn) outSince_[name] = now_;
+         });
 }
 
 void World::certificateTurn() {
@@ -99,13 +111,18 @@
   std::string const one = names[rng_.below(names.size())];
   switch (rng_.below(5)) {
     case 0:
-    case 1: revoke(one); break;
-    case 2: patchCertificates(names, farAway); break;
+    case 1:
+      revoke(one);
+      break;
+    case 2:
+      patchCertificates(names, farAway);
+      break;
     case 3:
       patchCertificates({one}, farAway);
       patchCertificates({names[rng_.below(names.size())]}, farAway);
       break;
-    default: patchCertificates({one}, config::wallMargin + 1000 + static_cast<Tick>(rng_.below(6000)));
+    default:
+      patchCertificates({one}, config::wallMargin + 1000 + static_cast<Tick>(rng_.below(6000)));
   }
 }
 
@@ -124,15 +141,19 @@
   ++result_.counts["regulated"];
   std::string const last = "z" + std::to_string(plan_.zones);
   if (r.zone == last) violation("a regulated request reached a replica that never had a certificate: " + r.address);
-  if (plan_.certifiedRouters && from.zone == last) violation("a regulated request was handed on by a node that never had a certificate: " + from.link);
-  if (everListed_.count(lifeOf(r)) == 0) violation("a regulated request reached a life that was never on the platform's list: " + lifeOf(r));
-  if (forwarded.recorded != lifeOf(r)) violation("a regulated request ran without a record: at " + lifeOf(r) + ", recorded for " + forwarded.recorded);
+  if (plan_.certifiedRouters && from.zone == last)
+    violation("a regulated request was handed on by a node that never had a certificate: " + from.link);
+  if (everListed_.count(lifeOf(r)) == 0)
+    violation("a regulated request reached a life that was never on the platform's list: " + lifeOf(r));
+  if (forwarded.recorded != lifeOf(r))
+    violation("a regulated request ran without a record: at " + lifeOf(r) + ", recorded for " + forwarded.recorded);
   std::vector<std::string> needed{r.pool + "-" + r.zone};
   if (plan_.certifiedRouters) needed.push_back("nacelles-" + from.zone);
   for (std::string const& name : needed) {
     std::map<std::string, Tick>::const_iterator const out = outSince_.find(name);
     if (out != outSince_.end() && now_ > out->second + 5)
-      violation("a regulated request reached " + r.address + " " + std::to_string(now_ - out->second) + " ms after " + name + " was out of force");
+      violation("a regulated request reached " + r.address + " " + std::to_string(now_ - out->second) + " ms after " +
+                name + " was out of force");
   }
 }
 
--- a/testing/sim/disk.cpp
+++ b/testing/sim/disk.cpp
@@ -8,7 +8,9 @@
   return out;
 }
 
-std::string SimDisk::read(std::string const& name) { return files_.at(name).bytes; }
+std::string SimDisk::read(std::string const& name) {
+  return files_.at(name).bytes;
+}
 
 void SimDisk::append(std::string const& name, std::string const& bytes) {
   if (full) throw storage::Error("no space left");
@@ -25,7 +27,9 @@
   files_.erase(from);
 }
 
-void SimDisk::remove(std::string const& name) { files_.erase(name); }
+void SimDisk::remove(std::string const& name) {
+  files_.erase(name);
+}
 
 void SimDisk::truncate(std::string const& name, std::uint64_t size) {
   files_[name].bytes.resize(size);
--- a/testing/sim/faults.cpp
+++ b/testing/sim/faults.cpp
@@ -16,7 +16,9 @@
   std::size_t disks = 0;
   for (std::map<std::string, Node>::value_type const& n : nodes_) disks += n.second.disk ? 1 : 0;
   for (std::map<std::string, Node>::value_type const& n : nodes_)
-    if (n.second.disk && (!n.second.alive || !n.second.control->registers().voting() || n.second.control->registers().membership().size() != disks)) return false;
+    if (n.second.disk && (!n.second.alive || !n.second.control->registers().voting() ||
+                          n.second.control->registers().membership().size() != disks))
+      return false;
   return true;
 }
 
@@ -24,10 +26,11 @@
   for (FaultRow const& row : faultTable)
     if (row.fault == f) result_.timeline.push_back(std::to_string(now_) + " " + row.name);
   ++result_.counts["faults"];
-  constexpr std::array<Fault, 19> hitsReturn{Fault::killHerd,     Fault::killControl,       Fault::freezeController, Fault::isolateMember, Fault::splitCore,
-                                             Fault::cutCore,      Fault::cutZone,           Fault::oneWayCut,        Fault::diskSlow,      Fault::diskStall,
-                                             Fault::diskFull,     Fault::diskFail,          Fault::powerLoss,        Fault::diskDamage,    Fault::restartController, Fault::longAbsence,
-                                             Fault::zoneLoss,     Fault::slowController,    Fault::resetConnections};
+  constexpr std::array<Fault, 19> hitsReturn{
+      Fault::killHerd,    Fault::killControl, Fault::freezeController, Fault::isolateMember,   Fault::splitCore,
+      Fault::cutCore,     Fault::cutZone,     Fault::oneWayCut,        Fault::diskSlow,        Fault::diskStall,
+      Fault::diskFull,    Fault::diskFail,    Fault::powerLoss,        Fault::diskDamage,      Fault::restartController,
+      Fault::longAbsence, Fault::zoneLoss,    Fault::slowController,   Fault::resetConnections};
   if (totalOutage_ && std::find(hitsReturn.begin(), hitsReturn.end(), f) != hitsReturn.end()) returnHit_ = true;
   std::vector<Node*> control;
   std::vector<Node*> data;
@@ -35,7 +38,8 @@
     if (n.second.alive) (n.second.disk ? control : data).push_back(&n.second);
   std::vector<Replica*> models;
   for (std::map<std::string, Replica>::value_type& r : replicas_)
-    if (r.second.up && !r.second.dark && r.second.listed && r.second.state == "serving" && r.second.pool == "model") models.push_back(&r.second);
+    if (r.second.up && !r.second.dark && r.second.listed && r.second.state == "serving" && r.second.pool == "model")
+      models.push_back(&r.second);
   Tick const shortly = 500 + static_cast<Tick>(rng_.below(6000));
   std::function<void(Node&, Tick)> const bootLater = [this](Node& n, Tick delay) {
     std::string const link = n.link;
@@ -140,7 +144,8 @@
       break;
     }
     case Fault::isolateRouter:
-      if (!data.empty()) cut({data[rng_.below(data.size())]->link}, allLinks, shortly + (rng_.chance(0.4) ? 10000 : 1500));
+      if (!data.empty())
+        cut({data[rng_.below(data.size())]->link}, allLinks, shortly + (rng_.chance(0.4) ? 10000 : 1500));
       break;
     case Fault::oneWayCut: {
       std::string const a = allLinks[rng_.below(allLinks.size())];
@@ -314,9 +319,14 @@
           }
           std::size_t hurt = 0;
           for (std::map<std::string, Caller>::value_type const& c : callers_)
-            hurt += c.second.open && c.second.node == link && c.second.life == life && c.second.worded && !c.second.brokenOff ? 1 : 0;
-          if (hurt > 0) violation("a planned restart dropped " + std::to_string(hurt) + " requests in hand at " + link + ", which still held " +
-                                    std::to_string(k.data->inHand()) + ", " + std::to_string(until - now_) + " ms before its limit");
+            hurt += c.second.open && c.second.node == link && c.second.life == life && c.second.worded &&
+                            !c.second.brokenOff
+                        ? 1
+                        : 0;
+          if (hurt > 0)
+            violation("a planned restart dropped " + std::to_string(hurt) + " requests in hand at " + link +
+                      ", which still held " + std::to_string(k.data->inHand()) + ", " + std::to_string(until - now_) +
+                      " ms before its limit");
           ++result_.counts["planned-restarts"];
           kill(k, false);
           boot(k);
@@ -341,15 +351,19 @@
       for (int i = 0; i < 20; ++i)
         after(static_cast<Tick>(rng_.below(1500)), [this, i] {
           change("family:storm" + std::to_string(i % 3), "", "PUT", "/v1/templates/storm" + std::to_string(i % 3),
-                 R"({"paths":[{"path":"x","pool":"model","class":"short"}]})", i < 3 ? "0" : std::to_string(1 + rng_.below(8)), "");
+                 R"({"paths":[{"path":"x","pool":"model","class":"short"}]})",
+                 i < 3 ? "0" : std::to_string(1 + rng_.below(8)), "");
         });
       break;
     case Fault::races:
       putTemplate(lastRevision_, 0);
       putTemplate(lastRevision_, 0);
       putTemplate(lastRevision_, 0);
-      change(family, "bad", "PUT", templatePath, R"({"note":"denied-bad","paths":[{"path":"x"}]})", lastRevision_, "denied-bad");
-      change(family, "stale", "PUT", templatePath, R"({"note":"denied-stale","paths":[{"path":"x","pool":"model","class":"short"}]})", "999999", "denied-stale");
+      change(family, "bad", "PUT", templatePath, R"({"note":"denied-bad","paths":[{"path":"x"}]})", lastRevision_,
+             "denied-bad");
+      change(family, "stale", "PUT", templatePath,
+             R"({"note":"denied-stale","paths":[{"path":"x","pool":"model","class":"short"}]})", "999999",
+             "denied-stale");
       break;
     case Fault::bigTemplate:
       putTemplate(lastRevision_, 2000);
@@ -358,13 +372,15 @@
       std::string const z = "z" + std::to_string(1 + rng_.below(static_cast<std::uint64_t>(plan_.zones)));
       if (zoneShown_.count(z) > 0) break;
       zoneShown_[z] = {now_, false};
-      change("zone:" + z, "evacuate", "PUT", "/v1/evacuations/" + z, "", "", "", [this, z](int status, QJsonObject const&) {
-        if (status == 200) zoneShown_[z] = {now_, true};
-        after(9000, [this, z] {
-          zoneShown_[z] = {now_, false};
-          change("zone:" + z, "lift", "DELETE", "/v1/evacuations/" + z, "", "", "", [this, z](int, QJsonObject const&) { zoneShown_.erase(z); });
-        });
-      });
+      change("zone:" + z, "evacuate", "PUT", "/v1/evacuations/" + z, "", "", "",
+             [this, z](int status, QJsonObject const&) {
+               if (status == 200) zoneShown_[z] = {now_, true};
+               after(9000, [this, z] {
+                 zoneShown_[z] = {now_, false};
+                 change("zone:" + z, "lift", "DELETE", "/v1/evacuations/" + z, "", "", "",
+                        [this, z](int, QJsonObject const&) { zoneShown_.erase(z); });
+               });
+             });
       break;
     }
     case Fault::wallClockJump:
@@ -386,8 +402,12 @@
         Node& n = *control[rng_.below(control.size())];
         Tick const how = plan_.replaceDarkAfter + 500 + static_cast<Tick>(rng_.below(6000));
         switch (rng_.below(3)) {
-          case 0: freeze(n, how); break;
-          case 1: cut({n.link}, allLinks, how); break;
+          case 0:
+            freeze(n, how);
+            break;
+          case 1:
+            cut({n.link}, allLinks, how);
+            break;
           default:
             kill(n, rng_.chance(0.5));
             bootLater(n, how);
@@ -505,7 +525,8 @@
 void World::resetCallers(Node& n) {
   std::vector<std::pair<std::string, std::uint64_t>> hit;
   for (std::map<std::string, Caller>::value_type const& c : callers_)
-    if (c.second.open && c.second.node == n.link && c.second.life == n.life && rng_.chance(0.5)) hit.emplace_back(c.first, c.second.call);
+    if (c.second.open && c.second.node == n.link && c.second.life == n.life && rng_.chance(0.5))
+      hit.emplace_back(c.first, c.second.call);
   for (std::pair<std::string, std::uint64_t> const& h : hit) {
     ++result_.counts["reset-callers"];
     toNode(n.link, n.life, [this, link = n.link, call = h.second] {
@@ -543,7 +564,8 @@
     replicas_[r.address] = r;
   }
   platform();
-  std::function<void(Tick, std::string, bool)> const become = [this, fresh](Tick when, std::string const& state, bool gone) {
+  std::function<void(Tick, std::string, bool)> const become = [this, fresh](Tick when, std::string const& state,
+                                                                            bool gone) {
     after(when, [this, fresh, state, gone] {
       for (std::string const& a : fresh) {
         Replica& r = replicas_.at(a);
--- a/testing/sim/internal.h
+++ b/testing/sim/internal.h
@@ -18,7 +18,8 @@
 inline constexpr Tick mostBack = 50000;
 inline constexpr Tick settleFor = 25000;
 inline constexpr Tick trafficFrom = 17500;
-/// Idle connections to replicas: how long one is used, how long for what may run once, and from when on it may be forgotten.
+/// Idle connections to replicas: how long one is used, how long for what may run once, and from when on it may be
+/// forgotten.
 inline constexpr Tick idleLimit = 1000;
 inline constexpr Tick freshIdleLimit = 250;
 inline constexpr Tick restedAfter = 500;
--- a/testing/sim/operators.cpp
+++ b/testing/sim/operators.cpp
@@ -39,7 +39,8 @@
   call.changeId = c.id;
   call.body = body;
   Node const& to = *node(link);
-  if (plan_.mutation == Mutation::rewriteIfMatch && key == family && !ifMatch.empty() && to.control->registers().committed().count(family) > 0) {
+  if (plan_.mutation == Mutation::rewriteIfMatch && key == family && !ifMatch.empty() &&
+      to.control->registers().committed().count(family) > 0) {
     QJsonObject const t = to.control->registers().committed().at(family).value.value("template").toObject();
     call.ifMatch = std::to_string(t.value("stamp").toInteger());
   }
@@ -56,11 +57,13 @@
     k.inForce = (status == 200 || status == 201) && answer.value("inForce").toBool();
     k.pending = status == 504 && answer.value("pending").toBool();
     if (status >= 400 && !k.pending) k.revision = 0;
-    if (status >= 200 && status < 300 && isNews && !answer.value("inForce").toBool()) violation("answered " + std::to_string(status) + " although not in force: " + k.id);
+    if (status >= 200 && status < 300 && isNews && !answer.value("inForce").toBool())
+      violation("answered " + std::to_string(status) + " although not in force: " + k.id);
     ++result_.counts["change-" + std::to_string(status)];
     if (status == 200 || status == 201) result_.ackTimes.push_back(now_ - k.sentAt);
     if (status == 200 && k.key.rfind("zone:", 0) == 0)
-      result_.counts["evacuation-ack-most"] = std::max(result_.counts["evacuation-ack-most"], static_cast<std::size_t>(now_ - k.sentAt));
+      result_.counts["evacuation-ack-most"] =
+          std::max(result_.counts["evacuation-ack-most"], static_cast<std::size_t>(now_ - k.sentAt));
     if (then) then(status, answer);
   };
   after(2, [this, link, life, call] {
@@ -86,10 +89,15 @@
   paths.append(QJsonObject{{"path", "digest"}, {"pool", "model"}, {"class", "short"}, {"resumable", true}});
   paths.append(QJsonObject{{"path", "ack"}, {"pool", "other"}, {"class", "urgent"}});
   paths.append(QJsonObject{{"path", core::qstr(mark)}, {"pool", "model"}, {"class", "short"}});
-  if (plan_.regimes) paths.append(QJsonObject{{"path", "tale"}, {"pool", "model"}, {"class", "long"}, {"resumable", true}, {"events", true}});
+  if (plan_.regimes)
+    paths.append(
+        QJsonObject{{"path", "tale"}, {"pool", "model"}, {"class", "long"}, {"resumable", true}, {"events", true}});
   for (int i = 0; i < extraPaths; ++i)
-    paths.append(QJsonObject{{"path", core::qstr("extra/p" + std::to_string(i))}, {"pool", "model"}, {"class", "short"}});
-  QJsonObject const spec{{"note", core::qstr(mark)}, {"parameters", QJsonObject{{"site", QJsonObject{{"type", "string"}}}}}, {"paths", paths}};
+    paths.append(
+        QJsonObject{{"path", core::qstr("extra/p" + std::to_string(i))}, {"pool", "model"}, {"class", "short"}});
+  QJsonObject const spec{{"note", core::qstr(mark)},
+                         {"parameters", QJsonObject{{"site", QJsonObject{{"type", "string"}}}}},
+                         {"paths", paths}};
   change(family, core::jsonText(spec), "PUT", templatePath, core::jsonText(spec), ifMatch, mark,
          [this, then, mark](int status, QJsonObject const& body) {
            if (status == 200 || status == 201 || body.value("pending").toBool()) {
@@ -121,7 +129,8 @@
       else
         leaving.push_back(r.first);
       if (!r.second.listed) continue;
-      QJsonObject row{{"address", core::qstr(r.first)}, {"zone", core::qstr(r.second.zone)}, {"state", core::qstr(r.second.state)}};
+      QJsonObject row{
+          {"address", core::qstr(r.first)}, {"zone", core::qstr(r.second.zone)}, {"state", core::qstr(r.second.state)}};
       if (plan_.regimes) {
         row.insert("id", core::qstr(lifeOf(r.second)));
         shownLives_[r.first] = lifeOf(r.second);
@@ -130,11 +139,13 @@
       list.append(row);
     }
     showList(pool, generation_, leaving,
-             core::jsonText(QJsonObject{{"generation", static_cast<qint64>(generation_)}, {"coldRate", coldRate}, {"replicas", list}}));
+             core::jsonText(QJsonObject{
+                 {"generation", static_cast<qint64>(generation_)}, {"coldRate", coldRate}, {"replicas", list}}));
   }
 }
 
-void World::showList(std::string const& pool, std::uint64_t generation, std::vector<std::string> const& leaving, std::string const& body) {
+void World::showList(std::string const& pool, std::uint64_t generation, std::vector<std::string> const& leaving,
+                     std::string const& body) {
   if (generation != generation_) return;
   std::shared_ptr<bool> const done = std::make_shared<bool>(false);
   std::function<void()> const shown = [this, leaving, generation] {
@@ -142,9 +153,10 @@
       if (generation == generation_ && replicas_.at(a).shownLeaving < 0) replicas_.at(a).shownLeaving = now_;
   };
   if (!someController().empty()) shown();
-  change("pool:" + pool, body, "PUT", "/v1/platform/pools/" + pool, body, "", "", [done](int status, QJsonObject const&) {
-    if (status == 200) *done = true;
-  });
+  change("pool:" + pool, body, "PUT", "/v1/platform/pools/" + pool, body, "", "",
+         [done](int status, QJsonObject const&) {
+           if (status == 200) *done = true;
+         });
   std::vector<std::string> up;
   for (std::map<std::string, Node>::value_type const& n : nodes_)
     if (n.second.data && n.second.alive) up.push_back(n.first);
--- a/testing/sim/oracles.cpp
+++ b/testing/sim/oracles.cpp
@@ -26,10 +26,12 @@
   while (!firsts_.empty() && firsts_.front() <= now_ - 10000) firsts_.pop_front();
   while (!repeats_.empty() && repeats_.front() <= now_ - 10000) repeats_.pop_front();
   if (static_cast<double>(repeats_.size()) > 0.2 * static_cast<double>(firsts_.size()) + 20.0)
-    violation("repeats " + std::to_string(repeats_.size()) + " over first hand-overs " + std::to_string(firsts_.size()) + " in 10 s");
+    violation("repeats " + std::to_string(repeats_.size()) + " over first hand-overs " +
+              std::to_string(firsts_.size()) + " in 10 s");
   for (std::map<std::string, Replica>::value_type const& r : replicas_) {
     if (r.second.state != "cold") continue;
-    std::size_t const n = static_cast<std::size_t>(std::count_if(r.second.coldHits.begin(), r.second.coldHits.end(), [&](Tick t) { return t > now_ - 3000; }));
+    std::size_t const n = static_cast<std::size_t>(
+        std::count_if(r.second.coldHits.begin(), r.second.coldHits.end(), [&](Tick t) { return t > now_ - 3000; }));
     if (static_cast<double>(n) > 3.0 * coldRate + 1.0)
       violation("cold replica " + r.first + " had " + std::to_string(n) + " requests in 3 s");
   }
@@ -38,8 +40,8 @@
     if (c.key == family && c.status >= 400 && c.status < 500 && !c.mark.empty()) rejected.insert(c.mark);
   for (std::map<std::string, Node>::value_type const& n : nodes_) {
     if (!n.second.alive || !n.second.data) continue;
-    std::string const logEvent =
-        core::str(n.second.data->valueOf(family).value("template").toObject().value("spec").toObject().value("note").toString());
+    std::string const logEvent = core::str(
+        n.second.data->valueOf(family).value("template").toObject().value("spec").toObject().value("note").toString());
     if (rejected.count(logEvent) > 0) violation("a rejected change is in force: " + logEvent);
     for (std::pair<std::size_t, std::size_t> const& part : n.second.data->parts("model")) {
       result_.partSum += static_cast<double>(part.first);
@@ -57,9 +59,12 @@
   Change const* last = nullptr;
   std::uint64_t newestCertificates = 0;
   for (Change const& c : changes_) {
-    if (c.key == config::regimesKey && c.revision > 0 && c.inForce) newestCertificates = std::max(newestCertificates, c.revision);
+    if (c.key == config::regimesKey && c.revision > 0 && c.inForce)
+      newestCertificates = std::max(newestCertificates, c.revision);
     if (c.key == config::regimesKey && c.ifMatch.empty()) continue;
-    if ((c.key.rfind("family:", 0) != 0 && c.key != config::regimesKey) || c.revision == 0 || !(c.status == 200 || c.status == 201 || c.pending)) continue;
+    if ((c.key.rfind("family:", 0) != 0 && c.key != config::regimesKey) || c.revision == 0 ||
+        !(c.status == 200 || c.status == 201 || c.pending))
+      continue;
     std::string& before = accepted[{c.key, c.ifMatch}];
     if (!before.empty()) violation("two changes built on " + c.ifMatch + " of " + c.key + " were both accepted");
     before = c.id;
@@ -72,7 +77,8 @@
   result_.counts["grey-fair"] = static_cast<std::size_t>(greyFair_);
   bool const alone = plan_.faults == std::vector<Fault>{Fault::greyReplicas};
   if (alone && greyFair_ >= 30 && greyHits_ > greyShare * greyFair_)
-    violation("grey replicas went on drawing work: " + std::to_string(greyHits_) + " requests, a fair share is " + std::to_string(greyFair_));
+    violation("grey replicas went on drawing work: " + std::to_string(greyHits_) + " requests, a fair share is " +
+              std::to_string(greyFair_));
   std::shared_ptr<bool> const read = std::make_shared<bool>(false);
   std::string const link = someController();
   if (link.empty()) {
@@ -85,13 +91,17 @@
     *read = true;
     std::uint64_t const revision = static_cast<std::uint64_t>(body.value("stamp").toInteger());
     if (status != 200) violation("the configuration could not be read back: " + std::to_string(status));
-    if (revision < newest) violation("acknowledged change lost: revision " + std::to_string(revision) + ", acknowledged " + std::to_string(newest));
+    if (revision < newest)
+      violation("acknowledged change lost: revision " + std::to_string(revision) + ", acknowledged " +
+                std::to_string(newest));
     if (revision == newest && newest > 0 && body.value("spec").toObject() != core::parseJson(want).toObject())
       violation("an acknowledged change was altered");
     if (revision > newest) {
       bool unknown = false;
       for (Change const& c : changes_)
-        unknown = unknown || (c.key == family && (c.status == 504 || c.status == 0) && core::jsonText(body.value("spec")) == core::jsonText(core::parseJson(c.what.empty() || c.what[0] != '{' ? "{}" : c.what)));
+        unknown = unknown || (c.key == family && (c.status == 504 || c.status == 0) &&
+                              core::jsonText(body.value("spec")) ==
+                                  core::jsonText(core::parseJson(c.what.empty() || c.what[0] != '{' ? "{}" : c.what)));
       if (!unknown) violation("a change stands that nobody was told of");
     }
   };
@@ -103,8 +113,9 @@
     answers_[{link, kept.token}] = [this, newestCertificates](int status, QJsonObject const& body) {
       ++result_.counts["certificates-read"];
       if (status != 200 || static_cast<std::uint64_t>(body.value("stamp").toInteger()) < newestCertificates)
-        violation("acknowledged certificates lost: status " + std::to_string(status) + ", revision " + std::to_string(body.value("stamp").toInteger()) +
-                  ", acknowledged " + std::to_string(newestCertificates));
+        violation("acknowledged certificates lost: status " + std::to_string(status) + ", revision " +
+                  std::to_string(body.value("stamp").toInteger()) + ", acknowledged " +
+                  std::to_string(newestCertificates));
     };
     Node& at = *node(link);
     run(at, at.control->operatorCall(local(at), kept));
@@ -132,12 +143,18 @@
       consensus::Registers const& m = k.second.control->registers();
       ++disks;
       sizes.insert(m.membership().size());
-      voting += m.voting() && std::any_of(m.membership().begin(), m.membership().end(), [&](consensus::Member const& c) { return c.id == m.self().id; }) ? 1 : 0;
+      voting += m.voting() && std::any_of(m.membership().begin(), m.membership().end(),
+                                          [&](consensus::Member const& c) { return c.id == m.self().id; })
+                    ? 1
+                    : 0;
     }
     if (voting < disks || sizes != std::set<std::size_t>{disks})
-      violation("only " + std::to_string(voting) + " of " + std::to_string(disks) + " disks vote after all was healed, the membership is of " +
-                std::to_string(*sizes.begin()) + " to " + std::to_string(*sizes.rbegin()));
-    if (servingLease < all) violation("only " + std::to_string(servingLease) + " of " + std::to_string(all) + " routers serve after all was healed");
+      violation("only " + std::to_string(voting) + " of " + std::to_string(disks) +
+                " disks vote after all was healed, the membership is of " + std::to_string(*sizes.begin()) + " to " +
+                std::to_string(*sizes.rbegin()));
+    if (servingLease < all)
+      violation("only " + std::to_string(servingLease) + " of " + std::to_string(all) +
+                " routers serve after all was healed");
   });
 }
 
--- a/testing/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -26,7 +26,8 @@
     bool const named = to->up && (lifeOf(*to) == m.life || plan_.mutation == Mutation::skipLife);
     after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, m, turn, named] {
       toNode(link, life, [this, link, m, turn, named] {
-        std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still = upstreams_.find({link, m.call});
+        std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still =
+            upstreams_.find({link, m.call});
         if (still == upstreams_.end() || still->second.turn != turn) return;
         Node& k = *node(link);
         Replica const& other = *replica(m.address);
@@ -81,7 +82,8 @@
   bool const up = to->up && !(to->grey > 0 && rng_.chance(to->grey / 4));
   after(r.kept ? 0 : 1 + static_cast<Tick>(rng_.below(3)), [this, link, life, call = m.call, up, turn] {
     toNode(link, life, [this, link, call, up, turn] {
-      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const it = upstreams_.find({link, call});
+      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const it =
+          upstreams_.find({link, call});
       if (it == upstreams_.end() || it->second.turn != turn) return;
       Node& k = *node(link);
       if (up)
@@ -101,14 +103,15 @@
   std::uint64_t const have = n.data->revisionOf(family);
   for (Change const& c : changes_)
     if (c.key == family && c.inForce && c.answeredAt >= 0 && c.answeredAt < now_ && have < c.revision)
-      violation("older configuration served: " + link + " has " + std::to_string(have) + ", in force since " + std::to_string(c.answeredAt) + " is " +
-                std::to_string(c.revision));
+      violation("older configuration served: " + link + " has " + std::to_string(have) + ", in force since " +
+                std::to_string(c.answeredAt) + " is " + std::to_string(c.revision));
   if (plan_.regimes && callers_.at(it->second.caller).instance == regulated) {
     std::uint64_t const certificates = n.data->revisionOf(config::regimesKey);
     for (Change const& c : changes_)
-      if (c.key == config::regimesKey && c.inForce && c.answeredAt >= 0 && c.answeredAt < now_ && certificates < c.revision)
-        violation("older certificates in force: " + link + " has " + std::to_string(certificates) + ", in force since " + std::to_string(c.answeredAt) +
-                  " is " + std::to_string(c.revision));
+      if (c.key == config::regimesKey && c.inForce && c.answeredAt >= 0 && c.answeredAt < now_ &&
+          certificates < c.revision)
+        violation("older certificates in force: " + link + " has " + std::to_string(certificates) +
+                  ", in force since " + std::to_string(c.answeredAt) + " is " + std::to_string(c.revision));
   }
   bool const named = !it->second.connect.life.empty();
   after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, call, turn, named] {
@@ -118,7 +121,8 @@
     if (to == nullptr || !to->up || r->second.dead || (named && to->life != r->second.process)) {
       if (r->second.dead) ++result_.counts["forgotten-connections"];
       toNode(link, life, [this, link, call, turn] {
-        std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still = upstreams_.find({link, call});
+        std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still =
+            upstreams_.find({link, call});
         if (still == upstreams_.end() || still->second.turn != turn) return;
         fed(*node(link), call, [](dataplane::Stream& st) { return st.ended(false); });
       });
@@ -139,18 +143,23 @@
   if (tale && m.resume) {
     ++result_.counts["tales-resumed"];
     resumesOf_[{id, call}] += plan_.mutation == Mutation::resumeTwice ? 2 : 1;
-    if (plan_.regimes && plan_.bound && asks.instance == regulated && resumesOf_[{id, call}] > 1) violation("resumed more than once: " + id);
+    if (plan_.regimes && plan_.bound && asks.instance == regulated && resumesOf_[{id, call}] > 1)
+      violation("resumed more than once: " + id);
   }
   if (r.shownLeaving >= 0 && now_ > r.shownLeaving + 3000)
-    violation("replica " + r.address + " reached " + std::to_string(now_ - r.shownLeaving) + " ms after it was shown leaving");
+    violation("replica " + r.address + " reached " + std::to_string(now_ - r.shownLeaving) +
+              " ms after it was shown leaving");
   std::map<std::string, std::pair<Tick, bool>>::const_iterator const zone = zoneShown_.find(r.zone);
   if (zone != zoneShown_.end() && zone->second.second && now_ > zone->second.first + 5000)
-    violation("zone " + r.zone + " reached " + std::to_string(now_ - zone->second.first) + " ms after its evacuation was acknowledged");
+    violation("zone " + r.zone + " reached " + std::to_string(now_ - zone->second.first) +
+              " ms after its evacuation was acknowledged");
   if (m.path.rfind("mark-", 0) == 0)
     for (Change const& c : changes_)
-      if (c.key == family && c.inForce && c.answeredAt >= 0 && now_ > c.answeredAt + 2000 && !c.mark.empty() && c.revision > 0)
+      if (c.key == family && c.inForce && c.answeredAt >= 0 && now_ > c.answeredAt + 2000 && !c.mark.empty() &&
+          c.revision > 0)
         for (Change const& o : changes_)
-          if (o.mark == m.path && o.revision > 0 && o.revision < c.revision) violation("a path taken away by an acknowledged change reached a replica");
+          if (o.mark == m.path && o.revision > 0 && o.revision < c.revision)
+            violation("a path taken away by an acknowledged change reached a replica");
   if (r.state == "cold") r.coldHits.push_back(now_);
   int const before = handOvers_[id]++;
   (before == 0 ? firsts_ : repeats_).push_back(now_);
@@ -164,7 +173,9 @@
     ++result_.counts[known != r.runs.end() ? "resumed" : "resume-denied"];
     forwarded.run = wanted;
     if (known == r.runs.end()) {
-      wire(n.link, life, call, forwarded.turn, [](dataplane::Stream& st) { return st.head(dataplane::Head{410, {}, 0}); });
+      wire(n.link, life, call, forwarded.turn, [](dataplane::Stream& st) {
+        return st.head(dataplane::Head{410, {}, 0});
+      });
       return;
     }
     Run& again = known->second;
@@ -174,18 +185,21 @@
     std::size_t from = std::min<std::size_t>(asked.offset, again.made.size());
     dataplane::Head const head{.status = 206, .run = wanted, .offset = std::to_string(from)};
     if (plan_.mutation == Mutation::resumeGap) from = std::min(from + word(wanted, 1).size(), again.made.size());
-    if (plan_.mutation == Mutation::resumeRepeat) from = from > word(wanted, 1).size() ? from - word(wanted, 1).size() : 0;
+    if (plan_.mutation == Mutation::resumeRepeat)
+      from = from > word(wanted, 1).size() ? from - word(wanted, 1).size() : 0;
     std::string bytes = again.made.substr(from);
     if (plan_.mutation == Mutation::resumeOther) bytes = word(r.address + "#other", 0) + bytes;
     bool const done = again.done;
     wire(n.link, life, call, forwarded.turn, [head](dataplane::Stream& st) { return st.head(head); });
-    if (!bytes.empty()) wire(n.link, life, call, forwarded.turn, [bytes](dataplane::Stream& st) { return st.piece(bytes); });
+    if (!bytes.empty())
+      wire(n.link, life, call, forwarded.turn, [bytes](dataplane::Stream& st) { return st.piece(bytes); });
     if (done) wire(n.link, life, call, forwarded.turn, [](dataplane::Stream& st) { return st.ended(true); });
     return;
   }
   countGrey(r);
   if (r.queue.size() > 40) {
-    wire(n.link, life, call, forwarded.turn, [](dataplane::Stream& st) { return st.head(dataplane::Head{.status = 503, .length = 0, .notRun = true}); });
+    wire(n.link, life, call, forwarded.turn,
+         [](dataplane::Stream& st) { return st.head(dataplane::Head{.status = 503, .length = 0, .notRun = true}); });
     return;
   }
   std::map<std::string, Caller>::iterator const caller = callers_.find(id);
@@ -208,10 +222,12 @@
     if (all.size() == 1) caller->second.ranAt = now_;
     bool const forgotten = !caller->second.numbered && !mostLiveSince(caller->second.ranAt);
     if (all.size() > 1 && forgotten) ++result_.counts["forgotten-by-most"];
-    if (all.size() > 1 && !caller->second.resumable && !forgotten) violation("run twice: " + id + " " + all[0] + " " + all.back() + (caller->second.numbered ? ", attempt " : ", unnumbered attempt ") +
-                                                                 std::to_string(caller->second.attempt) + " at " + n.link +
-                                                                 (caller->second.earlierNotRun ? ", earlier said not run" : ", earlier unknown") +
-                                                                 (caller->second.call == call ? "" : ", by an older attempt"));
+    if (all.size() > 1 && !caller->second.resumable && !forgotten)
+      violation("run twice: " + id + " " + all[0] + " " + all.back() +
+                (caller->second.numbered ? ", attempt " : ", unnumbered attempt ") +
+                std::to_string(caller->second.attempt) + " at " + n.link +
+                (caller->second.earlierNotRun ? ", earlier said not run" : ", earlier unknown") +
+                (caller->second.call == call ? "" : ", by an older attempt"));
     ranAttempts_.insert({id, call});
     if (rejectedNotRun_.count({id, call}) > 0) violation("rejected as not run, but runs: " + id);
   }
@@ -232,7 +248,9 @@
   serveNext(r);
 }
 
-bool World::plans(Fault f) const { return std::find(plan_.faults.begin(), plan_.faults.end(), f) != plan_.faults.end(); }
+bool World::plans(Fault f) const {
+  return std::find(plan_.faults.begin(), plan_.faults.end(), f) != plan_.faults.end();
+}
 
 World::Grey World::greyFate(Replica const& r) {
   if (r.grey <= 0 || !rng_.chance(r.grey)) return Grey::none;
@@ -250,7 +268,8 @@
     wire(b.node, b.life, b.call, b.turn, [](dataplane::Stream& st) { return st.ended(false); });
     return;
   }
-  wire(b.node, b.life, b.call, b.turn, [b](dataplane::Stream& st) { return st.head(dataplane::Head{.status = 500, .failed = true, .run = b.run}); });
+  wire(b.node, b.life, b.call, b.turn,
+       [b](dataplane::Stream& st) { return st.head(dataplane::Head{.status = 500, .failed = true, .run = b.run}); });
   wire(b.node, b.life, b.call, b.turn, [b](dataplane::Stream& st) { return st.piece(b.made); });
   wire(b.node, b.life, b.call, b.turn, [](dataplane::Stream& st) { return st.ended(true); });
 }
@@ -281,9 +300,18 @@
     std::uint64_t const life = r.life;
     Run const run = it->second;
     double const slow = r.slow * (r.state == "cold" ? 4.0 : 1.0) * (run.grey == Grey::late ? 12.0 : 1.0);
-    Tick const read = r.pool == "other" ? 10 : run.shape == Shape::longPrompt ? 1500 : run.hit ? 40 : run.shape == Shape::longAnswer ? 100 : run.bulk ? 600 : 200;
+    Tick const read = r.pool == "other"                ? 10
+                      : run.shape == Shape::longPrompt ? 1500
+                      : run.hit                        ? 40
+                      : run.shape == Shape::longAnswer ? 100
+                      : run.bulk                       ? 600
+                                                       : 200;
     Tick const first = static_cast<Tick>(slow * static_cast<double>(read + static_cast<Tick>(rng_.below(40))));
-    Tick const rest = static_cast<Tick>(slow * static_cast<double>(r.pool == "other" ? 5 : run.shape == Shape::longPrompt ? 100 : run.shape == Shape::longAnswer ? 6000 : run.bulk ? 2000 + rng_.below(3000) : 100 + rng_.below(200)));
+    Tick const rest = static_cast<Tick>(slow * static_cast<double>(r.pool == "other"                ? 5
+                                                                   : run.shape == Shape::longPrompt ? 100
+                                                                   : run.shape == Shape::longAnswer ? 6000
+                                                                   : run.bulk ? 2000 + rng_.below(3000)
+                                                                              : 100 + rng_.below(200)));
     int const words = r.pool == "other" ? 1 : run.bulk ? 8 : 3;
     for (int k = 0; k <= words; ++k)
       after(first + rest * k / words, [this, address, life, name, k, words] { emit(address, life, name, k, words); });
@@ -294,8 +322,11 @@
   Replica& r = replicas_.at(address);
   if (r.life != life || !r.up) return;
   Run& run = r.runs.at(name);
-  std::string bytes = k < words ? word(name, static_cast<std::uint64_t>(k)) : name + " end " + std::to_string(words) + "\n";
-  if (run.events) bytes = k < run.from ? "" : "id: " + std::to_string(k + 1) + "\ndata: " + run.id + (k < words ? "" : " end") + "\n\n";
+  std::string bytes =
+      k < words ? word(name, static_cast<std::uint64_t>(k)) : name + " end " + std::to_string(words) + "\n";
+  if (run.events)
+    bytes =
+        k < run.from ? "" : "id: " + std::to_string(k + 1) + "\ndata: " + run.id + (k < words ? "" : " end") + "\n\n";
   run.made += bytes;
   run.done = k == words;
   Run const now = run;
@@ -304,8 +335,12 @@
     serveNext(r);
   }
   if (r.dark || !now.alive) return;
-  if (k == 0) wire(now.node, now.life, now.call, now.turn, [name, events = now.events](dataplane::Stream& st) { return st.head(dataplane::Head{.status = 200, .run = name, .events = events}); });
-  if (!bytes.empty()) wire(now.node, now.life, now.call, now.turn, [bytes](dataplane::Stream& st) { return st.piece(bytes); });
+  if (k == 0)
+    wire(now.node, now.life, now.call, now.turn, [name, events = now.events](dataplane::Stream& st) {
+      return st.head(dataplane::Head{.status = 200, .run = name, .events = events});
+    });
+  if (!bytes.empty())
+    wire(now.node, now.life, now.call, now.turn, [bytes](dataplane::Stream& st) { return st.piece(bytes); });
   if (now.grey == Grey::cut && k == 1 && k < words) {
     r.runs.at(name).alive = false;
     wire(now.node, now.life, now.call, now.turn, [](dataplane::Stream& st) { return st.ended(false); });
@@ -326,7 +361,8 @@
   if (it == upstreams_.end() || it->second.turn != turn || it->second.underWay.empty()) return;
   Replica const* const r = replica(it->second.address);
   Node const* const n = node(link);
-  bool const cut = n != nullptr && r != nullptr && n->zone != r->zone && (zoneCuts_.count(n->zone) > 0 || zoneCuts_.count(r->zone) > 0);
+  bool const cut = n != nullptr && r != nullptr && n->zone != r->zone &&
+                   (zoneCuts_.count(n->zone) > 0 || zoneCuts_.count(r->zone) > 0);
   if (cut) {
     ++result_.counts["late-bytes"];
     after(100, [this, link, life, call, turn] { arrive(link, life, call, turn); });
@@ -336,7 +372,8 @@
   it->second.underWay.clear();
   for (Fed const& event : events)
     toNode(link, life, [this, link, call, turn, event] {
-      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still = upstreams_.find({link, call});
+      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still =
+          upstreams_.find({link, call});
       if (still == upstreams_.end() || still->second.turn != turn) return;
       fed(*node(link), call, event);
     });
@@ -348,9 +385,12 @@
   std::string const id = it->second.caller;
   std::pair<std::string, std::uint64_t> const key{n.link, call};
   dataplane::StreamSteps steps = event(streams_[key]);
-  if (it->second.dead && it->second.rested && steps.ended == dataplane::End::broken) steps.ended = dataplane::End::forgotten;
-  if (plans(Fault::forgetConnections) && steps.ended == dataplane::End::whole) idle_[{n.link, it->second.address}].push_back(Idle{now_});
-  if (plan_.mutation == Mutation::cutLooksWhole && steps.ended && *steps.ended == dataplane::End::broken && streams_[key].begun()) {
+  if (it->second.dead && it->second.rested && steps.ended == dataplane::End::broken)
+    steps.ended = dataplane::End::forgotten;
+  if (plans(Fault::forgetConnections) && steps.ended == dataplane::End::whole)
+    idle_[{n.link, it->second.address}].push_back(Idle{now_});
+  if (plan_.mutation == Mutation::cutLooksWhole && steps.ended && *steps.ended == dataplane::End::broken &&
+      streams_[key].begun()) {
     steps.ended = dataplane::End::whole;
     steps.finish = true;
   }
@@ -381,7 +421,8 @@
     if (hears) {
       if (c->second.status >= 500) {
         std::vector<std::string> const& own = runsOf_[id];
-        bool const known = std::any_of(own.begin(), own.end(), [&](std::string const& run) { return c->second.got == run + " failed\n"; });
+        bool const known = std::any_of(own.begin(), own.end(),
+                                       [&](std::string const& run) { return c->second.got == run + " failed\n"; });
         if (!known) violation("a replica's failure is altered or of somebody else: " + id);
         callerEnds(id, "replica-failed");
         if (steps.ended) run(n, n.data->ended(local(n), call, *steps.ended));
@@ -392,7 +433,8 @@
         std::string const& got = c->second.got;
         std::string const end = "data: " + id + " end\n\n";
         if (!oneBody(c->second)) violation("a row of events has a gap, a repeat or a join: " + id);
-        if (got.size() < end.size() || got.compare(got.size() - end.size(), end.size(), end) != 0) violation("a cut row of events looks whole: " + id);
+        if (got.size() < end.size() || got.compare(got.size() - end.size(), end.size(), end) != 0)
+          violation("a cut row of events looks whole: " + id);
         ++result_.counts[resumesOf_.count({id, call}) > 0 ? "tales-served-after-resume" : "tales-served"];
         callerEnds(id, "served");
         if (steps.ended) run(n, n.data->ended(local(n), call, *steps.ended));
@@ -402,7 +444,8 @@
       if (!v.oneRun) violation("a stream has a gap, a repeat or a join: " + id + " of " + v.run);
       if (v.oneRun && !v.whole) violation("a cut body looks whole: " + id + " of " + v.run);
       std::vector<std::string> const& runs = runsOf_[id];
-      if (std::find(runs.begin(), runs.end(), v.run) == runs.end()) violation("a body of somebody else: " + id + " got " + v.run);
+      if (std::find(runs.begin(), runs.end(), v.run) == runs.end())
+        violation("a body of somebody else: " + id + " got " + v.run);
       callerEnds(id, "served");
     }
   }
@@ -423,7 +466,9 @@
   r.running = 0;
   r.queue.clear();
   r.prefixes.clear();
-  std::erase_if(idle_, [&](std::map<std::pair<std::string, std::string>, std::vector<Idle>>::value_type const& i) { return i.first.second == r.address; });
+  std::erase_if(idle_, [&](std::map<std::pair<std::string, std::string>, std::vector<Idle>>::value_type const& i) {
+    return i.first.second == r.address;
+  });
   std::vector<Run> const hit = [&] {
     std::vector<Run> out;
     for (std::map<std::string, Run>::value_type const& run : r.runs)
@@ -432,8 +477,9 @@
   }();
   r.runs.clear();
   for (Run const& run : hit)
-    after(1 + static_cast<Tick>(rng_.below(5)),
-          [this, run] { wire(run.node, run.life, run.call, run.turn, [](dataplane::Stream& st) { return st.ended(false); }); });
+    after(1 + static_cast<Tick>(rng_.below(5)), [this, run] {
+      wire(run.node, run.life, run.call, run.turn, [](dataplane::Stream& st) { return st.ended(false); });
+    });
 }
 
 void World::breakStreams(Replica& r) {
--- a/testing/sim/sweep.cpp
+++ b/testing/sim/sweep.cpp
@@ -32,13 +32,25 @@
   bool unbound = false;
   scaling::Figures figures = scaling::figures;
   po::options_description flags("corkward-sweep: simulated fleets over many seeds");
-  flags.add_options()("from", po::value(&from), "first seed")("count", po::value(&count), "seeds")("jobs", po::value(&jobs), "threads")(
+  flags.add_options()("from", po::value(&from), "first seed")("count", po::value(&count), "seeds")(
+      "jobs", po::value(&jobs), "threads")(
       "fault", po::value(&names), "cause this failure alone; may be repeated; without it, a random set for each seed")(
-      "demand", po::value(&demand), "requests a second")("every", po::value(&every), "mean ms between failures")("minutes", po::value(&minutes), "minutes of failures instead of one")("surge", po::value(&surge), "times the demand in the middle third")(
-      "deployment", po::value(&deployment), "calm, at the sizes of harmattan or lernkarten")("plain", po::bool_switch(&plain), "whole pool, fewest in flight")(
+      "demand", po::value(&demand), "requests a second")("every", po::value(&every), "mean ms between failures")(
+      "minutes", po::value(&minutes), "minutes of failures instead of one")("surge", po::value(&surge),
+                                                                            "times the demand in the middle third")(
+      "deployment", po::value(&deployment), "calm, at the sizes of harmattan or lernkarten")(
+      "plain", po::bool_switch(&plain), "whole pool, fewest in flight")(
       "width", po::value(&figures.width), "each width")("calm-for", po::value(&figures.calmFor), "give-back wait, ms")(
-      "slack", po::value(&figures.prefixSlack), "prefix slack")("prefixes", po::value(&prefixes), "other prefixes")("skip", po::value(&skip), "ms at the start whose first words do not count")("first-limit", po::value(&figures.firstLimit), "limit per replica at the start")(
-      "bulk-share", po::value(&figures.bulkShare), "share of the cap for long requests")("nacelles", po::value(&routers), "how many instead of eight")("traffic", po::bool_switch(&traffic), "print messages and bytes a second and node, by sender and kind")("counts", po::bool_switch(&counts), "print what each run counted")("regimes", po::bool_switch(&withRegimes), "a tenant of a regime, and certificates that change all the time")("unbound", po::bool_switch(&unbound), "the same, but the tenant is of no regime")("list", "list the failures")("help", "print this");
+      "slack", po::value(&figures.prefixSlack), "prefix slack")("prefixes", po::value(&prefixes), "other prefixes")(
+      "skip", po::value(&skip), "ms at the start whose first words do not count")(
+      "first-limit", po::value(&figures.firstLimit), "limit per replica at the start")(
+      "bulk-share", po::value(&figures.bulkShare), "share of the cap for long requests")(
+      "nacelles", po::value(&routers), "how many instead of eight")(
+      "traffic", po::bool_switch(&traffic), "print messages and bytes a second and node, by sender and kind")(
+      "counts", po::bool_switch(&counts), "print what each run counted")(
+      "regimes", po::bool_switch(&withRegimes), "a tenant of a regime, and certificates that change all the time")(
+      "unbound", po::bool_switch(&unbound), "the same, but the tenant is of no regime")("list", "list the failures")(
+      "help", "print this");
   po::variables_map vm;
   try {
     po::store(po::parse_command_line(argc, argv, flags), vm);
@@ -118,7 +130,8 @@
           ++bad;
           std::cout << "seed " << seed << ":";
           for (FaultRow const& f : faultTable)
-            if (std::find(plan.faults.begin(), plan.faults.end(), f.fault) != plan.faults.end()) std::cout << " " << f.name;
+            if (std::find(plan.faults.begin(), plan.faults.end(), f.fault) != plan.faults.end())
+              std::cout << " " << f.name;
           std::cout << "\n";
           for (std::string const& v : violations) std::cout << "  " << v << "\n";
           std::cout << "  caused:";
@@ -126,25 +139,31 @@
           std::cout << "\n";
         }
         double const seconds = static_cast<double>(plan.length - 10000) / 1000.0;
-        for (std::map<std::pair<std::string, std::string>, std::pair<std::size_t, std::size_t>>::value_type const& t : result.traffic) {
+        for (std::map<std::pair<std::string, std::string>, std::pair<std::size_t, std::size_t>>::value_type const& t :
+             result.traffic) {
           double const each = seconds * (t.first.first == transport::routerRole ? plan.routers : plan.controllers);
-          std::cout << "seed " << seed << " traffic " << t.first.first << " " << t.first.second << " messages=" << static_cast<double>(t.second.first) / each
+          std::cout << "seed " << seed << " traffic " << t.first.first << " " << t.first.second
+                    << " messages=" << static_cast<double>(t.second.first) / each
                     << " bytes=" << static_cast<double>(t.second.second) / each << "\n";
         }
         if (counts) {
           std::cout << "seed " << seed;
-          for (std::map<std::string, std::size_t>::value_type const& c : result.counts) std::cout << " " << c.first << "=" << c.second;
+          for (std::map<std::string, std::size_t>::value_type const& c : result.counts)
+            std::cout << " " << c.first << "=" << c.second;
           for (std::map<std::string, std::vector<Tick>>::value_type const& f : result.firstWords) {
             std::vector<Tick> t = f.second;
             std::sort(t.begin(), t.end());
-            std::cout << " " << f.first << "-median=" << t[t.size() / 2] << " " << f.first << "-99=" << t[t.size() * 99 / 100];
+            std::cout << " " << f.first << "-median=" << t[t.size() / 2] << " " << f.first
+                      << "-99=" << t[t.size() * 99 / 100];
           }
           for (std::map<std::string, std::vector<Tick>>::value_type const& f : result.servedWords) {
             std::vector<Tick> t = f.second;
             std::sort(t.begin(), t.end());
-            std::cout << " " << f.first << "-served-median=" << t[t.size() / 2] << " " << f.first << "-served-99=" << t[t.size() * 99 / 100];
+            std::cout << " " << f.first << "-served-median=" << t[t.size() / 2] << " " << f.first
+                      << "-served-99=" << t[t.size() * 99 / 100];
           }
-          if (result.partSamples > 0) std::cout << " part-mean=" << result.partSum / static_cast<double>(result.partSamples);
+          if (result.partSamples > 0)
+            std::cout << " part-mean=" << result.partSum / static_cast<double>(result.partSamples);
           std::vector<Tick> a = result.ackTimes;
           std::sort(a.begin(), a.end());
           if (!a.empty()) std::cout << " ack-median=" << a[a.size() / 2] << " ack-most=" << a.back();
@@ -159,4 +178,6 @@
 
 }  // namespace corkward::testing
 
-int main(int argc, char** argv) { return corkward::testing::sweep(argc, argv); }
+int main(int argc, char** argv) {
+  return corkward::testing::sweep(argc, argv);
+}
--- a/testing/sim/world.cpp
+++ b/testing/sim/world.cpp
@@ -31,7 +31,8 @@
     if (rng.chance(0.35)) p.faults.push_back(f);
   if (rng.chance(0.5)) p.replaceDarkAfter = 3000;
   for (FaultRow const& f : faultTable)
-    if (grown && f.fault > Fault::longAbsence && f.fault != Fault::reuseAddress && rng.chance(0.35)) p.faults.push_back(f.fault);
+    if (grown && f.fault > Fault::longAbsence && f.fault != Fault::reuseAddress && rng.chance(0.35))
+      p.faults.push_back(f.fault);
   return p;
 }
 
@@ -72,9 +73,13 @@
 
 World::~World() = default;
 
-void World::at(Tick when, std::function<void()> act) { events_.push(Event{when, order_++, std::move(act)}); }
+void World::at(Tick when, std::function<void()> act) {
+  events_.push(Event{when, order_++, std::move(act)});
+}
 
-Tick World::local(Node const& n) const { return n.offset + static_cast<Tick>(static_cast<double>(now_) * n.rate); }
+Tick World::local(Node const& n) const {
+  return n.offset + static_cast<Tick>(static_cast<double>(now_) * n.rate);
+}
 
 World::Node* World::node(std::string const& link) {
   std::map<std::string, Node>::iterator const it = nodes_.find(link);
@@ -150,7 +155,8 @@
     if (plan_.mutation == Mutation::neverGrow) t.registers.mostMembers = 3;
     if (plan_.mutation == Mutation::earlyAck) t.fenceMargin = -t.fence;
     if (plan_.mutation == Mutation::warmForever) t.warmLease = -1000000;
-    n.control = std::make_unique<control::Controller>(self, "m" + std::to_string(rng_.next()), seeds, founders, rng_.next(), t);
+    n.control =
+        std::make_unique<control::Controller>(self, "m" + std::to_string(rng_.next()), seeds, founders, rng_.next(), t);
     n.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*n.disk, 20000);
     n.disk->full = false;
     n.disk->failing = false;
@@ -229,7 +235,9 @@
     return;
   }
   n.data.reset();
-  std::erase_if(idle_, [&](std::map<std::pair<std::string, std::string>, std::vector<Idle>>::value_type const& i) { return i.first.first == n.link; });
+  std::erase_if(idle_, [&](std::map<std::pair<std::string, std::string>, std::vector<Idle>>::value_type const& i) {
+    return i.first.first == n.link;
+  });
   std::vector<std::pair<std::string, std::uint64_t>> gone;
   for (std::map<std::pair<std::string, std::uint64_t>, Forwarded>::value_type const& r : upstreams_)
     if (r.first.first == n.link) gone.push_back(r.first);
@@ -263,7 +271,9 @@
   if (cuts_.count({from, to}) > 0) return false;
   Node const* const a = node(from);
   Node const* const b = node(to);
-  if (a != nullptr && b != nullptr && a->zone != b->zone && (zoneCuts_.count(a->zone) > 0 || zoneCuts_.count(b->zone) > 0)) return false;
+  if (a != nullptr && b != nullptr && a->zone != b->zone &&
+      (zoneCuts_.count(a->zone) > 0 || zoneCuts_.count(b->zone) > 0))
+    return false;
   return !rng_.chance(loss_);
 }
 
@@ -282,7 +292,9 @@
 
 void World::tally(std::string const& from, transport::Send const& s) {
   if (!plan_.traffic || now_ < trafficFrom || now_ >= trafficFrom - 10000 + plan_.length) return;
-  std::pair<std::size_t, std::size_t>& t = result_.traffic[{node(from)->disk ? transport::controllerRole : transport::routerRole, transport::kind(s.message)}];
+  std::pair<std::size_t, std::size_t>& t =
+      result_
+          .traffic[{node(from)->disk ? transport::controllerRole : transport::routerRole, transport::kind(s.message)}];
   ++t.first;
   t.second += transport::pack(transport::Envelope{from, s.message}).size();
 }
@@ -296,7 +308,8 @@
   std::uint64_t const life = to->life;
   int const copies = rng_.chance(duplication_) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    Tick const delay = 1 + static_cast<Tick>(rng_.below(4)) + (rng_.chance(0.02) ? static_cast<Tick>(rng_.below(60)) : 0);
+    Tick const delay =
+        1 + static_cast<Tick>(rng_.below(4)) + (rng_.chance(0.02) ? static_cast<Tick>(rng_.below(60)) : 0);
     std::string const link = s.to;
     std::uint64_t const reset = plans(Fault::resetConnections) ? resets_[{from, link}] : 0;
     after(delay, [this, from, link, life, reset, message = s.message] {
@@ -325,7 +338,8 @@
     disk(n);
   }
   for (core::LogEvent const& logEvent : c.logEvents)
-    if (logEvent.event.find("member") != std::string::npos || logEvent.event == "struck-off") ++result_.counts[logEvent.event];
+    if (logEvent.event.find("member") != std::string::npos || logEvent.event == "struck-off")
+      ++result_.counts[logEvent.event];
   for (core::LogEvent const& logEvent : c.logEvents)
     if (logEvent.event == "absurd-message") violation("two values under one revision at " + link);
   for (transport::Send const& s : c.sends) send(link, s);
@@ -388,7 +402,8 @@
       handOver(n, h->call);
     } else if (dataplane::Record const* const w = std::get_if<dataplane::Record>(&v)) {
       ++result_.counts["records"];
-      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({n.link, w->call});
+      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it =
+          upstreams_.find({n.link, w->call});
       bool const before = w->happened == dataplane::Happened::handedOver || w->happened == dataplane::Happened::resumed;
       if (it != upstreams_.end() && before && plan_.mutation != Mutation::unrecorded) it->second.recorded = w->life;
     } else if (dataplane::Abandon const* const a = std::get_if<dataplane::Abandon>(&v)) {
@@ -401,7 +416,8 @@
       streams_.erase({n.link, d->call});
       after(1, [this, id, reject, link = n.link] {
         std::map<std::string, Caller>::const_iterator const it = callers_.find(id);
-        if (it != callers_.end() && it->second.open && it->second.call == reject.call && it->second.node == link) callerRejected(id, reject);
+        if (it != callers_.end() && it->second.open && it->second.call == reject.call && it->second.node == link)
+          callerRejected(id, reject);
       });
     } else if (dataplane::Abort const* const b = std::get_if<dataplane::Abort>(&v)) {
       std::string const id = callerOf_[{n.link, b->call}];
@@ -412,7 +428,8 @@
       after(1, [this, id, call = b->call] {
         std::map<std::string, Caller>::iterator const it = callers_.find(id);
         if (it == callers_.end() || !it->second.open || it->second.call != call) return;
-        if (it->second.status < 500 && !it->second.got.empty() && !oneBody(it->second)) violation("a stream has a gap, a repeat or a join, and broke: " + id);
+        if (it->second.status < 500 && !it->second.got.empty() && !oneBody(it->second))
+          violation("a stream has a gap, a repeat or a join, and broke: " + id);
         if (again(it->second)) return;
         callerEnds(id, "broken");
       });
@@ -423,15 +440,18 @@
 Result World::run() {
   for (std::map<std::string, Node>::value_type& n : nodes_) boot(n.second);
   at(3500, [this] { platform(); });
-  if (plan_.regimes) at(4000, [this] {
-    watchLives();
-    declareRegime();
-  });
+  if (plan_.regimes)
+    at(4000, [this] {
+      watchLives();
+      declareRegime();
+    });
   at(5000, [this] {
     putTemplate("0", 0, [this](int, QJsonObject const&) {
       if (plan_.regimes) declareRegulated();
       for (char const* name : {"nord", "sued"})
-        if (!plan_.regimes || std::string(name) == "sued") change("family:desk/" + std::string(name), "", "PUT", std::string(templatePath) + "/instances/" + name, R"({"parameters":{"site":"s"}})", "0", "");
+        if (!plan_.regimes || std::string(name) == "sued")
+          change("family:desk/" + std::string(name), "", "PUT", std::string(templatePath) + "/instances/" + name,
+                 R"({"parameters":{"site":"s"}})", "0", "");
     });
   });
   Tick const begin = trafficFrom - 10000;
@@ -441,7 +461,8 @@
     watch();
   });
   if (!plan_.faults.empty())
-    for (Tick t = begin + 2000; t < begin + plan_.length; t += 1 + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(2 * plan_.every)))) {
+    for (Tick t = begin + 2000; t < begin + plan_.length;
+         t += 1 + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(2 * plan_.every)))) {
       Fault const f = plan_.faults[rng_.below(plan_.faults.size())];
       at(t, [this, f] { cause(f); });
     }
@@ -456,9 +477,7 @@
     hardShare_ = 0;
   });
   at(begin + plan_.length + 15000, [this] { heal(); });
-  at(begin + plan_.length + settleFor, [this] {
-    quiet_ = true;
-  });
+  at(begin + plan_.length + settleFor, [this] { quiet_ = true; });
   at(begin + plan_.length + settleFor + 16000, [this] { finalChecks(); });
   Tick const end = begin + plan_.length + settleFor + 30000;
   while (!events_.empty() && events_.top().at <= end) {
--- a/testing/sim/world.h
+++ b/testing/sim/world.h
@@ -191,8 +191,8 @@
   double clockSpread = 0.002;
   /// First words count only for callers that began so long after the first one.
   Tick skip = 0;
-  /// The tenant nord is of a regime; operators declare, revoke and exchange certificates all the time. The last zone has
-  /// none, ever.
+  /// The tenant nord is of a regime; operators declare, revoke and exchange certificates all the time. The last zone
+  /// has none, ever.
   bool regimes = false;
   /// False: all of that but the tenant's regime, for comparisons.
   bool bound = true;
@@ -390,7 +390,8 @@
   void reach(Node& n, std::uint64_t life, std::uint64_t call, Replica& r, dataplane::Connect const& m);
   void serveNext(Replica& r);
   void emit(std::string const& address, std::uint64_t life, std::string const& name, int k, int words);
-  /// An event of a replica's connection on its way to the node: in order, late across a cut, never for a closed connection.
+  /// An event of a replica's connection on its way to the node: in order, late across a cut, never for a closed
+  /// connection.
   void wire(std::string const& link, std::uint64_t life, std::uint64_t call, std::uint64_t turn, Fed event);
   void arrive(std::string const& link, std::uint64_t life, std::uint64_t call, std::uint64_t turn);
   void fed(Node& n, std::uint64_t call, Fed const& event);
@@ -434,12 +435,14 @@
   void nameLife(Node& n, dataplane::Connect const& m);
   /// Whether what the caller has so far is one run's, or one row of events, from the first on without gap or repeat.
   bool oneBody(Caller const& caller) const;
-  void change(std::string const& key, std::string const& what, std::string const& method, std::string const& path, std::string const& body,
-              std::string const& ifMatch, std::string const& mark, std::function<void(int, QJsonObject const&)> then = {});
+  void change(std::string const& key, std::string const& what, std::string const& method, std::string const& path,
+              std::string const& body, std::string const& ifMatch, std::string const& mark,
+              std::function<void(int, QJsonObject const&)> then = {});
   void putTemplate(std::string const& ifMatch, int extraPaths, std::function<void(int, QJsonObject const&)> then = {});
   void platform();
   /// Shows a list to a controller and to two routers, again and again until it is acknowledged or overtaken.
-  void showList(std::string const& pool, std::uint64_t generation, std::vector<std::string> const& leaving, std::string const& body);
+  void showList(std::string const& pool, std::uint64_t generation, std::vector<std::string> const& leaving,
+                std::string const& body);
   /// The message as the plan's mutation leaves it.
   transport::Message mutated(transport::Message const& message) const;
   void cause(Fault f);
--- a/testing/test/capacity_test.cpp
+++ b/testing/test/capacity_test.cpp
@@ -45,9 +45,11 @@
   return s;
 }
 
-double valueOf(capacity::Rows const& rows, std::string const& measure, std::string const& role, std::string const& unit) {
-  capacity::Rows::const_iterator const it =
-      std::find_if(rows.begin(), rows.end(), [&](capacity::Row const& r) { return r.measure == measure && r.role == role && r.unit == unit; });
+double valueOf(capacity::Rows const& rows, std::string const& measure, std::string const& role,
+               std::string const& unit) {
+  capacity::Rows::const_iterator const it = std::find_if(rows.begin(), rows.end(), [&](capacity::Row const& r) {
+    return r.measure == measure && r.role == role && r.unit == unit;
+  });
   REQUIRE(it != rows.end());
   return it->value;
 }
@@ -109,7 +111,8 @@
 }
 
 TEST_CASE("each size of a sweep gives its rows") {
-  Outcome const o = rig({"--part", "rest", "--sweep", "nodes=2,3", "--control", "1", "--tenants", "2", "--seconds", "1"});
+  Outcome const o =
+      rig({"--part", "rest", "--sweep", "nodes=2,3", "--control", "1", "--tenants", "2", "--seconds", "1"});
   REQUIRE(o.code == 0);
   CHECK(o.out.rfind("# corkward-capacity --part rest --sweep nodes=2,3", 0) == 0);
   CHECK(o.out.find("\nmeasure,role,unit,kind,of,size,value\n") != std::string::npos);
@@ -130,7 +133,8 @@
     double const all = valueOf(rows, "sent.all", role, "bytes/s");
     double duties = 0;
     for (capacity::Row const& r : rows)
-      if (r.role == role && r.unit == "bytes/s" && r.measure.rfind("sent.", 0) == 0 && r.measure != "sent.all") duties += r.value;
+      if (r.role == role && r.unit == "bytes/s" && r.measure.rfind("sent.", 0) == 0 && r.measure != "sent.all")
+        duties += r.value;
     CHECK(duties == Approx(all));
     sent += n * all;
     taken += n * valueOf(rows, "taken.all", role, "bytes/s");
--- a/testing/test/fleet_test.cpp
+++ b/testing/test/fleet_test.cpp
@@ -71,7 +71,8 @@
 }
 
 std::string post(std::string const& path, std::string const& fields, std::string const& body) {
-  return "POST " + path + " HTTP/1.1\r\nHost: x\r\n" + fields + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+  return "POST " + path + " HTTP/1.1\r\nHost: x\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
+         "\r\n\r\n" + body;
 }
 
 std::size_t linesWith(std::string const& file, std::string const& word) {
@@ -97,7 +98,8 @@
 
 void drainTraffic(testing::Fleet& fleet, testing::Traffic& traffic) {
   traffic.stopCalling();
-  fleet.until("the last answers", [&] { return traffic.open() == 0; }, 90000);
+  fleet.until(
+      "the last answers", [&] { return traffic.open() == 0; }, 90000);
 }
 
 }  // namespace
@@ -115,7 +117,8 @@
   constexpr char const* good = R"({"paths":[{"path":"a","pool":"model","class":"short"}]})";
   CHECK(fleet.call(sub, "PUT", t, "{", revision).status == 400);
   CHECK(fleet.call(sub, "PUT", t, R"({"paths":[]})", revision).status == 422);
-  CHECK(fleet.call(sub, "PUT", t, R"({"surprise":1})", revision).body.value("pointer").toString() == "/template/surprise");
+  CHECK(fleet.call(sub, "PUT", t, R"({"surprise":1})", revision).body.value("pointer").toString() ==
+        "/template/surprise");
   CHECK(fleet.call(sub, "PUT", t, good).status == 428);
   CHECK(fleet.call(sub, "PUT", t, good, "12345").status == 412);
   CHECK(fleet.call(sub, "PUT", t, std::string(3 << 20, ' '), revision).status == 413);
@@ -131,26 +134,38 @@
   std::string const nord = t + "/instances/nord";
   std::string const is = std::to_string(fleet.call(sub, "GET", nord).body.value("stamp").toInteger());
   CHECK(fleet.change("PATCH", nord, R"({"parameters":{"pitch-aim":700}})", is, "one").status == 200);
-  CHECK(fleet.call(sub, "PATCH", nord, R"({"parameters":{"pitch-aim":700}})", is, "one").body.value("replayed").toBool());
+  CHECK(
+      fleet.call(sub, "PATCH", nord, R"({"parameters":{"pitch-aim":700}})", is, "one").body.value("replayed").toBool());
   CHECK(fleet.call(sub, "PATCH", nord, R"({"parameters":{"pitch-aim":701}})", is, "one").status == 409);
-  fleet.until("the change to be told in force", [&] { return fleet.call(sub, "GET", "/v1/changes/one").body.value("inForce").toBool(); });
+  fleet.until("the change to be told in force",
+              [&] { return fleet.call(sub, "GET", "/v1/changes/one").body.value("inForce").toBool(); });
   CHECK(fleet.call(sub, "GET", t).body.value("spec") == before.body.value("spec"));
 
   CHECK(raw(fleet, nac.http, "GARBAGE\r\n\r\n", "").got.find(" 400 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", "").got.find(" 400 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nContent-Length: -3\r\n\r\n", "").got.find(" 400 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nX: " + std::string(40000, 'x') + "\r\n\r\n", "").got.find(" 431 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n", "").got.find(" 413 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.0\r\nContent-Length: 0\r\n\r\n", "").got.find(" 505 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/nowhere", "", "{}"), "outcome").got.find(" 404 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Attempt: zero\r\n", "{}"), "outcome").got.find(" 400 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Attempt: 2\r\n", "{}"), "outcome").got.find(" 409 ") != std::string::npos);
+  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", "")
+            .got.find(" 400 ") != std::string::npos);
+  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nContent-Length: -3\r\n\r\n", "").got.find(" 400 ") !=
+        std::string::npos);
+  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nX: " + std::string(40000, 'x') + "\r\n\r\n", "")
+            .got.find(" 431 ") != std::string::npos);
+  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n", "").got.find(" 413 ") !=
+        std::string::npos);
+  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.0\r\nContent-Length: 0\r\n\r\n", "").got.find(" 505 ") !=
+        std::string::npos);
+  CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/nowhere", "", "{}"), "outcome").got.find(" 404 ") !=
+        std::string::npos);
+  CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Attempt: zero\r\n", "{}"), "outcome")
+            .got.find(" 400 ") != std::string::npos);
+  CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Attempt: 2\r\n", "{}"), "outcome")
+            .got.find(" 409 ") != std::string::npos);
   {
     std::pair<std::string, std::uint16_t> const at = http::splitAddress(nac.http);
     QTcpSocket cut;
     cut.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
-    cut.write("POST /v1/fault-desk.nord/pitch HTTP/1.1\r\nCorkward-Request-Id: truncated\r\nContent-Length: 100\r\n\r\nhalf");
-    fleet.until("bytes to leave", [&] { return cut.state() == QAbstractSocket::ConnectedState && cut.bytesToWrite() == 0; });
+    cut.write(
+        "POST /v1/fault-desk.nord/pitch HTTP/1.1\r\nCorkward-Request-Id: truncated\r\nContent-Length: 100\r\n\r\nhalf");
+    fleet.until("bytes to leave",
+                [&] { return cut.state() == QAbstractSocket::ConnectedState && cut.bytesToWrite() == 0; });
     cut.disconnectFromHost();
   }
   core::Rng rng(7);
@@ -164,7 +179,8 @@
       for (char& c : bytes) c = static_cast<char>(rng.next());
       if (i % 2 == 0) bytes.prepend(QByteArray("\0SP\0\0\x50\0\0", 8));
       socket.write(bytes);
-      fleet.until("garbage to leave", [&] { return socket.bytesToWrite() == 0 || socket.state() != QAbstractSocket::ConnectedState; });
+      fleet.until("garbage to leave",
+                  [&] { return socket.bytesToWrite() == 0 || socket.state() != QAbstractSocket::ConnectedState; });
     }
   testing::Traffic traffic(fleet, 3, 1.0);
   for (int i = 0; i < 20; ++i) traffic.send(i % 2 == 0 ? "short" : "urgent");
@@ -189,16 +205,20 @@
     CHECK(r.got.find("\r\n0\r\n") == std::string::npos);
     std::size_t const lines = runsOf(fleet, "broken1");
     CHECK(lines == 2);
-    Raw const again = raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\nCorkward-Attempt: 2\r\n", "{}"), "outcome");
+    Raw const again = raw(
+        fleet, nac.http,
+        post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\nCorkward-Attempt: 2\r\n", "{}"), "outcome");
     CHECK(again.got.find(" 409 ") != std::string::npos);
     CHECK(again.got.find("\"unknown\"") != std::string::npos);
-    Raw const elsewhere = raw(fleet, fleet.routers()[1].http,
-                              post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\nCorkward-Attempt: 2\r\n", "{}"), "outcome");
+    Raw const elsewhere = raw(
+        fleet, fleet.routers()[1].http,
+        post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\nCorkward-Attempt: 2\r\n", "{}"), "outcome");
     CHECK(elsewhere.got.find(" 409 ") != std::string::npos);
     CHECK(runsOf(fleet, "broken1") == lines);
   }
   SECTION("a resumable stream goes on with the same run at the same place") {
-    Raw const r = raw(fleet, nac.http, post("/v1/fault-desk.nord/report/nord", "Corkward-Request-Id: resumed1\r\n", "{}"), "\r\n0\r\n");
+    Raw const r = raw(fleet, nac.http,
+                      post("/v1/fault-desk.nord/report/nord", "Corkward-Request-Id: resumed1\r\n", "{}"), "\r\n0\r\n");
     std::string body;
     std::size_t at = r.got.find("\r\n\r\n") + 4;
     while (at < r.got.size()) {
@@ -218,7 +238,8 @@
     std::pair<std::string, std::uint16_t> const at = http::splitAddress(nac.http);
     QTcpSocket socket;
     socket.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
-    socket.write(QByteArray::fromStdString(post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: killed1\r\n", "{}")));
+    socket.write(
+        QByteArray::fromStdString(post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: killed1\r\n", "{}")));
     fleet.until("the run", [&] { return runsOf(fleet, "killed1") == 1; });
     for (testing::Node& n : fleet.replicas())
       if (n.pool == "model") fleet.kill9(n);
@@ -230,7 +251,8 @@
     CHECK(got.find(" 502 ") != std::string::npos);
     CHECK(got.find("\"unknown\"") != std::string::npos);
     CHECK(got.find("Retry-After") == std::string::npos);
-    Raw const none = raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: none1\r\n", "{}"), "outcome\":");
+    Raw const none =
+        raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: none1\r\n", "{}"), "outcome\":");
     CHECK(none.got.find(" 503 ") != std::string::npos);
     CHECK(none.got.find("\"not-run\"") != std::string::npos);
     CHECK(none.got.find("retry-after: ") != std::string::npos);
@@ -261,8 +283,9 @@
     fleet.until("a change", [&] {
       testing::Reply const now = fleet.call(fleet.firstController(), "GET", t);
       if (now.status != 200) return false;
-      testing::Reply const r = fleet.call(fleet.firstController(), "PATCH", t, R"({"parameters":{"pitch-aim":)" + std::to_string(aim) + "}}",
-                                       std::to_string(now.body.value("stamp").toInteger()));
+      testing::Reply const r =
+          fleet.call(fleet.firstController(), "PATCH", t, R"({"parameters":{"pitch-aim":)" + std::to_string(aim) + "}}",
+                     std::to_string(now.body.value("stamp").toInteger()));
       return r.status == 200;
     });
   };
@@ -296,7 +319,13 @@
   fleet.untilReady(3);
   drainTraffic(fleet, traffic);
   soundly(traffic.report());
-  CHECK(fleet.call(fleet.firstController(), "GET", t).body.value("spec").toObject().value("parameters").toObject().value("pitch-aim").toInteger() == 705);
+  CHECK(fleet.call(fleet.firstController(), "GET", t)
+            .body.value("spec")
+            .toObject()
+            .value("parameters")
+            .toObject()
+            .value("pitch-aim")
+            .toInteger() == 705);
 }
 
 TEST_CASE("both deployments keep every rule while real processes fail at random", "[chaos]") {
@@ -334,7 +363,8 @@
   CHECK(fleet.call(fleet.firstController(), "GET", t).body == before.body);
 }
 
-TEST_CASE("both deployments run whole: two instances, their mix, a leaving replica and an evacuated zone", "[deployments]") {
+TEST_CASE("both deployments run whole: two instances, their mix, a leaving replica and an evacuated zone",
+          "[deployments]") {
   application();
   for (char const* const name : {"harmattan", "lernkarten"}) {
     testing::Fleet fleet(named(name));
@@ -371,14 +401,17 @@
     std::vector<std::string> flags;
     char const* name;
   };
-  std::vector<std::string> const good{"--link", "127.0.0.1:1", "--http", "127.0.0.1:2", "--zone", "z1", "--seed", "127.0.0.1:3"};
-  std::vector<Row> const rows{{{}, "link: missing"},
-                              {{"--link", "x"}, "link: must be ip:port"},
-                              {{"--nonsense", "1"}, "nonsense"},
-                              {{"--link", "127.0.0.1:1", "--http", "127.0.0.1:1"}, "http: must differ"},
-                              {{"--link", "127.0.0.1:1", "--http", "127.0.0.1:2", "--zone", "Z!", "--seed", "127.0.0.1:3"}, "zone: not a valid name"},
-                              {{"--link", "127.0.0.1:1", "--http", "127.0.0.1:2", "--zone", "z"}, "seed: missing"},
-                              {{"--settings", "/nowhere"}, "settings: cannot be read"}};
+  std::vector<std::string> const good{"--link", "127.0.0.1:1", "--http", "127.0.0.1:2",
+                                      "--zone", "z1",          "--seed", "127.0.0.1:3"};
+  std::vector<Row> const rows{
+      {{}, "link: missing"},
+      {{"--link", "x"}, "link: must be ip:port"},
+      {{"--nonsense", "1"}, "nonsense"},
+      {{"--link", "127.0.0.1:1", "--http", "127.0.0.1:1"}, "http: must differ"},
+      {{"--link", "127.0.0.1:1", "--http", "127.0.0.1:2", "--zone", "Z!", "--seed", "127.0.0.1:3"},
+       "zone: not a valid name"},
+      {{"--link", "127.0.0.1:1", "--http", "127.0.0.1:2", "--zone", "z"}, "seed: missing"},
+      {{"--settings", "/nowhere"}, "settings: cannot be read"}};
   for (Row const& r : rows) {
     testing::Fleet::Tool const t = fleet.tool("corkward-router", r.flags);
     CHECK(t.code == 2);
@@ -407,23 +440,29 @@
     subs.push_back("--substation");
     subs.push_back(n.http);
   }
-  std::function<testing::Fleet::Tool(std::string, std::vector<std::string>, std::string)> const run = [&](std::string const& program, std::vector<std::string> words,
-                                                                                                   std::string const& input) {
-    words.insert(words.end(), subs.begin(), subs.end());
-    if (program != "corkward") return fleet.tool(program, words, input);
-    words.insert(words.end(), {"--wait", "60"});
-    testing::Fleet::Tool out;
-    fleet.until("an answer other than to come back", [&] {
-      out = fleet.tool(program, words, input);
-      return out.code != comeBack && out.code != nobody;
-    });
-    return out;
-  };
+  std::function<testing::Fleet::Tool(std::string, std::vector<std::string>, std::string)> const run =
+      [&](std::string const& program, std::vector<std::string> words, std::string const& input) {
+        words.insert(words.end(), subs.begin(), subs.end());
+        if (program != "corkward") return fleet.tool(program, words, input);
+        words.insert(words.end(), {"--wait", "60"});
+        testing::Fleet::Tool out;
+        fleet.until("an answer other than to come back", [&] {
+          out = fleet.tool(program, words, input);
+          return out.code != comeBack && out.code != nobody;
+        });
+        return out;
+      };
   CHECK(run("corkward", {"templates"}, "").out.find("fault-desk") != std::string::npos);
-  CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "0", "--dry-run"}, R"({"paths":[{"path":"a","pool":"model","class":"short"}]})").code == 0);
+  CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "0", "--dry-run"},
+            R"({"paths":[{"path":"a","pool":"model","class":"short"}]})")
+            .code == 0);
   CHECK(run("corkward", {"template-get", "neu"}, "").code == 3);
-  CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "0"}, R"({"paths":[{"path":"a","pool":"model","class":"short"}]})").code == 0);
-  CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "0"}, R"({"paths":[{"path":"a","pool":"model","class":"short"}]})").code == 4);
+  CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "0"},
+            R"({"paths":[{"path":"a","pool":"model","class":"short"}]})")
+            .code == 0);
+  CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "0"},
+            R"({"paths":[{"path":"a","pool":"model","class":"short"}]})")
+            .code == 4);
   CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "1"}, "{").code == 3);
   CHECK(run("corkward", {"dance"}, "").code == 2);
   CHECK(fleet.tool("corkward", {"fleet", "--substation", "127.0.0.1:1"}).code == 7);
@@ -438,8 +477,10 @@
   CHECK(run("corkward", {"blueprint-put", whole, "--stamp", "0"}, "").code == 0);
   CHECK(run("corkward", {"blueprint-put", whole, "--stamp", "4"}, "").out.find("replayed") != std::string::npos);
   CHECK(run("corkward", {"blueprint-patch", "-", "--stamp", "0"}, R"({"version":9})").code == 4);
-  CHECK(run("corkward", {"blueprint-patch", "-", "--stamp", "7"}, R"({"version":9,"drop":{"pools":["model"]}})").code == 3);
-  CHECK(run("corkward", {"blueprint-patch", "-", "--stamp", "7"}, R"({"version":9,"drop":{"paths":["pitch"]}})").code == 0);
+  CHECK(run("corkward", {"blueprint-patch", "-", "--stamp", "7"}, R"({"version":9,"drop":{"pools":["model"]}})").code ==
+        3);
+  CHECK(run("corkward", {"blueprint-patch", "-", "--stamp", "7"}, R"({"version":9,"drop":{"paths":["pitch"]}})").code ==
+        0);
   QJsonObject const read = core::parseJson(run("corkward", {"blueprint-get", "--json"}, "").out).toObject();
   CHECK((read.value("stamp").toInteger() == 9 && read.value("body").toObject().value("version").toInteger() == 9));
   CHECK(read.value("body").toObject().value("spec").toObject().value("paths").toArray().size() == 1);
@@ -457,37 +498,50 @@
   CHECK(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
   CHECK(run("corkward-runbook", {books + "lift-zone.json", "--set", "zone=z2"}, "").code == 0);
   CHECK_FALSE(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
-  CHECK(run("corkward-runbook", {books + "read-back.json", "--set", "file=" + fleet.folder() + "/saved.json"}, "").code == 0);
-  CHECK(run("corkward-runbook", {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "").code == 0);
+  CHECK(
+      run("corkward-runbook", {books + "read-back.json", "--set", "file=" + fleet.folder() + "/saved.json"}, "").code ==
+      0);
+  CHECK(run("corkward-runbook",
+            {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "")
+            .code == 0);
   CHECK(run("corkward", {"template-delete", "neu", "--stamp", "1"}, "").code == 0);
   testing::Fleet::Tool const differs =
-      run("corkward-runbook", {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "");
+      run("corkward-runbook",
+          {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "");
   CHECK(differs.code == 1);
   CHECK(differs.out.find("template neu differs") != std::string::npos);
   CHECK(run("corkward-runbook", {books + "rolling-restart.json", "--set", "node=n"}, "no\n").code == 1);
 
   std::string const declared = fleet.folder() + "/declared";
-  std::function<void(std::string const&, std::string const&)> const declareIn = [&](std::string const& name, std::string const& text) {
+  std::function<void(std::string const&, std::string const&)> const declareIn = [&](std::string const& name,
+                                                                                    std::string const& text) {
     REQUIRE(QDir().mkpath(core::qstr(declared)));
     QFile f(core::qstr(declared + "/" + name));
     REQUIRE(f.open(QIODevice::WriteOnly));
     f.write(text.c_str());
   };
-  declareIn("t.json", R"({"template":"kept","spec":{"parameters":{"site":{"type":"string"}},"paths":[{"path":"a","pool":"model","class":"short"}]}})");
+  declareIn(
+      "t.json",
+      R"({"template":"kept","spec":{"parameters":{"site":{"type":"string"}},"paths":[{"path":"a","pool":"model","class":"short"}]}})");
   declareIn("i.json", R"({"template":"kept","instance":"nord","spec":{"parameters":{"site":"n"}}})");
   CHECK(run("corkward", {"diff", declared}, "").code == 1);
-  CHECK(run("corkward", {"apply", declared, "--dry-run"}, "").out.find("create /v1/templates/kept/instances/nord") != std::string::npos);
+  CHECK(run("corkward", {"apply", declared, "--dry-run"}, "").out.find("create /v1/templates/kept/instances/nord") !=
+        std::string::npos);
   CHECK(run("corkward", {"template-get", "kept"}, "").code == 3);
   CHECK(run("corkward", {"apply", declared}, "").code == 0);
   CHECK(run("corkward", {"diff", declared}, "").code == 0);
   testing::Fleet::Tool const unchanged = run("corkward", {"apply", declared, "--json"}, "");
   CHECK(unchanged.out.find("\"changes\":[]") != std::string::npos);
   CHECK(fleet.call(fleet.firstController(), "GET", "/v1/templates/kept").body.value("stamp").toInteger() == 1);
-  declareIn("t.json", R"({"template":"kept","spec":{"parameters":{"site":{"type":"string"},"aim":{"type":"integer"}},"paths":[{"path":"a","pool":"model","class":"short"}]}})");
+  declareIn(
+      "t.json",
+      R"({"template":"kept","spec":{"parameters":{"site":{"type":"string"},"aim":{"type":"integer"}},"paths":[{"path":"a","pool":"model","class":"short"}]}})");
   testing::Fleet::Tool const missing = run("corkward", {"apply", declared}, "");
   CHECK(missing.code == 2);
   CHECK(missing.err.find("aim") != std::string::npos);
-  declareIn("t.json", R"({"template":"kept","spec":{"parameters":{"site":{"type":"string"},"aim":{"type":"integer","default":3}},"paths":[{"path":"a","pool":"model","class":"short"}]}})");
+  declareIn(
+      "t.json",
+      R"({"template":"kept","spec":{"parameters":{"site":{"type":"string"},"aim":{"type":"integer","default":3}},"paths":[{"path":"a","pool":"model","class":"short"}]}})");
   declareIn("i.json", R"({"template":"kept","instance":"nord","spec":{"parameters":{"site":"n","aim":4}}})");
   CHECK(run("corkward", {"apply", declared}, "").code == 0);
   declareIn("again.json", R"({"template":"kept","instance":"nord","spec":{}})");
@@ -501,14 +555,17 @@
   QFile::remove(core::qstr(declared + "/again.json"));
   QFile::remove(core::qstr(declared + "/i.json"));
   CHECK(run("corkward", {"diff", declared}, "").code == 0);
-  CHECK(run("corkward", {"diff", declared, "--prune"}, "").out.find("remove /v1/templates/kept/instances/nord") != std::string::npos);
+  CHECK(run("corkward", {"diff", declared, "--prune"}, "").out.find("remove /v1/templates/kept/instances/nord") !=
+        std::string::npos);
   CHECK(fleet.call(fleet.firstController(), "GET", "/v1/templates/kept/instances/nord").status == 200);
 
   std::string const rules = CORKWARD_SOURCE "/examples/rules/zones.yml";
   CHECK(run("corkward-runbook", {"--rules", rules, "--check"}, "").code == 0);
   QFile badRules(core::qstr(fleet.folder() + "/bad.yml"));
   REQUIRE(badRules.open(QIODevice::WriteOnly));
-  badRules.write("groups:\n- name: g\n  rules:\n  - alert: a\n    expr: rate(x[1m]) > 1\n    annotations: {runbook: evacuate-zone.json}\n");
+  badRules.write(
+      "groups:\n- name: g\n  rules:\n  - alert: a\n    expr: rate(x[1m]) > 1\n    annotations: {runbook: "
+      "evacuate-zone.json}\n");
   badRules.close();
   testing::Fleet::Tool const bad = run("corkward-runbook", {"--rules", fleet.folder() + "/bad.yml", "--check"}, "");
   CHECK(bad.code == 2);
@@ -518,17 +575,21 @@
   fleet.kill9(fleet.routers()[1]);
   QFile quick(core::qstr(fleet.folder() + "/quick.yml"));
   REQUIRE(quick.open(QIODevice::WriteOnly));
-  quick.write("groups:\n- name: g\n  rules:\n  - alert: a\n    expr: sum(corkward_up{zone=\"z2\"}) < 1\n    for: 1s\n    annotations: {runbook: evacuate-zone.json, parameters: {zone: z2}}\n");
+  quick.write(
+      "groups:\n- name: g\n  rules:\n  - alert: a\n    expr: sum(corkward_up{zone=\"z2\"}) < 1\n    for: 1s\n    "
+      "annotations: {runbook: evacuate-zone.json, parameters: {zone: z2}}\n");
   quick.close();
   QFile::copy(core::qstr(books + "evacuate-zone.json"), core::qstr(fleet.folder() + "/evacuate-zone.json"));
   testing::Fleet::Tool const fired =
-      run("corkward-runbook", {"--rules", fleet.folder() + "/quick.yml", "--target", "z2=" + lost.http, "--every", "1", "--acts", "1"}, "");
+      run("corkward-runbook",
+          {"--rules", fleet.folder() + "/quick.yml", "--target", "z2=" + lost.http, "--every", "1", "--acts", "1"}, "");
   CHECK(fired.out.find("alert=a runbook=") != std::string::npos);
   testing::Node next;
   next.name = "second-watch";
   next.program = CORKWARD_BIN "/programs/corkward-runbook";
   for (testing::Node const& s : fleet.controllers()) next.flags += {"--substation", core::qstr(s.http)};
-  next.flags += {"--rules", core::qstr(fleet.folder() + "/quick.yml"), "--target", core::qstr("z2=" + lost.http), "--every", "1"};
+  next.flags +=
+      {"--rules", core::qstr(fleet.folder() + "/quick.yml"), "--target", core::qstr("z2=" + lost.http), "--every", "1"};
   CHECK(fleet.change("DELETE", "/v1/evacuations/z2").status == 200);
   fleet.start(next);
   std::string const said = fleet.folder() + "/second-watch.out";
@@ -536,10 +597,14 @@
   CHECK(linesWith(said, "runbook=") == 0);
   CHECK_FALSE(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
   fleet.start(fleet.routers()[1]);
-  fleet.until("the alert to cease", [&] { return fleet.call(fleet.firstController(), "GET", "/v1/alerts/a").body.value("state").toString() == "clear"; });
+  fleet.until("the alert to cease", [&] {
+    return fleet.call(fleet.firstController(), "GET", "/v1/alerts/a").body.value("state").toString() == "clear";
+  });
   fleet.kill9(fleet.routers()[1]);
   fleet.until("the second watch to act", [&] { return linesWith(said, "runbook=") > 0; });
-  fleet.until("the evacuation", [&] { return fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool(); });
+  fleet.until("the evacuation", [&] {
+    return fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool();
+  });
   fleet.kill9(next);
   CHECK(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
 }
--- a/testing/test/regimes_test.cpp
+++ b/testing/test/regimes_test.cpp
@@ -24,10 +24,15 @@
 
 constexpr char const* page = "/v1/certificates";
 constexpr char const* regulated = "fault-desk.nord";
-constexpr char const* pilot = R"({"regime":"health","paths":[{"path":"tale","pool":"model","class":"long","events":true,"resumable":true}]})";
+constexpr char const* pilot =
+    R"({"regime":"health","paths":[{"path":"tale","pool":"model","class":"long","events":true,"resumable":true}]})";
 
 QJsonObject certificate(std::string const& pool, std::string const& zone) {
-  return QJsonObject{{"regime", "health"}, {"carrier", "replicas"}, {"pool", core::qstr(pool)}, {"zone", core::qstr(zone)}, {"until", "2099-01-01T00:00:00Z"}};
+  return QJsonObject{{"regime", "health"},
+                     {"carrier", "replicas"},
+                     {"pool", core::qstr(pool)},
+                     {"zone", core::qstr(zone)},
+                     {"until", "2099-01-01T00:00:00Z"}};
 }
 
 /// A fleet in which the tenant nord is of a regime, and of the models those in z1 alone are certified.
@@ -48,9 +53,11 @@
     REQUIRE(example.open(QIODevice::ReadOnly));
     change("PUT", "/v1/templates/fault-desk", example.readAll().toStdString(), "0");
     QJsonObject const spec{{"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", "any"}, {"reserve", 1}}}}},
-                           {"certificates", QJsonObject{{"model-z1", certificate("model", "z1")}, {"gateway", certificate("gateway", "z2")}}}};
+                           {"certificates", QJsonObject{{"model-z1", certificate("model", "z1")},
+                                                        {"gateway", certificate("gateway", "z2")}}}};
     change("PUT", page, core::jsonText(spec), "0");
-    change("PUT", "/v1/templates/fault-desk/instances/nord", R"({"parameters":{"site":"nord"},"regime":"health"})", "0");
+    change("PUT", "/v1/templates/fault-desk/instances/nord", R"({"parameters":{"site":"nord"},"regime":"health"})",
+           "0");
     change("PUT", "/v1/templates/fault-desk/instances/sued", R"({"parameters":{"site":"sued"}})", "0");
     change("PUT", "/v1/templates/pilot", pilot, "0");
     change("PUT", "/v1/templates/pilot/instances/n", "{}", "0");
@@ -77,17 +84,20 @@
     return out;
   }
   /// Sends a change, under one id, until it is acknowledged.
-  testing::Reply change(std::string const& method, std::string const& path, std::string const& body, std::string const& ifMatch) {
+  testing::Reply change(std::string const& method, std::string const& path, std::string const& body,
+                        std::string const& ifMatch) {
     std::string const id = "change-" + std::to_string(++changes);
     testing::Reply out;
     fleet.until(method + " " + path + " to be acknowledged", [&] {
       out = fleet.call(fleet.firstController(), method, path, body, ifMatch, id);
-      if (out.status == 400 || out.status == 404 || out.status == 422) throw testing::FleetError(path + ": " + core::jsonText(out.body));
+      if (out.status == 400 || out.status == 404 || out.status == 422)
+        throw testing::FleetError(path + ": " + core::jsonText(out.body));
       return out.status == 200 || out.status == 201;
     });
     return out;
   }
-  testing::Reply call(std::string const& method, std::string const& path, std::string const& body = "", std::string const& ifMatch = "") {
+  testing::Reply call(std::string const& method, std::string const& path, std::string const& body = "",
+                      std::string const& ifMatch = "") {
     return fleet.call(fleet.firstController(), method, path, body, ifMatch);
   }
   bool certified(testing::Node const& replica) const { return replica.pool != "model" || replica.zone == "z1"; }
@@ -139,7 +149,9 @@
   void begin(std::string const& node, std::string const& id) {
     http::UpstreamConnection::Events e;
     e.connected = [this, id] {
-      forwarder->send(http::ReplicaRequest{"POST", "/v1/pilot.n/tale", {{"corkward-request-id", id}, {"corkward-attempt", "1"}}}, "{}");
+      forwarder->send(
+          http::ReplicaRequest{"POST", "/v1/pilot.n/tale", {{"corkward-request-id", id}, {"corkward-attempt", "1"}}},
+          "{}");
     };
     e.rejected = [this] { over = true; };
     e.head = [this](http::ReplicaHead const& head) { status = head.status; };
@@ -154,7 +166,8 @@
 
 std::string taleOf(std::string const& id, int events) {
   std::string out;
-  for (int i = 1; i <= events; ++i) out += "id: " + std::to_string(i) + "\ndata: " + id + " " + std::to_string(i) + "\n\n";
+  for (int i = 1; i <= events; ++i)
+    out += "id: " + std::to_string(i) + "\ndata: " + id + " " + std::to_string(i) + "\n\n";
   return out;
 }
 
@@ -166,7 +179,10 @@
 
 }  // namespace
 
-TEST_CASE("no regulated request reaches an uncertified process, though certified ones are busy, die, and lose their addresses", "[regimes]") {
+TEST_CASE(
+    "no regulated request reaches an uncertified process, though certified ones are busy, die, and lose their "
+    "addresses",
+    "[regimes]") {
   application();
   Ward ward;
   testing::Fleet& fleet = ward.fleet;
@@ -180,7 +196,8 @@
   core::Tick const revokedUntil = programs::now();
   testing::Reply const left = ward.read(page);
   std::string const revision = std::to_string(left.body.value("stamp").toInteger());
-  std::string const again = core::jsonText(QJsonObject{{"certificates", QJsonObject{{"model-z1", certificate("model", "z1")}}}});
+  std::string const again =
+      core::jsonText(QJsonObject{{"certificates", QJsonObject{{"model-z1", certificate("model", "z1")}}}});
   ward.change("PATCH", page, again, revision);
   testing::Reply late;
   fleet.until("a late change to be judged", [&] {
@@ -236,7 +253,8 @@
   for (testing::Node& n : fleet.routers()) {
     QJsonObject const head = fleet.get(n.http, "/v1/state").body.value("audit").toObject();
     words.push_back("--head");
-    words.push_back(n.link + "=" + std::to_string(head.value("n").toInteger()) + ":" + core::str(head.value("hash").toString()));
+    words.push_back(n.link + "=" + std::to_string(head.value("n").toInteger()) + ":" +
+                    core::str(head.value("hash").toString()));
     CHECK(fleet.stop(n) == 0);
   }
   for (testing::Node const& n : fleet.routers()) words.push_back(fleet.auditFolder(n));
@@ -265,7 +283,8 @@
   CHECK(fleet.tool("corkward", words).code == 1);
 }
 
-TEST_CASE("a row of events of a regime goes on once, at its place, at another certified replica, else ends broken", "[regimes]") {
+TEST_CASE("a row of events of a regime goes on once, at its place, at another certified replica, else ends broken",
+          "[regimes]") {
   application();
   Ward ward;
   testing::Fleet& fleet = ward.fleet;
--- a/testing/test/sim_test.cpp
+++ b/testing/test/sim_test.cpp
@@ -26,17 +26,20 @@
 }  // namespace
 
 TEST_CASE("control is killed, cut, split and frozen", "[control]") {
-  for (Fault const f : {Fault::killControl, Fault::killAll, Fault::freezeController, Fault::isolateMember, Fault::splitCore, Fault::cutCore,
-                        Fault::restartController, Fault::wipeSameAddress, Fault::returnNewAddress, Fault::powerLoss})
+  for (Fault const f :
+       {Fault::killControl, Fault::killAll, Fault::freezeController, Fault::isolateMember, Fault::splitCore,
+        Fault::cutCore, Fault::restartController, Fault::wipeSameAddress, Fault::returnNewAddress, Fault::powerLoss})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {f}));
 }
 
 TEST_CASE("the membership of disks grows, strikes off who is dark and takes back who returns", "[membership]") {
   std::map<std::string, std::size_t> counts;
-  for (Fault const f : {Fault::growCore, Fault::longAbsence, Fault::wipeSameAddress, Fault::returnNewAddress, Fault::killControl, Fault::freezeController,
-                        Fault::isolateMember, Fault::splitCore, Fault::diskStall, Fault::diskDamage})
+  for (Fault const f :
+       {Fault::growCore, Fault::longAbsence, Fault::wipeSameAddress, Fault::returnNewAddress, Fault::killControl,
+        Fault::freezeController, Fault::isolateMember, Fault::splitCore, Fault::diskStall, Fault::diskDamage})
     for (int const controllers : {3, 4, 6}) {
-      testing::Plan plan = testing::only(static_cast<std::uint64_t>(controllers), {f, Fault::growCore, Fault::longAbsence});
+      testing::Plan plan =
+          testing::only(static_cast<std::uint64_t>(controllers), {f, Fault::growCore, Fault::longAbsence});
       plan.controllers = controllers;
       plan.zones = 4;
       plan.replaceDarkAfter = 3000;
@@ -53,8 +56,8 @@
 }
 
 TEST_CASE("routers are killed, cut, frozen and restarted", "[routers]") {
-  for (Fault const f : {Fault::killRouter, Fault::killHerd, Fault::freezeRouter, Fault::cutZone, Fault::isolateRouter, Fault::oneWayCut,
-                        Fault::lossyNetwork, Fault::restartRouter, Fault::wallClockJump})
+  for (Fault const f : {Fault::killRouter, Fault::killHerd, Fault::freezeRouter, Fault::cutZone, Fault::isolateRouter,
+                        Fault::oneWayCut, Fault::lossyNetwork, Fault::restartRouter, Fault::wallClockJump})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {f}));
 }
 
@@ -64,8 +67,9 @@
 }
 
 TEST_CASE("replicas crash, go dark, vanish, slow down and are replaced; callers crowd", "[replicas]") {
-  for (Fault const f : {Fault::breakStreams, Fault::breakMany, Fault::replicaCrash, Fault::replicaDark, Fault::replicaVanish, Fault::allSlow, Fault::crowd, Fault::hardRetries,
-                        Fault::rollReplicas, Fault::coldReplicas, Fault::evacuate})
+  for (Fault const f :
+       {Fault::breakStreams, Fault::breakMany, Fault::replicaCrash, Fault::replicaDark, Fault::replicaVanish,
+        Fault::allSlow, Fault::crowd, Fault::hardRetries, Fault::rollReplicas, Fault::coldReplicas, Fault::evacuate})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {f}));
 }
 
@@ -81,12 +85,13 @@
 TEST_CASE("changes storm, race and grow large", "[changes]") {
   for (Fault const f : {Fault::changeStorm, Fault::races, Fault::bigTemplate})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {f}));
-  for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {Fault::races, Fault::splitCore, Fault::killControl}));
+  for (std::uint64_t seed = 1; seed <= 2; ++seed)
+    clean(testing::only(seed, {Fault::races, Fault::splitCore, Fault::killControl}));
 }
 
 TEST_CASE("replicas are replaced while control is killed, cut, split or stalled", "[leaving]") {
-  for (Fault const f : {Fault::killControl, Fault::cutCore, Fault::splitCore, Fault::isolateMember, Fault::diskStall, Fault::killHerd, Fault::freezeRouter,
-                        Fault::isolateRouter, Fault::killAll})
+  for (Fault const f : {Fault::killControl, Fault::cutCore, Fault::splitCore, Fault::isolateMember, Fault::diskStall,
+                        Fault::killHerd, Fault::freezeRouter, Fault::isolateRouter, Fault::killAll})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
       testing::Plan plan = testing::only(seed, {f, Fault::rollReplicas, Fault::killRouter});
       plan.every = 2500;
@@ -94,14 +99,20 @@
     }
 }
 
-TEST_CASE("replicas turn grey and flap, connections are reset and forgotten, machines slow down, replicas join in numbers, a zone loses power, crowds shift", "[grown]") {
+TEST_CASE(
+    "replicas turn grey and flap, connections are reset and forgotten, machines slow down, replicas join in numbers, a "
+    "zone loses power, crowds shift",
+    "[grown]") {
   std::map<std::string, std::size_t> counts;
-  for (Fault const f : {Fault::greyReplicas, Fault::flapReplicas, Fault::resetConnections, Fault::forgetConnections, Fault::slowRouter, Fault::slowController,
-                        Fault::scaleOut, Fault::zoneLoss, Fault::shiftLengths})
+  for (Fault const f :
+       {Fault::greyReplicas, Fault::flapReplicas, Fault::resetConnections, Fault::forgetConnections, Fault::slowRouter,
+        Fault::slowController, Fault::scaleOut, Fault::zoneLoss, Fault::shiftLengths})
     for (std::uint64_t seed = 1; seed <= 2; ++seed)
-      for (std::map<std::string, std::size_t>::value_type const& c : clean(testing::only(seed, {f})).counts) counts[c.first] += c.second;
-  for (char const* happened : {"grey-fates", "replica-failed", "grey-fair", "reset-callers", "reset-streams", "forgotten-connections", "slowed-events",
-                               "joined", "lost-zones", "long-prompts", "long-answers"}) {
+      for (std::map<std::string, std::size_t>::value_type const& c : clean(testing::only(seed, {f})).counts)
+        counts[c.first] += c.second;
+  for (char const* happened :
+       {"grey-fates", "replica-failed", "grey-fair", "reset-callers", "reset-streams", "forgotten-connections",
+        "slowed-events", "joined", "lost-zones", "long-prompts", "long-answers"}) {
     INFO(happened);
     CHECK(counts[happened] > 0);
   }
@@ -119,7 +130,8 @@
     testing::Result const result = testing::World(cut).run();
     for (std::string const& v : result.violations) std::cerr << routers << " routers: " << v << "\n";
     CHECK(result.violations.empty());
-    CHECK(static_cast<double>(result.counts.at("standing-held")) >= 0.99 * static_cast<double>(result.counts.at("standing-looks")));
+    CHECK(static_cast<double>(result.counts.at("standing-held")) >=
+          0.99 * static_cast<double>(result.counts.at("standing-looks")));
     testing::Plan random = testing::chaos(static_cast<std::uint64_t>(routers));
     random.routers = routers;
     clean(random);
@@ -129,9 +141,12 @@
 TEST_CASE("certificates are declared, raced and revoked while everything fails", "[regimes]") {
   std::map<std::string, std::size_t> counts;
   for (std::vector<Fault> const& faults :
-       std::vector<std::vector<Fault>>{{Fault::killControl, Fault::powerLoss}, {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayCut},
-                                       {Fault::splitCore, Fault::cutCore, Fault::isolateMember}, {Fault::wipeSameAddress, Fault::returnNewAddress},
-                                       {Fault::rollReplicas, Fault::replicaCrash, Fault::breakStreams}, {Fault::evacuate, Fault::coldReplicas},
+       std::vector<std::vector<Fault>>{{Fault::killControl, Fault::powerLoss},
+                                       {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayCut},
+                                       {Fault::splitCore, Fault::cutCore, Fault::isolateMember},
+                                       {Fault::wipeSameAddress, Fault::returnNewAddress},
+                                       {Fault::rollReplicas, Fault::replicaCrash, Fault::breakStreams},
+                                       {Fault::evacuate, Fault::coldReplicas},
                                        {Fault::killHerd, Fault::killAll}})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
       testing::Plan plan = testing::only(seed, faults);
@@ -147,7 +162,8 @@
 TEST_CASE("no request of a regime runs where it may not while everything fails together", "[regimes]") {
   std::map<std::string, std::size_t> counts;
   for (std::uint64_t seed = 1; seed <= 24; ++seed)
-    for (std::map<std::string, std::size_t>::value_type const& c : clean(testing::regimes(seed)).counts) counts[c.first] += c.second;
+    for (std::map<std::string, std::size_t>::value_type const& c : clean(testing::regimes(seed)).counts)
+      counts[c.first] += c.second;
   for (char const* happened : {"revoked", "life-denied", "tales-resumed", "tales-served-after-resume", "change-412"}) {
     INFO(happened);
     CHECK(counts[happened] >= 20);
@@ -162,17 +178,20 @@
     std::vector<Fault> faults;
     char const* says;
   };
-  std::vector<Row> const rows{{Mutation::noFence, {Fault::isolateRouter, Fault::freezeRouter}, "older certificates in force"},
-                              {Mutation::noFence, {Fault::isolateRouter, Fault::freezeRouter}, "was out of force"},
-                              {Mutation::earlyAck, {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayCut}, "older certificates in force"},
-                              {Mutation::ignoreExpiry, {Fault::crowd}, "was out of force"},
-                              {Mutation::skipLife, {Fault::reuseAddress}, "never had a certificate"},
-                              {Mutation::skipLife, {Fault::reuseAddress}, "never on the platform's list"},
-                              {Mutation::resumeAnywhere, {Fault::breakStreams}, "never had a certificate"},
-                              {Mutation::resumeTwice, {Fault::breakStreams}, "resumed more than once"},
-                              {Mutation::eventGap, {Fault::breakStreams}, "a row of events has a gap"},
-                              {Mutation::cutLooksWhole, {Fault::breakStreams}, "a cut row of events looks whole"},
-                              {Mutation::unrecorded, {Fault::crowd}, "without a record"}};
+  std::vector<Row> const rows{
+      {Mutation::noFence, {Fault::isolateRouter, Fault::freezeRouter}, "older certificates in force"},
+      {Mutation::noFence, {Fault::isolateRouter, Fault::freezeRouter}, "was out of force"},
+      {Mutation::earlyAck,
+       {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayCut},
+       "older certificates in force"},
+      {Mutation::ignoreExpiry, {Fault::crowd}, "was out of force"},
+      {Mutation::skipLife, {Fault::reuseAddress}, "never had a certificate"},
+      {Mutation::skipLife, {Fault::reuseAddress}, "never on the platform's list"},
+      {Mutation::resumeAnywhere, {Fault::breakStreams}, "never had a certificate"},
+      {Mutation::resumeTwice, {Fault::breakStreams}, "resumed more than once"},
+      {Mutation::eventGap, {Fault::breakStreams}, "a row of events has a gap"},
+      {Mutation::cutLooksWhole, {Fault::breakStreams}, "a cut row of events looks whole"},
+      {Mutation::unrecorded, {Fault::crowd}, "without a record"}};
   for (Row const& row : rows) {
     bool found = false;
     for (std::uint64_t seed = 1; seed <= 24 && !found; ++seed) {
@@ -181,7 +200,8 @@
       plan.mutation = row.mutation;
       plan.every = 2000;
       plan.demand = 80;
-      for (std::string const& v : testing::World(plan).run().violations) found = found || v.find(row.says) != std::string::npos;
+      for (std::string const& v : testing::World(plan).run().violations)
+        found = found || v.find(row.says) != std::string::npos;
     }
     INFO(row.says << " under mutation " << static_cast<int>(row.mutation));
     CHECK(found);
@@ -189,7 +209,10 @@
 }
 
 TEST_CASE("seeds that once failed", "[kept]") {
-  for (Kept const& k : std::vector<Kept>{{2, {Fault::splitCore}}, {8, {Fault::splitCore}}, {3, {Fault::cutZone}}, {5, {Fault::cutZone}},
+  for (Kept const& k : std::vector<Kept>{{2, {Fault::splitCore}},
+                                         {8, {Fault::splitCore}},
+                                         {3, {Fault::cutZone}},
+                                         {5, {Fault::cutZone}},
                                          {6, {Fault::killHerd}}})
     clean(testing::only(k.seed, k.faults));
   for (std::uint64_t const seed : {89, 107, 126, 1534}) clean(testing::chaos(seed, false));
--- a/transport/include/corkward/transport/link.h
+++ b/transport/include/corkward/transport/link.h
@@ -12,11 +12,11 @@
 
 namespace corkward::transport {
 
-/// Held nng connections between our own processes: one pull socket listens, one push socket per membership member dials.
-/// Messages are handed over on the thread of the object that the link was made for. What cannot be queued is dropped:
-/// every protocol above repeats itself.
-/// A dial to a machine that is down may hang for seconds after that machine is back. So a way that is not connected is
-/// dialled anew when its machine is heard, and so is one that seems connected to an earlier run of its process.
+/// Held nng connections between our own processes: one pull socket listens, one push socket per membership member
+/// dials. Messages are handed over on the thread of the object that the link was made for. What cannot be queued is
+/// dropped: every protocol above repeats itself. A dial to a machine that is down may hang for seconds after that
+/// machine is back. So a way that is not connected is dialled anew when its machine is heard, and so is one that seems
+/// connected to an earlier run of its process.
 class Link {
  public:
   /// Listens at ip:port; port 0 takes a free one. With `listen` it listens there, and is reached by others at `name`.
@@ -38,8 +38,8 @@
   std::size_t held() const { return out_.size(); }
   /// Closes and frees the ways to addresses that were neither sent to nor heard from for so long.
   void sweep(std::chrono::milliseconds idle);
-  /// How long a way that is neither sent on nor heard from is kept. Shuffles go to ever other contacts, so what a process
-  /// holds grows with this and, once the fleet is larger than what is met within it, no more with the fleet.
+  /// How long a way that is neither sent on nor heard from is kept. Shuffles go to ever other contacts, so what a
+  /// process holds grows with this and, once the fleet is larger than what is met within it, no more with the fleet.
   static constexpr std::chrono::seconds idleAfter{20};
 
  private:
@@ -73,4 +73,4 @@
   std::thread thread_;
 };
 
-}  // namespace corkward::signal
+}  // namespace corkward::transport
--- a/transport/include/corkward/transport/message.h
+++ b/transport/include/corkward/transport/message.h
@@ -26,7 +26,10 @@
   std::strong_ordering operator<=>(Ballot const&) const = default;
   bool operator==(Ballot const&) const = default;
   template <class F>
-  void each(F& f) { f("n", n); f("m", member); }
+  void each(F& f) {
+    f("n", n);
+    f("m", member);
+  }
 };
 
 /// Key -> newest revision.
@@ -48,9 +51,13 @@
 class Bits {
  public:
   void set(std::size_t place);
-  bool has(std::size_t place) const { return place / 8 < bytes_.size() && (static_cast<unsigned char>(bytes_[place / 8]) >> (place % 8) & 1U) != 0; }
+  bool has(std::size_t place) const {
+    return place / 8 < bytes_.size() && (static_cast<unsigned char>(bytes_[place / 8]) >> (place % 8) & 1U) != 0;
+  }
   template <class F>
-  void each(F& f) { f("b", bytes_); }
+  void each(F& f) {
+    f("b", bytes_);
+  }
 
  private:
   std::string bytes_;
@@ -62,10 +69,15 @@
   std::uint64_t revision = 0;
   QJsonObject value;
   template <class F>
-  void each(F& f) { f("k", key); f("s", revision); f("v", value); }
+  void each(F& f) {
+    f("k", key);
+    f("s", revision);
+    f("v", value);
+  }
 };
 
-/// Role of a router in `Contact::role`. The text is what earlier releases send, so that mixed releases understand each other.
+/// Role of a router in `Contact::role`. The text is what earlier releases send, so that mixed releases understand each
+/// other.
 inline constexpr char const* routerRole = "nacelle";
 /// Role of a controller in `Contact::role`, as earlier releases send it.
 inline constexpr char const* controllerRole = "substation";
@@ -80,7 +92,15 @@
   std::int64_t age = 0;
   bool draining = false;
   template <class F>
-  void each(F& f) { f("l", link); f("h", http); f("r", role); f("z", zone); f("i", inc); f("a", age); f("d", draining); }
+  void each(F& f) {
+    f("l", link);
+    f("h", http);
+    f("r", role);
+    f("z", zone);
+    f("i", inc);
+    f("a", age);
+    f("d", draining);
+  }
 };
 
 /// Contacts of others and of the sender itself.
@@ -92,7 +112,12 @@
   std::uint64_t roster = 0;
   std::vector<std::uint64_t> known = {};
   template <class F>
-  void each(F& f) { f("c", contacts); f("r", reply); f("t", roster); f("k", known); }
+  void each(F& f) {
+    f("c", contacts);
+    f("r", reply);
+    f("t", roster);
+    f("k", known);
+  }
 };
 
 /// Asks a member to promise an epoch of a key.
@@ -102,7 +127,12 @@
   std::string member;
   std::uint64_t membership = 0;
   template <class F>
-  void each(F& f) { f("k", key); f("e", ballot); f("m", member); f("c", membership); }
+  void each(F& f) {
+    f("k", key);
+    f("e", ballot);
+    f("m", member);
+    f("c", membership);
+  }
 };
 
 struct Promise {
@@ -116,7 +146,14 @@
   QJsonObject value;
   template <class F>
   void each(F& f) {
-    f("k", key); f("e", ballot); f("m", member); f("o", ok); f("p", promised); f("a", acceptedBallot); f("s", revision); f("v", value);
+    f("k", key);
+    f("e", ballot);
+    f("m", member);
+    f("o", ok);
+    f("p", promised);
+    f("a", acceptedBallot);
+    f("s", revision);
+    f("v", value);
   }
 };
 
@@ -128,7 +165,14 @@
   std::uint64_t revision = 0;
   QJsonObject value;
   template <class F>
-  void each(F& f) { f("k", key); f("e", ballot); f("m", member); f("c", membership); f("s", revision); f("v", value); }
+  void each(F& f) {
+    f("k", key);
+    f("e", ballot);
+    f("m", member);
+    f("c", membership);
+    f("s", revision);
+    f("v", value);
+  }
 };
 
 struct Accepted {
@@ -139,7 +183,14 @@
   bool ok = false;
   Ballot promised;
   template <class F>
-  void each(F& f) { f("k", key); f("e", ballot); f("m", member); f("s", revision); f("o", ok); f("p", promised); }
+  void each(F& f) {
+    f("k", key);
+    f("e", ballot);
+    f("m", member);
+    f("s", revision);
+    f("o", ok);
+    f("p", promised);
+  }
 };
 
 /// Tells that an item is on a majority of the disks.
@@ -147,7 +198,10 @@
   Ballot ballot;
   Item item;
   template <class F>
-  void each(F& f) { f("e", ballot); f("i", item); }
+  void each(F& f) {
+    f("e", ballot);
+    f("i", item);
+  }
 };
 
 /// Names the receiver as the successor of a key's owner.
@@ -155,7 +209,10 @@
   std::string key;
   Ballot ballot;
   template <class F>
-  void each(F& f) { f("k", key); f("e", ballot); }
+  void each(F& f) {
+    f("k", key);
+    f("e", ballot);
+  }
 };
 
 /// Standing of one membership member, sent to the others.
@@ -177,12 +234,21 @@
   Revisions owned;
   template <class F>
   void each(F& f) {
-    f("t", tick); f("m", member); f("e", empty); f("v", voting); f("c", membership); f("s", caughtUp); f("cv", membershipValue); f("k", known); f("d", owns); f("o", owned);
+    f("t", tick);
+    f("m", member);
+    f("e", empty);
+    f("v", voting);
+    f("c", membership);
+    f("s", caughtUp);
+    f("cv", membershipValue);
+    f("k", known);
+    f("d", owns);
+    f("o", owned);
   }
 };
 
-/// Word of a machine that serves operators without a disk, to a disk that has not joined yet: it founds nothing and is never
-/// a member.
+/// Word of a machine that serves operators without a disk, to a disk that has not joined yet: it founds nothing and is
+/// never a member.
 struct NoDisk {
   template <class F>
   void each(F&) {}
@@ -201,7 +267,15 @@
   /// The asker's keys are not known here as it owns them now.
   bool wantOwned = false;
   template <class F>
-  void each(F& f) { f("t", tick); f("m", member); f("v", voting); f("d", digest); f("a", accepted); f("h", higher); f("w", wantOwned); }
+  void each(F& f) {
+    f("t", tick);
+    f("m", member);
+    f("v", voting);
+    f("d", digest);
+    f("a", accepted);
+    f("h", higher);
+    f("w", wantOwned);
+  }
 };
 
 /// One slot of a member's write-ahead log, for a member that copies.
@@ -212,7 +286,13 @@
   std::uint64_t revision = 0;
   QJsonObject value;
   template <class F>
-  void each(F& f) { f("k", key); f("p", promised); f("a", acceptedBallot); f("s", revision); f("v", value); }
+  void each(F& f) {
+    f("k", key);
+    f("p", promised);
+    f("a", acceptedBallot);
+    f("s", revision);
+    f("v", value);
+  }
 };
 
 /// Asks for a value that is on a majority, or, when copying, for all slots that are newer than the asker's.
@@ -224,7 +304,13 @@
   /// The asker's slots without their values.
   std::vector<Slot> have = {};
   template <class F>
-  void each(F& f) { f("k", key); f("c", copy); f("m", member); f("n", membership); f("h", have); }
+  void each(F& f) {
+    f("k", key);
+    f("c", copy);
+    f("m", member);
+    f("n", membership);
+    f("h", have);
+  }
 };
 
 struct Copy {
@@ -233,7 +319,11 @@
   std::uint64_t membership = 0;
   std::vector<Slot> slots;
   template <class F>
-  void each(F& f) { f("m", member); f("n", membership); f("s", slots); }
+  void each(F& f) {
+    f("m", member);
+    f("n", membership);
+    f("s", slots);
+  }
 };
 
 struct Call {
@@ -245,7 +335,15 @@
   bool dryRun = false;
   std::string body;
   template <class F>
-  void each(F& f) { f("t", token); f("m", method); f("p", path); f("i", ifMatch); f("c", changeId); f("d", dryRun); f("b", body); }
+  void each(F& f) {
+    f("t", token);
+    f("m", method);
+    f("p", path);
+    f("i", ifMatch);
+    f("c", changeId);
+    f("d", dryRun);
+    f("b", body);
+  }
 };
 
 struct CallResponse {
@@ -253,7 +351,11 @@
   int status = 0;
   QJsonObject body;
   template <class F>
-  void each(F& f) { f("t", token); f("s", status); f("b", body); }
+  void each(F& f) {
+    f("t", token);
+    f("s", status);
+    f("b", body);
+  }
 };
 
 /// A numbered push of changes down one link.
@@ -262,7 +364,11 @@
   bool whole = false;
   std::vector<Item> items;
   template <class F>
-  void each(F& f) { f("n", number); f("w", whole); f("i", items); }
+  void each(F& f) {
+    f("n", number);
+    f("w", whole);
+    f("i", items);
+  }
 };
 
 /// What a router has in force of the keys that the news named, and a digest of all that it has; told to the
@@ -274,7 +380,13 @@
   Revisions revisions;
   Digest digest;
   template <class F>
-  void each(F& f) { f("n", number); f("l", link); f("i", inc); f("s", revisions); f("d", digest); }
+  void each(F& f) {
+    f("n", number);
+    f("l", link);
+    f("i", inc);
+    f("s", revisions);
+    f("d", digest);
+  }
 };
 
 /// Which routers have a key under that revision or a newer one.
@@ -283,7 +395,11 @@
   std::uint64_t revision = 0;
   Bits routers;
   template <class F>
-  void each(F& f) { f("k", key); f("s", revision); f("b", routers); }
+  void each(F& f) {
+    f("k", key);
+    f("s", revision);
+    f("b", routers);
+  }
 };
 
 /// What a controller tells the others of the routers that it holds. Bits go by the links of the roster of that revision
@@ -302,7 +418,15 @@
   /// Changes not yet in force as far as the sender knows; wants an answer.
   std::vector<Reached> asked;
   template <class F>
-  void each(F& f) { f("r", roster); f("d", digest); f("h", heard); f("w", whole); f("f", fresh); f("e", reached); f("a", asked); }
+  void each(F& f) {
+    f("r", roster);
+    f("d", digest);
+    f("h", heard);
+    f("w", whole);
+    f("f", fresh);
+    f("e", reached);
+    f("a", asked);
+  }
 };
 
 /// A router asks a controller for a confirmation of its serving lease.
@@ -317,7 +441,14 @@
   /// The same in full, when the controller asked for it.
   Revisions revisions;
   template <class F>
-  void each(F& f) { f("t", tick); f("c", self); f("w", wantWhole); f("y", anyWhole); f("d", digest); f("s", revisions); }
+  void each(F& f) {
+    f("t", tick);
+    f("c", self);
+    f("w", wantWhole);
+    f("y", anyWhole);
+    f("d", digest);
+    f("s", revisions);
+  }
 };
 
 /// A platform's list that is newer than the one in force. It only ever takes away: what it does not name, or names
@@ -328,7 +459,12 @@
   std::vector<std::string> serving;
   std::vector<std::string> cold;
   template <class F>
-  void each(F& f) { f("p", pool); f("g", generation); f("s", serving); f("c", cold); }
+  void each(F& f) {
+    f("p", pool);
+    f("g", generation);
+    f("s", serving);
+    f("c", cold);
+  }
 };
 
 struct Confirm {
@@ -345,7 +481,16 @@
   std::uint64_t roster = 0;
   std::vector<Hint> hints;
   template <class F>
-  void each(F& f) { f("t", tick); f("i", inTouch); f("a", age); f("d", digest); f("s", revisions); f("w", wantRevisions); f("r", roster); f("h", hints); }
+  void each(F& f) {
+    f("t", tick);
+    f("i", inTouch);
+    f("a", age);
+    f("d", digest);
+    f("s", revisions);
+    f("w", wantRevisions);
+    f("r", roster);
+    f("h", hints);
+  }
 };
 
 /// Contact between routers, with what each has in force.
@@ -368,8 +513,17 @@
   std::vector<Hint> hints;
   template <class F>
   void each(F& f) {
-    f("t", tick); f("e", echo); f("w", wantWhole); f("h", whole); f("l", link); f("d", digest); f("s", revisions); f("a", wantAges);
-    f("r", roster); f("g", ages); f("n", hints);
+    f("t", tick);
+    f("e", echo);
+    f("w", wantWhole);
+    f("h", whole);
+    f("l", link);
+    f("d", digest);
+    f("s", revisions);
+    f("a", wantAges);
+    f("r", roster);
+    f("g", ages);
+    f("n", hints);
   }
 };
 
@@ -387,7 +541,13 @@
   /// Name of this run of the asking process, never used again.
   std::string who;
   template <class F>
-  void each(F& f) { f("t", token); f("i", id); f("a", attempt); f("g", age); f("w", who); }
+  void each(F& f) {
+    f("t", token);
+    f("i", id);
+    f("a", attempt);
+    f("g", age);
+    f("w", who);
+  }
 };
 
 struct SeenEcho {
@@ -405,7 +565,15 @@
   /// Who has asked for the id before, by the names of their runs.
   std::vector<std::string> claimants;
   template <class F>
-  void each(F& f) { f("t", token); f("w", who); f("c", clear); f("k", known); f("r", reached); f("m", memory); f("n", claimants); }
+  void each(F& f) {
+    f("t", token);
+    f("w", who);
+    f("c", clear);
+    f("k", known);
+    f("r", reached);
+    f("m", memory);
+    f("n", claimants);
+  }
 };
 
 /// Ids that a leaving router leaves to its successors.
@@ -416,7 +584,11 @@
   bool last = false;
   std::vector<std::string> ids;
   template <class F>
-  void each(F& f) { f("w", who); f("e", last); f("i", ids); }
+  void each(F& f) {
+    f("w", who);
+    f("e", last);
+    f("i", ids);
+  }
 };
 
 /// Asks for, or gives back, the warming duty of a cold replica.
@@ -428,7 +600,14 @@
   bool release = false;
   std::string successor;
   template <class F>
-  void each(F& f) { f("t", tick); f("r", replica); f("l", link); f("i", inc); f("e", release); f("s", successor); }
+  void each(F& f) {
+    f("t", tick);
+    f("r", replica);
+    f("l", link);
+    f("i", inc);
+    f("e", release);
+    f("s", successor);
+  }
 };
 
 struct WarmGrant {
@@ -439,12 +618,19 @@
   std::uint64_t term = 0;
   std::string holder;
   template <class F>
-  void each(F& f) { f("t", tick); f("r", replica); f("m", member); f("o", ok); f("e", term); f("h", holder); }
+  void each(F& f) {
+    f("t", tick);
+    f("r", replica);
+    f("m", member);
+    f("o", ok);
+    f("e", term);
+    f("h", holder);
+  }
 };
 
-using Message = std::variant<Shuffle, Prepare, Promise, Accept, Accepted, Commit, Handover, Heartbeat, HeartbeatEcho, Fetch,
-                             Copy, Call, CallResponse, News, NewsAck, Holding, Ask, Confirm, Hint, Touch, SeenAsk, SeenEcho, SeenLeft,
-                             WarmAsk, WarmGrant, NoDisk>;
+using Message = std::variant<Shuffle, Prepare, Promise, Accept, Accepted, Commit, Handover, Heartbeat, HeartbeatEcho,
+                             Fetch, Copy, Call, CallResponse, News, NewsAck, Holding, Ask, Confirm, Hint, Touch,
+                             SeenAsk, SeenEcho, SeenLeft, WarmAsk, WarmGrant, NoDisk>;
 
 /// Command: send a message to the process that listens at the link address.
 struct Send {
@@ -467,4 +653,4 @@
 /// Name of a message's kind, for logs.
 char const* kind(Message const& message);
 
-}  // namespace corkward::signal
+}  // namespace corkward::transport
--- a/transport/src/link.cpp
+++ b/transport/src/link.cpp
@@ -27,12 +27,16 @@
   return s;
 }
 
-void count(nng_pipe, nng_pipe_ev, void* counter) { ++*static_cast<std::atomic<int>*>(counter); }
+void count(nng_pipe, nng_pipe_ev, void* counter) {
+  ++*static_cast<std::atomic<int>*>(counter);
+}
 
 }  // namespace
 
 Link::Link(QObject* owner, std::string const& name, std::function<void(Envelope)> arrived, std::string const& listen)
-    : owner_(owner), address_(name), arrived_(std::move(arrived)),
+    : owner_(owner),
+      address_(name),
+      arrived_(std::move(arrived)),
       run_(QRandomGenerator::system()->generate()),
       swept_(Clock::now()) {
   std::string const address = listen.empty() ? name : listen;
@@ -144,4 +148,4 @@
   nng_send(socketOf(it->second.socket), bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK);
 }
 
-}  // namespace corkward::signal
+}  // namespace corkward::transport
--- a/transport/src/message.cpp
+++ b/transport/src/message.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr std::array<char const*, 26> kinds{
-    "shuffle", "prepare", "promise", "accept", "accepted", "commit", "handover", "beat",     "beat-echo",
-    "fetch",   "copy",    "call",   "outcome",  "news",   "news-ack", "holding", "ask", "confirm",
+    "shuffle", "prepare", "promise",  "accept",    "accepted",  "commit",   "handover",   "beat",   "beat-echo",
+    "fetch",   "copy",    "call",     "outcome",   "news",      "news-ack", "holding",    "ask",    "confirm",
     "hint",    "touch",   "seen-ask", "seen-echo", "seen-left", "warm-ask", "warm-grant", "no-disk"};
 static_assert(kinds.size() == std::variant_size_v<Message>);
 
@@ -42,24 +42,34 @@
     }
     return out;
   }
-  static QCborValue put(Digest const& v) { return QCborArray{static_cast<qint64>(v.sum), static_cast<qint64>(v.count)}; }
+  static QCborValue put(Digest const& v) {
+    return QCborArray{static_cast<qint64>(v.sum), static_cast<qint64>(v.count)};
+  }
   template <class T>
-    requires requires(T t, Packer p) { t.each(p); }
+  requires requires(T t, Packer p) { t.each(p); }
   static QCborValue put(T const& v) {
     Packer inner;
     const_cast<T&>(v).each(inner);
     return inner.map;
   }
   template <class T>
-  void operator()(char const* name, T& v) { map.insert(QLatin1String(name), put(v)); }
+  void operator()(char const* name, T& v) {
+    map.insert(QLatin1String(name), put(v));
+  }
 };
 
 struct Unpacker {
   QCborMap const& map;
 
   [[noreturn]] static void wrong() { throw Error("field of the wrong type"); }
-  static void get(QCborValue const& c, bool& v) { if (!c.isBool()) wrong(); v = c.toBool(); }
-  static void get(QCborValue const& c, int& v) { if (!c.isInteger()) wrong(); v = static_cast<int>(c.toInteger()); }
+  static void get(QCborValue const& c, bool& v) {
+    if (!c.isBool()) wrong();
+    v = c.toBool();
+  }
+  static void get(QCborValue const& c, int& v) {
+    if (!c.isInteger()) wrong();
+    v = static_cast<int>(c.toInteger());
+  }
   /// No time, revision, epoch or age of ours is below zero or comes near this.
   static constexpr qint64 most = qint64{1} << 53;
   static void get(QCborValue const& c, std::int64_t& v) {
@@ -71,8 +81,14 @@
     get(c, n);
     v = static_cast<std::uint64_t>(n);
   }
-  static void get(QCborValue const& c, std::string& v) { if (!c.isByteArray()) wrong(); v = c.toByteArray().toStdString(); }
-  static void get(QCborValue const& c, QJsonObject& v) { if (!c.isMap()) wrong(); v = c.toMap().toJsonObject(); }
+  static void get(QCborValue const& c, std::string& v) {
+    if (!c.isByteArray()) wrong();
+    v = c.toByteArray().toStdString();
+  }
+  static void get(QCborValue const& c, QJsonObject& v) {
+    if (!c.isMap()) wrong();
+    v = c.toMap().toJsonObject();
+  }
   template <class T>
   static void get(QCborValue const& c, std::vector<T>& v) {
     if (!c.isArray()) wrong();
@@ -93,7 +109,7 @@
     get(c.toArray().at(1), v.count);
   }
   template <class T>
-    requires requires(T t, Unpacker u) { t.each(u); }
+  requires requires(T t, Unpacker u) { t.each(u); }
   static void get(QCborValue const& c, T& v) {
     if (!c.isMap()) wrong();
     QCborMap const inner = c.toMap();
@@ -101,7 +117,9 @@
     v.each(u);
   }
   template <class T>
-  void operator()(char const* name, T& v) { get(map.value(QLatin1String(name)), v); }
+  void operator()(char const* name, T& v) {
+    get(map.value(QLatin1String(name)), v);
+  }
 };
 
 template <std::size_t I = 0>
@@ -137,7 +155,9 @@
   bytes_[place / 8] = static_cast<char>(static_cast<unsigned char>(bytes_[place / 8]) | 1U << (place % 8));
 }
 
-char const* kind(Message const& message) { return kinds[message.index()]; }
+char const* kind(Message const& message) {
+  return kinds[message.index()];
+}
 
 std::string pack(Envelope const& envelope) {
   QCborMap out;
@@ -164,4 +184,4 @@
   return out;
 }
 
-}  // namespace corkward::signal
+}  // namespace corkward::transport
--- a/transport/test/fill.h
+++ b/transport/test/fill.h
@@ -12,7 +12,9 @@
   core::Tick now;
 
   template <class T>
-  void operator()(char const*, T& v) { fill(v); }
+  void operator()(char const*, T& v) {
+    fill(v);
+  }
   void fill(bool& v) { v = rng.chance(0.5); }
   void fill(int& v) { v = static_cast<int>(rng.below(1000)); }
   void fill(std::int64_t& v) { v = static_cast<std::int64_t>(number()); }
@@ -33,16 +35,21 @@
     for (std::uint64_t i = rng.below(3); i > 0; --i) fill(v.emplace_back());
   }
   template <class T>
-    requires requires(T t, Filler f) { t.each(f); }
+  requires requires(T t, Filler f) { t.each(f); }
   void fill(T& v) { v.each(*this); }
 
   std::uint64_t number() {
     switch (rng.below(5)) {
-      case 0: return rng.below(4);
-      case 1: return static_cast<std::uint64_t>(now);
-      case 2: return static_cast<std::uint64_t>(now) + rng.below(100000);
-      case 3: return std::uint64_t{1} << 53;
-      default: return rng.below(1U << 30);
+      case 0:
+        return rng.below(4);
+      case 1:
+        return static_cast<std::uint64_t>(now);
+      case 2:
+        return static_cast<std::uint64_t>(now) + rng.below(100000);
+      case 3:
+        return std::uint64_t{1} << 53;
+      default:
+        return rng.below(1U << 30);
     }
   }
 };
@@ -61,4 +68,4 @@
   }
 }
 
-}  // namespace corkward::signal
+}  // namespace corkward::transport
