--- a/transport/test/transport_test.cpp
+++ b/transport/test/transport_test.cpp
@@ -41,7 +41,8 @@
   CHECK(built == transport::digestOf({{"family:fault", 6}}));
   transport::Confirm c;
   c.digest = transport::digestOf(revisions);
-  CHECK(std::get<transport::Confirm>(transport::unpack(transport::pack(transport::Envelope{"s", c})).message).digest == c.digest);
+  CHECK(std::get<transport::Confirm>(transport::unpack(transport::pack(transport::Envelope{"s", c})).message).digest ==
+        c.digest);
 }
 
 TEST_CASE("random bytes never pass for an envelope and never crash the reader") {
@@ -77,7 +78,8 @@
     if (got.size() == 10) QCoreApplication::quit();
   });
   b = std::make_unique<transport::Link>(&owner, "127.0.0.1:0", [&](transport::Envelope e) {
-    b->send(e.from, transport::SeenEcho{std::get<transport::SeenAsk>(e.message).token, b->address(), true, false, false, 0, {}});
+    b->send(e.from, transport::SeenEcho{
+                        std::get<transport::SeenAsk>(e.message).token, b->address(), true, false, false, 0, {}});
   });
   for (std::uint64_t i = 1; i <= 10; ++i) a.send(b->address(), transport::SeenAsk{i, "x", 2, 0, ""});
   QTimer::singleShot(30000, [] { QCoreApplication::exit(1); });
@@ -139,21 +141,22 @@
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
   a.send(hole.address(), ask);
   CHECK(a.held() == 1);
-  transport::Link early(&owner, hole.address(), [](transport::Envelope) {}, "127.0.0.1:0");
+  transport::Link early(
+      &owner, hole.address(), [](transport::Envelope) {}, "127.0.0.1:0");
   waitFor([&] { return a.redials() > 0; }, [&] { early.send(a.address(), ask); });
   hole.end();
   std::unique_ptr<transport::Link> b;
-  waitFor(
-      [&] { return got > 0; },
-      [&] {
-        try {
-          if (!b) b = std::make_unique<transport::Link>(&owner, hole.address(), [&](transport::Envelope) { ++got; });
-        } catch (transport::Error const&) {
-          return;
-        }
-        b->send(a.address(), ask);
-        a.send(b->address(), ask);
-      });
+  waitFor([&] { return got > 0; },
+          [&] {
+            try {
+              if (!b)
+                b = std::make_unique<transport::Link>(&owner, hole.address(), [&](transport::Envelope) { ++got; });
+            } catch (transport::Error const&) {
+              return;
+            }
+            b->send(a.address(), ask);
+            a.send(b->address(), ask);
+          });
   a.sweep(std::chrono::hours(1));
   CHECK(a.held() == 1);
   a.sweep(std::chrono::milliseconds(0));
@@ -168,17 +171,20 @@
   transport::SeenAsk const ask{1, "x", 2, 0, ""};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
   transport::Link former(&owner, "127.0.0.1:0", [&](transport::Envelope) { ++got; });
-  waitFor([&] { return got > 20; }, [&] {
-    a.send(former.address(), ask);
-    former.send(a.address(), ask);
-  });
+  waitFor([&] { return got > 20; },
+          [&] {
+            a.send(former.address(), ask);
+            former.send(a.address(), ask);
+          });
   CHECK(a.redials() == 0);
-  transport::Link latter(&owner, former.address(), [](transport::Envelope) {}, "127.0.0.1:0");
+  transport::Link latter(
+      &owner, former.address(), [](transport::Envelope) {}, "127.0.0.1:0");
   waitFor([&] { return a.redials() > 0; }, [&] { latter.send(a.address(), ask); });
   std::uint64_t const before = got;
-  waitFor([&] { return got > before + 50; }, [&] {
-    a.send(former.address(), ask);
-    latter.send(a.address(), ask);
-  });
+  waitFor([&] { return got > before + 50; },
+          [&] {
+            a.send(former.address(), ask);
+            latter.send(a.address(), ask);
+          });
   CHECK(a.redials() == 1);
 }
