--- a/consensus/include/corkward/consensus/registers.h
+++ b/consensus/include/corkward/consensus/registers.h
@@ -2,99 +2,17 @@
 
 #include <QJsonObject>
 #include <deque>
-#include <functional>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
-#include <corkward/core/types.h>
+#include <corkward/consensus/types.h>
 #include <corkward/transport/message.h>
 
 namespace corkward::consensus {
 
-using core::Tick;
-using transport::Ballot;
-
-/// An error of the control state.
-class Error : public core::Error {
- public:
-  using core::Error::Error;
-};
-
-/// Key under which the membership of disks itself is kept.
-inline constexpr char const* membershipKey = "cohort";
-
-/// Starting values; the daemon's settings may change them.
-struct Tuning {
-  Tick heartbeatEvery = 150;
-  Tick ownerSilence = 1000;
-  Tick electionSpread = 500;
-  /// After a restart, with a majority voting and no claim of a key: wait before it is campaigned for, and its spread.
-  Tick restartPause = 150;
-  Tick restartSpread = 250;
-  Tick resendEvery = 200;
-  Tick callLimit = 4000;
-  /// A member that has been silent for so long may be replaced, or struck off when three or more are left.
-  Tick replaceDarkAfter = 20000;
-  std::size_t mostMembers = 9;
-  Tick stallAfter = 800;
-};
-
-/// One machine of the membership.
-struct Member {
-  std::string id;
-  std::string link;
-};
-
-/// What a judge says of a call against the current value.
-struct Verdict {
-  bool change = false;
-  QJsonObject value;
-  int status = 200;
-  QJsonObject body;
-};
-
-/// Decides on a call, given the key's current value (revision 0: none yet). Pure.
-using Validator = std::function<Verdict(std::string const& key, std::uint64_t revision, QJsonObject const& value,
-                                        transport::Call const& call)>;
-
-/// Command: write the record and sync it, then report the ticket.
-struct Persist {
-  std::uint64_t ticket = 0;
-  std::string key;
-  std::string payload;
-};
-
-/// A value is on a majority of the disks.
-struct Committed {
-  std::string key;
-  std::uint64_t revision = 0;
-  QJsonObject value;
-};
-
-/// What became of a call that this member's queue held.
-struct Decided {
-  std::uint64_t token = 0;
-  std::string key;
-  /// Revision that the call's change was committed under; 0 when it changed nothing.
-  std::uint64_t revision = 0;
-  int status = 0;
-  QJsonObject body;
-};
-
-/// Commands that one event brought about.
-struct Commands {
-  std::vector<transport::Send> sends;
-  std::vector<Persist> persists;
-  std::vector<Committed> commits;
-  std::vector<Decided> decided;
-  /// Calls that were never proposed here and belong to the key's new owner.
-  std::vector<std::pair<std::string, transport::Call>> reroute;
-  std::vector<core::LogEvent> logEvents;
-};
-
 /// One member of the membership: per-key registers with an owner each, synced on a majority before an answer.
 class Registers {
  public:
@@ -195,49 +113,71 @@
   };
 
   Reg& reg(std::string const& key);
-  bool allSaidOwned() const;
-  /// No other voting member that was heard of late comes before this one in the key's order.
-  bool firstFor(std::string const& key, Tick now) const;
+  bool isMember(std::string const& id) const;
+  bool majority(std::set<std::string> const& yes, std::vector<Member> const& of) const;
+  /// Sends a message; one to this member itself is handled at once.
   void send(Commands& out, Tick now, std::string const& to, transport::Message message);
+  void expireCalls(Commands& out, Tick now, std::string const& key, Reg& r);
+
+  // Records on disk (persistence.cpp).
   void persist(Commands& out, Tick now, std::string const& key, Reg& r);
+  void persistMeta(Commands& out, std::uint64_t ticket, bool voting, std::uint64_t caughtUp);
+  /// Sends once the register's newest record is synced.
   void sendWhenSynced(Commands& out, Tick now, Reg const& r, std::string const& to, transport::Message message);
+  void watchDisk(Commands& out, Tick now);
+
+  // Elections and proposals (proposals.cpp).
   void startElection(Commands& out, Tick now, std::string const& key, Reg& r);
   void stepDown(Commands& out, Tick now, std::string const& key, Reg& r, char const* why);
   void becomeOwner(Commands& out, Tick now, std::string const& key, Reg& r);
   void propose(Commands& out, Tick now, std::string const& key, Reg& r, Proposal proposal);
   void sendProposal(Commands& out, Tick now, std::string const& key, Reg& r);
+  /// Judges queued calls, until one is being proposed.
   void work(Commands& out, Tick now, std::string const& key, Reg& r);
   void chosen(Commands& out, Tick now, std::string const& key, Reg& r);
   void commit(Commands& out, Tick now, transport::Item const& item);
-  void adoptMembership(Commands& out, std::uint64_t revision, QJsonObject const& value, Tick now);
-  void persistMeta(Commands& out, std::uint64_t ticket, bool voting, std::uint64_t caughtUp);
-  void name(Commands& out, std::string id);
-  void leave(Commands& out, Tick now);
-  void firstVote(Commands& out, Tick now);
-  void persistCaughtUp(Commands& out);
-  void catchUp(Commands& out, Tick now);
-  void accepted(Tick now, std::string const& key, Reg const& r);
-  void watchDisk(Commands& out, Tick now);
-  void watchQuorum(Tick now);
-  transport::Heartbeat servingLease(Tick now) const;
-  void heartbeat(Commands& out, Tick now);
-  void readsAnswered(Commands& out, Tick now, std::string const& member, Tick tick, transport::Revisions const& higher);
-  void refreshContact(Other& o);
-  Tick darkFor(Member const& m, Tick now) const;
-  void considerMembership(Commands& out, Tick now);
-  std::vector<Member> nextMembership(std::set<std::string> const& caughtUp, Tick now, core::LogEvent& logEvent) const;
-  void found(Commands& out, Tick now);
-  bool majority(std::set<std::string> const& yes, std::vector<Member> const& of) const;
-  bool isMember(std::string const& id) const;
+  void resend(Commands& out, Tick now, std::string const& key, Reg& r);
+  void considerElection(Commands& out, Tick now, std::string const& key, Reg& r);
+  /// Asks for the committed value of a key that others have a newer one of.
+  void fetchNewer(Commands& out, Tick now, std::string const& key, Reg& r);
+  bool allSaidOwned() const;
+  /// No other voting member that was heard of late comes before this one in the key's order.
+  bool firstFor(std::string const& key, Tick now) const;
   void on(Commands& out, Tick now, std::string const& from, transport::Prepare const& m);
   void on(Commands& out, Tick now, std::string const& from, transport::Promise const& m);
   void on(Commands& out, Tick now, std::string const& from, transport::Accept const& m);
   void on(Commands& out, Tick now, std::string const& from, transport::Accepted const& m);
   void on(Commands& out, Tick now, std::string const& from, transport::Commit const& m);
   void on(Commands& out, Tick now, std::string const& from, transport::Handover const& m);
+
+  // Heartbeats and contact with a majority (heartbeats.cpp).
+  transport::Heartbeat servingLease(Tick now) const;
+  void heartbeat(Commands& out, Tick now);
+  void watchQuorum(Tick now);
+  /// Notes a key whose newest accepted value is not known to be committed.
+  void accepted(Tick now, std::string const& key, Reg const& r);
+  void readsAnswered(Commands& out, Tick now, std::string const& member, Tick tick, transport::Revisions const& higher);
+  void refreshContact(Other& o);
   void on(Commands& out, Tick now, std::string const& from, transport::Heartbeat const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::NoDisk const& m);
   void on(Commands& out, Tick now, std::string const& from, transport::HeartbeatEcho const& m);
+
+  // Membership (membership.cpp).
+  void found(Commands& out, Tick now);
+  void firstVote(Commands& out, Tick now);
+  void adoptMembership(Commands& out, std::uint64_t revision, QJsonObject const& value, Tick now);
+  /// Proposes the next change, if one is due and the set has caught up.
+  void considerMembership(Commands& out, Tick now);
+  std::vector<Member> nextMembership(std::set<std::string> const& caughtUp, Tick now, core::LogEvent& logEvent) const;
+  /// How long a member has been silent, less the time this machine slept, in milliseconds.
+  Tick darkFor(Member const& m, Tick now) const;
+  /// Drops all state after this member was struck off, and takes a fresh id.
+  void leave(Commands& out, Tick now);
+  void name(Commands& out, std::string id);
+  void on(Commands& out, Tick now, std::string const& from, transport::NoDisk const& m);
+
+  // Catching up (catch_up.cpp).
+  void catchUp(Commands& out, Tick now);
+  void persistCaughtUp(Commands& out);
   void on(Commands& out, Tick now, std::string const& from, transport::Fetch const& m);
   void on(Commands& out, Tick now, std::string const& from, transport::Copy const& m);
 
@@ -290,7 +230,4 @@
   std::set<std::string> copies_;
 };
 
-/// Members named in a membership value.
-std::vector<Member> membersOf(QJsonObject const& membershipValue);
-
 }  // namespace corkward::consensus
--- /dev/null
+++ b/consensus/include/corkward/consensus/types.h
@@ -0,0 +1,97 @@
+#pragma once
+
+#include <QJsonObject>
+#include <functional>
+#include <string>
+#include <vector>
+
+#include <corkward/core/types.h>
+#include <corkward/transport/message.h>
+
+namespace corkward::consensus {
+
+using core::Tick;
+using transport::Ballot;
+
+/// An error of the control state.
+class Error : public core::Error {
+ public:
+  using core::Error::Error;
+};
+
+/// Key under which the membership of disks itself is kept.
+inline constexpr char const* membershipKey = "cohort";
+
+/// Starting values; the daemon's settings may change them.
+struct Tuning {
+  Tick heartbeatEvery = 150;
+  Tick ownerSilence = 1000;
+  Tick electionSpread = 500;
+  /// After a restart, with a majority voting and no claim of a key: wait before it is campaigned for, and its spread.
+  Tick restartPause = 150;
+  Tick restartSpread = 250;
+  Tick resendEvery = 200;
+  Tick callLimit = 4000;
+  /// A member that has been silent for so long may be replaced, or struck off when three or more are left.
+  Tick replaceDarkAfter = 20000;
+  std::size_t mostMembers = 9;
+  Tick stallAfter = 800;
+};
+
+/// One machine of the membership.
+struct Member {
+  std::string id;
+  std::string link;
+};
+
+/// What a judge says of a call against the current value.
+struct Verdict {
+  bool change = false;
+  QJsonObject value;
+  int status = 200;
+  QJsonObject body;
+};
+
+/// Decides on a call, given the key's current value (revision 0: none yet). Pure.
+using Validator = std::function<Verdict(std::string const& key, std::uint64_t revision, QJsonObject const& value,
+                                        transport::Call const& call)>;
+
+/// Command: write the record and sync it, then report the ticket.
+struct Persist {
+  std::uint64_t ticket = 0;
+  std::string key;
+  std::string payload;
+};
+
+/// A value is on a majority of the disks.
+struct Committed {
+  std::string key;
+  std::uint64_t revision = 0;
+  QJsonObject value;
+};
+
+/// What became of a call that this member's queue held.
+struct Decided {
+  std::uint64_t token = 0;
+  std::string key;
+  /// Revision that the call's change was committed under; 0 when it changed nothing.
+  std::uint64_t revision = 0;
+  int status = 0;
+  QJsonObject body;
+};
+
+/// Commands that one event brought about.
+struct Commands {
+  std::vector<transport::Send> sends;
+  std::vector<Persist> persists;
+  std::vector<Committed> commits;
+  std::vector<Decided> decided;
+  /// Calls that were never proposed here and belong to the key's new owner.
+  std::vector<std::pair<std::string, transport::Call>> reroute;
+  std::vector<core::LogEvent> logEvents;
+};
+
+/// Members named in a membership value.
+std::vector<Member> membersOf(QJsonObject const& membershipValue);
+
+}  // namespace corkward::consensus
--- /dev/null
+++ b/consensus/src/membership.cpp
@@ -0,0 +1,184 @@
+// The set of members: founding it, changing it by one member at a time, and leaving it.
+// A change is a value of the membership key. It is chosen by a majority of the old and of the new set, and the next one
+// is proposed only when a majority of the set, and each live member of it, has caught up under it (see catch_up.cpp).
+#include <corkward/consensus/registers.h>
+#include <QJsonArray>
+#include <algorithm>
+#include <corkward/core/json.h>
+#include "records.h"
+
+namespace corkward::consensus {
+
+std::vector<Member> membersOf(QJsonObject const& membershipValue) {
+  std::vector<Member> out;
+  for (QJsonValue const v : membershipValue.value("members").toArray()) {
+    QJsonObject const o = v.toObject();
+    out.push_back(Member{core::str(o.value("id").toString()), core::str(o.value("link").toString())});
+  }
+  return out;
+}
+
+QJsonObject membershipJson(std::vector<Member> const& members) {
+  QJsonArray list;
+  for (Member const& m : members) list.append(QJsonObject{{"id", core::qstr(m.id)}, {"link", core::qstr(m.link)}});
+  return QJsonObject{{"members", list}};
+}
+
+void Registers::leave(Commands& out, Tick now) {
+  out.logEvents.push_back(core::LogEvent{"struck-off", {{"member", self_.id}}});
+  for (std::map<std::string, Reg>::value_type& r : regs_) {
+    stepDown(out, now, r.first, r.second, "struck off");
+    for (Pending const& p : r.second.queue)
+      out.decided.push_back(Decided{
+          p.call.token, r.first, 0, 503, {{"error", "not accepted"}, {"reason", "this member was struck off"}}});
+  }
+  regs_.clear();
+  unsure_.clear();
+  deferred_.clear();
+  copies_.clear();
+  founders_.clear();
+  leaving_ = false;
+  voting_ = false;
+  empty_ = true;
+  catchUpTicket_ = 0;
+  caughtUp_ = 0;
+  name(out, freshId_ + "." + std::to_string(++freshIds_));
+}
+
+void Registers::firstVote(Commands& out, Tick now) {
+  Reg& r = reg(membershipKey);
+  if (r.revision == 0) {
+    r.acceptedBallot = Ballot{1, membership_.front().id};
+    r.promised = std::max(r.promised, r.acceptedBallot);
+    r.revision = 1;
+    r.value = membershipJson(membership_);
+    r.highest = std::max<std::uint64_t>(r.highest, 1);
+    r.ownerHeard = now;
+    r.unowned = true;
+    accepted(now, membershipKey, r);
+    persist(out, now, membershipKey, r);
+  }
+  persistCaughtUp(out);
+}
+
+void Registers::adoptMembership(Commands& out, std::uint64_t revision, QJsonObject const& value, Tick now) {
+  std::vector<Member> const members = membersOf(value);
+  if (revision <= membershipRevision_ || members.empty()) return;
+  membershipRevision_ = revision;
+  membership_ = members;
+  copies_.clear();
+  copyAskedAt_ = -1;
+  std::erase_if(others_, [&](std::map<std::string, Other>::value_type const& o) { return !isMember(o.first); });
+  for (Member const& m : membership_) {
+    Other& o = others_[m.id];
+    o.link = m.link;
+    if (o.heard == 0) o.heard = now;
+  }
+  if (!isMember(self_.id)) {
+    leaving_ = !empty_;
+    return;
+  }
+  empty_ = false;
+  std::uint64_t const ticket = nextTicket_++;
+  out.persists.push_back(Persist{
+      ticket, configRecord,
+      core::jsonText(QJsonObject{{"s", static_cast<qint64>(revision)}, {"v", value}, {"i", core::qstr(self_.id)}})});
+  writing_[ticket] = now;
+  if (revision == 1 && !voting_ && catchUpTicket_ == 0) firstVote(out, now);
+}
+
+void Registers::found(Commands& out, Tick now) {
+  std::set<std::string> links(founders_.begin(), founders_.end());
+  for (std::string const& link : noDisk_) links.erase(link);
+  if (nameTicket_ != 0 || diskFailed_ || membershipRevision_ > 0 || links.count(self_.link) == 0) return;
+  std::vector<Member> members;
+  for (std::string const& link : links) {
+    Member seen = link == self_.link ? self_ : Member{};
+    for (std::map<std::string, Newcomer>::value_type const& n : newcomers_)
+      if (n.second.link == link && n.second.empty && now - n.second.heard < 3 * tuning_.heartbeatEvery)
+        seen = Member{n.first, link};
+    if (seen.id.empty()) return;
+    members.push_back(seen);
+  }
+  out.logEvents.push_back(core::LogEvent{"found-cohort", {{"members", std::to_string(members.size())}}});
+  adoptMembership(out, 1, membershipJson(members), now);
+  heartbeatAt_ = 0;
+}
+
+Tick Registers::darkFor(Member const& m, Tick now) const {
+  std::map<std::string, Other>::const_iterator const it = others_.find(m.id);
+  return m.id == self_.id || it == others_.end() ? 0 : now - std::max(it->second.heard, wokeAt_);
+}
+
+void Registers::considerMembership(Commands& out, Tick now) {
+  std::map<std::string, Reg>::iterator const it = regs_.find(membershipKey);
+  if (it == regs_.end() || it->second.role != Role::owner || it->second.proposal || !it->second.queue.empty()) return;
+  std::map<std::string, Committed>::const_iterator const have = committed_.find(membershipKey);
+  if (have == committed_.end() || have->second.revision != membershipRevision_) return;
+  std::set<std::string> ready;
+  for (Member const& m : membership_) {
+    Other const& o = others_[m.id];
+    if (m.id == self_.id ? caughtUp_ == membershipRevision_ : o.voting && o.caughtUp == membershipRevision_)
+      ready.insert(m.id);
+    else if (darkFor(m, now) < tuning_.ownerSilence)
+      return;
+  }
+  if (!majority(ready, membership_)) return;
+  core::LogEvent logEvent;
+  std::vector<Member> const next = nextMembership(ready, now, logEvent);
+  if (next.empty()) return;
+  out.logEvents.push_back(logEvent);
+  Proposal p;
+  p.revision = membershipRevision_ + 1;
+  p.value = membershipJson(next);
+  propose(out, now, membershipKey, it->second, std::move(p));
+}
+
+std::vector<Member> Registers::nextMembership(std::set<std::string> const& caughtUp, Tick now,
+                                              core::LogEvent& logEvent) const {
+  Member const* darkest = nullptr;
+  for (Member const& m : membership_)
+    if (darkFor(m, now) > tuning_.replaceDarkAfter && (darkest == nullptr || darkFor(*darkest, now) < darkFor(m, now)))
+      darkest = &m;
+  std::optional<Member> come;
+  Member const* gone = nullptr;
+  for (std::map<std::string, Newcomer>::value_type const& n : newcomers_) {
+    if (!n.second.empty || isMember(n.first)) continue;
+    std::vector<Member>::const_iterator const there =
+        std::find_if(membership_.begin(), membership_.end(), [&](Member const& m) { return m.link == n.second.link; });
+    if (there != membership_.end() && darkFor(*there, now) <= tuning_.ownerSilence) continue;
+    if (there == membership_.end() && come) continue;
+    come = Member{n.first, n.second.link};
+    gone = there == membership_.end() ? darkest : &*there;
+    if (there != membership_.end()) break;
+  }
+  std::vector<Member> next;
+  if (come && gone != nullptr) {
+    logEvent = core::LogEvent{"replace-member", {{"old", gone->id}, {"new", come->id}, {"link", come->link}}};
+    for (Member const& m : membership_) next.push_back(m.id == gone->id ? *come : m);
+  } else if (come && membership_.size() < tuning_.mostMembers) {
+    logEvent = core::LogEvent{"add-member", {{"new", come->id}, {"link", come->link}}};
+    next = membership_;
+    next.push_back(*come);
+  } else if (darkest != nullptr && membership_.size() > 3) {
+    logEvent = core::LogEvent{"strike-member", {{"old", darkest->id}, {"link", darkest->link}}};
+    for (Member const& m : membership_) {
+      if (m.id == darkest->id) continue;
+      if (caughtUp.count(m.id) == 0 || darkFor(m, now) > tuning_.ownerSilence) return {};
+      next.push_back(m);
+    }
+  }
+  return next;
+}
+
+void Registers::on(Commands&, Tick, std::string const& from, transport::NoDisk const&) {
+  if (std::find(founders_.begin(), founders_.end(), from) != founders_.end()) noDisk_.insert(from);
+}
+
+void Registers::name(Commands& out, std::string id) {
+  self_.id = std::move(id);
+  nameTicket_ = nextTicket_++;
+  persistMeta(out, nameTicket_, false, 0);
+}
+
+}  // namespace corkward::consensus
