--- a/transport/include/corkward/transport/link.h
+++ b/transport/include/corkward/transport/link.h
@@ -9,14 +9,14 @@
 #include <thread>
 
 #include <corkward/transport/message.h>
+#include <corkward/transport/way_health.h>
 
 namespace corkward::transport {
 
 /// Held nng connections between our own processes: one pull socket listens, one push socket per membership member
 /// dials. Messages are handed over on the thread of the object that the link was made for. What cannot be queued is
-/// dropped: every protocol above repeats itself. A dial to a machine that is down may hang for seconds after that
-/// machine is back. So a way that is not connected is dialled anew when its machine is heard, and so is one that seems
-/// connected to an earlier run of its process.
+/// dropped: every protocol above repeats itself. A connection, or an attempt at one, that met a cut or a machine that
+/// is down may hang for as long again once that is over; WayHealth says when it is closed and dialled anew.
 class Link {
  public:
   /// Listens at ip:port; port 0 takes a free one. With `listen` it listens there, and is reached by others at `name`.
@@ -46,19 +46,17 @@
   using Clock = std::chrono::steady_clock;
   struct Out {
     std::uint32_t socket = 0;
-    Clock::time_point dialled;
     Clock::time_point used;
-    /// How long a dial may take; twice as long after each that did not connect.
-    std::chrono::milliseconds patience{300};
-    /// Run of the process that was last heard there, and how often the way had been connected by then.
-    std::uint64_t run = 0;
-    int connectsThen = 0;
+    WayHealth health;
     /// Written by nng's threads until the socket is closed.
     std::atomic<int> connects{0};
     std::atomic<int> disconnects{0};
+    bool connected() const { return connects > disconnects; }
   };
   bool dial(std::string const& to, Out& way);
-  void heard(std::string const& from, std::uint64_t run);
+  /// Closes the way's connection and dials anew; false when that failed and the way is gone.
+  bool redial(std::map<std::string, Out>::iterator way);
+  void heard(std::string const& from, std::uint64_t run, std::uint32_t pipe);
   void receive();
   QObject* owner_;
   std::string address_;
--- a/transport/src/link.cpp
+++ b/transport/src/link.cpp
@@ -13,8 +13,6 @@
 
 constexpr std::size_t maxFrame = 16U << 20;
 constexpr int queued = 256;
-constexpr std::chrono::milliseconds redialAfter{300};
-constexpr std::chrono::milliseconds redialMost{4800};
 constexpr std::chrono::seconds sweepEvery{5};
 
 void check(int rv, char const* what) {
@@ -27,6 +25,11 @@
   return s;
 }
 
+core::Tick clockNow() {
+  std::chrono::steady_clock::duration const since = std::chrono::steady_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
+}
+
 void count(nng_pipe, nng_pipe_ev, void* counter) {
   ++*static_cast<std::atomic<int>*>(counter);
 }
@@ -67,17 +70,17 @@
 
 void Link::receive() {
   while (!stopping_) {
-    void* data = nullptr;
-    std::size_t size = 0;
-    if (nng_recv(socketOf(pull_), &data, &size, NNG_FLAG_ALLOC) != 0) continue;
-    std::string const bytes(static_cast<char const*>(data), size);
-    nng_free(data, size);
+    nng_msg* message = nullptr;
+    if (nng_recvmsg(socketOf(pull_), &message, 0) != 0) continue;
+    std::string const bytes(static_cast<char const*>(nng_msg_body(message)), nng_msg_len(message));
+    std::uint32_t const pipe = nng_msg_get_pipe(message).id;
+    nng_msg_free(message);
     try {
       Envelope envelope = unpack(bytes);
       QMetaObject::invokeMethod(
           owner_,
-          [this, envelope = std::move(envelope)]() {
-            heard(envelope.from, envelope.run);
+          [this, pipe, envelope = std::move(envelope)]() {
+            heard(envelope.from, envelope.run, pipe);
             arrived_(envelope);
           },
           Qt::QueuedConnection);
@@ -93,8 +96,7 @@
   way.socket = s.id;
   way.connects = 0;
   way.disconnects = 0;
-  way.connectsThen = 0;
-  way.dialled = Clock::now();
+  way.health.dialled(clockNow());
   nng_pipe_notify(s, NNG_PIPE_EV_ADD_POST, count, &way.connects);
   nng_pipe_notify(s, NNG_PIPE_EV_REM_POST, count, &way.disconnects);
   nng_socket_set_int(s, NNG_OPT_SENDBUF, queued);
@@ -105,25 +107,20 @@
   return false;
 }
 
-void Link::heard(std::string const& from, std::uint64_t run) {
+bool Link::redial(std::map<std::string, Out>::iterator way) {
+  ++redials_;
+  nng_close(socketOf(way->second.socket));
+  if (dial(way->first, way->second)) return true;
+  out_.erase(way);
+  return false;
+}
+
+void Link::heard(std::string const& from, std::uint64_t run, std::uint32_t pipe) {
   std::map<std::string, Out>::iterator const it = out_.find(from);
   if (it == out_.end()) return;
   Out& way = it->second;
   way.used = Clock::now();
-  bool const connected = way.connects > way.disconnects;
-  bool const toEarlierRun = way.run != 0 && way.run != run && way.connects == way.connectsThen;
-  if (connected && !toEarlierRun) {
-    way.run = run;
-    way.connectsThen = way.connects;
-    way.patience = redialAfter;
-    return;
-  }
-  if (way.used - way.dialled <= way.patience) return;
-  way.run = run;
-  way.patience = std::min(2 * way.patience, redialMost);
-  ++redials_;
-  nng_close(socketOf(way.socket));
-  if (!dial(from, way)) out_.erase(it);
+  if (way.health.staleAtHeard(clockNow(), way.connected(), way.connects, run, pipe)) redial(it);
 }
 
 void Link::sweep(std::chrono::milliseconds idle) {
@@ -143,9 +140,12 @@
     out_.erase(it);
     return;
   }
-  it->second.used = now;
+  Out& way = it->second;
+  if (way.health.staleAtSend(clockNow(), way.connected()) && !redial(it)) return;
+  way.used = now;
   std::string bytes = pack(Envelope{address_, message, run_});
-  nng_send(socketOf(it->second.socket), bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK);
+  way.health.sent(clockNow(), expectsAnswer(message), bytes.size());
+  nng_send(socketOf(way.socket), bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK);
 }
 
 }  // namespace corkward::transport
--- a/transport/test/transport_test.cpp
+++ b/transport/test/transport_test.cpp
@@ -1,6 +1,8 @@
 #include <catch2/catch.hpp>
 
 #include <QCoreApplication>
+#include <QTcpServer>
+#include <QTcpSocket>
 #include <QTimer>
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -188,3 +190,64 @@
           });
   CHECK(a.redials() == 1);
 }
+
+namespace {
+
+/// A path to a peer. A cut leaves the connections made before it open but carrying nothing, as lost packets leave them
+/// waiting for TCP's retransmission timers; those made after it are passed on again.
+class CutPath {
+ public:
+  explicit CutPath(std::string const& to) : peer_(QString::fromStdString(to)) {
+    REQUIRE(server_.listen(QHostAddress::LocalHost));
+    QObject::connect(&server_, &QTcpServer::newConnection, [this] { accept(); });
+  }
+  std::string address() const { return "127.0.0.1:" + std::to_string(server_.serverPort()); }
+  void cut() { ++cuts_; }
+
+ private:
+  void accept() {
+    QTcpSocket* const near = server_.nextPendingConnection();
+    QTcpSocket* const far = new QTcpSocket(near);
+    QStringList const parts = peer_.split(':');
+    far->connectToHost(parts[0], parts[1].toUShort());
+    int const madeAfter = cuts_;
+    QObject::connect(near, &QTcpSocket::readyRead, far, [this, near, far, madeAfter] {
+      if (madeAfter == cuts_) far->write(near->readAll());
+    });
+    QObject::connect(far, &QTcpSocket::readyRead, near, [this, near, far, madeAfter] {
+      if (madeAfter == cuts_) near->write(far->readAll());
+    });
+  }
+
+  QString peer_;
+  QTcpServer server_;
+  int cuts_ = 0;
+};
+
+}  // namespace
+
+TEST_CASE("a dial that hangs and whose peer is silent is made anew by itself") {
+  int argc = 0;
+  QCoreApplication app(argc, nullptr);
+  QObject owner;
+  BlackHole const hole;
+  transport::Ask const ask{};
+  transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
+  waitFor([&] { return a.redials() >= 2; }, [&] { a.send(hole.address(), ask); });
+}
+
+TEST_CASE("a connection on which a cut left its messages waiting is replaced, and the next one carries them") {
+  int argc = 0;
+  QCoreApplication app(argc, nullptr);
+  QObject owner;
+  int got = 0;
+  transport::Ask const ask{};
+  transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
+  transport::Link b(&owner, "127.0.0.1:0", [&](transport::Envelope) { ++got; });
+  CutPath path(b.address());
+  waitFor([&] { return got > 0; }, [&] { a.send(path.address(), ask); });
+  path.cut();
+  int const before = got;
+  waitFor([&] { return got > before; }, [&] { a.send(path.address(), ask); });
+  CHECK(a.redials() == 1);
+}
