--- a/config/include/corkward/config/config.h
+++ b/config/include/corkward/config/config.h
@@ -138,10 +138,13 @@
 using RegimeFaultOf = std::function<std::string(std::string const& regime, std::string const& pool)>;
 
 /// Checks a family (a template and all its instances) as one value; throws Error at the first fault.
-/// Every kept value may carry "changes", the ids of the last accepted changes.
+/// Every kept value may carry "changes", the ids of the last accepted changes, and "taken", the digests of many more.
 /// Family: {"template": {"spec", "revision"}, "instances": {name: {"spec", "revision"}}, "changes": [...]}.
 void checkFamily(QJsonObject const& family, PoolKnown const& known, RegimeFaultOf const& regimeFault);
 
+/// A kept value without what it remembers of its changes.
+QJsonObject withoutHistory(QJsonObject value);
+
 /// Paths of all instances of a family. The family must be a checked one.
 std::vector<Path> render(std::string const& templateName, QJsonObject const& family);
 
--- a/config/src/config.cpp
+++ b/config/src/config.cpp
@@ -256,9 +256,14 @@
   return out;
 }
 
-Pool keptPool(QJsonObject value) {
+QJsonObject withoutHistory(QJsonObject value) {
   value.remove("changes");
-  return readPool(value);
+  value.remove("taken");
+  return value;
+}
+
+Pool keptPool(QJsonObject value) {
+  return readPool(withoutHistory(std::move(value)));
 }
 
 QJsonObject poolJson(Pool const& pool) {
--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -203,7 +203,7 @@
   core::Journal journal_;
   /// Calls by which lists that were read are on their way to the disks, by pool.
   std::map<std::string, std::uint64_t> listCalls_;
-  std::uint64_t nextCall_ = 1;
+  std::uint64_t nextCall_;
   std::map<std::uint64_t, CallState> calls_;
   std::vector<Force> forces_;
   std::map<std::string, Settling> settling_;
--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -14,6 +14,7 @@
 
 constexpr char const* rosterKey = "roster";
 constexpr char const* rosterMethod = "ROSTER";
+constexpr char const* zonePrefix = "zone:";
 constexpr std::size_t maxCalls = 4096;
 constexpr std::size_t maxLeases = 4096;
 constexpr std::size_t maxAsked = 32;
@@ -28,6 +29,12 @@
   return body;
 }
 
+/// Number of a life's first call, drawn by lot from 2^52. Relayed calls carry their number and their answers come back
+/// by it, so an answer meant for a call of a former life of this process must find none of that number in this one.
+std::uint64_t firstCall(std::uint64_t seed) {
+  return (core::Rng(seed ^ 0x9b).next() >> 12) + 1;
+}
+
 bool isChange(std::string const& method) {
   return method == "PUT" || method == "PATCH" || method == "DELETE";
 }
@@ -42,7 +49,8 @@
           consensus::Member{std::move(memberId), self.link}, std::move(founders),
           [this](std::string const& key, std::uint64_t revision, QJsonObject const& value,
                  transport::Call const& call) { return validator(key, revision, value, call, around()); },
-          seed ^ 0x77, tuning.registers) {}
+          seed ^ 0x77, tuning.registers),
+      nextCall_(firstCall(seed)) {}
 
 Around Controller::around() const {
   Around out;
@@ -161,7 +169,7 @@
   std::optional<Target> const target = targetOf(call.path);
   bool const pool = target && target->key.rfind("pool:", 0) == 0;
   bool const whole = target && target->key == config::wholeKey;
-  bool const patched = target && !pool && target->key.rfind("zone:", 0) != 0;
+  bool const patched = target && !pool && target->key.rfind(zonePrefix, 0) != 0;
   bool const known = call.method == "GET" || call.method == "PUT" || (call.method == "DELETE" && !pool && !whole) ||
                      (call.method == "PATCH" && patched);
   bool const node = target && target->key == rosterKey;
@@ -181,6 +189,7 @@
     state.key = target->key;
     state.call = call;
     state.call.token = id;
+    if (target->key.rfind(zonePrefix, 0) == 0) state.call.ifMatch = std::to_string(committedRevision(target->key));
     state.since = now;
     calls_[id] = state;
     if (call.method == "PUT" && pool && !call.dryRun) {
@@ -214,7 +223,7 @@
     std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find(key);
     QJsonObject const next = config::poolJson(p.second);
     QJsonObject have = it == registers_.committed().end() ? QJsonObject() : it->second.value;
-    have.remove("changes");
+    have = config::withoutHistory(have);
     have.remove("generation");
     QJsonObject bare = next;
     bare.remove("generation");
--- a/control/src/validator.cpp
+++ b/control/src/validator.cpp
@@ -4,6 +4,7 @@
 #include <vector>
 
 #include <corkward/config/config.h>
+#include <corkward/control/change_history.h>
 #include <corkward/core/json.h>
 
 namespace corkward::control {
@@ -55,9 +56,10 @@
   return out;
 }
 
-QString digestOf(transport::Call const& call) {
-  return QString::number(core::stableHash(call.method + " " + call.path + " " + bare(call.ifMatch) + " " + call.body),
-                         16);
+/// Digest by which a reused change id shows. The base of an order on a zone is no operator's and no part of it.
+QString digestOf(std::string const& key, transport::Call const& call) {
+  std::string const base = key.rfind("zone:", 0) == 0 ? "" : bare(call.ifMatch);
+  return QString::number(core::stableHash(call.method + " " + call.path + " " + base + " " + call.body), 16);
 }
 
 QJsonObject readBody(transport::Call const& call) {
@@ -66,8 +68,41 @@
   return v.toObject();
 }
 
-Verdict validateFamily(std::uint64_t revision, QJsonObject const& family, transport::Call const& call,
+/// Body of a change; a call that takes something away has none.
+QJsonObject changeBody(transport::Call const& call) {
+  return call.method == "DELETE" ? QJsonObject() : readBody(call);
+}
+
+/// Answer to a call by what its key remembers of its changes: taken, or not known any more; nothing: it was not taken.
+/// @param newest highest base that a change of the key can be built on now
+std::optional<Verdict> validatePast(std::uint64_t revision, std::uint64_t newest, transport::Call const& call,
+                                    std::string const& digest, QJsonObject const& value) {
+  bool isNumber = false;
+  std::uint64_t const base = core::qstr(bare(call.ifMatch)).toULongLong(&isNumber);
+  ChangeHistory const history(value, newest);
+  switch (history.outcomeOf(digest, isNumber ? base : newest)) {
+    case PastOutcome::taken:
+      return replay(200, revision - history.changesSince(digest), call.changeId);
+    case PastOutcome::notTaken:
+      return std::nullopt;
+    case PastOutcome::forgotten:
+      break;
+  }
+  return reject(503, "outcome not remembered",
+                "built on " + bare(call.ifMatch) +
+                    ", older than all changes that are remembered; read what is in place and build on that");
+}
+
+/// The key's history with one more change, which was built on its newest base.
+QJsonObject historyWith(QJsonObject const& value, std::uint64_t newest, std::string const& digest) {
+  ChangeHistory history(value, newest);
+  history.append(digest, newest);
+  return history.json();
+}
+
+Verdict validateFamily(std::uint64_t revision, QJsonObject const& value, transport::Call const& call,
                        Around const& around) {
+  QJsonObject const family = config::withoutHistory(value);
   Target const target = *targetOf(call.path);
   bool const ofInstance = !target.instance.empty();
   QJsonObject const instances = family.value("instances").toObject();
@@ -88,18 +123,23 @@
   if (call.ifMatch.empty())
     return reject(428, "revision missing",
                   "say If-Match with the revision the change was built on, 0 to make a new one");
-  if (bare(call.ifMatch) != std::to_string(have)) return stale(call, have);
-  if (call.method != "PUT" && have == 0)
-    return reject(404, "not found", "no such " + std::string(ofInstance ? "instance" : "template"));
-  if (ofInstance && !family.contains("template")) return reject(404, "not found", "no such template");
   qint64 const next = static_cast<qint64>(revision) + 1;
   QJsonObject changed = family;
+  QJsonObject body;
   try {
+    body = changeBody(call);
+    std::optional<Verdict> const past =
+        validatePast(revision, revision, call, orderDigest(call, body, call.changeId), value);
+    if (past && (past->status == 200 || bare(call.ifMatch) != std::to_string(have))) return *past;
+    if (bare(call.ifMatch) != std::to_string(have)) return stale(call, have);
+    if (call.method != "PUT" && have == 0)
+      return reject(404, "not found", "no such " + std::string(ofInstance ? "instance" : "template"));
+    if (ofInstance && !family.contains("template")) return reject(404, "not found", "no such template");
     QJsonObject fresh;
     if (call.method == "PUT")
-      fresh = QJsonObject{{"spec", readBody(call)}, {"stamp", next}};
+      fresh = QJsonObject{{"spec", body}, {"stamp", next}};
     else if (call.method == "PATCH")
-      fresh = QJsonObject{{"spec", core::mergePatch(current.value("spec"), readBody(call))}, {"stamp", next}};
+      fresh = QJsonObject{{"spec", core::mergePatch(current.value("spec"), body)}, {"stamp", next}};
     if (ofInstance) {
       QJsonObject all = instances;
       if (call.method == "DELETE")
@@ -132,6 +172,7 @@
   }
   v.change = true;
   v.value = changed;
+  v.value.insert(ChangeHistory::field, historyWith(value, revision, orderDigest(call, body, call.changeId)));
   return v;
 }
 
@@ -147,6 +188,17 @@
   return v;
 }
 
+/// A call on the whole configuration that was built on another version than the newest one.
+Verdict validatePastWhole(std::uint64_t revision, transport::Call const& call, std::string const& digest,
+                          qint64 version, QJsonObject const& current) {
+  qint64 const have = current.value("spec").toObject().value("version").toInteger();
+  std::optional<Verdict> past = validatePast(revision, static_cast<std::uint64_t>(have), call, digest, current);
+  if (past && past->status == 200) past->body.insert("version", version);
+  if (past) return *past;
+  std::string const reason = "built on " + bare(call.ifMatch) + ", but the newest is " + std::to_string(have);
+  return rejectWhole(reject(412, "stale version", reason), revision, have);
+}
+
 /// Upper bound of the whole configuration's text after a change, without writing it out.
 qint64 wholeBytes(QJsonArray const& window, transport::Call const& call) {
   qint64 const before = call.method == "PATCH" ? window.last().toObject().value("bytes").toInteger(maxWholeBody) : 0;
@@ -172,10 +224,9 @@
     qint64 const version = next.value("version").toInteger();
     if (call.method == "PUT" && version == have && have > 0 && next == spec)
       return replayWhole(revision, have, call.changeId);
-    if (bare(call.ifMatch) != std::to_string(have))
-      return rejectWhole(reject(412, "stale version",
-                                "built on " + bare(call.ifMatch) + ", but the newest is " + std::to_string(have)),
-                         revision, have);
+    std::uint64_t const newest = static_cast<std::uint64_t>(have);
+    std::string const digest = orderDigest(call, next, "");
+    if (bare(call.ifMatch) != std::to_string(have)) return validatePastWhole(revision, call, digest, version, current);
     if (call.method == "PATCH" && have == 0) return reject(404, "not found", "no configuration so far");
     if (version <= have)
       return rejectWhole(
@@ -198,7 +249,7 @@
       return v;
     }
     v.change = true;
-    v.value = QJsonObject{{"spec", next}};
+    v.value = QJsonObject{{"spec", next}, {ChangeHistory::field, historyWith(current, newest, digest)}};
     return v;
   } catch (core::JsonError const& e) {
     return reject(400, "malformed", e.what(), "/");
@@ -234,6 +285,8 @@
   }
 }
 
+/// An order on a zone names no base. The controller that it came in at says the revision that it knew then, so that an
+/// order which was under way for long is not carried out after a later one.
 Verdict validateZone(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
   bool const have = current.value("evacuated").toBool();
   if (call.method == "GET") {
@@ -243,6 +296,9 @@
   }
   bool const want = call.method == "PUT";
   if (want == have) return replay(200, revision, call.changeId);
+  if (!call.ifMatch.empty() && bare(call.ifMatch) != std::to_string(revision))
+    return reject(503, "outcome unknown",
+                  "the zone was changed after this order came in; send it again if it still holds");
   Verdict v;
   v.change = !call.dryRun;
   v.value = QJsonObject{{"evacuated", want}};
@@ -283,10 +339,14 @@
   if (!revokes && call.ifMatch.empty())
     return reject(428, "revision missing",
                   "say If-Match with the revision the change was built on, 0 when there are none so far");
-  if (!call.ifMatch.empty() && bare(call.ifMatch) != std::to_string(revision))
-    return stale(call, static_cast<qint64>(revision));
-  if (call.method != "PUT" && revision == 0) return reject(404, "not found", "no certificates so far");
   try {
+    QJsonObject const body = changeBody(call);
+    std::string const digest = orderDigest(call, body, call.changeId);
+    bool const elsewhere = !call.ifMatch.empty() && bare(call.ifMatch) != std::to_string(revision);
+    std::optional<Verdict> const past = validatePast(revision, revision, call, digest, current);
+    if (past && (past->status == 200 || elsewhere)) return *past;
+    if (elsewhere) return stale(call, static_cast<qint64>(revision));
+    if (call.method != "PUT" && revision == 0) return reject(404, "not found", "no certificates so far");
     QJsonObject next = spec;
     if (revokes) {
       QJsonObject all = spec.value("certificates").toObject();
@@ -294,7 +354,7 @@
       all.remove(core::qstr(name));
       next.insert("certificates", all);
     } else {
-      next = call.method == "PUT" ? readBody(call) : core::mergePatch(spec, readBody(call)).toObject();
+      next = call.method == "PUT" ? body : core::mergePatch(spec, body).toObject();
     }
     std::vector<config::RegimeFault> const faults = uncovered(config::readRegimes(next), around);
     if (!revokes && !faults.empty())
@@ -310,7 +370,7 @@
       for (config::RegimeFault const& f : faults) lines.append(core::qstr(f.reason));
       v.body.insert("uncovered", lines);
     }
-    v.value = QJsonObject{{"spec", next}};
+    v.value = QJsonObject{{"spec", next}, {ChangeHistory::field, historyWith(current, revision, digest)}};
     v.change = !call.dryRun;
     if (call.dryRun) {
       v.status = 200;
@@ -416,28 +476,27 @@
     if (call.method == "GET" || call.dryRun || call.changeId.empty() ||
         o.value("id").toString() != core::qstr(call.changeId))
       continue;
-    if (o.value("digest").toString() != digestOf(call))
+    if (o.value("digest").toString() != digestOf(key, call))
       return reject(409, "change id reused", "the id " + call.changeId + " stands for another change");
     Verdict again =
         replay(o.value("status").toInt(), static_cast<std::uint64_t>(o.value("stamp").toInteger()), call.changeId);
     if (o.contains("version")) again.body.insert("version", o.value("version"));
     return again;
   }
-  QJsonObject bare = value;
-  bare.remove("changes");
-  Verdict v = key.rfind("family:", 0) == 0  ? validateFamily(revision, bare, call, around)
+  QJsonObject const bare = config::withoutHistory(value);
+  Verdict v = key.rfind("family:", 0) == 0  ? validateFamily(revision, value, call, around)
               : key.rfind("pool:", 0) == 0  ? validatePool(revision, bare, call)
               : key.rfind("zone:", 0) == 0  ? validateZone(revision, bare, call)
               : key.rfind("alert:", 0) == 0 ? validateAlert(revision, bare, call)
               : key == "roster"             ? validateRoster(revision, bare, call)
-              : key == config::regimesKey   ? validateRegimes(revision, bare, call, around)
+              : key == config::regimesKey   ? validateRegimes(revision, value, call, around)
               : key == config::wholeKey     ? validateWhole(revision, value, call)
                                             : reject(404, "not found", "no such key");
   if (!v.change) return v;
   bool const whole = key == config::wholeKey;
   if (whole || !call.changeId.empty()) {
     QJsonObject entry{{"id", core::qstr(call.changeId)},
-                      {"digest", digestOf(call)},
+                      {"digest", digestOf(key, call)},
                       {"status", v.status},
                       {"stamp", static_cast<qint64>(revision) + 1}};
     if (whole) {
--- /dev/null
+++ b/control/test/resend_test.cpp
@@ -0,0 +1,283 @@
+#include <catch2/catch.hpp>
+
+#include <QJsonArray>
+#include <string>
+#include <vector>
+
+#include <corkward/config/config.h>
+#include <corkward/core/json.h>
+#include <corkward/control/validator.h>
+
+#include "operators.h"
+
+namespace core = corkward::core;
+namespace transport = corkward::transport;
+namespace consensus = corkward::consensus;
+namespace config = corkward::config;
+namespace control = corkward::control;
+using control::Membership;
+using control::page;
+using control::patchOf;
+using control::Rig;
+using control::spec;
+
+namespace {
+
+/// The whole configuration's register without disks or links: calls are judged and taken one after the other.
+struct Register {
+  std::uint64_t revision = 0;
+  QJsonObject value;
+
+  consensus::Verdict call(transport::Call const& call) {
+    consensus::Verdict const v =
+        control::validator(config::wholeKey, revision, value, call, {[](std::string const&) { return true; }});
+    if (v.change) {
+      ++revision;
+      value = v.value;
+    }
+    return v;
+  }
+};
+
+transport::Call order(char const* method, QJsonObject const& body, qint64 base, std::string const& id) {
+  transport::Call c;
+  c.method = method;
+  c.path = page;
+  c.body = core::jsonText(body);
+  c.ifMatch = std::to_string(base);
+  c.changeId = id;
+  return c;
+}
+
+/// Orders of an operator, each on top of the one before; every third replaces the whole.
+transport::Call orderOn(qint64 base, QString const& by = "") {
+  std::string const id = core::str(by) + std::to_string(base);
+  std::vector<std::string> const names{"p" + std::to_string(base % 7)};
+  return base % 3 == 0 ? order("PUT", spec(base + 1, names, by), base, id)
+                       : order("PATCH", patchOf(base + 1, names, by), base, id);
+}
+
+bool acknowledged(int status) {
+  return status == 200 || status == 201;
+}
+
+}  // namespace
+
+TEST_CASE("an order sent again is acknowledged however many changes came between, another under its number is not") {
+  constexpr qint64 most = 1000;
+  Register r;
+  for (qint64 base = 0; base < most; ++base) REQUIRE(acknowledged(r.call(orderOn(base)).status));
+  int refused = 0;
+  int confused = 0;
+  for (qint64 base = 0; base < most; ++base) {
+    consensus::Verdict const again = r.call(orderOn(base));
+    refused += acknowledged(again.status) ? 0 : 1;
+    CHECK_FALSE(again.change);
+    confused += r.call(orderOn(base, "other")).status == 412 ? 0 : 1;
+  }
+  CHECK(refused == 0);
+  CHECK(confused == 0);
+  CHECK(r.revision == most);
+}
+
+TEST_CASE("beyond what is remembered an order gets no clear answer, and a version that never was is refused") {
+  constexpr qint64 most = 5000;
+  constexpr qint64 atLeast = 1024;
+  Register r;
+  for (qint64 base = 0; base < most; ++base) REQUIRE(acknowledged(r.call(orderOn(base)).status));
+  std::map<int, int> answers;
+  for (qint64 base = 0; base < most; ++base) {
+    consensus::Verdict const again = r.call(orderOn(base));
+    CHECK_FALSE(again.change);
+    ++answers[again.status];
+    if (base >= most - atLeast) CHECK(acknowledged(again.status));
+    int const other = r.call(orderOn(base, "other")).status;
+    CHECK(other == (again.status == 503 ? 503 : 412));
+  }
+  CHECK(answers[200] + answers[201] >= atLeast);
+  CHECK(answers[200] + answers[201] + answers[503] == most);
+  CHECK(r.call(order("PUT", spec(most + 9), most + 5, "x")).status == 412);
+  CHECK(r.call(order("PUT", spec(most + 9), most, "y")).status == 200);
+  CHECK(r.call(order("PUT", spec(most + 20), most + 4, "z")).status == 412);
+}
+
+TEST_CASE("a register that an earlier release kept refuses none of the changes of that time") {
+  Register r;
+  for (qint64 base = 0; base < 100; ++base) REQUIRE(acknowledged(r.call(orderOn(base)).status));
+  r.value.remove("taken");
+  for (qint64 base = 100; base < 110; ++base) REQUIRE(acknowledged(r.call(orderOn(base)).status));
+  for (qint64 base = 0; base < 110; ++base) {
+    int const status = r.call(orderOn(base)).status;
+    CHECK((acknowledged(status) || (status == 503 && base < 100)));
+    CHECK_FALSE(acknowledged(r.call(orderOn(base, "other")).status));
+  }
+}
+
+TEST_CASE("the order of fields and white space are no part of an order, a field that nobody knows is") {
+  Register r;
+  REQUIRE(acknowledged(r.call(orderOn(0)).status));
+  transport::Call first = order("PATCH", patchOf(5, {"b"}, "one"), 1, "a");
+  REQUIRE(r.call(first).status == 200);
+  REQUIRE(r.call(order("PATCH", patchOf(6, {"c"}), 5, "b")).status == 200);
+  transport::Call spaced = first;
+  spaced.changeId = "c";
+  spaced.body = R"( { "version" : 5,
+    "extra": {"by":"one"}, "set": {"paths":[ {"pool":"big","name":"b","host":"h","prefix":"/b/","kind":"once","deadlineMs":3000} ]} } )";
+  CHECK(r.call(spaced).status == 200);
+  transport::Call other = first;
+  other.changeId = "d";
+  QJsonObject body = patchOf(5, {"b"}, "one");
+  body.insert("extra", QJsonObject{{"by", "one"}, {"moons", 1}});
+  other.body = core::jsonText(body);
+  CHECK(r.call(other).status == 412);
+  other.body = spaced.body;
+  other.ifMatch = "4";
+  CHECK(r.call(other).status == 412);
+  CHECK(r.revision == 3);
+}
+
+TEST_CASE("changes of a family and certificates that are sent again are acknowledged after hundreds of others") {
+  for (std::string const target : {"/v1/templates/t", "/v1/certificates"}) {
+    bool const family = target == "/v1/templates/t";
+    std::string const key = control::targetOf(target)->key;
+    std::uint64_t revision = 0;
+    QJsonObject value;
+    control::Around around{[](std::string const&) { return true; }};
+    around.regimes = [] { return config::Regimes{}; };
+    around.regimeUses = [] { return std::vector<config::RegimeUse>{}; };
+    auto const call = [&](std::uint64_t base, std::string const& by) {
+      transport::Call c;
+      c.method = "PUT";
+      c.path = target;
+      c.ifMatch = std::to_string(base);
+      c.changeId = by + std::to_string(base);
+      c.body = family ? R"({"paths":[{"path":"a","pool":"big","class":"short"}],"note":")" + c.changeId + "\"}"
+                      : R"({"regimes":{"h)" + c.changeId + R"(":{"nacelles":"any"}},"certificates":{}})";
+      consensus::Verdict const v = control::validator(key, revision, value, c, around);
+      if (v.change) value = v.value;
+      revision += v.change ? 1 : 0;
+      return v;
+    };
+    INFO(target);
+    consensus::Verdict const first = call(0, "a");
+    INFO(core::jsonText(first.body));
+    REQUIRE(acknowledged(first.status));
+    for (std::uint64_t base = 1; base < 300; ++base) REQUIRE(acknowledged(call(base, "a").status));
+    for (std::uint64_t base = 0; base < 300; ++base) {
+      CHECK(acknowledged(call(base, "a").status));
+      CHECK(call(base, "b").status == 412);
+    }
+    CHECK(revision == 300);
+  }
+}
+
+TEST_CASE("an answer to a call of a process that was killed is none to a call of the next one") {
+  Membership c(5);
+  c.calm = true;
+  c.run(4000);
+  transport::Call first = order("PUT", spec(5), 0, "first");
+  c.changes["first"] = Membership::Change{"first", first, true, 0, 0};
+  c.send(c.changes["first"]);
+  c.run(3000);
+  std::string relay;
+  for (char const* const link : {"s1", "s2", "s3"})
+    if (c.members[link].reducer->registers().ownerLink(config::wholeKey, c.now) != link) relay = link;
+  REQUIRE_FALSE(relay.empty());
+  auto const relayed = [&](std::uint64_t token) {
+    transport::Call call = order("PUT", spec(50), 49, "never");
+    call.token = token;
+    control::Commands const out = c.members[relay].reducer->operatorCall(c.now, call);
+    for (transport::Send const& s : out.sends)
+      if (transport::Call const* const sent = std::get_if<transport::Call>(&s.message)) return sent->token;
+    return std::uint64_t{0};
+  };
+  std::uint64_t const before = relayed(9001);
+  c.start(relay);
+  c.run(2000);
+  std::uint64_t const after = relayed(9002);
+  REQUIRE((before != 0 && after != 0));
+  CHECK(before != after);
+  control::Commands const out =
+      c.members[relay].reducer->arrived(c.now, "s9", transport::CallResponse{before, 200, {{"version", 50}}});
+  CHECK(out.answers.empty());
+}
+
+TEST_CASE("an order to evacuate that was relayed late is not carried out after it was lifted") {
+  Membership c(6);
+  c.calm = true;
+  c.run(4000);
+  std::vector<transport::Call> relayed;
+  auto const begin = [&](char const* method, std::string const& link) {
+    transport::Call call;
+    call.method = method;
+    call.path = "/v1/evacuations/z1";
+    call.token = 8000 + relayed.size();
+    return c.members[link].reducer->operatorCall(c.now, call);
+  };
+  c.take("s1", begin("DELETE", "s1"));
+  c.run(2000);
+  std::string owner;
+  for (char const* const link : {"s1", "s2", "s3"})
+    if (c.members[link].reducer->registers().owns("zone:z1")) owner = link;
+  if (owner.empty()) {
+    c.take("s1", begin("PUT", "s1"));
+    c.run(2000);
+    c.take("s1", begin("DELETE", "s1"));
+    c.run(2000);
+    for (char const* const link : {"s1", "s2", "s3"})
+      if (c.members[link].reducer->registers().owns("zone:z1")) owner = link;
+  }
+  REQUIRE_FALSE(owner.empty());
+  std::string const relay = owner == "s1" ? "s2" : "s1";
+  auto const evacuated = [&] {
+    return c.members[owner].reducer->registers().committed().at("zone:z1").value.value("evacuated").toBool();
+  };
+  control::Commands out = begin("PUT", relay);
+  transport::Call late;
+  for (transport::Send const& s : out.sends)
+    if (transport::Call const* const sent = std::get_if<transport::Call>(&s.message)) late = *sent;
+  REQUIRE(late.method == "PUT");
+  c.take(relay, std::move(out));
+  c.run(1000);
+  CHECK(evacuated());
+  c.take(owner, begin("DELETE", owner));
+  c.run(1000);
+  CHECK_FALSE(evacuated());
+  late.token += 1000;
+  c.take(owner, c.members[owner].reducer->arrived(c.now, relay, late));
+  c.run(2000);
+  CHECK_FALSE(evacuated());
+  c.take(relay, begin("PUT", relay));
+  c.run(1000);
+  CHECK(evacuated());
+}
+
+TEST_CASE("every acknowledged change sent again at the end is acknowledged, after failovers and replaced members") {
+  for (std::uint64_t seed = 21; seed <= 24; ++seed) {
+    INFO("seed " << seed);
+    Membership c(seed);
+    std::size_t replaced = 0;
+    while (c.now < 60000) {
+      c.step();
+      if (c.now > 4000 && c.rng.chance(0.12)) c.operate();
+      if (c.now > 6000 && c.rng.chance(0.001))
+        c.start(std::next(c.members.begin(), static_cast<std::ptrdiff_t>(c.rng.below(3)))->first);
+      if (c.now > 6000 && c.now % 9000 == 0)
+        c.wipe(std::next(c.members.begin(), static_cast<std::ptrdiff_t>(replaced++ % 3))->first);
+    }
+    c.calm = true;
+    c.run(15000);
+    CHECK(replaced >= 3);
+    CHECK(c.chain.size() > 200);
+    std::size_t const revisions = c.chain.size();
+    CHECK(c.resendTaken() > 100);
+    c.run(10000);
+    for (std::map<std::string, Membership::Change>::value_type const& k : c.changes) {
+      if (!acknowledged(k.second.status)) continue;
+      INFO(k.first << " on " << k.second.call.ifMatch);
+      CHECK(acknowledged(k.second.last));
+    }
+    CHECK(c.chain.size() == revisions);
+    c.validator();
+  }
+}
--- a/control/test/whole_test.cpp
+++ b/control/test/whole_test.cpp
@@ -7,39 +7,22 @@
 #include <corkward/core/json.h>
 #include <corkward/control/validator.h>
 
-#include "rig.h"
+#include "operators.h"
 
 namespace core = corkward::core;
 namespace transport = corkward::transport;
 namespace consensus = corkward::consensus;
 namespace config = corkward::config;
 namespace control = corkward::control;
+using control::Membership;
+using control::page;
+using control::patchOf;
+using control::pathRow;
 using control::Rig;
+using control::spec;
 
 namespace {
 
-constexpr char const* page = "/v1/blueprint";
-
-QJsonObject pathRow(std::string const& name, std::string const& pool = "big") {
-  return QJsonObject{{"name", core::qstr(name)}, {"host", "h"},        {"prefix", core::qstr("/" + name + "/")},
-                     {"kind", "once"},           {"deadlineMs", 3000}, {"pool", core::qstr(pool)}};
-}
-
-QJsonObject spec(qint64 version, std::vector<std::string> const& paths = {"a"}, QString const& by = "") {
-  QJsonArray rows;
-  for (std::string const& p : paths) rows.append(pathRow(p));
-  return QJsonObject{{"version", version},
-                     {"paths", rows},
-                     {"pools", QJsonArray{QJsonObject{{"name", "big"}}}},
-                     {"extra", QJsonObject{{"by", by}}}};
-}
-
-QJsonObject patchOf(qint64 version, std::vector<std::string> const& paths, QString const& by = "") {
-  QJsonArray rows;
-  for (std::string const& p : paths) rows.append(pathRow(p));
-  return QJsonObject{{"version", version}, {"set", QJsonObject{{"paths", rows}}}, {"extra", QJsonObject{{"by", by}}}};
-}
-
 /// Calls on the page of the whole configuration, each waited for.
 struct Desk {
   Rig rig;
@@ -91,7 +74,7 @@
   CHECK(d.call("DELETE", "", "9") == 405);
   CHECK(d.version() == 9);
   QJsonObject const kept = d.rig.reducer.registers().committed().at(config::wholeKey).value;
-  CHECK(kept.keys() == QStringList{"changes", "spec"});
+  CHECK(kept.keys() == QStringList{"changes", "spec", "taken"});
   std::uint64_t const asked = d.rig.call("GET", "/v1/changes/second");
   CHECK((d.rig.statusOf(asked) == 200 && d.rig.answers[asked].body.value("version").toInteger() == 9));
 }
@@ -274,194 +257,6 @@
   }
 }
 
-namespace {
-
-/// Three members with links that lose, repeat and delay, disks that take their time, and processes that die.
-struct Membership {
-  struct Member {
-    std::unique_ptr<control::Controller> reducer;
-    std::map<std::string, std::string> disk;
-    std::uint64_t life = 0;
-    std::uint64_t seen = 0;
-  };
-  struct Event {
-    std::string to;
-    std::uint64_t life = 0;
-    std::function<control::Commands(control::Controller&)> run;
-  };
-  /// One change as an operator sent it.
-  struct Change {
-    std::string id;
-    transport::Call call;
-    bool valid = true;
-    int status = 0;
-  };
-
-  core::Rng rng;
-  core::Tick now = 1000;
-  std::map<std::string, Member> members;
-  std::multimap<core::Tick, Event> events;
-  std::map<std::string, Change> changes;
-  std::map<std::uint64_t, std::string> byToken;
-  std::map<std::uint64_t, qint64> reads;
-  std::map<std::uint64_t, QJsonObject> chain;
-  std::uint64_t token = 1;
-  qint64 newestRead = 0;
-  bool calm = false;
-
-  explicit Membership(std::uint64_t seed) : rng(seed) {
-    for (char const* link : {"s1", "s2", "s3"}) start(link);
-  }
-  void start(std::string const& link) {
-    Member& m = members[link];
-    ++m.life;
-    m.seen = 0;
-    control::Tuning tuning;
-    tuning.awaitInForce = false;
-    m.reducer = std::make_unique<control::Controller>(Rig::contact(link, transport::controllerRole),
-                                                      "m" + link + std::to_string(m.life), std::vector<std::string>{},
-                                                      std::vector<std::string>{"s1", "s2", "s3"}, rng.next(), tuning);
-    take(link, m.reducer->restore(m.disk, false, now));
-  }
-  void later(core::Tick how, std::string const& to, std::function<control::Commands(control::Controller&)> run) {
-    events.emplace(now + how, Event{to, members[to].life, std::move(run)});
-  }
-  void take(std::string const& link, control::Commands&& c) {
-    Member& m = members[link];
-    for (consensus::Persist const& p : c.persists) {
-      std::uint64_t const life = m.life;
-      later(1 + static_cast<core::Tick>(rng.below(15)), link, [this, link, life, p](control::Controller& reducer) {
-        members[link].disk[p.key] = p.payload;
-        return reducer.written(now, p.ticket, true);
-      });
-    }
-    for (transport::Send const& s : c.sends) {
-      if (members.count(s.to) == 0) continue;
-      for (int copies = !calm && rng.chance(0.05) ? 0 : !calm && rng.chance(0.03) ? 2 : 1; copies > 0; --copies) {
-        transport::Message const message = s.message;
-        events.emplace(now + 1 + static_cast<core::Tick>(rng.below(20)),
-                       Event{s.to, 0, [this, link, message](control::Controller& reducer) {
-                               return reducer.arrived(now, link, message);
-                             }});
-      }
-    }
-    for (control::Answer const& a : c.answers) answered(a);
-    std::map<std::string, consensus::Committed> const& all = m.reducer->registers().committed();
-    std::map<std::string, consensus::Committed>::const_iterator const it = all.find(config::wholeKey);
-    if (it == all.end() || it->second.revision == m.seen) return;
-    CHECK(it->second.revision > m.seen);
-    m.seen = it->second.revision;
-    QJsonObject const kept = it->second.value.value("spec").toObject();
-    QJsonObject const known = chain.try_emplace(m.seen, kept).first->second;
-    CHECK(kept == known);
-  }
-  void answered(control::Answer const& a) {
-    std::map<std::uint64_t, std::string>::const_iterator const it = byToken.find(a.token);
-    if (it != byToken.end()) {
-      Change& c = changes.at(it->second);
-      bool const taken = c.status == 200 || c.status == 201;
-      bool const now = a.status == 200 || a.status == 201;
-      CHECK_FALSE((taken && (a.status == 412 || a.status == 422)));
-      if (now || (!taken && a.status < 500)) c.status = a.status;
-    } else if (a.status == 200) {
-      qint64 const version = a.body.value("version").toInteger();
-      CHECK(version >= reads[a.token]);
-      newestRead = std::max(newestRead, version);
-    }
-  }
-  void send(Change const& c) {
-    transport::Call call = c.call;
-    call.token = token++;
-    byToken[call.token] = c.id;
-    std::map<std::string, Member>::iterator const to =
-        std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
-    take(to->first, to->second.reducer->operatorCall(now, call));
-  }
-  void read() {
-    transport::Call call;
-    call.token = token++;
-    call.method = "GET";
-    call.path = page;
-    reads[call.token] = newestRead;
-    std::map<std::string, Member>::iterator const to =
-        std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
-    take(to->first, to->second.reducer->operatorCall(now, call));
-  }
-  void operate() {
-    if (rng.chance(0.3) && !changes.empty()) {
-      send(
-          changes.at("c" + std::to_string(changes.size() - 1 -
-                                          rng.below(std::min<std::size_t>(changes.size(), config::changeWindow / 2)))));
-      return;
-    }
-    Change c;
-    c.id = "c" + std::to_string(changes.size());
-    qint64 const base =
-        chain.empty() || rng.chance(0.1)
-            ? 0
-            : std::prev(chain.end(), chain.size() > 1 && rng.chance(0.2) ? 2 : 1)->second.value("version").toInteger();
-    qint64 const version = base + static_cast<qint64>(rng.below(4));
-    bool const whole = base == 0 || rng.chance(0.3);
-    std::string const name = "p" + std::to_string(rng.below(6));
-    c.valid = version > base;
-    QJsonObject body =
-        whole ? spec(version, {name, "q"}, core::qstr(c.id)) : patchOf(version, {name}, core::qstr(c.id));
-    if (rng.chance(0.1)) {
-      body.insert("surprise", 1);
-      c.valid = false;
-    }
-    c.call.method = whole ? "PUT" : "PATCH";
-    c.call.path = page;
-    c.call.body = core::jsonText(body);
-    c.call.ifMatch = std::to_string(base);
-    c.call.changeId = c.id;
-    changes[c.id] = c;
-    send(c);
-  }
-  void step() {
-    now += 5;
-    while (!events.empty() && events.begin()->first <= now) {
-      Event const e = std::move(events.begin()->second);
-      events.erase(events.begin());
-      Member& m = members[e.to];
-      if (e.life != 0 && e.life != m.life) continue;
-      take(e.to, e.run(*m.reducer));
-    }
-    if (now % 25 == 0)
-      for (std::map<std::string, Member>::value_type& m : members) take(m.first, m.second.reducer->clockEvent(now));
-  }
-  std::string by(QJsonObject const& value) const {
-    return core::str(value.value("extra").toObject().value("by").toString());
-  }
-  void validator() {
-    QJsonObject before;
-    std::uint64_t revision = 0;
-    std::map<std::string, std::string> takenOn;
-    std::set<std::string> inForce;
-    for (std::map<std::uint64_t, QJsonObject>::value_type const& link : chain) {
-      CHECK(link.first == ++revision);
-      Change const& c = changes.at(by(link.second));
-      qint64 const version = link.second.value("version").toInteger();
-      CHECK(version > before.value("version").toInteger());
-      CHECK(c.valid);
-      CHECK(c.call.ifMatch == std::to_string(before.value("version").toInteger()));
-      QJsonObject const said = core::parseJson(c.call.body).toObject();
-      CHECK(link.second == (c.call.method == "PUT" ? said : config::patchWhole(before, said)));
-      CHECK(inForce.insert(c.id).second);
-      before = link.second;
-    }
-    for (std::map<std::string, Change>::value_type const& c : changes) {
-      if (c.second.status == 200 || c.second.status == 201) {
-        CHECK(inForce.count(c.first) == 1);
-        CHECK(takenOn.emplace(c.second.call.ifMatch, c.first).second);
-      }
-      if (c.second.status == 412 || c.second.status == 422) CHECK(inForce.count(c.first) == 0);
-    }
-  }
-};
-
-}  // namespace
-
 TEST_CASE("under random load and failures the whole configuration's version rises by accepted changes alone") {
   std::size_t most = 0;
   std::size_t taken = 0;
