--- a/storage/include/corkward/storage/write_ahead_log.h
+++ b/storage/include/corkward/storage/write_ahead_log.h
@@ -49,6 +49,10 @@
   std::string damage;
 };
 
+/// Renames the files of a damaged log, so that the next one begins empty; the label stands in their names. Only one
+/// such set is kept. Stopped at any point it leaves a log that still reads as damaged, or none. Throws Error.
+void setAside(Folder& folder, std::string const& label);
+
 /// Frames one record: length, CRC-32C, key, payload.
 std::string frame(Record const& record);
 
@@ -57,14 +61,20 @@
  public:
   /// Segments roll at this size.
   WriteAheadLog(Folder& folder, std::uint64_t segmentBytes = 4U << 20);
-  /// Reads the newest snapshot and the segments after it; cuts a torn tail.
+  /// Reads the newest snapshot and the segments after it, cuts a torn tail, and syncs what it read, so that answers may
+  /// rest on it. Removes what older snapshots left. Throws Error when the disk does.
   Recovered recover();
   /// Appends and syncs all records as one write. Throws write-ahead log::Error and is unusable afterwards.
   void write(std::vector<Record> const& records);
   bool failed() const { return failed_; }
 
  private:
+  void readSnapshot(std::uint64_t number, Recovered& out);
+  void readSegments(std::vector<std::uint64_t> const& segments, Recovered& out);
   void snapshot();
+  /// Removes an unfinished snapshot and what is older than the newest one.
+  void removeOld();
+
   Folder& folder_;
   std::uint64_t segmentBytes_;
   std::map<std::string, std::string> slots_;
--- a/storage/src/write_ahead_log.cpp
+++ b/storage/src/write_ahead_log.cpp
@@ -5,6 +5,7 @@
 #include <cstdio>
 #include <cstring>
 #include <string_view>
+#include <utility>
 
 namespace corkward::storage {
 
@@ -79,6 +80,9 @@
   return true;
 }
 
+/// A snapshot that is being written.
+constexpr char const* unfinishedSnapshot = "image.new";
+/// Key of a snapshot's last record.
 constexpr char const* snapshotEnd = "\x01image-end";
 
 }  // namespace
@@ -94,11 +98,30 @@
   return out + body;
 }
 
+void setAside(Folder& folder, std::string const& label) {
+  constexpr char const* prefix = "damaged-";
+  std::vector<std::pair<std::uint64_t, std::string>> files;
+  for (std::string const& name : folder.list()) {
+    std::uint64_t n = 0;
+    if (name.rfind(prefix, 0) == 0)
+      folder.remove(name);
+    else if (numberOf(name, "image", n) || numberOf(name, "segment", n) || name == unfinishedSnapshot)
+      files.emplace_back(n, name);
+  }
+  // From the oldest on, a snapshot before its segment: what is left after each step still lacks or shows the damage.
+  std::sort(files.begin(), files.end());
+  for (std::pair<std::uint64_t, std::string> const& file : files) {
+    folder.rename(file.second, prefix + label + "-" + file.second);
+    folder.syncFolder();
+  }
+}
+
 WriteAheadLog::WriteAheadLog(Folder& folder, std::uint64_t segmentBytes)
     : folder_(folder), segmentBytes_(segmentBytes) {}
 
 Recovered WriteAheadLog::recover() {
   Recovered out;
+  failed_ = true;
   std::uint64_t snapshotNo = 0;
   std::vector<std::uint64_t> segments;
   for (std::string const& name : folder_.list()) {
@@ -107,18 +130,36 @@
     if (numberOf(name, "segment", n)) segments.push_back(n);
   }
   std::sort(segments.begin(), segments.end());
-  if (snapshotNo > 0) {
-    std::string const bytes = folder_.read(numbered("image", snapshotNo));
-    std::size_t const good = readAll(bytes, slots_);
-    if (good != bytes.size() || slots_.erase(snapshotEnd) == 0) {
-      out.damaged = true;
-      out.damage = numbered("image", snapshotNo);
-    }
-  }
   segment_ = std::max<std::uint64_t>(snapshotNo, 1);
+  std::erase_if(segments, [&](std::uint64_t n) { return n < segment_; });
+  if (snapshotNo > 0) readSnapshot(snapshotNo, out);
+  readSegments(segments, out);
+  out.slots = slots_;
+  if (out.damaged) return out;
+  if (snapshotNo == 0 && segments.empty()) {
+    failed_ = false;
+    return out;
+  }
+  // The process before may have ended between a write and its sync. The caller answers from what was read, so it has to
+  // outlive a loss of power from here on.
+  if (!segments.empty()) folder_.sync(numbered("segment", segment_));
+  folder_.syncFolder();
+  removeOld();
+  failed_ = false;
+  return out;
+}
+
+void WriteAheadLog::readSnapshot(std::uint64_t number, Recovered& out) {
+  std::string const bytes = folder_.read(numbered("image", number));
+  std::size_t const good = readAll(bytes, slots_);
+  if (good == bytes.size() && slots_.erase(snapshotEnd) > 0) return;
+  out.damaged = true;
+  out.damage = numbered("image", number);
+}
+
+void WriteAheadLog::readSegments(std::vector<std::uint64_t> const& segments, Recovered& out) {
   std::uint64_t expect = segment_;
   for (std::uint64_t const n : segments) {
-    if (n < segment_) continue;
     if (n != expect) {
       out.damaged = true;
       out.damage = numbered("segment", expect) + " missing";
@@ -127,21 +168,25 @@
     std::string const name = numbered("segment", n);
     std::string const bytes = folder_.read(name);
     std::size_t const good = readAll(bytes, slots_);
-    if (good != bytes.size()) {
-      if (n != segments.back() || wholeBehind(bytes, good)) {
-        out.damaged = true;
-        out.damage = name + " at byte " + std::to_string(good);
-      } else {
-        out.tornTail = true;
-        folder_.truncate(name, good);
-      }
+    bool const torn = good != bytes.size();
+    if (torn && (n != segments.back() || wholeBehind(bytes, good))) {
+      out.damaged = true;
+      out.damage = name + " at byte " + std::to_string(good);
+    } else if (torn) {
+      out.tornTail = true;
+      folder_.truncate(name, good);
     }
-    if (n == segments.back()) size_ = good;
+    size_ = good;
+    segment_ = n;
+  }
+}
+
+void WriteAheadLog::removeOld() {
+  for (std::string const& name : folder_.list()) {
+    std::uint64_t n = 0;
+    bool const numberedName = numberOf(name, "segment", n) || numberOf(name, "image", n);
+    if (name == unfinishedSnapshot || (numberedName && n < segment_)) folder_.remove(name);
   }
-  if (!segments.empty()) segment_ = std::max(segment_, segments.back());
-  out.slots = slots_;
-  failed_ = out.damaged;
-  return out;
 }
 
 void WriteAheadLog::write(std::vector<Record> const& records) {
@@ -168,7 +213,7 @@
   std::string bytes;
   for (std::map<std::string, std::string>::value_type const& s : slots_) bytes += frame(Record{s.first, s.second});
   bytes += frame(Record{snapshotEnd, ""});
-  std::string const fresh = "image.new";
+  std::string const fresh = unfinishedSnapshot;
   for (std::string const& name : folder_.list())
     if (name == fresh) folder_.remove(fresh);
   folder_.append(fresh, bytes);
@@ -177,10 +222,7 @@
   folder_.syncFolder();
   segment_ = next;
   size_ = 0;
-  for (std::string const& name : folder_.list()) {
-    std::uint64_t n = 0;
-    if ((numberOf(name, "segment", n) || numberOf(name, "image", n)) && n < next) folder_.remove(name);
-  }
+  removeOld();
 }
 
 }  // namespace corkward::storage
--- /dev/null
+++ b/storage/test/crash_test.cpp
@@ -0,0 +1,163 @@
+#include <catch2/catch.hpp>
+
+#include "crash_folder.h"
+
+namespace storage = corkward::storage;
+using storage::CrashFolder;
+
+namespace {
+
+constexpr std::uint64_t segmentBytes = 90;
+
+/// What must be on the disk: for each key the number of the newest write that counts, and of the newest that was tried.
+struct Owed {
+  std::map<std::string, int> atLeast;
+  std::map<std::string, int> atMost;
+};
+
+/// Takes what a recovery gave back, which counts from then on: members answer from it.
+void take(Owed& owed, storage::Recovered const& got) {
+  REQUIRE_FALSE(got.damaged);
+  for (std::map<std::string, int>::value_type const& k : owed.atLeast) {
+    INFO(k.first << " must be " << k.second << " or newer");
+    REQUIRE(got.slots.count(k.first) == 1);
+    REQUIRE(std::stoi(got.slots.at(k.first)) >= k.second);
+    REQUIRE(std::stoi(got.slots.at(k.first)) <= owed.atMost.at(k.first));
+  }
+  for (std::map<std::string, std::string>::value_type const& s : got.slots) owed.atLeast[s.first] = std::stoi(s.second);
+}
+
+/// Recovers and writes some records, until the folder stops it.
+Owed live(CrashFolder& folder, Owed owed, int first, int count) {
+  storage::WriteAheadLog log(folder, segmentBytes);
+  try {
+    take(owed, log.recover());
+    for (int i = first; i < first + count; ++i) {
+      std::string const key = i % 3 == 0 ? "a" : "b";
+      owed.atMost[key] = i;
+      log.write({{key, std::to_string(i) + " some text"}});
+      owed.atLeast[key] = i;
+    }
+  } catch (storage::Crash const&) {
+  }
+  return owed;
+}
+
+std::string text(Owed const& owed) {
+  std::string out;
+  for (std::map<std::string, int>::value_type const& k : owed.atLeast) out += k.first + std::to_string(k.second) + ";";
+  return out;
+}
+
+/// Each state in which the folder may be found by the next process.
+std::vector<CrashFolder> ends(CrashFolder const& folder) {
+  std::vector<CrashFolder> out = folder.powerLosses();
+  out.push_back(folder.killed());
+  return out;
+}
+
+/// Lives of a process, each stopped before every operation in turn and begun again from every state that this leaves.
+void everyCrash(CrashFolder const& start, Owed const& owed, int first, int lives, std::set<std::string>& seen) {
+  if (!seen.insert(std::to_string(lives) + start.text() + text(owed)).second) return;
+  if (lives == 0) {
+    CrashFolder folder = start;
+    Owed left = owed;
+    take(left, storage::WriteAheadLog(folder, segmentBytes).recover());
+    return;
+  }
+  int const count = lives == 1 ? 2 : 7;
+  CrashFolder whole = start;
+  live(whole, owed, first, count);
+  for (int stop = 0; stop <= whole.done; ++stop) {
+    CrashFolder folder = start;
+    folder.left = stop;
+    Owed const left = live(folder, owed, first, count);
+    for (CrashFolder const& end : ends(folder)) everyCrash(end, left, first + count, lives - 1, seen);
+  }
+}
+
+}  // namespace
+
+TEST_CASE("a process stopped before any operation, three times, loses nothing that it wrote or answered from") {
+  std::set<std::string> seen;
+  everyCrash(CrashFolder(), Owed(), 1, 3, seen);
+  CHECK(seen.size() > 1000);
+}
+
+TEST_CASE("a disk that is full at any operation, and then loses power, keeps what was written") {
+  CrashFolder whole;
+  live(whole, Owed(), 1, 9);
+  for (int when = 0; when <= whole.done; ++when) {
+    CrashFolder folder;
+    folder.left = when;
+    Owed owed = live(folder, Owed(), 1, 9);
+    CrashFolder later = folder.killed();
+    storage::WriteAheadLog log(later, segmentBytes);
+    take(owed, log.recover());
+    later.full = true;
+    owed.atMost["b"] = 20;
+    CHECK_THROWS_AS(log.write({{"b", "20 more"}}), storage::Error);
+    CHECK(log.failed());
+    for (CrashFolder const& end : ends(later)) {
+      CrashFolder again = end;
+      Owed left = owed;
+      take(left, storage::WriteAheadLog(again, segmentBytes).recover());
+    }
+  }
+}
+
+TEST_CASE("what stands in the folder is bounded, whatever was left there by crashes") {
+  CrashFolder folder;
+  std::size_t most = 0;
+  int done = 1;
+  for (int stop = 0; stop < 400; ++stop) {
+    folder.left = stop % 40;
+    live(folder, Owed(), done, 9);
+    done += 9;
+    folder = folder.killed();
+    most = std::max(most, folder.bytes());
+  }
+  CHECK(most < 4 * segmentBytes);
+}
+
+TEST_CASE("a damaged log that is set aside never comes back as an older one, whenever that is stopped") {
+  for (bool const inSnapshot : {true, false}) {
+    CrashFolder damaged;
+    int done = 1;
+    while (done < 200 && !(damaged.has("image-") && damaged.has("segment-") && damaged.countOf("segment-") > 1)) {
+      damaged.left = done % 23;
+      live(damaged, Owed(), done, 9);
+      done += 9;
+      damaged = damaged.killed();
+    }
+    damaged.syncFolder();
+    damaged = damaged.powerLosses().back();
+    damaged.flip(inSnapshot ? "image-" : "segment-");
+    REQUIRE(storage::WriteAheadLog(damaged, segmentBytes).recover().damaged);
+    CrashFolder whole = damaged;
+    storage::setAside(whole, "x");
+    CHECK(storage::WriteAheadLog(whole, segmentBytes).recover().slots.empty());
+    for (int stop = 0; stop < whole.done - damaged.done; ++stop) {
+      CrashFolder folder = damaged;
+      folder.left = stop;
+      CHECK_THROWS_AS(storage::setAside(folder, "x"), storage::Crash);
+      for (CrashFolder const& end : ends(folder)) {
+        CrashFolder again = end;
+        storage::Recovered const got = storage::WriteAheadLog(again, segmentBytes).recover();
+        INFO("stopped before " << stop << " of " << whole.done - damaged.done << ": " << again.text());
+        CHECK((got.damaged || got.slots.empty()));
+      }
+    }
+  }
+}
+
+TEST_CASE("only the newest damaged log is kept") {
+  CrashFolder folder;
+  std::size_t most = 0;
+  for (int i = 0; i < 20; ++i) {
+    live(folder, Owed(), 1, 9);
+    storage::setAside(folder, std::to_string(i));
+    most = std::max(most, folder.bytes());
+  }
+  CHECK(most < 8 * segmentBytes);
+}
