--- a/programs/control/control_daemon.cpp
+++ b/programs/control/control_daemon.cpp
@@ -35,12 +35,7 @@
           this, s.link, [this](transport::Envelope e) { run(reducer_->arrived(now(), e.from, e.message)); }, s.listen),
       server_(surface_.http.empty() ? std::vector<std::string>{s.http} : surface_.http, surface_.limits, events()),
       disk_(1) {
-  storage::Recovered got = log_->recover();
-  if (got.tornTail) core::writeLog(core::LogEvent{"torn-tail-cut", {}});
-  if (got.damaged) {
-    core::writeLog(core::LogEvent{"ledger-damaged", {{"place", got.damage}}});
-    setAside();
-  }
+  storage::Recovered const got = recoverAtStart();
   run(reducer_->restore(got.slots, got.damaged, now()));
   QObject::connect(&clock_, &QTimer::timeout, this, [this] { clockEvent(); });
   clock_.start(surface_.clockEveryMs);
@@ -49,6 +44,24 @@
   core::writeLog(core::LogEvent{"started", {{"link", link_.address()}, {"http", server_.address()}, {"zone", s.zone}}});
 }
 
+storage::Recovered ControlDaemon::recoverAtStart() {
+  storage::Recovered got;
+  try {
+    got = log_->recover();
+    if (got.tornTail) core::writeLog(core::LogEvent{"torn-tail-cut", {}});
+    if (got.damaged) {
+      core::writeLog(core::LogEvent{"ledger-damaged", {{"place", got.damage}}});
+      setAside();
+    }
+  } catch (storage::Error const& e) {
+    // The log refuses the first write, of a fresh id, so nothing is announced until the disk was tried again and read.
+    core::writeLog(core::LogEvent{"read-failed", {{"error", e.what()}}});
+    got = storage::Recovered{};
+    got.damaged = true;
+  }
+  return got;
+}
+
 http::Server::Events ControlDaemon::events() {
   http::Server::Events e;
   e.request = [this](http::Request request) { serve(std::move(request)); };
@@ -70,9 +83,7 @@
 }
 
 void ControlDaemon::setAside() {
-  for (std::string const& name : folder_->list())
-    if (name.rfind("damaged-", 0) != 0) folder_->rename(name, "damaged-" + std::to_string(now()) + "-" + name);
-  folder_->syncFolder();
+  storage::setAside(*folder_, std::to_string(now()));
   log_ = std::make_unique<storage::WriteAheadLog>(*folder_);
   log_->recover();
 }
--- a/programs/control/control_daemon.h
+++ b/programs/control/control_daemon.h
@@ -59,6 +59,8 @@
 
  private:
   http::Server::Events events();
+  /// Reads the log; on a disk that fails, "damaged", and the log takes no write.
+  storage::Recovered recoverAtStart();
   void setAside();
   void serve(http::Request request);
   void answer(control::Answer const& a);
