--- a/testing/test/capacity_page_test.py
+++ b/testing/test/capacity_page_test.py
@@ -9,6 +9,12 @@
 
 import tables  # noqa: E402
 
+FIGURES = """# corkward-capacity --part rest
+measure,role,unit,kind,of,size,value
+m,router,bytes,counted,nodes,10,100
+m,router,bytes,counted,nodes,20,300
+"""
+
 
 class Fits(unittest.TestCase):
     def test_a_line_is_found_and_does_not_bend(self):
@@ -30,7 +36,8 @@
         self.assertEqual(tables.fit([(5, 7)])[:2], (7, 0))
 
     def test_numbers_and_verdicts(self):
-        self.assertEqual([tables.number(v) for v in (0, 12.34, 999, 12345, 2.5e6, 1e9, None)], ["0", "12.3", "999", "12.3 k", "2.5 M", "1 G", "-"])
+        written = [tables.number(v) for v in (0, 12.34, 999, 12345, 2.5e6, 1e9, None)]
+        self.assertEqual(written, ["0", "12.3", "999", "12.3 k", "2.5 M", "1 G", "-"])
         self.assertEqual(tables.verdict(5, 5), "holds")
         self.assertEqual(tables.verdict(10, 5), "**fails**, 2 times")
         self.assertEqual(tables.verdict(-1, 5), "**fails**")
@@ -41,7 +48,7 @@
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
 
-    def figures(self, text="# corkward-capacity --part rest\nmeasure,role,unit,kind,of,size,value\nm,router,bytes,counted,nodes,10,100\nm,router,bytes,counted,nodes,20,300\n"):
+    def figures(self, text=FIGURES):
         (pathlib.Path(self.folder.name) / "run.csv").write_text(text)
         return tables.Figures(pathlib.Path(self.folder.name))
 
