--- /dev/null
+++ b/scaling/include/corkward/scaling/cold_bucket.h
@@ -0,0 +1,21 @@
+#pragma once
+
+/// The rate at which requests may go to a replica that is still cold.
+
+#include <corkward/scaling/figures.h>
+
+namespace corkward::scaling {
+
+/// Token bucket of a cold replica: holds at most one token and starts empty, so no burst passes the rate.
+class ColdBucket {
+ public:
+  explicit ColdBucket(Tick now = 0) : at_(now) {}
+  bool take(Tick now, double rate);
+  bool has(Tick now, double rate) const;
+
+ private:
+  double tokens_ = 0;
+  Tick at_;
+};
+
+}  // namespace corkward::scaling
--- /dev/null
+++ b/scaling/include/corkward/scaling/rate.h
@@ -0,0 +1,25 @@
+#pragma once
+
+/// How fast requests of a kind end.
+
+#include <corkward/scaling/figures.h>
+
+namespace corkward::scaling {
+
+/// How many requests end in a second: a running mean over windows of a second, closed by looks.
+class Rate {
+ public:
+  static constexpr Tick window = 1000;
+  void ended() { ++ended_; }
+  void look(Tick now);
+  /// Makes up for the looks that were left out, as if there had been one at the end of each window before now.
+  void catchUp(Tick now);
+  double perSecond() const { return perSecond_; }
+
+ private:
+  double perSecond_ = 0;
+  Tick from_ = 0;
+  int ended_ = 0;
+};
+
+}  // namespace corkward::scaling
--- /dev/null
+++ b/scaling/include/corkward/scaling/reliability.h
@@ -0,0 +1,31 @@
+#pragma once
+
+/// Trust in one replica by this node's own outcomes there.
+
+#include <corkward/scaling/figures.h>
+
+namespace corkward::scaling {
+
+/// One node's own outcomes at one replica: its error rate, and whether it is trusted.
+class Reliability {
+ public:
+  /// Takes one outcome in. True when the replica has to rest from now on.
+  bool outcome(Tick now, bool failed, Figures const& f = figures);
+  bool trusted() const { return trusted_; }
+  /// Not trusted, and not to be probed yet.
+  bool resting(Tick now) const { return !trusted_ && now < restUntil_; }
+  Tick restUntil() const { return restUntil_; }
+  /// Share of failures of late, newer outcomes weighing more.
+  double rate(Tick now, Figures const& f = figures) const;
+
+ private:
+  double rate_ = 0;
+  double failures_ = 0;
+  Tick at_ = 0;
+  bool trusted_ = true;
+  Tick restUntil_ = 0;
+  Tick rest_ = 0;
+  int successes_ = 0;
+};
+
+}  // namespace corkward::scaling
--- /dev/null
+++ b/scaling/include/corkward/scaling/retry_budget.h
@@ -0,0 +1,52 @@
+#pragma once
+
+/// Bounds on own retries, so that a failure of many requests does not multiply the load.
+
+#include <cstddef>
+#include <deque>
+#include <map>
+
+#include <corkward/scaling/figures.h>
+
+namespace corkward::scaling {
+
+/// Own retries: at most a fifth of own first attempts in any ten seconds, plus a share of a small allowance.
+/// A first attempt earns its share only for a short while, so that retries cannot outlive a crowd that is gone.
+class RetryBudget {
+ public:
+  static constexpr Tick window = 10000;
+  static constexpr Tick earnsFor = 1000;
+  static constexpr double share = 0.2;
+  static constexpr double allowance = 10.0;
+  void first(Tick now);
+  /// True, and counted, when one more retry is within the budget.
+  bool retry(Tick now, std::size_t nodes, double ofAll = allowance);
+  /// The same, not counted.
+  bool mayRetry(Tick now, std::size_t nodes, double ofAll = allowance);
+  /// True while nothing in it counts any more.
+  bool idle(Tick now);
+
+ private:
+  void expire(Tick now);
+  double earned_ = 0;
+  std::deque<Tick> firsts_;
+  /// Retries that were paid out of the allowance.
+  std::deque<Tick> allowed_;
+};
+
+/// Own retries at each pool and over all: one more has to be within both, so that no pool's requests pay for repeats at
+/// another.
+class RetryBudgets {
+ public:
+  void first(Tick now, Index pool);
+  bool retry(Tick now, Index pool, std::size_t nodes, double ofAll = RetryBudget::allowance);
+  /// Pools that are remembered.
+  std::size_t size() const { return pools_.size(); }
+
+ private:
+  RetryBudget& at(Tick now, Index pool);
+  RetryBudget all_;
+  std::map<Index, RetryBudget> pools_;
+};
+
+}  // namespace corkward::scaling
--- /dev/null
+++ b/scaling/include/corkward/scaling/scaler.h
@@ -0,0 +1,86 @@
+#pragma once
+
+/// How many replicas one node draws from, and how much it has in flight at each: pure, with the time in each call.
+
+#include <cstdint>
+#include <unordered_map>
+#include <vector>
+
+#include <corkward/scaling/candidates.h>
+
+namespace corkward::scaling {
+
+/// Decides which replicas one (node, pool, instance) sends to: width trigger, one-replica steps, calm give-back.
+class Scaler {
+ public:
+  /// The seed orders this node's preference among replicas; nodes choose apart.
+  explicit Scaler(std::uint64_t seed, Figures const& f = figures);
+
+  /// New candidates. Those of the part that are gone leave at once and are replaced one for one; neither counts as a
+  /// step.
+  void candidates(Candidates all);
+  /// Before anything was sent: the part begins with this replica, if it is a candidate.
+  void begin(Index wanted);
+  /// One look at the demand; held counts no echoes. Takes at most one step and returns +1, -1 or 0. A widening takes
+  /// the wanted candidate, if that is outside the part, else the next in this node's order.
+  int look(Tick now, std::size_t held, std::int64_t wanted = -1);
+  /// True when looks with nothing held change nothing until a request is sent or candidates change.
+  bool atRest() const;
+
+  double cap() const;
+  /// Room under the cap for one more request of the kind.
+  bool room(bool bulk) const;
+  /// The same; while answers are steady the limit is raised so that there is room.
+  bool makeRoom(bool bulk);
+  std::vector<Candidate> const& part() const { return part_; }
+  /// How many it may draw from.
+  std::size_t candidates() const { return all_.size(); }
+  bool has(Index replica) const;
+  int inFlight() const { return inFlight_; }
+  int inFlightAt(Index replica) const;
+  double limit() const { return limit_; }
+  /// True when the replica's mean first word is past the aim it was last measured against.
+  bool slow(Index replica) const;
+  Figures const& figuresUsed() const { return f_; }
+  /// True when all of the part is slow and the last widening did not help.
+  bool allSlow() const { return allSlow_; }
+  double firstWordMean() const { return mean_; }
+
+  /// Forgets a replica that is gone for good and has nothing in flight.
+  void forget(Index replica) { times_.erase(replica); }
+  void sent(Index replica, bool bulk);
+  /// First word after so many milliseconds, against the class's aim.
+  void firstWord(Tick now, Index replica, Tick took, Tick aim);
+  void ended(Index replica, bool bulk);
+
+ private:
+  double z(std::size_t held) const;
+  /// Takes the first candidates of this node's order until the part has so many.
+  void fill(std::size_t size);
+  std::uint64_t order(Candidate const& c) const;
+
+  struct Times {
+    double mean = 0;
+    Tick aim = 0;
+    int answers = 0;
+  };
+  std::uint64_t seed_;
+  Figures f_;
+  Candidates all_;
+  std::vector<Candidate> part_;
+  std::unordered_map<Index, int> inFlightAt_;
+  std::unordered_map<Index, Times> times_;
+  int inFlight_ = 0;
+  int bulk_ = 0;
+  double limit_;
+  Tick cutAt_ = 0;
+  Tick calmSince_ = -1;
+  double mean_ = 0;
+  /// Running mean of answer times as shares of their aims.
+  double strain_ = 0;
+  double meanAtWidening_ = 0;
+  int answersSinceWidening_ = 0;
+  bool allSlow_ = false;
+};
+
+}  // namespace corkward::scaling
