--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -499,7 +499,7 @@
     std::map<std::string, consensus::Committed>::const_iterator const k = registers_.committed().find(key);
     if (k == registers_.committed().end()) return;
     n.pushed[key] = {k->second.revision, now};
-    news.items.push_back(transport::Item{key, k->second.revision, k->second.value});
+    news.items.push_back(transport::Item{key, k->second.revision, config::withoutHistory(k->second.value)});
   };
   if (news.whole) {
     n.wantWhole = -1;
--- a/control/test/resend_test.cpp
+++ b/control/test/resend_test.cpp
@@ -5,6 +5,7 @@
 #include <vector>
 
 #include <corkward/config/config.h>
+#include <corkward/control/change_history.h>
 #include <corkward/core/json.h>
 #include <corkward/control/validator.h>
 
@@ -101,6 +102,29 @@
   CHECK(r.call(order("PUT", spec(most + 20), most + 4, "z")).status == 412);
 }
 
+TEST_CASE("what a key remembers of its changes stays within 36 KiB on the disks, and routers are sent none of it") {
+  Register r;
+  auto const kept = [&r](char const* part) { return core::jsonText(QJsonObject{{part, r.value.value(part)}}).size(); };
+  std::size_t most = 0;
+  for (qint64 base = 0; base < 5000; ++base) {
+    REQUIRE(acknowledged(r.call(orderOn(base)).status));
+    most = std::max(most, kept(control::ChangeHistory::field));
+    if (base + 1 != 100 && base + 1 != 1000 && base + 1 != 5000) continue;
+    WARN(base + 1 << " changes: digests " << kept(control::ChangeHistory::field) << " B, ids " << kept("changes")
+                  << " B, configuration " << kept("spec") << " B");
+  }
+  WARN("most digests " << most << " B");
+  CHECK(most < (36U << 10));
+  Rig rig;
+  rig.alive = {"a", "b", "c"};
+  rig.run(6000);
+  std::uint64_t const t = rig.call("PUT", page, core::jsonText(spec(5)), "0", "one");
+  rig.run(2000);
+  REQUIRE(rig.statusOf(t) == 201);
+  REQUIRE(rig.pushed.count(config::wholeKey) == 1);
+  CHECK(rig.pushed[config::wholeKey].keys() == QStringList{"spec"});
+}
+
 TEST_CASE("a register that an earlier release kept refuses none of the changes of that time") {
   Register r;
   for (qint64 base = 0; base < 100; ++base) REQUIRE(acknowledged(r.call(orderOn(base)).status));
--- a/control/test/rig.h
+++ b/control/test/rig.h
@@ -17,6 +17,8 @@
   std::set<std::string> alive;
   std::set<std::string> deaf;
   std::map<std::string, transport::Revisions> have;
+  /// Values as routers got them last, by key.
+  std::map<std::string, QJsonObject> pushed;
   /// Who was asked for its revisions in full.
   std::set<std::string> named;
   std::uint64_t next = 1;
@@ -44,7 +46,10 @@
           named.erase(s.to);
       }
       if (news == nullptr || alive.count(s.to) == 0 || deaf.count(s.to) > 0) continue;
-      for (transport::Item const& i : news->items) have[s.to][i.key] = std::max(have[s.to][i.key], i.revision);
+      for (transport::Item const& i : news->items) {
+        have[s.to][i.key] = std::max(have[s.to][i.key], i.revision);
+        pushed[i.key] = i.value;
+      }
     }
     for (corkward::consensus::Persist const& p : c.persists) take(reducer.written(now, p.ticket, true));
   }
