--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -90,6 +90,9 @@
   bool fenced = true;
   /// Records of regimes' work can be kept here; without them nothing of a regime is handed on.
   bool records = false;
+  /// A stream of the whole configuration's paths is cut this long after its deadline, which the replica's own end may
+  /// take to arrive.
+  Tick pastDeadline = 100;
   scaling::Figures figures = scaling::figures;
 };
 
@@ -122,6 +125,8 @@
   std::string prefix;
   /// Milliseconds the caller still waits; 0: the path's own deadline.
   Tick deadline = 0;
+  /// Milliseconds from the request's first byte until it was whole, which the caller's time and the path's include.
+  Tick readFor = 0;
 };
 
 /// How a relayed call ended.
@@ -453,6 +458,10 @@
   void validator(Commands& out, Tick now, Call& call, bool bad);
   void avoidWorst(Tick now, Index pool);
   bool overdue(Call const& call, Tick took) const;
+  /// Undoes the last hand-over of a call whose connection could not be written to.
+  void takeBack(Commands& out, Tick now, CallId id);
+  /// A stream that a path of the whole configuration bounds runs past its deadline.
+  bool pastDeadline(Tick now, Call const& call) const;
   void connectTo(Commands& out, Tick now, CallId id, Index replica);
   /// All serving replicas of the pool, whatever the part is.
   std::vector<scaling::Candidate> beyondPart(Tick now, Index pool) const;
--- a/dataplane/src/calls.cpp
+++ b/dataplane/src/calls.cpp
@@ -197,7 +197,8 @@
   Row const& row = rows_[path];
   Call& mine = calls_[id];
   mine.pool = choosePool(now, row, id);
-  mine.until = now + (request.deadline > 0 ? std::min(request.deadline, row.path.deadline) : row.path.deadline);
+  mine.until = now + (request.deadline > 0 ? std::min(request.deadline, row.path.deadline) : row.path.deadline) -
+               request.readFor;
   mine.prefix = request.prefix.empty() ? 0 : core::stableHash(request.instance + "|" + request.prefix);
   mine.echo = request.attempt > 1;
   mine.reached = request.earlierReached || (request.attempt > 1 && !request.earlierNotRun && row.path.resumable);
@@ -710,11 +711,22 @@
   credits_.at(key).held[lane(rows_[call.path].path.cls)].push_front(id);
 }
 
+void RequestRouter::takeBack(Commands& out, Tick now, CallId id) {
+  Call& call = calls_.at(id);
+  call.handedTo.pop_back();
+  call.phase = Phase::connecting;
+  call.dispatched = !call.handedTo.empty();
+  if (!call.dispatched && !call.request.id.empty())
+    remember(now, call.request.instance + "|" + call.request.id).mayHaveRun = false;
+  record(out, now, call, Happened::notRun);
+}
+
 Commands RequestRouter::connectRejected(Tick now, CallId id) {
   Commands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return out;
   bool const resuming = it->second.phase == Phase::handed && it->second.resumes > 0;
+  if (!resuming && it->second.phase == Phase::handed) takeBack(out, now, id);
   if (!resuming && it->second.phase != Phase::connecting) return out;
   it->second.judged = now >= it->second.until;
   validator(out, now, it->second, true);
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -89,7 +89,7 @@
     Call const& call = c.second;
     if ((call.phase == Phase::asking && now - call.phaseAt > tuning_.seenWait) ||
         (call.phase == Phase::connecting && now - call.phaseAt > tuning_.connectLimit) ||
-        (call.phase == Phase::streaming && now - call.phaseAt > tuning_.streamIdle) ||
+        (call.phase == Phase::streaming && now - call.phaseAt > tuning_.streamIdle) || pastDeadline(now, call) ||
         (call.phase == Phase::held &&
          now - call.arrived >
              static_cast<Tick>(2 * tuning_.heldAims * static_cast<double>(rows_[call.path].path.aim))) ||
@@ -131,6 +131,10 @@
         break;
       }
       case Phase::streaming: {
+        if (pastDeadline(now, it->second)) {
+          breakOff(out, now, id, "deadline passed");
+          break;
+        }
         out.calls.push_back(Abandon{id});
         Commands const more = ended(now, id, End::broken);
         append(out, more);
@@ -153,6 +157,11 @@
   return out;
 }
 
+bool RequestRouter::pastDeadline(Tick now, Call const& call) const {
+  return call.phase == Phase::streaming && !rows_[call.path].path.host.empty() &&
+         now >= call.until + tuning_.pastDeadline;
+}
+
 Held RequestRouter::held() const {
   return Held{replicaNames_.known(),
               instances_.known(),
--- a/http/include/corkward/http/server.h
+++ b/http/include/corkward/http/server.h
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include <corkward/core/error.h>
+#include <corkward/core/types.h>
 #include <corkward/http/fields.h>
 
 class QTcpServer;
@@ -32,6 +33,8 @@
   std::string target;
   Fields fields;
   std::string body;
+  /// Milliseconds from the first byte of it that was read until all of it was there.
+  core::Tick readFor = 0;
 };
 
 /// Bounds of a HTTP edge, and how it signs.
@@ -79,6 +82,9 @@
   void abort(std::uint64_t id);
   /// Bytes that wait to be written for the request.
   std::int64_t waiting(std::uint64_t id) const;
+  /// The caller has closed or lost the connection of the request, as its socket says at this moment; the event gone may
+  /// still be on its way.
+  bool hasLeft(std::uint64_t id) const;
   /// From here on each answer says that its connection is closed after it; what still comes is served.
   void leave() { leaving_ = true; }
   /// Takes every connection that waits at the addresses, and listens there no more.
--- a/http/include/corkward/http/upstream_connection.h
+++ b/http/include/corkward/http/upstream_connection.h
@@ -44,7 +44,8 @@
     std::function<void(ReplicaHead)> head;
     /// All of the body that came together.
     std::function<void(std::string)> piece;
-    /// The body's own end was seen (true), or the connection ended before it (false).
+    /// The body's own end was seen (true), or the connection ended before it (false). A body of no told length: see
+    /// Kept::closeEndsAnswer.
     std::function<void(bool whole)> ended;
   };
   /// Opens a connection of its own, which ends with the request.
@@ -76,6 +77,8 @@
   void lifeReadable();
   void rejected();
   void readable();
+  /// The connection has ended, and all that came on it was read.
+  void closed();
   void over(bool whole);
   void giveBack();
   Events events_;
--- a/http/include/corkward/http/upstream_pool.h
+++ b/http/include/corkward/http/upstream_pool.h
@@ -21,6 +21,9 @@
   core::Tick idleLimit = 5000;
   /// The same for a request that may run once only; 0: it has a fresh connection.
   core::Tick freshIdleLimit = 0;
+  /// An answer of no told length is whole when the replica closes its connection in order. False: it is always taken
+  /// for cut, as a replica's process that dies closes its connections in order as well.
+  bool closeEndsAnswer = false;
 };
 
 /// Lends connections to replicas. One goes back only when its request was written whole, its answer was whole with
--- a/http/src/server.cpp
+++ b/http/src/server.cpp
@@ -1,10 +1,12 @@
 #include <corkward/http/server.h>
 
+#include <QElapsedTimer>
 #include <QHostAddress>
 #include <QTcpServer>
 #include <QTcpSocket>
 #include <QTimer>
 #include <boost/beast/http.hpp>
+#include <cerrno>
 #include <sys/socket.h>
 
 #include "wire.h"
@@ -42,6 +44,8 @@
   QTimer* timer = nullptr;
   QByteArray buffer;
   std::unique_ptr<Parser> parser;
+  /// Since the first byte of the request that is read.
+  QElapsedTimer firstByte;
   std::uint64_t id = 0;
   std::size_t at = 0;
   bool keep = true;
@@ -155,6 +159,7 @@
       conn->parser->body_limit(limits_.body);
       conn->parser->eager(true);
       conn->continued = false;
+      conn->firstByte.start();
       conn->timer->start(limits_.headMs);
     }
     boost::beast::error_code ec;
@@ -195,6 +200,7 @@
     conn->keep = message.keep_alive();
     conn->headAsked = message.method() == beastHttp::verb::head;
     request.body = std::move(message.body());
+    request.readFor = conn->firstByte.elapsed();
     conn->asked = true;
     conn->id = next_++;
     request.id = conn->id;
@@ -364,6 +370,14 @@
   if (id != 0 && events_.gone) events_.gone(id);
 }
 
+bool Server::hasLeft(std::uint64_t id) const {
+  Conn const* const conn = find(id);
+  if (conn == nullptr) return true;
+  char byte = 0;
+  ssize_t const got = ::recv(static_cast<int>(conn->socket->socketDescriptor()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
+}
+
 std::int64_t Server::waiting(std::uint64_t id) const {
   Conn const* const conn = find(id);
   return conn == nullptr ? 0 : conn->socket->bytesToWrite();
--- a/http/src/upstream_connection.cpp
+++ b/http/src/upstream_connection.cpp
@@ -7,10 +7,12 @@
 #include <algorithm>
 #include <array>
 #include <cerrno>
+#include <fcntl.h>
 #include <boost/beast/http.hpp>
 #include <limits>
 #include <optional>
 #include <sys/socket.h>
+#include <unistd.h>
 
 #include <corkward/http/upstream_pool.h>
 #include <corkward/http/server.h>
@@ -72,7 +74,26 @@
   bool paused = false;
   bool over = false;
   bool released = false;
+  /// The owner wants no event any more.
+  bool stopped = false;
   std::size_t rest = 0;
+  /// Second descriptor of a connection whose end is the end of the answer's body; below zero: none. The socket closes
+  /// its own before it tells that the connection has ended, and does not say whether in order or by a reset.
+  int witness = -1;
+
+  ~State() { closeWitness(); }
+
+  void closeWitness() {
+    if (witness >= 0) ::close(witness);
+    witness = -1;
+  }
+
+  /// The other side has closed in order: a reset leaves the connection without a peer.
+  bool closedInOrder() const {
+    sockaddr_storage peer{};
+    socklen_t length = sizeof peer;
+    return witness >= 0 && ::getpeername(witness, reinterpret_cast<sockaddr*>(&peer), &length) == 0;
+  }
 
   void fresh() {
     parser.emplace();
@@ -135,8 +156,7 @@
       if (state_->connected || state_->asking) rejected();
       return;
     }
-    if (!state_->paused) readable();
-    if (!state_->paused) over(false);
+    if (!state_->paused) closed();
   });
   QObject::connect(socket_, &QTcpSocket::errorOccurred, this, [this](QAbstractSocket::SocketError) {
     if (!state_->kept && !state_->connected && !state_->asking) rejected();
@@ -204,7 +224,11 @@
   state_->over = true;
   if (state_->upstreams) state_->upstreams->drop(address_);
   QMetaObject::invokeMethod(
-      this, [this] { events_.rejected(); }, Qt::QueuedConnection);
+      this,
+      [this] {
+        if (!state_->stopped) events_.rejected();
+      },
+      Qt::QueuedConnection);
 }
 
 void UpstreamConnection::send(ReplicaRequest const& request, std::string const& body) {
@@ -242,7 +266,7 @@
         if (state_->paused || state_->over || socket_ == nullptr) return;
         readable();
         if (alive && !state_->paused && socket_ != nullptr && socket_->state() == QAbstractSocket::UnconnectedState)
-          over(false);
+          closed();
       },
       Qt::QueuedConnection);
 }
@@ -253,6 +277,8 @@
 
 void UpstreamConnection::stop() {
   state_->over = true;
+  state_->stopped = true;
+  state_->closeWitness();
   if (socket_ == nullptr) return;
   socket_->disconnect(this);
   socket_->abort();
@@ -281,6 +307,13 @@
       Qt::QueuedConnection);
 }
 
+void UpstreamConnection::closed() {
+  QPointer<UpstreamConnection> const alive(this);
+  readable();
+  if (!alive || state_->over || state_->paused) return;
+  over(state_->buffer.isEmpty() && state_->closedInOrder());
+}
+
 void UpstreamConnection::over(bool whole) {
   if (state_->over) return;
   state_->over = true;
@@ -364,6 +397,10 @@
       state_->headSeen = true;
       state_->keepAlive = keepAliveOf(head.fields);
       parser.eager(true);
+      bool const endsWithConnection = !head.bodiless && !parser.content_length() && !parser.chunked() &&
+                                      state_->upstreams && state_->upstreams->kept_.closeEndsAnswer;
+      if (endsWithConnection)
+        state_->witness = ::fcntl(static_cast<int>(socket_->socketDescriptor()), F_DUPFD_CLOEXEC, 0);
       if (!head.bodiless && parser.content_length()) head.length = static_cast<std::int64_t>(*parser.content_length());
       if (head.bodiless) {
         std::string const told = field(head.fields, "content-length");
--- a/http/test/server_test.cpp
+++ b/http/test/server_test.cpp
@@ -1,10 +1,12 @@
 #include <catch2/catch.hpp>
 
+#include <QElapsedTimer>
 #include <QHostAddress>
 #include <QTcpSocket>
 #include <algorithm>
 #include <arpa/inet.h>
 #include <cerrno>
+#include <memory>
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -244,6 +246,38 @@
   }
 }
 
+TEST_CASE("a caller that has left is known to have left before the event that tells of it") {
+  application();
+  Rig rig;
+  bool const leaves = GENERATE(true, false);
+  int left = -1;
+  rig.answer = [&](http::Request const& r) { left = rig.server.hasLeft(r.id) ? 1 : 0; };
+  std::unique_ptr<Caller> caller = std::make_unique<Caller>(rig.server.address());
+  REQUIRE(caller->connected);
+  caller->say(request("GET"));
+  if (leaves) caller.reset();
+  REQUIRE(until([&] { return left >= 0; }));
+  CHECK(left == (leaves ? 1 : 0));
+  CHECK(rig.server.hasLeft(999));
+}
+
+TEST_CASE("a request says how long it took to arrive, from its first byte on") {
+  application();
+  Rig rig;
+  Caller caller(rig.server.address());
+  caller.say("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n");
+  QElapsedTimer since;
+  bool read = false;
+  REQUIRE(until([&] {
+    read = read || rig.server.expecting() > 0;
+    if (read && !since.isValid()) since.start();
+    return since.isValid() && since.elapsed() >= 60;
+  }));
+  caller.say("b");
+  REQUIRE(until([&] { return !rig.requests.empty(); }));
+  CHECK(rig.requests[0].readFor >= 40);
+}
+
 TEST_CASE("a burst of connections does not hold up a caller that is there") {
   application();
   Rig rig;
--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -3,6 +3,8 @@
 #include <QHostAddress>
 #include <QTcpServer>
 #include <QTcpSocket>
+#include <QTimer>
+#include <sys/socket.h>
 
 #include <corkward/core/types.h>
 #include <corkward/http/upstream_pool.h>
@@ -42,6 +44,12 @@
       });
     });
   }
+  /// Ends the newest connection by a reset.
+  void resetLast() {
+    linger const at{1, 0};
+    ::setsockopt(static_cast<int>(last->socketDescriptor()), SOL_SOCKET, SO_LINGER, &at, sizeof at);
+    last->abort();
+  }
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.serverPort()); }
   int connections = 0;
   int closed = 0;
@@ -352,6 +360,71 @@
   CHECK_FALSE(ask.got.connected);
 }
 
+TEST_CASE("an answer of no length is whole when its connection is closed in order, and cut by a reset at any byte") {
+  application();
+  std::string const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
+  std::string const body = GENERATE("", "h", "hello");
+  bool const inOrder = GENERATE(true, false);
+  Rig rig({{head + body, false}}, {2, 5000, 0, true});
+  Ask ask(rig.upstreams, rig.replica.address());
+  REQUIRE(until([&] { return ask.got.status == 200 && ask.got.body == body; }));
+  CHECK(ask.got.ends == 0);
+  if (inOrder)
+    rig.replica.last->disconnectFromHost();
+  else
+    rig.replica.resetLast();
+  Got const got = ask.wait();
+  CHECK(got.ended == (inOrder ? 1 : 0));
+  CHECK(got.ends == 1);
+  CHECK(got.body == body);
+  CHECK(rig.upstreams.idle() == 0);
+}
+
+TEST_CASE("an answer of no length that waits for a slow caller ends as its connection did") {
+  application();
+  bool const inOrder = GENERATE(true, false);
+  std::string const body(3 << 20, 'b');
+  Rig rig({{"HTTP/1.1 200 OK\r\n\r\n" + body, inOrder}}, {2, 5000, 0, true});
+  Ask ask(rig.upstreams, rig.replica.address());
+  REQUIRE(until([&] { return ask.got.status == 200; }));
+  ask.upstream->pause(true);
+  if (!inOrder) rig.replica.resetLast();
+  int const closedBefore = rig.replica.closed;
+  REQUIRE(until([&] { return inOrder || rig.replica.closed >= closedBefore; }));
+  ask.upstream->pause(false);
+  Got const got = ask.wait();
+  CHECK(got.ended == (inOrder ? 1 : 0));
+  CHECK(got.ends == 1);
+  CHECK((got.body.size() == body.size()) == inOrder);
+}
+
+TEST_CASE("a stopped connection tells nothing more, not even a rejection that was under way") {
+  application();
+  Rig rig({});
+  http::UpstreamConnection::Events e;
+  http::UpstreamConnection* upstream = nullptr;
+  int rejections = 0;
+  bool stopped = false;
+  e.connected = [&] {
+    QTcpSocket* const other = rig.replica.last;
+    REQUIRE(other != nullptr);
+    other->write("surplus");
+    other->flush();
+    upstream->send({"POST", "/x"}, "{}");
+    upstream->stop();
+    stopped = true;
+  };
+  e.rejected = [&] { ++rejections; };
+  upstream = rig.upstreams.lend(rig.replica.address(), false, std::move(e), nullptr);
+  REQUIRE(until([&] { return stopped; }));
+  bool later = false;
+  QTimer::singleShot(0, [&] { QTimer::singleShot(0, [&] { later = true; }); });
+  REQUIRE(until([&] { return later; }));
+  CHECK(rejections == 0);
+  CHECK(rig.replica.requests == 0);
+  delete upstream;
+}
+
 TEST_CASE("random and damaged answers get an end, and none that is damaged in its framing looks whole") {
   application();
   core::Rng rng(3);
--- a/programs/router/router_daemon.cpp
+++ b/programs/router/router_daemon.cpp
@@ -148,6 +148,11 @@
 void RouterDaemon::act(dataplane::HandOver const& m) {
   std::unordered_map<std::uint64_t, Call>::iterator const it = calls_.find(m.call);
   if (it == calls_.end() || it->second.upstream == nullptr) return;
+  if (server_.hasLeft(m.call)) {
+    server_.abort(m.call);
+    gone(m.call);
+    return;
+  }
   Call& call = it->second;
   if (!m.regime.empty() && call.unrecorded) {
     abandon(m.call);
