--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -4,6 +4,8 @@
 #include <QTcpServer>
 #include <QTcpSocket>
 #include <QTimer>
+#include <functional>
+#include <memory>
 #include <sys/socket.h>
 
 #include <corkward/core/types.h>
@@ -62,6 +64,53 @@
   std::size_t next_ = 0;
 };
 
+/// A replica that answers each request at its head, and reads the body only when it is told to.
+class LateReader {
+ public:
+  LateReader() {
+    server_.listen(QHostAddress::LocalHost, 0);
+    QObject::connect(&server_, &QTcpServer::newConnection, &server_, [this] {
+      QTcpSocket* const s = server_.nextPendingConnection();
+      std::size_t const at = got.size();
+      got.emplace_back();
+      sockets_.push_back(s);
+      s->setReadBufferSize(readsOn_ ? 0 : leastBuffer);
+      QObject::connect(s, &QTcpSocket::readyRead, s, [this, s, at] { take(*s, at); });
+    });
+  }
+  std::string address() const { return "127.0.0.1:" + std::to_string(server_.serverPort()); }
+  /// From here on it reads all that comes.
+  void readOn() {
+    readsOn_ = true;
+    for (std::size_t at = 0; at < sockets_.size(); ++at) {
+      sockets_[at]->setReadBufferSize(0);
+      take(*sockets_[at], at);
+    }
+  }
+  /// All bytes that were read, by connection.
+  std::vector<std::string> got;
+  int answers = 0;
+
+ private:
+  static constexpr qint64 leastBuffer = 1024;
+
+  void take(QTcpSocket& s, std::size_t at) {
+    std::string& text = got[at];
+    bool const headed = text.find("\r\n\r\n") != std::string::npos;
+    if (headed && !readsOn_) return;
+    std::size_t const from = text.size();
+    text += s.readAll().toStdString();
+    for (std::size_t end = text.find("\r\n\r\n", from); end != std::string::npos;
+         end = text.find("\r\n\r\n", end + 4)) {
+      ++answers;
+      s.write("HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+    }
+  }
+  QTcpServer server_;
+  std::vector<QTcpSocket*> sockets_;
+  bool readsOn_ = false;
+};
+
 struct Got {
   int status = 0;
   std::string body;
@@ -425,6 +474,46 @@
   delete upstream;
 }
 
+TEST_CASE("a body that is read on after its early answer is followed by nothing but the next request's own bytes") {
+  application();
+  constexpr std::size_t beyondAllBuffers = 48U << 20;
+  bool const fits = GENERATE(true, false);
+  bool const released = GENERATE(true, false);
+  std::string const body(fits ? 2000 : beyondAllBuffers, 'b');
+  LateReader replica;
+  http::UpstreamPool upstreams({2, 5000, 0}, [] { return core::Tick{1000}; });
+  QObject owner;
+  int answered = 0;
+  std::function<void(std::string const&, bool)> const ask = [&](std::string const& text, bool releases) {
+    std::shared_ptr<http::UpstreamConnection*> const upstream = std::make_shared<http::UpstreamConnection*>(nullptr);
+    http::UpstreamConnection::Events e;
+    e.connected = [upstream, text] { (*upstream)->send({"POST", "/x"}, text); };
+    e.rejected = [] { FAIL("no connection"); };
+    e.head = [&answered, upstream, releases](http::ReplicaHead const&) {
+      if (!releases) return;
+      ++answered;
+      (*upstream)->release();
+    };
+    e.ended = [&answered](bool whole) { answered += whole ? 1 : 100; };
+    *upstream = upstreams.lend(replica.address(), false, std::move(e), &owner);
+  };
+  ask(body, released);
+  REQUIRE(until([&] { return answered == 1; }));
+  replica.readOn();
+  ask("next", false);
+  REQUIRE(until([&] { return answered == 2; }));
+  std::string const& first = replica.got[0];
+  std::size_t const from = first.find("\r\n\r\n") + 4;
+  std::size_t const other = first.find_first_not_of('b', from);
+  if (other != std::string::npos) {
+    CHECK(other - from == body.size());
+    CHECK(first.compare(other, 5, "POST ") == 0);
+  }
+  if (!fits) CHECK(other == std::string::npos);
+  if (!fits) CHECK(replica.got.size() == 2);
+  CHECK(replica.got.back().find("next") != std::string::npos);
+}
+
 TEST_CASE("random and damaged answers get an end, and none that is damaged in its framing looks whole") {
   application();
   core::Rng rng(3);
