--- a/http/include/corkward/http/server.h
+++ b/http/include/corkward/http/server.h
@@ -32,6 +32,8 @@
   std::string target;
   Fields fields;
   std::string body;
+  /// Milliseconds from its first byte until it was here whole: the caller has waited for so long already.
+  std::int64_t readMs = 0;
 };
 
 /// Bounds of a HTTP edge, and how it signs.
--- a/http/src/server.cpp
+++ b/http/src/server.cpp
@@ -1,5 +1,6 @@
 #include <corkward/http/server.h>
 
+#include <QElapsedTimer>
 #include <QHostAddress>
 #include <QTcpServer>
 #include <QTcpSocket>
@@ -56,6 +57,8 @@
   bool continued = false;
   bool dropped = false;
   bool faulted = false;
+  /// Runs from the first byte of the request that is read.
+  QElapsedTimer reading;
 };
 
 Server::Server(std::string const& address, Limits limits, Events events, QObject* parent)
@@ -155,6 +158,7 @@
       conn->parser->body_limit(limits_.body);
       conn->parser->eager(true);
       conn->continued = false;
+      conn->reading.start();
       conn->timer->start(limits_.headMs);
     }
     boost::beast::error_code ec;
@@ -184,6 +188,7 @@
     }
     Request request;
     request.at = conn->at;
+    request.readMs = conn->reading.elapsed();
     request.method = std::string(message.method_string());
     request.target = std::string(message.target());
     for (beastHttp::request<beastHttp::string_body>::value_type const& f : message) {
--- a/http/test/server_test.cpp
+++ b/http/test/server_test.cpp
@@ -110,6 +110,26 @@
   CHECK(rig.requests[0].target == "/a?b");
 }
 
+TEST_CASE("how long a caller took to send its request is told with it") {
+  application();
+  std::vector<http::Request> got;
+  http::Server::Events events;
+  events.request = [&](http::Request r) { got.push_back(std::move(r)); };
+  http::Server server("127.0.0.1:0", http::Limits{}, events);
+  Client client(server.address());
+  client.say("POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 4\r\n\r\nab");
+  constexpr int slowMs = 120;
+  QTimer::singleShot(slowMs, &client.socket, [&] { client.say("cd"); });
+  REQUIRE(until([&] { return got.size() == 1; }));
+  CHECK(got[0].readMs >= slowMs - 10);
+  CHECK(got[0].readMs < 10 * slowMs);
+  server.answer(got[0].id, 200, {}, "");
+  REQUIRE(client.has("200"));
+  client.say("GET /b HTTP/1.1\r\nhost: x\r\n\r\n");
+  REQUIRE(until([&] { return got.size() == 2; }));
+  CHECK(got[1].readMs < slowMs);
+}
+
 TEST_CASE("status, words and fields go out as they are, each field as often as it was given") {
   application();
   Rig rig({"127.0.0.1:0"}, http::Limits{.named = false});
--- a/programs/common/clock.cpp
+++ b/programs/common/clock.cpp
@@ -33,6 +33,14 @@
     ssize_t const n = ::read(readEnd, &byte, 1);
     if (n == 1) function();
   });
+  // Not before the notifier is gone, which is the owner's child.
+  int const writeEnd = ends[1];
+  int* const named = ends;
+  QObject::connect(notifier, &QObject::destroyed, [readEnd, writeEnd, named] {
+    if (named[1] == writeEnd) named[0] = named[1] = -1;
+    ::close(readEnd);
+    ::close(writeEnd);
+  });
 }
 
 }  // namespace
--- a/programs/router/router_daemon.cpp
+++ b/programs/router/router_daemon.cpp
@@ -26,7 +26,7 @@
       mapping_(mapping),
       surface_(std::move(surface)),
       drain_(s.drainLimit, tuning.drainServe),
-      reducer_(contactOf(s, transport::routerRole), s.seeds, freshSeed(), tuning),
+      reducer_(contactOf(s, transport::routerRole), s.seeds, surface_.seed == 0 ? freshSeed() : surface_.seed, tuning),
       records_(this, s, [this](bool works) { reducer_.recording(works); }),
       link_(
           this, s.link, [this](transport::Envelope e) { run(reducer_.arrived(now(), e.from, e.message)); }, s.listen),
@@ -93,6 +93,8 @@
     server_.answer(request.id, caller.status, mapping_.rejectFields(reject), mapping_.rejectBody(reject));
     return;
   }
+  core::Tick& deadline = caller.request->deadline;
+  if (deadline > 0) deadline = std::max<core::Tick>(1, deadline - request.readMs);
   std::uint64_t const id = request.id;
   Call& call = calls_[id];
   if (caller.events)
--- a/programs/router/router_daemon.h
+++ b/programs/router/router_daemon.h
@@ -38,6 +38,8 @@
   /// Bounds of the callers' HTTP edge under the whole configuration's terms, taken over when these change; empty: as
   /// they are.
   std::function<http::Limits(config::HttpTerms const&)> limitsUnder = {};
+  /// Seed of the plane's own choices, so that tests can repeat them; 0: a fresh one.
+  std::uint64_t seed = 0;
 };
 
 /// Puts the data plane's library together with its links, its HTTP edge and its relays; body bytes pass here alone.
--- /dev/null
+++ b/testing/fuzz/caller.cpp
@@ -0,0 +1,306 @@
+#include "caller.h"
+
+#include <QHostAddress>
+#include <QTcpSocket>
+#include <QTimer>
+#include <algorithm>
+#include <sys/socket.h>
+
+#include <corkward/http/server.h>
+
+#include "clock.h"
+#include "replica.h"
+#include "wire.h"
+
+namespace corkward::fuzz {
+
+namespace wire = platform::test::wire;
+namespace beastHttp = boost::beast::http;
+
+namespace {
+
+constexpr int dripMs = 3;
+constexpr std::size_t drips = 40;
+constexpr int slowReadMs = 2;
+constexpr qint64 slowReadBytes = 6000;
+constexpr int smallWindow = 4096;
+/// How much longer than it has told a caller waits before it leaves.
+constexpr int patienceMs = 700;
+
+std::string requestText(Seen const& seen) {
+  http::FieldList fields = wire::callerFields();
+  fields.emplace_back("host", wire::host);
+  fields.emplace_back(wire::attempt, seen.attempt);
+  fields.emplace_back(wire::timeLeft, std::to_string(seen.ask.toldMs));
+  fields.emplace_back(ownField, seen.attempt);
+  std::string out = "POST " + seen.target + " HTTP/1.1\r\n";
+  for (http::FieldList::value_type const& f : fields) out += f.first + ": " + f.second + "\r\n";
+  if (seen.ask.expectsContinue) out += "Expect: 100-continue\r\n";
+  if (!seen.ask.chunkedBody)
+    return out + "Content-Length: " + std::to_string(seen.body.size()) + "\r\n\r\n" + seen.body;
+  out += "Transfer-Encoding: chunked\r\n\r\n";
+  std::size_t const each = std::max<std::size_t>(1, seen.body.size() / 3);
+  for (std::size_t at = 0; at < seen.body.size(); at += each) {
+    std::string const part = seen.body.substr(at, each);
+    out += QByteArray::number(static_cast<qulonglong>(part.size()), 16).toStdString() + "\r\n" + part + "\r\n";
+  }
+  return out + "0\r\n\r\n";
+}
+
+}  // namespace
+
+Caller::Caller(std::string address, Events events)
+    : address_(std::move(address)),
+      events_(std::move(events)),
+      slow_(new QTimer(this)),
+      drips_(new QTimer(this)),
+      leaves_(new QTimer(this)),
+      limit_(new QTimer(this)) {
+  leaves_->setSingleShot(true);
+  limit_->setSingleShot(true);
+  QObject::connect(slow_, &QTimer::timeout, this, [this] { readable(); });
+  QObject::connect(drips_, &QTimer::timeout, this, [this] { drip(); });
+  QObject::connect(leaves_, &QTimer::timeout, this, [this] { leave(); });
+  QObject::connect(limit_, &QTimer::timeout, this, [this] { giveUp(); });
+}
+
+Caller::~Caller() {
+  dropSocket();
+}
+
+void Caller::ask(std::size_t place) {
+  waiting_.push_back(place);
+  turn();
+}
+
+void Caller::turn() {
+  if (waiting_.empty()) return;
+  bool const pipelined = !open_.empty() && events_.seen(waiting_.front()).ask.manner == Manner::pipeline &&
+                         socket_ != nullptr && socket_->state() == QAbstractSocket::ConnectedState &&
+                         !lastOnConnection_ && toDrip_.empty();
+  if (!open_.empty() && !pipelined) return;
+  if (socket_ == nullptr) {
+    connectNow();
+    return;
+  }
+  if (socket_->state() != QAbstractSocket::ConnectedState) return;
+  std::size_t const place = waiting_.front();
+  waiting_.pop_front();
+  start(place);
+  if (!waiting_.empty()) turn();
+}
+
+void Caller::connectNow() {
+  buffer_.clear();
+  parser_.reset();
+  lastOnConnection_ = false;
+  socket_ = new QTcpSocket(this);
+  QObject::connect(socket_, &QTcpSocket::connected, this, [this] { turn(); });
+  QObject::connect(socket_, &QTcpSocket::bytesWritten, this, [this](qint64) { written(); });
+  QObject::connect(socket_, &QTcpSocket::readyRead, this, [this] {
+    if (!slow_->isActive()) readable();
+  });
+  QObject::connect(socket_, &QTcpSocket::disconnected, this, [this] { ended(); });
+  QObject::connect(
+      socket_, &QTcpSocket::errorOccurred, this,
+      [this](QAbstractSocket::SocketError) {
+        if (socket_ != nullptr && socket_->state() == QAbstractSocket::UnconnectedState) ended();
+      },
+      Qt::QueuedConnection);
+  std::pair<std::string, std::uint16_t> const at = http::splitAddress(address_);
+  socket_->connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
+}
+
+void Caller::start(std::size_t place) {
+  Seen& seen = events_.seen(place);
+  bool const first = open_.empty();
+  open_.push_back(place);
+  seen.began = true;
+  seen.startedAt = programs::now();
+  if (first) seen.freeAt = programs::now();
+  std::string const text = requestText(seen);
+  Manner const manner = seen.ask.manner;
+  if (manner == Manner::slowRead) {
+    socket_->setReadBufferSize(slowReadBytes);
+    socket_->setSocketOption(QAbstractSocket::ReceiveBufferSizeSocketOption, smallWindow);
+    slow_->start(slowReadMs);
+  }
+  if (manner == Manner::slowSend || manner == Manner::leaveSending) {
+    toDrip_ = text;
+    drips_->start(dripMs);
+  } else {
+    socket_->write(text.data(), static_cast<qint64>(text.size()));
+  }
+  if (manner == Manner::leave || manner == Manner::leaveByReset || manner == Manner::leaveSending ||
+      manner == Manner::halfClose)
+    leaves_->start(seen.ask.leaveMs);
+  if (first) limit_->start(seen.ask.toldMs + patienceMs);
+}
+
+void Caller::drip() {
+  std::size_t const each = std::max<std::size_t>(1, events_.seen(open_.back()).body.size() / drips + 20);
+  socket_->write(toDrip_.data(), static_cast<qint64>(std::min(each, toDrip_.size())));
+  toDrip_.erase(0, each);
+  if (toDrip_.empty()) drips_->stop();
+}
+
+void Caller::written() {
+  if (socket_ == nullptr || socket_->bytesToWrite() > 0 || !toDrip_.empty()) return;
+  for (std::size_t const place : open_) {
+    Seen& seen = events_.seen(place);
+    if (seen.sentAt == 0) seen.sentAt = programs::now();
+  }
+}
+
+void Caller::readable() {
+  if (socket_ == nullptr) return;
+  buffer_ += slow_->isActive() ? socket_->read(slowReadBytes) : socket_->readAll();
+  parse();
+}
+
+void Caller::parse() {
+  while (!buffer_.isEmpty()) {
+    if (open_.empty()) {
+      events_.unasked(buffer_.left(200).toStdString());
+      buffer_.clear();
+      return;
+    }
+    Seen& seen = events_.seen(open_.front());
+    if (!parser_) {
+      parser_ = std::make_unique<Parser>();
+      parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
+      parser_->header_limit(1U << 20);
+      parser_->eager(true);
+    }
+    boost::beast::error_code ec;
+    std::size_t const used =
+        parser_->put(boost::asio::buffer(buffer_.constData(), static_cast<std::size_t>(buffer_.size())), ec);
+    buffer_.remove(0, static_cast<qsizetype>(used));
+    if (parser_->is_header_done()) {
+      if (parser_->get().result_int() < 200) {
+        parser_.reset();
+        continue;
+      }
+      if (seen.headAt == 0) seen.headAt = programs::now();
+      seen.status = static_cast<int>(parser_->get().result_int());
+      lastOnConnection_ = !parser_->get().keep_alive();
+      seen.fields.clear();
+      for (beastHttp::fields::value_type const& f : parser_->get())
+        seen.fields.emplace_back(std::string(f.name_string()), std::string(f.value()));
+      seen.got = parser_->get().body();
+    }
+    if (ec && ec != beastHttp::error::need_more) {
+      events_.unasked("broken framing at " + seen.attempt + ": " + ec.message());
+      buffer_.clear();
+      return;
+    }
+    if (!parser_->is_done()) return;
+    answered();
+  }
+}
+
+void Caller::answered() {
+  std::size_t const place = open_.front();
+  Manner const manner = events_.seen(place).ask.manner;
+  parser_.reset();
+  open_.pop_front();
+  if (open_.empty()) {
+    slow_->stop();
+    drips_->stop();
+    leaves_->stop();
+    limit_->stop();
+  } else {
+    Seen& next = events_.seen(open_.front());
+    next.freeAt = programs::now();
+    limit_->start(next.ask.toldMs + patienceMs);
+  }
+  bool const unsent = !toDrip_.empty();
+  toDrip_.clear();
+  finish(place, true);
+  if (lastOnConnection_ || unsent || manner == Manner::halfClose) {
+    buffer_.clear();
+    ended();
+  } else {
+    turn();
+  }
+}
+
+void Caller::finish(std::size_t place, bool whole) {
+  Seen& seen = events_.seen(place);
+  seen.whole = whole;
+  seen.endedAt = programs::now();
+  events_.over(place);
+}
+
+void Caller::ended() {
+  if (socket_ == nullptr) return;
+  bool const connected = socket_->state() != QAbstractSocket::UnconnectedState || !open_.empty();
+  if (socket_->bytesAvailable() > 0) {
+    buffer_ += socket_->readAll();
+    slow_->stop();
+    QTcpSocket* const same = socket_;
+    parse();
+    if (socket_ != same) return;
+  }
+  dropSocket();
+  loseOpen();
+  if (!connected && !waiting_.empty()) {
+    std::size_t const place = waiting_.front();
+    waiting_.pop_front();
+    events_.seen(place).unsent = true;
+    finish(place, false);
+  }
+  turn();
+}
+
+void Caller::loseOpen() {
+  std::deque<std::size_t> const lost = std::move(open_);
+  open_.clear();
+  for (std::size_t const place : lost) finish(place, false);
+}
+
+void Caller::leave() {
+  if (socket_ == nullptr || open_.empty()) return;
+  std::size_t const place = open_.back();
+  Seen& seen = events_.seen(place);
+  if (seen.ask.manner == Manner::halfClose) {
+    ::shutdown(static_cast<int>(socket_->socketDescriptor()), SHUT_WR);
+    return;
+  }
+  bool const reset = seen.ask.manner == Manner::leaveByReset;
+  core::Tick const now = programs::now();
+  for (std::size_t const p : open_) events_.seen(p).leftAt = now;
+  if (events_.staysOpen) {
+    socket_->disconnect(this);
+    socket_ = nullptr;
+    dropSocket();
+    loseOpen();
+    turn();
+    return;
+  }
+  if (reset) {
+    socket_->disconnect(this);
+    resetSocket(*socket_);
+  }
+  ended();
+}
+
+void Caller::giveUp() {
+  if (open_.empty()) return;
+  core::Tick const now = programs::now();
+  for (std::size_t const p : open_) events_.seen(p).leftAt = now;
+  ended();
+}
+
+void Caller::dropSocket() {
+  for (QTimer* const t : {slow_, drips_, leaves_, limit_}) t->stop();
+  toDrip_.clear();
+  parser_.reset();
+  if (socket_ == nullptr) return;
+  socket_->disconnect(this);
+  socket_->abort();
+  socket_->deleteLater();
+  socket_ = nullptr;
+}
+
+}  // namespace corkward::fuzz
--- /dev/null
+++ b/testing/fuzz/mutation.h
@@ -0,0 +1,38 @@
+#pragma once
+
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "wire.h"
+
+/// Faults put into a scene on purpose, one for each oracle at least: the oracle must find it.
+namespace corkward::fuzz {
+
+/// Faults that strike at callers and replicas; those of the mapping are MappingFault.
+enum class Tampering {
+  none,
+  /// A byte of the callers' answers is altered.
+  alterAnswer,
+  /// An answer that was cut is taken for a whole one.
+  hideCut,
+  /// A byte of the requests is altered on its way to the replica.
+  alterRequest,
+  /// A lost outcome is told as a promise that nothing ran.
+  promiseAfterRun,
+  /// The leaving of callers does not show.
+  ignoreLeaving,
+};
+
+struct Mutation {
+  char const* name = "";
+  /// The oracle that must find it.
+  char const* oracle = "";
+  Tampering tampering = Tampering::none;
+  platform::test::wire::MappingFault mapping = platform::test::wire::MappingFault::none;
+};
+
+std::vector<Mutation> const& mutations();
+std::optional<Mutation> mutationOf(std::string const& name);
+
+}  // namespace corkward::fuzz
--- /dev/null
+++ b/testing/fuzz/oracles.h
@@ -0,0 +1,28 @@
+#pragma once
+
+#include <functional>
+#include <string>
+#include <vector>
+
+#include "record.h"
+
+/// What must hold of every scene, judged from outside alone.
+namespace corkward::fuzz {
+
+struct Violation {
+  /// own-answer, as-sent, once, promise, tries, gone, time-left, held, status.
+  std::string oracle;
+  std::string what;
+};
+
+/// What the scene's routes allow.
+struct Terms {
+  int tries = 3;
+  core::Tick deadlineMs = 1500;
+};
+
+/// @param lag how long the event loop stood still between two times, which is forgiven
+std::vector<Violation> judge(Record const& record, Terms const& terms,
+                             std::function<core::Tick(core::Tick, core::Tick)> const& lag);
+
+}  // namespace corkward::fuzz
--- /dev/null
+++ b/testing/fuzz/plan.cpp
@@ -0,0 +1,176 @@
+#include "plan.h"
+
+#include <QJsonArray>
+#include <array>
+
+#include <corkward/core/json.h>
+#include <corkward/core/types.h>
+
+namespace corkward::fuzz {
+
+namespace {
+
+constexpr std::array<char const*, faults> faultNames{
+    "well",       "interim",   "early",           "surplus",       "surplus-late",  "two-answers",
+    "other-id",   "bad-chunk", "truncated-event", "cut-answer",    "cut-reading",   "silence",
+    "slow-write", "slow-read", "not-run",         "not-run-early", "false-promise", "failure",
+    "unsealed",   "garbage",   "encoded",         "short-body",    "odd-head"};
+constexpr std::array<char const*, manners> mannerNames{
+    "stay", "leave", "leave-by-reset", "half-close", "pipeline", "again", "slow-send", "slow-read", "leave-sending"};
+constexpr std::array<char const*, 4> routeNames{"safe", "once", "row", "tell"};
+constexpr std::array<char const*, 3> framingNames{"length", "chunks", "till-end"};
+
+constexpr std::uint64_t mostAsks = 16;
+constexpr std::uint64_t lanes = 6;
+constexpr std::uint64_t startsWithinMs = 700;
+constexpr std::uint64_t longBody = 700000;
+constexpr std::uint64_t longAnswer = 600000;
+
+bool row(Route route) {
+  return route == Route::row || route == Route::tell;
+}
+
+std::uint32_t sizeOf(core::Rng& rng, std::uint64_t longest) {
+  switch (rng.below(8)) {
+    case 0:
+      return 0;
+    case 1:
+      return static_cast<std::uint32_t>(rng.below(longest));
+    case 2:
+      return static_cast<std::uint32_t>(rng.below(70000));
+    default:
+      return static_cast<std::uint32_t>(rng.below(2000));
+  }
+}
+
+Answer answerOf(core::Rng& rng, Route route) {
+  Answer out;
+  out.fault = rng.chance(0.35) ? Fault::well : static_cast<Fault>(rng.below(faults));
+  out.framing = static_cast<Framing>(rng.below(3));
+  out.size = row(route) ? static_cast<std::uint32_t>(1 + rng.below(12)) : sizeOf(rng, longAnswer);
+  out.at = static_cast<std::uint32_t>(rng.below(4) == 0 ? rng.below(2) * 1000 : rng.below(1001));
+  out.pauseMs = rng.chance(0.5) ? 0 : static_cast<int>(rng.below(120));
+  out.reset = rng.chance(0.5);
+  out.variant = static_cast<std::uint32_t>(rng.below(64));
+  return out;
+}
+
+template <std::size_t size>
+std::size_t indexOf(std::array<char const*, size> const& names, std::string const& text, char const* what) {
+  for (std::size_t i = 0; i < size; ++i)
+    if (text == names[i]) return i;
+  throw PlanError(std::string("no such ") + what + ": " + text);
+}
+
+template <std::size_t size>
+std::size_t read(std::array<char const*, size> const& names, QJsonObject const& from, char const* field) {
+  QJsonValue const value = from.value(field);
+  return value.isUndefined() ? 0 : indexOf(names, core::str(value.toString()), field);
+}
+
+Answer answerFrom(QJsonObject const& from) {
+  Answer out;
+  out.fault = static_cast<Fault>(read(faultNames, from, "fault"));
+  out.framing = static_cast<Framing>(read(framingNames, from, "framing"));
+  out.size = static_cast<std::uint32_t>(from.value("size").toInt(static_cast<int>(out.size)));
+  out.at = static_cast<std::uint32_t>(from.value("at").toInt(static_cast<int>(out.at)));
+  out.pauseMs = from.value("pauseMs").toInt();
+  out.reset = from.value("reset").toBool();
+  out.variant = static_cast<std::uint32_t>(from.value("variant").toInt());
+  return out;
+}
+
+Ask askFrom(QJsonObject const& from) {
+  Ask out;
+  out.route = static_cast<Route>(read(routeNames, from, "route"));
+  out.body = static_cast<std::uint32_t>(from.value("body").toInt());
+  out.chunkedBody = from.value("chunkedBody").toBool();
+  out.expectsContinue = from.value("expectsContinue").toBool();
+  out.toldMs = from.value("toldMs").toInt(out.toldMs);
+  out.lane = static_cast<std::size_t>(from.value("lane").toInt());
+  out.startMs = from.value("startMs").toInt();
+  out.manner = static_cast<Manner>(read(mannerNames, from, "manner"));
+  out.leaveMs = from.value("leaveMs").toInt(out.leaveMs);
+  for (QJsonValue const a : from.value("answers").toArray()) out.answers.push_back(answerFrom(a.toObject()));
+  if (out.answers.empty()) out.answers.emplace_back();
+  return out;
+}
+
+QJsonObject jsonOf(Answer const& answer) {
+  return QJsonObject{{"fault", name(answer.fault)},
+                     {"framing", framingNames[static_cast<std::size_t>(answer.framing)]},
+                     {"size", static_cast<int>(answer.size)},
+                     {"at", static_cast<int>(answer.at)},
+                     {"pauseMs", answer.pauseMs},
+                     {"reset", answer.reset},
+                     {"variant", static_cast<int>(answer.variant)}};
+}
+
+QJsonObject jsonOf(Ask const& ask) {
+  QJsonArray answers;
+  for (Answer const& a : ask.answers) answers.append(jsonOf(a));
+  return QJsonObject{{"route", name(ask.route)},       {"body", static_cast<int>(ask.body)},
+                     {"chunkedBody", ask.chunkedBody}, {"expectsContinue", ask.expectsContinue},
+                     {"toldMs", ask.toldMs},           {"lane", static_cast<int>(ask.lane)},
+                     {"startMs", ask.startMs},         {"manner", name(ask.manner)},
+                     {"leaveMs", ask.leaveMs},         {"answers", answers}};
+}
+
+}  // namespace
+
+char const* name(Fault fault) {
+  return faultNames[static_cast<std::size_t>(fault)];
+}
+
+char const* name(Manner manner) {
+  return mannerNames[static_cast<std::size_t>(manner)];
+}
+
+char const* name(Route route) {
+  return routeNames[static_cast<std::size_t>(route)];
+}
+
+Plan planOf(std::uint64_t seed) {
+  // The generator's streams of seeds that follow each other are alike.
+  core::Rng rng(core::stableHash("plan " + std::to_string(seed)));
+  Plan out;
+  out.seed = seed;
+  out.name = std::to_string(seed);
+  out.refused = rng.chance(0.2) ? 100 : 0;
+  std::uint64_t const count = 4 + rng.below(mostAsks - 3);
+  for (std::uint64_t i = 0; i < count; ++i) {
+    Ask ask;
+    ask.route = static_cast<Route>(rng.below(4));
+    ask.body = sizeOf(rng, longBody);
+    ask.chunkedBody = rng.chance(0.3);
+    ask.expectsContinue = rng.chance(0.1);
+    ask.toldMs = 300 + static_cast<int>(rng.below(1000));
+    ask.lane = static_cast<std::size_t>(rng.below(lanes));
+    ask.startMs = static_cast<int>(rng.below(startsWithinMs));
+    ask.manner = rng.chance(0.4) ? Manner::stay : static_cast<Manner>(rng.below(manners));
+    ask.leaveMs = static_cast<int>(rng.below(rng.chance(0.5) ? 20 : 400));
+    std::uint64_t const answers = 1 + rng.below(3);
+    for (std::uint64_t a = 0; a < answers; ++a) ask.answers.push_back(answerOf(rng, ask.route));
+    out.asks.push_back(std::move(ask));
+  }
+  return out;
+}
+
+Plan planOf(std::string const& name, QJsonObject const& file) {
+  Plan out;
+  out.name = name;
+  out.seed = static_cast<std::uint64_t>(file.value("seed").toInt(1));
+  out.refused = static_cast<std::uint32_t>(file.value("refused").toInt());
+  for (QJsonValue const a : file.value("asks").toArray()) out.asks.push_back(askFrom(a.toObject()));
+  if (out.asks.empty()) throw PlanError(name + ": asks: missing");
+  return out;
+}
+
+QJsonObject jsonOf(Plan const& plan) {
+  QJsonArray asks;
+  for (Ask const& a : plan.asks) asks.append(jsonOf(a));
+  return QJsonObject{
+      {"seed", static_cast<qint64>(plan.seed)}, {"refused", static_cast<int>(plan.refused)}, {"asks", asks}};
+}
+
+}  // namespace corkward::fuzz
--- /dev/null
+++ b/testing/fuzz/replica.cpp
@@ -0,0 +1,213 @@
+#include "replica.h"
+
+#include <QHostAddress>
+#include <QTcpSocket>
+#include <QTimer>
+#include <algorithm>
+#include <sys/socket.h>
+
+#include "clock.h"
+
+namespace corkward::fuzz {
+
+namespace beastHttp = boost::beast::http;
+
+namespace {
+
+constexpr int smallWindow = 4096;
+constexpr qint64 readBuffer = 32 << 10;
+constexpr qint64 slowReadBytes = 8192;
+constexpr int slowReadMs = 2;
+constexpr std::uint64_t longestBody = 16U << 20;
+
+}  // namespace
+
+void resetSocket(QTcpSocket& socket) {
+  linger const now{1, 0};
+  ::setsockopt(static_cast<int>(socket.socketDescriptor()), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  socket.abort();
+}
+
+struct Replica::Conn {
+  using Parser = beastHttp::request_parser<beastHttp::string_body>;
+  QTcpSocket* socket = nullptr;
+  QTimer* timer = nullptr;
+  QTimer* slow = nullptr;
+  QByteArray buffer;
+  std::unique_ptr<Parser> parser = {};
+  bool headed = false;
+  bool bodyWhole = false;
+  bool answered = false;
+  bool over = false;
+  std::size_t dispatch = 0;
+  Script script = {};
+  std::size_t step = 0;
+};
+
+Replica::Replica(std::size_t index, Events events) : index_(index), events_(std::move(events)) {
+  if (!server_.listen(QHostAddress::LocalHost, 0)) throw PlanError("no port for a replica");
+  ::setsockopt(static_cast<int>(server_.socketDescriptor()), SOL_SOCKET, SO_RCVBUF, &smallWindow, sizeof smallWindow);
+  QObject::connect(&server_, &QTcpServer::newConnection, this, [this] { accept(); });
+}
+
+Replica::~Replica() {
+  for (std::shared_ptr<Conn> const& c : conns_) {
+    c->socket->disconnect(this);
+    c->socket->abort();
+  }
+}
+
+std::string Replica::address() const {
+  return "127.0.0.1:" + std::to_string(server_.serverPort());
+}
+
+void Replica::accept() {
+  while (QTcpSocket* const socket = server_.nextPendingConnection()) {
+    if (events_.refuses()) {
+      resetSocket(*socket);
+      socket->deleteLater();
+      continue;
+    }
+    std::shared_ptr<Conn> const conn = std::make_shared<Conn>();
+    conn->socket = socket;
+    socket->setReadBufferSize(readBuffer);
+    conn->timer = new QTimer(socket);
+    conn->timer->setSingleShot(true);
+    conn->slow = new QTimer(socket);
+    conns_.push_back(conn);
+    std::weak_ptr<Conn> const weak = conn;
+    QObject::connect(socket, &QTcpSocket::readyRead, this, [this, weak] {
+      if (std::shared_ptr<Conn> const c = weak.lock()) readable(c);
+    });
+    QObject::connect(socket, &QTcpSocket::disconnected, this, [this, weak] {
+      if (std::shared_ptr<Conn> const c = weak.lock()) over(c);
+    });
+    QObject::connect(conn->timer, &QTimer::timeout, this, [this, weak] {
+      if (std::shared_ptr<Conn> const c = weak.lock()) play(c);
+    });
+    QObject::connect(conn->slow, &QTimer::timeout, this, [this, weak] {
+      if (std::shared_ptr<Conn> const c = weak.lock()) read(c);
+    });
+    readable(conn);
+  }
+}
+
+void Replica::readable(std::shared_ptr<Conn> const& conn) {
+  if (!conn->slow->isActive()) read(conn);
+}
+
+void Replica::read(std::shared_ptr<Conn> const& conn) {
+  if (conn->over) return;
+  conn->buffer += conn->socket->read(conn->slow->isActive() ? slowReadBytes : readBuffer);
+  while (!conn->over && !conn->buffer.isEmpty() && !conn->bodyWhole) {
+    if (!conn->parser) {
+      conn->parser = std::make_unique<Conn::Parser>();
+      conn->parser->body_limit(longestBody);
+      conn->parser->header_limit(1U << 20);
+    }
+    conn->parser->eager(conn->headed);
+    boost::beast::error_code ec;
+    std::size_t const used = conn->parser->put(
+        boost::asio::buffer(conn->buffer.constData(), static_cast<std::size_t>(conn->buffer.size())), ec);
+    conn->buffer.remove(0, static_cast<qsizetype>(used));
+    if (conn->headed) events_.dispatch(conn->dispatch).lastByteAt = programs::now();
+    if (ec && ec != beastHttp::error::need_more) {
+      resetSocket(*conn->socket);
+      return;
+    }
+    if (!conn->headed && conn->parser->is_header_done()) headed(conn);
+    if (conn->over || !conn->headed) return;
+    if (conn->parser->is_done()) {
+      conn->bodyWhole = true;
+      Dispatch& d = events_.dispatch(conn->dispatch);
+      d.bodyWhole = true;
+      d.body = conn->parser->get().body();
+      if (events_.alters && !d.body.empty()) d.body[d.body.size() / 2] ^= 1;
+    } else if (ec == beastHttp::error::need_more) {
+      break;
+    }
+  }
+  if (conn->headed && !conn->over) play(conn);
+  if (conn->answered && conn->bodyWhole) next(conn);
+}
+
+void Replica::headed(std::shared_ptr<Conn> const& conn) {
+  conn->headed = true;
+  beastHttp::request<beastHttp::string_body> const& head = conn->parser->get();
+  Dispatch d;
+  d.replica = index_;
+  d.at = programs::now();
+  d.lastByteAt = d.at;
+  d.method = std::string(head.method_string());
+  d.target = std::string(head.target());
+  for (beastHttp::fields::value_type const& f : head)
+    d.fields[http::lower(std::string(f.name_string()))] = std::string(f.value());
+  std::size_t const length = conn->parser->content_length() ? *conn->parser->content_length() : 0;
+  std::pair<std::size_t, Script> noted = events_.arrived(std::move(d), length);
+  conn->dispatch = noted.first;
+  conn->script = std::move(noted.second);
+  conn->step = 0;
+  if (conn->script.slowReading && length > 0) conn->slow->start(slowReadMs);
+}
+
+void Replica::play(std::shared_ptr<Conn> const& conn) {
+  while (!conn->over && !conn->answered && !conn->timer->isActive()) {
+    Step const& step = conn->script.steps[conn->step];
+    switch (step.what) {
+      case Step::What::awaitBody:
+        if (!conn->bodyWhole) return;
+        break;
+      case Step::What::awaitBytes:
+        if (!conn->bodyWhole && conn->parser->get().body().size() < step.count) return;
+        break;
+      case Step::What::write:
+        conn->socket->write(step.bytes.data(), static_cast<qint64>(step.bytes.size()));
+        break;
+      case Step::What::pause:
+        conn->timer->start(step.ms);
+        break;
+      case Step::What::close:
+        events_.dispatch(conn->dispatch).answeredAt = programs::now();
+        conn->slow->stop();
+        conn->answered = true;
+        conn->socket->disconnectFromHost();
+        return;
+      case Step::What::reset:
+        events_.dispatch(conn->dispatch).answeredAt = programs::now();
+        conn->socket->flush();
+        resetSocket(*conn->socket);
+        return;
+      case Step::What::hold:
+        return;
+      case Step::What::done:
+        events_.dispatch(conn->dispatch).answeredAt = programs::now();
+        conn->answered = true;
+        return;
+    }
+    ++conn->step;
+  }
+  if (conn->answered && conn->bodyWhole) next(conn);
+}
+
+void Replica::next(std::shared_ptr<Conn> const& conn) {
+  if (conn->over || !conn->answered || !conn->bodyWhole) return;
+  conn->parser.reset();
+  conn->headed = false;
+  conn->bodyWhole = false;
+  conn->answered = false;
+  conn->slow->stop();
+  QMetaObject::invokeMethod(
+      conn->socket, [this, conn] { read(conn); }, Qt::QueuedConnection);
+}
+
+void Replica::over(std::shared_ptr<Conn> const& conn) {
+  if (conn->over) return;
+  conn->over = true;
+  if (conn->headed) events_.dispatch(conn->dispatch).closedAt = programs::now();
+  conn->timer->stop();
+  conn->slow->stop();
+  conn->socket->deleteLater();
+  std::erase(conns_, conn);
+}
+
+}  // namespace corkward::fuzz
--- /dev/null
+++ b/testing/fuzz/scene.h
@@ -0,0 +1,76 @@
+#pragma once
+
+#include <QTimer>
+#include <functional>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include <corkward/transport/link.h>
+
+#include "caller.h"
+#include "mutation.h"
+#include "oracles.h"
+#include "plan.h"
+#include "record.h"
+#include "replica.h"
+#include "router_daemon.h"
+
+namespace corkward::fuzz {
+
+/// How long the event loop stood still, for oracles that compare times.
+class LagMeter : public QObject {
+ public:
+  LagMeter();
+  /// What was lost between the two times.
+  core::Tick between(core::Tick from, core::Tick to) const;
+
+ private:
+  void beat();
+  struct Gap {
+    core::Tick at = 0;
+    core::Tick lost = 0;
+  };
+  std::deque<Gap> gaps_;
+  core::Tick last_ = 0;
+  QTimer timer_;
+};
+
+/// One plan played on a router daemon of its own, over loopback.
+class Scene : public QObject {
+ public:
+  Scene(Plan plan, std::optional<Mutation> mutation, std::function<void()> over);
+  Plan const& plan() const { return plan_; }
+  Record const& record() const { return record_; }
+  std::vector<Violation> judged(LagMeter const& lag) const;
+
+ private:
+  void boot();
+  void begin();
+  void ask(Ask const& ask, std::string const& attempt);
+  void ended(std::size_t place);
+  std::pair<std::size_t, Script> arrived(std::size_t replica, Dispatch dispatch, std::size_t bodyLength);
+  Seen* callerOf(std::string const& attempt);
+  /// An attempt that has ended; a late answer of one that is still to come could not be told from its own.
+  std::string otherThan(std::string const& attempt);
+  void finish();
+  bool tampers(Tampering tampering) const { return mutation_ && mutation_->tampering == tampering; }
+
+  Plan plan_;
+  std::optional<Mutation> mutation_;
+  std::function<void()> over_;
+  Record record_;
+  core::Rng rng_;
+  std::size_t open_ = 0;
+  std::size_t toStart_ = 0;
+  bool finished_ = false;
+  platform::test::wire::FaultyMapping mapping_;
+  std::vector<std::unique_ptr<Replica>> replicas_;
+  std::unique_ptr<programs::RouterDaemon> router_;
+  std::unique_ptr<transport::Link> control_;
+  std::vector<std::unique_ptr<Caller>> lanes_;
+  QTimer boot_;
+  QTimer limit_;
+};
+
+}  // namespace corkward::fuzz
--- /dev/null
+++ b/testing/fuzz/script.h
@@ -0,0 +1,60 @@
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "plan.h"
+
+/// What a replica does about one request, step by step.
+namespace corkward::fuzz {
+
+/// One step of a replica.
+struct Step {
+  enum class What {
+    /// Waits until the request was read whole.
+    awaitBody,
+    /// Waits until so many bytes of the request's body were read, or it is whole.
+    awaitBytes,
+    write,
+    pause,
+    /// Ends the connection in order, or by a reset.
+    close,
+    reset,
+    /// Says nothing more, and keeps the connection.
+    hold,
+    /// The answer is given; the connection goes on to the next request.
+    done,
+  };
+  What what = What::done;
+  std::string bytes = {};
+  int ms = 0;
+  std::size_t count = 0;
+};
+
+/// Who asks, and for what.
+struct Asked {
+  std::string attempt;
+  std::string seal;
+  /// Attempt whose answer may come in this one's place.
+  std::string other;
+  bool row = false;
+  /// Events of the row, and the last that the caller has.
+  std::size_t events = 0;
+  std::size_t after = 0;
+  std::size_t bodyLength = 0;
+};
+
+/// The steps, and what the answer comes to.
+struct Script {
+  std::vector<Step> steps;
+  int status = 200;
+  bool ran = true;
+  bool slowReading = false;
+  /// Body as the framing tells it, and whether it says that it is whole.
+  std::string framed;
+  bool framedWhole = true;
+};
+
+Script scriptOf(Answer const& answer, Asked const& asked);
+
+}  // namespace corkward::fuzz
--- /dev/null
+++ b/testing/test/fuzz_test.cpp
@@ -0,0 +1,91 @@
+#include <catch2/catch.hpp>
+
+#include <QCoreApplication>
+#include <algorithm>
+#include <set>
+
+#include "process.h"
+#include "runner.h"
+
+using corkward::fuzz::Finding;
+using corkward::fuzz::Mutation;
+using corkward::fuzz::Plan;
+using corkward::fuzz::Report;
+using corkward::fuzz::Runner;
+
+namespace {
+
+constexpr std::size_t atOnce = 16;
+constexpr std::uint64_t mutationSeeds = 48;
+constexpr std::uint64_t firstSeed = 1;
+constexpr std::uint64_t budgetSeeds = 200;
+
+void application() {
+  static int argc = 0;
+  corkward::programs::chooseEventLoop();
+  static QCoreApplication app(argc, nullptr);
+}
+
+std::vector<Plan> corpusOfTheTree() {
+  return corkward::fuzz::corpus(CORKWARD_SOURCE "/testing/fuzz/corpus");
+}
+
+Report play(std::vector<Plan> const& plans, std::optional<Mutation> const& mutation = std::nullopt) {
+  application();
+  std::size_t given = 0;
+  Runner runner(
+      [&]() -> std::optional<Plan> { return given < plans.size() ? std::optional(plans[given++]) : std::nullopt; },
+      mutation, atOnce);
+  return runner.run();
+}
+
+std::vector<Plan> bySeed(std::uint64_t from, std::uint64_t count) {
+  std::vector<Plan> out;
+  for (std::uint64_t i = 0; i < count; ++i) out.push_back(corkward::fuzz::planOf(from + i));
+  return out;
+}
+
+std::string textOf(Report const& report) {
+  std::string out;
+  for (Finding const& f : report.findings)
+    out += "scene " + f.scene + ": " + f.violation.oracle + ": " + f.violation.what + "\n";
+  return out;
+}
+
+}  // namespace
+
+TEST_CASE("a seed always makes the same scene, and it is read back as it is written", "[plans]") {
+  for (std::uint64_t seed = 1; seed < 50; ++seed) {
+    Plan const plan = corkward::fuzz::planOf(seed);
+    CHECK(jsonOf(plan) == jsonOf(corkward::fuzz::planOf(seed)));
+    CHECK(jsonOf(corkward::fuzz::planOf("again", jsonOf(plan))) == jsonOf(plan));
+    CHECK(jsonOf(plan) != jsonOf(corkward::fuzz::planOf(seed + 1)));
+  }
+  CHECK_THROWS_AS(corkward::fuzz::planOf("none", QJsonObject{}), corkward::fuzz::PlanError);
+}
+
+TEST_CASE("misbehaving callers and replicas of the corpus break no rule", "[corpus]") {
+  Report const report = play(corpusOfTheTree());
+  INFO(textOf(report));
+  CHECK(report.findings.empty());
+  CHECK(report.served > 0);
+}
+
+TEST_CASE("misbehaving callers and replicas by seed break no rule", "[seeds]") {
+  Report const report = play(bySeed(firstSeed, budgetSeeds));
+  INFO(textOf(report));
+  CHECK(report.findings.empty());
+  CHECK(report.served > report.requests / 5);
+  CHECK(report.faults.size() == static_cast<std::size_t>(corkward::fuzz::faults));
+}
+
+TEST_CASE("each oracle finds the fault that was put in for it", "[mutation]") {
+  for (Mutation const& m : corkward::fuzz::mutations()) {
+    std::vector<Plan> plans = corpusOfTheTree();
+    for (Plan& p : bySeed(firstSeed, mutationSeeds)) plans.push_back(std::move(p));
+    Report const report = play(plans, m);
+    CAPTURE(m.name, m.oracle);
+    CHECK(std::any_of(report.findings.begin(), report.findings.end(),
+                      [&](Finding const& f) { return f.violation.oracle == m.oracle; }));
+  }
+}
