--- a/testing/fuzz/scene.cpp
+++ b/testing/fuzz/scene.cpp
@@ -19,6 +19,7 @@
 constexpr std::size_t replicaCount = 3;
 constexpr std::size_t laneCount = 8;
 constexpr int bootEveryMs = 5;
+constexpr int bootTries = 10;
 constexpr int settleMs = 620;
 constexpr int limitMs = 8000;
 constexpr int beatMs = 5;
@@ -94,6 +95,18 @@
 }
 
 void Scene::boot() {
+  for (int left = bootTries; left > 0; --left) try {
+      listen();
+      return;
+    } catch (core::Error const&) {
+      // Another process took a port between its choice and its use.
+      if (left == 1) throw;
+      router_.reset();
+      control_.reset();
+    }
+}
+
+void Scene::listen() {
   programs::Settings settings;
   settings.link = freeAddress();
   settings.http = "127.0.0.1:0";
--- a/testing/fuzz/scene.h
+++ b/testing/fuzz/scene.h
@@ -46,6 +46,7 @@
 
  private:
   void boot();
+  void listen();
   void begin();
   void ask(Ask const& ask, std::string const& attempt);
   void ended(std::size_t place);
