--- a/http/src/server.cpp
+++ b/http/src/server.cpp
@@ -60,6 +60,7 @@
   bool continued = false;
   bool dropped = false;
   bool faulted = false;
+  /// Runs from the first byte of the request that is read.
 };
 
 Server::Server(std::string const& address, Limits limits, Events events, QObject* parent)
--- a/programs/router/router_daemon.cpp
+++ b/programs/router/router_daemon.cpp
@@ -26,7 +26,7 @@
       mapping_(mapping),
       surface_(std::move(surface)),
       drain_(s.drainLimit, tuning.drainServe),
-      reducer_(contactOf(s, transport::routerRole), s.seeds, freshSeed(), tuning),
+      reducer_(contactOf(s, transport::routerRole), s.seeds, surface_.seed == 0 ? freshSeed() : surface_.seed, tuning),
       records_(this, s, [this](bool works) { reducer_.recording(works); }),
       link_(
           this, s.link, [this](transport::Envelope e) { run(reducer_.arrived(now(), e.from, e.message)); }, s.listen),
