--- a/programs/common/settings.cpp
+++ b/programs/common/settings.cpp
@@ -3,9 +3,9 @@
 #include <QHostAddress>
 #include <boost/program_options.hpp>
 #include <cerrno>
-#include <cstring>
 #include <fstream>
 #include <iostream>
+#include <system_error>
 #include <sys/stat.h>
 #include <unistd.h>
 
@@ -41,12 +41,11 @@
   }
 }
 
-}  // namespace
+constexpr std::size_t maxSeeds = 8;
+constexpr std::size_t maxFounders = 9;
 
-std::optional<Settings> readSettings(int argc, char const* const* argv, Role role) {
-  Settings s;
-  bool const disk = role == Role::controller;
-  std::string const program = disk ? "corkward-controller" : "corkward-router";
+/// The options that a settings file may hold as well; values go to the settings.
+po::options_description sharedOptions(Settings& s, bool disk) {
   po::options_description shared("Settings, in the file or as flags");
   shared.add_options()("link", po::value<std::string>(&s.link), "own address for other processes, ip:port")(
       "listen", po::value<std::string>(&s.listen),
@@ -69,11 +68,70 @@
                          "folder for the records of regimes' work; without it nothing of a regime is served here")(
         "audit-megabytes", po::value<int>(&s.auditMegabytes)->default_value(64),
         "most that the records take, 2 to 65536");
+  return shared;
+}
+
+po::options_description flagOptions() {
   po::options_description flags("Flags");
   flags.add_options()("settings", po::value<std::string>(), "settings file: name = value lines")(
       "check", "check the settings and exit")("help", "print this and exit")("version", "print the version and exit");
+  return flags;
+}
+
+void checkAddresses(Settings const& s, bool disk) {
+  checkAddress("link", s.link, true);
+  checkAddress("http", s.http, true);
+  checkAddress("listen", s.listen, false);
+  if (s.listen == s.http) throw SettingsError("http: must differ from listen");
+  if (s.link == s.http) throw SettingsError("http: must differ from link");
+  if (s.zone.empty()) throw SettingsError("zone: missing");
+  if (!config::validName(s.zone)) throw SettingsError("zone: not a valid name: " + s.zone);
+  if (s.seeds.size() > maxSeeds) throw SettingsError("seed: more than 8");
+  if (s.seeds.empty() && !disk) throw SettingsError("seed: missing");
+  for (std::string const& seed : s.seeds) checkAddress("seed", seed, true);
+}
+
+void checkLogLevel(std::string const& level) {
+  constexpr char const* levels[] = {"trace", "debug", "info", "warn", "error"};
+  bool known = false;
+  for (char const* l : levels) known = known || level == l;
+  if (!known) throw SettingsError("log-level: must be trace, debug, info, warn or error, but is " + level);
+}
+
+void checkDisk(Settings const& s) {
+  if (s.data.empty()) throw SettingsError("data: missing");
+  checkFolder("data", s.data);
+  if (s.founders.empty() && s.seeds.empty()) throw SettingsError("seed: missing, and no founder");
+  if (s.founders.size() > maxFounders) throw SettingsError("founder: more than 9");
+  for (std::string const& f : s.founders) checkAddress("founder", f, true);
+}
+
+/// Throws SettingsError at the first value that is missing or out of its range.
+void checkSettings(Settings const& s, bool disk) {
+  checkAddresses(s, disk);
+  if (s.drainLimit < 1 || s.drainLimit > 3600) throw SettingsError("drain-limit: must be 1 to 3600");
+  checkLogLevel(s.logLevel);
+  if (disk) checkDisk(s);
+  if (!s.audit.empty()) checkFolder("audit", s.audit);
+  if (s.auditMegabytes < 2 || s.auditMegabytes > 65536) throw SettingsError("audit-megabytes: must be 2 to 65536");
+}
+
+/// Adds what the settings file holds to the flags, which go before it.
+void storeFile(std::string const& path, po::options_description const& shared, po::variables_map& vm) {
+  std::ifstream file(path);
+  if (!file) throw SettingsError("settings: cannot be read: " + path + ": " + std::generic_category().message(errno));
+  po::store(po::parse_config_file(file, shared, false), vm);
+}
+
+}  // namespace
+
+std::optional<Settings> readSettings(int argc, char const* const* argv, Role role) {
+  Settings s;
+  bool const disk = role == Role::controller;
+  std::string const program = disk ? "corkward-control" : "corkward-router";
+  po::options_description const shared = sharedOptions(s, disk);
   po::options_description all(program);
-  all.add(flags).add(shared);
+  all.add(flagOptions()).add(shared);
   po::variables_map vm;
   try {
     po::store(po::command_line_parser(argc, argv).options(all).positional(po::positional_options_description()).run(),
@@ -86,40 +144,12 @@
       std::cout << program << " " << CORKWARD_VERSION << "\n";
       return std::nullopt;
     }
-    if (vm.count("settings") > 0) {
-      std::string const path = vm["settings"].as<std::string>();
-      std::ifstream file(path);
-      if (!file) throw SettingsError("settings: cannot be read: " + path + ": " + std::strerror(errno));
-      po::store(po::parse_config_file(file, shared, false), vm);
-    }
+    if (vm.count("settings") > 0) storeFile(vm["settings"].as<std::string>(), shared, vm);
     po::notify(vm);
   } catch (po::error const& e) {
     throw SettingsError(e.what());
   }
-  checkAddress("link", s.link, true);
-  checkAddress("http", s.http, true);
-  checkAddress("listen", s.listen, false);
-  if (s.listen == s.http) throw SettingsError("http: must differ from listen");
-  if (s.link == s.http) throw SettingsError("http: must differ from link");
-  if (s.zone.empty()) throw SettingsError("zone: missing");
-  if (!config::validName(s.zone)) throw SettingsError("zone: not a valid name: " + s.zone);
-  if (s.seeds.size() > 8) throw SettingsError("seed: more than 8");
-  if (s.seeds.empty() && !disk) throw SettingsError("seed: missing");
-  for (std::string const& seed : s.seeds) checkAddress("seed", seed, true);
-  if (s.drainLimit < 1 || s.drainLimit > 3600) throw SettingsError("drain-limit: must be 1 to 3600");
-  constexpr char const* levels[] = {"trace", "debug", "info", "warn", "error"};
-  bool known = false;
-  for (char const* l : levels) known = known || s.logLevel == l;
-  if (!known) throw SettingsError("log-level: must be trace, debug, info, warn or error, but is " + s.logLevel);
-  if (disk) {
-    if (s.data.empty()) throw SettingsError("data: missing");
-    checkFolder("data", s.data);
-    if (s.founders.empty() && s.seeds.empty()) throw SettingsError("seed: missing, and no founder");
-    if (s.founders.size() > 9) throw SettingsError("founder: more than 9");
-    for (std::string const& f : s.founders) checkAddress("founder", f, true);
-  }
-  if (!s.audit.empty()) checkFolder("audit", s.audit);
-  if (s.auditMegabytes < 2 || s.auditMegabytes > 65536) throw SettingsError("audit-megabytes: must be 2 to 65536");
+  checkSettings(s, disk);
   if (vm.count("check") > 0) {
     std::cout << "settings are valid\n";
     return std::nullopt;
--- a/programs/control/main.cpp
+++ b/programs/control/main.cpp
@@ -17,5 +17,5 @@
 
 int main(int argc, char** argv) {
   return corkward::programs::runProgram<corkward::programs::OwnController>(
-      "corkward-controller", corkward::programs::Role::controller, argc, argv);
+      "corkward-control", corkward::programs::Role::controller, argc, argv);
 }
