--- a/config/src/regimes.cpp
+++ b/config/src/regimes.cpp
@@ -16,14 +16,14 @@
 using core::str;
 
 std::string nameAt(QJsonObject const& o, char const* field, std::string const& at) {
-  std::string const out = str(o.value(QLatin1String(field)).toString());
+  std::string out = str(o.value(QLatin1String(field)).toString());
   if (!validName(out)) throw Error(at + "/" + field, o.contains(QLatin1String(field)) ? "not a valid name" : "missing");
   return out;
 }
 
 std::string textAt(QJsonObject const& o, char const* field, std::string const& at) {
   if (!o.contains(QLatin1String(field))) return "";
-  std::string const out = str(o.value(QLatin1String(field)).toString());
+  std::string out = str(o.value(QLatin1String(field)).toString());
   if (out.empty() || out.size() > maxText)
     throw Error(at + "/" + field, "must be a text of 1 to " + std::to_string(maxText) + " bytes");
   return out;
--- a/config/src/whole.cpp
+++ b/config/src/whole.cpp
@@ -40,7 +40,7 @@
 QJsonArray listAt(QJsonObject const& o, char const* name, std::string const& at, std::size_t most) {
   QJsonValue const v = o.value(QLatin1String(name));
   if (!v.isArray()) throw Error(at + "/" + name, v.isUndefined() ? "missing" : "must be a list");
-  QJsonArray const list = v.toArray();
+  QJsonArray list = v.toArray();
   if (static_cast<std::size_t>(list.size()) > most) throw Error(at + "/" + name, "more than " + std::to_string(most));
   return list;
 }
@@ -58,7 +58,7 @@
 
 std::string text(QJsonObject const& o, char const* name, std::size_t longest, std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
-  std::string const out = str(v.toString());
+  std::string out = str(v.toString());
   if (out.empty() || out.size() > longest)
     throw Error(at + "/" + name, "must be a text of 1 to " + std::to_string(longest) + " bytes");
   return out;
@@ -87,7 +87,7 @@
 using PoolNames = std::unordered_set<std::string>;
 
 std::string knownPool(QJsonObject const& o, PoolNames const& pools, std::string const& at) {
-  std::string const name = text(o, "pool", maxText, at);
+  std::string name = text(o, "pool", maxText, at);
   if (pools.count(name) == 0) throw Error(at + "/pool", "no pool named " + name);
   return name;
 }
--- a/runbook/src/runbook.cpp
+++ b/runbook/src/runbook.cpp
@@ -86,6 +86,67 @@
                                     : seen.toDouble() <= expect.value("atMost").toDouble();
 }
 
+/// Checks that the runbook's parameters and the values given are the same names.
+void checkParameters(QJsonObject const& book, std::map<std::string, std::string> const& parameters) {
+  std::set<std::string> declared;
+  if (book.contains("parameters") && !book.value("parameters").isArray())
+    throw Error("/parameters", "must be a list of names");
+  for (QJsonValue const p : book.value("parameters").toArray()) {
+    std::string const name = core::str(p.toString());
+    if (name.empty() || !declared.insert(name).second) throw Error("/parameters", "must be a list of different names");
+    if (parameters.count(name) == 0) throw Error("/parameters", "no value given for " + name);
+  }
+  for (std::map<std::string, std::string>::value_type const& p : parameters)
+    if (declared.count(p.first) == 0) throw Error("/parameters", "the runbook has no parameter " + p.first);
+}
+
+KindRow const& rowNamed(QJsonValue const& name, std::string const& at) {
+  for (KindRow const& r : kindTable)
+    if (name.toString() == QLatin1String(r.name)) return r;
+  throw Error(at + "/do", "no such kind of step");
+}
+
+/// Reads the object that a step of this kind wants: an expectation or the body of a change.
+void readObject(Step& step, KindRow const& row, QJsonObject const& raw, std::string const& at) {
+  if (!raw.value(QLatin1String(row.object)).isObject()) throw Error(at + "/" + row.object, "must be an object");
+  QJsonObject const o = raw.value(QLatin1String(row.object)).toObject();
+  if (row.kind == Kind::wait) {
+    checkExpect(o, at + "/expect");
+    step.expect = o;
+  } else {
+    step.body = o;
+  }
+}
+
+/// Reads one step, whose parameters have been filled in.
+Step readStep(QJsonObject const& raw, std::string const& at) {
+  KindRow const& row = rowNamed(raw.value("do"), at);
+  Step step;
+  step.kind = row.kind;
+  step.name = core::str(raw.value("name").toString(row.name));
+  std::set<std::string> allowed{"do", "name", "limitSeconds"};
+  for (char const* w : row.words) {
+    if (w == nullptr) continue;
+    allowed.insert(w);
+    std::string const value = core::str(raw.value(QLatin1String(w)).toString());
+    if (value.empty()) throw Error(at + "/" + w, "must be a text");
+    step.words[w] = value;
+  }
+  if (row.object != nullptr) {
+    allowed.insert(row.object);
+    readObject(step, row, raw, at);
+  }
+  if (row.kind == Kind::wait && step.words["page"].front() != '/') throw Error(at + "/page", "must begin with /");
+  if (raw.contains("limitSeconds")) {
+    int const limit = raw.value("limitSeconds").toInt(0);
+    if (limit < 1 || limit > 3600) throw Error(at + "/limitSeconds", "must be 1 to 3600");
+    step.limitSeconds = limit;
+  }
+  for (QString const& k : raw.keys())
+    if (allowed.count(core::str(k)) == 0) throw Error(at + "/" + core::str(k), "unknown field");
+  return step;
+}
+
 }  // namespace
 
 char const* kindName(Kind kind) {
@@ -106,58 +167,14 @@
   Runbook out;
   out.name = core::str(book.value("runbook").toString());
   if (out.name.empty()) throw Error("/runbook", "missing name");
-  std::set<std::string> declared;
-  if (book.contains("parameters") && !book.value("parameters").isArray())
-    throw Error("/parameters", "must be a list of names");
-  for (QJsonValue const p : book.value("parameters").toArray()) {
-    std::string const name = core::str(p.toString());
-    if (name.empty() || !declared.insert(name).second) throw Error("/parameters", "must be a list of different names");
-    if (parameters.count(name) == 0) throw Error("/parameters", "no value given for " + name);
-  }
-  for (std::map<std::string, std::string>::value_type const& p : parameters)
-    if (declared.count(p.first) == 0) throw Error("/parameters", "the runbook has no parameter " + p.first);
+  checkParameters(book, parameters);
   if (!book.value("steps").isArray() || book.value("steps").toArray().isEmpty())
     throw Error("/steps", "must be a list with steps");
   QJsonArray const steps = book.value("steps").toArray();
   for (qsizetype i = 0; i < steps.size(); ++i) {
     std::string const at = "/steps/" + std::to_string(i);
     if (!steps.at(i).isObject()) throw Error(at, "must be an object");
-    QJsonObject const raw = fillAll(steps.at(i), parameters, at).toObject();
-    KindRow const* row = nullptr;
-    for (KindRow const& r : kindTable)
-      if (raw.value("do").toString() == QLatin1String(r.name)) row = &r;
-    if (row == nullptr) throw Error(at + "/do", "no such kind of step");
-    Step step;
-    step.kind = row->kind;
-    step.name = core::str(raw.value("name").toString(row->name));
-    std::set<std::string> allowed{"do", "name", "limitSeconds"};
-    for (char const* w : row->words) {
-      if (w == nullptr) continue;
-      allowed.insert(w);
-      std::string const value = core::str(raw.value(QLatin1String(w)).toString());
-      if (value.empty()) throw Error(at + "/" + w, "must be a text");
-      step.words[w] = value;
-    }
-    if (row->object != nullptr) {
-      allowed.insert(row->object);
-      if (!raw.value(QLatin1String(row->object)).isObject()) throw Error(at + "/" + row->object, "must be an object");
-      QJsonObject const o = raw.value(QLatin1String(row->object)).toObject();
-      if (row->kind == Kind::wait) {
-        checkExpect(o, at + "/expect");
-        step.expect = o;
-      } else {
-        step.body = o;
-      }
-    }
-    if (row->kind == Kind::wait && step.words["page"].front() != '/') throw Error(at + "/page", "must begin with /");
-    if (raw.contains("limitSeconds")) {
-      int const limit = raw.value("limitSeconds").toInt(0);
-      if (limit < 1 || limit > 3600) throw Error(at + "/limitSeconds", "must be 1 to 3600");
-      step.limitSeconds = limit;
-    }
-    for (QString const& k : raw.keys())
-      if (allowed.count(core::str(k)) == 0) throw Error(at + "/" + core::str(k), "unknown field");
-    out.steps.push_back(std::move(step));
+    out.steps.push_back(readStep(fillAll(steps.at(i), parameters, at).toObject(), at));
   }
   return out;
 }
