--- a/programs/common/clock.cpp
+++ b/programs/common/clock.cpp
@@ -21,7 +21,8 @@
   static_cast<void>(n);
 }
 
-void onSignals(QObject* owner, int (&ends)[2], std::initializer_list<int> numbers, std::function<void()> function) {
+void onSignals(QObject* owner, int (&ends)[2], std::initializer_list<int> numbers,
+               std::function<void()> const& function) {
   if (::pipe(ends) != 0) return;
   struct sigaction action {};
   action.sa_handler = caught;
--- a/programs/router/router_daemon.cpp
+++ b/programs/router/router_daemon.cpp
@@ -29,7 +29,8 @@
       reducer_(contactOf(s, transport::routerRole), s.seeds, freshSeed(), tuning),
       records_(this, s, [this](bool works) { reducer_.recording(works); }),
       link_(
-          this, s.link, [this](transport::Envelope e) { run(reducer_.arrived(now(), e.from, e.message)); }, s.listen),
+          this, s.link, [this](transport::Envelope const& e) { run(reducer_.arrived(now(), e.from, e.message)); },
+          s.listen),
       upstreams_(surface_.kept, [] { return now(); }),
       server_(surface_.http.empty() ? std::vector<std::string>{s.http} : surface_.http, surface_.limits, events()) {
   run(reducer_.started(now()));
