--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -24,6 +24,9 @@
   Tick fenceMargin = 200;
   Tick forceLimit = 4000;
   Tick forwardLimit = 9000;
+  /// An operator's question is answered after this long at the latest when no contact with a majority began since it
+  /// came: callers go on to another machine after a second.
+  Tick contactLimit = 800;
   /// A relayed call is sent again after this long; its change id keeps it from counting twice.
   Tick resendEvery = 1500;
   Tick repushEvery = 300;
@@ -95,7 +98,7 @@
   std::string metrics(Tick now) const;
   consensus::Registers const& registers() const { return registers_; }
   /// Calls that are waiting for their answer.
-  std::size_t inHand() const { return calls_.size() + forces_.size(); }
+  std::size_t inHand() const { return calls_.size() + forces_.size() + questions_.size(); }
 
  private:
   struct CallState {
@@ -107,6 +110,11 @@
     Tick sentAt = 0;
     bool forwarded = false;
   };
+  /// A question that this controller answers from what it knows, once that is confirmed.
+  struct Question {
+    transport::Call call;
+    Tick since = 0;
+  };
   struct Force {
     std::uint64_t call = 0;
     std::string key;
@@ -147,7 +155,6 @@
     Tick refusedAt = -1;
     Tick probedAt = -1;
     Tick wantWhole = -1;
-    bool anyWhole = false;
   };
   struct Lease {
     std::string holder;
@@ -188,7 +195,14 @@
   std::uint64_t generationOf(std::string const& pool) const;
   void on(Commands& out, Tick now, std::string const& from, transport::Hint const& m);
   void hint(Commands& out, Tick now, std::string const& pool, config::Pool const& list);
-  QJsonObject localPage(Tick now, transport::Call const& call, int& status) const;
+  /// True when a contact with a majority of the disks began at that moment or later: what is committed here is then no
+  /// older than that moment.
+  bool contactBeganAfter(Tick now, Tick moment) const;
+  void answerQuestions(Commands& out, Tick now);
+  /// Answers the calls of this HTTP edge that came longer than the limit ago and since when no majority was reached.
+  void answerOutOfContact(Commands& out, Tick now);
+  Answer changePage(Tick now, transport::Call const& call) const;
+  Answer templatesPage(transport::Call const& call) const;
   void on(Commands& out, Tick now, std::string const& from, transport::Shuffle const& m);
   void on(Commands& out, Tick now, std::string const& from, transport::Call const& m);
   void on(Commands& out, Tick now, std::string const& from, transport::CallResponse const& m);
@@ -206,6 +220,7 @@
   std::uint64_t nextCall_ = 1;
   std::map<std::uint64_t, CallState> calls_;
   std::vector<Force> forces_;
+  std::vector<Question> questions_;
   std::map<std::string, Settling> settling_;
   /// Keys whose newest change is not known to be in force.
   std::set<std::string> unsettled_;
--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -3,6 +3,7 @@
 #include <QJsonArray>
 #include <algorithm>
 #include <functional>
+#include <string_view>
 
 #include <corkward/config/config.h>
 #include <corkward/core/json.h>
@@ -14,6 +15,9 @@
 
 constexpr char const* rosterKey = "roster";
 constexpr char const* rosterMethod = "ROSTER";
+constexpr char const* fleetPath = "/v1/fleet";
+constexpr char const* templatesPath = "/v1/templates";
+constexpr std::string_view changesPage = "/v1/changes/";
 constexpr std::size_t maxCalls = 4096;
 constexpr std::size_t maxLeases = 4096;
 constexpr std::size_t maxAsked = 32;
@@ -28,6 +32,11 @@
   return body;
 }
 
+/// Answer of a controller that cannot confirm that what it knows is current.
+QJsonObject outOfContact() {
+  return {{"error", "not confirmed"}, {"reason", "this controller is not in touch with a majority"}};
+}
+
 bool isChange(std::string const& method) {
   return method == "PUT" || method == "PATCH" || method == "DELETE";
 }
@@ -144,10 +153,16 @@
 
 Commands Controller::operatorCall(Tick now, transport::Call const& call) {
   Commands out;
-  int status = 0;
-  QJsonObject const page = localPage(now, call, status);
-  if (status != 0) {
-    out.answers.push_back(Answer{call.token, status, page});
+  if (call.method == "GET" && call.path == fleetPath) {
+    out.answers.push_back(Answer{call.token, 200, fleet(now)});
+    return out;
+  }
+  if (call.method == "GET" && (call.path == templatesPath || call.path.rfind(changesPage, 0) == 0)) {
+    if (questions_.size() < maxCalls)
+      questions_.push_back(Question{call, now});
+    else
+      out.answers.push_back(Answer{call.token, 503, {{"error", "not accepted"}, {"reason", "too many calls in hand"}}});
+    answerQuestions(out, now);
     return out;
   }
   std::string const duties = "/v1/duties/";
@@ -174,6 +189,8 @@
   } else if (draining_ || calls_.size() >= maxCalls) {
     out.answers.push_back(Answer{
         call.token, 503, {{"error", "not accepted"}, {"reason", draining_ ? "leaving" : "too many calls in hand"}}});
+  } else if (!ready(now)) {
+    out.answers.push_back(Answer{call.token, 503, outOfContact()});
   } else {
     std::uint64_t const id = nextCall_++;
     CallState state;
@@ -299,6 +316,7 @@
           take(out, now, registers_.arrived(now, from, message));
       },
       message);
+  answerQuestions(out, now);
   return out;
 }
 
@@ -399,6 +417,7 @@
     n.known = false;
     n.behind.clear();
     n.pushed.clear();
+    n.wantWhole = -1;
     n.contact.inc = inc;
     n.contact.link = link;
   }
@@ -435,7 +454,6 @@
   n.asked = now;
   if (m.wantWhole && n.wantWhole < 0) n.wantWhole = now;
   if (!m.wantWhole) n.wantWhole = -1;
-  n.anyWhole = m.anyWhole;
   bool exact = current && hasAll(from, n, m.digest);
   if (current && !exact && transport::digestOf(m.revisions) == m.digest) {
     exact = true;
@@ -485,7 +503,7 @@
   Tick const age = registers_.majorityAge(now);
   bool const confirmed = age >= 0 && now - age >= n.wantWhole;
   transport::News news;
-  news.whole = n.wantWhole >= 0 && (n.anyWhole ? !registers_.committed().empty() : confirmed);
+  news.whole = n.wantWhole >= 0 && confirmed;
   std::function<void(std::string const&)> const add = [&](std::string const& key) {
     std::map<std::string, consensus::Committed>::const_iterator const k = registers_.committed().find(key);
     if (k == registers_.committed().end()) return;
@@ -863,8 +881,11 @@
              !registers_.owns(c.second.key) && registers_.ownerLink(c.second.key, now) != "")
       again.push_back(c.first);
   }
+  answerQuestions(out, now);
+  answerOutOfContact(out, now);
   for (std::uint64_t const id : again) route(out, now, id);
   for (std::uint64_t const id : late) {
+    if (calls_.count(id) == 0) continue;
     bool const change = isChange(calls_.at(id).call.method);
     finish(out, now, id, change ? 504 : 503,
            {{"error", change ? "unknown" : "not confirmed"},
@@ -905,49 +926,72 @@
   return !draining_ && age >= 0 && age <= tuning_.fence;
 }
 
-QJsonObject Controller::localPage(Tick now, transport::Call const& call, int& status) const {
-  if (call.method != "GET") return {};
-  if (call.path == "/v1/fleet") {
-    status = 200;
-    return fleet(now);
-  }
-  if (call.path == "/v1/templates") {
-    status = 200;
-    QJsonArray names;
-    for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed())
-      if (c.first.rfind("family:", 0) == 0 && c.second.value.contains("template"))
-        names.append(core::qstr(c.first.substr(7)));
-    return QJsonObject{{"templates", names}};
-  }
-  std::string const changes = "/v1/changes/";
-  if (call.path.rfind(changes, 0) == 0) {
-    QString const id = core::qstr(call.path.substr(changes.size()));
-    if (!ready(now)) {
-      status = 503;
-      return QJsonObject{{"error", "not confirmed"}, {"reason", "this controller is not in touch with a majority"}};
+Answer Controller::templatesPage(transport::Call const& call) const {
+  QJsonArray names;
+  for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed())
+    if (c.first.rfind("family:", 0) == 0 && c.second.value.contains("template"))
+      names.append(core::qstr(c.first.substr(7)));
+  return {call.token, 200, {{"templates", names}}};
+}
+
+Answer Controller::changePage(Tick now, transport::Call const& call) const {
+  QString const id = core::qstr(call.path.substr(changesPage.size()));
+  for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed())
+    for (QJsonValue const v : c.second.value.value("changes").toArray()) {
+      QJsonObject const change = v.toObject();
+      if (change.value("id").toString() != id) continue;
+      QJsonObject body{{"changeId", id},
+                       {"key", core::qstr(c.first)},
+                       {"status", change.value("status")},
+                       {"stamp", change.value("stamp")}};
+      if (change.contains("version")) body.insert("version", change.value("version"));
+      if (!tuning_.awaitInForce) return {call.token, 200, body};
+      body.insert("inForce", true);
+      std::map<std::string, Settling>::const_iterator const s = settling_.find(c.first);
+      bool const force =
+          s != settling_.end() && s->second.revision == c.second.revision && isInForce(now, c.first, s->second);
+      if (force) return {call.token, 200, body};
+      return {call.token, 504, pendingBody(body, static_cast<std::uint64_t>(change.value("stamp").toInteger()))};
     }
-    for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed())
-      for (QJsonValue const v : c.second.value.value("changes").toArray())
-        if (v.toObject().value("id").toString() == id) {
-          QJsonObject body{{"changeId", id},
-                           {"key", core::qstr(c.first)},
-                           {"status", v.toObject().value("status")},
-                           {"stamp", v.toObject().value("stamp")}};
-          if (v.toObject().contains("version")) body.insert("version", v.toObject().value("version"));
-          status = 200;
-          if (!tuning_.awaitInForce) return body;
-          body.insert("inForce", true);
-          std::map<std::string, Settling>::const_iterator const s = settling_.find(c.first);
-          bool const force =
-              s != settling_.end() && s->second.revision == c.second.revision && isInForce(now, c.first, s->second);
-          status = force ? 200 : 504;
-          return force ? body : pendingBody(body, static_cast<std::uint64_t>(v.toObject().value("stamp").toInteger()));
-        }
-    status = 404;
-    return QJsonObject{{"error", "not found"},
-                       {"reason", "not accepted so far; final once a later change of the same template was accepted"}};
-  }
-  return {};
+  return {call.token,
+          404,
+          {{"error", "not found"},
+           {"reason", "not accepted so far; final once a later change of the same template was accepted"}}};
+}
+
+bool Controller::contactBeganAfter(Tick now, Tick moment) const {
+  Tick const age = registers_.majorityAge(now);
+  return !draining_ && age >= 0 && now - age >= moment;
+}
+
+void Controller::answerQuestions(Commands& out, Tick now) {
+  std::vector<Question> waiting;
+  for (Question& q : questions_) {
+    if (contactBeganAfter(now, q.since))
+      out.answers.push_back(q.call.path == templatesPath ? templatesPage(q.call) : changePage(now, q.call));
+    else if (draining_ || now - q.since > tuning_.contactLimit)
+      out.answers.push_back(Answer{q.call.token, 503, outOfContact()});
+    else
+      waiting.push_back(std::move(q));
+  }
+  questions_ = std::move(waiting);
+}
+
+void Controller::answerOutOfContact(Commands& out, Tick now) {
+  std::vector<std::uint64_t> cutOff;
+  for (std::map<std::uint64_t, CallState>::value_type const& c : calls_) {
+    CallState const& state = c.second;
+    bool const ofOperator = state.from.empty() && state.token != 0;
+    if (ofOperator && now - state.since > tuning_.contactLimit && !contactBeganAfter(now, state.since))
+      cutOff.push_back(c.first);
+  }
+  for (std::uint64_t const id : cutOff) {
+    if (isChange(calls_.at(id).call.method))
+      finish(out, now, id, 504,
+             {{"error", "unknown"}, {"reason", "no majority was reached in time; ask by the change id"}});
+    else
+      finish(out, now, id, 503, outOfContact());
+  }
 }
 
 QJsonObject Controller::fleet(Tick now) const {
--- a/control/test/controller_test.cpp
+++ b/control/test/controller_test.cpp
@@ -13,7 +13,7 @@
 namespace control = corkward::control;
 using corkward::control::Rig;
 
-TEST_CASE("a whole snapshot waits for a majority, but not for an asker that takes any") {
+TEST_CASE("a whole snapshot waits for a majority, whatever the asker would take") {
   Rig rig;
   rig.alive = {"a"};
   rig.run(3000);
@@ -31,7 +31,7 @@
   };
   CHECK_FALSE(whole(rig.reducer.arrived(rig.now, "b", ask)));
   ask.anyWhole = true;
-  CHECK(whole(rig.reducer.arrived(rig.now, "b", ask)));
+  CHECK_FALSE(whole(rig.reducer.arrived(rig.now, "b", ask)));
 }
 
 TEST_CASE("a change is answered when all have it, or a majority has and the rest are fenced") {
--- /dev/null
+++ b/control/test/cut_test.cpp
@@ -0,0 +1,195 @@
+#include <catch2/catch.hpp>
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+
+#include "rig.h"
+
+namespace core = corkward::core;
+namespace transport = corkward::transport;
+namespace control = corkward::control;
+namespace consensus = corkward::consensus;
+using corkward::control::Rig;
+
+namespace {
+
+constexpr core::Tick messageDelay = 2;
+constexpr core::Tick diskDelay = 2;
+constexpr core::Tick clockEvery = 25;
+/// After this long a caller goes on to another machine.
+constexpr core::Tick callerWaits = 1000;
+
+/// Three controllers on disks that answer, one of which can be cut off from the others.
+struct ThreeControllers {
+  struct Member {
+    std::unique_ptr<control::Controller> reducer;
+  };
+  core::Tick now = 1000;
+  std::map<std::string, Member> members;
+  std::multimap<core::Tick, std::function<void()>> events;
+  std::map<std::uint64_t, control::Answer> answers;
+  std::map<std::uint64_t, core::Tick> answeredAt;
+  std::string cutOff;
+  /// First snapshots sent to each router.
+  std::map<std::string, int> snapshots;
+  std::uint64_t token = 1;
+
+  ThreeControllers() {
+    control::Tuning tuning;
+    tuning.awaitInForce = false;
+    std::uint64_t seed = 5;
+    for (char const* link : {"s1", "s2", "s3"})
+      members[link].reducer = std::make_unique<control::Controller>(
+          Rig::contact(link, transport::controllerRole), std::string("m") + link, std::vector<std::string>{},
+          std::vector<std::string>{"s1", "s2", "s3"}, seed++, tuning);
+    for (std::map<std::string, Member>::value_type& m : members)
+      take(m.first, m.second.reducer->restore({}, false, now));
+    run(4000);
+    REQUIRE(members.at("s1").reducer->ready(now));
+  }
+  void take(std::string const& link, control::Commands&& c) {
+    for (consensus::Persist const& p : c.persists)
+      events.emplace(now + diskDelay, [this, link, ticket = p.ticket] {
+        take(link, members.at(link).reducer->written(now, ticket, true));
+      });
+    for (transport::Send const& s : c.sends) deliver(link, s);
+    for (control::Answer const& a : c.answers) {
+      answers[a.token] = a;
+      answeredAt[a.token] = now;
+    }
+  }
+  void deliver(std::string const& from, transport::Send const& s) {
+    transport::News const* const news = std::get_if<transport::News>(&s.message);
+    if (news != nullptr && news->whole) ++snapshots[s.to];
+    if (members.count(s.to) == 0) return;
+    if (from != s.to && (from == cutOff || s.to == cutOff)) return;
+    events.emplace(now + messageDelay,
+                   [this, from, s] { take(s.to, members.at(s.to).reducer->arrived(now, from, s.message)); });
+  }
+  void run(core::Tick span) {
+    for (core::Tick const until = now + span; now < until; ++now) {
+      while (!events.empty() && events.begin()->first <= now) {
+        std::function<void()> const event = std::move(events.begin()->second);
+        events.erase(events.begin());
+        event();
+      }
+      if (now % clockEvery != 0) continue;
+      for (std::map<std::string, Member>::value_type& m : members) take(m.first, m.second.reducer->clockEvent(now));
+    }
+  }
+  std::uint64_t call(std::string const& at, std::string const& method, std::string const& path,
+                     std::string const& body = "", std::string const& ifMatch = "") {
+    transport::Call c;
+    c.token = token++;
+    c.method = method;
+    c.path = path;
+    c.body = body;
+    c.ifMatch = ifMatch;
+    c.changeId = "c" + std::to_string(c.token);
+    take(at, members.at(at).reducer->operatorCall(now, c));
+    return c.token;
+  }
+  void ask(std::string const& at, std::uint64_t incarnation) {
+    transport::Ask ask;
+    ask.tick = now;
+    ask.self = Rig::contact("router", transport::routerRole);
+    ask.self.inc = incarnation;
+    ask.wantWhole = true;
+    take(at, members.at(at).reducer->arrived(now, "router", ask));
+  }
+  int statusOf(std::uint64_t call) const { return answers.count(call) > 0 ? answers.at(call).status : 0; }
+};
+
+std::string const configurationPage = "/v1/blueprint";
+std::string const configuration = R"({"version":1,"paths":[],"pools":[]})";
+std::string const malformed = R"({"version":1,"surprise":1})";
+
+/// Every kind of question whose answer rests on state, at the controller of that name.
+std::vector<std::uint64_t> askAll(ThreeControllers& fleet, std::string const& at) {
+  return {fleet.call(at, "GET", configurationPage),
+          fleet.call(at, "PUT", configurationPage, configuration, "7"),
+          fleet.call(at, "PUT", configurationPage, malformed, "1"),
+          fleet.call(at, "PATCH", configurationPage, "{}", "7"),
+          fleet.call(at, "PUT", "/v1/evacuations/z1"),
+          fleet.call(at, "DELETE", "/v1/evacuations/z1"),
+          fleet.call(at, "GET", "/v1/changes/unknown"),
+          fleet.call(at, "GET", "/v1/templates")};
+}
+
+}  // namespace
+
+TEST_CASE("a controller that is cut off answers within the caller's second, serves nothing and refuses nothing") {
+  for (core::Tick const since : {0, 5, 150, 700, 1300, 1600, 5000, 20000}) {
+    ThreeControllers fleet;
+    std::uint64_t const base = fleet.call("s1", "PUT", configurationPage, configuration, "0");
+    fleet.run(2000);
+    REQUIRE((fleet.statusOf(base) == 200 || fleet.statusOf(base) == 201));
+    fleet.cutOff = "s1";
+    fleet.run(since);
+    core::Tick const askedAt = fleet.now;
+    std::vector<std::uint64_t> const questions = askAll(fleet, "s1");
+    fleet.run(callerWaits);
+    for (std::uint64_t const question : questions) {
+      INFO("question " << question << ", " << since << " ms after the cut, answered " << fleet.statusOf(question));
+      CHECK((fleet.statusOf(question) == 503 || fleet.statusOf(question) == 504));
+      CHECK(fleet.answeredAt[question] - askedAt < callerWaits);
+    }
+  }
+}
+
+TEST_CASE("after the cut the same controller answers again, and from what was chosen meanwhile") {
+  ThreeControllers fleet;
+  fleet.call("s1", "PUT", configurationPage, configuration, "0");
+  fleet.run(2000);
+  fleet.cutOff = "s1";
+  fleet.run(3000);
+  std::uint64_t const other = fleet.call("s2", "PUT", configurationPage, R"({"version":2,"paths":[],"pools":[]})", "1");
+  fleet.run(17000);
+  REQUIRE((fleet.statusOf(other) == 200 || fleet.statusOf(other) == 201));
+  std::string const changeId = "c" + std::to_string(other);
+  fleet.cutOff.clear();
+  std::uint64_t const change = fleet.call("s1", "GET", "/v1/changes/" + changeId);
+  fleet.run(callerWaits);
+  CHECK((fleet.statusOf(change) == 200 || fleet.statusOf(change) == 503));
+  std::uint64_t const read = fleet.call("s1", "GET", configurationPage);
+  std::uint64_t const again = fleet.call("s1", "GET", "/v1/changes/" + changeId);
+  fleet.run(callerWaits);
+  CHECK(fleet.statusOf(read) == 200);
+  CHECK(fleet.answers.at(read).body.value("version").toInteger() == 2);
+  CHECK(fleet.statusOf(again) == 200);
+}
+
+TEST_CASE("a router that starts beside a controller that is cut off gets no first snapshot there") {
+  ThreeControllers fleet;
+  fleet.call("s1", "PUT", configurationPage, configuration, "0");
+  fleet.run(2000);
+  fleet.cutOff = "s1";
+  fleet.run(200);
+  for (core::Tick asked = 0; asked < 20000; asked += 50) {
+    fleet.ask("s1", 1);
+    fleet.run(50);
+  }
+  CHECK(fleet.snapshots["router"] == 0);
+  fleet.cutOff.clear();
+  fleet.run(callerWaits);
+  CHECK(fleet.snapshots["router"] == 1);
+}
+
+TEST_CASE("a router that restarts asks for its snapshot anew, whatever its former life had asked") {
+  ThreeControllers fleet;
+  fleet.call("s1", "PUT", configurationPage, configuration, "0");
+  fleet.run(2000);
+  fleet.cutOff = "s1";
+  fleet.run(30);
+  fleet.ask("s1", 1);
+  fleet.run(100);
+  REQUIRE(fleet.snapshots["router"] == 0);
+  fleet.cutOff.clear();
+  fleet.run(1);
+  fleet.ask("s1", 2);
+  CHECK(fleet.snapshots["router"] == 0);
+  fleet.run(callerWaits);
+  CHECK(fleet.snapshots["router"] == 1);
+}
--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -85,8 +85,9 @@
   Tick streamIdle = 10000;
   /// A router whose roster is smaller than this cannot stand on its neighbours alone.
   std::size_t leastRoster = 3;
-  /// False: whoever has a whole snapshot serves, without confirmations, roster or joining wait, and takes the snapshot
-  /// from anyone who offers it; for callers whose own rules bound how old a configuration may be.
+  /// False: whoever has a whole snapshot serves on, without confirmations, roster or joining wait; for callers whose
+  /// own rules bound how old a configuration may be. The first snapshot of a life still comes from a controller that
+  /// was in contact with a majority after it was asked, or from neighbours once a majority of the roster was heard.
   bool fenced = true;
   /// Records of regimes' work can be kept here; without them nothing of a regime is handed on.
   bool records = false;
--- a/dataplane/src/news.cpp
+++ b/dataplane/src/news.cpp
@@ -142,7 +142,7 @@
   HeldLink& l = controllers_[to];
   l.since = now;
   if (l.unanswered < 0) l.unanswered = now;
-  transport::Ask ask{now, partialView_.self(), !whole_, !tuning_.fenced, digest_, {}};
+  transport::Ask ask{now, partialView_.self(), !whole_, false, digest_, {}};
   if (l.wantRevisions) {
     ask.revisions = revisions();
     l.wantRevisions = false;
@@ -207,7 +207,7 @@
   touch.whole = whole_;
   touch.link = partialView_.self().link;
   touch.digest = digest_;
-  touch.wantAges = lacking && tuning_.fenced;
+  touch.wantAges = lacking;
   touch.hints = hints();
   bool const wantWhole = !whole_ && !snapshotSeen_ && now - started_ > 2000;
   std::vector<std::string> const to =
@@ -463,9 +463,9 @@
   bool const fromRouter = m.whole && m.number == 0;
   apply(out, now, m.items);
   if (m.whole && !whole_ && (tuning_.fenced || !m.items.empty())) {
-    if (!fromRouter || !tuning_.fenced) {
+    if (!fromRouter) {
       whole_ = true;
-      vouched_ = !fromRouter;
+      vouched_ = true;
       logEvent(out, now, "whole-image", {{"from", from}});
     }
     snapshotSeen_ = true;
--- a/dataplane/test/request_router_test.cpp
+++ b/dataplane/test/request_router_test.cpp
@@ -210,8 +210,22 @@
   other.started(0);
   news.number = 0;
   news.whole = true;
+  news.items = {{"pool:model", 1, Rig::pool(1, "serving")},
+                {"family:desk", 1, donor.reducer.valueOf("family:desk")},
+                {"roster", 2, core::parseJson(R"({"nodes":[{"link":"n1"},{"link":"n2"},{"link":"n3"}]})").toObject()}};
   other.arrived(100, "n2", news);
-  CHECK(other.ready(100));
+  CHECK_FALSE(other.ready(100));
+  transport::Touch echo;
+  echo.tick = 110;
+  echo.echo = true;
+  echo.whole = true;
+  for (transport::Item const& item : news.items) echo.digest.replace(item.key, 0, item.revision);
+  for (char const* const link : {"n2", "n3"}) {
+    CHECK_FALSE(other.ready(120));
+    echo.link = link;
+    other.arrived(120, link, echo);
+  }
+  CHECK(other.ready(120));
 }
 
 TEST_CASE("older news never undoes newer") {
@@ -627,6 +641,7 @@
       dataplane::RequestRouter reducer(self, {"s1"}, 7, unfenced);
       reducer.started(0);
       transport::News news;
+      news.number = 1;
       news.whole = true;
       news.items = {{"pool:model", 1, Rig::pool(1, "serving")},
                     {"family:desk", 1, donor.reducer.valueOf("family:desk")}};
