--- a/consensus/include/corkward/consensus/registers.h
+++ b/consensus/include/corkward/consensus/registers.h
@@ -33,8 +33,12 @@
   Commands written(Tick now, std::uint64_t ticket, bool ok);
   /// Queues a call on a key; the outcome comes as Decided. Rejected at once when no majority can be had.
   Commands call(Tick now, std::string const& key, transport::Call const& call);
-  /// Hands every owned key to a named successor.
+  /// This member drains: it hands every owned key to a named successor, now and whenever its proposals end, starts no
+  /// election while another can, and is taken out of a membership of even size.
   Commands handOver(Tick now);
+  /// After handOver: it owns nothing, is out of a set of even size, and every live member has on its disk whatever this
+  /// one knows as chosen, so nothing is lost with it.
+  bool handedOver(Tick now) const;
   /// True while this machine is no member or hears no majority of the members: it then asks others for its membership.
   bool seeking() const { return !isMember(self_.id) || quorumAt_ < 0; }
   /// Link addresses to ask while seeking.
@@ -110,6 +114,10 @@
     transport::Revisions owned;
     /// Its heartbeats in this life have said in full which keys it owns.
     bool saidOwned = false;
+    /// It said that it drains, and not that it is back.
+    bool leaving = false;
+    /// What it last said to have accepted.
+    transport::Digest accepted;
   };
 
   Reg& reg(std::string const& key);
@@ -170,6 +178,13 @@
   std::vector<Member> nextMembership(std::set<std::string> const& caughtUp, Tick now, core::LogEvent& logEvent) const;
   /// How long a member has been silent, less the time this machine slept, in milliseconds.
   Tick darkFor(Member const& m, Tick now) const;
+  /// The other members that vote and were heard of late, without those that drain.
+  std::vector<Member> successors(Tick now) const;
+  /// Whether a member said that it drains and did not come back since.
+  bool drains(Member const& m) const;
+  /// A member other than this one that drains and holds no key any more.
+  Member const* parting(Tick now) const;
+  void handOverOwned(Commands& out, Tick now);
   /// Drops all state after this member was struck off, and takes a fresh id.
   void leave(Commands& out, Tick now);
   void name(Commands& out, std::string id);
@@ -178,6 +193,12 @@
   // Catching up (catch_up.cpp).
   void catchUp(Commands& out, Tick now);
   void persistCaughtUp(Commands& out);
+  /// Asks one other member for chosen values that are not on this one's disk, if there are any.
+  void copyChosen(Commands& out, Tick now);
+  /// Numbers a question for the slots behind a key.
+  transport::Fetch copyRequest(std::string const& after);
+  void takeSlots(Commands& out, Tick now, std::vector<transport::Slot> const& slots);
+  bool takesCopy(transport::Copy const& m) const;
   void on(Commands& out, Tick now, std::string const& from, transport::Fetch const& m);
   void on(Commands& out, Tick now, std::string const& from, transport::Copy const& m);
 
@@ -193,7 +214,10 @@
   core::Rng rng_;
   bool empty_ = true;
   bool voting_ = false;
+  /// Struck off; the state is dropped at the next clock event.
   bool leaving_ = false;
+  /// The process is to end; see handOver.
+  bool draining_ = false;
   bool diskFailed_ = false;
   bool stalled_ = false;
   Tick heartbeatAt_ = 0;
@@ -228,6 +252,14 @@
   };
   std::map<std::string, Newcomer> newcomers_;
   std::set<std::string> copies_;
+  /// Number of this life's first question for a copy and of its newest. A late answer to an earlier life, which may
+  /// have lost what it said to have, counts for nothing.
+  std::uint64_t firstAsk_ = 0;
+  std::uint64_t lastAsk_ = 0;
+  /// Since when, in turns, chosen values are missing on this disk (negative: none are), and the wait until it asks.
+  Tick lackingSince_ = -1;
+  Tick copyChosenAfter_ = 0;
+  std::size_t copyChosenTurn_ = 0;
 };
 
 }  // namespace corkward::consensus
--- a/consensus/include/corkward/consensus/types.h
+++ b/consensus/include/corkward/consensus/types.h
@@ -36,6 +36,10 @@
   Tick replaceDarkAfter = 20000;
   std::size_t mostMembers = 9;
   Tick stallAfter = 800;
+  /// A message of a copy holds values of about so many bytes, or one value that is larger.
+  std::size_t copyBytes = 1U << 20;
+  /// Longest wait before a member that lacks chosen values on its disk asks for them again.
+  Tick copyAgainMost = 4000;
 };
 
 /// One machine of the membership.
--- a/consensus/src/catch_up.cpp
+++ b/consensus/src/catch_up.cpp
@@ -2,10 +2,21 @@
 // set, itself included, has answered. Then it has every value that was chosen before, and says so in its heartbeats. A
 // new member votes only from then on.
 #include <corkward/consensus/registers.h>
+
+#include <algorithm>
+
+#include <corkward/core/json.h>
 #include "records.h"
 
 namespace corkward::consensus {
 
+namespace {
+
+/// Questions for copies are numbered from a random number below this one in each life.
+constexpr std::uint64_t askSpace = std::uint64_t{1} << 48;
+
+}  // namespace
+
 void Registers::persistCaughtUp(Commands& out) {
   catchUpTicket_ = nextTicket_++;
   catchUpRevision_ = membershipRevision_;
@@ -13,6 +24,7 @@
 }
 
 void Registers::catchUp(Commands& out, Tick now) {
+  if (caughtUp_ == membershipRevision_) copyChosen(out, now);
   if (caughtUp_ == membershipRevision_ || catchUpTicket_ != 0 || diskFailed_ || !isMember(self_.id)) return;
   if (copies_.size() >= (membership_.size() + (voting_ ? 0 : 1)) / 2) {
     persistCaughtUp(out);
@@ -21,9 +33,7 @@
   bool const again = copyAskedAt_ >= 0;
   if (again && now - copyAskedAt_ <= tuning_.resendEvery) return;
   copyAskedAt_ = now;
-  transport::Fetch fetch{"", true, self_.id, membershipRevision_};
-  for (std::map<std::string, Reg>::value_type const& r : regs_)
-    fetch.have.push_back(transport::Slot{r.first, r.second.promised, r.second.acceptedBallot, r.second.revision, {}});
+  transport::Fetch const fetch = copyRequest("");
   for (Member const& m : membership_) {
     if (m.id == self_.id || copies_.count(m.id) > 0 || (!again && !others_[m.id].voting)) continue;
     out.sends.push_back(transport::Send{m.link, fetch});
@@ -31,20 +41,56 @@
   }
 }
 
+transport::Fetch Registers::copyRequest(std::string const& after) {
+  if (firstAsk_ == 0) {
+    firstAsk_ = 1 + rng_.below(askSpace);
+    lastAsk_ = firstAsk_ - 1;
+  }
+  transport::Fetch fetch{after, true, self_.id, membershipRevision_, {}, ++lastAsk_};
+  for (std::map<std::string, Reg>::value_type const& r : regs_)
+    if (after.empty() || after < r.first)
+      fetch.have.push_back(transport::Slot{r.first, r.second.promised, r.second.acceptedBallot, r.second.revision, {}});
+  return fetch;
+}
+
+void Registers::copyChosen(Commands& out, Tick now) {
+  bool const lacking = std::any_of(
+      committed_.begin(), committed_.end(),
+      [&](std::map<std::string, Committed>::value_type const& c) { return reg(c.first).revision < c.second.revision; });
+  if (!lacking || !voting() || stalled_) {
+    lackingSince_ = -1;
+    copyChosenAfter_ = tuning_.resendEvery;
+    return;
+  }
+  if (lackingSince_ < 0) lackingSince_ = now;
+  std::vector<Member> const live = successors(now);
+  if (now - lackingSince_ < copyChosenAfter_ || live.empty()) return;
+  lackingSince_ = now;
+  copyChosenAfter_ = std::min(2 * copyChosenAfter_, tuning_.copyAgainMost);
+  out.sends.push_back(transport::Send{live[copyChosenTurn_++ % live.size()].link, copyRequest("")});
+}
+
 void Registers::on(Commands& out, Tick now, std::string const& from, transport::Fetch const& m) {
   if (m.copy) {
     if (!voting() || !isMember(m.member) || m.membership != membershipRevision_) return;
     std::map<std::string, transport::Slot> have;
     for (transport::Slot const& s : m.have) have[s.key] = s;
-    transport::Copy copy{self_.id, membershipRevision_, {}};
+    transport::Copy copy{self_.id, membershipRevision_, {}, m.ask};
+    std::size_t bytes = 0;
     Reg newest;
-    for (std::map<std::string, Reg>::value_type const& r : regs_) {
-      newest.ticket = std::max(newest.ticket, r.second.ticket);
-      transport::Slot const& theirs = have[r.first];
-      if (theirs.promised < r.second.promised || newer(r.second, theirs))
-        copy.slots.push_back(
-            transport::Slot{r.first, r.second.promised, r.second.acceptedBallot, r.second.revision, r.second.value});
+    for (std::map<std::string, Reg>::const_iterator it = regs_.upper_bound(m.key); it != regs_.end(); ++it) {
+      Reg const& r = it->second;
+      transport::Slot const& theirs = have[it->first];
+      if (!(theirs.promised < r.promised) && !newer(r, theirs)) continue;
+      if (m.ask > 0 && bytes >= tuning_.copyBytes) {
+        copy.more = true;
+        break;
+      }
+      copy.slots.push_back(transport::Slot{it->first, r.promised, r.acceptedBallot, r.revision, r.value});
+      bytes += core::jsonText(r.value).size();
     }
+    for (std::map<std::string, Reg>::value_type const& r : regs_)
+      newest.ticket = std::max(newest.ticket, r.second.ticket);
     sendWhenSynced(out, now, newest, from, copy);
     return;
   }
@@ -54,13 +100,13 @@
         from, transport::Commit{reg(m.key).promised, transport::Item{m.key, it->second.revision, it->second.value}}});
 }
 
-void Registers::on(Commands& out, Tick now, std::string const&, transport::Copy const& m) {
-  if (m.membership != membershipRevision_ || caughtUp_ == membershipRevision_ || catchUpTicket_ != 0 || diskFailed_ ||
-      !isMember(self_.id) || !isMember(m.member))
-    return;
-  copies_.insert(m.member);
-  copyAskedAt_ = -1;
-  for (transport::Slot const& s : m.slots) {
+bool Registers::takesCopy(transport::Copy const& m) const {
+  bool const ours = m.ask == 0 || (firstAsk_ > 0 && firstAsk_ <= m.ask && m.ask <= lastAsk_);
+  return ours && m.membership == membershipRevision_ && !diskFailed_ && isMember(self_.id) && isMember(m.member);
+}
+
+void Registers::takeSlots(Commands& out, Tick now, std::vector<transport::Slot> const& slots) {
+  for (transport::Slot const& s : slots) {
     Reg& r = reg(s.key);
     bool const taken = s.revision > 0 && newer(s, r);
     if (!taken && s.promised <= r.promised) continue;
@@ -77,6 +123,19 @@
     if (!voting_) r.ownerHeard = now;
     persist(out, now, s.key, r);
   }
+}
+
+void Registers::on(Commands& out, Tick now, std::string const& from, transport::Copy const& m) {
+  if (!takesCopy(m)) return;
+  takeSlots(out, now, m.slots);
+  if (m.more && !m.slots.empty()) {
+    if (caughtUp_ != membershipRevision_) copyAskedAt_ = now;
+    out.sends.push_back(transport::Send{from, copyRequest(m.slots.back().key)});
+    return;
+  }
+  if (caughtUp_ == membershipRevision_ || catchUpTicket_ != 0) return;
+  copies_.insert(m.member);
+  copyAskedAt_ = -1;
   catchUp(out, now);
 }
 
--- a/consensus/src/heartbeats.cpp
+++ b/consensus/src/heartbeats.cpp
@@ -17,7 +17,8 @@
   transport::Heartbeat b;
   b.tick = now;
   b.member = self_.id;
-  b.empty = empty_;
+  b.empty = empty_ && !draining_;
+  b.leaving = draining_;
   b.voting = voting() && !stalled_;
   b.membership = membershipRevision_;
   b.caughtUp = caughtUp_;
@@ -65,6 +66,7 @@
   o.heard = now;
   o.link = from;
   o.voting = m.voting;
+  o.leaving = m.leaving;
   o.membership = m.membership;
   if (transport::digestOf(m.owned) == m.owns) o.owned = m.owned;
   o.saidOwned = transport::digestOf(o.owned) == m.owns;
@@ -101,6 +103,7 @@
   o.heard = now;
   if (m.wantOwned) nameOwned_ = std::max(nameOwned_, 1);
   if (!m.voting) return;
+  o.accepted = m.digest;
   bool const known = std::find(had_.begin(), had_.end(), m.digest) != had_.end();
   if (m.tick > o.echoTick && (known || transport::digestOf(m.accepted) == m.digest)) {
     o.echoTick = m.tick;
--- a/consensus/src/membership.cpp
+++ b/consensus/src/membership.cpp
@@ -140,6 +140,9 @@
   for (Member const& m : membership_)
     if (darkFor(m, now) > tuning_.replaceDarkAfter && (darkest == nullptr || darkFor(*darkest, now) < darkFor(m, now)))
       darkest = &m;
+  bool const longDark = darkest != nullptr;
+  Member const* const leaver = parting(now);
+  if (darkest == nullptr) darkest = leaver;
   std::optional<Member> come;
   Member const* gone = nullptr;
   for (std::map<std::string, Newcomer>::value_type const& n : newcomers_) {
@@ -160,7 +163,7 @@
     logEvent = core::LogEvent{"add-member", {{"new", come->id}, {"link", come->link}}};
     next = membership_;
     next.push_back(*come);
-  } else if (darkest != nullptr && membership_.size() > 3) {
+  } else if (darkest != nullptr && (longDark ? membership_.size() > 3 : membership_.size() % 2 == 0)) {
     logEvent = core::LogEvent{"strike-member", {{"old", darkest->id}, {"link", darkest->link}}};
     for (Member const& m : membership_) {
       if (m.id == darkest->id) continue;
@@ -171,6 +174,58 @@
   return next;
 }
 
+std::vector<Member> Registers::successors(Tick now) const {
+  std::vector<Member> live;
+  for (Member const& m : membership_) {
+    std::map<std::string, Other>::const_iterator const it = others_.find(m.id);
+    if (m.id != self_.id && it != others_.end() && it->second.voting && !drains(m) &&
+        now - it->second.heard < tuning_.ownerSilence)
+      live.push_back(m);
+  }
+  return live;
+}
+
+bool Registers::drains(Member const& m) const {
+  std::map<std::string, Other>::const_iterator const it = others_.find(m.id);
+  return it != others_.end() && it->second.leaving;
+}
+
+Member const* Registers::parting(Tick now) const {
+  for (Member const& m : membership_) {
+    if (m.id == self_.id || !drains(m)) continue;
+    Other const& o = others_.at(m.id);
+    if ((o.saidOwned && o.owned.empty()) || darkFor(m, now) > tuning_.ownerSilence) return &m;
+  }
+  return nullptr;
+}
+
+Commands Registers::handOver(Tick now) {
+  Commands out;
+  draining_ = true;
+  heartbeatAt_ = now;
+  handOverOwned(out, now);
+  return out;
+}
+
+void Registers::handOverOwned(Commands& out, Tick now) {
+  std::vector<Member> const live = successors(now);
+  std::size_t turn = 0;
+  for (std::map<std::string, Reg>::value_type& r : regs_) {
+    if (r.second.role != Role::owner || r.second.proposal || live.empty()) continue;
+    out.sends.push_back(transport::Send{live[turn++ % live.size()].link, transport::Handover{r.first, r.second.mine}});
+    stepDown(out, now, r.first, r.second, "handed over");
+    heartbeatAt_ = now;
+  }
+}
+
+bool Registers::handedOver(Tick now) const {
+  if (!isMember(self_.id) || empty_) return true;
+  if (ownedCount() > 0 || membership_.size() % 2 == 0) return false;
+  std::vector<Member> const live = successors(now);
+  return !live.empty() &&
+         std::all_of(live.begin(), live.end(), [&](Member const& m) { return others_.at(m.id).accepted == known_; });
+}
+
 void Registers::on(Commands&, Tick, std::string const& from, transport::NoDisk const&) {
   if (std::find(founders_.begin(), founders_.end(), from) != founders_.end()) noDisk_.insert(from);
 }
--- a/consensus/src/proposals.cpp
+++ b/consensus/src/proposals.cpp
@@ -14,6 +14,7 @@
 
 void Registers::startElection(Commands& out, Tick now, std::string const& key, Reg& r) {
   if (!voting() || stalled_ || !isMember(self_.id)) return;
+  if (draining_ && !successors(now).empty()) return;
   r.role = Role::preparing;
   r.roleSince = now;
   r.sentAt = now;
@@ -239,23 +240,6 @@
   if (r.role == Role::idle) startElection(out, now, m.key, r);
 }
 
-Commands Registers::handOver(Tick now) {
-  Commands out;
-  std::vector<std::string> live;
-  for (Member const& m : membership_) {
-    std::map<std::string, Other>::const_iterator const it = others_.find(m.id);
-    if (m.id != self_.id && it != others_.end() && it->second.voting && now - it->second.heard < tuning_.ownerSilence)
-      live.push_back(m.link);
-  }
-  std::size_t turn = 0;
-  for (std::map<std::string, Reg>::value_type& r : regs_) {
-    if (r.second.role != Role::owner || r.second.proposal || live.empty()) continue;
-    out.sends.push_back(transport::Send{live[turn++ % live.size()], transport::Handover{r.first, r.second.mine}});
-    stepDown(out, now, r.first, r.second, "handed over");
-  }
-  return out;
-}
-
 void Registers::resend(Commands& out, Tick now, std::string const& key, Reg& r) {
   if (r.role == Role::owner && r.proposal && now - r.proposal->sentAt >= tuning_.resendEvery)
     sendProposal(out, now, key, r);
--- a/consensus/src/registers.cpp
+++ b/consensus/src/registers.cpp
@@ -104,6 +104,7 @@
   if (now >= heartbeatAt_) heartbeat(out, now);
   if (empty_) found(out, now);
   catchUp(out, now);
+  if (draining_) handOverOwned(out, now);
   std::vector<std::string> keys;
   for (std::map<std::string, Reg>::value_type const& r : regs_) keys.push_back(r.first);
   for (std::string const& key : keys) {
--- a/consensus/test/cluster.h
+++ b/consensus/test/cluster.h
@@ -69,6 +69,12 @@
     machines.erase(link);
   }
 
+  /// As SIGTERM.
+  void handOver(std::string const& link) {
+    Machine& m = machines.at(link);
+    take(m, m.member->handOver(now));
+  }
+
   void freeze(std::string const& link) { machines.at(link).frozen = true; }
   void thaw(std::string const& link) {
     Machine& m = machines.at(link);
--- /dev/null
+++ b/consensus/test/replacement_test.cpp
@@ -0,0 +1,248 @@
+#include <catch2/catch.hpp>
+
+#include <iostream>
+
+#include "cluster.h"
+
+namespace core = corkward::core;
+namespace consensus = corkward::consensus;
+namespace transport = corkward::transport;
+using consensus::Cluster;
+using core::Tick;
+
+namespace {
+
+std::vector<std::string> const three{"a", "b", "c"};
+/// Time that a replacement has before the next loss may come.
+constexpr Tick catchUp = 4000;
+/// Longest time that a member which was told to end may stay.
+constexpr Tick grace = 7000;
+/// Shortest time for which a process stays after it was told to end.
+constexpr Tick leastDrain = 1000;
+
+consensus::Tuning quick() {
+  consensus::Tuning t;
+  t.replaceDarkAfter = 3000;
+  return t;
+}
+
+void found(Cluster& cluster, std::vector<std::string> const& links) {
+  for (std::string const& l : links) cluster.boot(l, three);
+  REQUIRE(cluster.until([&] { return cluster.calm(); }, 6000) >= 0);
+}
+
+bool acknowledges(Cluster& cluster, std::string const& link, std::string const& key, Tick limit) {
+  Tick const until = cluster.now + limit;
+  while (cluster.now < until) {
+    std::uint64_t const token = cluster.call(link, key);
+    if (cluster.until([&] { return cluster.statusOf(token) != 0; }, until - cluster.now) < 0) return false;
+    if (cluster.statusOf(token) == 200) return true;
+    cluster.run(50);
+  }
+  return false;
+}
+
+/// Tells a member to end, and ends it when it has handed over, or when its time is over.
+Tick drain(Cluster& cluster, std::string const& link, bool gone) {
+  Tick const since = cluster.now;
+  cluster.handOver(link);
+  cluster.run(leastDrain);
+  cluster.until([&] { return cluster.at(link).handedOver(cluster.now); }, grace - leastDrain);
+  if (gone)
+    cluster.remove(link);
+  else
+    cluster.kill(link);
+  return cluster.now - since;
+}
+
+bool diskHolds(Cluster& cluster, std::string const& link, std::string const& key, std::uint64_t revision) {
+  std::map<std::string, std::string> const& disk = cluster.machines.at(link).disk;
+  if (disk.count("slot:" + key) == 0) return false;
+  return core::parseJson(disk.at("slot:" + key)).toObject().value("s").toInteger() == static_cast<qint64>(revision);
+}
+
+}  // namespace
+
+TEST_CASE("a loss of another member, timed right after the replacement's time, leaves a majority") {
+  for (std::size_t members : {3U, 4U, 5U})
+    for (bool const planned : {true, false})
+      for (bool const wiped : {true, false})
+        for (std::string const& leaver : three)
+          for (std::string const& lost : three) {
+            if (lost == leaver) continue;
+            Cluster cluster(members * 7 + leaver[0], quick());
+            std::vector<std::string> links{"a", "b", "c", "d", "e"};
+            links.resize(members);
+            found(cluster, links);
+            REQUIRE(acknowledges(cluster, "a", "k", 3000));
+            INFO(members << " members, " << (planned ? "planned" : "gone") << ", " << leaver << " replaced, then "
+                         << lost << (wiped ? " wiped" : " killed"));
+            if (!planned) {
+              cluster.remove(leaver);
+              cluster.run(1000);
+            }
+            cluster.boot("x");
+            Tick const came = cluster.now;
+            if (planned) {
+              cluster.run(1000);
+              CHECK(drain(cluster, leaver, true) < 2000);
+            }
+            cluster.run(came + catchUp - cluster.now);
+            cluster.kill(lost);
+            if (wiped) cluster.machines.at(lost).disk.clear();
+            CHECK(acknowledges(cluster, "x", "k", 3000));
+            cluster.run(1000);
+            cluster.boot(lost);
+            CHECK(cluster.until([&] { return cluster.calm(); }, catchUp) >= 0);
+            CHECK(cluster.wrong.empty());
+            CHECK(cluster.lost().empty());
+          }
+}
+
+TEST_CASE("a member that was told to end leaves nothing on too few disks") {
+  for (std::uint64_t seed = 1; seed <= 10; ++seed) {
+    Cluster cluster(seed, quick());
+    found(cluster, three);
+    REQUIRE(acknowledges(cluster, "a", "k", 3000));
+    cluster.cutOff("c", true);
+    std::uint64_t revision = 0;
+    for (int i = 0; i < 5; ++i) REQUIRE(acknowledges(cluster, "a", "k", 5000));
+    revision = cluster.newest.at("k");
+    cluster.cutOff("c", false);
+    CHECK_FALSE(diskHolds(cluster, "c", "k", revision));
+    std::string const owner = cluster.at("a").ownerLink("k", cluster.now);
+    std::string const other = owner == "a" ? "b" : "a";
+    CHECK(drain(cluster, other, true) < grace);
+    CHECK(diskHolds(cluster, "c", "k", revision));
+    CHECK(diskHolds(cluster, owner, "k", revision));
+  }
+}
+
+TEST_CASE("a member that was told to end takes no key while another can, and answers what it had begun") {
+  for (std::uint64_t seed = 1; seed <= 20; ++seed) {
+    Cluster cluster(seed, quick());
+    found(cluster, three);
+    for (char const* key : {"i", "j", "k"}) REQUIRE(acknowledges(cluster, "a", key, 3000));
+    std::string const owner = cluster.at("a").ownerLink("k", cluster.now);
+    std::uint64_t const token = cluster.call(owner, "k");
+    cluster.handOver(owner);
+    CHECK(cluster.until([&] { return cluster.at(owner).ownedCount() == 0; }, 500) >= 0);
+    CHECK(cluster.statusOf(token) == 200);
+    CHECK(cluster.until([&] { return cluster.at(owner).handedOver(cluster.now); }, 2000) >= 0);
+    for (int i = 0; i < 40; ++i) {
+      cluster.run(50);
+      CHECK(cluster.at(owner).ownedCount() == 0);
+    }
+    cluster.kill(owner);
+    cluster.boot(owner);
+    CHECK(cluster.until([&] { return cluster.calm(); }, 2000) >= 0);
+    CHECK(cluster.size("a") == 3);
+  }
+}
+
+TEST_CASE("members that are restarted in turn lose nothing, in sets of every size") {
+  for (std::size_t members = 3; members <= 6; ++members) {
+    Cluster cluster(members, quick());
+    std::vector<std::string> links{"a", "b", "c", "d", "e", "f"};
+    links.resize(members);
+    found(cluster, links);
+    for (std::string const& l : links) {
+      REQUIRE(acknowledges(cluster, l, "k", 3000));
+      CHECK(drain(cluster, l, false) < 2000);
+      cluster.run(300);
+      cluster.boot(l);
+      INFO(l << " of " << members);
+      CHECK(cluster.until([&] { return cluster.calm(); }, catchUp) >= 0);
+    }
+    CHECK(acknowledges(cluster, "a", "k", 2000));
+    CHECK(cluster.wrong.empty());
+    CHECK(cluster.lost().empty());
+  }
+}
+
+TEST_CASE("a copy larger than one message comes in parts, and ends while changes go on") {
+  consensus::Tuning tuning = quick();
+  tuning.copyBytes = 100;
+  Cluster cluster(3, tuning);
+  found(cluster, three);
+  for (int i = 0; i < 40; ++i) REQUIRE(acknowledges(cluster, "a", "k" + std::to_string(i), 3000));
+  std::size_t most = 0;
+  int parts = 0;
+  cluster.watch = [&](std::string const&, transport::Send const& s) {
+    transport::Copy const* const copy = std::get_if<transport::Copy>(&s.message);
+    if (copy == nullptr) return;
+    parts += copy->more ? 1 : 0;
+    std::size_t bytes = 0;
+    for (transport::Slot const& slot : copy->slots) bytes += core::jsonText(slot.value).size();
+    most = std::max(most, bytes);
+  };
+  cluster.kill("c");
+  cluster.machines.at("c").disk.clear();
+  cluster.run(1200);
+  cluster.boot("c");
+  Tick const since = cluster.now;
+  while (cluster.now - since < catchUp && !cluster.calm()) {
+    cluster.call("a", "k" + std::to_string(cluster.rng.below(40)));
+    cluster.run(20);
+  }
+  CHECK(cluster.calm());
+  CHECK(parts > 3);
+  CHECK(most < 200);
+  CHECK(cluster.lost().empty());
+}
+
+TEST_CASE("an answer to a copy that an earlier life asked for counts for nothing") {
+  Cluster cluster(9, quick());
+  found(cluster, three);
+  REQUIRE(acknowledges(cluster, "a", "k", 3000));
+  cluster.kill("c");
+  cluster.machines.at("c").disk.clear();
+  cluster.run(1500);
+  std::vector<transport::Message> late;
+  cluster.watch = [&](std::string const&, transport::Send const& s) {
+    if (s.to == "c" && std::holds_alternative<transport::Copy>(s.message)) late.push_back(s.message);
+  };
+  cluster.boot("c");
+  REQUIRE(cluster.until([&] { return cluster.votes("c"); }, catchUp) >= 0);
+  REQUIRE(late.size() >= 2);
+  std::map<std::string, std::string> disk = cluster.machines.at("c").disk;
+  consensus::Registers fresh(cluster.at("c").self(), {}, {}, 77);
+  disk["meta"] = R"({"id":")" + cluster.at("c").self().id + R"(","voting":false,"settled":0,"founders":[]})";
+  disk.erase("slot:k");
+  fresh.restore(disk, false, cluster.now);
+  fresh.clockEvent(cluster.now);
+  for (transport::Message const& m : late) {
+    consensus::Commands const c = fresh.arrived(cluster.now, "a", m);
+    for (consensus::Persist const& p : c.persists) fresh.written(cluster.now, p.ticket, true);
+  }
+  CHECK_FALSE(fresh.voting());
+}
+
+TEST_CASE("a replacement is borne in a time that does not grow with the changes behind") {
+  for (int changes : {1, 300, 2000}) {
+    Cluster cluster(5, quick());
+    found(cluster, three);
+    for (int i = 0; i < changes; ++i) {
+      std::uint64_t const token = cluster.call("a", "k");
+      REQUIRE(cluster.until([&] { return cluster.statusOf(token) == 200; }, 3000) >= 0);
+      if (i % 50 == 0) cluster.acknowledged.clear();
+    }
+    std::size_t bytes = 0;
+    cluster.watch = [&](std::string const&, transport::Send const& s) {
+      if (transport::Copy const* const copy = std::get_if<transport::Copy>(&s.message))
+        for (transport::Slot const& slot : copy->slots) bytes += core::jsonText(slot.value).size();
+    };
+    cluster.boot("d");
+    Tick const joined = cluster.until([&] { return cluster.votes("d"); }, catchUp);
+    cluster.run(1000 - joined);
+    Tick const since = cluster.now;
+    cluster.handOver("a");
+    Tick const handed = cluster.until([&] { return cluster.at("a").handedOver(cluster.now); }, grace);
+    std::cout << changes << " changes: votes after " << joined << " ms, borne " << handed
+              << " ms after the old one was told to end, " << bytes << " bytes copied" << std::endl;
+    CHECK(joined >= 0);
+    CHECK(joined < 1000);
+    CHECK(handed >= 0);
+    CHECK(cluster.now - since < 1000);
+  }
+}
--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -96,6 +96,8 @@
   consensus::Registers const& registers() const { return registers_; }
   /// Calls that are waiting for their answer.
   std::size_t inHand() const { return calls_.size() + forces_.size(); }
+  /// After drain: the other members have what this one holds; see consensus::Registers::handedOver.
+  bool handedOver(Tick now) const { return registers_.handedOver(now); }
 
  private:
   struct CallState {
--- a/programs/control/control_daemon.cpp
+++ b/programs/control/control_daemon.cpp
@@ -221,7 +221,8 @@
 void ControlDaemon::clockEvent() {
   reducer_->wallTime(QDateTime::currentMSecsSinceEpoch());
   run(reducer_->clockEvent(now()));
-  drain_.look(server_, reducer_->inHand());
+  std::size_t const stillHeld = draining_ && !reducer_->handedOver(now()) ? 1 : 0;
+  drain_.look(server_, reducer_->inHand() + stillHeld);
 }
 
 void ControlDaemon::drain() {
--- a/transport/include/corkward/transport/message.h
+++ b/transport/include/corkward/transport/message.h
@@ -232,8 +232,11 @@
   Digest owns;
   /// The same in full, after a change or when it was asked for.
   Revisions owned;
+  /// The sender drains and will end.
+  bool leaving = false;
   template <class F>
   void each(F& f) {
+    f.optional("l", leaving);
     f("t", tick);
     f("m", member);
     f("e", empty);
@@ -297,12 +300,15 @@
 
 /// Asks for a value that is on a majority, or, when copying, for all slots that are newer than the asker's.
 struct Fetch {
+  /// When copying: only keys behind this one, which the asker had before.
   std::string key;
   bool copy = false;
   std::string member;
   std::uint64_t membership = 0;
   /// The asker's slots without their values.
   std::vector<Slot> have = {};
+  /// Number of this question, for its answer; 0 from releases that take an answer in one piece alone.
+  std::uint64_t ask = 0;
   template <class F>
   void each(F& f) {
     f("k", key);
@@ -310,6 +316,7 @@
     f("m", member);
     f("n", membership);
     f("h", have);
+    f.optional("a", ask);
   }
 };
 
@@ -318,11 +325,17 @@
   /// Revision of the membership that the answering member goes by.
   std::uint64_t membership = 0;
   std::vector<Slot> slots;
+  /// Number of the question that this answers; 0 from releases that don't number them.
+  std::uint64_t ask = 0;
+  /// There are more slots behind the last one.
+  bool more = false;
   template <class F>
   void each(F& f) {
     f("m", member);
     f("n", membership);
     f("s", slots);
+    f.optional("a", ask);
+    f.optional("o", more);
   }
 };
 
--- a/transport/src/message.cpp
+++ b/transport/src/message.cpp
@@ -56,6 +56,10 @@
   void operator()(char const* name, T& v) {
     map.insert(QLatin1String(name), put(v));
   }
+  template <class T>
+  void optional(char const* name, T& v) {
+    (*this)(name, v);
+  }
 };
 
 struct Unpacker {
@@ -120,6 +124,11 @@
   void operator()(char const* name, T& v) {
     get(map.value(QLatin1String(name)), v);
   }
+  /// A field that earlier releases don't send.
+  template <class T>
+  void optional(char const* name, T& v) {
+    if (map.contains(QLatin1String(name))) (*this)(name, v);
+  }
 };
 
 template <std::size_t I = 0>
