--- a/consensus/src/heartbeats.cpp
+++ b/consensus/src/heartbeats.cpp
@@ -124,7 +124,7 @@
     if (r.second.role != Role::owner || higher.count(r.first) > 0) continue;
     std::vector<Read> waiting;
     for (Read& read : r.second.reads) {
-      if (tick >= read.since) read.seen.insert(member);
+      if (tick > read.since) read.seen.insert(member);
       if (majority(read.seen, membership_))
         out.decided.push_back(Decided{read.token, r.first, 0, read.status, read.body});
       else if (now - read.since > tuning_.callLimit)
--- a/consensus/src/proposals.cpp
+++ b/consensus/src/proposals.cpp
@@ -196,7 +196,7 @@
     Verdict const v = validator_(key, revision, value, next.call);
     if (!v.change) {
       r.reads.push_back(Read{next.call.token, now, v.status, v.body, {self_.id}});
-      heartbeatAt_ = 0;
+      heartbeatAt_ = std::min(heartbeatAt_, now + 1);
       continue;
     }
     Proposal p;
--- a/consensus/test/cluster.h
+++ b/consensus/test/cluster.h
@@ -139,6 +139,14 @@
     hand(link, key, c);
     return c.token;
   }
+  /// Asks for the key's value.
+  std::uint64_t read(std::string const& link, std::string const& key) {
+    transport::Call c;
+    c.token = ++tokens_;
+    c.method = "GET";
+    hand(link, key, c);
+    return c.token;
+  }
   int statusOf(std::uint64_t token) const { return answers.count(token) > 0 ? answers.at(token) : 0; }
   /// Keys of which some majority of the newest membership's disks lacks a mark that was acknowledged.
   std::vector<std::string> lost() {
@@ -216,6 +224,7 @@
     take(*m, m->member->call(now, key, c));
   }
   static Verdict validator(std::string const&, std::uint64_t, QJsonObject const& value, transport::Call const& call) {
+    if (call.method == "GET") return Verdict{false, {}, 200, value};
     QJsonArray marks = value.value("marks").toArray();
     marks.append(core::qstr(call.body));
     return Verdict{true, QJsonObject{{"marks", marks}}, 200, {}};
@@ -266,7 +275,7 @@
     }
     for (Decided const& d : c.decided) {
       answers[d.token] = d.status;
-      if (d.status == 200) acknowledged[d.key].insert("m" + std::to_string(d.token));
+      if (d.status == 200 && d.revision > 0) acknowledged[d.key].insert("m" + std::to_string(d.token));
     }
     for (std::pair<std::string, transport::Call> const& r : c.reroute)
       after(1, [this, link = m.link, life = m.life, r] {
--- a/consensus/test/registers_test.cpp
+++ b/consensus/test/registers_test.cpp
@@ -410,6 +410,24 @@
   CHECK(cluster.at(other).majorityAge(cluster.now) >= cluster.now - since);
 }
 
+TEST_CASE("a read asked in the millisecond of an earlier heartbeat waits for a later one") {
+  for (std::uint64_t seed = 1; seed <= 10; ++seed) {
+    Cluster cluster(seed, quick());
+    moor(cluster, three);
+    std::string const owner = cluster.at("a").ownerLink("k", cluster.now);
+    bool beaten = false;
+    cluster.watch = [&](std::string const& from, transport::Send const& s) {
+      beaten = beaten || (from == owner && std::holds_alternative<transport::Heartbeat>(s.message));
+    };
+    REQUIRE(cluster.until([&] { return beaten; }, 1000) >= 0);
+    std::uint64_t const token = cluster.read(owner, "k");
+    cluster.run(10);
+    CHECK(cluster.statusOf(token) == 0);
+    cluster.run(60);
+    CHECK(cluster.statusOf(token) == 200);
+  }
+}
+
 namespace {
 
 /// Members are killed, frozen, cut off, emptied, moved and added at random while callers append marks.
