--- a/consensus/include/corkward/consensus/registers.h
+++ b/consensus/include/corkward/consensus/registers.h
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include <corkward/consensus/switches.h>
 #include <corkward/core/types.h>
 #include <corkward/transport/message.h>
 
@@ -40,6 +41,8 @@
   Tick replaceDarkAfter = 20000;
   std::size_t mostMembers = 9;
   Tick stallAfter = 800;
+  /// For the explorer: what a test build may turn off. Nothing is off in a daemon.
+  Switches switches;
 };
 
 /// One machine of the membership.
@@ -135,6 +138,9 @@
   std::vector<Member> const& membership() const { return membership_; }
   Member const& self() const { return self_; }
   std::size_t ownedCount() const;
+  /// For the explorer: hash of the whole state, equal for states that differ only in how long ago everything was.
+  /// Spans over `cap` milliseconds count as `cap`.
+  std::uint64_t fingerprint(Tick now, Tick cap) const;
 
  private:
   struct Pending {
@@ -195,6 +201,10 @@
   };
 
   Reg& reg(std::string const& key);
+  /// Oldest membership whose ballots on the key are taken.
+  std::uint64_t oldestTaken(std::string const& key);
+  /// A newer ballot was promised.
+  bool isOld(Ballot const& ballot, Reg const& r) const;
   bool allSaidOwned() const;
   /// No other voting member that was heard of late comes before this one in the key's order.
   bool firstFor(std::string const& key, Tick now) const;
--- a/consensus/src/registers.cpp
+++ b/consensus/src/registers.cpp
@@ -254,12 +254,21 @@
 void Registers::sendWhenSynced(Commands& out, Tick now, Reg const& r, std::string const& to,
                                transport::Message message) {
   std::map<std::uint64_t, std::vector<transport::Send>>::iterator const it = deferred_.find(r.ticket);
-  if (it != deferred_.end())
+  if (it != deferred_.end() && !tuning_.switches.off(Mechanism::syncBeforeAnswer))
     it->second.push_back(transport::Send{to, std::move(message)});
   else
     send(out, now, to, std::move(message));
 }
 
+std::uint64_t Registers::oldestTaken(std::string const& key) {
+  if (tuning_.switches.off(Mechanism::membershipGuard)) return 0;
+  return key == membershipKey ? membershipRevision_ : std::max(membershipRevision_, reg(membershipKey).revision);
+}
+
+bool Registers::isOld(Ballot const& ballot, Reg const& r) const {
+  return ballot < r.promised && !tuning_.switches.off(Mechanism::promiseCheck);
+}
+
 Commands Registers::written(Tick now, std::uint64_t ticket, bool ok) {
   Commands out;
   if (!ok && !diskFailed_) {
@@ -340,12 +349,11 @@
 
 void Registers::on(Commands& out, Tick now, std::string const& from, transport::Prepare const& m) {
   if (!voting() || stalled_ || !isMember(m.member)) return;
-  std::uint64_t const guard =
-      m.key == membershipKey ? membershipRevision_ : std::max(membershipRevision_, reg(membershipKey).revision);
+  std::uint64_t const guard = oldestTaken(m.key);
   Reg& r = reg(m.key);
   r.highest = std::max(r.highest, m.ballot.n);
   r.unowned = false;
-  if (guard > m.membership || m.ballot < r.promised) {
+  if (guard > m.membership || isOld(m.ballot, r)) {
     send(out, now, from, transport::Promise{m.key, m.ballot, self_.id, false, r.promised, {}, 0, {}});
     return;
   }
@@ -382,7 +390,7 @@
   transport::Promise const* best = nullptr;
   for (std::map<std::string, transport::Promise>::value_type const& p : r.promises)
     if (p.second.revision > 0 && (best == nullptr || newer(p.second, *best))) best = &p.second;
-  if (best != nullptr) {
+  if (best != nullptr && !tuning_.switches.off(Mechanism::newestAccepted)) {
     Proposal p;
     p.revision = best->revision;
     p.value = best->value;
@@ -416,10 +424,9 @@
   bool const joining = m.key == membershipKey && !voting_ && !diskFailed_ && !leaving_ && empty_ && nameTicket_ == 0;
   if (stalled_ || (!voting() && !joining)) return;
   if (!joining && !isMember(m.member)) return;
-  std::uint64_t const guard =
-      m.key == membershipKey ? membershipRevision_ : std::max(membershipRevision_, reg(membershipKey).revision);
+  std::uint64_t const guard = oldestTaken(m.key);
   Reg& r = reg(m.key);
-  if (guard > m.membership || m.ballot < r.promised) {
+  if (guard > m.membership || isOld(m.ballot, r)) {
     send(out, now, from, transport::Accepted{m.key, m.ballot, self_.id, m.revision, false, r.promised});
     return;
   }
@@ -456,7 +463,8 @@
   }
   r.proposal->yes.insert(m.member);
   bool done = majority(r.proposal->yes, membership_);
-  if (m.key == membershipKey) done = done && majority(r.proposal->yes, membersOf(r.proposal->value));
+  if (m.key == membershipKey && !tuning_.switches.off(Mechanism::bothMajorities))
+    done = done && majority(r.proposal->yes, membersOf(r.proposal->value));
   if (done) chosen(out, now, m.key, r);
 }
 
@@ -482,6 +490,10 @@
     std::uint64_t const revision = it == committed_.end() ? 0 : it->second.revision;
     QJsonObject const value = it == committed_.end() ? QJsonObject() : it->second.value;
     Verdict const v = validator_(key, revision, value, next.call);
+    if (!v.change && tuning_.switches.off(Mechanism::readConfirmation)) {
+      out.decided.push_back(Decided{next.call.token, key, 0, v.status, v.body});
+      continue;
+    }
     if (!v.change) {
       r.reads.push_back(Read{next.call.token, now, v.status, v.body, {self_.id}});
       heartbeatAt_ = 0;
@@ -832,7 +844,9 @@
 
 void Registers::catchUp(Commands& out, Tick now) {
   if (caughtUp_ == membershipRevision_ || catchUpTicket_ != 0 || diskFailed_ || !isMember(self_.id)) return;
-  if (copies_.size() >= (membership_.size() + (voting_ ? 0 : 1)) / 2) {
+  std::size_t const wanted =
+      tuning_.switches.off(Mechanism::copyBeforeVote) ? 0 : (membership_.size() + (voting_ ? 0 : 1)) / 2;
+  if (copies_.size() >= wanted) {
     persistCaughtUp(out);
     return;
   }
@@ -929,7 +943,9 @@
   std::set<std::string> ready;
   for (Member const& m : membership_) {
     Other const& o = others_[m.id];
-    if (m.id == self_.id ? caughtUp_ == membershipRevision_ : o.voting && o.caughtUp == membershipRevision_)
+    bool const always = tuning_.switches.off(Mechanism::catchUpFirst);
+    if (m.id == self_.id ? caughtUp_ == membershipRevision_ || always
+                         : o.voting && (o.caughtUp == membershipRevision_ || always))
       ready.insert(m.id);
     else if (darkFor(m, now) < tuning_.ownerSilence)
       return;
--- /dev/null
+++ b/testing/explore/membership_model.cpp
@@ -0,0 +1,128 @@
+#include "membership_model.h"
+
+#include <corkward/core/error.h>
+
+namespace corkward::explore {
+
+namespace {
+
+/// Times of this model, ms: few clock events from one step of a change to the next.
+Rules quick(Rules rules) {
+  rules.tuning.heartbeatEvery = 50;
+  rules.tuning.ownerSilence = 200;
+  rules.tuning.electionSpread = 1;
+  rules.tuning.restartPause = 50;
+  rules.tuning.restartSpread = 1;
+  rules.tuning.resendEvery = 100;
+  rules.tuning.replaceDarkAfter = 400;
+  rules.cap = 500;
+  return rules;
+}
+
+constexpr Tick step = 50;
+
+}  // namespace
+
+MembershipModel::MembershipModel(Rules rules, Bounds bounds)
+    : rules_(quick(std::move(rules))), bounds_(bounds), world_(rules_), start_(lagging(bounds.members)) {}
+
+/// The last confirmed change is on the smallest majority that there is: the last members, their last one the owner.
+State MembershipModel::lagging(int members) const {
+  State s = world_.founded(members, members < 5 ? 1 : 0);
+  int const most = members / 2 + 1;
+  s.cut = (1U << (members - most)) - 1U;
+  world_.handover(s, members - 1);
+  world_.wave(s, 0);
+  world_.change(s, members - 1);
+  world_.wave(s, 0);
+  s.cut = 0;
+  s.spent = Spent();
+  return s;
+}
+
+std::vector<MembershipModel::Action> MembershipModel::actions(State const& s) const {
+  std::vector<Action> out{Action{Kind::goOn, 0}, Action{Kind::longWait, 0}};
+  bool const mayLose = world_.openLosses(s) < (static_cast<int>(s.ledger->members.size()) - 1) / 2;
+  for (std::uint8_t i = 0; i < s.machines.size(); ++i) {
+    Machine const& m = *s.machines[i];
+    bool const cut = (s.cut >> i & 1U) != 0;
+    if (m.member && s.spent.calls < bounds_.changes && m.member->owns(callersKey))
+      out.push_back(Action{Kind::change, i});
+    if (cut) out.push_back(Action{Kind::heal, i});
+    if (!m.member) out.push_back(Action{Kind::back, i});
+    if (s.spent.faults >= bounds_.faults || !m.member) continue;
+    out.push_back(Action{Kind::kill, i});
+    if (!cut) out.push_back(Action{Kind::cutOff, i});
+    if (mayLose) out.push_back(Action{Kind::wipe, i});
+  }
+  return out;
+}
+
+State MembershipModel::apply(State const& s, Action const& action) const {
+  State next = s;
+  try {
+    act(next, action);
+  } catch (core::Error const& e) {
+    next.broken = e.what();
+  }
+  world_.checkRebuild(next);
+  return next;
+}
+
+void MembershipModel::act(State& s, Action const& action) const {
+  int const machine = action.machine;
+  unsigned const bit = 1U << action.machine;
+  switch (action.kind) {
+    case Kind::goOn:
+      if (!s.net.empty()) return world_.wave(s, 1);
+      for (int i = 0; i < static_cast<int>(s.machines.size()); ++i) world_.clock(s, i, step);
+      return;
+    case Kind::longWait:
+      return world_.settle(s, rules_.tuning.replaceDarkAfter + rules_.tuning.ownerSilence);
+    case Kind::kill:
+      ++s.spent.faults;
+      return world_.kill(s, machine);
+    case Kind::back:
+      return world_.boot(s, machine);
+    case Kind::wipe:
+      ++s.spent.faults;
+      world_.wipe(s, machine);
+      return world_.boot(s, machine);
+    case Kind::cutOff:
+      ++s.spent.faults;
+      s.cut |= bit;
+      return;
+    case Kind::heal:
+      s.cut &= ~bit;
+      return;
+    case Kind::change:
+      ++s.spent.calls;
+      return world_.change(s, machine);
+  }
+}
+
+std::string MembershipModel::name(State const& s, Action const& action) const {
+  std::string const at = " " + linkOf(action.machine);
+  switch (action.kind) {
+    case Kind::goOn:
+      return s.net.empty() ? "clock events, " + std::to_string(step) + " ms later"
+                           : std::to_string(s.net.size()) + " messages arrive";
+    case Kind::longWait:
+      return "a long wait";
+    case Kind::kill:
+      return "lose" + at;
+    case Kind::back:
+      return "start" + at + " with the disk it has";
+    case Kind::wipe:
+      return "restart" + at + " with an empty disk";
+    case Kind::cutOff:
+      return "cut off" + at;
+    case Kind::heal:
+      return "heal the cut of" + at;
+    case Kind::change:
+      return "change called at" + at;
+  }
+  return "";
+}
+
+}  // namespace corkward::explore
--- /dev/null
+++ b/testing/explore/membership_model.h
@@ -0,0 +1,41 @@
+#pragma once
+
+#include "bounds.h"
+#include "world.h"
+
+namespace corkward::explore {
+
+/// The membership, hop by hop: between any two hops of messages or clock events a member is lost, emptied, replaced,
+/// cut off, healed, returns with its disk as it was, a newcomer joins, or a caller changes something. Messages under
+/// way at one time are delivered in the order in which they were sent.
+///
+/// A disk is emptied only while the losses that are open, this one included, leave a majority that votes and has caught
+/// up.
+class MembershipModel {
+ public:
+  using State = explore::State;
+  enum class Kind : std::uint8_t { goOn, longWait, kill, back, wipe, cutOff, heal, change };
+  struct Action {
+    Kind kind = Kind::goOn;
+    std::uint8_t machine = 0;
+  };
+
+  MembershipModel(Rules rules, Bounds bounds);
+
+  std::vector<State> initial() const { return {start_}; }
+  std::vector<Action> actions(State const& s) const;
+  State apply(State const& s, Action const& action) const;
+  std::uint64_t digest(State const& s) const { return world_.digest(s); }
+  std::string name(State const& s, Action const& action) const;
+
+ private:
+  void act(State& s, Action const& action) const;
+  State lagging(int members) const;
+
+  Rules rules_;
+  Bounds bounds_;
+  World world_;
+  State start_;
+};
+
+}  // namespace corkward::explore
--- /dev/null
+++ b/testing/explore/registers_model.cpp
@@ -0,0 +1,159 @@
+#include "registers_model.h"
+
+#include <algorithm>
+
+#include <corkward/core/error.h>
+
+namespace corkward::explore {
+
+namespace {
+
+Rules withoutMembership(Rules rules) {
+  rules.dropMembership = true;
+  return rules;
+}
+
+/// Kinds that change nothing once they change nothing.
+bool endsForGood(transport::Message const& message) {
+  return std::holds_alternative<transport::Promise>(message) || std::holds_alternative<transport::Accepted>(message) ||
+         std::holds_alternative<transport::Commit>(message);
+}
+
+}  // namespace
+
+RegistersModel::RegistersModel(Rules rules, Bounds bounds)
+    : bounds_(bounds), world_(withoutMembership(std::move(rules))), start_(world_.founded(bounds.members, 0)) {}
+
+std::vector<RegistersModel::Action> RegistersModel::actions(State const& s) const {
+  std::vector<Action> out;
+  for (std::uint16_t i = 0; i < s.net.size(); ++i) {
+    out.push_back(Action{Kind::deliver, 0, i, 0});
+    if (s.spent.faults >= bounds_.faults) continue;
+    out.push_back(Action{Kind::deliverTwice, 0, i, 0});
+    bool const writes = std::holds_alternative<transport::Prepare>(*s.net[i].message) ||
+                        std::holds_alternative<transport::Accept>(*s.net[i].message);
+    if (!writes) continue;
+    out.push_back(Action{Kind::deliverSlow, 0, i, 0});
+    out.push_back(Action{Kind::deliverCrash, 0, i, 0});
+  }
+  for (std::uint8_t m = 0; m < s.machines.size(); ++m) actionsOf(out, s, m);
+  return out;
+}
+
+void RegistersModel::actionsOf(std::vector<Action>& out, State const& s, std::uint8_t machine) const {
+  Machine const& m = *s.machines[machine];
+  bool const owns = m.member->owns(callersKey);
+  if (!m.pending.empty()) out.push_back(Action{Kind::sync, machine, 0, 0});
+  if (owns && s.spent.calls < bounds_.changes) out.push_back(Action{Kind::change, machine, 0, 0});
+  if (owns && s.spent.reads < bounds_.reads) out.push_back(Action{Kind::read, machine, 0, 0});
+  if (!owns && s.spent.campaigns < bounds_.campaigns) out.push_back(Action{Kind::campaign, machine, 0, 0});
+  if (s.spent.clocks < bounds_.clocks && (owns || !m.member->voting())) {
+    out.push_back(Action{Kind::clockStill, machine, 0, 0});
+    out.push_back(Action{Kind::clockOn, machine, 0, 0});
+  }
+  if (s.spent.faults >= bounds_.faults && m.pending.empty()) return;
+  for (std::uint8_t kept = 0; kept <= m.pending.size(); ++kept) out.push_back(Action{Kind::crash, machine, 0, kept});
+  if (s.spent.faults < bounds_.faults) out.push_back(Action{Kind::wipe, machine, 0, 0});
+}
+
+State RegistersModel::apply(State const& s, Action const& action) const {
+  State next = s;
+  try {
+    act(next, action);
+  } catch (core::Error const& e) {
+    next.broken = e.what();
+  }
+  if (next.broken.empty()) world_.checkRebuild(next);
+  if (next.broken.empty()) prune(next);
+  return next;
+}
+
+void RegistersModel::deliver(State& s, Action const& action) const {
+  Packet const p = s.net[action.packet];
+  if (action.kind != Kind::deliverTwice) s.net.erase(s.net.begin() + action.packet);
+  if (action.kind != Kind::deliver) ++s.spent.faults;
+  bool const slow = action.kind == Kind::deliverSlow || action.kind == Kind::deliverCrash;
+  world_.arrive(s, p, slow ? Sync::later : Sync::atOnce);
+  if (action.kind != Kind::deliverCrash) return;
+  world_.kill(s, p.to);
+  world_.boot(s, p.to);
+}
+
+void RegistersModel::act(State& s, Action const& action) const {
+  int const machine = action.machine;
+  switch (action.kind) {
+    case Kind::deliver:
+    case Kind::deliverTwice:
+    case Kind::deliverSlow:
+    case Kind::deliverCrash:
+      return deliver(s, action);
+    case Kind::sync:
+      return world_.sync(s, machine, s.machines[action.machine]->pending.size(), true);
+    case Kind::crash:
+      if (s.machines[action.machine]->pending.empty()) ++s.spent.faults;
+      world_.sync(s, machine, action.kept, false);
+      world_.kill(s, machine);
+      return world_.boot(s, machine);
+    case Kind::wipe:
+      ++s.spent.faults;
+      world_.wipe(s, machine);
+      return world_.boot(s, machine);
+    case Kind::campaign:
+      ++s.spent.campaigns;
+      return world_.handover(s, machine);
+    case Kind::change:
+      ++s.spent.calls;
+      return world_.change(s, machine);
+    case Kind::read:
+      ++s.spent.reads;
+      return world_.read(s, machine);
+    case Kind::clockStill:
+    case Kind::clockOn:
+      ++s.spent.clocks;
+      return world_.clock(s, machine, action.kind == Kind::clockOn ? 1 : 0);
+  }
+}
+
+void RegistersModel::prune(State& s) const {
+  std::erase_if(s.net, [&](Packet& p) {
+    if (!endsForGood(*p.message)) return false;
+    Machine const& m = *s.machines[static_cast<std::size_t>(p.to)];
+    std::uint64_t const digest = world_.digest(m);
+    if (p.usefulAt != digest && !world_.changes(p, m)) return true;
+    p.usefulAt = digest;
+    return false;
+  });
+}
+
+std::string RegistersModel::name(State const& s, Action const& action) const {
+  std::string const at = " " + linkOf(action.machine);
+  switch (action.kind) {
+    case Kind::deliver:
+      return "deliver " + nameOf(s.net[action.packet]);
+    case Kind::deliverTwice:
+      return "deliver, and again later: " + nameOf(s.net[action.packet]);
+    case Kind::deliverSlow:
+      return "deliver, its write waits: " + nameOf(s.net[action.packet]);
+    case Kind::deliverCrash:
+      return "deliver, crash before the write, restart: " + nameOf(s.net[action.packet]);
+    case Kind::sync:
+      return "sync what waits at" + at;
+    case Kind::crash:
+      return "crash and restart" + at + ", " + std::to_string(action.kept) + " waiting records kept";
+    case Kind::wipe:
+      return "wipe the disk and restart" + at;
+    case Kind::campaign:
+      return "election starts at" + at;
+    case Kind::change:
+      return "change called at" + at;
+    case Kind::read:
+      return "read called at" + at;
+    case Kind::clockStill:
+      return "clock event in the same millisecond at" + at;
+    case Kind::clockOn:
+      return "clock event a millisecond later at" + at;
+  }
+  return "";
+}
+
+}  // namespace corkward::explore
--- /dev/null
+++ b/testing/explore/run.cpp
@@ -0,0 +1,91 @@
+#include <corkward/core/error.h>
+
+#include "run.h"
+
+#include <algorithm>
+#include <fstream>
+#include <unistd.h>
+
+#include "membership_model.h"
+#include "registers_model.h"
+
+namespace corkward::explore {
+
+namespace {
+
+using consensus::Mechanism;
+
+/// A mechanism of the registers by its name.
+struct Named {
+  char const* name;
+  Mechanism mechanism;
+};
+
+constexpr Named ofRegisters[] = {{"promise-check", Mechanism::promiseCheck},
+                                 {"newest-accepted", Mechanism::newestAccepted},
+                                 {"sync-before-answer", Mechanism::syncBeforeAnswer},
+                                 {"read-confirmation", Mechanism::readConfirmation}};
+constexpr Named ofMembership[] = {{"catch-up-first", Mechanism::catchUpFirst},
+                                  {"copy-before-vote", Mechanism::copyBeforeVote},
+                                  {"both-majorities", Mechanism::bothMajorities},
+                                  {"membership-guard", Mechanism::membershipGuard}};
+constexpr char const* freshId = "fresh-id";
+constexpr char const* compareBase = "compare-base";
+
+Rules rulesWithout(std::string const& without) {
+  Rules rules;
+  for (Named const& n : ofRegisters)
+    if (without == n.name) rules.tuning.switches.turnOff(n.mechanism);
+  for (Named const& n : ofMembership)
+    if (without == n.name) rules.tuning.switches.turnOff(n.mechanism);
+  rules.freshIds = without != freshId;
+  rules.compareBase = without != compareBase;
+  return rules;
+}
+
+template <class Model>
+Outcome searchModel(Run const& run, Limits const& limits) {
+  Model const model(rulesWithout(run.without), run.bounds);
+  return Search<Model>(model, limits).run();
+}
+
+}  // namespace
+
+std::size_t residentMb() {
+  std::ifstream in("/proc/self/statm");
+  std::size_t all = 0;
+  std::size_t resident = 0;
+  in >> all >> resident;
+  return resident * static_cast<std::size_t>(sysconf(_SC_PAGESIZE)) / (1U << 20);
+}
+
+std::vector<std::string> models() {
+  return {"registers", "membership"};
+}
+
+std::vector<std::string> mechanisms(std::string const& model) {
+  std::vector<std::string> out;
+  if (model == "registers") {
+    for (Named const& n : ofRegisters) out.push_back(n.name);
+    out.push_back(freshId);
+    out.push_back(compareBase);
+  }
+  if (model == "membership")
+    for (Named const& n : ofMembership) out.push_back(n.name);
+  return out;
+}
+
+Outcome search(Run const& run, Limits const& limits) {
+  std::vector<std::string> const known = mechanisms(run.model);
+  if (!run.without.empty() && std::count(known.begin(), known.end(), run.without) == 0)
+    throw UnknownName("model " + run.model + " has no mechanism " + run.without);
+  if (run.model == "registers") return searchModel<RegistersModel>(run, limits);
+  if (run.model == "membership") return searchModel<MembershipModel>(run, limits);
+  throw UnknownName("no such model: " + run.model);
+}
+
+bool asExpected(Run const& run, Outcome const& outcome) {
+  return run.without.empty() == outcome.broken.empty();
+}
+
+}  // namespace corkward::explore
--- /dev/null
+++ b/testing/explore/world.cpp
@@ -0,0 +1,408 @@
+#include "world.h"
+
+#include <QJsonArray>
+#include <algorithm>
+#include <bit>
+
+#include <corkward/core/json.h>
+
+namespace corkward::explore {
+
+namespace {
+
+/// Longest chain of messages without a clock event before a run counts as endless.
+constexpr int mostHops = 200;
+constexpr Tick settleStep = 25;
+
+std::uint64_t mix(std::uint64_t h, std::uint64_t v) {
+  h ^= v + 0x9E3779B97F4A7C15ULL + (h << 6) + (h >> 2);
+  h *= 0xFF51AFD7ED558CCDULL;
+  return h ^ (h >> 33);
+}
+
+std::set<std::string> marksOf(QJsonObject const& value) {
+  std::set<std::string> out;
+  for (QJsonValue const v : value.value("marks").toArray()) out.insert(core::str(v.toString()));
+  return out;
+}
+
+bool hasAll(std::set<std::string> const& have, std::set<std::string> const& want) {
+  return std::includes(have.begin(), have.end(), want.begin(), want.end());
+}
+
+consensus::Validator validatorOf(bool compareBase) {
+  return
+      [compareBase](std::string const&, std::uint64_t revision, QJsonObject const& value, transport::Call const& call) {
+        if (call.method == "GET") return consensus::Verdict{false, {}, 200, value};
+        if (compareBase && call.ifMatch != std::to_string(revision)) return consensus::Verdict{false, {}, 412, {}};
+        QJsonArray marks = value.value("marks").toArray();
+        marks.append(core::qstr(call.body));
+        return consensus::Verdict{true, QJsonObject{{"marks", marks}}, 200, {}};
+      };
+}
+
+/// Reads anew what the disk says.
+void readDisk(Machine& m) {
+  m.diskId.clear();
+  m.diskVotes = false;
+  m.held = Held();
+  m.diskDigest = 1;
+  for (std::map<std::string, std::string>::value_type const& r : m.disk)
+    m.diskDigest = mix(mix(m.diskDigest, core::stableHash(r.first)), core::stableHash(r.second));
+  std::map<std::string, std::string>::const_iterator const meta = m.disk.find("meta");
+  if (meta == m.disk.end()) return;
+  QJsonObject const o = core::parseJson(meta->second).toObject();
+  m.diskId = core::str(o.value("id").toString());
+  m.diskVotes = o.value("voting").toBool();
+  m.diskCaughtUp = static_cast<std::uint64_t>(o.value("settled").toInteger());
+  std::map<std::string, std::string>::const_iterator const slot = m.disk.find(std::string("slot:") + callersKey);
+  if (slot == m.disk.end()) return;
+  QJsonObject const v = core::parseJson(slot->second).toObject();
+  if (core::str(v.value("i").toString()) != m.diskId) return;
+  QJsonObject const b = v.value("a").toObject();
+  m.held.ballot =
+      transport::Ballot{static_cast<std::uint64_t>(b.value("n").toInteger()), core::str(b.value("m").toString())};
+  m.held.revision = static_cast<std::uint64_t>(v.value("s").toInteger());
+  m.held.marks = marksOf(v.value("v").toObject());
+}
+
+std::string keyOf(transport::Message const& message) {
+  return std::visit(
+      [](auto const& m) -> std::string {
+        if constexpr (requires { m.key; })
+          return m.key;
+        else if constexpr (requires { m.item; })
+          return m.item.key;
+        else
+          return "";
+      },
+      message);
+}
+
+/// Takes the tick out of a message, so that messages that differ by it alone hash alike.
+transport::Message untimed(transport::Message const& message, Tick& tick) {
+  transport::Message out = message;
+  std::visit(
+      [&](auto& m) {
+        if constexpr (requires { m.tick; }) {
+          tick = m.tick;
+          m.tick = 0;
+        }
+      },
+      out);
+  return out;
+}
+
+}  // namespace
+
+std::string linkOf(int machine) {
+  return std::string(1, static_cast<char>('a' + machine));
+}
+
+std::string nameOf(Packet const& p) {
+  std::string const key = keyOf(*p.message);
+  return std::string(transport::kind(*p.message)) + (key.empty() ? "" : "(" + key + ")") + " " + linkOf(p.from) +
+         " -> " + linkOf(p.to);
+}
+
+Machine& World::edit(State& s, int machine) {
+  std::shared_ptr<Machine> const copy = std::make_shared<Machine>(*s.machines[static_cast<std::size_t>(machine)]);
+  copy->digest = 0;
+  s.machines[static_cast<std::size_t>(machine)] = copy;
+  return *copy;
+}
+
+Ledger& World::editLedger(State& s) {
+  std::shared_ptr<Ledger> const copy = std::make_shared<Ledger>(*s.ledger);
+  copy->digest = 0;
+  s.ledger = copy;
+  return *copy;
+}
+
+int World::indexOf(State const& s, std::string const& link) const {
+  for (std::size_t i = 0; i < s.machines.size(); ++i)
+    if (s.machines[i]->link == link) return static_cast<int>(i);
+  return -1;
+}
+
+void World::start(State& s, int machine, std::vector<std::string> founders) const {
+  Machine& m = edit(s, machine);
+  bool const named = rules_.freshIds || m.boots == 0;
+  if (named) ++m.boots;
+  std::string const id = m.link + "#" + std::to_string(m.boots);
+  m.pending.clear();
+  m.member.emplace(consensus::Member{id, m.link}, std::move(founders), validatorOf(rules_.compareBase), 1,
+                   rules_.tuning);
+  take(s, machine, m.member->restore(m.disk, false, m.now), Sync::atOnce);
+}
+
+void World::boot(State& s, int machine) const {
+  start(s, machine, {});
+}
+
+void World::kill(State& s, int machine) const {
+  Machine& m = edit(s, machine);
+  m.member.reset();
+  m.pending.clear();
+}
+
+void World::wipe(State& s, int machine) const {
+  Machine& m = edit(s, machine);
+  m.member.reset();
+  m.pending.clear();
+  m.disk.clear();
+  readDisk(m);
+}
+
+void World::arrive(State& s, Packet const& p, Sync sync) const {
+  if (!s.machines[static_cast<std::size_t>(p.to)]->member) return;
+  Machine& m = edit(s, p.to);
+  take(s, p.to, m.member->arrived(m.now, linkOf(p.from), *p.message), sync);
+}
+
+void World::clock(State& s, int machine, Tick by) const {
+  Machine& m = edit(s, machine);
+  m.now += by;
+  if (!m.member) return;
+  if (m.member->seeking()) {
+    std::vector<std::string> links;
+    for (std::shared_ptr<Machine const> const& o : s.machines) links.push_back(o->link);
+    m.member->meet(links);
+  }
+  take(s, machine, m.member->clockEvent(m.now), Sync::atOnce);
+}
+
+void World::handover(State& s, int machine) const {
+  Machine& m = edit(s, machine);
+  take(s, machine, m.member->arrived(m.now, m.link, transport::Handover{callersKey, {}}), Sync::atOnce);
+}
+
+void World::change(State& s, int machine) const {
+  Machine& m = edit(s, machine);
+  std::map<std::string, consensus::Committed>::const_iterator const it = m.member->committed().find(callersKey);
+  std::uint64_t const base = it == m.member->committed().end() ? 0 : it->second.revision;
+  Ledger& ledger = editLedger(s);
+  transport::Call call;
+  call.token = ++ledger.tokens;
+  call.method = "PUT";
+  call.ifMatch = std::to_string(base);
+  call.body = "m" + std::to_string(call.token);
+  ledger.baseOf[call.token] = base;
+  take(s, machine, m.member->call(m.now, callersKey, call), Sync::atOnce);
+}
+
+void World::read(State& s, int machine) const {
+  Machine& m = edit(s, machine);
+  Ledger& ledger = editLedger(s);
+  transport::Call call;
+  call.token = ++ledger.tokens;
+  call.method = "GET";
+  std::set<std::string>& want = ledger.questions[call.token];
+  for (std::map<std::string, std::uint64_t>::value_type const& c : ledger.confirmed) want.insert(c.first);
+  take(s, machine, m.member->call(m.now, callersKey, call), Sync::atOnce);
+}
+
+void World::sync(State& s, int machine, std::size_t records, bool tell) const {
+  Machine& m = edit(s, machine);
+  std::vector<std::uint64_t> tickets;
+  for (std::size_t i = 0; i < records && !m.pending.empty(); ++i) {
+    m.disk[m.pending.front().key] = m.pending.front().payload;
+    tickets.push_back(m.pending.front().ticket);
+    m.pending.pop_front();
+  }
+  readDisk(m);
+  if (!tell) return;
+  consensus::Commands all;
+  for (std::uint64_t const ticket : tickets) {
+    consensus::Commands const c = m.member->written(m.now, ticket, true);
+    all.sends.insert(all.sends.end(), c.sends.begin(), c.sends.end());
+    all.persists.insert(all.persists.end(), c.persists.begin(), c.persists.end());
+    all.commits.insert(all.commits.end(), c.commits.begin(), c.commits.end());
+    all.decided.insert(all.decided.end(), c.decided.begin(), c.decided.end());
+    all.logEvents.insert(all.logEvents.end(), c.logEvents.begin(), c.logEvents.end());
+  }
+  take(s, machine, all, Sync::atOnce);
+}
+
+void World::take(State& s, int machine, consensus::Commands const& c, Sync sync) const {
+  for (core::LogEvent const& e : c.logEvents)
+    if (e.event == "absurd-message") s.broken = "two values under one revision reach a member";
+  for (transport::Send const& send : c.sends) post(s, machine, send);
+  for (consensus::Committed const& k : c.commits) onCommit(s, k);
+  for (consensus::Decided const& d : c.decided) onDecided(s, d);
+  if (c.persists.empty()) return;
+  Machine& m = edit(s, machine);
+  m.pending.insert(m.pending.end(), c.persists.begin(), c.persists.end());
+  if (sync == Sync::atOnce) this->sync(s, machine, m.pending.size(), true);
+}
+
+void World::post(State& s, int from, transport::Send const& send) const {
+  int const to = indexOf(s, send.to);
+  if (to < 0 || (rules_.dropMembership && keyOf(send.message) == consensus::membershipKey)) return;
+  Packet p{from, to, nullptr, 0, -1, 0};
+  transport::Message const plain = untimed(send.message, p.tick);
+  if (std::holds_alternative<transport::Heartbeat>(plain)) p.clock = from;
+  if (std::holds_alternative<transport::HeartbeatEcho>(plain)) p.clock = to;
+  p.hash = mix(core::stableHash(transport::pack(transport::Envelope{linkOf(from), plain, 0})),
+               static_cast<std::uint64_t>(to));
+  p.message = std::make_shared<transport::Message const>(send.message);
+  for (Packet const& q : s.net)
+    if (q.hash == p.hash && q.tick == p.tick) return;
+  s.net.push_back(std::move(p));
+}
+
+void World::onCommit(State& s, consensus::Committed const& c) const {
+  std::string const text = core::jsonText(c.value);
+  std::pair<std::string, std::uint64_t> const at(c.key, c.revision);
+  std::map<std::pair<std::string, std::uint64_t>, std::string>::const_iterator const it = s.ledger->chosen.find(at);
+  if (it != s.ledger->chosen.end()) {
+    if (it->second != text) s.broken = "two values chosen for " + c.key + " revision " + std::to_string(c.revision);
+    return;
+  }
+  Ledger& ledger = editLedger(s);
+  ledger.chosen[at] = text;
+  if (c.key == callersKey) ledger.marks[c.revision] = marksOf(c.value);
+  if (c.key == consensus::membershipKey && c.revision > ledger.newestMembership) {
+    ledger.newestMembership = c.revision;
+    ledger.members.clear();
+    for (consensus::Member const& m : consensus::membersOf(c.value)) ledger.members.push_back(m.id);
+  }
+  checkMarks(s);
+}
+
+void World::onDecided(State& s, consensus::Decided const& d) const {
+  std::map<std::uint64_t, std::set<std::string>>::const_iterator const question = s.ledger->questions.find(d.token);
+  if (question != s.ledger->questions.end()) {
+    if (d.status == 200 && !hasAll(marksOf(d.body), question->second))
+      s.broken = "a read misses what was confirmed before the question began";
+    editLedger(s).questions.erase(d.token);
+    return;
+  }
+  if (d.status != 200) return;
+  Ledger& ledger = editLedger(s);
+  ledger.confirmed["m" + std::to_string(d.token)] = d.revision;
+  if (ledger.baseOf.count(d.token) > 0 && !ledger.bases.insert(ledger.baseOf.at(d.token)).second)
+    s.broken = "two changes confirmed on one base";
+  checkMarks(s);
+}
+
+void World::checkMarks(State& s) const {
+  for (std::map<std::uint64_t, std::set<std::string>>::value_type const& c : s.ledger->marks)
+    for (std::map<std::string, std::uint64_t>::value_type const& k : s.ledger->confirmed)
+      if (k.second <= c.first && c.second.count(k.first) == 0)
+        s.broken = "confirmed " + k.first + " is not in revision " + std::to_string(c.first);
+}
+
+void World::checkRebuild(State& s) const {
+  if (!s.broken.empty()) return;
+  std::vector<Held const*> disks;
+  for (std::shared_ptr<Machine const> const& m : s.machines)
+    if (m->diskVotes && std::count(s.ledger->members.begin(), s.ledger->members.end(), m->diskId) > 0)
+      disks.push_back(&m->held);
+  std::set<std::string> want;
+  for (std::map<std::string, std::uint64_t>::value_type const& c : s.ledger->confirmed) want.insert(c.first);
+  std::size_t const most = s.ledger->members.size() / 2 + 1;
+  for (unsigned set = 0; set < 1U << disks.size(); ++set) {
+    if (static_cast<std::size_t>(std::popcount(set)) != most) continue;
+    Held const* best = nullptr;
+    for (std::size_t i = 0; i < disks.size(); ++i)
+      if ((set >> i & 1U) != 0 && (best == nullptr || best->ballot < disks[i]->ballot ||
+                                   (best->ballot == disks[i]->ballot && best->revision < disks[i]->revision)))
+        best = disks[i];
+    if (!hasAll(best->marks, want)) s.broken = "a majority of the members' disks lacks what was confirmed";
+  }
+}
+
+int World::openLosses(State const& s) const {
+  int open = 0;
+  for (std::string const& id : s.ledger->members)
+    open += std::none_of(s.machines.begin(), s.machines.end(), [&](std::shared_ptr<Machine const> const& m) {
+      return m->diskId == id && m->diskVotes && m->diskCaughtUp == s.ledger->newestMembership;
+    });
+  return open;
+}
+
+void World::wave(State& s, int hops) const {
+  for (int hop = 0; !s.net.empty() && (hops == 0 || hop < hops); ++hop) {
+    CORKWARD_INVARIANT(hop < mostHops);
+    std::vector<Packet> const now = std::move(s.net);
+    s.net.clear();
+    for (Packet const& p : now)
+      if (((s.cut >> p.from | s.cut >> p.to) & 1U) == 0) arrive(s, p, Sync::atOnce);
+  }
+}
+
+void World::settle(State& s, Tick how) const {
+  for (Tick t = 0; t < how; t += settleStep) {
+    for (int i = 0; i < static_cast<int>(s.machines.size()); ++i) clock(s, i, settleStep);
+    wave(s, 0);
+  }
+}
+
+State World::founded(int members, int spare) const {
+  State s;
+  s.ledger = std::make_shared<Ledger const>();
+  std::vector<std::string> founders;
+  for (int i = 0; i < members; ++i) founders.push_back(linkOf(i));
+  for (int i = 0; i < members + spare; ++i) {
+    std::shared_ptr<Machine> const m = std::make_shared<Machine>();
+    m->link = linkOf(i);
+    m->now = 1000;
+    s.machines.push_back(m);
+  }
+  for (int i = 0; i < members; ++i) start(s, i, founders);
+  Tick const round = rules_.tuning.ownerSilence + rules_.tuning.electionSpread;
+  settle(s, 4 * round);
+  handover(s, 0);
+  wave(s, 0);
+  change(s, 0);
+  wave(s, 0);
+  settle(s, 2 * round);
+  return s;
+}
+
+std::uint64_t World::digest(Machine const& m) const {
+  if (m.digest != 0) return m.digest;
+  std::uint64_t d = mix(m.member ? m.member->fingerprint(m.now, rules_.cap) : 1, m.diskDigest);
+  for (consensus::Persist const& p : m.pending) d = mix(d, core::stableHash(p.payload));
+  m.digest = mix(d, static_cast<std::uint64_t>(m.boots)) | 1U;
+  return m.digest;
+}
+
+std::uint64_t World::digest(Ledger const& ledger) {
+  if (ledger.digest != 0) return ledger.digest;
+  std::uint64_t h = 1;
+  for (std::map<std::pair<std::string, std::uint64_t>, std::string>::value_type const& c : ledger.chosen)
+    h = mix(mix(h, c.first.second), core::stableHash(c.first.first + c.second));
+  for (std::map<std::string, std::uint64_t>::value_type const& c : ledger.confirmed)
+    h = mix(h, core::stableHash(c.first));
+  for (std::map<std::uint64_t, std::set<std::string>>::value_type const& q : ledger.questions)
+    h = mix(mix(h, q.first), q.second.size());
+  ledger.digest = h | 1U;
+  return ledger.digest;
+}
+
+std::uint64_t World::digest(State const& s) const {
+  std::uint64_t h = mix(static_cast<std::uint64_t>(s.cut), digest(*s.ledger));
+  for (std::shared_ptr<Machine const> const& m : s.machines) h = mix(h, digest(*m));
+  std::vector<std::uint64_t> net;
+  for (Packet const& p : s.net) {
+    Tick const age = p.clock < 0 ? 0 : s.machines[static_cast<std::size_t>(p.clock)]->now - p.tick;
+    net.push_back(mix(p.hash, static_cast<std::uint64_t>(std::min(age, rules_.cap))));
+  }
+  std::sort(net.begin(), net.end());
+  for (std::uint64_t const p : net) h = mix(h, p);
+  for (int const n : {s.spent.calls, s.spent.reads, s.spent.campaigns, s.spent.clocks, s.spent.faults})
+    h = mix(h, static_cast<std::uint64_t>(n));
+  return s.broken.empty() ? h : mix(h, core::stableHash(s.broken));
+}
+
+bool World::changes(Packet const& p, Machine const& receiver) const {
+  if (!receiver.member) return false;
+  consensus::Registers trial = *receiver.member;
+  consensus::Commands const c = trial.arrived(receiver.now, linkOf(p.from), *p.message);
+  return !c.sends.empty() || !c.persists.empty() || !c.commits.empty() || !c.decided.empty() ||
+         trial.fingerprint(receiver.now, rules_.cap) != receiver.member->fingerprint(receiver.now, rules_.cap);
+}
+
+}  // namespace corkward::explore
