--- a/testing/explore/world.h
+++ b/testing/explore/world.h
@@ -113,6 +113,7 @@
 class World {
  public:
   explicit World(Rules rules) : rules_(std::move(rules)) {}
+  Rules const& rules() const { return rules_; }
 
   /// Machines "a", "b", ... that founded a membership; the callers' key has one confirmed mark on all of them. The
   /// first `spare` machines after them are down, with an empty disk.
