--- a/consensus/src/fingerprint.cpp
+++ b/consensus/src/fingerprint.cpp
@@ -55,6 +55,7 @@
         (stalled_ ? 16U : 0U) | (nameTicket_ != 0 ? 32U : 0U) | (catchUpTicket_ != 0 ? 64U : 0U) |
         (quorumAt_ >= 0 ? 128U : 0U) | (copyAskedAt_ >= 0 ? 256U : 0U));
   h.time(heartbeatAt_);
+  h.add(newestRead_ == now ? 1 : 0);
   h.time(quorumAt_);
   h.time(copyAskedAt_);
   h.time(wokeAt_);
--- a/testing/explore/main.cpp
+++ b/testing/explore/main.cpp
@@ -1,8 +1,11 @@
 #include <corkward/core/error.h>
 
+#include <atomic>
 #include <boost/program_options.hpp>
 #include <iomanip>
 #include <iostream>
+#include <mutex>
+#include <thread>
 
 #include "run.h"
 
@@ -28,12 +31,58 @@
   std::cout.flush();
 }
 
+void checkRange(char const* name, int value, int least, int most) {
+  if (value < least || value > most)
+    throw po::error(std::string(name) + ": must be " + std::to_string(least) + " to " + std::to_string(most));
+}
+
+void check(Run const& run, Limits const& limits) {
+  checkRange("members", run.bounds.members, 2, 5);
+  checkRange("changes", run.bounds.changes, 0, 9);
+  checkRange("reads", run.bounds.reads, 0, 9);
+  checkRange("campaigns", run.bounds.campaigns, 0, 9);
+  checkRange("clocks", run.bounds.clocks, 0, 9);
+  checkRange("faults", run.bounds.faults, 0, 9);
+  checkRange("depth", limits.depth, 1, 1000000);
+  if (!(limits.seconds > 0)) throw po::error("seconds: must be above 0");
+  if (limits.memoryMb < 64 || limits.memoryMb > 16384) throw po::error("memory: must be 64 to 16384");
+}
+
+/// Plays the table, so many searches at a time; true when each came out as it must.
+bool playTable(Limits const& limits, unsigned jobs) {
+  std::vector<Run> const runs = tableRuns();
+  std::atomic<std::size_t> next = 0;
+  std::atomic<bool> good = true;
+  std::mutex printing;
+  std::vector<std::thread> threads;
+  for (unsigned t = 0; t < jobs; ++t)
+    threads.emplace_back([&] {
+      for (std::size_t i = next++; i < runs.size(); i = next++) {
+        Outcome const o = search(runs[i], limits);
+        std::lock_guard<std::mutex> const lock(printing);
+        printOutcome(runs[i], o, false);
+        if (!asExpected(runs[i], o)) good = false;
+      }
+    });
+  for (std::thread& t : threads) t.join();
+  return good;
+}
+
+void list() {
+  for (std::string const& model : models()) {
+    std::cout << model << ":";
+    for (std::string const& m : mechanisms(model)) std::cout << " " << m;
+    std::cout << "\n";
+  }
+}
+
 }  // namespace
 
 int explore(int argc, char** argv) {
   Run run;
   Limits limits;
   bool table = false;
+  unsigned jobs = 2;
   po::options_description flags("corkward-explore: search over the states of the real reducers");
   flags.add_options()("help", "print this")("model", po::value(&run.model), "registers or membership")(
       "without", po::value(&run.without), "turn one mechanism off")("table", po::bool_switch(&table),
@@ -44,7 +93,8 @@
       "campaigns", po::value(&run.bounds.campaigns), "elections by chance")("clocks", po::value(&run.bounds.clocks),
                                                                             "clock events of single members")(
       "faults", po::value(&run.bounds.faults), "faults in a trace")("depth", po::value(&limits.depth), "longest trace")(
-      "seconds", po::value(&limits.seconds), "time limit")("memory", po::value(&limits.memoryMb), "memory limit, MB");
+      "seconds", po::value(&limits.seconds), "time limit")("memory", po::value(&limits.memoryMb), "memory limit, MB")(
+      "jobs", po::value(&jobs), "searches of the table at a time");
   po::variables_map vm;
   try {
     po::store(po::parse_command_line(argc, argv, flags), vm);
@@ -53,6 +103,14 @@
       std::cout << flags;
       return 0;
     }
+    if (vm.count("list") > 0) {
+      list();
+      return 0;
+    }
+    check(run, limits);
+    checkRange("jobs", static_cast<int>(jobs), 1, 64);
+    if (table) return playTable(limits, jobs) ? 0 : 1;
+    if (run.model.empty()) throw po::error("model: say one, or --table");
     Outcome const o = search(run, limits);
     printOutcome(run, o, true);
     return asExpected(run, o) ? 0 : 1;
--- a/testing/explore/run.cpp
+++ b/testing/explore/run.cpp
@@ -84,6 +84,25 @@
   throw UnknownName("no such model: " + run.model);
 }
 
+std::vector<Run> tableRuns() {
+  Bounds const calls{3, 2, 0, 1, 0, 0};
+  Bounds const faults{3, 1, 0, 1, 0, 1};
+  Bounds const reads{3, 1, 1, 1, 0, 0};
+  Bounds const ids{3, 1, 0, 0, 2, 1};
+  Bounds const three{3, 0, 0, 0, 0, 1};
+  return {{"registers", "", calls},
+          {"registers", "", faults},
+          {"registers", "", reads},
+          {"registers", "promise-check", calls},
+          {"registers", "newest-accepted", calls},
+          {"registers", "sync-before-answer", faults},
+          {"registers", "read-confirmation", reads},
+          {"registers", "fresh-id", ids},
+          {"registers", "compare-base", calls},
+          {"membership", "", three},
+          {"membership", "copy-before-vote", three}};
+}
+
 bool asExpected(Run const& run, Outcome const& outcome) {
   return run.without.empty() == outcome.broken.empty();
 }
