--- a/http/src/mapping.cpp
+++ b/http/src/mapping.cpp
@@ -53,6 +53,7 @@
   if (!deadline.empty() && (!number(deadline, 600000, ms) || ms == 0))
     return fault(400, "corkward-deadline-ms: must be a number from 1 to 600000");
   r.deadline = static_cast<core::Tick>(ms);
+  r.readFor = request.readFor;
   std::string const earlier = field(request.fields, "corkward-earlier");
   if (!earlier.empty() && earlier != "not-run" && earlier != "not-run-reached")
     return fault(400, "corkward-earlier: must be not-run or not-run-reached");
--- a/programs/common/clock.cpp
+++ b/programs/common/clock.cpp
@@ -21,7 +21,8 @@
   static_cast<void>(n);
 }
 
-void onSignals(QObject* owner, int (&ends)[2], std::initializer_list<int> numbers, std::function<void()> function) {
+void onSignals(QObject* owner, int (&ends)[2], std::initializer_list<int> numbers,
+               std::function<void()> const& function) {
   if (::pipe(ends) != 0) return;
   struct sigaction action {};
   action.sa_handler = caught;
@@ -33,6 +34,14 @@
     ssize_t const n = ::read(readEnd, &byte, 1);
     if (n == 1) function();
   });
+  // Not before the notifier is gone, which is the owner's child.
+  int const writeEnd = ends[1];
+  int* const named = ends;
+  QObject::connect(notifier, &QObject::destroyed, [readEnd, writeEnd, named] {
+    if (named[1] == writeEnd) named[0] = named[1] = -1;
+    ::close(readEnd);
+    ::close(writeEnd);
+  });
 }
 
 }  // namespace
--- a/programs/router/router_daemon.cpp
+++ b/programs/router/router_daemon.cpp
@@ -26,10 +26,11 @@
       mapping_(mapping),
       surface_(std::move(surface)),
       drain_(s.drainLimit, tuning.drainServe),
-      reducer_(contactOf(s, transport::routerRole), s.seeds, freshSeed(), tuning),
+      reducer_(contactOf(s, transport::routerRole), s.seeds, surface_.seed == 0 ? freshSeed() : surface_.seed, tuning),
       records_(this, s, [this](bool works) { reducer_.recording(works); }),
       link_(
-          this, s.link, [this](transport::Envelope e) { run(reducer_.arrived(now(), e.from, e.message)); }, s.listen),
+          this, s.link, [this](transport::Envelope const& e) { run(reducer_.arrived(now(), e.from, e.message)); },
+          s.listen),
       upstreams_(surface_.kept, [] { return now(); }),
       server_(surface_.http.empty() ? std::vector<std::string>{s.http} : surface_.http, surface_.limits, events()) {
   run(reducer_.started(now()));
@@ -148,6 +149,11 @@
 void RouterDaemon::act(dataplane::HandOver const& m) {
   std::unordered_map<std::uint64_t, Call>::iterator const it = calls_.find(m.call);
   if (it == calls_.end() || it->second.upstream == nullptr) return;
+  if (server_.hasLeft(m.call)) {
+    server_.abort(m.call);
+    gone(m.call);
+    return;
+  }
   Call& call = it->second;
   if (!m.regime.empty() && call.unrecorded) {
     abandon(m.call);
