--- a/testing/fuzz/record.h
+++ b/testing/fuzz/record.h
@@ -76,6 +76,8 @@
   std::deque<Seen> callers;
   /// Bytes that callers were given while no request of theirs was open.
   std::vector<std::string> unasked;
+  /// When the scene ended.
+  core::Tick endedAt = 0;
 };
 
 /// A field of the callers' own that means nothing to the router.
