--- a/testing/fuzz/mutation.h
+++ b/testing/fuzz/mutation.h
@@ -22,6 +22,8 @@
   promiseAfterRun,
   /// The leaving of callers does not show.
   ignoreLeaving,
+  /// Requests are sent to more replicas than is judged.
+  moreTries,
 };
 
 struct Mutation {
--- a/testing/fuzz/oracles.h
+++ b/testing/fuzz/oracles.h
@@ -17,7 +17,7 @@
 
 /// What the scene's routes allow.
 struct Terms {
-  int tries = 3;
+  int tries = 2;
   core::Tick deadlineMs = 1500;
 };
 
--- a/testing/fuzz/scene.cpp
+++ b/testing/fuzz/scene.cpp
@@ -117,7 +117,8 @@
   for (std::unique_ptr<Replica> const& r : replicas_) addresses.push_back(r->address());
   std::vector<wire::Route> const routes{
       {"safe", false, true}, {"once", false, false}, {"row", true, true}, {"tell", true, false}};
-  transport::News const news = wire::firstNews(routes, addresses, terms.tries, terms.deadlineMs);
+  transport::News const news = wire::firstNews(
+      routes, addresses, tampers(Tampering::moreTries) ? terms.tries + 2 : terms.tries, terms.deadlineMs);
   std::string const link = settings.link;
   control_ = std::make_unique<transport::Link>(this, control, [this, news, link](transport::Envelope const&) {
     if (!router_->ready()) control_->send(link, news);
