--- /dev/null
+++ b/testing/sim/control_faults.cpp
@@ -0,0 +1,282 @@
+#include <algorithm>
+
+#include "internal.h"
+
+/// Failures of control's worst days: members cut off in every way, losses timed to an acknowledgement or to the end of
+/// a repair, members replaced in turn, bursts of changes before a loss.
+namespace corkward::testing {
+
+namespace {
+
+/// Settings files name the new seeds so long after the machines are there.
+constexpr Tick seedLag = 3000;
+/// How long a cut of a member lasts.
+constexpr Tick shortestCut = 2000;
+constexpr std::uint64_t cutSpread = 19000;
+
+}  // namespace
+
+void World::causeOfControl(Fault f) {
+  switch (f) {
+    case Fault::secondLoss:
+      loseSecond();
+      break;
+    case Fault::replaceInTurn: {
+      if (!wholeCore() || repairing_ || replacedInTurn_ > 0) break;
+      repairing_ = true;
+      std::vector<std::string> old;
+      for (std::map<std::string, Node>::value_type const& n : nodes_)
+        if (n.second.disk) old.push_back(n.first);
+      replaceNext(old);
+      break;
+    }
+    case Fault::manyChanges: {
+      Operators const& o = plan_.operators;
+      if (burstLeft_ > 0) break;
+      ++result_.counts["bursts"];
+      burstLeft_ =
+          o.burstLeast + static_cast<int>(rng_.below(static_cast<std::uint64_t>(o.burstMost - o.burstLeast + 1)));
+      break;
+    }
+    case Fault::powerAtTaken:
+      strike_ = Strike{true, false, false, rng_.chance(0.4)};
+      break;
+    case Fault::powerAtTimed:
+      strike_ = Strike{true, true, rng_.chance(0.3), rng_.chance(0.4)};
+      break;
+    case Fault::wipeAtTaken:
+      strike_ = Strike{true, false, true, rng_.chance(0.3)};
+      break;
+    case Fault::massPower:
+      strike(Strike{true, false, false, true});
+      break;
+    default:
+      cutMember(f);
+  }
+}
+
+std::string World::oldestDisk(bool oldest) {
+  std::vector<std::string> out;
+  Tick since = -1;
+  for (std::map<std::string, Node>::value_type const& n : nodes_) {
+    if (!n.second.disk || !n.second.alive) continue;
+    if (oldest && !out.empty() && n.second.diskSince > since) continue;
+    if (oldest && !out.empty() && n.second.diskSince < since) out.clear();
+    since = n.second.diskSince;
+    out.push_back(n.first);
+  }
+  return out.empty() ? std::string() : out[rng_.below(out.size())];
+}
+
+std::vector<std::pair<std::string, std::string>> World::cutPairs(Fault f, std::vector<std::string> const& cut) {
+  bool const extras = f == Fault::cutMemberBoth || f == Fault::cutMemberSeeds || f == Fault::cutMemberLure;
+  bool const all = f == Fault::cutMemberAll || (extras && rng_.chance(0.5));
+  bool const near = f == Fault::cutMemberNear || (extras && !all && rng_.chance(0.5));
+  bool const backwards = rng_.chance(0.5);
+  std::vector<std::pair<std::string, std::string>> out;
+  for (std::string const& c : cut)
+    for (std::map<std::string, Node>::value_type const& n : nodes_) {
+      if (std::find(cut.begin(), cut.end(), n.first) != cut.end()) continue;
+      if (!n.second.disk && !all && !(near && n.second.zone != node(c)->zone)) continue;
+      if (f != Fault::cutMemberOneWay || !backwards) out.emplace_back(c, n.first);
+      if (f != Fault::cutMemberOneWay || backwards) out.emplace_back(n.first, c);
+    }
+  return out;
+}
+
+void World::cutMember(Fault f) {
+  if (coreCut_) return;
+  std::vector<std::string> cut;
+  std::string const first = oldestDisk(f == Fault::cutMemberOldest);
+  if (first.empty()) return;
+  cut.push_back(first);
+  std::string const second = oldestDisk(f == Fault::cutMemberOldest);
+  std::size_t disks = 0;
+  for (std::map<std::string, Node>::value_type const& n : nodes_) disks += n.second.disk ? 1 : 0;
+  if (disks >= 5 && second != first && rng_.chance(0.5)) cut.push_back(second);
+  coreCut_ = true;
+  ++result_.counts["core-cuts"];
+  Tick const how = shortestCut + static_cast<Tick>(rng_.below(cutSpread));
+  std::vector<std::pair<std::string, std::string>> const pairs = cutPairs(f, cut);
+  for (std::pair<std::string, std::string> const& p : pairs) cuts_.insert(p);
+  after(how, [this, pairs] {
+    for (std::pair<std::string, std::string> const& p : pairs) cuts_.erase(p);
+    coreCut_ = false;
+  });
+  if (plan_.operators.meet)
+    for (std::string const& link : cut) {
+      after(how / 2, [this, link] { meetOrders(link); });
+      after(how + 1, [this, link] { meetOrders(link); });
+    }
+  for (std::string const& link : cut)
+    after(how / 2 + 500, [this, link] {
+      Node const* const n = node(link);
+      if (n != nullptr && n->control && n->alive) readOnce(link);
+    });
+  if (rng_.chance(0.5)) {
+    std::vector<std::string> data;
+    for (std::map<std::string, Node>::value_type const& n : nodes_)
+      if (n.second.data) data.push_back(n.first);
+    if (!data.empty()) restartLater(data[rng_.below(data.size())], how / 2);
+  }
+  cutExtras(f, cut, how);
+}
+
+void World::cutExtras(Fault f, std::vector<std::string> const& cut, Tick how) {
+  if (f == Fault::cutMemberSeeds) {
+    newSeeds(cut);
+    for (std::map<std::string, Node>::value_type const& n : nodes_)
+      if (rng_.chance(0.3) && n.second.data) restartLater(n.first, how / 3);
+  }
+  if (f == Fault::cutMemberLure) after(how / 3, [this, cut] { lure(cut); });
+  if (f != Fault::cutMemberBoth) return;
+  Tick t = how / 3;
+  for (std::string const& link : cut) restartLater(link, t);
+  for (std::map<std::string, Node>::value_type const& n : nodes_)
+    if (n.second.disk && std::find(cut.begin(), cut.end(), n.first) == cut.end()) restartLater(n.first, t += 1500);
+}
+
+void World::restartLater(std::string const& link, Tick delay) {
+  after(delay, [this, link] {
+    Node* const n = node(link);
+    if (n == nullptr || !n->alive) return;
+    kill(*n, false);
+    after(300, [this, link] {
+      Node* const k = node(link);
+      if (k != nullptr && !k->alive) boot(*k);
+    });
+  });
+}
+
+void World::newSeeds(std::vector<std::string> const& first) {
+  std::vector<std::string> seeds = first;
+  for (std::map<std::string, Node>::value_type const& n : nodes_)
+    if (n.second.disk && seeds.size() < 3 && std::find(seeds.begin(), seeds.end(), n.first) == seeds.end())
+      seeds.push_back(n.first);
+  seeds_ = seeds;
+  for (std::map<std::string, Node>::value_type& n : nodes_) {
+    if (!n.second.alive) continue;
+    if (n.second.control) n.second.control->setSeeds(seeds);
+    if (n.second.data) n.second.data->retune(routerTuning(), seeds);
+  }
+}
+
+void World::lure(std::vector<std::string> const& cut) {
+  std::vector<std::string> models;
+  for (std::map<std::string, Replica>::value_type const& r : replicas_)
+    if (r.second.up && r.second.listed && r.second.state == "serving" && r.second.pool == "model")
+      models.push_back(r.first);
+  if (models.size() < 4) return;
+  std::string const address = models[rng_.below(models.size())];
+  replicas_.at(address).state = "leaving";
+  luredBy_ = cut;
+  platform();
+  luredBy_.clear();
+  after(9000, [this, address] { replaceReplica(address); });
+}
+
+void World::meetOrders(std::string const& link) {
+  Node const* const n = node(link);
+  if (n == nullptr || !n->alive || !n->control) return;
+  ++result_.counts["meets"];
+  orderAnew(link);
+  if (rng_.chance(plan_.operators.race)) orderAnew(link);
+}
+
+void World::loseSecond() {
+  if (!wholeCore() || repairing_) return;
+  std::string const first = oldestDisk(rng_.chance(0.5));
+  if (first.empty()) return;
+  repairing_ = true;
+  Node& n = *node(first);
+  kill(n, true);
+  n.disk->wipe();
+  n.diskSince = now_;
+  Tick const back = 500 + static_cast<Tick>(rng_.below(1000));
+  after(back, [this, first] {
+    if (Node* const k = node(first); k != nullptr && !k->alive) boot(*k);
+  });
+  Tick const due = back + plan_.bounds.catchUp + 1 + static_cast<Tick>(rng_.below(300));
+  after(due, [this, first, booted = now_ + back] {
+    repairing_ = false;
+    std::string const second = oldestDisk(rng_.chance(0.5));
+    bool const undisturbed = coreChangedAt_ <= booted + 100 && memberTroubledAt_ <= booted + 100;
+    if (second.empty() || second == first || !undisturbed) return;
+    ++result_.counts["second-losses"];
+    Node& k = *node(second);
+    kill(k, true);
+    k.disk->wipe();
+    k.diskSince = now_;
+    after(1000, [this, second] {
+      if (Node* const again = node(second); again != nullptr && !again->alive) boot(*again);
+    });
+  });
+}
+
+void World::replaceNext(std::vector<std::string> old) {
+  if (old.empty()) {
+    repairing_ = false;
+    return;
+  }
+  Tick const wait = plan_.bounds.catchUp + static_cast<Tick>(rng_.below(500));
+  std::string const link = old.back();
+  if (Node const* const n = node(link); n == nullptr || !wholeCore()) {
+    repairing_ = false;
+    return;
+  }
+  old.pop_back();
+  Node& gone = *node(link);
+  std::string const zone = gone.zone;
+  kill(gone, true);
+  nodes_.erase(link);
+  ++result_.counts["replaced-in-turn"];
+  std::string const fresh = "r" + std::to_string(++replacedInTurn_);
+  after(1000, [this, fresh, zone] {
+    Node n;
+    n.link = fresh;
+    n.zone = zone;
+    n.disk = std::make_unique<SimDisk>();
+    n.disk->looseNames = plan_.looseNames;
+    n.diskSince = now_;
+    boot(nodes_.emplace(fresh, std::move(n)).first->second);
+    after(seedLag, [this] { newSeeds({}); });
+  });
+  after(1000 + wait, [this, old] { replaceNext(old); });
+}
+
+void World::afterBurst() {
+  ++result_.counts["bursts-done"];
+  std::string const link = oldestDisk(rng_.chance(0.5));
+  if (link.empty()) return;
+  bool const wipe = wholeCore() && rng_.chance(0.6);
+  Node& n = *node(link);
+  kill(n, true);
+  if (wipe) {
+    n.disk->wipe();
+    n.diskSince = now_;
+    ++result_.counts["wiped-after-burst"];
+  }
+  after(800, [this, link] {
+    if (Node* const k = node(link); k != nullptr && !k->alive) boot(*k);
+  });
+}
+
+void World::strike(Strike const& strike) {
+  ++result_.counts["strikes"];
+  std::string const wiped = strike.wipe && wholeCore() ? oldestDisk(rng_.chance(0.5)) : std::string();
+  bool const most = wiped.empty() || rng_.chance(0.5);
+  for (std::map<std::string, Node>::value_type& n : nodes_) {
+    bool const hit = n.second.disk ? most || n.first == wiped : strike.everyone && rng_.chance(0.7);
+    if (!hit || !n.second.alive) continue;
+    kill(n.second, true);
+    if (n.first == wiped) {
+      n.second.disk->wipe();
+      n.second.diskSince = now_;
+    }
+    after(500 + static_cast<Tick>(rng_.below(1000)), [this, link = n.first] {
+      if (Node* const k = node(link); k != nullptr && !k->alive) boot(*k);
+    });
+  }
+}
+
+}  // namespace corkward::testing
--- a/testing/sim/faults.cpp
+++ b/testing/sim/faults.cpp
@@ -26,6 +26,10 @@
   for (FaultRow const& row : faultTable)
     if (row.fault == f) result_.timeline.push_back(std::to_string(now_) + " " + row.name);
   ++result_.counts["faults"];
+  if (f >= firstOfControl) {
+    causeOfControl(f);
+    return;
+  }
   constexpr std::array<Fault, 19> hitsReturn{
       Fault::killHerd,    Fault::killControl, Fault::freezeController, Fault::isolateMember,   Fault::splitCore,
       Fault::cutCore,     Fault::cutZone,     Fault::oneWayCut,        Fault::diskSlow,        Fault::diskStall,
@@ -215,6 +219,7 @@
       kill(n, true);
       if (f == Fault::wipeSameAddress) {
         n.disk->wipe();
+        n.diskSince = now_;
         bootLater(n, shortly);
       } else {
         ++newAddresses_;
@@ -222,6 +227,8 @@
         fresh.link = "s9";
         fresh.zone = n.zone;
         fresh.disk = std::make_unique<SimDisk>();
+        fresh.disk->looseNames = plan_.looseNames;
+        fresh.diskSince = now_;
         std::string const old = n.link;
         nodes_.erase(old);
         nodes_.emplace("s9", std::move(fresh));
@@ -511,6 +518,8 @@
         duplication_ = 0;
       });
       break;
+    default:
+      break;
   }
 }
 
--- /dev/null
+++ b/testing/sim/orders.cpp
@@ -0,0 +1,311 @@
+#include <algorithm>
+
+#include <corkward/config/config.h>
+#include <corkward/core/json.h>
+
+#include "internal.h"
+
+/// Operators of the whole configuration: orders, resends to other machines, races and reads, and what they may be told.
+namespace corkward::testing {
+
+namespace {
+
+constexpr char const* wholePath = "/v1/blueprint";
+/// An operator takes so long a silence for no answer, and gives an order up after so long in all.
+constexpr Tick silence = 1000;
+constexpr Tick orderPatience = 20000;
+/// Answers that are no clear ones: the order is sent again.
+bool unclear(int status) {
+  return status == 0 || status == 307 || status == 408 || status == 421 || status == 429 || status >= 500;
+}
+
+bool success(int status) {
+  return status == 200 || status == 201;
+}
+
+std::string wholeBody(std::uint64_t version) {
+  QJsonObject const body = core::parseJson(R"({"pools":[{"name":"wide","standing":"/health"}],"paths":[{"name":"p",
+      "host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"wide"}]})")
+                               .toObject();
+  QJsonObject out = body;
+  out.insert("version", static_cast<qint64>(version));
+  return core::jsonText(out);
+}
+
+}  // namespace
+
+std::string World::otherController(std::string const& link) {
+  std::vector<std::string> up;
+  for (std::map<std::string, Node>::value_type const& n : nodes_)
+    if (n.second.control && n.second.alive && !n.second.draining && n.first != link) up.push_back(n.first);
+  if (up.empty()) return node(link) != nullptr && node(link)->alive ? link : std::string();
+  return up[rng_.below(up.size())];
+}
+
+void World::ask(std::string const& link, transport::Call call, Tick limit,
+                std::function<void(int, QJsonObject const&)> then) {
+  Node const* const to = node(link);
+  if (to == nullptr || !to->alive) {
+    after(2, [then] { then(0, {}); });
+    return;
+  }
+  call.token = nextCall_++;
+  std::shared_ptr<bool> const done = std::make_shared<bool>(false);
+  bool const late = plan_.mutation == Mutation::lateAnswers && call.method != "GET";
+  answers_[{link, call.token}] = [this, done, then, late](int status, QJsonObject const& body) {
+    std::function<void()> const told = [done, then, status, body] {
+      if (*done) return;
+      *done = true;
+      then(status, body);
+    };
+    if (late)
+      after(5000, told);
+    else
+      told();
+  };
+  std::uint64_t const life = to->life;
+  after(2, [this, link, life, call] {
+    toNode(link, life, [this, link, call] {
+      Node& n = *node(link);
+      run(n, n.control->operatorCall(local(n), call));
+    });
+  });
+  after(limit, [done, then] {
+    if (*done) return;
+    *done = true;
+    then(0, {});
+  });
+  after(20000, [this, link, token = call.token] { answers_.erase({link, token}); });
+}
+
+void World::ordersTurn() {
+  if (quiet_) return;
+  Tick const mean = burstLeft_ > 0 ? 1 : plan_.operators.every;
+  after(1 + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(2 * mean))), [this] { ordersTurn(); });
+  if (rng_.chance(0.1)) lateResend();
+  std::size_t const open =
+      static_cast<std::size_t>(std::count_if(orders_.begin(), orders_.end(), [](Order const& o) { return !o.closed; }));
+  if (open > 0) return;
+  orderAnew("");
+  if (burstLeft_ == 0 && rng_.chance(plan_.operators.race)) orderAnew("");
+  if (burstLeft_ > 0 && --burstLeft_ == 0) afterBurst();
+}
+
+void World::orderAnew(std::string const& link) {
+  Order o;
+  o.base = std::to_string(knownVersion_);
+  nextVersion_ = std::max(nextVersion_, knownVersion_ + 1);
+  o.version = nextVersion_;
+  nextVersion_ += 1 + rng_.below(3);
+  o.id = "order" + std::to_string(o.version);
+  o.body = wholeBody(o.version);
+  orders_.push_back(o);
+  ++result_.counts["orders"];
+  sendOrder(orders_.size() - 1, link.empty() ? someController() : link);
+}
+
+void World::sendOrder(std::size_t order, std::string const& link) {
+  Order& o = orders_[order];
+  if (o.closed) return;
+  if (o.sentAt < 0) {
+    o.sentAt = now_;
+    if (strike_.set && strike_.timed) {
+      Strike const due = strike_;
+      strike_ = {};
+      after(5 + static_cast<Tick>(rng_.below(396)), [this, due] { strike(due); });
+    }
+  }
+  if (now_ - o.sentAt > orderPatience) {
+    o.closed = true;
+    ++result_.counts["orders-given-up"];
+    return;
+  }
+  if (++o.copies > 1) ++result_.counts["order-resends"];
+  transport::Call call;
+  call.method = "PUT";
+  call.path = wholePath;
+  call.ifMatch = o.base;
+  call.changeId = o.id;
+  if (plan_.mutation == Mutation::freshChangeIds) call.changeId += "-" + std::to_string(o.copies);
+  if (plan_.mutation == Mutation::rebaseOrders) call.ifMatch = std::to_string(confirmedVersion_);
+  call.body = o.body;
+  std::uint64_t const base = confirmedVersion_;
+  ask(link, call, silence, [this, order, link, base](int status, QJsonObject const& body) {
+    orderAnswered(order, link, base, status, body);
+  });
+}
+
+void World::orderAgain(std::size_t order, std::string const& link, Tick wait) {
+  after(wait, [this, order, link] {
+    std::string const next = plan_.operators.hard && rng_.chance(0.5) ? link : otherController(link);
+    if (orders_[order].closed) return;
+    if (next.empty())
+      orderAgain(order, link, 300);
+    else
+      sendOrder(order, next);
+  });
+}
+
+void World::orderAnswered(std::size_t order, std::string const& link, std::uint64_t baseAtSend, int status,
+                          QJsonObject const& body) {
+  Order& o = orders_[order];
+  if (plan_.mutation == Mutation::refuseProper && success(status) && o.takenAt < 0 && rng_.chance(0.2)) status = 412;
+  ++result_.counts["order-" + std::to_string(status)];
+  if (success(status)) {
+    bool const first = o.takenAt < 0;
+    if (first) {
+      o.takenAt = now_;
+      o.revision = static_cast<std::uint64_t>(body.value("stamp").toInteger());
+      result_.ackTimes.push_back(now_ - o.sentAt);
+      ++result_.counts["orders-taken"];
+      confirmedVersion_ = std::max(confirmedVersion_, o.version);
+      confirmedRevision_ = std::max(confirmedRevision_, o.revision);
+    }
+    if (first && strike_.set && !strike_.timed) {
+      Strike const due = strike_;
+      strike_ = {};
+      strike(due);
+    }
+    if (o.closed) return;
+    if (o.copies < 6 && rng_.chance(plan_.operators.ackLost)) {
+      ++result_.counts["acks-lost"];
+      orderAgain(order, link, plan_.operators.hard ? 20 : silence);
+      return;
+    }
+    o.closed = true;
+    knownVersion_ = std::max(knownVersion_, o.version);
+    return;
+  }
+  if (!unclear(status)) {
+    orderRefused(o, link, baseAtSend, status);
+    o.closed = true;
+    knownVersion_ = std::max(knownVersion_, static_cast<std::uint64_t>(body.value("version").toInteger()));
+    return;
+  }
+  if (!o.closed) orderAgain(order, link, plan_.operators.hard ? 20 : 200);
+}
+
+void World::orderRefused(Order& order, std::string const& link, std::uint64_t baseAtSend, int status) {
+  std::size_t const ix = static_cast<std::size_t>(&order - orders_.data());
+  bool const inFact = std::any_of(orderOf_.begin(), orderOf_.end(),
+                                  [&](std::pair<std::uint64_t const, std::size_t> const& c) { return c.second == ix; });
+  if (order.takenAt >= 0 || inFact) {
+    violation("a resend of what was taken was refused with " + std::to_string(status) + " by " + link + ": " +
+              order.id + " on " + order.base + ", newest confirmed " + std::to_string(confirmedVersion_));
+    return;
+  }
+  std::uint64_t const newest = committedVersions_.empty() ? 0 : committedVersions_.rbegin()->second;
+  if (std::to_string(baseAtSend) == order.base && std::to_string(newest) == order.base)
+    violation("a proper order was refused with " + std::to_string(status) + " by " + link + ": " + order.id + " on " +
+              order.base + ", which is the newest");
+}
+
+void World::lateResend() {
+  std::vector<std::size_t> taken;
+  for (std::size_t i = 0; i < orders_.size(); ++i)
+    if (orders_[i].closed && orders_[i].takenAt >= 0) taken.push_back(i);
+  std::string const link = someController();
+  if (taken.empty() || link.empty()) return;
+  std::size_t const ix = taken[rng_.below(taken.size())];
+  Order const& o = orders_[ix];
+  transport::Call call;
+  call.method = "PUT";
+  call.path = wholePath;
+  call.ifMatch = o.base;
+  call.changeId = plan_.mutation == Mutation::freshChangeIds ? o.id + "-late" : o.id;
+  call.body = o.body;
+  ++result_.counts["late-resends"];
+  ask(link, call, silence, [this, ix, link](int status, QJsonObject const&) {
+    if (!success(status) && !unclear(status)) orderRefused(orders_[ix], link, 0, status);
+  });
+}
+
+void World::readsTurn() {
+  if (quiet_) return;
+  after(100 + static_cast<Tick>(rng_.below(400)), [this] { readsTurn(); });
+  std::string const link = someController();
+  if (!link.empty()) readOnce(link);
+}
+
+void World::readOnce(std::string const& link) {
+  std::uint64_t const confirmed = confirmedVersion_;
+  Node const& n = *node(link);
+  ++result_.counts["reads"];
+  if (plan_.mutation == Mutation::staleRead) {
+    std::map<std::string, consensus::Committed> const& have = n.control->registers().committed();
+    std::map<std::string, consensus::Committed>::const_iterator const it = have.find(config::wholeKey);
+    QJsonObject const spec = it == have.end() ? QJsonObject() : it->second.value.value("spec").toObject();
+    checkRead(link, confirmed, 200, QJsonObject{{"version", spec.value("version")}});
+    return;
+  }
+  transport::Call call;
+  call.method = "GET";
+  call.path = wholePath;
+  ask(link, call, 10000,
+      [this, link, confirmed](int status, QJsonObject const& body) { checkRead(link, confirmed, status, body); });
+}
+
+void World::checkRead(std::string const& link, std::uint64_t confirmed, int status, QJsonObject const& body) {
+  if (unclear(status)) {
+    ++result_.counts["reads-unclear"];
+    return;
+  }
+  std::uint64_t const version = static_cast<std::uint64_t>(body.value("version").toInteger());
+  if (!success(status) && confirmed > 0)
+    violation("a read was refused with " + std::to_string(status) + " by " + link + " though " +
+              std::to_string(confirmed) + " was confirmed");
+  if (success(status) && version < confirmed)
+    violation("a read at " + link + " showed " + std::to_string(version) + ", confirmed before it began was " +
+              std::to_string(confirmed));
+}
+
+void World::wholeCommitted(Node const& n) {
+  std::map<std::string, consensus::Committed> const& have = n.control->registers().committed();
+  std::map<std::string, consensus::Committed>::const_iterator const it = have.find(config::wholeKey);
+  if (it == have.end()) return;
+  if (!firstWhole_) firstWhole_ = transport::Item{config::wholeKey, it->second.revision, it->second.value};
+  std::uint64_t const revision = it->second.revision;
+  std::uint64_t const version =
+      static_cast<std::uint64_t>(it->second.value.value("spec").toObject().value("version").toInteger());
+  std::map<std::uint64_t, std::uint64_t>::const_iterator const known = committedVersions_.find(revision);
+  if (known != committedVersions_.end()) {
+    if (known->second != version)
+      violation("two whole configurations under revision " + std::to_string(revision) + ": " +
+                std::to_string(known->second) + " and " + std::to_string(version));
+    return;
+  }
+  committedVersions_[revision] = version;
+  for (std::size_t i = 0; i < orders_.size(); ++i)
+    if (orders_[i].version == version) orderOf_[revision] = i;
+}
+
+void World::finalOrders() {
+  std::map<std::string, std::string> accepted;
+  for (Order const& o : orders_) {
+    if (o.takenAt < 0) continue;
+    std::string& before = accepted[o.base];
+    if (!before.empty()) violation("two orders on version " + o.base + " were confirmed: " + before + " and " + o.id);
+    before = o.id;
+  }
+  for (std::pair<std::uint64_t const, std::size_t> const& c : orderOf_) {
+    std::map<std::uint64_t, std::uint64_t>::const_iterator const earlier = committedVersions_.find(c.first - 1);
+    if (earlier != committedVersions_.end() && std::to_string(earlier->second) != orders_[c.second].base)
+      violation("order " + orders_[c.second].id + " on " + orders_[c.second].base + " follows version " +
+                std::to_string(earlier->second));
+  }
+  std::string const link = someController();
+  if (link.empty()) return;
+  transport::Call call;
+  call.method = "GET";
+  call.path = wholePath;
+  ask(link, call, 10000, [this](int status, QJsonObject const& body) {
+    std::uint64_t const version = static_cast<std::uint64_t>(body.value("version").toInteger());
+    if (!success(status) && confirmedVersion_ > 0)
+      violation("the whole configuration could not be read back: " + std::to_string(status));
+    else if (version < confirmedVersion_)
+      violation("acknowledged order lost: version " + std::to_string(version) + ", acknowledged " +
+                std::to_string(confirmedVersion_));
+  });
+}
+
+}  // namespace corkward::testing
--- a/testing/sim/plan.h
+++ b/testing/sim/plan.h
@@ -65,9 +65,27 @@
   scaleOut,
   zoneLoss,
   shiftLengths,
-  reuseAddress
+  reuseAddress,
+  cutMember,
+  cutMemberAll,
+  cutMemberNear,
+  cutMemberOldest,
+  cutMemberOneWay,
+  cutMemberBoth,
+  cutMemberSeeds,
+  cutMemberLure,
+  secondLoss,
+  replaceInTurn,
+  manyChanges,
+  powerAtTaken,
+  powerAtTimed,
+  wipeAtTaken,
+  massPower
 };
 
+/// The first failure of those that belong to control's worst days.
+inline constexpr Fault firstOfControl = Fault::cutMember;
+
 struct FaultRow {
   Fault fault;
   char const* name;
@@ -122,7 +140,22 @@
                                           {Fault::scaleOut, "scale-out"},
                                           {Fault::zoneLoss, "zone-loss"},
                                           {Fault::shiftLengths, "shift-lengths"},
-                                          {Fault::reuseAddress, "reuse-address"}};
+                                          {Fault::reuseAddress, "reuse-address"},
+                                          {Fault::cutMember, "cut-member"},
+                                          {Fault::cutMemberAll, "cut-member-all"},
+                                          {Fault::cutMemberNear, "cut-member-near"},
+                                          {Fault::cutMemberOldest, "cut-member-oldest"},
+                                          {Fault::cutMemberOneWay, "cut-member-one-way"},
+                                          {Fault::cutMemberBoth, "cut-member-both"},
+                                          {Fault::cutMemberSeeds, "cut-member-seeds"},
+                                          {Fault::cutMemberLure, "cut-member-lure"},
+                                          {Fault::secondLoss, "second-loss"},
+                                          {Fault::replaceInTurn, "replace-in-turn"},
+                                          {Fault::manyChanges, "many-changes"},
+                                          {Fault::powerAtTaken, "power-at-taken"},
+                                          {Fault::powerAtTimed, "power-at-timed"},
+                                          {Fault::wipeAtTaken, "wipe-at-taken"},
+                                          {Fault::massPower, "mass-power"}};
 
 /// Switches that break a rule on purpose, to show that its oracle can fail.
 enum class Mutation {
@@ -153,7 +186,48 @@
   resumeAnywhere,
   resumeTwice,
   eventGap,
-  unrecorded
+  unrecorded,
+  staleRead,
+  refuseProper,
+  freshChangeIds,
+  rebaseOrders,
+  deafRouter,
+  oldImage,
+  lateCopies,
+  lateAnswers,
+  lyingNames
+};
+
+/// How operators of the whole configuration behave. They send one order after the other, each on the version that they
+/// know; what gets no clear answer within a second is sent again unchanged to another machine.
+struct Operators {
+  /// False: there are none, and none of the rules about them is judged.
+  bool any = false;
+  /// Mean time between orders.
+  Tick every = 1200;
+  /// Share of the acknowledgements that are lost on their way back.
+  double ackLost = 0;
+  /// Two orders at once on the same version, this share of the time.
+  double race = 0;
+  /// During a cut and as it heals an order is sent to the machine that is cut off; with race, two.
+  bool meet = false;
+  /// What has no answer is sent again at once, and not to other machines only.
+  bool hard = false;
+  /// Orders of one burst, at the least and at the most.
+  int burstLeast = 200;
+  int burstMost = 200;
+};
+
+/// Bounds of the rules about control, in ms.
+struct Bounds {
+  /// A machine without trouble for so long is in touch.
+  Tick inTouch = 3000;
+  /// So long after its acknowledgement every router in touch has a change.
+  Tick applied = 2000;
+  /// A proper order is acknowledged in this time while the core is settled.
+  Tick acknowledged = 4000;
+  /// So long after a return or a repair every disk votes.
+  Tick catchUp = 4000;
 };
 
 /// Sizes and failures of one run; everything else follows from the seed.
@@ -191,6 +265,13 @@
   bool bound = true;
   /// Routers need certificates, too; those in the last zone have none, ever.
   bool certifiedRouters = false;
+  /// False: as on a platform whose own rules bound how old a configuration may be; routers serve without confirmations,
+  /// and an order is acknowledged once a majority has it.
+  bool fenced = true;
+  /// At a loss of power names of files are lost each by itself, and a killed process stops between any two operations.
+  bool looseNames = false;
+  Operators operators;
+  Bounds bounds;
   /// Messages are packed and counted, by kind and by the role of the sender; costs time.
   bool traffic = false;
 };
@@ -218,6 +299,24 @@
 /// The same with a tenant of a regime, certificates that change all the time and addresses that are used again.
 Plan regimes(std::uint64_t seed);
 
+/// What control's worst days are of.
+enum class Point { cuts, resends, secondLoss, manyChanges, powerCuts };
+
+struct PointRow {
+  Point point;
+  char const* name;
+};
+
+inline constexpr PointRow pointTable[] = {{Point::cuts, "cuts"},
+                                          {Point::resends, "resends"},
+                                          {Point::secondLoss, "second-loss"},
+                                          {Point::manyChanges, "many-changes"},
+                                          {Point::powerCuts, "power-cuts"}};
+
+/// One of control's worst days: a small fleet, operators of the whole configuration and a random set of the point's
+/// failures. One in two is fenced.
+Plan worstDay(std::uint64_t seed, Point point);
+
 /// A plan that causes the named failures alone.
 Plan only(std::uint64_t seed, std::vector<Fault> faults);
 
--- /dev/null
+++ b/testing/sim/touch.cpp
@@ -0,0 +1,148 @@
+#include <algorithm>
+
+#include <corkward/config/config.h>
+
+#include "internal.h"
+
+/// Which machines are in touch with a settled core, by what was done to them, and what holds for them then.
+namespace corkward::testing {
+
+namespace {
+
+constexpr Tick lookEvery = 50;
+
+}  // namespace
+
+bool World::running(Node const& n) const {
+  return n.alive && !n.frozen && n.step == 0 && !n.draining;
+}
+
+bool World::joined(std::string const& a, std::string const& b) const {
+  if (a == b) return true;
+  if (cuts_.count({a, b}) > 0 || cuts_.count({b, a}) > 0) return false;
+  Node const* const x = node(a);
+  Node const* const y = node(b);
+  bool const apart = x != nullptr && y != nullptr && x->zone != y->zone;
+  return !apart || (zoneCuts_.count(x->zone) == 0 && zoneCuts_.count(y->zone) == 0);
+}
+
+std::set<std::string> World::settledCore() const {
+  std::size_t disks = 0;
+  std::set<std::string> out;
+  for (std::map<std::string, Node>::value_type const& n : nodes_) disks += n.second.disk ? 1 : 0;
+  for (std::map<std::string, Node>::value_type const& n : nodes_) {
+    if (!n.second.disk || !running(n.second)) continue;
+    std::size_t reached = 0;
+    for (std::map<std::string, Node>::value_type const& o : nodes_)
+      reached += o.second.disk && running(o.second) && joined(n.first, o.first) ? 1 : 0;
+    if (reached > disks / 2) out.insert(n.first);
+  }
+  return out;
+}
+
+std::string World::coreState() const {
+  std::string out;
+  for (std::map<std::string, Node>::value_type const& n : nodes_) {
+    if (!n.second.disk) continue;
+    bool const harmed =
+        n.second.diskStalled || n.second.diskDelay != 2 || n.second.disk->full || n.second.disk->failing;
+    out += n.first + ":" + std::to_string(n.second.life) + (running(n.second) ? "+" : "-") + (harmed ? "!" : "");
+    for (std::map<std::string, Node>::value_type const& o : nodes_)
+      if (o.second.disk) out += joined(n.first, o.first) ? "1" : "0";
+    out += " ";
+  }
+  return out;
+}
+
+bool World::calm() const {
+  if (!cuts_.empty() || !zoneCuts_.empty() || loss_ > 0) return false;
+  return std::all_of(nodes_.begin(), nodes_.end(), [](std::map<std::string, Node>::value_type const& n) {
+    bool const disk = !n.second.disk || (!n.second.diskStalled && n.second.diskDelay == 2 && !n.second.disk->full &&
+                                         !n.second.disk->failing);
+    return disk && n.second.step == 0 && !n.second.frozen;
+  });
+}
+
+bool World::inTouch(Node const& n) const {
+  return !settled_.empty() && now_ - coreChangedAt_ >= plan_.bounds.inTouch &&
+         now_ - n.troubledAt >= plan_.bounds.inTouch;
+}
+
+Tick World::boundFrom(Node const& n, Tick since) const {
+  if (plan_.fenced) return since;
+  if (!inTouch(n)) return -1;
+  return std::max({since, n.troubledAt + plan_.bounds.inTouch, coreChangedAt_ + plan_.bounds.inTouch}) +
+         plan_.bounds.applied;
+}
+
+void World::inspect() {
+  if (now_ > trafficFrom - 10000 + plan_.length + settleFor + 15000) return;
+  after(lookEvery, [this] { inspect(); });
+  std::string const state = coreState();
+  if (state != coreState_) coreChangedAt_ = now_;
+  coreState_ = state;
+  settled_ = settledCore();
+  if (!calm()) troubledAt_ = now_;
+  bool const bad = state.find('-') != std::string::npos || state.find('!') != std::string::npos ||
+                   state.find('0') != std::string::npos;
+  if (!calm() || bad || state.empty()) memberTroubledAt_ = now_;
+  for (std::map<std::string, Node>::value_type& n : nodes_) {
+    bool const path =
+        std::all_of(settled_.begin(), settled_.end(), [&](std::string const& link) { return joined(n.first, link); });
+    if (!running(n.second) || !path || loss_ > 0) n.second.troubledAt = now_;
+  }
+  inspectRouters();
+  inspectMembers();
+  inspectOrders();
+}
+
+void World::inspectRouters() {
+  for (std::map<std::string, Node>::value_type& n : nodes_) {
+    Node& k = n.second;
+    if (!k.data || !k.alive || k.frozen) continue;
+    std::uint64_t const have = k.data->revisionOf(config::wholeKey);
+    if (!k.begun && k.data->servingLease(local(k))) {
+      k.begun = true;
+      if (have < k.confirmedBefore)
+        violation("a router began with an old configuration: " + n.first + " with revision " + std::to_string(have) +
+                  ", confirmed before its start was " + std::to_string(k.confirmedBefore));
+    }
+    if (!inTouch(k)) continue;
+    for (Order const& o : orders_)
+      if (o.takenAt >= 0 && o.revision > have && now_ > o.takenAt + plan_.bounds.applied) {
+        violation("out of date though in touch: " + n.first + " has revision " + std::to_string(have) + ", " +
+                  std::to_string(o.revision) + " was confirmed " + std::to_string(now_ - o.takenAt) +
+                  " ms ago; in trouble last " + std::to_string(now_ - k.troubledAt) + " ms ago");
+        break;
+      }
+  }
+}
+
+void World::inspectMembers() {
+  Tick const since = std::max(coreChangedAt_, memberTroubledAt_);
+  if (now_ - since < plan_.bounds.catchUp) return;
+  std::size_t disks = 0;
+  for (std::map<std::string, Node>::value_type const& n : nodes_) disks += n.second.disk ? 1 : 0;
+  for (std::map<std::string, Node>::value_type const& n : nodes_) {
+    if (!n.second.control) continue;
+    consensus::Registers const& r = n.second.control->registers();
+    bool const member = std::any_of(r.membership().begin(), r.membership().end(),
+                                    [&](consensus::Member const& m) { return m.id == r.self().id; });
+    if (r.voting() && member && r.membership().size() == disks) continue;
+    violation("does not vote in time: " + n.first + (member ? "" : " is no member") +
+              (r.voting() ? "" : " has no vote") + ", membership of " + std::to_string(r.membership().size()) + " of " +
+              std::to_string(disks) + ", " + std::to_string(now_ - since) + " ms after the last repair");
+  }
+}
+
+void World::inspectOrders() {
+  Tick const settledFrom = std::max(coreChangedAt_, troubledAt_) + plan_.bounds.inTouch;
+  for (Order& o : orders_) {
+    if (o.judgedLate || o.takenAt >= 0 || o.closed || o.sentAt < settledFrom || settled_.empty()) continue;
+    if (now_ - o.sentAt <= plan_.bounds.acknowledged) continue;
+    o.judgedLate = true;
+    violation("no acknowledgement in " + std::to_string(now_ - o.sentAt) + " ms of a settled core: " + o.id);
+  }
+}
+
+}  // namespace corkward::testing
--- a/testing/sim/world.h
+++ b/testing/sim/world.h
@@ -5,6 +5,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <queue>
 #include <set>
 #include <string>
@@ -53,6 +54,13 @@
     bool writing = false;
     Tick diskDelay = 2;
     bool diskStalled = false;
+    /// Since when its disk holds what it holds.
+    Tick diskSince = 0;
+    /// Newest whole configuration that was confirmed before it started, and whether it has served since.
+    std::uint64_t confirmedBefore = 0;
+    bool begun = false;
+    /// Last moment at which it was not whole, running and joined to the core.
+    Tick troubledAt = 0;
   };
   enum class Shape { usual, longPrompt, longAnswer };
   /// What a grey replica does with a request.
@@ -165,13 +173,37 @@
     Tick answeredAt = -1;
   };
 
+  /// One order of the operators of the whole configuration.
+  struct Order {
+    std::string id;
+    std::string base;
+    std::string body;
+    std::uint64_t version = 0;
+    Tick sentAt = -1;
+    /// First success that a controller answered, whether the operator got it or not.
+    Tick takenAt = -1;
+    std::uint64_t revision = 0;
+    int copies = 0;
+    bool closed = false;
+    bool judgedLate = false;
+  };
+  /// What is to happen at an order's acknowledgement, or some time after it was sent.
+  struct Strike {
+    bool set = false;
+    bool timed = false;
+    bool wipe = false;
+    bool everyone = false;
+  };
+
   void at(Tick when, std::function<void()> act);
   void after(Tick delay, std::function<void()> act) { at(now_ + delay, std::move(act)); }
   Tick local(Node const& n) const;
   Node* node(std::string const& link);
+  Node const* node(std::string const& link) const;
   /// Whether a majority of the routers has run without a break since before that time.
   bool mostLiveSince(Tick since) const;
   void toNode(std::string const& link, std::uint64_t life, std::function<void()> act);
+  dataplane::Tuning routerTuning() const;
   void boot(Node& n);
   void kill(Node& n, bool power);
   void freeze(Node& n, Tick how);
@@ -248,6 +280,52 @@
   /// The message as the plan's mutation leaves it.
   transport::Message mutated(transport::Message const& message) const;
   void cause(Fault f);
+  // Operators of the whole configuration: orders.cpp.
+  void ordersTurn();
+  void orderAnew(std::string const& link);
+  void sendOrder(std::size_t order, std::string const& link);
+  void orderAnswered(std::size_t order, std::string const& link, std::uint64_t baseAtSend, int status,
+                     QJsonObject const& body);
+  void orderRefused(Order& order, std::string const& link, std::uint64_t baseAtSend, int status);
+  void orderAgain(std::size_t order, std::string const& link, Tick wait);
+  void lateResend();
+  void readsTurn();
+  void readOnce(std::string const& link);
+  void checkRead(std::string const& link, std::uint64_t confirmed, int status, QJsonObject const& body);
+  void wholeCommitted(Node const& n);
+  void finalOrders();
+  std::string otherController(std::string const& link);
+  /// Sends a call of an operator to a controller and hands on its answer, status 0 for none after so long.
+  void ask(std::string const& link, transport::Call call, Tick limit,
+           std::function<void(int, QJsonObject const&)> then);
+  // Machines in touch, and what holds for them: touch.cpp.
+  void inspect();
+  bool running(Node const& n) const;
+  bool joined(std::string const& a, std::string const& b) const;
+  std::set<std::string> settledCore() const;
+  std::string coreState() const;
+  bool calm() const;
+  bool inTouch(Node const& n) const;
+  void inspectRouters();
+  void inspectMembers();
+  void inspectOrders();
+  /// Since when a rule with a bound holds for the machine: the moment itself where the fleet is fenced, else not before
+  /// the machine was in touch. Less than zero: it does not hold.
+  Tick boundFrom(Node const& n, Tick since) const;
+  // Failures of control: control_faults.cpp.
+  void causeOfControl(Fault f);
+  void cutMember(Fault f);
+  std::vector<std::pair<std::string, std::string>> cutPairs(Fault f, std::vector<std::string> const& cut);
+  void cutExtras(Fault f, std::vector<std::string> const& cut, Tick how);
+  void lure(std::vector<std::string> const& cut);
+  void newSeeds(std::vector<std::string> const& first);
+  void restartLater(std::string const& link, Tick delay);
+  void meetOrders(std::string const& link);
+  void loseSecond();
+  void replaceNext(std::vector<std::string> old);
+  void afterBurst();
+  void strike(Strike const& strike);
+  std::string oldestDisk(bool oldest);
   void replaceReplica(std::string const& address);
   void heal();
   void watch();
@@ -312,6 +390,30 @@
   int grown_ = 0;
   bool totalOutage_ = false;
   std::map<std::string, int> seenKinds_;
+  std::vector<std::string> seeds_{"s1", "s2", "s3"};
+  std::vector<Order> orders_;
+  std::uint64_t nextVersion_ = 1;
+  std::uint64_t knownVersion_ = 0;
+  /// Newest whole configuration that an operator was told of, and its revision.
+  std::uint64_t confirmedVersion_ = 0;
+  std::uint64_t confirmedRevision_ = 0;
+  /// Version and order of each revision of the whole configuration that was committed anywhere.
+  std::map<std::uint64_t, std::uint64_t> committedVersions_;
+  std::map<std::uint64_t, std::size_t> orderOf_;
+  int burstLeft_ = 0;
+  Strike strike_;
+  bool coreCut_ = false;
+  bool repairing_ = false;
+  int replacedInTurn_ = 0;
+  /// Machines that are shown the platform's list first.
+  std::vector<std::string> luredBy_;
+  std::string coreState_;
+  /// When anything last happened to the core, and when any link or disk was last in trouble.
+  Tick coreChangedAt_ = 0;
+  Tick troubledAt_ = 0;
+  Tick memberTroubledAt_ = 0;
+  std::set<std::string> settled_;
+  std::optional<transport::Item> firstWhole_;
   std::string certificateRevision_ = "0";
   /// Changes of each certificate, as they were sent.
   std::map<std::string, std::uint64_t> certificateTurns_;
