--- a/testing/sim/operators.cpp
+++ b/testing/sim/operators.cpp
@@ -61,6 +61,10 @@
     if (status >= 400 && !k.pending) k.revision = 0;
     if (status >= 200 && status < 300 && isNews && !k.inForce)
       violation("answered " + std::to_string(status) + " although not in force: " + k.id);
+    bool const refused = status == 400 || status == 404 || status == 422;
+    if (plan_.operators.proper && refused && k.key == family && k.mark.rfind("denied-", 0) != 0)
+      violation("a proper change of a template was refused with " + std::to_string(status) + ": " +
+                core::str(answer.value("pointer").toString() + " " + answer.value("reason").toString()));
     ++result_.counts["change-" + std::to_string(status)];
     if (status == 200 || status == 201) result_.ackTimes.push_back(now_ - k.sentAt);
     if (status == 200 && k.key.rfind("zone:", 0) == 0)
--- a/testing/sim/orders.cpp
+++ b/testing/sim/orders.cpp
@@ -127,7 +127,8 @@
   call.ifMatch = o.base;
   call.changeId = o.id;
   if (plan_.mutation == Mutation::freshChangeIds) call.changeId += "-" + std::to_string(o.copies);
-  if (plan_.mutation == Mutation::rebaseOrders) call.ifMatch = std::to_string(confirmedVersion_);
+  if (plan_.mutation == Mutation::rebaseOrders && o.copies > 1) call.ifMatch = std::to_string(confirmedVersion_);
+  if (plan_.mutation == Mutation::refuseProper && o.copies == 1 && rng_.chance(0.2)) call.ifMatch = "999999";
   call.body = o.body;
   std::uint64_t const base = confirmedVersion_;
   ask(link, call, silence, [this, order, link, base](int status, QJsonObject const& body) {
@@ -149,7 +150,6 @@
 void World::orderAnswered(std::size_t order, std::string const& link, std::uint64_t baseAtSend, int status,
                           QJsonObject const& body) {
   Order& o = orders_[order];
-  if (plan_.mutation == Mutation::refuseProper && success(status) && o.takenAt < 0 && rng_.chance(0.2)) status = 412;
   ++result_.counts["order-" + std::to_string(status)];
   if (success(status)) {
     bool const first = o.takenAt < 0;
@@ -176,6 +176,10 @@
     knownVersion_ = std::max(knownVersion_, o.version);
     return;
   }
+  if (plan_.mutation == Mutation::rebaseOrders && status == 412 && !o.closed) {
+    orderAgain(order, link, 200);
+    return;
+  }
   if (!unclear(status)) {
     orderRefused(o, link, baseAtSend, status);
     o.closed = true;
@@ -235,7 +239,7 @@
     std::map<std::string, consensus::Committed> const& have = n.control->registers().committed();
     std::map<std::string, consensus::Committed>::const_iterator const it = have.find(config::wholeKey);
     QJsonObject const spec = it == have.end() ? QJsonObject() : it->second.value.value("spec").toObject();
-    checkRead(link, confirmed, 200, QJsonObject{{"version", spec.value("version")}});
+    checkRead(link, confirmed, it == have.end() ? 404 : 200, QJsonObject{{"version", spec.value("version")}});
     return;
   }
   transport::Call call;
--- a/testing/sim/plan.cpp
+++ b/testing/sim/plan.cpp
@@ -61,7 +61,7 @@
       return {Fault::manyChanges, Fault::restartController, Fault::wipeSameAddress, Fault::powerLoss};
     case Point::powerCuts:
       return {Fault::powerAtTaken, Fault::powerAtTimed, Fault::wipeAtTaken, Fault::massPower,
-              Fault::diskFull,     Fault::diskFail,     Fault::powerLoss};
+              Fault::diskFull,     Fault::diskFail,     Fault::powerLoss,   Fault::diskSlow};
   }
   return {};
 }
--- a/testing/sim/plan.h
+++ b/testing/sim/plan.h
@@ -213,6 +213,8 @@
   bool meet = false;
   /// What has no answer is sent again at once, and not to other machines only.
   bool hard = false;
+  /// A proper change of a template is never refused as invalid or unknown.
+  bool proper = false;
   /// Orders of one burst, at the least and at the most.
   int burstLeast = 200;
   int burstMost = 200;
--- a/testing/sim/sweep.cpp
+++ b/testing/sim/sweep.cpp
@@ -33,6 +33,7 @@
   std::string point;
   std::string fence;
   bool looseNames = false;
+  bool proper = false;
   Operators operators;
   scaling::Figures figures = scaling::figures;
   po::options_description flags("corkward-sweep: simulated fleets over many seeds");
@@ -62,6 +63,7 @@
       "race", po::value(&operators.race), "share of their orders that are two on one version")(
       "meet", po::bool_switch(&operators.meet), "they send to machines that are cut off and as they return")(
       "hard", po::bool_switch(&operators.hard), "they send again at once until they are answered")(
+      "proper", po::bool_switch(&proper), "judge refusals of proper changes of templates, too")(
       "burst", po::value(&operators.burstMost), "most orders of a burst of changes")(
       "loose-names", po::bool_switch(&looseNames), "names of files are lost each by itself")(
       "list", "list the failures")("help", "print this");
@@ -136,6 +138,7 @@
         }
         if (operators.any) plan.operators = operators;
         if (operators.burstMost != Operators{}.burstMost) plan.operators.burstMost = operators.burstMost;
+        plan.operators.proper = proper;
         if (!fence.empty()) plan.fenced = fence == "on";
         plan.looseNames = plan.looseNames || looseNames;
         plan.regimes = withRegimes;
--- a/testing/sim/touch.cpp
+++ b/testing/sim/touch.cpp
@@ -96,17 +96,20 @@
   inspectOrders();
 }
 
+void World::inspectBeginning(Node& n) {
+  if (n.begun || !n.alive || !n.data || !n.data->servingLease(local(n))) return;
+  n.begun = true;
+  std::uint64_t const have = n.data->revisionOf(config::wholeKey);
+  if (have < n.confirmedBefore)
+    violation("a router began with an old configuration: " + n.link + " with revision " + std::to_string(have) +
+              ", confirmed before its start was " + std::to_string(n.confirmedBefore));
+}
+
 void World::inspectRouters() {
   for (std::map<std::string, Node>::value_type& n : nodes_) {
     Node& k = n.second;
     if (!k.data || !k.alive || k.frozen) continue;
     std::uint64_t const have = k.data->revisionOf(config::wholeKey);
-    if (!k.begun && k.data->servingLease(local(k))) {
-      k.begun = true;
-      if (have < k.confirmedBefore)
-        violation("a router began with an old configuration: " + n.first + " with revision " + std::to_string(have) +
-                  ", confirmed before its start was " + std::to_string(k.confirmedBefore));
-    }
     if (!inTouch(k)) continue;
     for (Order const& o : orders_)
       if (o.takenAt >= 0 && o.revision > have && now_ > o.takenAt + plan_.bounds.applied) {
--- a/testing/sim/world.cpp
+++ b/testing/sim/world.cpp
@@ -211,7 +211,7 @@
   n.inbox.clear();
   if (n.disk) {
     if (plan_.looseNames && !n.writes.empty() && n.writeAheadLog && rng_.chance(0.5)) {
-      n.disk->stopAfter(static_cast<int>(rng_.below(12)));
+      n.disk->stopAfter(static_cast<int>(rng_.below(4)));
       try {
         n.writeAheadLog->write(n.writes.front().first);
       } catch (storage::Error const&) {
@@ -223,7 +223,9 @@
       for (storage::Record const& r : n.writes.front().first) bytes += storage::frame(r);
       n.disk->tear(bytes, rng_);
     }
+    std::size_t const lost = n.disk->lostNames();
     if (power) n.disk->powerLoss(rng_);
+    if (n.disk->lostNames() > lost) result_.counts["names-lost"] += n.disk->lostNames() - lost;
     n.writes.clear();
     n.writeAheadLog.reset();
     n.control.reset();
@@ -398,6 +400,7 @@
 }
 
 void World::run(Node& n, dataplane::Commands&& c) {
+  if (plan_.operators.any) inspectBeginning(n);
   for (transport::Send const& s : c.sends) send(n.link, s);
   for (dataplane::CallCommand const& v : c.calls) {
     if (dataplane::Connect const* const m = std::get_if<dataplane::Connect>(&v)) {
--- a/testing/sim/world.h
+++ b/testing/sim/world.h
@@ -307,6 +307,8 @@
   bool calm() const;
   bool inTouch(Node const& n) const;
   void inspectRouters();
+  /// A router serves from here on: not with less than was confirmed before it started.
+  void inspectBeginning(Node& n);
   void inspectMembers();
   void inspectOrders();
   /// Since when a rule with a bound holds for the machine: the moment itself where the fleet is fenced, else not before
--- a/testing/test/sim_test.cpp
+++ b/testing/test/sim_test.cpp
@@ -1,5 +1,6 @@
 #include <catch2/catch.hpp>
 
+#include <algorithm>
 #include <iostream>
 
 #include "world.h"
@@ -18,6 +19,38 @@
   return result;
 }
 
+/// One of control's worst days: no rule broken, orders taken and requests served.
+testing::Result worst(testing::Plan const& plan) {
+  testing::Result result = testing::World(plan).run();
+  for (std::string const& v : result.violations) std::cerr << "seed " << plan.seed << ": " << v << "\n";
+  CHECK(result.violations.empty());
+  CHECK(result.counts["served"] > 100);
+  CHECK(result.counts["orders-taken"] > 3);
+  return result;
+}
+
+enum class Fences { on, off, both };
+
+/// So many seeds of a point, each fenced, not fenced, or both.
+std::map<std::string, std::size_t> worstDays(testing::Point point, std::uint64_t seeds, Fences fences = Fences::both) {
+  std::map<std::string, std::size_t> counts;
+  for (std::uint64_t seed = 1; seed <= seeds; ++seed)
+    for (bool const fenced : {true, false}) {
+      if (fences != Fences::both && fenced != (fences == Fences::on)) continue;
+      testing::Plan plan = testing::worstDay(seed, point);
+      plan.fenced = fenced;
+      for (std::map<std::string, std::size_t>::value_type const& c : worst(plan).counts) counts[c.first] += c.second;
+    }
+  return counts;
+}
+
+void happened(std::map<std::string, std::size_t> const& counts, std::vector<char const*> const& names) {
+  for (char const* const name : names) {
+    INFO(name);
+    CHECK(counts.count(name) > 0);
+  }
+}
+
 struct Kept {
   std::uint64_t seed;
   std::vector<Fault> faults;
@@ -172,6 +205,134 @@
   CHECK(counts["tales-served"] > 1000);
 }
 
+TEST_CASE("members are cut off in every way while orders are sent to them", "[cuts]") {
+  happened(worstDays(testing::Point::cuts, 8, Fences::on),
+           {"core-cuts", "meets", "reads", "late-resends", "order-resends"});
+}
+
+TEST_CASE(
+    "an unfenced fleet whose members are cut off or lose power gives no router an old configuration to begin with",
+    "[open-cuts]") {
+  happened(worstDays(testing::Point::cuts, 8, Fences::off),
+           {"core-cuts", "meets", "reads", "late-resends", "order-resends"});
+  for (std::uint64_t seed = 1; seed <= 3; ++seed) {
+    testing::Plan plan = testing::worstDay(seed, testing::Point::powerCuts);
+    plan.faults = {Fault::massPower};
+    plan.fenced = false;
+    worst(plan);
+  }
+}
+
+TEST_CASE("acknowledgements are lost and the same orders are sent to other machines", "[resends]") {
+  happened(worstDays(testing::Point::resends, 6), {"acks-lost", "order-resends", "late-resends", "strikes"});
+}
+
+TEST_CASE("a second disk is lost right after a repair, and each member is replaced in turn", "[second-loss]") {
+  happened(worstDays(testing::Point::secondLoss, 8), {"second-losses", "replaced-in-turn", "strikes"});
+}
+
+TEST_CASE("hundreds of changes come before a restart or an emptied disk", "[many-changes]") {
+  happened(worstDays(testing::Point::manyChanges, 2), {"bursts-done", "wiped-after-burst"});
+}
+
+TEST_CASE("power goes right after an order was taken, or some time after it was sent, and names are lost",
+          "[power-cuts]") {
+  happened(worstDays(testing::Point::powerCuts, 10, Fences::on), {"strikes", "names-lost"});
+}
+
+TEST_CASE("no proper change of a template is refused after all lost power", "[proper]") {
+  for (std::uint64_t seed = 1; seed <= 4; ++seed) {
+    testing::Plan plan = testing::worstDay(seed, testing::Point::powerCuts);
+    plan.faults = {Fault::massPower};
+    plan.fenced = true;
+    plan.operators.proper = true;
+    worst(plan);
+  }
+}
+
+TEST_CASE("a simulated disk loses names that were not synced, each by itself, and no others", "[disks]") {
+  std::size_t lost = 0;
+  for (std::uint64_t seed = 1; seed <= 40; ++seed) {
+    corkward::core::Rng rng(seed);
+    testing::SimDisk disk;
+    disk.looseNames = true;
+    disk.append("kept", "a");
+    disk.sync("kept");
+    disk.syncFolder();
+    disk.append("new", "b");
+    disk.sync("new");
+    disk.rename("kept", "moved");
+    disk.powerLoss(rng);
+    std::vector<std::string> const names = disk.list();
+    CHECK(std::count(names.begin(), names.end(), "kept") + std::count(names.begin(), names.end(), "moved") == 1);
+    lost += disk.lostNames();
+  }
+  CHECK(lost > 20);
+  CHECK(lost < 60);
+}
+
+TEST_CASE("what was acknowledged is kept when the process before stopped between any two operations", "[disk-names]") {
+  for (int operations = 0; operations < 4; ++operations)
+    for (std::uint64_t seed = 1; seed <= 20; ++seed) {
+      corkward::core::Rng rng(seed);
+      testing::SimDisk disk;
+      disk.looseNames = true;
+      corkward::storage::WriteAheadLog first(disk, 20000);
+      first.recover();
+      disk.stopAfter(operations);
+      try {
+        first.write({corkward::storage::Record{"a", "1"}});
+      } catch (corkward::storage::Error const&) {
+      }
+      disk.stopAfter(-1);
+      corkward::storage::WriteAheadLog second(disk, 20000);
+      second.recover();
+      second.write({corkward::storage::Record{"b", "2"}});
+      disk.powerLoss(rng);
+      INFO(operations << " operations, seed " << seed);
+      CHECK(corkward::storage::WriteAheadLog(disk, 20000).recover().slots.count("b") == 1);
+    }
+}
+
+TEST_CASE("every oracle of control's worst days can fail", "[mutation]") {
+  struct Row {
+    Mutation mutation;
+    testing::Point point;
+    std::vector<Fault> faults;
+    char const* says;
+    bool fenced = true;
+  };
+  using testing::Point;
+  std::vector<Row> const rows{
+      {Mutation::staleRead, Point::cuts, {Fault::cutMemberAll}, "a read at"},
+      {Mutation::staleRead, Point::powerCuts, {Fault::massPower}, "a read was refused"},
+      {Mutation::refuseProper, Point::cuts, {Fault::crowd}, "a proper order was refused"},
+      {Mutation::freshChangeIds, Point::resends, {Fault::isolateMember}, "a resend of what was taken"},
+      {Mutation::rebaseOrders, Point::cuts, {Fault::crowd}, "two orders on version"},
+      {Mutation::rebaseOrders, Point::cuts, {Fault::crowd}, "follows version"},
+      {Mutation::lyingDisk, Point::powerCuts, {Fault::massPower}, "could not be read back"},
+      {Mutation::lyingDisk, Point::powerCuts, {Fault::powerLoss}, "two whole configurations under revision"},
+      {Mutation::lyingNames, Point::powerCuts, {Fault::massPower}, "acknowledged order lost"},
+      {Mutation::deafRouter, Point::cuts, {Fault::crowd}, "out of date though in touch", false},
+      {Mutation::oldImage, Point::cuts, {Fault::killRouter}, "a router began with an old configuration", false},
+      {Mutation::lateCopies, Point::secondLoss, {Fault::wipeSameAddress}, "does not vote in time"},
+      {Mutation::lateAnswers, Point::cuts, {Fault::crowd}, "no acknowledgement in"}};
+  for (Row const& row : rows) {
+    bool found = false;
+    for (std::uint64_t seed = 1; seed <= 16 && !found; ++seed) {
+      testing::Plan plan = testing::worstDay(seed, row.point);
+      plan.faults = row.faults;
+      plan.fenced = row.fenced;
+      plan.mutation = row.mutation;
+      plan.operators.race = 0.5;
+      for (std::string const& v : testing::World(plan).run().violations)
+        found = found || v.find(row.says) != std::string::npos;
+    }
+    INFO(row.says << " under mutation " << static_cast<int>(row.mutation));
+    CHECK(found);
+  }
+}
+
 TEST_CASE("every oracle of regimes can fail", "[mutation]") {
   struct Row {
     Mutation mutation;
