--- /dev/null
+++ b/testing/sim/network.cpp
@@ -0,0 +1,70 @@
+#include "internal.h"
+
+/// The network between processes: what passes, how late, how often, and what mutations make of it.
+namespace corkward::testing {
+
+bool World::passes(std::string const& from, std::string const& to) {
+  if (cuts_.count({from, to}) > 0) return false;
+  Node const* const a = node(from);
+  Node const* const b = node(to);
+  if (a != nullptr && b != nullptr && a->zone != b->zone &&
+      (zoneCuts_.count(a->zone) > 0 || zoneCuts_.count(b->zone) > 0))
+    return false;
+  return !rng_.chance(loss_);
+}
+
+transport::Message World::mutated(transport::Message const& message) const {
+  if (plan_.mutation != Mutation::forgetHints && plan_.mutation != Mutation::youngAges) return message;
+  transport::Message out = message;
+  transport::Touch* const t = std::get_if<transport::Touch>(&out);
+  if (plan_.mutation == Mutation::youngAges) {
+    if (t != nullptr) t->ages.assign(t->ages.size(), '\0');
+    return out;
+  }
+  if (t != nullptr) t->hints.clear();
+  if (transport::Confirm* const c = std::get_if<transport::Confirm>(&out)) c->hints.clear();
+  return out;
+}
+
+void World::tally(std::string const& from, transport::Send const& s) {
+  if (!plan_.traffic || now_ < trafficFrom || now_ >= trafficFrom - 10000 + plan_.length) return;
+  std::pair<std::size_t, std::size_t>& t =
+      result_
+          .traffic[{node(from)->disk ? transport::controllerRole : transport::routerRole, transport::kind(s.message)}];
+  ++t.first;
+  t.second += transport::pack(transport::Envelope{from, s.message}).size();
+}
+
+void World::send(std::string const& from, transport::Send const& s) {
+  ++result_.counts["messages"];
+  tally(from, s);
+  Node const* const to = node(s.to);
+  if (to == nullptr || !to->alive || !passes(from, s.to)) return;
+  if (plan_.mutation == Mutation::forgetHints && std::holds_alternative<transport::Hint>(s.message)) return;
+  if (plan_.mutation == Mutation::deafRouter && s.to == "n1" && now_ > trafficFrom &&
+      std::holds_alternative<transport::News>(s.message))
+    return;
+  if (plan_.mutation == Mutation::lateCopies && now_ - to->bootedAt < 8000 && now_ > trafficFrom &&
+      std::holds_alternative<transport::Copy>(s.message))
+    return;
+  std::uint64_t const life = to->life;
+  int const copies = rng_.chance(duplication_) ? 2 : 1;
+  for (int i = 0; i < copies; ++i) {
+    Tick const delay =
+        1 + static_cast<Tick>(rng_.below(4)) + (rng_.chance(0.02) ? static_cast<Tick>(rng_.below(60)) : 0);
+    std::string const link = s.to;
+    std::uint64_t const reset = plans(Fault::resetConnections) ? resets_[{from, link}] : 0;
+    after(delay, [this, from, link, life, reset, message = s.message] {
+      if (plans(Fault::resetConnections) && resets_[{from, link}] != reset) return;
+      toNode(link, life, [this, from, link, message] {
+        Node& n = *node(link);
+        if (n.control)
+          run(n, n.control->arrived(local(n), from, message));
+        else
+          run(n, n.data->arrived(local(n), from, mutated(message)));
+      });
+    });
+  }
+}
+
+}  // namespace corkward::testing
