--- a/transport/include/corkward/transport/consensus_messages.h
+++ b/transport/include/corkward/transport/consensus_messages.h
@@ -207,6 +207,7 @@
   std::uint64_t ask = 0;
   template <class F>
   void each(F& f) {
+    f.optional("a", ask);
     f("k", key);
     f("c", copy);
     f("m", member);
@@ -228,6 +229,8 @@
   bool more = false;
   template <class F>
   void each(F& f) {
+    f.optional("a", ask);
+    f.optional("o", more);
     f("m", member);
     f("n", membership);
     f("s", slots);
