--- a/consensus/include/corkward/consensus/registers.h
+++ b/consensus/include/corkward/consensus/registers.h
@@ -49,6 +49,8 @@
   bool owns(std::string const& key) const;
   /// Keys with a committed value and their values.
   std::map<std::string, Committed> const& committed() const { return committed_; }
+  /// A member has accepted a value of the key, which need not be known as committed here, as after a restart of all.
+  bool mayHold(std::string const& key) const;
   /// Age of the last contact with a majority whose accepted changes this member knows; -1: none yet.
   Tick majorityAge(Tick now) const;
   bool voting() const { return voting_ && !diskFailed_ && !leaving_; }
--- a/consensus/src/registers.cpp
+++ b/consensus/src/registers.cpp
@@ -121,6 +121,15 @@
   return out;
 }
 
+bool Registers::mayHold(std::string const& key) const {
+  if (committed_.count(key) > 0) return true;
+  std::map<std::string, Reg>::const_iterator const own = regs_.find(key);
+  if (own != regs_.end() && own->second.revision > 0) return true;
+  return std::any_of(others_.begin(), others_.end(), [&](std::map<std::string, Other>::value_type const& o) {
+    return o.second.echoRevisions.count(key) > 0;
+  });
+}
+
 void Registers::expireCalls(Commands& out, Tick now, std::string const& key, Reg& r) {
   while (!r.queue.empty() && now - r.queue.front().since > tuning_.callLimit) {
     out.decided.push_back(Decided{r.queue.front().call.token,
--- a/control/include/corkward/control/validator.h
+++ b/control/include/corkward/control/validator.h
@@ -26,6 +26,8 @@
 /// What a judge asks of the other keys, as this controller knows them.
 struct Around {
   config::PoolKnown poolKnown;
+  /// A pool that is not known may still come up, since a key that may name it is not recovered yet.
+  config::PoolKnown poolUnsure = [](std::string const&) { return false; };
   /// Why a regime could not be served in a pool under these certificates.
   std::function<std::optional<config::RegimeFault>(config::Regimes const&, std::string const& regime,
                                                    std::string const& pool)>
--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -66,6 +66,11 @@
   out.poolKnown = [this](std::string const& pool) {
     return wholePools_.count(pool) > 0 || registers_.committed().count("pool:" + pool) > 0;
   };
+  out.poolUnsure = [this](std::string const& pool) {
+    bool const wholeUnsure =
+        registers_.committed().count(config::wholeKey) == 0 && registers_.mayHold(config::wholeKey);
+    return wholeUnsure || registers_.mayHold("pool:" + pool);
+  };
   out.regimes = [this] {
     std::map<std::string, consensus::Committed>::const_iterator const it =
         registers_.committed().find(config::regimesKey);
--- a/control/src/validator.cpp
+++ b/control/src/validator.cpp
@@ -126,6 +126,7 @@
   qint64 const next = static_cast<qint64>(revision) + 1;
   QJsonObject changed = family;
   QJsonObject body;
+  bool unsure = false;
   try {
     body = changeBody(call);
     std::optional<Verdict> const past =
@@ -152,13 +153,20 @@
     } else {
       changed.insert("template", fresh);
     }
-    config::checkFamily(changed, around.poolKnown, [&](std::string const& regime, std::string const& pool) {
+    config::PoolKnown const poolKnown = [&](std::string const& pool) {
+      bool const known = around.poolKnown(pool);
+      unsure = unsure || (!known && around.poolUnsure(pool));
+      return known;
+    };
+    config::checkFamily(changed, poolKnown, [&](std::string const& regime, std::string const& pool) {
       std::optional<config::RegimeFault> const fault = around.regimeFault(around.regimes(), regime, pool);
       return fault ? fault->reason : std::string();
     });
   } catch (core::JsonError const& e) {
     return reject(400, "malformed", e.what(), "/");
   } catch (config::Error const& e) {
+    // No refusal rests on a key that is not recovered yet.
+    if (unsure) return reject(503, "not confirmed", "the pools are still being recovered; send it again");
     return reject(422, "not a valid configuration", e.reason(), e.pointer());
   }
   if (core::jsonText(changed).size() > 4 * maxBody) return reject(413, "too large", "the family would pass its limit");
--- a/testing/sim/plan.h
+++ b/testing/sim/plan.h
@@ -189,7 +189,7 @@
   unrecorded,
   staleRead,
   refuseProper,
-  freshChangeIds,
+  alteredResends,
   rebaseOrders,
   deafRouter,
   oldImage,
--- a/testing/sim/world.h
+++ b/testing/sim/world.h
@@ -289,6 +289,8 @@
   void orderRefused(Order& order, std::string const& link, std::uint64_t baseAtSend, int status);
   void orderAgain(std::size_t order, std::string const& link, Tick wait);
   void lateResend();
+  /// Body of an order that is sent again: as it was, but for a mutation.
+  std::string resentBody(Order const& order) const;
   void readsTurn();
   void readOnce(std::string const& link);
   void checkRead(std::string const& link, std::uint64_t confirmed, int status, QJsonObject const& body);
--- a/transport/include/corkward/transport/news_messages.h
+++ b/transport/include/corkward/transport/news_messages.h
@@ -88,8 +88,8 @@
   core::Tick tick = 0;
   Contact self;
   bool wantWhole = false;
-  /// Always false: a first snapshot is confirmed by a majority whatever the asker says. Kept on the wire for processes of
-  /// an earlier version.
+  /// Always false: a first snapshot is confirmed by a majority whatever the asker says. Kept on the wire for processes
+  /// of an earlier version.
   bool anyWhole = false;
   /// What the router has in force.
   Digest digest;
