--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -103,7 +103,7 @@
     for (std::size_t end = text.find("\r\n\r\n", from); end != std::string::npos;
          end = text.find("\r\n\r\n", end + 4)) {
       ++answers;
-      s.write("HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+      s.write("HTTP/1.1 503 Full\r\nCorkward-Run: none\r\nContent-Length: 0\r\n\r\n");
     }
   }
   QTcpServer server_;
