--- a/storage/test/write_ahead_log_test.cpp
+++ b/storage/test/write_ahead_log_test.cpp
@@ -167,7 +167,7 @@
 }
 
 TEST_CASE("a write-ahead log on the real disk survives reopening") {
-  std::string path = std::filesystem::temp_directory_path().string() + "/corkward-ledger-XXXXXX";
+  std::string path = std::filesystem::temp_directory_path().string() + "/corkward-storage-XXXXXX";
   REQUIRE(::mkdtemp(path.data()) != nullptr);
   {
     std::unique_ptr<storage::Folder> const folder = storage::openFolder(path);
--- a/testing/explore/bounds.h
+++ b/testing/explore/bounds.h
@@ -9,7 +9,7 @@
   int changes = 2;
   int reads = 1;
   /// Elections that nothing but chance brought about.
-  int campaigns = 1;
+  int elections = 1;
   /// Clock events of single members.
   int clocks = 0;
   /// Crashes, wiped disks, slow or unfinished writes, messages delivered twice; in the membership's model each loss,
--- a/testing/explore/main.cpp
+++ b/testing/explore/main.cpp
@@ -40,7 +40,7 @@
   checkRange("members", run.bounds.members, 2, 5);
   checkRange("changes", run.bounds.changes, 0, 9);
   checkRange("reads", run.bounds.reads, 0, 9);
-  checkRange("campaigns", run.bounds.campaigns, 0, 9);
+  checkRange("elections", run.bounds.elections, 0, 9);
   checkRange("clocks", run.bounds.clocks, 0, 9);
   checkRange("faults", run.bounds.faults, 0, 9);
   checkRange("depth", limits.depth, 1, 1000000);
@@ -90,7 +90,7 @@
                                                                     "its mechanisms off")(
       "list", "list the models and their mechanisms")("members", po::value(&run.bounds.members), "members, 2 to 5")(
       "changes", po::value(&run.bounds.changes), "changes by callers")("reads", po::value(&run.bounds.reads), "reads")(
-      "campaigns", po::value(&run.bounds.campaigns), "elections by chance")("clocks", po::value(&run.bounds.clocks),
+      "elections", po::value(&run.bounds.elections), "elections by chance")("clocks", po::value(&run.bounds.clocks),
                                                                             "clock events of single members")(
       "faults", po::value(&run.bounds.faults), "faults in a trace")("depth", po::value(&limits.depth), "longest trace")(
       "seconds", po::value(&limits.seconds), "time limit")("memory", po::value(&limits.memoryMb), "memory limit, MB")(
--- a/testing/explore/membership_model.cpp
+++ b/testing/explore/membership_model.cpp
@@ -51,7 +51,7 @@
   if (s.spent.faults < bounds_.faults)
     for (Packet const& p : s.net) kinds.insert(static_cast<std::uint8_t>(p.message->index()));
   for (std::uint8_t const k : kinds) out.push_back(Action{Kind::lose, 0, k});
-  bool const mayLose = world_.openLosses(s) < (static_cast<int>(s.ledger->members.size()) - 1) / 2;
+  bool const mayLose = world_.openLosses(s) < (static_cast<int>(s.history->members.size()) - 1) / 2;
   for (std::uint8_t i = 0; i < s.machines.size(); ++i) {
     Machine const& m = *s.machines[i];
     bool const cut = (s.cut >> i & 1U) != 0;
--- a/testing/explore/registers_model.cpp
+++ b/testing/explore/registers_model.cpp
@@ -46,7 +46,7 @@
   if (!m.pending.empty()) out.push_back(Action{Kind::sync, machine, 0, 0});
   if (owns && s.spent.calls < bounds_.changes) out.push_back(Action{Kind::change, machine, 0, 0});
   if (owns && s.spent.reads < bounds_.reads) out.push_back(Action{Kind::read, machine, 0, 0});
-  if (!owns && s.spent.campaigns < bounds_.campaigns) out.push_back(Action{Kind::campaign, machine, 0, 0});
+  if (!owns && s.spent.elections < bounds_.elections) out.push_back(Action{Kind::election, machine, 0, 0});
   bool const beats = owns || !m.member->voting();
   if (beats && s.spent.clocks < bounds_.clocks) out.push_back(Action{Kind::clock, machine, 0, 0});
   if (s.spent.faults >= bounds_.faults && m.pending.empty()) return;
@@ -96,8 +96,8 @@
       ++s.spent.faults;
       world_.wipe(s, machine);
       return world_.boot(s, machine);
-    case Kind::campaign:
-      ++s.spent.campaigns;
+    case Kind::election:
+      ++s.spent.elections;
       return world_.handover(s, machine);
     case Kind::change:
       ++s.spent.calls;
@@ -139,7 +139,7 @@
       return "crash and restart" + at + ", " + std::to_string(action.kept) + " waiting records kept";
     case Kind::wipe:
       return "wipe the disk and restart" + at;
-    case Kind::campaign:
+    case Kind::election:
       return "election starts at" + at;
     case Kind::change:
       return "change called at" + at;
--- a/testing/explore/registers_model.h
+++ b/testing/explore/registers_model.h
@@ -24,7 +24,7 @@
     sync,
     crash,
     wipe,
-    campaign,
+    election,
     change,
     read,
     clock
--- a/testing/explore/world.cpp
+++ b/testing/explore/world.cpp
@@ -95,7 +95,7 @@
 
 /// The founding ended as every search takes for granted: one change confirmed, the members known.
 bool ledgerStands(State const& s) {
-  return s.broken.empty() && s.ledger->confirmed.size() == 1 && !s.ledger->members.empty() && s.net.empty() &&
+  return s.broken.empty() && s.history->confirmed.size() == 1 && !s.history->members.empty() && s.net.empty() &&
          s.machines[0]->member->owns(callersKey);
 }
 
@@ -118,10 +118,10 @@
   return *copy;
 }
 
-Ledger& World::editLedger(State& s) {
-  std::shared_ptr<Ledger> const copy = std::make_shared<Ledger>(*s.ledger);
+History& World::editHistory(State& s) {
+  std::shared_ptr<History> const copy = std::make_shared<History>(*s.history);
   copy->digest = 0;
-  s.ledger = copy;
+  s.history = copy;
   return *copy;
 }
 
@@ -187,24 +187,24 @@
   Machine& m = edit(s, machine);
   std::map<std::string, consensus::Committed>::const_iterator const it = m.member->committed().find(callersKey);
   std::uint64_t const base = it == m.member->committed().end() ? 0 : it->second.revision;
-  Ledger& ledger = editLedger(s);
+  History& history = editHistory(s);
   transport::Call call;
-  call.token = ++ledger.tokens;
+  call.token = ++history.tokens;
   call.method = "PUT";
   call.ifMatch = std::to_string(base);
   call.body = "m" + std::to_string(call.token);
-  ledger.baseOf[call.token] = base;
+  history.baseOf[call.token] = base;
   take(s, machine, m.member->call(m.now, callersKey, call), Sync::atOnce);
 }
 
 void World::read(State& s, int machine) const {
   Machine& m = edit(s, machine);
-  Ledger& ledger = editLedger(s);
+  History& history = editHistory(s);
   transport::Call call;
-  call.token = ++ledger.tokens;
+  call.token = ++history.tokens;
   call.method = "GET";
-  std::set<std::string>& want = ledger.questions[call.token];
-  for (std::map<std::string, std::uint64_t>::value_type const& c : ledger.confirmed) want.insert(c.first);
+  std::set<std::string>& want = history.questions[call.token];
+  for (std::map<std::string, std::uint64_t>::value_type const& c : history.confirmed) want.insert(c.first);
   take(s, machine, m.member->call(m.now, callersKey, call), Sync::atOnce);
 }
 
@@ -260,41 +260,41 @@
 void World::onCommit(State& s, consensus::Committed const& c) const {
   std::string const text = core::jsonText(c.value);
   std::pair<std::string, std::uint64_t> const at(c.key, c.revision);
-  std::map<std::pair<std::string, std::uint64_t>, std::string>::const_iterator const it = s.ledger->chosen.find(at);
-  if (it != s.ledger->chosen.end()) {
+  std::map<std::pair<std::string, std::uint64_t>, std::string>::const_iterator const it = s.history->chosen.find(at);
+  if (it != s.history->chosen.end()) {
     if (it->second != text) s.broken = "two values chosen for " + c.key + " revision " + std::to_string(c.revision);
     return;
   }
-  Ledger& ledger = editLedger(s);
-  ledger.chosen[at] = text;
-  if (c.key == callersKey) ledger.marks[c.revision] = marksOf(c.value);
-  if (c.key == consensus::membershipKey && c.revision > ledger.newestMembership) {
-    ledger.newestMembership = c.revision;
-    ledger.members.clear();
-    for (consensus::Member const& m : consensus::membersOf(c.value)) ledger.members.push_back(m.id);
+  History& history = editHistory(s);
+  history.chosen[at] = text;
+  if (c.key == callersKey) history.marks[c.revision] = marksOf(c.value);
+  if (c.key == consensus::membershipKey && c.revision > history.newestMembership) {
+    history.newestMembership = c.revision;
+    history.members.clear();
+    for (consensus::Member const& m : consensus::membersOf(c.value)) history.members.push_back(m.id);
   }
   checkMarks(s);
 }
 
 void World::onDecided(State& s, consensus::Decided const& d) const {
-  std::map<std::uint64_t, std::set<std::string>>::const_iterator const question = s.ledger->questions.find(d.token);
-  if (question != s.ledger->questions.end()) {
+  std::map<std::uint64_t, std::set<std::string>>::const_iterator const question = s.history->questions.find(d.token);
+  if (question != s.history->questions.end()) {
     if (d.status == 200 && !hasAll(marksOf(d.body), question->second))
       s.broken = "a read misses what was confirmed before the question began";
-    editLedger(s).questions.erase(d.token);
+    editHistory(s).questions.erase(d.token);
     return;
   }
   if (d.status != 200) return;
-  Ledger& ledger = editLedger(s);
-  ledger.confirmed["m" + std::to_string(d.token)] = d.revision;
-  if (ledger.baseOf.count(d.token) > 0 && !ledger.bases.insert(ledger.baseOf.at(d.token)).second)
+  History& history = editHistory(s);
+  history.confirmed["m" + std::to_string(d.token)] = d.revision;
+  if (history.baseOf.count(d.token) > 0 && !history.bases.insert(history.baseOf.at(d.token)).second)
     s.broken = "two changes confirmed on one base";
   checkMarks(s);
 }
 
 void World::checkMarks(State& s) const {
-  for (std::map<std::uint64_t, std::set<std::string>>::value_type const& c : s.ledger->marks)
-    for (std::map<std::string, std::uint64_t>::value_type const& k : s.ledger->confirmed)
+  for (std::map<std::uint64_t, std::set<std::string>>::value_type const& c : s.history->marks)
+    for (std::map<std::string, std::uint64_t>::value_type const& k : s.history->confirmed)
       if (k.second <= c.first && c.second.count(k.first) == 0)
         s.broken = "confirmed " + k.first + " is not in revision " + std::to_string(c.first);
 }
@@ -303,11 +303,11 @@
   if (!s.broken.empty()) return;
   std::vector<Held const*> disks;
   for (std::shared_ptr<Machine const> const& m : s.machines)
-    if (m->diskVotes && std::count(s.ledger->members.begin(), s.ledger->members.end(), m->diskId) > 0)
+    if (m->diskVotes && std::count(s.history->members.begin(), s.history->members.end(), m->diskId) > 0)
       disks.push_back(&m->held);
   std::set<std::string> want;
-  for (std::map<std::string, std::uint64_t>::value_type const& c : s.ledger->confirmed) want.insert(c.first);
-  std::size_t const most = s.ledger->members.size() / 2 + 1;
+  for (std::map<std::string, std::uint64_t>::value_type const& c : s.history->confirmed) want.insert(c.first);
+  std::size_t const most = s.history->members.size() / 2 + 1;
   for (unsigned set = 0; set < 1U << disks.size(); ++set) {
     if (static_cast<std::size_t>(std::popcount(set)) != most) continue;
     Held const* best = nullptr;
@@ -321,9 +321,9 @@
 
 int World::openLosses(State const& s) const {
   int open = 0;
-  for (std::string const& id : s.ledger->members)
+  for (std::string const& id : s.history->members)
     open += std::none_of(s.machines.begin(), s.machines.end(), [&](std::shared_ptr<Machine const> const& m) {
-      return m->diskId == id && m->diskVotes && m->diskCaughtUp == s.ledger->newestMembership;
+      return m->diskId == id && m->diskVotes && m->diskCaughtUp == s.history->newestMembership;
     });
   return open;
 }
@@ -347,7 +347,7 @@
 
 State World::founded(int members, int spare) const {
   State s;
-  s.ledger = std::make_shared<Ledger const>();
+  s.history = std::make_shared<History const>();
   std::vector<std::string> founders;
   for (int i = 0; i < members; ++i) founders.push_back(linkOf(i));
   for (int i = 0; i < members + spare; ++i) {
@@ -364,10 +364,10 @@
   change(s, 0);
   wave(s, 0);
   settle(s, 2 * round);
-  if (s.ledger->members.empty()) {
-    Ledger& ledger = editLedger(s);
-    ledger.newestMembership = 1;
-    for (consensus::Member const& m : s.machines[0]->member->membership()) ledger.members.push_back(m.id);
+  if (s.history->members.empty()) {
+    History& history = editHistory(s);
+    history.newestMembership = 1;
+    for (consensus::Member const& m : s.machines[0]->member->membership()) history.members.push_back(m.id);
   }
   CORKWARD_INVARIANT(ledgerStands(s));
   return s;
@@ -381,23 +381,23 @@
   return m.digest;
 }
 
-std::uint64_t World::digest(Ledger const& ledger) {
-  if (ledger.digest != 0) return ledger.digest;
+std::uint64_t World::digest(History const& history) {
+  if (history.digest != 0) return history.digest;
   std::uint64_t h = 1;
-  for (std::map<std::pair<std::string, std::uint64_t>, std::string>::value_type const& c : ledger.chosen)
+  for (std::map<std::pair<std::string, std::uint64_t>, std::string>::value_type const& c : history.chosen)
     h = mix(mix(h, c.first.second), core::stableHash(c.first.first + c.second));
-  for (std::map<std::string, std::uint64_t>::value_type const& c : ledger.confirmed)
+  for (std::map<std::string, std::uint64_t>::value_type const& c : history.confirmed)
     h = mix(h, core::stableHash(c.first));
-  for (std::map<std::uint64_t, std::set<std::string>>::value_type const& q : ledger.questions)
+  for (std::map<std::uint64_t, std::set<std::string>>::value_type const& q : history.questions)
     h = mix(mix(h, q.first), q.second.size());
-  for (std::map<std::uint64_t, std::uint64_t>::value_type const& b : ledger.baseOf) h = mix(mix(h, b.first), b.second);
-  for (std::uint64_t const b : ledger.bases) h = mix(h, b);
-  ledger.digest = h | 1U;
-  return ledger.digest;
+  for (std::map<std::uint64_t, std::uint64_t>::value_type const& b : history.baseOf) h = mix(mix(h, b.first), b.second);
+  for (std::uint64_t const b : history.bases) h = mix(h, b);
+  history.digest = h | 1U;
+  return history.digest;
 }
 
 std::uint64_t World::digest(State const& s) const {
-  std::uint64_t h = mix(static_cast<std::uint64_t>(s.cut), digest(*s.ledger));
+  std::uint64_t h = mix(static_cast<std::uint64_t>(s.cut), digest(*s.history));
   for (std::shared_ptr<Machine const> const& m : s.machines) h = mix(h, digest(*m));
   std::vector<std::uint64_t> net;
   for (Packet const& p : s.net) {
@@ -406,7 +406,7 @@
   }
   std::sort(net.begin(), net.end());
   for (std::uint64_t const p : net) h = mix(h, p);
-  for (int const n : {s.spent.calls, s.spent.reads, s.spent.campaigns, s.spent.clocks, s.spent.faults})
+  for (int const n : {s.spent.calls, s.spent.reads, s.spent.elections, s.spent.clocks, s.spent.faults})
     h = mix(h, static_cast<std::uint64_t>(n));
   return s.broken.empty() ? h : mix(h, core::stableHash(s.broken));
 }
--- a/testing/explore/world.h
+++ b/testing/explore/world.h
@@ -56,7 +56,7 @@
 };
 
 /// What callers asked and were told, and what was chosen: history that the invariants are held against.
-struct Ledger {
+struct History {
   std::map<std::pair<std::string, std::uint64_t>, std::string> chosen;
   /// Revision -> marks in the value that was chosen for the callers' key.
   std::map<std::uint64_t, std::set<std::string>> marks;
@@ -77,7 +77,7 @@
 struct Spent {
   int calls = 0;
   int reads = 0;
-  int campaigns = 0;
+  int elections = 0;
   int clocks = 0;
   int faults = 0;
 };
@@ -86,7 +86,7 @@
 struct State {
   std::vector<std::shared_ptr<Machine const>> machines;
   std::vector<Packet> net;
-  std::shared_ptr<Ledger const> ledger;
+  std::shared_ptr<History const> history;
   Spent spent;
   /// Machines that are cut off, one bit each.
   unsigned cut = 0;
@@ -147,8 +147,8 @@
 
  private:
   static Machine& edit(State& s, int machine);
-  static Ledger& editLedger(State& s);
-  static std::uint64_t digest(Ledger const& ledger);
+  static History& editHistory(State& s);
+  static std::uint64_t digest(History const& history);
   int indexOf(State const& s, std::string const& link) const;
   void take(State& s, int machine, consensus::Commands const& c, Sync sync) const;
   void post(State& s, int from, transport::Send const& send) const;
