--- a/testing/sim/faults.cpp
+++ b/testing/sim/faults.cpp
@@ -345,6 +345,8 @@
       if (control.size() >= static_cast<std::size_t>(plan_.controllers)) {
         Node& n = *control[rng_.below(control.size())];
         if (n.frozen) break;
+        // A member that drains may leave the set before its process ends.
+        memberTroubledAt_ = now_;
         run(n, n.control->drain(local(n)));
         after(500, [this, link = n.link, life = n.life] {
           Node* const k = node(link);
