--- /dev/null
+++ b/consensus/test/golden_test.cpp
@@ -0,0 +1,417 @@
+#include <catch2/catch.hpp>
+
+#include <deque>
+#include <functional>
+#include <map>
+#include <memory>
+#include <sstream>
+#include <string>
+#include <vector>
+
+#include <corkward/consensus/registers.h>
+#include <corkward/core/json.h>
+
+#include "testing/golden/golden.h"
+
+namespace consensus = corkward::consensus;
+namespace core = corkward::core;
+namespace golden = corkward::golden;
+namespace transport = corkward::transport;
+using core::Tick;
+
+namespace {
+
+/// Each record in the order of writing: the machine's link, the record's key and its text. "#" begins a comment.
+constexpr char const* recordsFile = "consensus/test/golden/records.txt";
+/// What is committed when the last record is written: key, revision and value.
+constexpr char const* committedFile = "consensus/test/golden/committed.txt";
+constexpr char const* slotPrefix = "slot:";
+
+std::string const first = "127.0.0.1:7001";
+std::string const second = "127.0.0.1:7002";
+std::string const third = "127.0.0.1:7003";
+std::string const fourth = "127.0.0.1:7004";
+std::vector<std::string> const founders{first, second, third};
+
+using Disk = std::map<std::string, std::string>;
+
+/// Nothing here is drawn by lot: all members wait equally long before an election.
+consensus::Tuning withoutChance() {
+  consensus::Tuning tuning;
+  tuning.electionSpread = 1;
+  tuning.restartSpread = 1;
+  tuning.replaceDarkAfter = 3000;
+  return tuning;
+}
+
+/// Takes the body of a call as the key's new value.
+consensus::Verdict takeBody(std::string const&, std::uint64_t, QJsonObject const&, transport::Call const& call) {
+  consensus::Verdict verdict;
+  verdict.change = true;
+  verdict.value = core::parseJson(call.body).toObject();
+  return verdict;
+}
+
+std::unique_ptr<consensus::Registers> newMember(std::string const& id, std::string const& link) {
+  return std::make_unique<consensus::Registers>(consensus::Member{id, link}, founders, takeBody, 1, withoutChance());
+}
+
+/// Machines in virtual time, without chance: a message arrives, and a record is synced, with the next step.
+class ScriptedMachines {
+ public:
+  enum class DiskState { sound, damaged };
+
+  void boot(std::string const& link, std::string const& id, DiskState state = DiskState::sound) {
+    members_[link] = newMember(id, link);
+    take(link, members_[link]->restore(disks[link], state == DiskState::damaged, now_));
+  }
+  /// The process ends; what it has sent is on its way, what it was sent is lost.
+  void kill(std::string const& link) { members_.erase(link); }
+  void killAll() { members_.clear(); }
+
+  void handOver(std::string const& link) { take(link, members_.at(link)->handOver(now_)); }
+  void call(std::string const& link, std::string const& key, std::string const& body) {
+    transport::Call call;
+    call.token = ++tokens_;
+    call.method = "PUT";
+    call.body = body;
+    std::string const owner = members_.at(link)->ownerLink(key, now_);
+    std::string const at = owner.empty() ? link : owner;
+    take(at, members_.at(at)->call(now_, key, call));
+  }
+
+  void step() {
+    now_ += stepLength;
+    std::deque<std::function<void()>> const due = std::move(underWay_);
+    underWay_.clear();
+    for (auto const& act : due) act();
+    if (now_ % clockEvery != 0) return;
+    for (auto const& [link, member] : members_) {
+      if (member->seeking()) member->meet(founders);
+      take(link, member->clockEvent(now_));
+    }
+  }
+  void run(Tick duration) {
+    for (Tick const until = now_ + duration; now_ < until;) step();
+  }
+  void runUntil(std::function<bool()> const& holds) {
+    for (Tick const limit = now_ + 20000; !holds() && now_ < limit;) step();
+    REQUIRE(holds());
+  }
+
+  consensus::Registers const& at(std::string const& link) const { return *members_.at(link); }
+  bool handedOver(std::string const& link) const { return members_.at(link)->handedOver(now_); }
+  /// All running members vote, and each knows a membership of this size.
+  bool allVote(std::size_t size) const {
+    for (auto const& [link, member] : members_)
+      if (!member->voting() || member->membership().size() != size) return false;
+    return true;
+  }
+  std::uint64_t revisionOf(std::string const& link, std::string const& key) const {
+    auto const& committed = members_.at(link)->committed();
+    auto const found = committed.find(key);
+    return found == committed.end() ? 0 : found->second.revision;
+  }
+
+  void comment(std::string const& text) { log_ << "# " << text << "\n"; }
+  std::string log() const { return log_.str(); }
+
+  std::map<std::string, Disk> disks;
+
+ private:
+  static constexpr Tick stepLength = 5;
+  static constexpr Tick clockEvery = 25;
+
+  void take(std::string const& link, consensus::Commands const& commands) {
+    for (consensus::Persist const& persist : commands.persists) {
+      log_ << link << "\t" << persist.key << "\t" << persist.payload << "\n";
+      disks[link][persist.key] = persist.payload;
+      later(link, [this, ticket = persist.ticket](consensus::Registers& member) {
+        return member.written(now_, ticket, true);
+      });
+    }
+    for (transport::Send const& send : commands.sends)
+      later(send.to, [this, from = link, message = send.message](consensus::Registers& member) {
+        return member.arrived(now_, from, message);
+      });
+  }
+  void later(std::string const& link, std::function<consensus::Commands(consensus::Registers&)> event) {
+    auto const running = members_.find(link);
+    if (running == members_.end()) return;
+    underWay_.push_back([this, link, process = running->second.get(), event = std::move(event)] {
+      auto const still = members_.find(link);
+      if (still != members_.end() && still->second.get() == process) take(link, event(*process));
+    });
+  }
+
+  Tick now_ = 1000;
+  std::uint64_t tokens_ = 0;
+  std::map<std::string, std::unique_ptr<consensus::Registers>> members_;
+  std::deque<std::function<void()>> underWay_;
+  std::ostringstream log_;
+};
+
+std::string committedText(consensus::Registers const& member) {
+  std::ostringstream text;
+  for (auto const& [key, value] : member.committed())
+    text << key << "\t" << value.revision << "\t" << core::jsonText(value.value) << "\n";
+  return text.str();
+}
+
+void foundMembership(ScriptedMachines& machines) {
+  machines.comment("three machines with empty disks found a membership");
+  machines.boot(first, "m1");
+  machines.boot(second, "m2");
+  machines.boot(third, "m3");
+  machines.runUntil([&] { return machines.allVote(3) && machines.revisionOf(first, consensus::membershipKey) == 1; });
+}
+
+void changeValues(ScriptedMachines& machines) {
+  machines.comment("values of three keys, one of them changed twice");
+  machines.call(first, "family:desk", R"({"template":{"spec":{"a":[1,2.5,null,true]},"stamp":1},"note":"ü"})");
+  machines.call(second, "pool:big", R"({"generation":9007199254740993,"replicas":[]})");
+  machines.call(third, "zone:z1", R"({"evacuated":true})");
+  machines.run(500);
+  machines.call(first, "zone:z1", R"({"evacuated":false})");
+  machines.run(500);
+  machines.call(first, "zone:z1", "{}");
+  machines.runUntil([&] { return machines.revisionOf(first, "zone:z1") == 3; });
+}
+
+void drainAndRestart(ScriptedMachines& machines) {
+  machines.comment("the first machine hands its keys over, ends, and starts again");
+  machines.handOver(first);
+  machines.runUntil([&] { return machines.handedOver(first); });
+  machines.run(500);
+  machines.kill(first);
+  machines.run(500);
+  machines.boot(first, "m1b");
+  machines.run(1000);
+}
+
+void addAndRemoveFourth(ScriptedMachines& machines) {
+  machines.comment("a fourth machine joins");
+  machines.boot(fourth, "m4");
+  machines.runUntil([&] { return machines.allVote(4); });
+  machines.run(500);
+  machines.comment("it is away until it is removed, and takes another name when it hears of that");
+  machines.kill(fourth);
+  machines.runUntil([&] { return machines.allVote(3); });
+  machines.run(500);
+  std::string const before = machines.disks[fourth].at("meta");
+  machines.boot(fourth, "m4b");
+  machines.runUntil([&] { return machines.disks[fourth].at("meta") != before; });
+  machines.kill(fourth);
+  machines.run(2000);
+}
+
+void damageThird(ScriptedMachines& machines) {
+  machines.comment("the third machine starts with a damaged disk and joins anew in its old place");
+  machines.kill(third);
+  machines.run(1500);
+  machines.boot(third, "m5", ScriptedMachines::DiskState::damaged);
+  machines.runUntil([&] { return machines.allVote(3) && machines.at(third).membership().back().id == "m5"; });
+  machines.run(1000);
+}
+
+void endWithPromise(ScriptedMachines& machines) {
+  machines.comment("all end when an epoch of a new key is promised and nothing is accepted under it");
+  machines.call(second, "family:new", R"({"never":"accepted"})");
+  machines.step();
+  machines.killAll();
+}
+
+struct ScriptOutcome {
+  std::string log;
+  std::string committed;
+};
+
+ScriptOutcome runScript() {
+  ScriptedMachines machines;
+  foundMembership(machines);
+  changeValues(machines);
+  drainAndRestart(machines);
+  addAndRemoveFourth(machines);
+  damageThird(machines);
+  std::string const committed = committedText(machines.at(first));
+  for (std::string const& link : founders) CHECK(committedText(machines.at(link)) == committed);
+  endWithPromise(machines);
+  return ScriptOutcome{machines.log(), committed};
+}
+
+std::string namesOf(std::vector<consensus::Member> const& members) {
+  std::string names;
+  for (consensus::Member const& member : members) names += (names.empty() ? "" : " ") + member.id + "@" + member.link;
+  return names;
+}
+
+/// Each machine's disk when the last record of the file is written.
+std::map<std::string, Disk> recordedDisks() {
+  std::map<std::string, Disk> disks;
+  for (std::string const& line : golden::lines(golden::read(recordsFile))) {
+    if (line.rfind('#', 0) == 0) continue;
+    std::size_t const keyAt = line.find('\t') + 1;
+    std::size_t const payloadAt = line.find('\t', keyAt) + 1;
+    REQUIRE((keyAt > 0 && payloadAt > 0));
+    disks[line.substr(0, keyAt - 1)][line.substr(keyAt, payloadAt - keyAt - 1)] = line.substr(payloadAt);
+  }
+  return disks;
+}
+
+QJsonObject parsed(std::string const& record) {
+  return core::parseJson(record).toObject();
+}
+
+QJsonObject ballotJson(transport::Ballot const& ballot) {
+  return QJsonObject{{"n", static_cast<qint64>(ballot.n)}, {"m", core::qstr(ballot.member)}};
+}
+
+transport::Ballot ballotOf(QJsonObject const& json) {
+  return transport::Ballot{static_cast<std::uint64_t>(json.value("n").toInteger()),
+                           core::str(json.value("m").toString())};
+}
+
+/// Asks a member that runs by itself to promise a ballot.
+consensus::Commands prepare(consensus::Registers& member, std::string const& key, transport::Ballot const& ballot) {
+  transport::Prepare message;
+  message.key = key;
+  message.ballot = ballot;
+  message.member = member.membership().back().id;
+  message.membership = 1000;
+  return member.arrived(0, "127.0.0.1:7009", message);
+}
+
+transport::Promise promiseIn(consensus::Commands const& commands) {
+  REQUIRE(commands.sends.size() == 1);
+  return std::get<transport::Promise>(commands.sends.front().message);
+}
+
+/// What a member that was just restored tells the others of itself.
+transport::Heartbeat firstHeartbeat(consensus::Registers& member) {
+  for (transport::Send const& send : member.clockEvent(0).sends)
+    if (auto const* const heartbeat = std::get_if<transport::Heartbeat>(&send.message)) return *heartbeat;
+  FAIL("no heartbeat");
+  return {};
+}
+
+/// What a restored member answers, and writes, about a slot that it has on its disk.
+void checkSlot(consensus::Registers& member, std::string const& key, std::string const& record) {
+  INFO(member.self().link << " " << key << " " << record);
+  QJsonObject const slot = parsed(record);
+  CHECK(core::str(slot.value("i").toString()) == member.self().id);
+  transport::Ballot const promised = ballotOf(slot.value("p").toObject());
+  REQUIRE(promised.n > 0);
+
+  transport::Promise const refused = promiseIn(prepare(member, key, transport::Ballot{}));
+  CHECK_FALSE(refused.ok);
+  CHECK(refused.promised == promised);
+
+  consensus::Commands const again = prepare(member, key, promised);
+  CHECK(again.persists.empty());
+  transport::Promise const promise = promiseIn(again);
+  CHECK(promise.ok);
+  CHECK(ballotJson(promise.acceptedBallot) == slot.value("a").toObject());
+  CHECK(static_cast<qint64>(promise.revision) == slot.value("s").toInteger(-1));
+  CHECK(promise.value == slot.value("v").toObject());
+
+  transport::Ballot const higher{promised.n + 1, "m9"};
+  consensus::Commands const writes = prepare(member, key, higher);
+  REQUIRE(writes.persists.size() == 1);
+  CHECK(writes.persists.front().key == slotPrefix + key);
+  std::string const before = R"("p":)" + core::jsonText(ballotJson(promised));
+  std::string expected = record;
+  REQUIRE(expected.find(before) != std::string::npos);
+  expected.replace(expected.find(before), before.size(), R"("p":)" + core::jsonText(ballotJson(higher)));
+  CHECK(writes.persists.front().payload == expected);
+}
+
+ScriptedMachines restarted(std::map<std::string, Disk> const& disks) {
+  ScriptedMachines machines;
+  machines.disks = disks;
+  for (std::string const& link : founders) machines.boot(link, "unused");
+  return machines;
+}
+
+}  // namespace
+
+TEST_CASE("members write the recorded records") {
+  golden::check(recordsFile, runScript().log);
+}
+
+TEST_CASE("members commit the recorded values") {
+  golden::check(committedFile, runScript().committed);
+}
+
+TEST_CASE("a member restored from recorded records stands by what it promised and accepted") {
+  for (auto const& [link, disk] : recordedDisks()) {
+    if (link == fourth) continue;
+    INFO(link);
+    std::unique_ptr<consensus::Registers> const member = newMember("unused", link);
+    consensus::Commands const restored = member->restore(disk, false, 0);
+    CHECK(core::qstr(member->self().id) == parsed(disk.at("meta")).value("id").toString());
+    CHECK(member->voting());
+    CHECK(namesOf(member->membership()) == "m1@127.0.0.1:7001 m2@127.0.0.1:7002 m5@127.0.0.1:7003");
+    REQUIRE(restored.persists.size() == 1);
+    CHECK(restored.persists.front().key == "config");
+    CHECK(restored.persists.front().payload == disk.at("config"));
+    transport::Heartbeat const heartbeat = firstHeartbeat(*member);
+    CHECK(static_cast<qint64>(heartbeat.membership) == parsed(disk.at("config")).value("s").toInteger());
+    CHECK(static_cast<qint64>(heartbeat.caughtUp) == parsed(disk.at("meta")).value("settled").toInteger());
+    std::size_t slots = 0;
+    for (auto const& [key, record] : disk) {
+      if (key.rfind(slotPrefix, 0) != 0) continue;
+      checkSlot(*member, key.substr(std::string(slotPrefix).size()), record);
+      ++slots;
+    }
+    CHECK(slots == 5);
+  }
+}
+
+TEST_CASE("a member restored from the recorded records of a removed one has its new name and nothing else") {
+  Disk const disk = recordedDisks().at(fourth);
+  std::unique_ptr<consensus::Registers> const member = newMember("unused", fourth);
+  consensus::Commands const restored = member->restore(disk, false, 0);
+  CHECK(restored.persists.empty());
+  CHECK(member->self().id == "m4b.1");
+  CHECK(member->empty());
+  CHECK_FALSE(member->voting());
+  CHECK(member->membership().empty());
+  for (auto const& [key, record] : disk)
+    if (key.rfind(slotPrefix, 0) == 0) CHECK_FALSE(member->mayHold(key.substr(std::string(slotPrefix).size())));
+}
+
+TEST_CASE("members restored from recorded records serve the recorded values") {
+  ScriptedMachines machines = restarted(recordedDisks());
+  machines.run(3000);
+  CHECK(machines.allVote(3));
+  for (std::string const& link : founders) {
+    INFO(link);
+    CHECK(committedText(machines.at(link)) == golden::read(committedFile));
+  }
+}
+
+TEST_CASE("a restored member that has yet to catch up writes the recorded word of that again") {
+  std::map<std::string, Disk> const disks = recordedDisks();
+  for (std::string const& link : founders) {
+    std::string const recorded = disks.at(link).at("meta");
+    QJsonObject behind = parsed(recorded);
+    REQUIRE(behind.value("settled").toInteger() == 4);
+    behind.insert("settled", 0);
+    std::map<std::string, Disk> changed = disks;
+    changed[link]["meta"] = core::jsonText(behind);
+    ScriptedMachines machines = restarted(changed);
+    machines.run(3000);
+    CHECK(machines.disks.at(link).at("meta") == recorded);
+  }
+}
+
+TEST_CASE("nothing counts of the recorded records when the disk is damaged") {
+  std::unique_ptr<consensus::Registers> const member = newMember("m9", first);
+  consensus::Commands const restored = member->restore(recordedDisks().at(first), true, 0);
+  REQUIRE(restored.persists.size() == 1);
+  CHECK(restored.persists.front().key == "meta");
+  CHECK(restored.persists.front().payload == R"({"founders":[],"id":"m9","settled":0,"voting":false})");
+  CHECK(member->membership().empty());
+  CHECK_FALSE(member->voting());
+  CHECK_FALSE(member->mayHold("family:desk"));
+}
