--- a/control/test/rig.h
+++ b/control/test/rig.h
@@ -21,6 +21,8 @@
   std::map<std::string, QJsonObject> pushed;
   /// Who was asked for its revisions in full.
   std::set<std::string> named;
+  /// Records as they were written last, by key.
+  std::map<std::string, std::string> disk;
   std::uint64_t next = 1;
 
   static transport::Contact contact(std::string const& link, char const* role) {
@@ -31,8 +33,10 @@
     c.inc = 1;
     return c;
   }
-  explicit Rig(Tuning tuning = {}) : reducer(contact("s1", transport::controllerRole), "m1", {}, {"s1"}, 3, tuning) {
-    take(reducer.restore({}, false, now));
+  /// Starts with a disk that has these records.
+  explicit Rig(Tuning tuning = {}, std::map<std::string, std::string> records = {})
+      : reducer(contact("s1", transport::controllerRole), "m1", {}, {"s1"}, 3, tuning), disk(std::move(records)) {
+    take(reducer.restore(disk, false, now));
     run(3000);
   }
   void take(Commands&& c) {
@@ -51,7 +55,10 @@
         pushed[i.key] = i.value;
       }
     }
-    for (corkward::consensus::Persist const& p : c.persists) take(reducer.written(now, p.ticket, true));
+    for (corkward::consensus::Persist const& p : c.persists) {
+      disk[p.key] = p.payload;
+      take(reducer.written(now, p.ticket, true));
+    }
   }
   void run(core::Tick how) {
     for (core::Tick const until = now + how; now < until; now += 25) {
