--- /dev/null
+++ b/control/test/golden_pages_test.cpp
@@ -0,0 +1,860 @@
+/// Every page that a controller answers, good and refused, and its whole metrics text, as recorded under golden/.
+///
+/// What operators read is what they script against, so recording anew (see testing/golden/golden.h) is right only when
+/// a page itself is meant to change.
+
+#include <catch2/catch.hpp>
+
+#include <QDateTime>
+#include <QJsonArray>
+#include <QJsonObject>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include <corkward/config/config.h>
+#include <corkward/control/change_history.h>
+#include <corkward/control/controller.h>
+#include <corkward/control/validator.h>
+#include <corkward/core/json.h>
+
+#include "rig.h"
+#include "testing/golden/golden.h"
+
+namespace config = corkward::config;
+namespace control = corkward::control;
+namespace core = corkward::core;
+namespace golden = corkward::golden;
+namespace transport = corkward::transport;
+using control::Rig;
+
+namespace {
+
+/// Longest body that is written out; a longer one is told by its size.
+constexpr std::size_t longestShown = 600;
+/// A call that has no answer after this long is written down as unanswered.
+constexpr core::Tick patience = 12000;
+
+std::string file(std::string const& name) {
+  return "control/test/golden/" + name;
+}
+
+std::string shown(std::string const& body) {
+  return body.size() <= longestShown ? body : "(" + std::to_string(body.size()) + " bytes)";
+}
+
+std::string asked(transport::Call const& call) {
+  std::string out = "> " + call.method + " " + call.path;
+  if (call.dryRun) out += " dryRun";
+  if (!call.ifMatch.empty()) out += " if-match=" + call.ifMatch;
+  if (!call.changeId.empty()) out += " change-id=" + call.changeId;
+  if (!call.body.empty()) out += " " + shown(call.body);
+  return out + "\n";
+}
+
+std::string answered(int status, QJsonObject const& body) {
+  return std::to_string(status) + " " + core::jsonText(body) + "\n";
+}
+
+/// Calls at one controller in a row, and the text of calls and answers.
+struct Pages {
+  Rig rig;
+  std::string text;
+
+  explicit Pages(control::Tuning const& tuning = {}) : rig(tuning) {}
+  void title(std::string const& words) { text += "\n# " + words + "\n"; }
+  /// A call that is waited for.
+  void ask(std::string const& method, std::string const& path, std::string const& body = "",
+           std::string const& ifMatch = "", std::string const& changeId = "", bool dryRun = false) {
+    transport::Call call = callOf(method, path, body, ifMatch, changeId);
+    call.dryRun = dryRun;
+    rig.take(rig.reducer.operatorCall(rig.now, call));
+    wait(call);
+  }
+  transport::Call callOf(std::string const& method, std::string const& path, std::string const& body = "",
+                         std::string const& ifMatch = "", std::string const& changeId = "") {
+    transport::Call call;
+    call.token = rig.next++;
+    call.method = method;
+    call.path = path;
+    call.body = body;
+    call.ifMatch = ifMatch;
+    call.changeId = changeId.empty() ? "c" + std::to_string(call.token) : changeId;
+    return call;
+  }
+  void wait(transport::Call const& call) {
+    for (core::Tick const until = rig.now + patience; rig.answers.count(call.token) == 0 && rig.now < until;)
+      rig.run(25);
+    text += asked(call);
+    if (rig.answers.count(call.token) == 0)
+      text += "no answer\n";
+    else
+      text += answered(rig.answers.at(call.token).status, rig.answers.at(call.token).body);
+  }
+  void check(std::string const& name) const { golden::check(file(name), text); }
+};
+
+std::string const desk = "/v1/templates/desk";
+std::string const nord = "/v1/templates/desk/instances/nord";
+std::string const deskSpec =
+    R"({"note":"n","parameters":{"aim":{"type":"integer","default":800,"min":100,"max":5000},"site":{"type":"string"}},"paths":[{"path":"a","pool":"model","class":"short","aimMs":"${aim}"},{"path":"d/${site}","pool":"model","class":"long","resumable":true}]})";
+std::string const wholeSpec =
+    R"({"version":5,"paths":[{"name":"a","host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"big"}],"pools":[{"name":"big"}],"tenants":[{"name":"t","keys":["k"],"rate":100,"burst":200,"unit":"tokens"}],"extra":{"by":"one"}})";
+std::string const poolSpec =
+    R"({"generation":1,"coldRate":2,"replicas":[{"id":"r1","address":"10.0.0.1:80","zone":"z1","state":"serving"},{"id":"r2","address":"10.0.0.2:80","zone":"z2","state":"cold"},{"id":"r3","address":"10.0.0.3:80","zone":"z2","state":"leaving"}]})";
+std::string const certificatesPage = "/v1/certificates";
+
+std::string certificate(std::string const& zone, std::string const& until = "2030-01-01T00:00:00Z") {
+  return R"({"regime":"health","carrier":"replicas","pool":"model","zone":")" + zone + R"(","until":")" + until +
+         R"("})";
+}
+
+std::string certificates(std::string const& all) {
+  return R"({"regimes":{"health":{"nacelles":"any","reserve":0.5}},"certificates":{)" + all + "}}";
+}
+
+}  // namespace
+
+TEST_CASE("golden: pages of templates, instances and changes") {
+  Pages p;
+  p.title("nothing so far");
+  p.ask("GET", "/v1/templates");
+  p.ask("GET", desk);
+  p.ask("GET", nord);
+  p.ask("GET", "/v1/changes/never");
+  p.ask("PUT", nord, "{}", "0");
+  p.ask("PATCH", desk, "{}", "0");
+  p.ask("DELETE", desk, "", "0");
+  p.title("made");
+  p.ask("PUT", desk, deskSpec, "");
+  p.ask("PUT", desk, deskSpec, "0", "", true);
+  p.ask("PUT", desk, deskSpec, "0", "made");
+  p.ask("PUT", desk, deskSpec, "0", "made");
+  p.ask("PUT", desk, deskSpec, "1", "made");
+  p.ask("PUT", desk, deskSpec, "0");
+  p.ask("GET", desk);
+  p.ask("GET", "/v1/templates");
+  p.title("instances");
+  p.ask("PUT", nord, R"({"parameters":{"site":"north"}})", "0");
+  p.ask("PUT", "/v1/platform/pools/model", poolSpec);
+  p.ask("PUT", nord, R"({"parameters":{"site":"north"}})", "0", "", true);
+  p.ask("PUT", nord, R"({"parameters":{"site":"north"},"note":"first"})", "0");
+  p.ask("PATCH", nord, R"({"parameters":{"aim":900}})", "\"2\"");
+  p.ask("PATCH", nord, R"({"parameters":{"aim":900}})", "2");
+  p.ask("GET", nord);
+  p.ask("GET", desk);
+  p.ask("DELETE", desk, "", "1");
+  p.title("refused");
+  for (char const* const body :
+       {"",
+        "{",
+        "[]",
+        R"({"a":1,"a":2})",
+        R"({"a":99999999999999999999})",
+        "{}",
+        R"({"surprise":1})",
+        R"({"paths":7})",
+        R"({"paths":[]})",
+        R"({"paths":[7]})",
+        R"({"paths":[{}]})",
+        R"({"paths":[{"path":"a","pool":"model","class":"big"}]})",
+        R"({"paths":[{"path":"/a","pool":"model","class":"short"}]})",
+        R"({"paths":[{"path":"a","pool":"model","class":"short","aimMs":1}]})",
+        R"({"paths":[{"path":"a","pool":"model","class":"short","resumable":1}]})",
+        R"({"paths":[{"path":"a","pool":"model","class":"short","events":1}]})",
+        R"({"paths":[{"path":"a","pool":"other","class":"short"}]})",
+        R"({"paths":[{"path":"a","pool":"model","class":"short"},{"path":"a","pool":"model","class":"short"}]})",
+        R"({"paths":[{"path":"${b","pool":"model","class":"short"}]})",
+        R"({"paths":[{"path":"${b}","pool":"model","class":"short"}]})",
+        R"({"paths":[{"path":"x${b}","pool":"model","class":"short"}]})",
+        R"({"note":1,"paths":[]})",
+        R"({"regime":1,"paths":[]})",
+        R"({"regime":"A","paths":[{"path":"a","pool":"model","class":"short"}]})",
+        R"({"parameters":1,"paths":[]})",
+        R"({"parameters":{"A":{}},"paths":[]})",
+        R"({"parameters":{"a":1},"paths":[]})",
+        R"({"parameters":{"a":{"type":"real"}},"paths":[]})",
+        R"({"parameters":{"a":{"type":"string","min":1}},"paths":[]})",
+        R"({"parameters":{"a":{"type":"string","choices":1}},"paths":[]})",
+        R"({"parameters":{"a":{"type":"string","choices":[1]}},"paths":[]})",
+        R"({"parameters":{"a":{"type":"integer","min":5,"default":1}},"paths":[]})",
+        R"({"parameters":{"a":{"type":"integer","max":5,"default":9}},"paths":[]})",
+        R"({"parameters":{"a":{"type":"string","choices":["x"],"default":"y"}},"paths":[]})",
+        R"({"parameters":{"a":{"type":"string","default":1}},"paths":[]})"})
+    p.ask("PUT", desk, body, "1", "", true);
+  for (char const* const body :
+       {"", "7", R"({"surprise":1})", R"({"parameters":1})", "{}", R"({"parameters":{"site":1}})",
+        R"({"parameters":{"site":"n","other":1}})", R"({"parameters":{"site":"n","aim":1}})",
+        R"({"parameters":{"site":"n","aim":99999}})", R"({"parameters":{"site":".."}})",
+        R"({"parameters":{"site":"n"},"regime":"health"})", R"({"parameters":{"site":"n"},"regime":""})"})
+    p.ask("PUT", "/v1/templates/desk/instances/sued", body, "0", "", true);
+  std::string const plain = "/v1/templates/plain";
+  p.ask("PUT", plain, R"({"paths":[{"path":"a","pool":"model","class":"short"}]})", "0");
+  p.ask("PUT", plain + "/instances/one", "{}", "0");
+  for (std::string const& row : std::vector<std::string>{
+           R"({"path":"a","pool":"model","class":"big"})", R"({"path":"/a","pool":"model","class":"short"})",
+           R"({"path":"a","pool":"model","class":"short","aimMs":1})",
+           R"({"path":"a","pool":"model","class":"short","deadlineMs":600001})",
+           R"({"path":"a","pool":"model","class":"short","resumable":1})",
+           R"({"path":"a","pool":"model","class":"short","events":1})",
+           R"({"path":"a","pool":"other","class":"short"})",
+           R"({"path":"a","pool":"model","class":"short"},{"path":"a","pool":"model","class":"short"})",
+           R"({"path":"${b","pool":"model","class":"short"})", R"({"path":"${b}","pool":"model","class":"short"})",
+           R"({"path":"x${b}","pool":"model","class":"short"})",
+           R"({"path":"a","pool":"model","class":"short","surprise":1})"})
+    p.ask("PUT", plain, R"({"paths":[)" + row + "]}", "1", "", true);
+  std::string parameters;
+  for (int i = 0; i < 65; ++i)
+    parameters += std::string(i == 0 ? "" : ",") + "\"p" + std::to_string(i) + R"(":{"type":"string"})";
+  p.ask("PUT", plain, R"({"parameters":{)" + parameters + R"(},"paths":[]})", "1", "", true);
+  p.ask("PUT", desk, std::string(control::maxBody + 1, ' '), "1");
+  p.ask("POST", desk, deskSpec, "1");
+  p.ask("PUT", "/v1/templates/Desk", deskSpec, "0");
+  p.ask("PUT", "/v1/templates/desk/instance/nord", "{}", "0");
+  p.title("taken away");
+  p.ask("DELETE", nord, "", "3", "gone");
+  p.ask("DELETE", nord, "", "3", "gone");
+  p.ask("GET", nord);
+  p.ask("DELETE", desk, "", "1");
+  p.ask("GET", "/v1/templates");
+  p.title("changes");
+  p.ask("GET", "/v1/changes/made");
+  p.ask("GET", "/v1/changes/gone");
+  p.check("pages_templates.txt");
+}
+
+TEST_CASE("golden: pages of the whole configuration") {
+  Pages p;
+  std::string const page = config::wholePage;
+  p.title("nothing so far");
+  p.ask("GET", page);
+  p.ask("PATCH", page, R"({"version":6})", "0");
+  p.ask("PUT", page, wholeSpec, "");
+  p.ask("PUT", page, wholeSpec, "1");
+  p.ask("PUT", page, wholeSpec, "0", "", true);
+  p.title("put and patched");
+  p.ask("PUT", page, wholeSpec, "0", "first");
+  p.ask("GET", page);
+  p.ask("PUT", page, wholeSpec, "0", "first");
+  p.ask("PUT", page, wholeSpec, "0", "again");
+  p.ask("PATCH", page, R"({"version":9,"set":{"pools":[{"name":"small","coldRate":0.5}]},"extra":{"by":"two"}})",
+        "\"5\"", "second");
+  p.ask("PATCH", page, R"({"version":9,"set":{"pools":[{"name":"small","coldRate":0.5}]},"extra":{"by":"two"}})", "5",
+        "second-again");
+  p.ask("PATCH", page, R"({"version":10,"drop":{"pools":["small"]}})", "9", "", true);
+  p.ask("GET", page);
+  p.ask("GET", "/v1/changes/second");
+  p.ask("GET", "/v1/changes/first");
+  p.title("refused");
+  p.ask("PUT", page, wholeSpec, "5", "first");
+  p.ask("PUT", page, R"({"version":20,"paths":[],"pools":[]})", "5");
+  p.ask("PATCH", page, R"({"version":20})", "5");
+  p.ask("DELETE", page, "", "9");
+  p.ask("POST", page, "{}", "9");
+  p.ask("PUT", page, std::string(control::maxWholeBody + 1, ' '), "9");
+  std::string const start = R"({"version":10,"pools":[{"name":"big"}],"paths":[)";
+  std::string const good = R"({"name":"a","host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"big")";
+  for (
+      std::string const& body : std::vector<std::string>{
+          "",
+          "{",
+          "[]",
+          R"({"version":10,"version":11})",
+          "{}",
+          R"({"version":9,"paths":[],"pools":[]})",
+          R"({"version":"10","paths":[],"pools":[]})",
+          R"({"version":10,"paths":[]})",
+          R"({"version":10,"pools":[]})",
+          R"({"version":10,"paths":[],"pools":7})",
+          R"({"version":10,"paths":[],"pools":[7]})",
+          R"({"version":10,"paths":[],"pools":[{}]})",
+          R"({"version":10,"paths":[],"pools":[],"surprise":1})",
+          R"({"version":10,"paths":[],"pools":[{"name":"p"},{"name":"p"}]})",
+          R"({"version":10,"paths":[],"pools":[{"name":"p","standing":"x"}]})",
+          R"({"version":10,"paths":[],"pools":[{"name":"p","coldRate":-1}]})",
+          R"({"version":10,"paths":[],"pools":[{"name":"p","connections":-1}]})",
+          R"({"version":10,"paths":[],"pools":[{"name":"p","surprise":1}]})",
+          R"({"version":10,"paths":[],"pools":[],"door":7})",
+          R"({"version":10,"paths":[],"pools":[],"extra":7})",
+          R"({"version":10,"paths":[],"pools":[],"door":{"headBytes":0}})",
+          R"({"version":10,"paths":[],"pools":[],"door":{"surprise":0}})",
+          R"({"version":10,"paths":[],"pools":[],"tenants":7})",
+          R"({"version":10,"paths":[],"pools":[],"tenants":[7]})",
+          R"({"version":10,"paths":[],"pools":[],"tenants":[{"name":"t"}]})",
+          R"({"version":10,"paths":[],"pools":[],"tenants":[{"name":"t","keys":[""]}]})",
+          R"({"version":10,"paths":[],"pools":[],"tenants":[{"name":"t","keys":["k","k"]}]})",
+          R"({"version":10,"paths":[],"pools":[],"tenants":[{"name":"t","keys":["k"],"rate":-1}]})",
+          R"({"version":10,"paths":[],"pools":[],"tenants":[{"name":"t","keys":["k"],"unit":"bytes"}]})",
+          R"({"version":10,"paths":[],"pools":[],"tenants":[{"name":"t","keys":["k"],"urgency":99}]})",
+          R"({"version":10,"paths":[],"pools":[],"tenants":[{"name":"t","keys":["k"]},{"name":"t","keys":["l"]}]})",
+          start + "7]}",
+          start + "{}]}",
+          start + good + R"(,"surprise":1}]})",
+          start + good + R"(,"shares":[]}]})",
+          start + good + R"(,"tries":0}]})",
+          start + good + R"(,"open":1}]})",
+          start + good + R"(,"urgency":-1}]})",
+          start + good + "}," + good + "}]}",
+          start + good + R"(},{"name":"b","host":"h","prefix":"/a/","kind":"once","deadlineMs":1,"pool":"big"}]})",
+          start + R"({"name":"b","host":"h","prefix":"a","kind":"once","deadlineMs":1,"pool":"big"}]})",
+          start + R"({"name":"b","host":"h","prefix":"/a/","kind":"never","deadlineMs":1,"pool":"big"}]})",
+          start + R"({"name":"b","host":"h","prefix":"/a/","kind":"once","pool":"big"}]})",
+          start + R"({"name":"b","host":"h","prefix":"/a/","kind":"once","deadlineMs":0,"pool":"big"}]})",
+          start + R"({"name":"b","host":"h","prefix":"/a/","kind":"once","deadlineMs":1,"pool":"none"}]})",
+          start + R"({"name":"b","host":"h","prefix":"/a/","kind":"once","deadlineMs":1}]})",
+          start + R"({"name":"b","host":"h","prefix":"/a/","kind":"once","deadlineMs":1,"shares":1}]})",
+          start +
+              R"({"name":"b","host":"h","prefix":"/a/","kind":"once","deadlineMs":1,"shares":[{"pool":"big","share":0}]}]})"})
+    p.ask("PUT", page, body, "9", "", true);
+  for (char const* const body :
+       {"7", "{}", R"({"version":9})", R"({"version":10,"surprise":1})", R"({"version":10,"set":7})",
+        R"({"version":10,"set":{"surprise":[]}})", R"({"version":10,"set":{"pools":[7]}})",
+        R"({"version":10,"set":{"pools":[{"name":"x"},{"name":"x"}]}})", R"({"version":10,"drop":7})",
+        R"({"version":10,"drop":{"pools":[7]}})", R"({"version":10,"drop":{"pools":["big"]}})",
+        R"({"version":10,"drop":{"pools":["small"]},"set":{"pools":[{"name":"small"}]}})",
+        R"({"version":10,"door":7})"})
+    p.ask("PATCH", page, body, "9", "", true);
+  p.check("pages_configuration.txt");
+}
+
+TEST_CASE("golden: pages of certificates") {
+  Pages p;
+  p.rig.reducer.wallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
+  p.ask("PUT", "/v1/platform/pools/model", poolSpec);
+  p.title("nothing so far");
+  p.ask("GET", certificatesPage);
+  p.ask("GET", certificatesPage + "/c1");
+  p.ask("PATCH", certificatesPage, "{}", "0");
+  p.ask("DELETE", certificatesPage + "/c1");
+  p.ask("PUT", certificatesPage, certificates(""), "");
+  p.title("declared");
+  p.ask("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1")), "0", "", true);
+  p.ask("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1")), "0", "first");
+  p.ask("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1")), "0", "first");
+  p.ask("PUT", certificatesPage, certificates(""), "0", "racing");
+  p.ask("PATCH", certificatesPage, R"({"certificates":{"c2":)" + certificate("z2") + "}}", "1");
+  p.ask("GET", certificatesPage);
+  p.ask("GET", certificatesPage + "/c2");
+  p.ask("GET", certificatesPage + "/c3");
+  p.title("refused");
+  p.ask("DELETE", certificatesPage, "", "2");
+  p.ask("PUT", certificatesPage + "/c1", "{}", "2");
+  p.ask("PATCH", certificatesPage + "/c1", "{}", "2");
+  p.ask("DELETE", certificatesPage + "/c1", "", "1");
+  p.ask("DELETE", certificatesPage + "/c3");
+  for (
+      std::string const& body : std::vector<std::string>{
+          "",
+          "{",
+          "[]",
+          "{}",
+          R"({"regimes":{}})",
+          R"({"regimes":7,"certificates":{}})",
+          R"({"regimes":{"H":{}},"certificates":{}})",
+          R"({"regimes":{"health":7},"certificates":{}})",
+          R"({"regimes":{"health":{}},"certificates":{}})",
+          R"({"regimes":{"health":{"nacelles":"some"}},"certificates":{}})",
+          R"({"regimes":{"health":{"nacelles":"any","reserve":2}},"certificates":{}})",
+          R"({"regimes":{"health":{"nacelles":"any","surprise":2}},"certificates":{}})",
+          R"({"regimes":{"health":{"nacelles":"any","note":2}},"certificates":{}})",
+          certificates(R"("C":{})"),
+          certificates(R"("c":7)"),
+          certificates(R"("c":{})"),
+          certificates(
+              R"("c":{"regime":"other","carrier":"replicas","pool":"model","zone":"z1","until":"2030-01-01T00:00:00Z"})"),
+          certificates(R"("c":{"regime":"health","carrier":"nobody"})"),
+          certificates(R"("c":{"regime":"health","carrier":"replicas","pool":"model","until":"2030-01-01T00:00:00Z"})"),
+          certificates(R"("c":{"regime":"health","carrier":"replicas","zone":"z1","until":"2030-01-01T00:00:00Z"})"),
+          certificates(
+              R"("c":{"regime":"health","carrier":"replicas","pool":"model","zone":"z1","life":"l","until":"2030-01-01T00:00:00Z"})"),
+          certificates(
+              R"("c":{"regime":"health","carrier":"replicas","pool":"model","zone":"z1","address":"10.0.0.1:80","until":"2030-01-01T00:00:00Z"})"),
+          certificates(
+              R"("c":{"regime":"health","carrier":"routers","pool":"model","zone":"z1","until":"2030-01-01T00:00:00Z"})"),
+          certificates(R"("c":)" + certificate("z1", "tomorrow")),
+          certificates(
+              R"("c":{"regime":"health","carrier":"replicas","pool":"model","zone":"z1","from":"2030-01-01T00:00:00Z","until":"2030-01-01T00:00:01Z"})")})
+    p.ask("PUT", certificatesPage, body, "2", "", true);
+  p.title("needed by tenants");
+  std::string const law = "/v1/templates/law";
+  std::string const bound = R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})";
+  p.ask("PUT", law, bound, "0");
+  p.ask("PUT", law + "/instances/nord", R"({"regime":"export"})", "0");
+  p.ask("PUT", law + "/instances/nord", "{}", "0");
+  p.ask("PUT", certificatesPage, certificates(""), "2");
+  p.ask("PUT", certificatesPage, certificates(R"("c9":)" + certificate("z9")), "2");
+  p.ask("PUT", certificatesPage, certificates(R"("c9":)" + certificate("z1", "2026-01-01T00:00:00Z")), "2");
+  p.ask("PUT", certificatesPage,
+        R"({"regimes":{"health":{"nacelles":"certified"}},"certificates":{"c1":)" + certificate("z1") + "}}", "2");
+  p.ask("DELETE", certificatesPage + "/c2", "", "", "gone");
+  p.ask("DELETE", certificatesPage + "/c1");
+  p.ask("DELETE", certificatesPage + "/c2", "", "", "gone");
+  p.ask("PUT", law + "/instances/sued", "{}", "0");
+  p.ask("GET", certificatesPage);
+  p.check("pages_certificates.txt");
+}
+
+TEST_CASE("golden: pages of pools, evacuations and alerts") {
+  Pages p;
+  p.title("pools");
+  std::string const pool = "/v1/platform/pools/model";
+  p.ask("GET", pool);
+  p.ask("PUT", pool, poolSpec, "", "", true);
+  p.ask("PUT", pool, poolSpec);
+  p.ask("PUT", pool, poolSpec);
+  p.ask("GET", pool);
+  p.ask("PUT", pool, R"({"generation":2,"replicas":[]})", "7");
+  p.ask("PUT", pool, R"({"generation":2,"replicas":[]})", "1");
+  p.ask("PUT", pool, R"({"generation":1,"replicas":[]})");
+  p.ask("PUT", "/v1/platform/pools/LM%20Pool%2F1.x", R"({"generation":1,"replicas":[]})");
+  p.ask("GET", "/v1/platform/pools/LM%20Pool%2F1.x");
+  for (
+      char const* const body :
+      {"", "[]", "{}", R"({"generation":0})", R"({"generation":9})", R"({"generation":9,"replicas":[7]})",
+       R"({"generation":9,"replicas":[],"surprise":1})", R"({"generation":9,"coldRate":-1,"replicas":[]})",
+       R"({"generation":9,"replicas":[{"id":""}]})", R"({"generation":9,"replicas":[{"address":"x"}]})",
+       R"({"generation":9,"replicas":[{"address":"10.0.0.1:80"}]})",
+       R"({"generation":9,"replicas":[{"address":"10.0.0.1:80","zone":"z1"}]})",
+       R"({"generation":9,"replicas":[{"address":"10.0.0.1:80","zone":"z1","state":"dead"}]})",
+       R"({"generation":9,"replicas":[{"address":"10.0.0.1:80","zone":"z1","state":"cold"},{"address":"10.0.0.1:80","zone":"z1","state":"cold"}]})",
+       R"({"generation":9,"replicas":[{"id":"r","address":"10.0.0.1:80","zone":"z1","state":"cold"},{"id":"r","address":"10.0.0.2:80","zone":"z1","state":"cold"}]})"})
+    p.ask("PUT", pool, body, "", "", true);
+  std::string replicas = "7";
+  for (int i = 0; i < 4096; ++i) replicas += ",7";
+  p.ask("PUT", pool, R"({"generation":9,"replicas":[)" + replicas + "]}", "", "", true);
+  p.ask("DELETE", pool);
+  p.ask("PATCH", pool, "{}");
+
+  p.title("evacuations");
+  std::string const zone = "/v1/evacuations/z1";
+  p.ask("GET", zone);
+  p.ask("DELETE", zone);
+  p.ask("PUT", zone, "", "", "", true);
+  p.ask("PUT", zone, "", "", "away");
+  p.ask("PUT", zone, "", "", "away");
+  p.ask("PUT", zone);
+  p.ask("GET", zone);
+  p.ask("DELETE", zone);
+  p.ask("DELETE", zone, "", "", "away");
+  p.ask("PATCH", zone, "{}");
+  p.ask("PUT", "/v1/evacuations/ZH%20a");
+  p.ask("GET", "/v1/changes/away");
+
+  p.title("alerts");
+  std::string const alert = "/v1/alerts/noisy";
+  p.ask("GET", alert);
+  p.ask("PUT", alert, R"({"state":"claimed","by":"a"})");
+  p.ask("PUT", alert, R"({"state":"claimed","by":"a"})", "0", "", true);
+  p.ask("PUT", alert, R"({"state":"claimed","by":"a"})", "0", "claim");
+  p.ask("PUT", alert, R"({"state":"claimed","by":"a"})", "0", "claim");
+  p.ask("PUT", alert, R"({"state":"done","by":"a"})", "0", "claim");
+  p.ask("PUT", alert, R"({"state":"claimed","by":"b"})", "0");
+  p.ask("GET", alert);
+  for (char const* const body :
+       {"", "[]", R"({"state":"lost","by":"a"})", R"({"state":"done"})", R"({"state":"done","by":"a","surprise":1})"})
+    p.ask("PUT", alert, body, "1", "", true);
+  p.ask("PUT", alert, R"({"state":"done","by":"a"})", "\"1\"");
+  p.ask("PUT", alert, R"({"state":"clear","by":"a"})", "2");
+  p.ask("GET", alert);
+  p.ask("DELETE", alert, "", "3");
+  p.ask("PATCH", alert, "{}", "3");
+  p.check("pages_lists.txt");
+}
+
+TEST_CASE("golden: pages of duties") {
+  Pages p;
+  std::string const watch = "/v1/duties/watch";
+  p.title("too early to know who has it");
+  p.ask("PUT", watch, R"({"holder":"a"})");
+  p.rig.run(16000);
+  p.title("granted, waited for, handed on");
+  p.ask("PUT", watch, R"({"holder":"a"})");
+  p.ask("PUT", watch, R"({"holder":"b"})");
+  p.ask("PUT", watch, R"({"holder":"c"})");
+  p.ask("PUT", watch, R"({"holder":"a"})");
+  p.ask("DELETE", watch, R"({"holder":"b"})");
+  p.ask("DELETE", watch, R"({"holder":"a","successor":"c"})");
+  p.ask("PUT", watch, R"({"holder":"b"})");
+  p.ask("PUT", watch, R"({"holder":"c"})");
+  p.ask("DELETE", watch, R"({"holder":"c"})");
+  p.ask("PUT", watch, R"({"holder":"b"})");
+  p.title("refused");
+  p.ask("GET", watch);
+  p.ask("PUT", watch, "{");
+  p.ask("PUT", watch, "{}");
+  p.ask("PUT", watch, R"({"holder":")" + std::string(65, 'x') + R"("})");
+  p.ask("PUT", "/v1/duties/Watch", R"({"holder":"a"})");
+  for (int i = 0; i < 4096; ++i) p.rig.call("PUT", "/v1/duties/d" + std::to_string(i), R"({"holder":"a"})");
+  p.ask("PUT", "/v1/duties/last", R"({"holder":"a"})");
+  p.ask("PUT", watch, R"({"holder":"b"})");
+  p.check("pages_duties.txt");
+}
+
+TEST_CASE("golden: the fleet, its roster, and changes that are not in force") {
+  Pages p;
+  p.title("a controller alone");
+  p.ask("GET", "/v1/fleet");
+  p.title("three routers");
+  p.rig.alive = {"a", "b", "c"};
+  p.rig.run(6000);
+  p.ask("GET", "/v1/fleet");
+  p.ask("PUT", "/v1/platform/pools/model", poolSpec);
+  p.ask("PUT", config::wholePage, wholeSpec, "0");
+  p.title("one router is deaf: a majority has it and the rest is fenced");
+  p.rig.deaf = {"c"};
+  p.ask("PUT", "/v1/evacuations/z1");
+  p.title("two routers are deaf: pending");
+  p.rig.deaf = {"b", "c"};
+  p.ask("PUT", "/v1/evacuations/z2", "", "", "late");
+  p.ask("GET", "/v1/changes/late");
+  p.ask("GET", "/v1/fleet");
+  p.title("in force after all");
+  p.rig.deaf = {};
+  p.rig.run(700);
+  p.ask("GET", "/v1/changes/late");
+  p.title("nodes that are gone");
+  p.ask("DELETE", "/v1/nodes/nobody");
+  p.rig.alive = {"a", "b", "d"};
+  p.rig.run(6000);
+  p.ask("DELETE", "/v1/nodes/c", "", "", "", true);
+  p.ask("DELETE", "/v1/nodes/c", "", "", "struck");
+  p.ask("DELETE", "/v1/nodes/c");
+  p.ask("GET", "/v1/nodes/c");
+  p.ask("GET", "/v1/roster/nodes");
+  p.rig.run(6000);
+  p.ask("GET", "/v1/fleet");
+  p.check("pages_fleet.txt");
+}
+
+TEST_CASE("golden: an answer that does not wait until a change is in force") {
+  control::Tuning tuning;
+  tuning.awaitInForce = false;
+  Pages p(tuning);
+  p.ask("PUT", config::wholePage, wholeSpec, "0", "first");
+  p.ask("PUT", config::wholePage, wholeSpec, "0", "first");
+  p.ask("PUT", "/v1/evacuations/z1");
+  p.ask("GET", "/v1/changes/first");
+  p.ask("GET", config::wholePage);
+  p.check("pages_at_once.txt");
+}
+
+TEST_CASE("golden: no such page") {
+  Pages p;
+  for (char const* const path : {"/",
+                                 "/v1",
+                                 "/v1/",
+                                 "/v2/fleet",
+                                 "/v1/fleet/x",
+                                 "/v1/templates/",
+                                 "/v1/templates/A",
+                                 "/v1/templates/a/instances",
+                                 "/v1/templates/a/instances/B",
+                                 "/v1/certificates/C",
+                                 "/v1/certificates/a/b",
+                                 "/v1/evacuations/",
+                                 "/v1/evacuations/..",
+                                 "/v1/alerts/",
+                                 "/v1/alerts/A",
+                                 "/v1/platform/pools",
+                                 "/v1/platform/pools/",
+                                 "/v1/duties/",
+                                 "/v1/nodes/",
+                                 "/v1/roster",
+                                 "/v1/roster/x",
+                                 "/v1/configurations"})
+    for (char const* const method : {"GET", "PUT"}) p.ask(method, path);
+  p.ask("PUT", "/v1/fleet", "{}");
+  p.ask("PUT", "/v1/templates", "{}");
+  p.ask("PUT", "/v1/changes/x", "{}");
+  p.check("pages_not_found.txt");
+}
+
+namespace {
+
+constexpr char const* holder = R"({"holder":"a"})";
+
+/// One of each kind of call.
+std::vector<std::pair<std::string, std::string>> const kinds{{"GET", config::wholePage},
+                                                             {"PUT", config::wholePage},
+                                                             {"PATCH", config::wholePage},
+                                                             {"GET", desk},
+                                                             {"PUT", desk},
+                                                             {"DELETE", nord},
+                                                             {"GET", certificatesPage},
+                                                             {"PUT", certificatesPage},
+                                                             {"GET", "/v1/evacuations/z1"},
+                                                             {"PUT", "/v1/evacuations/z1"},
+                                                             {"DELETE", "/v1/evacuations/z1"},
+                                                             {"GET", "/v1/alerts/a"},
+                                                             {"PUT", "/v1/alerts/a"},
+                                                             {"GET", "/v1/platform/pools/model"},
+                                                             {"PUT", "/v1/platform/pools/model"},
+                                                             {"DELETE", "/v1/nodes/a"},
+                                                             {"GET", "/v1/templates"},
+                                                             {"GET", "/v1/changes/x"},
+                                                             {"PUT", "/v1/duties/watch"}};
+
+/// A controller whose disk is silent: what it writes is never confirmed.
+struct Silent {
+  control::Controller& reducer;
+  core::Tick& now;
+  std::map<std::uint64_t, control::Answer> answers;
+
+  void take(control::Commands const& commands) {
+    for (control::Answer const& a : commands.answers) answers[a.token] = a;
+  }
+  void run(core::Tick span) {
+    for (core::Tick const until = now + span; now < until; now += 25) take(reducer.clockEvent(now));
+  }
+  std::string told(transport::Call const& call) const {
+    auto const answer = answers.find(call.token);
+    return asked(call) +
+           (answer == answers.end() ? "no answer\n" : answered(answer->second.status, answer->second.body));
+  }
+};
+
+}  // namespace
+
+TEST_CASE("golden: a controller that leaves") {
+  Pages p;
+  p.rig.run(16000);
+  p.rig.take(p.rig.reducer.drain(p.rig.now));
+  for (auto const& [method, path] : kinds) p.ask(method, path, holder, "0");
+  p.ask("GET", "/v1/fleet");
+  p.check("pages_leaving.txt");
+}
+
+TEST_CASE("golden: a controller that was never in contact with a majority") {
+  std::string text;
+  Pages calls;
+  control::Controller reducer(Rig::contact("s1", transport::controllerRole), "m1", {}, {"s1", "s2", "s3"}, 3);
+  core::Tick now = 1000;
+  Silent alone{reducer, now, {}};
+  alone.take(reducer.restore({}, false, now));
+  alone.run(1000);
+  for (auto const& [method, path] : kinds) {
+    transport::Call const call = calls.callOf(method, path, holder, "0");
+    alone.take(reducer.operatorCall(now, call));
+    alone.run(1000);
+    text += alone.told(call);
+  }
+  text += "\n# too many questions\n";
+  for (int i = 0; i < 4096; ++i) alone.take(reducer.operatorCall(now, calls.callOf("GET", "/v1/templates")));
+  for (char const* const path : {"/v1/templates", "/v1/changes/x", "/v1/fleet"}) {
+    transport::Call const call = calls.callOf("GET", path);
+    alone.take(reducer.operatorCall(now, call));
+    text += alone.told(call);
+  }
+  golden::check(file("pages_out_of_contact.txt"), text);
+}
+
+TEST_CASE("golden: the disk falls silent while calls are in hand") {
+  std::string text;
+  Pages p;
+  p.rig.run(3000);
+  Silent silent{p.rig.reducer, p.rig.now, {}};
+  std::vector<transport::Call> calls;
+  for (auto const& [method, path] : kinds) {
+    calls.push_back(p.callOf(method, path, holder, "0"));
+    silent.take(p.rig.reducer.operatorCall(p.rig.now, calls.back()));
+  }
+  silent.run(patience);
+  for (transport::Call const& call : calls) text += silent.told(call);
+  golden::check(file("pages_disk_silent.txt"), text);
+}
+
+TEST_CASE("golden: a controller that has too much in hand") {
+  std::string text;
+  Pages p;
+  p.rig.run(3000);
+  Silent full{p.rig.reducer, p.rig.now, {}};
+  for (int i = 0; i < 4096; ++i)
+    full.take(p.rig.reducer.operatorCall(p.rig.now, p.callOf("PUT", "/v1/evacuations/y" + std::to_string(i))));
+  for (auto const& [method, path] : kinds) {
+    transport::Call const call = p.callOf(method, path, holder, "0");
+    full.take(p.rig.reducer.operatorCall(p.rig.now, call));
+    text += full.told(call);
+  }
+  golden::check(file("pages_full.txt"), text);
+}
+
+namespace {
+
+/// Three controllers whose messages and disks take two ticks; answers that one sends another for its caller are lost
+/// when told so.
+struct Three {
+  core::Tick now = 1000;
+  std::map<std::string, std::unique_ptr<control::Controller>> members;
+  std::multimap<core::Tick, std::function<void()>> events;
+  std::map<std::uint64_t, control::Answer> answers;
+  bool loseAnswers = false;
+  std::uint64_t token = 1;
+
+  Three() {
+    std::uint64_t seed = 5;
+    for (char const* const link : {"s1", "s2", "s3"})
+      members[link] = std::make_unique<control::Controller>(Rig::contact(link, transport::controllerRole),
+                                                            std::string("m") + link, std::vector<std::string>{},
+                                                            std::vector<std::string>{"s1", "s2", "s3"}, seed++);
+    for (auto const& [link, reducer] : members) take(link, reducer->restore({}, false, now));
+    run(4000);
+    REQUIRE(members.at("s1")->ready(now));
+  }
+  void take(std::string const& link, control::Commands&& commands) {
+    for (auto const& persist : commands.persists)
+      events.emplace(
+          now + 2, [this, link, ticket = persist.ticket] { take(link, members.at(link)->written(now, ticket, true)); });
+    for (transport::Send const& send : commands.sends) {
+      bool const lost = loseAnswers && std::holds_alternative<transport::CallResponse>(send.message);
+      if (lost || members.count(send.to) == 0) continue;
+      events.emplace(now + 2,
+                     [this, link, send] { take(send.to, members.at(send.to)->arrived(now, link, send.message)); });
+    }
+    for (control::Answer const& a : commands.answers) answers[a.token] = a;
+  }
+  void run(core::Tick span) {
+    for (core::Tick const until = now + span; now < until; ++now) {
+      while (!events.empty() && events.begin()->first <= now) {
+        std::function<void()> const event = std::move(events.begin()->second);
+        events.erase(events.begin());
+        event();
+      }
+      if (now % 25 != 0) continue;
+      for (auto const& [link, reducer] : members) take(link, reducer->clockEvent(now));
+    }
+  }
+  std::string ask(std::string const& at, std::string const& method, std::string const& path,
+                  std::string const& body = "", std::string const& ifMatch = "") {
+    transport::Call call;
+    call.token = token++;
+    call.method = method;
+    call.path = path;
+    call.body = body;
+    call.ifMatch = ifMatch;
+    call.changeId = "c" + std::to_string(call.token);
+    take(at, members.at(at)->operatorCall(now, call));
+    for (core::Tick const until = now + patience; answers.count(call.token) == 0 && now < until;) run(25);
+    REQUIRE(answers.count(call.token) == 1);
+    return at + asked(call) + answered(answers.at(call.token).status, answers.at(call.token).body);
+  }
+};
+
+}  // namespace
+
+TEST_CASE("golden: three controllers relay calls to the owner of a key") {
+  Three fleet;
+  std::string text;
+  for (char const* const link : {"s1", "s2", "s3"}) {
+    text += fleet.ask(link, "PUT", "/v1/evacuations/z1");
+    text += fleet.ask(link, "GET", "/v1/evacuations/z1");
+    text += fleet.ask(link, "GET", config::wholePage);
+    text += fleet.ask(link, "GET", "/v1/fleet");
+  }
+  fleet.loseAnswers = true;
+  text += "\n# answers of the owner are lost\n";
+  for (char const* const link : {"s1", "s2", "s3"}) {
+    text += fleet.ask(link, "DELETE", "/v1/evacuations/z1");
+    text += fleet.ask(link, "GET", "/v1/evacuations/z1");
+  }
+  golden::check(file("pages_relayed.txt"), text);
+}
+
+TEST_CASE("golden: refusals that only a key's own history or size brings") {
+  std::string text;
+  auto const ask = [&text](std::string const& method, std::string const& path, std::string const& key,
+                           std::uint64_t revision, QJsonObject const& value, std::string const& body,
+                           std::string const& ifMatch, bool poolUnsure = false) {
+    transport::Call call;
+    call.method = method;
+    call.path = path;
+    call.body = body;
+    call.ifMatch = ifMatch;
+    call.changeId = "c";
+    control::Around around;
+    around.poolKnown = [](std::string const&) { return false; };
+    around.poolUnsure = [poolUnsure](std::string const&) { return poolUnsure; };
+    around.regimeFault = [](config::Regimes const&, std::string const&, std::string const&) {
+      return std::optional<config::RegimeFault>();
+    };
+    around.regimes = [] { return config::Regimes{}; };
+    around.regimeUses = [] { return std::vector<config::RegimeUse>(); };
+    auto const verdict = control::validator(key, revision, value, call, around);
+    text += asked(call) + answered(verdict.status, verdict.body);
+  };
+  QJsonObject const family{{"template", QJsonObject{{"stamp", 1}, {"spec", core::parseJson(deskSpec).toObject()}}}};
+  std::string const north = R"({"parameters":{"site":"north"}})";
+  ask("PUT", nord, "family:desk", 1, family, north, "0", false);
+  ask("PUT", nord, "family:desk", 1, family, north, "0", true);
+
+  control::ChangeHistory history({}, 0);
+  for (std::uint64_t base = 0; base < 3 * 1024; ++base)
+    history.append(control::orderDigest({}, {}, std::to_string(base)), base);
+  QJsonObject old = family;
+  old.insert(control::ChangeHistory::field, history.json());
+  ask("PUT", desk, "family:desk", 3072, old, deskSpec, "7");
+  QJsonObject whole{{"spec", QJsonObject{{"version", 3072}, {"paths", QJsonArray{}}, {"pools", QJsonArray{}}}}};
+  whole.insert(control::ChangeHistory::field, history.json());
+  ask("PUT", config::wholePage, config::wholeKey, 3072, whole, wholeSpec, "7");
+  ask("DELETE", config::wholePage, config::wholeKey, 3072, whole, "", "3072");
+  ask("DELETE", "/v1/alerts/a", "alert:a", 1, {}, "", "1");
+  ask("GET", "/v1/x/y", "other", 1, {}, "", "");
+
+  ask("PUT", "/v1/evacuations/z1", "zone:z1", 5, {}, "", "4");
+  ask("ROSTER", "/v1/roster/nodes", "roster", 5, {}, R"({"nodes":[]})", "4");
+
+  QJsonObject spec = core::parseJson(R"({"paths":[{"path":"a","pool":"p","class":"short"}]})").toObject();
+  spec.insert("note", QString(8 << 20, 'n'));
+  QJsonObject const full{{"template", QJsonObject{{"stamp", 1}, {"spec", spec}}}};
+  ask("PATCH", desk, "family:desk", 1, full, "{}", "1");
+
+  QJsonObject const big{{"version", 1},
+                        {"paths", QJsonArray{}},
+                        {"pools", QJsonArray{}},
+                        {"extra", QJsonObject{{"n", QString(8 << 20, 'n')}}}};
+  QJsonObject const bytes{{"spec", big}, {"changes", QJsonArray{QJsonObject{{"id", "o"}, {"bytes", 8 << 20}}}}};
+  ask("PATCH", config::wholePage, config::wholeKey, 1, bytes, R"({"version":2})", "1");
+
+  QJsonObject const noted{
+      {"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", "any"}, {"note", QString(2 << 20, 'n')}}}}},
+      {"certificates", QJsonObject{}}};
+  ask("PATCH", certificatesPage, config::regimesKey, 1, QJsonObject{{"spec", noted}}, "{}", "1");
+  golden::check(file("refusals.txt"), text);
+}
+
+TEST_CASE("golden: metrics of a controller") {
+  std::string text;
+  Pages p;
+  text += "# alone\n" + p.rig.reducer.metrics(p.rig.now);
+  p.rig.reducer.wallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
+  p.rig.alive = {"a", "b", "c"};
+  p.rig.run(6000);
+  p.ask("PUT", "/v1/platform/pools/model", poolSpec);
+  p.ask("PUT", config::wholePage, wholeSpec, "0");
+  p.ask("PUT", config::wholePage, wholeSpec, "7");
+  p.ask("GET", config::wholePage);
+  p.ask("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1", "2026-06-01T01:00:00Z")), "0");
+  p.ask("PUT", "/v1/platform/pools/model", R"({"generation":2,"replicas":[]})");
+  p.ask("PUT", "/v1/platform/pools/model", "{");
+  config::Pool list;
+  config::Replica replica;
+  replica.id = "i-1";
+  replica.address = "10.0.0.1:80";
+  replica.zone = "z1";
+  list.replicas = {replica};
+  p.rig.take(p.rig.reducer.platformLists(p.rig.now, {{"model", list}}));
+  p.rig.run(700);
+  p.rig.deaf = {"b", "c"};
+  p.ask("PUT", "/v1/evacuations/z2");
+  p.rig.call("PUT", "/v1/evacuations/z3");
+  text += "# with routers, certificates and a call in hand\n" + p.rig.reducer.metrics(p.rig.now);
+  p.rig.take(p.rig.reducer.drain(p.rig.now));
+  p.rig.run(6000);
+  text += "# leaving\n" + p.rig.reducer.metrics(p.rig.now);
+  control::Controller alone(Rig::contact("s1", transport::controllerRole), "m1", {}, {"s1", "s2", "s3"}, 3);
+  alone.restore({}, true, 1000);
+  for (core::Tick now = 1000; now < 4000; now += 25) alone.clockEvent(now);
+  text += "# out of contact, after a damaged disk\n" + alone.metrics(4000);
+  golden::check(file("metrics.txt"), text);
+}
