--- a/audit/include/corkward/audit/trail.h
+++ b/audit/include/corkward/audit/audit_log.h
@@ -14,22 +14,22 @@
 namespace corkward::audit {
 
 /// What became of requests, whose they were, and where they ran: what is counted together.
-struct Kind {
+struct RecordKind {
   /// handed-over, resumed, served, not-run, broken or rejected.
-  std::string what;
+  std::string outcome;
   std::string regime;
   std::string instance;
   std::string pool = {};
   std::string address = {};
-  std::string life = {};
+  std::string incarnation = {};
   std::string zone = {};
   std::string certificate = {};
   std::string reason = {};
-  auto operator<=>(Kind const&) const = default;
+  auto operator<=>(RecordKind const&) const = default;
 };
 
 /// The newest record of a trail: a trail that was cut short since does not hold it.
-struct Head {
+struct AuditHead {
   std::uint64_t number = 0;
   std::string hash;
 };
@@ -44,20 +44,20 @@
 
 /// Writes the audit trail of one node: records in lines, each with the SHA-256 of its text, which holds the hash of the
 /// record before. Writing may throw write-ahead log::Error.
-class Trail {
+class AuditLog {
  public:
   /// Goes on after the newest record in the folder; a last line that was torn is cut off. The folder must outlive it.
-  Trail(storage::Folder& folder, std::string node, std::int64_t wall, Bounds bounds = {});
+  AuditLog(storage::Directory& folder, std::string node, std::int64_t wall, Bounds bounds = {});
   /// Counts one request. The first of its kind in a span is in the file when this returns, the others when the span
   /// ends.
-  void count(Kind const& kind, std::int64_t wall);
+  void count(RecordKind const& kind, std::int64_t wall);
   /// Writes the counts of a span that has ended.
   void clockEvent(std::int64_t wall);
   /// Writes a record that says no more than that it could be written.
   void probe(std::int64_t wall);
   /// Writes all counts; nothing is missing from this life.
   void close(std::int64_t wall);
-  Head const& head() const { return head_; }
+  AuditHead const& head() const { return head_; }
   /// File with records that were not synced yet, to be synced where it holds nothing up; empty: none.
   std::string takeUnsynced();
 
@@ -66,10 +66,10 @@
   void writeCounts(std::int64_t wall);
   void begin(std::int64_t wall);
 
-  storage::Folder& folder_;
+  storage::Directory& folder_;
   std::string node_;
   Bounds bounds_;
-  Head head_;
+  AuditHead head_;
   std::string file_;
   std::uint64_t size_ = 0;
   std::vector<std::string> files_;
@@ -78,7 +78,7 @@
   bool halfWritten_ = false;
   std::int64_t span_ = 0;
   /// Counted in this span and not written yet; 0: the first one is written.
-  std::map<Kind, std::uint64_t> counts_;
+  std::map<RecordKind, std::uint64_t> counts_;
 };
 
 /// A place where a trail is not as it was written.
@@ -89,7 +89,7 @@
 };
 
 /// A trail as it was read from its folder.
-struct TrailView {
+struct AuditLogView {
   std::string node;
   std::vector<QJsonObject> records;
   std::vector<Fault> faults;
@@ -97,16 +97,16 @@
   bool tornEnd = false;
   /// Number of the first record that is kept; those before were dropped by the bound.
   std::uint64_t first = 0;
-  Head head;
+  AuditHead head;
   /// Hash of each record by its number.
   std::map<std::uint64_t, std::string> hashes;
 };
 
 /// Reads a trail and checks that each record is as it was written and follows the one before.
-TrailView readTrail(storage::Folder& folder);
+AuditLogView readAuditLog(storage::Directory& folder);
 
 /// What ran where, what was rejected and what resumed, by regime and span of time, from the trails of all nodes.
-struct Ask {
+struct ReportQuery {
   /// Empty: all.
   std::string regime;
   /// Wall time in milliseconds; 0: no bound.
@@ -114,10 +114,10 @@
   std::int64_t until = 0;
   std::int64_t span = 3600000;
   /// Heads that were noted elsewhere, by node: each must be in its trail.
-  std::vector<std::pair<std::string, Head>> heads;
+  std::vector<std::pair<std::string, AuditHead>> heads;
 };
 /// {"regimes": {name: [{"span", "counts": [{"what", "instance", ..., "count"}]}]}, "nodes": [{"node", "first", "head",
 /// "lives": [...], "faults": [...]}], "whole"}; a life that has no end says that its counts are the least.
-QJsonObject report(std::vector<TrailView> const& trails, Ask const& ask);
+QJsonObject report(std::vector<AuditLogView> const& trails, ReportQuery const& ask);
 
 }  // namespace corkward::audit
--- a/audit/src/trail.cpp
+++ b/audit/src/audit_log.cpp
@@ -1,4 +1,4 @@
-#include <corkward/audit/trail.h>
+#include <corkward/audit/audit_log.h>
 
 #include <QCryptographicHash>
 #include <QDateTime>
@@ -22,14 +22,14 @@
 }  // namespace
 
 std::string timeText(std::int64_t wall) {
-  return core::str(QDateTime::fromMSecsSinceEpoch(wall, Qt::UTC).toString(Qt::ISODateWithMs));
+  return core::toStdString(QDateTime::fromMSecsSinceEpoch(wall, Qt::UTC).toString(Qt::ISODateWithMs));
 }
 
 std::string hashOf(std::string const& text) {
   return QCryptographicHash::hash(QByteArray::fromStdString(text), QCryptographicHash::Sha256).toHex().toStdString();
 }
 
-std::vector<std::string> trailFiles(storage::Folder& folder) {
+std::vector<std::string> auditLogFiles(storage::Directory& folder) {
   std::vector<std::string> out;
   for (std::string const& name : folder.list())
     if (name.rfind(prefix, 0) == 0) out.push_back(name);
@@ -66,11 +66,11 @@
   return out;
 }
 
-Trail::Trail(storage::Folder& folder, std::string node, std::int64_t wall, Bounds bounds)
+AuditLog::AuditLog(storage::Directory& folder, std::string node, std::int64_t wall, Bounds bounds)
     : folder_(folder),
       node_(std::move(node)),
       bounds_(bounds),
-      files_(trailFiles(folder)),
+      files_(auditLogFiles(folder)),
       span_(wall - wall % spanMs) {
   for (std::size_t i = files_.size(); i > 0 && head_.number == 0; --i) {
     std::vector<Line> lines = readLines(folder_.read(files_[i - 1]));
@@ -81,7 +81,7 @@
     std::vector<Line>::const_reverse_iterator const good =
         std::find_if(lines.crbegin(), lines.crend(), [](Line const& l) { return l.fault.empty(); });
     if (good == lines.crend()) continue;
-    head_ = Head{static_cast<std::uint64_t>(good->record.value("n").toInteger()), good->hash};
+    head_ = AuditHead{static_cast<std::uint64_t>(good->record.value("n").toInteger()), good->hash};
     if (i < files_.size() || good != lines.crbegin()) continue;
     file_ = files_[i - 1];
     size_ = good->end;
@@ -89,14 +89,14 @@
   begin(wall);
 }
 
-void Trail::begin(std::int64_t wall) {
-  write(QJsonObject{{"what", "opened"}, {"node", core::qstr(node_)}}, wall);
+void AuditLog::begin(std::int64_t wall) {
+  write(QJsonObject{{"what", "opened"}, {"node", core::toQString(node_)}}, wall);
 }
 
-void Trail::write(QJsonObject record, std::int64_t wall) {
+void AuditLog::write(QJsonObject record, std::int64_t wall) {
   record.insert("n", static_cast<qint64>(head_.number + 1));
-  record.insert("prev", core::qstr(head_.hash));
-  record.insert("at", core::qstr(timeText(wall)));
+  record.insert("prev", core::toQString(head_.hash));
+  record.insert("at", core::toQString(timeText(wall)));
   std::string const text = core::jsonText(record);
   std::string const hash = hashOf(text);
   std::string const line = hash + " " + text + "\n";
@@ -116,12 +116,12 @@
   halfWritten_ = false;
   size_ += line.size();
   unsynced_ = true;
-  head_ = Head{head_.number + 1, hash};
+  head_ = AuditHead{head_.number + 1, hash};
 }
 
-void Trail::count(Kind const& kind, std::int64_t wall) {
+void AuditLog::count(RecordKind const& kind, std::int64_t wall) {
   clockEvent(wall);
-  std::map<Kind, std::uint64_t>::iterator const it = counts_.find(kind);
+  std::map<RecordKind, std::uint64_t>::iterator const it = counts_.find(kind);
   if (it != counts_.end()) {
     ++it->second;
     return;
@@ -130,32 +130,32 @@
   counts_[kind] = 0;
 }
 
-void Trail::clockEvent(std::int64_t wall) {
+void AuditLog::clockEvent(std::int64_t wall) {
   if (wall >= span_ && wall < span_ + spanMs) return;
   writeCounts(wall);
   span_ = wall - wall % spanMs;
 }
 
-void Trail::writeCounts(std::int64_t wall) {
+void AuditLog::writeCounts(std::int64_t wall) {
   while (!counts_.empty()) {
-    std::map<Kind, std::uint64_t>::iterator const it = counts_.begin();
+    std::map<RecordKind, std::uint64_t>::iterator const it = counts_.begin();
     if (it->second > 0) write(countRecord(it->first, span_, it->second), wall);
     counts_.erase(it);
   }
 }
 
-void Trail::probe(std::int64_t wall) {
+void AuditLog::probe(std::int64_t wall) {
   write(QJsonObject{{"what", "probed"}}, wall);
 }
 
-void Trail::close(std::int64_t wall) {
+void AuditLog::close(std::int64_t wall) {
   writeCounts(wall);
   write(QJsonObject{{"what", "closed"}}, wall);
   folder_.sync(file_);
   unsynced_ = false;
 }
 
-std::string Trail::takeUnsynced() {
+std::string AuditLog::takeUnsynced() {
   if (!unsynced_) return "";
   unsynced_ = false;
   return file_;
--- a/audit/src/lines.h
+++ b/audit/src/lines.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include <corkward/audit/trail.h>
+#include <corkward/audit/audit_log.h>
 
 namespace corkward::audit {
 
@@ -20,11 +20,11 @@
 
 std::vector<Line> readLines(std::string const& text);
 /// Files of a trail, oldest first.
-std::vector<std::string> trailFiles(storage::Folder& folder);
+std::vector<std::string> auditLogFiles(storage::Directory& folder);
 std::string hashOf(std::string const& text);
 std::string timeText(std::int64_t wall);
 
-QJsonObject countRecord(Kind const& kind, std::int64_t span, std::uint64_t count);
-Kind kindOf(QJsonObject const& record);
+QJsonObject countRecord(RecordKind const& kind, std::int64_t span, std::uint64_t count);
+RecordKind kindOf(QJsonObject const& record);
 
 }  // namespace corkward::audit
--- a/audit/src/report.cpp
+++ b/audit/src/report.cpp
@@ -13,19 +13,19 @@
 
 struct FieldRow {
   char const* name;
-  std::string Kind::*field;
+  std::string RecordKind::*field;
 };
 
 constexpr FieldRow fieldTable[] = {
-    {"what", &Kind::what}, {"regime", &Kind::regime},           {"instance", &Kind::instance},
-    {"pool", &Kind::pool}, {"address", &Kind::address},         {"life", &Kind::life},
-    {"zone", &Kind::zone}, {"certificate", &Kind::certificate}, {"reason", &Kind::reason}};
+    {"what", &RecordKind::outcome}, {"regime", &RecordKind::regime},           {"instance", &RecordKind::instance},
+    {"pool", &RecordKind::pool},    {"address", &RecordKind::address},         {"life", &RecordKind::incarnation},
+    {"zone", &RecordKind::zone},    {"certificate", &RecordKind::certificate}, {"reason", &RecordKind::reason}};
 
 std::int64_t wallOf(QJsonObject const& record, char const* field) {
   return QDateTime::fromString(record.value(QLatin1String(field)).toString(), Qt::ISODateWithMs).toMSecsSinceEpoch();
 }
 
-QJsonObject nodeReport(TrailView const& t, Ask const& ask, bool& whole) {
+QJsonObject nodeReport(AuditLogView const& t, ReportQuery const& ask, bool& whole) {
   QJsonArray lives;
   QJsonObject life;
   for (QJsonObject const& r : t.records) {
@@ -41,43 +41,44 @@
   if (!life.isEmpty()) lives.append(life);
   QJsonArray faults;
   for (Fault const& f : t.faults)
-    faults.append(QJsonObject{
-        {"file", core::qstr(f.file)}, {"line", static_cast<qint64>(f.line)}, {"reason", core::qstr(f.reason)}});
-  for (std::pair<std::string, Head> const& h : ask.heads) {
+    faults.append(QJsonObject{{"file", core::toQString(f.file)},
+                              {"line", static_cast<qint64>(f.line)},
+                              {"reason", core::toQString(f.reason)}});
+  for (std::pair<std::string, AuditHead> const& h : ask.heads) {
     if (h.first != t.node || h.second.number < t.first) continue;
     std::map<std::uint64_t, std::string>::const_iterator const it = t.hashes.find(h.second.number);
     if (it != t.hashes.end() && it->second == h.second.hash) continue;
-    faults.append(QJsonObject{{"reason", core::qstr("record " + std::to_string(h.second.number) +
-                                                    " that was noted elsewhere is not in the trail")}});
+    faults.append(QJsonObject{{"reason", core::toQString("record " + std::to_string(h.second.number) +
+                                                         " that was noted elsewhere is not in the trail")}});
   }
   whole = whole && faults.isEmpty();
   return QJsonObject{
-      {"node", core::qstr(t.node)},
+      {"node", core::toQString(t.node)},
       {"first", static_cast<qint64>(t.first)},
       {"faults", faults},
       {"lives", lives},
       {"tornEnd", t.tornEnd},
-      {"head", QJsonObject{{"n", static_cast<qint64>(t.head.number)}, {"hash", core::qstr(t.head.hash)}}}};
+      {"head", QJsonObject{{"n", static_cast<qint64>(t.head.number)}, {"hash", core::toQString(t.head.hash)}}}};
 }
 
 }  // namespace
 
-QJsonObject countRecord(Kind const& kind, std::int64_t span, std::uint64_t count) {
-  QJsonObject out{{"span", core::qstr(timeText(span))}, {"count", static_cast<qint64>(count)}};
+QJsonObject countRecord(RecordKind const& kind, std::int64_t span, std::uint64_t count) {
+  QJsonObject out{{"span", core::toQString(timeText(span))}, {"count", static_cast<qint64>(count)}};
   for (FieldRow const& f : fieldTable)
-    if (!(kind.*f.field).empty()) out.insert(QLatin1String(f.name), core::qstr(kind.*f.field));
+    if (!(kind.*f.field).empty()) out.insert(QLatin1String(f.name), core::toQString(kind.*f.field));
   return out;
 }
 
-Kind kindOf(QJsonObject const& record) {
-  Kind out;
-  for (FieldRow const& f : fieldTable) out.*f.field = core::str(record.value(QLatin1String(f.name)).toString());
+RecordKind kindOf(QJsonObject const& record) {
+  RecordKind out;
+  for (FieldRow const& f : fieldTable) out.*f.field = core::toStdString(record.value(QLatin1String(f.name)).toString());
   return out;
 }
 
-TrailView readTrail(storage::Folder& folder) {
-  TrailView out;
-  std::vector<std::string> const files = trailFiles(folder);
+AuditLogView readAuditLog(storage::Directory& folder) {
+  AuditLogView out;
+  std::vector<std::string> const files = auditLogFiles(folder);
   for (std::string const& file : files) {
     std::vector<Line> const lines = readLines(folder.read(file));
     for (std::size_t i = 0; i < lines.size(); ++i) {
@@ -91,7 +92,7 @@
         continue;
       }
       std::uint64_t const n = static_cast<std::uint64_t>(line.record.value("n").toInteger());
-      std::string const prev = core::str(line.record.value("prev").toString());
+      std::string const prev = core::toStdString(line.record.value("prev").toString());
       if (out.records.empty()) {
         out.first = n;
         if (n == 1 && !prev.empty())
@@ -99,51 +100,53 @@
       } else if (n != out.head.number + 1 || prev != out.head.hash) {
         out.faults.push_back(Fault{file, i + 1, "does not follow record " + std::to_string(out.head.number)});
       }
-      if (line.record.value("what").toString() == "opened") out.node = core::str(line.record.value("node").toString());
+      if (line.record.value("what").toString() == "opened")
+        out.node = core::toStdString(line.record.value("node").toString());
       out.records.push_back(line.record);
       out.hashes[n] = line.hash;
-      out.head = Head{n, line.hash};
+      out.head = AuditHead{n, line.hash};
     }
   }
   return out;
 }
 
-QJsonObject report(std::vector<TrailView> const& trails, Ask const& ask) {
-  std::map<std::string, std::map<std::int64_t, std::map<Kind, std::uint64_t>>> sums;
+QJsonObject report(std::vector<AuditLogView> const& trails, ReportQuery const& ask) {
+  std::map<std::string, std::map<std::int64_t, std::map<RecordKind, std::uint64_t>>> sums;
   bool whole = true;
   QJsonArray nodes;
-  for (TrailView const& t : trails) {
+  for (AuditLogView const& t : trails) {
     nodes.append(nodeReport(t, ask, whole));
     for (QJsonObject const& r : t.records) {
       if (!r.contains("count")) continue;
-      Kind const kind = kindOf(r);
+      RecordKind const kind = kindOf(r);
       std::int64_t const span = wallOf(r, "span");
       if ((!ask.regime.empty() && kind.regime != ask.regime) || span < ask.from || (ask.until > 0 && span >= ask.until))
         continue;
       sums[kind.regime][span - span % ask.span][kind] += static_cast<std::uint64_t>(r.value("count").toInteger());
     }
   }
-  for (std::pair<std::string, Head> const& h : ask.heads) {
-    bool const known = std::any_of(trails.begin(), trails.end(), [&](TrailView const& t) { return t.node == h.first; });
+  for (std::pair<std::string, AuditHead> const& h : ask.heads) {
+    bool const known =
+        std::any_of(trails.begin(), trails.end(), [&](AuditLogView const& t) { return t.node == h.first; });
     if (known) continue;
     whole = false;
-    nodes.append(QJsonObject{{"node", core::qstr(h.first)},
+    nodes.append(QJsonObject{{"node", core::toQString(h.first)},
                              {"faults", QJsonArray{QJsonObject{{"reason", "no trail of this node was given"}}}}});
   }
   QJsonObject regimes;
-  for (std::pair<std::string const, std::map<std::int64_t, std::map<Kind, std::uint64_t>>> const& regime : sums) {
+  for (std::pair<std::string const, std::map<std::int64_t, std::map<RecordKind, std::uint64_t>>> const& regime : sums) {
     QJsonArray spans;
-    for (std::pair<std::int64_t const, std::map<Kind, std::uint64_t>> const& span : regime.second) {
+    for (std::pair<std::int64_t const, std::map<RecordKind, std::uint64_t>> const& span : regime.second) {
       QJsonArray counts;
-      for (std::map<Kind, std::uint64_t>::value_type const& c : span.second) {
+      for (std::map<RecordKind, std::uint64_t>::value_type const& c : span.second) {
         QJsonObject row = countRecord(c.first, span.first, c.second);
         row.remove("span");
         row.remove("regime");
         counts.append(row);
       }
-      spans.append(QJsonObject{{"span", core::qstr(timeText(span.first))}, {"counts", counts}});
+      spans.append(QJsonObject{{"span", core::toQString(timeText(span.first))}, {"counts", counts}});
     }
-    regimes.insert(core::qstr(regime.first), spans);
+    regimes.insert(core::toQString(regime.first), spans);
   }
   return QJsonObject{{"regimes", regimes}, {"nodes", nodes}, {"whole", whole}};
 }
--- a/audit/test/trail_test.cpp
+++ b/audit/test/audit_log_test.cpp
@@ -4,7 +4,7 @@
 #include <QJsonArray>
 #include <functional>
 
-#include <corkward/audit/trail.h>
+#include <corkward/audit/audit_log.h>
 #include <corkward/core/json.h>
 #include <corkward/core/types.h>
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-class MemoryFolder : public storage::Folder {
+class MemoryFolder : public storage::Directory {
  public:
   std::map<std::string, std::string> files;
   bool full = false;
@@ -27,7 +27,7 @@
   std::string read(std::string const& name) override { return files.at(name); }
   void append(std::string const& name, std::string const& bytes) override {
     files[name] += full ? bytes.substr(0, bytes.size() / 2) : bytes;
-    if (full) throw storage::Error("full");
+    if (full) throw storage::StorageError("full");
   }
   void sync(std::string const&) override {}
   void rename(std::string const& from, std::string const& to) override {
@@ -36,18 +36,18 @@
   }
   void remove(std::string const& name) override { files.erase(name); }
   void truncate(std::string const& name, std::uint64_t size) override { files[name].resize(size); }
-  void syncFolder() override {}
+  void syncDirectory() override {}
 };
 
 std::int64_t const noon = QDateTime::fromString("2026-06-01T12:00:00Z", Qt::ISODate).toMSecsSinceEpoch();
 
-audit::Kind handed(std::string const& life) {
-  return audit::Kind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", life, "z1", "c1", {}};
+audit::RecordKind handed(std::string const& life) {
+  return audit::RecordKind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", life, "z1", "c1", {}};
 }
 
-audit::Kind rejected() {
-  audit::Kind k;
-  k.what = "denied";
+audit::RecordKind rejected() {
+  audit::RecordKind k;
+  k.outcome = "denied";
   k.regime = "health";
   k.instance = "desk.nord";
   k.reason = "no certified replica";
@@ -60,21 +60,21 @@
   for (QJsonValue const s : report.value("regimes").toObject().value(regime).toArray())
     for (QJsonValue const c : s.toObject().value("counts").toArray()) {
       QJsonObject const row = c.toObject();
-      out[core::str(row.value("what").toString() + " " + row.value("life").toString())] +=
+      out[core::toStdString(row.value("what").toString() + " " + row.value("life").toString())] +=
           row.value("count").toInteger();
     }
   return out;
 }
 
-QJsonObject reportOf(MemoryFolder& folder, audit::Ask const& ask = {}) {
-  return audit::report({audit::readTrail(folder)}, ask);
+QJsonObject reportOf(MemoryFolder& folder, audit::ReportQuery const& ask = {}) {
+  return audit::report({audit::readAuditLog(folder)}, ask);
 }
 
 }  // namespace
 
 TEST_CASE("the first of a kind is written before anything else happens, the others when the minute ends") {
   MemoryFolder folder;
-  audit::Trail trail(folder, "n1", noon);
+  audit::AuditLog trail(folder, "n1", noon);
   trail.count(handed("r1"), noon + 10);
   CHECK(countsOf(reportOf(folder), "health")["handed-over r1"] == 1);
   for (int i = 0; i < 5; ++i) trail.count(handed("r1"), noon + 20 + i);
@@ -96,12 +96,12 @@
 TEST_CASE("a trail goes on after a restart, and says which counts are the least") {
   MemoryFolder folder;
   {
-    audit::Trail trail(folder, "n1", noon);
+    audit::AuditLog trail(folder, "n1", noon);
     trail.count(handed("r1"), noon);
     trail.count(handed("r1"), noon);
   }
   {
-    audit::Trail trail(folder, "n1", noon + 1000);
+    audit::AuditLog trail(folder, "n1", noon + 1000);
     trail.count(handed("r1"), noon + 1000);
     trail.close(noon + 2000);
   }
@@ -117,7 +117,7 @@
 TEST_CASE("a torn last line is cut off, whatever its length") {
   MemoryFolder whole;
   {
-    audit::Trail trail(whole, "n1", noon);
+    audit::AuditLog trail(whole, "n1", noon);
     trail.count(handed("r1"), noon);
     trail.count(handed("r2"), noon);
   }
@@ -130,7 +130,7 @@
     QJsonObject const before = reportOf(folder);
     CHECK(before.value("whole").toBool());
     CHECK(before.value("nodes").toArray().at(0).toObject().value("tornEnd").toBool() == (cut > lastLine));
-    audit::Trail trail(folder, "n1", noon + 1);
+    audit::AuditLog trail(folder, "n1", noon + 1);
     QJsonObject const out = reportOf(folder);
     CHECK(out.value("whole").toBool());
     CHECK(countsOf(out, "health") == std::map<std::string, qint64>{{"handed-over r1", 1}});
@@ -139,13 +139,13 @@
 
 TEST_CASE("whatever is changed, moved or taken out shows") {
   MemoryFolder folder;
-  audit::Trail trail(folder, "n1", noon, audit::Bounds{1200, 100});
+  audit::AuditLog trail(folder, "n1", noon, audit::Bounds{1200, 100});
   for (int i = 0; i < 30; ++i) trail.count(handed("r" + std::to_string(i)), noon + i);
-  audit::Head const head = trail.head();
+  audit::AuditHead const head = trail.head();
   REQUIRE(folder.files.size() > 5);
   REQUIRE(reportOf(folder).value("whole").toBool());
-  std::function<bool(std::function<void(std::map<std::string, std::string>&)> const&, audit::Ask const&)> const shows =
-      [&](std::function<void(std::map<std::string, std::string>&)> const& harm, audit::Ask const& ask) {
+  std::function<bool(std::function<void(std::map<std::string, std::string>&)> const&, audit::ReportQuery const&)> const
+      shows = [&](std::function<void(std::map<std::string, std::string>&)> const& harm, audit::ReportQuery const& ask) {
         MemoryFolder harmed;
         harmed.files = folder.files;
         harm(harmed.files);
@@ -156,7 +156,7 @@
   CHECK(shows([&](std::map<std::string, std::string>& f) { f.erase(middle); }, {}));
   CHECK(shows([&](std::map<std::string, std::string>& f) { f[middle].erase(0, f[middle].find('\n') + 1); }, {}));
   CHECK(shows([&](std::map<std::string, std::string>& f) { std::swap(f[middle], f[last]); }, {}));
-  core::Rng rng(7);
+  core::RandomGenerator rng(7);
   for (int i = 0; i < 300; ++i)
     CHECK(shows(
         [&](std::map<std::string, std::string>& f) {
@@ -166,7 +166,7 @@
           text[veryEnd ? 0 : at] ^= static_cast<char>(1U << rng.below(7));
         },
         {}));
-  audit::Ask ask;
+  audit::ReportQuery ask;
   ask.heads = {{"n1", head}};
   CHECK_FALSE(shows([](std::map<std::string, std::string>&) {}, ask));
   std::function<void(std::map<std::string, std::string>&)> const cutShort = [&](std::map<std::string, std::string>& f) {
@@ -181,20 +181,20 @@
 TEST_CASE("a restart hides no harm: only a line that was torn at the very end is cut off") {
   MemoryFolder folder;
   {
-    audit::Trail trail(folder, "n1", noon);
+    audit::AuditLog trail(folder, "n1", noon);
     for (int i = 0; i < 5; ++i) trail.count(handed("r" + std::to_string(i)), noon);
   }
   std::string& text = folder.files.begin()->second;
   text[text.size() - 10] ^= 1;
   {
-    audit::Trail trail(folder, "n1", noon + 1);
+    audit::AuditLog trail(folder, "n1", noon + 1);
     trail.count(handed("r9"), noon + 1);
   }
   CHECK_FALSE(reportOf(folder).value("whole").toBool());
   CHECK(countsOf(reportOf(folder), "health")["handed-over r9"] == 1);
   MemoryFolder lost;
   lost.files["audit-000000000001"] = "harm\n";
-  audit::Trail trail(lost, "n1", noon);
+  audit::AuditLog trail(lost, "n1", noon);
   trail.count(handed("r1"), noon);
   CHECK_FALSE(reportOf(lost).value("whole").toBool());
 }
@@ -202,13 +202,13 @@
 TEST_CASE("a record that was made up does not fit its neighbours, even with a proper hash of its own") {
   MemoryFolder folder;
   {
-    audit::Trail trail(folder, "n1", noon);
+    audit::AuditLog trail(folder, "n1", noon);
     trail.count(handed("r1"), noon);
     trail.count(handed("r2"), noon);
   }
   MemoryFolder other;
   {
-    audit::Trail trail(other, "n1", noon + 5);
+    audit::AuditLog trail(other, "n1", noon + 5);
     trail.count(handed("good"), noon);
     trail.count(handed("r2"), noon);
   }
@@ -223,7 +223,7 @@
 
 TEST_CASE("the trail stays within its bound and names what was dropped") {
   MemoryFolder folder;
-  audit::Trail trail(folder, "n1", noon, audit::Bounds{2000, 4});
+  audit::AuditLog trail(folder, "n1", noon, audit::Bounds{2000, 4});
   for (int i = 0; i < 500; ++i) trail.count(handed("r" + std::to_string(i)), noon);
   std::size_t bytes = 0;
   for (std::map<std::string, std::string>::value_type const& f : folder.files) bytes += f.second.size();
@@ -232,15 +232,15 @@
   QJsonObject const out = reportOf(folder);
   CHECK(out.value("whole").toBool());
   CHECK(out.value("nodes").toArray().at(0).toObject().value("first").toInteger() > 400);
-  audit::Trail again(folder, "n1", noon, audit::Bounds{2000, 4});
+  audit::AuditLog again(folder, "n1", noon, audit::Bounds{2000, 4});
   CHECK(again.head().number == 502);
 }
 
 TEST_CASE("a disk that does not write is told at once, and nothing is counted as written") {
   MemoryFolder folder;
-  audit::Trail trail(folder, "n1", noon);
+  audit::AuditLog trail(folder, "n1", noon);
   folder.full = true;
-  CHECK_THROWS_AS(trail.count(handed("r1"), noon), storage::Error);
+  CHECK_THROWS_AS(trail.count(handed("r1"), noon), storage::StorageError);
   folder.full = false;
   trail.count(handed("r1"), noon);
   QJsonObject const out = reportOf(folder);
@@ -251,23 +251,23 @@
 TEST_CASE("a report is by regime and span, over several nodes") {
   MemoryFolder one;
   MemoryFolder two;
-  audit::Trail a(one, "n1", noon);
-  audit::Trail b(two, "n2", noon);
+  audit::AuditLog a(one, "n1", noon);
+  audit::AuditLog b(two, "n2", noon);
   a.count(handed("r1"), noon);
   b.count(handed("r1"), noon + 3600000);
-  audit::Kind other = handed("r9");
+  audit::RecordKind other = handed("r9");
   other.regime = "export";
   b.count(other, noon + 3600000);
-  audit::Ask ask;
+  audit::ReportQuery ask;
   ask.regime = "health";
-  QJsonObject out = audit::report({audit::readTrail(one), audit::readTrail(two)}, ask);
+  QJsonObject out = audit::report({audit::readAuditLog(one), audit::readAuditLog(two)}, ask);
   CHECK(out.value("regimes").toObject().keys() == QStringList{"health"});
   QJsonArray const spans = out.value("regimes").toObject().value("health").toArray();
   REQUIRE(spans.size() == 2);
   CHECK(spans.at(0).toObject().value("span").toString() == "2026-06-01T12:00:00.000Z");
   ask.from = noon + 3600000;
-  out = audit::report({audit::readTrail(one), audit::readTrail(two)}, ask);
+  out = audit::report({audit::readAuditLog(one), audit::readAuditLog(two)}, ask);
   CHECK(out.value("regimes").toObject().value("health").toArray().size() == 1);
   ask.until = noon + 3600000;
-  CHECK(audit::report({audit::readTrail(one), audit::readTrail(two)}, ask).value("regimes").toObject().isEmpty());
+  CHECK(audit::report({audit::readAuditLog(one), audit::readAuditLog(two)}, ask).value("regimes").toObject().isEmpty());
 }
--- a/config/include/corkward/config/config.h
+++ b/config/include/corkward/config/config.h
@@ -13,9 +13,9 @@
 
 /// A configuration that is valid JSON but not a valid template, instance, pool or zone; says the place as a JSON
 /// pointer.
-class Error : public core::Error {
+class ConfigError : public core::Error {
  public:
-  Error(std::string pointer, std::string reason)
+  ConfigError(std::string pointer, std::string reason)
       : core::Error(pointer + ": " + reason), pointer_(std::move(pointer)), reason_(std::move(reason)) {}
   std::string const& pointer() const { return pointer_; }
   std::string const& reason() const { return reason_; }
@@ -26,21 +26,22 @@
 };
 
 /// Classes of requests, in the order in which they get their first words.
-enum class Class { urgent, quick, bulk };
+enum class RequestClass { urgent, quick, bulk };
 
 /// What a class is called in configurations, its aim for the first word and its deadline unless a path says otherwise.
-struct ClassRow {
+struct RequestClassDefaults {
   std::string_view name;
-  Class cls;
-  core::Tick aim;
+  RequestClass requestClass;
+  core::Tick latencyTarget;
   core::Tick deadline;
 };
 
-inline constexpr ClassRow classTable[] = {
-    {"urgent", Class::urgent, 300, 3000}, {"short", Class::quick, 800, 10000}, {"long", Class::bulk, 2500, 60000}};
+inline constexpr RequestClassDefaults requestClassDefaults[] = {{"urgent", RequestClass::urgent, 300, 3000},
+                                                                {"short", RequestClass::quick, 800, 10000},
+                                                                {"long", RequestClass::bulk, 2500, 60000}};
 
 /// A pool's share of a path's requests.
-struct Share {
+struct WeightedPool {
   std::string pool;
   std::uint32_t weight = 1;
 };
@@ -56,12 +57,12 @@
   std::string prefix;
   std::string pool;
   /// Pools that share the requests; never empty, the first one is `pool`.
-  std::vector<Share> shares;
-  Class cls = Class::quick;
-  core::Tick aim = 0;
+  std::vector<WeightedPool> weightedPools;
+  RequestClass requestClass = RequestClass::quick;
+  core::Tick latencyTarget = 0;
   core::Tick deadline = 0;
   /// Longest pause between two events that is still in time; 0: not said.
-  core::Tick gapAim = 0;
+  core::Tick eventGapTarget = 0;
   /// A broken stream may go on elsewhere after its last whole event.
   bool resumable = false;
   /// A request may run more than once.
@@ -69,13 +70,13 @@
   /// The answer is a row of events.
   bool stream = false;
   /// Replicas that one request may be handed to at the most.
-  int tries = 2;
+  int maxAttempts = 2;
   /// Rank at the replica, 0 first, 9 last.
   int urgency = 5;
   /// Regime whose certificates bind each request; empty: none.
   std::string regime;
   /// Requests need no tenant's key.
-  bool open = false;
+  bool isPublic = false;
 };
 
 /// A tenant of the whole configuration: who sends with one of its keys, how urgent that is, and how much it may send.
@@ -85,16 +86,16 @@
   /// Rank of its requests, in place of the paths' own; below 0: not said.
   int urgency = -1;
   /// What it may send in a second and beyond that at once, over all nodes together; 0: no limit.
-  double perSecond = 0;
+  double ratePerSecond = 0;
   double burst = 0;
   /// Its limit counts tokens, those of the prompt and those asked for; else requests.
   bool inTokens = false;
   /// Tokens that a request counts as which does not say how many it has.
-  std::int64_t plainTokens = 0;
+  std::int64_t defaultTokens = 0;
 };
 
 /// What the whole configuration says of a pool.
-struct PoolTerms {
+struct PoolSettings {
   std::string name;
   /// Connections that one replica takes from all callers.
   int connections = 0;
@@ -107,35 +108,35 @@
 };
 
 /// Bounds of the callers' HTTP edge; 0: not said.
-struct HttpTerms {
+struct HttpLimits {
   std::uint32_t headBytes = 0;
   std::uint64_t bodyBytes = 0;
   core::Tick headMs = 0;
   core::Tick idleMs = 0;
-  bool operator==(HttpTerms const&) const = default;
+  bool operator==(HttpLimits const&) const = default;
 };
 
 /// The whole configuration: one value under one rising version.
-struct Whole {
+struct FleetConfiguration {
   std::uint64_t version = 0;
   std::vector<Path> paths;
-  std::vector<PoolTerms> pools;
+  std::vector<PoolSettings> pools;
   /// None: no request needs a key.
   std::vector<Tenant> tenants;
-  HttpTerms http;
+  HttpLimits http;
 };
 
 /// Key of the whole configuration.
-inline constexpr char const* wholeKey = "blueprint";
+inline constexpr char const* fleetConfigurationKey = "blueprint";
 /// Page at which operators read and change it.
-inline constexpr char const* wholePage = "/v1/blueprint";
+inline constexpr char const* fleetConfigurationPage = "/v1/blueprint";
 
 /// Reads and checks a whole configuration; throws Error.
-Whole readWhole(QJsonObject const& spec);
+FleetConfiguration readFleetConfiguration(QJsonObject const& spec);
 /// The whole configuration after a change of named items:
 /// {"version", "set": {"paths": [...], "pools": [...], "tenants": [...]}, "drop": {"paths": [names], ...}}; throws
 /// Error.
-QJsonObject patchWhole(QJsonObject const& current, QJsonObject const& patch);
+QJsonObject patchFleetConfiguration(QJsonObject const& current, QJsonObject const& patch);
 
 /// Limits of a configuration; texts in bytes.
 inline constexpr std::size_t maxText = 128;
@@ -184,22 +185,22 @@
 };
 
 /// Name of a replica within its pool: its address, and its life where the platform tells it.
-inline std::string lifeName(Replica const& r) {
+inline std::string incarnationName(Replica const& r) {
   return r.id.empty() ? r.address : r.address + "|" + r.id;
 }
 
 /// The platform's list of one pool.
-struct Pool {
+struct EndpointList {
   std::uint64_t generation = 0;
   double coldRate = 2.0;
   std::vector<Replica> replicas;
 };
 
 /// Reads and checks a pool's list; throws Error.
-Pool readPool(QJsonObject const& value);
+EndpointList readPool(QJsonObject const& value);
 /// The same from a value as it is kept, with the ids of its changes.
-Pool keptPool(QJsonObject value);
+EndpointList storedPool(QJsonObject value);
 /// The list as readPool reads it.
-QJsonObject poolJson(Pool const& pool);
+QJsonObject poolJson(EndpointList const& pool);
 
 }  // namespace corkward::config
--- a/config/include/corkward/config/regimes.h
+++ b/config/include/corkward/config/regimes.h
@@ -12,7 +12,7 @@
 namespace corkward::config {
 
 /// Milliseconds of wall time since 1970, UTC; nothing: not known, and then nothing is certified.
-using Wall = std::optional<std::int64_t>;
+using WallTime = std::optional<std::int64_t>;
 
 /// What the carriers of a certificate are.
 enum class Carrier { replicas, routers };
@@ -28,7 +28,7 @@
   std::string pool;
   /// Address and life go together; both empty: each life in that zone of the pool.
   std::string address;
-  std::string life;
+  std::string incarnation;
   /// Empty: each router in the zone.
   std::string link;
   std::int64_t from = 0;
@@ -60,17 +60,17 @@
 /// Reads and checks {"regimes": {...}, "certificates": {...}}; throws Error.
 Regimes readRegimes(QJsonObject const& spec);
 /// The same from a value as it is kept; none when there is no such value.
-Regimes keptRegimes(QJsonObject const& value);
+Regimes storedRegimes(QJsonObject const& value);
 
 /// Whether it counts at that moment.
-bool counts(Certificate const& certificate, Wall now);
+bool counts(Certificate const& certificate, WallTime now);
 /// The certificate under which this replica may have requests of the regime now; null: none, or in doubt. A replica
 /// whose life is not told has none.
 Certificate const* certifies(Regimes const& regimes, std::string const& regime, std::string const& pool,
-                             Replica const& replica, Wall now);
+                             Replica const& replica, WallTime now);
 /// Whether this router may hand requests of the regime on now.
 bool routerMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone,
-               Wall now);
+               WallTime now);
 
 /// Why no request of the regime could be served in the pool, as a JSON pointer into the regimes and a reason; nothing:
 /// it can. Without a time only what has no certificate at all is a fault.
@@ -79,7 +79,7 @@
   std::string reason;
 };
 std::optional<RegimeFault> faultOf(Regimes const& regimes, std::string const& regime, std::string const& pool,
-                                   Wall now);
+                                   WallTime now);
 
 /// A tenant's path that wants a regime.
 struct RegimeUse {
--- a/config/src/checks.h
+++ b/config/src/checks.h
@@ -17,7 +17,7 @@
   if (known == o.size()) return;
   for (QString const& k : o.keys())
     if (std::none_of(allowed.begin(), allowed.end(), [&](char const* a) { return k == QLatin1String(a); }))
-      throw Error(at + "/" + core::str(k), "unknown field");
+      throw ConfigError(at + "/" + core::toStdString(k), "unknown field");
 }
 
 /// True for a number without a fraction, 3.0 among them.
--- a/config/src/config.cpp
+++ b/config/src/config.cpp
@@ -16,12 +16,12 @@
 
 namespace {
 
-using core::str;
+using core::toStdString;
 
 QJsonObject objectAt(QJsonObject const& o, char const* name, std::string const& at, bool needed) {
   QJsonValue const v = o.value(QLatin1String(name));
   if (v.isUndefined() && !needed) return {};
-  if (!v.isObject()) throw Error(at + "/" + name, needed && v.isUndefined() ? "missing" : "must be an object");
+  if (!v.isObject()) throw ConfigError(at + "/" + name, needed && v.isUndefined() ? "missing" : "must be an object");
   return v.toObject();
 }
 
@@ -36,24 +36,26 @@
   QString const type = p.value("type").toString();
   constexpr std::array<char const*, 3> types{"string", "integer", "boolean"};
   if (std::none_of(types.begin(), types.end(), [&](char const* t) { return type == QLatin1String(t); }))
-    throw Error(at + "/type", "must be string, integer or boolean");
+    throw ConfigError(at + "/type", "must be string, integer or boolean");
   for (char const* bound : {"min", "max"}) {
     if (!p.contains(QLatin1String(bound))) continue;
     if (type != QLatin1String("integer") || !isInteger(p.value(QLatin1String(bound))))
-      throw Error(at + "/" + bound, "must be an integer, for an integer parameter");
+      throw ConfigError(at + "/" + bound, "must be an integer, for an integer parameter");
   }
   if (p.contains("choices")) {
-    if (!p.value("choices").isArray()) throw Error(at + "/choices", "must be a list");
+    if (!p.value("choices").isArray()) throw ConfigError(at + "/choices", "must be a list");
     for (QJsonValue const c : p.value("choices").toArray())
-      if (!typeFits(type, c)) throw Error(at + "/choices", "must hold values of the parameter's type");
+      if (!typeFits(type, c)) throw ConfigError(at + "/choices", "must hold values of the parameter's type");
   }
 }
 
 void checkValue(QJsonObject const& p, QJsonValue const& v, std::string const& at) {
-  if (!typeFits(p.value("type").toString(), v)) throw Error(at, "must be of type " + str(p.value("type").toString()));
-  if (p.contains("min") && v.toInteger() < p.value("min").toInteger()) throw Error(at, "below the minimum");
-  if (p.contains("max") && v.toInteger() > p.value("max").toInteger()) throw Error(at, "over the maximum");
-  if (p.contains("choices") && !p.value("choices").toArray().contains(v)) throw Error(at, "not one of the choices");
+  if (!typeFits(p.value("type").toString(), v))
+    throw ConfigError(at, "must be of type " + toStdString(p.value("type").toString()));
+  if (p.contains("min") && v.toInteger() < p.value("min").toInteger()) throw ConfigError(at, "below the minimum");
+  if (p.contains("max") && v.toInteger() > p.value("max").toInteger()) throw ConfigError(at, "over the maximum");
+  if (p.contains("choices") && !p.value("choices").toArray().contains(v))
+    throw ConfigError(at, "not one of the choices");
 }
 
 QJsonValue fill(QJsonValue const& v, QJsonObject const& parameters, std::string const& at) {
@@ -61,7 +63,7 @@
   QString const text = v.toString();
   if (text.startsWith("${") && text.endsWith("}") && text.count("${") == 1) {
     QString const name = text.mid(2, text.size() - 3);
-    if (!parameters.contains(name)) throw Error(at, "unknown parameter " + str(name));
+    if (!parameters.contains(name)) throw ConfigError(at, "unknown parameter " + toStdString(name));
     return parameters.value(name);
   }
   QString out;
@@ -70,11 +72,11 @@
     qsizetype const open = text.indexOf("${", from);
     if (open < 0) break;
     qsizetype const close = text.indexOf('}', open);
-    if (close < 0) throw Error(at, "${ without }");
+    if (close < 0) throw ConfigError(at, "${ without }");
     QString const name = text.mid(open + 2, close - open - 2);
-    if (!parameters.contains(name)) throw Error(at, "unknown parameter " + str(name));
+    if (!parameters.contains(name)) throw ConfigError(at, "unknown parameter " + toStdString(name));
     QJsonValue const value = parameters.value(name);
-    out += text.mid(from, open - from) + (value.isString() ? value.toString() : core::qstr(core::jsonText(value)));
+    out += text.mid(from, open - from) + (value.isString() ? value.toString() : core::toQString(core::jsonText(value)));
     from = close + 1;
   }
   return out + text.mid(from);
@@ -98,7 +100,7 @@
   if (raw.isUndefined()) return otherwise;
   QJsonValue const v = fill(raw, parameters, at + "/" + name);
   if (!isInteger(v) || v.toInteger() < 10 || v.toInteger() > 600000)
-    throw Error(at + "/" + name, "must be an integer of milliseconds, 10 to 600000");
+    throw ConfigError(at + "/" + name, "must be an integer of milliseconds, 10 to 600000");
   return v.toInteger();
 }
 
@@ -112,8 +114,8 @@
   if (!one.contains("regime") && !spec.contains("regime")) return "";
   std::string const place = regimePlace(one, at);
   QJsonValue const v = one.contains("regime") ? one.value("regime") : fill(spec.value("regime"), parameters, place);
-  if (!v.isString() || !validName(str(v.toString()))) throw Error(place, "not a valid name");
-  return str(v.toString());
+  if (!v.isString() || !validName(toStdString(v.toString()))) throw ConfigError(place, "not a valid name");
+  return toStdString(v.toString());
 }
 
 std::vector<Path> renderInstance(std::string const& instance, QJsonObject const& spec, QJsonObject const& one,
@@ -124,12 +126,13 @@
   for (QString const& name : declared.keys()) {
     QJsonObject const p = declared.value(name).toObject();
     QJsonValue const v = given.contains(name) ? given.value(name) : p.value("default");
-    if (v.isUndefined()) throw Error(at + "/parameters/" + str(name), "missing parameter");
-    checkValue(p, v, at + "/parameters/" + str(name));
+    if (v.isUndefined()) throw ConfigError(at + "/parameters/" + toStdString(name), "missing parameter");
+    checkValue(p, v, at + "/parameters/" + toStdString(name));
     parameters.insert(name, v);
   }
   for (QString const& name : given.keys())
-    if (!declared.contains(name)) throw Error(at + "/parameters/" + str(name), "the template has no such parameter");
+    if (!declared.contains(name))
+      throw ConfigError(at + "/parameters/" + toStdString(name), "the template has no such parameter");
   std::string const regime = regimeOf(spec, one, parameters, at);
   std::vector<Path> out;
   std::set<std::string> seen;
@@ -139,25 +142,26 @@
     QJsonObject const row = rows.at(i).toObject();
     Path p;
     p.instance = instance;
-    p.path = str(fill(row.value("path"), parameters, place + "/path").toString());
-    if (!validPath(p.path)) throw Error(place + "/path", "not a valid path: " + p.path);
+    p.path = toStdString(fill(row.value("path"), parameters, place + "/path").toString());
+    if (!validPath(p.path)) throw ConfigError(place + "/path", "not a valid path: " + p.path);
     if (!seen.insert(p.path).second)
-      throw Error(place + "/path", "ambiguous: " + p.path + " stands twice in " + instance);
-    p.pool = str(fill(row.value("pool"), parameters, place + "/pool").toString());
-    p.shares = {Share{p.pool, 1}};
+      throw ConfigError(place + "/path", "ambiguous: " + p.path + " stands twice in " + instance);
+    p.pool = toStdString(fill(row.value("pool"), parameters, place + "/pool").toString());
+    p.weightedPools = {WeightedPool{p.pool, 1}};
     QJsonValue const cls = fill(row.value("class"), parameters, place + "/class");
-    ClassRow const* found = nullptr;
-    for (ClassRow const& c : classTable)
+    RequestClassDefaults const* found = nullptr;
+    for (RequestClassDefaults const& c : requestClassDefaults)
       if (cls.toString() == QLatin1String(c.name.data(), static_cast<qsizetype>(c.name.size()))) found = &c;
-    if (found == nullptr) throw Error(place + "/class", "must be urgent, short or long");
-    p.cls = found->cls;
-    p.aim = milliseconds(row, "aimMs", found->aim, parameters, place);
+    if (found == nullptr) throw ConfigError(place + "/class", "must be urgent, short or long");
+    p.requestClass = found->requestClass;
+    p.latencyTarget = milliseconds(row, "aimMs", found->latencyTarget, parameters, place);
     p.deadline = milliseconds(row, "deadlineMs", found->deadline, parameters, place);
     QJsonValue const resumable = fill(row.value("resumable"), parameters, place + "/resumable");
-    if (!resumable.isUndefined() && !resumable.isBool()) throw Error(place + "/resumable", "must be true or false");
+    if (!resumable.isUndefined() && !resumable.isBool())
+      throw ConfigError(place + "/resumable", "must be true or false");
     p.resumable = resumable.toBool();
     QJsonValue const events = fill(row.value("events"), parameters, place + "/events");
-    if (!events.isUndefined() && !events.isBool()) throw Error(place + "/events", "must be true or false");
+    if (!events.isUndefined() && !events.isBool()) throw ConfigError(place + "/events", "must be true or false");
     p.stream = events.toBool();
     p.repeatable = p.stream && p.resumable;
     p.regime = regime;
@@ -168,30 +172,31 @@
 
 void checkTemplate(QJsonObject const& spec) {
   onlyFields(spec, {"parameters", "paths", "regime", "note"}, "/template");
-  if (spec.contains("regime") && !spec.value("regime").isString()) throw Error("/template/regime", "must be a text");
-  if (spec.contains("note") && !spec.value("note").isString()) throw Error("/template/note", "must be a text");
+  if (spec.contains("regime") && !spec.value("regime").isString())
+    throw ConfigError("/template/regime", "must be a text");
+  if (spec.contains("note") && !spec.value("note").isString()) throw ConfigError("/template/note", "must be a text");
   QJsonObject const declared = objectAt(spec, "parameters", "/template", false);
-  if (declared.size() > 64) throw Error("/template/parameters", "more than 64");
+  if (declared.size() > 64) throw ConfigError("/template/parameters", "more than 64");
   for (QString const& name : declared.keys()) {
-    std::string const at = "/template/parameters/" + str(name);
-    if (!validName(str(name))) throw Error(at, "not a valid name");
-    if (!declared.value(name).isObject()) throw Error(at, "must be an object");
+    std::string const at = "/template/parameters/" + toStdString(name);
+    if (!validName(toStdString(name))) throw ConfigError(at, "not a valid name");
+    if (!declared.value(name).isObject()) throw ConfigError(at, "must be an object");
     QJsonObject const p = declared.value(name).toObject();
     checkParameter(p, at);
     if (p.contains("default")) checkValue(p, p.value("default"), at + "/default");
   }
-  if (!spec.value("paths").isArray()) throw Error("/template/paths", "must be a list");
+  if (!spec.value("paths").isArray()) throw ConfigError("/template/paths", "must be a list");
   QJsonArray const rows = spec.value("paths").toArray();
-  if (rows.isEmpty()) throw Error("/template/paths", "must not be empty");
+  if (rows.isEmpty()) throw ConfigError("/template/paths", "must not be empty");
   if (static_cast<std::size_t>(rows.size()) > maxPaths)
-    throw Error("/template/paths", "more than " + std::to_string(maxPaths));
+    throw ConfigError("/template/paths", "more than " + std::to_string(maxPaths));
   for (qsizetype i = 0; i < rows.size(); ++i) {
     std::string const at = "/template/paths/" + std::to_string(i);
-    if (!rows.at(i).isObject()) throw Error(at, "must be an object");
+    if (!rows.at(i).isObject()) throw ConfigError(at, "must be an object");
     QJsonObject const row = rows.at(i).toObject();
     onlyFields(row, {"path", "pool", "class", "aimMs", "deadlineMs", "resumable", "events"}, at);
     for (char const* needed : {"path", "pool", "class"})
-      if (!row.value(QLatin1String(needed)).isString()) throw Error(at + "/" + needed, "must be a text");
+      if (!row.value(QLatin1String(needed)).isString()) throw ConfigError(at + "/" + needed, "must be a text");
   }
 }
 
@@ -205,13 +210,13 @@
 
 bool validLabel(std::string const& label) {
   if (label.empty() || label.size() > maxText || label == "." || label == "..") return false;
-  QString const text = core::qstr(label);
-  return str(text) == label &&
+  QString const text = core::toQString(label);
+  return toStdString(text) == label &&
          std::none_of(text.begin(), text.end(), [](QChar c) { return c.category() == QChar::Other_Control; });
 }
 
 std::string addressPart(std::string const& label) {
-  return QUrl::toPercentEncoding(core::qstr(label)).toStdString();
+  return QUrl::toPercentEncoding(core::toQString(label)).toStdString();
 }
 
 std::string labelOf(std::string const& addressPart) {
@@ -221,24 +226,24 @@
 void checkFamily(QJsonObject const& family, PoolKnown const& known, RegimeFaultOf const& regimeFault) {
   QJsonObject const instances = family.value("instances").toObject();
   if (!family.contains("template")) {
-    if (!instances.isEmpty()) throw Error("/template", "has instances");
+    if (!instances.isEmpty()) throw ConfigError("/template", "has instances");
     return;
   }
   QJsonObject const spec = family.value("template").toObject().value("spec").toObject();
   checkTemplate(spec);
-  if (static_cast<std::size_t>(instances.size()) > maxInstances) throw Error("/instances", "too many");
+  if (static_cast<std::size_t>(instances.size()) > maxInstances) throw ConfigError("/instances", "too many");
   std::size_t rendered = 0;
   for (QString const& name : instances.keys()) {
-    std::string const at = "/instances/" + str(name);
+    std::string const at = "/instances/" + toStdString(name);
     QJsonObject const one = instances.value(name).toObject().value("spec").toObject();
     onlyFields(one, {"parameters", "regime", "note"}, at);
     objectAt(one, "parameters", at, false);
-    for (Path const& p : renderInstance(str(name), spec, one, at)) {
-      if (!known(p.pool)) throw Error(at, "no pool named " + p.pool);
+    for (Path const& p : renderInstance(toStdString(name), spec, one, at)) {
+      if (!known(p.pool)) throw ConfigError(at, "no pool named " + p.pool);
       std::string const fault = p.regime.empty() ? "" : regimeFault(p.regime, p.pool);
-      if (!fault.empty()) throw Error(regimePlace(one, at), fault);
+      if (!fault.empty()) throw ConfigError(regimePlace(one, at), fault);
       if (++rendered > maxRendered)
-        throw Error("/instances", "more than " + std::to_string(maxRendered) + " paths in all");
+        throw ConfigError("/instances", "more than " + std::to_string(maxRendered) + " paths in all");
     }
   }
 }
@@ -250,7 +255,7 @@
   for (QString const& name : instances.keys()) {
     QJsonObject const one = instances.value(name).toObject().value("spec").toObject();
     std::vector<Path> const paths =
-        renderInstance(templateName + "." + str(name), spec, one, "/instances/" + str(name));
+        renderInstance(templateName + "." + toStdString(name), spec, one, "/instances/" + toStdString(name));
     out.insert(out.end(), paths.begin(), paths.end());
   }
   return out;
@@ -262,63 +267,63 @@
   return value;
 }
 
-Pool keptPool(QJsonObject value) {
+EndpointList storedPool(QJsonObject value) {
   return readPool(withoutHistory(std::move(value)));
 }
 
-QJsonObject poolJson(Pool const& pool) {
+QJsonObject poolJson(EndpointList const& pool) {
   QJsonArray rows;
   for (Replica const& r : pool.replicas) {
-    QJsonObject row{{"address", core::qstr(r.address)},
-                    {"zone", core::qstr(r.zone)},
+    QJsonObject row{{"address", core::toQString(r.address)},
+                    {"zone", core::toQString(r.zone)},
                     {"state", r.state == ReplicaState::serving ? "serving"
                               : r.state == ReplicaState::cold  ? "cold"
                                                                : "leaving"}};
-    if (!r.id.empty()) row.insert("id", core::qstr(r.id));
+    if (!r.id.empty()) row.insert("id", core::toQString(r.id));
     rows.append(row);
   }
   return QJsonObject{
       {"generation", static_cast<qint64>(pool.generation)}, {"coldRate", pool.coldRate}, {"replicas", rows}};
 }
 
-Pool readPool(QJsonObject const& value) {
+EndpointList readPool(QJsonObject const& value) {
   onlyFields(value, {"generation", "coldRate", "replicas"}, "");
-  Pool out;
+  EndpointList out;
   if (!isInteger(value.value("generation")) || value.value("generation").toInteger() < 1)
-    throw Error("/generation", "must be an integer of 1 or more");
+    throw ConfigError("/generation", "must be an integer of 1 or more");
   out.generation = static_cast<std::uint64_t>(value.value("generation").toInteger());
   if (value.contains("coldRate")) {
     out.coldRate = value.value("coldRate").toDouble(-1);
-    if (!(out.coldRate >= 0 && out.coldRate <= 1000)) throw Error("/coldRate", "must be a number from 0 to 1000");
+    if (!(out.coldRate >= 0 && out.coldRate <= 1000)) throw ConfigError("/coldRate", "must be a number from 0 to 1000");
   }
-  if (!value.value("replicas").isArray()) throw Error("/replicas", "must be a list");
+  if (!value.value("replicas").isArray()) throw ConfigError("/replicas", "must be a list");
   QJsonArray const rows = value.value("replicas").toArray();
-  if (rows.size() > 4096) throw Error("/replicas", "more than 4096");
+  if (rows.size() > 4096) throw ConfigError("/replicas", "more than 4096");
   std::set<std::string> seen;
   std::set<std::string> ids;
   for (qsizetype i = 0; i < rows.size(); ++i) {
     std::string const at = "/replicas/" + std::to_string(i);
-    if (!rows.at(i).isObject()) throw Error(at, "must be an object");
+    if (!rows.at(i).isObject()) throw ConfigError(at, "must be an object");
     QJsonObject const row = rows.at(i).toObject();
     onlyFields(row, {"id", "address", "zone", "state"}, at);
     Replica r;
     if (row.contains("id")) {
-      r.id = str(row.value("id").toString());
+      r.id = toStdString(row.value("id").toString());
       if (r.id.empty() || r.id.size() > maxText)
-        throw Error(at + "/id", "must be a text of 1 to " + std::to_string(maxText) + " bytes");
-      if (!ids.insert(r.id).second) throw Error(at + "/id", "stands twice");
+        throw ConfigError(at + "/id", "must be a text of 1 to " + std::to_string(maxText) + " bytes");
+      if (!ids.insert(r.id).second) throw ConfigError(at + "/id", "stands twice");
     }
-    r.address = str(row.value("address").toString());
+    r.address = toStdString(row.value("address").toString());
     std::size_t const colon = r.address.rfind(':');
     bool digits =
         colon != std::string::npos && colon > 0 && colon + 1 < r.address.size() && r.address.size() - colon <= 6;
     for (std::size_t k = colon + 1; digits && k < r.address.size(); ++k)
       digits = r.address[k] >= '0' && r.address[k] <= '9';
     if (!digits || std::stoi(r.address.substr(colon + 1)) > 65535 || std::stoi(r.address.substr(colon + 1)) == 0)
-      throw Error(at + "/address", "must be ip:port");
-    if (!seen.insert(r.address).second) throw Error(at + "/address", "stands twice");
-    r.zone = str(row.value("zone").toString());
-    if (!validLabel(r.zone)) throw Error(at + "/zone", "not a valid name");
+      throw ConfigError(at + "/address", "must be ip:port");
+    if (!seen.insert(r.address).second) throw ConfigError(at + "/address", "stands twice");
+    r.zone = toStdString(row.value("zone").toString());
+    if (!validLabel(r.zone)) throw ConfigError(at + "/zone", "not a valid name");
     struct StateRow {
       char const* name;
       ReplicaState state;
@@ -331,7 +336,7 @@
         r.state = s.state;
         found = true;
       }
-    if (!found) throw Error(at + "/state", "must be serving, cold or leaving");
+    if (!found) throw ConfigError(at + "/state", "must be serving, cold or leaving");
     out.replicas.push_back(std::move(r));
   }
   return out;
--- a/config/src/whole.cpp
+++ b/config/src/fleet_configuration.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-using core::str;
+using core::toStdString;
 
 constexpr core::Tick never = std::numeric_limits<core::Tick>::max();
 /// Largest number of milliseconds, bytes, tokens or requests that a configuration may say.
@@ -22,12 +22,13 @@
 
 /// A path is of the first class whose row holds for it.
 struct ClassRule {
-  Class cls;
+  RequestClass cls;
   core::Tick aimAtMost;
   core::Tick deadlineAtLeast;
 };
 
-constexpr ClassRule classRules[] = {{Class::urgent, 400, 0}, {Class::bulk, never, 10000}, {Class::quick, never, 0}};
+constexpr ClassRule classRules[] = {
+    {RequestClass::urgent, 400, 0}, {RequestClass::bulk, never, 10000}, {RequestClass::quick, never, 0}};
 
 struct KindRow {
   char const* name;
@@ -39,28 +40,29 @@
 
 QJsonArray listAt(QJsonObject const& o, char const* name, std::string const& at, std::size_t most) {
   QJsonValue const v = o.value(QLatin1String(name));
-  if (!v.isArray()) throw Error(at + "/" + name, v.isUndefined() ? "missing" : "must be a list");
+  if (!v.isArray()) throw ConfigError(at + "/" + name, v.isUndefined() ? "missing" : "must be a list");
   QJsonArray list = v.toArray();
-  if (static_cast<std::size_t>(list.size()) > most) throw Error(at + "/" + name, "more than " + std::to_string(most));
+  if (static_cast<std::size_t>(list.size()) > most)
+    throw ConfigError(at + "/" + name, "more than " + std::to_string(most));
   return list;
 }
 
 QJsonObject itemAt(QJsonArray const& list, qsizetype i, std::string const& at) {
   QJsonValue const v = list.at(i);
-  if (!v.isObject()) throw Error(at, "must be an object");
+  if (!v.isObject()) throw ConfigError(at, "must be an object");
   return v.toObject();
 }
 
 void objectIfSaid(QJsonObject const& o, char const* name, std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
-  if (!v.isUndefined() && !v.isObject()) throw Error(at + "/" + name, "must be an object");
+  if (!v.isUndefined() && !v.isObject()) throw ConfigError(at + "/" + name, "must be an object");
 }
 
 std::string text(QJsonObject const& o, char const* name, std::size_t longest, std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
-  std::string out = str(v.toString());
+  std::string out = toStdString(v.toString());
   if (out.empty() || out.size() > longest)
-    throw Error(at + "/" + name, "must be a text of 1 to " + std::to_string(longest) + " bytes");
+    throw ConfigError(at + "/" + name, "must be a text of 1 to " + std::to_string(longest) + " bytes");
   return out;
 }
 
@@ -69,18 +71,18 @@
   QJsonValue const v = o.value(QLatin1String(name));
   if (v.isUndefined()) return otherwise;
   if (!isInteger(v) || v.toInteger() < least || v.toInteger() > most)
-    throw Error(at + "/" + name, "must be an integer, " + std::to_string(least) + " to " + std::to_string(most));
+    throw ConfigError(at + "/" + name, "must be an integer, " + std::to_string(least) + " to " + std::to_string(most));
   return v.toInteger();
 }
 
 qint64 neededInteger(QJsonObject const& o, char const* name, qint64 least, qint64 most, std::string const& at) {
-  if (!o.contains(QLatin1String(name))) throw Error(at + "/" + name, "missing");
+  if (!o.contains(QLatin1String(name))) throw ConfigError(at + "/" + name, "missing");
   return integer(o, name, least, most, 0, at);
 }
 
 bool flag(QJsonObject const& o, char const* name, std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
-  if (!v.isUndefined() && !v.isBool()) throw Error(at + "/" + name, "must be true or false");
+  if (!v.isUndefined() && !v.isBool()) throw ConfigError(at + "/" + name, "must be true or false");
   return v.toBool();
 }
 
@@ -88,44 +90,44 @@
 
 std::string knownPool(QJsonObject const& o, PoolNames const& pools, std::string const& at) {
   std::string name = text(o, "pool", maxText, at);
-  if (pools.count(name) == 0) throw Error(at + "/pool", "no pool named " + name);
+  if (pools.count(name) == 0) throw ConfigError(at + "/pool", "no pool named " + name);
   return name;
 }
 
-std::vector<Share> readShares(QJsonObject const& row, PoolNames const& pools, std::string const& at) {
+std::vector<WeightedPool> readShares(QJsonObject const& row, PoolNames const& pools, std::string const& at) {
   if (row.contains("pool")) {
-    if (row.contains("shares")) throw Error(at + "/shares", "stands beside pool");
-    return {Share{knownPool(row, pools, at), 1}};
+    if (row.contains("shares")) throw ConfigError(at + "/shares", "stands beside pool");
+    return {WeightedPool{knownPool(row, pools, at), 1}};
   }
   QJsonValue const v = row.value("shares");
   if (!v.isArray())
-    throw Error(at + (v.isUndefined() ? "/pool" : "/shares"),
-                v.isUndefined() ? "missing, and no shares" : "must be a list");
-  std::vector<Share> out;
+    throw ConfigError(at + (v.isUndefined() ? "/pool" : "/shares"),
+                      v.isUndefined() ? "missing, and no shares" : "must be a list");
+  std::vector<WeightedPool> out;
   QJsonArray const list = v.toArray();
   for (qsizetype i = 0; i < list.size(); ++i) {
     std::string const place = at + "/shares/" + std::to_string(i);
     QJsonObject const one = itemAt(list, i, place);
     onlyFields(one, {"pool", "share"}, place);
-    Share const share{knownPool(one, pools, place),
-                      static_cast<std::uint32_t>(neededInteger(one, "share", 0, mostCount, place))};
+    WeightedPool const share{knownPool(one, pools, place),
+                             static_cast<std::uint32_t>(neededInteger(one, "share", 0, mostCount, place))};
     if (share.weight > 0) out.push_back(share);
   }
-  if (out.empty()) throw Error(at + "/shares", "the weights sum to 0");
+  if (out.empty()) throw ConfigError(at + "/shares", "the weights sum to 0");
   return out;
 }
 
-PoolTerms readPoolTerms(QJsonObject const& row, std::string const& at) {
+PoolSettings readPoolTerms(QJsonObject const& row, std::string const& at) {
   onlyFields(row, {"name", "standing", "connections", "coldRate", "coldMs", "slots", "tokens", "extra"}, at);
-  PoolTerms out;
+  PoolSettings out;
   out.name = text(row, "name", maxText, at);
   if (row.contains("standing") && text(row, "standing", maxPlace, at).front() != '/')
-    throw Error(at + "/standing", "must begin with /");
+    throw ConfigError(at + "/standing", "must begin with /");
   out.connections = static_cast<int>(integer(row, "connections", 0, mostCount, 0, at));
   QJsonValue const rate = row.value("coldRate");
   out.coldRate = rate.toDouble(rate.isUndefined() ? 0 : -1);
   if (!(out.coldRate >= 0 && out.coldRate <= static_cast<double>(mostCount)))
-    throw Error(at + "/coldRate", "must be a number, 0 to " + std::to_string(mostCount));
+    throw ConfigError(at + "/coldRate", "must be a number, 0 to " + std::to_string(mostCount));
   out.coldFor = integer(row, "coldMs", 0, mostNumber, 0, at);
   out.slots = static_cast<int>(integer(row, "slots", 0, mostCount, 0, at));
   out.tokens = integer(row, "tokens", 0, mostNumber, 0, at);
@@ -142,31 +144,32 @@
   out.instance = text(row, "name", maxText, at);
   out.host = text(row, "host", maxPlace, at);
   out.prefix = text(row, "prefix", maxPlace, at);
-  if (out.prefix.front() != '/' || out.prefix.back() != '/') throw Error(at + "/prefix", "must begin and end with /");
+  if (out.prefix.front() != '/' || out.prefix.back() != '/')
+    throw ConfigError(at + "/prefix", "must begin and end with /");
   QString const kind = row.value("kind").toString();
   KindRow const* const found = std::find_if(std::begin(kindTable), std::end(kindTable),
                                             [&](KindRow const& k) { return kind == QLatin1String(k.name); });
-  if (found == std::end(kindTable)) throw Error(at + "/kind", "must be once, repeatable or stream");
+  if (found == std::end(kindTable)) throw ConfigError(at + "/kind", "must be once, repeatable or stream");
   out.deadline = neededInteger(row, "deadlineMs", 1, mostNumber, at);
-  out.aim = integer(row, "aimMs", 0, mostNumber, 0, at);
-  core::Tick const aim = out.aim > 0 ? out.aim : never;
-  out.cls = std::find_if(std::begin(classRules), std::end(classRules), [&](ClassRule const& r) {
-              return aim <= r.aimAtMost && out.deadline >= r.deadlineAtLeast;
-            })->cls;
-  if (out.aim == 0)
-    out.aim = std::find_if(std::begin(classTable), std::end(classTable), [&](ClassRow const& c) {
-                return c.cls == out.cls;
-              })->aim;
-  out.gapAim = integer(row, "gapAimMs", 0, mostNumber, 0, at);
+  out.latencyTarget = integer(row, "aimMs", 0, mostNumber, 0, at);
+  core::Tick const aim = out.latencyTarget > 0 ? out.latencyTarget : never;
+  out.requestClass = std::find_if(std::begin(classRules), std::end(classRules), [&](ClassRule const& r) {
+                       return aim <= r.aimAtMost && out.deadline >= r.deadlineAtLeast;
+                     })->cls;
+  if (out.latencyTarget == 0)
+    out.latencyTarget = std::find_if(std::begin(requestClassDefaults), std::end(requestClassDefaults),
+                                     [&](RequestClassDefaults const& c) { return c.requestClass == out.requestClass; })
+                            ->latencyTarget;
+  out.eventGapTarget = integer(row, "gapAimMs", 0, mostNumber, 0, at);
   out.urgency = static_cast<int>(integer(row, "urgency", 0, 9, 5, at));
-  out.tries = static_cast<int>(integer(row, "tries", 1, mostCount, 1, at));
+  out.maxAttempts = static_cast<int>(integer(row, "tries", 1, mostCount, 1, at));
   out.stream = found->stream;
   out.resumable = flag(row, "resumable", at) && out.stream;
   out.repeatable = found->repeatable || out.resumable;
   flag(row, "affine", at);
-  out.open = flag(row, "open", at);
-  out.shares = readShares(row, pools, at);
-  out.pool = out.shares.front().pool;
+  out.isPublic = flag(row, "open", at);
+  out.weightedPools = readShares(row, pools, at);
+  out.pool = out.weightedPools.front().pool;
   objectIfSaid(row, "extra", at);
   return out;
 }
@@ -176,7 +179,7 @@
   if (v.isUndefined() || v.isNull()) return 0;
   double const out = v.toDouble(-1);
   if (!(out >= 0 && out <= static_cast<double>(mostNumber)))
-    throw Error(at + "/" + name, "must be a number, 0 to " + std::to_string(mostNumber));
+    throw ConfigError(at + "/" + name, "must be a number, 0 to " + std::to_string(mostNumber));
   return out;
 }
 
@@ -184,9 +187,10 @@
   std::vector<std::string> out;
   QJsonArray const list = row.contains("keys") ? listAt(row, "keys", at, maxTenantKeys) : QJsonArray();
   for (qsizetype i = 0; i < list.size(); ++i) {
-    std::string key = str(list.at(i).toString());
+    std::string key = toStdString(list.at(i).toString());
     if (key.empty() || key.size() > maxPlace)
-      throw Error(at + "/keys/" + std::to_string(i), "must be a text of 1 to " + std::to_string(maxPlace) + " bytes");
+      throw ConfigError(at + "/keys/" + std::to_string(i),
+                        "must be a text of 1 to " + std::to_string(maxPlace) + " bytes");
     out.push_back(std::move(key));
   }
   return out;
@@ -199,13 +203,13 @@
   out.keys = readKeys(row, at);
   if (!row.value("urgency").isUndefined() && !row.value("urgency").isNull())
     out.urgency = static_cast<int>(integer(row, "urgency", 0, 9, 5, at));
-  out.perSecond = amount(row, "rate", at);
+  out.ratePerSecond = amount(row, "rate", at);
   out.burst = amount(row, "burst", at);
   QJsonValue const unit = row.value("unit");
   if (!unit.isUndefined() && unit.toString() != "tokens" && unit.toString() != "requests")
-    throw Error(at + "/unit", "must be tokens or requests");
+    throw ConfigError(at + "/unit", "must be tokens or requests");
   out.inTokens = unit.toString() == "tokens";
-  out.plainTokens = integer(row, "plainTokens", 0, mostNumber, 0, at);
+  out.defaultTokens = integer(row, "plainTokens", 0, mostNumber, 0, at);
   objectIfSaid(row, "extra", at);
   return out;
 }
@@ -220,19 +224,19 @@
   for (qsizetype i = 0; i < rows.size(); ++i) {
     std::string const at = "/tenants/" + std::to_string(i);
     out.push_back(readTenant(itemAt(rows, i, at), at));
-    if (!names.insert(out.back().name).second) throw Error(at + "/name", "stands twice");
+    if (!names.insert(out.back().name).second) throw ConfigError(at + "/name", "stands twice");
     for (std::string const& key : out.back().keys)
-      if (!keys.insert(key).second) throw Error(at + "/keys", "a key stands twice");
+      if (!keys.insert(key).second) throw ConfigError(at + "/keys", "a key stands twice");
   }
   return out;
 }
 
-HttpTerms readHttp(QJsonValue const& v) {
+HttpLimits readHttp(QJsonValue const& v) {
   if (v.isUndefined()) return {};
-  if (!v.isObject()) throw Error("/door", "must be an object");
+  if (!v.isObject()) throw ConfigError("/door", "must be an object");
   QJsonObject const row = v.toObject();
   onlyFields(row, {"headBytes", "bodyBytes", "headMs", "idleMs"}, "/door");
-  HttpTerms out;
+  HttpLimits out;
   out.headBytes = static_cast<std::uint32_t>(integer(row, "headBytes", 0, mostCount, 0, "/door"));
   out.bodyBytes = static_cast<std::uint64_t>(integer(row, "bodyBytes", 0, mostNumber, 0, "/door"));
   out.headMs = integer(row, "headMs", 0, mostNumber, 0, "/door");
@@ -248,21 +252,21 @@
   for (qsizetype i = 0; i < items.size(); ++i) {
     std::string const at = std::string("/set/") + list + "/" + std::to_string(i);
     std::string const name = text(itemAt(items, i, at), "name", maxText, at);
-    if (!fresh.emplace(name, items.at(i)).second) throw Error(at + "/name", "stands twice");
+    if (!fresh.emplace(name, items.at(i)).second) throw ConfigError(at + "/name", "stands twice");
     order.push_back(name);
   }
   std::unordered_set<std::string> gone;
   QJsonArray const names = drop.contains(QLatin1String(list)) ? listAt(drop, list, "/drop", maxPaths) : QJsonArray();
   for (qsizetype i = 0; i < names.size(); ++i) {
     std::string const at = std::string("/drop/") + list + "/" + std::to_string(i);
-    if (!names.at(i).isString()) throw Error(at, "must be a name");
-    std::string const name = str(names.at(i).toString());
-    if (fresh.count(name) > 0) throw Error(at, "is set in the same change");
+    if (!names.at(i).isString()) throw ConfigError(at, "must be a name");
+    std::string const name = toStdString(names.at(i).toString());
+    if (fresh.count(name) > 0) throw ConfigError(at, "is set in the same change");
     gone.insert(name);
   }
   QJsonArray out;
   for (QJsonValue const item : current) {
-    std::string const name = str(item.toObject().value("name").toString());
+    std::string const name = toStdString(item.toObject().value("name").toString());
     if (gone.count(name) > 0) continue;
     std::unordered_map<std::string, QJsonValue>::iterator const it = fresh.find(name);
     out.append(it == fresh.end() ? item : it->second);
@@ -277,16 +281,16 @@
 
 }  // namespace
 
-Whole readWhole(QJsonObject const& spec) {
+FleetConfiguration readFleetConfiguration(QJsonObject const& spec) {
   onlyFields(spec, {"version", "paths", "pools", "tenants", "door", "extra"}, "");
-  Whole out;
+  FleetConfiguration out;
   out.version = static_cast<std::uint64_t>(neededInteger(spec, "version", 1, mostVersion, ""));
   PoolNames pools;
   QJsonArray const poolRows = listAt(spec, "pools", "", maxPools);
   for (qsizetype i = 0; i < poolRows.size(); ++i) {
     std::string const at = "/pools/" + std::to_string(i);
     out.pools.push_back(readPoolTerms(itemAt(poolRows, i, at), at));
-    if (!pools.insert(out.pools.back().name).second) throw Error(at + "/name", "stands twice");
+    if (!pools.insert(out.pools.back().name).second) throw ConfigError(at + "/name", "stands twice");
   }
   std::unordered_set<std::string> names;
   std::set<std::pair<std::string, std::string>> places;
@@ -296,9 +300,9 @@
     std::string const at = "/paths/" + std::to_string(i);
     out.paths.push_back(readPath(itemAt(pathRows, i, at), pools, at));
     Path const& p = out.paths.back();
-    if (!names.insert(p.instance).second) throw Error(at + "/name", "stands twice");
+    if (!names.insert(p.instance).second) throw ConfigError(at + "/name", "stands twice");
     if (!places.emplace(p.host, p.prefix).second)
-      throw Error(at + "/prefix", "another path has the same host and prefix");
+      throw ConfigError(at + "/prefix", "another path has the same host and prefix");
   }
   out.tenants = readTenants(spec);
   out.http = readHttp(spec.value("door"));
@@ -306,9 +310,9 @@
   return out;
 }
 
-QJsonObject patchWhole(QJsonObject const& current, QJsonObject const& patch) {
+QJsonObject patchFleetConfiguration(QJsonObject const& current, QJsonObject const& patch) {
   onlyFields(patch, {"version", "set", "drop", "door", "extra"}, "");
-  if (!patch.contains("version")) throw Error("/version", "missing");
+  if (!patch.contains("version")) throw ConfigError("/version", "missing");
   for (char const* part : {"set", "drop"}) {
     objectIfSaid(patch, part, "");
     onlyFields(patch.value(QLatin1String(part)).toObject(), {"paths", "pools", "tenants"}, std::string("/") + part);
--- a/config/src/regimes.cpp
+++ b/config/src/regimes.cpp
@@ -13,46 +13,47 @@
 
 namespace {
 
-using core::str;
+using core::toStdString;
 
 std::string nameAt(QJsonObject const& o, char const* field, std::string const& at) {
-  std::string out = str(o.value(QLatin1String(field)).toString());
-  if (!validName(out)) throw Error(at + "/" + field, o.contains(QLatin1String(field)) ? "not a valid name" : "missing");
+  std::string out = toStdString(o.value(QLatin1String(field)).toString());
+  if (!validName(out))
+    throw ConfigError(at + "/" + field, o.contains(QLatin1String(field)) ? "not a valid name" : "missing");
   return out;
 }
 
 std::string textAt(QJsonObject const& o, char const* field, std::string const& at) {
   if (!o.contains(QLatin1String(field))) return "";
-  std::string out = str(o.value(QLatin1String(field)).toString());
+  std::string out = toStdString(o.value(QLatin1String(field)).toString());
   if (out.empty() || out.size() > maxText)
-    throw Error(at + "/" + field, "must be a text of 1 to " + std::to_string(maxText) + " bytes");
+    throw ConfigError(at + "/" + field, "must be a text of 1 to " + std::to_string(maxText) + " bytes");
   return out;
 }
 
 void noteAt(QJsonObject const& o, std::string const& at) {
-  if (o.contains("note") && !o.value("note").isString()) throw Error(at + "/note", "must be a text");
+  if (o.contains("note") && !o.value("note").isString()) throw ConfigError(at + "/note", "must be a text");
 }
 
 std::int64_t timeAt(QJsonObject const& o, char const* field, std::string const& at) {
   QString const text = o.value(QLatin1String(field)).toString();
   QDateTime const t = QDateTime::fromString(text, Qt::ISODate);
   if (!t.isValid() || !text.endsWith('Z'))
-    throw Error(at + "/" + field,
-                o.contains(QLatin1String(field)) ? "must be a time in UTC, as 2027-01-31T00:00:00Z" : "missing");
+    throw ConfigError(at + "/" + field,
+                      o.contains(QLatin1String(field)) ? "must be a time in UTC, as 2027-01-31T00:00:00Z" : "missing");
   return t.toMSecsSinceEpoch();
 }
 
 QJsonObject partAt(QJsonObject const& spec, char const* field, std::size_t most) {
   QJsonValue const v = spec.value(QLatin1String(field));
-  if (!v.isObject()) throw Error(std::string("/") + field, v.isUndefined() ? "missing" : "must be an object");
+  if (!v.isObject()) throw ConfigError(std::string("/") + field, v.isUndefined() ? "missing" : "must be an object");
   if (static_cast<std::size_t>(v.toObject().size()) > most)
-    throw Error(std::string("/") + field, "more than " + std::to_string(most));
+    throw ConfigError(std::string("/") + field, "more than " + std::to_string(most));
   return v.toObject();
 }
 
 QJsonObject itemAt(QJsonObject const& part, QString const& name, std::string const& at) {
-  if (!validName(str(name))) throw Error(at, "not a valid name");
-  if (!part.value(name).isObject()) throw Error(at, "must be an object");
+  if (!validName(toStdString(name))) throw ConfigError(at, "not a valid name");
+  if (!part.value(name).isObject()) throw ConfigError(at, "must be an object");
   return part.value(name).toObject();
 }
 
@@ -62,11 +63,11 @@
   Regime out;
   QString const routers = row.value("nacelles").toString();
   if (routers != QLatin1String("certified") && routers != QLatin1String("any"))
-    throw Error(at + "/nacelles", "must be certified or any");
+    throw ConfigError(at + "/nacelles", "must be certified or any");
   out.certifiedRouters = routers == QLatin1String("certified");
   if (row.contains("reserve")) {
     out.reserve = row.value("reserve").toDouble(-1);
-    if (!(out.reserve >= 0 && out.reserve <= 1)) throw Error(at + "/reserve", "must be a number from 0 to 1");
+    if (!(out.reserve >= 0 && out.reserve <= 1)) throw ConfigError(at + "/reserve", "must be a number from 0 to 1");
   }
   return out;
 }
@@ -80,7 +81,7 @@
   else if (carrier == QLatin1String("nacelles"))
     out.carrier = Carrier::routers;
   else
-    throw Error(at + "/carrier", "must be replicas or routers");
+    throw ConfigError(at + "/carrier", "must be replicas or routers");
   bool const replicas = out.carrier == Carrier::replicas;
   if (replicas)
     onlyFields(row, {"regime", "carrier", "pool", "zone", "address", "life", "from", "until", "note"}, at);
@@ -88,23 +89,24 @@
     onlyFields(row, {"regime", "carrier", "zone", "link", "from", "until", "note"}, at);
   noteAt(row, at);
   out.regime = nameAt(row, "regime", at);
-  out.zone = str(row.value("zone").toString());
-  if (!validLabel(out.zone)) throw Error(at + "/zone", row.contains("zone") ? "not a valid name" : "missing");
+  out.zone = toStdString(row.value("zone").toString());
+  if (!validLabel(out.zone)) throw ConfigError(at + "/zone", row.contains("zone") ? "not a valid name" : "missing");
   if (replicas) {
     out.pool = textAt(row, "pool", at);
-    if (out.pool.empty()) throw Error(at + "/pool", "missing");
+    if (out.pool.empty()) throw ConfigError(at + "/pool", "missing");
     out.address = textAt(row, "address", at);
-    out.life = textAt(row, "life", at);
-    if (out.address.empty() && !out.life.empty()) throw Error(at + "/address", "missing beside life");
-    if (!out.address.empty() && out.life.empty())
-      throw Error(at + "/life", "missing beside address: an address alone carries no certificate");
+    out.incarnation = textAt(row, "life", at);
+    if (out.address.empty() && !out.incarnation.empty()) throw ConfigError(at + "/address", "missing beside life");
+    if (!out.address.empty() && out.incarnation.empty())
+      throw ConfigError(at + "/life", "missing beside address: an address alone carries no certificate");
   } else {
     out.link = textAt(row, "link", at);
   }
   out.from = row.contains("from") ? timeAt(row, "from", at) : 0;
   out.until = timeAt(row, "until", at);
   if (out.until - out.from <= 2 * wallMargin)
-    throw Error(at + "/until", "must be more than " + std::to_string(2 * wallMargin / 1000) + " s after the beginning");
+    throw ConfigError(at + "/until",
+                      "must be more than " + std::to_string(2 * wallMargin / 1000) + " s after the beginning");
   return out;
 }
 
@@ -116,43 +118,43 @@
   Regimes out;
   QJsonObject const regimes = partAt(spec, "regimes", maxRegimes);
   for (QString const& name : regimes.keys()) {
-    std::string const at = "/regimes/" + str(name);
-    out.regimes[str(name)] = readRegime(itemAt(regimes, name, at), at);
+    std::string const at = "/regimes/" + toStdString(name);
+    out.regimes[toStdString(name)] = readRegime(itemAt(regimes, name, at), at);
   }
   QJsonObject const certificates = partAt(spec, "certificates", maxCertificates);
   for (QString const& name : certificates.keys()) {
-    std::string const at = "/certificates/" + str(name);
-    Certificate const c = readCertificate(str(name), itemAt(certificates, name, at), at);
-    if (out.regimes.count(c.regime) == 0) throw Error(at + "/regime", "no regime named " + c.regime);
+    std::string const at = "/certificates/" + toStdString(name);
+    Certificate const c = readCertificate(toStdString(name), itemAt(certificates, name, at), at);
+    if (out.regimes.count(c.regime) == 0) throw ConfigError(at + "/regime", "no regime named " + c.regime);
     out.certificates[c.name] = c;
   }
   return out;
 }
 
-Regimes keptRegimes(QJsonObject const& value) {
+Regimes storedRegimes(QJsonObject const& value) {
   return value.contains("spec") ? readRegimes(value.value("spec").toObject()) : Regimes{};
 }
 
-bool counts(Certificate const& certificate, Wall now) {
+bool counts(Certificate const& certificate, WallTime now) {
   return now && (certificate.from == 0 || *now >= certificate.from + wallMargin) &&
          *now < certificate.until - wallMargin;
 }
 
 Certificate const* certifies(Regimes const& regimes, std::string const& regime, std::string const& pool,
-                             Replica const& replica, Wall now) {
+                             Replica const& replica, WallTime now) {
   if (replica.id.empty() || regimes.regimes.count(regime) == 0) return nullptr;
   for (std::map<std::string, Certificate>::value_type const& entry : regimes.certificates) {
     Certificate const& c = entry.second;
     if (c.carrier != Carrier::replicas || c.regime != regime || c.pool != pool || c.zone != replica.zone ||
         !counts(c, now))
       continue;
-    if (c.life.empty() || (c.life == replica.id && c.address == replica.address)) return &c;
+    if (c.incarnation.empty() || (c.incarnation == replica.id && c.address == replica.address)) return &c;
   }
   return nullptr;
 }
 
 bool routerMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone,
-               Wall now) {
+               WallTime now) {
   std::map<std::string, Regime>::const_iterator const it = regimes.regimes.find(regime);
   if (it == regimes.regimes.end() || !now) return false;
   if (!it->second.certifiedRouters) return true;
@@ -165,7 +167,7 @@
 }
 
 std::optional<RegimeFault> faultOf(Regimes const& regimes, std::string const& regime, std::string const& pool,
-                                   Wall now) {
+                                   WallTime now) {
   std::map<std::string, Regime>::const_iterator const it = regimes.regimes.find(regime);
   if (it == regimes.regimes.end()) return RegimeFault{"/regimes/" + regime, "no regime named " + regime};
   bool replicas = false;
--- a/config/test/config_test.cpp
+++ b/config/test/config_test.cpp
@@ -38,9 +38,9 @@
   REQUIRE(paths.size() == 6);
   CHECK(paths[0].instance == "fault.nord");
   CHECK(paths[0].path == "narrate/nord-7");
-  CHECK(paths[1].aim == 500);
-  CHECK(paths[4].aim == 60);
-  CHECK(paths[2].cls == config::Class::urgent);
+  CHECK(paths[1].latencyTarget == 500);
+  CHECK(paths[4].latencyTarget == 60);
+  CHECK(paths[2].requestClass == config::RequestClass::urgent);
 }
 
 TEST_CASE("what is not a valid configuration is rejected with its place") {
@@ -71,7 +71,7 @@
     try {
       config::checkFamily(family(r.spec, r.instances), known, noRegime);
       FAIL("accepted: " << r.spec << r.instances);
-    } catch (config::Error const& e) {
+    } catch (config::ConfigError const& e) {
       CHECK(e.pointer() == r.pointer);
     }
   }
@@ -96,7 +96,7 @@
 }
 
 TEST_CASE("a platform list is checked whole") {
-  config::Pool const p = config::readPool(
+  config::EndpointList const p = config::readPool(
       core::parseJson(
           R"({"generation":3,"coldRate":1.5,"replicas":[{"address":"127.0.0.1:80","zone":"z1","state":"cold"}]})")
           .toObject());
@@ -106,5 +106,5 @@
                           R"({"generation":1,"replicas":[{"address":"127.0.0.1:80","zone":"z","state":"warm"}]})",
                           R"({"generation":1,"replicas":[{"address":"127.0.0.1:99999","zone":"z","state":"cold"}]})",
                           R"({"generation":1,"coldRate":-1,"replicas":[]})"})
-    CHECK_THROWS_AS(config::readPool(core::parseJson(bad).toObject()), config::Error);
+    CHECK_THROWS_AS(config::readPool(core::parseJson(bad).toObject()), config::ConfigError);
 }
--- a/config/test/whole_test.cpp
+++ b/config/test/fleet_configuration_test.cpp
@@ -29,7 +29,7 @@
   QJsonObject spec = object(path(""));
   QJsonArray paths = spec.value("paths").toArray();
   QJsonObject row = paths.first().toObject();
-  row.remove(core::qstr(field));
+  row.remove(core::toQString(field));
   if (!instead.empty()) {
     QJsonObject const more = object(instead);
     for (QString const& k : more.keys()) row.insert(k, more.value(k));
@@ -41,8 +41,8 @@
 
 std::string faultOf(std::string const& spec) {
   try {
-    config::readWhole(object(spec));
-  } catch (config::Error const& e) {
+    config::readFleetConfiguration(object(spec));
+  } catch (config::ConfigError const& e) {
     return e.pointer();
   }
   return "";
@@ -50,21 +50,21 @@
 
 std::string faultOf(char const* current, char const* patch) {
   try {
-    config::patchWhole(object(current), object(patch));
-  } catch (config::Error const& e) {
+    config::patchFleetConfiguration(object(current), object(patch));
+  } catch (config::ConfigError const& e) {
     return e.pointer();
   }
   return "";
 }
 
 config::Path read(std::string const& fields) {
-  return config::readWhole(object(path(fields))).paths.at(0);
+  return config::readFleetConfiguration(object(path(fields))).paths.at(0);
 }
 
 }  // namespace
 
 TEST_CASE("a whole configuration is read with its defaults") {
-  config::Whole const w = config::readWhole(
+  config::FleetConfiguration const w = config::readFleetConfiguration(
       object(R"({"version":7.0,"pools":)" + std::string(pools) +
              R"(,"door":{"headBytes":16384,"bodyBytes":4194304,"headMs":3000,"idleMs":15000},"extra":{"x":[1,{}]},
       "paths":[{"name":"Pfad 1/ü","host":"a.example","prefix":"/x/","kind":"stream","deadlineMs":15000.0,"aimMs":800,"gapAimMs":400,"urgency":0,
@@ -77,16 +77,17 @@
   CHECK(a.path.empty());
   CHECK((a.host == "a.example" && a.prefix == "/x/"));
   CHECK((a.stream && a.resumable && a.repeatable));
-  CHECK((a.deadline == 15000 && a.aim == 800 && a.gapAim == 400 && a.urgency == 0 && a.tries == 2));
-  REQUIRE(a.shares.size() == 2);
-  CHECK((a.shares[0].pool == "big" && a.shares[0].weight == 90 && a.shares[1].pool == "small" &&
-         a.shares[1].weight == 10));
+  CHECK((a.deadline == 15000 && a.latencyTarget == 800 && a.eventGapTarget == 400 && a.urgency == 0 &&
+         a.maxAttempts == 2));
+  REQUIRE(a.weightedPools.size() == 2);
+  CHECK((a.weightedPools[0].pool == "big" && a.weightedPools[0].weight == 90 && a.weightedPools[1].pool == "small" &&
+         a.weightedPools[1].weight == 10));
   CHECK(a.pool == "big");
-  CHECK(a.cls == config::Class::bulk);
+  CHECK(a.requestClass == config::RequestClass::bulk);
   config::Path const& b = w.paths[1];
-  CHECK((b.repeatable && !b.stream && !b.resumable && b.tries == 1 && b.urgency == 5 && b.gapAim == 0));
-  CHECK((b.cls == config::Class::quick && b.aim == 800));
-  CHECK((b.shares.size() == 1 && b.shares[0].pool == "small" && b.shares[0].weight == 1));
+  CHECK((b.repeatable && !b.stream && !b.resumable && b.maxAttempts == 1 && b.urgency == 5 && b.eventGapTarget == 0));
+  CHECK((b.requestClass == config::RequestClass::quick && b.latencyTarget == 800));
+  CHECK((b.weightedPools.size() == 1 && b.weightedPools[0].pool == "small" && b.weightedPools[0].weight == 1));
   REQUIRE(w.pools.size() == 2);
   CHECK((w.pools[0].connections == 650 && w.pools[0].coldRate == 2.5 && w.pools[0].coldFor == 3000 &&
          w.pools[0].slots == 128 && w.pools[0].tokens == 729140));
@@ -95,27 +96,32 @@
 }
 
 TEST_CASE("a path's class follows from its aim and its deadline") {
-  CHECK(read(R"("aimMs":400)").cls == config::Class::urgent);
-  CHECK(read(R"("aimMs":401)").cls == config::Class::quick);
-  CHECK(read(R"("aimMs":0)").cls == config::Class::quick);
-  config::Path const slow = config::readWhole(object(without("deadlineMs", R"({"deadlineMs":10000})"))).paths.at(0);
-  CHECK((slow.cls == config::Class::bulk && slow.aim == 2500));
-  CHECK(config::readWhole(object(without("deadlineMs", R"({"deadlineMs":9999})"))).paths.at(0).cls ==
-        config::Class::quick);
-  CHECK(config::readWhole(object(without("deadlineMs", R"({"deadlineMs":20000,"aimMs":100})"))).paths.at(0).cls ==
-        config::Class::urgent);
+  CHECK(read(R"("aimMs":400)").requestClass == config::RequestClass::urgent);
+  CHECK(read(R"("aimMs":401)").requestClass == config::RequestClass::quick);
+  CHECK(read(R"("aimMs":0)").requestClass == config::RequestClass::quick);
+  config::Path const slow =
+      config::readFleetConfiguration(object(without("deadlineMs", R"({"deadlineMs":10000})"))).paths.at(0);
+  CHECK((slow.requestClass == config::RequestClass::bulk && slow.latencyTarget == 2500));
+  CHECK(config::readFleetConfiguration(object(without("deadlineMs", R"({"deadlineMs":9999})")))
+            .paths.at(0)
+            .requestClass == config::RequestClass::quick);
+  CHECK(config::readFleetConfiguration(object(without("deadlineMs", R"({"deadlineMs":20000,"aimMs":100})")))
+            .paths.at(0)
+            .requestClass == config::RequestClass::urgent);
 }
 
 TEST_CASE("only a stream can be resumable, and only what may run again is repeatable") {
   CHECK_FALSE(read(R"("resumable":true)").resumable);
   CHECK_FALSE(read("").repeatable);
-  config::Path const plain = config::readWhole(object(without("kind", R"({"kind":"stream"})"))).paths.at(0);
+  config::Path const plain =
+      config::readFleetConfiguration(object(without("kind", R"({"kind":"stream"})"))).paths.at(0);
   CHECK((plain.stream && !plain.resumable && !plain.repeatable));
   config::Path const resumed =
-      config::readWhole(object(without("kind", R"({"kind":"stream","resumable":true})"))).paths.at(0);
+      config::readFleetConfiguration(object(without("kind", R"({"kind":"stream","resumable":true})"))).paths.at(0);
   CHECK((resumed.stream && resumed.resumable && resumed.repeatable));
-  CHECK_FALSE(
-      config::readWhole(object(without("kind", R"({"kind":"repeatable","resumable":true})"))).paths.at(0).resumable);
+  CHECK_FALSE(config::readFleetConfiguration(object(without("kind", R"({"kind":"repeatable","resumable":true})")))
+                  .paths.at(0)
+                  .resumable);
 }
 
 TEST_CASE("what is not a valid whole configuration is rejected with its place") {
@@ -212,12 +218,15 @@
 TEST_CASE("a patch replaces in place, appends and drops, and says the new version") {
   char const* const current = R"({"version":3,"extra":{"old":1},"door":{"headMs":5},"pools":[{"name":"a"},{"name":"b"}],
     "paths":[{"name":"x","n":1},{"name":"y","n":2},{"name":"z","n":3}]})";
-  QJsonObject const out = config::patchWhole(
+  QJsonObject const out = config::patchFleetConfiguration(
       object(current), object(R"({"version":9,"set":{"paths":[{"name":"new","n":7},{"name":"y","n":8}]},
     "drop":{"paths":["x","never"],"pools":["a"]},"extra":{"fresh":2}})"));
   CHECK(out == object(R"({"version":9,"extra":{"fresh":2},"door":{"headMs":5},"pools":[{"name":"b"}],
     "paths":[{"name":"y","n":8},{"name":"z","n":3},{"name":"new","n":7}]})"));
-  CHECK(config::patchWhole(object(current), object(R"({"version":4,"door":{}})")).value("door").toObject().isEmpty());
+  CHECK(config::patchFleetConfiguration(object(current), object(R"({"version":4,"door":{}})"))
+            .value("door")
+            .toObject()
+            .isEmpty());
   CHECK(faultOf(current, R"({"set":{}})") == "/version");
   CHECK(faultOf(current, R"({"version":4,"surprise":{}})") == "/surprise");
   CHECK(faultOf(current, R"({"version":4,"set":[]})") == "/set");
@@ -235,12 +244,12 @@
       {"template", object(R"({"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]},"stamp":1})")},
       {"instances", object(R"({"i":{"spec":{},"stamp":2}})")}};
   config::Path const p = config::render("t", family).at(0);
-  REQUIRE(p.shares.size() == 1);
-  CHECK((p.shares[0].pool == "model" && p.shares[0].weight == 1));
+  REQUIRE(p.weightedPools.size() == 1);
+  CHECK((p.weightedPools[0].pool == "model" && p.weightedPools[0].weight == 1));
 }
 
 TEST_CASE("a replica may have a name of its own life") {
-  config::Pool const p = config::readPool(object(
+  config::EndpointList const p = config::readPool(object(
       R"({"generation":1,"replicas":[{"id":"i-7f","address":"127.0.0.1:80","zone":"z","state":"cold"},{"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
   CHECK((p.replicas.at(0).id == "i-7f" && p.replicas.at(1).id.empty()));
   std::function<std::string(std::string const&, std::string const&)> const fault =
@@ -249,7 +258,7 @@
       config::readPool(object(R"({"generation":1,"replicas":[{"id":)" + one +
                               R"(,"address":"127.0.0.1:80","zone":"z","state":"cold"},{"id":)" + two +
                               R"(,"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
-    } catch (config::Error const& e) {
+    } catch (config::ConfigError const& e) {
       return e.pointer();
     }
     return "";
--- a/config/test/regimes_test.cpp
+++ b/config/test/regimes_test.cpp
@@ -36,9 +36,9 @@
 
 TEST_CASE("a replica is certified by its pool, zone and life, never by its address alone") {
   config::Regimes const r = config::readRegimes(object(good));
-  config::Wall const now = at("2026-03-01T00:00:00Z");
-  std::function<std::string(char const*, char const*, config::Replica const&, config::Wall)> const under =
-      [&](char const* regime, char const* pool, config::Replica const& one, config::Wall wall) {
+  config::WallTime const now = at("2026-03-01T00:00:00Z");
+  std::function<std::string(char const*, char const*, config::Replica const&, config::WallTime)> const under =
+      [&](char const* regime, char const* pool, config::Replica const& one, config::WallTime wall) {
         config::Certificate const* const c = config::certifies(r, regime, pool, one, wall);
         return c == nullptr ? std::string() : c->name;
       };
@@ -68,7 +68,7 @@
 
 TEST_CASE("a router is certified by its zone, or by link and zone, where the regime asks for it") {
   config::Regimes const r = config::readRegimes(object(good));
-  config::Wall const now = at("2026-03-01T00:00:00Z");
+  config::WallTime const now = at("2026-03-01T00:00:00Z");
   CHECK(config::routerMay(r, "health", "10.0.0.3:1", "z1", now));
   CHECK(config::routerMay(r, "health", "10.0.0.9:1", "z2", now));
   CHECK_FALSE(config::routerMay(r, "health", "10.0.0.8:1", "z2", now));
@@ -81,7 +81,7 @@
 
 TEST_CASE("a regime that nothing could serve is told with its place") {
   config::Regimes r = config::readRegimes(object(good));
-  config::Wall const now = at("2026-03-01T00:00:00Z");
+  config::WallTime const now = at("2026-03-01T00:00:00Z");
   CHECK_FALSE(config::faultOf(r, "health", "model", now));
   CHECK(config::faultOf(r, "nobody", "model", now)->pointer == "/regimes/nobody");
   CHECK(config::faultOf(r, "health", "gateway", now)->pointer == "/certificates");
@@ -135,7 +135,7 @@
     try {
       config::readRegimes(object(r.spec));
       FAIL("accepted: " << r.spec);
-    } catch (config::Error const& e) {
+    } catch (config::ConfigError const& e) {
       CHECK(e.pointer() == r.pointer);
     }
   }
@@ -182,7 +182,7 @@
           });
       out = config::render("t", family).at(0).regime;
       CHECK(config::regimeUses(config::render("t", family)).size() == (out.empty() ? 0 : 1));
-    } catch (config::Error const& e) {
+    } catch (config::ConfigError const& e) {
       out = e.pointer();
     }
     INFO(r.spec << " " << r.instance);
--- a/consensus/include/corkward/consensus/registers.h
+++ b/consensus/include/corkward/consensus/replicated_registers.h
@@ -14,35 +14,35 @@
 namespace corkward::consensus {
 
 /// One member of the membership: per-key registers with an owner each, synced on a majority before an answer.
-class Registers {
+class ReplicatedRegisters {
  public:
   /// The member's id is a name that was never used before; a disk that has one keeps it, and a member that was struck
   /// off makes its next one from it. Founders are link addresses, this member's own among them when it may found; they
   /// count at the first start of an empty disk, which keeps them until the membership is founded. A founder that says
   /// it has no disk does not count.
-  Registers(Member self, std::vector<std::string> founders, Validator validator, std::uint64_t seed,
-            Tuning tuning = {});
+  ReplicatedRegisters(Member self, std::vector<std::string> founders, Validator validator, std::uint64_t seed,
+                      ConsensusTuning tuning = {});
 
   /// Takes what the write-ahead log gave back. Damaged: nothing of it counts, and this machine joins anew under a fresh
   /// id.
-  Commands restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now);
+  RegisterCommands restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now);
 
-  Commands arrived(Tick now, std::string const& from, transport::Message const& message);
-  Commands clockEvent(Tick now);
+  RegisterCommands onMessage(Tick now, std::string const& from, transport::Message const& message);
+  RegisterCommands onTimer(Tick now);
   /// A write and its sync are done; not ok: this member's disk is out of use from now on.
-  Commands written(Tick now, std::uint64_t ticket, bool ok);
-  /// Queues a call on a key; the outcome comes as Decided. Rejected at once when no majority can be had.
-  Commands call(Tick now, std::string const& key, transport::Call const& call);
+  RegisterCommands onPersisted(Tick now, std::uint64_t ticket, bool ok);
+  /// Queues a call on a key; the outcome comes as CallCompleted. Rejected at once when no majority can be had.
+  RegisterCommands submit(Tick now, std::string const& key, transport::OperatorCall const& call);
   /// This member drains: it hands every owned key to a named successor, now and whenever its proposals end, starts no
   /// election while another can, and is taken out of a membership of even size.
-  Commands handOver(Tick now);
+  RegisterCommands startHandover(Tick now);
   /// After handOver: it owns nothing, is out of a set of even size, and every live member has on its disk whatever this
   /// one knows as chosen, so nothing is lost with it.
-  bool handedOver(Tick now) const;
+  bool handoverComplete(Tick now) const;
   /// True while this machine is no member or hears no majority of the members: it then asks others for its membership.
-  bool seeking() const { return !isMember(self_.id) || quorumAt_ < 0; }
+  bool discovering() const { return !isMember(self_.id) || quorumAt_ < 0; }
   /// Link addresses to ask while seeking.
-  void meet(std::vector<std::string> links) { neighbours_ = std::move(links); }
+  void setDiscoveryPeers(std::vector<std::string> links) { neighbours_ = std::move(links); }
 
   /// Link of the member that owns the key, empty when none is known to be alive.
   std::string ownerLink(std::string const& key, Tick now) const;
@@ -50,14 +50,14 @@
   /// Links of the members that vote and were heard of late, this one included if it votes.
   std::vector<std::string> aliveLinks(Tick now) const;
   /// Keys with a committed value and their values.
-  std::map<std::string, Committed> const& committed() const { return committed_; }
+  std::map<std::string, CommittedValue> const& committed() const { return committed_; }
   /// A member has accepted a value of the key, which need not be known as committed here, as after a restart of all.
-  bool mayHold(std::string const& key) const;
+  bool mayHaveAcceptedValue(std::string const& key) const;
   /// Age of the last contact with a majority whose accepted changes this member knows; -1: none yet.
-  Tick majorityAge(Tick now) const;
-  bool voting() const { return voting_ && !diskFailed_ && !leaving_; }
-  bool diskOk() const { return !diskFailed_ && !stalled_; }
-  bool empty() const { return empty_; }
+  Tick quorumContactAge(Tick now) const;
+  bool isVoting() const { return voting_ && !diskFailed_ && !leaving_; }
+  bool isDiskHealthy() const { return !diskFailed_ && !stalled_; }
+  bool hasNoState() const { return hasNoState_; }
   std::vector<Member> const& membership() const { return membership_; }
   Member const& self() const { return self_; }
   std::size_t ownedCount() const;
@@ -67,7 +67,7 @@
 
  private:
   struct Pending {
-    transport::Call call;
+    transport::OperatorCall call;
     Tick since = 0;
   };
   struct Read {
@@ -85,10 +85,10 @@
     int status = 200;
     Tick since = 0;
     Tick sentAt = 0;
-    std::set<std::string> yes;
+    std::set<std::string> acceptedBy;
   };
   enum class Role { idle, preparing, owner };
-  struct Reg {
+  struct RegisterState {
     Ballot promised;
     Ballot acceptedBallot;
     std::uint64_t revision = 0;
@@ -109,7 +109,7 @@
     Tick fetchedAt = 0;
     bool unowned = false;
   };
-  struct Other {
+  struct PeerState {
     Tick heard = 0;
     Tick echoTick = -1;
     transport::Revisions echoRevisions;
@@ -127,65 +127,67 @@
     transport::Digest accepted;
   };
 
-  Reg& reg(std::string const& key);
+  RegisterState& registerFor(std::string const& key);
   /// Oldest membership whose ballots on the key are taken.
   std::uint64_t oldestTaken(std::string const& key);
   /// A newer ballot was promised.
-  bool isOld(Ballot const& ballot, Reg const& r) const;
+  bool isOld(Ballot const& ballot, RegisterState const& r) const;
   bool isMember(std::string const& id) const;
-  bool majority(std::set<std::string> const& yes, std::vector<Member> const& of) const;
+  bool isMajority(std::set<std::string> const& yes, std::vector<Member> const& of) const;
   /// Sends a message; one to this member itself is handled at once.
-  void send(Commands& out, Tick now, std::string const& to, transport::Message message);
-  void expireCalls(Commands& out, Tick now, std::string const& key, Reg& r);
+  void send(RegisterCommands& out, Tick now, std::string const& to, transport::Message message);
+  void expireCalls(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r);
 
   // Records on disk (persistence.cpp).
-  void persist(Commands& out, Tick now, std::string const& key, Reg& r);
-  void persistMeta(Commands& out, std::uint64_t ticket, bool voting, std::uint64_t caughtUp);
+  void persist(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r);
+  void persistMeta(RegisterCommands& out, std::uint64_t ticket, bool voting, std::uint64_t caughtUp);
   /// Sends once the register's newest record is synced.
-  void sendWhenSynced(Commands& out, Tick now, Reg const& r, std::string const& to, transport::Message message);
-  void watchDisk(Commands& out, Tick now);
+  void sendWhenSynced(RegisterCommands& out, Tick now, RegisterState const& r, std::string const& to,
+                      transport::Message message);
+  void watchDisk(RegisterCommands& out, Tick now);
 
   // Elections and proposals (proposals.cpp).
-  void startElection(Commands& out, Tick now, std::string const& key, Reg& r);
-  void stepDown(Commands& out, Tick now, std::string const& key, Reg& r, char const* why);
-  void becomeOwner(Commands& out, Tick now, std::string const& key, Reg& r);
-  void propose(Commands& out, Tick now, std::string const& key, Reg& r, Proposal proposal);
-  void sendProposal(Commands& out, Tick now, std::string const& key, Reg& r);
+  void startElection(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r);
+  void stepDown(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r, char const* why);
+  void becomeOwner(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r);
+  void propose(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r, Proposal proposal);
+  void sendProposal(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r);
   /// Judges queued calls, until one is being proposed.
-  void work(Commands& out, Tick now, std::string const& key, Reg& r);
-  void chosen(Commands& out, Tick now, std::string const& key, Reg& r);
-  void commit(Commands& out, Tick now, transport::Item const& item);
-  void resend(Commands& out, Tick now, std::string const& key, Reg& r);
-  void considerElection(Commands& out, Tick now, std::string const& key, Reg& r);
+  void work(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r);
+  void chosen(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r);
+  void commit(RegisterCommands& out, Tick now, transport::CommittedEntry const& item);
+  void resend(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r);
+  void considerElection(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r);
   /// Asks for the committed value of a key that others have a newer one of.
-  void fetchNewer(Commands& out, Tick now, std::string const& key, Reg& r);
+  void fetchNewer(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r);
   bool allSaidOwned() const;
   /// No other voting member that was heard of late comes before this one in the key's order.
   bool firstFor(std::string const& key, Tick now) const;
-  void on(Commands& out, Tick now, std::string const& from, transport::Prepare const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::Promise const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::Accept const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::Accepted const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::Commit const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::Handover const& m);
+  void on(RegisterCommands& out, Tick now, std::string const& from, transport::Prepare const& m);
+  void on(RegisterCommands& out, Tick now, std::string const& from, transport::Promise const& m);
+  void on(RegisterCommands& out, Tick now, std::string const& from, transport::Accept const& m);
+  void on(RegisterCommands& out, Tick now, std::string const& from, transport::Accepted const& m);
+  void on(RegisterCommands& out, Tick now, std::string const& from, transport::Commit const& m);
+  void on(RegisterCommands& out, Tick now, std::string const& from, transport::Handover const& m);
 
   // Heartbeats and contact with a majority (heartbeats.cpp).
   transport::Heartbeat ownHeartbeat(Tick now) const;
-  void heartbeat(Commands& out, Tick now);
+  void heartbeat(RegisterCommands& out, Tick now);
   void watchQuorum(Tick now);
   /// Notes a key whose newest accepted value is not known to be committed.
-  void accepted(Tick now, std::string const& key, Reg const& r);
-  void readsAnswered(Commands& out, Tick now, std::string const& member, Tick tick, transport::Revisions const& higher);
-  void refreshContact(Other& o);
-  void on(Commands& out, Tick now, std::string const& from, transport::Heartbeat const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::HeartbeatEcho const& m);
+  void accepted(Tick now, std::string const& key, RegisterState const& r);
+  void readsAnswered(RegisterCommands& out, Tick now, std::string const& member, Tick tick,
+                     transport::Revisions const& higher);
+  void refreshContact(PeerState& o);
+  void on(RegisterCommands& out, Tick now, std::string const& from, transport::Heartbeat const& m);
+  void on(RegisterCommands& out, Tick now, std::string const& from, transport::HeartbeatReply const& m);
 
   // Membership (membership.cpp).
-  void found(Commands& out, Tick now);
-  void firstVote(Commands& out, Tick now);
-  void adoptMembership(Commands& out, std::uint64_t revision, QJsonObject const& value, Tick now);
+  void found(RegisterCommands& out, Tick now);
+  void initializeFirstMembership(RegisterCommands& out, Tick now);
+  void adoptMembership(RegisterCommands& out, std::uint64_t revision, QJsonObject const& value, Tick now);
   /// Proposes the next change, if one is due and the set has caught up.
-  void considerMembership(Commands& out, Tick now);
+  void considerMembership(RegisterCommands& out, Tick now);
   std::vector<Member> nextMembership(std::set<std::string> const& caughtUp, Tick now, core::LogEvent& logEvent) const;
   /// How long a member has been silent, less the time this machine slept, in milliseconds.
   Tick darkFor(Member const& m, Tick now) const;
@@ -195,23 +197,23 @@
   bool drains(Member const& m) const;
   /// A member other than this one that drains and holds no key any more.
   Member const* parting(Tick now) const;
-  void handOverOwned(Commands& out, Tick now);
+  void handOverOwned(RegisterCommands& out, Tick now);
   /// Drops all state after this member was struck off, and takes a fresh id.
-  void leave(Commands& out, Tick now);
-  void name(Commands& out, std::string id);
-  void on(Commands& out, Tick now, std::string const& from, transport::NoDisk const& m);
+  void resetAfterRemoval(RegisterCommands& out, Tick now);
+  void assignMemberId(RegisterCommands& out, std::string id);
+  void on(RegisterCommands& out, Tick now, std::string const& from, transport::NotAVotingMember const& m);
 
   // Catching up (catch_up.cpp).
-  void catchUp(Commands& out, Tick now);
-  void persistCaughtUp(Commands& out);
+  void catchUp(RegisterCommands& out, Tick now);
+  void persistCaughtUp(RegisterCommands& out);
   /// Asks one other member for chosen values that are not on this one's disk, if there are any.
-  void copyChosen(Commands& out, Tick now);
+  void copyChosen(RegisterCommands& out, Tick now);
   /// Numbers a question for the slots behind a key.
-  transport::Fetch copyRequest(std::string const& after);
-  void takeSlots(Commands& out, Tick now, std::vector<transport::Slot> const& slots);
-  bool takesCopy(transport::Copy const& m) const;
-  void on(Commands& out, Tick now, std::string const& from, transport::Fetch const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::Copy const& m);
+  transport::ValueRequest copyRequest(std::string const& after);
+  void takeSlots(RegisterCommands& out, Tick now, std::vector<transport::RecordSlot> const& slots);
+  bool takesCopy(transport::SnapshotChunk const& m) const;
+  void on(RegisterCommands& out, Tick now, std::string const& from, transport::ValueRequest const& m);
+  void on(RegisterCommands& out, Tick now, std::string const& from, transport::SnapshotChunk const& m);
 
   Member self_;
   std::string freshId_;
@@ -221,9 +223,9 @@
   std::set<std::string> noDisk_;
   std::vector<std::string> neighbours_;
   Validator validator_;
-  Tuning tuning_;
-  core::Rng rng_;
-  bool empty_ = true;
+  ConsensusTuning tuning_;
+  core::RandomGenerator rng_;
+  bool hasNoState_ = true;
   bool voting_ = false;
   /// Struck off; the state is dropped at the next clock event.
   bool leaving_ = false;
@@ -242,15 +244,15 @@
   std::uint64_t nextTicket_ = 1;
   std::uint64_t membershipRevision_ = 0;
   std::vector<Member> membership_;
-  std::map<std::string, Reg> regs_;
-  std::map<std::string, Committed> committed_;
+  std::map<std::string, RegisterState> registers_;
+  std::map<std::string, CommittedValue> committed_;
   /// Digest of what is committed, and those it had before in this life, newest last.
   transport::Digest known_;
   std::deque<transport::Digest> had_;
   /// Owned keys as they were beaten last, and for how many more heartbeats they are named in full.
   transport::Digest owns_;
   int nameOwned_ = 0;
-  std::map<std::string, Other> others_;
+  std::map<std::string, PeerState> peers_;
   std::map<std::uint64_t, std::vector<transport::Send>> deferred_;
   std::map<std::uint64_t, Tick> writing_;
   std::uint64_t nameTicket_ = 0;
@@ -258,14 +260,14 @@
   std::uint64_t catchUpRevision_ = 0;
   std::uint64_t caughtUp_ = 0;
   /// Keys whose newest accepted value is not known to be committed, and since when.
-  std::map<std::string, Tick> unsure_;
+  std::map<std::string, Tick> unconfirmedKeys_;
   struct Newcomer {
     std::string link;
     Tick heard = 0;
     bool empty = false;
   };
   std::map<std::string, Newcomer> newcomers_;
-  std::set<std::string> copies_;
+  std::set<std::string> catchUpReplicas_;
   /// Number of this life's first question for a copy and of its newest. A late answer to an earlier life, which may
   /// have lost what it said to have, counts for nothing.
   std::uint64_t firstAsk_ = 0;
--- a/consensus/include/corkward/consensus/switches.h
+++ b/consensus/include/corkward/consensus/switches.h
@@ -17,9 +17,9 @@
   /// The next change of the membership waits until a majority has caught up with the present one.
   catchUpFirst,
   /// A newcomer votes after it has copied from a majority.
-  copyBeforeVote,
+  catchUpBeforeVote,
   /// A change of the membership needs majorities of the old and of the new one.
-  bothMajorities,
+  jointQuorum,
   /// Ballots of an older membership are refused.
   membershipGuard,
 };
--- a/consensus/include/corkward/consensus/types.h
+++ b/consensus/include/corkward/consensus/types.h
@@ -15,7 +15,7 @@
 using transport::Ballot;
 
 /// An error of the control state.
-class Error : public core::Error {
+class ConsensusError : public core::Error {
  public:
   using core::Error::Error;
 };
@@ -24,23 +24,23 @@
 inline constexpr char const* membershipKey = "cohort";
 
 /// Starting values; the daemon's settings may change them.
-struct Tuning {
+struct ConsensusTuning {
   Tick heartbeatEvery = 150;
-  Tick ownerSilence = 1000;
+  Tick ownerTimeout = 1000;
   Tick electionSpread = 500;
   /// After a restart, with a majority voting and no claim of a key: wait before it is campaigned for, and its spread.
   Tick restartPause = 150;
   Tick restartSpread = 250;
   Tick resendEvery = 200;
-  Tick callLimit = 4000;
+  Tick callTimeout = 4000;
   /// A member that has been silent for so long may be replaced, or struck off when three or more are left.
-  Tick replaceDarkAfter = 20000;
-  std::size_t mostMembers = 9;
+  Tick replaceUnreachableAfter = 20000;
+  std::size_t maxMembers = 9;
   Tick stallAfter = 800;
   /// A message of a copy holds values of about so many bytes, or one value that is larger.
-  std::size_t copyBytes = 1U << 20;
+  std::size_t snapshotChunkBytes = 1U << 20;
   /// Longest wait before a member that lacks chosen values on its disk asks for them again.
-  Tick copyAgainMost = 4000;
+  Tick maxCatchUpBackoff = 4000;
   /// For the explorer: what a test build may turn off. Nothing is off in a daemon.
   Switches switches;
 };
@@ -61,24 +61,24 @@
 
 /// Decides on a call, given the key's current value (revision 0: none yet). Pure.
 using Validator = std::function<Verdict(std::string const& key, std::uint64_t revision, QJsonObject const& value,
-                                        transport::Call const& call)>;
+                                        transport::OperatorCall const& call)>;
 
 /// Command: write the record and sync it, then report the ticket.
-struct Persist {
+struct PersistCommand {
   std::uint64_t ticket = 0;
   std::string key;
   std::string payload;
 };
 
 /// A value is on a majority of the disks.
-struct Committed {
+struct CommittedValue {
   std::string key;
   std::uint64_t revision = 0;
   QJsonObject value;
 };
 
 /// What became of a call that this member's queue held.
-struct Decided {
+struct CallCompleted {
   std::uint64_t token = 0;
   std::string key;
   /// Revision that the call's change was committed under; 0 when it changed nothing.
@@ -88,13 +88,13 @@
 };
 
 /// Commands that one event brought about.
-struct Commands {
+struct RegisterCommands {
   std::vector<transport::Send> sends;
-  std::vector<Persist> persists;
-  std::vector<Committed> commits;
-  std::vector<Decided> decided;
+  std::vector<PersistCommand> persists;
+  std::vector<CommittedValue> commits;
+  std::vector<CallCompleted> completedCalls;
   /// Calls that were never proposed here and belong to the key's new owner.
-  std::vector<std::pair<std::string, transport::Call>> reroute;
+  std::vector<std::pair<std::string, transport::OperatorCall>> rerouted;
   std::vector<core::LogEvent> logEvents;
 };
 
--- a/consensus/src/fingerprint.cpp
+++ b/consensus/src/fingerprint.cpp
@@ -1,4 +1,4 @@
-#include <corkward/consensus/registers.h>
+#include <corkward/consensus/replicated_registers.h>
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
   void add(std::string const& text) { add(core::stableHash(text)); }
   void add(QJsonObject const& value) { add(static_cast<std::uint64_t>(qHash(value, std::size_t{0}))); }
   void add(Ballot const& b) {
-    add(b.n);
+    add(b.number);
     add(b.member);
   }
   void add(transport::Digest const& d) {
@@ -48,10 +48,10 @@
 
 }  // namespace
 
-std::uint64_t Registers::fingerprint(Tick now, Tick cap) const {
+std::uint64_t ReplicatedRegisters::fingerprint(Tick now, Tick cap) const {
   Hash h(now, cap);
   h.add(self_.id);
-  h.add((empty_ ? 1U : 0U) | (voting_ ? 2U : 0U) | (leaving_ ? 4U : 0U) | (diskFailed_ ? 8U : 0U) |
+  h.add((hasNoState_ ? 1U : 0U) | (voting_ ? 2U : 0U) | (leaving_ ? 4U : 0U) | (diskFailed_ ? 8U : 0U) |
         (stalled_ ? 16U : 0U) | (nameTicket_ != 0 ? 32U : 0U) | (catchUpTicket_ != 0 ? 64U : 0U) |
         (quorumAt_ >= 0 ? 128U : 0U) | (copyAskedAt_ >= 0 ? 256U : 0U));
   h.time(heartbeatAt_);
@@ -62,18 +62,18 @@
   h.add(membershipRevision_);
   h.add(catchUpTicket_ != 0 ? catchUpRevision_ : 0);
   h.add(caughtUp_);
-  h.add(copies_);
+  h.add(catchUpReplicas_);
   h.add(noDisk_);
   h.add(static_cast<std::uint64_t>(nameOwned_));
   h.add(owns_);
   for (transport::Digest const& d : had_) h.add(d);
-  for (std::map<std::string, Committed>::value_type const& c : committed_) {
+  for (std::map<std::string, CommittedValue>::value_type const& c : committed_) {
     h.add(c.first);
     h.add(c.second.revision);
     h.add(c.second.value);
   }
-  for (std::map<std::string, Reg>::value_type const& k : regs_) {
-    Reg const& r = k.second;
+  for (std::map<std::string, RegisterState>::value_type const& k : registers_) {
+    RegisterState const& r = k.second;
     h.add(k.first);
     h.add(r.promised);
     h.add(r.acceptedBallot);
@@ -100,7 +100,7 @@
       h.add(r.proposal->token);
       h.add(r.proposal->revision);
       h.add(r.proposal->value);
-      h.add(r.proposal->yes);
+      h.add(r.proposal->acceptedBy);
       h.time(r.proposal->sentAt);
     }
     for (Pending const& p : r.queue) h.add(p.call.token);
@@ -110,7 +110,7 @@
       h.time(read.since);
     }
   }
-  for (std::map<std::string, Other>::value_type const& o : others_) {
+  for (std::map<std::string, PeerState>::value_type const& o : peers_) {
     h.add(o.first);
     h.time(o.second.heard);
     h.time(o.second.echoTick);
@@ -121,7 +121,7 @@
     h.add(o.second.caughtUp);
     h.add(o.second.membership);
   }
-  for (std::map<std::string, Tick>::value_type const& u : unsure_) {
+  for (std::map<std::string, Tick>::value_type const& u : unconfirmedKeys_) {
     h.add(u.first);
     h.time(u.second);
   }
--- a/consensus/src/persistence.cpp
+++ b/consensus/src/persistence.cpp
@@ -1,5 +1,5 @@
 // The records on this member's disk: what is written, what waits until it is synced, and what a restart takes back.
-#include <corkward/consensus/registers.h>
+#include <corkward/consensus/replicated_registers.h>
 #include <QJsonArray>
 #include <corkward/core/json.h>
 #include "records.h"
@@ -12,12 +12,12 @@
 constexpr char const* slotPrefix = "slot:";
 
 QJsonObject ballotJson(Ballot const& e) {
-  return QJsonObject{{"n", static_cast<qint64>(e.n)}, {"m", core::qstr(e.member)}};
+  return QJsonObject{{"n", static_cast<qint64>(e.number)}, {"m", core::toQString(e.member)}};
 }
 
 Ballot ballotOf(QJsonValue const& v) {
   QJsonObject const o = v.toObject();
-  return Ballot{static_cast<std::uint64_t>(o.value("n").toInteger()), core::str(o.value("m").toString())};
+  return Ballot{static_cast<std::uint64_t>(o.value("n").toInteger()), core::toStdString(o.value("m").toString())};
 }
 
 QJsonObject recordOf(std::map<std::string, std::string> const& slots, char const* name) {
@@ -27,78 +27,80 @@
 
 }  // namespace
 
-Commands Registers::restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now) {
-  Commands out;
+RegisterCommands ReplicatedRegisters::restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now) {
+  RegisterCommands out;
   lastClock_ = now;
   wokeAt_ = now;
   QJsonObject const meta = recordOf(slots, metaRecord);
   if (damaged) founders_.clear();
   if (damaged || meta.isEmpty()) {
-    name(out, freshId_);
+    assignMemberId(out, freshId_);
     return out;
   }
-  self_.id = core::str(meta.value("id").toString());
+  self_.id = core::toStdString(meta.value("id").toString());
   voting_ = meta.value("voting").toBool();
   caughtUp_ = static_cast<std::uint64_t>(meta.value("settled").toInteger());
   QJsonArray const kept = meta.value("founders").toArray();
   if (kept.isEmpty()) founders_.clear();
   if (founders_.empty())
-    for (QJsonValue const f : kept) founders_.push_back(core::str(f.toString()));
+    for (QJsonValue const f : kept) founders_.push_back(core::toStdString(f.toString()));
   for (std::map<std::string, std::string>::value_type const& s : slots) {
     if (s.first.rfind(slotPrefix, 0) != 0) continue;
     QJsonObject const o = core::parseJson(s.second).toObject();
-    if (o.value("i").toString() != core::qstr(self_.id)) continue;
+    if (o.value("i").toString() != core::toQString(self_.id)) continue;
     std::string const key = s.first.substr(std::string(slotPrefix).size());
-    Reg& r = reg(key);
+    RegisterState& r = registerFor(key);
     r.promised = ballotOf(o.value("p"));
     r.acceptedBallot = ballotOf(o.value("a"));
     r.revision = static_cast<std::uint64_t>(o.value("s").toInteger());
     r.value = o.value("v").toObject();
-    r.highest = r.promised.n;
+    r.highest = r.promised.number;
     r.ownerHeard = now;
     r.unowned = true;
     accepted(now, key, r);
   }
   QJsonObject const config = recordOf(slots, configRecord);
-  if (config.value("i").toString() == core::qstr(self_.id))
+  if (config.value("i").toString() == core::toQString(self_.id))
     adoptMembership(out, static_cast<std::uint64_t>(config.value("s").toInteger()), config.value("v").toObject(), now);
   return out;
 }
 
-void Registers::persist(Commands& out, Tick now, std::string const& key, Reg& r) {
+void ReplicatedRegisters::persist(RegisterCommands& out, Tick now, std::string const& key, RegisterState& r) {
   r.ticket = nextTicket_++;
   QJsonObject const o{{"p", ballotJson(r.promised)},
                       {"a", ballotJson(r.acceptedBallot)},
                       {"s", static_cast<qint64>(r.revision)},
                       {"v", r.value},
-                      {"i", core::qstr(self_.id)}};
-  out.persists.push_back(Persist{r.ticket, slotPrefix + key, core::jsonText(o)});
+                      {"i", core::toQString(self_.id)}};
+  out.persists.push_back(PersistCommand{r.ticket, slotPrefix + key, core::jsonText(o)});
   deferred_[r.ticket];
   writing_[r.ticket] = now;
 }
 
-void Registers::persistMeta(Commands& out, std::uint64_t ticket, bool voting, std::uint64_t caughtUp) {
+void ReplicatedRegisters::persistMeta(RegisterCommands& out, std::uint64_t ticket, bool voting,
+                                      std::uint64_t caughtUp) {
   QJsonArray founders;
-  for (std::string const& f : founders_) founders.append(core::qstr(f));
-  out.persists.push_back(Persist{ticket, metaRecord,
-                                 core::jsonText(QJsonObject{{"id", core::qstr(self_.id)},
-                                                            {"voting", voting},
-                                                            {"settled", static_cast<qint64>(caughtUp)},
-                                                            {"founders", founders}})});
+  for (std::string const& f : founders_) founders.append(core::toQString(f));
+  out.persists.push_back(PersistCommand{ticket, metaRecord,
+                                        core::jsonText(QJsonObject{{"id", core::toQString(self_.id)},
+                                                                   {"voting", voting},
+                                                                   {"settled", static_cast<qint64>(caughtUp)},
+                                                                   {"founders", founders}})});
   writing_[ticket] = lastClock_;
 }
 
-void Registers::watchDisk(Commands& out, Tick now) {
+void ReplicatedRegisters::watchDisk(RegisterCommands& out, Tick now) {
   bool const stalled = !writing_.empty() && now - writing_.begin()->second > tuning_.stallAfter;
   if (stalled == stalled_) return;
   stalled_ = stalled;
   out.logEvents.push_back(core::LogEvent{"disk-stalled", {{"stalled", stalled ? "yes" : "no"}}});
   if (stalled)
-    for (std::map<std::string, Reg>::value_type& r : regs_) stepDown(out, now, r.first, r.second, "disk stalled");
+    for (std::map<std::string, RegisterState>::value_type& r : registers_)
+      stepDown(out, now, r.first, r.second, "disk stalled");
 }
 
-void Registers::sendWhenSynced(Commands& out, Tick now, Reg const& r, std::string const& to,
-                               transport::Message message) {
+void ReplicatedRegisters::sendWhenSynced(RegisterCommands& out, Tick now, RegisterState const& r, std::string const& to,
+                                         transport::Message message) {
   std::map<std::uint64_t, std::vector<transport::Send>>::iterator const it = deferred_.find(r.ticket);
   if (it != deferred_.end() && !tuning_.switches.off(Mechanism::syncBeforeAnswer))
     it->second.push_back(transport::Send{to, std::move(message)});
@@ -106,12 +108,13 @@
     send(out, now, to, std::move(message));
 }
 
-Commands Registers::written(Tick now, std::uint64_t ticket, bool ok) {
-  Commands out;
+RegisterCommands ReplicatedRegisters::onPersisted(Tick now, std::uint64_t ticket, bool ok) {
+  RegisterCommands out;
   if (!ok && !diskFailed_) {
     diskFailed_ = true;
     out.logEvents.push_back(core::LogEvent{"disk-failed", {}});
-    for (std::map<std::string, Reg>::value_type& r : regs_) stepDown(out, now, r.first, r.second, "disk failed");
+    for (std::map<std::string, RegisterState>::value_type& r : registers_)
+      stepDown(out, now, r.first, r.second, "disk failed");
   }
   if (diskFailed_) {
     deferred_.clear();
--- a/consensus/src/records.h
+++ b/consensus/src/records.h
@@ -3,7 +3,7 @@
 #include <QJsonObject>
 #include <vector>
 
-#include <corkward/consensus/registers.h>
+#include <corkward/consensus/replicated_registers.h>
 
 namespace corkward::consensus {
 
--- a/consensus/test/cluster.h
+++ b/consensus/test/cluster.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include <corkward/core/json.h>
-#include <corkward/consensus/registers.h>
+#include <corkward/consensus/replicated_registers.h>
 
 namespace corkward::consensus {
 
@@ -23,9 +23,9 @@
  public:
   struct Machine {
     std::string link;
-    std::unique_ptr<Registers> member;
+    std::unique_ptr<ReplicatedRegisters> member;
     std::map<std::string, std::string> disk;
-    std::deque<std::vector<Persist>> writes;
+    std::deque<std::vector<PersistCommand>> writes;
     std::deque<std::function<void()>> inbox;
     bool writing = false;
     bool frozen = false;
@@ -34,7 +34,7 @@
     std::uint64_t life = 0;
   };
 
-  explicit Cluster(std::uint64_t seed, Tuning tuning = {}, std::vector<std::string> seeds = {"a", "b", "c"})
+  explicit Cluster(std::uint64_t seed, ConsensusTuning tuning = {}, std::vector<std::string> seeds = {"a", "b", "c"})
       : rng(seed), tuning_(tuning), seeds_(std::move(seeds)) {}
 
   /// Starts the process of a machine, with its disk as it is.
@@ -47,8 +47,8 @@
     m.writes.clear();
     m.inbox.clear();
     ++m.life;
-    m.member = std::make_unique<Registers>(Member{link + "#" + std::to_string(++m.boots), link}, std::move(founders),
-                                           validator, rng.next(), tuning_);
+    m.member = std::make_unique<ReplicatedRegisters>(Member{link + "#" + std::to_string(++m.boots), link},
+                                                     std::move(founders), validator, rng.next(), tuning_);
     take(m, m.member->restore(m.disk, false, now));
     clock(link, m.life);
   }
@@ -72,7 +72,7 @@
   /// As SIGTERM.
   void handOver(std::string const& link) {
     Machine& m = machines.at(link);
-    take(m, m.member->handOver(now));
+    take(m, m.member->startHandover(now));
   }
 
   void freeze(std::string const& link) { machines.at(link).frozen = true; }
@@ -110,10 +110,10 @@
     return now - since;
   }
 
-  Registers& at(std::string const& link) { return *machines.at(link).member; }
+  ReplicatedRegisters& at(std::string const& link) { return *machines.at(link).member; }
   bool votes(std::string const& link) {
     Machine const& m = machines.at(link);
-    return m.member && m.member->voting() && memberHere(m);
+    return m.member && m.member->isVoting() && memberHere(m);
   }
   bool allVote() {
     for (std::map<std::string, Machine>::value_type const& m : machines)
@@ -132,7 +132,7 @@
 
   /// Appends a mark to the key at the machine, or at the owner that it names.
   std::uint64_t call(std::string const& link, std::string const& key) {
-    transport::Call c;
+    transport::OperatorCall c;
     c.token = ++tokens_;
     c.method = "PUT";
     c.body = "m" + std::to_string(c.token);
@@ -141,7 +141,7 @@
   }
   /// Asks for the key's value.
   std::uint64_t read(std::string const& link, std::string const& key) {
-    transport::Call c;
+    transport::OperatorCall c;
     c.token = ++tokens_;
     c.method = "GET";
     hand(link, key, c);
@@ -157,7 +157,7 @@
       for (std::map<std::string, Machine>::value_type const& m : machines) {
         if (m.second.disk.count("meta") == 0) continue;
         QJsonObject const meta = core::parseJson(m.second.disk.at("meta")).toObject();
-        if (core::str(meta.value("id").toString()) == c.id && meta.value("voting").toBool())
+        if (core::toStdString(meta.value("id").toString()) == c.id && meta.value("voting").toBool())
           disks.push_back(Held{c.id, &m.second.disk, {}, false});
       }
     std::size_t const most = membersOf(membership).size() / 2 + 1;
@@ -181,7 +181,7 @@
   static inline std::uint64_t readOnly = 0;
 
   Tick now = 1000;
-  core::Rng rng;
+  core::RandomGenerator rng;
   std::map<std::string, Machine> machines;
   std::set<std::pair<std::string, std::string>> cuts;
   double loss = 0;
@@ -211,26 +211,28 @@
       std::map<std::string, std::string>::const_iterator const it = disk->find("slot:" + key);
       if (it == disk->end()) return;
       QJsonObject const o = core::parseJson(it->second).toObject();
-      if (core::str(o.value("i").toString()) != id) return;
+      if (core::toStdString(o.value("i").toString()) != id) return;
       QJsonObject const e = o.value("a").toObject();
-      at = {Ballot{static_cast<std::uint64_t>(e.value("n").toInteger()), core::str(e.value("m").toString())},
+      at = {Ballot{static_cast<std::uint64_t>(e.value("n").toInteger()), core::toStdString(e.value("m").toString())},
             static_cast<std::uint64_t>(o.value("s").toInteger())};
       std::set<std::string> have;
-      for (QJsonValue const v : o.value("v").toObject().value("marks").toArray()) have.insert(core::str(v.toString()));
+      for (QJsonValue const v : o.value("v").toObject().value("marks").toArray())
+        have.insert(core::toStdString(v.toString()));
       whole = std::includes(have.begin(), have.end(), want.begin(), want.end());
     }
   };
-  void hand(std::string const& link, std::string const& key, transport::Call const& c) {
+  void hand(std::string const& link, std::string const& key, transport::OperatorCall const& c) {
     std::string const owner = at(link).ownerLink(key, now);
     Machine* m = &machines.at(link);
     if (machines.count(owner) > 0 && machines.at(owner).member && !machines.at(owner).frozen) m = &machines.at(owner);
-    take(*m, m->member->call(now, key, c));
+    take(*m, m->member->submit(now, key, c));
   }
-  static Verdict validator(std::string const&, std::uint64_t, QJsonObject const& value, transport::Call const& call) {
+  static Verdict validator(std::string const&, std::uint64_t, QJsonObject const& value,
+                           transport::OperatorCall const& call) {
     if (call.method == "GET") return Verdict{false, {}, 200, value};
     if (readOnly != 0 && call.token == readOnly) return Verdict{false, {}, 200, value};
     QJsonArray marks = value.value("marks").toArray();
-    marks.append(core::qstr(call.body));
+    marks.append(core::toQString(call.body));
     return Verdict{true, QJsonObject{{"marks", marks}}, 200, {}};
   }
   static bool memberHere(Machine const& m) {
@@ -261,15 +263,15 @@
     if (!lives(link, life)) return;
     Machine& m = machines.at(link);
     if (!m.frozen) {
-      if (m.member->seeking()) m.member->meet(seeds_);
-      take(m, m.member->clockEvent(now));
+      if (m.member->discovering()) m.member->setDiscoveryPeers(seeds_);
+      take(m, m.member->onTimer(now));
     }
     after(25, [this, link, life] { clock(link, life); });
   }
-  void take(Machine& m, Commands&& c) {
+  void take(Machine& m, RegisterCommands&& c) {
     if (!c.persists.empty()) m.writes.push_back(c.persists);
     write(m);
-    for (Committed const& k : c.commits) {
+    for (CommittedValue const& k : c.commits) {
       std::string& text = committed_[{k.key, k.revision}];
       std::string const here = core::jsonText(k.value);
       if (!text.empty() && text != here)
@@ -277,11 +279,11 @@
       text = here;
       newest[k.key] = std::max(newest[k.key], k.revision);
     }
-    for (Decided const& d : c.decided) {
+    for (CallCompleted const& d : c.completedCalls) {
       answers[d.token] = d.status;
       if (d.status == 200 && d.revision > 0) acknowledged[d.key].insert("m" + std::to_string(d.token));
     }
-    for (std::pair<std::string, transport::Call> const& r : c.reroute)
+    for (std::pair<std::string, transport::OperatorCall> const& r : c.rerouted)
       after(1, [this, link = m.link, life = m.life, r] {
         to(link, life, [this, link, r] { hand(link, r.first, r.second); });
       });
@@ -291,10 +293,11 @@
       if (watch) watch(m.link, s);
       std::map<std::string, Machine>::const_iterator const it = machines.find(s.to);
       if (it == machines.end() || !it->second.member || cuts.count({m.link, s.to}) > 0 || rng.chance(loss)) continue;
-      after(1 + static_cast<Tick>(rng.below(4)), [this, from = m.link, link = s.to, life = it->second.life,
-                                                  message = s.message] {
-        to(link, life, [this, from, link, message] { take(machines.at(link), at(link).arrived(now, from, message)); });
-      });
+      after(1 + static_cast<Tick>(rng.below(4)),
+            [this, from = m.link, link = s.to, life = it->second.life, message = s.message] {
+              to(link, life,
+                 [this, from, link, message] { take(machines.at(link), at(link).onMessage(now, from, message)); });
+            });
     }
   }
   void write(Machine& m) {
@@ -303,18 +306,18 @@
     after(m.diskDelay + static_cast<Tick>(rng.below(3)), [this, link = m.link, life = m.life] {
       if (!lives(link, life)) return;
       Machine& k = machines.at(link);
-      std::vector<Persist> const done = k.writes.front();
+      std::vector<PersistCommand> const done = k.writes.front();
       k.writes.pop_front();
       k.writing = false;
-      for (Persist const& p : done) k.disk[p.key] = p.payload;
+      for (PersistCommand const& p : done) k.disk[p.key] = p.payload;
       to(link, life, [this, link, done] {
-        for (Persist const& p : done) take(machines.at(link), at(link).written(now, p.ticket, true));
+        for (PersistCommand const& p : done) take(machines.at(link), at(link).onPersisted(now, p.ticket, true));
       });
       write(k);
     });
   }
 
-  Tuning tuning_;
+  ConsensusTuning tuning_;
   std::vector<std::string> seeds_;
   std::priority_queue<Event> events_;
   std::uint64_t order_ = 0;
--- a/consensus/test/golden_test.cpp
+++ b/consensus/test/golden_test.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include <corkward/consensus/registers.h>
+#include <corkward/consensus/replicated_registers.h>
 #include <corkward/core/json.h>
 
 #include "testing/golden/golden.h"
@@ -36,24 +36,26 @@
 using Disk = std::map<std::string, std::string>;
 
 /// Nothing here is drawn by lot: all members wait equally long before an election.
-consensus::Tuning withoutChance() {
-  consensus::Tuning tuning;
+consensus::ConsensusTuning withoutChance() {
+  consensus::ConsensusTuning tuning;
   tuning.electionSpread = 1;
   tuning.restartSpread = 1;
-  tuning.replaceDarkAfter = 3000;
+  tuning.replaceUnreachableAfter = 3000;
   return tuning;
 }
 
 /// Takes the body of a call as the key's new value.
-consensus::Verdict takeBody(std::string const&, std::uint64_t, QJsonObject const&, transport::Call const& call) {
+consensus::Verdict takeBody(std::string const&, std::uint64_t, QJsonObject const&,
+                            transport::OperatorCall const& call) {
   consensus::Verdict verdict;
   verdict.change = true;
   verdict.value = core::parseJson(call.body).toObject();
   return verdict;
 }
 
-std::unique_ptr<consensus::Registers> newMember(std::string const& id, std::string const& link) {
-  return std::make_unique<consensus::Registers>(consensus::Member{id, link}, founders, takeBody, 1, withoutChance());
+std::unique_ptr<consensus::ReplicatedRegisters> newMember(std::string const& id, std::string const& link) {
+  return std::make_unique<consensus::ReplicatedRegisters>(consensus::Member{id, link}, founders, takeBody, 1,
+                                                          withoutChance());
 }
 
 /// Machines in virtual time, without chance: a message arrives, and a record is synced, with the next step.
@@ -69,15 +71,15 @@
   void kill(std::string const& link) { members_.erase(link); }
   void killAll() { members_.clear(); }
 
-  void handOver(std::string const& link) { take(link, members_.at(link)->handOver(now_)); }
+  void handOver(std::string const& link) { take(link, members_.at(link)->startHandover(now_)); }
   void call(std::string const& link, std::string const& key, std::string const& body) {
-    transport::Call call;
+    transport::OperatorCall call;
     call.token = ++tokens_;
     call.method = "PUT";
     call.body = body;
     std::string const owner = members_.at(link)->ownerLink(key, now_);
     std::string const at = owner.empty() ? link : owner;
-    take(at, members_.at(at)->call(now_, key, call));
+    take(at, members_.at(at)->submit(now_, key, call));
   }
 
   void step() {
@@ -87,8 +89,8 @@
     for (auto const& act : due) act();
     if (now_ % clockEvery != 0) return;
     for (auto const& [link, member] : members_) {
-      if (member->seeking()) member->meet(founders);
-      take(link, member->clockEvent(now_));
+      if (member->discovering()) member->setDiscoveryPeers(founders);
+      take(link, member->onTimer(now_));
     }
   }
   void run(Tick duration) {
@@ -99,12 +101,12 @@
     REQUIRE(holds());
   }
 
-  consensus::Registers const& at(std::string const& link) const { return *members_.at(link); }
-  bool handedOver(std::string const& link) const { return members_.at(link)->handedOver(now_); }
+  consensus::ReplicatedRegisters const& at(std::string const& link) const { return *members_.at(link); }
+  bool handedOver(std::string const& link) const { return members_.at(link)->handoverComplete(now_); }
   /// All running members vote, and each knows a membership of this size.
   bool allVote(std::size_t size) const {
     for (auto const& [link, member] : members_)
-      if (!member->voting() || member->membership().size() != size) return false;
+      if (!member->isVoting() || member->membership().size() != size) return false;
     return true;
   }
   std::uint64_t revisionOf(std::string const& link, std::string const& key) const {
@@ -122,20 +124,21 @@
   static constexpr Tick stepLength = 5;
   static constexpr Tick clockEvery = 25;
 
-  void take(std::string const& link, consensus::Commands const& commands) {
-    for (consensus::Persist const& persist : commands.persists) {
+  void take(std::string const& link, consensus::RegisterCommands const& commands) {
+    for (consensus::PersistCommand const& persist : commands.persists) {
       log_ << link << "\t" << persist.key << "\t" << persist.payload << "\n";
       disks[link][persist.key] = persist.payload;
-      later(link, [this, ticket = persist.ticket](consensus::Registers& member) {
-        return member.written(now_, ticket, true);
+      later(link, [this, ticket = persist.ticket](consensus::ReplicatedRegisters& member) {
+        return member.onPersisted(now_, ticket, true);
       });
     }
     for (transport::Send const& send : commands.sends)
-      later(send.to, [this, from = link, message = send.message](consensus::Registers& member) {
-        return member.arrived(now_, from, message);
+      later(send.to, [this, from = link, message = send.message](consensus::ReplicatedRegisters& member) {
+        return member.onMessage(now_, from, message);
       });
   }
-  void later(std::string const& link, std::function<consensus::Commands(consensus::Registers&)> event) {
+  void later(std::string const& link,
+             std::function<consensus::RegisterCommands(consensus::ReplicatedRegisters&)> event) {
     auto const running = members_.find(link);
     if (running == members_.end()) return;
     underWay_.push_back([this, link, process = running->second.get(), event = std::move(event)] {
@@ -146,12 +149,12 @@
 
   Tick now_ = 1000;
   std::uint64_t tokens_ = 0;
-  std::map<std::string, std::unique_ptr<consensus::Registers>> members_;
+  std::map<std::string, std::unique_ptr<consensus::ReplicatedRegisters>> members_;
   std::deque<std::function<void()>> underWay_;
   std::ostringstream log_;
 };
 
-std::string committedText(consensus::Registers const& member) {
+std::string committedText(consensus::ReplicatedRegisters const& member) {
   std::ostringstream text;
   for (auto const& [key, value] : member.committed())
     text << key << "\t" << value.revision << "\t" << core::jsonText(value.value) << "\n";
@@ -263,59 +266,60 @@
 }
 
 QJsonObject ballotJson(transport::Ballot const& ballot) {
-  return QJsonObject{{"n", static_cast<qint64>(ballot.n)}, {"m", core::qstr(ballot.member)}};
+  return QJsonObject{{"n", static_cast<qint64>(ballot.number)}, {"m", core::toQString(ballot.member)}};
 }
 
 transport::Ballot ballotOf(QJsonObject const& json) {
   return transport::Ballot{static_cast<std::uint64_t>(json.value("n").toInteger()),
-                           core::str(json.value("m").toString())};
+                           core::toStdString(json.value("m").toString())};
 }
 
 /// Asks a member that runs by itself to promise a ballot.
-consensus::Commands prepare(consensus::Registers& member, std::string const& key, transport::Ballot const& ballot) {
+consensus::RegisterCommands prepare(consensus::ReplicatedRegisters& member, std::string const& key,
+                                    transport::Ballot const& ballot) {
   transport::Prepare message;
   message.key = key;
   message.ballot = ballot;
   message.member = member.membership().back().id;
-  message.membership = 1000;
-  return member.arrived(0, "127.0.0.1:7009", message);
+  message.membershipRevision = 1000;
+  return member.onMessage(0, "127.0.0.1:7009", message);
 }
 
-transport::Promise promiseIn(consensus::Commands const& commands) {
+transport::Promise promiseIn(consensus::RegisterCommands const& commands) {
   REQUIRE(commands.sends.size() == 1);
   return std::get<transport::Promise>(commands.sends.front().message);
 }
 
 /// What a member that was just restored tells the others of itself.
-transport::Heartbeat firstHeartbeat(consensus::Registers& member) {
-  for (transport::Send const& send : member.clockEvent(0).sends)
+transport::Heartbeat firstHeartbeat(consensus::ReplicatedRegisters& member) {
+  for (transport::Send const& send : member.onTimer(0).sends)
     if (auto const* const heartbeat = std::get_if<transport::Heartbeat>(&send.message)) return *heartbeat;
   FAIL("no heartbeat");
   return {};
 }
 
 /// What a restored member answers, and writes, about a slot that it has on its disk.
-void checkSlot(consensus::Registers& member, std::string const& key, std::string const& record) {
+void checkSlot(consensus::ReplicatedRegisters& member, std::string const& key, std::string const& record) {
   INFO(member.self().link << " " << key << " " << record);
   QJsonObject const slot = parsed(record);
-  CHECK(core::str(slot.value("i").toString()) == member.self().id);
+  CHECK(core::toStdString(slot.value("i").toString()) == member.self().id);
   transport::Ballot const promised = ballotOf(slot.value("p").toObject());
-  REQUIRE(promised.n > 0);
+  REQUIRE(promised.number > 0);
 
   transport::Promise const refused = promiseIn(prepare(member, key, transport::Ballot{}));
-  CHECK_FALSE(refused.ok);
+  CHECK_FALSE(refused.granted);
   CHECK(refused.promised == promised);
 
-  consensus::Commands const again = prepare(member, key, promised);
+  consensus::RegisterCommands const again = prepare(member, key, promised);
   CHECK(again.persists.empty());
   transport::Promise const promise = promiseIn(again);
-  CHECK(promise.ok);
+  CHECK(promise.granted);
   CHECK(ballotJson(promise.acceptedBallot) == slot.value("a").toObject());
   CHECK(static_cast<qint64>(promise.revision) == slot.value("s").toInteger(-1));
   CHECK(promise.value == slot.value("v").toObject());
 
-  transport::Ballot const higher{promised.n + 1, "m9"};
-  consensus::Commands const writes = prepare(member, key, higher);
+  transport::Ballot const higher{promised.number + 1, "m9"};
+  consensus::RegisterCommands const writes = prepare(member, key, higher);
   REQUIRE(writes.persists.size() == 1);
   CHECK(writes.persists.front().key == slotPrefix + key);
   std::string const before = R"("p":)" + core::jsonText(ballotJson(promised));
@@ -346,17 +350,17 @@
   for (auto const& [link, disk] : recordedDisks()) {
     if (link == fourth) continue;
     INFO(link);
-    std::unique_ptr<consensus::Registers> const member = newMember("unused", link);
-    consensus::Commands const restored = member->restore(disk, false, 0);
-    CHECK(core::qstr(member->self().id) == parsed(disk.at("meta")).value("id").toString());
-    CHECK(member->voting());
+    std::unique_ptr<consensus::ReplicatedRegisters> const member = newMember("unused", link);
+    consensus::RegisterCommands const restored = member->restore(disk, false, 0);
+    CHECK(core::toQString(member->self().id) == parsed(disk.at("meta")).value("id").toString());
+    CHECK(member->isVoting());
     CHECK(namesOf(member->membership()) == "m1@127.0.0.1:7001 m2@127.0.0.1:7002 m5@127.0.0.1:7003");
     REQUIRE(restored.persists.size() == 1);
     CHECK(restored.persists.front().key == "config");
     CHECK(restored.persists.front().payload == disk.at("config"));
     transport::Heartbeat const heartbeat = firstHeartbeat(*member);
-    CHECK(static_cast<qint64>(heartbeat.membership) == parsed(disk.at("config")).value("s").toInteger());
-    CHECK(static_cast<qint64>(heartbeat.caughtUp) == parsed(disk.at("meta")).value("settled").toInteger());
+    CHECK(static_cast<qint64>(heartbeat.membershipRevision) == parsed(disk.at("config")).value("s").toInteger());
+    CHECK(static_cast<qint64>(heartbeat.caughtUpRevision) == parsed(disk.at("meta")).value("settled").toInteger());
     std::size_t slots = 0;
     for (auto const& [key, record] : disk) {
       if (key.rfind(slotPrefix, 0) != 0) continue;
@@ -369,15 +373,16 @@
 
 TEST_CASE("a member restored from the recorded records of a removed one has its new name and nothing else") {
   Disk const disk = recordedDisks().at(fourth);
-  std::unique_ptr<consensus::Registers> const member = newMember("unused", fourth);
-  consensus::Commands const restored = member->restore(disk, false, 0);
+  std::unique_ptr<consensus::ReplicatedRegisters> const member = newMember("unused", fourth);
+  consensus::RegisterCommands const restored = member->restore(disk, false, 0);
   CHECK(restored.persists.empty());
   CHECK(member->self().id == "m4b.1");
-  CHECK(member->empty());
-  CHECK_FALSE(member->voting());
+  CHECK(member->hasNoState());
+  CHECK_FALSE(member->isVoting());
   CHECK(member->membership().empty());
   for (auto const& [key, record] : disk)
-    if (key.rfind(slotPrefix, 0) == 0) CHECK_FALSE(member->mayHold(key.substr(std::string(slotPrefix).size())));
+    if (key.rfind(slotPrefix, 0) == 0)
+      CHECK_FALSE(member->mayHaveAcceptedValue(key.substr(std::string(slotPrefix).size())));
 }
 
 TEST_CASE("members restored from recorded records serve the recorded values") {
@@ -406,12 +411,12 @@
 }
 
 TEST_CASE("nothing counts of the recorded records when the disk is damaged") {
-  std::unique_ptr<consensus::Registers> const member = newMember("m9", first);
-  consensus::Commands const restored = member->restore(recordedDisks().at(first), true, 0);
+  std::unique_ptr<consensus::ReplicatedRegisters> const member = newMember("m9", first);
+  consensus::RegisterCommands const restored = member->restore(recordedDisks().at(first), true, 0);
   REQUIRE(restored.persists.size() == 1);
   CHECK(restored.persists.front().key == "meta");
   CHECK(restored.persists.front().payload == R"({"founders":[],"id":"m9","settled":0,"voting":false})");
   CHECK(member->membership().empty());
-  CHECK_FALSE(member->voting());
-  CHECK_FALSE(member->mayHold("family:desk"));
+  CHECK_FALSE(member->isVoting());
+  CHECK_FALSE(member->mayHaveAcceptedValue("family:desk"));
 }
--- a/consensus/test/replacement_test.cpp
+++ b/consensus/test/replacement_test.cpp
@@ -20,9 +20,9 @@
 /// Shortest time for which a process stays after it was told to end.
 constexpr Tick leastDrain = 1000;
 
-consensus::Tuning quick() {
-  consensus::Tuning t;
-  t.replaceDarkAfter = 3000;
+consensus::ConsensusTuning quick() {
+  consensus::ConsensusTuning t;
+  t.replaceUnreachableAfter = 3000;
   return t;
 }
 
@@ -47,7 +47,7 @@
   Tick const since = cluster.now;
   cluster.handOver(link);
   cluster.run(leastDrain);
-  cluster.until([&] { return cluster.at(link).handedOver(cluster.now); }, grace - leastDrain);
+  cluster.until([&] { return cluster.at(link).handoverComplete(cluster.now); }, grace - leastDrain);
   if (gone)
     cluster.remove(link);
   else
@@ -128,7 +128,7 @@
     cluster.handOver(owner);
     CHECK(cluster.until([&] { return cluster.at(owner).ownedCount() == 0; }, 500) >= 0);
     CHECK(cluster.statusOf(token) == 200);
-    CHECK(cluster.until([&] { return cluster.at(owner).handedOver(cluster.now); }, 2000) >= 0);
+    CHECK(cluster.until([&] { return cluster.at(owner).handoverComplete(cluster.now); }, 2000) >= 0);
     for (int i = 0; i < 40; ++i) {
       cluster.run(50);
       CHECK(cluster.at(owner).ownedCount() == 0);
@@ -161,19 +161,19 @@
 }
 
 TEST_CASE("a copy larger than one message comes in parts, and ends while changes go on") {
-  consensus::Tuning tuning = quick();
-  tuning.copyBytes = 100;
+  consensus::ConsensusTuning tuning = quick();
+  tuning.snapshotChunkBytes = 100;
   Cluster cluster(3, tuning);
   found(cluster, three);
   for (int i = 0; i < 40; ++i) REQUIRE(acknowledges(cluster, "a", "k" + std::to_string(i), 3000));
   std::size_t most = 0;
   int parts = 0;
   cluster.watch = [&](std::string const&, transport::Send const& s) {
-    transport::Copy const* const copy = std::get_if<transport::Copy>(&s.message);
+    transport::SnapshotChunk const* const copy = std::get_if<transport::SnapshotChunk>(&s.message);
     if (copy == nullptr) return;
-    parts += copy->more ? 1 : 0;
+    parts += copy->hasMore ? 1 : 0;
     std::size_t bytes = 0;
-    for (transport::Slot const& slot : copy->slots) bytes += core::jsonText(slot.value).size();
+    for (transport::RecordSlot const& slot : copy->slots) bytes += core::jsonText(slot.value).size();
     most = std::max(most, bytes);
   };
   cluster.kill("c");
@@ -200,22 +200,22 @@
   cluster.run(1500);
   std::vector<transport::Message> late;
   cluster.watch = [&](std::string const&, transport::Send const& s) {
-    if (s.to == "c" && std::holds_alternative<transport::Copy>(s.message)) late.push_back(s.message);
+    if (s.to == "c" && std::holds_alternative<transport::SnapshotChunk>(s.message)) late.push_back(s.message);
   };
   cluster.boot("c");
   REQUIRE(cluster.until([&] { return cluster.votes("c"); }, catchUp) >= 0);
   REQUIRE(late.size() >= 2);
   std::map<std::string, std::string> disk = cluster.machines.at("c").disk;
-  consensus::Registers fresh(cluster.at("c").self(), {}, {}, 77);
+  consensus::ReplicatedRegisters fresh(cluster.at("c").self(), {}, {}, 77);
   disk["meta"] = R"({"id":")" + cluster.at("c").self().id + R"(","voting":false,"settled":0,"founders":[]})";
   disk.erase("slot:k");
   fresh.restore(disk, false, cluster.now);
-  fresh.clockEvent(cluster.now);
+  fresh.onTimer(cluster.now);
   for (transport::Message const& m : late) {
-    consensus::Commands const c = fresh.arrived(cluster.now, "a", m);
-    for (consensus::Persist const& p : c.persists) fresh.written(cluster.now, p.ticket, true);
+    consensus::RegisterCommands const c = fresh.onMessage(cluster.now, "a", m);
+    for (consensus::PersistCommand const& p : c.persists) fresh.onPersisted(cluster.now, p.ticket, true);
   }
-  CHECK_FALSE(fresh.voting());
+  CHECK_FALSE(fresh.isVoting());
 }
 
 TEST_CASE("a replacement is borne in a time that does not grow with the changes behind") {
@@ -229,15 +229,15 @@
     }
     std::size_t bytes = 0;
     cluster.watch = [&](std::string const&, transport::Send const& s) {
-      if (transport::Copy const* const copy = std::get_if<transport::Copy>(&s.message))
-        for (transport::Slot const& slot : copy->slots) bytes += core::jsonText(slot.value).size();
+      if (transport::SnapshotChunk const* const copy = std::get_if<transport::SnapshotChunk>(&s.message))
+        for (transport::RecordSlot const& slot : copy->slots) bytes += core::jsonText(slot.value).size();
     };
     cluster.boot("d");
     Tick const joined = cluster.until([&] { return cluster.votes("d"); }, catchUp);
     cluster.run(1000 - joined);
     Tick const since = cluster.now;
     cluster.handOver("a");
-    Tick const handed = cluster.until([&] { return cluster.at("a").handedOver(cluster.now); }, grace);
+    Tick const handed = cluster.until([&] { return cluster.at("a").handoverComplete(cluster.now); }, grace);
     std::cout << changes << " changes: votes after " << joined << " ms, borne " << handed
               << " ms after the old one was told to end, " << bytes << " bytes copied" << std::endl;
     CHECK(joined >= 0);
--- a/consensus/test/registers_test.cpp
+++ b/consensus/test/replicated_registers_test.cpp
@@ -2,7 +2,7 @@
 
 #include <iostream>
 
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 
 #include "cluster.h"
 
@@ -16,9 +16,9 @@
 
 std::vector<std::string> const three{"a", "b", "c"};
 
-consensus::Tuning quick() {
-  consensus::Tuning t;
-  t.replaceDarkAfter = 3000;
+consensus::ConsensusTuning quick() {
+  consensus::ConsensusTuning t;
+  t.replaceUnreachableAfter = 3000;
   return t;
 }
 
@@ -60,8 +60,8 @@
   for (std::string const& l : three) cluster.boot(l);
   cluster.run(30000);
   for (std::string const& l : three) {
-    CHECK(cluster.at(l).empty());
-    CHECK_FALSE(cluster.at(l).voting());
+    CHECK(cluster.at(l).hasNoState());
+    CHECK_FALSE(cluster.at(l).isVoting());
   }
 }
 
@@ -71,7 +71,7 @@
   for (std::string const& l : three) cluster.boot(l, founders);
   cluster.run(5000);
   for (std::string const& l : three) CHECK(cluster.at(l).membership().empty());
-  for (std::string const& l : three) cluster.at(l).arrived(cluster.now, "g", transport::NoDisk{});
+  for (std::string const& l : three) cluster.at(l).onMessage(cluster.now, "g", transport::NotAVotingMember{});
   CHECK(cluster.until([&] { return cluster.calm(); }, 4000) >= 0);
   CHECK(acknowledges(cluster, "c", "k", 2000));
   sound(cluster);
@@ -213,20 +213,20 @@
           oldVoice = oldVoice || p->member == old;
         if (transport::Accepted const* const p = std::get_if<transport::Accepted>(&s.message))
           oldVoice = oldVoice || p->member == old;
-        if (transport::Copy const* const p = std::get_if<transport::Copy>(&s.message))
+        if (transport::SnapshotChunk const* const p = std::get_if<transport::SnapshotChunk>(&s.message))
           oldVoice = oldVoice || p->member == old;
       };
       if (frozen)
         cluster.thaw("d");
       else
         cluster.cutOff("d", false);
-      CHECK(cluster.until([&] { return !cluster.at("d").voting(); }, 1000) >= 0);
+      CHECK(cluster.until([&] { return !cluster.at("d").isVoting(); }, 1000) >= 0);
       learned = true;
       if (restarted) {
         cluster.run(40);
         cluster.kill("d");
         cluster.boot("d");
-        CHECK_FALSE(cluster.at("d").voting());
+        CHECK_FALSE(cluster.at("d").isVoting());
         CHECK(cluster.at("d").self().id != old);
       }
       CHECK(cluster.until([&] { return cluster.calm(); }, 2500) >= 0);
@@ -244,22 +244,22 @@
   moor(cluster, three);
   std::map<std::string, std::string> disk = cluster.machines.at("b").disk;
   disk["meta"] = R"({"id":"fresh","voting":false,"settled":0,"founders":[]})";
-  consensus::Registers m(consensus::Member{"x", "b"}, three, {}, 1);
+  consensus::ReplicatedRegisters m(consensus::Member{"x", "b"}, three, {}, 1);
   m.restore(disk, false, 1000);
   CHECK(m.self().id == "fresh");
-  CHECK(m.empty());
+  CHECK(m.hasNoState());
   CHECK(m.membership().empty());
-  for (core::Tick t = 1000; t < 20000; t += 25) m.clockEvent(t);
-  CHECK_FALSE(m.voting());
+  for (core::Tick t = 1000; t < 20000; t += 25) m.onTimer(t);
+  CHECK_FALSE(m.isVoting());
 }
 
 TEST_CASE("a damaged disk joins anew and never founds") {
-  consensus::Registers m(consensus::Member{"x", "a"}, {"a"}, {}, 1);
-  consensus::Commands const c = m.restore({}, true, 1000);
-  for (consensus::Persist const& p : c.persists) m.written(1000, p.ticket, true);
-  for (core::Tick t = 1000; t < 20000; t += 25) m.clockEvent(t);
-  CHECK_FALSE(m.voting());
-  CHECK(m.empty());
+  consensus::ReplicatedRegisters m(consensus::Member{"x", "a"}, {"a"}, {}, 1);
+  consensus::RegisterCommands const c = m.restore({}, true, 1000);
+  for (consensus::PersistCommand const& p : c.persists) m.onPersisted(1000, p.ticket, true);
+  for (core::Tick t = 1000; t < 20000; t += 25) m.onTimer(t);
+  CHECK_FALSE(m.isVoting());
+  CHECK(m.hasNoState());
 }
 
 TEST_CASE("a membership of even size stands the loss of one and not the split in halves") {
@@ -409,7 +409,7 @@
   cluster.cut(owner, other, true);
   Tick const since = cluster.now;
   cluster.run(700);
-  CHECK(cluster.at(other).majorityAge(cluster.now) >= cluster.now - since);
+  CHECK(cluster.at(other).quorumContactAge(cluster.now) >= cluster.now - since);
 }
 
 TEST_CASE("a read asked in the millisecond of an earlier heartbeat waits for a later one") {
@@ -435,8 +435,8 @@
 /// Members are killed, frozen, cut off, emptied, moved and added at random while callers append marks.
 void storm(std::uint64_t seed) {
   Cluster cluster(seed, [&] {
-    consensus::Tuning t;
-    t.replaceDarkAfter = seed % 2 == 0 ? 1200 : 3000;
+    consensus::ConsensusTuning t;
+    t.replaceUnreachableAfter = seed % 2 == 0 ? 1200 : 3000;
     return t;
   }());
   std::vector<std::string> links(three);
@@ -545,26 +545,28 @@
   REQUIRE_FALSE(asked.empty());
   Tick const now = cluster.now + 1000;
   std::string const other = asked == "b" ? "c" : "b";
-  consensus::Registers& member = cluster.at(asked);
+  consensus::ReplicatedRegisters& member = cluster.at(asked);
   std::vector<transport::Message> echoes;
-  for (transport::Send const& s : member.clockEvent(now).sends)
+  for (transport::Send const& s : member.onTimer(now).sends)
     if (std::holds_alternative<transport::Heartbeat>(s.message) && s.to == other)
-      for (transport::Send const& e : cluster.at(other).arrived(now, asked, s.message).sends)
+      for (transport::Send const& e : cluster.at(other).onMessage(now, asked, s.message).sends)
         if (e.to == asked) echoes.push_back(e.message);
   REQUIRE(echoes.size() == 1);
-  transport::Call question;
+  transport::OperatorCall question;
   question.token = 77;
   question.method = "GET";
   // The cluster's validator takes every call for a change; a read is one that changes nothing.
   Cluster::readOnly = question.token;
-  std::vector<consensus::Decided> decided = member.call(now, "k", question).decided;
-  for (consensus::Decided const& d : member.arrived(now, other, echoes.front()).decided) decided.push_back(d);
+  std::vector<consensus::CallCompleted> decided = member.submit(now, "k", question).completedCalls;
+  for (consensus::CallCompleted const& d : member.onMessage(now, other, echoes.front()).completedCalls)
+    decided.push_back(d);
   CHECK(decided.empty());
-  std::vector<transport::Send> const later = member.clockEvent(now + 1).sends;
+  std::vector<transport::Send> const later = member.onTimer(now + 1).sends;
   for (transport::Send const& s : later)
     if (std::holds_alternative<transport::Heartbeat>(s.message) && s.to == other)
-      for (transport::Send const& e : cluster.at(other).arrived(now + 1, asked, s.message).sends)
-        for (consensus::Decided const& d : member.arrived(now + 1, other, e.message).decided) decided.push_back(d);
+      for (transport::Send const& e : cluster.at(other).onMessage(now + 1, asked, s.message).sends)
+        for (consensus::CallCompleted const& d : member.onMessage(now + 1, other, e.message).completedCalls)
+          decided.push_back(d);
   Cluster::readOnly = 0;
   REQUIRE(decided.size() == 1);
   CHECK(decided.front().token == 77);
@@ -574,15 +576,15 @@
 TEST_CASE("a second value under a revision that is committed breaks a promise, and the first one stays") {
   Cluster cluster(5);
   moor(cluster, three);
-  consensus::Registers& member = cluster.at("a");
-  consensus::Committed const before = member.committed().at("k");
-  core::PromiseCounts& counts = core::PromiseCounts::ofThread();
+  consensus::ReplicatedRegisters& member = cluster.at("a");
+  consensus::CommittedValue const before = member.committed().at("k");
+  core::GuaranteeCounts& counts = core::GuaranteeCounts::ofThread();
   transport::Commit again{{}, {"k", before.revision, before.value}};
-  member.arrived(cluster.now, "b", again);
-  CHECK(counts.take().empty());
-  again.item.value.insert("other", true);
-  member.arrived(cluster.now, "b", again);
-  std::vector<std::string> const told = counts.take();
+  member.onMessage(cluster.now, "b", again);
+  CHECK(counts.takeNewViolations().empty());
+  again.entry.value.insert("other", true);
+  member.onMessage(cluster.now, "b", again);
+  std::vector<std::string> const told = counts.takeNewViolations();
   REQUIRE(told.size() == 1);
   CHECK_THAT(told.front(), Catch::Contains("one-value-per-revision"));
   CHECK(member.committed().at("k").value == before.value);
--- a/control/include/corkward/control/change_history.h
+++ b/control/include/corkward/control/change_history.h
@@ -9,13 +9,13 @@
 namespace corkward::control {
 
 /// What became of a call that was built on a base which is no longer the newest.
-enum class PastOutcome { taken, notTaken, forgotten };
+enum class PastOutcome { applied, notApplied, forgotten };
 
 /// Identity of an order: method, path, base and content. The order of fields and white space of the body are no part of
 /// it; every field is, known or not.
 /// @param body the call's body as it was read
 /// @param changeId part of the identity where the same base may come twice; empty: none
-std::string orderDigest(transport::Call const& call, QJsonObject const& body, std::string const& changeId);
+std::string orderDigest(transport::OperatorCall const& call, QJsonObject const& body, std::string const& changeId);
 
 /// Digests of the changes that a key has taken, oldest first, kept within the key's agreed value. Hence every owner,
 /// and every member after a failover, a restart or a copy of the state, gives the same answer to the same order.
--- a/control/include/corkward/control/guide.h
+++ b/control/include/corkward/control/controller_directory.h
@@ -12,14 +12,14 @@
 using core::Tick;
 
 /// Role of a guide among the contacts.
-inline constexpr char const* guideRole = "guide";
+inline constexpr char const* directoryRole = "guide";
 
 /// Reducer of a machine that serves operators without a disk: it holds nothing and is never a member. It knows which
 /// controllers answer, names them to processes that enter here, and tells disks that it founds nothing. It is named to
 /// nobody.
-class Guide {
+class ControllerDirectory {
  public:
-  Guide(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed);
+  ControllerDirectory(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed);
 
   std::vector<transport::Send> arrived(Tick now, std::string const& from, transport::Message const& message);
   std::vector<transport::Send> clockEvent(Tick now);
--- a/control/include/corkward/control/validator.h
+++ b/control/include/corkward/control/validator.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include <corkward/config/regimes.h>
-#include <corkward/consensus/registers.h>
+#include <corkward/consensus/replicated_registers.h>
 
 namespace corkward::control {
 
@@ -19,12 +19,12 @@
 std::optional<Target> targetOf(std::string const& path);
 
 /// Largest body of an operator's call.
-inline constexpr std::size_t maxBody = 2U << 20;
+inline constexpr std::size_t maxCallBodyBytes = 2U << 20;
 /// Largest body of a call on the whole configuration, and largest whole configuration as text.
-inline constexpr std::size_t maxWholeBody = 8U << 20;
+inline constexpr std::size_t maxFleetConfigurationBytes = 8U << 20;
 
 /// What a judge asks of the other keys, as this controller knows them.
-struct Around {
+struct ClusterView {
   config::PoolKnown poolKnown;
   /// A pool that is not known may still come up, since a key that may name it is not recovered yet.
   config::PoolKnown poolUnsure = [](std::string const&) { return false; };
@@ -39,7 +39,7 @@
 };
 
 /// Judges every call on every kind of key.
-consensus::Verdict validator(std::string const& key, std::uint64_t revision, QJsonObject const& value,
-                             transport::Call const& call, Around const& around);
+consensus::Verdict validateCall(std::string const& key, std::uint64_t revision, QJsonObject const& value,
+                                transport::OperatorCall const& call, ClusterView const& around);
 
 }  // namespace corkward::control
--- a/control/src/change_history.cpp
+++ b/control/src/change_history.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-std::string orderDigest(transport::Call const& call, QJsonObject const& body, std::string const& changeId) {
+std::string orderDigest(transport::OperatorCall const& call, QJsonObject const& body, std::string const& changeId) {
   std::string const head = call.method + "\n" + call.path + "\n" + withoutQuotes(call.ifMatch) + "\n" + changeId + "\n";
   QCryptographicHash hash(QCryptographicHash::Sha256);
   hash.addData(QByteArrayView(head.data(), static_cast<qsizetype>(head.size())));
@@ -43,11 +43,11 @@
 
 ChangeHistory::Segment ChangeHistory::segmentOf(QJsonObject const& json) {
   return Segment{static_cast<std::uint64_t>(json.value(QLatin1String(fromField)).toInteger()),
-                 core::str(json.value(QLatin1String(digestsField)).toString())};
+                 core::toStdString(json.value(QLatin1String(digestsField)).toString())};
 }
 
 QJsonObject ChangeHistory::jsonOf(Segment const& one) {
-  return QJsonObject{{fromField, static_cast<qint64>(one.from)}, {digestsField, core::qstr(one.digests)}};
+  return QJsonObject{{fromField, static_cast<qint64>(one.from)}, {digestsField, core::toQString(one.digests)}};
 }
 
 std::size_t ChangeHistory::placeOf(Segment const& one, std::string const& digest) {
@@ -58,8 +58,8 @@
 
 PastOutcome ChangeHistory::outcomeOf(std::string const& digest, std::uint64_t base) const {
   bool const known = placeOf(newer_, digest) != std::string::npos || placeOf(older_, digest) != std::string::npos;
-  if (known) return PastOutcome::taken;
-  return base < older_.from && base < newest_ ? PastOutcome::forgotten : PastOutcome::notTaken;
+  if (known) return PastOutcome::applied;
+  return base < older_.from && base < newest_ ? PastOutcome::forgotten : PastOutcome::notApplied;
 }
 
 std::uint64_t ChangeHistory::changesSince(std::string const& digest) const {
--- a/control/src/router_news.cpp
+++ b/control/src/configuration_push.cpp
@@ -16,20 +16,20 @@
 
 }  // namespace
 
-void Controller::committed(Tick now, consensus::Committed const& c) {
+void Controller::committed(Tick now, consensus::CommittedValue const& c) {
   checkCommitted(c);
   if (c.key == rosterKey) {
     rosterCommittedAt_ = now;
     foldRoster(c.value);
     partialView_.setRoster(c.revision, gossip::rosterContacts(c.value));
   }
-  if (c.key == config::wholeKey) {
+  if (c.key == config::fleetConfigurationKey) {
     wholePools_.clear();
     for (QJsonValue const p : c.value.value("spec").toObject().value("pools").toArray())
-      wholePools_.insert(core::str(p.toObject().value("name").toString()));
+      wholePools_.insert(core::toStdString(p.toObject().value("name").toString()));
     std::map<std::string, quota::Limit> limits;
-    for (config::Tenant const& t : config::readWhole(c.value.value("spec").toObject()).tenants)
-      if (t.perSecond > 0) limits[t.name] = quota::Limit{t.perSecond, t.burst};
+    for (config::Tenant const& t : config::readFleetConfiguration(c.value.value("spec").toObject()).tenants)
+      if (t.ratePerSecond > 0) limits[t.name] = quota::Limit{t.ratePerSecond, t.burst};
     lender_.configure(now, std::move(limits));
   }
   Settling& s = settling_[c.key];
@@ -68,13 +68,13 @@
 
 Controller::Router* Controller::heardFrom(Tick now, std::string const& link, std::uint64_t inc) {
   Router& n = routers_[link];
-  if (inc < n.contact.inc) return nullptr;
-  if (inc > n.contact.inc) {
+  if (inc < n.contact.incarnation) return nullptr;
+  if (inc > n.contact.incarnation) {
     n.known = false;
     n.behind.clear();
     n.pushed.clear();
     n.wantWhole = -1;
-    n.contact.inc = inc;
+    n.contact.incarnation = inc;
     n.contact.link = link;
   }
   n.heard = now;
@@ -82,9 +82,9 @@
   return &n;
 }
 
-void Controller::on(Commands& out, Tick now, std::string const& from, transport::NewsAck const& m) {
+void Controller::on(ControllerCommands& out, Tick now, std::string const& from, transport::ConfigurationAck const& m) {
   if (m.link.empty() || m.link != from) return;
-  Router* const n = heardFrom(now, from, m.inc);
+  Router* const n = heardFrom(now, from, m.incarnation);
   if (n == nullptr) return;
   if (!hasAll(from, *n, m.digest)) {
     for (transport::Revisions::value_type const& s : m.revisions) {
@@ -100,22 +100,23 @@
   checkForces(out, now);
 }
 
-void Controller::on(Commands& out, Tick now, std::string const& from, transport::Ask const& m) {
-  if (m.self.link.empty() || m.self.link != from) return;
-  std::vector<transport::Send> sends = partialView_.heard(now, m.self);
+void Controller::on(ControllerCommands& out, Tick now, std::string const& from,
+                    transport::ServingLeaseRequest const& m) {
+  if (m.sender.link.empty() || m.sender.link != from) return;
+  std::vector<transport::Send> sends = partialView_.heard(now, m.sender);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
-  bool const current = heardFrom(now, from, m.self.inc) != nullptr;
+  bool const current = heardFrom(now, from, m.sender.incarnation) != nullptr;
   Router& n = routers_[from];
-  n.contact = m.self;
+  n.contact = m.sender;
   n.asked = now;
-  if (m.wantWhole && n.wantWhole < 0) n.wantWhole = now;
-  if (!m.wantWhole) n.wantWhole = -1;
+  if (m.wantsSnapshot && n.wantWhole < 0) n.wantWhole = now;
+  if (!m.wantsSnapshot) n.wantWhole = -1;
   bool exact = current && hasAll(from, n, m.digest);
   if (current && !exact && transport::digestOf(m.revisions) == m.digest) {
     exact = true;
     n.known = true;
     n.behind.clear();
-    for (std::map<std::string, consensus::Committed>::value_type const& k : registers_.committed()) {
+    for (std::map<std::string, consensus::CommittedValue>::value_type const& k : registers_.committed()) {
       transport::Revisions::const_iterator const have = m.revisions.find(k.first);
       std::uint64_t const revision = have == m.revisions.end() ? 0 : have->second;
       if (revision > 0) learned(from, k.first, revision);
@@ -127,26 +128,27 @@
       expected.replace(b.first, committedRevision(b.first), b.second);
     exact = expected == m.digest;
   }
-  transport::Confirm c;
-  c.tick = m.tick;
-  Tick const age = registers_.majorityAge(now);
-  c.inTouch = age >= 0 && age <= tuning_.fence;
-  c.age = std::max<Tick>(age, 0);
+  transport::ServingLeaseGrant c;
+  c.requestSentAt = m.sentAt;
+  Tick const age = registers_.quorumContactAge(now);
+  c.hasQuorum = age >= 0 && age <= tuning_.servingLeaseDuration;
+  c.quorumAge = std::max<Tick>(age, 0);
   c.digest = digest_;
   if (!(m.digest == digest_))
-    for (std::map<std::string, consensus::Committed>::value_type const& k : registers_.committed())
+    for (std::map<std::string, consensus::CommittedValue>::value_type const& k : registers_.committed())
       c.revisions[k.first] = k.second.revision;
-  c.wantRevisions = !exact;
-  c.roster = rosterInForce() ? committedRevision(rosterKey) : 0;
-  for (std::map<std::string, transport::Hint>::iterator h = hints_.begin(); h != hints_.end();)
+  c.wantsRevisions = !exact;
+  c.rosterRevision = rosterInForce() ? committedRevision(rosterKey) : 0;
+  for (std::map<std::string, transport::EndpointRemovalHint>::iterator h = hints_.begin(); h != hints_.end();)
     h = h->second.generation <= generationOf(h->first) ? hints_.erase(h) : std::next(h);
-  for (std::map<std::string, transport::Hint>::value_type const& h : hints_) c.hints.push_back(h.second);
+  for (std::map<std::string, transport::EndpointRemovalHint>::value_type const& h : hints_)
+    c.removalHints.push_back(h.second);
   out.sends.push_back(transport::Send{from, c});
   push(out, now, from, n);
   checkForces(out, now);
 }
 
-void Controller::push(Commands& out, Tick now, std::string const& link, Router& n) {
+void Controller::push(ControllerCommands& out, Tick now, std::string const& link, Router& n) {
   if (n.asked < 0) return;
   if (now - n.asked > 10000) {
     n.asked = -1;
@@ -156,19 +158,19 @@
     n.wantWhole = -1;
     return;
   }
-  Tick const age = registers_.majorityAge(now);
+  Tick const age = registers_.quorumContactAge(now);
   bool const confirmed = age >= 0 && now - age >= n.wantWhole;
-  transport::News news;
-  news.whole = n.wantWhole >= 0 && confirmed;
+  transport::ConfigurationUpdate news;
+  news.isSnapshot = n.wantWhole >= 0 && confirmed;
   std::function<void(std::string const&)> const add = [&](std::string const& key) {
-    std::map<std::string, consensus::Committed>::const_iterator const k = registers_.committed().find(key);
+    std::map<std::string, consensus::CommittedValue>::const_iterator const k = registers_.committed().find(key);
     if (k == registers_.committed().end()) return;
     n.pushed[key] = {k->second.revision, now};
-    news.items.push_back(transport::Item{key, k->second.revision, config::withoutHistory(k->second.value)});
+    news.entries.push_back(transport::CommittedEntry{key, k->second.revision, config::withoutHistory(k->second.value)});
   };
-  if (news.whole) {
+  if (news.isSnapshot) {
     n.wantWhole = -1;
-    for (std::map<std::string, consensus::Committed>::value_type const& k : registers_.committed()) add(k.first);
+    for (std::map<std::string, consensus::CommittedValue>::value_type const& k : registers_.committed()) add(k.first);
   } else {
     for (transport::Revisions::value_type const& b : n.behind) {
       std::map<std::string, std::pair<std::uint64_t, Tick>>::const_iterator const before = n.pushed.find(b.first);
@@ -176,85 +178,88 @@
                          now - before->second.second < tuning_.repushEvery;
       if (!again) add(b.first);
     }
-    if (news.items.empty()) return;
+    if (news.entries.empty()) return;
   }
   news.number = ++n.number;
   journal_.append(now, "news_pushed", link);
   out.sends.push_back(transport::Send{link, std::move(news)});
 }
 
-transport::Holding Controller::holding(Tick now) const {
-  transport::Holding h;
-  h.roster = committedRevision(rosterKey);
-  h.digest = digest_;
+transport::RouterStatusReport Controller::holding(Tick now) const {
+  transport::RouterStatusReport h;
+  h.rosterRevision = committedRevision(rosterKey);
+  h.committedDigest = digest_;
   for (std::size_t place = 0; place < roster_.places.size(); ++place) {
     std::map<std::string, Router>::const_iterator const n = routers_.find(roster_.places[place]);
     if (n == routers_.end() || n->second.asked < 0) continue;
-    if (now - n->second.asked <= tuning_.heldFor) h.heard.set(place);
-    if (n->second.known && n->second.behind.empty()) h.whole.set(place);
+    if (now - n->second.asked <= tuning_.routerSessionTimeout) h.recentlyHeard.set(place);
+    if (n->second.known && n->second.behind.empty()) h.upToDate.set(place);
   }
   for (std::map<std::string, Router>::value_type const& n : routers_)
-    if (n.second.asked >= 0 && now - n.second.asked <= tuning_.heldFor && roster_.nodes.count(n.first) == 0)
-      h.fresh.push_back(n.second.contact);
+    if (n.second.asked >= 0 && now - n.second.asked <= tuning_.routerSessionTimeout &&
+        roster_.nodes.count(n.first) == 0)
+      h.unlistedRouters.push_back(n.second.contact);
   return h;
 }
 
-void Controller::tellHolding(Commands& out, Tick now) {
+void Controller::tellHolding(ControllerCommands& out, Tick now) {
   if (now < holdingAt_) return;
-  transport::Holding h = holding(now);
+  transport::RouterStatusReport h = holding(now);
   Tick youngest = -1;
   std::function<void(std::string const&, std::uint64_t, Tick)> const ask = [&](std::string const& key,
                                                                                std::uint64_t revision, Tick since) {
     youngest = std::max(youngest, since);
-    if (h.asked.size() < maxAsked) h.asked.push_back(transport::Reached{key, revision, {}});
+    if (h.incompleteRollouts.size() < maxAsked)
+      h.incompleteRollouts.push_back(transport::RolloutProgress{key, revision, {}});
   };
   for (Force const& f : forces_) ask(f.key, f.revision, f.since);
   for (std::string const& key : unsettled_) ask(key, settling_.at(key).revision, settling_.at(key).since);
-  bool const young = youngest >= 0 && now - youngest < tuning_.youngFor;
-  holdingAt_ = now + (h.asked.empty() ? tuning_.holdingEvery
-                      : young         ? tuning_.holdingWhileYoung
-                                      : tuning_.holdingWhileAsking);
+  bool const young = youngest >= 0 && now - youngest < tuning_.rolloutStartPeriod;
+  holdingAt_ = now + (h.incompleteRollouts.empty() ? tuning_.statusReportEvery
+                      : young                      ? tuning_.statusReportAtRolloutStart
+                                                   : tuning_.statusReportDuringRollout);
   for (consensus::Member const& m : registers_.membership())
     if (m.link != registers_.self().link) out.sends.push_back(transport::Send{m.link, h});
 }
 
-void Controller::on(Commands& out, Tick now, std::string const& from, transport::Holding const& m) {
+void Controller::on(ControllerCommands& out, Tick now, std::string const& from,
+                    transport::RouterStatusReport const& m) {
   std::function<bool(consensus::Member const&)> const sender = [&](consensus::Member const& c) {
     return c.link == from;
   };
   if (std::none_of(registers_.membership().begin(), registers_.membership().end(), sender)) return;
-  for (transport::Contact const& c : m.fresh) {
+  for (transport::Contact const& c : m.unlistedRouters) {
     if (c.link.empty() || c.role != transport::routerRole) continue;
     Router& n = routers_[c.link];
-    if (n.asked >= 0 || c.inc < n.contact.inc) continue;
+    if (n.asked >= 0 || c.incarnation < n.contact.incarnation) continue;
     n.contact = c;
     n.heard = now;
   }
-  if (m.roster > 0 && m.roster == committedRevision(rosterKey)) {
+  if (m.rosterRevision > 0 && m.rosterRevision == committedRevision(rosterKey)) {
     for (std::size_t place = 0; place < roster_.places.size(); ++place) {
       std::string const& link = roster_.places[place];
-      if (m.heard.has(place)) routers_[link].heard = now;
-      if (m.digest == digest_ && m.whole.has(place))
+      if (m.recentlyHeard.test(place)) routers_[link].heard = now;
+      if (m.committedDigest == digest_ && m.upToDate.test(place))
         for (std::string const& key : unsettled_) learned(link, key, settling_.at(key).revision);
-      for (transport::Reached const& r : m.reached)
-        if (r.routers.has(place)) learned(link, r.key, r.revision);
+      for (transport::RolloutProgress const& r : m.rolloutProgress)
+        if (r.acknowledgedBy.test(place)) learned(link, r.key, r.revision);
     }
     checkForces(out, now);
   }
-  if (m.asked.empty()) return;
-  transport::Holding answer = holding(now);
-  for (transport::Reached const& asked : m.asked) {
-    if (answer.reached.size() >= maxAsked) break;
-    transport::Reached r{asked.key, asked.revision, {}};
+  if (m.incompleteRollouts.empty()) return;
+  transport::RouterStatusReport answer = holding(now);
+  for (transport::RolloutProgress const& asked : m.incompleteRollouts) {
+    if (answer.rolloutProgress.size() >= maxAsked) break;
+    transport::RolloutProgress r{asked.key, asked.revision, {}};
     bool const have = committedRevision(asked.key) >= asked.revision;
     for (std::size_t place = 0; place < roster_.places.size(); ++place) {
       std::map<std::string, Router>::const_iterator const n = routers_.find(roster_.places[place]);
       if (n == routers_.end() || n->second.asked < 0) continue;
       transport::Revisions::const_iterator const behind = n->second.behind.find(asked.key);
       if (behind == n->second.behind.end() ? have && n->second.known : behind->second >= asked.revision)
-        r.routers.set(place);
+        r.acknowledgedBy.set(place);
     }
-    answer.reached.push_back(std::move(r));
+    answer.rolloutProgress.push_back(std::move(r));
   }
   out.sends.push_back(transport::Send{from, std::move(answer)});
 }
