--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -19,41 +19,41 @@
 /// Number of a life's first call, drawn by lot from 2^52. Relayed calls carry their number and their answers come back
 /// by it, so an answer meant for a call of a former life of this process must find none of that number in this one.
 std::uint64_t firstCall(std::uint64_t seed) {
-  return (core::Rng(seed ^ 0x9b).next() >> 12) + 1;
+  return (core::RandomGenerator(seed ^ 0x9b).next() >> 12) + 1;
 }
 
 }  // namespace
 
 Controller::Controller(transport::Contact self, std::string memberId, std::vector<std::string> seeds,
-                       std::vector<std::string> founders, std::uint64_t seed, Tuning tuning)
+                       std::vector<std::string> founders, std::uint64_t seed, ControllerTuning tuning)
     : tuning_(tuning),
       partialView_(self, std::move(seeds), seed ^ 0x51),
       registers_(
           consensus::Member{std::move(memberId), self.link}, std::move(founders),
           [this](std::string const& key, std::uint64_t revision, QJsonObject const& value,
-                 transport::Call const& call) { return validator(key, revision, value, call, around()); },
+                 transport::OperatorCall const& call) { return validateCall(key, revision, value, call, around()); },
           seed ^ 0x77, tuning.registers),
       nextCall_(firstCall(seed)),
-      lender_(partialView_.self().link, partialView_.self().inc, tuning.quotaSlack) {}
+      lender_(partialView_.self().link, partialView_.self().incarnation, tuning.quotaAllowance) {}
 
-Around Controller::around() const {
-  Around out;
+ClusterView Controller::around() const {
+  ClusterView out;
   out.poolKnown = [this](std::string const& pool) {
     return wholePools_.count(pool) > 0 || registers_.committed().count("pool:" + pool) > 0;
   };
   out.poolUnsure = [this](std::string const& pool) {
-    bool const wholeUnsure =
-        registers_.committed().count(config::wholeKey) == 0 && registers_.mayHold(config::wholeKey);
-    return wholeUnsure || registers_.mayHold("pool:" + pool);
+    bool const wholeUnsure = registers_.committed().count(config::fleetConfigurationKey) == 0 &&
+                             registers_.mayHaveAcceptedValue(config::fleetConfigurationKey);
+    return wholeUnsure || registers_.mayHaveAcceptedValue("pool:" + pool);
   };
   out.regimes = [this] {
-    std::map<std::string, consensus::Committed>::const_iterator const it =
+    std::map<std::string, consensus::CommittedValue>::const_iterator const it =
         registers_.committed().find(config::regimesKey);
-    return it == registers_.committed().end() ? config::Regimes{} : config::keptRegimes(it->second.value);
+    return it == registers_.committed().end() ? config::Regimes{} : config::storedRegimes(it->second.value);
   };
   out.regimeUses = [this] {
     std::vector<config::RegimeUse> uses;
-    for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed()) {
+    for (std::map<std::string, consensus::CommittedValue>::value_type const& c : registers_.committed()) {
       if (c.first.rfind("family:", 0) != 0) continue;
       std::vector<config::RegimeUse> const some = config::regimeUses(config::render(c.first.substr(7), c.second.value));
       uses.insert(uses.end(), some.begin(), some.end());
@@ -62,10 +62,10 @@
   };
   out.regimeFault = [this](config::Regimes const& regimes, std::string const& regime, std::string const& pool) {
     std::optional<config::RegimeFault> fault = config::faultOf(regimes, regime, pool, wall_);
-    std::map<std::string, consensus::Committed>::const_iterator const list =
+    std::map<std::string, consensus::CommittedValue>::const_iterator const list =
         registers_.committed().find("pool:" + pool);
     if (fault || !wall_ || list == registers_.committed().end()) return fault;
-    std::vector<config::Replica> const replicas = config::keptPool(list->second.value).replicas;
+    std::vector<config::Replica> const replicas = config::storedPool(list->second.value).replicas;
     bool const any = std::any_of(replicas.begin(), replicas.end(), [&](config::Replica const& r) {
       return config::certifies(regimes, regime, pool, r, wall_) != nullptr;
     });
@@ -77,32 +77,32 @@
   return out;
 }
 
-Commands Controller::restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now) {
-  Commands out;
+ControllerCommands Controller::restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now) {
+  ControllerCommands out;
   started_ = now;
   take(out, now, registers_.restore(slots, damaged, now));
   return out;
 }
 
-void Controller::take(Commands& out, Tick now, consensus::Commands&& from) {
+void Controller::take(ControllerCommands& out, Tick now, consensus::RegisterCommands&& from) {
   std::move(from.sends.begin(), from.sends.end(), std::back_inserter(out.sends));
   std::move(from.persists.begin(), from.persists.end(), std::back_inserter(out.persists));
   for (core::LogEvent& n : from.logEvents) {
     journal_.append(now, n.event, n.fields.count("key") > 0 ? n.fields["key"] : "");
     out.logEvents.push_back(std::move(n));
   }
-  for (consensus::Committed const& c : from.commits) {
+  for (consensus::CommittedValue const& c : from.commits) {
     journal_.append(now, "committed", c.key);
     committed(now, c);
     out.logEvents.push_back(core::LogEvent{"committed", {{"key", c.key}, {"stamp", std::to_string(c.revision)}}});
   }
-  for (consensus::Decided const& d : from.decided) decided(out, now, d);
-  for (std::pair<std::string, transport::Call> const& r : from.reroute) route(out, now, r.second.token);
+  for (consensus::CallCompleted const& d : from.completedCalls) decided(out, now, d);
+  for (std::pair<std::string, transport::OperatorCall> const& r : from.rerouted) route(out, now, r.second.token);
   if (!from.commits.empty())
     for (std::map<std::string, Router>::value_type& n : routers_) push(out, now, n.first, n.second);
 }
 
-void Controller::decided(Commands& out, Tick now, consensus::Decided const& d) {
+void Controller::decided(ControllerCommands& out, Tick now, consensus::CallCompleted const& d) {
   std::map<std::uint64_t, CallState>::const_iterator const it = calls_.find(d.token);
   if (it == calls_.end()) return;
   checkConfirmed(d, it->second.call);
@@ -110,9 +110,9 @@
   // A replay of a key that has no value asks for what has always been, as lifting an evacuation that never was: no
   // router can lack it, so there is nothing to wait for.
   bool const settled = d.revision == 0 && (!replayed || committedRevision(d.key) == 0);
-  if (!tuning_.awaitInForce || settled) {
+  if (!tuning_.awaitRollout || settled) {
     QJsonObject body = d.body;
-    if (tuning_.awaitInForce && replayed) body.insert("inForce", true);
+    if (tuning_.awaitRollout && replayed) body.insert("inForce", true);
     finish(out, now, d.token, d.status, body);
     return;
   }
@@ -137,11 +137,11 @@
   if (!state.call.ifMatch.empty()) line.fields["base"] = state.call.ifMatch;
   if (!state.call.changeId.empty()) line.fields["change-id"] = state.call.changeId;
   if (!state.from.empty()) line.fields["relayed-by"] = state.from;
-  if (body.contains("reason")) line.fields["reason"] = core::str(body.value("reason").toString());
+  if (body.contains("reason")) line.fields["reason"] = core::toStdString(body.value("reason").toString());
   return line;
 }
 
-void Controller::finish(Commands& out, Tick now, std::uint64_t call, int status, QJsonObject body) {
+void Controller::finish(ControllerCommands& out, Tick now, std::uint64_t call, int status, QJsonObject body) {
   std::map<std::uint64_t, CallState>::iterator const it = calls_.find(call);
   if (it == calls_.end()) return;
   CallState const state = std::move(it->second);
@@ -149,55 +149,57 @@
   checkServed(state, status, body);
   if (state.call.method == rosterMethod) rosterCalling_ = false;
   if (!body.contains("changeId") && isChange(state.call.method))
-    body.insert("changeId", core::qstr(state.call.changeId));
+    body.insert("changeId", core::toQString(state.call.changeId));
   journal_.append(now, "answered_" + std::to_string(status), state.call.path);
   if (isChange(state.call.method) || status >= 400) out.logEvents.push_back(callLine(now, state, status, body));
   if (!state.from.empty())
-    out.sends.push_back(transport::Send{state.from, transport::CallResponse{state.token, status, body}});
+    out.sends.push_back(transport::Send{state.from, transport::OperatorCallReply{state.token, status, body}});
   else if (state.token != 0)
-    out.answers.push_back(Answer{state.token, status, body});
+    out.responses.push_back(OperatorResponse{state.token, status, body});
 }
 
-Commands Controller::operatorCall(Tick now, transport::Call const& call) {
-  Commands out;
+ControllerCommands Controller::onOperatorCall(Tick now, transport::OperatorCall const& call) {
+  ControllerCommands out;
   if (call.method == "GET" && call.path == fleetPath) {
-    out.answers.push_back(Answer{call.token, 200, fleet(now)});
+    out.responses.push_back(OperatorResponse{call.token, 200, fleet(now)});
     return out;
   }
   if (call.method == "GET" && (call.path == templatesPath || call.path.rfind(changesPage, 0) == 0)) {
     if (questions_.size() < maxCalls)
       questions_.push_back(Question{call, now});
     else
-      out.answers.push_back(Answer{call.token, 503, {{"error", "not accepted"}, {"reason", "too many calls in hand"}}});
+      out.responses.push_back(
+          OperatorResponse{call.token, 503, {{"error", "not accepted"}, {"reason", "too many calls in hand"}}});
     answerQuestions(out, now);
     return out;
   }
   std::string const duties = "/v1/duties/";
   if (call.path.rfind(duties, 0) == 0 && config::validName(call.path.substr(duties.size()))) {
     if (leases_.size() < maxLeases || leases_.count("duty " + call.path.substr(duties.size())) > 0)
-      out.answers.push_back(dutyPage(now, call, call.path.substr(duties.size())));
+      out.responses.push_back(dutyPage(now, call, call.path.substr(duties.size())));
     else
-      out.answers.push_back(Answer{call.token, 503, {{"error", "not granted"}, {"reason", "too many duties"}}});
+      out.responses.push_back(
+          OperatorResponse{call.token, 503, {{"error", "not granted"}, {"reason", "too many duties"}}});
     return out;
   }
   std::optional<Target> const target = targetOf(call.path);
   bool const pool = target && target->key.rfind("pool:", 0) == 0;
-  bool const whole = target && target->key == config::wholeKey;
+  bool const whole = target && target->key == config::fleetConfigurationKey;
   bool const patched = target && !pool && target->key.rfind(zonePrefix, 0) != 0;
   bool const known = call.method == "GET" || call.method == "PUT" || (call.method == "DELETE" && !pool && !whole) ||
                      (call.method == "PATCH" && patched);
   bool const node = target && target->key == rosterKey;
   if (!target || (node && (target->instance.empty() || call.method != "DELETE"))) {
-    out.answers.push_back(Answer{call.token, 404, {{"error", "not found"}, {"reason", "no such page"}}});
+    out.responses.push_back(OperatorResponse{call.token, 404, {{"error", "not found"}, {"reason", "no such page"}}});
   } else if (!known) {
-    out.answers.push_back(Answer{call.token, 405, {{"error", "method not allowed"}}});
-  } else if (call.body.size() > (whole ? maxWholeBody : maxBody)) {
-    out.answers.push_back(Answer{call.token, 413, {{"error", "too large"}}});
+    out.responses.push_back(OperatorResponse{call.token, 405, {{"error", "method not allowed"}}});
+  } else if (call.body.size() > (whole ? maxFleetConfigurationBytes : maxCallBodyBytes)) {
+    out.responses.push_back(OperatorResponse{call.token, 413, {{"error", "too large"}}});
   } else if (draining_ || calls_.size() >= maxCalls) {
-    out.answers.push_back(Answer{
+    out.responses.push_back(OperatorResponse{
         call.token, 503, {{"error", "not accepted"}, {"reason", draining_ ? "leaving" : "too many calls in hand"}}});
   } else if (!ready(now)) {
-    out.answers.push_back(Answer{call.token, 503, outOfContact()});
+    out.responses.push_back(OperatorResponse{call.token, 503, outOfContact()});
   } else {
     std::uint64_t const id = nextCall_++;
     CallState state;
@@ -221,7 +223,7 @@
   return out;
 }
 
-void Controller::route(Commands& out, Tick now, std::uint64_t id) {
+void Controller::route(ControllerCommands& out, Tick now, std::uint64_t id) {
   std::map<std::uint64_t, CallState>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return;
   CallState& state = it->second;
@@ -237,32 +239,32 @@
     return;
   }
   state.forwarded = false;
-  take(out, now, registers_.call(now, state.key, state.call));
+  take(out, now, registers_.submit(now, state.key, state.call));
 }
 
-Commands Controller::arrived(Tick now, std::string const& from, transport::Message const& message) {
-  Commands out;
+ControllerCommands Controller::onMessage(Tick now, std::string const& from, transport::Message const& message) {
+  ControllerCommands out;
   std::visit(
       [&](auto const& m) {
         if constexpr (requires { this->on(out, now, from, m); })
           this->on(out, now, from, m);
         else
-          take(out, now, registers_.arrived(now, from, message));
+          take(out, now, registers_.onMessage(now, from, message));
       },
       message);
   answerQuestions(out, now);
   return out;
 }
 
-void Controller::on(Commands& out, Tick now, std::string const& from, transport::Shuffle const& m) {
+void Controller::on(ControllerCommands& out, Tick now, std::string const& from, transport::GossipShuffle const& m) {
   std::vector<transport::Send> sends = partialView_.arrived(now, from, m);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
 }
 
-void Controller::on(Commands& out, Tick now, std::string const& from, transport::Call const& m) {
+void Controller::on(ControllerCommands& out, Tick now, std::string const& from, transport::OperatorCall const& m) {
   std::optional<Target> const target = targetOf(m.path);
   if (!target || draining_ || calls_.size() >= maxCalls) {
-    out.sends.push_back(transport::Send{from, transport::CallResponse{m.token, 421, {}}});
+    out.sends.push_back(transport::Send{from, transport::OperatorCallReply{m.token, 421, {}}});
     return;
   }
   std::uint64_t const id = nextCall_++;
@@ -278,7 +280,7 @@
   route(out, now, id);
 }
 
-void Controller::on(Commands& out, Tick now, std::string const&, transport::CallResponse const& m) {
+void Controller::on(ControllerCommands& out, Tick now, std::string const&, transport::OperatorCallReply const& m) {
   std::map<std::uint64_t, CallState>::iterator const it = calls_.find(m.token);
   if (it == calls_.end() || !it->second.forwarded) return;
   if (m.status == 421) {
@@ -289,25 +291,25 @@
 }
 
 std::uint64_t Controller::committedRevision(std::string const& key) const {
-  std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find(key);
+  std::map<std::string, consensus::CommittedValue>::const_iterator const it = registers_.committed().find(key);
   return it == registers_.committed().end() ? 0 : it->second.revision;
 }
 
-Commands Controller::written(Tick now, std::uint64_t ticket, bool ok) {
-  Commands out;
-  take(out, now, registers_.written(now, ticket, ok));
+ControllerCommands Controller::onPersisted(Tick now, std::uint64_t ticket, bool ok) {
+  ControllerCommands out;
+  take(out, now, registers_.onPersisted(now, ticket, ok));
   return out;
 }
 
-Commands Controller::clockEvent(Tick now) {
-  Commands out;
-  if (registers_.seeking()) {
+ControllerCommands Controller::onTimer(Tick now) {
+  ControllerCommands out;
+  if (registers_.discovering()) {
     std::vector<std::string> links = partialView_.seeds();
     for (transport::Contact const& c : partialView_.ofRole(transport::controllerRole, now)) links.push_back(c.link);
-    registers_.meet(std::move(links));
+    registers_.setDiscoveryPeers(std::move(links));
   }
-  take(out, now, registers_.clockEvent(now));
-  if (!registers_.voting()) joinedAt_ = now;
+  take(out, now, registers_.onTimer(now));
+  if (!registers_.isVoting()) joinedAt_ = now;
   std::vector<transport::Send> sends = partialView_.clockEvent(now);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
   lendLimits(out, now);
@@ -316,7 +318,7 @@
   std::vector<std::uint64_t> again;
   for (std::map<std::uint64_t, CallState>::value_type const& c : calls_) {
     bool const forcing = std::any_of(forces_.begin(), forces_.end(), [&](Force const& f) { return f.call == c.first; });
-    if (now - c.second.since > tuning_.forwardLimit)
+    if (now - c.second.since > tuning_.forwardTimeout)
       late.push_back(c.first);
     else if (c.second.forwarded && now - c.second.sentAt > tuning_.resendEvery)
       again.push_back(c.first);
@@ -356,17 +358,17 @@
   return out;
 }
 
-Commands Controller::drain(Tick now) {
-  Commands out;
+ControllerCommands Controller::drain(Tick now) {
+  ControllerCommands out;
   draining_ = true;
   partialView_.setDraining();
-  take(out, now, registers_.handOver(now));
+  take(out, now, registers_.startHandover(now));
   return out;
 }
 
 bool Controller::ready(Tick now) const {
-  Tick const age = registers_.majorityAge(now);
-  return !draining_ && age >= 0 && age <= tuning_.fence;
+  Tick const age = registers_.quorumContactAge(now);
+  return !draining_ && age >= 0 && age <= tuning_.servingLeaseDuration;
 }
 
 }  // namespace corkward::control
--- a/control/src/guide.cpp
+++ b/control/src/controller_directory.cpp
@@ -1,4 +1,4 @@
-#include <corkward/control/guide.h>
+#include <corkward/control/controller_directory.h>
 
 #include <set>
 
@@ -12,24 +12,26 @@
 
 }  // namespace
 
-Guide::Guide(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed)
+ControllerDirectory::ControllerDirectory(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed)
     : partialView_(std::move(self), std::move(seeds), seed) {}
 
-std::vector<transport::Send> Guide::arrived(Tick now, std::string const& from, transport::Message const& message) {
+std::vector<transport::Send> ControllerDirectory::arrived(Tick now, std::string const& from,
+                                                          transport::Message const& message) {
   std::map<std::string, Tick>::iterator const known = controllers_.find(from);
   if (known != controllers_.end()) known->second = now;
-  if (transport::Shuffle const* const shuffle = std::get_if<transport::Shuffle>(&message); shuffle != nullptr) {
-    partialView_.arrived(now, from, transport::Shuffle{shuffle->contacts, false, 0, {}});
+  if (transport::GossipShuffle const* const shuffle = std::get_if<transport::GossipShuffle>(&message);
+      shuffle != nullptr) {
+    partialView_.arrived(now, from, transport::GossipShuffle{shuffle->contacts, false, 0, {}});
     if (!shuffle->reply) return {};
-    return {
-        transport::Send{from, transport::Shuffle{partialView_.ofRole(transport::controllerRole, now), false, 0, {}}}};
+    return {transport::Send{
+        from, transport::GossipShuffle{partialView_.ofRole(transport::controllerRole, now), false, 0, {}}}};
   }
   transport::Heartbeat const* const heartbeat = std::get_if<transport::Heartbeat>(&message);
-  if (heartbeat == nullptr || !heartbeat->empty) return {};
-  return {transport::Send{from, transport::NoDisk{}}};
+  if (heartbeat == nullptr || !heartbeat->hasNoState) return {};
+  return {transport::Send{from, transport::NotAVotingMember{}}};
 }
 
-std::vector<transport::Send> Guide::clockEvent(Tick now) {
+std::vector<transport::Send> ControllerDirectory::clockEvent(Tick now) {
   for (transport::Contact const& c : partialView_.ofRole(transport::controllerRole, now))
     controllers_.try_emplace(c.link, -1);
   if (now < askAt_) return {};
@@ -38,11 +40,11 @@
   for (std::map<std::string, Tick>::value_type const& s : controllers_) to.insert(s.first);
   to.erase(partialView_.self().link);
   std::vector<transport::Send> out;
-  for (std::string const& link : to) out.push_back(transport::Send{link, transport::Shuffle{{}, true, 0, {}}});
+  for (std::string const& link : to) out.push_back(transport::Send{link, transport::GossipShuffle{{}, true, 0, {}}});
   return out;
 }
 
-std::vector<std::string> Guide::controllers(Tick now) const {
+std::vector<std::string> ControllerDirectory::controllers(Tick now) const {
   std::vector<std::string> all;
   std::vector<std::string> answering;
   for (std::map<std::string, Tick>::value_type const& s : controllers_) {
--- a/control/src/platform_lists.cpp
+++ b/control/src/endpoint_lists.cpp
@@ -7,23 +7,23 @@
 
 namespace corkward::control {
 
-void Controller::hint(Commands& out, Tick now, std::string const& pool, config::Pool const& list) {
-  transport::Hint h{pool, list.generation, {}, {}};
+void Controller::hint(ControllerCommands& out, Tick now, std::string const& pool, config::EndpointList const& list) {
+  transport::EndpointRemovalHint h{pool, list.generation, {}, {}};
   for (config::Replica const& r : list.replicas) {
-    if (r.state == config::ReplicaState::serving) h.serving.push_back(config::lifeName(r));
-    if (r.state == config::ReplicaState::cold) h.cold.push_back(config::lifeName(r));
+    if (r.state == config::ReplicaState::serving) h.serving.push_back(config::incarnationName(r));
+    if (r.state == config::ReplicaState::cold) h.cold.push_back(config::incarnationName(r));
   }
   on(out, now, "", h);
 }
 
-Commands Controller::platformLists(Tick now, std::map<std::string, config::Pool> const& lists) {
-  Commands out;
-  std::map<std::string, config::Pool> all = lists;
-  for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed())
+ControllerCommands Controller::updateEndpointLists(Tick now, std::map<std::string, config::EndpointList> const& lists) {
+  ControllerCommands out;
+  std::map<std::string, config::EndpointList> all = lists;
+  for (std::map<std::string, consensus::CommittedValue>::value_type const& c : registers_.committed())
     if (c.first.rfind("pool:", 0) == 0) all.try_emplace(c.first.substr(5));
-  for (std::map<std::string, config::Pool>::value_type& p : all) {
+  for (std::map<std::string, config::EndpointList>::value_type& p : all) {
     std::string const key = "pool:" + p.first;
-    std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find(key);
+    std::map<std::string, consensus::CommittedValue>::const_iterator const it = registers_.committed().find(key);
     QJsonObject const next = config::poolJson(p.second);
     QJsonObject have = it == registers_.committed().end() ? QJsonObject() : it->second.value;
     have = config::withoutHistory(have);
@@ -34,7 +34,7 @@
       hints_.erase(p.first);
       continue;
     }
-    std::map<std::string, transport::Hint>::const_iterator const hinted = hints_.find(p.first);
+    std::map<std::string, transport::EndpointRemovalHint>::const_iterator const hinted = hints_.find(p.first);
     p.second.generation = std::max(generationOf(p.first), hinted == hints_.end() ? 0 : hinted->second.generation) + 1;
     hint(out, now, p.first, p.second);
     std::map<std::string, std::uint64_t>::const_iterator const before = listCalls_.find(p.first);
@@ -56,7 +56,7 @@
   return out;
 }
 
-bool Controller::readsLists(Tick now) const {
+bool Controller::isEndpointListReader(Tick now) const {
   if (draining_ || registers_.membership().empty()) return false;
   std::string const owner = registers_.ownerLink(rosterKey, now);
   return owner == registers_.self().link ||
@@ -64,16 +64,17 @@
 }
 
 std::uint64_t Controller::generationOf(std::string const& pool) const {
-  std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find("pool:" + pool);
+  std::map<std::string, consensus::CommittedValue>::const_iterator const it =
+      registers_.committed().find("pool:" + pool);
   return it == registers_.committed().end()
              ? 0
              : static_cast<std::uint64_t>(it->second.value.value("generation").toInteger());
 }
 
-void Controller::on(Commands& out, Tick now, std::string const&, transport::Hint const& m) {
+void Controller::on(ControllerCommands& out, Tick now, std::string const&, transport::EndpointRemovalHint const& m) {
   std::uint64_t const have = generationOf(m.pool);
   if (have == 0 || m.generation <= have) return;
-  std::map<std::string, transport::Hint>::iterator const it = hints_.find(m.pool);
+  std::map<std::string, transport::EndpointRemovalHint>::iterator const it = hints_.find(m.pool);
   if (it != hints_.end() && it->second.generation >= m.generation) return;
   hints_[m.pool] = m;
   journal_.append(now, "leaving_hint", m.pool);
--- a/control/src/lending.cpp
+++ b/control/src/quota_coordination.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 template <class Sends>
-void append(Commands& out, Sends&& sends) {
+void append(ControllerCommands& out, Sends&& sends) {
   for (quota::Send& send : sends)
     std::visit([&](auto& message) { out.sends.push_back(transport::Send{send.to, std::move(message)}); }, send.message);
 }
@@ -28,9 +28,9 @@
   }
   // Contact with a majority also says that no newer membership was accepted here without being known as chosen: a
   // member that may have been struck off is not renewed by one that took part in striking it off.
-  Tick const wait = quota::pauseBeforeGrants;
-  Tick const age = registers_.majorityAge(now);
-  bool const inTouch = age >= 0 && age <= tuning_.fence;
+  Tick const wait = quota::grantDelayAfterStart;
+  Tick const age = registers_.quorumContactAge(now);
+  bool const inTouch = age >= 0 && age <= tuning_.servingLeaseDuration;
   standing_.mayRenew = inTouch && now - started_ > wait;
   standing_.mayGrant = standing_.mayRenew && now - membersSince_ > wait;
   standing_.alive = registers_.aliveLinks(now);
@@ -38,24 +38,24 @@
   standing_.leaving = draining_;
 }
 
-void Controller::lendLimits(Commands& out, Tick now) {
+void Controller::lendLimits(ControllerCommands& out, Tick now) {
   refreshStanding(now);
   append(out, lender_.clockEvent(now, standing_));
 }
 
-void Controller::on(Commands& out, Tick now, std::string const& from, quota::Report const& m) {
+void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::UsageReport const& m) {
   append(out, lender_.arrived(now, from, m, standing_));
 }
 
-void Controller::on(Commands& out, Tick now, std::string const& from, quota::Claims const& m) {
+void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::AllocationReport const& m) {
   append(out, lender_.arrived(now, from, m, standing_));
 }
 
-void Controller::on(Commands& out, Tick now, std::string const& from, quota::TermAsk const& m) {
+void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::PartitionLeaseRequest const& m) {
   append(out, lender_.arrived(now, from, m, standing_));
 }
 
-void Controller::on(Commands& out, Tick now, std::string const& from, quota::TermGrant const& m) {
+void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::PartitionLeaseReply const& m) {
   append(out, lender_.arrived(now, from, m, standing_));
 }
 
--- a/control/src/in_force.cpp
+++ b/control/src/rollouts.cpp
@@ -15,7 +15,7 @@
   std::map<std::string, Settling>::const_iterator const settling = settling_.find(key);
   if (settling != settling_.end() && settling->second.inForce && settling->second.revision >= revision)
     return InForce::yes;
-  Tick const age = registers_.majorityAge(now);
+  Tick const age = registers_.quorumContactAge(now);
   if (age < 0 || now - age < since || settling == settling_.end()) return InForce::no;
   std::uint64_t const roster = committedRevision(rosterKey);
   std::map<std::string, Settling>::const_iterator const rosterSettling = settling_.find(rosterKey);
@@ -40,7 +40,7 @@
     if (links->empty()) continue;
     if (links == &roster_.nodes)
       settled = yes >= links->size() / 2 + 1;
-    else if (now - rosterCommittedAt_ < 4 * tuning_.fence || onRoster < links->size() / 2 + 1)
+    else if (now - rosterCommittedAt_ < 4 * tuning_.servingLeaseDuration || onRoster < links->size() / 2 + 1)
       settled = settled && yes >= links->size() / 2 + 1;
   }
   if (all) return InForce::yes;
@@ -48,7 +48,8 @@
 }
 
 bool Controller::isInForce(Tick now, std::string const& key, Settling const& s) const {
-  bool const fenced = s.majorityAt >= 0 && now - s.majorityAt > tuning_.fence + tuning_.fenceMargin;
+  bool const fenced =
+      s.majorityAt >= 0 && now - s.majorityAt > tuning_.servingLeaseDuration + tuning_.servingLeaseMargin;
   return fenced || inForce(now, key, s.revision, s.since) == InForce::yes;
 }
 
@@ -62,17 +63,18 @@
   }
 }
 
-void Controller::checkForces(Commands& out, Tick now) {
+void Controller::checkForces(ControllerCommands& out, Tick now) {
   std::vector<Force> waiting;
   std::vector<Force> done;
   for (Force& f : forces_) {
     InForce const state = inForce(now, f.key, f.revision, f.since);
     if (state == InForce::majority && f.majorityAt < 0) f.majorityAt = now;
-    bool const fenced = f.majorityAt >= 0 && now - f.majorityAt > tuning_.fence + tuning_.fenceMargin;
+    bool const fenced =
+        f.majorityAt >= 0 && now - f.majorityAt > tuning_.servingLeaseDuration + tuning_.servingLeaseMargin;
     if (state == InForce::yes || fenced) {
       f.body.insert("inForce", true);
       done.push_back(f);
-    } else if (now - f.since > tuning_.forceLimit) {
+    } else if (now - f.since > tuning_.rolloutTimeout) {
       f.body = pendingBody(f.body, f.revision);
       f.status = 504;
       done.push_back(f);
@@ -84,8 +86,8 @@
   for (Force const& f : done) finish(out, now, f.call, f.status, f.body);
 }
 
-Commands Controller::probed(Tick now, std::string const& link, bool refused) {
-  Commands out;
+ControllerCommands Controller::onProbeResult(Tick now, std::string const& link, bool refused) {
+  ControllerCommands out;
   std::map<std::string, Router>::iterator const it = routers_.find(link);
   if (it == routers_.end()) return out;
   it->second.refusedAt = refused ? now : -1;
--- a/control/src/roster.cpp
+++ b/control/src/roster.cpp
@@ -12,7 +12,7 @@
   std::function<std::set<std::string>(char const*)> const links = [&](char const* field) {
     std::set<std::string> out;
     for (QJsonValue const v : value.value(QLatin1String(field)).toArray())
-      out.insert(core::str(v.isString() ? v.toString() : v.toObject().value("link").toString()));
+      out.insert(core::toStdString(v.isString() ? v.toString() : v.toObject().value("link").toString()));
     return out;
   };
   roster_ = RosterView{links("nodes"), links("previous"), links("gone"), {}};
@@ -23,11 +23,11 @@
 bool Controller::rosterSettled(Tick now) const {
   std::uint64_t const revision = committedRevision(rosterKey);
   if (revision == 0) return true;
-  return now - rosterCommittedAt_ > tuning_.fence + tuning_.fenceMargin &&
+  return now - rosterCommittedAt_ > tuning_.servingLeaseDuration + tuning_.servingLeaseMargin &&
          inForce(now, rosterKey, revision, rosterCommittedAt_) != InForce::no;
 }
 
-void Controller::considerRoster(Commands& out, Tick now) {
+void Controller::considerRoster(ControllerCommands& out, Tick now) {
   if (now < rosterAt_ || rosterCalling_ || draining_ || !ready(now)) return;
   rosterAt_ = now + 300;
   std::function<bool(std::map<std::string, Router>::value_type const&)> const silent =
@@ -45,28 +45,29 @@
   if (owner.empty() && registers_.membership().front().id != registers_.self().id) return;
   if (!rosterSettled(now)) return;
   std::map<std::string, QJsonObject> nodes;
-  std::map<std::string, consensus::Committed>::const_iterator const it = registers_.committed().find(rosterKey);
+  std::map<std::string, consensus::CommittedValue>::const_iterator const it = registers_.committed().find(rosterKey);
   if (it != registers_.committed().end())
     for (QJsonValue const v : it->second.value.value("nodes").toArray())
-      nodes[core::str(v.toObject().value("link").toString())] = v.toObject();
+      nodes[core::toStdString(v.toObject().value("link").toString())] = v.toObject();
   bool changed = false;
   std::set<std::string> gone = roster_.gone;
   for (std::map<std::string, Router>::value_type const& n : routers_) {
     if (n.second.heard < 0 || now - n.second.heard > 2000 || n.second.contact.role != transport::routerRole ||
         n.second.contact.draining || nodes.count(n.first) > 0)
       continue;
-    nodes[n.first] = QJsonObject{{"link", core::qstr(n.first)},
-                                 {"http", core::qstr(n.second.contact.http)},
-                                 {"zone", core::qstr(n.second.contact.zone)}};
+    nodes[n.first] = QJsonObject{{"link", core::toQString(n.first)},
+                                 {"http", core::toQString(n.second.contact.httpAddress)},
+                                 {"zone", core::toQString(n.second.contact.zone)}};
     gone.erase(n.first);
     changed = true;
   }
-  if (now - started_ > tuning_.strikeAfter) {
+  if (now - started_ > tuning_.removeSilentRouterAfter) {
     for (std::map<std::string, QJsonObject>::iterator n = nodes.begin(); n != nodes.end();) {
       std::map<std::string, Router>::const_iterator const seen = routers_.find(n->first);
       Tick const direct = seen == routers_.end() || seen->second.heard < 0 ? now - started_ : now - seen->second.heard;
       Tick const told = partialView_.age(n->first, now);
-      bool const dark = direct > tuning_.strikeAfter && (told < 0 || told > tuning_.strikeAfter);
+      bool const dark =
+          direct > tuning_.removeSilentRouterAfter && (told < 0 || told > tuning_.removeSilentRouterAfter);
       changed = changed || dark;
       n = dark ? nodes.erase(n) : std::next(n);
     }
@@ -75,7 +76,7 @@
   QJsonArray list;
   for (std::map<std::string, QJsonObject>::value_type const& n : nodes) list.append(n.second);
   QJsonArray goneList;
-  for (std::string const& link : gone) goneList.append(core::qstr(link));
+  for (std::string const& link : gone) goneList.append(core::toQString(link));
   std::uint64_t const id = nextCall_++;
   CallState state;
   state.key = rosterKey;
@@ -88,7 +89,7 @@
   calls_[id] = state;
   rosterCalling_ = true;
   out.logEvents.push_back(core::LogEvent{"roster", {{"nodes", std::to_string(nodes.size())}}});
-  take(out, now, registers_.call(now, rosterKey, state.call));
+  take(out, now, registers_.submit(now, rosterKey, state.call));
 }
 
 }  // namespace corkward::control
--- a/control/src/status_pages.cpp
+++ b/control/src/status_pages.cpp
@@ -10,7 +10,7 @@
 QJsonObject Controller::fleet(Tick now) const {
   QJsonArray members;
   for (consensus::Member const& m : registers_.membership())
-    members.append(QJsonObject{{"id", core::qstr(m.id)}, {"link", core::qstr(m.link)}});
+    members.append(QJsonObject{{"id", core::toQString(m.id)}, {"link", core::toQString(m.link)}});
   QJsonArray nodes;
   for (std::string const& link : roster_.nodes) {
     std::map<std::string, Router>::const_iterator const it = routers_.find(link);
@@ -21,24 +21,24 @@
       behind += have == s.has.end() || have->second < s.revision ? 1 : 0;
     }
     bool const seen = it != routers_.end() && it->second.heard >= 0;
-    nodes.append(QJsonObject{{"link", core::qstr(link)},
-                             {"http", core::qstr(seen ? it->second.contact.http : "")},
-                             {"zone", core::qstr(seen ? it->second.contact.zone : "")},
+    nodes.append(QJsonObject{{"link", core::toQString(link)},
+                             {"http", core::toQString(seen ? it->second.contact.httpAddress : "")},
+                             {"zone", core::toQString(seen ? it->second.contact.zone : "")},
                              {"heardMsAgo", seen ? static_cast<qint64>(now - it->second.heard) : -1},
                              {"keysBehind", behind}});
   }
   QJsonObject revisions;
   QJsonObject owners;
-  for (std::map<std::string, consensus::Committed>::value_type const& c : registers_.committed()) {
-    revisions.insert(core::qstr(c.first), static_cast<qint64>(c.second.revision));
-    owners.insert(core::qstr(c.first), core::qstr(registers_.ownerLink(c.first, now)));
+  for (std::map<std::string, consensus::CommittedValue>::value_type const& c : registers_.committed()) {
+    revisions.insert(core::toQString(c.first), static_cast<qint64>(c.second.revision));
+    owners.insert(core::toQString(c.first), core::toQString(registers_.ownerLink(c.first, now)));
   }
-  return QJsonObject{{"self", core::qstr(registers_.self().link)},
-                     {"member", core::qstr(registers_.self().id)},
-                     {"voting", registers_.voting()},
-                     {"diskOk", registers_.diskOk()},
+  return QJsonObject{{"self", core::toQString(registers_.self().link)},
+                     {"member", core::toQString(registers_.self().id)},
+                     {"voting", registers_.isVoting()},
+                     {"diskOk", registers_.isDiskHealthy()},
                      {"ready", ready(now)},
-                     {"majorityAgeMs", static_cast<qint64>(registers_.majorityAge(now))},
+                     {"majorityAgeMs", static_cast<qint64>(registers_.quorumContactAge(now))},
                      {"cohort", members},
                      {"nacelles", nodes},
                      {"stamps", revisions},
@@ -52,11 +52,11 @@
   out +=
       "# TYPE corkward_substation_ready gauge\ncorkward_substation_ready " + std::string(ready(now) ? "1" : "0") + "\n";
   out += "# TYPE corkward_substation_majority_age_ms gauge\ncorkward_substation_majority_age_ms " +
-         std::to_string(registers_.majorityAge(now)) + "\n";
+         std::to_string(registers_.quorumContactAge(now)) + "\n";
   out += "# TYPE corkward_substation_owned_keys gauge\ncorkward_substation_owned_keys " +
          std::to_string(registers_.ownedCount()) + "\n";
   out += "# TYPE corkward_quota_parts_lent gauge\ncorkward_quota_parts_lent " +
-         std::to_string(lender_.lent(now, standing_)) + "\n";
+         std::to_string(lender_.ownedPartitionCount(now, standing_)) + "\n";
   out += "# TYPE corkward_substation_calls_in_hand gauge\ncorkward_substation_calls_in_hand " +
          std::to_string(calls_.size()) + "\n";
   config::Regimes const regimes = around().regimes();
--- a/control/src/validator.cpp
+++ b/control/src/validator.cpp
@@ -16,16 +16,16 @@
 Verdict reject(int status, std::string const& error, std::string const& reason, std::string const& pointer = "") {
   Verdict v;
   v.status = status;
-  v.body = QJsonObject{{"error", core::qstr(error)}, {"reason", core::qstr(reason)}};
-  if (!pointer.empty()) v.body.insert("pointer", core::qstr(pointer));
+  v.body = QJsonObject{{"error", core::toQString(error)}, {"reason", core::toQString(reason)}};
+  if (!pointer.empty()) v.body.insert("pointer", core::toQString(pointer));
   return v;
 }
 
 Verdict replay(int status, std::uint64_t revision, std::string const& changeId) {
   Verdict v;
   v.status = status;
-  v.body =
-      QJsonObject{{"changeId", core::qstr(changeId)}, {"stamp", static_cast<qint64>(revision)}, {"replayed", true}};
+  v.body = QJsonObject{
+      {"changeId", core::toQString(changeId)}, {"stamp", static_cast<qint64>(revision)}, {"replayed", true}};
   return v;
 }
 
@@ -35,7 +35,7 @@
   return ifMatch;
 }
 
-Verdict stale(transport::Call const& call, qint64 newest) {
+Verdict stale(transport::OperatorCall const& call, qint64 newest) {
   Verdict v =
       reject(412, "stale revision", "built on " + bare(call.ifMatch) + ", but the newest is " + std::to_string(newest));
   v.body.insert("stamp", newest);
@@ -57,33 +57,33 @@
 }
 
 /// Digest by which a reused change id shows. The base of an order on a zone is no operator's and no part of it.
-QString digestOf(std::string const& key, transport::Call const& call) {
+QString digestOf(std::string const& key, transport::OperatorCall const& call) {
   std::string const base = key.rfind("zone:", 0) == 0 ? "" : bare(call.ifMatch);
   return QString::number(core::stableHash(call.method + " " + call.path + " " + base + " " + call.body), 16);
 }
 
-QJsonObject readBody(transport::Call const& call) {
+QJsonObject readBody(transport::OperatorCall const& call) {
   QJsonValue const v = core::parseJson(call.body);
   if (!v.isObject()) throw core::JsonError("must be an object");
   return v.toObject();
 }
 
 /// Body of a change; a call that takes something away has none.
-QJsonObject changeBody(transport::Call const& call) {
+QJsonObject changeBody(transport::OperatorCall const& call) {
   return call.method == "DELETE" ? QJsonObject() : readBody(call);
 }
 
 /// Answer to a call by what its key remembers of its changes: taken, or not known any more; nothing: it was not taken.
 /// @param newest highest base that a change of the key can be built on now
-std::optional<Verdict> validatePast(std::uint64_t revision, std::uint64_t newest, transport::Call const& call,
+std::optional<Verdict> validatePast(std::uint64_t revision, std::uint64_t newest, transport::OperatorCall const& call,
                                     std::string const& digest, QJsonObject const& value) {
   bool isNumber = false;
-  std::uint64_t const base = core::qstr(bare(call.ifMatch)).toULongLong(&isNumber);
+  std::uint64_t const base = core::toQString(bare(call.ifMatch)).toULongLong(&isNumber);
   ChangeHistory const history(value, newest);
   switch (history.outcomeOf(digest, isNumber ? base : newest)) {
-    case PastOutcome::taken:
+    case PastOutcome::applied:
       return replay(200, revision - history.changesSince(digest), call.changeId);
-    case PastOutcome::notTaken:
+    case PastOutcome::notApplied:
       return std::nullopt;
     case PastOutcome::forgotten:
       break;
@@ -100,14 +100,14 @@
   return history.json();
 }
 
-Verdict validateFamily(std::uint64_t revision, QJsonObject const& value, transport::Call const& call,
-                       Around const& around) {
+Verdict validateFamily(std::uint64_t revision, QJsonObject const& value, transport::OperatorCall const& call,
+                       ClusterView const& around) {
   QJsonObject const family = config::withoutHistory(value);
   Target const target = *targetOf(call.path);
   bool const ofInstance = !target.instance.empty();
   QJsonObject const instances = family.value("instances").toObject();
   QJsonObject const current =
-      ofInstance ? instances.value(core::qstr(target.instance)).toObject() : family.value("template").toObject();
+      ofInstance ? instances.value(core::toQString(target.instance)).toObject() : family.value("template").toObject();
   qint64 const have = current.value("stamp").toInteger();
   if (call.method == "GET") {
     if (have == 0) return reject(404, "not found", "no such " + std::string(ofInstance ? "instance" : "template"));
@@ -144,9 +144,9 @@
     if (ofInstance) {
       QJsonObject all = instances;
       if (call.method == "DELETE")
-        all.remove(core::qstr(target.instance));
+        all.remove(core::toQString(target.instance));
       else
-        all.insert(core::qstr(target.instance), fresh);
+        all.insert(core::toQString(target.instance), fresh);
       changed.insert("instances", all);
     } else if (call.method == "DELETE") {
       changed.remove("template");
@@ -164,15 +164,16 @@
     });
   } catch (core::JsonError const& e) {
     return reject(400, "malformed", e.what(), "/");
-  } catch (config::Error const& e) {
+  } catch (config::ConfigError const& e) {
     // No refusal rests on a key that is not recovered yet.
     if (unsure) return reject(503, "not confirmed", "the pools are still being recovered; send it again");
     return reject(422, "not a valid configuration", e.reason(), e.pointer());
   }
-  if (core::jsonText(changed).size() > 4 * maxBody) return reject(413, "too large", "the family would pass its limit");
+  if (core::jsonText(changed).size() > 4 * maxCallBodyBytes)
+    return reject(413, "too large", "the family would pass its limit");
   Verdict v;
   v.status = call.method == "PUT" && have == 0 ? 201 : 200;
-  v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", next}};
+  v.body = QJsonObject{{"changeId", core::toQString(call.changeId)}, {"stamp", next}};
   if (call.dryRun) {
     v.status = 200;
     v.body.insert("dryRun", true);
@@ -197,7 +198,7 @@
 }
 
 /// A call on the whole configuration that was built on another version than the newest one.
-Verdict validatePastWhole(std::uint64_t revision, transport::Call const& call, std::string const& digest,
+Verdict validatePastWhole(std::uint64_t revision, transport::OperatorCall const& call, std::string const& digest,
                           qint64 version, QJsonObject const& current) {
   qint64 const have = current.value("spec").toObject().value("version").toInteger();
   std::optional<Verdict> past = validatePast(revision, static_cast<std::uint64_t>(have), call, digest, current);
@@ -208,12 +209,13 @@
 }
 
 /// Upper bound of the whole configuration's text after a change, without writing it out.
-qint64 wholeBytes(QJsonArray const& window, transport::Call const& call) {
-  qint64 const before = call.method == "PATCH" ? window.last().toObject().value("bytes").toInteger(maxWholeBody) : 0;
+qint64 wholeBytes(QJsonArray const& window, transport::OperatorCall const& call) {
+  qint64 const before =
+      call.method == "PATCH" ? window.last().toObject().value("bytes").toInteger(maxFleetConfigurationBytes) : 0;
   return before + static_cast<qint64>(call.body.size());
 }
 
-Verdict validateWhole(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
+Verdict validateWhole(std::uint64_t revision, QJsonObject const& current, transport::OperatorCall const& call) {
   QJsonObject const spec = current.value("spec").toObject();
   qint64 const have = spec.value("version").toInteger();
   if (call.method == "GET") {
@@ -241,16 +243,18 @@
           reject(422, "not a valid configuration", "must be an integer above " + std::to_string(have), "/version"),
           revision, have);
     if (call.method == "PATCH") {
-      next = config::patchWhole(spec, next);
-      bool const mayPass = wholeBytes(current.value("changes").toArray(), call) > static_cast<qint64>(maxWholeBody);
-      if (mayPass && core::jsonText(next).size() > maxWholeBody)
+      next = config::patchFleetConfiguration(spec, next);
+      bool const mayPass =
+          wholeBytes(current.value("changes").toArray(), call) > static_cast<qint64>(maxFleetConfigurationBytes);
+      if (mayPass && core::jsonText(next).size() > maxFleetConfigurationBytes)
         return reject(413, "too large", "the configuration would pass its limit");
     }
-    config::readWhole(next);
+    config::readFleetConfiguration(next);
     Verdict v;
     v.status = have == 0 ? 201 : 200;
-    v.body = QJsonObject{
-        {"changeId", core::qstr(call.changeId)}, {"version", version}, {"stamp", static_cast<qint64>(revision) + 1}};
+    v.body = QJsonObject{{"changeId", core::toQString(call.changeId)},
+                         {"version", version},
+                         {"stamp", static_cast<qint64>(revision) + 1}};
     if (call.dryRun) {
       v.status = 200;
       v.body.insert("dryRun", true);
@@ -261,14 +265,14 @@
     return v;
   } catch (core::JsonError const& e) {
     return reject(400, "malformed", e.what(), "/");
-  } catch (config::Error const& e) {
+  } catch (config::ConfigError const& e) {
     return reject(422, "not a valid configuration", e.reason(), e.pointer());
   }
 }
 
 /// A list that a controller has read itself names the revision that it knew when it read: one that was under way
 /// through a cut or a pause is not written over what was read meanwhile. Lists that the platform gives name none.
-Verdict validatePool(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
+Verdict validatePool(std::uint64_t revision, QJsonObject const& current, transport::OperatorCall const& call) {
   if (call.method == "GET") {
     if (revision == 0) return reject(404, "not found", "no such pool");
     Verdict v;
@@ -278,7 +282,7 @@
   }
   try {
     QJsonObject const next = readBody(call);
-    config::Pool const list = config::readPool(next);
+    config::EndpointList const list = config::readPool(next);
     std::uint64_t const have = static_cast<std::uint64_t>(current.value("generation").toInteger());
     if (list.generation == have && next == current) return replay(200, revision, call.changeId);
     if (!call.ifMatch.empty() && call.ifMatch != std::to_string(revision))
@@ -288,18 +292,18 @@
     Verdict v;
     v.change = !call.dryRun;
     v.value = next;
-    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
+    v.body = QJsonObject{{"changeId", core::toQString(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
     return v;
   } catch (core::JsonError const& e) {
     return reject(400, "malformed", e.what(), "/");
-  } catch (config::Error const& e) {
+  } catch (config::ConfigError const& e) {
     return reject(422, "not a valid list", e.reason(), e.pointer());
   }
 }
 
 /// An order on a zone names no base. The controller that it came in at says the revision that it knew then, so that an
 /// order which was under way for long is not carried out after a later one.
-Verdict validateZone(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
+Verdict validateZone(std::uint64_t revision, QJsonObject const& current, transport::OperatorCall const& call) {
   bool const have = current.value("evacuated").toBool();
   if (call.method == "GET") {
     Verdict v;
@@ -315,12 +319,12 @@
   v.change = !call.dryRun;
   v.value = QJsonObject{{"evacuated", want}};
   v.body = QJsonObject{
-      {"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}, {"evacuated", want}};
+      {"changeId", core::toQString(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}, {"evacuated", want}};
   return v;
 }
 
 /// What the tenants in place could not be served under these certificates, one line for each.
-std::vector<config::RegimeFault> uncovered(config::Regimes const& regimes, Around const& around) {
+std::vector<config::RegimeFault> uncovered(config::Regimes const& regimes, ClusterView const& around) {
   std::vector<config::RegimeFault> out;
   for (config::RegimeUse const& use : around.regimeUses()) {
     std::optional<config::RegimeFault> const fault = around.regimeFault(regimes, use.regime, use.pool);
@@ -329,8 +333,8 @@
   return out;
 }
 
-Verdict validateRegimes(std::uint64_t revision, QJsonObject const& current, transport::Call const& call,
-                        Around const& around) {
+Verdict validateRegimes(std::uint64_t revision, QJsonObject const& current, transport::OperatorCall const& call,
+                        ClusterView const& around) {
   std::string const name = targetOf(call.path)->instance;
   QJsonObject const spec = current.value("spec").toObject();
   Verdict v;
@@ -338,7 +342,7 @@
     if (revision == 0) return reject(404, "not found", "no certificates so far");
     v.body = QJsonObject{{"spec", spec}, {"stamp", static_cast<qint64>(revision)}};
     if (name.empty()) return v;
-    QJsonValue const one = spec.value("certificates").toObject().value(core::qstr(name));
+    QJsonValue const one = spec.value("certificates").toObject().value(core::toQString(name));
     if (!one.isObject()) return reject(404, "not found", "no such certificate");
     v.body.insert("spec", one);
     return v;
@@ -362,8 +366,8 @@
     QJsonObject next = spec;
     if (revokes) {
       QJsonObject all = spec.value("certificates").toObject();
-      if (!all.contains(core::qstr(name))) return reject(404, "not found", "no such certificate");
-      all.remove(core::qstr(name));
+      if (!all.contains(core::toQString(name))) return reject(404, "not found", "no such certificate");
+      all.remove(core::toQString(name));
       next.insert("certificates", all);
     } else {
       next = call.method == "PUT" ? body : core::mergePatch(spec, body).toObject();
@@ -373,13 +377,13 @@
       return reject(422, "not a valid declaration",
                     faults.front().reason + "; a certificate that must end at once is deleted by its name",
                     faults.front().pointer);
-    if (core::jsonText(next).size() > maxBody)
+    if (core::jsonText(next).size() > maxCallBodyBytes)
       return reject(413, "too large", "the certificates would pass their limit");
     v.status = revision == 0 ? 201 : 200;
-    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
+    v.body = QJsonObject{{"changeId", core::toQString(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
     if (!faults.empty()) {
       QJsonArray lines;
-      for (config::RegimeFault const& f : faults) lines.append(core::qstr(f.reason));
+      for (config::RegimeFault const& f : faults) lines.append(core::toQString(f.reason));
       v.body.insert("uncovered", lines);
     }
     v.value = QJsonObject{{"spec", next}, {ChangeHistory::field, historyWith(current, revision, digest)}};
@@ -391,12 +395,12 @@
     return v;
   } catch (core::JsonError const& e) {
     return reject(400, "malformed", e.what(), "/");
-  } catch (config::Error const& e) {
+  } catch (config::ConfigError const& e) {
     return reject(422, "not a valid declaration", e.reason(), e.pointer());
   }
 }
 
-Verdict validateAlert(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
+Verdict validateAlert(std::uint64_t revision, QJsonObject const& current, transport::OperatorCall const& call) {
   Verdict v;
   if (call.method == "GET") {
     v.body = current;
@@ -416,15 +420,15 @@
       return reject(422, "not a valid alert", "must have state and by, a name of up to 64 bytes", "/by");
     v.change = !call.dryRun;
     v.value = next;
-    v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
+    v.body = QJsonObject{{"changeId", core::toQString(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
     return v;
   } catch (core::JsonError const& e) {
     return reject(400, "malformed", e.what(), "/");
   }
 }
 
-Verdict declareGone(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
-  QString const link = core::qstr(targetOf(call.path)->instance);
+Verdict declareGone(std::uint64_t revision, QJsonObject const& current, transport::OperatorCall const& call) {
+  QString const link = core::toQString(targetOf(call.path)->instance);
   QJsonArray gone = current.value("gone").toArray();
   if (gone.contains(link)) return replay(200, revision, call.changeId);
   QJsonArray nodes;
@@ -439,11 +443,11 @@
   Verdict v;
   v.change = !call.dryRun;
   v.value = QJsonObject{{"nodes", nodes}, {"gone", gone}, {"previous", current.value("nodes").toArray()}};
-  v.body = QJsonObject{{"changeId", core::qstr(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
+  v.body = QJsonObject{{"changeId", core::toQString(call.changeId)}, {"stamp", static_cast<qint64>(revision) + 1}};
   return v;
 }
 
-Verdict validateRoster(std::uint64_t revision, QJsonObject const& current, transport::Call const& call) {
+Verdict validateRoster(std::uint64_t revision, QJsonObject const& current, transport::OperatorCall const& call) {
   if (call.method == "DELETE") return declareGone(revision, current, call);
   if (bare(call.ifMatch) != std::to_string(revision)) return reject(412, "stale revision", "the roster has moved on");
   Verdict v;
@@ -456,7 +460,7 @@
 }  // namespace
 
 std::optional<Target> targetOf(std::string const& path) {
-  if (path == config::wholePage) return Target{config::wholeKey, "", ""};
+  if (path == config::fleetConfigurationPage) return Target{config::fleetConfigurationKey, "", ""};
   std::vector<std::string> const parts = split(path);
   if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "certificates") return Target{config::regimesKey, "", ""};
   if (parts.size() < 3 || parts[0] != "v1") return std::nullopt;
@@ -480,13 +484,13 @@
   return std::nullopt;
 }
 
-consensus::Verdict validator(std::string const& key, std::uint64_t revision, QJsonObject const& value,
-                             transport::Call const& call, Around const& around) {
+consensus::Verdict validateCall(std::string const& key, std::uint64_t revision, QJsonObject const& value,
+                                transport::OperatorCall const& call, ClusterView const& around) {
   QJsonArray window = value.value("changes").toArray();
   for (QJsonValue const c : window) {
     QJsonObject const o = c.toObject();
     if (call.method == "GET" || call.dryRun || call.changeId.empty() ||
-        o.value("id").toString() != core::qstr(call.changeId))
+        o.value("id").toString() != core::toQString(call.changeId))
       continue;
     if (o.value("digest").toString() != digestOf(key, call))
       return reject(409, "change id reused", "the id " + call.changeId + " stands for another change");
@@ -496,18 +500,18 @@
     return again;
   }
   QJsonObject const bare = config::withoutHistory(value);
-  Verdict v = key.rfind("family:", 0) == 0  ? validateFamily(revision, value, call, around)
-              : key.rfind("pool:", 0) == 0  ? validatePool(revision, bare, call)
-              : key.rfind("zone:", 0) == 0  ? validateZone(revision, bare, call)
-              : key.rfind("alert:", 0) == 0 ? validateAlert(revision, bare, call)
-              : key == "roster"             ? validateRoster(revision, bare, call)
-              : key == config::regimesKey   ? validateRegimes(revision, value, call, around)
-              : key == config::wholeKey     ? validateWhole(revision, value, call)
-                                            : reject(404, "not found", "no such key");
+  Verdict v = key.rfind("family:", 0) == 0           ? validateFamily(revision, value, call, around)
+              : key.rfind("pool:", 0) == 0           ? validatePool(revision, bare, call)
+              : key.rfind("zone:", 0) == 0           ? validateZone(revision, bare, call)
+              : key.rfind("alert:", 0) == 0          ? validateAlert(revision, bare, call)
+              : key == "roster"                      ? validateRoster(revision, bare, call)
+              : key == config::regimesKey            ? validateRegimes(revision, value, call, around)
+              : key == config::fleetConfigurationKey ? validateWhole(revision, value, call)
+                                                     : reject(404, "not found", "no such key");
   if (!v.change) return v;
-  bool const whole = key == config::wholeKey;
+  bool const whole = key == config::fleetConfigurationKey;
   if (whole || !call.changeId.empty()) {
-    QJsonObject entry{{"id", core::qstr(call.changeId)},
+    QJsonObject entry{{"id", core::toQString(call.changeId)},
                       {"digest", digestOf(key, call)},
                       {"status", v.status},
                       {"stamp", static_cast<qint64>(revision) + 1}};
--- a/control/test/guide_test.cpp
+++ b/control/test/controller_directory_test.cpp
@@ -2,7 +2,7 @@
 
 #include <set>
 
-#include <corkward/control/guide.h>
+#include <corkward/control/controller_directory.h>
 
 namespace core = corkward::core;
 namespace transport = corkward::transport;
@@ -15,30 +15,30 @@
   c.link = link;
   c.role = role;
   c.zone = "z1";
-  c.inc = 1;
+  c.incarnation = 1;
   return c;
 }
 
-transport::Shuffle told(std::vector<transport::Contact> contacts) {
-  return transport::Shuffle{std::move(contacts), false, 0, {}};
+transport::GossipShuffle told(std::vector<transport::Contact> contacts) {
+  return transport::GossipShuffle{std::move(contacts), false, 0, {}};
 }
 
 }  // namespace
 
 TEST_CASE("a guide tells disks that have not joined, and no others, that it has none") {
-  control::Guide guide(contact("g", "guide"), {"g", "h", "s"}, 1);
+  control::ControllerDirectory guide(contact("g", "guide"), {"g", "h", "s"}, 1);
   transport::Heartbeat heartbeat;
   heartbeat.member = "m";
   CHECK(guide.arrived(100, "d", heartbeat).empty());
-  heartbeat.empty = true;
+  heartbeat.hasNoState = true;
   std::vector<transport::Send> const out = guide.arrived(200, "d", heartbeat);
   REQUIRE(out.size() == 1);
   CHECK(out[0].to == "d");
-  CHECK(std::holds_alternative<transport::NoDisk>(out[0].message));
+  CHECK(std::holds_alternative<transport::NotAVotingMember>(out[0].message));
 }
 
 TEST_CASE("a guide brings processes together, and sends operators to controllers that answer") {
-  control::Guide guide(contact("g", "guide"), {"g"}, 1);
+  control::ControllerDirectory guide(contact("g", "guide"), {"g"}, 1);
   CHECK(guide.controllers(0).empty());
   guide.arrived(100, "n",
                 told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
@@ -49,24 +49,24 @@
   CHECK(guide.controllers(400) == std::vector<std::string>{"t"});
   CHECK(guide.controllers(9000) == std::vector<std::string>{"s", "t"});
   std::vector<transport::Send> const out =
-      guide.arrived(9000, "m", transport::Shuffle{{contact("m", transport::routerRole)}, true, 0, {}});
+      guide.arrived(9000, "m", transport::GossipShuffle{{contact("m", transport::routerRole)}, true, 0, {}});
   REQUIRE(out.size() == 1);
   CHECK(out[0].to == "m");
-  std::vector<transport::Contact> const shown = std::get<transport::Shuffle>(out[0].message).contacts;
+  std::vector<transport::Contact> const shown = std::get<transport::GossipShuffle>(out[0].message).contacts;
   REQUIRE(shown.size() == 2);
   CHECK(shown[0].link == "s");
   CHECK(shown[1].link == "t");
 }
 
 TEST_CASE("a guide asks the seeds and all controllers that it knows, and is named to nobody") {
-  control::Guide guide(contact("g", "guide"), {"g", "s", "u"}, 1);
+  control::ControllerDirectory guide(contact("g", "guide"), {"g", "s", "u"}, 1);
   guide.arrived(100, "n",
                 told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
                       contact("t", transport::controllerRole)}));
   std::set<std::string> to;
   for (transport::Send const& s : guide.clockEvent(200)) {
     to.insert(s.to);
-    transport::Shuffle const& asked = std::get<transport::Shuffle>(s.message);
+    transport::GossipShuffle const& asked = std::get<transport::GossipShuffle>(s.message);
     CHECK(asked.reply);
     CHECK(asked.contacts.empty());
   }
--- a/control/test/controller_test.cpp
+++ b/control/test/controller_test.cpp
@@ -4,7 +4,7 @@
 #include <functional>
 
 #include <corkward/core/json.h>
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 
 #include "../../transport/test/fill.h"
 #include "rig.h"
@@ -18,21 +18,21 @@
   Rig rig;
   rig.alive = {"a"};
   rig.run(3000);
-  rig.reducer.written(rig.now, 1, false);
+  rig.reducer.onPersisted(rig.now, 1, false);
   REQUIRE_FALSE(rig.reducer.ready(rig.now));
-  transport::Ask ask;
-  ask.tick = rig.now;
-  ask.self = Rig::contact("b", transport::routerRole);
-  ask.wantWhole = true;
-  std::function<bool(control::Commands const&)> const whole = [](control::Commands const& c) {
+  transport::ServingLeaseRequest ask;
+  ask.sentAt = rig.now;
+  ask.sender = Rig::contact("b", transport::routerRole);
+  ask.wantsSnapshot = true;
+  std::function<bool(control::ControllerCommands const&)> const whole = [](control::ControllerCommands const& c) {
     return std::any_of(c.sends.begin(), c.sends.end(), [](transport::Send const& s) {
-      transport::News const* const news = std::get_if<transport::News>(&s.message);
-      return s.to == "b" && news != nullptr && news->whole && !news->items.empty();
+      transport::ConfigurationUpdate const* const news = std::get_if<transport::ConfigurationUpdate>(&s.message);
+      return s.to == "b" && news != nullptr && news->isSnapshot && !news->entries.empty();
     });
   };
-  CHECK_FALSE(whole(rig.reducer.arrived(rig.now, "b", ask)));
-  ask.anyWhole = true;
-  CHECK_FALSE(whole(rig.reducer.arrived(rig.now, "b", ask)));
+  CHECK_FALSE(whole(rig.reducer.onMessage(rig.now, "b", ask)));
+  ask.acceptsUnconfirmedSnapshot = true;
+  CHECK_FALSE(whole(rig.reducer.onMessage(rig.now, "b", ask)));
 }
 
 TEST_CASE("a change is answered when all have it, or a majority has and the rest are fenced") {
@@ -98,7 +98,7 @@
   std::uint64_t const t = rig.call("PUT", "/v1/evacuations/z2");
   rig.run(700);
   CHECK(rig.statusOf(t) == 0);
-  rig.take(rig.reducer.probed(rig.now, "c", true));
+  rig.take(rig.reducer.onProbeResult(rig.now, "c", true));
   CHECK(rig.statusOf(t) == 200);
 }
 
@@ -106,35 +106,36 @@
   Rig rig;
   rig.alive = {"a", "b", "c"};
   rig.run(6000);
-  std::function<transport::Holding()> const told = [&] {
-    transport::Holding question;
-    question.asked = {transport::Reached{"zone:z2", 1, {}}};
-    for (transport::Send const& s : rig.reducer.arrived(rig.now, "s1", question).sends)
-      if (transport::Holding const* const h = std::get_if<transport::Holding>(&s.message)) return *h;
-    return transport::Holding{};
+  std::function<transport::RouterStatusReport()> const told = [&] {
+    transport::RouterStatusReport question;
+    question.incompleteRollouts = {transport::RolloutProgress{"zone:z2", 1, {}}};
+    for (transport::Send const& s : rig.reducer.onMessage(rig.now, "s1", question).sends)
+      if (transport::RouterStatusReport const* const h = std::get_if<transport::RouterStatusReport>(&s.message))
+        return *h;
+    return transport::RouterStatusReport{};
   };
   std::size_t const c = 2;
-  REQUIRE(told().whole.has(c));
+  REQUIRE(told().upToDate.test(c));
   rig.alive = {"a", "b"};
   rig.run(11000);
-  transport::NewsAck late;
+  transport::ConfigurationAck late;
   late.link = "c";
-  late.inc = 1;
+  late.incarnation = 1;
   late.digest = transport::digestOf(rig.have["c"]);
-  rig.take(rig.reducer.arrived(rig.now, "c", late));
+  rig.take(rig.reducer.onMessage(rig.now, "c", late));
   rig.call("PUT", "/v1/evacuations/z2");
   rig.run(600);
-  transport::Ask ask;
-  ask.tick = rig.now;
-  ask.self = Rig::contact("c", transport::routerRole);
+  transport::ServingLeaseRequest ask;
+  ask.sentAt = rig.now;
+  ask.sender = Rig::contact("c", transport::routerRole);
   ask.digest = late.digest;
-  rig.take(rig.reducer.arrived(rig.now, "c", ask));
-  transport::Holding const answer = told();
-  CHECK(answer.whole.has(0));
-  CHECK_FALSE(answer.whole.has(c));
-  REQUIRE(answer.reached.size() == 1);
-  CHECK(answer.reached[0].routers.has(0));
-  CHECK_FALSE(answer.reached[0].routers.has(c));
+  rig.take(rig.reducer.onMessage(rig.now, "c", ask));
+  transport::RouterStatusReport const answer = told();
+  CHECK(answer.upToDate.test(0));
+  CHECK_FALSE(answer.upToDate.test(c));
+  REQUIRE(answer.rolloutProgress.size() == 1);
+  CHECK(answer.rolloutProgress[0].acknowledgedBy.test(0));
+  CHECK_FALSE(answer.rolloutProgress[0].acknowledgedBy.test(c));
 }
 
 TEST_CASE("a whole roster lost for good holds changes up until its nodes are declared gone") {
@@ -153,7 +154,7 @@
   CHECK(rig.evacuate("z3", 700) == 200);
   std::set<std::string> nodes;
   for (QJsonValue const v : rig.reducer.fleet(rig.now).value("nacelles").toArray())
-    nodes.insert(core::str(v.toObject().value("link").toString()));
+    nodes.insert(core::toStdString(v.toObject().value("link").toString()));
   CHECK(nodes == std::set<std::string>{"d", "e", "f"});
 }
 
@@ -183,7 +184,7 @@
 }
 
 TEST_CASE("well-typed messages with absurd values break no invariant") {
-  core::Rng rng(23);
+  core::RandomGenerator rng(23);
   std::vector<std::string> const names{"n1",     "n2",         "s1",          "m1",      "m2", "roster",
                                        "cohort", "pool:model", "family:desk", "zone:z1", "x",  ""};
   for (int round = 0; round < 30; ++round) {
@@ -192,21 +193,21 @@
     rig.run(3000);
     for (int i = 0; i < 400; ++i) {
       rig.now += static_cast<core::Tick>(rng.below(40));
-      rig.take(rig.reducer.arrived(
+      rig.take(rig.reducer.onMessage(
           rig.now, names[rng.below(names.size())],
           transport::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<transport::Message>))));
-      if (i % 9 == 0) rig.take(rig.reducer.clockEvent(rig.now));
+      if (i % 9 == 0) rig.take(rig.reducer.onTimer(rig.now));
       if (i % 40 == 0) rig.call("PUT", "/v1/evacuations/z1");
     }
   }
   // Messages that no member of ours would send tell two values under one revision; nothing else may break.
-  for (std::string const& broken : core::PromiseCounts::ofThread().take())
+  for (std::string const& broken : core::GuaranteeCounts::ofThread().takeNewViolations())
     CHECK_THAT(broken, Catch::Contains("one-value-per-revision"));
 }
 
 TEST_CASE("a platform's list is taken whatever its pools and zones are called") {
-  control::Tuning tuning;
-  tuning.awaitInForce = false;
+  control::ControllerTuning tuning;
+  tuning.awaitRollout = false;
   Rig rig(tuning);
   rig.alive = {"a"};
   rig.run(1000);
@@ -215,9 +216,9 @@
   replica.id = "i-1";
   replica.address = "10.0.0.1:80";
   replica.zone = "ZH.a_1 b";
-  corkward::config::Pool list;
+  corkward::config::EndpointList list;
   list.replicas = {replica};
-  rig.take(rig.reducer.platformLists(rig.now, {{pool, list}, {"lm", list}}));
+  rig.take(rig.reducer.updateEndpointLists(rig.now, {{pool, list}, {"lm", list}}));
   rig.run(1000);
   CHECK(rig.have["a"].count("pool:" + pool) == 1);
   CHECK(rig.have["a"].count("pool:lm") == 1);
--- a/control/test/cut_test.cpp
+++ b/control/test/cut_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include <corkward/core/json.h>
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 
 #include "rig.h"
 
@@ -33,20 +33,20 @@
   core::Tick now = 1000;
   std::map<std::string, Member> members;
   std::multimap<core::Tick, std::function<void()>> events;
-  std::map<std::uint64_t, control::Answer> answers;
+  std::map<std::uint64_t, control::OperatorResponse> answers;
   std::map<std::uint64_t, core::Tick> answeredAt;
   std::string cutOff;
   /// First snapshots sent to each router.
   std::map<std::string, int> snapshots;
   /// Called with the news that any controller sends to a router.
-  std::function<void(transport::News const&)> heard;
+  std::function<void(transport::ConfigurationUpdate const&)> heard;
   /// Called with each answer that one controller sends to another, before it is sent.
-  std::function<void(transport::CallResponse&)> relayed;
+  std::function<void(transport::OperatorCallReply&)> relayed;
   std::uint64_t token = 1;
 
   ThreeControllers() {
-    control::Tuning tuning;
-    tuning.awaitInForce = false;
+    control::ControllerTuning tuning;
+    tuning.awaitRollout = false;
     std::uint64_t seed = 5;
     for (char const* link : {"s1", "s2", "s3"})
       members[link].reducer = std::make_unique<control::Controller>(
@@ -57,29 +57,29 @@
     run(4000);
     REQUIRE(members.at("s1").reducer->ready(now));
   }
-  void take(std::string const& link, control::Commands&& c) {
-    for (consensus::Persist const& p : c.persists)
+  void take(std::string const& link, control::ControllerCommands&& c) {
+    for (consensus::PersistCommand const& p : c.persists)
       events.emplace(now + diskDelay, [this, link, ticket = p.ticket] {
-        take(link, members.at(link).reducer->written(now, ticket, true));
+        take(link, members.at(link).reducer->onPersisted(now, ticket, true));
       });
     for (transport::Send& s : c.sends) {
-      transport::CallResponse* const response = std::get_if<transport::CallResponse>(&s.message);
+      transport::OperatorCallReply* const response = std::get_if<transport::OperatorCallReply>(&s.message);
       if (response != nullptr && relayed) relayed(*response);
       deliver(link, s);
     }
-    for (control::Answer const& a : c.answers) {
+    for (control::OperatorResponse const& a : c.responses) {
       answers[a.token] = a;
       answeredAt[a.token] = now;
     }
   }
   void deliver(std::string const& from, transport::Send const& s) {
-    transport::News const* const news = std::get_if<transport::News>(&s.message);
+    transport::ConfigurationUpdate const* const news = std::get_if<transport::ConfigurationUpdate>(&s.message);
     if (news != nullptr && heard) heard(*news);
-    if (news != nullptr && news->whole) ++snapshots[s.to];
+    if (news != nullptr && news->isSnapshot) ++snapshots[s.to];
     if (members.count(s.to) == 0) return;
     if (from != s.to && (from == cutOff || s.to == cutOff)) return;
     events.emplace(now + messageDelay,
-                   [this, from, s] { take(s.to, members.at(s.to).reducer->arrived(now, from, s.message)); });
+                   [this, from, s] { take(s.to, members.at(s.to).reducer->onMessage(now, from, s.message)); });
   }
   void run(core::Tick span) {
     for (core::Tick const until = now + span; now < until; ++now) {
@@ -89,28 +89,28 @@
         event();
       }
       if (now % clockEvery != 0) continue;
-      for (std::map<std::string, Member>::value_type& m : members) take(m.first, m.second.reducer->clockEvent(now));
+      for (std::map<std::string, Member>::value_type& m : members) take(m.first, m.second.reducer->onTimer(now));
     }
   }
   std::uint64_t call(std::string const& at, std::string const& method, std::string const& path,
                      std::string const& body = "", std::string const& ifMatch = "") {
-    transport::Call c;
+    transport::OperatorCall c;
     c.token = token++;
     c.method = method;
     c.path = path;
     c.body = body;
     c.ifMatch = ifMatch;
     c.changeId = "c" + std::to_string(c.token);
-    take(at, members.at(at).reducer->operatorCall(now, c));
+    take(at, members.at(at).reducer->onOperatorCall(now, c));
     return c.token;
   }
   void ask(std::string const& at, std::uint64_t incarnation) {
-    transport::Ask ask;
-    ask.tick = now;
-    ask.self = Rig::contact("router", transport::routerRole);
-    ask.self.inc = incarnation;
-    ask.wantWhole = true;
-    take(at, members.at(at).reducer->arrived(now, "router", ask));
+    transport::ServingLeaseRequest ask;
+    ask.sentAt = now;
+    ask.sender = Rig::contact("router", transport::routerRole);
+    ask.sender.incarnation = incarnation;
+    ask.wantsSnapshot = true;
+    take(at, members.at(at).reducer->onMessage(now, "router", ask));
   }
   int statusOf(std::uint64_t call) const { return answers.count(call) > 0 ? answers.at(call).status : 0; }
 };
@@ -120,10 +120,10 @@
 
 /// Every kind of question whose answer rests on state, at the controller of that name.
 std::vector<std::uint64_t> askAll(ThreeControllers& fleet, std::string const& at) {
-  return {fleet.call(at, "GET", config::wholePage),
-          fleet.call(at, "PUT", config::wholePage, configuration, "7"),
-          fleet.call(at, "PUT", config::wholePage, malformed, "1"),
-          fleet.call(at, "PATCH", config::wholePage, "{}", "7"),
+  return {fleet.call(at, "GET", config::fleetConfigurationPage),
+          fleet.call(at, "PUT", config::fleetConfigurationPage, configuration, "7"),
+          fleet.call(at, "PUT", config::fleetConfigurationPage, malformed, "1"),
+          fleet.call(at, "PATCH", config::fleetConfigurationPage, "{}", "7"),
           fleet.call(at, "PUT", "/v1/evacuations/z1"),
           fleet.call(at, "DELETE", "/v1/evacuations/z1"),
           fleet.call(at, "GET", "/v1/changes/unknown"),
@@ -135,7 +135,7 @@
 TEST_CASE("a controller that is cut off answers within the caller's second, serves nothing and refuses nothing") {
   for (core::Tick const since : {0, 5, 150, 700, 1300, 1600, 5000, 20000}) {
     ThreeControllers fleet;
-    std::uint64_t const base = fleet.call("s1", "PUT", config::wholePage, configuration, "0");
+    std::uint64_t const base = fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
     fleet.run(2000);
     REQUIRE((fleet.statusOf(base) == 200 || fleet.statusOf(base) == 201));
     fleet.cutOff = "s1";
@@ -153,11 +153,12 @@
 
 TEST_CASE("after the cut the same controller answers again, and from what was chosen meanwhile") {
   ThreeControllers fleet;
-  fleet.call("s1", "PUT", config::wholePage, configuration, "0");
+  fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
   fleet.run(2000);
   fleet.cutOff = "s1";
   fleet.run(3000);
-  std::uint64_t const other = fleet.call("s2", "PUT", config::wholePage, R"({"version":2,"paths":[],"pools":[]})", "1");
+  std::uint64_t const other =
+      fleet.call("s2", "PUT", config::fleetConfigurationPage, R"({"version":2,"paths":[],"pools":[]})", "1");
   fleet.run(17000);
   REQUIRE((fleet.statusOf(other) == 200 || fleet.statusOf(other) == 201));
   std::string const changeId = "c" + std::to_string(other);
@@ -165,7 +166,7 @@
   std::uint64_t const change = fleet.call("s1", "GET", "/v1/changes/" + changeId);
   fleet.run(callerWaits);
   CHECK((fleet.statusOf(change) == 200 || fleet.statusOf(change) == 503));
-  std::uint64_t const read = fleet.call("s1", "GET", config::wholePage);
+  std::uint64_t const read = fleet.call("s1", "GET", config::fleetConfigurationPage);
   std::uint64_t const again = fleet.call("s1", "GET", "/v1/changes/" + changeId);
   fleet.run(callerWaits);
   CHECK(fleet.statusOf(read) == 200);
@@ -175,7 +176,7 @@
 
 TEST_CASE("a router that starts beside a controller that is cut off gets no first snapshot there") {
   ThreeControllers fleet;
-  fleet.call("s1", "PUT", config::wholePage, configuration, "0");
+  fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
   fleet.run(2000);
   fleet.cutOff = "s1";
   fleet.run(200);
@@ -191,7 +192,7 @@
 
 TEST_CASE("a router that restarts asks for its snapshot anew, whatever its former life had asked") {
   ThreeControllers fleet;
-  fleet.call("s1", "PUT", config::wholePage, configuration, "0");
+  fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
   fleet.run(2000);
   fleet.cutOff = "s1";
   fleet.run(30);
@@ -212,8 +213,8 @@
 constexpr core::Tick readEvery = 500;
 
 /// The platform's lists: of each pool the replica that is always there, one that comes, and one that leaves.
-std::map<std::string, config::Pool> listsOf(bool come, bool leaves) {
-  std::map<std::string, config::Pool> out;
+std::map<std::string, config::EndpointList> listsOf(bool come, bool leaves) {
+  std::map<std::string, config::EndpointList> out;
   for (int i = 0; i < poolCount; ++i) {
     std::function<config::Replica(std::string const&, config::ReplicaState)> const replica =
         [](std::string const& address, config::ReplicaState state) {
@@ -223,7 +224,7 @@
           r.state = state;
           return r;
         };
-    config::Pool& pool = out["p" + std::to_string(i)];
+    config::EndpointList& pool = out["p" + std::to_string(i)];
     pool.replicas = {replica("10.0.0.1:80", config::ReplicaState::serving),
                      replica("10.0.0.2:80", leaves ? config::ReplicaState::leaving : config::ReplicaState::serving)};
     if (come) pool.replicas.push_back(replica("10.0.0.3:80", config::ReplicaState::serving));
@@ -232,11 +233,11 @@
 }
 
 /// Each controller whose duty it is takes the platform's lists, as often as the platform is read.
-void readLists(ThreeControllers& fleet, core::Tick span, std::map<std::string, config::Pool> const& lists) {
+void readLists(ThreeControllers& fleet, core::Tick span, std::map<std::string, config::EndpointList> const& lists) {
   for (core::Tick const until = fleet.now + span; fleet.now < until;) {
     for (std::map<std::string, ThreeControllers::Member>::value_type& m : fleet.members)
-      if (m.second.reducer->readsLists(fleet.now))
-        fleet.take(m.first, m.second.reducer->platformLists(fleet.now, lists));
+      if (m.second.reducer->isEndpointListReader(fleet.now))
+        fleet.take(m.first, m.second.reducer->updateEndpointLists(fleet.now, lists));
     fleet.run(readEvery);
   }
 }
@@ -251,8 +252,8 @@
   readLists(fleet, 6 * readEvery, listsOf(true, true));
   std::map<std::string, std::uint64_t> left;
   std::vector<std::string> back;
-  fleet.heard = [&](transport::News const& news) {
-    for (transport::Item const& item : news.items) {
+  fleet.heard = [&](transport::ConfigurationUpdate const& news) {
+    for (transport::CommittedEntry const& item : news.entries) {
       if (item.key.rfind("pool:", 0) != 0) continue;
       bool const leaving = core::jsonText(item.value).find("leaving") != std::string::npos;
       if (leaving)
@@ -286,7 +287,7 @@
   for (int change = 0; change < 2; ++change) {
     std::string const version = std::to_string(change + 1);
     std::string const whole = R"({"version":)" + version + R"(,"paths":[],"pools":[{"name":"big"}]})";
-    std::uint64_t const first = fleet.call("s1", "PUT", config::wholePage, whole, std::to_string(change));
+    std::uint64_t const first = fleet.call("s1", "PUT", config::fleetConfigurationPage, whole, std::to_string(change));
     fleet.run(2000);
     REQUIRE(fleet.statusOf(first) < 300);
   }
@@ -295,15 +296,16 @@
   fleet.run(2000);
   REQUIRE(fleet.statusOf(ordered) < 300);
   REQUIRE(fleet.statusOf(made) == 201);
-  core::PromiseCounts::ofThread().take();
+  core::GuaranteeCounts::ofThread().takeNewViolations();
   int altered = 0;
   bool older = false;
-  fleet.relayed = [&](transport::CallResponse& response) {
+  fleet.relayed = [&](transport::OperatorCallReply& response) {
     if (!response.body.contains("stamp")) return;
     ++altered;
     if (older) response.body.insert("stamp", response.body.value("stamp").toInteger() - 1);
   };
-  for (std::string const& page : {std::string(config::wholePage), std::string("/v1/evacuations/z1"), name}) {
+  for (std::string const& page :
+       {std::string(config::fleetConfigurationPage), std::string("/v1/evacuations/z1"), name}) {
     INFO(page);
     for (bool const tamper : {false, true}) {
       altered = 0;
@@ -314,7 +316,7 @@
         CHECK(fleet.statusOf(read) == 200);
       }
       CHECK(altered == 2);
-      std::vector<std::string> const broken = core::PromiseCounts::ofThread().take();
+      std::vector<std::string> const broken = core::GuaranteeCounts::ofThread().takeNewViolations();
       REQUIRE(broken.size() == (tamper ? 1 : 0));
       if (tamper) CHECK_THAT(broken.front(), Catch::Contains("current-when-served broken 2 times"));
     }
--- a/control/test/whole_test.cpp
+++ b/control/test/fleet_configuration_test.cpp
@@ -26,7 +26,7 @@
 /// Calls on the page of the whole configuration, each waited for.
 struct Desk {
   Rig rig;
-  control::Answer last;
+  control::OperatorResponse last;
 
   int call(std::string const& method, std::string const& body = "", std::string const& ifMatch = "",
            std::string const& id = "") {
@@ -73,7 +73,7 @@
   CHECK(d.patch(patchOf(20, {"c"}), "2") == 412);
   CHECK(d.call("DELETE", "", "9") == 405);
   CHECK(d.version() == 9);
-  QJsonObject const kept = d.rig.reducer.registers().committed().at(config::wholeKey).value;
+  QJsonObject const kept = d.rig.reducer.registers().committed().at(config::fleetConfigurationKey).value;
   CHECK(kept.keys() == QStringList{"changes", "spec", "taken"});
   std::uint64_t const asked = d.rig.call("GET", "/v1/changes/second");
   CHECK((d.rig.statusOf(asked) == 200 && d.rig.answers[asked].body.value("version").toInteger() == 9));
@@ -118,7 +118,7 @@
   for (Row const& r : rows) {
     INFO(r.method << " " << r.body);
     CHECK(d.call(r.method, r.body, "5") == r.status);
-    CHECK(core::str(d.last.body.value("pointer").toString()) == r.pointer);
+    CHECK(core::toStdString(d.last.body.value("pointer").toString()) == r.pointer);
     CHECK(d.call(r.method, r.body, "4") >= 400);
   }
   CHECK(d.call("GET") == 200);
@@ -163,7 +163,7 @@
 
 TEST_CASE("a dry run checks the whole configuration and changes nothing") {
   Desk d;
-  transport::Call c;
+  transport::OperatorCall c;
   c.token = 77;
   c.method = "PUT";
   c.path = page;
@@ -171,7 +171,7 @@
   c.changeId = "dry";
   c.dryRun = true;
   c.body = core::jsonText(spec(5));
-  d.rig.take(d.rig.reducer.operatorCall(d.rig.now, c));
+  d.rig.take(d.rig.reducer.onOperatorCall(d.rig.now, c));
   d.rig.run(700);
   CHECK(d.rig.statusOf(77) == 200);
   CHECK((d.rig.answers[77].body.value("dryRun").toBool() && d.rig.answers[77].body.value("version").toInteger() == 5));
@@ -185,7 +185,7 @@
   CHECK(d.put(large, "0") == 201);
   std::uint64_t const other = d.rig.call("PUT", "/v1/templates/t", std::string((2 << 20) + 1, ' '), "0");
   CHECK(d.rig.statusOf(other) == 413);
-  CHECK(d.call("PUT", std::string(control::maxWholeBody + 1, ' '), "5") == 413);
+  CHECK(d.call("PUT", std::string(control::maxFleetConfigurationBytes + 1, ' '), "5") == 413);
   std::vector<int> statuses;
   for (int i = 0; i < 4; ++i) {
     QJsonObject row = pathRow("p" + std::to_string(i));
@@ -235,10 +235,10 @@
 }
 
 TEST_CASE("without waiting for its force a change is answered as soon as it is on a majority of the disks") {
-  control::Tuning tuning;
-  tuning.awaitInForce = false;
+  control::ControllerTuning tuning;
+  tuning.awaitRollout = false;
   for (bool const await : {true, false}) {
-    tuning.awaitInForce = await;
+    tuning.awaitRollout = await;
     Rig rig(tuning);
     rig.alive = {"a", "b", "c"};
     rig.run(6000);
--- a/control/test/golden_pages_test.cpp
+++ b/control/test/golden_pages_test.cpp
@@ -45,7 +45,7 @@
   return body.size() <= longestShown ? body : "(" + std::to_string(body.size()) + " bytes)";
 }
 
-std::string asked(transport::Call const& call) {
+std::string asked(transport::OperatorCall const& call) {
   std::string out = "> " + call.method + " " + call.path;
   if (call.dryRun) out += " dryRun";
   if (!call.ifMatch.empty()) out += " if-match=" + call.ifMatch;
@@ -63,19 +63,19 @@
   Rig rig;
   std::string text;
 
-  explicit Pages(control::Tuning const& tuning = {}) : rig(tuning) {}
+  explicit Pages(control::ControllerTuning const& tuning = {}) : rig(tuning) {}
   void title(std::string const& words) { text += "\n# " + words + "\n"; }
   /// A call that is waited for.
   void ask(std::string const& method, std::string const& path, std::string const& body = "",
            std::string const& ifMatch = "", std::string const& changeId = "", bool dryRun = false) {
-    transport::Call call = callOf(method, path, body, ifMatch, changeId);
+    transport::OperatorCall call = callOf(method, path, body, ifMatch, changeId);
     call.dryRun = dryRun;
-    rig.take(rig.reducer.operatorCall(rig.now, call));
+    rig.take(rig.reducer.onOperatorCall(rig.now, call));
     wait(call);
   }
-  transport::Call callOf(std::string const& method, std::string const& path, std::string const& body = "",
-                         std::string const& ifMatch = "", std::string const& changeId = "") {
-    transport::Call call;
+  transport::OperatorCall callOf(std::string const& method, std::string const& path, std::string const& body = "",
+                                 std::string const& ifMatch = "", std::string const& changeId = "") {
+    transport::OperatorCall call;
     call.token = rig.next++;
     call.method = method;
     call.path = path;
@@ -84,7 +84,7 @@
     call.changeId = changeId.empty() ? "c" + std::to_string(call.token) : changeId;
     return call;
   }
-  void wait(transport::Call const& call) {
+  void wait(transport::OperatorCall const& call) {
     for (core::Tick const until = rig.now + patience; rig.answers.count(call.token) == 0 && rig.now < until;)
       rig.run(25);
     text += asked(call);
@@ -209,7 +209,7 @@
   for (int i = 0; i < 65; ++i)
     parameters += std::string(i == 0 ? "" : ",") + "\"p" + std::to_string(i) + R"(":{"type":"string"})";
   p.ask("PUT", plain, R"({"parameters":{)" + parameters + R"(},"paths":[]})", "1", "", true);
-  p.ask("PUT", desk, std::string(control::maxBody + 1, ' '), "1");
+  p.ask("PUT", desk, std::string(control::maxCallBodyBytes + 1, ' '), "1");
   p.ask("POST", desk, deskSpec, "1");
   p.ask("PUT", "/v1/templates/Desk", deskSpec, "0");
   p.ask("PUT", "/v1/templates/desk/instance/nord", "{}", "0");
@@ -227,7 +227,7 @@
 
 TEST_CASE("golden: pages of the whole configuration") {
   Pages p;
-  std::string const page = config::wholePage;
+  std::string const page = config::fleetConfigurationPage;
   p.title("nothing so far");
   p.ask("GET", page);
   p.ask("PATCH", page, R"({"version":6})", "0");
@@ -253,7 +253,7 @@
   p.ask("PATCH", page, R"({"version":20})", "5");
   p.ask("DELETE", page, "", "9");
   p.ask("POST", page, "{}", "9");
-  p.ask("PUT", page, std::string(control::maxWholeBody + 1, ' '), "9");
+  p.ask("PUT", page, std::string(control::maxFleetConfigurationBytes + 1, ' '), "9");
   std::string const start = R"({"version":10,"pools":[{"name":"big"}],"paths":[)";
   std::string const good = R"({"name":"a","host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"big")";
   for (
@@ -321,7 +321,7 @@
 
 TEST_CASE("golden: pages of certificates") {
   Pages p;
-  p.rig.reducer.wallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
+  p.rig.reducer.setWallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
   p.ask("PUT", "/v1/platform/pools/model", poolSpec);
   p.title("nothing so far");
   p.ask("GET", certificatesPage);
@@ -501,7 +501,7 @@
   p.rig.run(6000);
   p.ask("GET", "/v1/fleet");
   p.ask("PUT", "/v1/platform/pools/model", poolSpec);
-  p.ask("PUT", config::wholePage, wholeSpec, "0");
+  p.ask("PUT", config::fleetConfigurationPage, wholeSpec, "0");
   p.title("one router is deaf: a majority has it and the rest is fenced");
   p.rig.deaf = {"c"};
   p.ask("PUT", "/v1/evacuations/z1");
@@ -529,14 +529,14 @@
 }
 
 TEST_CASE("golden: an answer that does not wait until a change is in force") {
-  control::Tuning tuning;
-  tuning.awaitInForce = false;
+  control::ControllerTuning tuning;
+  tuning.awaitRollout = false;
   Pages p(tuning);
-  p.ask("PUT", config::wholePage, wholeSpec, "0", "first");
-  p.ask("PUT", config::wholePage, wholeSpec, "0", "first");
+  p.ask("PUT", config::fleetConfigurationPage, wholeSpec, "0", "first");
+  p.ask("PUT", config::fleetConfigurationPage, wholeSpec, "0", "first");
   p.ask("PUT", "/v1/evacuations/z1");
   p.ask("GET", "/v1/changes/first");
-  p.ask("GET", config::wholePage);
+  p.ask("GET", config::fleetConfigurationPage);
   p.check("pages_at_once.txt");
 }
 
@@ -576,9 +576,9 @@
 constexpr char const* holder = R"({"holder":"a"})";
 
 /// One of each kind of call.
-std::vector<std::pair<std::string, std::string>> const kinds{{"GET", config::wholePage},
-                                                             {"PUT", config::wholePage},
-                                                             {"PATCH", config::wholePage},
+std::vector<std::pair<std::string, std::string>> const kinds{{"GET", config::fleetConfigurationPage},
+                                                             {"PUT", config::fleetConfigurationPage},
+                                                             {"PATCH", config::fleetConfigurationPage},
                                                              {"GET", desk},
                                                              {"PUT", desk},
                                                              {"DELETE", nord},
@@ -600,15 +600,15 @@
 struct Silent {
   control::Controller& reducer;
   core::Tick& now;
-  std::map<std::uint64_t, control::Answer> answers;
+  std::map<std::uint64_t, control::OperatorResponse> answers;
 
-  void take(control::Commands const& commands) {
-    for (control::Answer const& a : commands.answers) answers[a.token] = a;
+  void take(control::ControllerCommands const& commands) {
+    for (control::OperatorResponse const& a : commands.responses) answers[a.token] = a;
   }
   void run(core::Tick span) {
-    for (core::Tick const until = now + span; now < until; now += 25) take(reducer.clockEvent(now));
+    for (core::Tick const until = now + span; now < until; now += 25) take(reducer.onTimer(now));
   }
-  std::string told(transport::Call const& call) const {
+  std::string told(transport::OperatorCall const& call) const {
     auto const answer = answers.find(call.token);
     return asked(call) +
            (answer == answers.end() ? "no answer\n" : answered(answer->second.status, answer->second.body));
@@ -635,16 +635,16 @@
   alone.take(reducer.restore({}, false, now));
   alone.run(1000);
   for (auto const& [method, path] : kinds) {
-    transport::Call const call = calls.callOf(method, path, holder, "0");
-    alone.take(reducer.operatorCall(now, call));
+    transport::OperatorCall const call = calls.callOf(method, path, holder, "0");
+    alone.take(reducer.onOperatorCall(now, call));
     alone.run(1000);
     text += alone.told(call);
   }
   text += "\n# too many questions\n";
-  for (int i = 0; i < 4096; ++i) alone.take(reducer.operatorCall(now, calls.callOf("GET", "/v1/templates")));
+  for (int i = 0; i < 4096; ++i) alone.take(reducer.onOperatorCall(now, calls.callOf("GET", "/v1/templates")));
   for (char const* const path : {"/v1/templates", "/v1/changes/x", "/v1/fleet"}) {
-    transport::Call const call = calls.callOf("GET", path);
-    alone.take(reducer.operatorCall(now, call));
+    transport::OperatorCall const call = calls.callOf("GET", path);
+    alone.take(reducer.onOperatorCall(now, call));
     text += alone.told(call);
   }
   golden::check(file("pages_out_of_contact.txt"), text);
@@ -655,13 +655,13 @@
   Pages p;
   p.rig.run(3000);
   Silent silent{p.rig.reducer, p.rig.now, {}};
-  std::vector<transport::Call> calls;
+  std::vector<transport::OperatorCall> calls;
   for (auto const& [method, path] : kinds) {
     calls.push_back(p.callOf(method, path, holder, "0"));
-    silent.take(p.rig.reducer.operatorCall(p.rig.now, calls.back()));
+    silent.take(p.rig.reducer.onOperatorCall(p.rig.now, calls.back()));
   }
   silent.run(patience);
-  for (transport::Call const& call : calls) text += silent.told(call);
+  for (transport::OperatorCall const& call : calls) text += silent.told(call);
   golden::check(file("pages_disk_silent.txt"), text);
 }
 
@@ -671,10 +671,10 @@
   p.rig.run(3000);
   Silent full{p.rig.reducer, p.rig.now, {}};
   for (int i = 0; i < 4096; ++i)
-    full.take(p.rig.reducer.operatorCall(p.rig.now, p.callOf("PUT", "/v1/evacuations/y" + std::to_string(i))));
+    full.take(p.rig.reducer.onOperatorCall(p.rig.now, p.callOf("PUT", "/v1/evacuations/y" + std::to_string(i))));
   for (auto const& [method, path] : kinds) {
-    transport::Call const call = p.callOf(method, path, holder, "0");
-    full.take(p.rig.reducer.operatorCall(p.rig.now, call));
+    transport::OperatorCall const call = p.callOf(method, path, holder, "0");
+    full.take(p.rig.reducer.onOperatorCall(p.rig.now, call));
     text += full.told(call);
   }
   golden::check(file("pages_full.txt"), text);
@@ -688,7 +688,7 @@
   core::Tick now = 1000;
   std::map<std::string, std::unique_ptr<control::Controller>> members;
   std::multimap<core::Tick, std::function<void()>> events;
-  std::map<std::uint64_t, control::Answer> answers;
+  std::map<std::uint64_t, control::OperatorResponse> answers;
   bool loseAnswers = false;
   std::uint64_t token = 1;
 
@@ -702,17 +702,18 @@
     run(4000);
     REQUIRE(members.at("s1")->ready(now));
   }
-  void take(std::string const& link, control::Commands&& commands) {
+  void take(std::string const& link, control::ControllerCommands&& commands) {
     for (auto const& persist : commands.persists)
-      events.emplace(
-          now + 2, [this, link, ticket = persist.ticket] { take(link, members.at(link)->written(now, ticket, true)); });
+      events.emplace(now + 2, [this, link, ticket = persist.ticket] {
+        take(link, members.at(link)->onPersisted(now, ticket, true));
+      });
     for (transport::Send const& send : commands.sends) {
-      bool const lost = loseAnswers && std::holds_alternative<transport::CallResponse>(send.message);
+      bool const lost = loseAnswers && std::holds_alternative<transport::OperatorCallReply>(send.message);
       if (lost || members.count(send.to) == 0) continue;
       events.emplace(now + 2,
-                     [this, link, send] { take(send.to, members.at(send.to)->arrived(now, link, send.message)); });
+                     [this, link, send] { take(send.to, members.at(send.to)->onMessage(now, link, send.message)); });
     }
-    for (control::Answer const& a : commands.answers) answers[a.token] = a;
+    for (control::OperatorResponse const& a : commands.responses) answers[a.token] = a;
   }
   void run(core::Tick span) {
     for (core::Tick const until = now + span; now < until; ++now) {
@@ -722,19 +723,19 @@
         event();
       }
       if (now % 25 != 0) continue;
-      for (auto const& [link, reducer] : members) take(link, reducer->clockEvent(now));
+      for (auto const& [link, reducer] : members) take(link, reducer->onTimer(now));
     }
   }
   std::string ask(std::string const& at, std::string const& method, std::string const& path,
                   std::string const& body = "", std::string const& ifMatch = "") {
-    transport::Call call;
+    transport::OperatorCall call;
     call.token = token++;
     call.method = method;
     call.path = path;
     call.body = body;
     call.ifMatch = ifMatch;
     call.changeId = "c" + std::to_string(call.token);
-    take(at, members.at(at)->operatorCall(now, call));
+    take(at, members.at(at)->onOperatorCall(now, call));
     for (core::Tick const until = now + patience; answers.count(call.token) == 0 && now < until;) run(25);
     REQUIRE(answers.count(call.token) == 1);
     return at + asked(call) + answered(answers.at(call.token).status, answers.at(call.token).body);
@@ -749,7 +750,7 @@
   for (char const* const link : {"s1", "s2", "s3"}) {
     text += fleet.ask(link, "PUT", "/v1/evacuations/z1");
     text += fleet.ask(link, "GET", "/v1/evacuations/z1");
-    text += fleet.ask(link, "GET", config::wholePage);
+    text += fleet.ask(link, "GET", config::fleetConfigurationPage);
     text += fleet.ask(link, "GET", "/v1/fleet");
   }
   fleet.loseAnswers = true;
@@ -766,13 +767,13 @@
   auto const ask = [&text](std::string const& method, std::string const& path, std::string const& key,
                            std::uint64_t revision, QJsonObject const& value, std::string const& body,
                            std::string const& ifMatch, bool poolUnsure = false) {
-    transport::Call call;
+    transport::OperatorCall call;
     call.method = method;
     call.path = path;
     call.body = body;
     call.ifMatch = ifMatch;
     call.changeId = "c";
-    control::Around around;
+    control::ClusterView around;
     around.poolKnown = [](std::string const&) { return false; };
     around.poolUnsure = [poolUnsure](std::string const&) { return poolUnsure; };
     around.regimeFault = [](config::Regimes const&, std::string const&, std::string const&) {
@@ -780,7 +781,7 @@
     };
     around.regimes = [] { return config::Regimes{}; };
     around.regimeUses = [] { return std::vector<config::RegimeUse>(); };
-    auto const verdict = control::validator(key, revision, value, call, around);
+    auto const verdict = control::validateCall(key, revision, value, call, around);
     text += asked(call) + answered(verdict.status, verdict.body);
   };
   QJsonObject const family{{"template", QJsonObject{{"stamp", 1}, {"spec", core::parseJson(deskSpec).toObject()}}}};
@@ -796,8 +797,8 @@
   ask("PUT", desk, "family:desk", 3072, old, deskSpec, "7");
   QJsonObject whole{{"spec", QJsonObject{{"version", 3072}, {"paths", QJsonArray{}}, {"pools", QJsonArray{}}}}};
   whole.insert(control::ChangeHistory::field, history.json());
-  ask("PUT", config::wholePage, config::wholeKey, 3072, whole, wholeSpec, "7");
-  ask("DELETE", config::wholePage, config::wholeKey, 3072, whole, "", "3072");
+  ask("PUT", config::fleetConfigurationPage, config::fleetConfigurationKey, 3072, whole, wholeSpec, "7");
+  ask("DELETE", config::fleetConfigurationPage, config::fleetConfigurationKey, 3072, whole, "", "3072");
   ask("DELETE", "/v1/alerts/a", "alert:a", 1, {}, "", "1");
   ask("GET", "/v1/x/y", "other", 1, {}, "", "");
 
@@ -814,7 +815,7 @@
                         {"pools", QJsonArray{}},
                         {"extra", QJsonObject{{"n", QString(8 << 20, 'n')}}}};
   QJsonObject const bytes{{"spec", big}, {"changes", QJsonArray{QJsonObject{{"id", "o"}, {"bytes", 8 << 20}}}}};
-  ask("PATCH", config::wholePage, config::wholeKey, 1, bytes, R"({"version":2})", "1");
+  ask("PATCH", config::fleetConfigurationPage, config::fleetConfigurationKey, 1, bytes, R"({"version":2})", "1");
 
   QJsonObject const noted{
       {"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", "any"}, {"note", QString(2 << 20, 'n')}}}}},
@@ -827,23 +828,23 @@
   std::string text;
   Pages p;
   text += "# alone\n" + p.rig.reducer.metrics(p.rig.now);
-  p.rig.reducer.wallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
+  p.rig.reducer.setWallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
   p.rig.alive = {"a", "b", "c"};
   p.rig.run(6000);
   p.ask("PUT", "/v1/platform/pools/model", poolSpec);
-  p.ask("PUT", config::wholePage, wholeSpec, "0");
-  p.ask("PUT", config::wholePage, wholeSpec, "7");
-  p.ask("GET", config::wholePage);
+  p.ask("PUT", config::fleetConfigurationPage, wholeSpec, "0");
+  p.ask("PUT", config::fleetConfigurationPage, wholeSpec, "7");
+  p.ask("GET", config::fleetConfigurationPage);
   p.ask("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1", "2026-06-01T01:00:00Z")), "0");
   p.ask("PUT", "/v1/platform/pools/model", R"({"generation":2,"replicas":[]})");
   p.ask("PUT", "/v1/platform/pools/model", "{");
-  config::Pool list;
+  config::EndpointList list;
   config::Replica replica;
   replica.id = "i-1";
   replica.address = "10.0.0.1:80";
   replica.zone = "z1";
   list.replicas = {replica};
-  p.rig.take(p.rig.reducer.platformLists(p.rig.now, {{"model", list}}));
+  p.rig.take(p.rig.reducer.updateEndpointLists(p.rig.now, {{"model", list}}));
   p.rig.run(700);
   p.rig.deaf = {"b", "c"};
   p.ask("PUT", "/v1/evacuations/z2");
@@ -854,7 +855,7 @@
   text += "# leaving\n" + p.rig.reducer.metrics(p.rig.now);
   control::Controller alone(Rig::contact("s1", transport::controllerRole), "m1", {}, {"s1", "s2", "s3"}, 3);
   alone.restore({}, true, 1000);
-  for (core::Tick now = 1000; now < 4000; now += 25) alone.clockEvent(now);
+  for (core::Tick now = 1000; now < 4000; now += 25) alone.onTimer(now);
   text += "# out of contact, after a damaged disk\n" + alone.metrics(4000);
   golden::check(file("metrics.txt"), text);
 }
--- a/control/test/golden_test.cpp
+++ b/control/test/golden_test.cpp
@@ -85,8 +85,8 @@
     {"DELETE", templatePage + "/instances/sued", "3", "f6", ""},
     {"PUT", "/v1/templates/empty", "0", "f7", R"({"paths":[{"path":"a","pool":"model","class":"short"}]})", 201},
     {"DELETE", "/v1/templates/empty", "1", "f8", ""},
-    {"PUT", config::wholePage, "0", "w1", wholeSpec, 201},
-    {"PATCH", config::wholePage, "5", "w2", wholePatch},
+    {"PUT", config::fleetConfigurationPage, "0", "w1", wholeSpec, 201},
+    {"PATCH", config::fleetConfigurationPage, "5", "w2", wholePatch},
     {"PUT", "/v1/evacuations/z1", "", "z1", ""},
     {"DELETE", "/v1/evacuations/z1", "", "z2", ""},
     {"PUT", "/v1/evacuations/Zone%20%C3%BC%2F1", "", "z3", ""},
@@ -108,7 +108,7 @@
     templatePage + "/instances/nord",
     templatePage + "/instances/sued",
     "/v1/templates/empty",
-    config::wholePage,
+    config::fleetConfigurationPage,
     "/v1/evacuations/z1",
     "/v1/evacuations/Zone%20%C3%BC%2F1",
     "/v1/alerts/late-answers",
@@ -132,7 +132,7 @@
   return columns;
 }
 
-std::string valueLine(consensus::Committed const& value) {
+std::string valueLine(consensus::CommittedValue const& value) {
   return lineOf({value.key, std::to_string(value.revision), core::jsonText(value.value)});
 }
 
@@ -140,7 +140,7 @@
 class Recorder {
  public:
   explicit Recorder(std::map<std::string, std::string> records = {}) : rig({}, std::move(records)) {
-    rig.reducer.wallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
+    rig.reducer.setWallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
     rig.alive = {"n1", "n2", "n3"};
     run(6000);
   }
@@ -151,7 +151,7 @@
       noteCommits();
     }
   }
-  control::Answer call(Change const& change) {
+  control::OperatorResponse call(Change const& change) {
     std::uint64_t const token = rig.call(change.method, change.path, change.body, change.ifMatch, change.changeId);
     noteCommits();
     run(3000);
@@ -159,22 +159,23 @@
   }
   /// A router that asks once and is not heard again.
   void meetRouter(std::string const& link) {
-    transport::Ask ask;
-    ask.tick = rig.now;
-    ask.self = Rig::contact(link, transport::routerRole);
-    ask.self.http = "127.0.0.1:8004";
-    ask.self.zone = "Zone ü/1";
-    rig.take(rig.reducer.arrived(rig.now, link, ask));
+    transport::ServingLeaseRequest ask;
+    ask.sentAt = rig.now;
+    ask.sender = Rig::contact(link, transport::routerRole);
+    ask.sender.httpAddress = "127.0.0.1:8004";
+    ask.sender.zone = "Zone ü/1";
+    rig.take(rig.reducer.onMessage(rig.now, link, ask));
     run(6000);
   }
   /// The controller reads the platform's list of one pool itself.
   void readList() {
-    config::Pool const list = config::readPool(core::parseJson(R"({"generation":1,"coldRate":0.5,"replicas":[{"id":"r9",
+    config::EndpointList const list =
+        config::readPool(core::parseJson(R"({"generation":1,"coldRate":0.5,"replicas":[{"id":"r9",
           "address":"127.0.0.1:9009","zone":"z1","state":"cold"}]})")
-                                                   .toObject());
-    config::Pool const model = config::readPool(core::parseJson(secondList).toObject());
-    config::Pool const labelled = config::readPool(core::parseJson(labelledList).toObject());
-    rig.take(rig.reducer.platformLists(rig.now, {{"read", list}, {"model", model}, {"Pool ü/1", labelled}}));
+                             .toObject());
+    config::EndpointList const model = config::readPool(core::parseJson(secondList).toObject());
+    config::EndpointList const labelled = config::readPool(core::parseJson(labelledList).toObject());
+    rig.take(rig.reducer.updateEndpointLists(rig.now, {{"read", list}, {"model", model}, {"Pool ü/1", labelled}}));
     run(3000);
   }
 
@@ -194,7 +195,7 @@
   std::string answersOfPages() {
     std::string text;
     for (std::string const& page : pages) {
-      control::Answer const answer = call(Change{"GET", page, "", "", ""});
+      control::OperatorResponse const answer = call(Change{"GET", page, "", "", ""});
       text += lineOf({page, std::to_string(answer.status), core::jsonText(answer.body)});
     }
     return text;
@@ -221,7 +222,7 @@
   recorder.meetRouter("n4");
   for (Change const& change : changes) {
     INFO(change.method << " " << change.path << " " << change.changeId);
-    control::Answer const answer = recorder.call(change);
+    control::OperatorResponse const answer = recorder.call(change);
     INFO(core::jsonText(answer.body));
     REQUIRE(answer.status == change.status);
     CHECK_FALSE(answer.body.contains("replayed"));
@@ -274,7 +275,7 @@
   Recorder restored(recordedDisk());
   for (Change const& change : changes) {
     INFO(change.method << " " << change.path << " " << change.changeId);
-    control::Answer const answer = restored.call(change);
+    control::OperatorResponse const answer = restored.call(change);
     CHECK((answer.status == 200 || answer.status == 201));
     CHECK(answer.body.value("replayed").toBool());
   }
@@ -283,7 +284,8 @@
 
 TEST_CASE("a controller restored from recorded records knows a recorded change by its content") {
   Recorder restored(recordedDisk());
-  control::Answer const answer = restored.call(Change{"PUT", config::wholePage, "0", "another-id", wholeSpec});
+  control::OperatorResponse const answer =
+      restored.call(Change{"PUT", config::fleetConfigurationPage, "0", "another-id", wholeSpec});
   CHECK(answer.status == 200);
   CHECK(answer.body.value("replayed").toBool());
   CHECK(answer.body.value("stamp").toInteger() == 1);
--- a/control/test/operators.h
+++ b/control/test/operators.h
@@ -20,11 +20,15 @@
 namespace corkward::control {
 
 /// Page of the whole configuration.
-inline constexpr char const* page = config::wholePage;
+inline constexpr char const* page = config::fleetConfigurationPage;
 
 inline QJsonObject pathRow(std::string const& name, std::string const& pool = "big") {
-  return QJsonObject{{"name", core::qstr(name)}, {"host", "h"},        {"prefix", core::qstr("/" + name + "/")},
-                     {"kind", "once"},           {"deadlineMs", 3000}, {"pool", core::qstr(pool)}};
+  return QJsonObject{{"name", core::toQString(name)},
+                     {"host", "h"},
+                     {"prefix", core::toQString("/" + name + "/")},
+                     {"kind", "once"},
+                     {"deadlineMs", 3000},
+                     {"pool", core::toQString(pool)}};
 }
 
 inline QJsonObject spec(qint64 version, std::vector<std::string> const& paths = {"a"}, QString const& by = "") {
@@ -53,19 +57,19 @@
   struct Event {
     std::string to;
     std::uint64_t life = 0;
-    std::function<Commands(Controller&)> run;
+    std::function<ControllerCommands(Controller&)> run;
   };
   /// One change as an operator sent it.
   struct Change {
     std::string id;
-    transport::Call call;
+    transport::OperatorCall call;
     bool valid = true;
     int status = 0;
     /// What the newest answer said.
     int last = 0;
   };
 
-  core::Rng rng;
+  core::RandomGenerator rng;
   core::Tick now = 1000;
   std::map<std::string, Member> members;
   std::multimap<core::Tick, Event> events;
@@ -84,8 +88,8 @@
     Member& m = members[link];
     ++m.life;
     m.seen = 0;
-    Tuning tuning;
-    tuning.awaitInForce = false;
+    ControllerTuning tuning;
+    tuning.awaitRollout = false;
     m.reducer = std::make_unique<Controller>(Rig::contact(link, transport::controllerRole),
                                              "m" + link + std::to_string(m.life), std::vector<std::string>{},
                                              std::vector<std::string>{"s1", "s2", "s3"}, rng.next(), tuning);
@@ -111,30 +115,31 @@
     }
     return sent;
   }
-  void later(core::Tick how, std::string const& to, std::function<Commands(Controller&)> run) {
+  void later(core::Tick how, std::string const& to, std::function<ControllerCommands(Controller&)> run) {
     events.emplace(now + how, Event{to, members[to].life, std::move(run)});
   }
-  void take(std::string const& link, Commands&& c) {
+  void take(std::string const& link, ControllerCommands&& c) {
     Member& m = members[link];
-    for (consensus::Persist const& p : c.persists) {
+    for (consensus::PersistCommand const& p : c.persists) {
       std::uint64_t const life = m.life;
       later(1 + static_cast<core::Tick>(rng.below(15)), link, [this, link, life, p](Controller& reducer) {
         members[link].disk[p.key] = p.payload;
-        return reducer.written(now, p.ticket, true);
+        return reducer.onPersisted(now, p.ticket, true);
       });
     }
     for (transport::Send const& s : c.sends) {
       if (members.count(s.to) == 0) continue;
       for (int copies = !calm && rng.chance(0.05) ? 0 : !calm && rng.chance(0.03) ? 2 : 1; copies > 0; --copies) {
         transport::Message const message = s.message;
-        events.emplace(
-            now + 1 + static_cast<core::Tick>(rng.below(20)),
-            Event{s.to, 0, [this, link, message](Controller& reducer) { return reducer.arrived(now, link, message); }});
+        events.emplace(now + 1 + static_cast<core::Tick>(rng.below(20)),
+                       Event{s.to, 0, [this, link, message](Controller& reducer) {
+                               return reducer.onMessage(now, link, message);
+                             }});
       }
     }
-    for (Answer const& a : c.answers) answered(a);
-    std::map<std::string, consensus::Committed> const& all = m.reducer->registers().committed();
-    std::map<std::string, consensus::Committed>::const_iterator const it = all.find(config::wholeKey);
+    for (OperatorResponse const& a : c.responses) answered(a);
+    std::map<std::string, consensus::CommittedValue> const& all = m.reducer->registers().committed();
+    std::map<std::string, consensus::CommittedValue>::const_iterator const it = all.find(config::fleetConfigurationKey);
     if (it == all.end() || it->second.revision == m.seen) return;
     CHECK(it->second.revision > m.seen);
     m.seen = it->second.revision;
@@ -142,7 +147,7 @@
     QJsonObject const known = chain.try_emplace(m.seen, kept).first->second;
     CHECK(kept == known);
   }
-  void answered(Answer const& a) {
+  void answered(OperatorResponse const& a) {
     std::map<std::uint64_t, std::string>::const_iterator const it = byToken.find(a.token);
     if (it != byToken.end()) {
       Change& c = changes.at(it->second);
@@ -158,22 +163,22 @@
     }
   }
   void send(Change const& c) {
-    transport::Call call = c.call;
+    transport::OperatorCall call = c.call;
     call.token = token++;
     byToken[call.token] = c.id;
     std::map<std::string, Member>::iterator const to =
         std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
-    take(to->first, to->second.reducer->operatorCall(now, call));
+    take(to->first, to->second.reducer->onOperatorCall(now, call));
   }
   void read() {
-    transport::Call call;
+    transport::OperatorCall call;
     call.token = token++;
     call.method = "GET";
     call.path = page;
     reads[call.token] = newestRead;
     std::map<std::string, Member>::iterator const to =
         std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
-    take(to->first, to->second.reducer->operatorCall(now, call));
+    take(to->first, to->second.reducer->onOperatorCall(now, call));
   }
   void operate() {
     if (rng.chance(0.3) && !changes.empty()) {
@@ -191,7 +196,7 @@
     std::string const name = "p" + std::to_string(rng.below(6));
     c.valid = version > base;
     QJsonObject body =
-        whole ? spec(version, {name, "q"}, core::qstr(c.id)) : patchOf(version, {name}, core::qstr(c.id));
+        whole ? spec(version, {name, "q"}, core::toQString(c.id)) : patchOf(version, {name}, core::toQString(c.id));
     if (rng.chance(0.1)) {
       body.insert("surprise", 1);
       c.valid = false;
@@ -214,10 +219,10 @@
       take(e.to, e.run(*m.reducer));
     }
     if (now % 25 == 0)
-      for (std::map<std::string, Member>::value_type& m : members) take(m.first, m.second.reducer->clockEvent(now));
+      for (std::map<std::string, Member>::value_type& m : members) take(m.first, m.second.reducer->onTimer(now));
   }
   std::string by(QJsonObject const& value) const {
-    return core::str(value.value("extra").toObject().value("by").toString());
+    return core::toStdString(value.value("extra").toObject().value("by").toString());
   }
   void judge() {
     QJsonObject before;
@@ -232,7 +237,7 @@
       CHECK(c.valid);
       CHECK(c.call.ifMatch == std::to_string(before.value("version").toInteger()));
       QJsonObject const said = core::parseJson(c.call.body).toObject();
-      CHECK(link.second == (c.call.method == "PUT" ? said : config::patchWhole(before, said)));
+      CHECK(link.second == (c.call.method == "PUT" ? said : config::patchFleetConfiguration(before, said)));
       CHECK(inForce.insert(c.id).second);
       before = link.second;
     }
--- a/control/test/regimes_test.cpp
+++ b/control/test/regimes_test.cpp
@@ -35,10 +35,10 @@
 /// Calls of operators and the platform, each waited for.
 struct Desk {
   Rig rig;
-  control::Answer last;
+  control::OperatorResponse last;
 
   Desk() {
-    rig.reducer.wallTime(at("2026-06-01T00:00:00Z"));
+    rig.reducer.setWallTime(at("2026-06-01T00:00:00Z"));
     call("PUT", "/v1/platform/pools/model",
          R"({"generation":1,"replicas":[{"id":"r1","address":"10.0.0.1:80","zone":"z1","state":"serving"},
       {"id":"r2","address":"10.0.0.2:80","zone":"z2","state":"serving"}]})");
@@ -53,7 +53,7 @@
   int put(QJsonObject const& certificates, std::string const& ifMatch, std::string const& id = "") {
     return call("PUT", page, core::jsonText(declared(certificates)), ifMatch, id);
   }
-  std::string pointer() const { return core::str(last.body.value("pointer").toString()); }
+  std::string pointer() const { return core::toStdString(last.body.value("pointer").toString()); }
   qint64 revision() {
     call("GET", page);
     return last.body.value("stamp").toInteger();
@@ -101,7 +101,7 @@
   CHECK(d.call("PATCH", page, R"({"regimes":{"health":null}})", "1") == 422);
   CHECK(d.pointer() == "/certificates/c1/regime");
   std::uint64_t const dry = d.rig.next;
-  corkward::transport::Call c;
+  corkward::transport::OperatorCall c;
   c.token = d.rig.next++;
   c.method = "PUT";
   c.path = page;
@@ -109,7 +109,7 @@
   c.changeId = "dry";
   c.dryRun = true;
   c.body = core::jsonText(declared({}));
-  d.rig.take(d.rig.reducer.operatorCall(d.rig.now, c));
+  d.rig.take(d.rig.reducer.onOperatorCall(d.rig.now, c));
   d.rig.run(700);
   CHECK(d.rig.answers[dry].body.value("dryRun").toBool());
   CHECK(d.revision() == 1);
--- a/control/test/resend_test.cpp
+++ b/control/test/resend_test.cpp
@@ -29,9 +29,9 @@
   std::uint64_t revision = 0;
   QJsonObject value;
 
-  consensus::Verdict call(transport::Call const& call) {
-    consensus::Verdict const v =
-        control::validator(config::wholeKey, revision, value, call, {[](std::string const&) { return true; }});
+  consensus::Verdict call(transport::OperatorCall const& call) {
+    consensus::Verdict const v = control::validateCall(config::fleetConfigurationKey, revision, value, call,
+                                                       {[](std::string const&) { return true; }});
     if (v.change) {
       ++revision;
       value = v.value;
@@ -40,8 +40,8 @@
   }
 };
 
-transport::Call order(char const* method, QJsonObject const& body, qint64 base, std::string const& id) {
-  transport::Call c;
+transport::OperatorCall order(char const* method, QJsonObject const& body, qint64 base, std::string const& id) {
+  transport::OperatorCall c;
   c.method = method;
   c.path = page;
   c.body = core::jsonText(body);
@@ -51,8 +51,8 @@
 }
 
 /// Orders of an operator, each on top of the one before; every third replaces the whole.
-transport::Call orderOn(qint64 base, QString const& by = "") {
-  std::string const id = core::str(by) + std::to_string(base);
+transport::OperatorCall orderOn(qint64 base, QString const& by = "") {
+  std::string const id = core::toStdString(by) + std::to_string(base);
   std::vector<std::string> const names{"p" + std::to_string(base % 7)};
   return base % 3 == 0 ? order("PUT", spec(base + 1, names, by), base, id)
                        : order("PATCH", patchOf(base + 1, names, by), base, id);
@@ -121,8 +121,8 @@
   std::uint64_t const t = rig.call("PUT", page, core::jsonText(spec(5)), "0", "one");
   rig.run(2000);
   REQUIRE(rig.statusOf(t) == 201);
-  REQUIRE(rig.pushed.count(config::wholeKey) == 1);
-  CHECK(rig.pushed[config::wholeKey].keys() == QStringList{"spec"});
+  REQUIRE(rig.pushed.count(config::fleetConfigurationKey) == 1);
+  CHECK(rig.pushed[config::fleetConfigurationKey].keys() == QStringList{"spec"});
 }
 
 TEST_CASE("a register that an earlier release kept refuses none of the changes of that time") {
@@ -140,15 +140,15 @@
 TEST_CASE("the order of fields and white space are no part of an order, a field that nobody knows is") {
   Register r;
   REQUIRE(acknowledged(r.call(orderOn(0)).status));
-  transport::Call first = order("PATCH", patchOf(5, {"b"}, "one"), 1, "a");
+  transport::OperatorCall first = order("PATCH", patchOf(5, {"b"}, "one"), 1, "a");
   REQUIRE(r.call(first).status == 200);
   REQUIRE(r.call(order("PATCH", patchOf(6, {"c"}), 5, "b")).status == 200);
-  transport::Call spaced = first;
+  transport::OperatorCall spaced = first;
   spaced.changeId = "c";
   spaced.body = R"( { "version" : 5,
     "extra": {"by":"one"}, "set": {"paths":[ {"pool":"big","name":"b","host":"h","prefix":"/b/","kind":"once","deadlineMs":3000} ]} } )";
   CHECK(r.call(spaced).status == 200);
-  transport::Call other = first;
+  transport::OperatorCall other = first;
   other.changeId = "d";
   QJsonObject body = patchOf(5, {"b"}, "one");
   body.insert("extra", QJsonObject{{"by", "one"}, {"moons", 1}});
@@ -166,18 +166,18 @@
     std::string const key = control::targetOf(target)->key;
     std::uint64_t revision = 0;
     QJsonObject value;
-    control::Around around{[](std::string const&) { return true; }};
+    control::ClusterView around{[](std::string const&) { return true; }};
     around.regimes = [] { return config::Regimes{}; };
     around.regimeUses = [] { return std::vector<config::RegimeUse>{}; };
     auto const call = [&](std::uint64_t base, std::string const& by) {
-      transport::Call c;
+      transport::OperatorCall c;
       c.method = "PUT";
       c.path = target;
       c.ifMatch = std::to_string(base);
       c.changeId = by + std::to_string(base);
       c.body = family ? R"({"paths":[{"path":"a","pool":"big","class":"short"}],"note":")" + c.changeId + "\"}"
                       : R"({"regimes":{"h)" + c.changeId + R"(":{"nacelles":"any"}},"certificates":{}})";
-      consensus::Verdict const v = control::validator(key, revision, value, c, around);
+      consensus::Verdict const v = control::validateCall(key, revision, value, c, around);
       if (v.change) value = v.value;
       revision += v.change ? 1 : 0;
       return v;
@@ -199,20 +199,21 @@
   Membership c(5);
   c.calm = true;
   c.run(4000);
-  transport::Call first = order("PUT", spec(5), 0, "first");
+  transport::OperatorCall first = order("PUT", spec(5), 0, "first");
   c.changes["first"] = Membership::Change{"first", first, true, 0, 0};
   c.send(c.changes["first"]);
   c.run(3000);
   std::string relay;
   for (char const* const link : {"s1", "s2", "s3"})
-    if (c.members[link].reducer->registers().ownerLink(config::wholeKey, c.now) != link) relay = link;
+    if (c.members[link].reducer->registers().ownerLink(config::fleetConfigurationKey, c.now) != link) relay = link;
   REQUIRE_FALSE(relay.empty());
   auto const relayed = [&](std::uint64_t token) {
-    transport::Call call = order("PUT", spec(50), 49, "never");
+    transport::OperatorCall call = order("PUT", spec(50), 49, "never");
     call.token = token;
-    control::Commands const out = c.members[relay].reducer->operatorCall(c.now, call);
+    control::ControllerCommands const out = c.members[relay].reducer->onOperatorCall(c.now, call);
     for (transport::Send const& s : out.sends)
-      if (transport::Call const* const sent = std::get_if<transport::Call>(&s.message)) return sent->token;
+      if (transport::OperatorCall const* const sent = std::get_if<transport::OperatorCall>(&s.message))
+        return sent->token;
     return std::uint64_t{0};
   };
   std::uint64_t const before = relayed(9001);
@@ -221,22 +222,22 @@
   std::uint64_t const after = relayed(9002);
   REQUIRE((before != 0 && after != 0));
   CHECK(before != after);
-  control::Commands const out =
-      c.members[relay].reducer->arrived(c.now, "s9", transport::CallResponse{before, 200, {{"version", 50}}});
-  CHECK(out.answers.empty());
+  control::ControllerCommands const out =
+      c.members[relay].reducer->onMessage(c.now, "s9", transport::OperatorCallReply{before, 200, {{"version", 50}}});
+  CHECK(out.responses.empty());
 }
 
 TEST_CASE("an order to evacuate that was relayed late is not carried out after it was lifted") {
   Membership c(6);
   c.calm = true;
   c.run(4000);
-  std::vector<transport::Call> relayed;
+  std::vector<transport::OperatorCall> relayed;
   auto const begin = [&](char const* method, std::string const& link) {
-    transport::Call call;
+    transport::OperatorCall call;
     call.method = method;
     call.path = "/v1/evacuations/z1";
     call.token = 8000 + relayed.size();
-    return c.members[link].reducer->operatorCall(c.now, call);
+    return c.members[link].reducer->onOperatorCall(c.now, call);
   };
   c.take("s1", begin("DELETE", "s1"));
   c.run(2000);
@@ -256,10 +257,10 @@
   auto const evacuated = [&] {
     return c.members[owner].reducer->registers().committed().at("zone:z1").value.value("evacuated").toBool();
   };
-  control::Commands out = begin("PUT", relay);
-  transport::Call late;
+  control::ControllerCommands out = begin("PUT", relay);
+  transport::OperatorCall late;
   for (transport::Send const& s : out.sends)
-    if (transport::Call const* const sent = std::get_if<transport::Call>(&s.message)) late = *sent;
+    if (transport::OperatorCall const* const sent = std::get_if<transport::OperatorCall>(&s.message)) late = *sent;
   REQUIRE(late.method == "PUT");
   c.take(relay, std::move(out));
   c.run(1000);
@@ -268,7 +269,7 @@
   c.run(1000);
   CHECK_FALSE(evacuated());
   late.token += 1000;
-  c.take(owner, c.members[owner].reducer->arrived(c.now, relay, late));
+  c.take(owner, c.members[owner].reducer->onMessage(c.now, relay, late));
   c.run(2000);
   CHECK_FALSE(evacuated());
   c.take(relay, begin("PUT", relay));
--- a/core/include/corkward/core/promises.h
+++ b/core/include/corkward/core/guarantees.h
@@ -10,13 +10,13 @@
 
 /// What the fleet promises to callers and operators, as far as one process can check it while it runs. Unlike
 /// CORKWARD_INVARIANT, whose break leaves no state to go on with, a broken promise is counted, logged and survived.
-enum class Promise : std::size_t {
+enum class Guarantee : std::size_t {
   /// A request that may run once is handed over again only after "not run".
   runsOnce,
   /// "Not run" is said of no request that may have run.
-  notRunIsTrue,
+  notExecutedIsTrue,
   /// No request is handed to more replicas than its path allows.
-  withinTries,
+  withinAttempts,
   /// A request goes only to a replica that is in use, of a pool that its path names in the newest configuration.
   allowedReplica,
   /// A replica is told of no more time than the caller has left.
@@ -30,45 +30,45 @@
   /// What a controller serves as current is no older than what it had committed when it was asked.
   currentWhenServed,
   /// An answer that is finished has as many bytes as its head says.
-  wholeAnswers,
+  completeResponses,
   /// No request gets a second head.
-  oneAnswer,
+  singleResponse,
   /// Events of one answer have rising ids.
   eventsInOrder,
 };
 
-inline constexpr std::size_t promiseCount = 12;
+inline constexpr std::size_t guaranteeCount = 12;
 
 /// Name of a promise in logs and metrics.
-char const* nameOf(Promise promise);
+char const* nameOf(Guarantee promise);
 
 /// Counts of the calling thread, which owns the reducer that it drives. A process has one such thread; simulated runs
 /// have one for each world.
-class PromiseCounts {
+class GuaranteeCounts {
  public:
   /// Counts of the calling thread.
-  static PromiseCounts& ofThread();
+  static GuaranteeCounts& ofThread();
 
   /// Counts one broken promise and logs it; of each promise only the first few are logged.
-  void broken(Promise promise, std::string const& detail);
-  std::uint64_t of(Promise promise) const { return counts_.at(static_cast<std::size_t>(promise)); }
+  void recordViolation(Guarantee promise, std::string const& detail);
+  std::uint64_t count(Guarantee promise) const { return counts_.at(static_cast<std::size_t>(promise)); }
   std::uint64_t total() const;
   /// One line for each promise that was broken since the last call, with its first detail; forgets them.
-  std::vector<std::string> take();
+  std::vector<std::string> takeNewViolations();
 
  private:
-  std::array<std::uint64_t, promiseCount> counts_{};
-  std::array<std::uint64_t, promiseCount> taken_{};
-  std::array<std::string, promiseCount> details_{};
+  std::array<std::uint64_t, guaranteeCount> counts_{};
+  std::array<std::uint64_t, guaranteeCount> reported_{};
+  std::array<std::string, guaranteeCount> details_{};
 };
 
 /// Every promise with its count as lines of a metrics page, also those that were never broken.
-std::string promiseMetrics();
+std::string guaranteeMetrics();
 
 }  // namespace corkward::core
 
 /// Checks a promise; the detail is made only when it is broken.
-#define CORKWARD_PROMISE(promise, cond, detail)                                       \
-  do {                                                                                \
-    if (!(cond)) ::corkward::core::PromiseCounts::ofThread().broken(promise, detail); \
+#define CORKWARD_GUARANTEE(guarantee, condition, detail)                                                \
+  do {                                                                                                  \
+    if (!(condition)) ::corkward::core::GuaranteeCounts::ofThread().recordViolation(guarantee, detail); \
   } while (false)
--- a/core/include/corkward/core/json.h
+++ b/core/include/corkward/core/json.h
@@ -18,10 +18,10 @@
 QJsonValue mergePatch(QJsonValue const& target, QJsonValue const& patch);
 
 /// Shorthands between the string types.
-inline std::string str(QString const& s) {
+inline std::string toStdString(QString const& s) {
   return s.toStdString();
 }
-inline QString qstr(std::string const& s) {
+inline QString toQString(std::string const& s) {
   return QString::fromStdString(s);
 }
 
--- a/core/include/corkward/core/types.h
+++ b/core/include/corkward/core/types.h
@@ -12,34 +12,34 @@
 using Tick = std::int64_t;
 
 /// Dense index of a name, given out at the HTTP edge.
-using Index = std::uint32_t;
+using NameIndex = std::uint32_t;
 
 /// Maps names to dense indices. An index is reused only after its name was released.
-class Names {
+class InternedNames {
  public:
   /// Index of the name, made if it is new.
-  Index index(std::string const& name);
+  NameIndex intern(std::string const& name);
   /// Index of the name, or none.
-  static constexpr Index none = ~Index{0};
-  Index find(std::string const& name) const;
+  static constexpr NameIndex none = ~NameIndex{0};
+  NameIndex find(std::string const& name) const;
   /// Forgets a name; its index may be given to another one.
-  void release(Index ix);
+  void release(NameIndex ix);
   /// Names that are known now.
-  std::size_t known() const { return byName_.size(); }
+  std::size_t count() const { return byName_.size(); }
   /// Name of an index that was given out.
-  std::string const& name(Index ix) const;
+  std::string const& name(NameIndex ix) const;
   std::size_t size() const { return names_.size(); }
 
  private:
-  std::unordered_map<std::string, Index> byName_;
+  std::unordered_map<std::string, NameIndex> byName_;
   std::vector<std::string> names_;
-  std::vector<Index> free_;
+  std::vector<NameIndex> free_;
 };
 
 /// Small seeded generator; the seed comes in with an event, so reducers stay pure.
-class Rng {
+class RandomGenerator {
  public:
-  explicit Rng(std::uint64_t seed = 1) : s_(seed * 0x9E3779B97F4A7C15ULL + 0x1234567ULL) {}
+  explicit RandomGenerator(std::uint64_t seed = 1) : s_(seed * 0x9E3779B97F4A7C15ULL + 0x1234567ULL) {}
   std::uint64_t next();
   /// Uniform in [0, bound); 0 when bound is 0.
   std::uint64_t below(std::uint64_t bound) { return bound == 0 ? 0 : next() % bound; }
@@ -60,12 +60,12 @@
 };
 
 /// Throws InvariantError.
-[[noreturn]] void broken(char const* what, char const* file, int line);
+[[noreturn]] void failInvariant(char const* what, char const* file, int line);
 
 }  // namespace corkward::core
 
 /// Checks an invariant inside the code; a broken one stops the process.
-#define CORKWARD_INVARIANT(cond)                                      \
-  do {                                                                \
-    if (!(cond)) ::corkward::core::broken(#cond, __FILE__, __LINE__); \
+#define CORKWARD_INVARIANT(cond)                                             \
+  do {                                                                       \
+    if (!(cond)) ::corkward::core::failInvariant(#cond, __FILE__, __LINE__); \
   } while (false)
--- a/core/include/corkward/core/workers.h
+++ b/core/include/corkward/core/workers.h
@@ -11,12 +11,12 @@
 
 /// A pool of workers. Lock order in every process: the workers' queue lock is the last one taken,
 /// and nothing is called while it is held.
-class Workers {
+class WorkerPool {
  public:
-  explicit Workers(unsigned count);
-  ~Workers();
-  Workers(Workers const&) = delete;
-  Workers& operator=(Workers const&) = delete;
+  explicit WorkerPool(unsigned count);
+  ~WorkerPool();
+  WorkerPool(WorkerPool const&) = delete;
+  WorkerPool& operator=(WorkerPool const&) = delete;
   /// Queues a job; a job never throws.
   void run(std::function<void()> job);
 
--- a/core/src/core.cpp
+++ b/core/src/core.cpp
@@ -5,10 +5,10 @@
 
 namespace corkward::core {
 
-Index Names::index(std::string const& name) {
-  std::unordered_map<std::string, Index>::const_iterator const it = byName_.find(name);
+NameIndex InternedNames::intern(std::string const& name) {
+  std::unordered_map<std::string, NameIndex>::const_iterator const it = byName_.find(name);
   if (it != byName_.end()) return it->second;
-  Index ix = static_cast<Index>(names_.size());
+  NameIndex ix = static_cast<NameIndex>(names_.size());
   if (free_.empty()) {
     names_.push_back(name);
   } else {
@@ -20,23 +20,23 @@
   return ix;
 }
 
-Index Names::find(std::string const& name) const {
-  std::unordered_map<std::string, Index>::const_iterator const it = byName_.find(name);
+NameIndex InternedNames::find(std::string const& name) const {
+  std::unordered_map<std::string, NameIndex>::const_iterator const it = byName_.find(name);
   return it == byName_.end() ? none : it->second;
 }
 
-void Names::release(Index ix) {
+void InternedNames::release(NameIndex ix) {
   CORKWARD_INVARIANT(ix < names_.size() && byName_.erase(names_[ix]) == 1);
   names_[ix].clear();
   free_.push_back(ix);
 }
 
-std::string const& Names::name(Index ix) const {
+std::string const& InternedNames::name(NameIndex ix) const {
   CORKWARD_INVARIANT(ix < names_.size());
   return names_[ix];
 }
 
-std::uint64_t Rng::next() {
+std::uint64_t RandomGenerator::next() {
   s_ += 0x9E3779B97F4A7C15ULL;
   std::uint64_t z = s_;
   z = (z ^ (z >> 30)) * 0xBF58476D1CE4E5B9ULL;
@@ -48,10 +48,10 @@
   std::uint64_t h = 1469598103934665603ULL;
   for (char const c : text) h = (h ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
   h ^= h >> 32;
-  return Rng(h).next();
+  return RandomGenerator(h).next();
 }
 
-void broken(char const* what, char const* file, int line) {
+void failInvariant(char const* what, char const* file, int line) {
   throw InvariantError(std::string("broken invariant: ") + what + " at " + file + ":" + std::to_string(line));
 }
 
@@ -61,11 +61,11 @@
   if (entries_.size() > bound_) entries_.pop_front();
 }
 
-Workers::Workers(unsigned count) {
+WorkerPool::WorkerPool(unsigned count) {
   for (unsigned i = 0; i < count; ++i) threads_.emplace_back([this] { loop(); });
 }
 
-Workers::~Workers() {
+WorkerPool::~WorkerPool() {
   {
     std::lock_guard<std::mutex> const hold(lock_);
     stopping_ = true;
@@ -74,7 +74,7 @@
   for (std::thread& t : threads_) t.join();
 }
 
-void Workers::run(std::function<void()> job) {
+void WorkerPool::run(std::function<void()> job) {
   {
     std::lock_guard<std::mutex> const hold(lock_);
     jobs_.push_back(std::move(job));
@@ -82,7 +82,7 @@
   more_.notify_one();
 }
 
-void Workers::loop() {
+void WorkerPool::loop() {
   for (;;) {
     std::function<void()> job;
     {
--- /dev/null
+++ b/core/src/guarantees.cpp
@@ -0,0 +1,69 @@
+#include <corkward/core/log.h>
+#include <corkward/core/guarantees.h>
+
+#include <numeric>
+
+namespace corkward::core {
+
+namespace {
+
+constexpr std::uint64_t loggedOfEach = 20;
+
+constexpr std::array<char const*, guaranteeCount> names{"runs-once",
+                                                        "not-run-is-true",
+                                                        "within-tries",
+                                                        "allowed-replica",
+                                                        "time-left",
+                                                        "revisions-rise",
+                                                        "one-value-per-revision",
+                                                        "one-change-per-revision",
+                                                        "current-when-served",
+                                                        "whole-answers",
+                                                        "one-answer",
+                                                        "events-in-order"};
+
+}  // namespace
+
+char const* nameOf(Guarantee promise) {
+  return names.at(static_cast<std::size_t>(promise));
+}
+
+GuaranteeCounts& GuaranteeCounts::ofThread() {
+  thread_local GuaranteeCounts counts;
+  return counts;
+}
+
+void GuaranteeCounts::recordViolation(Guarantee promise, std::string const& detail) {
+  std::size_t const place = static_cast<std::size_t>(promise);
+  ++counts_.at(place);
+  if (counts_.at(place) == reported_.at(place) + 1) details_.at(place) = detail;
+  if (counts_.at(place) <= loggedOfEach)
+    writeError(LogEvent{"promise-broken", {{"promise", nameOf(promise)}, {"detail", detail}}});
+}
+
+std::uint64_t GuaranteeCounts::total() const {
+  return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
+}
+
+std::vector<std::string> GuaranteeCounts::takeNewViolations() {
+  std::vector<std::string> out;
+  for (std::size_t place = 0; place < guaranteeCount; ++place) {
+    std::uint64_t const fresh = counts_.at(place) - reported_.at(place);
+    if (fresh == 0) continue;
+    out.push_back(std::string("promise ") + names.at(place) + " broken " + std::to_string(fresh) +
+                  " times, first: " + details_.at(place));
+    reported_.at(place) = counts_.at(place);
+  }
+  return out;
+}
+
+std::string guaranteeMetrics() {
+  GuaranteeCounts const& counts = GuaranteeCounts::ofThread();
+  std::string out = "# TYPE corkward_promises_broken_total counter\n";
+  for (std::size_t place = 0; place < guaranteeCount; ++place)
+    out += "corkward_promises_broken_total{promise=\"" + std::string(names.at(place)) + "\"} " +
+           std::to_string(counts.count(static_cast<Guarantee>(place))) + "\n";
+  return out;
+}
+
+}  // namespace corkward::core
--- a/core/test/core_test.cpp
+++ b/core/test/core_test.cpp
@@ -6,7 +6,7 @@
 #include <corkward/core/error.h>
 #include <corkward/core/journal.h>
 #include <corkward/core/json.h>
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 #include <corkward/core/types.h>
 
 namespace core = corkward::core;
@@ -58,10 +58,10 @@
 }
 
 TEST_CASE("names get dense indices and the journal stays bounded") {
-  core::Names names;
-  CHECK(names.index("a") == 0);
-  CHECK(names.index("b") == 1);
-  CHECK(names.index("a") == 0);
+  core::InternedNames names;
+  CHECK(names.intern("a") == 0);
+  CHECK(names.intern("b") == 1);
+  CHECK(names.intern("a") == 0);
   CHECK_THROWS_AS(names.name(2), core::InvariantError);
   core::Journal j(8);
   for (int i = 0; i < 100; ++i) j.append(i, "x", "y");
@@ -71,22 +71,22 @@
 }
 
 TEST_CASE("a broken promise is counted and told, and the process goes on") {
-  core::PromiseCounts& counts = core::PromiseCounts::ofThread();
-  std::uint64_t const before = counts.of(core::Promise::runsOnce);
+  core::GuaranteeCounts& counts = core::GuaranteeCounts::ofThread();
+  std::uint64_t const before = counts.count(core::Guarantee::runsOnce);
   int made = 0;
   std::function<std::string()> const detail = [&] {
     ++made;
     return "request r" + std::to_string(made);
   };
-  CORKWARD_PROMISE(core::Promise::runsOnce, true, detail());
+  CORKWARD_GUARANTEE(core::Guarantee::runsOnce, true, detail());
   CHECK(made == 0);
-  CORKWARD_PROMISE(core::Promise::runsOnce, false, detail());
-  CORKWARD_PROMISE(core::Promise::runsOnce, false, detail());
-  CHECK(counts.of(core::Promise::runsOnce) == before + 2);
-  CHECK(core::promiseMetrics().find("{promise=\"runs-once\"} " + std::to_string(before + 2)) != std::string::npos);
-  CHECK(core::promiseMetrics().find("{promise=\"events-in-order\"}") != std::string::npos);
-  std::vector<std::string> const told = counts.take();
+  CORKWARD_GUARANTEE(core::Guarantee::runsOnce, false, detail());
+  CORKWARD_GUARANTEE(core::Guarantee::runsOnce, false, detail());
+  CHECK(counts.count(core::Guarantee::runsOnce) == before + 2);
+  CHECK(core::guaranteeMetrics().find("{promise=\"runs-once\"} " + std::to_string(before + 2)) != std::string::npos);
+  CHECK(core::guaranteeMetrics().find("{promise=\"events-in-order\"}") != std::string::npos);
+  std::vector<std::string> const told = counts.takeNewViolations();
   REQUIRE(told.size() == 1);
   CHECK(told[0] == "promise runs-once broken 2 times, first: request r1");
-  CHECK(counts.take().empty());
+  CHECK(counts.takeNewViolations().empty());
 }
--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -20,12 +20,12 @@
 
 namespace corkward::dataplane {
 
-using core::Index;
+using core::NameIndex;
 using core::Tick;
 using CallId = std::uint64_t;
 
 /// Starting values of the data plane.
-struct Tuning {
+struct RouterTuning {
   /// How long a confirmation of serving lease holds, counted from when it was asked for.
   Tick confirmFor = 1500;
   Tick askEvery = 300;
@@ -102,12 +102,12 @@
   /// take to arrive.
   Tick pastDeadline = 100;
   /// What tenants may send beyond their limits.
-  quota::Slack quotaSlack;
-  scaling::Figures figures = scaling::figures;
+  quota::OverdraftAllowance quotaSlack;
+  scaling::ScalerParameters figures = scaling::defaultScalerParameters;
 };
 
 /// One part of a prompt, by a hash that is equal on every node, and its length in tokens.
-struct Part {
+struct PromptSegment {
   std::uint64_t hash = 0;
   std::int64_t tokens = 0;
 };
@@ -121,7 +121,7 @@
   std::string host;
   std::string target;
   /// The prompt's parts in order, and the tokens asked for at the most.
-  std::vector<Part> parts;
+  std::vector<PromptSegment> segments;
   std::int64_t tokensOut = 0;
   /// Tokens of the prompt and asked for at the most, together, when the caller says how many.
   std::optional<std::int64_t> tokens;
@@ -133,9 +133,9 @@
   /// Which attempt this is; 0: the caller does not number its attempts, so this may be any of them.
   std::uint64_t attempt = 1;
   /// The caller says that every earlier attempt was answered "not run".
-  bool earlierNotRun = false;
+  bool earlierNotExecuted = false;
   /// The caller says that one of those had reached a replica, which rejected it.
-  bool earlierReached = false;
+  bool earlierReachedReplica = false;
   /// Milliseconds since the caller's first attempt; below zero: not said.
   Tick age = -1;
   std::string prefix;
@@ -146,17 +146,17 @@
 };
 
 /// How a relayed call ended.
-enum class End {
+enum class UpstreamResult {
   /// The replica's own end was seen.
-  whole,
+  complete,
   /// The replica said itself that it did not run the request.
-  notRun,
+  notExecuted,
   /// The connection broke, or ended early, after a byte was handed over.
-  broken,
+  connectionLost,
   /// As broken, but on a kept connection that was idle, before any word: the replica may have forgotten it.
-  forgotten,
+  staleConnection,
   /// The replica answered an attempt to resume with anything but the same run at the same offset.
-  otherRun
+  differentExecution
 };
 
 /// Command: open a connection to the replica, hand nothing over yet.
@@ -169,12 +169,12 @@
   bool fresh = true;
   /// Not empty: a request of a regime. A connection of its own is opened, and it stands only once the replica has named
   /// this life on it; another life, another answer or none counts as a rejected connection.
-  std::string life = {};
+  std::string incarnation = {};
   /// The path's answer is a row of events with ids.
   bool events = false;
 };
 /// Command: hand the request over on the connection that was opened.
-struct HandOver {
+struct SendRequest {
   CallId call = 0;
   /// Name of the replica's life that the request is meant for; empty: any.
   std::string expect = {};
@@ -182,14 +182,14 @@
   Tick left = 0;
   int urgency = 5;
   /// Not empty: a request of a regime. The Record of it stands before this, and it goes out at once when that is
-  /// written; else it ended as End::notRun.
+  /// written; else it ended as UpstreamResult::notExecuted.
   std::string regime = {};
   /// Tenant that the replica is told of in place of the caller's key; empty: one without a key. Not said: the
   /// configuration knows no tenants.
   std::optional<std::string> tenant = {};
 };
 /// Command: close the replica's connection, if there is one.
-struct Abandon {
+struct CloseUpstream {
   CallId call = 0;
 };
 /// Command: final answer to a caller that has had no byte yet.
@@ -198,47 +198,48 @@
   int status = 503;
   std::string reason;
   /// False: it may have run.
-  bool notRun = true;
+  bool notExecuted = true;
   /// Seconds after which to come back; 0: no use in coming back as it is.
   double retryAfter = 0;
   /// This attempt or an earlier one had reached a replica, which said "not run".
-  bool reached = false;
+  bool reachedReplica = false;
 };
 /// Command: cut the caller's connection, so that what it has cannot look complete.
-struct Abort {
+struct ResetDownstream {
   CallId call = 0;
 };
 
 /// Command: answer to the platform's list given to this node.
-struct Answer {
+struct EndpointListResponse {
   CallId call = 0;
   int status = 200;
   QJsonObject body;
 };
 
 /// What becomes of a regime's request.
-enum class Happened { handedOver, resumed, served, notRun, broken, rejected };
+enum class AuditOutcome { handedOver, resumed, served, notExecuted, broken, rejected };
 
 /// Command: write down for the audit report, before the commands after it, what becomes of a regime's request.
-struct Record {
+struct WriteAuditRecord {
   CallId call = 0;
-  Happened happened = Happened::handedOver;
+  AuditOutcome outcome = AuditOutcome::handedOver;
   std::string regime;
   std::string instance;
   /// Where it runs or ran, and the certificate's name; empty for a rejection.
   std::string pool = {};
   std::string address = {};
-  std::string life = {};
+  std::string incarnation = {};
   std::string zone = {};
   std::string certificate = {};
   /// Why it was rejected, resumed or broken off.
   std::string reason = {};
 };
 
-using CallCommand = std::variant<Connect, HandOver, Abandon, Reject, Abort, Answer, Record>;
+using CallCommand =
+    std::variant<Connect, SendRequest, CloseUpstream, Reject, ResetDownstream, EndpointListResponse, WriteAuditRecord>;
 
 /// Commands of one event, in order.
-struct Commands {
+struct RouterCommands {
   std::vector<transport::Send> sends;
   std::vector<CallCommand> calls;
   std::vector<core::LogEvent> logEvents;
@@ -247,7 +248,7 @@
 };
 
 /// How much a plane holds, to show that what is gone is freed.
-struct Held {
+struct RouterUsage {
   std::size_t replicas = 0;
   std::size_t instances = 0;
   std::size_t credits = 0;
@@ -262,49 +263,49 @@
 /// The data plane of one node as a pure reducer over its events.
 class RequestRouter {
  public:
-  RequestRouter(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed, Tuning tuning = {});
+  RequestRouter(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed, RouterTuning tuning = {});
 
-  Commands started(Tick now);
-  Commands arrived(Tick now, std::string const& from, transport::Message const& message);
-  Commands clockEvent(Tick now);
+  RouterCommands started(Tick now);
+  RouterCommands onMessage(Tick now, std::string const& from, transport::Message const& message);
+  RouterCommands onTimer(Tick now);
 
-  Commands request(Tick now, Request const& request);
+  RouterCommands onRequest(Tick now, Request const& request);
   /// The connection stands and no byte was handed over yet: the last check before sending.
-  Commands connected(Tick now, CallId call);
+  RouterCommands onConnected(Tick now, CallId call);
   /// No connection could be had, so nothing was handed over.
-  Commands connectRejected(Tick now, CallId call);
+  RouterCommands onConnectFailure(Tick now, CallId call);
   /// This node could open no connection at all, for want of descriptors; the replica has no part in it.
-  Commands connectImpossible(Tick now, CallId call);
-  Commands firstWord(Tick now, CallId call, bool runKnown);
+  RouterCommands onLocalConnectFailure(Tick now, CallId call);
+  RouterCommands firstByteReceived(Tick now, CallId call, bool runKnown);
   /// The replica answers with a failure of its own, of which nothing was passed on yet. When the commands say Connect,
   /// another replica is tried and the answer is forgotten; else it is passed on as it comes.
-  Commands failed(Tick now, CallId call);
+  RouterCommands upstreamFailed(Tick now, CallId call);
   /// The stream moves: words came, or the caller is the one that is slow. Told at most every second.
-  Commands moving(Tick now, CallId call);
-  Commands ended(Tick now, CallId call, End end);
-  Commands callerGone(Tick now, CallId call);
+  RouterCommands progress(Tick now, CallId call);
+  RouterCommands upstreamFinished(Tick now, CallId call, UpstreamResult end);
+  RouterCommands callerDisconnected(Tick now, CallId call);
   /// The platform's list as told to this node: what it takes away is out of use at once, what it adds waits for
   /// control.
-  Commands platformList(Tick now, CallId call, std::string const& pool, std::string const& body);
+  RouterCommands onEndpointList(Tick now, CallId call, std::string const& pool, std::string const& body);
   /// Other figures and seeds from here on; scalers that stand keep theirs.
-  void retune(Tuning const& tuning, std::vector<std::string> seeds);
+  void retune(RouterTuning const& tuning, std::vector<std::string> seeds);
   /// No new work from here on; ids and duties go to the others.
-  Commands drain(Tick now);
+  RouterCommands drain(Tick now);
   /// Wall time at that tick, in milliseconds since 1970; told with each clock event. Within one life it never goes
   /// back.
-  void wallTime(Tick now, std::int64_t wall);
+  void setWallTime(Tick now, std::int64_t wall);
   /// Wall time at a tick; nothing before it was told.
-  config::Wall wallAt(Tick now) const;
+  config::WallTime wallAt(Tick now) const;
   /// Whether records can be written from here on.
-  void recording(bool works) { tuning_.records = works; }
-  bool recording() const { return tuning_.records; }
+  void setRecording(bool works) { tuning_.records = works; }
+  bool setRecording() const { return tuning_.records; }
 
   /// Whether clients should be sent here.
   bool ready(Tick now) const;
   /// Whether this node may hand requests over at all.
   bool servingLease(Tick now) const;
-  Held held() const;
-  std::size_t inHand() const { return calls_.size(); }
+  RouterUsage usage() const;
+  std::size_t pendingCount() const { return calls_.size(); }
   std::string metrics(Tick now) const;
   QJsonObject state(Tick now) const;
   std::uint64_t revisionOf(std::string const& key) const;
@@ -313,7 +314,7 @@
   /// Value in force for a key; empty when there is none.
   QJsonObject valueOf(std::string const& key) const;
   /// Bounds of the callers' HTTP edge as the whole configuration says them.
-  config::HttpTerms const& httpTerms() const { return httpTerms_; }
+  config::HttpLimits const& httpTerms() const { return httpTerms_; }
   core::Journal const& journal() const { return journal_; }
 
  private:
@@ -323,18 +324,18 @@
   static char const* nameOf(Phase phase);
   struct Call {
     Request request;
-    Index path = 0;
+    NameIndex path = 0;
     /// Configuration under which the path was found.
     std::uint64_t pathRevision = 0;
-    Index pool = 0;
+    NameIndex pool = 0;
     /// Replicas that it was handed to, the last one included.
-    std::vector<Index> handedTo;
+    std::vector<NameIndex> handedTo;
     Phase phase = Phase::held;
     Tick arrived = 0;
     Tick until = 0;
     Tick phaseAt = 0;
     Tick handedAt = 0;
-    Index replica = 0;
+    NameIndex replica = 0;
     bool counted = false;
     /// Tokens counted in Replica::reading.
     std::int64_t reading = 0;
@@ -373,13 +374,13 @@
   };
   struct Row {
     config::Path path;
-    Index pool = 0;
-    Index instance = 0;
+    NameIndex pool = 0;
+    NameIndex instance = 0;
     /// Pools that share the requests, with weights above 0.
-    std::vector<std::pair<Index, std::uint32_t>> shares;
+    std::vector<std::pair<NameIndex, std::uint32_t>> shares;
   };
   struct Replica {
-    Index pool = 0;
+    NameIndex pool = 0;
     std::string address;
     /// Name of its life; empty when the platform tells none.
     std::string id;
@@ -403,10 +404,10 @@
   struct PoolView {
     std::uint64_t generation = 0;
     double coldRate = 0;
-    std::vector<Index> replicas;
-    transport::Hint hint;
+    std::vector<NameIndex> replicas;
+    transport::EndpointRemovalHint hint;
     /// What the whole configuration says of the pool, if it names it.
-    std::optional<config::PoolTerms> terms;
+    std::optional<config::PoolSettings> terms;
     /// Those that may be drawn from, what they are made of has changed since, and when it next changes with time alone.
     /// By regime; empty: work of none.
     std::map<std::string, scaling::Candidates> candidates;
@@ -419,7 +420,7 @@
     scaling::Scaler scaler;
     std::array<std::list<CallId>, 3> held;
     unsigned turn = 0;
-    scaling::Rate rate;
+    scaling::CompletionRate rate;
     std::size_t heldCount() const { return held[0].size() + held[1].size() + held[2].size(); }
   };
   struct Warm {
@@ -427,7 +428,7 @@
     Tick coveredUntil = 0;
     Tick wantedSince = -1;
     std::map<Tick, std::set<std::string>> grants;
-    scaling::ColdBucket bucket;
+    scaling::SlowStartBucket bucket;
   };
   struct Seen {
     Tick at = 0;
@@ -466,27 +467,27 @@
     bool wantRevisions = false;
     Tick namedAt = -1;
   };
-  using CreditKey = std::pair<Index, Index>;
+  using CreditKey = std::pair<NameIndex, NameIndex>;
 
-  void apply(Commands& out, Tick now, std::vector<transport::Item> const& items);
-  void applyOne(Commands& out, Tick now, transport::Item const& item);
-  void refreshCandidates(Commands& out, Tick now);
-  void refreshPool(Tick now, Index pool);
+  void apply(RouterCommands& out, Tick now, std::vector<transport::CommittedEntry> const& items);
+  void applyOne(RouterCommands& out, Tick now, transport::CommittedEntry const& item);
+  void refreshCandidates(RouterCommands& out, Tick now);
+  void refreshPool(Tick now, NameIndex pool);
   void wake(Tick now, CreditKey const& key);
-  void cool(Index replica, Tick until);
+  void cool(NameIndex replica, Tick until);
   void refreshHint(PoolView& view);
-  bool takeHint(Commands& out, Tick now, transport::Hint const& hint);
-  std::vector<transport::Hint> hints() const;
-  bool usable(Tick now, Index replica) const;
-  double coldRate(Index pool) const;
-  Index findPath(Request const& request) const;
-  Index choosePool(Tick now, Row const& row, CallId id) const;
-  Index poolIndex(std::string const& name);
+  bool takeHint(RouterCommands& out, Tick now, transport::EndpointRemovalHint const& hint);
+  std::vector<transport::EndpointRemovalHint> hints() const;
+  bool usable(Tick now, NameIndex replica) const;
+  double coldRate(NameIndex pool) const;
+  NameIndex findPath(Request const& request) const;
+  NameIndex choosePool(Tick now, Row const& row, CallId id) const;
+  NameIndex poolIndex(std::string const& name);
   void applyWhole(QJsonObject const& value);
   void forgetRoutes(std::string const& owner);
   void addRow(std::string const& owner, std::string const& route, config::Path const& path,
               std::string const& instance);
-  HandOver handOver(Tick now, CallId id);
+  SendRequest handOver(Tick now, CallId id);
   /// How long the path's requests take here of late: the longest, which each one that is served lets fade.
   void noteTaken(Call const& call, Tick took);
   /// A request of the path that comes now could be cut by the end of the drain. As long as few were served here, which
@@ -494,25 +495,25 @@
   bool outlastsDrain(Tick now, config::Path const& path) const;
   void checkHandOver(Tick now, Call const& call, Tick left) const;
   /// Notes a request that ends without its whole answer, for the log and the counters.
-  void noteFailure(Commands& out, Tick now, Call const& call, int status, std::string const& reason);
-  std::int64_t unread(Call const& call, Index replica, Index home) const;
+  void noteFailure(RouterCommands& out, Tick now, Call const& call, int status, std::string const& reason);
+  std::int64_t unread(Call const& call, NameIndex replica, NameIndex home) const;
   void haveRead(Call& call);
   bool mayGoOn(Tick now, Call const& call) const;
   /// Counts the outcome of the newest dispatch for or against its replica, once.
-  void recordOutcome(Commands& out, Tick now, Call& call, bool bad);
-  void avoidWorst(Tick now, Index pool);
+  void recordOutcome(RouterCommands& out, Tick now, Call& call, bool bad);
+  void avoidWorst(Tick now, NameIndex pool);
   bool overdue(Call const& call, Tick took) const;
   /// Undoes the last hand-over of a call whose connection could not be written to.
-  void takeBack(Commands& out, Tick now, CallId id);
+  void takeBack(RouterCommands& out, Tick now, CallId id);
   /// A stream that a path of the whole configuration bounds runs past its deadline.
   bool pastDeadline(Tick now, Call const& call) const;
-  void connectTo(Commands& out, Tick now, CallId id, Index replica);
+  void connectTo(RouterCommands& out, Tick now, CallId id, NameIndex replica);
   /// All serving replicas of the pool, whatever the part is.
-  std::vector<scaling::Candidate> beyondPart(Tick now, Index pool) const;
-  bool resumeElsewhere(Commands& out, Tick now, CallId id);
+  std::vector<scaling::Candidate> beyondPart(Tick now, NameIndex pool) const;
+  bool resumeElsewhere(RouterCommands& out, Tick now, CallId id);
   std::int64_t choose(Tick now, Call const& call, std::vector<scaling::Candidate> const& choices) const;
-  Index home(Call const& call) const;
-  bool mayBeHome(Index replica) const;
+  NameIndex home(Call const& call) const;
+  bool mayBeHome(NameIndex replica) const;
   /// The prompt cannot be read within its aim, and the pool has replicas that read such ones.
   bool readsApart(Call const& call) const;
   void setApart(PoolView const& view);
@@ -522,91 +523,91 @@
   bool confirmedWithin(Tick now, Tick age) const;
   bool mostHeard(Tick now) const;
   void refreshServingLease();
-  void countHeard(std::string const& from, transport::Touch const& echo);
-  void considerWhole(Commands& out, Tick now, std::string const& from);
+  void countHeard(std::string const& from, transport::PeerHeartbeat const& echo);
+  void considerWhole(RouterCommands& out, Tick now, std::string const& from);
   std::string ages(Tick now) const;
   void chooseControllers(Tick now);
-  void sendAsk(Commands& out, Tick now, std::string const& to);
+  void sendAsk(RouterCommands& out, Tick now, std::string const& to);
   std::vector<std::string> chooseNeighbours(Tick now, std::size_t wanted, Tick every);
-  void touchNeighbours(Commands& out, Tick now);
-  void sendMissing(Commands& out, std::string const& to, transport::Revisions const& have) const;
+  void touchNeighbours(RouterCommands& out, Tick now);
+  void sendMissing(RouterCommands& out, std::string const& to, transport::Revisions const& have) const;
   std::vector<std::string> const& rosterOthers() const { return roster_.others; }
   std::size_t rosterSize() const { return roster_.size; }
   void foldRoster(Tick now, std::uint64_t revision, QJsonObject const& value);
   void watchJoining(Tick now);
   bool remembers(Tick now, Tick age) const;
   void noteLag(Tick now);
-  void askOthers(Commands& out, Tick now, CallId id);
-  void decideClaim(Commands& out, Tick now, CallId id, bool over);
+  void askOthers(RouterCommands& out, Tick now, CallId id);
+  void decideClaim(RouterCommands& out, Tick now, CallId id, bool over);
   std::vector<std::string> controllers(Tick now) const;
   transport::Revisions revisions() const;
-  Credit& credit(Commands& out, Tick now, CreditKey const& key);
+  Credit& credit(RouterCommands& out, Tick now, CreditKey const& key);
   bool mayTry(Tick now, Credit& c, CreditKey key, Call const& call) const;
   std::vector<scaling::Candidate> usableOf(Tick now, Credit const& c, bool warmRoom) const;
-  void admit(Commands& out, Tick now, CallId id);
-  bool tryConnect(Commands& out, Tick now, CallId id);
-  void pump(Commands& out, Tick now, CreditKey key);
-  void look(Commands& out, Tick now, CreditKey key, CallId unplaced = 0);
-  void uncount(Commands& out, Tick now, Call& call);
-  void reject(Commands& out, Tick now, CallId id, int status, std::string reason, bool notRun, double retryAfter);
+  void admit(RouterCommands& out, Tick now, CallId id);
+  bool tryConnect(RouterCommands& out, Tick now, CallId id);
+  void pump(RouterCommands& out, Tick now, CreditKey key);
+  void look(RouterCommands& out, Tick now, CreditKey key, CallId unplaced = 0);
+  void uncount(RouterCommands& out, Tick now, Call& call);
+  void reject(RouterCommands& out, Tick now, CallId id, int status, std::string reason, bool notRun, double retryAfter);
   void forget(Tick now, CallId id);
-  void drop(Commands& out, Tick now, CallId id);
+  void drop(RouterCommands& out, Tick now, CallId id);
   Seen& remember(Tick now, std::string const& key);
-  std::string const& addressOf(Index replica) const;
-  void breakOff(Commands& out, Tick now, CallId id, std::string const& why = "the connection broke");
+  std::string const& addressOf(NameIndex replica) const;
+  void breakOff(RouterCommands& out, Tick now, CallId id, std::string const& why = "the connection broke");
   /// Finds the call's tenant by its key under the configuration in force; false: it needs one and has none.
   bool identify(Call& call, config::Path const& path) const;
   // Tenants' limits (tenant_limits.cpp).
   /// What the limit of the call's tenant says of it; what it asks for is sent.
-  Admission withinQuota(Commands& out, Tick now, Call& call);
+  Admission withinQuota(RouterCommands& out, Tick now, Call& call);
   /// Before a hand-over: the call's amount is taken and was taken lately, or can be taken at once.
   bool spendQuota(Tick now, Call& call);
-  void rejectOverQuota(Commands& out, Tick now, CallId id, Admission admission);
+  void rejectOverQuota(RouterCommands& out, Tick now, CallId id, Admission admission);
   /// The call goes without having used its amount.
   void giveBackQuota(Tick now, Call& call);
-  void decideQuota(Commands& out, Tick now, std::vector<QuotaDecision> const& decisions);
-  void watchTenants(Commands& out, Tick now);
+  void decideQuota(RouterCommands& out, Tick now, std::vector<QuotaDecision> const& decisions);
+  void watchTenants(RouterCommands& out, Tick now);
   /// A request that may be served goes on: its id is looked up, then it is admitted.
-  void place(Commands& out, Tick now, CallId id);
+  void place(RouterCommands& out, Tick now, CallId id);
   void unhold(CallId id);
-  void retry(Commands& out, Tick now, CallId id, char const* why);
-  double comeBack(Credit const& c, config::Class cls) const;
-  Tick expectedWait(Credit const& c, config::Class cls) const;
-  void warmDuties(Commands& out, Tick now);
+  void retry(RouterCommands& out, Tick now, CallId id, char const* why);
+  double comeBack(Credit const& c, config::RequestClass cls) const;
+  Tick expectedWait(Credit const& c, config::RequestClass cls) const;
+  void warmDuties(RouterCommands& out, Tick now);
   std::string const& regimeOf(Call const& call) const;
-  std::string const& regimeOf(Index instance) const;
+  std::string const& regimeOf(NameIndex instance) const;
   std::string unsure(Tick now, std::string const& regime) const;
   std::string closed(Tick now, std::string const& regime) const;
-  config::Certificate const* certificate(Tick now, std::string const& regime, Index replica) const;
+  config::Certificate const* certificate(Tick now, std::string const& regime, NameIndex replica) const;
   bool lawful(Tick now, Call const& call) const;
-  bool fits(Tick now, Call const& call, Index replica) const;
+  bool fits(Tick now, Call const& call, NameIndex replica) const;
   void refreshCertified(Tick now);
   /// What work of each regime, and of none, may draw from of these.
   std::map<std::string, scaling::Candidates> byRegime(std::vector<scaling::Candidate> const& all) const;
   static scaling::Candidates candidatesOf(PoolView const& view, std::string const& regime);
-  bool mayDraw(std::string const& regime, Index replica) const;
-  void record(Commands& out, Tick now, Call const& call, Happened happened, std::string reason = {});
-  void watchRegimes(Commands& out, Tick now);
-  void leave(Commands& out, Tick now, CallId id, std::string const& why);
-  bool warmHeld(Tick now, Index replica) const;
+  bool mayDraw(std::string const& regime, NameIndex replica) const;
+  void record(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened, std::string reason = {});
+  void watchRegimes(RouterCommands& out, Tick now);
+  void leave(RouterCommands& out, Tick now, CallId id, std::string const& why);
+  bool warmHeld(Tick now, NameIndex replica) const;
   void expireSeen(Tick now);
   void freeGone(Tick now);
-  void logEvent(Commands& out, Tick now, std::string event, std::map<std::string, std::string> fields = {});
+  void logEvent(RouterCommands& out, Tick now, std::string event, std::map<std::string, std::string> fields = {});
   void count(Tick now, std::string const& what, std::string const& about = "");
-  void on(Commands& out, Tick now, std::string const& from, transport::Shuffle const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::News const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::Confirm const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::Hint const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::Touch const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::Fetch const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::SeenAsk const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::SeenEcho const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::SeenLeft const& m);
-  void on(Commands& out, Tick now, std::string const& from, transport::WarmGrant const& m);
-  void on(Commands& out, Tick now, std::string const& from, quota::Loans const& m);
-  void on(Commands& out, Tick now, std::string const& from, quota::ClaimAsk const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, transport::GossipShuffle const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, transport::ConfigurationUpdate const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, transport::ServingLeaseGrant const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, transport::EndpointRemovalHint const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, transport::PeerHeartbeat const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, transport::ValueRequest const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, transport::RequestIdQuery const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, transport::RequestIdReply const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, transport::RequestIdHandover const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, transport::WarmupLeaseGrant const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, quota::QuotaGrants const& m);
+  void on(RouterCommands& out, Tick now, std::string const& from, quota::AllocationQuery const& m);
 
-  Tuning tuning_;
+  RouterTuning tuning_;
   std::uint64_t seed_;
   /// Name of this run of the process among claimants of ids.
   std::string who_;
@@ -625,22 +626,22 @@
   Tick drainedAt_ = 0;
   bool whole_ = false;
   std::map<std::string, Key> keys_;
-  core::Names instances_;
-  core::Names pools_;
-  core::Names replicaNames_;
+  core::InternedNames instances_;
+  core::InternedNames pools_;
+  core::InternedNames replicaNames_;
   std::vector<Replica> replicas_;
   std::vector<PoolView> poolViews_;
   std::vector<Row> rows_;
-  std::unordered_map<std::string, Index> routes_;
+  std::unordered_map<std::string, NameIndex> routes_;
   std::map<std::string, std::vector<std::string>> ownedRoutes_;
-  config::HttpTerms httpTerms_;
+  config::HttpLimits httpTerms_;
   Tenants tenants_;
   std::set<std::string> evacuated_;
   /// Rises whenever paths change.
   std::uint64_t configurationRevision_ = 1;
   std::map<std::string, Confirmation> confirmations_;
   /// Echoes that name what is not known here yet.
-  std::map<std::string, transport::Touch> echoes_;
+  std::map<std::string, transport::PeerHeartbeat> echoes_;
   /// Newest tick at which that router had nothing in force that this one lacks now.
   std::map<std::string, Tick> heard_;
   /// Digest of the keys, and those it had before in this life, newest last.
@@ -656,13 +657,13 @@
   /// Control has vouched for this life's snapshot. Until then this node is none of the majority that it stands on: its
   /// life before may have been counted for a change that it lacks now.
   bool vouched_ = false;
-  core::Rng rng_;
+  core::RandomGenerator rng_;
   std::map<CreditKey, Credit> credits_;
   /// Credits that looks may change: all others are at rest.
   std::set<CreditKey> awake_;
-  std::map<Index, Warm> warm_;
-  scaling::Prefixes prefixes_;
-  scaling::Kept kept_;
+  std::map<NameIndex, Warm> warm_;
+  scaling::PrefixCacheIndex prefixes_;
+  scaling::PrefixCacheEstimate kept_;
   scaling::RetryBudgets budget_;
   std::unordered_map<CallId, Call> calls_;
   std::unordered_map<std::string, Seen> seen_;
@@ -686,11 +687,11 @@
   /// Some path has been bound to a regime in this life.
   bool bound_ = false;
   /// What binds an instance, by the newest of its paths.
-  std::map<Index, std::string> instanceRegimes_;
+  std::map<NameIndex, std::string> instanceRegimes_;
   /// Replicas that have a certificate for a regime, and the share of their room that other work leaves free; as of
   /// certifiedAt_.
-  std::map<std::string, std::set<Index>> certified_;
-  std::map<Index, double> reserved_;
+  std::map<std::string, std::set<NameIndex>> certified_;
+  std::map<NameIndex, double> reserved_;
   Tick certifiedAt_ = -1;
   /// Most that wall time was ahead of the tick.
   std::optional<std::int64_t> wallAhead_;
--- a/dataplane/include/corkward/dataplane/stream.h
+++ b/dataplane/include/corkward/dataplane/response_stream.h
@@ -11,17 +11,17 @@
 namespace corkward::dataplane {
 
 /// Header fields of an answer in their order; a name may come more than once.
-using Fields = std::vector<std::pair<std::string, std::string>>;
+using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
 /// How an answer begins, as the HTTP edge's mapping reads it.
-struct Head {
+struct ResponseHead {
   int status = 0;
   /// Fields that go back to the caller.
-  Fields fields = {};
+  HeaderList fields = {};
   /// Length of the body; below zero: in chunks.
   std::int64_t length = -1;
   /// The replica says that it did not run the request.
-  bool notRun = false;
+  bool notExecuted = false;
   /// The replica says that it failed at the request, which may have run.
   bool failed = false;
   /// The answer belongs to another request, or is none that may be passed on.
@@ -52,22 +52,22 @@
   /// Tell the plane that the replica answers with a failure, of which nothing was passed on yet.
   bool failed = false;
   /// Begin the caller's answer.
-  std::optional<Head> begin;
+  std::optional<ResponseHead> begin;
   /// Tell the plane that the first word, or the first one after a resume, has come; and whether the run may be resumed.
-  std::optional<bool> firstWord;
+  std::optional<bool> firstByte;
   /// Bytes for the caller.
-  std::string piece;
+  std::string chunk;
   /// Close the replica's connection.
-  bool abandon = false;
+  bool closeUpstream = false;
   /// Write the caller's end of body: the replica's own was seen.
   bool finish = false;
   /// Tell the plane how the connection ended.
-  std::optional<End> ended;
+  std::optional<UpstreamResult> ended;
 };
 
 /// What passes from one call's replica connections to its caller, as a pure reducer: which run it is, how far it has
 /// come, and whether the end may be told. The HTTP edge and the simulator run the same one.
-class Stream {
+class ResponseStream {
  public:
   /// Rows of events are passed on in whole events and may go on at another replica after the last one passed on.
   /// Answers that are no such row are passed on as they are. Only before the first connection.
@@ -79,7 +79,7 @@
   Resume resume() const;
   /// Id of the last event passed on, else the caller's own; empty: none.
   std::string const& lastEvent() const { return lastId_; }
-  StreamSteps head(Head const& head);
+  StreamSteps head(ResponseHead const& head);
   StreamSteps piece(std::string bytes);
   /// The body's own end was seen (true), or the connection ended before it.
   StreamSteps ended(bool whole);
@@ -90,13 +90,13 @@
     std::string id;
     bool data = false;
   };
-  StreamSteps over(End end);
-  void over(StreamSteps& out, End end);
+  StreamSteps over(UpstreamResult end);
+  void over(StreamSteps& out, UpstreamResult end);
   void begin(StreamSteps& out);
   StreamSteps eventPiece(std::string const& bytes);
   bool pass(StreamSteps& out, std::size_t start);
   void line(std::size_t from, std::size_t to);
-  Head head_;
+  ResponseHead head_;
   std::string run_;
   std::uint64_t offset_ = 0;
   bool begun_ = false;
--- a/dataplane/include/corkward/dataplane/tenants.h
+++ b/dataplane/include/corkward/dataplane/tenants.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include <corkward/config/config.h>
-#include <corkward/quota/gate.h>
+#include <corkward/quota/quota_limiter.h>
 #include <corkward/transport/message.h>
 
 namespace corkward::dataplane {
@@ -21,7 +21,7 @@
 
 /// What a tenant's limit says of a request. Refused by the share that routers may admit of its requests, by a lender
 /// that has too little left, or because no lender answers and this router has too little.
-enum class Admission { granted, waits, refusedByShare, refusedByLender, refusedWithoutLender };
+enum class Admission { granted, pending, rejectedByAllocation, rejectedByCoordinator, rejectedWithoutCoordinator };
 
 /// What became of a request that waited for its amount.
 struct QuotaDecision {
@@ -35,7 +35,7 @@
 class Tenants {
  public:
   /// Life: number of this process's run.
-  Tenants(std::string link, std::uint64_t life, std::uint64_t seed, quota::Slack const& slack);
+  Tenants(std::string link, std::uint64_t life, std::uint64_t seed, quota::OverdraftAllowance const& slack);
 
   /// The tenants of the configuration in force; gates of tenants that stay are kept.
   void configure(std::vector<config::Tenant> tenants);
@@ -56,16 +56,16 @@
   /// An amount that was taken is not used.
   void giveBack(Tick now, std::string const& tenant, double amount);
 
-  std::vector<QuotaDecision> arrived(Tick now, std::string const& from, quota::Loans const& message,
+  std::vector<QuotaDecision> arrived(Tick now, std::string const& from, quota::QuotaGrants const& message,
                                      std::vector<transport::Send>& out);
   /// A new lender asks which loans of its parts are held here.
-  transport::Send arrived(Tick now, std::string const& from, quota::ClaimAsk const& message);
+  transport::Send arrived(Tick now, std::string const& from, quota::AllocationQuery const& message);
   /// Reports that are due, and requests that have waited long enough.
   std::vector<QuotaDecision> clockEvent(Tick now, std::vector<transport::Send>& out);
 
  private:
   struct Limited {
-    quota::Gate gate;
+    quota::QuotaLimiter gate;
     quota::Limit limit;
     /// The lender had too little for the last request that asked; others are not asked for until then.
     Tick scarceUntil = 0;
@@ -98,7 +98,7 @@
   std::string lenderOf(Tick now, std::uint64_t part) const;
   /// Sends a report of one tenant with the amount that a request waits for. False: there is nobody to ask.
   bool ask(Tick now, Waiting waiting, std::vector<transport::Send>& out);
-  void send(Tick now, std::string const& lender, std::vector<quota::Use> uses, std::vector<Waiting> waiting,
+  void send(Tick now, std::string const& lender, std::vector<quota::TenantUsage> uses, std::vector<Waiting> waiting,
             std::vector<transport::Send>& out);
   /// Decides on a request for which no amount came.
   QuotaDecision withoutLender(Tick now, Waiting const& waiting);
@@ -106,13 +106,13 @@
 
   std::string link_;
   std::uint64_t life_;
-  core::Rng rng_;
-  quota::Slack slack_;
+  core::RandomGenerator rng_;
+  quota::OverdraftAllowance slack_;
   std::vector<config::Tenant> tenants_;
   std::unordered_map<std::string, std::size_t> byKey_;
   std::map<std::string, Limited> gates_;
   std::vector<std::string> controllers_;
-  quota::Crowd crowd_;
+  quota::UnallocatedShare crowd_;
   std::map<std::string, Lender> lenders_;
   /// Who was said to lend a part; empty: nobody.
   std::map<std::uint64_t, std::string> told_;
--- a/dataplane/src/calls.cpp
+++ b/dataplane/src/admission.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <functional>
 
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 
 #include "internal.h"
 
@@ -16,39 +16,39 @@
 
 }  // namespace
 
-Index RequestRouter::findPath(Request const& request) const {
+NameIndex RequestRouter::findPath(Request const& request) const {
   if (!request.instance.empty()) {
-    std::unordered_map<std::string, Index>::const_iterator const it =
+    std::unordered_map<std::string, NameIndex>::const_iterator const it =
         routes_.find(request.instance + "/" + request.path);
-    return it == routes_.end() ? core::Names::none : it->second;
+    return it == routes_.end() ? core::InternedNames::none : it->second;
   }
   std::string const key = request.host + request.target.substr(0, request.target.find_first_of("?#"));
   for (std::size_t slash = key.rfind('/'); slash != std::string::npos && slash >= request.host.size();
        slash = key.rfind('/', slash - 1)) {
-    std::unordered_map<std::string, Index>::const_iterator const it = routes_.find(key.substr(0, slash + 1));
+    std::unordered_map<std::string, NameIndex>::const_iterator const it = routes_.find(key.substr(0, slash + 1));
     if (it != routes_.end()) return it->second;
     if (slash == 0) break;
   }
-  return core::Names::none;
+  return core::InternedNames::none;
 }
 
-Index RequestRouter::choosePool(Tick now, Row const& row, CallId id) const {
+NameIndex RequestRouter::choosePool(Tick now, Row const& row, CallId id) const {
   std::uint64_t sum = 0;
-  for (std::pair<Index, std::uint32_t> const& s : row.shares) sum += s.second;
-  std::uint64_t at = core::Rng(seed_ ^ id).below(sum);
-  Index chosen = row.pool;
-  for (std::pair<Index, std::uint32_t> const& s : row.shares) {
+  for (std::pair<NameIndex, std::uint32_t> const& s : row.shares) sum += s.second;
+  std::uint64_t at = core::RandomGenerator(seed_ ^ id).below(sum);
+  NameIndex chosen = row.pool;
+  for (std::pair<NameIndex, std::uint32_t> const& s : row.shares) {
     chosen = s.first;
     if (at < s.second) break;
     at -= s.second;
   }
-  std::function<bool(Index)> const serves = [&](Index pool) {
-    std::vector<Index> const& all = poolViews_[pool].replicas;
+  std::function<bool(NameIndex)> const serves = [&](NameIndex pool) {
+    std::vector<NameIndex> const& all = poolViews_[pool].replicas;
     return std::any_of(all.begin(), all.end(),
-                       [&](Index const r) { return usable(now, r) && mayDraw(row.path.regime, r); });
+                       [&](NameIndex const r) { return usable(now, r) && mayDraw(row.path.regime, r); });
   };
   if (row.shares.size() < 2 || serves(chosen)) return chosen;
-  for (std::pair<Index, std::uint32_t> const& s : row.shares)
+  for (std::pair<NameIndex, std::uint32_t> const& s : row.shares)
     if (serves(s.first)) return s.first;
   return chosen;
 }
@@ -58,14 +58,14 @@
   call.tenant.clear();
   if (path.host.empty() || !tenants_.required()) return true;
   config::Tenant const* const tenant = tenants_.byKey(call.request.key);
-  if (tenant == nullptr) return path.open;
+  if (tenant == nullptr) return path.isPublic;
   call.tenant = tenant->name;
   if (tenant->urgency >= 0) call.urgency = tenant->urgency;
   return true;
 }
 
-Commands RequestRouter::request(Tick now, Request const& request) {
-  Commands out;
+RouterCommands RequestRouter::onRequest(Tick now, Request const& request) {
+  RouterCommands out;
   noteLag(now);
   count(now, "requests");
   CallId const id = request.call;
@@ -74,8 +74,8 @@
   call.phase = Phase::asking;
   call.arrived = now;
   call.phaseAt = now;
-  Index const path = findPath(request);
-  if (path != core::Names::none) {
+  NameIndex const path = findPath(request);
+  if (path != core::InternedNames::none) {
     call.path = path;
     call.pathRevision = configurationRevision_;
   }
@@ -88,7 +88,7 @@
     reject(out, now, id, 503, "no serving lease", true, tuning_.comeBack);
     return out;
   }
-  if (path == core::Names::none) {
+  if (path == core::InternedNames::none) {
     reject(out, now, id, 404, "no such path", true, 0);
     return out;
   }
@@ -107,9 +107,10 @@
                request.readFor;
   mine.prefix = request.prefix.empty() ? 0 : core::stableHash(request.instance + "|" + request.prefix);
   mine.echo = request.attempt > 1;
-  mine.reached = request.earlierReached || (request.attempt > 1 && !request.earlierNotRun && row.path.resumable);
+  mine.reached =
+      request.earlierReachedReplica || (request.attempt > 1 && !request.earlierNotExecuted && row.path.resumable);
   Admission const admission = withinQuota(out, now, mine);
-  if (admission == Admission::waits)
+  if (admission == Admission::pending)
     mine.phase = Phase::counting;
   else if (admission == Admission::granted)
     place(out, now, id);
@@ -118,7 +119,7 @@
   return out;
 }
 
-void RequestRouter::place(Commands& out, Tick now, CallId id) {
+void RequestRouter::place(RouterCommands& out, Tick now, CallId id) {
   Call& mine = calls_.at(id);
   Request const& request = mine.request;
   Row const& row = rows_[mine.path];
@@ -157,7 +158,7 @@
     decideClaim(out, now, id, false);
     return;
   }
-  if (request.attempt > 1 && !request.earlierNotRun && !row.path.resumable) {
+  if (request.attempt > 1 && !request.earlierNotExecuted && !row.path.resumable) {
     if (request.id.empty()) {
       reject(out, now, id, 409, "a later attempt without an id cannot be told from the first", false, 0);
     } else if (request.age < 0) {
@@ -174,7 +175,7 @@
   admit(out, now, id);
 }
 
-void RequestRouter::admit(Commands& out, Tick now, CallId id) {
+void RequestRouter::admit(RouterCommands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
   std::string const shut = closed(now, regimeOf(call));
   if (!shut.empty()) {
@@ -185,33 +186,33 @@
   CreditKey const key{call.pool, row.instance};
   bool const fresh = credits_.count(key) == 0;
   Credit& c = credit(out, now, key);
-  if (fresh && call.request.parts.size() > 1) c.scaler.begin(home(call));
+  if (fresh && call.request.segments.size() > 1) c.scaler.begin(home(call));
   call.phase = Phase::held;
   if (call.reached && !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance)) {
     reject(out, now, id, 503, "no retry left for what may have reached a replica before", true, tuning_.comeBack);
     return;
   }
   std::size_t const ahead = c.heldCount();
-  if (call.request.parts.size() > 1 && !c.scaler.has(home(call))) look(out, now, key, id);
+  if (call.request.segments.size() > 1 && !c.scaler.has(home(call))) look(out, now, key, id);
   if (ahead == 0 && tryConnect(out, now, id)) {
     look(out, now, key);
     return;
   }
   std::size_t const bound = std::max(tuning_.heldLeast, static_cast<std::size_t>(tuning_.heldPerCap * c.scaler.cap()));
-  bool const none = c.scaler.part().empty();
-  Tick const wait = expectedWait(c, row.path.cls);
-  bool const late =
-      wait > static_cast<Tick>(tuning_.heldAims * static_cast<double>(row.path.aim)) || now + wait > call.until;
+  bool const none = c.scaler.subset().empty();
+  Tick const wait = expectedWait(c, row.path.requestClass);
+  bool const late = wait > static_cast<Tick>(tuning_.heldAims * static_cast<double>(row.path.latencyTarget)) ||
+                    now + wait > call.until;
   bool const slow = c.scaler.allSlow() && ahead >= static_cast<std::size_t>(std::max(1.0, c.scaler.cap()));
   if (none || ahead >= bound || late || slow) {
     reject(out, now, id, 503,
            none   ? "no replica"
            : slow ? "all replicas slow"
                   : "too much held",
-           true, comeBack(c, row.path.cls));
+           true, comeBack(c, row.path.requestClass));
     return;
   }
-  c.held[lane(row.path.cls)].push_back(id);
+  c.held[lane(row.path.requestClass)].push_back(id);
   look(out, now, key);
   pump(out, now, key);
 }
@@ -242,7 +243,8 @@
   return "unknown";
 }
 
-void RequestRouter::noteFailure(Commands& out, Tick now, Call const& call, int status, std::string const& reason) {
+void RequestRouter::noteFailure(RouterCommands& out, Tick now, Call const& call, int status,
+                                std::string const& reason) {
   bool const placed = call.phase != Phase::asking && call.phase != Phase::held;
   Failure failure;
   failure.trace = call.request.trace;
@@ -253,29 +255,29 @@
   failure.phase = nameOf(call.phase);
   failure.took = now - call.arrived;
   failure.handOvers = call.handedTo.size();
-  failure.configuration = revisionOf(config::wholeKey);
+  failure.configuration = revisionOf(config::fleetConfigurationKey);
   if (std::optional<core::LogEvent> line = failures_.note(now, failure)) out.failures.push_back(std::move(*line));
 }
 
-void RequestRouter::drop(Commands& out, Tick now, CallId id) {
+void RequestRouter::drop(RouterCommands& out, Tick now, CallId id) {
   Call gone = calls_.at(id);
   forget(now, id);
   uncount(out, now, gone);
 }
 
-void RequestRouter::reject(Commands& out, Tick now, CallId id, int status, std::string reason, bool notRun,
+void RequestRouter::reject(RouterCommands& out, Tick now, CallId id, int status, std::string reason, bool notRun,
                            double retryAfter) {
   Call& call = calls_.at(id);
   CORKWARD_INVARIANT(call.phase != Phase::streaming);
   CORKWARD_INVARIANT(!notRun || call.phase != Phase::handed);
   notRun = notRun && !call.mayHaveRun;
   bool const once = call.outstanding && !rows_[call.path].path.repeatable && !rows_[call.path].path.resumable;
-  CORKWARD_PROMISE(core::Promise::notRunIsTrue, !once || (!notRun && !saysNotRun(status)),
-                   call.request.trace + " got " + std::to_string(status) + ": " + reason);
+  CORKWARD_GUARANTEE(core::Guarantee::notExecutedIsTrue, !once || (!notRun && !saysNotRun(status)),
+                     call.request.trace + " got " + std::to_string(status) + ": " + reason);
   unhold(id);
   noteFailure(out, now, call, status, reason);
   count(now, "denied_" + std::to_string(status), reason);
-  if (!regimeOf(call).empty()) record(out, now, call, Happened::rejected, reason);
+  if (!regimeOf(call).empty()) record(out, now, call, AuditOutcome::rejected, reason);
   out.calls.push_back(Reject{id, status, std::move(reason), notRun, retryAfter, call.reached || call.dispatched});
   drop(out, now, id);
 }
--- a/dataplane/src/credits.cpp
+++ b/dataplane/src/admission_queues.cpp
@@ -9,11 +9,11 @@
 std::vector<std::pair<std::size_t, std::size_t>> RequestRouter::parts(std::string const& pool) const {
   std::vector<std::pair<std::size_t, std::size_t>> out;
   for (std::map<CreditKey, Credit>::value_type const& c : credits_)
-    if (pools_.name(c.first.first) == pool) out.emplace_back(c.second.scaler.part().size(), c.second.heldCount());
+    if (pools_.name(c.first.first) == pool) out.emplace_back(c.second.scaler.subset().size(), c.second.heldCount());
   return out;
 }
 
-void RequestRouter::refreshPool(Tick now, Index pool) {
+void RequestRouter::refreshPool(Tick now, NameIndex pool) {
   PoolView& view = poolViews_[pool];
   if (!view.changed && now < view.changesAt) return;
   view.changed = false;
@@ -21,10 +21,10 @@
   avoidWorst(now, pool);
   setApart(view);
   std::vector<scaling::Candidate> all;
-  for (Index const ix : view.replicas) {
+  for (NameIndex const ix : view.replicas) {
     Replica const& r = replicas_[ix];
     bool const cold = r.state == config::ReplicaState::cold;
-    std::map<Index, Warm>::const_iterator const w = warm_.find(ix);
+    std::map<NameIndex, Warm>::const_iterator const w = warm_.find(ix);
     for (Tick const at : {r.coolUntil, cold && w != warm_.end() ? w->second.until : 0, r.reliability.restUntil()})
       if (at > now) view.changesAt = std::min(view.changesAt, at);
     if (usable(now, ix) && !(r.avoided && r.reliability.resting(now)))
@@ -41,9 +41,9 @@
   }
 }
 
-void RequestRouter::refreshCandidates(Commands& out, Tick now) {
+void RequestRouter::refreshCandidates(RouterCommands& out, Tick now) {
   refreshCertified(now);
-  for (Index pool = 0; pool < poolViews_.size(); ++pool) refreshPool(now, pool);
+  for (NameIndex pool = 0; pool < poolViews_.size(); ++pool) refreshPool(now, pool);
   std::vector<CreditKey> const keys(awake_.begin(), awake_.end());
   for (CreditKey const& k : keys) pump(out, now, k);
 }
@@ -52,7 +52,7 @@
   if (awake_.insert(key).second) credits_.at(key).rate.catchUp(now);
 }
 
-RequestRouter::Credit& RequestRouter::credit(Commands& out, Tick now, CreditKey const& key) {
+RequestRouter::Credit& RequestRouter::credit(RouterCommands& out, Tick now, CreditKey const& key) {
   std::map<CreditKey, Credit>::iterator it = credits_.find(key);
   if (it != credits_.end()) {
     wake(now, key);
@@ -67,7 +67,7 @@
   return it->second;
 }
 
-Tick RequestRouter::expectedWait(Credit const& c, config::Class cls) const {
+Tick RequestRouter::expectedWait(Credit const& c, config::RequestClass cls) const {
   std::size_t ahead = 0;
   for (std::size_t l = 0; l <= lane(cls); ++l) ahead += c.held[l].size();
   if (ahead == 0) return 0;
@@ -75,11 +75,11 @@
   return static_cast<Tick>(1000.0 * static_cast<double>(ahead) / rate);
 }
 
-double RequestRouter::comeBack(Credit const& c, config::Class cls) const {
+double RequestRouter::comeBack(Credit const& c, config::RequestClass cls) const {
   return std::clamp(static_cast<double>(expectedWait(c, cls)) / 1000.0, tuning_.comeBack, 30.0);
 }
 
-void RequestRouter::look(Commands& out, Tick now, CreditKey key, CallId unplaced) {
+void RequestRouter::look(RouterCommands& out, Tick now, CreditKey key, CallId unplaced) {
   Credit& c = credits_.at(key);
   std::size_t held = 0;
   std::int64_t wanted = -1;
@@ -90,18 +90,18 @@
   }
   for (std::list<CallId> const& lane : c.held)
     for (CallId const id : lane) held += calls_.at(id).echo ? 0 : 1;
-  int const step = c.scaler.look(now, held, wanted);
+  int const step = c.scaler.evaluate(now, held, wanted);
   if (step == 0) return;
   logEvent(out, now, step > 0 ? "widened" : "gave-back",
            {{"instance", instances_.name(key.second)},
             {"pool", pools_.name(key.first)},
-            {"part", std::to_string(c.scaler.part().size())}});
+            {"part", std::to_string(c.scaler.subset().size())}});
   if (step > 0) pump(out, now, key);
 }
 
 bool RequestRouter::mayTry(Tick, Credit& c, CreditKey key, Call const& call) const {
-  bool const bulk = rows_[call.path].path.cls == config::Class::bulk;
-  if (!c.scaler.makeRoom(bulk)) return false;
+  bool const bulk = rows_[call.path].path.requestClass == config::RequestClass::bulk;
+  if (!c.scaler.raiseLimitFor(bulk)) return false;
   std::string const& regime = regimeOf(key.second);
   std::size_t const replicas = regime.empty() ? poolViews_[key.first].replicas.size() : c.scaler.candidates();
   double const poolCap = tuning_.nodeLimitPerReplica * static_cast<double>(std::max<std::size_t>(replicas, 1));
@@ -119,7 +119,7 @@
   return taken < poolCap;
 }
 
-void RequestRouter::pump(Commands& out, Tick now, CreditKey key) {
+void RequestRouter::pump(RouterCommands& out, Tick now, CreditKey key) {
   if (pumping_) return;
   pumping_ = true;
   Credit& c = credits_.at(key);
@@ -141,14 +141,14 @@
   pumping_ = false;
 }
 
-void RequestRouter::uncount(Commands& out, Tick now, Call& call) {
+void RequestRouter::uncount(RouterCommands& out, Tick now, Call& call) {
   haveRead(call);
   if (!call.counted) return;
   call.counted = false;
   Row const& row = rows_[call.path];
   CreditKey const key{call.pool, row.instance};
   Credit& c = credits_.at(key);
-  c.scaler.ended(call.replica, row.path.cls == config::Class::bulk);
+  c.scaler.onEnded(call.replica, row.path.requestClass == config::RequestClass::bulk);
   --replicas_[call.replica].inFlight;
   c.rate.ended();
   look(out, now, key);
