--- a/dataplane/src/dispatch.cpp
+++ b/dataplane/src/dispatch.cpp
@@ -1,13 +1,13 @@
 // From the choice of a replica to the hand-over, with the last checks before it, and tries at other replicas.
 #include <algorithm>
 
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 
 #include "internal.h"
 
 namespace corkward::dataplane {
 
-bool RequestRouter::tryConnect(Commands& out, Tick now, CallId id) {
+bool RequestRouter::tryConnect(RouterCommands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
   Row const& row = rows_[call.path];
   CreditKey const key{call.pool, row.instance};
@@ -17,7 +17,7 @@
   if (chosen < 0 && room && call.dispatched && !regimeOf(call).empty())
     chosen = choose(now, call, beyondPart(now, call.pool));
   if (chosen < 0) return false;
-  Index const replica = static_cast<Index>(chosen);
+  NameIndex const replica = static_cast<NameIndex>(chosen);
   if (replicas_[replica].state == config::ReplicaState::cold) {
     bool const taken = warm_.at(replica).bucket.take(now, coldRate(call.pool));
     CORKWARD_INVARIANT(taken);
@@ -26,26 +26,26 @@
   return true;
 }
 
-void RequestRouter::connectTo(Commands& out, Tick now, CallId id, Index replica) {
+void RequestRouter::connectTo(RouterCommands& out, Tick now, CallId id, NameIndex replica) {
   Call& call = calls_.at(id);
   Row const& row = rows_[call.path];
   call.phase = Phase::connecting;
   call.phaseAt = now;
   call.replica = replica;
   call.counted = true;
-  credits_.at({call.pool, row.instance}).scaler.sent(replica, row.path.cls == config::Class::bulk);
+  credits_.at({call.pool, row.instance}).scaler.onSent(replica, row.path.requestClass == config::RequestClass::bulk);
   ++replicas_[replica].inFlight;
   out.calls.push_back(Connect{id, addressOf(replica), row.path.path, false, !row.path.repeatable,
                               regimeOf(call).empty() ? "" : replicas_[replica].id, ownEvents(row.path)});
 }
 
-Commands RequestRouter::connected(Tick now, CallId id) {
-  Commands out;
+RouterCommands RequestRouter::onConnected(Tick now, CallId id) {
+  RouterCommands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it != calls_.end() && it->second.phase == Phase::handed && it->second.resumes > 0) {
     if (servingLease(now) && usable(now, it->second.replica) && lawful(now, it->second) &&
         spendQuota(now, it->second)) {
-      record(out, now, it->second, Happened::resumed);
+      record(out, now, it->second, AuditOutcome::resumed);
       out.calls.push_back(handOver(now, id));
     } else if (!rows_[it->second.path].path.stream || !resumeElsewhere(out, now, id)) {
       breakOff(out, now, id);
@@ -55,26 +55,26 @@
   if (it == calls_.end() || it->second.phase != Phase::connecting) return out;
   Call& call = it->second;
   if (!servingLease(now)) {
-    out.calls.push_back(Abandon{id});
+    out.calls.push_back(CloseUpstream{id});
     reject(out, now, id, 503, "no serving lease", true, tuning_.comeBack);
     return out;
   }
-  Index const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
-  if (path == core::Names::none) {
-    out.calls.push_back(Abandon{id});
+  NameIndex const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
+  if (path == core::InternedNames::none) {
+    out.calls.push_back(CloseUpstream{id});
     reject(out, now, id, 404, "the configuration has changed", true, 0);
     return out;
   }
   if (!identify(call, rows_[path].path)) {
-    out.calls.push_back(Abandon{id});
+    out.calls.push_back(CloseUpstream{id});
     reject(out, now, id, 401, "the tenant's key was taken away", true, 0);
     return out;
   }
-  std::vector<std::pair<Index, std::uint32_t>> const& shares = rows_[path].shares;
+  std::vector<std::pair<NameIndex, std::uint32_t>> const& shares = rows_[path].shares;
   bool const rebound = rows_[path].path.regime != rows_[call.path].path.regime;
   if (rebound || std::none_of(shares.begin(), shares.end(),
-                              [&](std::pair<Index, std::uint32_t> const& s) { return s.first == call.pool; })) {
-    out.calls.push_back(Abandon{id});
+                              [&](std::pair<NameIndex, std::uint32_t> const& s) { return s.first == call.pool; })) {
+    out.calls.push_back(CloseUpstream{id});
     call.phase = Phase::held;
     uncount(out, now, call);
     call.path = path;
@@ -85,22 +85,22 @@
   }
   std::string const shut = closed(now, regimeOf(call));
   if (!shut.empty()) {
-    out.calls.push_back(Abandon{id});
+    out.calls.push_back(CloseUpstream{id});
     reject(out, now, id, 503, shut, true, tuning_.comeBack);
     return out;
   }
   if (!usable(now, call.replica) || !lawful(now, call)) {
-    out.calls.push_back(Abandon{id});
+    out.calls.push_back(CloseUpstream{id});
     retry(out, now, id, "replica left before sending");
     return out;
   }
   if (now >= call.until) {
-    out.calls.push_back(Abandon{id});
+    out.calls.push_back(CloseUpstream{id});
     reject(out, now, id, 503, "deadline passed", true, tuning_.comeBack);
     return out;
   }
   if (!spendQuota(now, call)) {
-    out.calls.push_back(Abandon{id});
+    out.calls.push_back(CloseUpstream{id});
     bool const ran = call.outstanding;
     reject(out, now, id, ran ? 502 : 429, ran ? "unknown, may have run; its tenant is beyond its limit" : overQuota,
            !ran, ran ? 0 : tuning_.quotaComeBack);
@@ -121,7 +121,7 @@
     prefixes_.served(call.prefix, call.replica);
   }
   count(now, "handed_over");
-  record(out, now, call, Happened::handedOver);
+  record(out, now, call, AuditOutcome::handedOver);
   out.calls.push_back(handOver(now, id));
   return out;
 }
@@ -130,57 +130,58 @@
   Row const& row = rows_[call.path];
   std::string const& trace = call.request.trace;
   bool const mayRepeat = row.path.repeatable || row.path.resumable || call.resumes > 0;
-  CORKWARD_PROMISE(core::Promise::runsOnce, mayRepeat || !call.outstanding, trace + " is handed over once more");
+  CORKWARD_GUARANTEE(core::Guarantee::runsOnce, mayRepeat || !call.outstanding, trace + " is handed over once more");
   bool const bounded = !row.path.host.empty() && regimeOf(call).empty();
   bool const samePath = call.pathRevision == configurationRevision_;
-  CORKWARD_PROMISE(core::Promise::withinTries,
-                   !bounded || !samePath || static_cast<int>(call.handedTo.size()) < std::max(row.path.tries, 1),
-                   trace + " is handed to replica " + std::to_string(call.handedTo.size() + 1));
-  CORKWARD_PROMISE(core::Promise::allowedReplica,
-                   usable(now, call.replica) && replicas_[call.replica].pool == call.pool,
-                   trace + " goes to " + replicaNames_.name(call.replica));
+  CORKWARD_GUARANTEE(
+      core::Guarantee::withinAttempts,
+      !bounded || !samePath || static_cast<int>(call.handedTo.size()) < std::max(row.path.maxAttempts, 1),
+      trace + " is handed to replica " + std::to_string(call.handedTo.size() + 1));
+  CORKWARD_GUARANTEE(core::Guarantee::allowedReplica,
+                     usable(now, call.replica) && replicas_[call.replica].pool == call.pool,
+                     trace + " goes to " + replicaNames_.name(call.replica));
   Tick const waited = now - call.arrived + call.request.readFor;
-  CORKWARD_PROMISE(core::Promise::timeLeft,
-                   call.request.deadline <= 0 || left <= std::max<Tick>(call.request.deadline - waited, 1),
-                   trace + " goes on with " + std::to_string(left) + " ms");
+  CORKWARD_GUARANTEE(core::Guarantee::timeLeft,
+                     call.request.deadline <= 0 || left <= std::max<Tick>(call.request.deadline - waited, 1),
+                     trace + " goes on with " + std::to_string(left) + " ms");
 }
 
-HandOver RequestRouter::handOver(Tick now, CallId id) {
+SendRequest RequestRouter::handOver(Tick now, CallId id) {
   Call& call = calls_.at(id);
   Tick const left = std::max<Tick>(call.until - now, 1);
   checkHandOver(now, call, left);
   call.outstanding = true;
   call.handedTo.push_back(call.replica);
   call.judged = false;
-  std::vector<Part> const& parts = call.request.parts;
+  std::vector<PromptSegment> const& parts = call.request.segments;
   if (parts.size() > 1) {
     call.reading = unread(call, call.replica, home(call)) + parts.back().tokens;
     replicas_[call.replica].reading += call.reading;
   }
-  std::optional<config::PoolTerms> const& terms = poolViews_[call.pool].terms;
+  std::optional<config::PoolSettings> const& terms = poolViews_[call.pool].terms;
   for (std::size_t i = 0; i + 1 < parts.size(); ++i)
     kept_.sent(call.replica, parts[i].hash, parts[i].tokens, terms ? terms->tokens / 2 : 0);
   int rank = call.urgency;
   if (!parts.empty() && tuning_.ranksBySize) {
     std::int64_t tokens = 0;
-    for (Part const& p : parts) tokens += p.tokens;
+    for (PromptSegment const& p : parts) tokens += p.tokens;
     rank = tokens < tuning_.shortTokens ? 1 : tokens < tuning_.longTokens ? 3 : 5;
   }
   bool const tells = tenants_.required() && !rows_[call.path].path.host.empty();
-  return HandOver{id,
-                  replicas_[call.replica].id,
-                  left,
-                  rank,
-                  regimeOf(call),
-                  tells ? std::optional<std::string>(call.tenant) : std::nullopt};
+  return SendRequest{id,
+                     replicas_[call.replica].id,
+                     left,
+                     rank,
+                     regimeOf(call),
+                     tells ? std::optional<std::string>(call.tenant) : std::nullopt};
 }
 
 bool RequestRouter::mayGoOn(Tick now, Call const& call) const {
   config::Path const& path = rows_[call.path].path;
-  return static_cast<int>(call.handedTo.size()) < std::max(path.tries, 1) && now < call.until;
+  return static_cast<int>(call.handedTo.size()) < std::max(path.maxAttempts, 1) && now < call.until;
 }
 
-bool RequestRouter::resumeElsewhere(Commands& out, Tick now, CallId id) {
+bool RequestRouter::resumeElsewhere(RouterCommands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
   uncount(out, now, call);
   Row const& row = rows_[call.path];
@@ -188,11 +189,11 @@
   std::int64_t chosen = choose(now, call, usableOf(now, c, true));
   if (chosen < 0 && !regimeOf(call).empty()) chosen = choose(now, call, beyondPart(now, call.pool));
   if (chosen < 0 || !servingLease(now)) return false;
-  call.replica = static_cast<Index>(chosen);
+  call.replica = static_cast<NameIndex>(chosen);
   if (replicas_[call.replica].state == config::ReplicaState::cold &&
       !warm_.at(call.replica).bucket.take(now, coldRate(call.pool)))
     return false;
-  c.scaler.sent(call.replica, row.path.cls == config::Class::bulk);
+  c.scaler.onSent(call.replica, row.path.requestClass == config::RequestClass::bulk);
   ++replicas_[call.replica].inFlight;
   call.counted = true;
   call.phase = Phase::handed;
@@ -202,7 +203,7 @@
   return true;
 }
 
-void RequestRouter::retry(Commands& out, Tick now, CallId id, char const* why) {
+void RequestRouter::retry(RouterCommands& out, Tick now, CallId id, char const* why) {
   Call& call = calls_.at(id);
   bool const again = call.dispatched;
   CORKWARD_INVARIANT(call.phase == Phase::connecting);
@@ -219,10 +220,10 @@
   count(now, again ? "retried_dispatched" : "retried");
   CreditKey const key{call.pool, rows_[call.path].instance};
   if (tryConnect(out, now, id)) return;
-  credits_.at(key).held[lane(rows_[call.path].path.cls)].push_front(id);
+  credits_.at(key).held[lane(rows_[call.path].path.requestClass)].push_front(id);
 }
 
-void RequestRouter::takeBack(Commands& out, Tick now, CallId id) {
+void RequestRouter::takeBack(RouterCommands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
   call.handedTo.pop_back();
   call.outstanding = false;
@@ -231,11 +232,11 @@
   call.dispatched = !call.handedTo.empty();
   if (!call.dispatched && !call.request.id.empty())
     remember(now, call.request.instance + "|" + call.request.id).mayHaveRun = false;
-  record(out, now, call, Happened::notRun);
+  record(out, now, call, AuditOutcome::notExecuted);
 }
 
-Commands RequestRouter::connectRejected(Tick now, CallId id) {
-  Commands out;
+RouterCommands RequestRouter::onConnectFailure(Tick now, CallId id) {
+  RouterCommands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return out;
   bool const resuming = it->second.phase == Phase::handed && it->second.resumes > 0;
@@ -256,8 +257,8 @@
   return out;
 }
 
-Commands RequestRouter::connectImpossible(Tick now, CallId id) {
-  Commands out;
+RouterCommands RequestRouter::onLocalConnectFailure(Tick now, CallId id) {
+  RouterCommands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return out;
   Call const& call = it->second;
@@ -265,7 +266,7 @@
   if (call.phase == Phase::handed && call.resumes > 0) {
     breakOff(out, now, id, why);
   } else if (call.phase == Phase::connecting) {
-    out.calls.push_back(Abandon{id});
+    out.calls.push_back(CloseUpstream{id});
     reject(out, now, id, 503, why, true, tuning_.comeBack);
   }
   return out;
--- a/dataplane/src/internal.h
+++ b/dataplane/src/internal.h
@@ -13,7 +13,7 @@
 inline constexpr Tick lookEvery = 100;
 inline constexpr Tick freeEvery = 10000;
 inline constexpr std::size_t leftAtOnce = 5000;
-/// What stands for "not known" among the ages of a Touch.
+/// What stands for "not known" among the ages of a PeerHeartbeat.
 inline constexpr int unknownAge = 255;
 inline constexpr std::size_t digestsKept = 64;
 
@@ -26,7 +26,7 @@
   return path.stream && path.host.empty();
 }
 
-inline std::size_t lane(config::Class cls) {
+inline std::size_t lane(config::RequestClass cls) {
   return static_cast<std::size_t>(cls);
 }
 
--- a/dataplane/src/contacts.cpp
+++ b/dataplane/src/peers.cpp
@@ -25,7 +25,7 @@
   }
   bool before = roster_.self && !roster_.joining;
   for (QJsonValue const v : value.value("previous").toArray())
-    before = before || core::str(v.toObject().value("link").toString()) == partialView_.self().link;
+    before = before || core::toStdString(v.toObject().value("link").toString()) == partialView_.self().link;
   view.joining = !before;
   view.joinedAt = now;
   partialView_.setRoster(revision, contacts);
@@ -72,11 +72,11 @@
   }
 }
 
-void RequestRouter::sendAsk(Commands& out, Tick now, std::string const& to) {
+void RequestRouter::sendAsk(RouterCommands& out, Tick now, std::string const& to) {
   HeldLink& l = controllers_[to];
   l.since = now;
   if (l.unanswered < 0) l.unanswered = now;
-  transport::Ask ask{now, partialView_.self(), !whole_, false, digest_, {}};
+  transport::ServingLeaseRequest ask{now, partialView_.self(), !whole_, false, digest_, {}};
   if (l.wantRevisions) {
     ask.revisions = revisions();
     l.wantRevisions = false;
@@ -131,18 +131,18 @@
   return out;
 }
 
-void RequestRouter::touchNeighbours(Commands& out, Tick now) {
+void RequestRouter::touchNeighbours(RouterCommands& out, Tick now) {
   bool const lacking = tuning_.fenced ? !confirmedWithin(now, 2 * tuning_.askEvery) : !whole_;
   Tick const every = lacking ? tuning_.touchEvery : tuning_.touchAtRest;
   if (now - touchedAt_ < every) return;
   touchedAt_ = now;
-  transport::Touch touch;
-  touch.tick = now;
-  touch.whole = whole_;
+  transport::PeerHeartbeat touch;
+  touch.sentAt = now;
+  touch.hasSnapshot = whole_;
   touch.link = partialView_.self().link;
   touch.digest = digest_;
-  touch.wantAges = lacking;
-  touch.hints = hints();
+  touch.wantsAges = lacking;
+  touch.removalHints = hints();
   bool const wantWhole = !whole_ && !snapshotSeen_ && now - started_ > 2000;
   std::vector<std::string> const to =
       chooseNeighbours(now, lacking ? tuning_.neighbours : tuning_.neighboursAtRest, every);
@@ -150,40 +150,40 @@
   for (std::size_t i = 0; i < to.size(); ++i) {
     HeldLink& n = neighbours_[to[i]];
     if (n.unanswered < 0) n.unanswered = now;
-    touch.wantWhole = i == asked;
+    touch.wantsSnapshot = i == asked;
     out.sends.push_back(transport::Send{to[i], touch});
   }
 }
 
-void RequestRouter::on(Commands& out, Tick now, std::string const& from, transport::Touch const& m) {
+void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::PeerHeartbeat const& m) {
   if (m.link != from) return;
-  for (transport::Hint const& h : m.hints) takeHint(out, now, h);
-  if (!m.echo) {
-    transport::Touch echo;
-    echo.tick = m.tick;
-    echo.echo = true;
-    echo.whole = whole_;
+  for (transport::EndpointRemovalHint const& h : m.removalHints) takeHint(out, now, h);
+  if (!m.isReply) {
+    transport::PeerHeartbeat echo;
+    echo.sentAt = m.sentAt;
+    echo.isReply = true;
+    echo.hasSnapshot = whole_;
     echo.link = partialView_.self().link;
     echo.digest = digest_;
     if (!(m.digest == digest_)) echo.revisions = revisions();
-    if (m.wantAges && whole_) {
-      echo.roster = roster_.revision;
+    if (m.wantsAges && whole_) {
+      echo.rosterRevision = roster_.revision;
       echo.ages = ages(now);
     }
-    echo.hints = hints();
+    echo.removalHints = hints();
     out.sends.push_back(transport::Send{from, std::move(echo)});
-    if (m.wantWhole && whole_) {
-      transport::News news;
-      news.whole = true;
+    if (m.wantsSnapshot && whole_) {
+      transport::ConfigurationUpdate news;
+      news.isSnapshot = true;
       for (std::map<std::string, Key>::value_type const& k : keys_)
-        news.items.push_back(transport::Item{k.first, k.second.revision, k.second.value});
+        news.entries.push_back(transport::CommittedEntry{k.first, k.second.revision, k.second.value});
       out.sends.push_back(transport::Send{from, std::move(news)});
     }
     return;
   }
   std::map<std::string, HeldLink>::iterator const n = neighbours_.find(from);
   if (n != neighbours_.end()) n->second.unanswered = -1;
-  if (m.tick > now) return;
+  if (m.sentAt > now) return;
   if (knows(m.digest, m.revisions)) {
     countHeard(from, m);
   } else {
@@ -196,9 +196,9 @@
     Tick& at = fetchedAt_[s.first];
     if (at != 0 && now - at < tuning_.touchEvery) continue;
     at = now;
-    out.sends.push_back(transport::Send{from, transport::Fetch{s.first, false, "", 0}});
+    out.sends.push_back(transport::Send{from, transport::ValueRequest{s.first, false, "", 0}});
   }
-  if (whole_ && m.whole && m.digest.count > 0 && !(m.digest == digest_)) sendMissing(out, from, m.revisions);
+  if (whole_ && m.hasSnapshot && m.digest.count > 0 && !(m.digest == digest_)) sendMissing(out, from, m.revisions);
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/regimes.cpp
+++ b/dataplane/src/regimes.cpp
@@ -15,18 +15,18 @@
 
 std::string const& RequestRouter::regimeOf(Call const& call) const {
   if (!bound_ || call.pathRevision == 0) return unbound;
-  Index const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
-  return rows_[path == core::Names::none ? call.path : path].path.regime;
+  NameIndex const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
+  return rows_[path == core::InternedNames::none ? call.path : path].path.regime;
 }
 
-std::string const& RequestRouter::regimeOf(Index instance) const {
-  std::map<Index, std::string>::const_iterator const it = instanceRegimes_.find(instance);
+std::string const& RequestRouter::regimeOf(NameIndex instance) const {
+  std::map<NameIndex, std::string>::const_iterator const it = instanceRegimes_.find(instance);
   return it == instanceRegimes_.end() ? unbound : it->second;
 }
 
 std::string RequestRouter::unsure(Tick now, std::string const& regime) const {
   if (!tuning_.fenced || !servingLease(now)) return "no serving lease";
-  config::Wall const wall = wallAt(now);
+  config::WallTime const wall = wallAt(now);
   if (!wall) return "no wall time, so no certificate counts";
   if (regimes_.regimes.count(regime) == 0) return "no regime " + regime + " is declared";
   if (!config::routerMay(regimes_, regime, partialView_.self().link, partialView_.self().zone, wall))
@@ -41,7 +41,7 @@
   return why;
 }
 
-config::Certificate const* RequestRouter::certificate(Tick now, std::string const& regime, Index replica) const {
+config::Certificate const* RequestRouter::certificate(Tick now, std::string const& regime, NameIndex replica) const {
   Replica const& r = replicas_[replica];
   if (!r.listed) return nullptr;
   return config::certifies(regimes_, regime, pools_.name(r.pool), config::Replica{r.id, r.address, r.zone, r.state},
@@ -56,11 +56,11 @@
 void RequestRouter::refreshCertified(Tick now) {
   if (certifiedAt_ >= 0 && now - certifiedAt_ < certifiedFor) return;
   certifiedAt_ = now;
-  std::map<std::string, std::set<Index>> certified;
-  std::map<Index, double> reserved;
+  std::map<std::string, std::set<NameIndex>> certified;
+  std::map<NameIndex, double> reserved;
   for (std::map<std::string, config::Regime>::value_type const& regime : regimes_.regimes)
     for (PoolView const& view : poolViews_)
-      for (Index const r : view.replicas) {
+      for (NameIndex const r : view.replicas) {
         if (certificate(now, regime.first, r) == nullptr) continue;
         certified[regime.first].insert(r);
         double& share = reserved.try_emplace(r, 0.0).first->second;
@@ -81,7 +81,7 @@
     out[regime] = scaling::Candidates(std::move(some));
   };
   draw(unbound);
-  for (std::map<std::string, std::set<Index>>::value_type const& regime : certified_) draw(regime.first);
+  for (std::map<std::string, std::set<NameIndex>>::value_type const& regime : certified_) draw(regime.first);
   return out;
 }
 
@@ -90,20 +90,20 @@
   return it == view.candidates.end() ? scaling::Candidates() : it->second;
 }
 
-bool RequestRouter::mayDraw(std::string const& regime, Index replica) const {
+bool RequestRouter::mayDraw(std::string const& regime, NameIndex replica) const {
   if (regime.empty()) {
-    std::map<Index, double>::const_iterator const share = reserved_.find(replica);
+    std::map<NameIndex, double>::const_iterator const share = reserved_.find(replica);
     return share == reserved_.end() || share->second < 1;
   }
-  std::map<std::string, std::set<Index>>::const_iterator const it = certified_.find(regime);
+  std::map<std::string, std::set<NameIndex>>::const_iterator const it = certified_.find(regime);
   return it != certified_.end() && it->second.count(replica) > 0;
 }
 
-bool RequestRouter::fits(Tick now, Call const& call, Index replica) const {
+bool RequestRouter::fits(Tick now, Call const& call, NameIndex replica) const {
   std::string const& regime = regimeOf(call);
   if (!mayDraw(regime, replica)) return false;
   if (!regime.empty()) return closed(now, regime).empty();
-  std::map<Index, double>::const_iterator const share = reserved_.find(replica);
+  std::map<NameIndex, double>::const_iterator const share = reserved_.find(replica);
   if (share == reserved_.end()) return true;
   int others = replicas_[replica].inFlight;
   for (std::map<CreditKey, Credit>::value_type const& c : credits_)
@@ -112,20 +112,20 @@
   return others + 1 <= std::max(1.0, (1.0 - share->second) * limit);
 }
 
-void RequestRouter::record(Commands& out, Tick now, Call const& call, Happened happened, std::string reason) {
+void RequestRouter::record(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened, std::string reason) {
   std::string const& regime = regimeOf(call);
   if (regime.empty()) return;
-  Record r;
+  WriteAuditRecord r;
   r.call = call.request.call;
-  r.happened = happened;
+  r.outcome = happened;
   r.regime = regime;
   r.instance = call.request.instance;
   r.reason = std::move(reason);
-  if (happened != Happened::rejected) {
+  if (happened != AuditOutcome::rejected) {
     Replica const& at = replicas_[call.replica];
     r.pool = pools_.name(at.pool);
     r.address = at.address;
-    r.life = at.id;
+    r.incarnation = at.id;
     r.zone = at.zone;
     config::Certificate const* const under = certificate(now, regime, call.replica);
     if (under != nullptr) r.certificate = under->name;
@@ -133,7 +133,7 @@
   out.calls.push_back(std::move(r));
 }
 
-void RequestRouter::watchRegimes(Commands& out, Tick now) {
+void RequestRouter::watchRegimes(RouterCommands& out, Tick now) {
   if (!bound_) return;
   refreshCertified(now);
   std::vector<CallId> ours;
@@ -152,12 +152,12 @@
     std::string const& shut = why->second.second;
     bool const mayStay = mayDraw(regime, call.replica);
     if (call.phase == Phase::held) {
-      std::vector<Index> const& all = poolViews_[call.pool].replicas;
-      bool const any = std::any_of(all.begin(), all.end(), [&](Index const r) { return mayDraw(regime, r); });
+      std::vector<NameIndex> const& all = poolViews_[call.pool].replicas;
+      bool const any = std::any_of(all.begin(), all.end(), [&](NameIndex const r) { return mayDraw(regime, r); });
       if (!shut.empty() || !any) reject(out, now, id, 503, any ? shut : "no certified replica", true, tuning_.comeBack);
     } else if (call.phase == Phase::connecting) {
       if (shut.empty() && mayStay) continue;
-      out.calls.push_back(Abandon{id});
+      out.calls.push_back(CloseUpstream{id});
       if (shut.empty())
         retry(out, now, id, "the certificate ended before sending");
       else
@@ -166,21 +166,21 @@
       leave(out, now, id, why->second.first.empty() ? "no certificate any more" : why->second.first);
     } else if (call.phase == Phase::handed && call.resumes > 0 && call.handedTo.back() != call.replica &&
                now - call.phaseAt > tuning_.connectLimit) {
-      out.calls.push_back(Abandon{id});
-      Commands const more = connectRejected(now, id);
+      out.calls.push_back(CloseUpstream{id});
+      RouterCommands const more = onConnectFailure(now, id);
       out.calls.insert(out.calls.end(), more.calls.begin(), more.calls.end());
       out.logEvents.insert(out.logEvents.end(), more.logEvents.begin(), more.logEvents.end());
     }
   }
 }
 
-void RequestRouter::leave(Commands& out, Tick now, CallId id, std::string const& why) {
+void RequestRouter::leave(RouterCommands& out, Tick now, CallId id, std::string const& why) {
   Call& call = calls_.at(id);
   Row const& row = rows_[call.path];
   count(now, "regime_left", why);
   bool const open = closed(now, regimeOf(call)).empty() && row.path.repeatable && now < call.until;
   if (call.phase == Phase::handed && call.resumes > 0 && call.handedTo.back() != call.replica) {
-    out.calls.push_back(Abandon{id});
+    out.calls.push_back(CloseUpstream{id});
     if (!open || !row.path.stream || !resumeElsewhere(out, now, id)) breakOff(out, now, id, why);
     return;
   }
@@ -190,12 +190,12 @@
     if (again) {
       ++call.resumes;
       count(now, "resumed");
-      out.calls.push_back(Abandon{id});
+      out.calls.push_back(CloseUpstream{id});
     }
     if (!again || !resumeElsewhere(out, now, id)) breakOff(out, now, id, why);
     return;
   }
-  out.calls.push_back(Abandon{id});
+  out.calls.push_back(CloseUpstream{id});
   if (!open || !mayGoOn(now, call) || !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance)) {
     reject(out, now, id, 502, "unknown, may have run; " + why, false, 0);
     return;
@@ -204,7 +204,8 @@
   call.mayHaveRun = true;
   call.phase = Phase::held;
   uncount(out, now, call);
-  if (!tryConnect(out, now, id)) credits_.at({call.pool, row.instance}).held[lane(row.path.cls)].push_front(id);
+  if (!tryConnect(out, now, id))
+    credits_.at({call.pool, row.instance}).held[lane(row.path.requestClass)].push_front(id);
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/ids.cpp
+++ b/dataplane/src/request_ids.cpp
@@ -9,18 +9,18 @@
   return memoryFrom_ <= now - (age + lag + tuning_.ageMargin + age / 8);
 }
 
-void RequestRouter::askOthers(Commands& out, Tick, CallId id) {
+void RequestRouter::askOthers(RouterCommands& out, Tick, CallId id) {
   Call& call = calls_.at(id);
   call.phase = Phase::asking;
   for (std::string const& link : rosterOthers()) {
     call.waiting.insert(link);
-    out.sends.push_back(
-        transport::Send{link, transport::SeenAsk{id, call.request.instance + "|" + call.request.id,
-                                                 call.request.attempt, std::max<Tick>(call.request.age, 0), who_}});
+    out.sends.push_back(transport::Send{
+        link, transport::RequestIdQuery{id, call.request.instance + "|" + call.request.id, call.request.attempt,
+                                        std::max<Tick>(call.request.age, 0), who_}});
   }
 }
 
-void RequestRouter::decideClaim(Commands& out, Tick now, CallId id, bool over) {
+void RequestRouter::decideClaim(RouterCommands& out, Tick now, CallId id, bool over) {
   Call& call = calls_.at(id);
   bool const resumable = rows_[call.path].path.resumable;
   bool const open = std::any_of(call.claimants.begin(), call.claimants.end(),
@@ -44,7 +44,7 @@
   }
 }
 
-void RequestRouter::on(Commands& out, Tick now, std::string const& from, transport::SeenAsk const& m) {
+void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::RequestIdQuery const& m) {
   bool clear = m.attempt == 0 || remembers(now, m.age);
   bool known = false;
   bool reached = false;
@@ -64,40 +64,40 @@
       }
     }
     claimants = it->second.claimants;
-    std::erase(claimants, m.who);
+    std::erase(claimants, m.processRun);
   }
   Seen& s = remember(now, m.id);
   s.promisedAway = std::max(s.promisedAway, m.attempt);
-  if (m.attempt == 0 && std::find(s.claimants.begin(), s.claimants.end(), m.who) == s.claimants.end())
-    s.claimants.push_back(m.who);
-  out.sends.push_back(
-      transport::Send{from, transport::SeenEcho{m.token, who_, clear, known, reached, now - memoryFrom_, claimants}});
+  if (m.attempt == 0 && std::find(s.claimants.begin(), s.claimants.end(), m.processRun) == s.claimants.end())
+    s.claimants.push_back(m.processRun);
+  out.sends.push_back(transport::Send{
+      from, transport::RequestIdReply{m.token, who_, clear, known, reached, now - memoryFrom_, claimants}});
 }
 
-void RequestRouter::on(Commands& out, Tick now, std::string const& from, transport::SeenEcho const& m) {
+void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::RequestIdReply const& m) {
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(m.token);
   if (it == calls_.end() || it->second.phase != Phase::asking || it->second.waiting.erase(from) == 0) return;
   Call& call = it->second;
-  call.reached = call.reached || m.reached;
+  call.reached = call.reached || m.reachedReplica;
   if (call.request.attempt == 0) {
-    call.ranElsewhere = call.ranElsewhere || !m.clear;
-    if (m.clear) call.memories.push_back(m.memory);
+    call.ranElsewhere = call.ranElsewhere || !m.notExecuted;
+    if (m.notExecuted) call.memories.push_back(m.memorySpan);
     call.echo = call.echo || m.known;
-    if (m.clear && m.known) call.clearedBy.insert(m.who);
-    call.claimants.insert(m.claimants.begin(), m.claimants.end());
+    if (m.notExecuted && m.known) call.clearedBy.insert(m.processRun);
+    call.claimants.insert(m.claimedBy.begin(), m.claimedBy.end());
     decideClaim(out, now, m.token, false);
-  } else if (!m.clear) {
+  } else if (!m.notExecuted) {
     reject(out, now, m.token, 409, "an earlier attempt may have run on another node", false, 0);
   } else if (call.waiting.empty()) {
     admit(out, now, m.token);
   }
 }
 
-void RequestRouter::on(Commands&, Tick now, std::string const&, transport::SeenLeft const& m) {
+void RequestRouter::on(RouterCommands&, Tick now, std::string const&, transport::RequestIdHandover const& m) {
   for (std::string const& id : m.ids) remember(now, id).mayHaveRun = true;
   if (!m.last) return;
   for (std::unordered_map<std::string, Seen>::value_type& s : seen_)
-    if (!s.second.mayHaveRun) std::erase(s.second.claimants, m.who);
+    if (!s.second.mayHaveRun) std::erase(s.second.claimants, m.processRun);
 }
 
 RequestRouter::Seen& RequestRouter::remember(Tick now, std::string const& key) {
--- a/dataplane/src/stream.cpp
+++ b/dataplane/src/response_stream.cpp
@@ -1,8 +1,8 @@
-#include <corkward/dataplane/stream.h>
+#include <corkward/dataplane/response_stream.h>
 
 #include <algorithm>
 
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 
 namespace corkward::dataplane {
 
@@ -23,12 +23,12 @@
 
 }  // namespace
 
-void Stream::asEvents(std::string lastId) {
+void ResponseStream::asEvents(std::string lastId) {
   asEvents_ = true;
   lastId_ = std::move(lastId);
 }
 
-void Stream::connecting(bool resume) {
+void ResponseStream::connecting(bool resume) {
   resuming_ = resume && begun_;
   headed_ = false;
   over_ = false;
@@ -38,50 +38,50 @@
   lineFeeds_ = false;
   event_ = Event{};
   if (begun_) return;
-  head_ = Head{};
+  head_ = ResponseHead{};
   run_.clear();
   offset_ = 0;
   row_ = false;
 }
 
-Resume Stream::resume() const {
+Resume ResponseStream::resume() const {
   if (!resuming_) return Resume{.lastEvent = lastId_};
   return Resume{true, run_, offset_, lastId_};
 }
 
-StreamSteps Stream::over(End end) {
+StreamSteps ResponseStream::over(UpstreamResult end) {
   StreamSteps out;
   over(out, end);
   return out;
 }
 
-void Stream::over(StreamSteps& out, End end) {
+void ResponseStream::over(StreamSteps& out, UpstreamResult end) {
   if (over_) return;
   over_ = true;
-  out.abandon = true;
+  out.closeUpstream = true;
   out.ended = end;
 }
 
-StreamSteps Stream::head(Head const& head) {
+StreamSteps ResponseStream::head(ResponseHead const& head) {
   if (over_) return {};
   headed_ = true;
-  if (head.foreign) return over(End::broken);
+  if (head.foreign) return over(UpstreamResult::connectionLost);
   if (resuming_) {
-    if (row_ && head.notRun) return over(End::notRun);
+    if (row_ && head.notExecuted) return over(UpstreamResult::notExecuted);
     bool const same =
         row_ ? head.status >= 200 && head.status < 300 && head.events && !unnumbered_
              : head.status == 206 && !head.run.empty() && head.run == run_ && head.offset == std::to_string(offset_);
-    if (!same) return over(row_ && head.failed ? End::broken : End::otherRun);
+    if (!same) return over(row_ && head.failed ? UpstreamResult::connectionLost : UpstreamResult::differentExecution);
     if (row_) {
       head_.length = head.length;
       offset_ = 0;
     }
     StreamSteps out;
-    out.firstWord = true;
+    out.firstByte = true;
     return out;
   }
-  if (head.notRun) return over(End::notRun);
-  if (head.status < 200 || head.status > 599) return over(End::broken);
+  if (head.notExecuted) return over(UpstreamResult::notExecuted);
+  if (head.status < 200 || head.status > 599) return over(UpstreamResult::connectionLost);
   run_ = head.run;
   head_ = head;
   row_ = asEvents_ && head.events && head.status < 300 && !head.bodiless;
@@ -90,27 +90,28 @@
   return out;
 }
 
-void Stream::begin(StreamSteps& out) {
+void ResponseStream::begin(StreamSteps& out) {
   if (begun_) return;
   begun_ = true;
   out.begin = head_;
   if (row_) out.begin->length = -1;
-  out.firstWord = row_ ? !unnumbered_ : !run_.empty();
+  out.firstByte = row_ ? !unnumbered_ : !run_.empty();
 }
 
-StreamSteps Stream::piece(std::string bytes) {
+StreamSteps ResponseStream::piece(std::string bytes) {
   if (over_) return {};
   std::uint64_t const after = offset_ + bytes.size();
-  if (!headed_ || (head_.length >= 0 && after > static_cast<std::uint64_t>(head_.length))) return over(End::broken);
+  if (!headed_ || (head_.length >= 0 && after > static_cast<std::uint64_t>(head_.length)))
+    return over(UpstreamResult::connectionLost);
   offset_ = after;
   if (row_) return eventPiece(bytes);
   StreamSteps out;
   begin(out);
-  out.piece = std::move(bytes);
+  out.chunk = std::move(bytes);
   return out;
 }
 
-StreamSteps Stream::eventPiece(std::string const& bytes) {
+StreamSteps ResponseStream::eventPiece(std::string const& bytes) {
   StreamSteps out;
   tail_ += bytes;
   std::size_t start = 0;
@@ -135,11 +136,11 @@
   tail_.erase(0, start);
   scanned_ -= start;
   lineAt_ -= start;
-  if (tail_.size() > longestEvent) over(out, End::broken);
+  if (tail_.size() > longestEvent) over(out, UpstreamResult::connectionLost);
   return out;
 }
 
-void Stream::line(std::size_t from, std::size_t to) {
+void ResponseStream::line(std::size_t from, std::size_t to) {
   std::string::const_iterator const first = tail_.cbegin() + static_cast<std::ptrdiff_t>(from);
   std::size_t const nameEnd =
       from + static_cast<std::size_t>(std::find(first, tail_.cbegin() + static_cast<std::ptrdiff_t>(to), ':') - first);
@@ -150,32 +151,32 @@
   event_.id = tail_.substr(value, to - value);
 }
 
-bool Stream::pass(StreamSteps& out, std::size_t start) {
+bool ResponseStream::pass(StreamSteps& out, std::size_t start) {
   Event const event = std::exchange(event_, Event{});
   bool const numbered = number(event.id);
   bool const told = event.data || !event.id.empty();
   if ((numbered && idPassed_ && !above(event.id, lastId_)) || (resuming_ && told && !numbered)) {
-    over(out, End::otherRun);
+    over(out, UpstreamResult::differentExecution);
     return false;
   }
   if (numbered) {
-    CORKWARD_PROMISE(core::Promise::eventsInOrder, !idPassed_ || above(event.id, lastId_),
-                     event.id + " after " + lastId_);
+    CORKWARD_GUARANTEE(core::Guarantee::eventsInOrder, !idPassed_ || above(event.id, lastId_),
+                       event.id + " after " + lastId_);
     lastId_ = event.id;
     idPassed_ = true;
   } else if (told) {
     unnumbered_ = true;
   }
   begin(out);
-  out.piece.append(tail_, start, lineAt_ - start);
+  out.chunk.append(tail_, start, lineAt_ - start);
   return true;
 }
 
-StreamSteps Stream::ended(bool whole) {
+StreamSteps ResponseStream::ended(bool whole) {
   if (over_) return {};
   std::uint64_t const length = head_.bodiless ? 0 : static_cast<std::uint64_t>(head_.length);
   bool const all = whole && headed_ && ((head_.length < 0 && !head_.bodiless) || offset_ == length);
-  if (!all) return over(End::broken);
+  if (!all) return over(UpstreamResult::connectionLost);
   StreamSteps out;
   if (row_ && !tail_.empty()) {
     if (lineAt_ < tail_.size()) line(lineAt_, std::max(lineAt_, tail_.find_last_not_of('\r') + 1));
@@ -183,7 +184,7 @@
     if (!pass(out, 0)) return out;
   }
   begin(out);
-  over(out, End::whole);
+  over(out, UpstreamResult::complete);
   out.finish = true;
   return out;
 }
--- a/dataplane/src/serving_lease.cpp
+++ b/dataplane/src/serving_lease.cpp
@@ -22,25 +22,25 @@
       c.second.good = c.second.at;
       vouched_ = vouched_ || c.second.at >= started_;
     }
-  for (std::map<std::string, transport::Touch>::iterator e = echoes_.begin(); e != echoes_.end();) {
+  for (std::map<std::string, transport::PeerHeartbeat>::iterator e = echoes_.begin(); e != echoes_.end();) {
     bool const known = knows(e->second.digest, e->second.revisions);
     if (known) countHeard(e->first, e->second);
     e = known ? echoes_.erase(e) : std::next(e);
   }
 }
 
-void RequestRouter::countHeard(std::string const& from, transport::Touch const& echo) {
-  if (!echo.whole) return;
+void RequestRouter::countHeard(std::string const& from, transport::PeerHeartbeat const& echo) {
+  if (!echo.hasSnapshot) return;
   std::function<void(std::string const&, Tick)> const heard = [this](std::string const& link, Tick at) {
     Tick& newest = heard_.try_emplace(link, at).first->second;
     newest = std::max(newest, at);
   };
-  heard(from, echo.tick);
-  if (echo.roster != roster_.revision || echo.ages.size() != roster_.zones.size()) return;
+  heard(from, echo.sentAt);
+  if (echo.rosterRevision != roster_.revision || echo.ages.size() != roster_.zones.size()) return;
   std::size_t place = 0;
   for (std::map<std::string, std::string>::value_type const& z : roster_.zones) {
     int const age = static_cast<unsigned char>(echo.ages[place++]);
-    if (age < unknownAge && z.first != partialView_.self().link) heard(z.first, echo.tick - age * transport::ageUnit);
+    if (age < unknownAge && z.first != partialView_.self().link) heard(z.first, echo.sentAt - age * transport::ageUnit);
   }
 }
 
@@ -90,21 +90,21 @@
          !(tuning_.evacuationFailsReady && evacuated(partialView_.self().zone)) && !rows_.empty();
 }
 
-void RequestRouter::on(Commands& out, Tick now, std::string const& from, transport::Confirm const& m) {
-  for (transport::Hint const& h : m.hints) takeHint(out, now, h);
+void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::ServingLeaseGrant const& m) {
+  for (transport::EndpointRemovalHint const& h : m.removalHints) takeHint(out, now, h);
   std::map<std::string, HeldLink>::iterator const held = controllers_.find(from);
   if (held != controllers_.end()) {
-    if (m.inTouch) {
+    if (m.hasQuorum) {
       held->second.unanswered = -1;
       held->second.good = now;
     }
-    held->second.wantRevisions = m.wantRevisions;
-    if (m.wantRevisions && now - held->second.namedAt >= tuning_.askEvery / 3) sendAsk(out, now, from);
+    held->second.wantRevisions = m.wantsRevisions;
+    if (m.wantsRevisions && now - held->second.namedAt >= tuning_.askEvery / 3) sendAsk(out, now, from);
   }
-  if (m.roster > 0 && m.roster >= roster_.revision) roster_.joining = false;
-  if (!m.inTouch || m.age < 0 || m.tick > now) return;
+  if (m.rosterRevision > 0 && m.rosterRevision >= roster_.revision) roster_.joining = false;
+  if (!m.hasQuorum || m.quorumAge < 0 || m.requestSentAt > now) return;
   Confirmation& c = confirmations_[from];
-  Tick const at = m.tick - m.age;
+  Tick const at = m.requestSentAt - m.quorumAge;
   if (at > c.at) {
     c.at = at;
     c.digest = m.digest;
--- a/dataplane/src/tenant_limits.cpp
+++ b/dataplane/src/tenant_limits.cpp
@@ -8,14 +8,14 @@
 
 char const* reasonOf(Admission admission) {
   switch (admission) {
-    case Admission::refusedByShare:
+    case Admission::rejectedByAllocation:
       return "the tenant is beyond its limit: share";
-    case Admission::refusedByLender:
+    case Admission::rejectedByCoordinator:
       return "the tenant is beyond its limit: nothing left";
-    case Admission::refusedWithoutLender:
+    case Admission::rejectedWithoutCoordinator:
       return "the tenant is beyond its limit: no lender";
     case Admission::granted:
-    case Admission::waits:
+    case Admission::pending:
       break;
   }
   return "";
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Admission RequestRouter::withinQuota(Commands& out, Tick now, Call& call) {
+Admission RequestRouter::withinQuota(RouterCommands& out, Tick now, Call& call) {
   config::Tenant const* const tenant = call.tenant.empty() ? nullptr : tenants_.byKey(call.request.key);
   if (tenant == nullptr) return Admission::granted;
   call.amount = Tenants::amountOf(*tenant, call.request.tokens);
@@ -43,7 +43,7 @@
   return true;
 }
 
-void RequestRouter::rejectOverQuota(Commands& out, Tick now, CallId id, Admission admission) {
+void RequestRouter::rejectOverQuota(RouterCommands& out, Tick now, CallId id, Admission admission) {
   reject(out, now, id, 429, reasonOf(admission), true, tuning_.quotaComeBack);
 }
 
@@ -52,7 +52,7 @@
   call.quota = QuotaState::none;
 }
 
-void RequestRouter::decideQuota(Commands& out, Tick now, std::vector<QuotaDecision> const& decisions) {
+void RequestRouter::decideQuota(RouterCommands& out, Tick now, std::vector<QuotaDecision> const& decisions) {
   for (QuotaDecision const& decision : decisions) {
     std::unordered_map<CallId, Call>::iterator const it = calls_.find(decision.call);
     Call* const call = it == calls_.end() || it->second.phase != Phase::counting ? nullptr : &it->second;
@@ -67,16 +67,16 @@
   }
 }
 
-void RequestRouter::watchTenants(Commands& out, Tick now) {
+void RequestRouter::watchTenants(RouterCommands& out, Tick now) {
   tenants_.around(membershipLinks_, rosterSize());
   decideQuota(out, now, tenants_.clockEvent(now, out.sends));
 }
 
-void RequestRouter::on(Commands& out, Tick now, std::string const& from, quota::Loans const& m) {
+void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, quota::QuotaGrants const& m) {
   decideQuota(out, now, tenants_.arrived(now, from, m, out.sends));
 }
 
-void RequestRouter::on(Commands& out, Tick now, std::string const& from, quota::ClaimAsk const& m) {
+void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, quota::AllocationQuery const& m) {
   out.sends.push_back(tenants_.arrived(now, from, m));
 }
 
--- a/dataplane/src/tenants.cpp
+++ b/dataplane/src/tenants.cpp
@@ -12,7 +12,8 @@
 /// A report without an answer for this long shows that its lender is silent, which is passed over for that long then.
 constexpr Tick answerWithin = 400;
 constexpr Tick passOverFor = 2000;
-/// Milliseconds that a request waits for its amount. Amounts that come later are void, see quota::Gate::lent.
+/// Milliseconds that a request waits for its amount. Amounts that come later are void, see
+/// quota::QuotaLimiter::onGrant.
 constexpr Tick waitAtMost = quota::handOverWithin / 2;
 /// Milliseconds for which no amount is asked for after a lender had too little, or nobody lent.
 constexpr Tick scarceFor = 30;
@@ -24,7 +25,7 @@
 
 }  // namespace
 
-Tenants::Tenants(std::string link, std::uint64_t life, std::uint64_t seed, quota::Slack const& slack)
+Tenants::Tenants(std::string link, std::uint64_t life, std::uint64_t seed, quota::OverdraftAllowance const& slack)
     : link_(std::move(link)), life_(life), rng_(seed), slack_(slack) {}
 
 void Tenants::configure(std::vector<config::Tenant> tenants) {
@@ -34,9 +35,9 @@
   for (std::size_t i = 0; i < tenants_.size(); ++i) {
     config::Tenant const& tenant = tenants_[i];
     for (std::string const& key : tenant.keys) byKey_[key] = i;
-    if (tenant.perSecond <= 0) continue;
+    if (tenant.ratePerSecond <= 0) continue;
     limitedNames.insert(tenant.name);
-    gates_[tenant.name].limit = {tenant.perSecond, tenant.burst};
+    gates_[tenant.name].limit = {tenant.ratePerSecond, tenant.burst};
   }
   std::erase_if(gates_, [&](auto const& gate) { return limitedNames.count(gate.first) == 0; });
 }
@@ -53,7 +54,7 @@
 
 double Tenants::amountOf(config::Tenant const& tenant, std::optional<std::int64_t> tokens) {
   if (!tenant.inTokens) return 1.0;
-  return static_cast<double>(tokens.value_or(tenant.plainTokens));
+  return static_cast<double>(tokens.value_or(tenant.defaultTokens));
 }
 
 Tenants::Limited* Tenants::limited(std::string const& tenant) {
@@ -69,29 +70,29 @@
                          std::vector<transport::Send>& out) {
   Limited* const limit = limited(tenant.name);
   if (limit == nullptr) return Admission::granted;
-  if (!limit->gate.seen(now, amount, draw())) return Admission::refusedByShare;
-  if (limit->gate.take(now, limit->limit, slack_, amount)) return Admission::granted;
+  if (!limit->gate.onRequest(now, amount, draw())) return Admission::rejectedByAllocation;
+  if (limit->gate.tryAcquire(now, limit->limit, slack_, amount)) return Admission::granted;
   Waiting const waiting{call, tenant.name, amount, now, 0};
-  if (now < limit->scarceUntil) return Admission::refusedByLender;
-  if (ask(now, waiting, out)) return Admission::waits;
+  if (now < limit->scarceUntil) return Admission::rejectedByCoordinator;
+  if (ask(now, waiting, out)) return Admission::pending;
   return withoutLender(now, waiting).admission;
 }
 
 bool Tenants::take(Tick now, std::string const& tenant, double amount) {
   Limited* const limit = limited(tenant);
-  return limit == nullptr || limit->gate.take(now, limit->limit, slack_, amount);
+  return limit == nullptr || limit->gate.tryAcquire(now, limit->limit, slack_, amount);
 }
 
 void Tenants::giveBack(Tick now, std::string const& tenant, double amount) {
   Limited* const limit = limited(tenant);
-  if (limit != nullptr) limit->gate.giveBack(now, limit->limit, slack_, amount);
+  if (limit != nullptr) limit->gate.refund(now, limit->limit, slack_, amount);
 }
 
 QuotaDecision Tenants::withoutLender(Tick now, Waiting const& waiting) {
   Limited* const limit = limited(waiting.tenant);
-  bool const granted = limit == nullptr || limit->gate.take(now, limit->limit, slack_, waiting.amount) ||
-                       limit->gate.takeUnlent(now, limit->limit, slack_, waiting.amount, crowd_, draw());
-  return {waiting.call, granted ? Admission::granted : Admission::refusedWithoutLender, now};
+  bool const granted = limit == nullptr || limit->gate.tryAcquire(now, limit->limit, slack_, waiting.amount) ||
+                       limit->gate.tryAcquireUnallocated(now, limit->limit, slack_, waiting.amount, crowd_, draw());
+  return {waiting.call, granted ? Admission::granted : Admission::rejectedWithoutCoordinator, now};
 }
 
 void Tenants::findSilent(Tick now) {
@@ -122,33 +123,33 @@
   return best;
 }
 
-void Tenants::send(Tick now, std::string const& lender, std::vector<quota::Use> uses, std::vector<Waiting> waiting,
-                   std::vector<transport::Send>& out) {
+void Tenants::send(Tick now, std::string const& lender, std::vector<quota::TenantUsage> uses,
+                   std::vector<Waiting> waiting, std::vector<transport::Send>& out) {
   Lender& known = lenders_[lender];
   if (known.unanswered < 0) known.unanswered = now;
   std::uint64_t const number = nextReport_++;
   asked_[number] = Asked{now, lender, std::move(waiting)};
-  out.push_back(transport::Send{lender, quota::Report{link_, life_, number, std::move(uses)}});
+  out.push_back(transport::Send{lender, quota::UsageReport{link_, life_, number, std::move(uses)}});
 }
 
 bool Tenants::ask(Tick now, Waiting waiting, std::vector<transport::Send>& out) {
   Limited* const limit = limited(waiting.tenant);
-  std::string const lender = lenderOf(now, quota::partOf(waiting.tenant));
+  std::string const lender = lenderOf(now, quota::partitionOf(waiting.tenant));
   if (limit == nullptr || lender.empty() || waiting.asked >= mostAsks) return false;
   ++waiting.asked;
-  quota::Use use = limit->gate.report(now, limit->limit, slack_, waiting.amount);
+  quota::TenantUsage use = limit->gate.report(now, limit->limit, slack_, waiting.amount);
   use.tenant = waiting.tenant;
   send(now, lender, {std::move(use)}, {std::move(waiting)}, out);
   return true;
 }
 
 void Tenants::report(Tick now, std::vector<transport::Send>& out) {
-  std::map<std::string, std::vector<quota::Use>> uses;
+  std::map<std::string, std::vector<quota::TenantUsage>> uses;
   for (auto& [name, limit] : gates_) {
     if (!limit.gate.reportDue(now)) continue;
-    std::string const lender = lenderOf(now, quota::partOf(name));
+    std::string const lender = lenderOf(now, quota::partitionOf(name));
     if (lender.empty()) continue;
-    quota::Use use = limit.gate.report(now, limit.limit, slack_, 0);
+    quota::TenantUsage use = limit.gate.report(now, limit.limit, slack_, 0);
     use.tenant = name;
     uses[lender].push_back(std::move(use));
   }
@@ -171,66 +172,66 @@
   report(now, out);
   if (gates_.size() > gatesKept)
     for (auto& [name, limit] : gates_)
-      if (limit.gate.idle(now)) limit.gate = quota::Gate();
+      if (limit.gate.idle(now)) limit.gate = quota::QuotaLimiter();
   return decisions;
 }
 
-std::vector<QuotaDecision> Tenants::arrived(Tick now, std::string const& from, quota::Loans const& message,
+std::vector<QuotaDecision> Tenants::arrived(Tick now, std::string const& from, quota::QuotaGrants const& message,
                                             std::vector<transport::Send>& out) {
   std::vector<QuotaDecision> decisions;
-  auto const at = asked_.find(message.report);
+  auto const at = asked_.find(message.reportNumber);
   if (at == asked_.end() || at->second.lender != from) return decisions;
   Asked const asked = std::move(at->second);
   asked_.erase(at);
   lenders_[from].unanswered = -1;
-  for (quota::Elsewhere const& elsewhere : message.elsewhere) {
-    told_[elsewhere.part] = elsewhere.lender;
-    if (elsewhere.lender.empty()) {
-      told_.erase(elsewhere.part);
-      nobodyUntil_[elsewhere.part] = now + nobodyFor;
+  for (quota::PartitionOwner const& elsewhere : message.partitionOwners) {
+    told_[elsewhere.partition] = elsewhere.coordinator;
+    if (elsewhere.coordinator.empty()) {
+      told_.erase(elsewhere.partition);
+      nobodyUntil_[elsewhere.partition] = now + nobodyFor;
     }
   }
-  for (quota::Loan const& loan : message.loans) {
-    std::uint64_t const part = quota::partOf(loan.tenant);
+  for (quota::QuotaGrant const& loan : message.grants) {
+    std::uint64_t const part = quota::partitionOf(loan.tenant);
     Limited* const limit = limited(loan.tenant);
-    if (limit == nullptr || message.report < countsFrom_[part]) continue;
+    if (limit == nullptr || message.reportNumber < countsFrom_[part]) continue;
     told_[part] = from;
-    limit->gate.lent(now, limit->limit, slack_, asked.at, loan);
+    limit->gate.onGrant(now, limit->limit, slack_, asked.at, loan);
   }
   for (Waiting const& waiting : asked.waiting) {
     Limited* const limit = limited(waiting.tenant);
-    bool const lent = std::any_of(message.loans.begin(), message.loans.end(),
-                                  [&](quota::Loan const& loan) { return loan.tenant == waiting.tenant; });
-    if (limit == nullptr || limit->gate.take(now, limit->limit, slack_, waiting.amount)) {
+    bool const lent = std::any_of(message.grants.begin(), message.grants.end(),
+                                  [&](quota::QuotaGrant const& loan) { return loan.tenant == waiting.tenant; });
+    if (limit == nullptr || limit->gate.tryAcquire(now, limit->limit, slack_, waiting.amount)) {
       decisions.push_back({waiting.call, Admission::granted, asked.at});
     } else if (lent) {
       limit->scarceUntil = now + scarceFor;
-      decisions.push_back({waiting.call, Admission::refusedByLender, now});
+      decisions.push_back({waiting.call, Admission::rejectedByCoordinator, now});
     } else if (!ask(now, waiting, out)) {
       decisions.push_back(withoutLender(now, waiting));
     }
   }
-  for (quota::Loan const& loan : message.loans)
+  for (quota::QuotaGrant const& loan : message.grants)
     if (Limited* const limit = limited(loan.tenant)) limit->gate.trim(now, limit->limit, slack_);
   return decisions;
 }
 
-transport::Send Tenants::arrived(Tick now, std::string const& from, quota::ClaimAsk const& message) {
-  quota::Claims claims;
+transport::Send Tenants::arrived(Tick now, std::string const& from, quota::AllocationQuery const& message) {
+  quota::AllocationReport claims;
   claims.link = link_;
-  claims.life = life_;
+  claims.incarnation = life_;
   claims.terms = message.terms;
-  for (quota::PartEpoch const& term : message.terms) {
-    countsFrom_[term.part] = nextReport_;
-    told_[term.part] = from;
-    nobodyUntil_.erase(term.part);
+  for (quota::PartitionEpoch const& term : message.terms) {
+    countsFrom_[term.partition] = nextReport_;
+    told_[term.partition] = from;
+    nobodyUntil_.erase(term.partition);
   }
   for (auto const& [name, limit] : gates_) {
-    std::uint64_t const part = quota::partOf(name);
+    std::uint64_t const part = quota::partitionOf(name);
     bool const asked = std::any_of(message.terms.begin(), message.terms.end(),
-                                   [&](quota::PartEpoch const& term) { return term.part == part; });
-    if (!asked || !limit.gate.holdsLoan(now)) continue;
-    quota::Use use = limit.gate.claim(now, limit.limit, slack_);
+                                   [&](quota::PartitionEpoch const& term) { return term.partition == part; });
+    if (!asked || !limit.gate.hasAllocation(now)) continue;
+    quota::TenantUsage use = limit.gate.currentUsage(now, limit.limit, slack_);
     use.tenant = name;
     claims.uses.push_back(std::move(use));
   }
--- a/dataplane/src/answers.cpp
+++ b/dataplane/src/upstream_events.cpp
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-Commands RequestRouter::firstWord(Tick now, CallId id, bool runKnown) {
-  Commands out;
+RouterCommands RequestRouter::firstByteReceived(Tick now, CallId id, bool runKnown) {
+  RouterCommands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end() || it->second.phase != Phase::handed) return out;
   Call& call = it->second;
@@ -30,14 +30,14 @@
   if (!first) return out;
   if (overdue(call, now - call.handedAt)) recordOutcome(out, now, call, true);
   CreditKey const key{call.pool, row.instance};
-  credits_.at(key).scaler.firstWord(now, call.replica, now - call.handedAt, row.path.aim);
+  credits_.at(key).scaler.onFirstByte(now, call.replica, now - call.handedAt, row.path.latencyTarget);
   count(now, "first_words");
   pump(out, now, key);
   return out;
 }
 
-Commands RequestRouter::failed(Tick now, CallId id) {
-  Commands out;
+RouterCommands RequestRouter::upstreamFailed(Tick now, CallId id) {
+  RouterCommands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end() || it->second.phase != Phase::handed) return out;
   Call& call = it->second;
@@ -50,59 +50,61 @@
     chosen = choose(now, call, beyondPart(now, call.pool));
   }
   if (chosen < 0) return out;
-  Index const replica = static_cast<Index>(chosen);
+  NameIndex const replica = static_cast<NameIndex>(chosen);
   bool const cold = replicas_[replica].state == config::ReplicaState::cold;
   if ((cold && !warm_.at(replica).bucket.take(now, coldRate(call.pool))) ||
       !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance))
     return out;
   count(now, "retried_dispatched");
   call.mayHaveRun = row.path.host.empty();
-  out.calls.push_back(Abandon{id});
+  out.calls.push_back(CloseUpstream{id});
   uncount(out, now, call);
   connectTo(out, now, id, replica);
   return out;
 }
 
-Commands RequestRouter::moving(Tick now, CallId id) {
+RouterCommands RequestRouter::progress(Tick now, CallId id) {
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it != calls_.end() && it->second.phase == Phase::streaming) it->second.phaseAt = now;
   return {};
 }
 
-Commands RequestRouter::ended(Tick now, CallId id, End end) {
-  Commands out;
+RouterCommands RequestRouter::upstreamFinished(Tick now, CallId id, UpstreamResult end) {
+  RouterCommands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return out;
   Call& call = it->second;
   bool const streaming = call.phase == Phase::streaming;
   CORKWARD_INVARIANT(call.phase == Phase::handed || streaming);
-  if (end == End::whole || end == End::broken) recordOutcome(out, now, call, end == End::broken);
-  if (end == End::forgotten) {
+  if (end == UpstreamResult::complete || end == UpstreamResult::connectionLost)
+    recordOutcome(out, now, call, end == UpstreamResult::connectionLost);
+  if (end == UpstreamResult::staleConnection) {
     count(now, "connection_forgotten");
-    end = End::broken;
+    end = UpstreamResult::connectionLost;
   }
-  if (end == End::notRun) {
+  if (end == UpstreamResult::notExecuted) {
     call.outstanding = false;
     if (call.quota == QuotaState::used) call.quota = QuotaState::taken;
   }
-  if (end == End::whole) {
+  if (end == UpstreamResult::complete) {
     count(now, "served");
     noteTaken(call, now - call.arrived);
-    record(out, now, call, Happened::served);
+    record(out, now, call, AuditOutcome::served);
     drop(out, now, id);
     return out;
   }
   Replica const& r = replicas_[call.replica];
   Row const& row = rows_[call.path];
   bool const spent = call.resumes > 0 && !regimeOf(call).empty();
-  if (end == End::notRun) record(out, now, call, Happened::notRun);
+  if (end == UpstreamResult::notExecuted) record(out, now, call, AuditOutcome::notExecuted);
   if (row.path.stream || !row.path.host.empty()) {
     bool const fromStart = !streaming && call.resumes == 0;
     bool const once = !fromStart && !regimeOf(call).empty() && now < call.until;
-    bool const again = (end == End::notRun || (end == End::broken && row.path.repeatable)) && !spent &&
-                       (once || mayGoOn(now, call)) && servingLease(now) &&
-                       budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
-    if (end == End::notRun) {
+    bool const again =
+        (end == UpstreamResult::notExecuted || (end == UpstreamResult::connectionLost && row.path.repeatable)) &&
+        !spent && (once || mayGoOn(now, call)) && servingLease(now) &&
+        budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
+    if (end == UpstreamResult::notExecuted) {
       count(now, "replica_not_run");
       cool(call.replica, std::max(replicas_[call.replica].coolUntil, now + tuning_.busyFor));
     }
@@ -113,12 +115,13 @@
       if (!resumeElsewhere(out, now, id)) breakOff(out, now, id);
     } else if (again) {
       count(now, "retried_dispatched");
-      call.mayHaveRun = call.mayHaveRun || (end == End::broken && row.path.host.empty());
-      out.calls.push_back(Abandon{id});
+      call.mayHaveRun = call.mayHaveRun || (end == UpstreamResult::connectionLost && row.path.host.empty());
+      out.calls.push_back(CloseUpstream{id});
       call.phase = Phase::held;
       uncount(out, now, call);
-      if (!tryConnect(out, now, id)) credits_.at({call.pool, row.instance}).held[lane(row.path.cls)].push_front(id);
-    } else if (fromStart && end == End::notRun) {
+      if (!tryConnect(out, now, id))
+        credits_.at({call.pool, row.instance}).held[lane(row.path.requestClass)].push_front(id);
+    } else if (fromStart && end == UpstreamResult::notExecuted) {
       call.phase = Phase::connecting;
       reject(out, now, id, 503, "replica said not run; no retry left", true, tuning_.comeBack);
     } else if (fromStart) {
@@ -128,7 +131,7 @@
     }
     return out;
   }
-  if (end == End::notRun && !streaming && call.resumes == 0) {
+  if (end == UpstreamResult::notExecuted && !streaming && call.resumes == 0) {
     if (!call.request.id.empty()) seen_[call.request.instance + "|" + call.request.id].mayHaveRun = false;
     count(now, "replica_not_run");
     cool(call.replica, std::max(replicas_[call.replica].coolUntil, now + tuning_.busyFor));
@@ -136,9 +139,9 @@
     retry(out, now, id, "replica said not run");
     return out;
   }
-  bool const mayResume = end == End::broken && call.runKnown && row.path.resumable && call.resumes < tuning_.resumes &&
-                         !spent && lawful(now, call) && r.listed && servingLease(now) &&
-                         budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
+  bool const mayResume = end == UpstreamResult::connectionLost && call.runKnown && row.path.resumable &&
+                         call.resumes < tuning_.resumes && !spent && lawful(now, call) && r.listed &&
+                         servingLease(now) && budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
   if (mayResume) {
     ++call.resumes;
     call.phase = Phase::handed;
@@ -157,24 +160,24 @@
   return out;
 }
 
-void RequestRouter::breakOff(Commands& out, Tick now, CallId id, std::string const& why) {
+void RequestRouter::breakOff(RouterCommands& out, Tick now, CallId id, std::string const& why) {
   count(now, "broken");
   noteFailure(out, now, calls_.at(id), 0, why);
-  record(out, now, calls_.at(id), Happened::broken, why);
-  out.calls.push_back(Abandon{id});
-  out.calls.push_back(Abort{id});
+  record(out, now, calls_.at(id), AuditOutcome::broken, why);
+  out.calls.push_back(CloseUpstream{id});
+  out.calls.push_back(ResetDownstream{id});
   drop(out, now, id);
 }
 
-Commands RequestRouter::callerGone(Tick now, CallId id) {
-  Commands out;
+RouterCommands RequestRouter::callerDisconnected(Tick now, CallId id) {
+  RouterCommands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return out;
   count(now, "caller_gone");
   noteFailure(out, now, it->second, 0, "the caller left");
-  if (it->second.counted) out.calls.push_back(Abandon{id});
+  if (it->second.counted) out.calls.push_back(CloseUpstream{id});
   if (it->second.phase == Phase::handed || it->second.phase == Phase::streaming)
-    record(out, now, it->second, Happened::broken, "the caller went away");
+    record(out, now, it->second, AuditOutcome::broken, "the caller went away");
   unhold(id);
   drop(out, now, id);
   return out;
--- a/dataplane/src/warm.cpp
+++ b/dataplane/src/warmup_leases.cpp
@@ -4,17 +4,17 @@
 
 namespace corkward::dataplane {
 
-bool RequestRouter::warmHeld(Tick now, Index replica) const {
-  std::map<Index, Warm>::const_iterator const it = warm_.find(replica);
+bool RequestRouter::warmHeld(Tick now, NameIndex replica) const {
+  std::map<NameIndex, Warm>::const_iterator const it = warm_.find(replica);
   return it != warm_.end() && now < it->second.until;
 }
 
-void RequestRouter::warmDuties(Commands& out, Tick now) {
+void RequestRouter::warmDuties(RouterCommands& out, Tick now) {
   std::vector<std::string> const subs = controllers(now);
   std::vector<std::string> nodes = rosterOthers();
   nodes.push_back(partialView_.self().link);
   for (std::size_t p = 0; p < poolViews_.size(); ++p) {
-    for (Index const r : poolViews_[p].replicas) {
+    for (NameIndex const r : poolViews_[p].replicas) {
       Warm& w = warm_.try_emplace(r).first->second;
       bool const want = !draining_ && whole_ && replicas_[r].state == config::ReplicaState::cold &&
                         replicas_[r].listed && !evacuated(replicas_[r].zone);
@@ -34,30 +34,31 @@
       if (!held && now - openSince < rank * 2 * tuning_.warmEvery) continue;
       if (w.grants.size() > 8) w.grants.erase(w.grants.begin());
       for (std::string const& s : subs)
-        out.sends.push_back(transport::Send{
-            s, transport::WarmAsk{now, name, partialView_.self().link, partialView_.self().inc, false, ""}});
+        out.sends.push_back(
+            transport::Send{s, transport::WarmupLeaseRequest{now, name, partialView_.self().link,
+                                                             partialView_.self().incarnation, false, ""}});
     }
   }
 }
 
-void RequestRouter::on(Commands& out, Tick now, std::string const&, transport::WarmGrant const& m) {
-  Index const r = replicaNames_.find(m.replica);
-  if (r >= replicas_.size() || m.tick > now) return;
+void RequestRouter::on(RouterCommands& out, Tick now, std::string const&, transport::WarmupLeaseGrant const& m) {
+  NameIndex const r = replicaNames_.find(m.replica);
+  if (r >= replicas_.size() || m.requestSentAt > now) return;
   Warm& w = warm_.try_emplace(r).first->second;
-  if (!m.ok) {
+  if (!m.granted) {
     if (m.holder != partialView_.self().link) w.coveredUntil = std::max(w.coveredUntil, now + tuning_.warmLease);
     return;
   }
   if (membershipIds_.empty()) return;
-  std::set<std::string>& yes = w.grants[m.tick];
+  std::set<std::string>& yes = w.grants[m.requestSentAt];
   yes.insert(m.member);
   std::size_t n = 0;
   for (std::string const& id : membershipIds_) n += yes.count(id);
-  if (n < majorityOf(membershipIds_.size()) || m.tick + tuning_.warmLease <= w.until) return;
+  if (n < majorityOf(membershipIds_.size()) || m.requestSentAt + tuning_.warmLease <= w.until) return;
   bool const fresh = now >= w.until;
-  w.until = m.tick + tuning_.warmLease;
+  w.until = m.requestSentAt + tuning_.warmLease;
   if (!fresh) return;
-  w.bucket = scaling::ColdBucket(now);
+  w.bucket = scaling::SlowStartBucket(now);
   poolViews_[replicas_[r].pool].changed = true;
   logEvent(out, now, "warming-duty", {{"replica", m.replica}, {"epoch", std::to_string(m.term)}});
   refreshCandidates(out, now);
--- a/dataplane/test/golden_pages_test.cpp
+++ b/dataplane/test/golden_pages_test.cpp
@@ -43,25 +43,26 @@
 std::string shown(dataplane::Connect const& m) {
   return "connect call=" + std::to_string(m.call) + " path=" + m.path + " resume=" + yes(m.resume);
 }
-std::string shown(dataplane::HandOver const& m) {
+std::string shown(dataplane::SendRequest const& m) {
   return "hand-over call=" + std::to_string(m.call) + " left=" + std::to_string(m.left) +
          " urgency=" + std::to_string(m.urgency) + (m.tenant ? " tenant=" + *m.tenant : "") +
          (m.regime.empty() ? "" : " regime=" + m.regime);
 }
-std::string shown(dataplane::Abandon const& m) {
+std::string shown(dataplane::CloseUpstream const& m) {
   return "abandon call=" + std::to_string(m.call);
 }
 std::string shown(dataplane::Reject const& m) {
   return "reject call=" + std::to_string(m.call) + " " + std::to_string(m.status) + " \"" + m.reason +
-         "\" not-run=" + yes(m.notRun) + " retry-after=" + std::to_string(m.retryAfter) + " reached=" + yes(m.reached);
+         "\" not-run=" + yes(m.notExecuted) + " retry-after=" + std::to_string(m.retryAfter) +
+         " reached=" + yes(m.reachedReplica);
 }
-std::string shown(dataplane::Abort const& m) {
+std::string shown(dataplane::ResetDownstream const& m) {
   return "abort call=" + std::to_string(m.call);
 }
-std::string shown(dataplane::Answer const& m) {
+std::string shown(dataplane::EndpointListResponse const& m) {
   return "answer call=" + std::to_string(m.call) + " " + std::to_string(m.status) + " " + core::jsonText(m.body);
 }
-std::string shown(dataplane::Record const& m) {
+std::string shown(dataplane::WriteAuditRecord const& m) {
   return "record call=" + std::to_string(m.call) + " regime=" + m.regime + " instance=" + m.instance + " \"" +
          m.reason + "\"";
 }
@@ -86,7 +87,7 @@
 
 QJsonObject certificates(std::vector<std::string> const& zones, std::string const& routers = "any",
                          std::int64_t until = wall0 + 1000000) {
-  std::string const end = core::str(QDateTime::fromMSecsSinceEpoch(until, Qt::UTC).toString(Qt::ISODate));
+  std::string const end = core::toStdString(QDateTime::fromMSecsSinceEpoch(until, Qt::UTC).toString(Qt::ISODate));
   std::string all;
   for (std::string const& zone : zones)
     all += (all.empty() ? "\"" : ",\"") + zone +
@@ -96,8 +97,8 @@
               all + "}}}");
 }
 
-dataplane::Tuning recording() {
-  dataplane::Tuning tuning;
+dataplane::RouterTuning recording() {
+  dataplane::RouterTuning tuning;
   tuning.records = true;
   return tuning;
 }
@@ -112,27 +113,27 @@
   /// Requests that a replica has in hand.
   std::set<std::uint64_t> inHand;
   /// Amounts that a tenant's requests asked lenders for, the newest last.
-  std::vector<std::pair<std::string, quota::Report>> reports;
+  std::vector<std::pair<std::string, quota::UsageReport>> reports;
 
   static transport::Contact self() {
     transport::Contact c;
     c.link = "n1";
-    c.http = "127.0.0.1:8080";
+    c.httpAddress = "127.0.0.1:8080";
     c.role = transport::routerRole;
     c.zone = "z1";
-    c.inc = 1;
+    c.incarnation = 1;
     return c;
   }
-  explicit Router(std::string& text, std::string const& title, dataplane::Tuning const& tuning = recording(),
+  explicit Router(std::string& text, std::string const& title, dataplane::RouterTuning const& tuning = recording(),
                   bool told = true)
       : reducer(self(), {"s1"}, 7, tuning), text(text) {
     text += "\n# " + title + "\n";
     reducer.started(0);
     if (!told) return;
-    transport::News news;
+    transport::ConfigurationUpdate news;
     news.number = 1;
-    news.whole = true;
-    news.items = {
+    news.isSnapshot = true;
+    news.entries = {
         {"cohort", 1, json(R"({"members":[{"id":"m1","link":"s1"}]})")},
         {"roster", 1,
          json(
@@ -141,26 +142,26 @@
         {"family:desk", 1, json(desk)},
         {"family:law", 1, json(law)},
         {"certificates", 1, certificates({"z1", "z2"})},
-        {config::wholeKey, 1, whole(1)}};
-    reducer.arrived(now, "s1", news);
-    reducer.wallTime(now, wall0);
+        {config::fleetConfigurationKey, 1, whole(1)}};
+    reducer.onMessage(now, "s1", news);
+    reducer.setWallTime(now, wall0);
     confirm();
   }
   void confirm() {
-    transport::Confirm c;
-    c.tick = now;
-    c.inTouch = true;
-    reducer.arrived(now, "s1", c);
+    transport::ServingLeaseGrant c;
+    c.requestSentAt = now;
+    c.hasQuorum = true;
+    reducer.onMessage(now, "s1", c);
   }
-  void show(dataplane::Commands const& commands) {
+  void show(dataplane::RouterCommands const& commands) {
     for (dataplane::CallCommand const& c : commands.calls) {
       text += std::visit([](auto const& m) { return shown(m); }, c) + "\n";
       std::visit(
           [this](auto const& m) {
             using Command = std::decay_t<decltype(m)>;
-            if constexpr (std::is_same_v<Command, dataplane::HandOver>)
+            if constexpr (std::is_same_v<Command, dataplane::SendRequest>)
               inHand.insert(m.call);
-            else if constexpr (!std::is_same_v<Command, dataplane::Record>)
+            else if constexpr (!std::is_same_v<Command, dataplane::WriteAuditRecord>)
               inHand.erase(m.call);
           },
           c);
@@ -169,17 +170,17 @@
       text += "failure \"" + failure.fields.at("reason") + "\" status=" + failure.fields.at("status") +
               " phase=" + failure.fields.at("phase") + "\n";
     for (transport::Send const& s : commands.sends)
-      if (quota::Report const* const report = std::get_if<quota::Report>(&s.message))
+      if (quota::UsageReport const* const report = std::get_if<quota::UsageReport>(&s.message))
         reports.emplace_back(s.to, *report);
   }
-  void step(std::string const& words, dataplane::Commands const& commands) {
+  void step(std::string const& words, dataplane::RouterCommands const& commands) {
     text += "> " + words + "\n";
     show(commands);
   }
   void news(std::string const& key, QJsonObject const& value) {
-    transport::News n;
-    n.items = {{key, ++revision, value}};
-    step("news of " + key, reducer.arrived(now, "s1", n));
+    transport::ConfigurationUpdate n;
+    n.entries = {{key, ++revision, value}};
+    step("news of " + key, reducer.onMessage(now, "s1", n));
   }
   /// Time passes with a clock event every 20 ms; nothing confirms when told so.
   void pass(core::Tick span, bool confirmed = true) {
@@ -187,7 +188,7 @@
     for (core::Tick const end = now + span; now < end;) {
       now += 20;
       if (confirmed) confirm();
-      show(reducer.clockEvent(now));
+      show(reducer.onTimer(now));
     }
   }
   dataplane::Request own(std::string const& path, std::string const& id = "", std::uint64_t attempt = 1,
@@ -198,7 +199,7 @@
     r.path = path;
     r.id = id;
     r.attempt = attempt;
-    r.earlierNotRun = attempt > 1;
+    r.earlierNotExecuted = attempt > 1;
     return r;
   }
   dataplane::Request hosted(std::string const& path, std::string const& key = "") {
@@ -213,10 +214,10 @@
   std::uint64_t ask(dataplane::Request const& r) {
     step("request " + std::to_string(r.call) + " " +
              (r.instance.empty() ? r.host + r.target : r.instance + "/" + r.path),
-         reducer.request(now, r));
+         reducer.onRequest(now, r));
     return r.call;
   }
-  void connected(std::uint64_t call) { step("connected", reducer.connected(now, call)); }
+  void connected(std::uint64_t call) { step("connected", reducer.onConnected(now, call)); }
   /// The request is handed to a replica.
   std::uint64_t handed(dataplane::Request const& r) {
     std::uint64_t const call = ask(r);
@@ -225,24 +226,24 @@
   }
   std::uint64_t streaming(dataplane::Request const& r) {
     std::uint64_t const call = handed(r);
-    step("first word", reducer.firstWord(now, call, true));
+    step("first word", reducer.firstByteReceived(now, call, true));
     return call;
   }
   /// How a request that a replica has in hand ends; nothing else can end so.
-  void ended(std::uint64_t call, dataplane::End end, char const* words) {
+  void ended(std::uint64_t call, dataplane::UpstreamResult end, char const* words) {
     if (inHand.erase(call) == 0) return;
-    step(std::string("ended ") + words, reducer.ended(now, call, end));
+    step(std::string("ended ") + words, reducer.upstreamFinished(now, call, end));
   }
-  void whole_(std::uint64_t call) { ended(call, dataplane::End::whole, "whole"); }
-  void notRun(std::uint64_t call) { ended(call, dataplane::End::notRun, "not run"); }
-  void broken(std::uint64_t call) { ended(call, dataplane::End::broken, "broken"); }
-  void refused(std::uint64_t call) { step("connection refused", reducer.connectRejected(now, call)); }
+  void whole_(std::uint64_t call) { ended(call, dataplane::UpstreamResult::complete, "whole"); }
+  void notRun(std::uint64_t call) { ended(call, dataplane::UpstreamResult::notExecuted, "not run"); }
+  void broken(std::uint64_t call) { ended(call, dataplane::UpstreamResult::connectionLost, "broken"); }
+  void refused(std::uint64_t call) { step("connection refused", reducer.onConnectFailure(now, call)); }
   /// The lender answers the newest report: so much is lent to the request that waits.
-  void lend(std::uint64_t amount, std::uint64_t share = quota::whole) {
+  void lend(std::uint64_t amount, std::uint64_t share = quota::fractionUnits) {
     REQUIRE_FALSE(reports.empty());
     auto const [to, report] = reports.back();
     step("lent " + std::to_string(amount),
-         reducer.arrived(now, to, quota::Loans{report.number, {{"t", 1, 1, 0, amount, share}}, {}}));
+         reducer.onMessage(now, to, quota::QuotaGrants{report.number, {{"t", 1, 1, 0, amount, share}}, {}}));
   }
   void state() { text += core::jsonText(reducer.state(now)) + "\n"; }
   void metrics() { text += reducer.metrics(now); }
@@ -295,7 +296,7 @@
   }
   {
     Router r(text, "leaving", [] {
-      dataplane::Tuning tuning = recording();
+      dataplane::RouterTuning tuning = recording();
       tuning.drainServe = 2500;
       tuning.drainLimit = 7000;
       return tuning;
@@ -323,7 +324,8 @@
     std::uint64_t const hosted = r.ask(r.hosted("once"));
     r.news("family:desk",
            json(R"({"template":{"stamp":2,"spec":{"paths":[{"path":"b","pool":"model","class":"short"}]}}})"));
-    r.news(config::wholeKey, QJsonObject{{"spec", json(R"({"version":2,"paths":[],"pools":[{"name":"model"}]})")}});
+    r.news(config::fleetConfigurationKey,
+           QJsonObject{{"spec", json(R"({"version":2,"paths":[],"pools":[{"name":"model"}]})")}});
     r.connected(own);
     r.connected(hosted);
   }
@@ -342,10 +344,10 @@
   }
   {
     Router r(text, "no descriptors");
-    r.step("no descriptors", r.reducer.connectImpossible(r.now, r.ask(r.own("a"))));
+    r.step("no descriptors", r.reducer.onLocalConnectFailure(r.now, r.ask(r.own("a"))));
     std::uint64_t const resumed = r.streaming(r.own("r"));
     r.broken(resumed);
-    r.step("no descriptors", r.reducer.connectImpossible(r.now, resumed));
+    r.step("no descriptors", r.reducer.onLocalConnectFailure(r.now, resumed));
   }
   {
     Router r(text, "the deadline passes");
@@ -408,7 +410,7 @@
         r.connected(call);
       }
     }
-    r.ended(r.handed(r.hosted("once")), dataplane::End::forgotten, "forgotten");
+    r.ended(r.handed(r.hosted("once")), dataplane::UpstreamResult::staleConnection, "forgotten");
     r.metrics();
   }
   {
@@ -436,7 +438,7 @@
       r.broken(flow);
       r.connected(flow);
     }
-    r.ended(r.streaming(r.own("r")), dataplane::End::otherRun, "other run");
+    r.ended(r.streaming(r.own("r")), dataplane::UpstreamResult::differentExecution, "other run");
     r.streaming(r.own("a"));
     r.streaming(r.hosted("flow"));
     r.pass(16000);
@@ -445,20 +447,20 @@
   {
     Router r(text, "a replica's own failure, and callers that leave");
     std::uint64_t const again = r.handed(r.hosted("again"));
-    r.step("failed", r.reducer.failed(r.now, again));
+    r.step("failed", r.reducer.upstreamFailed(r.now, again));
     r.connected(again);
-    r.step("failed", r.reducer.failed(r.now, again));
+    r.step("failed", r.reducer.upstreamFailed(r.now, again));
     r.whole_(again);
     std::uint64_t const once = r.handed(r.hosted("once"));
-    r.step("failed", r.reducer.failed(r.now, once));
+    r.step("failed", r.reducer.upstreamFailed(r.now, once));
     r.whole_(once);
-    r.step("caller gone", r.reducer.callerGone(r.now, r.handed(r.own("a"))));
-    r.step("caller gone", r.reducer.callerGone(r.now, r.streaming(r.own("e", "", 1, "law.nord"))));
+    r.step("caller gone", r.reducer.callerDisconnected(r.now, r.handed(r.own("a"))));
+    r.step("caller gone", r.reducer.callerDisconnected(r.now, r.streaming(r.own("e", "", 1, "law.nord"))));
     r.metrics();
     r.state();
   }
   {
-    dataplane::Tuning tuning = recording();
+    dataplane::RouterTuning tuning = recording();
     tuning.retryAllowance = 6;
     Router r(text, "no retry is left when the second replica goes away or refuses", tuning);
     std::uint64_t const leaves = r.handed(r.own("a"));
@@ -478,7 +480,7 @@
       std::uint64_t const call = r.handed(r.own("a"));
       r.now += 4000;
       r.confirm();
-      r.step("first word", r.reducer.firstWord(r.now, call, true));
+      r.step("first word", r.reducer.firstByteReceived(r.now, call, true));
       r.whole_(call);
     }
     text = before;
@@ -492,8 +494,8 @@
   auto const echo = [](Router& r, std::uint64_t call, std::string const& link, bool clear, bool known = false,
                        std::vector<std::string> claimants = {}) {
     r.step("echo of " + link,
-           r.reducer.arrived(r.now, link,
-                             transport::SeenEcho{call, link, clear, known, false, 70000, std::move(claimants)}));
+           r.reducer.onMessage(
+               r.now, link, transport::RequestIdReply{call, link, clear, known, false, 70000, std::move(claimants)}));
   };
   {
     Router r(text, "attempts that are numbered");
@@ -502,13 +504,13 @@
     r.broken(first);
     r.ask(r.own("a", "x", 2));
     dataplane::Request later = r.own("a", "", 2);
-    later.earlierNotRun = false;
+    later.earlierNotExecuted = false;
     r.ask(later);
     later = r.own("a", "y", 2);
-    later.earlierNotRun = false;
+    later.earlierNotExecuted = false;
     r.ask(later);
     later = r.own("a", "y", 3);
-    later.earlierNotRun = false;
+    later.earlierNotExecuted = false;
     later.age = 90000;
     r.ask(later);
   }
@@ -516,17 +518,17 @@
     Router r(text, "a later attempt asks the other nodes");
     r.pass(2400);
     dataplane::Request later = r.own("a", "y", 2);
-    later.earlierNotRun = false;
+    later.earlierNotExecuted = false;
     later.age = 5000;
     r.ask(later);
     echo(r, later.call, "n2", false);
     later = r.own("a", "z", 2);
-    later.earlierNotRun = false;
+    later.earlierNotExecuted = false;
     later.age = 5000;
     r.ask(later);
     r.pass(600);
     later = r.own("a", "w", 2);
-    later.earlierNotRun = false;
+    later.earlierNotExecuted = false;
     later.age = 5000;
     r.ask(later);
     echo(r, later.call, "n2", true);
@@ -535,9 +537,10 @@
   {
     Router r(text, "an attempt went to another node");
     std::uint64_t const call = r.ask(r.own("a", "x"));
-    r.step("another node asks", r.reducer.arrived(r.now, "n2", transport::SeenAsk{9, "desk.nord|x", 3, 0, "n2#1"}));
+    r.step("another node asks",
+           r.reducer.onMessage(r.now, "n2", transport::RequestIdQuery{9, "desk.nord|x", 3, 0, "n2#1"}));
     r.whole_(r.handed(r.own("a", "x", 2)));
-    r.step("caller gone", r.reducer.callerGone(r.now, call));
+    r.step("caller gone", r.reducer.callerDisconnected(r.now, call));
   }
   {
     Router r(text, "an earlier attempt is in hand");
@@ -549,7 +552,8 @@
     for (int i = 0; i < 3; ++i) r.ask(r.own("e", "fill" + std::to_string(i)));
     r.ask(r.own("e", "held"));
     r.ask(r.own("e", "held", 2));
-    r.step("another node asks", r.reducer.arrived(r.now, "n2", transport::SeenAsk{9, "desk.nord|held", 3, 0, "n2#1"}));
+    r.step("another node asks",
+           r.reducer.onMessage(r.now, "n2", transport::RequestIdQuery{9, "desk.nord|held", 3, 0, "n2#1"}));
   }
   {
     Router r(text, "ids without numbers");
@@ -566,7 +570,7 @@
     std::string const before = text;
     for (int i = 0; i < 12; ++i) {
       dataplane::Request again = r.own("r", "e" + std::to_string(i), 2);
-      again.earlierNotRun = false;
+      again.earlierNotExecuted = false;
       r.ask(again);
     }
     std::size_t const at = text.rfind("reject ");
@@ -580,19 +584,19 @@
   std::string text;
   {
     Router r(text, "keys");
-    r.news(config::wholeKey, whole(2, limitedTenant));
+    r.news(config::fleetConfigurationKey, whole(2, limitedTenant));
     r.pass(100);
     r.ask(r.hosted("once"));
     r.ask(r.hosted("once", "other"));
     r.whole_(r.handed(r.hosted("open")));
     std::uint64_t const call = r.ask(r.hosted("once", "k"));
     r.lend(1);
-    r.news(config::wholeKey, whole(3, R"(,"tenants":[{"name":"u","keys":["l"]}])"));
+    r.news(config::fleetConfigurationKey, whole(3, R"(,"tenants":[{"name":"u","keys":["l"]}])"));
     r.connected(call);
   }
   {
     Router r(text, "limits: lent, nothing left, no share, no lender");
-    r.news(config::wholeKey, whole(2, limitedTenant));
+    r.news(config::fleetConfigurationKey, whole(2, limitedTenant));
     r.pass(100);
     std::uint64_t const granted = r.ask(r.hosted("once", "k"));
     r.lend(1);
@@ -614,7 +618,7 @@
   }
   {
     Router r(text, "limits: taken too long ago");
-    r.news(config::wholeKey, whole(2, limitedTenant));
+    r.news(config::fleetConfigurationKey, whole(2, limitedTenant));
     r.pass(100);
     std::uint64_t const call = r.ask(r.hosted("once", "k"));
     r.lend(1);
@@ -630,24 +634,24 @@
   }
   {
     Router r(text, "limits: a second run beyond them");
-    r.news(config::wholeKey, whole(2, smallTenant));
+    r.news(config::fleetConfigurationKey, whole(2, smallTenant));
     r.pass(100);
     std::uint64_t const call = r.ask(r.hosted("again", "k"));
     r.lend(1);
     r.connected(call);
-    r.step("failed", r.reducer.failed(r.now, call));
+    r.step("failed", r.reducer.upstreamFailed(r.now, call));
     r.connected(call);
   }
   {
     Router r(text, "limits: nobody lends");
-    r.news(config::wholeKey, whole(2, smallTenant));
+    r.news(config::fleetConfigurationKey, whole(2, smallTenant));
     r.pass(100);
     for (int i = 0; i < 4; ++i) r.ask(r.hosted("once", "k"));
     r.pass(1000);
   }
   {
     Router r(text, "limits: the deadline passes while the amount is asked for");
-    r.news(config::wholeKey, whole(2, limitedTenant));
+    r.news(config::fleetConfigurationKey, whole(2, limitedTenant));
     r.pass(100);
     dataplane::Request brief = r.hosted("once", "k");
     brief.deadline = 20;
@@ -666,13 +670,13 @@
     r.state();
   }
   {
-    dataplane::Tuning tuning = recording();
+    dataplane::RouterTuning tuning = recording();
     tuning.records = false;
     Router r(text, "no records", tuning);
     r.ask(bound(r));
   }
   {
-    dataplane::Tuning tuning = recording();
+    dataplane::RouterTuning tuning = recording();
     tuning.fenced = false;
     Router r(text, "no fence", tuning);
     r.ask(bound(r));
@@ -709,7 +713,7 @@
     r.connected(call);
   }
   {
-    dataplane::Tuning tuning = recording();
+    dataplane::RouterTuning tuning = recording();
     tuning.retryAllowance = 3;
     Router r(text, "the certificate ends while a second replica is connected to", tuning);
     std::uint64_t const call = r.handed(bound(r));
@@ -719,12 +723,12 @@
   }
   {
     Router r(text, "the caller of a regime's request goes away");
-    r.step("caller gone", r.reducer.callerGone(r.now, r.streaming(bound(r, "e"))));
+    r.step("caller gone", r.reducer.callerDisconnected(r.now, r.streaming(bound(r, "e"))));
   }
   {
     Router r(text, "records end before the hand-over");
     std::uint64_t const call = r.ask(bound(r));
-    r.reducer.recording(false);
+    r.reducer.setRecording(false);
     r.connected(call);
   }
   {
@@ -744,15 +748,15 @@
   }
   {
     Router r(text, "no wall time", recording(), false);
-    transport::News news;
+    transport::ConfigurationUpdate news;
     news.number = 1;
-    news.whole = true;
-    news.items = {{"cohort", 1, json(R"({"members":[{"id":"m1","link":"s1"}]})")},
-                  {"roster", 1, json(R"({"nodes":[{"link":"n1"}],"previous":[{"link":"n1"}]})")},
-                  {"pool:model", 1, json(threeReplicas)},
-                  {"family:law", 1, json(law)},
-                  {"certificates", 1, certificates({"z1", "z2"})}};
-    r.reducer.arrived(r.now, "s1", news);
+    news.isSnapshot = true;
+    news.entries = {{"cohort", 1, json(R"({"members":[{"id":"m1","link":"s1"}]})")},
+                    {"roster", 1, json(R"({"nodes":[{"link":"n1"}],"previous":[{"link":"n1"}]})")},
+                    {"pool:model", 1, json(threeReplicas)},
+                    {"family:law", 1, json(law)},
+                    {"certificates", 1, certificates({"z1", "z2"})}};
+    r.reducer.onMessage(r.now, "s1", news);
     r.confirm();
     r.ask(bound(r));
   }
@@ -770,8 +774,9 @@
         R"({"generation":2,"replicas":[{"id":"L1","address":"10.0.0.1:80","zone":"z1","state":"serving"}]})",
         R"({"generation":1,"replicas":[]})", R"({"generation":2,"replicas":[]})", "{", "[]", "{}",
         R"({"generation":3,"replicas":[{"address":"x"}]})"})
-    r.step(std::string("list ") + body, r.reducer.platformList(r.now, r.next++, "model", body));
-  r.step("list of another pool", r.reducer.platformList(r.now, r.next++, "other", R"({"generation":1,"replicas":[]})"));
+    r.step(std::string("list ") + body, r.reducer.onEndpointList(r.now, r.next++, "model", body));
+  r.step("list of another pool",
+         r.reducer.onEndpointList(r.now, r.next++, "other", R"({"generation":1,"replicas":[]})"));
   Router used(text, "in use");
   used.news(
       "pool:model",
--- a/dataplane/test/grey_test.cpp
+++ b/dataplane/test/grey_test.cpp
@@ -9,7 +9,7 @@
 #include <corkward/config/config.h>
 #include <corkward/core/json.h>
 #include <corkward/dataplane/request_router.h>
-#include <corkward/dataplane/stream.h>
+#include <corkward/dataplane/response_stream.h>
 
 namespace config = corkward::config;
 namespace core = corkward::core;
@@ -27,7 +27,7 @@
 /// One node whose requests to one pool end as the fates say.
 struct Load {
   dataplane::RequestRouter reducer;
-  core::Rng rng;
+  core::RandomGenerator rng;
   core::Tick now = 100000;
   std::uint64_t next = 1;
   std::function<Fate(std::string const&)> fate;
@@ -40,12 +40,12 @@
   std::size_t distrusts = 0;
   char const* path = "/once/";
 
-  static dataplane::Tuning tuning(int replicas) {
-    dataplane::Tuning t;
+  static dataplane::RouterTuning tuning(int replicas) {
+    dataplane::RouterTuning t;
     t.fenced = false;
     t.youngWait = 0;
     t.figures.firstPart = static_cast<std::size_t>(replicas);
-    t.figures.calmFor = 100000000;
+    t.figures.cooldown = 100000000;
     t.figures.minLimit = 4;
     return t;
   }
@@ -55,26 +55,27 @@
     c.link = "n1";
     c.role = transport::routerRole;
     c.zone = "z1";
-    c.inc = 1;
+    c.incarnation = 1;
     return c;
   }
 
   Load(int replicas, std::uint64_t seed) : Load(replicas, seed, tuning(replicas)) {}
-  Load(int replicas, std::uint64_t seed, dataplane::Tuning const& t) : reducer(self(), {"s1"}, seed, t), rng(seed) {
+  Load(int replicas, std::uint64_t seed, dataplane::RouterTuning const& t)
+      : reducer(self(), {"s1"}, seed, t), rng(seed) {
     reducer.started(0);
     QJsonArray list;
     for (int i = 1; i <= replicas; ++i)
-      list.append(QJsonObject{{"address", core::qstr(addressOf(i))}, {"zone", "z1"}, {"state", "serving"}});
+      list.append(QJsonObject{{"address", core::toQString(addressOf(i))}, {"zone", "z1"}, {"state", "serving"}});
     QJsonObject const spec = core::parseJson(R"({"version":1,"pools":[{"name":"model"}],"paths":[
       {"name":"o","host":"h","prefix":"/once/","kind":"once","deadlineMs":3000,"aimMs":200,"pool":"model"},
       {"name":"r","host":"h","prefix":"/again/","kind":"repeatable","deadlineMs":3000,"aimMs":200,"tries":2,"pool":"model"}]})")
                                  .toObject();
-    transport::News news;
+    transport::ConfigurationUpdate news;
     news.number = 1;
-    news.whole = true;
-    news.items = {{config::wholeKey, 1, QJsonObject{{"spec", spec}}},
-                  {"pool:model", 1, QJsonObject{{"generation", 1}, {"replicas", list}}}};
-    run(reducer.arrived(now, "s1", news));
+    news.isSnapshot = true;
+    news.entries = {{config::fleetConfigurationKey, 1, QJsonObject{{"spec", spec}}},
+                    {"pool:model", 1, QJsonObject{{"generation", 1}, {"replicas", list}}}};
+    run(reducer.onMessage(now, "s1", news));
   }
 
   void after(core::Tick wait, std::function<void()> what) { due.emplace(now + wait, std::move(what)); }
@@ -84,10 +85,10 @@
     r.call = next++;
     r.host = "h";
     r.target = std::string(path) + "x";
-    run(reducer.request(now, r));
+    run(reducer.onRequest(now, r));
     return r.call;
   }
-  void run(dataplane::Commands const& c) {
+  void run(dataplane::RouterCommands const& c) {
     for (core::LogEvent const& n : c.logEvents) distrusts += n.event == "replica-distrusted" ? 1 : 0;
     for (dataplane::CallCommand const& v : c.calls) std::visit([this](auto const& m) { this->act(m); }, v);
   }
@@ -96,21 +97,23 @@
     at[m.call] = m.address;
     bool const refuse = fate(m.address) == Fate::rejected;
     after(1, [this, call = m.call, refuse] {
-      run(refuse ? reducer.connectRejected(now, call) : reducer.connected(now, call));
+      run(refuse ? reducer.onConnectFailure(now, call) : reducer.onConnected(now, call));
     });
   }
-  void act(dataplane::HandOver const& m) {
+  void act(dataplane::SendRequest const& m) {
     std::string const address = at.at(m.call);
     ++reached[address];
     Fate const f = fate(address);
     core::Tick const took = f == Fate::slow ? 1500 : 20;
     after(took, [this, f, address, call = m.call] {
       if (f == Fate::broken || f == Fate::forgotten) {
-        run(reducer.ended(now, call, f == Fate::broken ? dataplane::End::broken : dataplane::End::forgotten));
+        run(reducer.upstreamFinished(now, call,
+                                     f == Fate::broken ? dataplane::UpstreamResult::connectionLost
+                                                       : dataplane::UpstreamResult::staleConnection));
         return;
       }
       if (f == Fate::failed) {
-        dataplane::Commands const c = reducer.failed(now, call);
+        dataplane::RouterCommands const c = reducer.upstreamFailed(now, call);
         run(c);
         for (dataplane::CallCommand const& v : c.calls)
           if (dataplane::Connect const* const again = std::get_if<dataplane::Connect>(&v);
@@ -118,15 +121,15 @@
             return;
         ++passedOn;
       }
-      run(reducer.firstWord(now, call, false));
-      run(reducer.ended(now, call, dataplane::End::whole));
+      run(reducer.firstByteReceived(now, call, false));
+      run(reducer.upstreamFinished(now, call, dataplane::UpstreamResult::complete));
     });
   }
-  void act(dataplane::Abandon const&) {}
+  void act(dataplane::CloseUpstream const&) {}
   void act(dataplane::Reject const& m) { rejected.push_back(m); }
-  void act(dataplane::Abort const&) {}
-  void act(dataplane::Answer const&) {}
-  void act(dataplane::Record const&) {}
+  void act(dataplane::ResetDownstream const&) {}
+  void act(dataplane::EndpointListResponse const&) {}
+  void act(dataplane::WriteAuditRecord const&) {}
 
   /// Time goes on up to then, with a request each so many milliseconds.
   void go(core::Tick duration, core::Tick every) {
@@ -137,7 +140,7 @@
         due.erase(due.begin());
         what();
       }
-      if (now % 20 == 0) run(reducer.clockEvent(now));
+      if (now % 20 == 0) run(reducer.onTimer(now));
       if (every > 0 && now % every == 0) ask();
     }
   }
@@ -245,7 +248,7 @@
 }
 
 TEST_CASE("a replica that is left out is replaced in the part, which neither widens nor is given back") {
-  dataplane::Tuning tuning = Load::tuning(3);
+  dataplane::RouterTuning tuning = Load::tuning(3);
   Load load(10, 9, tuning);
   load.fate = [&](std::string const&) { return Fate::whole; };
   load.go(1000, 40);
@@ -311,11 +314,11 @@
     CHECK(load.total() == 1);
   }
   CHECK(load.rejected.empty());
-  CHECK(load.reducer.inHand() == 0);
+  CHECK(load.reducer.pendingCount() == 0);
 }
 
 TEST_CASE("a part of one replica tries a failed request at another one of the pool") {
-  dataplane::Tuning tuning = Load::tuning(1);
+  dataplane::RouterTuning tuning = Load::tuning(1);
   Load load(4, 13, tuning);
   std::set<std::string> first;
   load.fate = [&](std::string const& a) {
@@ -330,7 +333,7 @@
 }
 
 TEST_CASE("a stream tells of a failure before it passes any of it on, and starts over elsewhere") {
-  dataplane::Stream s;
+  dataplane::ResponseStream s;
   s.connecting(false);
   dataplane::StreamSteps const failed = s.head({.status = 502, .length = 3, .failed = true});
   CHECK(failed.failed);
@@ -339,7 +342,7 @@
     dataplane::StreamSteps const piece = s.piece("bad");
     REQUIRE(piece.begin);
     CHECK(piece.begin->status == 502);
-    CHECK(piece.piece == "bad");
+    CHECK(piece.chunk == "bad");
     CHECK(s.ended(true).finish);
   }
   SECTION("tried elsewhere") {
@@ -353,12 +356,12 @@
 }
 
 TEST_CASE("a row that is asked to go on where a replica fails goes on at another one") {
-  dataplane::Stream s;
+  dataplane::ResponseStream s;
   s.asEvents("");
   s.connecting(false);
   s.head({.status = 200, .events = true});
   REQUIRE(s.piece("id: 1\ndata: a\n\n").begin);
   s.ended(false);
   s.connecting(true);
-  CHECK(s.head({.status = 500, .failed = true}).ended == dataplane::End::broken);
+  CHECK(s.head({.status = 500, .failed = true}).ended == dataplane::UpstreamResult::connectionLost);
 }
--- a/dataplane/test/limited_fleet.h
+++ b/dataplane/test/limited_fleet.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include <corkward/dataplane/tenants.h>
-#include <corkward/quota/lender.h>
+#include <corkward/quota/quota_coordinator.h>
 
 namespace corkward::dataplane::test {
 
@@ -21,7 +21,7 @@
   std::size_t controllers = 5;
   std::size_t routers = 16;
   quota::Limit limit{10000, 10000};
-  quota::Slack slack{8000, 0.1, 3000};
+  quota::OverdraftAllowance slack{8000, 0.1, 3000};
   /// Units that are asked for in a second, and in one request at a mean.
   double demand = 7000;
   double size = 200;
@@ -50,7 +50,7 @@
       : plan_(plan), without_(without), rng_(seed * 1000003) {
     tenant_.name = "t";
     tenant_.keys = {"k"};
-    tenant_.perSecond = plan.limit.perSecond;
+    tenant_.ratePerSecond = plan.limit.perSecond;
     tenant_.burst = plan.limit.burst;
     tenant_.inTokens = true;
     for (std::size_t i = 0; i < plan.controllers; ++i) members_.push_back("c" + std::to_string(i));
@@ -66,7 +66,7 @@
   void setDemand(double perSecond) { plan_.demand = perSecond; }
   void setLimit(quota::Limit const& limit) {
     plan_.limit = limit;
-    tenant_.perSecond = limit.perSecond;
+    tenant_.ratePerSecond = limit.perSecond;
     tenant_.burst = limit.burst;
     for (std::string const& link : members_)
       if (nodes_.at(link).lender) configure(nodes_.at(link));
@@ -91,7 +91,7 @@
   std::vector<std::string> lenders() const {
     std::vector<std::string> out;
     for (std::string const& link : members_)
-      if (nodes_.at(link).lender->lends(now_, quota::partOf("t"), standing(link))) out.push_back(link);
+      if (nodes_.at(link).lender->ownsPartition(now_, quota::partitionOf("t"), standing(link))) out.push_back(link);
     return out;
   }
   /// Most that was handed over within a window, and what the operators allow.
@@ -114,7 +114,7 @@
   /// Milliseconds after which a message to a node behind a cut, or to a frozen one, is tried again.
   static constexpr Tick heldUpFor = 20;
   struct Node {
-    std::unique_ptr<quota::Lender> lender;
+    std::unique_ptr<quota::QuotaCoordinator> lender;
     std::unique_ptr<Tenants> tenants;
     Tick startedAt = 0;
     Tick frozenUntil = 0;
@@ -140,7 +140,7 @@
     Node& node = nodes_[link];
     node.life = ++lives_;
     node.startedAt = now_;
-    node.lender = std::make_unique<quota::Lender>(link, node.life, plan_.slack);
+    node.lender = std::make_unique<quota::QuotaCoordinator>(link, node.life, plan_.slack);
     configure(node);
   }
   void startRouter(std::string const& link) {
@@ -155,13 +155,13 @@
   void configure(Node& node) { node.lender->configure(now_, {{"t", plan_.limit}}); }
   bool reach(std::string const& a, std::string const& b) const { return nodes_.at(a).side == nodes_.at(b).side; }
   bool awake(std::string const& link) const { return now_ >= nodes_.at(link).frozenUntil; }
-  quota::Standing standing(std::string const& link, bool toAsk = false) const {
-    quota::Standing out;
+  quota::MembershipView standing(std::string const& link, bool toAsk = false) const {
+    quota::MembershipView out;
     Node const& node = nodes_.at(link);
     out.members = members_;
     for (std::string const& member : members_)
       if (reach(link, member) && awake(member)) out.alive.push_back(member);
-    bool const paused = node.startedAt != 0 && now_ - node.startedAt <= quota::pauseBeforeGrants;
+    bool const paused = node.startedAt != 0 && now_ - node.startedAt <= quota::grantDelayAfterStart;
     out.mayRenew = !paused;
     out.mayGrant = out.mayRenew;
     if (!toAsk || without_ != Without::claims) out.routers = {routerLinks_.begin(), routerLinks_.end()};
@@ -198,7 +198,7 @@
     std::visit(
         [&](auto const& m) {
           std::vector<transport::Send> out;
-          if constexpr (requires { node.lender->arrived(now_, packet.from, m, quota::Standing{}); }) {
+          if constexpr (requires { node.lender->arrived(now_, packet.from, m, quota::MembershipView{}); }) {
             if (node.lender) send(packet.to, node.lender->arrived(now_, packet.from, m, standing(packet.to)));
           } else if constexpr (requires { node.tenants->arrived(now_, packet.from, m, out); }) {
             if (!node.tenants) return;
@@ -261,7 +261,7 @@
       std::uint64_t const call = ++calls_;
       Admission const admission = nodes_.at(router).tenants->admit(now_, call, tenant_, amount, out);
       send(router, std::move(out));
-      if (admission == Admission::waits)
+      if (admission == Admission::pending)
         waiting_[call] = {router, amount, now_};
       else
         conclude(router, {router, amount, now_}, admission, now_);
@@ -283,7 +283,7 @@
 
   FleetPlan plan_;
   Without without_;
-  core::Rng rng_;
+  core::RandomGenerator rng_;
   config::Tenant tenant_;
   std::vector<std::string> members_;
   std::vector<std::string> routerLinks_;
--- a/dataplane/test/limits_test.cpp
+++ b/dataplane/test/limits_test.cpp
@@ -17,7 +17,7 @@
 constexpr double crowd = 80000;
 
 /// One random trouble of the kinds that a day may bring.
-void trouble(LimitedFleet& fleet, core::Rng& rng) {
+void trouble(LimitedFleet& fleet, core::RandomGenerator& rng) {
   std::vector<std::string> const& members = fleet.members();
   std::vector<std::string> const& routers = fleet.routers();
   auto const some = [&](std::vector<std::string> const& of, std::size_t count) {
@@ -56,7 +56,7 @@
 
 /// A day of crowds and troubles on one fleet: the most that was handed over, as a part of what is allowed.
 double troubledDay(std::uint64_t seed, Without without = Without::nothing) {
-  core::Rng rng(seed * 7919);
+  core::RandomGenerator rng(seed * 7919);
   FleetPlan plan;
   plan.used = rng.chance(0.5) ? 16 : 6;
   if (rng.chance(0.4)) {
--- a/dataplane/test/prompt_test.cpp
+++ b/dataplane/test/prompt_test.cpp
@@ -21,8 +21,8 @@
   std::uint64_t next = 1;
   std::uint64_t open = 1;
 
-  static dataplane::Tuning tuning() {
-    dataplane::Tuning t;
+  static dataplane::RouterTuning tuning() {
+    dataplane::RouterTuning t;
     t.fenced = false;
     t.youngWait = 0;
     t.figures.width = 0.005;
@@ -30,7 +30,7 @@
     t.figures.minLimit = 0.05;
     t.figures.maxLimit = 1000;
     t.figures.steady = 0.7;
-    t.figures.ease = 0.9;
+    t.figures.limitDecay = 0.9;
     return t;
   }
 
@@ -39,17 +39,17 @@
     QJsonArray list;
     for (int i = 1; i <= replicas; ++i)
       list.append(QJsonObject{
-          {"address", core::qstr("10.0.0." + std::to_string(i) + ":80")}, {"zone", "z1"}, {"state", "serving"}});
+          {"address", core::toQString("10.0.0." + std::to_string(i) + ":80")}, {"zone", "z1"}, {"state", "serving"}});
     QJsonObject const spec =
         core::parseJson(R"({"version":1,"pools":[{"name":"model","slots":24,"tokens":400000}],"paths":[
       {"name":"s","host":"h","prefix":"/p/","kind":"stream","deadlineMs":12000,"aimMs":600,"pool":"model","affine":true}]})")
             .toObject();
-    transport::News news;
+    transport::ConfigurationUpdate news;
     news.number = 1;
-    news.whole = true;
-    news.items = {{config::wholeKey, 1, QJsonObject{{"spec", spec}}},
-                  {"pool:model", 1, QJsonObject{{"generation", 1}, {"replicas", list}}}};
-    reducer.arrived(now, "s1", news);
+    news.isSnapshot = true;
+    news.entries = {{config::fleetConfigurationKey, 1, QJsonObject{{"spec", spec}}},
+                    {"pool:model", 1, QJsonObject{{"generation", 1}, {"replicas", list}}}};
+    reducer.onMessage(now, "s1", news);
   }
 
   static transport::Contact self(std::uint64_t seed) {
@@ -57,15 +57,15 @@
     c.link = "n" + std::to_string(seed);
     c.role = transport::routerRole;
     c.zone = "z1";
-    c.inc = 1;
+    c.incarnation = 1;
     return c;
   }
 
   /// All that is in flight ends whole.
   void end() {
     for (; open < next; ++open) {
-      reducer.firstWord(now, open, true);
-      reducer.ended(now, open, dataplane::End::whole);
+      reducer.firstByteReceived(now, open, true);
+      reducer.upstreamFinished(now, open, dataplane::UpstreamResult::complete);
     }
   }
 
@@ -77,11 +77,11 @@
     r.target = "/p/x";
     r.id = "r" + std::to_string(r.call);
     r.attempt = 1;
-    r.parts = {{1, 300}, {shared, sharedTokens}, {1000000 + r.call, own}};
-    for (dataplane::CallCommand const& c : reducer.request(now, r).calls)
+    r.segments = {{1, 300}, {shared, sharedTokens}, {1000000 + r.call, own}};
+    for (dataplane::CallCommand const& c : reducer.onRequest(now, r).calls)
       if (dataplane::Connect const* const m = std::get_if<dataplane::Connect>(&c)) {
         std::string const address = m->address;
-        reducer.connected(now, r.call);
+        reducer.onConnected(now, r.call);
         return address;
       }
     return "";
@@ -110,7 +110,7 @@
       bool const tooLong = shared % 40 == 0;
       (tooLong ? apart : others).insert(node.ask(shared, 500, tooLong ? 40000 : 2000));
       node.now += 20;
-      node.reducer.clockEvent(node.now);
+      node.reducer.onTimer(node.now);
       node.end();
     }
   }
--- a/dataplane/test/regimes_test.cpp
+++ b/dataplane/test/regimes_test.cpp
@@ -10,14 +10,14 @@
 namespace core = corkward::core;
 namespace dataplane = corkward::dataplane;
 namespace transport = corkward::transport;
-using dataplane::Happened;
+using dataplane::AuditOutcome;
 
 namespace {
 
 constexpr std::int64_t wall0 = 1800000000000;
 
 std::string timeText(std::int64_t wall) {
-  return core::str(QDateTime::fromMSecsSinceEpoch(wall, Qt::UTC).toString(Qt::ISODate));
+  return core::toStdString(QDateTime::fromMSecsSinceEpoch(wall, Qt::UTC).toString(Qt::ISODate));
 }
 
 struct Life {
@@ -42,7 +42,7 @@
                                     {"carrier", "replicas"},
                                     {"pool", "model"},
                                     {"zone", z.first},
-                                    {"until", core::qstr(timeText(z.second))}});
+                                    {"until", core::toQString(timeText(z.second))}});
   return QJsonObject{
       {"spec",
        QJsonObject{{"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", routers}, {"reserve", reserve}}}}},
@@ -66,18 +66,18 @@
   core::Tick now = 100000;
   std::uint64_t next = 1;
   std::uint64_t revision = 1;
-  dataplane::Commands last;
+  dataplane::RouterCommands last;
 
   static transport::Contact self() {
     transport::Contact c;
     c.link = "n1";
     c.role = transport::routerRole;
     c.zone = "z1";
-    c.inc = 1;
+    c.incarnation = 1;
     return c;
   }
-  static dataplane::Tuning kept() {
-    dataplane::Tuning t;
+  static dataplane::RouterTuning kept() {
+    dataplane::RouterTuning t;
     t.records = true;
     return t;
   }
@@ -88,74 +88,75 @@
             {"10.0.0.4:80", "L4", "z3"},
             {"10.0.0.5:80", "L5", "z3"}};
   }
-  explicit Rig(dataplane::Tuning const& tuning = kept(), bool told = true) : reducer(self(), {"s1"}, 7, tuning) {
+  explicit Rig(dataplane::RouterTuning const& tuning = kept(), bool told = true) : reducer(self(), {"s1"}, 7, tuning) {
     reducer.started(0);
-    transport::News news;
+    transport::ConfigurationUpdate news;
     news.number = 1;
-    news.whole = true;
-    news.items = {{"cohort", 1, core::parseJson(R"({"members":[{"id":"m1","link":"s1"}]})").toObject()},
-                  {"roster", 1, core::parseJson(R"({"nodes":[{"link":"n1"}],"previous":[{"link":"n1"}]})").toObject()},
-                  {"pool:model", 1, list(1, lives())},
-                  {"family:law", 1, family("health")},
-                  {"family:desk", 1, family("")},
-                  {"certificates", 1, certificates({{"z1", wall0 + 1000000}, {"z2", wall0 + 1000000}})}};
-    reducer.arrived(now, "s1", news);
-    if (told) reducer.wallTime(now, wall0);
+    news.isSnapshot = true;
+    news.entries = {
+        {"cohort", 1, core::parseJson(R"({"members":[{"id":"m1","link":"s1"}]})").toObject()},
+        {"roster", 1, core::parseJson(R"({"nodes":[{"link":"n1"}],"previous":[{"link":"n1"}]})").toObject()},
+        {"pool:model", 1, list(1, lives())},
+        {"family:law", 1, family("health")},
+        {"family:desk", 1, family("")},
+        {"certificates", 1, certificates({{"z1", wall0 + 1000000}, {"z2", wall0 + 1000000}})}};
+    reducer.onMessage(now, "s1", news);
+    if (told) reducer.setWallTime(now, wall0);
     confirm();
   }
   void confirm() {
-    transport::Confirm c;
-    c.tick = now;
-    c.inTouch = true;
-    reducer.arrived(now, "s1", c);
+    transport::ServingLeaseGrant c;
+    c.requestSentAt = now;
+    c.hasQuorum = true;
+    reducer.onMessage(now, "s1", c);
   }
-  dataplane::Commands news(char const* key, QJsonObject const& value) {
-    transport::News n;
-    n.items = {{key, ++revision, value}};
-    return last = reducer.arrived(now, "s1", n);
+  dataplane::RouterCommands news(char const* key, QJsonObject const& value) {
+    transport::ConfigurationUpdate n;
+    n.entries = {{key, ++revision, value}};
+    return last = reducer.onMessage(now, "s1", n);
   }
-  dataplane::Commands ask(char const* instance = "law.nord", char const* path = "a") {
+  dataplane::RouterCommands ask(char const* instance = "law.nord", char const* path = "a") {
     dataplane::Request r;
     r.call = next++;
     r.instance = instance;
     r.path = path;
     r.id = "id" + std::to_string(r.call);
-    return last = reducer.request(now, r);
+    return last = reducer.onRequest(now, r);
   }
-  dataplane::Commands connected(std::uint64_t call) { return last = reducer.connected(now, call); }
+  dataplane::RouterCommands connected(std::uint64_t call) { return last = reducer.onConnected(now, call); }
   /// A request of that path that streams from some certified replica; the address.
   std::string streaming(std::uint64_t& call, char const* path = "e") {
     call = next;
     std::string const address = find<dataplane::Connect>(ask("law.nord", path)).address;
-    find<dataplane::HandOver>(connected(call));
-    reducer.firstWord(now, call, true);
+    find<dataplane::SendRequest>(connected(call));
+    reducer.firstByteReceived(now, call, true);
     return address;
   }
-  dataplane::Commands pass(core::Tick span) {
-    dataplane::Commands all;
+  dataplane::RouterCommands pass(core::Tick span) {
+    dataplane::RouterCommands all;
     for (core::Tick const end = now + span; now < end;) {
       now += 20;
       confirm();
-      dataplane::Commands const c = reducer.clockEvent(now);
+      dataplane::RouterCommands const c = reducer.onTimer(now);
       all.calls.insert(all.calls.end(), c.calls.begin(), c.calls.end());
     }
     return last = all;
   }
   template <class T>
-  static std::size_t count(dataplane::Commands const& c) {
+  static std::size_t count(dataplane::RouterCommands const& c) {
     return static_cast<std::size_t>(std::count_if(
         c.calls.begin(), c.calls.end(), [](dataplane::CallCommand const& v) { return std::holds_alternative<T>(v); }));
   }
   template <class T>
-  static T find(dataplane::Commands const& c) {
+  static T find(dataplane::RouterCommands const& c) {
     for (dataplane::CallCommand const& v : c.calls)
       if (T const* const m = std::get_if<T>(&v)) return *m;
     FAIL("no such command");
     return T{};
   }
   bool rejectedNotRun() const {
-    return count<dataplane::Reject>(last) == 1 && count<dataplane::HandOver>(last) == 0 &&
-           find<dataplane::Reject>(last).status == 503 && find<dataplane::Reject>(last).notRun &&
+    return count<dataplane::Reject>(last) == 1 && count<dataplane::SendRequest>(last) == 0 &&
+           find<dataplane::Reject>(last).status == 503 && find<dataplane::Reject>(last).notExecuted &&
            find<dataplane::Reject>(last).retryAfter > 0;
   }
 };
@@ -170,33 +171,33 @@
   Rig rig;
   int connects = 0;
   for (int i = 0; i < 60; ++i) {
-    dataplane::Commands const c = rig.ask();
+    dataplane::RouterCommands const c = rig.ask();
     if (Rig::count<dataplane::Connect>(c) == 0) continue;
     ++connects;
     dataplane::Connect const to = Rig::find<dataplane::Connect>(c);
     CHECK(certifiedAddress(to.address));
-    CHECK(to.life == (to.address == "10.0.0.1:80" ? "L1" : "L2"));
+    CHECK(to.incarnation == (to.address == "10.0.0.1:80" ? "L1" : "L2"));
     rig.connected(to.call);
-    dataplane::Record const record = Rig::find<dataplane::Record>(rig.last);
-    CHECK(record.happened == Happened::handedOver);
+    dataplane::WriteAuditRecord const record = Rig::find<dataplane::WriteAuditRecord>(rig.last);
+    CHECK(record.outcome == AuditOutcome::handedOver);
     CHECK(record.certificate == record.zone);
-    CHECK(record.life == to.life);
-    CHECK(Rig::find<dataplane::HandOver>(rig.last).regime == "health");
-    CHECK(std::holds_alternative<dataplane::Record>(rig.last.calls[rig.last.calls.size() - 2]));
-    CHECK(std::holds_alternative<dataplane::HandOver>(rig.last.calls.back()));
+    CHECK(record.incarnation == to.incarnation);
+    CHECK(Rig::find<dataplane::SendRequest>(rig.last).regime == "health");
+    CHECK(std::holds_alternative<dataplane::WriteAuditRecord>(rig.last.calls[rig.last.calls.size() - 2]));
+    CHECK(std::holds_alternative<dataplane::SendRequest>(rig.last.calls.back()));
   }
   CHECK(connects >= 4);
-  CHECK(rig.reducer.inHand() > static_cast<std::size_t>(connects));
+  CHECK(rig.reducer.pendingCount() > static_cast<std::size_t>(connects));
   for (dataplane::CallCommand const& v : rig.pass(20000).calls)
     if (dataplane::Connect const* const m = std::get_if<dataplane::Connect>(&v)) CHECK(certifiedAddress(m->address));
   dataplane::Connect const free = Rig::find<dataplane::Connect>(rig.ask("desk.nord"));
-  CHECK(free.life.empty());
-  CHECK(Rig::find<dataplane::HandOver>(rig.connected(free.call)).regime.empty());
-  CHECK(Rig::count<dataplane::Record>(rig.last) == 0);
+  CHECK(free.incarnation.empty());
+  CHECK(Rig::find<dataplane::SendRequest>(rig.connected(free.call)).regime.empty());
+  CHECK(Rig::count<dataplane::WriteAuditRecord>(rig.last) == 0);
 }
 
 TEST_CASE("a router that is not sure rejects a regime's requests at once, and others not") {
-  dataplane::Tuning plain = Rig::kept();
+  dataplane::RouterTuning plain = Rig::kept();
   SECTION("records cannot be kept") {
     plain.records = false;
   }
@@ -207,15 +208,15 @@
   if (plain.records && plain.fenced) {
     SECTION("no wall time was told") {}
     SECTION("no certificates are known") {
-      rig.reducer.wallTime(rig.now, wall0);
+      rig.reducer.setWallTime(rig.now, wall0);
       rig.news("certificates", QJsonObject{});
     }
     SECTION("its own certificate is missing") {
-      rig.reducer.wallTime(rig.now, wall0);
+      rig.reducer.setWallTime(rig.now, wall0);
       rig.news("certificates", certificates({{"z1", wall0 + 1000000}}, "certified"));
     }
     SECTION("the list tells no lives") {
-      rig.reducer.wallTime(rig.now, wall0);
+      rig.reducer.setWallTime(rig.now, wall0);
       rig.news(
           "pool:model",
           core::parseJson(R"({"generation":2,"replicas":[{"address":"10.0.0.1:80","zone":"z1","state":"serving"}]})")
@@ -224,7 +225,7 @@
   }
   rig.ask();
   CHECK(rig.rejectedNotRun());
-  CHECK(Rig::find<dataplane::Record>(rig.last).happened == Happened::rejected);
+  CHECK(Rig::find<dataplane::WriteAuditRecord>(rig.last).outcome == AuditOutcome::rejected);
   CHECK(Rig::count<dataplane::Connect>(rig.ask("desk.nord")) == 1);
 }
 
@@ -237,11 +238,11 @@
                                  {"carrier", "nacelles"},
                                  {"zone", "z1"},
                                  {"link", "n1"},
-                                 {"until", core::qstr(timeText(wall0 + 200000))}});
+                                 {"until", core::toQString(timeText(wall0 + 200000))}});
   spec.insert("certificates", all);
   rig.news("certificates", QJsonObject{{"spec", spec}});
   CHECK(Rig::count<dataplane::Connect>(rig.ask()) == 1);
-  rig.reducer.wallTime(rig.now, wall0 + 150000);
+  rig.reducer.setWallTime(rig.now, wall0 + 150000);
   rig.ask();
   CHECK(rig.rejectedNotRun());
   rig.connected(1);
@@ -252,15 +253,15 @@
   Rig rig;
   std::string const address = Rig::find<dataplane::Connect>(rig.ask()).address;
   SECTION("it ends by the clock") {
-    rig.reducer.wallTime(rig.now, wall0 + 950000);
+    rig.reducer.setWallTime(rig.now, wall0 + 950000);
     rig.connected(1);
-    CHECK(Rig::count<dataplane::HandOver>(rig.last) == 0);
+    CHECK(Rig::count<dataplane::SendRequest>(rig.last) == 0);
     CHECK(rig.pass(100).calls.size() > 0);
     CHECK(rig.rejectedNotRun());
   }
   SECTION("it is revoked: the other certified one is asked") {
     rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
-    CHECK(Rig::count<dataplane::Abandon>(rig.last) == 1);
+    CHECK(Rig::count<dataplane::CloseUpstream>(rig.last) == 1);
     dataplane::Connect const other = Rig::find<dataplane::Connect>(rig.last);
     CHECK(certifiedAddress(other.address));
     CHECK(other.address != address);
@@ -271,7 +272,7 @@
     CHECK(rig.rejectedNotRun());
   }
   SECTION("records can no longer be kept") {
-    rig.reducer.recording(false);
+    rig.reducer.setRecording(false);
     rig.connected(1);
     CHECK(rig.rejectedNotRun());
   }
@@ -283,7 +284,7 @@
         l.zone = "z3";
       }
     rig.news("pool:model", list(2, lives));
-    CHECK(Rig::count<dataplane::HandOver>(rig.last) == 0);
+    CHECK(Rig::count<dataplane::SendRequest>(rig.last) == 0);
     CHECK(Rig::find<dataplane::Connect>(rig.last).address != address);
   }
 }
@@ -294,9 +295,9 @@
   rig.news("pool:model", list(2, only));
   CHECK(Rig::find<dataplane::Connect>(rig.ask("desk.nord")).address == "10.0.0.3:80");
   rig.news("family:desk", family("health"));
-  CHECK(Rig::count<dataplane::Abandon>(rig.last) == 1);
+  CHECK(Rig::count<dataplane::CloseUpstream>(rig.last) == 1);
   rig.connected(1);
-  CHECK(Rig::count<dataplane::HandOver>(rig.last) == 0);
+  CHECK(Rig::count<dataplane::SendRequest>(rig.last) == 0);
 }
 
 TEST_CASE("a stream whose certificate is revoked goes on once at another certified replica") {
@@ -308,14 +309,14 @@
   CHECK(next.resume);
   CHECK(certifiedAddress(next.address));
   CHECK(next.address != address);
-  CHECK(next.life == (next.address == "10.0.0.1:80" ? "L1" : "L2"));
+  CHECK(next.incarnation == (next.address == "10.0.0.1:80" ? "L1" : "L2"));
   rig.connected(call);
-  CHECK(Rig::find<dataplane::Record>(rig.last).happened == Happened::resumed);
-  CHECK(Rig::find<dataplane::HandOver>(rig.last).expect == next.life);
-  rig.reducer.firstWord(rig.now, call, true);
-  rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
-  CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
-  CHECK(Rig::find<dataplane::Record>(rig.last).happened == Happened::broken);
+  CHECK(Rig::find<dataplane::WriteAuditRecord>(rig.last).outcome == AuditOutcome::resumed);
+  CHECK(Rig::find<dataplane::SendRequest>(rig.last).expect == next.incarnation);
+  rig.reducer.firstByteReceived(rig.now, call, true);
+  rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
+  CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
+  CHECK(Rig::find<dataplane::WriteAuditRecord>(rig.last).outcome == AuditOutcome::broken);
 }
 
 TEST_CASE("a stream that breaks goes on once at another certified replica, and nowhere else") {
@@ -323,28 +324,28 @@
   std::uint64_t call = 0;
   std::string const address = rig.streaming(call);
   SECTION("another is certified") {
-    rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
+    rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
     dataplane::Connect const next = Rig::find<dataplane::Connect>(rig.last);
     CHECK(next.address != address);
     CHECK(certifiedAddress(next.address));
     SECTION("its certificate goes away before the connection stands") {
       rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z1" : "z2", wall0 + 1000000}}));
-      CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
+      CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
       rig.connected(call);
-      CHECK(Rig::count<dataplane::HandOver>(rig.last) == 0);
+      CHECK(Rig::count<dataplane::SendRequest>(rig.last) == 0);
     }
     SECTION("it does not name its life in time") {
       rig.pass(800);
-      CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
+      CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
     }
   }
   SECTION("no other is certified") {
     std::vector<Life> lives = Rig::lives();
     std::erase_if(lives, [&](Life const& l) { return certifiedAddress(l.address) && l.address != address; });
     rig.news("pool:model", list(2, lives));
-    rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
+    rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
     CHECK(Rig::count<dataplane::Connect>(rig.last) == 0);
-    CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
+    CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
   }
 }
 
@@ -354,18 +355,18 @@
   rig.streaming(call);
   SECTION("the standing is lost") {
     rig.now += 1600;
-    rig.last = rig.reducer.clockEvent(rig.now);
+    rig.last = rig.reducer.onTimer(rig.now);
   }
   SECTION("the regime is gone") {
     rig.news("certificates", QJsonObject{});
   }
   SECTION("all certificates have ended") {
-    rig.reducer.wallTime(rig.now, wall0 + 950000);
+    rig.reducer.setWallTime(rig.now, wall0 + 950000);
     rig.pass(1100);
   }
   CHECK(Rig::count<dataplane::Connect>(rig.last) == 0);
-  CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
-  CHECK(rig.reducer.inHand() == 0);
+  CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
+  CHECK(rig.reducer.pendingCount() == 0);
 }
 
 TEST_CASE("what may not be resumed is broken off, what had no word is rejected as unknown, when its certificate ends") {
@@ -377,22 +378,22 @@
   rig.connected(silent);
   rig.news("certificates", certificates({}));
   CHECK(Rig::count<dataplane::Connect>(rig.last) == 0);
-  CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
+  CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
   CHECK(Rig::find<dataplane::Reject>(rig.last).status == 502);
-  CHECK_FALSE(Rig::find<dataplane::Reject>(rig.last).notRun);
+  CHECK_FALSE(Rig::find<dataplane::Reject>(rig.last).notExecuted);
 }
 
 TEST_CASE("what is held is rejected at once when no certified replica is left") {
   Rig rig;
   std::size_t connects = 0;
   for (int i = 0; i < 12; ++i) connects += Rig::count<dataplane::Connect>(rig.ask("law.nord", "e"));
-  std::size_t const inHand = rig.reducer.inHand();
+  std::size_t const inHand = rig.reducer.pendingCount();
   REQUIRE(inHand > connects);
   rig.news("certificates", certificates({{"z3", wall0 - 1}}));
   std::size_t const atOnce = Rig::count<dataplane::Reject>(rig.last);
   CHECK(atOnce >= inHand - connects);
   CHECK(atOnce + Rig::count<dataplane::Reject>(rig.pass(20)) == inHand);
-  CHECK(rig.reducer.inHand() == 0);
+  CHECK(rig.reducer.pendingCount() == 0);
 }
 
 TEST_CASE("what may have run at a replica that it left is not rejected as not run") {
@@ -404,21 +405,21 @@
     if (left)
       rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
     else
-      rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
+      rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
     dataplane::Connect const other = Rig::find<dataplane::Connect>(rig.last);
     CHECK_FALSE(other.resume);
     CHECK(other.address != address);
     rig.news("certificates", certificates({}));
     if (Rig::count<dataplane::Reject>(rig.last) == 0) rig.pass(20);
     CHECK(Rig::find<dataplane::Reject>(rig.last).status == 503);
-    CHECK_FALSE(Rig::find<dataplane::Reject>(rig.last).notRun);
+    CHECK_FALSE(Rig::find<dataplane::Reject>(rig.last).notExecuted);
   }
 }
 
 TEST_CASE("a clock that goes back gives no certificate back") {
   Rig rig;
-  rig.reducer.wallTime(rig.now, wall0 + 950000);
-  rig.reducer.wallTime(rig.now, wall0);
+  rig.reducer.setWallTime(rig.now, wall0 + 950000);
+  rig.reducer.setWallTime(rig.now, wall0);
   rig.ask();
   CHECK(rig.rejectedNotRun());
 }
@@ -428,14 +429,14 @@
     Rig rig;
     std::uint64_t call = 0;
     std::string const address = rig.streaming(call, "r");
-    if (!still) rig.reducer.wallTime(rig.now, wall0 + 950000);
-    rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
+    if (!still) rig.reducer.setWallTime(rig.now, wall0 + 950000);
+    rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
     CHECK(Rig::count<dataplane::Connect>(rig.last) == (still ? 1 : 0));
     if (!still) continue;
     CHECK(Rig::find<dataplane::Connect>(rig.last).address == address);
     rig.connected(call);
-    rig.last = rig.reducer.ended(rig.now, call, dataplane::End::broken);
-    CHECK(Rig::count<dataplane::Abort>(rig.last) == 1);
+    rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
+    CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
   }
 }
 
@@ -453,7 +454,7 @@
 }
 
 TEST_CASE("a crowd without a regime does not use up the room that a node has for a regime's requests") {
-  dataplane::Tuning tuning = Rig::kept();
+  dataplane::RouterTuning tuning = Rig::kept();
   tuning.nodeLimitPerReplica = 1.0;
   Rig rig(tuning);
   for (int i = 0; i < 40; ++i) rig.ask("desk.nord");
--- a/dataplane/test/request_router_test.cpp
+++ b/dataplane/test/request_router_test.cpp
@@ -8,7 +8,7 @@
 
 #include <corkward/core/json.h>
 #include <corkward/dataplane/request_router.h>
-#include <corkward/dataplane/stream.h>
+#include <corkward/dataplane/response_stream.h>
 
 #include "../../transport/test/fill.h"
 
@@ -29,23 +29,24 @@
     c.link = "n1";
     c.role = transport::routerRole;
     c.zone = "z1";
-    c.inc = 1;
+    c.incarnation = 1;
     return c;
   }
-  explicit Rig(dataplane::Tuning tuning = {}, std::uint64_t rosterRevision = 1) : reducer(self(), {"s1"}, 7, tuning) {
+  explicit Rig(dataplane::RouterTuning tuning = {}, std::uint64_t rosterRevision = 1)
+      : reducer(self(), {"s1"}, 7, tuning) {
     reducer.started(0);
-    transport::News news;
+    transport::ConfigurationUpdate news;
     news.number = 1;
-    news.whole = true;
-    news.items = {{"cohort", 1, core::parseJson(R"({"members":[{"id":"m1","link":"s1"}]})").toObject()},
-                  {"roster", rosterRevision, roster(rosterRevision == 1)},
-                  {"pool:model", 1, pool(1, "serving")},
-                  {"family:desk", 1,
-                   core::parseJson(R"({"template":{"stamp":1,"spec":{"paths":[
+    news.isSnapshot = true;
+    news.entries = {{"cohort", 1, core::parseJson(R"({"members":[{"id":"m1","link":"s1"}]})").toObject()},
+                    {"roster", rosterRevision, roster(rosterRevision == 1)},
+                    {"pool:model", 1, pool(1, "serving")},
+                    {"family:desk", 1,
+                     core::parseJson(R"({"template":{"stamp":1,"spec":{"paths":[
                      {"path":"a","pool":"model","class":"short"},{"path":"r","pool":"model","class":"short","resumable":true}]}},
                      "instances":{"nord":{"stamp":1,"spec":{}},"sued":{"stamp":1,"spec":{}}}})")
-                       .toObject()}};
-    reducer.arrived(now, "s1", news);
+                         .toObject()}};
+    reducer.onMessage(now, "s1", news);
     confirm();
   }
   static QJsonObject roster(bool before) {
@@ -61,31 +62,31 @@
         .toObject();
   }
   /// A list of that generation which serves all but one.
-  static transport::Hint without(std::uint64_t generation, std::string const& gone) {
-    transport::Hint h{"model", generation, {}, {}};
+  static transport::EndpointRemovalHint without(std::uint64_t generation, std::string const& gone) {
+    transport::EndpointRemovalHint h{"model", generation, {}, {}};
     for (char const* a : {"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"})
       if (a != gone) h.serving.push_back(a);
     return h;
   }
   void confirm() {
-    transport::Confirm c;
-    c.tick = now;
-    c.inTouch = true;
-    reducer.arrived(now, "s1", c);
+    transport::ServingLeaseGrant c;
+    c.requestSentAt = now;
+    c.hasQuorum = true;
+    reducer.onMessage(now, "s1", c);
   }
-  dataplane::Commands ask(std::string const& id, std::uint64_t attempt = 1, std::string const& instance = "desk.nord",
-                          std::string const& path = "a") {
+  dataplane::RouterCommands ask(std::string const& id, std::uint64_t attempt = 1,
+                                std::string const& instance = "desk.nord", std::string const& path = "a") {
     dataplane::Request r;
     r.call = next++;
     r.instance = instance;
     r.path = path;
     r.id = id;
     r.attempt = attempt;
-    r.earlierNotRun = attempt > 1;
-    return reducer.request(now, r);
+    r.earlierNotExecuted = attempt > 1;
+    return reducer.onRequest(now, r);
   }
   template <class T>
-  static T const* find(dataplane::Commands const& c) {
+  static T const* find(dataplane::RouterCommands const& c) {
     for (dataplane::CallCommand const& v : c.calls)
       if (T const* const m = std::get_if<T>(&v)) return m;
     return nullptr;
@@ -103,21 +104,21 @@
   request.id = "waited";
   request.deadline = 1000;
   request.readFor = 150;
-  REQUIRE(Rig::find<dataplane::Connect>(rig.reducer.request(rig.now, request)) != nullptr);
+  REQUIRE(Rig::find<dataplane::Connect>(rig.reducer.onRequest(rig.now, request)) != nullptr);
   rig.now += 400;
   rig.confirm();
-  dataplane::Commands const connected = rig.reducer.connected(rig.now, request.call);
-  dataplane::HandOver const* const handOver = Rig::find<dataplane::HandOver>(connected);
+  dataplane::RouterCommands const connected = rig.reducer.onConnected(rig.now, request.call);
+  dataplane::SendRequest const* const handOver = Rig::find<dataplane::SendRequest>(connected);
   REQUIRE(handOver != nullptr);
   CHECK(handOver->left == 450);
 }
 
 TEST_CASE("a node that leaves takes what it can finish, and nothing that may be cut") {
-  dataplane::Tuning tuning;
+  dataplane::RouterTuning tuning;
   tuning.drainServe = 2500;
   tuning.drainLimit = 7000;
   Rig rig(tuning);
-  std::function<int(dataplane::Commands const&)> const status = [](dataplane::Commands const& commands) {
+  std::function<int(dataplane::RouterCommands const&)> const status = [](dataplane::RouterCommands const& commands) {
     for (dataplane::CallCommand const& c : commands.calls)
       if (dataplane::Reject const* const reject = std::get_if<dataplane::Reject>(&c)) return reject->status;
     return 0;
@@ -126,11 +127,11 @@
   for (int i = 0; i < 16; ++i) {
     rig.ask("long-" + std::to_string(i), 1, "desk.nord", "a");
     dataplane::CallId const served = rig.next - 1;
-    rig.reducer.connected(rig.now, served);
-    rig.reducer.firstWord(rig.now, served, true);
+    rig.reducer.onConnected(rig.now, served);
+    rig.reducer.firstByteReceived(rig.now, served, true);
     rig.now += 5000;
     rig.confirm();
-    rig.reducer.ended(rig.now, served, dataplane::End::whole);
+    rig.reducer.upstreamFinished(rig.now, served, dataplane::UpstreamResult::complete);
   }
   rig.reducer.drain(rig.now);
   rig.now += 500;
@@ -138,7 +139,7 @@
   CHECK(status(rig.ask("fits", 1, "desk.nord", "a")) == 0);
   rig.now += 1000;
   rig.confirm();
-  dataplane::Commands const refused = rig.ask("too-long", 1, "desk.nord", "a");
+  dataplane::RouterCommands const refused = rig.ask("too-long", 1, "desk.nord", "a");
   CHECK(status(refused) == 503);
   REQUIRE(refused.failures.size() == 1);
   CHECK(refused.failures[0].fields.at("reason") == "leaving before it could end");
@@ -147,23 +148,24 @@
 
 TEST_CASE("a node without descriptors turns the caller away at once and holds nothing against the replica") {
   Rig rig;
-  dataplane::Commands const asked = rig.ask("r1");
+  dataplane::RouterCommands const asked = rig.ask("r1");
   dataplane::CallId const call = rig.next - 1;
-  std::function<std::string(dataplane::Commands const&)> const address = [](dataplane::Commands const& commands) {
-    for (dataplane::CallCommand const& c : commands.calls)
-      if (dataplane::Connect const* const connect = std::get_if<dataplane::Connect>(&c)) return connect->address;
-    return std::string();
-  };
+  std::function<std::string(dataplane::RouterCommands const&)> const address =
+      [](dataplane::RouterCommands const& commands) {
+        for (dataplane::CallCommand const& c : commands.calls)
+          if (dataplane::Connect const* const connect = std::get_if<dataplane::Connect>(&c)) return connect->address;
+        return std::string();
+      };
   REQUIRE_FALSE(address(asked).empty());
-  dataplane::Commands const out = rig.reducer.connectImpossible(rig.now, call);
+  dataplane::RouterCommands const out = rig.reducer.onLocalConnectFailure(rig.now, call);
   dataplane::Reject const* reject = nullptr;
   for (dataplane::CallCommand const& c : out.calls)
     if (std::get_if<dataplane::Reject>(&c) != nullptr) reject = std::get_if<dataplane::Reject>(&c);
   REQUIRE(reject != nullptr);
   CHECK(reject->status == 503);
-  CHECK(reject->notRun);
+  CHECK(reject->notExecuted);
   CHECK(reject->retryAfter > 0);
-  CHECK(rig.reducer.inHand() == 0);
+  CHECK(rig.reducer.pendingCount() == 0);
   REQUIRE(out.failures.size() == 1);
   CHECK(out.failures[0].fields.at("reason") == "this node is out of descriptors");
   CHECK(rig.reducer.metrics(rig.now).find("replica-cooled") == std::string::npos);
@@ -171,13 +173,13 @@
 
 TEST_CASE("a router whose confirmation has grown old hands nothing over, even on an open connection") {
   Rig rig;
-  dataplane::Commands const c = rig.ask("x");
+  dataplane::RouterCommands const c = rig.ask("x");
   REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
   rig.now += 1501;
-  dataplane::Commands const late = rig.reducer.connected(rig.now, 1);
-  CHECK(Rig::find<dataplane::HandOver>(late) == nullptr);
+  dataplane::RouterCommands const late = rig.reducer.onConnected(rig.now, 1);
+  CHECK(Rig::find<dataplane::SendRequest>(late) == nullptr);
   REQUIRE(Rig::find<dataplane::Reject>(late) != nullptr);
-  CHECK(Rig::find<dataplane::Reject>(late)->notRun);
+  CHECK(Rig::find<dataplane::Reject>(late)->notExecuted);
   CHECK(Rig::find<dataplane::Reject>(late)->retryAfter > 0);
   CHECK(Rig::find<dataplane::Reject>(rig.ask("y")) != nullptr);
 }
@@ -185,27 +187,28 @@
 TEST_CASE("a confirmation that knows more than this router does not count") {
   Rig rig;
   rig.now += 1000;
-  transport::Confirm c;
-  c.tick = rig.now;
-  c.inTouch = true;
+  transport::ServingLeaseGrant c;
+  c.requestSentAt = rig.now;
+  c.hasQuorum = true;
   c.revisions = {{"family:desk", 2}};
   c.digest = transport::digestOf(c.revisions);
-  rig.reducer.arrived(rig.now, "s1", c);
+  rig.reducer.onMessage(rig.now, "s1", c);
   rig.now += 600;
   CHECK_FALSE(rig.reducer.servingLease(rig.now));
-  transport::News news;
+  transport::ConfigurationUpdate news;
   news.number = 2;
-  news.items = {{"family:desk", 2, rig.reducer.valueOf("family:desk")}};
-  rig.reducer.arrived(rig.now, "s1", news);
+  news.entries = {{"family:desk", 2, rig.reducer.valueOf("family:desk")}};
+  rig.reducer.onMessage(rig.now, "s1", news);
   CHECK(rig.reducer.servingLease(rig.now));
 }
 
 TEST_CASE("a router that is not on its roster does not serve: nobody would ask it about earlier attempts") {
   Rig rig;
   REQUIRE(rig.reducer.servingLease(rig.now));
-  transport::News news;
-  news.items = {{"roster", 2, core::parseJson(R"({"nodes":[{"link":"n2"},{"link":"n3"},{"link":"n4"}]})").toObject()}};
-  rig.reducer.arrived(rig.now, "s1", news);
+  transport::ConfigurationUpdate news;
+  news.entries = {
+      {"roster", 2, core::parseJson(R"({"nodes":[{"link":"n2"},{"link":"n3"},{"link":"n4"}]})").toObject()}};
+  rig.reducer.onMessage(rig.now, "s1", news);
   rig.confirm();
   CHECK_FALSE(rig.reducer.servingLease(rig.now));
 }
@@ -214,38 +217,39 @@
   Rig rig;
   rig.now += 2000;
   CHECK_FALSE(rig.reducer.servingLease(rig.now));
-  transport::Touch t;
-  t.tick = rig.now;
-  t.echo = true;
-  t.whole = true;
+  transport::PeerHeartbeat t;
+  t.sentAt = rig.now;
+  t.isReply = true;
+  t.hasSnapshot = true;
   t.link = "n2";
   t.revisions = {{"family:desk", 1}};
   t.digest = transport::digestOf(t.revisions);
-  rig.reducer.arrived(rig.now + 5, "n2", t);
+  rig.reducer.onMessage(rig.now + 5, "n2", t);
   CHECK(rig.reducer.servingLease(rig.now + 5));
   CHECK_FALSE(rig.reducer.servingLease(rig.now + 1600));
 }
 
 TEST_CASE("a router without a fence serves from its whole snapshot on, with no confirmation, roster or wait") {
-  dataplane::Tuning tuning;
+  dataplane::RouterTuning tuning;
   tuning.fenced = false;
   Rig rig(tuning);
   rig.reducer.started(rig.now);
   rig.now += 60000;
   CHECK(rig.reducer.servingLease(rig.now));
   CHECK(rig.reducer.ready(rig.now));
-  transport::News news;
-  news.items = {{"roster", 2, core::parseJson(R"({"nodes":[{"link":"n2"},{"link":"n3"}]})").toObject()}};
-  rig.reducer.arrived(rig.now, "s1", news);
+  transport::ConfigurationUpdate news;
+  news.entries = {{"roster", 2, core::parseJson(R"({"nodes":[{"link":"n2"},{"link":"n3"}]})").toObject()}};
+  rig.reducer.onMessage(rig.now, "s1", news);
   CHECK(rig.reducer.ready(rig.now));
-  dataplane::Commands const c = rig.ask("x");
+  dataplane::RouterCommands const c = rig.ask("x");
   REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
-  CHECK(Rig::find<dataplane::HandOver>(rig.reducer.connected(rig.now, 1)) != nullptr);
-  dataplane::Commands const clock = rig.reducer.clockEvent(rig.now);
-  CHECK(std::any_of(clock.sends.begin(), clock.sends.end(),
-                    [](transport::Send const& s) { return std::holds_alternative<transport::Ask>(s.message); }));
-  news.items = {{"zone:z1", 1, QJsonObject{{"evacuated", true}}}};
-  rig.reducer.arrived(rig.now, "s1", news);
+  CHECK(Rig::find<dataplane::SendRequest>(rig.reducer.onConnected(rig.now, 1)) != nullptr);
+  dataplane::RouterCommands const clock = rig.reducer.onTimer(rig.now);
+  CHECK(std::any_of(clock.sends.begin(), clock.sends.end(), [](transport::Send const& s) {
+    return std::holds_alternative<transport::ServingLeaseRequest>(s.message);
+  }));
+  news.entries = {{"zone:z1", 1, QJsonObject{{"evacuated", true}}}};
+  rig.reducer.onMessage(rig.now, "s1", news);
   CHECK(rig.reducer.servingLease(rig.now));
   CHECK_FALSE(rig.reducer.ready(rig.now));
   tuning.evacuationFailsReady = false;
@@ -254,64 +258,65 @@
 }
 
 TEST_CASE("a router without a fence is ready at its first whole snapshot, and not without one or without paths") {
-  dataplane::Tuning tuning;
+  dataplane::RouterTuning tuning;
   tuning.fenced = false;
   dataplane::RequestRouter reducer(Rig::self(), {"s1"}, 7, tuning);
   reducer.started(0);
   CHECK_FALSE(reducer.servingLease(100));
-  transport::News news;
+  transport::ConfigurationUpdate news;
   news.number = 1;
-  news.whole = true;
-  reducer.arrived(100, "s1", news);
+  news.isSnapshot = true;
+  reducer.onMessage(100, "s1", news);
   CHECK_FALSE(reducer.servingLease(100));
-  news.items = {{"pool:model", 1, Rig::pool(1, "serving")}};
-  reducer.arrived(100, "s1", news);
+  news.entries = {{"pool:model", 1, Rig::pool(1, "serving")}};
+  reducer.onMessage(100, "s1", news);
   CHECK_FALSE(reducer.servingLease(100));
   CHECK_FALSE(reducer.ready(100));
   dataplane::Request early;
   early.call = 1;
   early.instance = "desk.nord";
   early.path = "a";
-  dataplane::Commands const rejected = reducer.request(100, early);
+  dataplane::RouterCommands const rejected = reducer.onRequest(100, early);
   REQUIRE(Rig::find<dataplane::Reject>(rejected) != nullptr);
   CHECK(Rig::find<dataplane::Reject>(rejected)->status == 503);
-  CHECK(Rig::find<dataplane::Reject>(rejected)->notRun);
+  CHECK(Rig::find<dataplane::Reject>(rejected)->notExecuted);
   Rig const donor;
-  news.whole = false;
-  news.items = {{"family:desk", 1, donor.reducer.valueOf("family:desk")}};
-  reducer.arrived(110, "s1", news);
+  news.isSnapshot = false;
+  news.entries = {{"family:desk", 1, donor.reducer.valueOf("family:desk")}};
+  reducer.onMessage(110, "s1", news);
   CHECK(reducer.ready(110));
   dataplane::RequestRouter other(Rig::self(), {"s1"}, 7, tuning);
   other.started(0);
   news.number = 0;
-  news.whole = true;
-  news.items = {{"pool:model", 1, Rig::pool(1, "serving")},
-                {"family:desk", 1, donor.reducer.valueOf("family:desk")},
-                {"roster", 2, core::parseJson(R"({"nodes":[{"link":"n1"},{"link":"n2"},{"link":"n3"}]})").toObject()}};
-  other.arrived(100, "n2", news);
+  news.isSnapshot = true;
+  news.entries = {
+      {"pool:model", 1, Rig::pool(1, "serving")},
+      {"family:desk", 1, donor.reducer.valueOf("family:desk")},
+      {"roster", 2, core::parseJson(R"({"nodes":[{"link":"n1"},{"link":"n2"},{"link":"n3"}]})").toObject()}};
+  other.onMessage(100, "n2", news);
   CHECK_FALSE(other.ready(100));
-  transport::Touch echo;
-  echo.tick = 110;
-  echo.echo = true;
-  echo.whole = true;
-  for (transport::Item const& item : news.items) echo.digest.replace(item.key, 0, item.revision);
+  transport::PeerHeartbeat echo;
+  echo.sentAt = 110;
+  echo.isReply = true;
+  echo.hasSnapshot = true;
+  for (transport::CommittedEntry const& item : news.entries) echo.digest.replace(item.key, 0, item.revision);
   for (char const* const link : {"n2", "n3"}) {
     CHECK_FALSE(other.ready(120));
     echo.link = link;
-    other.arrived(120, link, echo);
+    other.onMessage(120, link, echo);
   }
   CHECK(other.ready(120));
 }
 
 TEST_CASE("older news never undoes newer") {
   Rig rig;
-  transport::News news;
-  news.items = {{"zone:z2", 5, core::parseJson(R"({"evacuated":true})").toObject()}};
-  rig.reducer.arrived(rig.now, "s1", news);
-  news.items = {{"zone:z2", 4, core::parseJson(R"({"evacuated":false})").toObject()}};
-  rig.reducer.arrived(rig.now, "s1", news);
+  transport::ConfigurationUpdate news;
+  news.entries = {{"zone:z2", 5, core::parseJson(R"({"evacuated":true})").toObject()}};
+  rig.reducer.onMessage(rig.now, "s1", news);
+  news.entries = {{"zone:z2", 4, core::parseJson(R"({"evacuated":false})").toObject()}};
+  rig.reducer.onMessage(rig.now, "s1", news);
   for (int i = 0; i < 3; ++i) {
-    dataplane::Commands const c = rig.ask("x" + std::to_string(i));
+    dataplane::RouterCommands const c = rig.ask("x" + std::to_string(i));
     REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
     CHECK(Rig::find<dataplane::Connect>(c)->address == "10.0.0.1:80");
   }
@@ -319,12 +324,12 @@
 
 TEST_CASE("a replica that is shown leaving between connect and hand-over is not reached") {
   Rig rig;
-  dataplane::Commands const c = rig.ask("x");
+  dataplane::RouterCommands const c = rig.ask("x");
   REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
   std::string const address = Rig::find<dataplane::Connect>(c)->address;
-  rig.reducer.arrived(rig.now, "s1", Rig::without(2, address));
-  dataplane::Commands const after = rig.reducer.connected(rig.now, 1);
-  CHECK(Rig::find<dataplane::HandOver>(after) == nullptr);
+  rig.reducer.onMessage(rig.now, "s1", Rig::without(2, address));
+  dataplane::RouterCommands const after = rig.reducer.onConnected(rig.now, 1);
+  CHECK(Rig::find<dataplane::SendRequest>(after) == nullptr);
   REQUIRE(Rig::find<dataplane::Connect>(after) != nullptr);
   CHECK(Rig::find<dataplane::Connect>(after)->address != address);
 }
@@ -334,14 +339,14 @@
   std::function<std::set<std::string>()> const used = [&] {
     std::set<std::string> out;
     for (int i = 0; i < 40; ++i) {
-      dataplane::Commands const c = rig.ask("u" + std::to_string(rig.next));
+      dataplane::RouterCommands const c = rig.ask("u" + std::to_string(rig.next));
       if (dataplane::Connect const* const m = Rig::find<dataplane::Connect>(c)) out.insert(m->address);
-      rig.reducer.callerGone(rig.now, rig.next - 1);
+      rig.reducer.callerDisconnected(rig.now, rig.next - 1);
     }
     return out;
   };
-  std::function<dataplane::Answer(std::string const&)> const tell = [&](std::string const& body) {
-    return *Rig::find<dataplane::Answer>(rig.reducer.platformList(rig.now, 1, "model", body));
+  std::function<dataplane::EndpointListResponse(std::string const&)> const tell = [&](std::string const& body) {
+    return *Rig::find<dataplane::EndpointListResponse>(rig.reducer.onEndpointList(rig.now, 1, "model", body));
   };
   std::set<std::string> const before = used();
   REQUIRE_FALSE(before.empty());
@@ -349,39 +354,41 @@
   QJsonArray rest;
   for (char const* a : {"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"})
     if (a != address) rest.append(QJsonObject{{"address", a}, {"zone", "z1"}, {"state", "serving"}});
-  dataplane::Answer const pending = tell(core::jsonText(QJsonObject{{"generation", 3}, {"replicas", rest}}));
+  dataplane::EndpointListResponse const pending =
+      tell(core::jsonText(QJsonObject{{"generation", 3}, {"replicas", rest}}));
   CHECK(pending.status == 504);
   CHECK(pending.body.value("pending").toBool());
   for (int i = 0; i < 4; ++i) {
     rig.now += 20000;
     rig.confirm();
-    rig.reducer.clockEvent(rig.now);
+    rig.reducer.onTimer(rig.now);
     CHECK(used().count(address) == 0);
     CHECK(used().count("10.0.0.9:80") == 0);
   }
   CHECK(tell(core::jsonText(QJsonObject{{"generation", 2}, {"replicas", rest}})).status == 409);
   CHECK(tell("{").status == 400);
   CHECK(tell(R"({"generation":-4,"replicas":[]})").status == 422);
-  transport::News news;
-  news.items = {{"pool:model", 2, Rig::pool(2, "serving")}};
-  rig.reducer.arrived(rig.now, "s1", news);
+  transport::ConfigurationUpdate news;
+  news.entries = {{"pool:model", 2, Rig::pool(2, "serving")}};
+  rig.reducer.onMessage(rig.now, "s1", news);
   CHECK(used().count(address) == 0);
-  news.items = {{"pool:model", 3, Rig::pool(3, "serving")}};
-  rig.reducer.arrived(rig.now, "s1", news);
+  news.entries = {{"pool:model", 3, Rig::pool(3, "serving")}};
+  rig.reducer.onMessage(rig.now, "s1", news);
   CHECK(tell(core::jsonText(Rig::pool(3, "serving"))).status == 200);
-  rig.reducer.arrived(rig.now, "s1", transport::Hint{"model", 3, {}, {}});
+  rig.reducer.onMessage(rig.now, "s1", transport::EndpointRemovalHint{"model", 3, {}, {}});
   CHECK_FALSE(used().empty());
-  rig.reducer.arrived(rig.now, "s1", transport::Hint{"model", 4, {}, {}});
+  rig.reducer.onMessage(rig.now, "s1", transport::EndpointRemovalHint{"model", 4, {}, {}});
   CHECK(used().empty());
 }
 
 TEST_CASE("an outcome that was lost is unknown, and its id does not run again") {
   Rig rig;
   rig.ask("x");
-  REQUIRE(Rig::find<dataplane::HandOver>(rig.reducer.connected(rig.now, 1)) != nullptr);
-  dataplane::Commands const lost = rig.reducer.ended(rig.now, 1, dataplane::End::broken);
+  REQUIRE(Rig::find<dataplane::SendRequest>(rig.reducer.onConnected(rig.now, 1)) != nullptr);
+  dataplane::RouterCommands const lost =
+      rig.reducer.upstreamFinished(rig.now, 1, dataplane::UpstreamResult::connectionLost);
   REQUIRE(Rig::find<dataplane::Reject>(lost) != nullptr);
-  CHECK_FALSE(Rig::find<dataplane::Reject>(lost)->notRun);
+  CHECK_FALSE(Rig::find<dataplane::Reject>(lost)->notExecuted);
   CHECK(Rig::find<dataplane::Reject>(lost)->status == 502);
   CHECK(Rig::find<dataplane::Reject>(rig.ask("x", 2))->status == 409);
 }
@@ -389,12 +396,13 @@
 namespace {
 
 /// Answers every question about an id as the given nodes would.
-dataplane::Commands echo(Rig& rig, dataplane::Commands const& asked, std::string const& link, bool clear,
-                         bool known = false, std::vector<std::string> claimants = {}) {
+dataplane::RouterCommands echo(Rig& rig, dataplane::RouterCommands const& asked, std::string const& link, bool clear,
+                               bool known = false, std::vector<std::string> claimants = {}) {
   for (transport::Send const& s : asked.sends)
-    if (transport::SeenAsk const* const m = std::get_if<transport::SeenAsk>(&s.message); m != nullptr && s.to == link)
-      return rig.reducer.arrived(rig.now, link,
-                                 transport::SeenEcho{m->token, link, clear, known, false, 70000, std::move(claimants)});
+    if (transport::RequestIdQuery const* const m = std::get_if<transport::RequestIdQuery>(&s.message);
+        m != nullptr && s.to == link)
+      return rig.reducer.onMessage(
+          rig.now, link, transport::RequestIdReply{m->token, link, clear, known, false, 70000, std::move(claimants)});
   return {};
 }
 
@@ -413,23 +421,23 @@
 
 TEST_CASE("an id without attempt numbers runs only when a majority says that it did not run before") {
   Rig rig;
-  dataplane::Commands const asked = rig.ask("x", 0);
+  dataplane::RouterCommands const asked = rig.ask("x", 0);
   CHECK(asked.calls.empty());
   CHECK(Rig::find<dataplane::Connect>(echo(rig, asked, "n2", true)) != nullptr);
-  dataplane::Commands const again = rig.ask("y", 0);
-  dataplane::Commands const rejected = echo(rig, again, "n2", false);
+  dataplane::RouterCommands const again = rig.ask("y", 0);
+  dataplane::RouterCommands const rejected = echo(rig, again, "n2", false);
   REQUIRE(Rig::find<dataplane::Reject>(rejected) != nullptr);
-  CHECK_FALSE(Rig::find<dataplane::Reject>(rejected)->notRun);
+  CHECK_FALSE(Rig::find<dataplane::Reject>(rejected)->notExecuted);
   SECTION("one that another node had asked for waits for that node's word") {
-    dataplane::Commands const third = rig.ask("z", 0);
+    dataplane::RouterCommands const third = rig.ask("z", 0);
     CHECK(echo(rig, third, "n2", true, true, {"n3"}).calls.empty());
     rig.now += 600;
-    dataplane::Commands const late = rig.reducer.clockEvent(rig.now);
+    dataplane::RouterCommands const late = rig.reducer.onTimer(rig.now);
     REQUIRE(Rig::find<dataplane::Reject>(late) != nullptr);
     CHECK(Rig::find<dataplane::Reject>(late)->status == 409);
   }
   SECTION("and runs when that node says that it did not run there") {
-    dataplane::Commands const third = rig.ask("z", 0);
+    dataplane::RouterCommands const third = rig.ask("z", 0);
     CHECK(echo(rig, third, "n2", true, true, {"n3"}).calls.empty());
     CHECK(Rig::find<dataplane::Connect>(echo(rig, third, "n3", true, true)) != nullptr);
   }
@@ -437,53 +445,53 @@
 
 TEST_CASE("a later attempt runs only within what everybody remembers, and needs its age") {
   Rig rig;
-  dataplane::Commands const noAge = rig.reducer.request(rig.now, later(rig, 2, -1));
+  dataplane::RouterCommands const noAge = rig.reducer.onRequest(rig.now, later(rig, 2, -1));
   REQUIRE(Rig::find<dataplane::Reject>(noAge) != nullptr);
   CHECK(Rig::find<dataplane::Reject>(noAge)->status == 409);
-  dataplane::Commands const tooOld = rig.reducer.request(rig.now, later(rig, 2, 80000));
+  dataplane::RouterCommands const tooOld = rig.reducer.onRequest(rig.now, later(rig, 2, 80000));
   REQUIRE(Rig::find<dataplane::Reject>(tooOld) != nullptr);
   CHECK(Rig::find<dataplane::Reject>(tooOld)->status == 409);
-  for (int i = 0; i < 12; ++i) rig.reducer.clockEvent(rig.now += 200);
+  for (int i = 0; i < 12; ++i) rig.reducer.onTimer(rig.now += 200);
   rig.confirm();
-  dataplane::Commands const within = rig.reducer.request(rig.now, later(rig, 2, 5000));
+  dataplane::RouterCommands const within = rig.reducer.onRequest(rig.now, later(rig, 2, 5000));
   CHECK(within.calls.empty());
   echo(rig, within, "n2", true);
   CHECK(Rig::find<dataplane::Connect>(echo(rig, within, "n3", true)) != nullptr);
   SECTION("a machine that slept adds its sleep to the age that is said") {
-    rig.reducer.clockEvent(rig.now);
+    rig.reducer.onTimer(rig.now);
     rig.now += 60000;
     rig.confirm();
-    dataplane::Commands const woken = rig.reducer.request(rig.now, later(rig, 4, 70000));
+    dataplane::RouterCommands const woken = rig.reducer.onRequest(rig.now, later(rig, 4, 70000));
     REQUIRE(Rig::find<dataplane::Reject>(woken) != nullptr);
     CHECK(Rig::find<dataplane::Reject>(woken)->status == 409);
   }
 }
 
 TEST_CASE("a trimmed memory of ids vouches only for what came after the trimming") {
-  dataplane::Tuning tuning;
+  dataplane::RouterTuning tuning;
   tuning.seenBound = 50;
   Rig rig(tuning);
   for (int i = 0; i < 60; ++i) {
     rig.ask("i" + std::to_string(i));
-    rig.reducer.callerGone(rig.now, rig.next - 1);
+    rig.reducer.callerDisconnected(rig.now, rig.next - 1);
   }
   rig.now += 1000;
   rig.confirm();
-  dataplane::Commands const c = rig.reducer.request(rig.now, later(rig, 2, 5000));
+  dataplane::RouterCommands const c = rig.reducer.onRequest(rig.now, later(rig, 2, 5000));
   REQUIRE(Rig::find<dataplane::Reject>(c) != nullptr);
   CHECK(Rig::find<dataplane::Reject>(c)->status == 409);
 }
 
 TEST_CASE("a node that is new on the roster serves once control says that the roster is in force") {
-  Rig fresh(dataplane::Tuning{}, 2);
+  Rig fresh(dataplane::RouterTuning{}, 2);
   REQUIRE_FALSE(fresh.reducer.servingLease(fresh.now));
   std::function<void(std::uint64_t)> const inForce = [&](std::uint64_t revision) {
-    transport::Confirm c;
-    c.tick = fresh.now;
-    c.inTouch = true;
-    c.roster = revision;
-    fresh.reducer.arrived(fresh.now, "s1", c);
-    fresh.reducer.clockEvent(fresh.now);
+    transport::ServingLeaseGrant c;
+    c.requestSentAt = fresh.now;
+    c.hasQuorum = true;
+    c.rosterRevision = revision;
+    fresh.reducer.onMessage(fresh.now, "s1", c);
+    fresh.reducer.onTimer(fresh.now);
   };
   inForce(0);
   CHECK_FALSE(fresh.reducer.servingLease(fresh.now));
@@ -500,12 +508,12 @@
   std::function<bool(transport::Digest const&, transport::Revisions const&)> const counts =
       [&](transport::Digest const& digest, transport::Revisions const& revisions) {
         rig.now += 2000;
-        transport::Confirm c;
-        c.tick = rig.now;
-        c.inTouch = true;
+        transport::ServingLeaseGrant c;
+        c.requestSentAt = rig.now;
+        c.hasQuorum = true;
         c.digest = digest;
         c.revisions = revisions;
-        rig.reducer.arrived(rig.now, "s1", c);
+        rig.reducer.onMessage(rig.now, "s1", c);
         return rig.reducer.servingLease(rig.now);
       };
   CHECK(counts(transport::digestOf(first), {}));
@@ -513,9 +521,9 @@
   newer["zone:z2"] = 1;
   CHECK_FALSE(counts(transport::digestOf(newer), {}));
   CHECK_FALSE(counts(transport::digestOf(newer), first));
-  transport::News news;
-  news.items = {{"zone:z2", 1, QJsonObject{{"evacuated", true}}}, {"zone:z3", 1, QJsonObject{{"evacuated", true}}}};
-  rig.reducer.arrived(rig.now, "s1", news);
+  transport::ConfigurationUpdate news;
+  news.entries = {{"zone:z2", 1, QJsonObject{{"evacuated", true}}}, {"zone:z3", 1, QJsonObject{{"evacuated", true}}}};
+  rig.reducer.onMessage(rig.now, "s1", news);
   CHECK(counts(transport::digestOf(first), {}));
   CHECK_FALSE(counts(transport::digestOf(newer), {}));
   CHECK(counts(transport::digestOf(newer), newer));
@@ -525,37 +533,37 @@
   Rig rig;
   QJsonArray nodes;
   for (char const* link : {"n1", "n2", "n3", "n4", "n5"}) nodes.append(QJsonObject{{"link", link}, {"zone", "z1"}});
-  transport::News news;
-  news.items = {{"roster", 2, QJsonObject{{"nodes", nodes}, {"previous", nodes}}}};
-  rig.reducer.arrived(rig.now, "s1", news);
+  transport::ConfigurationUpdate news;
+  news.entries = {{"roster", 2, QJsonObject{{"nodes", nodes}, {"previous", nodes}}}};
+  rig.reducer.onMessage(rig.now, "s1", news);
   rig.now += 2000;
   REQUIRE_FALSE(rig.reducer.servingLease(rig.now));
-  transport::Touch t;
-  t.tick = rig.now;
-  t.echo = true;
-  t.whole = true;
+  transport::PeerHeartbeat t;
+  t.sentAt = rig.now;
+  t.isReply = true;
+  t.hasSnapshot = true;
   t.link = "n2";
   t.revisions = {{"family:desk", 1}, {"zone:z2", 1}};
   t.digest = transport::digestOf(t.revisions);
-  t.roster = 2;
+  t.rosterRevision = 2;
   t.ages = {'\x00', '\x00', '\x28', '\xff', '\x50'};
-  rig.reducer.arrived(rig.now + 5, "n2", t);
+  rig.reducer.onMessage(rig.now + 5, "n2", t);
   CHECK_FALSE(rig.reducer.servingLease(rig.now + 5));
-  news.items = {{"zone:z2", 1, QJsonObject{{"evacuated", false}}}};
-  rig.reducer.arrived(rig.now + 10, "s1", news);
+  news.entries = {{"zone:z2", 1, QJsonObject{{"evacuated", false}}}};
+  rig.reducer.onMessage(rig.now + 10, "s1", news);
   CHECK(rig.reducer.servingLease(rig.now + 10));
   CHECK(rig.reducer.servingLease(rig.now + 1500 - 400));
   CHECK(rig.reducer.servingLease(rig.now + 1500 - 800));
   CHECK_FALSE(rig.reducer.servingLease(rig.now + 1500 - 399));
-  transport::Touch ask;
-  ask.tick = 7;
+  transport::PeerHeartbeat ask;
+  ask.sentAt = 7;
   ask.link = "n3";
-  ask.wantAges = true;
-  dataplane::Commands const c = rig.reducer.arrived(rig.now + 100, "n3", ask);
-  transport::Touch const* const echo = std::get_if<transport::Touch>(&c.sends.at(0).message);
+  ask.wantsAges = true;
+  dataplane::RouterCommands const c = rig.reducer.onMessage(rig.now + 100, "n3", ask);
+  transport::PeerHeartbeat const* const echo = std::get_if<transport::PeerHeartbeat>(&c.sends.at(0).message);
   REQUIRE(echo != nullptr);
-  CHECK(echo->tick == 7);
-  CHECK(echo->roster == 2);
+  CHECK(echo->sentAt == 7);
+  CHECK(echo->rosterRevision == 2);
   CHECK(echo->ages == std::string{'\x00', '\x0a', '\x32', '\xff', '\x5a'});
 }
 
@@ -566,44 +574,44 @@
   reducer.started(1000);
   QJsonArray nodes;
   for (char const* link : {"n1", "n2", "n3", "n4", "n5"}) nodes.append(QJsonObject{{"link", link}});
-  transport::News news;
-  news.whole = true;
-  news.items = {{"roster", 2, QJsonObject{{"nodes", nodes}, {"previous", nodes}}}};
-  reducer.arrived(5000, "n2", news);
-  transport::Touch t;
-  t.tick = 5000;
-  t.echo = true;
-  t.whole = true;
+  transport::ConfigurationUpdate news;
+  news.isSnapshot = true;
+  news.entries = {{"roster", 2, QJsonObject{{"nodes", nodes}, {"previous", nodes}}}};
+  reducer.onMessage(5000, "n2", news);
+  transport::PeerHeartbeat t;
+  t.sentAt = 5000;
+  t.isReply = true;
+  t.hasSnapshot = true;
   std::function<bool(char const*)> const standsWith = [&](char const* link) {
     t.link = link;
-    reducer.arrived(5005, link, t);
+    reducer.onMessage(5005, link, t);
     return reducer.servingLease(5010);
   };
   CHECK_FALSE(standsWith("n2"));
   CHECK_FALSE(standsWith("n3"));
   CHECK(standsWith("n4"));
-  t.tick = 7000;
+  t.sentAt = 7000;
   t.link = "n2";
-  reducer.arrived(7005, "n2", t);
+  reducer.onMessage(7005, "n2", t);
   CHECK_FALSE(reducer.servingLease(7010));
-  transport::Confirm c;
-  c.tick = 7000;
-  c.inTouch = true;
-  c.age = 1400;
-  reducer.arrived(7010, "s1", c);
+  transport::ServingLeaseGrant c;
+  c.requestSentAt = 7000;
+  c.hasQuorum = true;
+  c.quorumAge = 1400;
+  reducer.onMessage(7010, "s1", c);
   CHECK(reducer.servingLease(7100));
   CHECK_FALSE(reducer.servingLease(7101));
   t.link = "n2";
-  reducer.arrived(7200, "n2", t);
+  reducer.onMessage(7200, "n2", t);
   t.link = "n3";
-  reducer.arrived(7200, "n3", t);
+  reducer.onMessage(7200, "n3", t);
   CHECK(reducer.servingLease(7200));
 }
 
 TEST_CASE("two controllers are asked, the own zone's first, and others in place of silent ones") {
   dataplane::RequestRouter reducer(Rig::self(), {"s1"}, 7);
   reducer.started(0);
-  transport::Shuffle shuffle;
+  transport::GossipShuffle shuffle;
   for (char const* link : {"s1", "s2", "s3", "s4", "s5", "s6"}) {
     transport::Contact c;
     c.link = link;
@@ -611,18 +619,18 @@
     c.zone = link == std::string("s5") ? "z1" : "z2";
     shuffle.contacts.push_back(c);
   }
-  reducer.arrived(0, "s1", shuffle);
+  reducer.onMessage(0, "s1", shuffle);
   std::set<std::string> dead;
   std::function<std::set<std::string>(core::Tick)> const round = [&](core::Tick now) {
     std::set<std::string> asked;
-    for (transport::Send const& s : reducer.clockEvent(now).sends) {
-      if (!std::holds_alternative<transport::Ask>(s.message)) continue;
+    for (transport::Send const& s : reducer.onTimer(now).sends) {
+      if (!std::holds_alternative<transport::ServingLeaseRequest>(s.message)) continue;
       asked.insert(s.to);
       if (dead.count(s.to) > 0) continue;
-      transport::Confirm c;
-      c.tick = now;
-      c.inTouch = true;
-      reducer.arrived(now + 5, s.to, c);
+      transport::ServingLeaseGrant c;
+      c.requestSentAt = now;
+      c.hasQuorum = true;
+      reducer.onMessage(now + 5, s.to, c);
     }
     return asked;
   };
@@ -639,26 +647,26 @@
 }
 
 TEST_CASE("a router asks its seeds for its first snapshot at once, and soon again until it has one") {
-  dataplane::Tuning tuning;
+  dataplane::RouterTuning tuning;
   tuning.askEvery = 500;
   dataplane::RequestRouter reducer(Rig::self(), {"s1", "s2"}, 7, tuning);
   reducer.started(0);
   std::function<std::size_t(core::Tick, core::Tick)> const asks = [&](core::Tick from, core::Tick to) {
     std::size_t n = 0;
     for (core::Tick t = from; t < to; t += 20)
-      for (transport::Send const& s : reducer.clockEvent(t).sends) {
-        transport::Ask const* const ask = std::get_if<transport::Ask>(&s.message);
+      for (transport::Send const& s : reducer.onTimer(t).sends) {
+        transport::ServingLeaseRequest const* const ask = std::get_if<transport::ServingLeaseRequest>(&s.message);
         if (ask != nullptr) n += s.to == "s1" || s.to == "s2" ? 1 : 0;
       }
     return n;
   };
   CHECK(asks(0, 20) == 2);
   CHECK(asks(20, 300) >= 8);
-  transport::News news;
+  transport::ConfigurationUpdate news;
   news.number = 1;
-  news.whole = true;
-  news.items = {{"pool:model", 1, Rig::pool(1, "serving")}};
-  reducer.arrived(300, "s1", news);
+  news.isSnapshot = true;
+  news.entries = {{"pool:model", 1, Rig::pool(1, "serving")}};
+  reducer.onMessage(300, "s1", news);
   asks(300, 400);
   CHECK(asks(400, 1400) <= 4);
 }
@@ -673,13 +681,13 @@
     r.path = "r";
     r.id = "e" + std::to_string(i);
     r.attempt = 2;
-    dataplane::Commands const c = rig.reducer.request(rig.now, r);
+    dataplane::RouterCommands const c = rig.reducer.onRequest(rig.now, r);
     if (Rig::find<dataplane::Reject>(c) == nullptr) {
       ++run;
       continue;
     }
-    CHECK(Rig::find<dataplane::Reject>(c)->notRun);
-    CHECK(Rig::find<dataplane::Reject>(c)->reached);
+    CHECK(Rig::find<dataplane::Reject>(c)->notExecuted);
+    CHECK(Rig::find<dataplane::Reject>(c)->reachedReplica);
     CHECK(Rig::find<dataplane::Reject>(c)->retryAfter > 0);
   }
   CHECK(run <= 4);
@@ -699,39 +707,39 @@
 }
 
 TEST_CASE("the part begins with and widens by the replica that keeps an arriving prompt's parts") {
-  dataplane::Tuning tuning;
+  dataplane::RouterTuning tuning;
   tuning.figures.width = 0.005;
   tuning.figures.firstLimit = 1;
   tuning.figures.steady = 0.7;
   tuning.figures.minLimit = 0.05;
-  tuning.figures.ease = 0.9;
+  tuning.figures.limitDecay = 0.9;
   for (std::uint64_t first = 0; first < 20; ++first) {
     std::vector<std::vector<std::string>> went;
     for (char const* link : {"n1", "n2", "n3", "n4"}) {
       transport::Contact self = Rig::self();
       self.link = link;
-      dataplane::Tuning unfenced = tuning;
+      dataplane::RouterTuning unfenced = tuning;
       unfenced.fenced = false;
       Rig const donor;
       dataplane::RequestRouter reducer(self, {"s1"}, 7, unfenced);
       reducer.started(0);
-      transport::News news;
+      transport::ConfigurationUpdate news;
       news.number = 1;
-      news.whole = true;
-      news.items = {{"pool:model", 1, Rig::pool(1, "serving")},
-                    {"family:desk", 1, donor.reducer.valueOf("family:desk")}};
-      reducer.arrived(0, "s1", news);
+      news.isSnapshot = true;
+      news.entries = {{"pool:model", 1, Rig::pool(1, "serving")},
+                      {"family:desk", 1, donor.reducer.valueOf("family:desk")}};
+      reducer.onMessage(0, "s1", news);
       went.emplace_back();
       for (std::uint64_t i = 0; i < 3; ++i) {
         dataplane::Request r;
         r.call = i + 1;
         r.instance = "desk.nord";
         r.path = "a";
-        r.parts = {{first * 100 + i, 5000}, {first * 100 + i + 50, 300}};
-        dataplane::Commands const c = reducer.request(10, r);
+        r.segments = {{first * 100 + i, 5000}, {first * 100 + i + 50, 300}};
+        dataplane::RouterCommands const c = reducer.onRequest(10, r);
         REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
         went.back().push_back(Rig::find<dataplane::Connect>(c)->address);
-        reducer.connected(10, r.call);
+        reducer.onConnected(10, r.call);
       }
     }
     for (std::vector<std::string> const& w : went) CHECK(w == went.front());
@@ -741,31 +749,31 @@
 TEST_CASE("one tenant's crowd leaves room for another") {
   Rig rig;
   for (int i = 0; i < 300; ++i) rig.ask("crowd" + std::to_string(i));
-  dataplane::Commands const c = rig.ask("other", 1, "desk.sued");
+  dataplane::RouterCommands const c = rig.ask("other", 1, "desk.sued");
   CHECK(Rig::find<dataplane::Connect>(c) != nullptr);
 }
 
 TEST_CASE("a stream in which nothing moves is given up as broken") {
   Rig rig;
   rig.ask("x");
-  rig.reducer.connected(rig.now, 1);
-  rig.reducer.firstWord(rig.now, 1, true);
+  rig.reducer.onConnected(rig.now, 1);
+  rig.reducer.firstByteReceived(rig.now, 1, true);
   rig.now += 9000;
-  rig.reducer.moving(rig.now, 1);
+  rig.reducer.progress(rig.now, 1);
   rig.now += 9000;
-  CHECK(Rig::find<dataplane::Abort>(rig.reducer.clockEvent(rig.now)) == nullptr);
+  CHECK(Rig::find<dataplane::ResetDownstream>(rig.reducer.onTimer(rig.now)) == nullptr);
   rig.now += 1500;
-  CHECK(Rig::find<dataplane::Abort>(rig.reducer.clockEvent(rig.now)) != nullptr);
-  CHECK(rig.reducer.inHand() == 0);
+  CHECK(Rig::find<dataplane::ResetDownstream>(rig.reducer.onTimer(rig.now)) != nullptr);
+  CHECK(rig.reducer.pendingCount() == 0);
 }
 
 TEST_CASE("a stream passes on what its own run sent, and its end only when the body is whole") {
-  dataplane::Stream s;
+  dataplane::ResponseStream s;
   s.connecting(false);
   SECTION("resumed by the same run at the same place") {
     s.head({.status = 200, .run = "r1"});
     CHECK(s.piece("abc").begin);
-    CHECK(s.ended(false).ended == dataplane::End::broken);
+    CHECK(s.ended(false).ended == dataplane::UpstreamResult::connectionLost);
     s.connecting(true);
     CHECK(s.resume().resuming);
     CHECK(s.resume().run == "r1");
@@ -783,35 +791,36 @@
     std::string const run = GENERATE("r1", "r2", "");
     std::string const offset = GENERATE("3", "2", "");
     bool const same = status == 206 && run == "r1" && offset == "3";
-    CHECK((s.head({.status = status, .run = run, .offset = offset}).ended == dataplane::End::otherRun) == !same);
+    CHECK((s.head({.status = status, .run = run, .offset = offset}).ended ==
+           dataplane::UpstreamResult::differentExecution) == !same);
   }
   SECTION("a body shorter or longer than its length is broken") {
     s.head({200, {}, 4});
     CHECK_FALSE(s.piece("abc").ended);
     SECTION("shorter") {
-      CHECK(s.ended(true).ended == dataplane::End::broken);
+      CHECK(s.ended(true).ended == dataplane::UpstreamResult::connectionLost);
     }
     SECTION("longer") {
       dataplane::StreamSteps const longer = s.piece("de");
-      CHECK(longer.ended == dataplane::End::broken);
-      CHECK(longer.piece.empty());
+      CHECK(longer.ended == dataplane::UpstreamResult::connectionLost);
+      CHECK(longer.chunk.empty());
     }
   }
   SECTION("a status that is none ends it before a byte is passed on") {
-    CHECK(s.head({700, {}, 3}).ended == dataplane::End::broken);
-    CHECK(s.piece("abc").piece.empty());
+    CHECK(s.head({700, {}, 3}).ended == dataplane::UpstreamResult::connectionLost);
+    CHECK(s.piece("abc").chunk.empty());
   }
   SECTION("nothing is passed on after the end") {
     s.head({200, {}, -1});
     s.piece("a");
     s.ended(false);
-    CHECK(s.piece("b").piece.empty());
+    CHECK(s.piece("b").chunk.empty());
     CHECK_FALSE(s.ended(true).finish);
   }
 }
 
 TEST_CASE("well-typed messages with absurd values break no invariant and give no serving lease") {
-  core::Rng rng(17);
+  core::RandomGenerator rng(17);
   std::vector<std::string> const names{
       "n1",          "n2",      "s1",    "m1", "roster", "cohort",           "pool:model",
       "family:desk", "zone:z1", "model", "x",  "",       "model|10.0.0.1:80"};
@@ -820,20 +829,20 @@
     for (int i = 0; i < 500; ++i) {
       rig.now += static_cast<core::Tick>(rng.below(60));
       std::string const from = names[rng.below(names.size())];
-      rig.reducer.arrived(
+      rig.reducer.onMessage(
           rig.now, from,
           transport::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<transport::Message>)));
       if (i % 5 == 0) rig.ask("f" + std::to_string(i), rng.below(3));
-      if (i % 7 == 0) rig.reducer.connected(rig.now, rng.below(rig.next));
-      if (i % 9 == 0) rig.reducer.clockEvent(rig.now);
+      if (i % 7 == 0) rig.reducer.onConnected(rig.now, rng.below(rig.next));
+      if (i % 9 == 0) rig.reducer.onTimer(rig.now);
     }
   }
   Rig rig;
   rig.now += 60000;
-  transport::Confirm c;
-  c.tick = rig.now + 3600000;
-  c.inTouch = true;
-  rig.reducer.arrived(rig.now, "s1", c);
+  transport::ServingLeaseGrant c;
+  c.requestSentAt = rig.now + 3600000;
+  c.hasQuorum = true;
+  rig.reducer.onMessage(rig.now, "s1", c);
   CHECK_FALSE(rig.reducer.servingLease(rig.now + 10));
 }
 
@@ -841,7 +850,7 @@
   Rig rig;
   for (std::uint64_t g = 2; g < 400; ++g) {
     std::string const n = std::to_string(g);
-    transport::News news;
+    transport::ConfigurationUpdate news;
     QJsonObject pool = core::parseJson(R"({"generation":)" + n + R"(,"replicas":[{"address":"10.1.0.1:)" + n +
                                        R"(","zone":"z1","state":"serving"}]})")
                            .toObject();
@@ -850,27 +859,27 @@
             R"({"template":{"stamp":1,"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]}},"instances":{"i)" +
             n + R"(":{"stamp":1,"spec":{}}}})")
             .toObject();
-    news.items = {{"pool:model", g, pool}, {"family:desk", g, family}};
-    rig.reducer.arrived(rig.now, "s1", news);
+    news.entries = {{"pool:model", g, pool}, {"family:desk", g, family}};
+    rig.reducer.onMessage(rig.now, "s1", news);
     rig.confirm();
-    dataplane::Commands const c = rig.ask("q" + n, 1, "desk.i" + n);
+    dataplane::RouterCommands const c = rig.ask("q" + n, 1, "desk.i" + n);
     REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
-    rig.reducer.connected(rig.now, rig.next - 1);
-    rig.reducer.firstWord(rig.now, rig.next - 1, true);
-    rig.reducer.ended(rig.now, rig.next - 1, dataplane::End::whole);
-    transport::Touch touch;
-    touch.echo = touch.whole = true;
+    rig.reducer.onConnected(rig.now, rig.next - 1);
+    rig.reducer.firstByteReceived(rig.now, rig.next - 1, true);
+    rig.reducer.upstreamFinished(rig.now, rig.next - 1, dataplane::UpstreamResult::complete);
+    transport::PeerHeartbeat touch;
+    touch.isReply = touch.hasSnapshot = true;
     touch.link = "node" + n;
-    touch.tick = rig.now;
-    rig.reducer.arrived(rig.now, touch.link, touch);
+    touch.sentAt = rig.now;
+    rig.reducer.onMessage(rig.now, touch.link, touch);
     rig.now += 1000;
-    rig.reducer.clockEvent(rig.now);
+    rig.reducer.onTimer(rig.now);
   }
   rig.now += 70000;
-  rig.reducer.clockEvent(rig.now);
+  rig.reducer.onTimer(rig.now);
   rig.now += 11000;
-  rig.reducer.clockEvent(rig.now);
-  dataplane::Held const held = rig.reducer.held();
+  rig.reducer.onTimer(rig.now);
+  dataplane::RouterUsage const held = rig.reducer.usage();
   CHECK(held.replicas <= 8);
   CHECK(held.instances <= 8);
   CHECK(held.credits <= 4);
@@ -878,14 +887,14 @@
 }
 
 TEST_CASE("ids that others ask about are trimmed on a node that has no callers of its own") {
-  dataplane::Tuning tuning;
+  dataplane::RouterTuning tuning;
   tuning.seenBound = 50;
   Rig rig(tuning);
   for (std::uint64_t i = 0; i < 300; ++i)
-    rig.reducer.arrived(rig.now, "n2", transport::SeenAsk{i, "desk.nord|" + std::to_string(i), 0, 0, "n2#1"});
+    rig.reducer.onMessage(rig.now, "n2", transport::RequestIdQuery{i, "desk.nord|" + std::to_string(i), 0, 0, "n2#1"});
   rig.now += 11000;
-  rig.reducer.clockEvent(rig.now);
-  CHECK(rig.reducer.held().ids <= 50);
+  rig.reducer.onTimer(rig.now);
+  CHECK(rig.reducer.usage().ids <= 50);
 }
 
 namespace {
@@ -893,7 +902,7 @@
 /// One plane with three tenants of one pool, and beside each credit a scaler that is looked at ten times a second.
 struct Twins {
   static constexpr std::uint64_t seed = 7;
-  dataplane::Tuning tuning;
+  dataplane::RouterTuning tuning;
   dataplane::RequestRouter reducer;
   core::Tick now = 100000;
   std::uint64_t revision = 0;
@@ -901,16 +910,16 @@
   std::map<std::string, corkward::scaling::Scaler> scalers;
   struct Call {
     std::string tenant;
-    core::Index replica = 0;
+    core::NameIndex replica = 0;
     core::Tick handedAt = 0;
   };
   std::map<std::uint64_t, Call> inHand;
 
-  static dataplane::Tuning open() {
-    dataplane::Tuning t;
+  static dataplane::RouterTuning open() {
+    dataplane::RouterTuning t;
     t.fenced = false;
     t.youngWait = 0;
-    t.figures.ease = 0.9;
+    t.figures.limitDecay = 0.9;
     t.figures.steady = 0.7;
     t.figures.width = 0.5;
     return t;
@@ -924,26 +933,26 @@
     replicas = serving;
     QJsonArray out;
     for (int const r : replicas)
-      out.append(QJsonObject{{"address", core::qstr(address(r))}, {"zone", "z1"}, {"state", "serving"}});
-    transport::News news;
+      out.append(QJsonObject{{"address", core::toQString(address(r))}, {"zone", "z1"}, {"state", "serving"}});
+    transport::ConfigurationUpdate news;
     news.number = ++revision;
-    news.whole = revision == 1;
-    if (news.whole)
-      news.items = {
+    news.isSnapshot = revision == 1;
+    if (news.isSnapshot)
+      news.entries = {
           {"family:desk", 1,
            core::parseJson(
                R"({"template":{"stamp":1,"spec":{"paths":[{"path":"a","pool":"model","class":"short","aimMs":8000}]}},
                        "instances":{"nord":{"stamp":1,"spec":{}},"sued":{"stamp":1,"spec":{}},"west":{"stamp":1,"spec":{}}}})")
                .toObject()}};
-    news.items.push_back(
+    news.entries.push_back(
         {"pool:model", revision, QJsonObject{{"generation", static_cast<qint64>(revision)}, {"replicas", out}}});
-    reducer.arrived(now, "s1", news);
+    reducer.onMessage(now, "s1", news);
     lookAtCandidates();
   }
   void lookAtCandidates() {
     std::vector<corkward::scaling::Candidate> all;
     for (int const r : replicas)
-      all.push_back({static_cast<core::Index>(r), false, core::stableHash("model|" + address(r))});
+      all.push_back({static_cast<core::NameIndex>(r), false, core::stableHash("model|" + address(r))});
     for (std::map<std::string, corkward::scaling::Scaler>::value_type& s : scalers) s.second.candidates(all);
   }
   corkward::scaling::Scaler& scaler(std::string const& tenant) {
@@ -959,15 +968,15 @@
     r.call = call;
     r.instance = "desk." + tenant;
     r.path = "a";
-    dataplane::Commands const c = reducer.request(now, r);
+    dataplane::RouterCommands const c = reducer.onRequest(now, r);
     dataplane::Connect const* const connect = Rig::find<dataplane::Connect>(c);
     REQUIRE(connect != nullptr);
-    core::Index const replica = static_cast<core::Index>(connect->address[7] - '0');
+    core::NameIndex const replica = static_cast<core::NameIndex>(connect->address[7] - '0');
     corkward::scaling::Scaler& s = scaler(tenant);
-    REQUIRE(s.makeRoom(false));
-    s.sent(replica, false);
-    s.look(now, 0);
-    reducer.connected(now, call);
+    REQUIRE(s.raiseLimitFor(false));
+    s.onSent(replica, false);
+    s.evaluate(now, 0);
+    reducer.onConnected(now, call);
     inHand[call] = Call{tenant, replica, now};
   }
   void endOldest() {
@@ -975,11 +984,11 @@
     Call const call = inHand.begin()->second;
     inHand.erase(inHand.begin());
     corkward::scaling::Scaler& s = scaler(call.tenant);
-    reducer.firstWord(now, id, true);
-    s.firstWord(now, call.replica, now - call.handedAt, 8000);
-    reducer.ended(now, id, dataplane::End::whole);
-    s.ended(call.replica, false);
-    s.look(now, 0);
+    reducer.firstByteReceived(now, id, true);
+    s.onFirstByte(now, call.replica, now - call.handedAt, 8000);
+    reducer.upstreamFinished(now, id, dataplane::UpstreamResult::complete);
+    s.onEnded(call.replica, false);
+    s.evaluate(now, 0);
   }
   /// Part, cap and requests in flight of each credit, as the plane's metrics and as the scalers say them.
   void compare() const {
@@ -987,7 +996,7 @@
     for (std::map<std::string, corkward::scaling::Scaler>::value_type const& s : scalers) {
       std::string const labels = "{instance=\"desk." + s.first + "\",pool=\"model\"} ";
       for (std::string const& line :
-           {"corkward_nacelle_part" + labels + std::to_string(s.second.part().size()) + "\n",
+           {"corkward_nacelle_part" + labels + std::to_string(s.second.subset().size()) + "\n",
             "corkward_nacelle_cap" + labels + std::to_string(s.second.cap()) + "\n",
             "corkward_nacelle_in_flight" + labels + std::to_string(s.second.inFlight()) + "\n"}) {
         CAPTURE(now, line, metrics);
@@ -1001,7 +1010,7 @@
 
 TEST_CASE("credits that are not in use are left out of looks, and change as if they were looked at") {
   Twins twins;
-  core::Rng rng(3);
+  core::RandomGenerator rng(3);
   std::uint64_t next = 1;
   std::size_t widest = 0;
   int allAsleep = 0;
@@ -1018,15 +1027,16 @@
         if (r == 1 || rng.chance(0.6)) serving.insert(r);
       twins.list(serving);
     }
-    twins.reducer.clockEvent(twins.now);
+    twins.reducer.onTimer(twins.now);
     if (tick % 2 == 0) {
       twins.lookAtCandidates();
-      for (std::map<std::string, corkward::scaling::Scaler>::value_type& s : twins.scalers) s.second.look(twins.now, 0);
+      for (std::map<std::string, corkward::scaling::Scaler>::value_type& s : twins.scalers)
+        s.second.evaluate(twins.now, 0);
     }
     twins.compare();
     for (std::map<std::string, corkward::scaling::Scaler>::value_type const& s : twins.scalers)
-      widest = std::max(widest, s.second.part().size());
-    allAsleep += twins.scalers.size() == 3 && twins.reducer.held().creditsAwake == 0 ? 1 : 0;
+      widest = std::max(widest, s.second.subset().size());
+    allAsleep += twins.scalers.size() == 3 && twins.reducer.usage().creditsAwake == 0 ? 1 : 0;
   }
   CHECK(widest >= 3);
   CHECK(twins.scalers.size() == 3);
@@ -1035,28 +1045,28 @@
 
 TEST_CASE("answers as old as a heartbeat and a far way make no node ask its neighbours for ages, silence soon does") {
   Rig rig;
-  std::vector<std::pair<core::Tick, transport::Confirm>> under;
+  std::vector<std::pair<core::Tick, transport::ServingLeaseGrant>> under;
   std::size_t wanted = 0;
   core::Tick firstWanted = -1;
   core::Tick const silentFrom = rig.now + 20000;
   for (core::Tick const until = silentFrom + 2000; rig.now < until; rig.now += 20) {
-    std::erase_if(under, [&](std::pair<core::Tick, transport::Confirm> const& u) {
+    std::erase_if(under, [&](std::pair<core::Tick, transport::ServingLeaseGrant> const& u) {
       if (u.first > rig.now) return false;
-      rig.reducer.arrived(rig.now, "s1", u.second);
+      rig.reducer.onMessage(rig.now, "s1", u.second);
       return true;
     });
-    for (transport::Send const& s : rig.reducer.clockEvent(rig.now).sends) {
-      if (transport::Ask const* const ask = std::get_if<transport::Ask>(&s.message);
+    for (transport::Send const& s : rig.reducer.onTimer(rig.now).sends) {
+      if (transport::ServingLeaseRequest const* const ask = std::get_if<transport::ServingLeaseRequest>(&s.message);
           ask != nullptr && rig.now < silentFrom) {
-        transport::Confirm c;
-        c.tick = ask->tick;
-        c.inTouch = true;
-        c.age = 190;
+        transport::ServingLeaseGrant c;
+        c.requestSentAt = ask->sentAt;
+        c.hasQuorum = true;
+        c.quorumAge = 190;
         c.digest = ask->digest;
         under.emplace_back(rig.now + 40, c);
       }
-      transport::Touch const* const touch = std::get_if<transport::Touch>(&s.message);
-      if (touch == nullptr || !touch->wantAges) continue;
+      transport::PeerHeartbeat const* const touch = std::get_if<transport::PeerHeartbeat>(&s.message);
+      if (touch == nullptr || !touch->wantsAges) continue;
       wanted += rig.now < silentFrom ? 1 : 0;
       if (rig.now >= silentFrom && firstWanted < 0) firstWanted = rig.now;
     }
--- a/dataplane/test/stream_test.cpp
+++ b/dataplane/test/response_stream_test.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
 #include <corkward/core/types.h>
-#include <corkward/dataplane/stream.h>
+#include <corkward/dataplane/response_stream.h>
 
 namespace core = corkward::core;
 namespace dataplane = corkward::dataplane;
@@ -23,7 +23,7 @@
   return out;
 }
 
-dataplane::Head rowHead() {
+dataplane::ResponseHead rowHead() {
   return {.status = 200, .fields = {{"content-type", "text/event-stream"}}, .events = true};
 }
 
@@ -33,20 +33,20 @@
   int begun = 0;
   std::int64_t length = 0;
   int finished = 0;
-  std::optional<dataplane::End> end;
+  std::optional<dataplane::UpstreamResult> end;
 
   void take(dataplane::StreamSteps const& s) {
     if (s.begin) {
       ++begun;
       length = s.begin->length;
     }
-    got += s.piece;
+    got += s.chunk;
     if (s.finish) ++finished;
     if (s.ended) end = s.ended;
   }
 };
 
-void feed(dataplane::Stream& s, Caller& c, std::string const& bytes, std::size_t step) {
+void feed(dataplane::ResponseStream& s, Caller& c, std::string const& bytes, std::size_t step) {
   for (std::size_t at = 0; at < bytes.size(); at += step) c.take(s.piece(bytes.substr(at, step)));
 }
 
@@ -57,14 +57,14 @@
   std::size_t const step = GENERATE(1, 2, 3, 7, 1000);
   std::string const all = row(0, eol);
   for (std::size_t cut = 0; cut <= all.size(); ++cut) {
-    dataplane::Stream s;
+    dataplane::ResponseStream s;
     Caller c;
     s.asEvents("");
     s.connecting(false);
     c.take(s.head(rowHead()));
     feed(s, c, all.substr(0, cut), step);
     c.take(s.ended(false));
-    REQUIRE(c.end == dataplane::End::broken);
+    REQUIRE(c.end == dataplane::UpstreamResult::connectionLost);
     REQUIRE(all.rfind(c.got, 0) == 0);
     bool const resume = s.begun();
     s.connecting(resume);
@@ -74,7 +74,7 @@
     c.take(s.head(rowHead()));
     feed(s, c, row(s.lastEvent().empty() ? 0 : std::stoi(s.lastEvent()), eol), step);
     c.take(s.ended(true));
-    REQUIRE(c.end == dataplane::End::whole);
+    REQUIRE(c.end == dataplane::UpstreamResult::complete);
     REQUIRE(c.got == all);
     REQUIRE(c.begun == 1);
     REQUIRE(c.length == -1);
@@ -83,7 +83,7 @@
 }
 
 TEST_CASE("an event whose id is not above the last one passed on ends the answer before it") {
-  dataplane::Stream s;
+  dataplane::ResponseStream s;
   Caller c;
   s.asEvents("");
   s.connecting(false);
@@ -117,13 +117,13 @@
     CHECK_FALSE(c.end);
     c.take(s.ended(true));
   }
-  CHECK(c.end == dataplane::End::otherRun);
+  CHECK(c.end == dataplane::UpstreamResult::differentExecution);
   CHECK(c.finished == 0);
-  CHECK(s.piece("id: 12\ndata: d\n\n").piece.empty());
+  CHECK(s.piece("id: 12\ndata: d\n\n").chunk.empty());
 }
 
 TEST_CASE("only a row of events goes on with a row of events") {
-  dataplane::Stream s;
+  dataplane::ResponseStream s;
   s.asEvents("");
   s.connecting(false);
   s.head(rowHead());
@@ -131,21 +131,21 @@
   s.ended(false);
   s.connecting(true);
   SECTION("another status") {
-    CHECK(s.head({.status = 500, .events = true}).ended == dataplane::End::otherRun);
+    CHECK(s.head({.status = 500, .events = true}).ended == dataplane::UpstreamResult::differentExecution);
   }
   SECTION("another type") {
-    CHECK(s.head({.status = 200}).ended == dataplane::End::otherRun);
+    CHECK(s.head({.status = 200}).ended == dataplane::UpstreamResult::differentExecution);
   }
   SECTION("said not to have run") {
-    CHECK(s.head({.status = 503, .notRun = true}).ended == dataplane::End::notRun);
+    CHECK(s.head({.status = 503, .notExecuted = true}).ended == dataplane::UpstreamResult::notExecuted);
   }
   SECTION("an answer to another request") {
-    CHECK(s.head({.status = 200, .foreign = true, .events = true}).ended == dataplane::End::broken);
+    CHECK(s.head({.status = 200, .foreign = true, .events = true}).ended == dataplane::UpstreamResult::connectionLost);
   }
   SECTION("shorter than its length") {
     s.head({.status = 200, .length = 99, .events = true});
     s.piece("id: 2\ndata: b\n\n");
-    CHECK(s.ended(true).ended == dataplane::End::broken);
+    CHECK(s.ended(true).ended == dataplane::UpstreamResult::connectionLost);
   }
   SECTION("empty and whole") {
     s.head({.status = 200, .length = 0, .events = true});
@@ -154,20 +154,20 @@
 }
 
 TEST_CASE("events without an id are passed on once, and nothing is asked for after them") {
-  dataplane::Stream s;
+  dataplane::ResponseStream s;
   s.asEvents("");
   s.connecting(false);
   s.head(rowHead());
   dataplane::StreamSteps const first = s.piece("data: a\n\n");
-  CHECK(first.piece == "data: a\n\n");
-  CHECK(first.firstWord == false);
+  CHECK(first.chunk == "data: a\n\n");
+  CHECK(first.firstByte == false);
   s.ended(false);
   s.connecting(true);
-  CHECK(s.head(rowHead()).ended == dataplane::End::otherRun);
+  CHECK(s.head(rowHead()).ended == dataplane::UpstreamResult::differentExecution);
 }
 
 TEST_CASE("an answer that broke before anything was passed on starts over at another replica") {
-  dataplane::Stream s;
+  dataplane::ResponseStream s;
   Caller c;
   s.asEvents("4");
   s.connecting(false);
@@ -198,7 +198,7 @@
 }
 
 TEST_CASE("a whole answer with an empty body goes out, and one to HEAD keeps its length") {
-  dataplane::Stream s;
+  dataplane::ResponseStream s;
   Caller c;
   bool const asEvents = GENERATE(false, true);
   if (asEvents) s.asEvents("");
@@ -215,46 +215,46 @@
   c.take(s.ended(true));
   CHECK(c.begun == 1);
   CHECK(c.finished == 1);
-  CHECK(c.end == dataplane::End::whole);
+  CHECK(c.end == dataplane::UpstreamResult::complete);
 }
 
 TEST_CASE("an event without an end is given up at its bound") {
-  dataplane::Stream s;
+  dataplane::ResponseStream s;
   Caller c;
   s.asEvents("");
   s.connecting(false);
   s.head(rowHead());
   std::string const part(64 << 10, 'x');
   for (int i = 0; i < 40 && !c.end; ++i) c.take(s.piece(part));
-  CHECK(c.end == dataplane::End::broken);
+  CHECK(c.end == dataplane::UpstreamResult::connectionLost);
   CHECK(c.begun == 0);
 }
 
 TEST_CASE("a foreign answer breaks the call with nothing passed on") {
-  dataplane::Stream s;
+  dataplane::ResponseStream s;
   bool const asEvents = GENERATE(false, true);
   if (asEvents) s.asEvents("");
   s.connecting(false);
   dataplane::StreamSteps const out = s.head({.status = 200, .length = 2, .foreign = true, .events = asEvents});
-  CHECK(out.ended == dataplane::End::broken);
-  CHECK(out.abandon);
-  CHECK(s.piece("ab").piece.empty());
+  CHECK(out.ended == dataplane::UpstreamResult::connectionLost);
+  CHECK(out.closeUpstream);
+  CHECK(s.piece("ab").chunk.empty());
   CHECK_FALSE(s.ended(true).finish);
 }
 
 TEST_CASE("random rows pass on a prefix of what came, whatever the pieces") {
-  core::Rng rng(5);
+  core::RandomGenerator rng(5);
   constexpr char const* parts[] = {"id: 1",        "id:2",   "id",      ":",    "data: x",
                                    "\n",           "\r",     "\r\n",    "\n\n", "id: 18446744073709551616",
                                    "\xEF\xBB\xBF", "id: -1", "event: e"};
   for (int round = 0; round < 3000; ++round) {
     std::string bytes;
     for (std::uint64_t i = rng.below(40); i > 0; --i) bytes += parts[rng.below(std::size(parts))];
-    dataplane::Stream whole;
-    dataplane::Stream cut;
+    dataplane::ResponseStream whole;
+    dataplane::ResponseStream cut;
     Caller one;
     Caller many;
-    for (dataplane::Stream* const s : {&whole, &cut}) {
+    for (dataplane::ResponseStream* const s : {&whole, &cut}) {
       s->asEvents("");
       s->connecting(false);
       s->head(rowHead());
@@ -271,6 +271,6 @@
     REQUIRE(bytes.rfind(many.got, 0) == 0);
     REQUIRE(one.end == many.end);
     REQUIRE(one.got == many.got);
-    if (one.end == dataplane::End::whole) REQUIRE(one.got == bytes);
+    if (one.end == dataplane::UpstreamResult::complete) REQUIRE(one.got == bytes);
   }
 }
--- a/dataplane/test/tenants_test.cpp
+++ b/dataplane/test/tenants_test.cpp
@@ -17,7 +17,7 @@
   config::Tenant out;
   out.name = name;
   out.keys = {key};
-  out.perSecond = perSecond;
+  out.ratePerSecond = perSecond;
   out.burst = perSecond;
   return out;
 }
@@ -25,7 +25,7 @@
 std::vector<std::string> const controllers{"c1", "c2", "c3", "c4"};
 
 dataplane::Tenants tenantsOf(config::Tenant const& of, std::uint64_t seed = 1) {
-  dataplane::Tenants tenants("n1", 7, seed, quota::Slack{});
+  dataplane::Tenants tenants("n1", 7, seed, quota::OverdraftAllowance{});
   tenants.configure({of});
   tenants.around(controllers, 3);
   return tenants;
@@ -33,32 +33,32 @@
 
 struct Asked {
   std::string to;
-  quota::Report report;
+  quota::UsageReport report;
 };
 
 /// Sends one request of the tenant, for which nothing was lent, and returns what is asked of whom.
 Asked askedFor(dataplane::Tenants& tenants, core::Tick now, config::Tenant const& of, std::uint64_t call = 1) {
   std::vector<transport::Send> sends;
-  REQUIRE(tenants.admit(now, call, of, 5, sends) == dataplane::Admission::waits);
+  REQUIRE(tenants.admit(now, call, of, 5, sends) == dataplane::Admission::pending);
   REQUIRE(sends.size() == 1);
-  Asked const asked{sends[0].to, std::get<quota::Report>(sends[0].message)};
+  Asked const asked{sends[0].to, std::get<quota::UsageReport>(sends[0].message)};
   CHECK(asked.report.link == "n1");
-  CHECK(asked.report.life == 7);
+  CHECK(asked.report.incarnation == 7);
   REQUIRE(asked.report.uses.size() == 1);
   CHECK(asked.report.uses[0].tenant == of.name);
   CHECK(asked.report.uses[0].wanted == 5);
   return asked;
 }
 
-quota::Loans answer(Asked const& asked, std::uint64_t amount, std::uint64_t share = quota::whole,
-                    std::uint64_t fraction = 0) {
+quota::QuotaGrants answer(Asked const& asked, std::uint64_t amount, std::uint64_t share = quota::fractionUnits,
+                          std::uint64_t fraction = 0) {
   return {asked.report.number, {{"a", 1, 1, fraction, amount, share}}, {}};
 }
 
 }  // namespace
 
 TEST_CASE("a key belongs to the tenant of the configuration in force, and to nobody once it is taken away") {
-  dataplane::Tenants tenants("n1", 7, 1, quota::Slack{});
+  dataplane::Tenants tenants("n1", 7, 1, quota::OverdraftAllowance{});
   CHECK_FALSE(tenants.required());
   tenants.configure({tenant("a", "ka", 0), tenant("b", "kb", 0)});
   CHECK(tenants.required());
@@ -75,7 +75,7 @@
   config::Tenant t = tenant("a", "k", 10);
   CHECK(dataplane::Tenants::amountOf(t, 500) == 1.0);
   t.inTokens = true;
-  t.plainTokens = 200;
+  t.defaultTokens = 200;
   CHECK(dataplane::Tenants::amountOf(t, 500) == 500.0);
   CHECK(dataplane::Tenants::amountOf(t, std::nullopt) == 200.0);
 }
@@ -122,8 +122,8 @@
   Asked const elsewhere = askedFor(tenants, 1100, t, 2);
   std::string const other = elsewhere.to == "c1" ? "c2" : "c1";
   sends.clear();
-  CHECK(
-      tenants.arrived(1104, elsewhere.to, {elsewhere.report.number, {}, {{quota::partOf("a"), other}}}, sends).empty());
+  CHECK(tenants.arrived(1104, elsewhere.to, {elsewhere.report.number, {}, {{quota::partitionOf("a"), other}}}, sends)
+            .empty());
   REQUIRE(sends.size() == 1);
   CHECK(sends[0].to == other);
 
@@ -131,7 +131,7 @@
   Asked const refused = askedFor(tenants, 1200, t, 3);
   decisions = tenants.arrived(1204, refused.to, answer(refused, 0), sends);
   REQUIRE(decisions.size() == 1);
-  CHECK(decisions[0].admission == dataplane::Admission::refusedByLender);
+  CHECK(decisions[0].admission == dataplane::Admission::rejectedByCoordinator);
 }
 
 TEST_CASE("nobody is believed but the controller that was asked, and only for the report that it answers") {
@@ -140,8 +140,8 @@
   std::vector<transport::Send> sends;
   Asked const asked = askedFor(tenants, 1000, t);
   CHECK(tenants.arrived(1002, "stranger", answer(asked, 5), sends).empty());
-  quota::Loans other = answer(asked, 5);
-  other.report += 17;
+  quota::QuotaGrants other = answer(asked, 5);
+  other.reportNumber += 17;
   CHECK(tenants.arrived(1002, asked.to, other, sends).empty());
   CHECK(tenants.arrived(1004, asked.to, answer(asked, 5), sends).size() == 1);
   CHECK(tenants.arrived(1006, asked.to, answer(asked, 5), sends).empty());
@@ -155,7 +155,7 @@
   CHECK(tenants.clockEvent(1240, sends).empty());
   std::vector<dataplane::QuotaDecision> const decisions = tenants.clockEvent(1260, sends);
   REQUIRE(decisions.size() == 1);
-  CHECK(decisions[0].admission == dataplane::Admission::refusedWithoutLender);
+  CHECK(decisions[0].admission == dataplane::Admission::rejectedWithoutCoordinator);
 }
 
 TEST_CASE("answers to reports from before a claim was made count no more") {
@@ -163,9 +163,9 @@
   dataplane::Tenants tenants = tenantsOf(t);
   std::vector<transport::Send> sends;
   Asked const asked = askedFor(tenants, 1000, t);
-  transport::Send const claim = tenants.arrived(1001, "c9", quota::ClaimAsk{{{quota::partOf("a"), 4}}});
+  transport::Send const claim = tenants.arrived(1001, "c9", quota::AllocationQuery{{{quota::partitionOf("a"), 4}}});
   CHECK(claim.to == "c9");
-  CHECK(std::get<quota::Claims>(claim.message).uses.empty());
+  CHECK(std::get<quota::AllocationReport>(claim.message).uses.empty());
   std::vector<dataplane::QuotaDecision> const decisions = tenants.arrived(1004, asked.to, answer(asked, 5), sends);
   REQUIRE(decisions.size() == 1);
   CHECK(decisions[0].admission != dataplane::Admission::granted);
@@ -178,10 +178,10 @@
   Asked asked = askedFor(tenants, 1020, t);
   tenants.arrived(1030, asked.to, answer(asked, 5, 0), sends);
   for (std::uint64_t i = 0; i < 50; ++i)
-    CHECK(tenants.admit(1040, 100 + i, t, 5, sends) == dataplane::Admission::refusedByShare);
+    CHECK(tenants.admit(1040, 100 + i, t, 5, sends) == dataplane::Admission::rejectedByAllocation);
   dataplane::Tenants half = tenantsOf(t);
   asked = askedFor(half, 1020, t);
-  half.arrived(1030, asked.to, answer(asked, 100000, quota::whole / 2, quota::whole), sends);
+  half.arrived(1030, asked.to, answer(asked, 100000, quota::fractionUnits / 2, quota::fractionUnits), sends);
   int admitted = 0;
   for (std::uint64_t i = 0; i < 1000; ++i)
     admitted += half.admit(1040, 200 + i, t, 0.01, sends) == dataplane::Admission::granted ? 1 : 0;
--- a/gossip/include/corkward/gossip/partial_view.h
+++ b/gossip/include/corkward/gossip/partial_view.h
@@ -31,7 +31,7 @@
  public:
   PartialView(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed);
 
-  std::vector<transport::Send> arrived(Tick now, std::string const& from, transport::Shuffle const& shuffle);
+  std::vector<transport::Send> arrived(Tick now, std::string const& from, transport::GossipShuffle const& shuffle);
   std::vector<transport::Send> clockEvent(Tick now);
   /// First-hand word of a process. Returns a correction for it when we know a newer incarnation at its address.
   std::vector<transport::Send> heard(Tick now, transport::Contact const& contact);
@@ -56,12 +56,12 @@
     Tick at = 0;
   };
   void merge(Tick now, transport::Contact const& contact);
-  transport::Shuffle sample(Tick now, bool reply, bool brief);
+  transport::GossipShuffle sample(Tick now, bool reply, bool brief);
   /// Place on the roster of a contact that differs from what is said there by incarnation and age alone; -1: none.
   std::ptrdiff_t place(transport::Contact const& contact) const;
   transport::Contact self_;
   std::vector<std::string> seeds_;
-  core::Rng rng_;
+  core::RandomGenerator rng_;
   std::map<std::string, Seen> view_;
   Tick shuffleAt_ = 0;
   std::uint64_t rosterRevision_ = 0;
