--- a/gossip/src/partial_view.cpp
+++ b/gossip/src/partial_view.cpp
@@ -18,9 +18,9 @@
   std::vector<transport::Contact> out;
   for (QJsonValue const v : roster.value("nodes").toArray()) {
     transport::Contact c;
-    c.link = core::str(v.toObject().value("link").toString());
-    c.http = core::str(v.toObject().value("http").toString());
-    c.zone = core::str(v.toObject().value("zone").toString());
+    c.link = core::toStdString(v.toObject().value("link").toString());
+    c.httpAddress = core::toStdString(v.toObject().value("http").toString());
+    c.zone = core::toStdString(v.toObject().value("zone").toString());
     c.role = transport::routerRole;
     out.push_back(std::move(c));
   }
@@ -31,14 +31,16 @@
     : self_(std::move(self)), seeds_(std::move(seeds)), rng_(seed) {}
 
 void PartialView::merge(Tick now, transport::Contact const& contact) {
-  if (contact.link.empty() || contact.age < 0 || contact.age > dropAfter || contact.inc > mostInc) return;
+  if (contact.link.empty() || contact.age < 0 || contact.age > dropAfter || contact.incarnation > mostInc) return;
   if (contact.link == self_.link) {
-    if (contact.inc > self_.inc) self_.inc = contact.inc + 1;
+    if (contact.incarnation > self_.incarnation) self_.incarnation = contact.incarnation + 1;
     return;
   }
   Seen& seen = view_[contact.link];
   Tick const at = now - contact.age;
-  if (contact.inc < seen.contact.inc || (contact.inc == seen.contact.inc && at <= seen.at && seen.at != 0)) return;
+  if (contact.incarnation < seen.contact.incarnation ||
+      (contact.incarnation == seen.contact.incarnation && at <= seen.at && seen.at != 0))
+    return;
   seen.contact = contact;
   seen.at = at;
   if (view_.size() <= viewBound) return;
@@ -61,12 +63,12 @@
   std::vector<transport::Contact>::const_iterator const it =
       std::lower_bound(roster_.begin(), roster_.end(), contact.link,
                        [](transport::Contact const& c, std::string const& link) { return c.link < link; });
-  bool const same = it != roster_.end() && it->link == contact.link && it->http == contact.http &&
+  bool const same = it != roster_.end() && it->link == contact.link && it->httpAddress == contact.httpAddress &&
                     it->role == contact.role && it->zone == contact.zone && it->draining == contact.draining;
   return same ? it - roster_.begin() : -1;
 }
 
-transport::Shuffle PartialView::sample(Tick now, bool reply, bool brief) {
+transport::GossipShuffle PartialView::sample(Tick now, bool reply, bool brief) {
   std::vector<transport::Contact> out;
   for (std::map<std::string, Seen>::value_type const& s : view_) {
     out.push_back(s.second.contact);
@@ -74,30 +76,30 @@
   }
   for (std::size_t i = out.size(); i > 1; --i) std::swap(out[i - 1], out[rng_.below(i)]);
   if (out.size() > sampleSize) out.resize(sampleSize);
-  transport::Shuffle shuffle;
+  transport::GossipShuffle shuffle;
   shuffle.reply = reply;
-  shuffle.roster = rosterRevision_;
+  shuffle.rosterRevision = rosterRevision_;
   for (transport::Contact& c : out) {
     std::ptrdiff_t const at = brief ? place(c) : -1;
     if (at < 0)
       shuffle.contacts.push_back(std::move(c));
     else
-      shuffle.known.insert(shuffle.known.end(),
-                           {static_cast<std::uint64_t>(at), c.inc, static_cast<std::uint64_t>(c.age)});
+      shuffle.knownContacts.insert(shuffle.knownContacts.end(),
+                                   {static_cast<std::uint64_t>(at), c.incarnation, static_cast<std::uint64_t>(c.age)});
   }
   shuffle.contacts.push_back(self_);
   return shuffle;
 }
 
 std::vector<transport::Send> PartialView::arrived(Tick now, std::string const& from,
-                                                  transport::Shuffle const& shuffle) {
-  alike_ = rosterRevision_ > 0 && shuffle.roster == rosterRevision_;
+                                                  transport::GossipShuffle const& shuffle) {
+  alike_ = rosterRevision_ > 0 && shuffle.rosterRevision == rosterRevision_;
   for (transport::Contact const& c : shuffle.contacts) merge(now, c);
-  for (std::size_t i = 0; alike_ && i + 2 < shuffle.known.size(); i += 3) {
-    if (shuffle.known[i] >= roster_.size()) continue;
-    transport::Contact c = roster_[shuffle.known[i]];
-    c.inc = shuffle.known[i + 1];
-    c.age = static_cast<std::int64_t>(shuffle.known[i + 2]);
+  for (std::size_t i = 0; alike_ && i + 2 < shuffle.knownContacts.size(); i += 3) {
+    if (shuffle.knownContacts[i] >= roster_.size()) continue;
+    transport::Contact c = roster_[shuffle.knownContacts[i]];
+    c.incarnation = shuffle.knownContacts[i + 1];
+    c.age = static_cast<std::int64_t>(shuffle.knownContacts[i + 2]);
     merge(now, c);
   }
   std::vector<transport::Send> out;
@@ -108,8 +110,9 @@
 std::vector<transport::Send> PartialView::heard(Tick now, transport::Contact const& contact) {
   std::map<std::string, Seen>::const_iterator const it = view_.find(contact.link);
   std::vector<transport::Send> out;
-  if (it != view_.end() && it->second.contact.inc > contact.inc)
-    out.push_back(transport::Send{contact.link, transport::Shuffle{{it->second.contact}, false, rosterRevision_, {}}});
+  if (it != view_.end() && it->second.contact.incarnation > contact.incarnation)
+    out.push_back(
+        transport::Send{contact.link, transport::GossipShuffle{{it->second.contact}, false, rosterRevision_, {}}});
   else
     merge(now, contact);
   return out;
--- a/gossip/test/partial_view_test.cpp
+++ b/gossip/test/partial_view_test.cpp
@@ -13,10 +13,10 @@
 transport::Contact contact(std::string const& link, std::string const& role = transport::routerRole) {
   transport::Contact c;
   c.link = link;
-  c.http = link + "-http";
+  c.httpAddress = link + "-http";
   c.role = role;
   c.zone = "z1";
-  c.inc = 1700000000000;
+  c.incarnation = 1700000000000;
   return c;
 }
 
@@ -28,7 +28,7 @@
   std::vector<transport::Contact> out;
   for (int n = 1; n <= nodes; ++n) {
     out.push_back(contact(node(n)));
-    out.back().inc = 0;
+    out.back().incarnation = 0;
   }
   return out;
 }
@@ -46,8 +46,8 @@
   void deliver(std::string const& from, std::vector<transport::Send> const& sends) {
     for (transport::Send const& s : sends) {
       transport::Message const m = s.message;
-      transport::Shuffle const& shuffle = std::get<transport::Shuffle>(m);
-      known += shuffle.known.size() / 3;
+      transport::GossipShuffle const& shuffle = std::get<transport::GossipShuffle>(m);
+      known += shuffle.knownContacts.size() / 3;
       whole += shuffle.contacts.size() - 1;
       std::map<std::string, gossip::PartialView>::iterator const to = all.find(s.to);
       if (to != all.end()) deliver(s.to, to->second.arrived(now, from, shuffle));
@@ -76,20 +76,21 @@
   for (gossip::PartialView* const l : {&sender, &receiver}) l->setRoster(7, roster(8));
   stranger.setRoster(6, roster(7));
 
-  std::vector<transport::Send> const first = receiver.arrived(1500, node(9), transport::Shuffle{{}, true, 0, {}});
-  CHECK(std::get<transport::Shuffle>(first.at(0).message).known.empty());
+  std::vector<transport::Send> const first = receiver.arrived(1500, node(9), transport::GossipShuffle{{}, true, 0, {}});
+  CHECK(std::get<transport::GossipShuffle>(first.at(0).message).knownContacts.empty());
 
-  std::vector<transport::Send> const toStranger = sender.arrived(1500, node(3), transport::Shuffle{{}, true, 6, {}});
-  CHECK(std::get<transport::Shuffle>(toStranger.at(0).message).known.empty());
-  CHECK(std::get<transport::Shuffle>(toStranger.at(0).message).contacts.size() == 5);
+  std::vector<transport::Send> const toStranger =
+      sender.arrived(1500, node(3), transport::GossipShuffle{{}, true, 6, {}});
+  CHECK(std::get<transport::GossipShuffle>(toStranger.at(0).message).knownContacts.empty());
+  CHECK(std::get<transport::GossipShuffle>(toStranger.at(0).message).contacts.size() == 5);
 
-  std::vector<transport::Send> const sends = sender.arrived(1500, node(2), transport::Shuffle{{}, true, 7, {}});
+  std::vector<transport::Send> const sends = sender.arrived(1500, node(2), transport::GossipShuffle{{}, true, 7, {}});
   transport::Message const message = sends.at(0).message;
-  transport::Shuffle const& shuffle = std::get<transport::Shuffle>(message);
-  CHECK(shuffle.roster == 7);
-  REQUIRE(shuffle.known.size() == 3);
-  CHECK(shuffle.known[1] == 1700000000000);
-  CHECK(shuffle.known[2] == 500);
+  transport::GossipShuffle const& shuffle = std::get<transport::GossipShuffle>(message);
+  CHECK(shuffle.rosterRevision == 7);
+  REQUIRE(shuffle.knownContacts.size() == 3);
+  CHECK(shuffle.knownContacts[1] == 1700000000000);
+  CHECK(shuffle.knownContacts[2] == 500);
   CHECK(shuffle.contacts.size() == 4);
 
   receiver.arrived(1600, node(1), shuffle);
@@ -97,9 +98,9 @@
   CHECK(receiver.age(node(4), 1600) == 500);
   for (transport::Contact const& c : receiver.ofRole(transport::routerRole, 1600)) {
     if (c.link != node(4)) continue;
-    CHECK(c.http == node(4) + "-http");
+    CHECK(c.httpAddress == node(4) + "-http");
     CHECK(c.zone == "z1");
-    CHECK(c.inc == 1700000000000);
+    CHECK(c.incarnation == 1700000000000);
   }
   stranger.arrived(1600, node(1), shuffle);
   CHECK(stranger.age(node(4), 1600) == -1);
@@ -109,12 +110,13 @@
 TEST_CASE("places that no roster has, and halves of entries, are passed over") {
   gossip::PartialView l(contact(node(1)), {}, 3);
   l.setRoster(7, roster(3));
-  l.arrived(1000, node(2), transport::Shuffle{{}, false, 7, {3, 5, 5, 900000, 1, 1, 1, 5}});
+  l.arrived(1000, node(2), transport::GossipShuffle{{}, false, 7, {3, 5, 5, 900000, 1, 1, 1, 5}});
   CHECK(l.size() == 0);
-  l.arrived(1000, node(2), transport::Shuffle{{}, false, 7, {1, 5, 130000, 2, 5, 30, 0, std::uint64_t{1} << 53, 0}});
+  l.arrived(1000, node(2),
+            transport::GossipShuffle{{}, false, 7, {1, 5, 130000, 2, 5, 30, 0, std::uint64_t{1} << 53, 0}});
   CHECK(l.size() == 1);
   CHECK(l.age(node(3), 1000) == 30);
-  CHECK(l.self().inc == 1700000000000);
+  CHECK(l.self().incarnation == 1700000000000);
 }
 
 TEST_CASE(
--- a/http/include/corkward/http/mapping.h
+++ b/http/include/corkward/http/mapping.h
@@ -3,11 +3,11 @@
 #include <optional>
 #include <string>
 
-#include <corkward/http/fields.h>
+#include <corkward/http/headers.h>
 #include <corkward/http/upstream_connection.h>
 #include <corkward/http/server.h>
 #include <corkward/dataplane/request_router.h>
-#include <corkward/dataplane/stream.h>
+#include <corkward/dataplane/response_stream.h>
 
 namespace corkward::http {
 
@@ -27,7 +27,7 @@
   dataplane::Request const& caller;
   /// Path as the plane connected for it.
   std::string const& path;
-  dataplane::HandOver const& handOver;
+  dataplane::SendRequest const& handOver;
   dataplane::Resume const& resume;
 };
 
@@ -41,19 +41,19 @@
   /// added where they are missing.
   virtual ReplicaRequest replicaRequest(Dispatch const& dispatch) const = 0;
   /// Reads the head of a replica's answer to the request.
-  virtual dataplane::Head head(ReplicaHead const& head, Request const& request) const = 0;
+  virtual dataplane::ResponseHead head(ReplicaHead const& head, Request const& request) const = 0;
   /// Header fields and body of a rejection, or of an outcome that is not known.
-  virtual FieldList rejectFields(dataplane::Reject const& reject) const = 0;
+  virtual HeaderList rejectFields(dataplane::Reject const& reject) const = 0;
   virtual std::string rejectBody(dataplane::Reject const& reject) const = 0;
 };
 
 /// The product's own headers: POST /v1/{instance}/{path...}; see docs/interface.md.
-class OwnMapping : public Mapping {
+class NativeMapping : public Mapping {
  public:
   CallerRequest callerRequest(Request const& request) const override;
   ReplicaRequest replicaRequest(Dispatch const& dispatch) const override;
-  dataplane::Head head(ReplicaHead const& head, Request const& request) const override;
-  FieldList rejectFields(dataplane::Reject const& reject) const override;
+  dataplane::ResponseHead head(ReplicaHead const& head, Request const& request) const override;
+  HeaderList rejectFields(dataplane::Reject const& reject) const override;
   std::string rejectBody(dataplane::Reject const& reject) const override;
 };
 
--- a/http/include/corkward/http/operator_mapping.h
+++ b/http/include/corkward/http/operator_mapping.h
@@ -10,16 +10,16 @@
 namespace corkward::http {
 
 /// A whole answer.
-struct WholeAnswer {
+struct Response {
   int status = 200;
-  FieldList fields;
+  HeaderList fields;
   std::string body;
 };
 
 /// An operator's or the platform's request as the control plane's event, or what it is answered with at once.
 struct OperatorRequest {
-  std::optional<transport::Call> call;
-  WholeAnswer answer;
+  std::optional<transport::OperatorCall> call;
+  Response answer;
 };
 
 /// The one mapping between HTTP and the control plane's events.
@@ -29,14 +29,14 @@
   /// Reads a request as a call. The change id is the caller's, or the given one.
   virtual OperatorRequest operatorCall(Request const& request, std::string const& freshChangeId) const = 0;
   /// @param call the call that is answered, without its body
-  virtual WholeAnswer answer(transport::Call const& call, int status, QJsonObject const& body) const = 0;
+  virtual Response answer(transport::OperatorCall const& call, int status, QJsonObject const& body) const = 0;
 };
 
 /// The product's own operator interface; see docs/interface.md.
-class OwnOperatorMapping : public OperatorMapping {
+class NativeOperatorMapping : public OperatorMapping {
  public:
   OperatorRequest operatorCall(Request const& request, std::string const& freshChangeId) const override;
-  WholeAnswer answer(transport::Call const& call, int status, QJsonObject const& body) const override;
+  Response answer(transport::OperatorCall const& call, int status, QJsonObject const& body) const override;
 };
 
 }  // namespace corkward::http
--- a/http/include/corkward/http/server.h
+++ b/http/include/corkward/http/server.h
@@ -11,7 +11,7 @@
 
 #include <corkward/core/error.h>
 #include <corkward/core/types.h>
-#include <corkward/http/fields.h>
+#include <corkward/http/headers.h>
 
 class QTcpServer;
 class QTcpSocket;
@@ -19,7 +19,7 @@
 namespace corkward::http {
 
 /// An error of the HTTP edge.
-class Error : public core::Error {
+class HttpError : public core::Error {
  public:
   using core::Error::Error;
 };
@@ -31,14 +31,14 @@
   std::size_t at = 0;
   std::string method;
   std::string target;
-  Fields fields;
+  HeaderMap fields;
   std::string body;
   /// Milliseconds from the first byte of it that was read until all of it was there.
   core::Tick readFor = 0;
 };
 
 /// Bounds of a HTTP edge, and how it signs.
-struct Limits {
+struct ServerLimits {
   std::uint32_t head = 16U << 10;
   std::uint64_t body = 1U << 20;
   int connections = 4096;
@@ -47,7 +47,7 @@
   /// Answers name the server.
   bool named = true;
   /// Fields of the answers to requests that break HTTP or these bounds.
-  FieldList faultFields = {{"corkward-outcome", "not-run"}};
+  HeaderList faultFields = {{"corkward-outcome", "not-run"}};
 };
 
 /// HTTP/1.1 edge for callers, operators and the platform: Boost.Beast parses, Qt carries the bytes.
@@ -57,42 +57,42 @@
   struct Events {
     std::function<void(Request)> request;
     /// The caller's connection is gone before its answer was finished.
-    std::function<void(std::uint64_t id)> gone;
+    std::function<void(std::uint64_t id)> disconnected;
     /// Some of what waited to be written to the caller has gone out.
-    std::function<void(std::uint64_t id)> room;
+    std::function<void(std::uint64_t id)> writable;
   };
   /// Listens at ip:port, at one or at several with the bounds shared; port 0 takes a free one. Throws http::Error.
-  Server(std::string const& address, Limits limits, Events events, QObject* parent = nullptr);
-  Server(std::vector<std::string> const& addresses, Limits limits, Events events, QObject* parent = nullptr);
+  Server(std::string const& address, ServerLimits limits, Events events, QObject* parent = nullptr);
+  Server(std::vector<std::string> const& addresses, ServerLimits limits, Events events, QObject* parent = nullptr);
   ~Server() override;
 
   std::string const& address(std::size_t at = 0) const { return addresses_.at(at); }
   /// Bounds for what comes from here on.
-  void setLimits(Limits limits) { limits_ = std::move(limits); }
+  void setLimits(ServerLimits limits) { limits_ = std::move(limits); }
   /// A whole answer at once.
-  void answer(std::uint64_t id, int status, FieldList const& fields, std::string const& body);
+  void answer(std::uint64_t id, int status, HeaderList const& fields, std::string const& body);
   /// Starts an answer; length below zero: in chunks. An answer that has no body has none, whatever is told.
   /// @param reason words of the status; empty: the usual ones
-  void begin(std::uint64_t id, int status, FieldList const& fields, std::int64_t length,
+  void begin(std::uint64_t id, int status, HeaderList const& fields, std::int64_t length,
              std::string const& reason = {});
-  void piece(std::uint64_t id, std::string const& bytes);
+  void writeChunk(std::uint64_t id, std::string const& bytes);
   /// The body's own end was seen.
   void finish(std::uint64_t id);
   /// Cuts the connection: what the caller has cannot look complete.
   void abort(std::uint64_t id);
   /// Bytes that wait to be written for the request.
-  std::int64_t waiting(std::uint64_t id) const;
+  std::int64_t bufferedBytes(std::uint64_t id) const;
   /// The caller has closed or lost the connection of the request, as its socket says at this moment; the event gone may
   /// still be on its way.
-  bool hasLeft(std::uint64_t id) const;
+  bool isDisconnected(std::uint64_t id) const;
   /// From here on each answer says that its connection is closed after it; what still comes is served.
-  void leave() { leaving_ = true; }
+  void startDraining() { leaving_ = true; }
   /// Takes every connection that waits at the addresses, and listens there no more.
   void close();
   /// Connections without a request in hand whose caller has sent something, or has just come and is about to.
   std::size_t expecting() const;
   /// Requests without their whole answer, and answers that are not all written.
-  std::size_t inHand() const;
+  std::size_t pendingCount() const;
   std::size_t connections() const { return conns_.size(); }
   std::uint64_t malformed() const { return malformed_; }
   /// Connections that could not be accepted at once, for want of descriptors or memory.
@@ -108,13 +108,13 @@
   void fault(std::shared_ptr<Conn> const& conn, int status, std::string const& reason);
   void done(std::shared_ptr<Conn> conn);
   void linger(std::shared_ptr<Conn> const& conn);
-  std::string headOf(Conn& conn, int status, FieldList const& fields, std::int64_t length, std::string const& reason);
+  std::string headOf(Conn& conn, int status, HeaderList const& fields, std::int64_t length, std::string const& reason);
   void drop(std::shared_ptr<Conn> const& conn);
   Conn* find(std::uint64_t id) const;
 
   std::vector<std::string> addresses_;
   std::vector<QTcpServer*> servers_;
-  Limits limits_;
+  ServerLimits limits_;
   Events events_;
   std::uint64_t next_ = 1;
   std::uint64_t malformed_ = 0;
--- a/http/include/corkward/http/upstream_connection.h
+++ b/http/include/corkward/http/upstream_connection.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include <corkward/core/types.h>
-#include <corkward/http/fields.h>
+#include <corkward/http/headers.h>
 
 class QTcpSocket;
 
@@ -19,14 +19,14 @@
 struct ReplicaRequest {
   std::string method = "POST";
   std::string target;
-  FieldList fields = {};
+  HeaderList fields = {};
 };
 
 /// Head of a replica's answer as it came.
 struct ReplicaHead {
   int status = 0;
   std::string reason = {};
-  FieldList fields = {};
+  HeaderList fields = {};
   /// Length of the body as it is told; below zero: not told.
   std::int64_t length = -1;
   /// No body follows: the answer to HEAD, or a status that has none.
@@ -45,7 +45,7 @@
     /// All of the body that came together.
     std::function<void(std::string)> piece;
     /// The body's own end was seen (true), or the connection ended before it (false). A body of no told length: see
-    /// Kept::closeEndsAnswer.
+    /// KeepAlivePolicy::closeEndsAnswer.
     std::function<void(bool whole)> ended;
   };
   /// Opens a connection of its own, which ends with the request.
--- a/http/include/corkward/http/upstream_pool.h
+++ b/http/include/corkward/http/upstream_pool.h
@@ -14,7 +14,7 @@
 namespace corkward::http {
 
 /// Which connections to replicas are kept.
-struct Kept {
+struct KeepAlivePolicy {
   /// Idle ones kept for one replica at the most; 0: each request has a connection of its own.
   std::size_t perReplica = 0;
   /// An idle one is used for less than this many milliseconds, or half of what the replica's Keep-Alive says.
@@ -31,14 +31,15 @@
 class UpstreamPool : public QObject {
  public:
   /// @param now monotonic milliseconds
-  UpstreamPool(Kept kept, std::function<core::Tick()> now, QObject* parent = nullptr);
+  UpstreamPool(KeepAlivePolicy kept, std::function<core::Tick()> now, QObject* parent = nullptr);
   ~UpstreamPool() override;
   /// A connection for one request, a kept one or a new one. The relay is its parent's or the owner's to delete.
-  /// @param fresh see Kept::freshIdleLimit
-  UpstreamConnection* lend(std::string const& address, bool fresh, UpstreamConnection::Events events, QObject* parent);
+  /// @param fresh see KeepAlivePolicy::freshIdleLimit
+  UpstreamConnection* acquire(std::string const& address, bool fresh, UpstreamConnection::Events events,
+                              QObject* parent);
   /// Throws the idle ones of the address away.
   void drop(std::string const& address);
-  void setKept(Kept kept);
+  void setKept(KeepAlivePolicy kept);
   std::size_t idle() const { return count_; }
   /// Connections opened, and requests that went on a kept one.
   std::uint64_t opened() const { return opened_; }
@@ -54,7 +55,7 @@
   void put(std::string const& address, QTcpSocket* socket, core::Tick keepAlive);
   void forget(std::string const& address, QTcpSocket* socket);
   void sweep();
-  Kept kept_;
+  KeepAlivePolicy kept_;
   std::function<core::Tick()> now_;
   std::unordered_map<std::string, std::vector<Idle>> idle_;
   std::size_t count_ = 0;
--- a/http/src/fields.cpp
+++ b/http/src/headers.cpp
@@ -1,4 +1,4 @@
-#include <corkward/http/fields.h>
+#include <corkward/http/headers.h>
 
 #include <array>
 #include <boost/beast/http/rfc7230.hpp>
@@ -21,12 +21,12 @@
                                                       "expect"};
 
 template <class List>
-FieldList passedOn(List const& fields) {
+HeaderList passedOn(List const& fields) {
   std::string named;
   for (typename List::value_type const& f : fields)
     if (lower(f.first) == "connection") named += (named.empty() ? "" : ",") + lower(f.second);
   boost::beast::http::token_list also(named);
-  FieldList out;
+  HeaderList out;
   out.reserve(fields.size());
   for (typename List::value_type const& f : fields) {
     std::string const name = lower(f.first);
@@ -44,21 +44,21 @@
   return text;
 }
 
-std::string field(FieldList const& fields, std::string const& name) {
-  for (FieldList::value_type const& f : fields)
+std::string field(HeaderList const& fields, std::string const& name) {
+  for (HeaderList::value_type const& f : fields)
     if (f.first.size() == name.size() && lower(f.first) == name) return f.second;
   return "";
 }
 
-std::string field(Fields const& fields, std::string const& name) {
-  Fields::const_iterator const it = fields.find(name);
+std::string field(HeaderMap const& fields, std::string const& name) {
+  HeaderMap::const_iterator const it = fields.find(name);
   return it == fields.end() ? "" : it->second;
 }
 
-FieldList endToEnd(Fields const& fields) {
+HeaderList endToEnd(HeaderMap const& fields) {
   return passedOn(fields);
 }
-FieldList endToEnd(FieldList const& fields) {
+HeaderList endToEnd(HeaderList const& fields) {
   return passedOn(fields);
 }
 
--- a/http/src/mapping.cpp
+++ b/http/src/mapping.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-CallerRequest OwnMapping::callerRequest(Request const& request) const {
+CallerRequest NativeMapping::callerRequest(Request const& request) const {
   if (request.target.rfind("/v1/", 0) != 0 || request.target.size() > 1024) return fault(404, "no such page");
   if (request.method != "POST") return fault(405, "POST is needed");
   std::string const rest = request.target.substr(
@@ -60,8 +60,8 @@
   std::string const earlier = field(request.fields, "corkward-earlier");
   if (!earlier.empty() && earlier != "not-run" && earlier != "not-run-reached")
     return fault(400, "corkward-earlier: must be not-run or not-run-reached");
-  r.earlierNotRun = !earlier.empty();
-  r.earlierReached = earlier == "not-run-reached";
+  r.earlierNotExecuted = !earlier.empty();
+  r.earlierReachedReplica = earlier == "not-run-reached";
   std::string const age = field(request.fields, "corkward-age-ms");
   std::uint64_t old = 0;
   if (!age.empty() && !number(age, 99999999999, old))
@@ -74,7 +74,7 @@
   return out;
 }
 
-ReplicaRequest OwnMapping::replicaRequest(Dispatch const& dispatch) const {
+ReplicaRequest NativeMapping::replicaRequest(Dispatch const& dispatch) const {
   std::string type = field(dispatch.request.fields, "content-type");
   if (type.empty()) type = "application/json";
   ReplicaRequest out{"POST", "/" + dispatch.path, {{"content-type", std::move(type)}}};
@@ -89,14 +89,14 @@
   return out;
 }
 
-dataplane::Head OwnMapping::head(ReplicaHead const& head, Request const&) const {
-  dataplane::Head out;
+dataplane::ResponseHead NativeMapping::head(ReplicaHead const& head, Request const&) const {
+  dataplane::ResponseHead out;
   out.status = head.status;
   out.length = head.length;
   out.bodiless = head.bodiless;
   std::string const run = field(head.fields, "corkward-run");
-  out.notRun = head.status == 503 && run == "none";
-  out.failed = head.status >= 500 && !out.notRun;
+  out.notExecuted = head.status == 503 && run == "none";
+  out.failed = head.status >= 500 && !out.notExecuted;
   out.events = head.status / 100 == 2 && lower(field(head.fields, "content-type")).rfind("text/event-stream", 0) == 0;
   if (run != "none") out.run = run;
   out.offset = field(head.fields, "corkward-offset");
@@ -108,16 +108,17 @@
   return out;
 }
 
-FieldList OwnMapping::rejectFields(dataplane::Reject const& reject) const {
-  FieldList out{{"content-type", "application/json"}, {"corkward-outcome", reject.notRun ? "not-run" : "unknown"}};
-  if (reject.notRun) out.emplace_back("corkward-earlier", reject.reached ? "not-run-reached" : "not-run");
+HeaderList NativeMapping::rejectFields(dataplane::Reject const& reject) const {
+  HeaderList out{{"content-type", "application/json"},
+                 {"corkward-outcome", reject.notExecuted ? "not-run" : "unknown"}};
+  if (reject.notExecuted) out.emplace_back("corkward-earlier", reject.reachedReplica ? "not-run-reached" : "not-run");
   if (reject.retryAfter > 0)
-    out.emplace_back("retry-after", core::str(QString::number(std::ceil(reject.retryAfter), 'f', 0)));
+    out.emplace_back("retry-after", core::toStdString(QString::number(std::ceil(reject.retryAfter), 'f', 0)));
   return out;
 }
 
-std::string OwnMapping::rejectBody(dataplane::Reject const& reject) const {
-  QJsonObject body{{"outcome", reject.notRun ? "not-run" : "unknown"}, {"reason", core::qstr(reject.reason)}};
+std::string NativeMapping::rejectBody(dataplane::Reject const& reject) const {
+  QJsonObject body{{"outcome", reject.notExecuted ? "not-run" : "unknown"}, {"reason", core::toQString(reject.reason)}};
   if (reject.retryAfter > 0) body.insert("retryAfter", std::ceil(reject.retryAfter));
   return core::jsonText(body) + "\n";
 }
--- a/http/src/operator_mapping.cpp
+++ b/http/src/operator_mapping.cpp
@@ -10,8 +10,8 @@
 
 }  // namespace
 
-OperatorRequest OwnOperatorMapping::operatorCall(Request const& request, std::string const& freshChangeId) const {
-  transport::Call call;
+OperatorRequest NativeOperatorMapping::operatorCall(Request const& request, std::string const& freshChangeId) const {
+  transport::OperatorCall call;
   call.token = request.id;
   call.method = request.method;
   std::size_t const query = request.target.find('?');
@@ -29,8 +29,8 @@
   return out;
 }
 
-WholeAnswer OwnOperatorMapping::answer(transport::Call const&, int status, QJsonObject const& body) const {
-  WholeAnswer out{status, {{"content-type", "application/json"}}, core::jsonText(body) + "\n"};
+Response NativeOperatorMapping::answer(transport::OperatorCall const&, int status, QJsonObject const& body) const {
+  Response out{status, {{"content-type", "application/json"}}, core::jsonText(body) + "\n"};
   char const* const tag = body.contains("version") ? "version" : "stamp";
   if (body.contains(tag) && status < 300)
     out.fields.emplace_back("etag", "\"" + std::to_string(body.value(tag).toInteger()) + "\"");
--- a/http/src/server.cpp
+++ b/http/src/server.cpp
@@ -9,7 +9,7 @@
 #include <cerrno>
 #include <sys/socket.h>
 
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 
 #include "wire.h"
 
@@ -38,7 +38,7 @@
   bool ok = colon != std::string::npos && host.setAddress(QString::fromStdString(address.substr(0, colon)));
   int port = 0;
   if (ok) port = QString::fromStdString(address.substr(colon + 1)).toInt(&ok);
-  if (!ok || port < 0 || port > 65535) throw Error("not an ip:port address: " + address);
+  if (!ok || port < 0 || port > 65535) throw HttpError("not an ip:port address: " + address);
   return {address.substr(0, colon), static_cast<std::uint16_t>(port)};
 }
 
@@ -68,10 +68,10 @@
   std::int64_t untold = -1;
 };
 
-Server::Server(std::string const& address, Limits limits, Events events, QObject* parent)
+Server::Server(std::string const& address, ServerLimits limits, Events events, QObject* parent)
     : Server(std::vector<std::string>{address}, std::move(limits), std::move(events), parent) {}
 
-Server::Server(std::vector<std::string> const& addresses, Limits limits, Events events, QObject* parent)
+Server::Server(std::vector<std::string> const& addresses, ServerLimits limits, Events events, QObject* parent)
     : QObject(parent), limits_(std::move(limits)), events_(std::move(events)) {
   for (std::string const& address : addresses) {
     std::size_t const index = servers_.size();
@@ -81,7 +81,7 @@
     server->setListenBacklogSize(512);
     server->setMaxPendingConnections(acceptAtOnce);
     if (!server->listen(QHostAddress(QString::fromStdString(at.first)), at.second))
-      throw Error("listen at " + address + ": " + server->errorString().toStdString());
+      throw HttpError("listen at " + address + ": " + server->errorString().toStdString());
     addresses_.push_back(at.first + ":" + std::to_string(server->serverPort()));
     QObject::connect(
         server, &QTcpServer::newConnection, this, [this, index] { accept(index); }, Qt::QueuedConnection);
@@ -150,7 +150,7 @@
     if (!c) return;
     c->moved = true;
     if (c->lingers) linger(c);
-    if (c->id != 0 && c->begun && events_.room) events_.room(c->id);
+    if (c->id != 0 && c->begun && events_.writable) events_.writable(c->id);
   });
   conn->timer->start(limits_.headMs);
   if (static_cast<int>(conns_.size()) > limits_.connections)
@@ -207,7 +207,7 @@
     request.target = std::string(message.target());
     for (beastHttp::request<beastHttp::string_body>::value_type const& f : message) {
       std::string const name = lower(std::string(f.name_string()));
-      std::pair<Fields::iterator, bool> const at = request.fields.emplace(name, std::string(f.value()));
+      std::pair<HeaderMap::iterator, bool> const at = request.fields.emplace(name, std::string(f.value()));
       if (!at.second)
         at.first->second.append(name == "cookie" ? "; " : ", ").append(f.value().data(), f.value().size());
     }
@@ -227,7 +227,7 @@
 void Server::fault(std::shared_ptr<Conn> const& conn, int status, std::string const& reason) {
   ++malformed_;
   std::string const body = "{\"error\":\"malformed\",\"reason\":\"" + reason + "\"}";
-  FieldList fields = limits_.faultFields;
+  HeaderList fields = limits_.faultFields;
   fields.emplace_back("Content-Type", "application/json");
   if (status == 503) fields.emplace_back("Retry-After", "1");
   conn->buffer.clear();
@@ -238,13 +238,13 @@
   conn->timer->start(lingerMs);
 }
 
-std::string Server::headOf(Conn& conn, int status, FieldList const& fields, std::int64_t length,
+std::string Server::headOf(Conn& conn, int status, HeaderList const& fields, std::int64_t length,
                            std::string const& reason) {
   beastHttp::response<beastHttp::empty_body> message;
   message.version(11);
   message.result(static_cast<unsigned>(status));
   if (!reason.empty()) message.reason(reason);
-  for (FieldList::value_type const& f : fields) message.insert(f.first, f.second);
+  for (HeaderList::value_type const& f : fields) message.insert(f.first, f.second);
   if (limits_.named) message.set(beastHttp::field::server, "corkward");
   conn.bodiless = conn.headAsked || bodilessStatus(status);
   conn.chunked = length < 0 && !conn.bodiless;
@@ -261,10 +261,11 @@
   return it == byId_.end() ? nullptr : it->second.get();
 }
 
-void Server::answer(std::uint64_t id, int status, FieldList const& fields, std::string const& body) {
+void Server::answer(std::uint64_t id, int status, HeaderList const& fields, std::string const& body) {
   Conn* const conn = find(id);
   if (conn == nullptr) return;
-  CORKWARD_PROMISE(core::Promise::oneAnswer, !conn->begun, "an answer after a head, status " + std::to_string(status));
+  CORKWARD_GUARANTEE(core::Guarantee::singleResponse, !conn->begun,
+                     "an answer after a head, status " + std::to_string(status));
   if (conn->begun) {
     abort(id);
     return;
@@ -275,11 +276,11 @@
   done(byId_.at(id));
 }
 
-void Server::begin(std::uint64_t id, int status, FieldList const& fields, std::int64_t length,
+void Server::begin(std::uint64_t id, int status, HeaderList const& fields, std::int64_t length,
                    std::string const& reason) {
   Conn* const conn = find(id);
   if (conn == nullptr) return;
-  CORKWARD_PROMISE(core::Promise::oneAnswer, !conn->begun, "a second head, status " + std::to_string(status));
+  CORKWARD_GUARANTEE(core::Guarantee::singleResponse, !conn->begun, "a second head, status " + std::to_string(status));
   if (conn->begun) {
     abort(id);
     return;
@@ -289,7 +290,7 @@
   conn->untold = conn->bodiless ? -1 : length;
 }
 
-void Server::piece(std::uint64_t id, std::string const& bytes) {
+void Server::writeChunk(std::uint64_t id, std::string const& bytes) {
   Conn* const conn = find(id);
   if (conn == nullptr || bytes.empty() || conn->bodiless) return;
   if (!conn->chunked) {
@@ -307,7 +308,7 @@
   Conn* const conn = find(id);
   if (conn == nullptr) return;
   bool const whole = conn->untold <= 0;
-  CORKWARD_PROMISE(core::Promise::wholeAnswers, whole, std::to_string(conn->untold) + " bytes are missing");
+  CORKWARD_GUARANTEE(core::Guarantee::completeResponses, whole, std::to_string(conn->untold) + " bytes are missing");
   if (!whole) {
     abort(id);
     return;
@@ -373,7 +374,7 @@
   return out;
 }
 
-std::size_t Server::inHand() const {
+std::size_t Server::pendingCount() const {
   std::size_t out = 0;
   for (std::unordered_map<Conn const*, std::shared_ptr<Conn>>::value_type const& c : conns_)
     if (c.second->id != 0 || c.second->socket->bytesToWrite() > 0) ++out;
@@ -399,10 +400,10 @@
   conn->socket->disconnect(this);
   conn->socket->abort();
   conn->socket->deleteLater();
-  if (id != 0 && events_.gone) events_.gone(id);
+  if (id != 0 && events_.disconnected) events_.disconnected(id);
 }
 
-bool Server::hasLeft(std::uint64_t id) const {
+bool Server::isDisconnected(std::uint64_t id) const {
   Conn const* const conn = find(id);
   if (conn == nullptr) return true;
   char byte = 0;
@@ -410,7 +411,7 @@
   return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
 }
 
-std::int64_t Server::waiting(std::uint64_t id) const {
+std::int64_t Server::bufferedBytes(std::uint64_t id) const {
   Conn const* const conn = find(id);
   return conn == nullptr ? 0 : conn->socket->bytesToWrite();
 }
--- a/http/src/upstream_connection.cpp
+++ b/http/src/upstream_connection.cpp
@@ -44,7 +44,7 @@
 }
 
 /// How long the other side keeps an idle connection, in milliseconds.
-core::Tick keepAliveOf(FieldList const& fields) {
+core::Tick keepAliveOf(HeaderList const& fields) {
   std::string told = ";" + field(fields, "keep-alive");
   std::replace(told.begin(), told.end(), ',', ';');
   beastHttp::param_list const params(told);
@@ -250,7 +250,7 @@
   message.method_string(request.method);
   message.target(request.target);
   if (field(request.fields, "host").empty()) message.set(beastHttp::field::host, address_);
-  for (FieldList::value_type const& f : request.fields) message.insert(f.first, f.second);
+  for (HeaderList::value_type const& f : request.fields) message.insert(f.first, f.second);
   if (!state_->upstreams || state_->upstreams->kept_.perReplica == 0)
     message.set(beastHttp::field::connection, "close");
   bool const bare = body.empty() && (request.method == "GET" || request.method == "HEAD" ||
--- a/http/src/upstream_pool.cpp
+++ b/http/src/upstream_pool.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-UpstreamPool::UpstreamPool(Kept kept, std::function<core::Tick()> now, QObject* parent)
+UpstreamPool::UpstreamPool(KeepAlivePolicy kept, std::function<core::Tick()> now, QObject* parent)
     : QObject(parent), kept_(kept), now_(std::move(now)) {
   QObject::connect(&sweep_, &QTimer::timeout, this, [this] { sweep(); });
 }
@@ -28,8 +28,8 @@
     for (Idle const& i : a.second) i.socket->disconnect();
 }
 
-UpstreamConnection* UpstreamPool::lend(std::string const& address, bool fresh, UpstreamConnection::Events events,
-                                       QObject* parent) {
+UpstreamConnection* UpstreamPool::acquire(std::string const& address, bool fresh, UpstreamConnection::Events events,
+                                          QObject* parent) {
   core::Tick const now = now_();
   QTcpSocket* socket = nullptr;
   bool rested = false;
@@ -88,7 +88,7 @@
   idle_.erase(it);
 }
 
-void UpstreamPool::setKept(Kept kept) {
+void UpstreamPool::setKept(KeepAlivePolicy kept) {
   kept_ = kept;
   std::vector<std::string> all;
   if (kept.perReplica == 0)
--- a/http/test/descriptors_test.cpp
+++ b/http/test/descriptors_test.cpp
@@ -60,7 +60,7 @@
   http::Server* at = nullptr;
   http::Server::Events events;
   events.request = [&](http::Request const& r) { at->answer(r.id, 200, {}, "ok"); };
-  http::Server server("127.0.0.1:0", http::Limits{}, events);
+  http::Server server("127.0.0.1:0", http::ServerLimits{}, events);
   at = &server;
   LateClient first;
   LateClient second;
--- a/http/test/golden_exchange.h
+++ b/http/test/golden_exchange.h
@@ -24,7 +24,7 @@
  public:
   using Serve = std::function<void(Server&, Request const&)>;
 
-  explicit Exchange(Limits limits = {}) : server_("127.0.0.1:0", std::move(limits), events()) {}
+  explicit Exchange(ServerLimits limits = {}) : server_("127.0.0.1:0", std::move(limits), events()) {}
 
   /// One more connection, which stays open and asks for nothing.
   void occupy() {
@@ -97,7 +97,7 @@
   return out;
 }
 
-inline std::string shown(FieldList const& fields) {
+inline std::string shown(HeaderList const& fields) {
   std::string out;
   for (auto const& [name, value] : fields) out += "  " + name + ": " + value + "\n";
   return out;
@@ -115,7 +115,7 @@
   line("path", r.path);
   line("host", r.host);
   line("target", r.target);
-  for (dataplane::Part const& part : r.parts)
+  for (dataplane::PromptSegment const& part : r.segments)
     line("part", std::to_string(part.hash) + " " + std::to_string(part.tokens));
   line("tokens-out", std::to_string(r.tokensOut));
   line("tokens", r.tokens ? std::to_string(*r.tokens) : "none");
@@ -123,8 +123,8 @@
   line("id", r.id);
   line("trace", r.trace);
   line("attempt", std::to_string(r.attempt));
-  line("earlier-not-run", r.earlierNotRun ? "yes" : "no");
-  line("earlier-reached", r.earlierReached ? "yes" : "no");
+  line("earlier-not-run", r.earlierNotExecuted ? "yes" : "no");
+  line("earlier-reached", r.earlierReachedReplica ? "yes" : "no");
   line("age", std::to_string(r.age));
   line("prefix", r.prefix);
   line("deadline", std::to_string(r.deadline));
@@ -138,10 +138,10 @@
   return request.method + " " + request.target + "\n" + shown(request.fields);
 }
 
-inline std::string shown(dataplane::Head const& head) {
+inline std::string shown(dataplane::ResponseHead const& head) {
   std::string out =
       "head " + std::to_string(head.status) + " \"" + head.reason + "\" length=" + std::to_string(head.length);
-  if (head.notRun) out += " not-run";
+  if (head.notExecuted) out += " not-run";
   if (head.failed) out += " failed";
   if (head.foreign) out += " foreign";
   if (head.events) out += " events";
@@ -154,7 +154,7 @@
 /// An operator's request as the control plane gets it, or the answer that it gets at once.
 inline std::string shown(OperatorRequest const& asked) {
   if (!asked.call) return "answered at once\n";
-  transport::Call const& call = *asked.call;
+  transport::OperatorCall const& call = *asked.call;
   return "call\n  method=" + call.method + "\n  path=" + call.path + "\n  if-match=" + call.ifMatch +
          "\n  change-id=" + call.changeId + "\n  dry-run=" + (call.dryRun ? "yes" : "no") + "\n  body=" + call.body +
          "\n";
@@ -163,7 +163,7 @@
 /// Requests, what they became and what was answered, one after the other.
 class Transcript {
  public:
-  explicit Transcript(Limits limits = {}) : exchange_(std::move(limits)) {}
+  explicit Transcript(ServerLimits limits = {}) : exchange_(std::move(limits)) {}
 
   void occupy() { exchange_.occupy(); }
   void title(std::string const& words) { text_ += "\n# " + words + "\n"; }
@@ -190,16 +190,16 @@
              }));
   }
   void rejected(Mapping const& mapping, dataplane::Reject const& reject, std::string const& method = "POST") {
-    text_ += "reject " + std::to_string(reject.status) + (reject.notRun ? " not-run" : "") +
-             (reject.reached ? " reached" : "") + " retry-after=" + std::to_string(reject.retryAfter) + " " + method +
-             "\n<\n" +
+    text_ += "reject " + std::to_string(reject.status) + (reject.notExecuted ? " not-run" : "") +
+             (reject.reachedReplica ? " reached" : "") + " retry-after=" + std::to_string(reject.retryAfter) + " " +
+             method + "\n<\n" +
              shown(exchange_.answerTo(
                  method + " /x HTTP/1.1\r\nHost: h\r\n\r\n", [&](Server& server, Request const& request) {
                    server.answer(request.id, reject.status, mapping.rejectFields(reject), mapping.rejectBody(reject));
                  }));
   }
   /// What a replica is handed for the caller's bytes.
-  void dispatch(Mapping const& mapping, std::string const& bytes, dataplane::HandOver const& handOver,
+  void dispatch(Mapping const& mapping, std::string const& bytes, dataplane::SendRequest const& handOver,
                 dataplane::Resume const& resume) {
     text_ += ">\n" + shown(bytes);
     exchange_.answerTo(bytes, [&](Server& server, Request const& request) {
@@ -213,17 +213,17 @@
   }
   /// The answer that a caller gets for a replica's, with that body.
   void replicaAnswer(Mapping const& mapping, ReplicaHead const& replica, std::string const& body,
-                     Fields const& asked = {}) {
+                     HeaderMap const& asked = {}) {
     text_ += "replica " + std::to_string(replica.status) + " length=" + std::to_string(replica.length) + "\n" +
              shown(replica.fields);
     Request request;
     request.method = "POST";
     request.fields = asked;
-    dataplane::Head const head = mapping.head(replica, request);
+    dataplane::ResponseHead const head = mapping.head(replica, request);
     text_ += shown(head) + "<\n" +
              shown(exchange_.answerTo("POST /x HTTP/1.1\r\nHost: h\r\n\r\n", [&](Server& server, Request const& r) {
                server.begin(r.id, head.status, head.fields, head.length, head.reason);
-               server.piece(r.id, body);
+               server.writeChunk(r.id, body);
                server.finish(r.id);
              }));
   }
@@ -233,19 +233,19 @@
     std::string const got = exchange_.answerTo(bytes, [&](Server& server, Request const& request) {
       OperatorRequest const asked = mapping.operatorCall(request, "fresh");
       event = shown(asked);
-      server.answer(request.id, asked.call ? 200 : asked.answer.status, asked.call ? FieldList{} : asked.answer.fields,
+      server.answer(request.id, asked.call ? 200 : asked.answer.status, asked.call ? HeaderList{} : asked.answer.fields,
                     asked.call ? "" : asked.answer.body);
     });
     text_ += event;
     if (event.rfind("call", 0) != 0) text_ += "<\n" + shown(got);
   }
-  void operatorAnswer(OperatorMapping const& mapping, transport::Call const& call, int status,
+  void operatorAnswer(OperatorMapping const& mapping, transport::OperatorCall const& call, int status,
                       std::string const& body) {
     text_ += "answer to " + call.method + " " + call.path + ": " + std::to_string(status) + " " + body + "\n";
     whole(mapping.answer(call, status, core::parseJson(body).toObject()));
   }
   /// An answer as bytes.
-  void whole(WholeAnswer const& answer) {
+  void whole(Response const& answer) {
     text_ += "<\n" + shown(exchange_.answerTo("GET /x HTTP/1.1\r\nHost: h\r\n\r\n",
                                               [&](Server& server, Request const& request) {
                                                 server.answer(request.id, answer.status, answer.fields, answer.body);
--- a/http/test/golden_mapping_test.cpp
+++ b/http/test/golden_mapping_test.cpp
@@ -38,7 +38,7 @@
 TEST_CASE("golden: callers' requests on the product's own surface") {
   application();
   Transcript t;
-  http::OwnMapping const own;
+  http::NativeMapping const own;
   t.title("requests");
   t.caller(own, post("/v1/desk.nord/hint"));
   t.caller(own, post("/v1/desk.nord/hint/a/b?x=1&y=2"));
@@ -73,7 +73,7 @@
   t.refused("POST /a HTTP/1.1\r\nHost: h\r\nx-long: " + std::string(20000, 'x'));
   t.refused("POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n{}");
   t.refused("POST /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}");
-  http::Limits one = http::Limits();
+  http::ServerLimits one = http::ServerLimits();
   one.connections = 1;
   Transcript full(one);
   full.occupy();
@@ -86,7 +86,7 @@
 TEST_CASE("golden: rejections on the product's own surface") {
   application();
   Transcript t;
-  http::OwnMapping const own;
+  http::NativeMapping const own;
   for (int const status : {400, 401, 404, 405, 409, 429, 502, 503, 504})
     t.rejected(own, {0, status, "the reason \"in words\"", status != 502 && status != 504, 0});
   t.rejected(own, {0, 503, "no serving lease", true, 1.0});
@@ -101,8 +101,8 @@
 TEST_CASE("golden: what a replica is handed on the product's own surface") {
   application();
   Transcript t;
-  http::OwnMapping const own;
-  dataplane::HandOver handOver;
+  http::NativeMapping const own;
+  dataplane::SendRequest handOver;
   handOver.left = 1200;
   handOver.expect = "L1";
   handOver.tenant = "t";
@@ -120,7 +120,7 @@
 TEST_CASE("golden: replicas' answers on the product's own surface") {
   application();
   Transcript t;
-  http::OwnMapping const own;
+  http::NativeMapping const own;
   t.replicaAnswer(own, {200, "OK", {{"Content-Type", "application/json"}, {"Content-Length", "2"}}, 2}, "{}");
   t.replicaAnswer(own,
                   {200,
@@ -144,7 +144,7 @@
 TEST_CASE("golden: operators' requests on the product's own surface") {
   application();
   Transcript t;
-  http::OwnOperatorMapping const own;
+  http::NativeOperatorMapping const own;
   for (char const* const target :
        {"/v1/fleet", "/v1/templates", "/v1/templates/desk", "/v1/templates/desk/instances/nord", "/v1/blueprint",
         "/v1/certificates", "/v1/certificates/c1", "/v1/evacuations/z1", "/v1/alerts/a", "/v1/platform/pools/LM%20Pool",
@@ -163,8 +163,8 @@
 TEST_CASE("golden: answers to operators on the product's own surface") {
   application();
   Transcript t;
-  http::OwnOperatorMapping const own;
-  transport::Call call;
+  http::NativeOperatorMapping const own;
+  transport::OperatorCall call;
   call.method = "PUT";
   call.path = "/v1/templates/desk";
   for (char const* const body :
--- a/http/test/http_test.cpp
+++ b/http/test/http_test.cpp
@@ -132,12 +132,12 @@
     ++served;
     http->answer(r.id, 200, {}, "ok");
   };
-  http::Server server("127.0.0.1:0", http::Limits{.head = 2048, .body = 4096, .headMs = 100, .idleMs = 100},
+  http::Server server("127.0.0.1:0", http::ServerLimits{.head = 2048, .body = 4096, .headMs = 100, .idleMs = 100},
                       std::move(e));
   http = &server;
   std::pair<std::string, std::uint16_t> const at = http::splitAddress(server.address());
   std::string const good = "POST /v1/a/b HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
-  core::Rng rng(11);
+  core::RandomGenerator rng(11);
   for (int round = 0; round < 400; ++round) {
     std::string bytes = good;
     if (round % 3 == 0) {
@@ -166,7 +166,7 @@
   application();
   http::Server::Events e;
   e.request = [](http::Request) {};
-  http::Server server("127.0.0.1:0", http::Limits{.connections = 2}, std::move(e));
+  http::Server server("127.0.0.1:0", http::ServerLimits{.connections = 2}, std::move(e));
   std::pair<std::string, std::uint16_t> const at = http::splitAddress(server.address());
   QTcpSocket first;
   QTcpSocket second;
@@ -184,7 +184,7 @@
 }
 
 TEST_CASE("an answer's ETag is what a change built on it says in If-Match") {
-  http::OwnOperatorMapping const operators;
+  http::NativeOperatorMapping const operators;
   CHECK(http::field(operators.answer({}, 200, QJsonObject{{"stamp", 3}}).fields, "etag") == "\"3\"");
   CHECK(http::field(operators.answer({}, 200, QJsonObject{{"stamp", 3}, {"version", 70}}).fields, "etag") == "\"70\"");
   CHECK(http::field(operators.answer({}, 412, QJsonObject{{"stamp", 3}, {"version", 70}}).fields, "etag").empty());
--- a/http/test/answer_promises_test.cpp
+++ b/http/test/response_guarantees_test.cpp
@@ -3,7 +3,7 @@
 #include <QHostAddress>
 #include <QTcpSocket>
 
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 #include <corkward/http/server.h>
 
 #include "turn.h"
@@ -21,7 +21,7 @@
     application();
     http::Server::Events events;
     events.request = [this, answer](http::Request const& r) { answer(*server, r.id); };
-    server = std::make_unique<http::Server>("127.0.0.1:0", http::Limits{}, events);
+    server = std::make_unique<http::Server>("127.0.0.1:0", http::ServerLimits{}, events);
     std::pair<std::string, std::uint16_t> const at = http::splitAddress(server->address());
     socket.connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
     socket.write("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -44,11 +44,11 @@
 TEST_CASE("an answer that is ended before all its bytes are there is cut, and counts as a broken promise") {
   Exchange exchange([](http::Server& server, std::uint64_t id) {
     server.begin(id, 200, {}, 10);
-    server.piece(id, "1234");
+    server.writeChunk(id, "1234");
     server.finish(id);
   });
   CHECK_FALSE(exchange.untilCut().endsWith("1234567890"));
-  std::vector<std::string> const broken = core::PromiseCounts::ofThread().take();
+  std::vector<std::string> const broken = core::GuaranteeCounts::ofThread().takeNewViolations();
   REQUIRE(broken.size() == 1);
   CHECK(broken[0] == "promise whole-answers broken 1 times, first: 6 bytes are missing");
 }
@@ -63,7 +63,7 @@
       server.begin(id, 200, {}, 10);
   });
   CHECK(exchange.untilCut().count("HTTP/1.1") <= 1);
-  std::vector<std::string> const broken = core::PromiseCounts::ofThread().take();
+  std::vector<std::string> const broken = core::GuaranteeCounts::ofThread().takeNewViolations();
   REQUIRE(broken.size() == 1);
   CHECK(broken[0].rfind("promise one-answer broken 1 times", 0) == 0);
 }
--- a/http/test/server_test.cpp
+++ b/http/test/server_test.cpp
@@ -80,7 +80,7 @@
 };
 
 struct Rig {
-  explicit Rig(std::vector<std::string> const& addresses = {"127.0.0.1:0"}, http::Limits limits = {})
+  explicit Rig(std::vector<std::string> const& addresses = {"127.0.0.1:0"}, http::ServerLimits limits = {})
       : server(addresses, limits, events()) {}
   http::Server::Events events() {
     http::Server::Events e;
@@ -117,7 +117,7 @@
   std::vector<http::Request> got;
   http::Server::Events events;
   events.request = [&](http::Request r) { got.push_back(std::move(r)); };
-  http::Server server("127.0.0.1:0", http::Limits{}, events);
+  http::Server server("127.0.0.1:0", http::ServerLimits{}, events);
   Client client(server.address());
   client.say("POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 4\r\n\r\nab");
   constexpr int slowMs = 120;
@@ -134,10 +134,10 @@
 
 TEST_CASE("status, words and fields go out as they are, each field as often as it was given") {
   application();
-  Rig rig({"127.0.0.1:0"}, http::Limits{.named = false});
+  Rig rig({"127.0.0.1:0"}, http::ServerLimits{.named = false});
   rig.answer = [&](http::Request const& r) {
     rig.server.begin(r.id, 299, {{"Set-Cookie", "a"}, {"Set-Cookie", "b"}, {"X-Case", "C"}}, 2, "Fine So Far");
-    rig.server.piece(r.id, "ok");
+    rig.server.writeChunk(r.id, "ok");
     rig.server.finish(r.id);
   };
   Client c(rig.server.address());
@@ -166,7 +166,7 @@
         rig.server.answer(q.id, r.status, {}, "first");
       } else {
         rig.server.begin(q.id, r.status, {}, 5);
-        rig.server.piece(q.id, "first");
+        rig.server.writeChunk(q.id, "first");
         rig.server.finish(q.id);
       }
     };
@@ -192,13 +192,13 @@
 
 TEST_CASE("bounds that change hold from the next request on") {
   application();
-  Rig rig({"127.0.0.1:0"}, http::Limits{.body = 4});
+  Rig rig({"127.0.0.1:0"}, http::ServerLimits{.body = 4});
   rig.answer = [&](http::Request const& r) { rig.server.answer(r.id, 200, {}, "served"); };
   std::string const big = request("POST", "Content-Length: 5\r\n") + "12345";
   Client c(rig.server.address());
   c.say(big);
   CHECK(c.has(" 413 "));
-  rig.server.setLimits(http::Limits{.body = 5, .faultFields = {}});
+  rig.server.setLimits(http::ServerLimits{.body = 5, .faultFields = {}});
   Client d(rig.server.address());
   d.say(big);
   CHECK(d.has("served"));
@@ -218,9 +218,9 @@
   rig.answer = [&](http::Request const& r) { rig.server.begin(r.id, 200, {}, -1); };
   begun.say(request("GET"));
   REQUIRE(begun.has("chunked"));
-  CHECK(rig.server.inHand() == 1);
-  rig.server.leave();
-  rig.server.piece(rig.requests[1].id, "words");
+  CHECK(rig.server.pendingCount() == 1);
+  rig.server.startDraining();
+  rig.server.writeChunk(rig.requests[1].id, "words");
   rig.server.finish(rig.requests[1].id);
   REQUIRE(begun.has("\r\n0\r\n\r\n"));
   rig.answer = [&](http::Request const& r) { rig.server.answer(r.id, 200, {}, "late"); };
@@ -232,7 +232,7 @@
     CHECK(c->ends());
     CHECK(c->socket.error() == QAbstractSocket::RemoteHostClosedError);
   }
-  CHECK(rig.server.inHand() == 0);
+  CHECK(rig.server.pendingCount() == 0);
 }
 
 TEST_CASE("a HTTP edge that closes still answers all that its callers have sent or are about to send") {
@@ -271,14 +271,14 @@
   Rig rig;
   bool const leaves = GENERATE(true, false);
   int left = -1;
-  rig.answer = [&](http::Request const& r) { left = rig.server.hasLeft(r.id) ? 1 : 0; };
+  rig.answer = [&](http::Request const& r) { left = rig.server.isDisconnected(r.id) ? 1 : 0; };
   std::unique_ptr<Caller> caller = std::make_unique<Caller>(rig.server.address());
   REQUIRE(caller->connected);
   caller->say(request("GET"));
   if (leaves) caller.reset();
   REQUIRE(until([&] { return left >= 0; }));
   CHECK(left == (leaves ? 1 : 0));
-  CHECK(rig.server.hasLeft(999));
+  CHECK(rig.server.isDisconnected(999));
 }
 
 TEST_CASE("a request says how long it took to arrive, from its first byte on") {
@@ -324,7 +324,7 @@
 }
 
 TEST_CASE("the product's own mapping hands over and reads its own headers") {
-  http::OwnMapping const mapping;
+  http::NativeMapping const mapping;
   http::Request request;
   request.id = 7;
   request.method = "POST";
@@ -336,30 +336,30 @@
   CHECK(caller.request->instance == "desk.nord");
   CHECK(caller.request->path == "answers/diagnosis");
   CHECK_FALSE(caller.events);
-  dataplane::HandOver const handOver;
+  dataplane::SendRequest const handOver;
   dataplane::Resume resume;
   http::ReplicaRequest sent =
       mapping.replicaRequest({request, *caller.request, caller.request->path, handOver, resume});
   CHECK(sent.method == "POST");
   CHECK(sent.target == "/answers/diagnosis");
   CHECK(sent.fields ==
-        http::FieldList{{"content-type", "text/plain"}, {"corkward-attempt", "2"}, {"corkward-request-id", "q1"}});
+        http::HeaderList{{"content-type", "text/plain"}, {"corkward-attempt", "2"}, {"corkward-request-id", "q1"}});
   resume = {true, "r1", 9, ""};
   sent = mapping.replicaRequest({request, *caller.request, caller.request->path, handOver, resume});
   CHECK(http::field(sent.fields, "corkward-run") == "r1");
   CHECK(http::field(sent.fields, "corkward-offset") == "9");
-  dataplane::Head const head =
+  dataplane::ResponseHead const head =
       mapping.head({200, "OK", {{"Corkward-Run", "r1"}, {"Content-Type", "a/b"}, {"X-Own", "z"}}, 4, false}, request);
   CHECK(head.run == "r1");
   CHECK(head.length == 4);
-  CHECK(head.fields == http::FieldList{{"content-type", "a/b"}, {"corkward-run", "r1"}, {"corkward-outcome", "run"}});
-  CHECK_FALSE(head.notRun);
-  CHECK(mapping.head({503, "", {{"corkward-run", "none"}}, 0, false}, request).notRun);
+  CHECK(head.fields == http::HeaderList{{"content-type", "a/b"}, {"corkward-run", "r1"}, {"corkward-outcome", "run"}});
+  CHECK_FALSE(head.notExecuted);
+  CHECK(mapping.head({503, "", {{"corkward-run", "none"}}, 0, false}, request).notExecuted);
   CHECK_FALSE(mapping.head({503, "", {{"corkward-run", "none"}}, 0, false}, request).failed);
   CHECK(mapping.head({500, "", {}, 0, false}, request).failed);
   CHECK_FALSE(mapping.head({404, "", {}, 0, false}, request).failed);
-  CHECK_FALSE(mapping.head({503, "", {}, 0, false}, request).notRun);
-  CHECK_FALSE(mapping.head({200, "", {{"corkward-run", "none"}}, 0, false}, request).notRun);
+  CHECK_FALSE(mapping.head({503, "", {}, 0, false}, request).notExecuted);
+  CHECK_FALSE(mapping.head({200, "", {{"corkward-run", "none"}}, 0, false}, request).notExecuted);
   CHECK(mapping.head({200, "", {{"corkward-run", "none"}}, 0, false}, request).run.empty());
   dataplane::Reject const reject{7, 503, "full", true, 0.4};
   CHECK(http::field(mapping.rejectFields(reject), "retry-after") == "1");
@@ -367,9 +367,9 @@
 }
 
 TEST_CASE("fields of one connection do not go on to the next") {
-  http::FieldList const fields{
+  http::HeaderList const fields{
       {"Connection", "x-hop, Keep-Alive"}, {"X-Hop", "1"},     {"X-End", "2"}, {"keep-alive", "timeout=5"},
       {"Transfer-Encoding", "chunked"},    {"TE", "trailers"}, {"X-End", "3"}, {"Content-Length", "4"}};
-  CHECK(http::endToEnd(fields) == http::FieldList{{"X-End", "2"}, {"X-End", "3"}});
-  CHECK(http::endToEnd(http::Fields{{"connection", "close"}, {"a", "b"}}) == http::FieldList{{"a", "b"}});
+  CHECK(http::endToEnd(fields) == http::HeaderList{{"X-End", "2"}, {"X-End", "3"}});
+  CHECK(http::endToEnd(http::HeaderMap{{"connection", "close"}, {"a", "b"}}) == http::HeaderList{{"a", "b"}});
 }
--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -141,7 +141,7 @@
       got.forgotten = upstream->forgotten();
       ++got.ends;
     };
-    upstream = upstreams.lend(address, fresh, std::move(e), &owner);
+    upstream = upstreams.acquire(address, fresh, std::move(e), &owner);
   }
   Got wait() {
     REQUIRE(
@@ -156,7 +156,7 @@
 };
 
 struct Rig {
-  explicit Rig(std::vector<Script::Line> lines, http::Kept kept = {2, 5000, 0})
+  explicit Rig(std::vector<Script::Line> lines, http::KeepAlivePolicy kept = {2, 5000, 0})
       : replica(std::move(lines)), upstreams(kept, [this] { return now; }) {}
   Got ask(bool fresh = false) { return Ask(upstreams, replica.address(), fresh).wait(); }
   core::Tick now = 1000;
@@ -182,7 +182,7 @@
 
 TEST_CASE("no connection is kept unless that is asked for") {
   application();
-  Rig rig({}, http::Kept{});
+  Rig rig({}, http::KeepAlivePolicy{});
   rig.ask();
   rig.ask();
   CHECK(rig.upstreams.idle() == 0);
@@ -348,7 +348,7 @@
                           {good, 50, true, 50, false}};
   for (Row const& r : rows) {
     INFO(r.age << " " << r.freshLimit << " " << r.fresh);
-    Rig rig({{r.bytes, false}}, http::Kept{2, 5000, r.freshLimit});
+    Rig rig({{r.bytes, false}}, http::KeepAlivePolicy{2, 5000, r.freshLimit});
     rig.ask();
     rig.now += r.age;
     CHECK(rig.ask(r.fresh).ended == 1);
@@ -367,7 +367,7 @@
   three.wait();
   CHECK(rig.upstreams.idle() == 2);
   REQUIRE(until([&] { return rig.replica.closed == 1; }));
-  rig.upstreams.setKept(http::Kept{});
+  rig.upstreams.setKept(http::KeepAlivePolicy{});
   CHECK(rig.upstreams.idle() == 0);
 }
 
@@ -464,7 +464,7 @@
     stopped = true;
   };
   e.rejected = [&] { ++rejections; };
-  upstream = rig.upstreams.lend(rig.replica.address(), false, std::move(e), nullptr);
+  upstream = rig.upstreams.acquire(rig.replica.address(), false, std::move(e), nullptr);
   REQUIRE(until([&] { return stopped; }));
   bool later = false;
   QTimer::singleShot(0, [&] { QTimer::singleShot(0, [&] { later = true; }); });
@@ -494,7 +494,7 @@
       (*upstream)->release();
     };
     e.ended = [this](bool whole) { answered += whole ? 1 : 100; };
-    *upstream = upstreams.lend(replica.address(), false, std::move(e), &owner);
+    *upstream = upstreams.acquire(replica.address(), false, std::move(e), &owner);
   }
 };
 
@@ -538,7 +538,7 @@
 
 TEST_CASE("random and damaged answers get an end, and none that is damaged in its framing looks whole") {
   application();
-  core::Rng rng(3);
+  core::RandomGenerator rng(3);
   std::string const whole = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
   for (int round = 0; round < 300; ++round) {
     std::string bytes = whole;
--- a/programs/cli/declare.cpp
+++ b/programs/cli/declare.cpp
@@ -50,7 +50,7 @@
 struct Known {
   config::PoolKnown pool;
   config::Regimes regimes;
-  config::Wall wall;
+  config::WallTime wall;
 
   std::string regimeFault(std::string const& regime, std::string const& in) const {
     std::optional<config::RegimeFault> const fault = config::faultOf(regimes, regime, in, wall);
@@ -75,7 +75,7 @@
   if (t.status == 404) return {};
   QJsonObject instances;
   for (QJsonValue const v : t.body.value("instances").toArray()) {
-    OperatorOutcome const i = read(ask, pathOf(name, core::str(v.toString())));
+    OperatorOutcome const i = read(ask, pathOf(name, core::toStdString(v.toString())));
     if (i.status == 200) instances.insert(v.toString(), entryOf(i));
   }
   return QJsonObject{{"template", entryOf(t)}, {"instances", instances}};
@@ -88,7 +88,7 @@
     family.insert("template", entry);
   } else {
     QJsonObject all = family.value("instances").toObject();
-    all.insert(core::qstr(d.instance), entry);
+    all.insert(core::toQString(d.instance), entry);
     family.insert("instances", all);
   }
   config::checkFamily(family, known.pool, [&](std::string const& regime, std::string const& pool) {
@@ -102,7 +102,7 @@
   bool const ownChanged =
       f.own != nullptr && f.now.value("template").toObject().value("spec") != QJsonValue(f.own->spec);
   for (Declaration const* const d : f.instances)
-    if (have.value(core::qstr(d->instance)).toObject().value("spec") != QJsonValue(d->spec)) changed.push_back(d);
+    if (have.value(core::toQString(d->instance)).toObject().value("spec") != QJsonValue(d->spec)) changed.push_back(d);
   std::vector<Declaration const*> order = changed;
   if (ownChanged) order.insert(order.begin(), f.own);
   std::string fault;
@@ -117,7 +117,7 @@
         step(family, *d, known);
       }
       break;
-    } catch (config::Error const& e) {
+    } catch (config::ConfigError const& e) {
       fault = at->file + ": " + e.what();
       if (firstFault.empty()) firstFault = fault;
     }
@@ -129,16 +129,16 @@
   std::vector<PlannedChange> out;
   for (Declaration const* const d : order) {
     QJsonObject const entry =
-        d->instance.empty() ? f.now.value("template").toObject() : have.value(core::qstr(d->instance)).toObject();
+        d->instance.empty() ? f.now.value("template").toObject() : have.value(core::toQString(d->instance)).toObject();
     qint64 const revision = entry.value("stamp").toInteger();
     out.push_back(changeOf(revision == 0 ? "create" : "change", "PUT", d->path(), &d->spec, revision));
   }
   if (!prune) return out;
   for (QString const& i : have.keys()) {
     bool const kept = std::any_of(f.instances.begin(), f.instances.end(),
-                                  [&](Declaration const* d) { return core::qstr(d->instance) == i; });
+                                  [&](Declaration const* d) { return core::toQString(d->instance) == i; });
     if (!kept)
-      out.push_back(changeOf("remove", "DELETE", pathOf(name, core::str(i)), nullptr,
+      out.push_back(changeOf("remove", "DELETE", pathOf(name, core::toStdString(i)), nullptr,
                              have.value(i).toObject().value("stamp").toInteger()));
   }
   if (f.own == nullptr && f.instances.empty() && !f.now.isEmpty())
@@ -162,7 +162,7 @@
   QJsonObject instances = out.value("instances").toObject();
   if (f.own != nullptr) out.insert("template", QJsonObject{{"spec", f.own->spec}});
   for (Declaration const* const d : f.instances)
-    instances.insert(core::qstr(d->instance), QJsonObject{{"spec", d->spec}});
+    instances.insert(core::toQString(d->instance), QJsonObject{{"spec", d->spec}});
   out.insert("instances", instances);
   return out;
 }
@@ -173,7 +173,7 @@
     std::vector<config::Path> paths;
     try {
       paths = config::render(f.first, toCome ? familyToCome(f.second, prune) : f.second.now);
-    } catch (config::Error const&) {
+    } catch (config::ConfigError const&) {
       continue;
     }
     for (config::RegimeUse const& use : config::regimeUses(paths)) {
@@ -197,10 +197,10 @@
 }
 
 std::vector<Declaration> readFolder(std::string const& folder) {
-  if (!QDir(core::qstr(folder)).exists()) throw UsageError("no such folder: " + folder);
+  if (!QDir(core::toQString(folder)).exists()) throw UsageError("no such folder: " + folder);
   std::vector<std::string> files;
-  QDirIterator it(core::qstr(folder), {"*.json"}, QDir::Files, QDirIterator::Subdirectories);
-  while (it.hasNext()) files.push_back(core::str(it.next()));
+  QDirIterator it(core::toQString(folder), {"*.json"}, QDir::Files, QDirIterator::Subdirectories);
+  while (it.hasNext()) files.push_back(core::toStdString(it.next()));
   std::sort(files.begin(), files.end());
   if (files.empty()) throw UsageError(folder + ": no *.json file in it");
   std::vector<Declaration> out;
@@ -225,10 +225,10 @@
     }
     for (QString const& k : o.keys())
       if (k != "template" && k != "instance" && k != "spec")
-        throw UsageError(file + ": /" + core::str(k) + ": unknown field");
-    d.templateName = core::str(o.value("template").toString());
+        throw UsageError(file + ": /" + core::toStdString(k) + ": unknown field");
+    d.templateName = core::toStdString(o.value("template").toString());
     if (!config::validName(d.templateName)) throw UsageError(file + ": /template: must be a name");
-    d.instance = core::str(o.value("instance").toString());
+    d.instance = core::toStdString(o.value("instance").toString());
     if (o.contains("instance") && !config::validName(d.instance))
       throw UsageError(file + ": /instance: must be a name");
     if (!o.value("spec").isObject()) throw UsageError(file + ": /spec: must be an object");
@@ -256,10 +256,11 @@
   }
   if (prune)
     for (QJsonValue const v : read(ask, "/v1/templates").body.value("templates").toArray())
-      families.try_emplace(core::str(v.toString()));
+      families.try_emplace(core::toStdString(v.toString()));
   std::map<std::string, bool> pools;
-  for (QJsonValue const p : read(ask, config::wholePage).body.value("spec").toObject().value("pools").toArray())
-    pools[core::str(p.toObject().value("name").toString())] = true;
+  for (QJsonValue const p :
+       read(ask, config::fleetConfigurationPage).body.value("spec").toObject().value("pools").toArray())
+    pools[core::toStdString(p.toObject().value("name").toString())] = true;
   OperatorOutcome const inForce = read(ask, certificatesPath);
   Known known{[&](std::string const& pool) {
                 std::map<std::string, bool>::const_iterator const it = pools.find(pool);
@@ -267,7 +268,7 @@
                            ? it->second
                            : (pools[pool] = read(ask, "/v1/platform/pools/" + config::addressPart(pool)).status == 200);
               },
-              config::keptRegimes(inForce.body), QDateTime::currentMSecsSinceEpoch()};
+              config::storedRegimes(inForce.body), QDateTime::currentMSecsSinceEpoch()};
   for (std::map<std::string, Family>::value_type& f : families) {
     f.second.now = familyInForce(ask, f.first);
     if (f.second.now.isEmpty() && f.second.own == nullptr && !f.second.instances.empty())
@@ -279,7 +280,7 @@
   Known next = known;
   try {
     next.regimes = config::readRegimes(certificates->spec);
-  } catch (config::Error const& e) {
+  } catch (config::ConfigError const& e) {
     throw UsageError(certificates->file + ": " + e.what());
   }
   PlannedChange const own = changeOf(inForce.status == 404 ? "create" : "change", "PUT", certificatesPath,
@@ -302,7 +303,7 @@
   }
 }
 
-int declare(std::vector<std::string> const& controllers, ApplyWays const& ways,
+int declare(std::vector<std::string> const& controllers, ApplyConnections const& ways,
             std::function<int(int)> const& exitCode) {
   std::vector<Declaration> const declared = readFolder(ways.folder);
   std::vector<PlannedChange> plan;
@@ -321,10 +322,10 @@
   int code = !ways.apply && !plan.empty() ? 1 : 0;
   std::size_t done = 0;
   for (PlannedChange const& c : plan) {
-    QJsonObject row{{"action", core::qstr(c.action)},
-                    {"path", core::qstr(c.call.path)},
-                    {"stamp", core::qstr(c.call.revision).toLongLong()},
-                    {"changeId", core::qstr(c.call.changeId)}};
+    QJsonObject row{{"action", core::toQString(c.action)},
+                    {"path", core::toQString(c.call.path)},
+                    {"stamp", core::toQString(c.call.revision).toLongLong()},
+                    {"changeId", core::toQString(c.call.changeId)}};
     if (send && code == 0) {
       OperatorOutcome out = callOperator(controllers, c.call, ways.limitSeconds);
       out = waitInForce(controllers, c.call, out, ways.limitSeconds, ways.waitSeconds);
@@ -336,8 +337,8 @@
       if (!ways.json)
         std::cout << (ok ? "done " : "stopped at ") << c.call.path << ": status " << out.status
                   << (ok ? ""
-                         : " " + core::str(out.body.value("pointer").toString()) + " " +
-                               core::str(out.body.value("reason").toString()))
+                         : " " + core::toStdString(out.body.value("pointer").toString()) + " " +
+                               core::toStdString(out.body.value("reason").toString()))
                   << "\n";
     }
     account.append(row);
--- a/programs/cli/declare.h
+++ b/programs/cli/declare.h
@@ -35,7 +35,7 @@
 std::vector<PlannedChange> planChanges(std::vector<Declaration> const& declared, bool prune, Ask const& ask);
 
 /// `corkward diff DIR` and `corkward apply DIR`.
-struct ApplyWays {
+struct ApplyConnections {
   std::string folder;
   bool apply = false;
   bool dryRun = false;
@@ -44,7 +44,7 @@
   int limitSeconds = 15;
   int waitSeconds = 60;
 };
-int declare(std::vector<std::string> const& controllers, ApplyWays const& ways,
+int declare(std::vector<std::string> const& controllers, ApplyConnections const& ways,
             std::function<int(int)> const& exitCode);
 
 }  // namespace corkward::programs
--- a/programs/cli/main.cpp
+++ b/programs/cli/main.cpp
@@ -94,7 +94,7 @@
   if (c == "revoke") return {"DELETE", "/v1/certificates/" + words[1], ""};
   if (c == "node-gone") return {"DELETE", "/v1/nodes/" + words[1], ""};
   bool const body = method == "PUT" || method == "PATCH";
-  if (c.rfind("blueprint-", 0) == 0) return {method, config::wholePage, body ? words[1] : ""};
+  if (c.rfind("blueprint-", 0) == 0) return {method, config::fleetConfigurationPage, body ? words[1] : ""};
   if (c.rfind("certificates-", 0) == 0) return {method, "/v1/certificates", body ? words[1] : ""};
   if (c.rfind("pool-", 0) == 0)
     return {method, "/v1/platform/pools/" + config::addressPart(words[1]), body ? words[2] : ""};
@@ -111,7 +111,7 @@
 void print(OperatorOutcome const& outcome, bool json) {
   if (json) {
     QJsonObject out{{"status", outcome.status}, {"body", outcome.body}};
-    if (!outcome.revision.empty()) out.insert("stamp", core::qstr(outcome.revision).toLongLong());
+    if (!outcome.revision.empty()) out.insert("stamp", core::toQString(outcome.revision).toLongLong());
     std::cout << core::jsonText(out) << "\n";
     return;
   }
@@ -145,7 +145,7 @@
   std::string changeId;
   int limit = 15;
   int wait = 0;
-  ReportWays ways;
+  ReportConnections ways;
   flags.add_options()("substation", po::value(&controllers)->default_value({"127.0.0.1:9100"}, "127.0.0.1:9100"),
                       "address of a controller, ip:port; when given more than once, the first that answers")(
       "stamp", po::value<std::string>(&revision),
@@ -196,8 +196,8 @@
     if (!words.empty() && (words[0] == "diff" || words[0] == "apply")) {
       if (words.size() != 2) throw UsageError(words[0] + " wants: DIR");
       return declare(controllers,
-                     ApplyWays{words[1], words[0] == "apply", vm.count("dry-run") > 0, vm.count("prune") > 0,
-                               vm.count("json") > 0, limit, wait > 0 ? wait : 60},
+                     ApplyConnections{words[1], words[0] == "apply", vm.count("dry-run") > 0, vm.count("prune") > 0,
+                                      vm.count("json") > 0, limit, wait > 0 ? wait : 60},
                      exitCodeOf);
     }
     if (!words.empty() && words[0] == "regime") {
--- a/programs/cli/regime_report.cpp
+++ b/programs/cli/regime_report.cpp
@@ -5,7 +5,7 @@
 #include <QJsonArray>
 #include <iostream>
 
-#include <corkward/audit/trail.h>
+#include <corkward/audit/audit_log.h>
 #include <corkward/core/json.h>
 
 #include "operator_client.h"
@@ -18,24 +18,24 @@
 
 std::int64_t timeOf(char const* flag, std::string const& text) {
   if (text.empty()) return 0;
-  QDateTime const t = QDateTime::fromString(core::qstr(text), Qt::ISODate);
+  QDateTime const t = QDateTime::fromString(core::toQString(text), Qt::ISODate);
   if (!t.isValid() || text.back() != 'Z')
     throw UsageError(std::string(flag) + ": must be a time in UTC, as 2027-01-31T00:00:00Z");
   return t.toMSecsSinceEpoch();
 }
 
-std::pair<std::string, audit::Head> headOf(std::string const& text) {
+std::pair<std::string, audit::AuditHead> headOf(std::string const& text) {
   std::size_t const equals = text.rfind('=');
   std::size_t const colon = text.rfind(':');
   bool ok = equals != std::string::npos && equals > 0 && colon != std::string::npos && colon > equals;
-  std::uint64_t const number = ok ? core::qstr(text.substr(equals + 1, colon - equals - 1)).toULongLong(&ok) : 0;
+  std::uint64_t const number = ok ? core::toQString(text.substr(equals + 1, colon - equals - 1)).toULongLong(&ok) : 0;
   if (!ok || number == 0 || text.size() - colon - 1 != 64)
     throw UsageError("head: must be NODE=NUMBER:HASH, but is " + text);
-  return {text.substr(0, equals), audit::Head{number, text.substr(colon + 1)}};
+  return {text.substr(0, equals), audit::AuditHead{number, text.substr(colon + 1)}};
 }
 
 std::string text(QJsonObject const& o, char const* field) {
-  return core::str(o.value(QLatin1String(field)).toString());
+  return core::toStdString(o.value(QLatin1String(field)).toString());
 }
 
 void sayCount(QJsonObject const& c) {
@@ -69,22 +69,22 @@
 
 }  // namespace
 
-int reportRegimes(ReportWays const& ways) {
+int reportRegimes(ReportConnections const& ways) {
   if (ways.spanMinutes < 1 || ways.spanMinutes > mostMinutes)
     throw UsageError("span: must be 1 to " + std::to_string(mostMinutes));
-  audit::Ask ask;
+  audit::ReportQuery ask;
   ask.regime = ways.regime;
   ask.from = timeOf("from", ways.from);
   ask.until = timeOf("until", ways.until);
   ask.span = ways.spanMinutes * audit::spanMs;
   for (std::string const& h : ways.heads) ask.heads.push_back(headOf(h));
-  std::vector<audit::TrailView> trails;
+  std::vector<audit::AuditLogView> trails;
   for (std::string const& name : ways.folders) {
-    if (!QDir(core::qstr(name)).exists()) throw UsageError("no such folder: " + name);
+    if (!QDir(core::toQString(name)).exists()) throw UsageError("no such folder: " + name);
     try {
-      std::unique_ptr<storage::Folder> const folder = storage::openFolder(name);
-      trails.push_back(audit::readTrail(*folder));
-    } catch (storage::Error const& e) {
+      std::unique_ptr<storage::Directory> const folder = storage::openDirectory(name);
+      trails.push_back(audit::readAuditLog(*folder));
+    } catch (storage::StorageError const& e) {
       throw UsageError(name + ": " + e.what());
     }
     if (trails.back().records.empty() && trails.back().faults.empty()) throw UsageError(name + ": holds no records");
@@ -98,7 +98,7 @@
   QJsonObject const regimes = report.value("regimes").toObject();
   for (QString const& regime : regimes.keys())
     for (QJsonValue const s : regimes.value(regime).toArray()) {
-      std::cout << "regime " << core::str(regime) << " from " << text(s.toObject(), "span") << "\n";
+      std::cout << "regime " << core::toStdString(regime) << " from " << text(s.toObject(), "span") << "\n";
       for (QJsonValue const c : s.toObject().value("counts").toArray()) sayCount(c.toObject());
     }
   for (QJsonValue const n : report.value("nodes").toArray()) sayNode(n.toObject());
--- a/programs/cli/regime_report.h
+++ b/programs/cli/regime_report.h
@@ -6,7 +6,7 @@
 namespace corkward::programs {
 
 /// `corkward regime report FOLDER...`
-struct ReportWays {
+struct ReportConnections {
   std::vector<std::string> folders;
   std::string regime;
   std::string from;
@@ -17,6 +17,6 @@
 };
 
 /// Prints the report; returns 0, or 1 when the records are not all as they were written. Throws UsageError.
-int reportRegimes(ReportWays const& ways);
+int reportRegimes(ReportConnections const& ways);
 
 }  // namespace corkward::programs
--- a/programs/common/metrics_server.cpp
+++ b/programs/common/metrics_server.cpp
@@ -16,7 +16,7 @@
 MetricsServer::MetricsServer(std::string const& address, std::function<std::string()> metrics)
     : metrics_(std::move(metrics)) {
   if (address.empty()) return;
-  http::Limits limits;
+  http::ServerLimits limits;
   limits.connections = mostConnections;
   limits.idleMs = idleMs;
   http::Server::Events events;
@@ -28,7 +28,7 @@
   };
   try {
     server_ = std::make_unique<http::Server>(address, limits, std::move(events));
-  } catch (http::Error const& e) {
+  } catch (http::HttpError const& e) {
     core::writeWarning(core::LogEvent{"metrics-unavailable", {{"error", e.what()}}});
   }
 }
--- a/programs/common/process.cpp
+++ b/programs/common/process.cpp
@@ -17,10 +17,10 @@
 transport::Contact contactOf(Settings const& settings, char const* role) {
   transport::Contact c;
   c.link = settings.link;
-  c.http = settings.http;
+  c.httpAddress = settings.http;
   c.role = role;
   c.zone = settings.zone;
-  c.inc = static_cast<std::uint64_t>(QDateTime::currentMSecsSinceEpoch());
+  c.incarnation = static_cast<std::uint64_t>(QDateTime::currentMSecsSinceEpoch());
   return c;
 }
 
@@ -71,10 +71,10 @@
 void Drain::look(http::Server& http, std::size_t inHand) {
   if (until_ == 0) return;
   bool const over = now() >= until_;
-  std::size_t const left = inHand + http.inHand();
+  std::size_t const left = inHand + http.pendingCount();
   if (!over && (left > 0 || now() < least_)) return;
   http.close();
-  if (!over && http.inHand() + http.expecting() > 0) return;
+  if (!over && http.pendingCount() + http.expecting() > 0) return;
   core::writeLog(core::LogEvent{"stopped", {{"in-hand", std::to_string(left)}}});
   QCoreApplication::exit(0);
 }
--- a/programs/control/control_daemon.h
+++ b/programs/control/control_daemon.h
@@ -28,7 +28,7 @@
 struct ControllerSurface {
   /// Where operators and the platform are listened for, all served alike; empty: at Settings::http.
   std::vector<std::string> http = {};
-  http::Limits limits = http::Limits{.body = control::maxWholeBody};
+  http::ServerLimits limits = http::ServerLimits{.body = control::maxFleetConfigurationBytes};
   /// How often the plane is told the time, in milliseconds.
   int clockEveryMs = 25;
   /// Answers a request that is none of an operator's; false: it is one.
@@ -41,7 +41,7 @@
 class ControlDaemon : public QObject {
  public:
   /// The mapping must outlive it.
-  ControlDaemon(Settings const& settings, control::Tuning const& tuning, http::OperatorMapping const& mapping,
+  ControlDaemon(Settings const& settings, control::ControllerTuning const& tuning, http::OperatorMapping const& mapping,
                 ControllerSurface surface = {});
 
   http::Server& server() { return server_; }
@@ -50,7 +50,7 @@
   /// Counters in Prometheus' text form.
   std::string metrics() const;
   /// The platform's lists as they were just read; see control::Controller::platformLists.
-  void platformLists(std::map<std::string, config::Pool> const& lists);
+  void platformLists(std::map<std::string, config::EndpointList> const& lists);
   bool readsLists() const;
   /// Other seeds from here on.
   void retune(std::vector<std::string> const& seeds);
@@ -60,25 +60,25 @@
  private:
   http::Server::Events events();
   /// Reads the log; on a disk that fails, "damaged", and the log takes no write.
-  storage::Recovered recoverAtStart();
+  storage::RecoveredState recoverAtStart();
   void setAside();
   void serve(http::Request request);
-  void answer(control::Answer const& a);
-  void run(control::Commands&& commands);
+  void answer(control::OperatorResponse const& a);
+  void run(control::ControllerCommands&& commands);
   void probe(std::string const& link);
   /// Reads the write-ahead log again and writes what it says anew, on the worker; when that goes well the plane starts
   /// over from it, as after a restart of the process.
   void tryDisk();
-  void startOver(storage::Recovered const& got);
+  void startOver(storage::RecoveredState const& got);
   void clockEvent();
 
   Settings settings_;
-  control::Tuning tuning_;
+  control::ControllerTuning tuning_;
   http::OperatorMapping const& mapping_;
   ControllerSurface surface_;
   Drain drain_;
   std::uint64_t seed_;
-  std::unique_ptr<storage::Folder> folder_;
+  std::unique_ptr<storage::Directory> folder_;
   FolderLock lock_;
   std::unique_ptr<storage::WriteAheadLog> log_;
   /// Lives of the plane: one more after each failure of the disk; the second is the worker's own count.
@@ -86,12 +86,12 @@
   std::uint64_t diskLife_ = 0;
   bool draining_ = false;
   std::optional<control::Controller> reducer_;
-  std::unordered_map<std::uint64_t, transport::Call> calls_;
+  std::unordered_map<std::uint64_t, transport::OperatorCall> calls_;
   transport::Link link_;
   http::Server server_;
   QTimer clock_;
   QTimer diskAgain_;
-  core::Workers disk_;
+  core::WorkerPool disk_;
 };
 
 }  // namespace corkward::programs
--- a/programs/control/main.cpp
+++ b/programs/control/main.cpp
@@ -6,8 +6,9 @@
 
 /// The control plane's daemon with the product's own surface.
 struct OwnController {
-  explicit OwnController(Settings const& settings) : controller(settings, corkward::control::Tuning{}, mapping) {}
-  http::OwnOperatorMapping mapping;
+  explicit OwnController(Settings const& settings)
+      : controller(settings, corkward::control::ControllerTuning{}, mapping) {}
+  http::NativeOperatorMapping mapping;
   ControlDaemon controller;
 };
 
--- a/programs/router/main.cpp
+++ b/programs/router/main.cpp
@@ -6,8 +6,8 @@
 
 /// The data plane's daemon with the product's own surface.
 struct OwnRouter {
-  explicit OwnRouter(Settings const& settings) : router(settings, dataplane::Tuning{}, mapping) {}
-  http::OwnMapping mapping;
+  explicit OwnRouter(Settings const& settings) : router(settings, dataplane::RouterTuning{}, mapping) {}
+  http::NativeMapping mapping;
   RouterDaemon router;
 };
 
--- a/programs/router/records.cpp
+++ b/programs/router/records.cpp
@@ -17,28 +17,28 @@
 constexpr core::Tick headEvery = 60000;
 
 struct HappenedRow {
-  dataplane::Happened happened;
+  dataplane::AuditOutcome happened;
   char const* name;
 };
 
 constexpr HappenedRow happenedTable[] = {
-    {dataplane::Happened::handedOver, "handed-over"}, {dataplane::Happened::resumed, "resumed"},
-    {dataplane::Happened::served, "served"},          {dataplane::Happened::notRun, "not-run"},
-    {dataplane::Happened::broken, "broken"},          {dataplane::Happened::rejected, "denied"}};
+    {dataplane::AuditOutcome::handedOver, "handed-over"}, {dataplane::AuditOutcome::resumed, "resumed"},
+    {dataplane::AuditOutcome::served, "served"},          {dataplane::AuditOutcome::notExecuted, "not-run"},
+    {dataplane::AuditOutcome::broken, "broken"},          {dataplane::AuditOutcome::rejected, "denied"}};
 
 std::int64_t wall() {
   return QDateTime::currentMSecsSinceEpoch();
 }
 
-audit::Kind kindOf(dataplane::Record const& r) {
-  audit::Kind out;
+audit::RecordKind kindOf(dataplane::WriteAuditRecord const& r) {
+  audit::RecordKind out;
   for (HappenedRow const& h : happenedTable)
-    if (h.happened == r.happened) out.what = h.name;
+    if (h.happened == r.outcome) out.outcome = h.name;
   out.regime = r.regime;
   out.instance = r.instance;
   out.pool = r.pool;
   out.address = r.address;
-  out.life = r.life;
+  out.incarnation = r.incarnation;
   out.zone = r.zone;
   out.certificate = r.certificate;
   out.reason = r.reason;
@@ -51,7 +51,7 @@
     : owner_(owner), node_(settings.link), works_(std::move(works)) {
   if (settings.audit.empty()) return;
   bounds_.segments = static_cast<std::size_t>(settings.auditMegabytes);
-  folder_ = storage::openFolder(settings.audit);
+  folder_ = storage::openDirectory(settings.audit);
   lock_.emplace("audit", settings.audit);
   disk_.emplace(1);
   open();
@@ -59,7 +59,7 @@
 }
 
 void Records::open() {
-  trail_ = std::make_unique<audit::Trail>(*folder_, node_, wall(), bounds_);
+  trail_ = std::make_unique<audit::AuditLog>(*folder_, node_, wall(), bounds_);
 }
 
 void Records::tell(bool works, std::string const& why) {
@@ -73,13 +73,13 @@
   try {
     step();
     return true;
-  } catch (storage::Error const& e) {
+  } catch (storage::StorageError const& e) {
     tell(false, e.what());
     return false;
   }
 }
 
-bool Records::write(dataplane::Record const& record) {
+bool Records::write(dataplane::WriteAuditRecord const& record) {
   if (trail_ == nullptr) return false;
   return guarded([&] { trail_->count(kindOf(record), wall()); });
 }
@@ -105,8 +105,8 @@
     std::string why;
     try {
       if (!file.empty()) folder_->sync(file);
-      folder_->syncFolder();
-    } catch (storage::Error const& e) {
+      folder_->syncDirectory();
+    } catch (storage::StorageError const& e) {
       why = e.what();
     }
     QMetaObject::invokeMethod(
@@ -126,8 +126,9 @@
 
 std::optional<QJsonObject> Records::head() const {
   if (trail_ == nullptr) return std::nullopt;
-  return QJsonObject{
-      {"n", static_cast<qint64>(trail_->head().number)}, {"hash", core::qstr(trail_->head().hash)}, {"works", ok_}};
+  return QJsonObject{{"n", static_cast<qint64>(trail_->head().number)},
+                     {"hash", core::toQString(trail_->head().hash)},
+                     {"works", ok_}};
 }
 
 }  // namespace corkward::programs
--- a/programs/router/records.h
+++ b/programs/router/records.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include <corkward/audit/trail.h>
+#include <corkward/audit/audit_log.h>
 #include <corkward/core/workers.h>
 #include <corkward/dataplane/request_router.h>
 
@@ -26,7 +26,7 @@
   Records(Records const&) = delete;
   Records& operator=(Records const&) = delete;
   /// True: it is in the file.
-  bool write(dataplane::Record const& record);
+  bool write(dataplane::WriteAuditRecord const& record);
   void clockEvent();
   /// Newest record, for others to note; nothing without a folder.
   std::optional<QJsonObject> head() const;
@@ -41,14 +41,14 @@
   std::string node_;
   Works works_;
   audit::Bounds bounds_;
-  std::unique_ptr<storage::Folder> folder_;
+  std::unique_ptr<storage::Directory> folder_;
   std::optional<FolderLock> lock_;
-  std::unique_ptr<audit::Trail> trail_;
+  std::unique_ptr<audit::AuditLog> trail_;
   bool ok_ = false;
   bool syncing_ = false;
   core::Tick syncAt_ = 0;
   core::Tick headAt_ = 0;
-  std::optional<core::Workers> disk_;
+  std::optional<core::WorkerPool> disk_;
 };
 
 }  // namespace corkward::programs
--- a/programs/router/router_daemon.cpp
+++ b/programs/router/router_daemon.cpp
@@ -6,7 +6,7 @@
 #include <corkward/config/config.h>
 #include <corkward/core/json.h>
 #include <corkward/core/log.h>
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 
 #include "clock.h"
 
@@ -21,16 +21,16 @@
 
 }  // namespace
 
-RouterDaemon::RouterDaemon(Settings const& s, dataplane::Tuning const& tuning, http::Mapping const& mapping,
+RouterDaemon::RouterDaemon(Settings const& s, dataplane::RouterTuning const& tuning, http::Mapping const& mapping,
                            RouterSurface surface)
     : settings_(s),
       mapping_(mapping),
       surface_(std::move(surface)),
       drain_(s.drainLimitMs, tuning.drainServe),
       reducer_(contactOf(s, transport::routerRole), s.seeds, surface_.seed == 0 ? freshSeed() : surface_.seed, tuning),
-      records_(this, s, [this](bool works) { reducer_.recording(works); }),
+      records_(this, s, [this](bool works) { reducer_.setRecording(works); }),
       link_(
-          this, s.link, [this](transport::Envelope const& e) { run(reducer_.arrived(now(), e.from, e.message)); },
+          this, s.link, [this](transport::Envelope const& e) { run(reducer_.onMessage(now(), e.from, e.message)); },
           s.listen),
       upstreams_(surface_.kept, [] { return now(); }),
       server_(surface_.http.empty() ? std::vector<std::string>{s.http} : surface_.http, surface_.limits, events()) {
@@ -43,11 +43,11 @@
 http::Server::Events RouterDaemon::events() {
   http::Server::Events e;
   e.request = [this](http::Request request) { serve(std::move(request)); };
-  e.gone = [this](std::uint64_t id) { gone(id); };
-  e.room = [this](std::uint64_t id) {
+  e.disconnected = [this](std::uint64_t id) { gone(id); };
+  e.writable = [this](std::uint64_t id) {
     std::unordered_map<std::uint64_t, Call>::iterator const it = calls_.find(id);
     if (it == calls_.end() || it->second.pausedSince == 0 || it->second.upstream == nullptr ||
-        server_.waiting(id) >= callerBuffer / 2)
+        server_.bufferedBytes(id) >= callerBuffer / 2)
       return;
     it->second.pausedSince = 0;
     it->second.upstream->pause(false);
@@ -61,7 +61,7 @@
 
 std::string RouterDaemon::metrics() const {
   return reducer_.metrics(now()) + "# TYPE corkward_garbage_frames_total counter\ncorkward_garbage_frames_total " +
-         std::to_string(link_.garbage()) +
+         std::to_string(link_.malformedFrames()) +
          "\n# TYPE corkward_replica_connections_total counter\ncorkward_replica_connections_total " +
          std::to_string(upstreams_.opened()) +
          "\n# TYPE corkward_replica_connections_reused_total counter\ncorkward_replica_connections_reused_total " +
@@ -69,7 +69,7 @@
          "\n# TYPE corkward_caller_connections gauge\ncorkward_caller_connections " +
          std::to_string(server_.connections()) +
          "\n# TYPE corkward_caller_accepts_failed_total counter\ncorkward_caller_accepts_failed_total " +
-         std::to_string(server_.acceptsFailed()) + "\n" + core::promiseMetrics();
+         std::to_string(server_.acceptsFailed()) + "\n" + core::guaranteeMetrics();
 }
 
 bool RouterDaemon::ownPage(http::Request const& request) {
@@ -82,8 +82,8 @@
     if (std::optional<QJsonObject> const head = records_.head()) state.insert("audit", *head);
     server_.answer(request.id, 200, {{"content-type", "application/json"}}, core::jsonText(state) + "\n");
   } else if (path.rfind(listPath, 0) == 0 && request.method == "PUT") {
-    run(reducer_.platformList(now(), request.id, config::labelOf(path.substr(std::string(listPath).size())),
-                              request.body));
+    run(reducer_.onEndpointList(now(), request.id, config::labelOf(path.substr(std::string(listPath).size())),
+                                request.body));
   } else {
     return false;
   }
@@ -108,20 +108,20 @@
   call.request = std::move(request);
   call.caller = std::move(*caller.request);
   dataplane::Request const asked = call.caller;
-  run(reducer_.request(now(), asked));
+  run(reducer_.onRequest(now(), asked));
 }
 
-void RouterDaemon::retune(dataplane::Tuning const& tuning, std::vector<std::string> const& seeds) {
-  bool const records = reducer_.recording();
+void RouterDaemon::retune(dataplane::RouterTuning const& tuning, std::vector<std::string> const& seeds) {
+  bool const records = reducer_.setRecording();
   reducer_.retune(tuning, seeds);
-  reducer_.recording(records);
+  reducer_.setRecording(records);
 }
 
 void RouterDaemon::platformList(std::string const& pool, std::string const& body) {
-  run(reducer_.platformList(now(), 0, pool, body));
+  run(reducer_.onEndpointList(now(), 0, pool, body));
 }
 
-void RouterDaemon::run(dataplane::Commands&& commands) {
+void RouterDaemon::run(dataplane::RouterCommands&& commands) {
   if (surface_.limitsUnder && reducer_.httpTerms() != httpTerms_) {
     httpTerms_ = reducer_.httpTerms();
     server_.setLimits(surface_.limitsUnder(httpTerms_));
@@ -143,25 +143,26 @@
   it->second.connected = true;
   it->second.stream.connecting(m.resume);
   http::UpstreamConnection::Events e;
-  e.connected = [this, id] { run(reducer_.connected(now(), id)); };
+  e.connected = [this, id] { run(reducer_.onConnected(now(), id)); };
   e.rejected = [this, id] { rejected(id); };
   e.head = [this, id](http::ReplicaHead const& head) { replicaHead(id, head); };
   e.piece = [this, id](std::string bytes) { replicaPiece(id, std::move(bytes)); };
   e.ended = [this, id](bool whole) { replicaEnded(id, whole); };
-  it->second.upstream = m.life.empty() ? upstreams_.lend(m.address, m.fresh, std::move(e), this)
-                                       : new http::UpstreamConnection(m.address, m.life, std::move(e), this);
+  it->second.upstream = m.incarnation.empty()
+                            ? upstreams_.acquire(m.address, m.fresh, std::move(e), this)
+                            : new http::UpstreamConnection(m.address, m.incarnation, std::move(e), this);
 }
 
 void RouterDaemon::rejected(std::uint64_t id) {
   std::unordered_map<std::uint64_t, Call>::const_iterator const it = calls_.find(id);
   bool const own = it != calls_.end() && it->second.upstream != nullptr && it->second.upstream->outOfDescriptors();
-  run(own ? reducer_.connectImpossible(now(), id) : reducer_.connectRejected(now(), id));
+  run(own ? reducer_.onLocalConnectFailure(now(), id) : reducer_.onConnectFailure(now(), id));
 }
 
-void RouterDaemon::act(dataplane::HandOver const& m) {
+void RouterDaemon::act(dataplane::SendRequest const& m) {
   std::unordered_map<std::uint64_t, Call>::iterator const it = calls_.find(m.call);
   if (it == calls_.end() || it->second.upstream == nullptr) return;
-  if (server_.hasLeft(m.call)) {
+  if (server_.isDisconnected(m.call)) {
     server_.abort(m.call);
     gone(m.call);
     return;
@@ -169,7 +170,7 @@
   Call& call = it->second;
   if (!m.regime.empty() && call.unrecorded) {
     abandon(m.call);
-    run(reducer_.ended(now(), m.call, dataplane::End::notRun));
+    run(reducer_.upstreamFinished(now(), m.call, dataplane::UpstreamResult::notExecuted));
     return;
   }
   dataplane::Resume const resume = call.stream.resume();
@@ -177,11 +178,11 @@
                       call.request.body);
 }
 
-void RouterDaemon::act(dataplane::Abandon const& m) {
+void RouterDaemon::act(dataplane::CloseUpstream const& m) {
   abandon(m.call);
 }
 
-void RouterDaemon::act(dataplane::Record const& m) {
+void RouterDaemon::act(dataplane::WriteAuditRecord const& m) {
   bool const written = records_.write(m);
   std::unordered_map<std::uint64_t, Call>::iterator const it = calls_.find(m.call);
   if (it != calls_.end()) it->second.unrecorded = !written;
@@ -193,13 +194,13 @@
   server_.answer(m.call, m.status, mapping_.rejectFields(m), mapping_.rejectBody(m));
 }
 
-void RouterDaemon::act(dataplane::Answer const& m) {
+void RouterDaemon::act(dataplane::EndpointListResponse const& m) {
   if (m.call == 0) return;
-  http::WholeAnswer const a = ownOperators_.answer({}, m.status, m.body);
+  http::Response const a = ownOperators_.answer({}, m.status, m.body);
   server_.answer(m.call, a.status, a.fields, a.body);
 }
 
-void RouterDaemon::act(dataplane::Abort const& m) {
+void RouterDaemon::act(dataplane::ResetDownstream const& m) {
   abandon(m.call);
   calls_.erase(m.call);
   server_.abort(m.call);
@@ -227,21 +228,22 @@
   if (it == calls_.end()) return;
   bool const forgotten = !whole && it->second.upstream != nullptr && it->second.upstream->forgotten();
   dataplane::StreamSteps out = it->second.stream.ended(whole);
-  if (forgotten && out.ended == dataplane::End::broken) out.ended = dataplane::End::forgotten;
+  if (forgotten && out.ended == dataplane::UpstreamResult::connectionLost)
+    out.ended = dataplane::UpstreamResult::staleConnection;
   steps(id, std::move(out));
 }
 
 void RouterDaemon::steps(std::uint64_t id, dataplane::StreamSteps&& out) {
-  if (out.failed) run(reducer_.failed(now(), id));
+  if (out.failed) run(reducer_.upstreamFailed(now(), id));
   if (out.begin) server_.begin(id, out.begin->status, out.begin->fields, out.begin->length, out.begin->reason);
-  if (!out.piece.empty()) server_.piece(id, out.piece);
-  if (out.firstWord) run(reducer_.firstWord(now(), id, *out.firstWord));
-  if (out.abandon) abandon(id, out.ended == dataplane::End::notRun);
+  if (!out.chunk.empty()) server_.writeChunk(id, out.chunk);
+  if (out.firstByte) run(reducer_.firstByteReceived(now(), id, *out.firstByte));
+  if (out.closeUpstream) abandon(id, out.ended == dataplane::UpstreamResult::notExecuted);
   if (out.finish) {
     calls_.erase(id);
     server_.finish(id);
   }
-  if (out.ended) run(reducer_.ended(now(), id, *out.ended));
+  if (out.ended) run(reducer_.upstreamFinished(now(), id, *out.ended));
 }
 
 void RouterDaemon::replicaPiece(std::uint64_t id, std::string bytes) {
@@ -252,10 +254,10 @@
   if (it == calls_.end()) return;
   if (now() - it->second.movedAt >= movingEvery) {
     it->second.movedAt = now();
-    run(reducer_.moving(now(), id));
+    run(reducer_.progress(now(), id));
   }
   it = calls_.find(id);
-  if (it == calls_.end() || server_.waiting(id) <= callerBuffer || it->second.upstream == nullptr ||
+  if (it == calls_.end() || server_.bufferedBytes(id) <= callerBuffer || it->second.upstream == nullptr ||
       it->second.pausedSince != 0)
     return;
   it->second.pausedSince = now();
@@ -268,7 +270,7 @@
   std::vector<std::uint64_t> stalled;
   for (std::unordered_map<std::uint64_t, Call>::value_type& c : calls_) {
     if (c.second.pausedSince == 0) continue;
-    run(reducer_.moving(now(), c.first));
+    run(reducer_.progress(now(), c.first));
     if (now() - c.second.pausedSince > callerStall) stalled.push_back(c.first);
   }
   for (std::uint64_t const id : stalled) {
@@ -278,22 +280,22 @@
 }
 
 void RouterDaemon::gone(std::uint64_t id) {
-  run(reducer_.callerGone(now(), id));
+  run(reducer_.callerDisconnected(now(), id));
   abandon(id);
   calls_.erase(id);
 }
 
 void RouterDaemon::clockEvent() {
   watchPaused();
-  reducer_.wallTime(now(), QDateTime::currentMSecsSinceEpoch());
-  run(reducer_.clockEvent(now()));
+  reducer_.setWallTime(now(), QDateTime::currentMSecsSinceEpoch());
+  run(reducer_.onTimer(now()));
   records_.clockEvent();
-  drain_.look(server_, reducer_.inHand());
+  drain_.look(server_, reducer_.pendingCount());
 }
 
 void RouterDaemon::drain() {
   if (!drain_.begin()) return;
-  server_.leave();
+  server_.startDraining();
   run(reducer_.drain(now()));
 }
 
--- a/programs/router/router_daemon.h
+++ b/programs/router/router_daemon.h
@@ -12,7 +12,7 @@
 #include <corkward/http/upstream_pool.h>
 #include <corkward/http/server.h>
 #include <corkward/dataplane/request_router.h>
-#include <corkward/dataplane/stream.h>
+#include <corkward/dataplane/response_stream.h>
 #include <corkward/transport/link.h>
 
 #include "process.h"
@@ -27,8 +27,8 @@
 struct RouterSurface {
   /// Where callers, operators and the platform are listened for, all served alike; empty: at Settings::http.
   std::vector<std::string> http = {};
-  http::Limits limits = {};
-  http::Kept kept = {};
+  http::ServerLimits limits = {};
+  http::KeepAlivePolicy kept = {};
   /// How often the plane is told the time, in milliseconds.
   int clockEveryMs = 20;
   /// Answers a request that is none of a caller's; false: it is one.
@@ -37,7 +37,7 @@
   bool ownPages = true;
   /// Bounds of the callers' HTTP edge under the whole configuration's terms, taken over when these change; empty: as
   /// they are.
-  std::function<http::Limits(config::HttpTerms const&)> limitsUnder = {};
+  std::function<http::ServerLimits(config::HttpLimits const&)> limitsUnder = {};
   /// Seed of the plane's own choices, so that tests can repeat them; 0: a fresh one.
   std::uint64_t seed = 0;
 };
@@ -46,7 +46,7 @@
 class RouterDaemon : public QObject {
  public:
   /// The mapping must outlive it.
-  RouterDaemon(Settings const& settings, dataplane::Tuning const& tuning, http::Mapping const& mapping,
+  RouterDaemon(Settings const& settings, dataplane::RouterTuning const& tuning, http::Mapping const& mapping,
                RouterSurface surface = {});
 
   http::Server& server() { return server_; }
@@ -59,7 +59,7 @@
   /// The platform's list of a pool, as told to this node.
   void platformList(std::string const& pool, std::string const& body);
   /// Other figures and seeds from here on.
-  void retune(dataplane::Tuning const& tuning, std::vector<std::string> const& seeds);
+  void retune(dataplane::RouterTuning const& tuning, std::vector<std::string> const& seeds);
   /// As SIGTERM.
   void drain();
 
@@ -69,7 +69,7 @@
     http::Request request;
     dataplane::Request caller;
     std::string path;
-    dataplane::Stream stream;
+    dataplane::ResponseStream stream;
     /// Id of the last event that the caller says it has, for a path whose answer is a row of events.
     std::string lastEvent;
     bool connected = false;
@@ -82,14 +82,14 @@
   http::Server::Events events();
   void serve(http::Request request);
   bool ownPage(http::Request const& request);
-  void run(dataplane::Commands&& commands);
+  void run(dataplane::RouterCommands&& commands);
   void act(dataplane::Connect const& m);
-  void act(dataplane::HandOver const& m);
-  void act(dataplane::Abandon const& m);
-  void act(dataplane::Record const& m);
+  void act(dataplane::SendRequest const& m);
+  void act(dataplane::CloseUpstream const& m);
+  void act(dataplane::WriteAuditRecord const& m);
   void act(dataplane::Reject const& m);
-  void act(dataplane::Answer const& m);
-  void act(dataplane::Abort const& m);
+  void act(dataplane::EndpointListResponse const& m);
+  void act(dataplane::ResetDownstream const& m);
   /// The replica's connection cannot be had.
   void rejected(std::uint64_t id);
   void abandon(std::uint64_t id, bool readRest = false);
@@ -103,7 +103,7 @@
 
   Settings settings_;
   http::Mapping const& mapping_;
-  http::OwnOperatorMapping ownOperators_;
+  http::NativeOperatorMapping ownOperators_;
   RouterSurface surface_;
   Drain drain_;
   dataplane::RequestRouter reducer_;
@@ -113,7 +113,7 @@
   http::UpstreamPool upstreams_;
   http::Server server_;
   QTimer clock_;
-  config::HttpTerms httpTerms_;
+  config::HttpLimits httpTerms_;
   core::Tick pausedLookAt_ = 0;
 };
 
--- a/programs/runbook/alert_watcher.cpp
+++ b/programs/runbook/alert_watcher.cpp
@@ -92,7 +92,7 @@
 }
 
 qint64 AlertWatcher::put(alerting::Rule const& r, char const* state, qint64 revision) {
-  QJsonObject const body{{"state", state}, {"by", core::qstr(me_)}};
+  QJsonObject const body{{"state", state}, {"by", core::toQString(me_)}};
   OperatorOutcome const out =
       callOperator(controllers_, {"PUT", pathOf(r), core::jsonText(body), std::to_string(revision), freshName(), false},
                    callSeconds);
@@ -103,7 +103,7 @@
 void AlertWatcher::settle(alerting::Rule const& r, bool holds) {
   OperatorOutcome const seen = callOperator(controllers_, {"GET", pathOf(r), "", "", "", false}, callSeconds);
   if (seen.status != 200) return;
-  std::string const state = core::str(seen.body.value("state").toString());
+  std::string const state = core::toStdString(seen.body.value("state").toString());
   qint64 revision = seen.body.value("stamp").toInteger();
   known_[r.alert] = state;
   if (!holds) {
--- a/programs/runbook/alert_watcher.h
+++ b/programs/runbook/alert_watcher.h
@@ -9,7 +9,7 @@
 #include <corkward/alerting/rules.h>
 #include <corkward/runbook/runbook.h>
 
-#include "duty.h"
+#include "singleton_role_client.h"
 #include "runbook_executor.h"
 
 namespace corkward::programs {
@@ -45,7 +45,7 @@
   std::vector<alerting::Rule> rules_;
   alerting::Watch watch_;
   std::string me_;
-  Duty duty_;
+  SingletonRoleClient duty_;
   bool had_ = false;
   int acted_ = 0;
   std::map<std::string, runbook::Runbook> books_;
--- a/programs/runbook/runbook_executor.cpp
+++ b/programs/runbook/runbook_executor.cpp
@@ -42,7 +42,7 @@
 void RunbookExecutor::logEvent(std::string const& line) {
   std::cout << line << std::endl;
   if (account_.empty()) return;
-  QFile file(core::qstr(account_));
+  QFile file(core::toQString(account_));
   if (file.open(QIODevice::Append)) file.write(QByteArray::fromStdString(line + "\n"));
 }
 
@@ -99,7 +99,7 @@
     if (!again || now() >= until)
       return {false, out.status == 0 ? "no answer: " + out.error
                                      : "status " + std::to_string(out.status) + " " +
-                                           core::str(out.body.value("reason").toString())};
+                                           core::toStdString(out.body.value("reason").toString())};
     pause(pollMs);
   }
 }
@@ -125,12 +125,13 @@
   if (names.status != 200) return std::nullopt;
   QJsonObject all;
   for (QJsonValue const n : names.body.value("templates").toArray()) {
-    std::string const path = "/v1/templates/" + core::str(n.toString());
+    std::string const path = "/v1/templates/" + core::toStdString(n.toString());
     OperatorOutcome const t = call({"GET", path, "", "", "", false});
     if (t.status != 200) return std::nullopt;
     QJsonObject instances;
     for (QJsonValue const i : t.body.value("instances").toArray()) {
-      OperatorOutcome const one = call({"GET", path + "/instances/" + core::str(i.toString()), "", "", "", false});
+      OperatorOutcome const one =
+          call({"GET", path + "/instances/" + core::toStdString(i.toString()), "", "", "", false});
       if (one.status != 200) return std::nullopt;
       instances.insert(i.toString(), one.body);
     }
@@ -144,7 +145,7 @@
   std::optional<QJsonObject> const all = readAll();
   if (!all) return {false, "the configuration could not be read"};
   if (dryRun_) return {true, "would write " + path};
-  QFile file(core::qstr(path));
+  QFile file(core::toQString(path));
   if (!file.open(QIODevice::WriteOnly)) return {false, "cannot write " + path};
   file.write(QByteArray::fromStdString(core::jsonText(*all) + "\n"));
   return {true, std::to_string(all->size()) + " templates"};
@@ -157,7 +158,7 @@
   if (saved == QJsonValue(*all)) return {true, "as saved"};
   for (QString const& k : saved.toObject().keys())
     if (saved.toObject().value(k) != all->value(k))
-      return {false, "template " + core::str(k) + " differs from " + path};
+      return {false, "template " + core::toStdString(k) + " differs from " + path};
   return {false, "there are templates that " + path + " does not have"};
 }
 
--- a/programs/runbook/duty.cpp
+++ b/programs/runbook/singleton_role_client.cpp
@@ -1,4 +1,4 @@
-#include "duty.h"
+#include "singleton_role_client.h"
 
 #include <QJsonArray>
 
@@ -16,19 +16,20 @@
 
 }  // namespace
 
-Duty::Duty(std::vector<std::string> controllers, std::string name, std::string who)
+SingletonRoleClient::SingletonRoleClient(std::vector<std::string> controllers, std::string name, std::string who)
     : controllers_(std::move(controllers)), name_(std::move(name)), who_(std::move(who)) {}
 
-OperatorOutcome Duty::ask(std::string const& controller, char const* method, std::string const& successor) const {
-  QJsonObject const body{{"holder", core::qstr(who_)}, {"successor", core::qstr(successor)}};
+OperatorOutcome SingletonRoleClient::ask(std::string const& controller, char const* method,
+                                         std::string const& successor) const {
+  QJsonObject const body{{"holder", core::toQString(who_)}, {"successor", core::toQString(successor)}};
   return callOperator({controller}, {method, "/v1/duties/" + name_, core::jsonText(body), "", "", false}, askSeconds);
 }
 
-bool Duty::held() const {
+bool SingletonRoleClient::held() const {
   return now() < until_;
 }
 
-bool Duty::renew() {
+bool SingletonRoleClient::renew() {
   core::Tick const asked = now();
   std::set<std::string> yes;
   std::set<std::string> membership;
@@ -42,11 +43,11 @@
     if (membership.empty() || revision > newest) {
       newest = revision;
       membership.clear();
-      for (QJsonValue const v : out.body.value("cohort").toArray()) membership.insert(core::str(v.toString()));
+      for (QJsonValue const v : out.body.value("cohort").toArray()) membership.insert(core::toStdString(v.toString()));
     }
-    for (QJsonValue const v : out.body.value("waiting").toArray()) waiting_.insert(core::str(v.toString()));
+    for (QJsonValue const v : out.body.value("waiting").toArray()) waiting_.insert(core::toStdString(v.toString()));
     if (!out.body.value("granted").toBool()) continue;
-    yes.insert(core::str(out.body.value("member").toString()));
+    yes.insert(core::toStdString(out.body.value("member").toString()));
     term = std::max(term, static_cast<std::uint64_t>(out.body.value("epoch").toInteger()));
   }
   std::size_t n = 0;
@@ -58,7 +59,7 @@
   return held();
 }
 
-void Duty::release() {
+void SingletonRoleClient::release() {
   if (!held()) return;
   until_ = 0;
   std::string const successor = waiting_.empty() ? "" : *waiting_.begin();
--- a/programs/runbook/duty.h
+++ b/programs/runbook/singleton_role_client.h
@@ -13,9 +13,9 @@
 
 /// A duty that one of several processes does at a time: a lease that a majority of the disks' members grants, under a
 /// rising epoch. Counted from before it was asked for, so it is over here before any member takes it for over.
-class Duty {
+class SingletonRoleClient {
  public:
-  Duty(std::vector<std::string> controllers, std::string name, std::string who);
+  SingletonRoleClient(std::vector<std::string> controllers, std::string name, std::string who);
   /// Asks for the lease, or for more of it. True while this process has it.
   bool renew();
   bool held() const;
--- a/programs/test/declare_test.cpp
+++ b/programs/test/declare_test.cpp
@@ -10,7 +10,7 @@
 #include "declare.h"
 #include "regime_report.h"
 
-#include <corkward/audit/trail.h>
+#include <corkward/audit/audit_log.h>
 
 namespace core = corkward::core;
 namespace audit = corkward::audit;
@@ -41,7 +41,7 @@
 struct Folder {
   QTemporaryDir dir;
 
-  std::string path() const { return core::str(dir.path()); }
+  std::string path() const { return core::toStdString(dir.path()); }
   void write(char const* name, char const* text) const {
     QFile file(dir.filePath(name));
     REQUIRE(file.open(QIODevice::WriteOnly));
@@ -135,13 +135,13 @@
 TEST_CASE("the report of regimes ends with 1 when a record was changed, and with bad use when there are none") {
   Folder folder;
   {
-    std::unique_ptr<storage::Folder> const disk = storage::openFolder(folder.path());
-    audit::Trail trail(*disk, "n1", 1780000000000);
-    trail.count(audit::Kind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}},
+    std::unique_ptr<storage::Directory> const disk = storage::openDirectory(folder.path());
+    audit::AuditLog trail(*disk, "n1", 1780000000000);
+    trail.count(audit::RecordKind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}},
                 1780000000000);
     trail.close(1780000000001);
   }
-  programs::ReportWays ways;
+  programs::ReportConnections ways;
   ways.folders = {folder.path()};
   CHECK(programs::reportRegimes(ways) == 0);
   ways.json = true;
--- a/programs/test/records_test.cpp
+++ b/programs/test/records_test.cpp
@@ -30,14 +30,14 @@
 
   Node() {
     settings.link = "10.0.0.9:1";
-    settings.audit = core::str(dir.path()) + "/audit";
+    settings.audit = core::toStdString(dir.path()) + "/audit";
   }
   programs::Records::Works works() {
     return [this](bool ok) { told.push_back(ok); };
   }
   std::size_t recorded() const {
-    std::unique_ptr<storage::Folder> const folder = storage::openFolder(settings.audit);
-    audit::TrailView const view = audit::readTrail(*folder);
+    std::unique_ptr<storage::Directory> const folder = storage::openDirectory(settings.audit);
+    audit::AuditLogView const view = audit::readAuditLog(*folder);
     CHECK(view.faults.empty());
     std::size_t out = 0;
     for (QJsonObject const& r : view.records) out += r.contains("count") ? 1 : 0;
@@ -52,12 +52,12 @@
   }
 };
 
-dataplane::Record record(dataplane::Happened happened) {
-  dataplane::Record r;
-  r.happened = happened;
+dataplane::WriteAuditRecord record(dataplane::AuditOutcome happened) {
+  dataplane::WriteAuditRecord r;
+  r.outcome = happened;
   r.regime = "health";
   r.instance = "desk.nord";
-  r.life = "r1";
+  r.incarnation = "r1";
   return r;
 }
 
@@ -68,16 +68,16 @@
   {
     programs::Records records(&node.owner, node.settings, node.works());
     CHECK(node.told == std::vector<bool>{true});
-    CHECK(records.write(record(dataplane::Happened::handedOver)));
+    CHECK(records.write(record(dataplane::AuditOutcome::handedOver)));
     CHECK(node.recorded() == 1);
-    CHECK(records.write(record(dataplane::Happened::handedOver)));
-    CHECK(records.write(record(dataplane::Happened::rejected)));
+    CHECK(records.write(record(dataplane::AuditOutcome::handedOver)));
+    CHECK(records.write(record(dataplane::AuditOutcome::rejected)));
     CHECK(node.recorded() >= 2);
     CHECK(records.head()->value("n").toInteger() >= 3);
     CHECK_THROWS_AS(programs::Records(&node.owner, node.settings, node.works()), programs::SettingsError);
   }
-  std::unique_ptr<storage::Folder> const folder = storage::openFolder(node.settings.audit);
-  QJsonObject const report = audit::report({audit::readTrail(*folder)}, {});
+  std::unique_ptr<storage::Directory> const folder = storage::openDirectory(node.settings.audit);
+  QJsonObject const report = audit::report({audit::readAuditLog(*folder)}, {});
   qint64 handed = 0;
   for (QJsonValue const span : report.value("regimes").toObject().value("health").toArray())
     for (QJsonValue const c : span.toObject().value("counts").toArray())
@@ -90,16 +90,16 @@
   node.settings.audit.clear();
   programs::Records records(&node.owner, node.settings, node.works());
   CHECK(node.told.empty());
-  CHECK_FALSE(records.write(record(dataplane::Happened::handedOver)));
+  CHECK_FALSE(records.write(record(dataplane::AuditOutcome::handedOver)));
   CHECK_FALSE(records.head());
 }
 
 TEST_CASE("a folder that cannot be written is told, and told again when it can") {
   Node node;
   programs::Records records(&node.owner, node.settings, node.works());
-  QString const path = core::qstr(node.settings.audit);
+  QString const path = core::toQString(node.settings.audit);
   REQUIRE(QDir(node.dir.path()).rename("audit", "away"));
-  CHECK_FALSE(records.write(record(dataplane::Happened::handedOver)));
+  CHECK_FALSE(records.write(record(dataplane::AuditOutcome::handedOver)));
   CHECK(node.told == std::vector<bool>{true, false});
   REQUIRE(QDir(node.dir.path()).rename("away", "audit"));
   CHECK(node.until([&] {
@@ -107,6 +107,6 @@
     return node.told.size() == 3;
   }));
   CHECK(node.told.back());
-  CHECK(records.write(record(dataplane::Happened::handedOver)));
+  CHECK(records.write(record(dataplane::AuditOutcome::handedOver)));
   CHECK(node.recorded() == 1);
 }
--- a/quota/include/corkward/quota/demand.h
+++ b/quota/include/corkward/quota/demand_estimator.h
@@ -9,10 +9,10 @@
 using core::Tick;
 
 /// A sum of amounts that fades exponentially, read as a rate.
-class Demand {
+class DemandEstimator {
  public:
   /// Milliseconds after which an amount weighs 1/e.
-  explicit Demand(Tick memory) : memory_(memory) {}
+  explicit DemandEstimator(Tick memory) : memory_(memory) {}
   void add(Tick now, double amount);
   double perSecond(Tick now) const;
 
--- a/quota/include/corkward/quota/ledger.h
+++ b/quota/include/corkward/quota/grant_table.h
@@ -16,19 +16,19 @@
 
 namespace corkward::quota {
 
-class Ledger {
+class GrantTable {
  public:
   /// Epoch: the lender's term. Unknown: loans of an earlier lender may be out that this one has not heard of; they run
   /// out by `unknownUntil`.
-  Ledger(Tick now, std::uint64_t epoch, Limit const& limit, Slack const& slack, Tick unknownUntil);
+  GrantTable(Tick now, std::uint64_t epoch, Limit const& limit, OverdraftAllowance const& slack, Tick unknownUntil);
 
-  void setLimit(Tick now, Limit const& limit, Slack const& slack);
+  void setLimit(Tick now, Limit const& limit, OverdraftAllowance const& slack);
   /// A router holds a loan of an earlier lender, by its own word.
-  void claim(Tick now, std::string const& router, std::uint64_t life, Use const& use);
+  void claim(Tick now, std::string const& router, std::uint64_t life, TenantUsage const& use);
   /// Only so many routers may hold loans that this ledger does not know.
   void unheard(Tick now, std::size_t routers);
   /// Takes a router's report in and answers it. Lends: the router may get a fraction, not only single amounts.
-  Loan report(Tick now, std::string const& router, std::uint64_t life, Use const& use, bool lends);
+  QuotaGrant report(Tick now, std::string const& router, std::uint64_t life, TenantUsage const& use, bool lends);
 
   /// What the lender may lend at once.
   double level(Tick now) const;
@@ -39,7 +39,7 @@
  private:
   /// One router's loan.
   struct Entry {
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     /// Newest loan: its number, its fraction, and until when the router may spend it.
     std::uint64_t number = 0;
     double fraction = 0;
@@ -60,7 +60,7 @@
   double most(Tick now) const;
   /// What has flowed to the lender since the level was settled.
   double flowed(Tick now) const;
-  void topUp(Tick now, Entry const& entry, Loan& loan);
+  void topUp(Tick now, Entry const& entry, QuotaGrant& loan);
   Entry& entryOf(std::string const& router, std::uint64_t life);
   /// Greatest fraction that is lent out: what is kept must do for the largest requests that were seen of late.
   double lendable(Tick now) const;
@@ -68,12 +68,12 @@
   double fractionFor(Tick now, std::string const& router) const;
   double share(Tick now) const;
   /// Takes in what a router says of itself.
-  void heard(Tick now, Entry& entry, Use const& use);
-  void lend(Tick now, Entry& entry, double fraction, Loan& loan);
+  void heard(Tick now, Entry& entry, TenantUsage const& use);
+  void lend(Tick now, Entry& entry, double fraction, QuotaGrant& loan);
 
   std::uint64_t epoch_;
   Limit limit_;
-  Slack slack_;
+  OverdraftAllowance slack_;
   std::map<std::string, Entry> entries_;
   double level_ = 0;
   Tick at_ = 0;
--- a/quota/include/corkward/quota/terms.h
+++ b/quota/include/corkward/quota/partition_leases.h
@@ -14,17 +14,17 @@
 namespace corkward::quota {
 
 /// Milliseconds for which a member's grant holds.
-inline constexpr Tick officeTerm = 800;
+inline constexpr Tick partitionLeaseDuration = 800;
 /// Milliseconds for which a member grants no new term after it has started, joined or seen a new membership: by then
 /// what it may have granted before has run out.
-inline constexpr Tick pauseBeforeGrants = officeTerm + 200;
+inline constexpr Tick grantDelayAfterStart = partitionLeaseDuration + 200;
 
 /// One member's grants.
-class TermGrants {
+class PartitionLeaseGrants {
  public:
   /// May: this member votes, and has for longer than a term, under one membership. Renewing a grant to the same holder
   /// takes less: see `mayRenew`.
-  TermGrant ask(Tick now, TermAsk const& ask, bool may, bool mayRenew);
+  PartitionLeaseReply onRequest(Tick now, PartitionLeaseRequest const& ask, bool may, bool mayRenew);
   /// Who holds a part by this member's own grant; empty: nobody.
   std::string holder(Tick now, std::uint64_t part) const;
   std::uint64_t epoch(std::uint64_t part) const;
@@ -32,17 +32,18 @@
  private:
   struct Grant {
     std::string holder;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t epoch = 0;
     Tick until = -1;
   };
-  TermAnswer answer(Tick now, TermAsk const& ask, PartEpoch const& wanted, bool may, bool mayRenew);
+  PartitionLeaseDecision answer(Tick now, PartitionLeaseRequest const& ask, PartitionEpoch const& wanted, bool may,
+                                bool mayRenew);
 
   std::map<std::uint64_t, Grant> grants_;
 };
 
 /// The terms that one controller holds or asks for.
-class Terms {
+class PartitionLeases {
  public:
   /// Asks for a part under an epoch above all that were heard of, or goes on asking; under a higher one if a member has
   /// granted such an epoch to another. For parts that are not held. Least: a number that earlier lives of the members
@@ -53,11 +54,11 @@
   /// Gives up whatever is sought or held of a part.
   void drop(std::uint64_t part);
   /// A member answered.
-  void answered(std::string const& member, TermGrant const& grant);
+  void answered(std::string const& member, PartitionLeaseReply const& grant);
   /// Until when the part is held, by the grants of these members; 0 or past: it is not.
   Tick heldUntil(std::uint64_t part, std::vector<std::string> const& members) const;
   /// What is to be asked for now.
-  std::vector<PartEpoch> wanted() const;
+  std::vector<PartitionEpoch> wanted() const;
   std::uint64_t epoch(std::uint64_t part) const;
 
  private:
--- a/quota/src/ledger.cpp
+++ b/quota/src/grant_table.cpp
@@ -1,4 +1,4 @@
-#include <corkward/quota/ledger.h>
+#include <corkward/quota/grant_table.h>
 
 #include <algorithm>
 #include <cmath>
@@ -26,41 +26,47 @@
 constexpr double enoughFlow = 0.9;
 
 double fromWire(std::uint64_t fraction) {
-  return static_cast<double>(fraction) / static_cast<double>(whole);
+  return static_cast<double>(fraction) / static_cast<double>(fractionUnits);
 }
 
 std::uint64_t toWire(double fraction) {
-  return static_cast<std::uint64_t>(std::clamp(fraction, 0.0, 1.0) * static_cast<double>(whole));
+  return static_cast<std::uint64_t>(std::clamp(fraction, 0.0, 1.0) * static_cast<double>(fractionUnits));
 }
 
 }  // namespace
 
-Ledger::Ledger(Tick now, std::uint64_t epoch, Limit const& limit, Slack const& slack, Tick unknownUntil)
-    : epoch_(epoch), limit_(limit), slack_(slack), at_(now), unknown_(lentMost), unknownUntil_(unknownUntil) {}
+GrantTable::GrantTable(Tick now, std::uint64_t epoch, Limit const& limit, OverdraftAllowance const& slack,
+                       Tick unknownUntil)
+    : epoch_(epoch),
+      limit_(limit),
+      slack_(slack),
+      at_(now),
+      unknown_(maxAllocatedFraction),
+      unknownUntil_(unknownUntil) {}
 
-double Ledger::unknown(Tick now) const {
+double GrantTable::unknown(Tick now) const {
   return now < unknownUntil_ ? unknown_ : 0.0;
 }
 
-double Ledger::out(Tick now) const {
+double GrantTable::out(Tick now) const {
   double sum = unknown(now);
   for (auto const& [router, entry] : entries_)
     if (now < entry.until) sum += entry.reserved;
   return sum;
 }
 
-double Ledger::kept(Tick now) const {
-  return std::max(0.0, 1.0 - unlentPart - out(now));
+double GrantTable::kept(Tick now) const {
+  return std::max(0.0, 1.0 - unallocatedFraction - out(now));
 }
 
-double Ledger::most(Tick now) const {
+double GrantTable::most(Tick now) const {
   double fraction = kept(now);
   for (auto const& [router, entry] : entries_)
-    if (now < entry.until && now < entry.flowUntil) fraction += (1.0 - heldInTouch) * entry.reserved;
+    if (now < entry.until && now < entry.flowUntil) fraction += (1.0 - connectedReserveFraction) * entry.reserved;
   return fraction * capacity(limit_, slack_);
 }
 
-double Ledger::flowed(Tick now) const {
+double GrantTable::flowed(Tick now) const {
   double fractionTime = kept(now) * static_cast<double>(now - at_);
   for (auto const& [router, entry] : entries_) {
     Tick const end = std::min({now, entry.flowUntil, entry.until});
@@ -69,86 +75,86 @@
   return limit_.perSecond * fractionTime / 1000.0;
 }
 
-double Ledger::level(Tick now) const {
+double GrantTable::level(Tick now) const {
   return std::min(level_ + flowed(now), most(now));
 }
 
-void Ledger::settle(Tick now) {
+void GrantTable::settle(Tick now) {
   level_ = level(now);
   at_ = now;
   std::erase_if(entries_, [&](auto const& entry) { return now >= entry.second.until; });
 }
 
-void Ledger::setLimit(Tick now, Limit const& limit, Slack const& slack) {
+void GrantTable::setLimit(Tick now, Limit const& limit, OverdraftAllowance const& slack) {
   settle(now);
   limit_ = limit;
   slack_ = slack;
   level_ = level(now);
 }
 
-void Ledger::unheard(Tick now, std::size_t routers) {
+void GrantTable::unheard(Tick now, std::size_t routers) {
   settle(now);
-  unknown_ = std::min(unknown_, lentToOneMost * static_cast<double>(routers));
+  unknown_ = std::min(unknown_, maxFractionPerRouter * static_cast<double>(routers));
 }
 
-Ledger::Entry& Ledger::entryOf(std::string const& router, std::uint64_t life) {
+GrantTable::Entry& GrantTable::entryOf(std::string const& router, std::uint64_t life) {
   Entry& entry = entries_[router];
-  if (entry.life == life) return entry;
+  if (entry.incarnation == life) return entry;
   // What an earlier life held is gone with it; a word of an earlier life that comes late frees nothing.
   Entry fresh;
-  fresh.life = life;
-  fresh.reserved = life > entry.life ? 0.0 : entry.reserved;
-  fresh.until = life > entry.life ? 0 : entry.until;
+  fresh.incarnation = life;
+  fresh.reserved = life > entry.incarnation ? 0.0 : entry.reserved;
+  fresh.until = life > entry.incarnation ? 0 : entry.until;
   entry = fresh;
   return entry;
 }
 
-void Ledger::claim(Tick now, std::string const& router, std::uint64_t life, Use const& use) {
-  if (use.fraction == 0 || use.remaining == 0) return;
+void GrantTable::claim(Tick now, std::string const& router, std::uint64_t life, TenantUsage const& use) {
+  if (use.fraction == 0 || use.remainingMs == 0) return;
   settle(now);
   Entry& entry = entryOf(router, life);
   if (entry.number != 0) return;
-  Tick const until = now + std::min<Tick>(static_cast<Tick>(use.remaining), loanTerm);
+  Tick const until = now + std::min<Tick>(static_cast<Tick>(use.remainingMs), allocationDuration);
   double const claimed = fromWire(use.fraction);
   unknown_ = std::max(0.0, unknown_ - std::max(0.0, claimed - entry.reserved));
   entry.reserved = std::max(entry.reserved, claimed);
   entry.until = std::max(entry.until, until);
 }
 
-double Ledger::demand(Tick now) const {
+double GrantTable::demand(Tick now) const {
   double sum = 0;
   for (auto const& [router, entry] : entries_)
     if (now - entry.heard <= reportSpeaks) sum += entry.demand;
   return sum;
 }
 
-double Ledger::lendable(Tick now) const {
+double GrantTable::lendable(Tick now) const {
   double const faded =
       largest_ * std::exp2(-static_cast<double>(now - largestAt_) / static_cast<double>(largestHalves));
   double const needed = keptForLargest * faded / capacity(limit_, slack_);
-  return std::clamp(1.0 - unlentPart - needed, 0.0, lentMost);
+  return std::clamp(1.0 - unallocatedFraction - needed, 0.0, maxAllocatedFraction);
 }
 
-void Ledger::sawAmount(Tick now, double amount) {
+void GrantTable::sawAmount(Tick now, double amount) {
   double const faded =
       largest_ * std::exp2(-static_cast<double>(now - largestAt_) / static_cast<double>(largestHalves));
   largest_ = std::max(faded, amount);
   largestAt_ = now;
 }
 
-double Ledger::fractionFor(Tick now, std::string const& router) const {
+double GrantTable::fractionFor(Tick now, std::string const& router) const {
   Entry const& entry = entries_.at(router);
   double const all = demand(now);
   if (all <= 0 || entry.demand <= 0) return 0;
   double const others = out(now) - (now < entry.until ? entry.reserved : 0.0);
   double const most = lendable(now);
   double const free = std::max(0.0, most - others);
-  double const target = std::min({free, lentToOneMost, most * entry.demand / all});
+  double const target = std::min({free, maxFractionPerRouter, most * entry.demand / all});
   bool const near = std::abs(target - entry.fraction) <= worthChanging * entry.fraction;
   return near && entry.fraction <= free ? entry.fraction : target;
 }
 
-double Ledger::share(Tick now) const {
+double GrantTable::share(Tick now) const {
   double left = level(now);
   for (auto const& [router, entry] : entries_)
     if (now - entry.heard <= reportSpeaks) left += entry.left;
@@ -160,19 +166,19 @@
   return std::clamp(given / wanted, 0.0, 1.0);
 }
 
-void Ledger::topUp(Tick now, Entry const& entry, Loan& loan) {
+void GrantTable::topUp(Tick now, Entry const& entry, QuotaGrant& loan) {
   if (level_ < scarce * most(now)) return;
-  double const missing = heldInTouch * entry.fraction * capacity(limit_, slack_) - entry.left;
+  double const missing = connectedReserveFraction * entry.fraction * capacity(limit_, slack_) - entry.left;
   if (missing < 1.0) return;
   loan.amount += static_cast<std::uint64_t>(missing);
   level_ -= missing;
 }
 
-void Ledger::lend(Tick now, Entry& entry, double fraction, Loan& loan) {
+void GrantTable::lend(Tick now, Entry& entry, double fraction, QuotaGrant& loan) {
   if (entry.reserved == 0) entry.flowUntil = now + ownFlowAfter;
   entry.fraction = fraction;
   entry.reserved = std::max(entry.reserved, fraction);
-  entry.until = now + loanTerm;
+  entry.until = now + allocationDuration;
   entry.sentAt = now;
   entry.number = nextNumber_++;
   loan.number = entry.number;
@@ -180,24 +186,25 @@
   topUp(now, entry, loan);
 }
 
-void Ledger::heard(Tick now, Entry& entry, Use const& use) {
+void GrantTable::heard(Tick now, Entry& entry, TenantUsage const& use) {
   bool const newest = use.epoch == epoch_ && use.number == entry.number && entry.number != 0;
   if (newest) {
     entry.reserved = entry.fraction;
     entry.flowUntil = entry.sentAt + ownFlowAfter;
   }
   entry.demand = static_cast<double>(use.demand);
-  entry.left = static_cast<double>(use.left);
+  entry.left = static_cast<double>(use.remaining);
   entry.heard = now;
   if (now < entry.flowUntil) level_ = std::min(level_ + static_cast<double>(use.returned), most(now));
 }
 
-Loan Ledger::report(Tick now, std::string const& router, std::uint64_t life, Use const& use, bool lends) {
+QuotaGrant GrantTable::report(Tick now, std::string const& router, std::uint64_t life, TenantUsage const& use,
+                              bool lends) {
   claim(now, router, life, use);
   settle(now);
   Entry& entry = entryOf(router, life);
   heard(now, entry, use);
-  Loan loan;
+  QuotaGrant loan;
   loan.tenant = use.tenant;
   loan.epoch = epoch_;
   double const wanted = static_cast<double>(use.wanted);
@@ -206,8 +213,8 @@
     level_ -= wanted;
     loan.amount = use.wanted;
   }
-  if (use.renew) lend(now, entry, lends ? fractionFor(now, router) : 0.0, loan);
-  loan.share = toWire(share(now));
+  if (use.wantsRenewal) lend(now, entry, lends ? fractionFor(now, router) : 0.0, loan);
+  loan.admissionShare = toWire(share(now));
   return loan;
 }
 
--- a/quota/src/limit.cpp
+++ b/quota/src/limit.cpp
@@ -17,16 +17,16 @@
 
 }  // namespace
 
-double allowed(Limit const& limit, Slack const& slack) {
+double allowed(Limit const& limit, OverdraftAllowance const& slack) {
   return (limit.perSecond * seconds(slack.window) + limit.burst) * (1.0 + slack.overrun) + slack.fixed;
 }
 
-double capacity(Limit const& limit, Slack const& slack) {
+double capacity(Limit const& limit, OverdraftAllowance const& slack) {
   double const room = allowed(limit, slack) - limit.perSecond * seconds(slack.window + handOverWithin);
   return std::max({room, leastOfBurst * limit.burst, leastOfSecond * limit.perSecond, leastAmount});
 }
 
-double greatestSum(Limit const& limit, Slack const& slack) {
+double greatestSum(Limit const& limit, OverdraftAllowance const& slack) {
   return capacity(limit, slack) + limit.perSecond * seconds(slack.window + handOverWithin);
 }
 
--- a/quota/src/gate.cpp
+++ b/quota/src/quota_limiter.cpp
@@ -1,4 +1,4 @@
-#include <corkward/quota/gate.h>
+#include <corkward/quota/quota_limiter.h>
 
 #include <algorithm>
 #include <cmath>
@@ -20,25 +20,25 @@
 
 }  // namespace
 
-Gate::Gate() : demand_(demandMemory) {}
+QuotaLimiter::QuotaLimiter() : demand_(demandMemory) {}
 
-bool Gate::seen(Tick now, double amount, double draw) {
+bool QuotaLimiter::onRequest(Tick now, double amount, double draw) {
   demand_.add(now, amount);
   seenAt_ = now;
   fresh_ = true;
   return now - sharedAt_ > shareHolds || draw < share_;
 }
 
-bool Gate::inTouch(Tick now) const {
+bool QuotaLimiter::connected(Tick now) const {
   return now < lentAt_ + ownFlowAfter;
 }
 
-double Gate::most(Tick now, Limit const& limit, Slack const& slack) const {
+double QuotaLimiter::most(Tick now, Limit const& limit, OverdraftAllowance const& slack) const {
   if (now >= until_) return 0;
-  return (inTouch(now) ? heldInTouch : 1.0) * fraction_ * capacity(limit, slack);
+  return (connected(now) ? connectedReserveFraction : 1.0) * fraction_ * capacity(limit, slack);
 }
 
-double Gate::left(Tick now, Limit const& limit, Slack const& slack) const {
+double QuotaLimiter::remaining(Tick now, Limit const& limit, OverdraftAllowance const& slack) const {
   if (now >= until_) return 0;
   Tick const from = std::max(at_, lentAt_ + ownFlowAfter);
   if (now <= from) return left_;
@@ -46,21 +46,22 @@
   return std::min(left_ + flowed, std::max(left_, most(now, limit, slack)));
 }
 
-void Gate::settle(Tick now, Limit const& limit, Slack const& slack) {
-  left_ = left(now, limit, slack);
+void QuotaLimiter::settle(Tick now, Limit const& limit, OverdraftAllowance const& slack) {
+  left_ = remaining(now, limit, slack);
   at_ = now;
   if (now >= until_) fraction_ = 0;
 }
 
-bool Gate::take(Tick now, Limit const& limit, Slack const& slack, double amount) {
+bool QuotaLimiter::tryAcquire(Tick now, Limit const& limit, OverdraftAllowance const& slack, double amount) {
   settle(now, limit, slack);
   if (left_ < amount) return false;
   left_ -= amount;
   return true;
 }
 
-bool Gate::takeUnlent(Tick now, Limit const& limit, Slack const& slack, double amount, Crowd crowd, double draw) {
-  double const part = unlentPart / static_cast<double>(std::max<std::size_t>(crowd.routers, 1));
+bool QuotaLimiter::tryAcquireUnallocated(Tick now, Limit const& limit, OverdraftAllowance const& slack, double amount,
+                                         UnallocatedShare crowd, double draw) {
+  double const part = unallocatedFraction / static_cast<double>(std::max<std::size_t>(crowd.routers, 1));
   double const most = part * capacity(limit, slack);
   double const flowed = unlentAt_ < 0 ? 0.0 : part * limit.perSecond * static_cast<double>(now - unlentAt_) / 1000.0;
   unlent_ = std::min(unlent_ + flowed, most);
@@ -70,76 +71,77 @@
   return taken;
 }
 
-void Gate::giveBack(Tick now, Limit const& limit, Slack const& slack, double amount) {
+void QuotaLimiter::refund(Tick now, Limit const& limit, OverdraftAllowance const& slack, double amount) {
   settle(now, limit, slack);
   if (now >= until_) return;
   left_ += amount;
   trim(now, limit, slack);
 }
 
-void Gate::trim(Tick now, Limit const& limit, Slack const& slack) {
+void QuotaLimiter::trim(Tick now, Limit const& limit, OverdraftAllowance const& slack) {
   settle(now, limit, slack);
   if (shed(most(now, limit, slack))) fresh_ = true;
 }
 
-bool Gate::shed(double most) {
+bool QuotaLimiter::shed(double most) {
   if (left_ <= most) return false;
   returned_ += left_ - most;
   left_ = most;
   return true;
 }
 
-void Gate::renewed(Tick now, Tick askedAt, Loan const& loan) {
-  double const fraction = static_cast<double>(loan.fraction) / static_cast<double>(whole);
+void QuotaLimiter::renewed(Tick now, Tick askedAt, QuotaGrant const& loan) {
+  double const fraction = static_cast<double>(loan.fraction) / static_cast<double>(fractionUnits);
   fraction_ = fraction;
-  until_ = askedAt + loanTerm;
+  until_ = askedAt + allocationDuration;
   epoch_ = loan.epoch;
   number_ = loan.number;
   lentAt_ = now;
 }
 
-void Gate::lent(Tick now, Limit const& limit, Slack const& slack, Tick askedAt, Loan const& loan) {
+void QuotaLimiter::onGrant(Tick now, Limit const& limit, OverdraftAllowance const& slack, Tick askedAt,
+                           QuotaGrant const& loan) {
   settle(now, limit, slack);
   if (loan.number != 0) renewed(now, askedAt, loan);
-  share_ = static_cast<double>(loan.share) / static_cast<double>(whole);
+  share_ = static_cast<double>(loan.admissionShare) / static_cast<double>(fractionUnits);
   sharedAt_ = now;
   if (now - askedAt <= handOverWithin / 2) left_ += static_cast<double>(loan.amount);
 }
 
-Use Gate::claim(Tick now, Limit const& limit, Slack const& slack) const {
-  Use use;
+TenantUsage QuotaLimiter::currentUsage(Tick now, Limit const& limit, OverdraftAllowance const& slack) const {
+  TenantUsage use;
   use.demand = static_cast<std::uint64_t>(demand_.perSecond(now));
-  use.left = static_cast<std::uint64_t>(left(now, limit, slack));
+  use.remaining = static_cast<std::uint64_t>(remaining(now, limit, slack));
   if (now < until_) {
-    use.fraction = static_cast<std::uint64_t>(fraction_ * static_cast<double>(whole));
+    use.fraction = static_cast<std::uint64_t>(fraction_ * static_cast<double>(fractionUnits));
     use.epoch = epoch_;
     use.number = number_;
-    use.remaining = static_cast<std::uint64_t>(until_ - now);
+    use.remainingMs = static_cast<std::uint64_t>(until_ - now);
   }
   return use;
 }
 
-Use Gate::report(Tick now, Limit const& limit, Slack const& slack, double wanted) {
+TenantUsage QuotaLimiter::report(Tick now, Limit const& limit, OverdraftAllowance const& slack, double wanted) {
   settle(now, limit, slack);
   shed((share_ < 1.0 ? keptWhenScarce : 1.0) * most(now, limit, slack));
-  Use use = claim(now, limit, slack);
+  TenantUsage use = currentUsage(now, limit, slack);
   use.wanted = static_cast<std::uint64_t>(std::ceil(wanted));
   use.returned = static_cast<std::uint64_t>(returned_);
   returned_ = 0;
-  use.renew = now - renewedAt_ >= reportEvery;
-  if (use.renew) {
+  use.wantsRenewal = now - renewedAt_ >= reportEvery;
+  if (use.wantsRenewal) {
     renewedAt_ = now;
     fresh_ = false;
   }
   return use;
 }
 
-bool Gate::reportDue(Tick now) const {
+bool QuotaLimiter::reportDue(Tick now) const {
   if (now - renewedAt_ < reportEvery) return false;
-  return fresh_ || (holdsLoan(now) && now - renewedAt_ >= renewEvery);
+  return fresh_ || (hasAllocation(now) && now - renewedAt_ >= renewEvery);
 }
 
-bool Gate::idle(Tick now) const {
+bool QuotaLimiter::idle(Tick now) const {
   return now - seenAt_ > idleFor && now >= until_;
 }
 
--- a/runbook/src/runbook.cpp
+++ b/runbook/src/runbook.cpp
@@ -43,10 +43,10 @@
   while (open >= 0) {
     qsizetype const close = out.indexOf('}', open);
     if (close < 0) throw Error(at, "${ without }");
-    std::string const name = core::str(out.mid(open + 2, close - open - 2));
+    std::string const name = core::toStdString(out.mid(open + 2, close - open - 2));
     std::map<std::string, std::string>::const_iterator const it = parameters.find(name);
     if (it == parameters.end()) throw Error(at, "no value for parameter " + name);
-    out.replace(open, close - open + 1, core::qstr(it->second));
+    out.replace(open, close - open + 1, core::toQString(it->second));
     open = out.indexOf("${", open + static_cast<qsizetype>(it->second.size()));
   }
   return out;
@@ -62,14 +62,14 @@
   if (!v.isObject()) return v;
   QJsonObject out;
   QJsonObject const o = v.toObject();
-  for (QString const& k : o.keys()) out.insert(k, fillAll(o.value(k), parameters, at + "/" + core::str(k)));
+  for (QString const& k : o.keys()) out.insert(k, fillAll(o.value(k), parameters, at + "/" + core::toStdString(k)));
   return out;
 }
 
 void checkExpect(QJsonObject const& e, std::string const& at) {
   for (QString const& k : e.keys())
     if (std::none_of(expectWords.begin(), expectWords.end(), [&](char const* w) { return k == QLatin1String(w); }))
-      throw Error(at + "/" + core::str(k), "unknown field");
+      throw Error(at + "/" + core::toStdString(k), "unknown field");
   if (!e.value("pointer").toString().startsWith('/')) throw Error(at + "/pointer", "must be a JSON pointer");
   int const tests = (e.contains("equals") ? 1 : 0) + (e.contains("atLeast") ? 1 : 0) + (e.contains("atMost") ? 1 : 0);
   if (tests != 1) throw Error(at, "wants one of equals, atLeast and atMost");
@@ -92,7 +92,7 @@
   if (book.contains("parameters") && !book.value("parameters").isArray())
     throw Error("/parameters", "must be a list of names");
   for (QJsonValue const p : book.value("parameters").toArray()) {
-    std::string const name = core::str(p.toString());
+    std::string const name = core::toStdString(p.toString());
     if (name.empty() || !declared.insert(name).second) throw Error("/parameters", "must be a list of different names");
     if (parameters.count(name) == 0) throw Error("/parameters", "no value given for " + name);
   }
@@ -123,12 +123,12 @@
   KindRow const& row = rowNamed(raw.value("do"), at);
   Step step;
   step.kind = row.kind;
-  step.name = core::str(raw.value("name").toString(row.name));
+  step.name = core::toStdString(raw.value("name").toString(row.name));
   std::set<std::string> allowed{"do", "name", "limitSeconds"};
   for (char const* w : row.words) {
     if (w == nullptr) continue;
     allowed.insert(w);
-    std::string const value = core::str(raw.value(QLatin1String(w)).toString());
+    std::string const value = core::toStdString(raw.value(QLatin1String(w)).toString());
     if (value.empty()) throw Error(at + "/" + w, "must be a text");
     step.words[w] = value;
   }
@@ -143,7 +143,7 @@
     step.limitSeconds = limit;
   }
   for (QString const& k : raw.keys())
-    if (allowed.count(core::str(k)) == 0) throw Error(at + "/" + core::str(k), "unknown field");
+    if (allowed.count(core::toStdString(k)) == 0) throw Error(at + "/" + core::toStdString(k), "unknown field");
   return step;
 }
 
@@ -163,9 +163,9 @@
   QJsonObject const book = root.toObject();
   for (QString const& k : book.keys())
     if (k != "runbook" && k != "note" && k != "parameters" && k != "steps")
-      throw Error("/" + core::str(k), "unknown field");
+      throw Error("/" + core::toStdString(k), "unknown field");
   Runbook out;
-  out.name = core::str(book.value("runbook").toString());
+  out.name = core::toStdString(book.value("runbook").toString());
   if (out.name.empty()) throw Error("/runbook", "missing name");
   checkParameters(book, parameters);
   if (!book.value("steps").isArray() || book.value("steps").toArray().isEmpty())
--- a/scaling/include/corkward/scaling/candidates.h
+++ b/scaling/include/corkward/scaling/candidates.h
@@ -7,13 +7,13 @@
 #include <memory>
 #include <vector>
 
-#include <corkward/scaling/figures.h>
+#include <corkward/scaling/scaler_parameters.h>
 
 namespace corkward::scaling {
 
 /// A replica that a part may draw from.
 struct Candidate {
-  Index replica = 0;
+  NameIndex replica = 0;
   bool cold = false;
   /// Hash of its address, equal on every node.
   std::uint64_t hash = 0;
@@ -27,7 +27,7 @@
   Candidates(std::vector<Candidate> all);
   Candidates(std::initializer_list<Candidate> all) : Candidates(std::vector<Candidate>(all)) {}
   /// Null when it is none of them.
-  Candidate const* find(Index replica) const;
+  Candidate const* find(NameIndex replica) const;
   std::vector<Candidate> const& all() const;
   std::size_t size() const { return all().size(); }
   bool operator==(Candidates const& other) const { return all_ == other.all_ || all() == other.all(); }
--- a/scaling/include/corkward/scaling/rate.h
+++ b/scaling/include/corkward/scaling/completion_rate.h
@@ -2,16 +2,16 @@
 
 /// How fast requests of a kind end.
 
-#include <corkward/scaling/figures.h>
+#include <corkward/scaling/scaler_parameters.h>
 
 namespace corkward::scaling {
 
 /// How many requests end in a second: a running mean over windows of a second, closed by looks.
-class Rate {
+class CompletionRate {
  public:
   static constexpr Tick window = 1000;
   void ended() { ++ended_; }
-  void look(Tick now);
+  void closeWindow(Tick now);
   /// Makes up for the looks that were left out, as if there had been one at the end of each window before now.
   void catchUp(Tick now);
   double perSecond() const { return perSecond_; }
--- a/scaling/include/corkward/scaling/prefixes.h
+++ b/scaling/include/corkward/scaling/prefix_cache.h
@@ -7,37 +7,37 @@
 #include <unordered_map>
 #include <utility>
 
-#include <corkward/scaling/figures.h>
+#include <corkward/scaling/scaler_parameters.h>
 
 namespace corkward::scaling {
 
 /// Remembers which replica last served a prefix, bounded, oldest out first.
-class Prefixes {
+class PrefixCacheIndex {
  public:
-  explicit Prefixes(std::size_t bound = figures.prefixes) : bound_(bound) {}
-  void served(std::uint64_t prefix, Index replica);
+  explicit PrefixCacheIndex(std::size_t bound = defaultScalerParameters.prefixes) : bound_(bound) {}
+  void served(std::uint64_t prefix, NameIndex replica);
   /// Replica that served it last, or -1.
   std::int64_t last(std::uint64_t prefix) const;
   std::size_t size() const { return byPrefix_.size(); }
   /// Forgets a replica that is gone for good.
-  void forget(Index replica);
+  void forget(NameIndex replica);
 
  private:
   std::size_t bound_;
-  std::unordered_map<std::uint64_t, std::pair<Index, std::uint64_t>> byPrefix_;
+  std::unordered_map<std::uint64_t, std::pair<NameIndex, std::uint64_t>> byPrefix_;
   std::deque<std::pair<std::uint64_t, std::uint64_t>> order_;
   std::uint64_t turn_ = 0;
 };
 
 /// Remembers which parts of prompts this node sent to which replica, bounded by count and by each replica's own memory.
-class Kept {
+class PrefixCacheEstimate {
  public:
-  explicit Kept(std::size_t bound = figures.parts) : bound_(bound) {}
+  explicit PrefixCacheEstimate(std::size_t bound = defaultScalerParameters.parts) : bound_(bound) {}
   /// A part, named by a hash of itself and all before it, was sent. Memory: tokens that the replica keeps; 0: not
   /// known.
-  void sent(Index replica, std::uint64_t part, std::int64_t tokens, std::int64_t memory);
-  bool has(Index replica, std::uint64_t part) const;
-  void forget(Index replica);
+  void sent(NameIndex replica, std::uint64_t part, std::int64_t tokens, std::int64_t memory);
+  bool has(NameIndex replica, std::uint64_t part) const;
+  void forget(NameIndex replica);
   std::size_t size() const { return count_; }
 
  private:
@@ -50,7 +50,7 @@
   std::size_t bound_;
   std::size_t count_ = 0;
   std::uint64_t turn_ = 0;
-  std::unordered_map<Index, Memory> byReplica_;
+  std::unordered_map<NameIndex, Memory> byReplica_;
 };
 
 }  // namespace corkward::scaling
--- a/scaling/include/corkward/scaling/reliability.h
+++ b/scaling/include/corkward/scaling/reliability.h
@@ -2,7 +2,7 @@
 
 /// Trust in one replica by this node's own outcomes there.
 
-#include <corkward/scaling/figures.h>
+#include <corkward/scaling/scaler_parameters.h>
 
 namespace corkward::scaling {
 
@@ -10,13 +10,13 @@
 class Reliability {
  public:
   /// Takes one outcome in. True when the replica has to rest from now on.
-  bool outcome(Tick now, bool failed, Figures const& f = figures);
+  bool outcome(Tick now, bool failed, ScalerParameters const& f = defaultScalerParameters);
   bool trusted() const { return trusted_; }
   /// Not trusted, and not to be probed yet.
   bool resting(Tick now) const { return !trusted_ && now < restUntil_; }
   Tick restUntil() const { return restUntil_; }
   /// Share of failures of late, newer outcomes weighing more.
-  double rate(Tick now, Figures const& f = figures) const;
+  double rate(Tick now, ScalerParameters const& f = defaultScalerParameters) const;
 
  private:
   double rate_ = 0;
--- a/scaling/include/corkward/scaling/retry_budget.h
+++ b/scaling/include/corkward/scaling/retry_budget.h
@@ -6,7 +6,7 @@
 #include <deque>
 #include <map>
 
-#include <corkward/scaling/figures.h>
+#include <corkward/scaling/scaler_parameters.h>
 
 namespace corkward::scaling {
 
@@ -38,15 +38,15 @@
 /// another.
 class RetryBudgets {
  public:
-  void first(Tick now, Index pool);
-  bool retry(Tick now, Index pool, std::size_t nodes, double ofAll = RetryBudget::allowance);
+  void first(Tick now, NameIndex pool);
+  bool retry(Tick now, NameIndex pool, std::size_t nodes, double ofAll = RetryBudget::allowance);
   /// Pools that are remembered.
   std::size_t size() const { return pools_.size(); }
 
  private:
-  RetryBudget& at(Tick now, Index pool);
+  RetryBudget& at(Tick now, NameIndex pool);
   RetryBudget all_;
-  std::map<Index, RetryBudget> pools_;
+  std::map<NameIndex, RetryBudget> pools_;
 };
 
 }  // namespace corkward::scaling
--- a/scaling/include/corkward/scaling/scaler.h
+++ b/scaling/include/corkward/scaling/scaler.h
@@ -14,49 +14,49 @@
 class Scaler {
  public:
   /// The seed orders this node's preference among replicas; nodes choose apart.
-  explicit Scaler(std::uint64_t seed, Figures const& f = figures);
+  explicit Scaler(std::uint64_t seed, ScalerParameters const& f = defaultScalerParameters);
 
   /// New candidates. Those of the part that are gone leave at once and are replaced one for one; neither counts as a
   /// step.
   void candidates(Candidates all);
   /// Before anything was sent: the part begins with this replica, if it is a candidate.
-  void begin(Index wanted);
+  void begin(NameIndex wanted);
   /// One look at the demand; held counts no echoes. Takes at most one step and returns +1, -1 or 0. A widening takes
   /// the wanted candidate, if that is outside the part, else the next in this node's order.
-  int look(Tick now, std::size_t held, std::int64_t wanted = -1);
+  int evaluate(Tick now, std::size_t held, std::int64_t wanted = -1);
   /// True when looks with nothing held change nothing until a request is sent or candidates change.
   bool atRest() const;
 
   double cap() const;
   /// Room under the cap for one more request of the kind.
-  bool room(bool bulk) const;
+  bool hasCapacity(bool bulk) const;
   /// The same; while answers are steady the limit is raised so that there is room.
-  bool makeRoom(bool bulk);
-  std::vector<Candidate> const& part() const { return part_; }
+  bool raiseLimitFor(bool bulk);
+  std::vector<Candidate> const& subset() const { return subset_; }
   /// How many it may draw from.
   std::size_t candidates() const { return all_.size(); }
-  bool has(Index replica) const;
+  bool has(NameIndex replica) const;
   int inFlight() const { return inFlight_; }
-  int inFlightAt(Index replica) const;
+  int inFlightAt(NameIndex replica) const;
   double limit() const { return limit_; }
   /// True when the replica's mean first word is past the aim it was last measured against.
-  bool slow(Index replica) const;
-  Figures const& figuresUsed() const { return f_; }
+  bool slow(NameIndex replica) const;
+  ScalerParameters const& figuresUsed() const { return f_; }
   /// True when all of the part is slow and the last widening did not help.
   bool allSlow() const { return allSlow_; }
-  double firstWordMean() const { return mean_; }
+  double firstByteMean() const { return mean_; }
 
   /// Forgets a replica that is gone for good and has nothing in flight.
-  void forget(Index replica) { times_.erase(replica); }
-  void sent(Index replica, bool bulk);
+  void forget(NameIndex replica) { times_.erase(replica); }
+  void onSent(NameIndex replica, bool bulk);
   /// First word after so many milliseconds, against the class's aim.
-  void firstWord(Tick now, Index replica, Tick took, Tick aim);
-  void ended(Index replica, bool bulk);
+  void onFirstByte(Tick now, NameIndex replica, Tick took, Tick aim);
+  void onEnded(NameIndex replica, bool bulk);
 
  private:
   double z(std::size_t held) const;
   /// Takes the first candidates of this node's order until the part has so many.
-  void fill(std::size_t size);
+  void growSubset(std::size_t size);
   std::uint64_t order(Candidate const& c) const;
 
   struct Times {
@@ -65,11 +65,11 @@
     int answers = 0;
   };
   std::uint64_t seed_;
-  Figures f_;
+  ScalerParameters f_;
   Candidates all_;
-  std::vector<Candidate> part_;
-  std::unordered_map<Index, int> inFlightAt_;
-  std::unordered_map<Index, Times> times_;
+  std::vector<Candidate> subset_;
+  std::unordered_map<NameIndex, int> inFlightAt_;
+  std::unordered_map<NameIndex, Times> times_;
   int inFlight_ = 0;
   int bulk_ = 0;
   double limit_;
--- a/scaling/include/corkward/scaling/figures.h
+++ b/scaling/include/corkward/scaling/scaler_parameters.h
@@ -8,17 +8,17 @@
 
 namespace corkward::scaling {
 
-using core::Index;
+using core::NameIndex;
 using core::Tick;
 
 /// The design's figures; starting values, all in one table.
-struct Figures {
+struct ScalerParameters {
   /// Each width: this many more buffered requests add one more replica.
   double width = 2.0;
   /// Own in-flight requests past this share of the cap count as buffered; under it, for one replica fewer, is calm.
   double calmShare = 0.7;
   /// How long the calm must last before one replica is given back (never under 5 s).
-  Tick calmFor = 5000;
+  Tick cooldown = 5000;
   /// Replicas that a part begins with.
   std::size_t firstPart = 1;
   double firstLimit = 4.0;
@@ -31,7 +31,7 @@
   double steady = 0.0;
   /// The limit falls to this share with each look at which less than `used` of the cap is in use; below 1 a widening
   /// also leaves the cap as it is, since the limit is raised on demand.
-  double ease = 1.0;
+  double limitDecay = 1.0;
   double used = 0.85;
   /// What one request in flight weighs in the pick, in tokens to be read anew.
   double inFlightTokens = 300.0;
@@ -44,7 +44,7 @@
   /// A prompt of more own tokens for each millisecond of its aim cannot be read within it. This share of a pool's
   /// replicas, rounded down and the same on all nodes, reads those, so that they hold up nothing else.
   double withinAim = 50.0;
-  double apart = 0.09;
+  double isolatedShare = 0.09;
   /// What it weighs, in tokens, to send a prompt to a replica of the other kind.
   double wrongKind = 40000.0;
   /// Parts of prompts that a node remembers to have sent.
@@ -72,6 +72,6 @@
   double lateAims = 3.0;
 };
 
-inline constexpr Figures figures{};
+inline constexpr ScalerParameters defaultScalerParameters{};
 
 }  // namespace corkward::scaling
--- a/scaling/include/corkward/scaling/scaling.h
+++ b/scaling/include/corkward/scaling/scaling.h
@@ -4,10 +4,10 @@
 
 #include <corkward/scaling/balancing.h>
 #include <corkward/scaling/candidates.h>
-#include <corkward/scaling/cold_bucket.h>
-#include <corkward/scaling/figures.h>
-#include <corkward/scaling/prefixes.h>
-#include <corkward/scaling/rate.h>
+#include <corkward/scaling/slow_start_bucket.h>
+#include <corkward/scaling/scaler_parameters.h>
+#include <corkward/scaling/prefix_cache.h>
+#include <corkward/scaling/completion_rate.h>
 #include <corkward/scaling/reliability.h>
 #include <corkward/scaling/retry_budget.h>
 #include <corkward/scaling/scaler.h>
--- a/scaling/include/corkward/scaling/cold_bucket.h
+++ b/scaling/include/corkward/scaling/slow_start_bucket.h
@@ -2,14 +2,14 @@
 
 /// The rate at which requests may go to a replica that is still cold.
 
-#include <corkward/scaling/figures.h>
+#include <corkward/scaling/scaler_parameters.h>
 
 namespace corkward::scaling {
 
 /// Token bucket of a cold replica: holds at most one token and starts empty, so no burst passes the rate.
-class ColdBucket {
+class SlowStartBucket {
  public:
-  explicit ColdBucket(Tick now = 0) : at_(now) {}
+  explicit SlowStartBucket(Tick now = 0) : at_(now) {}
   bool take(Tick now, double rate);
   bool has(Tick now, double rate) const;
 
--- a/scaling/src/balancing.cpp
+++ b/scaling/src/balancing.cpp
@@ -5,7 +5,8 @@
 
 namespace corkward::scaling {
 
-std::int64_t pick(Scaler const& scaler, std::vector<Candidate> const& usable, std::uint64_t prefix, std::int64_t last) {
+std::int64_t chooseReplica(Scaler const& scaler, std::vector<Candidate> const& usable, std::uint64_t prefix,
+                           std::int64_t last) {
   int fewest = std::numeric_limits<int>::max();
   for (Candidate const& c : usable) fewest = std::min(fewest, scaler.inFlightAt(c.replica));
   std::int64_t best = -1;
@@ -15,7 +16,7 @@
     if (static_cast<std::int64_t>(c.replica) == last && !scaler.slow(c.replica) &&
         n <= fewest + scaler.figuresUsed().prefixSlack)
       return last;
-    std::uint64_t const order = core::Rng(prefix ^ c.hash).next();
+    std::uint64_t const order = core::RandomGenerator(prefix ^ c.hash).next();
     if (n != fewest || (best >= 0 && order >= bestOrder)) continue;
     best = static_cast<std::int64_t>(c.replica);
     bestOrder = order;
--- a/scaling/src/candidates.cpp
+++ b/scaling/src/candidates.cpp
@@ -15,9 +15,9 @@
   return all_ ? *all_ : none;
 }
 
-Candidate const* Candidates::find(Index replica) const {
-  std::vector<Candidate>::const_iterator const it =
-      std::lower_bound(all().begin(), all().end(), replica, [](Candidate const& c, Index r) { return c.replica < r; });
+Candidate const* Candidates::find(NameIndex replica) const {
+  std::vector<Candidate>::const_iterator const it = std::lower_bound(
+      all().begin(), all().end(), replica, [](Candidate const& c, NameIndex r) { return c.replica < r; });
   return it == all().end() || it->replica != replica ? nullptr : &*it;
 }
 
--- a/scaling/src/rate.cpp
+++ b/scaling/src/completion_rate.cpp
@@ -1,4 +1,4 @@
-#include <corkward/scaling/rate.h>
+#include <corkward/scaling/completion_rate.h>
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 
 namespace corkward::scaling {
 
-void Rate::look(Tick now) {
+void CompletionRate::closeWindow(Tick now) {
   if (now - from_ < window) return;
   double const rate = 1000.0 * ended_ / static_cast<double>(now - from_);
   perSecond_ = perSecond_ == 0 ? rate : 0.5 * perSecond_ + 0.5 * rate;
@@ -14,10 +14,10 @@
   from_ = now;
 }
 
-void Rate::catchUp(Tick now) {
+void CompletionRate::catchUp(Tick now) {
   Tick const windows = (now - from_ - 1) / window;
   if (windows < 1) return;
-  look(from_ + window);
+  closeWindow(from_ + window);
   perSecond_ = std::ldexp(perSecond_, -static_cast<int>(std::min<Tick>(windows - 1, std::numeric_limits<int>::max())));
   from_ += (windows - 1) * window;
 }
--- a/scaling/src/prefixes.cpp
+++ b/scaling/src/prefix_cache.cpp
@@ -1,33 +1,34 @@
-#include <corkward/scaling/prefixes.h>
+#include <corkward/scaling/prefix_cache.h>
 
 #include <utility>
 
 namespace corkward::scaling {
 
-void Prefixes::served(std::uint64_t prefix, Index replica) {
+void PrefixCacheIndex::served(std::uint64_t prefix, NameIndex replica) {
   byPrefix_[prefix] = {replica, ++turn_};
   order_.emplace_back(prefix, turn_);
   while (byPrefix_.size() > bound_ || order_.size() > 4 * bound_) {
-    std::unordered_map<std::uint64_t, std::pair<Index, std::uint64_t>>::const_iterator const it =
+    std::unordered_map<std::uint64_t, std::pair<NameIndex, std::uint64_t>>::const_iterator const it =
         byPrefix_.find(order_.front().first);
     if (it != byPrefix_.end() && it->second.second == order_.front().second) byPrefix_.erase(it);
     order_.pop_front();
   }
 }
 
-std::int64_t Prefixes::last(std::uint64_t prefix) const {
-  std::unordered_map<std::uint64_t, std::pair<Index, std::uint64_t>>::const_iterator const it = byPrefix_.find(prefix);
+std::int64_t PrefixCacheIndex::last(std::uint64_t prefix) const {
+  std::unordered_map<std::uint64_t, std::pair<NameIndex, std::uint64_t>>::const_iterator const it =
+      byPrefix_.find(prefix);
   return it == byPrefix_.end() ? -1 : static_cast<std::int64_t>(it->second.first);
 }
 
-void Prefixes::forget(Index replica) {
+void PrefixCacheIndex::forget(NameIndex replica) {
   std::erase_if(byPrefix_,
-                [&](std::unordered_map<std::uint64_t, std::pair<Index, std::uint64_t>>::value_type const& p) {
+                [&](std::unordered_map<std::uint64_t, std::pair<NameIndex, std::uint64_t>>::value_type const& p) {
                   return p.second.first == replica;
                 });
 }
 
-void Kept::dropOldest(Memory& m) {
+void PrefixCacheEstimate::dropOldest(Memory& m) {
   while (!m.order.empty()) {
     std::pair<std::uint64_t, std::uint64_t> const oldest = m.order.front();
     m.order.pop_front();
@@ -41,7 +42,7 @@
   }
 }
 
-void Kept::sent(Index replica, std::uint64_t part, std::int64_t tokens, std::int64_t memory) {
+void PrefixCacheEstimate::sent(NameIndex replica, std::uint64_t part, std::int64_t tokens, std::int64_t memory) {
   Memory& m = byReplica_[replica];
   std::pair<std::unordered_map<std::uint64_t, std::pair<std::int64_t, std::uint64_t>>::iterator, bool> const at =
       m.parts.try_emplace(part, tokens, 0);
@@ -60,13 +61,13 @@
   }
 }
 
-bool Kept::has(Index replica, std::uint64_t part) const {
-  std::unordered_map<Index, Memory>::const_iterator const it = byReplica_.find(replica);
+bool PrefixCacheEstimate::has(NameIndex replica, std::uint64_t part) const {
+  std::unordered_map<NameIndex, Memory>::const_iterator const it = byReplica_.find(replica);
   return it != byReplica_.end() && it->second.parts.count(part) > 0;
 }
 
-void Kept::forget(Index replica) {
-  std::unordered_map<Index, Memory>::const_iterator const it = byReplica_.find(replica);
+void PrefixCacheEstimate::forget(NameIndex replica) {
+  std::unordered_map<NameIndex, Memory>::const_iterator const it = byReplica_.find(replica);
   if (it == byReplica_.end()) return;
   count_ -= it->second.parts.size();
   byReplica_.erase(it);
--- a/scaling/src/reliability.cpp
+++ b/scaling/src/reliability.cpp
@@ -5,11 +5,11 @@
 
 namespace corkward::scaling {
 
-double Reliability::rate(Tick now, Figures const& f) const {
+double Reliability::rate(Tick now, ScalerParameters const& f) const {
   return rate_ * std::exp2(-static_cast<double>(now - at_) / static_cast<double>(f.errorHalf));
 }
 
-bool Reliability::outcome(Tick now, bool failed, Figures const& f) {
+bool Reliability::outcome(Tick now, bool failed, ScalerParameters const& f) {
   double const aged = std::exp2(-static_cast<double>(now - at_) / static_cast<double>(f.errorHalf));
   rate_ = rate_ * aged + f.errorMean * ((failed ? 1.0 : 0.0) - rate_ * aged);
   failures_ = failures_ * aged + (failed ? 1.0 : 0.0);
--- a/scaling/src/retry_budget.cpp
+++ b/scaling/src/retry_budget.cpp
@@ -44,19 +44,19 @@
   return firsts_.empty() && allowed_.empty();
 }
 
-RetryBudget& RetryBudgets::at(Tick now, Index pool) {
+RetryBudget& RetryBudgets::at(Tick now, NameIndex pool) {
   if (pools_.size() > poolsKept && pools_.count(pool) == 0)
-    for (std::map<Index, RetryBudget>::iterator it = pools_.begin(); it != pools_.end();)
+    for (std::map<NameIndex, RetryBudget>::iterator it = pools_.begin(); it != pools_.end();)
       it = it->second.idle(now) ? pools_.erase(it) : std::next(it);
   return pools_[pool];
 }
 
-void RetryBudgets::first(Tick now, Index pool) {
+void RetryBudgets::first(Tick now, NameIndex pool) {
   all_.first(now);
   at(now, pool).first(now);
 }
 
-bool RetryBudgets::retry(Tick now, Index pool, std::size_t nodes, double ofAll) {
+bool RetryBudgets::retry(Tick now, NameIndex pool, std::size_t nodes, double ofAll) {
   return at(now, pool).mayRetry(now, nodes, ofAll) && all_.retry(now, nodes, ofAll) &&
          pools_.at(pool).retry(now, nodes, ofAll);
 }
--- a/scaling/src/scaler.cpp
+++ b/scaling/src/scaler.cpp
@@ -5,76 +5,76 @@
 
 namespace corkward::scaling {
 
-Scaler::Scaler(std::uint64_t seed, Figures const& f) : seed_(seed), f_(f), limit_(f.firstLimit) {
-  CORKWARD_INVARIANT(f.calmFor >= 5000 && f.width > 0);
+Scaler::Scaler(std::uint64_t seed, ScalerParameters const& f) : seed_(seed), f_(f), limit_(f.firstLimit) {
+  CORKWARD_INVARIANT(f.cooldown >= 5000 && f.width > 0);
 }
 
 std::uint64_t Scaler::order(Candidate const& c) const {
-  return core::Rng(seed_ ^ c.hash).next();
+  return core::RandomGenerator(seed_ ^ c.hash).next();
 }
 
-bool Scaler::has(Index replica) const {
-  return std::any_of(part_.begin(), part_.end(), [&](Candidate const& p) { return p.replica == replica; });
+bool Scaler::has(NameIndex replica) const {
+  return std::any_of(subset_.begin(), subset_.end(), [&](Candidate const& p) { return p.replica == replica; });
 }
 
-void Scaler::fill(std::size_t size) {
-  if (part_.size() >= std::min(size, all_.size())) return;
+void Scaler::growSubset(std::size_t size) {
+  if (subset_.size() >= std::min(size, all_.size())) return;
   std::vector<std::pair<std::uint64_t, Candidate>> free;
   for (Candidate const& c : all_.all())
     if (!has(c.replica)) free.emplace_back(order(c), c);
-  std::size_t const wanted = std::min(size - part_.size(), free.size());
+  std::size_t const wanted = std::min(size - subset_.size(), free.size());
   std::partial_sort(free.begin(), free.begin() + static_cast<std::ptrdiff_t>(wanted), free.end(),
                     [](std::pair<std::uint64_t, Candidate> const& a, std::pair<std::uint64_t, Candidate> const& b) {
                       return std::pair(a.first, a.second.replica) < std::pair(b.first, b.second.replica);
                     });
-  for (std::size_t i = 0; i < wanted; ++i) part_.push_back(free[i].second);
+  for (std::size_t i = 0; i < wanted; ++i) subset_.push_back(free[i].second);
 }
 
 void Scaler::candidates(Candidates all) {
   all_ = std::move(all);
-  std::size_t const want = std::max<std::size_t>(part_.size(), f_.firstPart);
+  std::size_t const want = std::max<std::size_t>(subset_.size(), f_.firstPart);
   std::vector<Candidate> kept;
-  for (Candidate const& p : part_)
+  for (Candidate const& p : subset_)
     if (Candidate const* const c = all_.find(p.replica); c != nullptr) kept.push_back(*c);
-  bool const lost = kept.size() < part_.size();
-  part_ = std::move(kept);
-  fill(want);
+  bool const lost = kept.size() < subset_.size();
+  subset_ = std::move(kept);
+  growSubset(want);
   if (lost) calmSince_ = -1;
 }
 
 bool Scaler::atRest() const {
-  return inFlight_ == 0 && part_.size() <= 1 && calmSince_ < 0 && (f_.ease >= 1.0 || limit_ <= f_.minLimit);
+  return inFlight_ == 0 && subset_.size() <= 1 && calmSince_ < 0 && (f_.limitDecay >= 1.0 || limit_ <= f_.minLimit);
 }
 
 double Scaler::cap() const {
-  std::ptrdiff_t const warm = std::count_if(part_.begin(), part_.end(), [](Candidate const& c) { return !c.cold; });
+  std::ptrdiff_t const warm = std::count_if(subset_.begin(), subset_.end(), [](Candidate const& c) { return !c.cold; });
   return static_cast<double>(warm) * limit_;
 }
 
-bool Scaler::room(bool bulk) const {
+bool Scaler::hasCapacity(bool bulk) const {
   double const c = cap();
   if (inFlight_ + 1 > c) return false;
   return !bulk || c < 2.0 || bulk_ + 1 <= std::max(1.0, c * f_.bulkShare);
 }
 
-bool Scaler::makeRoom(bool bulk) {
-  if (room(bulk)) return true;
-  std::ptrdiff_t const warm = std::count_if(part_.begin(), part_.end(), [](Candidate const& c) { return !c.cold; });
+bool Scaler::raiseLimitFor(bool bulk) {
+  if (hasCapacity(bulk)) return true;
+  std::ptrdiff_t const warm = std::count_if(subset_.begin(), subset_.end(), [](Candidate const& c) { return !c.cold; });
   if (warm == 0 || allSlow_ || strain_ >= f_.steady) return false;
   double const needed = std::max(inFlight_ + 1.0, bulk ? (bulk_ + 1.0) / f_.bulkShare : 0.0);
   double const raised = needed / static_cast<double>(warm) + 1e-9;
   if (raised > f_.maxLimit) return false;
   limit_ = std::max(limit_, raised);
-  return room(bulk);
+  return hasCapacity(bulk);
 }
 
-int Scaler::inFlightAt(Index replica) const {
-  std::unordered_map<Index, int>::const_iterator const it = inFlightAt_.find(replica);
+int Scaler::inFlightAt(NameIndex replica) const {
+  std::unordered_map<NameIndex, int>::const_iterator const it = inFlightAt_.find(replica);
   return it == inFlightAt_.end() ? 0 : it->second;
 }
 
-bool Scaler::slow(Index replica) const {
-  std::unordered_map<Index, Times>::const_iterator const it = times_.find(replica);
+bool Scaler::slow(NameIndex replica) const {
+  std::unordered_map<NameIndex, Times>::const_iterator const it = times_.find(replica);
   return it != times_.end() && it->second.answers > 0 && it->second.mean > static_cast<double>(it->second.aim);
 }
 
@@ -82,21 +82,22 @@
   return std::max(0.0, inFlight_ - f_.calmShare * cap()) + static_cast<double>(held);
 }
 
-void Scaler::begin(Index wanted) {
+void Scaler::begin(NameIndex wanted) {
   Candidate const* const first = all_.find(wanted);
-  if (first != nullptr && inFlight_ == 0 && part_.size() == 1) part_.front() = *first;
+  if (first != nullptr && inFlight_ == 0 && subset_.size() == 1) subset_.front() = *first;
 }
 
-int Scaler::look(Tick now, std::size_t held, std::int64_t wanted) {
-  if (f_.ease < 1.0 && inFlight_ < f_.used * cap()) limit_ = std::max(f_.minLimit, limit_ * f_.ease);
+int Scaler::evaluate(Tick now, std::size_t held, std::int64_t wanted) {
+  if (f_.limitDecay < 1.0 && inFlight_ < f_.used * cap()) limit_ = std::max(f_.minLimit, limit_ * f_.limitDecay);
   double const buffered = z(held);
-  std::size_t const x = part_.size();
+  std::size_t const x = subset_.size();
   if (buffered >= f_.width * static_cast<double>(std::max<std::size_t>(x, 1)) && x < all_.size() && !allSlow_) {
     calmSince_ = -1;
-    Candidate const* const next = wanted < 0 ? nullptr : all_.find(static_cast<Index>(wanted));
-    if (next != nullptr && !has(next->replica)) part_.push_back(*next);
-    fill(x + 1);
-    if (f_.ease < 1.0) limit_ = std::max(f_.minLimit, limit_ * static_cast<double>(x) / static_cast<double>(x + 1));
+    Candidate const* const next = wanted < 0 ? nullptr : all_.find(static_cast<NameIndex>(wanted));
+    if (next != nullptr && !has(next->replica)) subset_.push_back(*next);
+    growSubset(x + 1);
+    if (f_.limitDecay < 1.0)
+      limit_ = std::max(f_.minLimit, limit_ * static_cast<double>(x) / static_cast<double>(x + 1));
     meanAtWidening_ = mean_;
     answersSinceWidening_ = 0;
     return 1;
@@ -105,7 +106,7 @@
     calmSince_ = -1;
     return 0;
   }
-  std::ptrdiff_t const warm = std::count_if(part_.begin(), part_.end(), [](Candidate const& c) { return !c.cold; });
+  std::ptrdiff_t const warm = std::count_if(subset_.begin(), subset_.end(), [](Candidate const& c) { return !c.cold; });
   bool const coldThere = warm < static_cast<std::ptrdiff_t>(x);
   double const fewer = static_cast<double>(coldThere ? warm : warm - 1) * limit_;
   bool const calm = held == 0 && (inFlight_ == 0 || inFlight_ < f_.calmShare * fewer);
@@ -114,25 +115,25 @@
     return 0;
   }
   if (calmSince_ < 0) calmSince_ = now;
-  if (now - calmSince_ < f_.calmFor) return 0;
+  if (now - calmSince_ < f_.cooldown) return 0;
   std::vector<Candidate>::iterator const idle =
-      std::min_element(part_.begin(), part_.end(), [&](Candidate const& a, Candidate const& b) {
+      std::min_element(subset_.begin(), subset_.end(), [&](Candidate const& a, Candidate const& b) {
         if (a.cold != b.cold) return a.cold;
         if (inFlightAt(a.replica) != inFlightAt(b.replica)) return inFlightAt(a.replica) < inFlightAt(b.replica);
         return order(a) > order(b);
       });
-  part_.erase(idle);
+  subset_.erase(idle);
   calmSince_ = now;
   return -1;
 }
 
-void Scaler::sent(Index replica, bool bulk) {
+void Scaler::onSent(NameIndex replica, bool bulk) {
   ++inFlight_;
   ++inFlightAt_[replica];
   if (bulk) ++bulk_;
 }
 
-void Scaler::firstWord(Tick now, Index replica, Tick took, Tick aim) {
+void Scaler::onFirstByte(Tick now, NameIndex replica, Tick took, Tick aim) {
   Times& t = times_[replica];
   t.mean = t.answers == 0 ? static_cast<double>(took) : t.mean + f_.mean * (static_cast<double>(took) - t.mean);
   t.aim = aim;
@@ -148,17 +149,17 @@
   } else if (inFlight_ >= f_.calmShare * cap()) {
     limit_ = std::min(f_.maxLimit, limit_ + 1.0 / std::max(1.0, cap()));
   }
-  bool const all =
-      !part_.empty() && std::all_of(part_.begin(), part_.end(), [&](Candidate const& c) { return slow(c.replica); });
+  bool const all = !subset_.empty() &&
+                   std::all_of(subset_.begin(), subset_.end(), [&](Candidate const& c) { return slow(c.replica); });
   if (!all)
     allSlow_ = false;
   else if (answersSinceWidening_ >= f_.judgeAfter &&
-           (part_.size() == all_.size() || (part_.size() > 1 && mean_ >= meanAtWidening_)))
+           (subset_.size() == all_.size() || (subset_.size() > 1 && mean_ >= meanAtWidening_)))
     allSlow_ = true;
 }
 
-void Scaler::ended(Index replica, bool bulk) {
-  std::unordered_map<Index, int>::iterator const it = inFlightAt_.find(replica);
+void Scaler::onEnded(NameIndex replica, bool bulk) {
+  std::unordered_map<NameIndex, int>::iterator const it = inFlightAt_.find(replica);
   CORKWARD_INVARIANT(it != inFlightAt_.end() && it->second > 0 && inFlight_ > 0);
   if (--it->second == 0) inFlightAt_.erase(it);
   --inFlight_;
--- a/scaling/src/cold_bucket.cpp
+++ b/scaling/src/slow_start_bucket.cpp
@@ -1,14 +1,14 @@
-#include <corkward/scaling/cold_bucket.h>
+#include <corkward/scaling/slow_start_bucket.h>
 
 #include <algorithm>
 
 namespace corkward::scaling {
 
-bool ColdBucket::has(Tick now, double rate) const {
+bool SlowStartBucket::has(Tick now, double rate) const {
   return std::min(1.0, tokens_ + rate * static_cast<double>(now - at_) / 1000.0) >= 1.0;
 }
 
-bool ColdBucket::take(Tick now, double rate) {
+bool SlowStartBucket::take(Tick now, double rate) {
   tokens_ = std::min(1.0, tokens_ + rate * static_cast<double>(now - at_) / 1000.0);
   at_ = now;
   if (tokens_ < 1.0) return false;
--- a/scaling/test/scaling_test.cpp
+++ b/scaling/test/scaling_test.cpp
@@ -9,7 +9,8 @@
 
 std::vector<scaling::Candidate> warm(int n) {
   std::vector<scaling::Candidate> out;
-  for (int i = 0; i < n; ++i) out.push_back({static_cast<core::Index>(i), false, core::stableHash(std::to_string(i))});
+  for (int i = 0; i < n; ++i)
+    out.push_back({static_cast<core::NameIndex>(i), false, core::stableHash(std::to_string(i))});
   return out;
 }
 
@@ -18,78 +19,78 @@
 TEST_CASE("each width crossed adds one replica, and a calm of 5 s gives one back") {
   scaling::Scaler s(7);
   s.candidates(warm(9));
-  REQUIRE(s.part().size() == 1);
-  CHECK(s.look(0, 1) == 0);
-  CHECK(s.look(0, 2) == 1);
-  CHECK(s.part().size() == 2);
-  CHECK(s.look(0, 3) == 0);
-  CHECK(s.look(0, 4) == 1);
-  CHECK(s.part().size() == 3);
-  CHECK(s.look(1000, 0) == 0);
-  CHECK(s.look(5999, 0) == 0);
-  CHECK(s.look(6000, 0) == -1);
-  CHECK(s.look(10999, 0) == 0);
-  CHECK(s.look(11000, 0) == -1);
-  CHECK(s.part().size() == 1);
-  CHECK(s.look(20000, 0) == 0);
+  REQUIRE(s.subset().size() == 1);
+  CHECK(s.evaluate(0, 1) == 0);
+  CHECK(s.evaluate(0, 2) == 1);
+  CHECK(s.subset().size() == 2);
+  CHECK(s.evaluate(0, 3) == 0);
+  CHECK(s.evaluate(0, 4) == 1);
+  CHECK(s.subset().size() == 3);
+  CHECK(s.evaluate(1000, 0) == 0);
+  CHECK(s.evaluate(5999, 0) == 0);
+  CHECK(s.evaluate(6000, 0) == -1);
+  CHECK(s.evaluate(10999, 0) == 0);
+  CHECK(s.evaluate(11000, 0) == -1);
+  CHECK(s.subset().size() == 1);
+  CHECK(s.evaluate(20000, 0) == 0);
 }
 
 TEST_CASE("a widening takes the wanted replica first, by one step and only past the width") {
   scaling::Scaler s(7);
   s.candidates(warm(9));
-  core::Index wanted = 0;
+  core::NameIndex wanted = 0;
   while (s.has(wanted)) ++wanted;
   scaling::Scaler other = s;
-  other.look(0, 2);
+  other.evaluate(0, 2);
   if (other.has(wanted)) ++wanted;
   REQUIRE_FALSE(s.has(wanted));
-  CHECK(s.look(0, 1, static_cast<std::int64_t>(wanted)) == 0);
+  CHECK(s.evaluate(0, 1, static_cast<std::int64_t>(wanted)) == 0);
   CHECK_FALSE(s.has(wanted));
-  CHECK(s.look(0, 2, static_cast<std::int64_t>(wanted)) == 1);
+  CHECK(s.evaluate(0, 2, static_cast<std::int64_t>(wanted)) == 1);
   CHECK(s.has(wanted));
-  CHECK(s.part().size() == 2);
-  CHECK(s.look(0, 4, static_cast<std::int64_t>(wanted)) == 1);
-  CHECK(s.part().size() == 3);
-  CHECK(s.look(0, 6, 99) == 1);
-  CHECK(s.part().size() == 4);
+  CHECK(s.subset().size() == 2);
+  CHECK(s.evaluate(0, 4, static_cast<std::int64_t>(wanted)) == 1);
+  CHECK(s.subset().size() == 3);
+  CHECK(s.evaluate(0, 6, 99) == 1);
+  CHECK(s.subset().size() == 4);
 }
 
 TEST_CASE("a part begins with the wanted replica, and a step up takes the wanted one, never more than one") {
-  for (core::Index wanted = 0; wanted < 9; ++wanted) {
+  for (core::NameIndex wanted = 0; wanted < 9; ++wanted) {
     scaling::Scaler s(7);
     s.candidates(warm(9));
     s.begin(wanted);
-    REQUIRE(s.part().size() == 1);
-    CHECK(s.part().front().replica == wanted);
-    core::Index const next = (wanted + 4) % 9;
-    CHECK(s.look(0, 1, next) == 0);
-    CHECK(s.look(0, 2, next) == 1);
-    REQUIRE(s.part().size() == 2);
-    CHECK(s.part().back().replica == next);
-    CHECK(s.look(0, 4, next) == 1);
-    CHECK(s.part().size() == 3);
-    CHECK(s.look(0, 6, 99) == 1);
-    CHECK(s.part().size() == 4);
+    REQUIRE(s.subset().size() == 1);
+    CHECK(s.subset().front().replica == wanted);
+    core::NameIndex const next = (wanted + 4) % 9;
+    CHECK(s.evaluate(0, 1, next) == 0);
+    CHECK(s.evaluate(0, 2, next) == 1);
+    REQUIRE(s.subset().size() == 2);
+    CHECK(s.subset().back().replica == next);
+    CHECK(s.evaluate(0, 4, next) == 1);
+    CHECK(s.subset().size() == 3);
+    CHECK(s.evaluate(0, 6, 99) == 1);
+    CHECK(s.subset().size() == 4);
     s.begin(next);
-    CHECK(s.part().front().replica == wanted);
+    CHECK(s.subset().front().replica == wanted);
   }
 }
 
 TEST_CASE("a replica that leaves is replaced one for one and is no step") {
   scaling::Scaler s(7);
   s.candidates(warm(4));
-  s.look(0, 2);
-  core::Index const gone = s.part().front().replica;
+  s.evaluate(0, 2);
+  core::NameIndex const gone = s.subset().front().replica;
   std::vector<scaling::Candidate> rest;
   for (scaling::Candidate const& c : warm(4))
     if (c.replica != gone) rest.push_back(c);
   s.candidates(rest);
-  CHECK(s.part().size() == 2);
-  for (scaling::Candidate const& c : s.part()) CHECK(c.replica != gone);
+  CHECK(s.subset().size() == 2);
+  for (scaling::Candidate const& c : s.subset()) CHECK(c.replica != gone);
   s.candidates({});
-  CHECK(s.part().empty());
+  CHECK(s.subset().empty());
   CHECK(s.cap() == 0);
-  CHECK_FALSE(s.room(false));
+  CHECK_FALSE(s.hasCapacity(false));
 }
 
 TEST_CASE("when all are slow and a widening did not help, no more are taken and the cap falls") {
@@ -99,21 +100,21 @@
   double const before = s.limit();
   for (int i = 0; i < 400; ++i) {
     now += 100;
-    s.look(now, 50);
-    for (scaling::Candidate const& c : std::vector<scaling::Candidate>(s.part())) {
-      s.sent(c.replica, false);
-      s.firstWord(now, c.replica, 5000, 800);
-      s.ended(c.replica, false);
+    s.evaluate(now, 50);
+    for (scaling::Candidate const& c : std::vector<scaling::Candidate>(s.subset())) {
+      s.onSent(c.replica, false);
+      s.onFirstByte(now, c.replica, 5000, 800);
+      s.onEnded(c.replica, false);
     }
   }
   CHECK(s.allSlow());
-  CHECK(s.part().size() < 9);
+  CHECK(s.subset().size() < 9);
   CHECK(s.limit() < before);
   for (int i = 0; i < 60; ++i)
-    for (scaling::Candidate const& c : std::vector<scaling::Candidate>(s.part())) {
-      s.sent(c.replica, false);
-      s.firstWord(now, c.replica, 100, 800);
-      s.ended(c.replica, false);
+    for (scaling::Candidate const& c : std::vector<scaling::Candidate>(s.subset())) {
+      s.onSent(c.replica, false);
+      s.onFirstByte(now, c.replica, 100, 800);
+      s.onEnded(c.replica, false);
     }
   CHECK_FALSE(s.allSlow());
 }
@@ -121,28 +122,28 @@
 TEST_CASE("cold replicas count as part but not for the cap") {
   scaling::Scaler s(3);
   s.candidates({{0, true, 11}, {1, false, 12}});
-  s.look(0, 2);
-  CHECK(s.part().size() == 2);
-  CHECK(s.cap() == scaling::figures.firstLimit);
+  s.evaluate(0, 2);
+  CHECK(s.subset().size() == 2);
+  CHECK(s.cap() == scaling::defaultScalerParameters.firstLimit);
 }
 
 TEST_CASE("a prefix stays with its replica until that is too busy") {
   scaling::Scaler s(3);
   s.candidates(warm(3));
-  s.look(0, 9);
-  s.look(0, 9);
-  std::vector<scaling::Candidate> const usable = s.part();
-  CHECK(scaling::pick(s, usable, 99, 2) == 2);
-  for (int i = 0; i < scaling::figures.prefixSlack; ++i) s.sent(2, false);
-  CHECK(scaling::pick(s, usable, 99, 2) == 2);
-  s.sent(2, false);
-  CHECK(scaling::pick(s, usable, 99, 2) != 2);
-  CHECK(scaling::pick(s, {}, 99, 2) == -1);
+  s.evaluate(0, 9);
+  s.evaluate(0, 9);
+  std::vector<scaling::Candidate> const usable = s.subset();
+  CHECK(scaling::chooseReplica(s, usable, 99, 2) == 2);
+  for (int i = 0; i < scaling::defaultScalerParameters.prefixSlack; ++i) s.onSent(2, false);
+  CHECK(scaling::chooseReplica(s, usable, 99, 2) == 2);
+  s.onSent(2, false);
+  CHECK(scaling::chooseReplica(s, usable, 99, 2) != 2);
+  CHECK(scaling::chooseReplica(s, {}, 99, 2) == -1);
 }
 
 TEST_CASE("retries over any ten seconds stay under a fifth plus the allowance, under random demand") {
   for (std::uint64_t seed = 1; seed < 40; ++seed) {
-    core::Rng rng(seed);
+    core::RandomGenerator rng(seed);
     scaling::RetryBudget b;
     std::vector<core::Tick> firsts;
     std::vector<core::Tick> retries;
@@ -165,8 +166,8 @@
 }
 
 TEST_CASE("no pool's requests pay for retries at another") {
-  constexpr core::Index large = 0;
-  constexpr core::Index small = 1;
+  constexpr core::NameIndex large = 0;
+  constexpr core::NameIndex small = 1;
   scaling::RetryBudgets b;
   std::vector<core::Tick> firsts;
   std::vector<core::Tick> retries;
@@ -186,7 +187,7 @@
     REQUIRE(static_cast<double>(r) <= 0.2 * static_cast<double>(f) + 2.0 + 0.2 * 20);
   }
   CHECK(retries.size() > 100);
-  for (int i = 0; i < 1000; ++i) b.first(40000 + i * 2000, static_cast<core::Index>(i));
+  for (int i = 0; i < 1000; ++i) b.first(40000 + i * 2000, static_cast<core::NameIndex>(i));
   CHECK(b.size() < 40);
 }
 
@@ -199,16 +200,16 @@
 }
 
 TEST_CASE("a cold bucket never passes its rate and starts empty") {
-  scaling::ColdBucket b(1000);
+  scaling::SlowStartBucket b(1000);
   int taken = 0;
   for (core::Tick now = 1000; now <= 11000; now += 7) taken += b.take(now, 2.0) ? 1 : 0;
   CHECK(taken <= 20);
   CHECK(taken >= 18);
-  CHECK_FALSE(scaling::ColdBucket(0).has(400, 2.0));
+  CHECK_FALSE(scaling::SlowStartBucket(0).has(400, 2.0));
 }
 
 TEST_CASE("remembered prefixes stay bounded") {
-  scaling::Prefixes p(100);
+  scaling::PrefixCacheIndex p(100);
   for (std::uint64_t i = 0; i < 10000; ++i) p.served(i % 300, 1);
   CHECK(p.size() <= 100);
   CHECK(p.last(9999 % 300) == 1);
@@ -219,41 +220,41 @@
   int rested = 0;
   for (std::uint64_t seed = 1; seed < 60; ++seed) {
     CAPTURE(seed);
-    core::Rng rng(seed);
-    scaling::Figures f;
+    core::RandomGenerator rng(seed);
+    scaling::ScalerParameters f;
     f.width = 1.0;
-    if (seed % 2 == 0) f.ease = 0.9;
+    if (seed % 2 == 0) f.limitDecay = 0.9;
     f.minLimit = 0.5;
     f.steady = 0.7;
     scaling::Scaler looked(seed, f);
     scaling::Scaler skipped(seed, f);
-    scaling::Rate rateLooked;
-    scaling::Rate rateSkipped;
+    scaling::CompletionRate rateLooked;
+    scaling::CompletionRate rateSkipped;
     std::vector<scaling::Candidate> all = warm(6);
     looked.candidates(all);
     skipped.candidates(all);
     bool asleep = false;
-    std::vector<core::Index> sent;
+    std::vector<core::NameIndex> sent;
     for (core::Tick now = 100; now < 240000; now += 50) {
       bool const busy = now / 20000 % 3 == 0;
       if (busy && rng.chance(0.4)) {
         if (asleep) rateSkipped.catchUp(now);
         asleep = false;
-        bool const room = looked.makeRoom(false);
-        REQUIRE(skipped.makeRoom(false) == room);
-        if (room && !looked.part().empty()) {
-          core::Index const r = looked.part()[rng.below(looked.part().size())].replica;
-          looked.sent(r, false);
-          skipped.sent(r, false);
+        bool const room = looked.raiseLimitFor(false);
+        REQUIRE(skipped.raiseLimitFor(false) == room);
+        if (room && !looked.subset().empty()) {
+          core::NameIndex const r = looked.subset()[rng.below(looked.subset().size())].replica;
+          looked.onSent(r, false);
+          skipped.onSent(r, false);
           sent.push_back(r);
         }
       }
       if (!sent.empty() && rng.chance(0.3)) {
         core::Tick const took = static_cast<core::Tick>(rng.below(900));
-        looked.firstWord(now, sent.back(), took, 600);
-        skipped.firstWord(now, sent.back(), took, 600);
-        looked.ended(sent.back(), false);
-        skipped.ended(sent.back(), false);
+        looked.onFirstByte(now, sent.back(), took, 600);
+        skipped.onFirstByte(now, sent.back(), took, 600);
+        looked.onEnded(sent.back(), false);
+        skipped.onEnded(sent.back(), false);
         rateLooked.ended();
         rateSkipped.ended();
         sent.pop_back();
@@ -270,20 +271,20 @@
       }
       if (now % 100 != 0) continue;
       looked.candidates(all);
-      rateLooked.look(now);
-      int const step = looked.look(now, 0);
+      rateLooked.closeWindow(now);
+      int const step = looked.evaluate(now, 0);
       if (!asleep) {
-        rateSkipped.look(now);
-        REQUIRE(skipped.look(now, 0) == step);
+        rateSkipped.closeWindow(now);
+        REQUIRE(skipped.evaluate(now, 0) == step);
         asleep = skipped.atRest();
         rested += asleep ? 1 : 0;
       } else {
         REQUIRE(step == 0);
       }
-      REQUIRE(skipped.part() == looked.part());
+      REQUIRE(skipped.subset() == looked.subset());
       REQUIRE(skipped.limit() == looked.limit());
       REQUIRE(skipped.allSlow() == looked.allSlow());
-      scaling::Rate caughtUp = rateSkipped;
+      scaling::CompletionRate caughtUp = rateSkipped;
       caughtUp.catchUp(now + 1);
       REQUIRE(caughtUp.perSecond() == rateLooked.perSecond());
     }
--- a/storage/include/corkward/storage/write_ahead_log.h
+++ b/storage/include/corkward/storage/write_ahead_log.h
@@ -11,15 +11,15 @@
 namespace corkward::storage {
 
 /// An error of the disk; after one the write-ahead log's file is not written again.
-class Error : public core::Error {
+class StorageError : public core::Error {
  public:
   using core::Error::Error;
 };
 
 /// The folder a write-ahead log lives in. The real one does POSIX files; the simulator's forgets what was not synced.
-class Folder {
+class Directory {
  public:
-  virtual ~Folder() = default;
+  virtual ~Directory() = default;
   virtual std::vector<std::string> list() = 0;
   virtual std::string read(std::string const& name) = 0;
   /// Appends to a file, making it if it is new.
@@ -28,11 +28,11 @@
   virtual void rename(std::string const& from, std::string const& to) = 0;
   virtual void remove(std::string const& name) = 0;
   virtual void truncate(std::string const& name, std::uint64_t size) = 0;
-  virtual void syncFolder() = 0;
+  virtual void syncDirectory() = 0;
 };
 
 /// A folder on the machine's own disk, made if it is missing. Throws write-ahead log::Error.
-std::unique_ptr<Folder> openFolder(std::string const& path);
+std::unique_ptr<Directory> openDirectory(std::string const& path);
 
 /// Key and payload of one record; a later record of a key replaces an earlier one.
 struct Record {
@@ -41,7 +41,7 @@
 };
 
 /// What came back from the disk at the start.
-struct Recovered {
+struct RecoveredState {
   std::map<std::string, std::string> slots;
   /// Damage other than a torn last record: the member must not vote before it was repaired.
   bool damaged = false;
@@ -51,7 +51,7 @@
 
 /// Renames the files of a damaged log, so that the next one begins empty; the label stands in their names. Only one
 /// such set is kept. Stopped at any point it leaves a log that still reads as damaged, or none. Throws Error.
-void setAside(Folder& folder, std::string const& label);
+void quarantine(Directory& folder, std::string const& label);
 
 /// Frames one record: length, CRC-32C, key, payload.
 std::string frame(Record const& record);
@@ -60,22 +60,22 @@
 class WriteAheadLog {
  public:
   /// Segments roll at this size.
-  WriteAheadLog(Folder& folder, std::uint64_t segmentBytes = 4U << 20);
+  WriteAheadLog(Directory& folder, std::uint64_t segmentBytes = 4U << 20);
   /// Reads the newest snapshot and the segments after it, cuts a torn tail, and syncs what it read, so that answers may
   /// rest on it. Removes what older snapshots left. Throws Error when the disk does.
-  Recovered recover();
+  RecoveredState recover();
   /// Appends and syncs all records as one write. Throws write-ahead log::Error and is unusable afterwards.
   void write(std::vector<Record> const& records);
   bool failed() const { return failed_; }
 
  private:
-  void readSnapshot(std::uint64_t number, Recovered& out);
-  void readSegments(std::vector<std::uint64_t> const& segments, Recovered& out);
+  void readSnapshot(std::uint64_t number, RecoveredState& out);
+  void readSegments(std::vector<std::uint64_t> const& segments, RecoveredState& out);
   void snapshot();
   /// Removes an unfinished snapshot and what is older than the newest one.
   void removeOld();
 
-  Folder& folder_;
+  Directory& folder_;
   std::uint64_t segmentBytes_;
   std::map<std::string, std::string> slots_;
   std::uint64_t segment_ = 1;
--- a/storage/src/folder.cpp
+++ b/storage/src/directory.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 [[noreturn]] void fail(std::string const& what) {
-  throw Error(what + ": " + std::generic_category().message(errno));
+  throw StorageError(what + ": " + std::generic_category().message(errno));
 }
 
 class Fd {
@@ -29,7 +29,7 @@
   int fd_;
 };
 
-class DiskFolder : public Folder {
+class DiskFolder : public Directory {
  public:
   explicit DiskFolder(std::string path) : path_(std::move(path)) {
     if (::mkdir(path_.c_str(), 0750) != 0 && errno != EEXIST) fail("make folder " + path_);
@@ -79,7 +79,7 @@
     if (::truncate((path_ + "/" + name).c_str(), static_cast<off_t>(size)) != 0) fail("cut " + name);
     sync(name);
   }
-  void syncFolder() override {
+  void syncDirectory() override {
     Fd const fd(path_, O_RDONLY | O_DIRECTORY);
     if (::fsync(fd.get()) != 0) fail("sync folder " + path_);
   }
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-std::unique_ptr<Folder> openFolder(std::string const& path) {
+std::unique_ptr<Directory> openDirectory(std::string const& path) {
   return std::make_unique<DiskFolder>(path);
 }
 
--- a/storage/src/write_ahead_log.cpp
+++ b/storage/src/write_ahead_log.cpp
@@ -98,7 +98,7 @@
   return out + body;
 }
 
-void setAside(Folder& folder, std::string const& label) {
+void quarantine(Directory& folder, std::string const& label) {
   constexpr char const* prefix = "damaged-";
   std::vector<std::pair<std::uint64_t, std::string>> files;
   for (std::string const& name : folder.list()) {
@@ -112,15 +112,15 @@
   std::sort(files.begin(), files.end());
   for (std::pair<std::uint64_t, std::string> const& file : files) {
     folder.rename(file.second, prefix + label + "-" + file.second);
-    folder.syncFolder();
+    folder.syncDirectory();
   }
 }
 
-WriteAheadLog::WriteAheadLog(Folder& folder, std::uint64_t segmentBytes)
+WriteAheadLog::WriteAheadLog(Directory& folder, std::uint64_t segmentBytes)
     : folder_(folder), segmentBytes_(segmentBytes) {}
 
-Recovered WriteAheadLog::recover() {
-  Recovered out;
+RecoveredState WriteAheadLog::recover() {
+  RecoveredState out;
   failed_ = true;
   std::uint64_t snapshotNo = 0;
   std::vector<std::uint64_t> segments;
@@ -143,13 +143,13 @@
   // The process before may have ended between a write and its sync. The caller answers from what was read, so it has to
   // outlive a loss of power from here on.
   if (!segments.empty()) folder_.sync(numbered("segment", segment_));
-  folder_.syncFolder();
+  folder_.syncDirectory();
   removeOld();
   failed_ = false;
   return out;
 }
 
-void WriteAheadLog::readSnapshot(std::uint64_t number, Recovered& out) {
+void WriteAheadLog::readSnapshot(std::uint64_t number, RecoveredState& out) {
   std::string const bytes = folder_.read(numbered("image", number));
   std::size_t const good = readAll(bytes, slots_);
   if (good == bytes.size() && slots_.erase(snapshotEnd) > 0) return;
@@ -157,7 +157,7 @@
   out.damage = numbered("image", number);
 }
 
-void WriteAheadLog::readSegments(std::vector<std::uint64_t> const& segments, Recovered& out) {
+void WriteAheadLog::readSegments(std::vector<std::uint64_t> const& segments, RecoveredState& out) {
   std::uint64_t expect = segment_;
   for (std::uint64_t const n : segments) {
     if (n != expect) {
@@ -190,7 +190,7 @@
 }
 
 void WriteAheadLog::write(std::vector<Record> const& records) {
-  if (failed_) throw Error("the write-ahead log has failed before");
+  if (failed_) throw StorageError("the write-ahead log has failed before");
   std::string bytes;
   for (Record const& r : records) bytes += frame(r);
   try {
@@ -198,11 +198,11 @@
     bool const fresh = size_ == 0;
     folder_.append(name, bytes);
     folder_.sync(name);
-    if (fresh) folder_.syncFolder();
+    if (fresh) folder_.syncDirectory();
     size_ += bytes.size();
     for (Record const& r : records) slots_[r.key] = r.payload;
     if (size_ >= segmentBytes_) snapshot();
-  } catch (Error const&) {
+  } catch (StorageError const&) {
     failed_ = true;
     throw;
   }
@@ -219,7 +219,7 @@
   folder_.append(fresh, bytes);
   folder_.sync(fresh);
   folder_.rename(fresh, numbered("image", next));
-  folder_.syncFolder();
+  folder_.syncDirectory();
   segment_ = next;
   size_ = 0;
   removeOld();
--- a/storage/test/crash_folder.h
+++ b/storage/test/crash_directory.h
@@ -16,7 +16,7 @@
 /// A simulated folder that can stop before any operation and lists every state in which a disk may come back. What was
 /// made, renamed or removed since the folder's last sync is kept or lost, each by itself; of the bytes since a file's
 /// last sync any prefix is kept (none, half and all are tried).
-class CrashFolder : public Folder {
+class CrashFolder : public Directory {
  public:
   /// Operations that are still carried out; negative: no bound.
   int left = -1;
@@ -43,7 +43,7 @@
       return;
     }
     inode(name).bytes += bytes.substr(0, bytes.size() / 2);
-    throw Error("no room");
+    throw StorageError("no room");
   }
   void sync(std::string const& name) override {
     step();
@@ -65,7 +65,7 @@
     inode(name).bytes.resize(size);
     inode(name).synced = size;
   }
-  void syncFolder() override {
+  void syncDirectory() override {
     step();
     durable_ = names_;
     entries_.clear();
