--- a/storage/test/crash_test.cpp
+++ b/storage/test/crash_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "crash_folder.h"
+#include "crash_directory.h"
 
 namespace storage = corkward::storage;
 using storage::CrashFolder;
@@ -16,7 +16,7 @@
 };
 
 /// Takes what a recovery gave back, which counts from then on: members answer from it.
-void take(Owed& owed, storage::Recovered const& got) {
+void take(Owed& owed, storage::RecoveredState const& got) {
   REQUIRE_FALSE(got.damaged);
   for (std::map<std::string, int>::value_type const& k : owed.atLeast) {
     INFO(k.first << " must be " << k.second << " or newer");
@@ -96,7 +96,7 @@
     take(owed, log.recover());
     later.full = true;
     owed.atMost["b"] = 20;
-    CHECK_THROWS_AS(log.write({{"b", "20 more"}}), storage::Error);
+    CHECK_THROWS_AS(log.write({{"b", "20 more"}}), storage::StorageError);
     CHECK(log.failed());
     for (CrashFolder const& end : ends(later)) {
       CrashFolder again = end;
@@ -130,20 +130,20 @@
       done += 9;
       damaged = damaged.killed();
     }
-    damaged.syncFolder();
+    damaged.syncDirectory();
     damaged = damaged.powerLosses().back();
     damaged.flip(inSnapshot ? "image-" : "segment-");
     REQUIRE(storage::WriteAheadLog(damaged, segmentBytes).recover().damaged);
     CrashFolder whole = damaged;
-    storage::setAside(whole, "x");
+    storage::quarantine(whole, "x");
     CHECK(storage::WriteAheadLog(whole, segmentBytes).recover().slots.empty());
     for (int stop = 0; stop < whole.done - damaged.done; ++stop) {
       CrashFolder folder = damaged;
       folder.left = stop;
-      CHECK_THROWS_AS(storage::setAside(folder, "x"), storage::Crash);
+      CHECK_THROWS_AS(storage::quarantine(folder, "x"), storage::Crash);
       for (CrashFolder const& end : ends(folder)) {
         CrashFolder again = end;
-        storage::Recovered const got = storage::WriteAheadLog(again, segmentBytes).recover();
+        storage::RecoveredState const got = storage::WriteAheadLog(again, segmentBytes).recover();
         INFO("stopped before " << stop << " of " << whole.done - damaged.done << ": " << again.text());
         CHECK((got.damaged || got.slots.empty()));
       }
@@ -156,7 +156,7 @@
   std::size_t most = 0;
   for (int i = 0; i < 20; ++i) {
     live(folder, Owed(), 1, 9);
-    storage::setAside(folder, std::to_string(i));
+    storage::quarantine(folder, std::to_string(i));
     most = std::max(most, folder.bytes());
   }
   CHECK(most < 8 * segmentBytes);
--- a/storage/test/write_ahead_log_test.cpp
+++ b/storage/test/write_ahead_log_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// A folder whose disk keeps only what was synced when the power goes, and a random part of the rest.
-class LossyFolder : public storage::Folder {
+class LossyFolder : public storage::Directory {
  public:
   struct File {
     std::string bytes;
@@ -29,7 +29,7 @@
   std::string read(std::string const& name) override { return files.at(name).bytes; }
   void append(std::string const& name, std::string const& bytes) override { files[name].bytes += bytes; }
   void sync(std::string const& name) override {
-    if (failSync) throw storage::Error("sync failed");
+    if (failSync) throw storage::StorageError("sync failed");
     files[name].synced = files[name].bytes.size();
   }
   void rename(std::string const& from, std::string const& to) override {
@@ -41,8 +41,8 @@
     files[name].bytes.resize(size);
     files[name].synced = size;
   }
-  void syncFolder() override {}
-  void powerLoss(core::Rng& rng) {
+  void syncDirectory() override {}
+  void powerLoss(core::RandomGenerator& rng) {
     for (std::map<std::string, File>::value_type& f : files) {
       std::size_t const loose = f.second.bytes.size() - f.second.synced;
       f.second.bytes.resize(f.second.synced + rng.below(loose + 1));
@@ -52,7 +52,7 @@
 };
 
 /// Watches in which order a folder is used.
-class MockFolder : public storage::Folder {
+class MockFolder : public storage::Directory {
  public:
   MAKE_MOCK0(list, std::vector<std::string>(), override);
   MAKE_MOCK1(read, std::string(std::string const&), override);
@@ -61,7 +61,7 @@
   MAKE_MOCK2(rename, void(std::string const&, std::string const&), override);
   MAKE_MOCK1(remove, void(std::string const&), override);
   MAKE_MOCK2(truncate, void(std::string const&, std::uint64_t), override);
-  MAKE_MOCK0(syncFolder, void(), override);
+  MAKE_MOCK0(syncDirectory, void(), override);
 };
 
 }  // namespace
@@ -75,12 +75,12 @@
   REQUIRE_CALL(folder, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{});
   REQUIRE_CALL(folder, append(segment, _)).IN_SEQUENCE(order);
   REQUIRE_CALL(folder, sync(segment)).IN_SEQUENCE(order);
-  REQUIRE_CALL(folder, syncFolder()).IN_SEQUENCE(order);
+  REQUIRE_CALL(folder, syncDirectory()).IN_SEQUENCE(order);
   REQUIRE_CALL(folder, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{segment});
   REQUIRE_CALL(folder, append("image.new", _)).IN_SEQUENCE(order);
   REQUIRE_CALL(folder, sync("image.new")).IN_SEQUENCE(order);
   REQUIRE_CALL(folder, rename("image.new", snapshot)).IN_SEQUENCE(order);
-  REQUIRE_CALL(folder, syncFolder()).IN_SEQUENCE(order);
+  REQUIRE_CALL(folder, syncDirectory()).IN_SEQUENCE(order);
   REQUIRE_CALL(folder, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{segment, snapshot});
   REQUIRE_CALL(folder, remove(segment)).IN_SEQUENCE(order);
   storage::WriteAheadLog log(folder, 10);
@@ -93,22 +93,22 @@
   MockFolder folder;
   REQUIRE_CALL(folder, list()).RETURN(std::vector<std::string>{});
   REQUIRE_CALL(folder, append(_, _)).TIMES(1);
-  REQUIRE_CALL(folder, sync(_)).TIMES(1).THROW(storage::Error("sync failed"));
+  REQUIRE_CALL(folder, sync(_)).TIMES(1).THROW(storage::StorageError("sync failed"));
   storage::WriteAheadLog log(folder);
   log.recover();
-  CHECK_THROWS_AS(log.write({{"k", "v"}}), storage::Error);
-  CHECK_THROWS_AS(log.write({{"k", "v"}}), storage::Error);
+  CHECK_THROWS_AS(log.write({{"k", "v"}}), storage::StorageError);
+  CHECK_THROWS_AS(log.write({{"k", "v"}}), storage::StorageError);
   CHECK(log.failed());
 }
 
 TEST_CASE("what was synced comes back after power loss, through rolls, snapshots and torn tails") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    core::Rng rng(seed);
+    core::RandomGenerator rng(seed);
     LossyFolder folder;
     std::map<std::string, std::string> sure;
     for (int life = 0; life < 5; ++life) {
       storage::WriteAheadLog log(folder, 600);
-      storage::Recovered const got = log.recover();
+      storage::RecoveredState const got = log.recover();
       REQUIRE_FALSE(got.damaged);
       for (std::map<std::string, std::string>::value_type const& s : sure) REQUIRE(got.slots.at(s.first) == s.second);
       sure = got.slots;
@@ -117,9 +117,9 @@
                                 std::string(rng.below(80), 'x') + std::to_string(i)};
         if (rng.chance(0.02)) {
           folder.failSync = true;
-          CHECK_THROWS_AS(log.write({r}), storage::Error);
+          CHECK_THROWS_AS(log.write({r}), storage::StorageError);
           folder.failSync = false;
-          CHECK_THROWS_AS(log.write({r}), storage::Error);
+          CHECK_THROWS_AS(log.write({r}), storage::StorageError);
           sure.erase(r.key);
           break;
         }
@@ -143,7 +143,7 @@
   }
   SECTION("a cut last record") {
     bytes.resize(bytes.size() - 3);
-    storage::Recovered const got = storage::WriteAheadLog(folder).recover();
+    storage::RecoveredState const got = storage::WriteAheadLog(folder).recover();
     CHECK_FALSE(got.damaged);
     CHECK(got.tornTail);
     CHECK(got.slots.at("k") == "value 3");
@@ -156,11 +156,11 @@
   log.recover();
   log.write({{"k", "kept"}});
   std::string big(3 << 20, ' ');
-  core::Rng rng(5);
+  core::RandomGenerator rng(5);
   for (char& c : big) c = static_cast<char>(32 + rng.below(90));
   std::string const torn = storage::frame({"big", big});
   folder.files.begin()->second.bytes += torn.substr(0, torn.size() - 10);
-  storage::Recovered const got = storage::WriteAheadLog(folder).recover();
+  storage::RecoveredState const got = storage::WriteAheadLog(folder).recover();
   CHECK(got.tornTail);
   CHECK_FALSE(got.damaged);
   CHECK(got.slots.at("k") == "kept");
@@ -170,12 +170,12 @@
   std::string path = std::filesystem::temp_directory_path().string() + "/corkward-storage-XXXXXX";
   REQUIRE(::mkdtemp(path.data()) != nullptr);
   {
-    std::unique_ptr<storage::Folder> const folder = storage::openFolder(path);
+    std::unique_ptr<storage::Directory> const folder = storage::openDirectory(path);
     storage::WriteAheadLog log(*folder, 200);
     log.recover();
     for (int i = 0; i < 50; ++i) log.write({{"k" + std::to_string(i % 4), std::to_string(i)}});
   }
-  std::unique_ptr<storage::Folder> const folder = storage::openFolder(path);
+  std::unique_ptr<storage::Directory> const folder = storage::openDirectory(path);
   CHECK(storage::WriteAheadLog(*folder, 200).recover().slots.at("k1") == "49");
   std::filesystem::remove_all(path);
 }
--- a/testing/capacity/fleet.cpp
+++ b/testing/capacity/fleet.cpp
@@ -16,7 +16,7 @@
 constexpr Tick within = 1;
 constexpr Tick syncMs = 2;
 constexpr Tick answerLimit = 60000;
-constexpr Tick idleAfter = std::chrono::milliseconds(transport::Link::idleAfter).count();
+constexpr Tick idleAfter = std::chrono::milliseconds(transport::Link::idleTimeout).count();
 
 std::string address(int net, std::size_t ix, int port) {
   return "10." + std::to_string(net) + "." + std::to_string(ix / 250) + "." + std::to_string(ix % 250 + 1) + ":" +
@@ -45,7 +45,7 @@
   return "tenant" + std::to_string(tenant / sizes.templates + 1);
 }
 
-Fleet::Fleet(Sizes const& sizes, dataplane::Tuning const& tuning)
+Fleet::Fleet(Sizes const& sizes, dataplane::RouterTuning const& tuning)
     : sizes_(sizes), tuning_(tuning), rng_(static_cast<std::uint64_t>(sizes.seed)) {
   for (std::int64_t i = 0; i < sizes.control + sizes.nodes + 1; ++i) {
     bool const control = i < sizes.control;
@@ -74,9 +74,9 @@
   ++p.life;
   transport::Contact self;
   self.link = p.link;
-  self.http = p.link.substr(0, p.link.find(':')) + ":7401";
+  self.httpAddress = p.link.substr(0, p.link.find(':')) + ":7401";
   self.zone = zoneName(p.zone);
-  self.inc = 1764640000000ULL + static_cast<std::uint64_t>(now_);
+  self.incarnation = 1764640000000ULL + static_cast<std::uint64_t>(now_);
   std::vector<std::string> seeds;
   std::vector<std::string> founders;
   for (std::size_t i = 0; i < firstNode(); ++i) {
@@ -88,7 +88,7 @@
     p.control =
         std::make_unique<control::Controller>(self, "m" + std::to_string(rng_.next()), seeds, founders, rng_.next());
     p.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*p.disk);
-    storage::Recovered const got = p.writeAheadLog->recover();
+    storage::RecoveredState const got = p.writeAheadLog->recover();
     p.diskFree = now_;
     take(ix, p.control->restore(got.slots, got.damaged, now_));
   } else {
@@ -141,8 +141,8 @@
   for (std::int64_t m = 0; m < sizes_.models; ++m) {
     QJsonArray list;
     for (std::int64_t r = m; r < sizes_.replicas; r += sizes_.models)
-      list.append(QJsonObject{{"address", core::qstr(address(9, static_cast<std::size_t>(r), 8000))},
-                              {"zone", core::qstr(zoneName(static_cast<int>(r % sizes_.zones)))},
+      list.append(QJsonObject{{"address", core::toQString(address(9, static_cast<std::size_t>(r), 8000))},
+                              {"zone", core::toQString(zoneName(static_cast<int>(r % sizes_.zones)))},
                               {"state", "serving"}});
     open.push_back(call(0, "PUT", "/v1/platform/pools/" + modelName(m),
                         core::jsonText(QJsonObject{{"generation", 1}, {"coldRate", 2}, {"replicas", list}}), ""));
@@ -151,8 +151,8 @@
   for (std::int64_t t = 0; t < sizes_.templates; ++t) {
     QJsonArray paths;
     for (std::int64_t i = 0; i < sizes_.paths; ++i)
-      paths.append(QJsonObject{{"path", core::qstr("path" + std::to_string(i + 1))},
-                               {"pool", core::qstr(modelName(t % sizes_.models))},
+      paths.append(QJsonObject{{"path", core::toQString("path" + std::to_string(i + 1))},
+                               {"pool", core::toQString(modelName(t % sizes_.models))},
                                {"class", "short"}});
     QJsonObject const site{{"type", "string"}};
     open.push_back(call(0, "PUT", "/v1/templates/" + templateName(t),
@@ -170,14 +170,14 @@
 
 std::uint64_t Fleet::call(std::size_t at, std::string const& method, std::string const& path, std::string const& body,
                           std::string const& ifMatch) {
-  transport::Call c;
+  transport::OperatorCall c;
   c.token = nextToken_++;
   c.method = method;
   c.path = path;
   c.body = body;
   c.ifMatch = ifMatch;
   c.changeId = "change-" + std::to_string(sizes_.seed) + "-" + std::to_string(c.token);
-  take(at, processes_[at].control->operatorCall(now_, c));
+  take(at, processes_[at].control->onOperatorCall(now_, c));
   return c.token;
 }
 
@@ -188,14 +188,14 @@
 
 std::uint64_t Fleet::change(std::size_t at, std::int64_t tenant) {
   std::string const path = "/v1/templates/" + familyOf(sizes_, tenant) + "/instances/" + instanceOf(sizes_, tenant);
-  std::map<std::string, consensus::Committed> const& held = processes_[at].control->registers().committed();
-  std::map<std::string, consensus::Committed>::const_iterator const it =
+  std::map<std::string, consensus::CommittedValue> const& held = processes_[at].control->registers().committed();
+  std::map<std::string, consensus::CommittedValue>::const_iterator const it =
       held.find("family:" + familyOf(sizes_, tenant));
   qint64 revision = 0;
   if (it != held.end())
     revision = it->second.value.value("instances")
                    .toObject()
-                   .value(core::qstr(instanceOf(sizes_, tenant)))
+                   .value(core::toQString(instanceOf(sizes_, tenant)))
                    .toObject()
                    .value("stamp")
                    .toInteger();
@@ -207,7 +207,7 @@
   std::uint64_t newest = 0;
   for (Process const& p : processes_) {
     if (!p.control) continue;
-    std::map<std::string, consensus::Committed>::const_iterator const it =
+    std::map<std::string, consensus::CommittedValue>::const_iterator const it =
         p.control->registers().committed().find("family:" + familyOf(sizes_, tenant));
     if (it != p.control->registers().committed().end()) newest = std::max(newest, it->second.revision);
   }
@@ -294,11 +294,11 @@
   Process& p = processes_[ix];
   double const from = counting_ ? threadUs() : 0;
   if (p.control) {
-    control::Commands c = p.control->clockEvent(now_);
+    control::ControllerCommands c = p.control->onTimer(now_);
     if (counting_) controlClockUs_ += threadUs() - from;
     take(ix, std::move(c));
   } else {
-    dataplane::Commands c = p.data->clockEvent(now_);
+    dataplane::RouterCommands c = p.data->onTimer(now_);
     if (counting_) nodeClockUs_ += threadUs() - from;
     take(ix, std::move(c));
   }
@@ -323,12 +323,12 @@
     unpacked = threadUs();
   }
   transport::Message const& message = event.bytes.empty() ? *event.message : envelope.message;
-  control::Commands control;
-  dataplane::Commands data;
+  control::ControllerCommands control;
+  dataplane::RouterCommands data;
   if (p.control)
-    control = p.control->arrived(now_, from, message);
+    control = p.control->onMessage(now_, from, message);
   else
-    data = p.data->arrived(now_, from, message);
+    data = p.data->onMessage(now_, from, message);
   if (counting_ && !event.bytes.empty()) {
     double const handled = threadUs();
     Tally& t = (p.control ? controlTallies_ : nodeTallies_).of(message);
@@ -348,15 +348,15 @@
   bool ok = true;
   try {
     p.writeAheadLog->write(event.records);
-  } catch (storage::Error const&) {
+  } catch (storage::StorageError const&) {
     ok = false;
   }
   if (counting_)
     for (storage::Record const& r : event.records) diskBytes_ += storage::frame(r).size();
-  for (std::uint64_t const t : event.tickets) take(event.to, p.control->written(now_, t, ok));
+  for (std::uint64_t const t : event.tickets) take(event.to, p.control->onPersisted(now_, t, ok));
 }
 
-void Fleet::take(std::size_t ix, control::Commands&& commands) {
+void Fleet::take(std::size_t ix, control::ControllerCommands&& commands) {
   Process& p = processes_[ix];
   if (!commands.persists.empty()) {
     Event e;
@@ -365,23 +365,23 @@
     e.what = What::written;
     e.to = ix;
     e.life = p.life;
-    for (consensus::Persist const& m : commands.persists) {
+    for (consensus::PersistCommand const& m : commands.persists) {
       e.records.push_back(storage::Record{m.key, m.payload});
       e.tickets.push_back(m.ticket);
     }
     push(std::move(e));
   }
   for (transport::Send const& s : commands.sends) send(ix, s);
-  for (control::Answer const& a : commands.answers) answers_[a.token] = Answered{a.status, a.body, now_};
+  for (control::OperatorResponse const& a : commands.responses) answers_[a.token] = Answered{a.status, a.body, now_};
   for (std::string const& link : commands.probes) {
     std::unordered_map<std::string, std::size_t>::const_iterator const it = byLink_.find(link);
     if (it == byLink_.end() || processes_[it->second].alive || dark_[it->second]) continue;
     if (regionsCut_ && processes_[it->second].region != p.region) continue;
-    take(ix, p.control->probed(now_, link, true));
+    take(ix, p.control->onProbeResult(now_, link, true));
   }
 }
 
-void Fleet::take(std::size_t ix, dataplane::Commands&& commands) {
+void Fleet::take(std::size_t ix, dataplane::RouterCommands&& commands) {
   for (transport::Send const& s : commands.sends) send(ix, s);
 }
 
--- a/testing/capacity/fleet.h
+++ b/testing/capacity/fleet.h
@@ -47,7 +47,7 @@
 /// whatever reducers are there through their public events and counts what comes out.
 class Fleet {
  public:
-  explicit Fleet(Sizes const& sizes, dataplane::Tuning const& tuning = {});
+  explicit Fleet(Sizes const& sizes, dataplane::RouterTuning const& tuning = {});
 
   /// Starts the control machines and runs until each is in touch with a majority. False when that fails.
   bool startControl();
@@ -126,14 +126,14 @@
   void clock(std::size_t ix);
   void deliver(Event& event);
   void written(Event& event);
-  void take(std::size_t ix, control::Commands&& commands);
-  void take(std::size_t ix, dataplane::Commands&& commands);
+  void take(std::size_t ix, control::ControllerCommands&& commands);
+  void take(std::size_t ix, dataplane::RouterCommands&& commands);
   void send(std::size_t from, transport::Send const& send);
   Tick delay(Process const& a, Process const& b) const;
 
   Sizes sizes_;
-  dataplane::Tuning tuning_;
-  core::Rng rng_;
+  dataplane::RouterTuning tuning_;
+  core::RandomGenerator rng_;
   Tick now_ = 0;
   std::uint64_t order_ = 0;
   std::uint64_t nextToken_ = 1;
--- a/testing/capacity/parts.cpp
+++ b/testing/capacity/parts.cpp
@@ -5,7 +5,7 @@
 #include <map>
 
 #include <corkward/core/json.h>
-#include <corkward/dataplane/stream.h>
+#include <corkward/dataplane/response_stream.h>
 #include <corkward/transport/link.h>
 
 #include "fleet.h"
@@ -47,7 +47,8 @@
   fleet.run(settle);
 }
 
-std::vector<std::uint64_t> changesDue(Fleet& fleet, Sizes const& sizes, core::Rng& rng, Tick& dueAt, Tick step) {
+std::vector<std::uint64_t> changesDue(Fleet& fleet, Sizes const& sizes, core::RandomGenerator& rng, Tick& dueAt,
+                                      Tick step) {
   std::vector<std::uint64_t> made;
   if (sizes.changes == 0) return made;
   Tick const every = std::max<Tick>(dayMs / sizes.changes, 1);
@@ -66,7 +67,7 @@
   std::uint64_t const withControl = heapBytes() - fleet.disksHold();
   if (!fleet.startNodes()) failed("nodes: not all stand within the limit");
   fleet.run(settle);
-  core::Rng rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xCA);
+  core::RandomGenerator rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xCA);
   Tick dueAt = fleet.now();
   fleet.count(true);
   for (std::int64_t s = 0; s < sizes.seconds; ++s) {
@@ -138,7 +139,7 @@
 Rows links(Sizes const& sizes) {
   Fleet fleet(sizes);
   bring(fleet);
-  fleet.run(2 * std::chrono::milliseconds(transport::Link::idleAfter).count());
+  fleet.run(2 * std::chrono::milliseconds(transport::Link::idleTimeout).count());
   std::array<std::uint64_t, 2> const before{fleet.dialled(false), fleet.dialled(true)};
   Tick const from = fleet.now();
   std::array<double, 2> held{};
@@ -164,7 +165,7 @@
   if (sizes.tenants == 0) failed("tenants: there is no tenant to change");
   Fleet fleet(sizes);
   bring(fleet);
-  core::Rng rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xC4);
+  core::RandomGenerator rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xC4);
   std::vector<double> answers;
   std::vector<double> everywhere;
   int in = 0;
@@ -277,7 +278,7 @@
     fleet.run(1000);
     fleet.boot(last);
     from = fleet.now();
-    ok = fleet.until([&] { return fleet.processes()[last].control->registers().voting(); }, longest);
+    ok = fleet.until([&] { return fleet.processes()[last].control->registers().isVoting(); }, longest);
     out.push_back({"copy", "controller", "ms", counted, ok ? static_cast<double>(fleet.now() - from) : -1});
     bytes = 0;
     for (Tally const& t : fleet.tallies(true).all())
@@ -375,13 +376,13 @@
 }
 
 /// Bounds that never stop a request, so that what is measured is the cost and not the scaler's choice.
-dataplane::Tuning open() {
-  dataplane::Tuning t;
+dataplane::RouterTuning open() {
+  dataplane::RouterTuning t;
   t.figures.firstPart = 1000000;
   t.figures.firstLimit = 1e9;
   t.figures.maxLimit = 1e9;
   t.figures.bulkShare = 1;
-  t.figures.calmFor = 1000000000;
+  t.figures.cooldown = 1000000000;
   t.nodeLimitPerReplica = 1e9;
   t.heldLeast = 1000000;
   return t;
@@ -401,25 +402,25 @@
     r.path = "path1";
     r.id = id;
     r.prefix = prefix;
-    if (!prefix.empty()) r.parts = {dataplane::Part{core::stableHash(prefix), 5382}};
+    if (!prefix.empty()) r.segments = {dataplane::PromptSegment{core::stableHash(prefix), 5382}};
     r.tokensOut = 338;
     bool handed = false;
-    dataplane::Commands c = node_.request(fleet_.now(), r);
+    dataplane::RouterCommands c = node_.onRequest(fleet_.now(), r);
     for (dataplane::CallCommand const& v : c.calls)
       if (std::holds_alternative<dataplane::Connect>(v)) {
-        dataplane::Commands more = node_.connected(fleet_.now(), r.call);
+        dataplane::RouterCommands more = node_.onConnected(fleet_.now(), r.call);
         for (dataplane::CallCommand const& h : more.calls)
-          handed = handed || std::holds_alternative<dataplane::HandOver>(h);
-      } else if (std::holds_alternative<dataplane::HandOver>(v)) {
+          handed = handed || std::holds_alternative<dataplane::SendRequest>(h);
+      } else if (std::holds_alternative<dataplane::SendRequest>(v)) {
         handed = true;
       } else if (dataplane::Reject const* const d = std::get_if<dataplane::Reject>(&v)) {
         failed("calls: a request was rejected: " + d->reason);
       }
     if (!handed) failed("calls: a request was held");
-    node_.firstWord(fleet_.now(), r.call, true);
+    node_.firstByteReceived(fleet_.now(), r.call, true);
     return r.call;
   }
-  void end(dataplane::CallId call) { node_.ended(fleet_.now(), call, dataplane::End::whole); }
+  void end(dataplane::CallId call) { node_.upstreamFinished(fleet_.now(), call, dataplane::UpstreamResult::complete); }
   dataplane::RequestRouter& node() { return node_; }
 
  private:
@@ -472,16 +473,16 @@
   calls.clear();
   {
     at = heapBytes();
-    std::vector<dataplane::Stream> streams(static_cast<std::size_t>(sizes.calls));
-    for (dataplane::Stream& s : streams) {
+    std::vector<dataplane::ResponseStream> streams(static_cast<std::size_t>(sizes.calls));
+    for (dataplane::ResponseStream& s : streams) {
       s.connecting(false);
-      s.head(dataplane::Head{200,
-                             {{"corkward-run", "run-0123456789abcdef"}, {"content-type", "text/event-stream"}},
-                             -1,
-                             false,
-                             false,
-                             {},
-                             {}});
+      s.head(dataplane::ResponseHead{200,
+                                     {{"corkward-run", "run-0123456789abcdef"}, {"content-type", "text/event-stream"}},
+                                     -1,
+                                     false,
+                                     false,
+                                     {},
+                                     {}});
       s.piece("data: 012345678901234567890123\n\n");
     }
     grown("streams", "router", 1);
@@ -493,7 +494,7 @@
   for (std::int64_t i = 0; i < sizes.prefixes; ++i)
     callers.end(callers.begin(i % sizes.tenants, "", "prefix-" + std::to_string(i)));
   grown("prefixes", "router", 1);
-  dataplane::Held const held = callers.node().held();
+  dataplane::RouterUsage const held = callers.node().usage();
   out.push_back(
       {"page.metrics", "operator", "bytes", counted, static_cast<double>(callers.node().metrics(fleet.now()).size())});
   out.push_back({"held.ids", "router", "ids", counted, static_cast<double>(held.ids)});
@@ -511,7 +512,7 @@
   for (std::int64_t i = 0; i < sizes.tenants; ++i) callers.end(callers.begin(i, "", ""));
   std::vector<dataplane::CallId> calls;
   for (std::int64_t i = 0; i < sizes.calls; ++i) calls.push_back(callers.begin(i % sizes.tenants, "", ""));
-  core::Rng rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xC0);
+  core::RandomGenerator rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xC0);
   std::vector<double> request;
   std::int64_t id = 0;
   for (int b = 0; b < blocks; ++b) {
@@ -526,11 +527,11 @@
   std::vector<double> piece;
   std::size_t passed = 0;
   for (int b = 0; b < blocks; ++b) {
-    dataplane::Stream s;
+    dataplane::ResponseStream s;
     s.connecting(false);
-    s.head(dataplane::Head{200, {{"corkward-run", "run-0123456789abcdef"}}, -1, false, false, {}, {}});
+    s.head(dataplane::ResponseHead{200, {{"corkward-run", "run-0123456789abcdef"}}, -1, false, false, {}, {}});
     double const from = threadUs();
-    for (int i = 0; i < blockPieces; ++i) passed += s.piece("data: 012345678901234567890123\n\n").piece.size();
+    for (int i = 0; i < blockPieces; ++i) passed += s.piece("data: 012345678901234567890123\n\n").chunk.size();
     piece.push_back((threadUs() - from) / blockPieces);
   }
   Rows out;
@@ -543,10 +544,10 @@
     fleet.count(true);
     fleet.run(1000);
     clocks.push_back(fleet.clockUs(false));
-    for (dataplane::CallId const c : calls) callers.node().moving(fleet.now(), c);
+    for (dataplane::CallId const c : calls) callers.node().progress(fleet.now(), c);
   }
   out.push_back({"clock", "router", "us/s", timed, middle(clocks)});
-  out.push_back({"in_hand", "router", "calls", counted, static_cast<double>(callers.node().inHand())});
+  out.push_back({"in_hand", "router", "calls", counted, static_cast<double>(callers.node().pendingCount())});
   return out;
 }
 
--- a/testing/capacity/tally.cpp
+++ b/testing/capacity/tally.cpp
@@ -11,13 +11,13 @@
   std::string key;
   std::visit(
       [&](auto const& m) {
-        if constexpr (requires { m.items.front().key; })
-          if (!m.items.empty()) key = m.items.front().key;
+        if constexpr (requires { m.entries.front().key; })
+          if (!m.entries.empty()) key = m.entries.front().key;
       },
       message);
   if (key == "roster") return "roster";
   if (key.rfind("pool:", 0) == 0) return "list";
-  std::string const kind = transport::kind(message);
+  std::string const kind = transport::kindName(message);
   for (DutyRow const& r : dutyTable)
     if (kind == r.kind) return r.duty;
   return "other";
@@ -25,7 +25,7 @@
 
 Tally& Tallies::of(transport::Message const& message) {
   std::string const duty = dutyOf(message);
-  std::string const kind = transport::kind(message);
+  std::string const kind = transport::kindName(message);
   std::vector<Tally>::iterator const it =
       std::find_if(all_.begin(), all_.end(), [&](Tally const& t) { return t.kind == kind && t.duty == duty; });
   if (it != all_.end()) return *it;
--- a/testing/catch_main.cpp
+++ b/testing/catch_main.cpp
@@ -3,21 +3,22 @@
 
 #include <iostream>
 
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 
 namespace {
 
 int casesWithBrokenPromises = 0;
 
-/// Names each test case in which the code broke a promise that the test did not ask for with PromiseCounts::take.
+/// Names each test case in which the code violated a guarantee that the test did not ask for with
+/// GuaranteeCounts::takeNewViolations.
 struct PromiseListener : Catch::TestEventListenerBase {
   using TestEventListenerBase::TestEventListenerBase;
   void testCaseStarting(Catch::TestCaseInfo const& info) override {
     TestEventListenerBase::testCaseStarting(info);
-    corkward::core::PromiseCounts::ofThread().take();
+    corkward::core::GuaranteeCounts::ofThread().takeNewViolations();
   }
   void testCaseEnded(Catch::TestCaseStats const& stats) override {
-    std::vector<std::string> const broken = corkward::core::PromiseCounts::ofThread().take();
+    std::vector<std::string> const broken = corkward::core::GuaranteeCounts::ofThread().takeNewViolations();
     for (std::string const& line : broken) std::cerr << stats.testInfo.name << ": " << line << "\n";
     casesWithBrokenPromises += broken.empty() ? 0 : 1;
     TestEventListenerBase::testCaseEnded(stats);
--- a/testing/explore/membership_model.cpp
+++ b/testing/explore/membership_model.cpp
@@ -9,12 +9,12 @@
 /// Times of this model, ms: few clock events from one step of a change to the next.
 Rules quick(Rules rules) {
   rules.tuning.heartbeatEvery = 50;
-  rules.tuning.ownerSilence = 200;
+  rules.tuning.ownerTimeout = 200;
   rules.tuning.electionSpread = 1;
   rules.tuning.restartPause = 50;
   rules.tuning.restartSpread = 1;
   rules.tuning.resendEvery = 100;
-  rules.tuning.replaceDarkAfter = 400;
+  rules.tuning.replaceUnreachableAfter = 400;
   rules.cap = 500;
   return rules;
 }
@@ -40,7 +40,7 @@
   if (members < 5) return s;
   world_.kill(s, members - 1);
   world_.kill(s, members - 2);
-  world_.settle(s, rules_.tuning.replaceDarkAfter - 2 * step);
+  world_.settle(s, rules_.tuning.replaceUnreachableAfter - 2 * step);
   return s;
 }
 
@@ -88,7 +88,7 @@
       for (int i = 0; i < static_cast<int>(s.machines.size()); ++i) world_.clock(s, i, step);
       return;
     case Kind::longWait:
-      return world_.settle(s, rules_.tuning.replaceDarkAfter + rules_.tuning.ownerSilence);
+      return world_.settle(s, rules_.tuning.replaceUnreachableAfter + rules_.tuning.ownerTimeout);
     case Kind::kill:
       ++s.spent.faults;
       return world_.kill(s, machine);
@@ -138,7 +138,7 @@
     case Kind::lose:
       for (Packet const& p : s.net)
         if (p.message->index() == action.message)
-          return std::string("lose every ") + transport::kind(*p.message) + " under way";
+          return std::string("lose every ") + transport::kindName(*p.message) + " under way";
       return "";
     case Kind::change:
       return "change called at" + at;
--- a/testing/explore/registers_model.cpp
+++ b/testing/explore/registers_model.cpp
@@ -47,7 +47,7 @@
   if (owns && s.spent.calls < bounds_.changes) out.push_back(Action{Kind::change, machine, 0, 0});
   if (owns && s.spent.reads < bounds_.reads) out.push_back(Action{Kind::read, machine, 0, 0});
   if (!owns && s.spent.elections < bounds_.elections) out.push_back(Action{Kind::election, machine, 0, 0});
-  bool const beats = owns || !m.member->voting();
+  bool const beats = owns || !m.member->isVoting();
   if (beats && s.spent.clocks < bounds_.clocks) out.push_back(Action{Kind::clock, machine, 0, 0});
   if (s.spent.faults >= bounds_.faults && m.pending.empty()) return;
   for (std::uint8_t kept = 0; kept <= m.pending.size(); ++kept) out.push_back(Action{Kind::crash, machine, 0, kept});
--- a/testing/explore/run.cpp
+++ b/testing/explore/run.cpp
@@ -26,8 +26,8 @@
                                  {"sync-before-answer", Mechanism::syncBeforeAnswer},
                                  {"read-confirmation", Mechanism::readConfirmation}};
 constexpr Named ofMembership[] = {{"catch-up-first", Mechanism::catchUpFirst},
-                                  {"copy-before-vote", Mechanism::copyBeforeVote},
-                                  {"both-majorities", Mechanism::bothMajorities},
+                                  {"copy-before-vote", Mechanism::catchUpBeforeVote},
+                                  {"both-majorities", Mechanism::jointQuorum},
                                   {"membership-guard", Mechanism::membershipGuard}};
 constexpr char const* freshId = "fresh-id";
 constexpr char const* compareBase = "compare-base";
--- a/testing/explore/world.cpp
+++ b/testing/explore/world.cpp
@@ -22,7 +22,7 @@
 
 std::set<std::string> marksOf(QJsonObject const& value) {
   std::set<std::string> out;
-  for (QJsonValue const v : value.value("marks").toArray()) out.insert(core::str(v.toString()));
+  for (QJsonValue const v : value.value("marks").toArray()) out.insert(core::toStdString(v.toString()));
   return out;
 }
 
@@ -31,14 +31,14 @@
 }
 
 consensus::Validator validatorOf(bool compareBase) {
-  return
-      [compareBase](std::string const&, std::uint64_t revision, QJsonObject const& value, transport::Call const& call) {
-        if (call.method == "GET") return consensus::Verdict{false, {}, 200, value};
-        if (compareBase && call.ifMatch != std::to_string(revision)) return consensus::Verdict{false, {}, 412, {}};
-        QJsonArray marks = value.value("marks").toArray();
-        marks.append(core::qstr(call.body));
-        return consensus::Verdict{true, QJsonObject{{"marks", marks}}, 200, {}};
-      };
+  return [compareBase](std::string const&, std::uint64_t revision, QJsonObject const& value,
+                       transport::OperatorCall const& call) {
+    if (call.method == "GET") return consensus::Verdict{false, {}, 200, value};
+    if (compareBase && call.ifMatch != std::to_string(revision)) return consensus::Verdict{false, {}, 412, {}};
+    QJsonArray marks = value.value("marks").toArray();
+    marks.append(core::toQString(call.body));
+    return consensus::Verdict{true, QJsonObject{{"marks", marks}}, 200, {}};
+  };
 }
 
 /// Reads anew what the disk says.
@@ -52,16 +52,16 @@
   std::map<std::string, std::string>::const_iterator const meta = m.disk.find("meta");
   if (meta == m.disk.end()) return;
   QJsonObject const o = core::parseJson(meta->second).toObject();
-  m.diskId = core::str(o.value("id").toString());
+  m.diskId = core::toStdString(o.value("id").toString());
   m.diskVotes = o.value("voting").toBool();
   m.diskCaughtUp = static_cast<std::uint64_t>(o.value("settled").toInteger());
   std::map<std::string, std::string>::const_iterator const slot = m.disk.find(std::string("slot:") + callersKey);
   if (slot == m.disk.end()) return;
   QJsonObject const v = core::parseJson(slot->second).toObject();
-  if (core::str(v.value("i").toString()) != m.diskId) return;
+  if (core::toStdString(v.value("i").toString()) != m.diskId) return;
   QJsonObject const b = v.value("a").toObject();
-  m.held.ballot =
-      transport::Ballot{static_cast<std::uint64_t>(b.value("n").toInteger()), core::str(b.value("m").toString())};
+  m.held.ballot = transport::Ballot{static_cast<std::uint64_t>(b.value("n").toInteger()),
+                                    core::toStdString(b.value("m").toString())};
   m.held.revision = static_cast<std::uint64_t>(v.value("s").toInteger());
   m.held.marks = marksOf(v.value("v").toObject());
 }
@@ -71,8 +71,8 @@
       [](auto const& m) -> std::string {
         if constexpr (requires { m.key; })
           return m.key;
-        else if constexpr (requires { m.item; })
-          return m.item.key;
+        else if constexpr (requires { m.entry; })
+          return m.entry.key;
         else
           return "";
       },
@@ -84,9 +84,12 @@
   transport::Message out = message;
   std::visit(
       [&](auto& m) {
-        if constexpr (requires { m.tick; }) {
-          tick = m.tick;
-          m.tick = 0;
+        if constexpr (requires { m.sentAt; }) {
+          tick = m.sentAt;
+          m.sentAt = 0;
+        } else if constexpr (requires { m.requestSentAt; }) {
+          tick = m.requestSentAt;
+          m.requestSentAt = 0;
         }
       },
       out);
@@ -107,7 +110,7 @@
 
 std::string nameOf(Packet const& p) {
   std::string const key = keyOf(*p.message);
-  return std::string(transport::kind(*p.message)) + (key.empty() ? "" : "(" + key + ")") + " " + linkOf(p.from) +
+  return std::string(transport::kindName(*p.message)) + (key.empty() ? "" : "(" + key + ")") + " " + linkOf(p.from) +
          " -> " + linkOf(p.to);
 }
 
@@ -163,49 +166,49 @@
 void World::arrive(State& s, Packet const& p, Sync sync) const {
   if (!s.machines[static_cast<std::size_t>(p.to)]->member) return;
   Machine& m = edit(s, p.to);
-  take(s, p.to, m.member->arrived(m.now, linkOf(p.from), *p.message), sync);
+  take(s, p.to, m.member->onMessage(m.now, linkOf(p.from), *p.message), sync);
 }
 
 void World::clock(State& s, int machine, Tick by) const {
   Machine& m = edit(s, machine);
   m.now += by;
   if (!m.member) return;
-  if (m.member->seeking()) {
+  if (m.member->discovering()) {
     std::vector<std::string> links;
     for (std::shared_ptr<Machine const> const& o : s.machines) links.push_back(o->link);
-    m.member->meet(links);
+    m.member->setDiscoveryPeers(links);
   }
-  take(s, machine, m.member->clockEvent(m.now), Sync::atOnce);
+  take(s, machine, m.member->onTimer(m.now), Sync::atOnce);
 }
 
 void World::handover(State& s, int machine) const {
   Machine& m = edit(s, machine);
-  take(s, machine, m.member->arrived(m.now, m.link, transport::Handover{callersKey, {}}), Sync::atOnce);
+  take(s, machine, m.member->onMessage(m.now, m.link, transport::Handover{callersKey, {}}), Sync::atOnce);
 }
 
 void World::change(State& s, int machine) const {
   Machine& m = edit(s, machine);
-  std::map<std::string, consensus::Committed>::const_iterator const it = m.member->committed().find(callersKey);
+  std::map<std::string, consensus::CommittedValue>::const_iterator const it = m.member->committed().find(callersKey);
   std::uint64_t const base = it == m.member->committed().end() ? 0 : it->second.revision;
   History& history = editHistory(s);
-  transport::Call call;
+  transport::OperatorCall call;
   call.token = ++history.tokens;
   call.method = "PUT";
   call.ifMatch = std::to_string(base);
   call.body = "m" + std::to_string(call.token);
   history.baseOf[call.token] = base;
-  take(s, machine, m.member->call(m.now, callersKey, call), Sync::atOnce);
+  take(s, machine, m.member->submit(m.now, callersKey, call), Sync::atOnce);
 }
 
 void World::read(State& s, int machine) const {
   Machine& m = edit(s, machine);
   History& history = editHistory(s);
-  transport::Call call;
+  transport::OperatorCall call;
   call.token = ++history.tokens;
   call.method = "GET";
   std::set<std::string>& want = history.questions[call.token];
   for (std::map<std::string, std::uint64_t>::value_type const& c : history.confirmed) want.insert(c.first);
-  take(s, machine, m.member->call(m.now, callersKey, call), Sync::atOnce);
+  take(s, machine, m.member->submit(m.now, callersKey, call), Sync::atOnce);
 }
 
 void World::sync(State& s, int machine, std::size_t records, bool tell) const {
@@ -218,24 +221,24 @@
   }
   readDisk(m);
   if (!tell) return;
-  consensus::Commands all;
+  consensus::RegisterCommands all;
   for (std::uint64_t const ticket : tickets) {
-    consensus::Commands const c = m.member->written(m.now, ticket, true);
+    consensus::RegisterCommands const c = m.member->onPersisted(m.now, ticket, true);
     all.sends.insert(all.sends.end(), c.sends.begin(), c.sends.end());
     all.persists.insert(all.persists.end(), c.persists.begin(), c.persists.end());
     all.commits.insert(all.commits.end(), c.commits.begin(), c.commits.end());
-    all.decided.insert(all.decided.end(), c.decided.begin(), c.decided.end());
+    all.completedCalls.insert(all.completedCalls.end(), c.completedCalls.begin(), c.completedCalls.end());
     all.logEvents.insert(all.logEvents.end(), c.logEvents.begin(), c.logEvents.end());
   }
   take(s, machine, all, Sync::atOnce);
 }
 
-void World::take(State& s, int machine, consensus::Commands const& c, Sync sync) const {
+void World::take(State& s, int machine, consensus::RegisterCommands const& c, Sync sync) const {
   for (core::LogEvent const& e : c.logEvents)
     if (e.event == "absurd-message") s.broken = "two values under one revision reach a member";
   for (transport::Send const& send : c.sends) post(s, machine, send);
-  for (consensus::Committed const& k : c.commits) onCommit(s, k);
-  for (consensus::Decided const& d : c.decided) onDecided(s, d);
+  for (consensus::CommittedValue const& k : c.commits) onCommit(s, k);
+  for (consensus::CallCompleted const& d : c.completedCalls) onDecided(s, d);
   if (c.persists.empty()) return;
   Machine& m = edit(s, machine);
   m.pending.insert(m.pending.end(), c.persists.begin(), c.persists.end());
@@ -248,7 +251,7 @@
   Packet p{from, to, nullptr, 0, -1, 0};
   transport::Message const plain = untimed(send.message, p.tick);
   if (std::holds_alternative<transport::Heartbeat>(plain)) p.clock = from;
-  if (std::holds_alternative<transport::HeartbeatEcho>(plain)) p.clock = to;
+  if (std::holds_alternative<transport::HeartbeatReply>(plain)) p.clock = to;
   p.hash = mix(core::stableHash(transport::pack(transport::Envelope{linkOf(from), plain, 0})),
                static_cast<std::uint64_t>(to));
   p.message = std::make_shared<transport::Message const>(send.message);
@@ -257,7 +260,7 @@
   s.net.push_back(std::move(p));
 }
 
-void World::onCommit(State& s, consensus::Committed const& c) const {
+void World::onCommit(State& s, consensus::CommittedValue const& c) const {
   std::string const text = core::jsonText(c.value);
   std::pair<std::string, std::uint64_t> const at(c.key, c.revision);
   std::map<std::pair<std::string, std::uint64_t>, std::string>::const_iterator const it = s.history->chosen.find(at);
@@ -276,7 +279,7 @@
   checkMarks(s);
 }
 
-void World::onDecided(State& s, consensus::Decided const& d) const {
+void World::onDecided(State& s, consensus::CallCompleted const& d) const {
   std::map<std::uint64_t, std::set<std::string>>::const_iterator const question = s.history->questions.find(d.token);
   if (question != s.history->questions.end()) {
     if (d.status == 200 && !hasAll(marksOf(d.body), question->second))
@@ -357,7 +360,7 @@
     s.machines.push_back(m);
   }
   for (int i = 0; i < members; ++i) start(s, i, founders);
-  Tick const round = rules_.tuning.ownerSilence + rules_.tuning.electionSpread;
+  Tick const round = rules_.tuning.ownerTimeout + rules_.tuning.electionSpread;
   settle(s, 4 * round);
   handover(s, 0);
   wave(s, 0);
@@ -376,7 +379,7 @@
 std::uint64_t World::digest(Machine const& m) const {
   if (m.digest != 0) return m.digest;
   std::uint64_t d = mix(m.member ? m.member->fingerprint(m.now, rules_.cap) : 1, m.diskDigest);
-  for (consensus::Persist const& p : m.pending) d = mix(d, core::stableHash(p.payload));
+  for (consensus::PersistCommand const& p : m.pending) d = mix(d, core::stableHash(p.payload));
   m.digest = mix(d, static_cast<std::uint64_t>(m.boots)) | 1U;
   return m.digest;
 }
@@ -413,9 +416,9 @@
 
 bool World::changes(Packet const& p, Machine const& receiver) const {
   if (!receiver.member) return false;
-  consensus::Registers trial = *receiver.member;
-  consensus::Commands const c = trial.arrived(receiver.now, linkOf(p.from), *p.message);
-  return !c.sends.empty() || !c.persists.empty() || !c.commits.empty() || !c.decided.empty() ||
+  consensus::ReplicatedRegisters trial = *receiver.member;
+  consensus::RegisterCommands const c = trial.onMessage(receiver.now, linkOf(p.from), *p.message);
+  return !c.sends.empty() || !c.persists.empty() || !c.commits.empty() || !c.completedCalls.empty() ||
          trial.fingerprint(receiver.now, rules_.cap) != receiver.member->fingerprint(receiver.now, rules_.cap);
 }
 
--- a/testing/explore/world.h
+++ b/testing/explore/world.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include <corkward/consensus/registers.h>
+#include <corkward/consensus/replicated_registers.h>
 
 namespace corkward::explore {
 
@@ -40,9 +40,9 @@
 /// One machine: its process while it runs, its disk, and what its process has given to the disk and is not yet synced.
 struct Machine {
   std::string link;
-  std::optional<consensus::Registers> member;
+  std::optional<consensus::ReplicatedRegisters> member;
   std::map<std::string, std::string> disk;
-  std::deque<consensus::Persist> pending;
+  std::deque<consensus::PersistCommand> pending;
   Tick now = 0;
   int boots = 0;
   /// What the disk says: the member's id, whether it votes, and under which membership it has caught up.
@@ -98,7 +98,7 @@
 
 /// What holds in every state of a model.
 struct Rules {
-  consensus::Tuning tuning;
+  consensus::ConsensusTuning tuning;
   /// A disk that was wiped gets an id that was never used.
   bool freshIds = true;
   /// A change is taken only on the base that it names.
@@ -150,10 +150,10 @@
   static History& editHistory(State& s);
   static std::uint64_t digest(History const& history);
   int indexOf(State const& s, std::string const& link) const;
-  void take(State& s, int machine, consensus::Commands const& c, Sync sync) const;
+  void take(State& s, int machine, consensus::RegisterCommands const& c, Sync sync) const;
   void post(State& s, int from, transport::Send const& send) const;
-  void onCommit(State& s, consensus::Committed const& c) const;
-  void onDecided(State& s, consensus::Decided const& d) const;
+  void onCommit(State& s, consensus::CommittedValue const& c) const;
+  void onDecided(State& s, consensus::CallCompleted const& d) const;
   void checkMarks(State& s) const;
   void start(State& s, int machine, std::vector<std::string> founders) const;
 
--- a/testing/fleet/chaos.cpp
+++ b/testing/fleet/chaos.cpp
@@ -85,8 +85,8 @@
     for (Node const& r : fleet_.replicas()) {
       if (r.pool != pool) continue;
       std::string const state = states_.count(r.name) > 0 ? states_.at(r.name) : "serving";
-      list.append(
-          QJsonObject{{"address", core::qstr(r.shown)}, {"zone", core::qstr(r.zone)}, {"state", core::qstr(state)}});
+      list.append(QJsonObject{
+          {"address", core::toQString(r.shown)}, {"zone", core::toQString(r.zone)}, {"state", core::toQString(state)}});
     }
     show(pool, generation_,
          core::jsonText(
@@ -154,7 +154,7 @@
   QJsonArray paths;
   for (QJsonValue const p : spec.value("paths").toArray())
     if (!p.toObject().value("path").toString().startsWith("mark-")) paths.append(p);
-  paths.append(QJsonObject{{"path", core::qstr(mark)}, {"pool", "model"}, {"class", "short"}});
+  paths.append(QJsonObject{{"path", core::toQString(mark)}, {"pool", "model"}, {"class", "short"}});
   spec.insert("paths", paths);
   return {mark, spec};
 }
--- a/testing/fleet/chaos_failures.cpp
+++ b/testing/fleet/chaos_failures.cpp
@@ -174,7 +174,7 @@
 }
 
 void Chaos::tear(Node const& controller) {
-  QDir const dir(core::qstr(controller.data));
+  QDir const dir(core::toQString(controller.data));
   QStringList const files = dir.entryList({"*log*", "*segment*"}, QDir::Files, QDir::Time);
   if (files.isEmpty()) return;
   QFile file(dir.filePath(files.first()));
--- a/testing/fleet/chaos_run.h
+++ b/testing/fleet/chaos_run.h
@@ -109,7 +109,7 @@
   };
 
   ChaosPlan plan_;
-  core::Rng rng_;
+  core::RandomGenerator rng_;
   Fleet fleet_;
   std::vector<std::unique_ptr<Tap>> replicaTaps_;
   std::vector<std::unique_ptr<Tap>> callerTaps_;
--- a/testing/fleet/fleet.cpp
+++ b/testing/fleet/fleet.cpp
@@ -20,7 +20,7 @@
 namespace corkward::testing {
 
 Fleet::Fleet(Deployment const& deployment) : deployment_(deployment) {
-  core::Rng rng(programs::freshSeed());
+  core::RandomGenerator rng(programs::freshSeed());
   net_ = "127." + std::to_string(10 + rng.below(200)) + "." + std::to_string(1 + rng.below(250)) + ".";
   int machine = 0;
   for (int i = 0; i < deployment.disks; ++i) {
@@ -52,7 +52,7 @@
     n.pool = model ? "model" : deployment.otherPool;
     n.record = folder() + "/" + n.name + ".record";
     n.program = CORKWARD_BIN "/testing/standin-replica";
-    n.flags = {"--http", core::qstr(n.http), "--record", core::qstr(n.record)};
+    n.flags = {"--http", core::toQString(n.http), "--record", core::toQString(n.record)};
     if (!model) n.flags += {"--first-ms", "5", "--words", "1", "--slots", "32"};
     if (model) n.flags += {"--slots", "8"};
     replicas_.push_back(std::move(n));
@@ -65,7 +65,7 @@
     for (Node& n : *group) {
       bool const disk = group == &controllers_;
       n.program = QString(CORKWARD_BIN "/programs/") + (disk ? "corkward-control" : "corkward-router");
-      QFile settings(core::qstr(folder() + "/" + n.name + ".conf"));
+      QFile settings(core::toQString(folder() + "/" + n.name + ".conf"));
       settings.open(QIODevice::WriteOnly);
       std::string text = "link = " + n.link + "\nhttp = " + n.http + "\nzone = " + n.zone + "\n";
       if (!n.listen.empty()) text += "listen = " + n.listen + "\n";
@@ -103,14 +103,14 @@
 
 std::string Fleet::freeAddress(std::string const& ip) {
   QTcpServer probe;
-  if (!probe.listen(QHostAddress(core::qstr(ip)), 0)) throw FleetError("no free port at " + ip);
+  if (!probe.listen(QHostAddress(core::toQString(ip)), 0)) throw FleetError("no free port at " + ip);
   return ip + ":" + std::to_string(probe.serverPort());
 }
 
 void Fleet::start(Node& node, std::uint64_t fileLimit) {
   node.process = std::make_unique<QProcess>();
   node.process->setProcessChannelMode(QProcess::MergedChannels);
-  node.process->setStandardOutputFile(core::qstr(folder() + "/" + node.name + ".out"), QIODevice::Append);
+  node.process->setStandardOutputFile(core::toQString(folder() + "/" + node.name + ".out"), QIODevice::Append);
   if (fileLimit > 0)
     node.process->setChildProcessModifier([fileLimit] {
       std::signal(SIGXFSZ, SIG_IGN);
@@ -120,7 +120,7 @@
   QStringList flags = node.flags;
   if (regimes_ && !node.record.empty()) {
     node.life = node.name + "-" + std::to_string(++lives_);
-    flags += {"--life", core::qstr(node.life)};
+    flags += {"--life", core::toQString(node.life)};
   }
   node.process->start(node.program, flags);
   if (!node.process->waitForStarted(10000)) throw FleetError("cannot start " + node.name);
@@ -156,7 +156,7 @@
 }
 
 void Fleet::wipe(Node& node) {
-  QDir(core::qstr(node.data)).removeRecursively();
+  QDir(core::toQString(node.data)).removeRecursively();
 }
 
 void Fleet::until(std::string const& what, std::function<bool()> const& condition, int limitMs) {
@@ -176,7 +176,7 @@
 
 QNetworkRequest Fleet::requestOf(std::string const& http, std::string const& path, std::string const& ifMatch,
                                  std::string const& changeId, int limitMs) const {
-  QNetworkRequest request(QUrl(core::qstr("http://" + http + path)));
+  QNetworkRequest request(QUrl(core::toQString("http://" + http + path)));
   request.setTransferTimeout(limitMs);
   request.setHeader(QNetworkRequest::ContentTypeHeader, "application/json");
   if (!ifMatch.empty()) request.setRawHeader("If-Match", QByteArray::fromStdString(ifMatch));
@@ -232,8 +232,8 @@
 Fleet::Tool Fleet::tool(std::string const& program, std::vector<std::string> const& words, std::string const& input) {
   QProcess process;
   QStringList flags;
-  for (std::string const& w : words) flags += core::qstr(w);
-  process.start(core::qstr(CORKWARD_BIN "/programs/" + program), flags);
+  for (std::string const& w : words) flags += core::toQString(w);
+  process.start(core::toQString(CORKWARD_BIN "/programs/" + program), flags);
   process.write(QByteArray::fromStdString(input));
   process.closeWriteChannel();
   until(
@@ -270,10 +270,10 @@
       if (r.pool != pool) continue;
       std::map<std::string, std::string>::const_iterator const it = states.find(r.name);
       if (it != states.end() && it->second == "gone") continue;
-      QJsonObject row{{"address", core::qstr(r.shown.empty() ? r.http : r.shown)},
-                      {"zone", core::qstr(r.zone)},
-                      {"state", core::qstr(it == states.end() ? "serving" : it->second)}};
-      if (!r.life.empty()) row.insert("id", core::qstr(r.life));
+      QJsonObject row{{"address", core::toQString(r.shown.empty() ? r.http : r.shown)},
+                      {"zone", core::toQString(r.zone)},
+                      {"state", core::toQString(it == states.end() ? "serving" : it->second)}};
+      if (!r.life.empty()) row.insert("id", core::toQString(r.life));
       list.append(row);
     }
     std::string const body = core::jsonText(
@@ -291,7 +291,7 @@
 
 void Fleet::loadConfigurations() {
   std::string const family = deployment_.family;
-  QFile file(core::qstr(std::string(CORKWARD_SOURCE "/examples/") + family + ".json"));
+  QFile file(core::toQString(std::string(CORKWARD_SOURCE "/examples/") + family + ".json"));
   if (!file.open(QIODevice::ReadOnly)) throw FleetError("no example for " + family);
   Reply const t = change("PUT", "/v1/templates/" + family, file.readAll().toStdString(), "0");
   if (t.status != 201) throw FleetError("template: status " + std::to_string(t.status) + " " + core::jsonText(t.body));
@@ -313,7 +313,7 @@
 }
 
 std::string Fleet::logTail(Node const& node) const {
-  QFile file(core::qstr(folder() + "/" + node.name + ".log"));
+  QFile file(core::toQString(folder() + "/" + node.name + ".log"));
   if (!file.open(QIODevice::ReadOnly)) return "";
   QByteArray const all = file.readAll();
   return all.right(2000).toStdString();
--- a/testing/fleet/tap.cpp
+++ b/testing/fleet/tap.cpp
@@ -35,7 +35,7 @@
 Tap::Tap(std::string const& target, std::string const& ip, std::uint64_t seed, int darkMs)
     : target_(target), rng_(seed), darkMs_(darkMs) {
   server_.setListenBacklogSize(512);
-  if (!server_.listen(QHostAddress(QString::fromStdString(ip)), 0)) throw http::Error("no free port at " + ip);
+  if (!server_.listen(QHostAddress(QString::fromStdString(ip)), 0)) throw http::HttpError("no free port at " + ip);
   address_ = ip + ":" + std::to_string(server_.serverPort());
   QObject::connect(&server_, &QTcpServer::newConnection, this, [this] { accept(); });
 }
--- a/testing/fleet/tap.h
+++ b/testing/fleet/tap.h
@@ -48,7 +48,7 @@
   std::string target_;
   std::string address_;
   QTcpServer server_;
-  core::Rng rng_;
+  core::RandomGenerator rng_;
   double share_ = 0;
   bool cut_ = false;
   bool held_ = false;
--- a/testing/fleet/traffic.cpp
+++ b/testing/fleet/traffic.cpp
@@ -72,8 +72,8 @@
   o.record.instance = o.instance;
   o.path = cls == "urgent" ? d.quickPath : cls == "long" ? d.bulkPath : d.shortPath;
   if (cls != "urgent") o.prefix = "turbine-" + std::to_string(rng_.chance(0.3) ? 0 : rng_.below(40));
-  o.body = core::jsonText(QJsonObject{{"prefix", core::qstr(o.prefix)},
-                                      {"text", core::qstr(std::string(cls == "long" ? 4000 : 200, 'x'))}});
+  o.body = core::jsonText(QJsonObject{{"prefix", core::toQString(o.prefix)},
+                                      {"text", core::toQString(std::string(cls == "long" ? 4000 : 200, 'x'))}});
   o.deadline = o.record.began + callerLimit;
   o.record.numbered = rng_.chance(0.7);
   std::string const id = o.record.id;
--- a/testing/fleet/traffic.h
+++ b/testing/fleet/traffic.h
@@ -80,7 +80,7 @@
   void finish(std::string const& id, std::string const& outcome);
   void look();
   Fleet& fleet_;
-  core::Rng rng_;
+  core::RandomGenerator rng_;
   double scale_;
   QTimer arrivals_;
   QTimer looks_;
--- a/testing/fuzz/caller.cpp
+++ b/testing/fuzz/caller.cpp
@@ -28,13 +28,13 @@
 constexpr int patienceMs = 1200;
 
 std::string requestText(Seen const& seen) {
-  http::FieldList fields = wire::callerFields();
+  http::HeaderList fields = wire::callerFields();
   fields.emplace_back("host", wire::host);
   fields.emplace_back(wire::attempt, seen.attempt);
   fields.emplace_back(wire::timeLeft, std::to_string(seen.ask.toldMs));
   fields.emplace_back(ownField, seen.attempt);
   std::string out = "POST " + seen.target + " HTTP/1.1\r\n";
-  for (http::FieldList::value_type const& f : fields) out += f.first + ": " + f.second + "\r\n";
+  for (http::HeaderList::value_type const& f : fields) out += f.first + ": " + f.second + "\r\n";
   if (seen.ask.expectsContinue) out += "Expect: 100-continue\r\n";
   if (!seen.ask.chunkedBody)
     return out + "Content-Length: " + std::to_string(seen.body.size()) + "\r\n\r\n" + seen.body;
--- a/testing/fuzz/oracles.cpp
+++ b/testing/fuzz/oracles.cpp
@@ -33,8 +33,8 @@
 }
 
 /// Fields that must reach the replica as the caller has sent them.
-http::FieldList carried(Seen const& seen) {
-  http::FieldList out = wire::callerFields();
+http::HeaderList carried(Seen const& seen) {
+  http::HeaderList out = wire::callerFields();
   out.emplace_back("host", wire::host);
   out.emplace_back(ownField, seen.attempt);
   out.emplace_back(wire::attempt, seen.attempt);
@@ -138,7 +138,7 @@
 
   void sent(Seen const& seen, Dispatch const& d) {
     if (d.method != "POST" || d.target != seen.target) broken("as-sent", about(seen) + " reached " + d.target);
-    for (http::FieldList::value_type const& f : carried(seen))
+    for (http::HeaderList::value_type const& f : carried(seen))
       if (http::field(d.fields, f.first) != f.second)
         broken("as-sent", about(seen) + " has " + f.first + ": " + http::field(d.fields, f.first));
     if (d.bodyWhole && d.body != seen.body)
--- a/testing/fuzz/plan.cpp
+++ b/testing/fuzz/plan.cpp
@@ -30,7 +30,7 @@
   return route == Route::row || route == Route::tell;
 }
 
-std::uint32_t sizeOf(core::Rng& rng, std::uint64_t longest) {
+std::uint32_t sizeOf(core::RandomGenerator& rng, std::uint64_t longest) {
   switch (rng.below(8)) {
     case 0:
       return 0;
@@ -43,7 +43,7 @@
   }
 }
 
-Answer answerOf(core::Rng& rng, Route route) {
+Answer answerOf(core::RandomGenerator& rng, Route route) {
   Answer out;
   out.fault = rng.chance(0.35) ? Fault::well : static_cast<Fault>(rng.below(faults));
   out.framing = static_cast<Framing>(rng.below(3));
@@ -65,7 +65,7 @@
 template <std::size_t size>
 std::size_t read(std::array<char const*, size> const& names, QJsonObject const& from, char const* field) {
   QJsonValue const value = from.value(field);
-  return value.isUndefined() ? 0 : indexOf(names, core::str(value.toString()), field);
+  return value.isUndefined() ? 0 : indexOf(names, core::toStdString(value.toString()), field);
 }
 
 Answer answerFrom(QJsonObject const& from) {
@@ -132,7 +132,7 @@
 
 Plan planOf(std::uint64_t seed) {
   // The generator's streams of seeds that follow each other are alike.
-  core::Rng rng(core::stableHash("plan " + std::to_string(seed)));
+  core::RandomGenerator rng(core::stableHash("plan " + std::to_string(seed)));
   Plan out;
   out.seed = seed;
   out.name = std::to_string(seed);
--- a/testing/fuzz/record.h
+++ b/testing/fuzz/record.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include <corkward/core/types.h>
-#include <corkward/http/fields.h>
+#include <corkward/http/headers.h>
 
 #include "plan.h"
 
@@ -29,7 +29,7 @@
   core::Tick answeredAt = 0;
   std::string method;
   std::string target;
-  http::Fields fields;
+  http::HeaderMap fields;
   std::string body;
   bool bodyWhole = false;
   /// It counts as run: the replica did not say, truly, that it would not run it.
@@ -63,7 +63,7 @@
   /// When the caller left, if it did before the end; 0: it stayed.
   core::Tick leftAt = 0;
   int status = 0;
-  http::FieldList fields;
+  http::HeaderList fields;
   std::string got;
   bool whole = false;
   /// The connection could not be had, or had ended before the request went out on it.
--- a/testing/fuzz/runner.cpp
+++ b/testing/fuzz/runner.cpp
@@ -65,13 +65,13 @@
 }
 
 std::vector<Plan> corpus(std::string const& folder) {
-  QDir const dir(core::qstr(folder));
+  QDir const dir(core::toQString(folder));
   if (!dir.exists()) throw PlanError(folder + ": no such folder");
   std::vector<Plan> out;
   for (QString const& name : dir.entryList({"*.json"}, QDir::Files, QDir::Name)) {
     QFile file(dir.filePath(name));
-    if (!file.open(QIODevice::ReadOnly)) throw PlanError(core::str(name) + ": cannot be read");
-    out.push_back(planOf(core::str(name), core::parseJson(file.readAll().toStdString()).toObject()));
+    if (!file.open(QIODevice::ReadOnly)) throw PlanError(core::toStdString(name) + ": cannot be read");
+    out.push_back(planOf(core::toStdString(name), core::parseJson(file.readAll().toStdString()).toObject()));
   }
   return out;
 }
--- a/testing/fuzz/scene.cpp
+++ b/testing/fuzz/scene.cpp
@@ -34,8 +34,8 @@
   return "127.0.0.1:" + std::to_string(probe.serverPort());
 }
 
-dataplane::Tuning tuning() {
-  dataplane::Tuning t = platform::routerTuning(platform::NodeFile{});
+dataplane::RouterTuning tuning() {
+  dataplane::RouterTuning t = platform::routerTuning(platform::NodeFile{});
   t.figures.firstLimit = 64;
   t.figures.minLimit = 64;
   t.busyFor = 20;
@@ -47,7 +47,7 @@
   programs::RouterSurface s;
   s.limits.named = false;
   s.limits.faultFields = {};
-  s.kept = http::Kept{8, 1000, 250};
+  s.kept = http::KeepAlivePolicy{8, 1000, 250};
   s.ownPages = false;
   s.seed = seed;
   return s;
@@ -117,7 +117,7 @@
   for (std::unique_ptr<Replica> const& r : replicas_) addresses.push_back(r->address());
   std::vector<wire::Route> const routes{
       {"safe", false, true}, {"once", false, false}, {"row", true, true}, {"tell", true, false}};
-  transport::News const news = wire::firstNews(
+  transport::ConfigurationUpdate const news = wire::firstNews(
       routes, addresses, tampers(Tampering::moreTries) ? terms.tries + 2 : terms.tries, terms.deadlineMs);
   std::string const link = settings.link;
   control_ = std::make_unique<transport::Link>(this, control, [this, news, link](transport::Envelope const&) {
--- a/testing/fuzz/scene.h
+++ b/testing/fuzz/scene.h
@@ -61,7 +61,7 @@
   std::optional<Mutation> mutation_;
   std::function<void()> over_;
   Record record_;
-  core::Rng rng_;
+  core::RandomGenerator rng_;
   std::size_t open_ = 0;
   std::size_t toStart_ = 0;
   bool finished_ = false;
--- a/testing/fuzz/script.cpp
+++ b/testing/fuzz/script.cpp
@@ -343,7 +343,7 @@
 
   void garbage() {
     broken();
-    core::Rng rng(answer_.variant + answer_.size);
+    core::RandomGenerator rng(answer_.variant + answer_.size);
     std::string bytes;
     for (std::size_t i = 0; i < 20 + answer_.at; ++i) bytes += static_cast<char>(rng.below(256));
     write((answer_.variant % 2 == 0 ? "HTTP/1.1 200 OK\r\n" : "") + bytes);
--- a/testing/replica/main.cpp
+++ b/testing/replica/main.cpp
@@ -37,7 +37,7 @@
       : ways_(ways),
         name_(programs::freshName().substr(0, 8)),
         record_(ways.record, std::ios::app),
-        server_(ways.http, http::Limits{}, events()) {
+        server_(ways.http, http::ServerLimits{}, events()) {
     write("up", "", "", "");
   }
 
@@ -59,7 +59,7 @@
   http::Server::Events events() {
     http::Server::Events e;
     e.request = [this](http::Request r) { take(std::move(r)); };
-    e.gone = [this](std::uint64_t id) { gone(id); };
+    e.disconnected = [this](std::uint64_t id) { gone(id); };
     return e;
   }
 
@@ -101,7 +101,7 @@
     if (run.events && r.fields.count("last-event-id") > 0) run.next = std::stoull(r.fields.at("last-event-id"));
     std::string prefix;
     try {
-      prefix = core::str(core::parseJson(r.body).toObject().value("prefix").toString());
+      prefix = core::toStdString(core::parseJson(r.body).toObject().value("prefix").toString());
     } catch (core::JsonError const&) {
       prefix.clear();
     }
@@ -129,7 +129,7 @@
     }
     write("resume", run, id, offset);
     server_.begin(r.id, 206, {{"corkward-run", run}, {"corkward-offset", offset}}, -1);
-    server_.piece(r.id, body.substr(std::stoull(offset)));
+    server_.writeChunk(r.id, body.substr(std::stoull(offset)));
     server_.finish(r.id);
   }
 
@@ -161,11 +161,11 @@
       return;
     }
     if (run.next < run.words) {
-      server_.piece(call, word(run.run, run.next++));
+      server_.writeChunk(call, word(run.run, run.next++));
       QTimer::singleShot(ways_.gapMs, this, [this, call] { step(call); });
       return;
     }
-    server_.piece(call, run.run + " end " + std::to_string(run.words) + "\n");
+    server_.writeChunk(call, run.run + " end " + std::to_string(run.words) + "\n");
     server_.finish(call);
     write("end", run.run, run.id, "");
     running_.erase(it);
@@ -178,7 +178,7 @@
     run.begun = true;
     if (run.next < run.words) {
       std::string const number = std::to_string(++run.next);
-      server_.piece(call, "id: " + number + "\ndata: " + run.id + " " + number + "\n\n");
+      server_.writeChunk(call, "id: " + number + "\ndata: " + run.id + " " + number + "\n\n");
       QTimer::singleShot(ways_.gapMs, this, [this, call] { step(call); });
       return;
     }
--- a/testing/sim/callers.cpp
+++ b/testing/sim/callers.cpp
@@ -73,15 +73,15 @@
   r.attempt = c.numbered ? c.attempt : 0;
   r.age = now_ - c.began;
   r.prefix = c.prefix;
-  r.earlierNotRun = c.numbered && c.attempt > 1 && c.earlierNotRun;
-  r.earlierReached = c.earlierReached;
+  r.earlierNotExecuted = c.numbered && c.attempt > 1 && c.earlierNotRun;
+  r.earlierReachedReplica = c.earlierReached;
   std::string const link = n.link;
   std::uint64_t const life = n.life;
   std::uint64_t const call = c.call;
   after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, r] {
     toNode(link, life, [this, link, r] {
       Node& k = *node(link);
-      run(k, k.data->request(local(k), r));
+      run(k, k.data->onRequest(local(k), r));
     });
   });
   after(callerPatience, [this, id, call, link, life] {
@@ -89,7 +89,7 @@
     if (k == callers_.end() || !k->second.open || k->second.call != call || k->second.worded) return;
     toNode(link, life, [this, link, call] {
       Node& m = *node(link);
-      run(m, m.data->callerGone(local(m), call));
+      run(m, m.data->callerDisconnected(local(m), call));
     });
     callerCut(id);
   });
@@ -108,16 +108,16 @@
   Caller& c = callers_.at(id);
   c.open = false;
   ++result_.counts["denied-" + std::to_string(d.status) + (d.status == 409 ? " " + d.reason : "")];
-  c.earlierReached = c.earlierReached || d.reached;
-  if (d.notRun) {
+  c.earlierReached = c.earlierReached || d.reachedReplica;
+  if (d.notExecuted) {
     rejectedNotRun_.insert({id, c.call});
     if (ranAttempts_.count({id, c.call}) > 0) violation("rejected as not run, but ran: " + id);
   }
-  if (!d.notRun && again(c)) return;
-  bool const back =
-      plan_.fenced && d.notRun && (d.retryAfter > 0 || c.hard) && c.attempt < (c.hard ? 12U : 4U) && now_ < c.deadline;
+  if (!d.notExecuted && again(c)) return;
+  bool const back = plan_.fenced && d.notExecuted && (d.retryAfter > 0 || c.hard) && c.attempt < (c.hard ? 12U : 4U) &&
+                    now_ < c.deadline;
   if (!back) {
-    callerEnds(id, d.notRun ? "denied" : "unknown");
+    callerEnds(id, d.notExecuted ? "denied" : "unknown");
     return;
   }
   Tick const wait =
--- a/testing/sim/certificates.cpp
+++ b/testing/sim/certificates.cpp
@@ -30,11 +30,11 @@
   std::size_t const dash = name.rfind('-');
   QJsonObject out{{"regime", regime},
                   {"carrier", "nacelles"},
-                  {"zone", core::qstr(name.substr(dash + 1))},
+                  {"zone", core::toQString(name.substr(dash + 1))},
                   {"until", QDateTime::fromMSecsSinceEpoch(wallBegin + now_ + lasts, Qt::UTC).toString(Qt::ISODate)}};
   if (name.rfind(ofRouters, 0) == 0) return out;
   out.insert("carrier", "replicas");
-  out.insert("pool", core::qstr(name.substr(0, dash)));
+  out.insert("pool", core::toQString(name.substr(0, dash)));
   return out;
 }
 
@@ -48,7 +48,7 @@
 
 void World::declareRegime() {
   QJsonObject all;
-  for (std::string const& name : certificateNames()) all.insert(core::qstr(name), certificateFor(name, farAway));
+  for (std::string const& name : certificateNames()) all.insert(core::toQString(name), certificateFor(name, farAway));
   QJsonObject const spec{
       {"regimes", QJsonObject{{regime, QJsonObject{{"nacelles", plan_.certifiedRouters ? "certified" : "any"}}}}},
       {"certificates", all}};
@@ -74,7 +74,7 @@
 void World::patchCertificates(std::vector<std::string> const& names, Tick lasts) {
   QJsonObject all;
   for (std::string const& name : names) {
-    all.insert(core::qstr(name), certificateFor(name, lasts));
+    all.insert(core::toQString(name), certificateFor(name, lasts));
     outSince_.erase(name);
     ++certificateTurns_[name];
   }
--- a/testing/sim/disk.cpp
+++ b/testing/sim/disk.cpp
@@ -14,7 +14,7 @@
 
 void SimDisk::step() {
   if (left_ < 0) return;
-  if (left_ == 0) throw storage::Error("the process is no more");
+  if (left_ == 0) throw storage::StorageError("the process is no more");
   --left_;
 }
 
@@ -24,7 +24,7 @@
 
 void SimDisk::append(std::string const& name, std::string const& bytes) {
   step();
-  if (full) throw storage::Error("no space left");
+  if (full) throw storage::StorageError("no space left");
   std::shared_ptr<File>& file = files_[name];
   if (!file) {
     file = std::make_shared<File>();
@@ -35,7 +35,7 @@
 
 void SimDisk::sync(std::string const& name) {
   step();
-  if (failing) throw storage::Error("sync failed");
+  if (failing) throw storage::StorageError("sync failed");
   if (!lying) files_.at(name)->synced = files_.at(name)->bytes.size();
 }
 
@@ -60,7 +60,7 @@
   files_.at(name)->synced = size;
 }
 
-void SimDisk::syncFolder() {
+void SimDisk::syncDirectory() {
   step();
   if (!looseNames || lyingNames) return;
   safe_ = files_;
@@ -73,7 +73,7 @@
   loose_.clear();
 }
 
-void SimDisk::loseNames(core::Rng& rng) {
+void SimDisk::loseNames(core::RandomGenerator& rng) {
   for (NameChange const& change : loose_) {
     if (rng.chance(0.5)) {
       ++lostNames_;
@@ -87,7 +87,7 @@
   files_ = safe_;
 }
 
-void SimDisk::powerLoss(core::Rng& rng) {
+void SimDisk::powerLoss(core::RandomGenerator& rng) {
   for (Names::value_type& f : files_) {
     std::size_t const loose = f.second->bytes.size() - f.second->synced;
     f.second->bytes.resize(f.second->synced + (lying ? 0 : rng.below(loose + 1)));
@@ -96,7 +96,7 @@
   if (looseNames) loseNames(rng);
 }
 
-bool SimDisk::damage(core::Rng& rng) {
+bool SimDisk::damage(core::RandomGenerator& rng) {
   for (Names::value_type& f : files_) {
     if (f.first.rfind("damaged-", 0) == 0 || f.second->bytes.size() < 64) continue;
     f.second->bytes[rng.below(f.second->bytes.size() / 2)] ^= 4;
@@ -105,7 +105,7 @@
   return false;
 }
 
-void SimDisk::tear(std::string const& bytes, core::Rng& rng) {
+void SimDisk::tear(std::string const& bytes, core::RandomGenerator& rng) {
   std::string last;
   for (Names::value_type const& f : files_)
     if (f.first.rfind("segment-", 0) == 0) last = f.first;
--- a/testing/sim/disk.h
+++ b/testing/sim/disk.h
@@ -12,7 +12,7 @@
 namespace corkward::testing {
 
 /// A simulated disk: keeps what was synced; of the rest a random part when the power goes.
-class SimDisk : public storage::Folder {
+class SimDisk : public storage::Directory {
  public:
   bool full = false;
   bool failing = false;
@@ -30,14 +30,14 @@
   void rename(std::string const& from, std::string const& to) override;
   void remove(std::string const& name) override;
   void truncate(std::string const& name, std::uint64_t size) override;
-  void syncFolder() override;
+  void syncDirectory() override;
 
-  void powerLoss(core::Rng& rng);
+  void powerLoss(core::RandomGenerator& rng);
   void wipe();
   /// Flips one bit somewhere in the oldest file. False when there is nothing to damage.
-  bool damage(core::Rng& rng);
+  bool damage(core::RandomGenerator& rng);
   /// Appends bytes that were under way when the power went.
-  void tear(std::string const& bytes, core::Rng& rng);
+  void tear(std::string const& bytes, core::RandomGenerator& rng);
   /// After so many more operations every further one is refused, as for a process that is no more; -1: never.
   void stopAfter(int operations) { left_ = operations; }
   /// How many names were lost in all.
@@ -59,7 +59,7 @@
   /// Counts an operation towards the last one.
   void step();
   void named(NameChange change);
-  void loseNames(core::Rng& rng);
+  void loseNames(core::RandomGenerator& rng);
 
   Names files_;
   /// Names as they stand after a loss of power, and what was done since.
--- a/testing/sim/faults.cpp
+++ b/testing/sim/faults.cpp
@@ -16,7 +16,7 @@
   std::size_t disks = 0;
   for (std::map<std::string, Node>::value_type const& n : nodes_) disks += n.second.disk ? 1 : 0;
   for (std::map<std::string, Node>::value_type const& n : nodes_)
-    if (n.second.disk && (!n.second.alive || !n.second.control->registers().voting() ||
+    if (n.second.disk && (!n.second.alive || !n.second.control->registers().isVoting() ||
                           n.second.control->registers().membership().size() != disks))
       return false;
   return true;
@@ -319,7 +319,7 @@
         *look = [this, link, life, until, look] {
           Node& k = *node(link);
           if (!k.alive || k.life != life) return;
-          bool const wait = plan_.mutation != Mutation::dropOnRestart && (k.frozen || k.data->inHand() > 0);
+          bool const wait = plan_.mutation != Mutation::dropOnRestart && (k.frozen || k.data->pendingCount() > 0);
           if (wait && now_ < until) {
             after(50, *look);
             return;
@@ -332,8 +332,8 @@
                         : 0;
           if (hurt > 0)
             violation("a planned restart dropped " + std::to_string(hurt) + " requests in hand at " + link +
-                      ", which still held " + std::to_string(k.data->inHand()) + ", " + std::to_string(until - now_) +
-                      " ms before its limit");
+                      ", which still held " + std::to_string(k.data->pendingCount()) + ", " +
+                      std::to_string(until - now_) + " ms before its limit");
           ++result_.counts["planned-restarts"];
           kill(k, false);
           boot(k);
--- a/testing/sim/network.cpp
+++ b/testing/sim/network.cpp
@@ -16,21 +16,20 @@
 transport::Message World::mutated(transport::Message const& message) const {
   if (plan_.mutation != Mutation::forgetHints && plan_.mutation != Mutation::youngAges) return message;
   transport::Message out = message;
-  transport::Touch* const t = std::get_if<transport::Touch>(&out);
+  transport::PeerHeartbeat* const t = std::get_if<transport::PeerHeartbeat>(&out);
   if (plan_.mutation == Mutation::youngAges) {
     if (t != nullptr) t->ages.assign(t->ages.size(), '\0');
     return out;
   }
-  if (t != nullptr) t->hints.clear();
-  if (transport::Confirm* const c = std::get_if<transport::Confirm>(&out)) c->hints.clear();
+  if (t != nullptr) t->removalHints.clear();
+  if (transport::ServingLeaseGrant* const c = std::get_if<transport::ServingLeaseGrant>(&out)) c->removalHints.clear();
   return out;
 }
 
 void World::tally(std::string const& from, transport::Send const& s) {
   if (!plan_.traffic || now_ < trafficFrom || now_ >= trafficFrom - 10000 + plan_.length) return;
-  std::pair<std::size_t, std::size_t>& t =
-      result_
-          .traffic[{node(from)->disk ? transport::controllerRole : transport::routerRole, transport::kind(s.message)}];
+  std::pair<std::size_t, std::size_t>& t = result_.traffic[{
+      node(from)->disk ? transport::controllerRole : transport::routerRole, transport::kindName(s.message)}];
   ++t.first;
   t.second += transport::pack(transport::Envelope{from, s.message}).size();
 }
@@ -40,12 +39,13 @@
   tally(from, s);
   Node const* const to = node(s.to);
   if (to == nullptr || !to->alive || !passes(from, s.to)) return;
-  if (plan_.mutation == Mutation::forgetHints && std::holds_alternative<transport::Hint>(s.message)) return;
+  if (plan_.mutation == Mutation::forgetHints && std::holds_alternative<transport::EndpointRemovalHint>(s.message))
+    return;
   if (plan_.mutation == Mutation::deafRouter && s.to == "n1" && now_ > trafficFrom &&
-      std::holds_alternative<transport::News>(s.message))
+      std::holds_alternative<transport::ConfigurationUpdate>(s.message))
     return;
   if (plan_.mutation == Mutation::lateCopies && now_ - to->bootedAt < 8000 && now_ > trafficFrom &&
-      std::holds_alternative<transport::Copy>(s.message))
+      std::holds_alternative<transport::SnapshotChunk>(s.message))
     return;
   std::uint64_t const life = to->life;
   int const copies = rng_.chance(duplication_) ? 2 : 1;
@@ -59,9 +59,9 @@
       toNode(link, life, [this, from, link, message] {
         Node& n = *node(link);
         if (n.control)
-          run(n, n.control->arrived(local(n), from, message));
+          run(n, n.control->onMessage(local(n), from, message));
         else
-          run(n, n.data->arrived(local(n), from, mutated(message)));
+          run(n, n.data->onMessage(local(n), from, mutated(message)));
       });
     });
   }
--- a/testing/sim/operators.cpp
+++ b/testing/sim/operators.cpp
@@ -33,7 +33,7 @@
     if (then) then(0, {});
     return;
   }
-  transport::Call call;
+  transport::OperatorCall call;
   call.token = nextCall_++;
   call.method = method;
   call.path = path;
@@ -64,7 +64,7 @@
     bool const refused = status == 400 || status == 404 || status == 422;
     if (plan_.operators.proper && refused && k.key == family && k.mark.rfind("denied-", 0) != 0)
       violation("a proper change of a template was refused with " + std::to_string(status) + ": " +
-                core::str(answer.value("pointer").toString() + " " + answer.value("reason").toString()));
+                core::toStdString(answer.value("pointer").toString() + " " + answer.value("reason").toString()));
     ++result_.counts["change-" + std::to_string(status)];
     if (status == 200 || status == 201) result_.ackTimes.push_back(now_ - k.sentAt);
     if (status == 200 && k.key.rfind("zone:", 0) == 0)
@@ -75,7 +75,7 @@
   after(2, [this, link, life, call] {
     toNode(link, life, [this, link, call] {
       Node& k = *node(link);
-      run(k, k.control->operatorCall(local(k), call));
+      run(k, k.control->onOperatorCall(local(k), call));
     });
   });
   after(14000, [this, link, token = call.token, answered, ix, then] {
@@ -94,14 +94,14 @@
   paths.append(QJsonObject{{"path", "pitch"}, {"pool", "model"}, {"class", "short"}});
   paths.append(QJsonObject{{"path", "digest"}, {"pool", "model"}, {"class", "short"}, {"resumable", true}});
   paths.append(QJsonObject{{"path", "ack"}, {"pool", "other"}, {"class", "urgent"}});
-  paths.append(QJsonObject{{"path", core::qstr(mark)}, {"pool", "model"}, {"class", "short"}});
+  paths.append(QJsonObject{{"path", core::toQString(mark)}, {"pool", "model"}, {"class", "short"}});
   if (plan_.regimes)
     paths.append(
         QJsonObject{{"path", "tale"}, {"pool", "model"}, {"class", "long"}, {"resumable", true}, {"events", true}});
   for (int i = 0; i < extraPaths; ++i)
     paths.append(
-        QJsonObject{{"path", core::qstr("extra/p" + std::to_string(i))}, {"pool", "model"}, {"class", "short"}});
-  QJsonObject const spec{{"note", core::qstr(mark)},
+        QJsonObject{{"path", core::toQString("extra/p" + std::to_string(i))}, {"pool", "model"}, {"class", "short"}});
+  QJsonObject const spec{{"note", core::toQString(mark)},
                          {"parameters", QJsonObject{{"site", QJsonObject{{"type", "string"}}}}},
                          {"paths", paths}};
   change(family, core::jsonText(spec), "PUT", templatePath, core::jsonText(spec), ifMatch, mark,
@@ -135,10 +135,11 @@
       else
         leaving.push_back(r.first);
       if (!r.second.listed) continue;
-      QJsonObject row{
-          {"address", core::qstr(r.first)}, {"zone", core::qstr(r.second.zone)}, {"state", core::qstr(r.second.state)}};
+      QJsonObject row{{"address", core::toQString(r.first)},
+                      {"zone", core::toQString(r.second.zone)},
+                      {"state", core::toQString(r.second.state)}};
       if (plan_.regimes) {
-        row.insert("id", core::qstr(lifeOf(r.second)));
+        row.insert("id", core::toQString(lifeOf(r.second)));
         shownLives_[r.first] = lifeOf(r.second);
         everListed_.insert(lifeOf(r.second));
       }
@@ -173,7 +174,7 @@
     after(2, [this, link, life = node(link)->life, pool, body] {
       toNode(link, life, [this, link, pool, body] {
         Node& n = *node(link);
-        run(n, n.data->platformList(local(n), 0, pool, body));
+        run(n, n.data->onEndpointList(local(n), 0, pool, body));
       });
     });
   }
--- a/testing/sim/oracles.cpp
+++ b/testing/sim/oracles.cpp
@@ -2,7 +2,7 @@
 
 #include <corkward/config/regimes.h>
 #include <corkward/core/json.h>
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 
 #include "internal.h"
 
@@ -24,7 +24,7 @@
 
 void World::watch() {
   after(200, [this] { watch(); });
-  for (std::string const& broken : core::PromiseCounts::ofThread().take()) violation(broken);
+  for (std::string const& broken : core::GuaranteeCounts::ofThread().takeNewViolations()) violation(broken);
   while (!firsts_.empty() && firsts_.front() <= now_ - 10000) firsts_.pop_front();
   while (!repeats_.empty() && repeats_.front() <= now_ - 10000) repeats_.pop_front();
   if (static_cast<double>(repeats_.size()) > 0.2 * static_cast<double>(firsts_.size()) + 20.0)
@@ -42,7 +42,7 @@
     if (c.key == family && c.status >= 400 && c.status < 500 && !c.mark.empty()) rejected.insert(c.mark);
   for (std::map<std::string, Node>::value_type const& n : nodes_) {
     if (!n.second.alive || !n.second.data) continue;
-    std::string const logEvent = core::str(
+    std::string const logEvent = core::toStdString(
         n.second.data->valueOf(family).value("template").toObject().value("spec").toObject().value("note").toString());
     if (rejected.count(logEvent) > 0) violation("a rejected change is in force: " + logEvent);
     for (std::pair<std::size_t, std::size_t> const& part : n.second.data->parts("model")) {
@@ -108,7 +108,7 @@
     }
   };
   if (newestCertificates > 0) {
-    transport::Call kept;
+    transport::OperatorCall kept;
     kept.token = nextCall_++;
     kept.method = "GET";
     kept.path = "/v1/certificates";
@@ -120,14 +120,14 @@
                   std::to_string(newestCertificates));
     };
     Node& at = *node(link);
-    run(at, at.control->operatorCall(local(at), kept));
+    run(at, at.control->onOperatorCall(local(at), kept));
   }
-  transport::Call call;
+  transport::OperatorCall call;
   call.token = token;
   call.method = "GET";
   call.path = templatePath;
   Node& n = *node(link);
-  run(n, n.control->operatorCall(local(n), call));
+  run(n, n.control->onOperatorCall(local(n), call));
   after(12000, [this, read] {
     if (!*read) violation("the configuration could not be read back: no answer");
     std::size_t servingLease = 0;
@@ -142,11 +142,11 @@
     std::size_t disks = 0;
     for (std::map<std::string, Node>::value_type const& k : nodes_) {
       if (!k.second.control) continue;
-      consensus::Registers const& m = k.second.control->registers();
+      consensus::ReplicatedRegisters const& m = k.second.control->registers();
       ++disks;
       sizes.insert(m.membership().size());
-      voting += m.voting() && std::any_of(m.membership().begin(), m.membership().end(),
-                                          [&](consensus::Member const& c) { return c.id == m.self().id; })
+      voting += m.isVoting() && std::any_of(m.membership().begin(), m.membership().end(),
+                                            [&](consensus::Member const& c) { return c.id == m.self().id; })
                     ? 1
                     : 0;
     }
--- a/testing/sim/orders.cpp
+++ b/testing/sim/orders.cpp
@@ -41,7 +41,7 @@
   return up[rng_.below(up.size())];
 }
 
-void World::ask(std::string const& link, transport::Call call, Tick limit,
+void World::ask(std::string const& link, transport::OperatorCall call, Tick limit,
                 std::function<void(int, QJsonObject const&)> then) {
   Node const* const to = node(link);
   if (to == nullptr || !to->alive) {
@@ -66,7 +66,7 @@
   after(2, [this, link, life, call] {
     toNode(link, life, [this, link, call] {
       Node& n = *node(link);
-      run(n, n.control->operatorCall(local(n), call));
+      run(n, n.control->onOperatorCall(local(n), call));
     });
   });
   after(limit, [done, then] {
@@ -120,9 +120,9 @@
     return;
   }
   if (++o.copies > 1) ++result_.counts["order-resends"];
-  transport::Call call;
+  transport::OperatorCall call;
   call.method = "PUT";
-  call.path = config::wholePage;
+  call.path = config::fleetConfigurationPage;
   call.ifMatch = o.base;
   call.changeId = o.id;
   if (plan_.mutation == Mutation::rebaseOrders && o.copies > 1) call.ifMatch = std::to_string(confirmedVersion_);
@@ -215,9 +215,9 @@
   if (taken.empty() || link.empty()) return;
   std::size_t const ix = taken[rng_.below(taken.size())];
   Order const& o = orders_[ix];
-  transport::Call call;
+  transport::OperatorCall call;
   call.method = "PUT";
-  call.path = config::wholePage;
+  call.path = config::fleetConfigurationPage;
   call.ifMatch = o.base;
   call.changeId = o.id;
   call.body = resentBody(o);
@@ -239,15 +239,16 @@
   Node const& n = *node(link);
   ++result_.counts["reads"];
   if (plan_.mutation == Mutation::staleRead) {
-    std::map<std::string, consensus::Committed> const& have = n.control->registers().committed();
-    std::map<std::string, consensus::Committed>::const_iterator const it = have.find(config::wholeKey);
+    std::map<std::string, consensus::CommittedValue> const& have = n.control->registers().committed();
+    std::map<std::string, consensus::CommittedValue>::const_iterator const it =
+        have.find(config::fleetConfigurationKey);
     QJsonObject const spec = it == have.end() ? QJsonObject() : it->second.value.value("spec").toObject();
     checkRead(link, confirmed, it == have.end() ? 404 : 200, QJsonObject{{"version", spec.value("version")}});
     return;
   }
-  transport::Call call;
+  transport::OperatorCall call;
   call.method = "GET";
-  call.path = config::wholePage;
+  call.path = config::fleetConfigurationPage;
   ask(link, call, 10000,
       [this, link, confirmed](int status, QJsonObject const& body) { checkRead(link, confirmed, status, body); });
 }
@@ -267,10 +268,11 @@
 }
 
 void World::wholeCommitted(Node const& n) {
-  std::map<std::string, consensus::Committed> const& have = n.control->registers().committed();
-  std::map<std::string, consensus::Committed>::const_iterator const it = have.find(config::wholeKey);
+  std::map<std::string, consensus::CommittedValue> const& have = n.control->registers().committed();
+  std::map<std::string, consensus::CommittedValue>::const_iterator const it = have.find(config::fleetConfigurationKey);
   if (it == have.end()) return;
-  if (!firstWhole_) firstWhole_ = transport::Item{config::wholeKey, it->second.revision, it->second.value};
+  if (!firstWhole_)
+    firstWhole_ = transport::CommittedEntry{config::fleetConfigurationKey, it->second.revision, it->second.value};
   std::uint64_t const revision = it->second.revision;
   std::uint64_t version =
       static_cast<std::uint64_t>(it->second.value.value("spec").toObject().value("version").toInteger());
@@ -303,9 +305,9 @@
   }
   std::string const link = someController();
   if (link.empty()) return;
-  transport::Call call;
+  transport::OperatorCall call;
   call.method = "GET";
-  call.path = config::wholePage;
+  call.path = config::fleetConfigurationPage;
   ask(link, call, 10000, [this](int status, QJsonObject const& body) {
     std::uint64_t const version = static_cast<std::uint64_t>(body.value("version").toInteger());
     if (!success(status) && confirmedVersion_ > 0)
--- a/testing/sim/outages.cpp
+++ b/testing/sim/outages.cpp
@@ -22,7 +22,7 @@
     ++result_.counts["reset-callers"];
     toNode(n.link, n.life, [this, link = n.link, call = h.second] {
       Node& k = *node(link);
-      run(k, k.data->callerGone(local(k), call));
+      run(k, k.data->callerDisconnected(local(k), call));
     });
     callerCut(h.first);
   }
@@ -35,7 +35,7 @@
     if (to == nullptr || to->runs.count(r.second.run) == 0 || !to->runs.at(r.second.run).alive) continue;
     ++result_.counts["reset-streams"];
     to->runs.at(r.second.run).alive = false;
-    wire(n.link, n.life, r.first.second, r.second.turn, [](dataplane::Stream& st) { return st.ended(false); });
+    wire(n.link, n.life, r.first.second, r.second.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
   }
 }
 
--- a/testing/sim/touch.cpp
+++ b/testing/sim/peer_heartbeats.cpp
@@ -99,7 +99,7 @@
 void World::inspectBeginning(Node& n) {
   if (n.begun || !n.alive || !n.data || !n.data->servingLease(local(n))) return;
   n.begun = true;
-  std::uint64_t const have = n.data->revisionOf(config::wholeKey);
+  std::uint64_t const have = n.data->revisionOf(config::fleetConfigurationKey);
   if (have < n.confirmedBefore)
     violation("a router began with an old configuration: " + n.link + " with revision " + std::to_string(have) +
               ", confirmed before its start was " + std::to_string(n.confirmedBefore));
@@ -109,7 +109,7 @@
   for (std::map<std::string, Node>::value_type& n : nodes_) {
     Node& k = n.second;
     if (!k.data || !k.alive || k.frozen) continue;
-    std::uint64_t const have = k.data->revisionOf(config::wholeKey);
+    std::uint64_t const have = k.data->revisionOf(config::fleetConfigurationKey);
     if (!inTouch(k)) continue;
     for (Order const& o : orders_)
       if (o.takenAt >= 0 && o.revision > have && now_ > o.takenAt + plan_.bounds.applied) {
@@ -128,13 +128,13 @@
   for (std::map<std::string, Node>::value_type const& n : nodes_) disks += n.second.disk ? 1 : 0;
   for (std::map<std::string, Node>::value_type const& n : nodes_) {
     if (!n.second.control) continue;
-    consensus::Registers const& r = n.second.control->registers();
+    consensus::ReplicatedRegisters const& r = n.second.control->registers();
     bool const member = std::any_of(r.membership().begin(), r.membership().end(),
                                     [&](consensus::Member const& m) { return m.id == r.self().id; });
-    if (r.voting() && member && r.membership().size() == disks) continue;
+    if (r.isVoting() && member && r.membership().size() == disks) continue;
     violation("does not vote in time: " + n.first + (member ? "" : " is no member") +
-              (r.voting() ? "" : " has no vote") + ", membership of " + std::to_string(r.membership().size()) + " of " +
-              std::to_string(disks) + ", " + std::to_string(now_ - since) + " ms after the last repair");
+              (r.isVoting() ? "" : " has no vote") + ", membership of " + std::to_string(r.membership().size()) +
+              " of " + std::to_string(disks) + ", " + std::to_string(now_ - since) + " ms after the last repair");
   }
 }
 
--- a/testing/sim/plan.cpp
+++ b/testing/sim/plan.cpp
@@ -12,7 +12,7 @@
 Plan chaos(std::uint64_t seed, bool grown) {
   Plan p;
   p.seed = seed;
-  core::Rng rng(seed ^ 0xC0);
+  core::RandomGenerator rng(seed ^ 0xC0);
   if (rng.chance(0.5)) {
     p.controllers = 4;
     p.others = 4;
@@ -34,7 +34,7 @@
 
 Plan regimes(std::uint64_t seed) {
   Plan p = chaos(seed, false);
-  core::Rng rng(seed ^ 0x4E);
+  core::RandomGenerator rng(seed ^ 0x4E);
   p.regimes = true;
   p.certifiedRouters = rng.chance(0.5);
   p.demand = 60;
@@ -69,7 +69,7 @@
 }  // namespace
 
 Plan worstDay(std::uint64_t seed, Point point) {
-  core::Rng rng(seed ^ (0xDA00 + static_cast<std::uint64_t>(point)));
+  core::RandomGenerator rng(seed ^ (0xDA00 + static_cast<std::uint64_t>(point)));
   Plan p;
   p.seed = seed;
   p.controllers = 3 + static_cast<int>(rng.below(3));
--- a/testing/sim/plan.h
+++ b/testing/sim/plan.h
@@ -254,7 +254,7 @@
   Mutation mutation = Mutation::none;
   /// Whole pool, fewest in flight: the plain variant for comparisons.
   bool plain = false;
-  scaling::Figures figures = scaling::figures;
+  scaling::ScalerParameters figures = scaling::defaultScalerParameters;
   int prefixes = 40;
   /// How far a clock's rate may be from the true one; two clocks differ by up to twice as much.
   double clockSpread = 0.002;
--- a/testing/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -23,7 +23,7 @@
     Replica const* const to = replica(m.address);
     if (to == nullptr || to->dark) return;
     it->second.process = to->life;
-    bool const named = to->up && (lifeOf(*to) == m.life || plan_.mutation == Mutation::skipLife);
+    bool const named = to->up && (lifeOf(*to) == m.incarnation || plan_.mutation == Mutation::skipLife);
     after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, m, turn, named] {
       toNode(link, life, [this, link, m, turn, named] {
         std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still =
@@ -32,10 +32,10 @@
         Node& k = *node(link);
         Replica const& other = *replica(m.address);
         if (named && other.up && other.life == still->second.process) {
-          run(k, k.data->connected(local(k), m.call));
+          run(k, k.data->onConnected(local(k), m.call));
         } else {
           ++result_.counts["life-denied"];
-          run(k, k.data->connectRejected(local(k), m.call));
+          run(k, k.data->onConnectFailure(local(k), m.call));
         }
       });
     });
@@ -44,11 +44,11 @@
 
 void World::connect(Node& n, dataplane::Connect m) {
   abandon(n, m.call);
-  if (plan_.mutation == Mutation::resumeAnywhere && m.resume && !m.life.empty()) {
+  if (plan_.mutation == Mutation::resumeAnywhere && m.resume && !m.incarnation.empty()) {
     std::map<std::string, Replica>::const_iterator it = replicas_.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(rng_.below(static_cast<std::uint64_t>(plan_.models))));
     m.address = it->first;
-    m.life = lifeOf(it->second);
+    m.incarnation = lifeOf(it->second);
   }
   Forwarded& r = upstreams_[{n.link, m.call}];
   r.address = m.address;
@@ -59,7 +59,7 @@
   if (m.events && streams_.count({n.link, m.call}) == 0) streams_[{n.link, m.call}].asEvents("");
   streams_[{n.link, m.call}].connecting(m.resume);
   std::vector<Idle>& idle = idle_[{n.link, m.address}];
-  while (m.life.empty() && !idle.empty() && !r.kept) {
+  while (m.incarnation.empty() && !idle.empty() && !r.kept) {
     Idle const last = idle.back();
     Tick const rest = now_ - last.since;
     if (m.fresh && rest >= freshIdleLimit) break;
@@ -75,7 +75,7 @@
   bool const reachable = to != nullptr && !to->dark &&
                          (from.zone == to->zone || (zoneCuts_.count(from.zone) == 0 && zoneCuts_.count(to->zone) == 0));
   if (!reachable) return;
-  if (!m.life.empty()) {
+  if (!m.incarnation.empty()) {
     nameLife(n, m);
     return;
   }
@@ -87,9 +87,9 @@
       if (it == upstreams_.end() || it->second.turn != turn) return;
       Node& k = *node(link);
       if (up)
-        run(k, k.data->connected(local(k), call));
+        run(k, k.data->onConnected(local(k), call));
       else
-        run(k, k.data->connectRejected(local(k), call));
+        run(k, k.data->onConnectFailure(local(k), call));
     });
   });
 }
@@ -114,7 +114,7 @@
         violation("older certificates in force: " + link + " has " + std::to_string(certificates) +
                   ", in force since " + std::to_string(c.answeredAt) + " is " + std::to_string(c.revision));
   }
-  bool const named = !it->second.connect.life.empty();
+  bool const named = !it->second.connect.incarnation.empty();
   after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, call, turn, named] {
     std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const r = upstreams_.find({link, call});
     if (r == upstreams_.end() || r->second.turn != turn) return;
@@ -125,7 +125,7 @@
         std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still =
             upstreams_.find({link, call});
         if (still == upstreams_.end() || still->second.turn != turn) return;
-        fed(*node(link), call, [](dataplane::Stream& st) { return st.ended(false); });
+        fed(*node(link), call, [](dataplane::ResponseStream& st) { return st.ended(false); });
       });
       return;
     }
@@ -176,8 +176,8 @@
     ++result_.counts[known != r.runs.end() ? "resumed" : "resume-denied"];
     forwarded.run = wanted;
     if (known == r.runs.end()) {
-      wire(n.link, life, call, forwarded.turn, [](dataplane::Stream& st) {
-        return st.head(dataplane::Head{410, {}, 0});
+      wire(n.link, life, call, forwarded.turn, [](dataplane::ResponseStream& st) {
+        return st.head(dataplane::ResponseHead{410, {}, 0});
       });
       return;
     }
@@ -186,23 +186,24 @@
     again.alive = true;
     again.turn = forwarded.turn;
     std::size_t from = std::min<std::size_t>(asked.offset, again.made.size());
-    dataplane::Head const head{.status = 206, .run = wanted, .offset = std::to_string(from)};
+    dataplane::ResponseHead const head{.status = 206, .run = wanted, .offset = std::to_string(from)};
     if (plan_.mutation == Mutation::resumeGap) from = std::min(from + word(wanted, 1).size(), again.made.size());
     if (plan_.mutation == Mutation::resumeRepeat)
       from = from > word(wanted, 1).size() ? from - word(wanted, 1).size() : 0;
     std::string bytes = again.made.substr(from);
     if (plan_.mutation == Mutation::resumeOther) bytes = word(r.address + "#other", 0) + bytes;
     bool const done = again.done;
-    wire(n.link, life, call, forwarded.turn, [head](dataplane::Stream& st) { return st.head(head); });
+    wire(n.link, life, call, forwarded.turn, [head](dataplane::ResponseStream& st) { return st.head(head); });
     if (!bytes.empty())
-      wire(n.link, life, call, forwarded.turn, [bytes](dataplane::Stream& st) { return st.piece(bytes); });
-    if (done) wire(n.link, life, call, forwarded.turn, [](dataplane::Stream& st) { return st.ended(true); });
+      wire(n.link, life, call, forwarded.turn, [bytes](dataplane::ResponseStream& st) { return st.piece(bytes); });
+    if (done) wire(n.link, life, call, forwarded.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
     return;
   }
   countGrey(r);
   if (r.queue.size() > 40) {
-    wire(n.link, life, call, forwarded.turn,
-         [](dataplane::Stream& st) { return st.head(dataplane::Head{.status = 503, .length = 0, .notRun = true}); });
+    wire(n.link, life, call, forwarded.turn, [](dataplane::ResponseStream& st) {
+      return st.head(dataplane::ResponseHead{.status = 503, .length = 0, .notExecuted = true});
+    });
     return;
   }
   std::map<std::string, Caller>::iterator const caller = callers_.find(id);
@@ -268,13 +269,14 @@
   Run const b = run;
   if (b.grey == Grey::dropped) {
     r.runs.erase(b.run);
-    wire(b.node, b.life, b.call, b.turn, [](dataplane::Stream& st) { return st.ended(false); });
+    wire(b.node, b.life, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
     return;
   }
-  wire(b.node, b.life, b.call, b.turn,
-       [b](dataplane::Stream& st) { return st.head(dataplane::Head{.status = 500, .failed = true, .run = b.run}); });
-  wire(b.node, b.life, b.call, b.turn, [b](dataplane::Stream& st) { return st.piece(b.made); });
-  wire(b.node, b.life, b.call, b.turn, [](dataplane::Stream& st) { return st.ended(true); });
+  wire(b.node, b.life, b.call, b.turn, [b](dataplane::ResponseStream& st) {
+    return st.head(dataplane::ResponseHead{.status = 500, .failed = true, .run = b.run});
+  });
+  wire(b.node, b.life, b.call, b.turn, [b](dataplane::ResponseStream& st) { return st.piece(b.made); });
+  wire(b.node, b.life, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
 }
 
 void World::countGrey(Replica const& r) {
@@ -339,17 +341,18 @@
   }
   if (r.dark || !now.alive) return;
   if (k == 0)
-    wire(now.node, now.life, now.call, now.turn, [name, events = now.events](dataplane::Stream& st) {
-      return st.head(dataplane::Head{.status = 200, .run = name, .events = events});
+    wire(now.node, now.life, now.call, now.turn, [name, events = now.events](dataplane::ResponseStream& st) {
+      return st.head(dataplane::ResponseHead{.status = 200, .run = name, .events = events});
     });
   if (!bytes.empty())
-    wire(now.node, now.life, now.call, now.turn, [bytes](dataplane::Stream& st) { return st.piece(bytes); });
+    wire(now.node, now.life, now.call, now.turn, [bytes](dataplane::ResponseStream& st) { return st.piece(bytes); });
   if (now.grey == Grey::cut && k == 1 && k < words) {
     r.runs.at(name).alive = false;
-    wire(now.node, now.life, now.call, now.turn, [](dataplane::Stream& st) { return st.ended(false); });
+    wire(now.node, now.life, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
     return;
   }
-  if (k == words) wire(now.node, now.life, now.call, now.turn, [](dataplane::Stream& st) { return st.ended(true); });
+  if (k == words)
+    wire(now.node, now.life, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
 }
 
 void World::wire(std::string const& link, std::uint64_t life, std::uint64_t call, std::uint64_t turn, Fed event) {
@@ -388,24 +391,24 @@
   std::string const id = it->second.caller;
   std::pair<std::string, std::uint64_t> const key{n.link, call};
   dataplane::StreamSteps steps = event(streams_[key]);
-  if (it->second.dead && it->second.rested && steps.ended == dataplane::End::broken)
-    steps.ended = dataplane::End::forgotten;
-  if (plans(Fault::forgetConnections) && steps.ended == dataplane::End::whole)
+  if (it->second.dead && it->second.rested && steps.ended == dataplane::UpstreamResult::connectionLost)
+    steps.ended = dataplane::UpstreamResult::staleConnection;
+  if (plans(Fault::forgetConnections) && steps.ended == dataplane::UpstreamResult::complete)
     idle_[{n.link, it->second.address}].push_back(Idle{now_});
-  if (plan_.mutation == Mutation::cutLooksWhole && steps.ended && *steps.ended == dataplane::End::broken &&
-      streams_[key].begun()) {
-    steps.ended = dataplane::End::whole;
+  if (plan_.mutation == Mutation::cutLooksWhole && steps.ended &&
+      *steps.ended == dataplane::UpstreamResult::connectionLost && streams_[key].begun()) {
+    steps.ended = dataplane::UpstreamResult::complete;
     steps.finish = true;
   }
-  if (steps.failed) run(n, n.data->failed(local(n), call));
+  if (steps.failed) run(n, n.data->upstreamFailed(local(n), call));
   std::map<std::string, Caller>::iterator const c = callers_.find(id);
   bool const hears = c != callers_.end() && c->second.open && c->second.call == call;
   if (hears && steps.begin) {
     c->second.got.clear();
     c->second.status = steps.begin->status;
   }
-  if (hears) c->second.got += steps.piece;
-  if (steps.firstWord) {
+  if (hears) c->second.got += steps.chunk;
+  if (steps.firstByte) {
     if (hears && !c->second.worded) {
       c->second.worded = true;
     }
@@ -414,11 +417,11 @@
       result_.firstWords[c->second.cls].push_back(now_ - c->second.began);
       result_.servedWords[c->second.cls].push_back(now_ - c->second.attemptAt);
     }
-    run(n, n.data->firstWord(local(n), call, *steps.firstWord));
-  } else if (!steps.piece.empty()) {
-    run(n, n.data->moving(local(n), call));
+    run(n, n.data->firstByteReceived(local(n), call, *steps.firstByte));
+  } else if (!steps.chunk.empty()) {
+    run(n, n.data->progress(local(n), call));
   }
-  if (steps.abandon) abandon(n, call);
+  if (steps.closeUpstream) abandon(n, call);
   if (steps.finish) {
     streams_.erase(key);
     if (hears) {
@@ -428,7 +431,7 @@
                                        [&](std::string const& run) { return c->second.got == run + " failed\n"; });
         if (!known) violation("a replica's failure is altered or of somebody else: " + id);
         callerEnds(id, "replica-failed");
-        if (steps.ended) run(n, n.data->ended(local(n), call, *steps.ended));
+        if (steps.ended) run(n, n.data->upstreamFinished(local(n), call, *steps.ended));
         return;
       }
       if (plan_.mutation == Mutation::foreignBody && rng_.chance(0.05)) c->second.got = bodyOf("somebody", 3);
@@ -440,7 +443,7 @@
           violation("a cut row of events looks whole: " + id);
         ++result_.counts[resumesOf_.count({id, call}) > 0 ? "tales-served-after-resume" : "tales-served"];
         callerEnds(id, "served");
-        if (steps.ended) run(n, n.data->ended(local(n), call, *steps.ended));
+        if (steps.ended) run(n, n.data->upstreamFinished(local(n), call, *steps.ended));
         return;
       }
       BodyVerdict const v = checkBody(c->second.got);
@@ -452,7 +455,7 @@
       callerEnds(id, "served");
     }
   }
-  if (steps.ended) run(n, n.data->ended(local(n), call, *steps.ended));
+  if (steps.ended) run(n, n.data->upstreamFinished(local(n), call, *steps.ended));
 }
 
 void World::abandon(Node& n, std::uint64_t call) {
@@ -481,7 +484,7 @@
   r.runs.clear();
   for (Run const& run : hit)
     after(1 + static_cast<Tick>(rng_.below(5)), [this, run] {
-      wire(run.node, run.life, run.call, run.turn, [](dataplane::Stream& st) { return st.ended(false); });
+      wire(run.node, run.life, run.call, run.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
     });
 }
 
@@ -490,7 +493,7 @@
     if (!run.second.alive) continue;
     run.second.alive = false;
     Run const& b = run.second;
-    wire(b.node, b.life, b.call, b.turn, [](dataplane::Stream& st) { return st.ended(false); });
+    wire(b.node, b.life, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
   }
 }
 
--- a/testing/sim/sweep.cpp
+++ b/testing/sim/sweep.cpp
@@ -35,7 +35,7 @@
   bool looseNames = false;
   bool proper = false;
   Operators operators;
-  scaling::Figures figures = scaling::figures;
+  scaling::ScalerParameters figures = scaling::defaultScalerParameters;
   po::options_description flags("corkward-sweep: simulated fleets over many seeds");
   flags.add_options()("from", po::value(&from), "first seed")("count", po::value(&count), "seeds")(
       "jobs", po::value(&jobs), "threads")(
@@ -45,7 +45,7 @@
                                                                             "times the demand in the middle third")(
       "deployment", po::value(&deployment), "calm, at the sizes of harmattan or lernkarten")(
       "plain", po::bool_switch(&plain), "whole pool, fewest in flight")(
-      "width", po::value(&figures.width), "each width")("calm-for", po::value(&figures.calmFor), "give-back wait, ms")(
+      "width", po::value(&figures.width), "each width")("calm-for", po::value(&figures.cooldown), "give-back wait, ms")(
       "slack", po::value(&figures.prefixSlack), "prefix slack")("prefixes", po::value(&prefixes), "other prefixes")(
       "skip", po::value(&skip), "ms at the start whose first words do not count")(
       "first-limit", po::value(&figures.firstLimit), "limit per replica at the start")(
--- a/testing/sim/world.cpp
+++ b/testing/sim/world.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include <corkward/config/config.h>
-#include <corkward/core/promises.h>
+#include <corkward/core/guarantees.h>
 #include <corkward/core/json.h>
 
 #include "internal.h"
@@ -93,8 +93,8 @@
     if (n.alive && n.life == life) act();
 }
 
-dataplane::Tuning World::routerTuning() const {
-  dataplane::Tuning t;
+dataplane::RouterTuning World::routerTuning() const {
+  dataplane::RouterTuning t;
   if (plan_.mutation == Mutation::noFence || plan_.mutation == Mutation::forgetLeaving) t.confirmFor = 1000000000;
   if (plan_.mutation == Mutation::vouchTooSoon) t.ageMargin = -1000000000;
   if (plan_.mutation == Mutation::warmForever) t.warmLease = 1000000000;
@@ -111,7 +111,7 @@
   }
   if (plan_.plain) {
     t.figures.firstPart = 1000;
-    t.figures.calmFor = 1000000000;
+    t.figures.cooldown = 1000000000;
   }
   return t;
 }
@@ -133,9 +133,9 @@
   n.rate = 1.0 + plan_.clockSpread * (static_cast<double>(rng_.below(400)) - 200.0) / 200.0;
   transport::Contact self;
   self.link = n.link;
-  self.http = n.link + "-http";
+  self.httpAddress = n.link + "-http";
   self.zone = n.zone;
-  self.inc = static_cast<std::uint64_t>(std::max<Tick>(1, 1000000 + now_ + wallJump_));
+  self.incarnation = static_cast<std::uint64_t>(std::max<Tick>(1, 1000000 + now_ + wallJump_));
   std::vector<std::string> const& seeds = seeds_;
   n.confirmedBefore = confirmedRevision_;
   n.begun = false;
@@ -144,24 +144,24 @@
     self.role = transport::controllerRole;
     std::vector<std::string> founders;
     for (int i = 1; now_ == 0 && i <= plan_.founders; ++i) founders.push_back("s" + std::to_string(i));
-    control::Tuning t;
-    t.registers.replaceDarkAfter = plan_.replaceDarkAfter;
-    t.awaitInForce = plan_.fenced;
-    if (plan_.mutation == Mutation::neverGrow) t.registers.mostMembers = 3;
-    if (plan_.mutation == Mutation::earlyAck) t.fenceMargin = -t.fence;
-    if (plan_.mutation == Mutation::warmForever) t.warmLease = -1000000;
+    control::ControllerTuning t;
+    t.registers.replaceUnreachableAfter = plan_.replaceDarkAfter;
+    t.awaitRollout = plan_.fenced;
+    if (plan_.mutation == Mutation::neverGrow) t.registers.maxMembers = 3;
+    if (plan_.mutation == Mutation::earlyAck) t.servingLeaseMargin = -t.servingLeaseDuration;
+    if (plan_.mutation == Mutation::warmForever) t.warmupLeaseDuration = -1000000;
     n.control =
         std::make_unique<control::Controller>(self, "m" + std::to_string(rng_.next()), seeds, founders, rng_.next(), t);
     n.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*n.disk, 20000);
     n.disk->full = false;
     n.disk->failing = false;
     n.diskStalled = false;
-    storage::Recovered const got = n.writeAheadLog->recover();
+    storage::RecoveredState const got = n.writeAheadLog->recover();
     if (got.damaged) {
       ++result_.counts["ledger-damaged"];
       for (std::string const& name : n.disk->list())
         if (name.rfind("damaged-", 0) != 0) n.disk->rename(name, "damaged-" + std::to_string(now_) + "-" + name);
-      n.disk->syncFolder();
+      n.disk->syncDirectory();
       n.diskSince = now_;
       n.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*n.disk, 20000);
       n.writeAheadLog->recover();
@@ -172,7 +172,7 @@
     n.data = std::make_unique<dataplane::RequestRouter>(self, seeds, rng_.next(), routerTuning());
     run(n, n.data->started(local(n)));
     if (plan_.mutation == Mutation::oldImage && firstWhole_)
-      run(n, n.data->arrived(local(n), "s1", transport::News{1, true, {*firstWhole_}}));
+      run(n, n.data->onMessage(local(n), "s1", transport::ConfigurationUpdate{1, true, {*firstWhole_}}));
   }
   std::string const link = n.link;
   std::uint64_t const life = n.life;
@@ -197,11 +197,11 @@
 
 void World::tick(Node& n) {
   if (n.control) {
-    n.control->wallTime(wall());
-    run(n, n.control->clockEvent(local(n)));
+    n.control->setWallTime(wall());
+    run(n, n.control->onTimer(local(n)));
   } else {
-    n.data->wallTime(local(n), plan_.mutation == Mutation::ignoreExpiry ? wall() - 86400000 : wall());
-    run(n, n.data->clockEvent(local(n)));
+    n.data->setWallTime(local(n), plan_.mutation == Mutation::ignoreExpiry ? wall() - 86400000 : wall());
+    run(n, n.data->onTimer(local(n)));
   }
 }
 
@@ -215,7 +215,7 @@
       n.disk->stopAfter(static_cast<int>(rng_.below(4)));
       try {
         n.writeAheadLog->write(n.writes.front().first);
-      } catch (storage::Error const&) {
+      } catch (storage::StorageError const&) {
         ++result_.counts["stopped-writes"];
       }
       n.disk->stopAfter(-1);
@@ -265,12 +265,12 @@
   });
 }
 
-void World::run(Node& n, control::Commands&& c) {
+void World::run(Node& n, control::ControllerCommands&& c) {
   std::string const link = n.link;
   std::uint64_t const life = n.life;
   if (!c.persists.empty()) {
     std::pair<std::vector<storage::Record>, std::vector<std::uint64_t>> write;
-    for (consensus::Persist const& p : c.persists) {
+    for (consensus::PersistCommand const& p : c.persists) {
       write.first.push_back(storage::Record{p.key, p.payload});
       write.second.push_back(p.ticket);
     }
@@ -283,10 +283,11 @@
   for (core::LogEvent const& logEvent : c.logEvents)
     if (logEvent.event == "absurd-message") violation("two values under one revision at " + link);
   for (core::LogEvent const& logEvent : c.logEvents)
-    if (plan_.operators.any && logEvent.event == "committed" && logEvent.fields.at("key") == config::wholeKey)
+    if (plan_.operators.any && logEvent.event == "committed" &&
+        logEvent.fields.at("key") == config::fleetConfigurationKey)
       wholeCommitted(n);
   for (transport::Send const& s : c.sends) send(link, s);
-  for (control::Answer const& a : c.answers) {
+  for (control::OperatorResponse const& a : c.responses) {
     std::map<std::pair<std::string, std::uint64_t>, std::function<void(int, QJsonObject const&)>>::iterator const it =
         answers_.find({link, a.token});
     if (it == answers_.end()) continue;
@@ -302,7 +303,7 @@
       if (refused)
         toNode(link, life, [this, link, p] {
           Node& m = *node(link);
-          run(m, m.control->probed(local(m), p, true));
+          run(m, m.control->onProbeResult(local(m), p, true));
         });
     });
   }
@@ -323,39 +324,41 @@
     bool ok = true;
     try {
       m->writeAheadLog->write(write.first);
-    } catch (storage::Error const&) {
+    } catch (storage::StorageError const&) {
       ok = false;
     }
     toNode(link, life, [this, link, write, ok] {
       for (std::uint64_t const t : write.second) {
         Node& k = *node(link);
-        run(k, k.control->written(local(k), t, ok));
+        run(k, k.control->onPersisted(local(k), t, ok));
       }
     });
     disk(*m);
   });
 }
 
-void World::run(Node& n, dataplane::Commands&& c) {
+void World::run(Node& n, dataplane::RouterCommands&& c) {
   if (plan_.operators.any) inspectBeginning(n);
   for (transport::Send const& s : c.sends) send(n.link, s);
   for (dataplane::CallCommand const& v : c.calls) {
     if (dataplane::Connect const* const m = std::get_if<dataplane::Connect>(&v)) {
       connect(n, *m);
-    } else if (dataplane::HandOver const* const h = std::get_if<dataplane::HandOver>(&v)) {
+    } else if (dataplane::SendRequest const* const h = std::get_if<dataplane::SendRequest>(&v)) {
       handOver(n, h->call);
-    } else if (dataplane::Record const* const w = std::get_if<dataplane::Record>(&v)) {
+    } else if (dataplane::WriteAuditRecord const* const w = std::get_if<dataplane::WriteAuditRecord>(&v)) {
       ++result_.counts["records"];
       std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it =
           upstreams_.find({n.link, w->call});
-      bool const before = w->happened == dataplane::Happened::handedOver || w->happened == dataplane::Happened::resumed;
-      if (it != upstreams_.end() && before && plan_.mutation != Mutation::unrecorded) it->second.recorded = w->life;
-    } else if (dataplane::Abandon const* const a = std::get_if<dataplane::Abandon>(&v)) {
+      bool const before =
+          w->outcome == dataplane::AuditOutcome::handedOver || w->outcome == dataplane::AuditOutcome::resumed;
+      if (it != upstreams_.end() && before && plan_.mutation != Mutation::unrecorded)
+        it->second.recorded = w->incarnation;
+    } else if (dataplane::CloseUpstream const* const a = std::get_if<dataplane::CloseUpstream>(&v)) {
       abandon(n, a->call);
     } else if (dataplane::Reject const* const d = std::get_if<dataplane::Reject>(&v)) {
       std::string const id = callerOf_[{n.link, d->call}];
       dataplane::Reject reject = *d;
-      if (plan_.mutation == Mutation::sayNotRun && reject.status == 502) reject.notRun = true;
+      if (plan_.mutation == Mutation::sayNotRun && reject.status == 502) reject.notExecuted = true;
       abandon(n, d->call);
       streams_.erase({n.link, d->call});
       after(1, [this, id, reject, link = n.link] {
@@ -363,7 +366,7 @@
         if (it != callers_.end() && it->second.open && it->second.call == reject.call && it->second.node == link)
           callerRejected(id, reject);
       });
-    } else if (dataplane::Abort const* const b = std::get_if<dataplane::Abort>(&v)) {
+    } else if (dataplane::ResetDownstream const* const b = std::get_if<dataplane::ResetDownstream>(&v)) {
       std::string const id = callerOf_[{n.link, b->call}];
       abandon(n, b->call);
       streams_.erase({n.link, b->call});
@@ -382,7 +385,7 @@
 }
 
 Result World::run() {
-  core::PromiseCounts::ofThread().take();
+  core::GuaranteeCounts::ofThread().takeNewViolations();
   for (std::map<std::string, Node>::value_type& n : nodes_) boot(n.second);
   at(3500, [this] { platform(); });
   if (plan_.regimes)
--- a/testing/sim/world.h
+++ b/testing/sim/world.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include <corkward/dataplane/request_router.h>
-#include <corkward/dataplane/stream.h>
+#include <corkward/dataplane/response_stream.h>
 #include <corkward/control/controller.h>
 
 #include "body.h"
@@ -135,7 +135,7 @@
     int status = 0;
     std::string got;
   };
-  using Fed = std::function<dataplane::StreamSteps(dataplane::Stream&)>;
+  using Fed = std::function<dataplane::StreamSteps(dataplane::ResponseStream&)>;
   struct Forwarded {
     std::string address;
     std::string run;
@@ -203,7 +203,7 @@
   /// Whether a majority of the routers has run without a break since before that time.
   bool mostLiveSince(Tick since) const;
   void toNode(std::string const& link, std::uint64_t life, std::function<void()> act);
-  dataplane::Tuning routerTuning() const;
+  dataplane::RouterTuning routerTuning() const;
   void boot(Node& n);
   void kill(Node& n, bool power);
   void freeze(Node& n, Tick how);
@@ -215,8 +215,8 @@
   void send(std::string const& from, transport::Send const& s);
   void tally(std::string const& from, transport::Send const& s);
   bool passes(std::string const& from, std::string const& to);
-  void run(Node& n, control::Commands&& c);
-  void run(Node& n, dataplane::Commands&& c);
+  void run(Node& n, control::ControllerCommands&& c);
+  void run(Node& n, dataplane::RouterCommands&& c);
   void disk(Node& n);
   void connect(Node& n, dataplane::Connect m);
   void handOver(Node& n, std::uint64_t call);
@@ -298,7 +298,7 @@
   void finalOrders();
   std::string otherController(std::string const& link);
   /// Sends a call of an operator to a controller and hands on its answer, status 0 for none after so long.
-  void ask(std::string const& link, transport::Call call, Tick limit,
+  void ask(std::string const& link, transport::OperatorCall call, Tick limit,
            std::function<void(int, QJsonObject const&)> then);
   // Machines in touch, and what holds for them: touch.cpp.
   void inspect();
@@ -341,7 +341,7 @@
   bool wholeCore() const;
 
   Plan plan_;
-  core::Rng rng_;
+  core::RandomGenerator rng_;
   Tick now_ = 0;
   std::uint64_t order_ = 0;
   std::priority_queue<Event> events_;
@@ -361,7 +361,7 @@
   double duplication_ = 0;
   Tick wallJump_ = 0;
   std::map<std::pair<std::string, std::uint64_t>, Forwarded> upstreams_;
-  std::map<std::pair<std::string, std::uint64_t>, dataplane::Stream> streams_;
+  std::map<std::pair<std::string, std::uint64_t>, dataplane::ResponseStream> streams_;
   std::map<std::string, Caller> callers_;
   std::map<std::pair<std::string, std::uint64_t>, std::string> callerOf_;
   std::uint64_t nextCall_ = 1;
@@ -417,7 +417,7 @@
   Tick troubledAt_ = 0;
   Tick memberTroubledAt_ = 0;
   std::set<std::string> settled_;
-  std::optional<transport::Item> firstWhole_;
+  std::optional<transport::CommittedEntry> firstWhole_;
   std::string certificateRevision_ = "0";
   /// Changes of each certificate, as they were sent.
   std::map<std::string, std::uint64_t> certificateTurns_;
--- a/testing/test/capacity_test.cpp
+++ b/testing/test/capacity_test.cpp
@@ -188,16 +188,16 @@
 }
 
 TEST_CASE("messages count for the duty they are for") {
-  CHECK(capacity::dutyOf(transport::Shuffle{}) == "shuffles");
+  CHECK(capacity::dutyOf(transport::GossipShuffle{}) == "shuffles");
   CHECK(capacity::dutyOf(transport::Heartbeat{}) == "beats");
-  CHECK(capacity::dutyOf(transport::Holding{}) == "holdings");
-  transport::News news;
+  CHECK(capacity::dutyOf(transport::RouterStatusReport{}) == "holdings");
+  transport::ConfigurationUpdate news;
   CHECK(capacity::dutyOf(news) == "news");
-  news.items.push_back(transport::Item{"family:desk", 1, {}});
+  news.entries.push_back(transport::CommittedEntry{"family:desk", 1, {}});
   CHECK(capacity::dutyOf(news) == "news");
-  news.items.front().key = "roster";
+  news.entries.front().key = "roster";
   CHECK(capacity::dutyOf(news) == "roster");
-  news.items.front().key = "pool:model1";
+  news.entries.front().key = "pool:model1";
   CHECK(capacity::dutyOf(news) == "list");
 }
 
--- a/testing/test/fleet_test.cpp
+++ b/testing/test/fleet_test.cpp
@@ -59,7 +59,7 @@
   std::pair<std::string, std::uint16_t> const at = http::splitAddress(address);
   QTcpSocket socket;
   Raw out;
-  socket.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
+  socket.connectToHost(QHostAddress(core::toQString(at.first)), at.second);
   fleet.until("a connection", [&] { return socket.state() == QAbstractSocket::ConnectedState; });
   socket.write(QByteArray::fromStdString(bytes));
   fleet.until("an answer to raw bytes", [&] {
@@ -76,10 +76,10 @@
 }
 
 std::size_t linesWith(std::string const& file, std::string const& word) {
-  QFile f(core::qstr(file));
+  QFile f(core::toQString(file));
   if (!f.open(QIODevice::ReadOnly)) return 0;
   std::size_t n = 0;
-  for (QByteArray const& line : f.readAll().split('\n')) n += line.contains(core::qstr(word).toUtf8()) ? 1 : 0;
+  for (QByteArray const& line : f.readAll().split('\n')) n += line.contains(core::toQString(word).toUtf8()) ? 1 : 0;
   return n;
 }
 
@@ -161,19 +161,19 @@
   {
     std::pair<std::string, std::uint16_t> const at = http::splitAddress(nac.http);
     QTcpSocket cut;
-    cut.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
+    cut.connectToHost(QHostAddress(core::toQString(at.first)), at.second);
     cut.write(
         "POST /v1/fault-desk.nord/pitch HTTP/1.1\r\nCorkward-Request-Id: truncated\r\nContent-Length: 100\r\n\r\nhalf");
     fleet.until("bytes to leave",
                 [&] { return cut.state() == QAbstractSocket::ConnectedState && cut.bytesToWrite() == 0; });
     cut.disconnectFromHost();
   }
-  core::Rng rng(7);
+  core::RandomGenerator rng(7);
   for (testing::Node const* const n : {&sub, &nac})
     for (int i = 0; i < 20; ++i) {
       std::pair<std::string, std::uint16_t> const at = http::splitAddress(n->link);
       QTcpSocket socket;
-      socket.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
+      socket.connectToHost(QHostAddress(core::toQString(at.first)), at.second);
       fleet.until("the link port", [&] { return socket.state() == QAbstractSocket::ConnectedState; });
       QByteArray bytes(400, '\0');
       for (char& c : bytes) c = static_cast<char>(rng.next());
@@ -237,7 +237,7 @@
   SECTION("a replica killed after the hand-over is unknown, never rejected") {
     std::pair<std::string, std::uint16_t> const at = http::splitAddress(nac.http);
     QTcpSocket socket;
-    socket.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
+    socket.connectToHost(QHostAddress(core::toQString(at.first)), at.second);
     socket.write(
         QByteArray::fromStdString(post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: killed1\r\n", "{}")));
     fleet.until("the run", [&] { return runsOf(fleet, "killed1") == 1; });
@@ -260,7 +260,7 @@
   SECTION("a caller that is gone is told to its replica") {
     std::pair<std::string, std::uint16_t> const at = http::splitAddress(nac.http);
     QTcpSocket socket;
-    socket.connectToHost(QHostAddress(core::qstr(at.first)), at.second);
+    socket.connectToHost(QHostAddress(core::toQString(at.first)), at.second);
     socket.write(QByteArray::fromStdString(post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: gone1\r\n", "{}")));
     fleet.until("the run", [&] { return runsOf(fleet, "gone1") == 1; });
     socket.abort();
@@ -426,7 +426,7 @@
     CHECK(fleet.tool(program, {"--help"}).out.find("--drain-limit") != std::string::npos);
     CHECK(fleet.tool(program, {"--version"}).out.find("0.1.0") != std::string::npos);
   }
-  QFile file(core::qstr(conf));
+  QFile file(core::toQString(conf));
   REQUIRE(file.open(QIODevice::WriteOnly));
   file.write("link = 127.0.0.1:1\nbogus = 3\n");
   file.close();
@@ -515,8 +515,8 @@
   std::string const declared = fleet.folder() + "/declared";
   std::function<void(std::string const&, std::string const&)> const declareIn = [&](std::string const& name,
                                                                                     std::string const& text) {
-    REQUIRE(QDir().mkpath(core::qstr(declared)));
-    QFile f(core::qstr(declared + "/" + name));
+    REQUIRE(QDir().mkpath(core::toQString(declared)));
+    QFile f(core::toQString(declared + "/" + name));
     REQUIRE(f.open(QIODevice::WriteOnly));
     f.write(text.c_str());
   };
@@ -552,8 +552,8 @@
   CHECK(run("corkward", {"diff", declared}, "").code == 2);
   declareIn("again.json", R"({"template":"nobody","instance":"x","spec":{}})");
   CHECK(run("corkward", {"apply", declared}, "").err.find("neither declared nor in force") != std::string::npos);
-  QFile::remove(core::qstr(declared + "/again.json"));
-  QFile::remove(core::qstr(declared + "/i.json"));
+  QFile::remove(core::toQString(declared + "/again.json"));
+  QFile::remove(core::toQString(declared + "/i.json"));
   CHECK(run("corkward", {"diff", declared}, "").code == 0);
   CHECK(run("corkward", {"diff", declared, "--prune"}, "").out.find("remove /v1/templates/kept/instances/nord") !=
         std::string::npos);
@@ -561,7 +561,7 @@
 
   std::string const rules = CORKWARD_SOURCE "/examples/rules/zones.yml";
   CHECK(run("corkward-runbook", {"--rules", rules, "--check"}, "").code == 0);
-  QFile badRules(core::qstr(fleet.folder() + "/bad.yml"));
+  QFile badRules(core::toQString(fleet.folder() + "/bad.yml"));
   REQUIRE(badRules.open(QIODevice::WriteOnly));
   badRules.write(
       "groups:\n- name: g\n  rules:\n  - alert: a\n    expr: rate(x[1m]) > 1\n    annotations: {runbook: "
@@ -573,13 +573,13 @@
   testing::Node const& lost = fleet.routers()[1];
   REQUIRE(lost.zone == "z2");
   fleet.kill9(fleet.routers()[1]);
-  QFile quick(core::qstr(fleet.folder() + "/quick.yml"));
+  QFile quick(core::toQString(fleet.folder() + "/quick.yml"));
   REQUIRE(quick.open(QIODevice::WriteOnly));
   quick.write(
       "groups:\n- name: g\n  rules:\n  - alert: a\n    expr: sum(corkward_up{zone=\"z2\"}) < 1\n    for: 1s\n    "
       "annotations: {runbook: evacuate-zone.json, parameters: {zone: z2}}\n");
   quick.close();
-  QFile::copy(core::qstr(books + "evacuate-zone.json"), core::qstr(fleet.folder() + "/evacuate-zone.json"));
+  QFile::copy(core::toQString(books + "evacuate-zone.json"), core::toQString(fleet.folder() + "/evacuate-zone.json"));
   testing::Fleet::Tool const fired =
       run("corkward-runbook",
           {"--rules", fleet.folder() + "/quick.yml", "--target", "z2=" + lost.http, "--every", "1", "--acts", "1"}, "");
@@ -587,9 +587,10 @@
   testing::Node next;
   next.name = "second-watch";
   next.program = CORKWARD_BIN "/programs/corkward-runbook";
-  for (testing::Node const& s : fleet.controllers()) next.flags += {"--substation", core::qstr(s.http)};
-  next.flags +=
-      {"--rules", core::qstr(fleet.folder() + "/quick.yml"), "--target", core::qstr("z2=" + lost.http), "--every", "1"};
+  for (testing::Node const& s : fleet.controllers()) next.flags += {"--substation", core::toQString(s.http)};
+  next.flags += {"--rules",  core::toQString(fleet.folder() + "/quick.yml"),
+                 "--target", core::toQString("z2=" + lost.http),
+                 "--every",  "1"};
   CHECK(fleet.change("DELETE", "/v1/evacuations/z2").status == 200);
   fleet.start(next);
   std::string const said = fleet.folder() + "/second-watch.out";
--- a/testing/test/regimes_test.cpp
+++ b/testing/test/regimes_test.cpp
@@ -30,8 +30,8 @@
 QJsonObject certificate(std::string const& pool, std::string const& zone) {
   return QJsonObject{{"regime", "health"},
                      {"carrier", "replicas"},
-                     {"pool", core::qstr(pool)},
-                     {"zone", core::qstr(zone)},
+                     {"pool", core::toQString(pool)},
+                     {"zone", core::toQString(zone)},
                      {"until", "2099-01-01T00:00:00Z"}};
 }
 
@@ -215,7 +215,7 @@
   imposter.name = "imposter";
   imposter.record = fleet.folder() + "/imposter.record";
   imposter.program = lost.program;
-  imposter.flags = {"--http", core::qstr(lost.http), "--record", core::qstr(imposter.record)};
+  imposter.flags = {"--http", core::toQString(lost.http), "--record", core::toQString(imposter.record)};
   fleet.start(imposter);
   fleet.until("a regulated request to be meant for the address", [&] { return asked(imposter.record); });
   fleet.runFor(1000);
@@ -254,7 +254,7 @@
     QJsonObject const head = fleet.get(n.http, "/v1/state").body.value("audit").toObject();
     words.push_back("--head");
     words.push_back(n.link + "=" + std::to_string(head.value("n").toInteger()) + ":" +
-                    core::str(head.value("hash").toString()));
+                    core::toStdString(head.value("hash").toString()));
     CHECK(fleet.stop(n) == 0);
   }
   for (testing::Node const& n : fleet.routers()) words.push_back(fleet.auditFolder(n));
@@ -275,7 +275,7 @@
     }
   CHECK(handed >= ran);
   CHECK(rejected > 0);
-  QFile file(core::qstr(fleet.auditFolder(fleet.routers().front()) + "/audit-000000000001"));
+  QFile file(core::toQString(fleet.auditFolder(fleet.routers().front()) + "/audit-000000000001"));
   REQUIRE(file.open(QIODevice::ReadWrite));
   file.seek(70);
   file.write("x");
--- a/testing/test/sim_test.cpp
+++ b/testing/test/sim_test.cpp
@@ -253,12 +253,12 @@
 TEST_CASE("a simulated disk loses names that were not synced, each by itself, and no others", "[disks]") {
   std::size_t lost = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    corkward::core::Rng rng(seed);
+    corkward::core::RandomGenerator rng(seed);
     testing::SimDisk disk;
     disk.looseNames = true;
     disk.append("kept", "a");
     disk.sync("kept");
-    disk.syncFolder();
+    disk.syncDirectory();
     disk.append("new", "b");
     disk.sync("new");
     disk.rename("kept", "moved");
@@ -274,7 +274,7 @@
 TEST_CASE("what was acknowledged is kept when the process before stopped between any two operations", "[disk-names]") {
   for (int operations = 0; operations < 4; ++operations)
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      corkward::core::Rng rng(seed);
+      corkward::core::RandomGenerator rng(seed);
       testing::SimDisk disk;
       disk.looseNames = true;
       corkward::storage::WriteAheadLog first(disk, 20000);
@@ -282,7 +282,7 @@
       disk.stopAfter(operations);
       try {
         first.write({corkward::storage::Record{"a", "1"}});
-      } catch (corkward::storage::Error const&) {
+      } catch (corkward::storage::StorageError const&) {
       }
       disk.stopAfter(-1);
       corkward::storage::WriteAheadLog second(disk, 20000);
--- a/transport/include/corkward/transport/way_health.h
+++ b/transport/include/corkward/transport/connection_health.h
@@ -8,19 +8,19 @@
 namespace corkward::transport {
 
 /// True for messages that a live receiver answers at once, so that silence after one says that the path is broken.
-bool expectsAnswer(Message const& message);
+bool expectsReply(Message const& message);
 
 /// Judges whether the connection that a process dialled to a peer still carries anything, and when it must be closed
 /// and dialled anew. TCP itself would wait for its own retransmission timer, which doubles with every loss: after a cut
 /// of some length it may stay silent for as long again. A dial, and a connection that owes an answer, therefore live
 /// for about a second; a new dial starts with a fresh timer. Pure: the caller says what happened and when, in
 /// milliseconds of one monotonic clock.
-class WayHealth {
+class ConnectionHealth {
  public:
   /// A dial that has not connected after this long is made anew, and so is a connection that owes an answer so long.
-  static constexpr core::Tick silenceLimit = 1000;
+  static constexpr core::Tick responseTimeout = 1000;
   /// A peer that was just heard can be reached, so a dial to it that hangs is made anew sooner, each next one later.
-  static constexpr core::Tick heardPatience = 300;
+  static constexpr core::Tick firstRedialTimeout = 300;
   /// A connection that owes an answer is given this much time beyond the limit for what was sent on it, in bytes per
   /// millisecond, so that a long message over a slow link is not cut off by its own length.
   static constexpr std::size_t slowestBytesPerMs = 500;
@@ -30,18 +30,18 @@
   /// A message is handed to the connection.
   void sent(core::Tick now, bool expectsAnswer, std::size_t bytes);
   /// True when a dial must be made anew before the next message is sent.
-  bool staleAtSend(core::Tick now, bool connected) const;
+  bool staleOnSend(core::Tick now, bool connected) const;
   /// A message of the peer arrived, from the named run of its process, over the peer's own connection `pipe`.
   /// `connects` counts how often our dial has connected, `connected` says whether it is so now. True when our dial must
   /// be made anew: it does not reach that run, it owed an answer for too long, or the peer has given up its own
   /// connection and dialled anew, which says that the path was broken for ours as well.
-  bool staleAtHeard(core::Tick now, bool connected, int connects, std::uint64_t run, std::uint32_t pipe);
+  bool staleOnReceive(core::Tick now, bool connected, int connects, std::uint64_t run, std::uint32_t pipe);
 
  private:
-  bool owesAnswer(core::Tick now) const;
+  bool responseOverdue(core::Tick now) const;
 
   core::Tick dialledAt_ = 0;
-  core::Tick patience_ = heardPatience;
+  core::Tick redialTimeout_ = firstRedialTimeout;
   /// When the oldest message was sent that wants an answer and has none; below zero: none is owed.
   core::Tick unansweredSince_ = -1;
   std::size_t unansweredBytes_ = 0;
--- a/transport/include/corkward/transport/consensus_messages.h
+++ b/transport/include/corkward/transport/consensus_messages.h
@@ -17,13 +17,13 @@
   std::string key;
   Ballot ballot;
   std::string member;
-  std::uint64_t membership = 0;
+  std::uint64_t membershipRevision = 0;
   template <class F>
   void each(F& f) {
     f("k", key);
     f("e", ballot);
     f("m", member);
-    f("c", membership);
+    f("c", membershipRevision);
   }
 };
 
@@ -32,7 +32,7 @@
   std::string key;
   Ballot ballot;
   std::string member;
-  bool ok = false;
+  bool granted = false;
   Ballot promised;
   Ballot acceptedBallot;
   std::uint64_t revision = 0;
@@ -42,7 +42,7 @@
     f("k", key);
     f("e", ballot);
     f("m", member);
-    f("o", ok);
+    f("o", granted);
     f("p", promised);
     f("a", acceptedBallot);
     f("s", revision);
@@ -55,7 +55,7 @@
   std::string key;
   Ballot ballot;
   std::string member;
-  std::uint64_t membership = 0;
+  std::uint64_t membershipRevision = 0;
   std::uint64_t revision = 0;
   QJsonObject value;
   template <class F>
@@ -63,7 +63,7 @@
     f("k", key);
     f("e", ballot);
     f("m", member);
-    f("c", membership);
+    f("c", membershipRevision);
     f("s", revision);
     f("v", value);
   }
@@ -75,7 +75,7 @@
   Ballot ballot;
   std::string member;
   std::uint64_t revision = 0;
-  bool ok = false;
+  bool granted = false;
   Ballot promised;
   template <class F>
   void each(F& f) {
@@ -83,7 +83,7 @@
     f("e", ballot);
     f("m", member);
     f("s", revision);
-    f("o", ok);
+    f("o", granted);
     f("p", promised);
   }
 };
@@ -91,11 +91,11 @@
 /// Tells that an item is on a majority of the disks.
 struct Commit {
   Ballot ballot;
-  Item item;
+  CommittedEntry entry;
   template <class F>
   void each(F& f) {
     f("e", ballot);
-    f("i", item);
+    f("i", entry);
   }
 };
 
@@ -112,73 +112,73 @@
 
 /// Standing of one membership member, sent to the others.
 struct Heartbeat {
-  core::Tick tick = 0;
+  core::Tick sentAt = 0;
   std::string member;
-  bool empty = false;
+  bool hasNoState = false;
   bool voting = false;
-  std::uint64_t membership = 0;
+  std::uint64_t membershipRevision = 0;
   /// Revision of the membership under which the member last brought its state up to a majority's.
-  std::uint64_t caughtUp = 0;
+  std::uint64_t caughtUpRevision = 0;
   /// Empty for a member that said it has this membership.
   QJsonObject membershipValue;
   /// What the sender knows to be on a majority of the disks.
-  Digest known;
+  Digest committedDigest;
   /// Keys that the sender owns, with their epochs.
-  Digest owns;
+  Digest ownedDigest;
   /// The same in full, after a change or when it was asked for.
-  Revisions owned;
+  Revisions ownedKeys;
   /// The sender drains and will end.
-  bool leaving = false;
+  bool draining = false;
   template <class F>
   void each(F& f) {
-    f.optional("l", leaving);
-    f("t", tick);
+    f.optional("l", draining);
+    f("t", sentAt);
     f("m", member);
-    f("e", empty);
+    f("e", hasNoState);
     f("v", voting);
-    f("c", membership);
-    f("s", caughtUp);
+    f("c", membershipRevision);
+    f("s", caughtUpRevision);
     f("cv", membershipValue);
-    f("k", known);
-    f("d", owns);
-    f("o", owned);
+    f("k", committedDigest);
+    f("d", ownedDigest);
+    f("o", ownedKeys);
   }
 };
 
 /// Word of a machine that serves operators without a disk, to a disk that has not joined yet: it founds nothing and is
 /// never a member.
-struct NoDisk {
+struct NotAVotingMember {
   template <class F>
   void each(F&) {}
 };
 
 /// Answer to a Heartbeat: what the member has accepted, so that the asker can confirm its keys and learn what it lacks.
-struct HeartbeatEcho {
-  core::Tick tick = 0;
+struct HeartbeatReply {
+  core::Tick requestSentAt = 0;
   std::string member;
   bool voting = false;
   /// Newest revisions this member has accepted, committed or not.
-  Digest digest;
+  Digest acceptedDigest;
   /// The same in full, when what the asker knows is another set.
   Revisions accepted;
   /// Keys of the asker for which this member has promised a higher epoch.
-  Revisions higher;
+  Revisions higherBallots;
   /// The asker's keys are not known here as it owns them now.
-  bool wantOwned = false;
+  bool wantsOwnedKeys = false;
   template <class F>
   void each(F& f) {
-    f("t", tick);
+    f("t", requestSentAt);
     f("m", member);
     f("v", voting);
-    f("d", digest);
+    f("d", acceptedDigest);
     f("a", accepted);
-    f("h", higher);
-    f("w", wantOwned);
+    f("h", higherBallots);
+    f("w", wantsOwnedKeys);
   }
 };
 
 /// One slot of a member's write-ahead log, for a member that copies.
-struct Slot {
+struct RecordSlot {
   std::string key;
   Ballot promised;
   Ballot acceptedBallot;
@@ -195,47 +195,47 @@
 };
 
 /// Asks for a value that is on a majority, or, when copying, for all slots that are newer than the asker's.
-struct Fetch {
+struct ValueRequest {
   /// When copying: only keys behind this one, which the asker had before.
   std::string key;
-  bool copy = false;
+  bool isCatchUp = false;
   std::string member;
-  std::uint64_t membership = 0;
+  std::uint64_t membershipRevision = 0;
   /// The asker's slots without their values.
-  std::vector<Slot> have = {};
+  std::vector<RecordSlot> knownSlots = {};
   /// Number of this question, for its answer; 0 from releases that take an answer in one piece alone.
-  std::uint64_t ask = 0;
+  std::uint64_t requestNumber = 0;
   template <class F>
   void each(F& f) {
-    f.optional("a", ask);
+    f.optional("a", requestNumber);
     f("k", key);
-    f("c", copy);
+    f("c", isCatchUp);
     f("m", member);
-    f("n", membership);
-    f("h", have);
-    f.optional("a", ask);
+    f("n", membershipRevision);
+    f("h", knownSlots);
+    f.optional("a", requestNumber);
   }
 };
 
-/// Answer to a copying Fetch: the slots that are newer than the asker's.
-struct Copy {
+/// Reply to a catch-up ValueRequest: the slots that are newer than the asker's.
+struct SnapshotChunk {
   std::string member;
   /// Revision of the membership that the answering member goes by.
-  std::uint64_t membership = 0;
-  std::vector<Slot> slots;
+  std::uint64_t membershipRevision = 0;
+  std::vector<RecordSlot> slots;
   /// Number of the question that this answers; 0 from releases that don't number them.
-  std::uint64_t ask = 0;
+  std::uint64_t requestNumber = 0;
   /// There are more slots behind the last one.
-  bool more = false;
+  bool hasMore = false;
   template <class F>
   void each(F& f) {
-    f.optional("a", ask);
-    f.optional("o", more);
+    f.optional("a", requestNumber);
+    f.optional("o", hasMore);
     f("m", member);
-    f("n", membership);
+    f("n", membershipRevision);
     f("s", slots);
-    f.optional("a", ask);
-    f.optional("o", more);
+    f.optional("a", requestNumber);
+    f.optional("o", hasMore);
   }
 };
 
--- a/transport/include/corkward/transport/contact_messages.h
+++ b/transport/include/corkward/transport/contact_messages.h
@@ -17,38 +17,38 @@
 /// What one node tells of another in a shuffle.
 struct Contact {
   std::string link;
-  std::string http;
+  std::string httpAddress;
   std::string role;
   std::string zone;
-  std::uint64_t inc = 0;
+  std::uint64_t incarnation = 0;
   std::int64_t age = 0;
   bool draining = false;
   template <class F>
   void each(F& f) {
     f("l", link);
-    f("h", http);
+    f("h", httpAddress);
     f("r", role);
     f("z", zone);
-    f("i", inc);
+    f("i", incarnation);
     f("a", age);
     f("d", draining);
   }
 };
 
 /// Contacts of others and of the sender itself.
-struct Shuffle {
+struct GossipShuffle {
   std::vector<Contact> contacts;
   bool reply = false;
   /// Revision of the roster that the sender goes by, 0 for none, and contacts that differ from what this roster says of
   /// them by incarnation and age alone: place on the roster by link, incarnation, age, and so on.
-  std::uint64_t roster = 0;
-  std::vector<std::uint64_t> known = {};
+  std::uint64_t rosterRevision = 0;
+  std::vector<std::uint64_t> knownContacts = {};
   template <class F>
   void each(F& f) {
     f("c", contacts);
     f("r", reply);
-    f("t", roster);
-    f("k", known);
+    f("t", rosterRevision);
+    f("k", knownContacts);
   }
 };
 
--- a/transport/include/corkward/transport/link.h
+++ b/transport/include/corkward/transport/link.h
@@ -9,14 +9,14 @@
 #include <thread>
 
 #include <corkward/transport/message.h>
-#include <corkward/transport/way_health.h>
+#include <corkward/transport/connection_health.h>
 
 namespace corkward::transport {
 
 /// Held nng connections between our own processes: one pull socket listens, one push socket per membership member
 /// dials. Messages are handed over on the thread of the object that the link was made for. What cannot be queued is
 /// dropped: every protocol above repeats itself. A connection, or an attempt at one, that met a cut or a machine that
-/// is down may hang for as long again once that is over; WayHealth says when it is closed and dialled anew.
+/// is down may hang for as long again once that is over; ConnectionHealth says when it is closed and dialled anew.
 class Link {
  public:
   /// Listens at ip:port; port 0 takes a free one. With `listen` it listens there, and is reached by others at `name`.
@@ -31,43 +31,43 @@
   /// Queues a message; never blocks.
   void send(std::string const& to, Message const& message);
   /// Frames that were not an envelope.
-  std::uint64_t garbage() const { return garbage_; }
+  std::uint64_t malformedFrames() const { return malformedFrames_; }
   /// Ways that were closed and dialled anew.
   std::uint64_t redials() const { return redials_; }
   /// Ways to others that are held now.
-  std::size_t held() const { return out_.size(); }
+  std::size_t connectionCount() const { return connections_.size(); }
   /// Closes and frees the ways to addresses that were neither sent to nor heard from for so long.
-  void sweep(std::chrono::milliseconds idle);
+  void closeIdle(std::chrono::milliseconds idle);
   /// How long a way that is neither sent on nor heard from is kept. Shuffles go to ever other contacts, so what a
   /// process holds grows with this and, once the fleet is larger than what is met within it, no more with the fleet.
-  static constexpr std::chrono::seconds idleAfter{20};
+  static constexpr std::chrono::seconds idleTimeout{20};
 
  private:
   using Clock = std::chrono::steady_clock;
-  struct Out {
+  struct Connection {
     std::uint32_t socket = 0;
     Clock::time_point used;
-    WayHealth health;
+    ConnectionHealth health;
     /// Written by nng's threads until the socket is closed.
     std::atomic<int> connects{0};
     std::atomic<int> disconnects{0};
     bool connected() const { return connects > disconnects; }
   };
-  bool dial(std::string const& to, Out& way);
+  bool dial(std::string const& to, Connection& way);
   /// Closes the way's connection and dials anew; false when that failed and the way is gone.
-  bool redial(std::map<std::string, Out>::iterator way);
-  void heard(std::string const& from, std::uint64_t run, std::uint32_t pipe);
+  bool redial(std::map<std::string, Connection>::iterator way);
+  void onReceived(std::string const& from, std::uint64_t run, std::uint32_t pipe);
   void receive();
   QObject* owner_;
   std::string address_;
-  std::function<void(Envelope)> arrived_;
+  std::function<void(Envelope)> onMessage_;
   std::uint32_t pull_ = 0;
   std::uint64_t run_ = 0;
-  std::map<std::string, Out> out_;
-  Clock::time_point swept_;
+  std::map<std::string, Connection> connections_;
+  Clock::time_point lastIdleSweep_;
   std::uint64_t redials_ = 0;
   std::atomic<bool> stopping_{false};
-  std::atomic<std::uint64_t> garbage_{0};
+  std::atomic<std::uint64_t> malformedFrames_{0};
   std::thread thread_;
 };
 
--- a/transport/include/corkward/transport/message.h
+++ b/transport/include/corkward/transport/message.h
@@ -8,26 +8,29 @@
 
 #include <corkward/core/error.h>
 #include <corkward/quota/messages.h>
-#include <corkward/transport/attempt_messages.h>
+#include <corkward/transport/request_id_messages.h>
 #include <corkward/transport/consensus_messages.h>
 #include <corkward/transport/contact_messages.h>
-#include <corkward/transport/news_messages.h>
+#include <corkward/transport/configuration_messages.h>
 #include <corkward/transport/operator_messages.h>
 #include <corkward/transport/values.h>
-#include <corkward/transport/warming_messages.h>
+#include <corkward/transport/warmup_messages.h>
 
 namespace corkward::transport {
 
 /// An error of the links and their framing.
-class Error : public core::Error {
+class TransportError : public core::Error {
  public:
   using core::Error::Error;
 };
 
-using Message = std::variant<Shuffle, Prepare, Promise, Accept, Accepted, Commit, Handover, Heartbeat, HeartbeatEcho,
-                             Fetch, Copy, Call, CallResponse, News, NewsAck, Holding, Ask, Confirm, Hint, Touch,
-                             SeenAsk, SeenEcho, SeenLeft, WarmAsk, WarmGrant, NoDisk, quota::Report, quota::Loans,
-                             quota::ClaimAsk, quota::Claims, quota::TermAsk, quota::TermGrant>;
+using Message =
+    std::variant<GossipShuffle, Prepare, Promise, Accept, Accepted, Commit, Handover, Heartbeat, HeartbeatReply,
+                 ValueRequest, SnapshotChunk, OperatorCall, OperatorCallReply, ConfigurationUpdate, ConfigurationAck,
+                 RouterStatusReport, ServingLeaseRequest, ServingLeaseGrant, EndpointRemovalHint, PeerHeartbeat,
+                 RequestIdQuery, RequestIdReply, RequestIdHandover, WarmupLeaseRequest, WarmupLeaseGrant,
+                 NotAVotingMember, quota::UsageReport, quota::QuotaGrants, quota::AllocationQuery,
+                 quota::AllocationReport, quota::PartitionLeaseRequest, quota::PartitionLeaseReply>;
 
 /// Command: send a message to the process that listens at the link address.
 struct Send {
@@ -48,6 +51,6 @@
 Envelope unpack(std::string const& bytes);
 
 /// Name of a message's kind, for logs.
-char const* kind(Message const& message);
+char const* kindName(Message const& message);
 
 }  // namespace corkward::transport
--- a/transport/include/corkward/transport/operator_messages.h
+++ b/transport/include/corkward/transport/operator_messages.h
@@ -9,7 +9,7 @@
 namespace corkward::transport {
 
 /// An operator's call, relayed to the controller that owns its key.
-struct Call {
+struct OperatorCall {
   std::uint64_t token = 0;
   std::string method;
   std::string path;
@@ -30,7 +30,7 @@
 };
 
 /// Answer to a Call of the same token.
-struct CallResponse {
+struct OperatorCallReply {
   std::uint64_t token = 0;
   int status = 0;
   QJsonObject body;
--- a/transport/include/corkward/transport/attempt_messages.h
+++ b/transport/include/corkward/transport/request_id_messages.h
@@ -11,7 +11,7 @@
 namespace corkward::transport {
 
 /// Asks the others whether a request's id may have run there, and has them remember that it was asked for here.
-struct SeenAsk {
+struct RequestIdQuery {
   std::uint64_t token = 0;
   std::string id;
   /// 0: the caller does not number its attempts.
@@ -19,54 +19,54 @@
   /// Milliseconds since the caller's first attempt, when attempts are numbered.
   core::Tick age = 0;
   /// Name of this run of the asking process, never used again.
-  std::string who;
+  std::string processRun;
   template <class F>
   void each(F& f) {
     f("t", token);
     f("i", id);
     f("a", attempt);
     f("g", age);
-    f("w", who);
+    f("w", processRun);
   }
 };
 
-/// Answer to a SeenAsk of the same token.
-struct SeenEcho {
+/// Reply to a RequestIdQuery of the same token.
+struct RequestIdReply {
   std::uint64_t token = 0;
   /// Name of this run of the answering process.
-  std::string who;
+  std::string processRun;
   /// It did not run here and will not, as far as this node remembers; for numbered attempts it remembers far enough.
-  bool clear = false;
+  bool notExecuted = false;
   /// The id is remembered here.
   bool known = false;
   /// It had reached a replica from here, which may have rejected it.
-  bool reached = false;
+  bool reachedReplica = false;
   /// How far back this node remembers.
-  core::Tick memory = 0;
+  core::Tick memorySpan = 0;
   /// Who has asked for the id before, by the names of their runs.
-  std::vector<std::string> claimants;
+  std::vector<std::string> claimedBy;
   template <class F>
   void each(F& f) {
     f("t", token);
-    f("w", who);
-    f("c", clear);
+    f("w", processRun);
+    f("c", notExecuted);
     f("k", known);
-    f("r", reached);
-    f("m", memory);
-    f("n", claimants);
+    f("r", reachedReplica);
+    f("m", memorySpan);
+    f("n", claimedBy);
   }
 };
 
 /// Ids that a leaving router leaves to its successors.
-struct SeenLeft {
+struct RequestIdHandover {
   /// Name of this run of the leaving process.
-  std::string who;
+  std::string processRun;
   /// The last part: what is named in none of them did not run there.
   bool last = false;
   std::vector<std::string> ids;
   template <class F>
   void each(F& f) {
-    f("w", who);
+    f("w", processRun);
     f("e", last);
     f("i", ids);
   }
--- a/transport/include/corkward/transport/values.h
+++ b/transport/include/corkward/transport/values.h
@@ -13,13 +13,13 @@
 
 /// Rising number of an ownership; the member's id breaks ties.
 struct Ballot {
-  std::uint64_t n = 0;
+  std::uint64_t number = 0;
   std::string member;
   std::strong_ordering operator<=>(Ballot const&) const = default;
   bool operator==(Ballot const&) const = default;
   template <class F>
   void each(F& f) {
-    f("n", n);
+    f("n", number);
     f("m", member);
   }
 };
@@ -40,10 +40,10 @@
 Digest digestOf(Revisions const& revisions);
 
 /// One bit for each place of an agreed list, eight to a byte.
-class Bits {
+class BitSet {
  public:
   void set(std::size_t place);
-  bool has(std::size_t place) const {
+  bool test(std::size_t place) const {
     return place / 8 < bytes_.size() && (static_cast<unsigned char>(bytes_[place / 8]) >> (place % 8) & 1U) != 0;
   }
   template <class F>
@@ -56,7 +56,7 @@
 };
 
 /// One key with its value as it was accepted on a majority of the disks.
-struct Item {
+struct CommittedEntry {
   std::string key;
   std::uint64_t revision = 0;
   QJsonObject value;
--- a/transport/include/corkward/transport/warming_messages.h
+++ b/transport/include/corkward/transport/warmup_messages.h
@@ -10,38 +10,38 @@
 namespace corkward::transport {
 
 /// Asks for, or gives back, the warming duty of a cold replica.
-struct WarmAsk {
-  core::Tick tick = 0;
+struct WarmupLeaseRequest {
+  core::Tick sentAt = 0;
   std::string replica;
   std::string link;
-  std::uint64_t inc = 0;
+  std::uint64_t incarnation = 0;
   bool release = false;
   std::string successor;
   template <class F>
   void each(F& f) {
-    f("t", tick);
+    f("t", sentAt);
     f("r", replica);
     f("l", link);
-    f("i", inc);
+    f("i", incarnation);
     f("e", release);
     f("s", successor);
   }
 };
 
-/// One member's answer to a WarmAsk.
-struct WarmGrant {
-  core::Tick tick = 0;
+/// One member's reply to a WarmupLeaseRequest.
+struct WarmupLeaseGrant {
+  core::Tick requestSentAt = 0;
   std::string replica;
   std::string member;
-  bool ok = false;
+  bool granted = false;
   std::uint64_t term = 0;
   std::string holder;
   template <class F>
   void each(F& f) {
-    f("t", tick);
+    f("t", requestSentAt);
     f("r", replica);
     f("m", member);
-    f("o", ok);
+    f("o", granted);
     f("e", term);
     f("h", holder);
   }
--- /dev/null
+++ b/transport/src/connection_health.cpp
@@ -0,0 +1,55 @@
+#include <corkward/transport/connection_health.h>
+
+#include <algorithm>
+
+namespace corkward::transport {
+
+bool expectsReply(Message const& message) {
+  if (PeerHeartbeat const* const touch = std::get_if<PeerHeartbeat>(&message)) return !touch->isReply;
+  if (GossipShuffle const* const shuffle = std::get_if<GossipShuffle>(&message)) return shuffle->reply;
+  return std::holds_alternative<ServingLeaseRequest>(message) || std::holds_alternative<Heartbeat>(message);
+}
+
+void ConnectionHealth::dialled(core::Tick now) {
+  dialledAt_ = now;
+  unansweredSince_ = -1;
+  unansweredBytes_ = 0;
+  connectsThen_ = 0;
+}
+
+void ConnectionHealth::sent(core::Tick now, bool expectsAnswer, std::size_t bytes) {
+  unansweredBytes_ += bytes;
+  if (expectsAnswer && unansweredSince_ < 0) unansweredSince_ = now;
+}
+
+bool ConnectionHealth::responseOverdue(core::Tick now) const {
+  core::Tick const forBytes = static_cast<core::Tick>(unansweredBytes_ / slowestBytesPerMs);
+  return unansweredSince_ >= 0 && now - unansweredSince_ > responseTimeout + forBytes;
+}
+
+bool ConnectionHealth::staleOnSend(core::Tick now, bool connected) const {
+  return connected ? responseOverdue(now) : now - dialledAt_ > responseTimeout;
+}
+
+bool ConnectionHealth::staleOnReceive(core::Tick now, bool connected, int connects, std::uint64_t run,
+                                      std::uint32_t pipe) {
+  bool const otherRun = run_ != 0 && run_ != run && connects == connectsThen_;
+  bool const peerDialledAnew = pipe_ != 0 && pipe_ != pipe && run_ == run && now - dialledAt_ > responseTimeout;
+  bool const owed = responseOverdue(now);
+  pipe_ = pipe;
+  unansweredSince_ = -1;
+  unansweredBytes_ = 0;
+  bool const sound = connected && !otherRun && !peerDialledAnew && !owed;
+  if (sound) {
+    run_ = run;
+    connectsThen_ = connects;
+    redialTimeout_ = firstRedialTimeout;
+    return false;
+  }
+  if (now - dialledAt_ <= redialTimeout_) return false;
+  run_ = run;
+  redialTimeout_ = std::min(2 * redialTimeout_, responseTimeout);
+  return true;
+}
+
+}  // namespace corkward::transport
--- a/transport/src/link.cpp
+++ b/transport/src/link.cpp
@@ -16,7 +16,7 @@
 constexpr std::chrono::seconds sweepEvery{5};
 
 void check(int rv, char const* what) {
-  if (rv != 0) throw Error(std::string(what) + ": " + nng_strerror(rv));
+  if (rv != 0) throw TransportError(std::string(what) + ": " + nng_strerror(rv));
 }
 
 nng_socket socketOf(std::uint32_t id) {
@@ -39,9 +39,9 @@
 Link::Link(QObject* owner, std::string const& name, std::function<void(Envelope)> arrived, std::string const& listen)
     : owner_(owner),
       address_(name),
-      arrived_(std::move(arrived)),
+      onMessage_(std::move(arrived)),
       run_(QRandomGenerator::system()->generate()),
-      swept_(Clock::now()) {
+      lastIdleSweep_(Clock::now()) {
   std::string const address = listen.empty() ? name : listen;
   nng_socket s;
   check(nng_pull0_open(&s), "nng pull socket");
@@ -53,7 +53,7 @@
   int const rv = nng_listener_start(l, 0);
   if (rv != 0) {
     nng_close(s);
-    throw Error("listen at " + address + ": " + nng_strerror(rv));
+    throw TransportError("listen at " + address + ": " + nng_strerror(rv));
   }
   int port = 0;
   if (listen.empty() && nng_listener_get_int(l, NNG_OPT_TCP_BOUND_PORT, &port) == 0)
@@ -65,7 +65,7 @@
   stopping_ = true;
   thread_.join();
   nng_close(socketOf(pull_));
-  for (std::map<std::string, Out>::value_type const& o : out_) nng_close(socketOf(o.second.socket));
+  for (std::map<std::string, Connection>::value_type const& o : connections_) nng_close(socketOf(o.second.socket));
 }
 
 void Link::receive() {
@@ -80,17 +80,17 @@
       QMetaObject::invokeMethod(
           owner_,
           [this, pipe, envelope = std::move(envelope)]() {
-            heard(envelope.from, envelope.run, pipe);
-            arrived_(envelope);
+            onReceived(envelope.from, envelope.run, pipe);
+            onMessage_(envelope);
           },
           Qt::QueuedConnection);
     } catch (core::Error const&) {
-      ++garbage_;
+      ++malformedFrames_;
     }
   }
 }
 
-bool Link::dial(std::string const& to, Out& way) {
+bool Link::dial(std::string const& to, Connection& way) {
   nng_socket s;
   if (nng_push0_open(&s) != 0) return false;
   way.socket = s.id;
@@ -107,44 +107,44 @@
   return false;
 }
 
-bool Link::redial(std::map<std::string, Out>::iterator way) {
+bool Link::redial(std::map<std::string, Connection>::iterator way) {
   ++redials_;
   nng_close(socketOf(way->second.socket));
   if (dial(way->first, way->second)) return true;
-  out_.erase(way);
+  connections_.erase(way);
   return false;
 }
 
-void Link::heard(std::string const& from, std::uint64_t run, std::uint32_t pipe) {
-  std::map<std::string, Out>::iterator const it = out_.find(from);
-  if (it == out_.end()) return;
-  Out& way = it->second;
+void Link::onReceived(std::string const& from, std::uint64_t run, std::uint32_t pipe) {
+  std::map<std::string, Connection>::iterator const it = connections_.find(from);
+  if (it == connections_.end()) return;
+  Connection& way = it->second;
   way.used = Clock::now();
-  if (way.health.staleAtHeard(clockNow(), way.connected(), way.connects, run, pipe)) redial(it);
+  if (way.health.staleOnReceive(clockNow(), way.connected(), way.connects, run, pipe)) redial(it);
 }
 
-void Link::sweep(std::chrono::milliseconds idle) {
-  swept_ = Clock::now();
-  for (std::map<std::string, Out>::iterator it = out_.begin(); it != out_.end();) {
-    bool const gone = swept_ - it->second.used >= idle;
+void Link::closeIdle(std::chrono::milliseconds idle) {
+  lastIdleSweep_ = Clock::now();
+  for (std::map<std::string, Connection>::iterator it = connections_.begin(); it != connections_.end();) {
+    bool const gone = lastIdleSweep_ - it->second.used >= idle;
     if (gone) nng_close(socketOf(it->second.socket));
-    it = gone ? out_.erase(it) : std::next(it);
+    it = gone ? connections_.erase(it) : std::next(it);
   }
 }
 
 void Link::send(std::string const& to, Message const& message) {
   Clock::time_point const now = Clock::now();
-  if (now - swept_ > sweepEvery) sweep(idleAfter);
-  std::map<std::string, Out>::iterator const it = out_.try_emplace(to).first;
+  if (now - lastIdleSweep_ > sweepEvery) closeIdle(idleTimeout);
+  std::map<std::string, Connection>::iterator const it = connections_.try_emplace(to).first;
   if (it->second.socket == 0 && !dial(to, it->second)) {
-    out_.erase(it);
+    connections_.erase(it);
     return;
   }
-  Out& way = it->second;
-  if (way.health.staleAtSend(clockNow(), way.connected()) && !redial(it)) return;
+  Connection& way = it->second;
+  if (way.health.staleOnSend(clockNow(), way.connected()) && !redial(it)) return;
   way.used = now;
   std::string bytes = pack(Envelope{address_, message, run_});
-  way.health.sent(clockNow(), expectsAnswer(message), bytes.size());
+  way.health.sent(clockNow(), expectsReply(message), bytes.size());
   nng_send(socketOf(way.socket), bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK);
 }
 
--- a/transport/src/message.cpp
+++ b/transport/src/message.cpp
@@ -93,7 +93,7 @@
 struct Unpacker {
   QCborMap const& map;
 
-  [[noreturn]] static void wrong() { throw Error("field of the wrong type"); }
+  [[noreturn]] static void wrong() { throw TransportError("field of the wrong type"); }
   static void get(QCborValue const& c, bool& v) {
     if (!c.isBool()) wrong();
     v = c.toBool();
@@ -167,7 +167,7 @@
     Unpacker::get(body, m);
     return m;
   } else {
-    throw Error("unknown kind of message");
+    throw TransportError("unknown kind of message");
   }
 }
 
@@ -187,12 +187,12 @@
   return out;
 }
 
-void Bits::set(std::size_t place) {
+void BitSet::set(std::size_t place) {
   if (bytes_.size() <= place / 8) bytes_.resize(place / 8 + 1, '\0');
   bytes_[place / 8] = static_cast<char>(static_cast<unsigned char>(bytes_[place / 8]) | 1U << (place % 8));
 }
 
-char const* kind(Message const& message) {
+char const* kindName(Message const& message) {
   return kinds[message.index()];
 }
 
@@ -209,7 +209,7 @@
   QCborParserError error;
   QCborValue const root =
       QCborValue::fromCbor(QByteArray::fromRawData(bytes.data(), static_cast<qsizetype>(bytes.size())), &error);
-  if (error.error != QCborError::NoError || !root.isMap()) throw Error("not an envelope");
+  if (error.error != QCborError::NoError || !root.isMap()) throw TransportError("not an envelope");
   QCborMap const map = root.toMap();
   Envelope out;
   Unpacker u{map};
--- a/transport/test/fill.h
+++ b/transport/test/fill.h
@@ -7,7 +7,7 @@
 
 /// Fills messages with values that are well typed, often well known and often absurd.
 struct Filler {
-  core::Rng& rng;
+  core::RandomGenerator& rng;
   std::vector<std::string> const& names;
   core::Tick now;
 
@@ -60,7 +60,8 @@
 
 /// A random message of a random kind.
 template <std::size_t I = 0>
-Message randomMessage(core::Rng& rng, std::vector<std::string> const& names, core::Tick now, std::size_t kind) {
+Message randomMessage(core::RandomGenerator& rng, std::vector<std::string> const& names, core::Tick now,
+                      std::size_t kind) {
   if constexpr (I < std::variant_size_v<Message>) {
     if (kind != I) return randomMessage<I + 1>(rng, names, now, kind);
     std::variant_alternative_t<I, Message> m;
--- a/transport/test/golden_test.cpp
+++ b/transport/test/golden_test.cpp
@@ -112,7 +112,7 @@
   try {
     transport::unpack(QCborValue(envelope).toCbor().toStdString());
     return true;
-  } catch (transport::Error const&) {
+  } catch (transport::TransportError const&) {
     return false;
   }
 }
@@ -127,7 +127,7 @@
     without.remove(name);
     QCborMap changed = envelope;
     changed.insert(QLatin1String("b"), without);
-    fields += " " + core::str(name.toString()) + (isRead(changed) ? "?" : "");
+    fields += " " + core::toStdString(name.toString()) + (isRead(changed) ? "?" : "");
   }
   return fields;
 }
--- a/transport/test/transport_test.cpp
+++ b/transport/test/transport_test.cpp
@@ -27,7 +27,7 @@
   CHECK(got.revision == 12);
   CHECK(got.value == accept.value);
   for (std::size_t cut = 0; cut < bytes.size(); ++cut)
-    CHECK_THROWS_AS(transport::unpack(bytes.substr(0, cut)), transport::Error);
+    CHECK_THROWS_AS(transport::unpack(bytes.substr(0, cut)), transport::TransportError);
 }
 
 TEST_CASE("a digest follows the set, whatever the order, and comes back over the wire") {
@@ -41,15 +41,15 @@
   CHECK_FALSE(built == transport::digestOf({{"family:desk", 6}, {"family:fault", 5}}));
   built.replace("family:desk", 5, 0);
   CHECK(built == transport::digestOf({{"family:fault", 6}}));
-  transport::Confirm c;
+  transport::ServingLeaseGrant c;
   c.digest = transport::digestOf(revisions);
-  CHECK(std::get<transport::Confirm>(transport::unpack(transport::pack(transport::Envelope{"s", c})).message).digest ==
-        c.digest);
+  CHECK(std::get<transport::ServingLeaseGrant>(transport::unpack(transport::pack(transport::Envelope{"s", c})).message)
+            .digest == c.digest);
 }
 
 TEST_CASE("random bytes never pass for an envelope and never crash the reader") {
-  core::Rng rng(42);
-  std::string const good = transport::pack(transport::Envelope{"a", transport::SeenAsk{1, "id", 2, 0, ""}});
+  core::RandomGenerator rng(42);
+  std::string const good = transport::pack(transport::Envelope{"a", transport::RequestIdQuery{1, "id", 2, 0, ""}});
   int thrown = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string bytes = good;
@@ -61,7 +61,7 @@
     }
     try {
       transport::unpack(bytes);
-    } catch (transport::Error const&) {
+    } catch (transport::TransportError const&) {
       ++thrown;
     }
   }
@@ -75,15 +75,15 @@
   std::vector<std::uint64_t> got;
   std::unique_ptr<transport::Link> b;
   transport::Link a(&owner, "127.0.0.1:0", [&](transport::Envelope e) {
-    if (!std::holds_alternative<transport::SeenEcho>(e.message)) return;
-    got.push_back(std::get<transport::SeenEcho>(e.message).token);
+    if (!std::holds_alternative<transport::RequestIdReply>(e.message)) return;
+    got.push_back(std::get<transport::RequestIdReply>(e.message).token);
     if (got.size() == 10) QCoreApplication::quit();
   });
   b = std::make_unique<transport::Link>(&owner, "127.0.0.1:0", [&](transport::Envelope e) {
-    b->send(e.from, transport::SeenEcho{
-                        std::get<transport::SeenAsk>(e.message).token, b->address(), true, false, false, 0, {}});
+    b->send(e.from, transport::RequestIdReply{
+                        std::get<transport::RequestIdQuery>(e.message).token, b->address(), true, false, false, 0, {}});
   });
-  for (std::uint64_t i = 1; i <= 10; ++i) a.send(b->address(), transport::SeenAsk{i, "x", 2, 0, ""});
+  for (std::uint64_t i = 1; i <= 10; ++i) a.send(b->address(), transport::RequestIdQuery{i, "x", 2, 0, ""});
   QTimer::singleShot(30000, [] { QCoreApplication::exit(1); });
   CHECK(QCoreApplication::exec() == 0);
   CHECK(got == std::vector<std::uint64_t>{1, 2, 3, 4, 5, 6, 7, 8, 9, 10});
@@ -139,10 +139,10 @@
   QObject owner;
   BlackHole hole;
   std::uint64_t got = 0;
-  transport::SeenAsk const ask{1, "x", 2, 0, ""};
+  transport::RequestIdQuery const ask{1, "x", 2, 0, ""};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
   a.send(hole.address(), ask);
-  CHECK(a.held() == 1);
+  CHECK(a.connectionCount() == 1);
   transport::Link early(
       &owner, hole.address(), [](transport::Envelope) {}, "127.0.0.1:0");
   waitFor([&] { return a.redials() > 0; }, [&] { early.send(a.address(), ask); });
@@ -153,16 +153,16 @@
             try {
               if (!b)
                 b = std::make_unique<transport::Link>(&owner, hole.address(), [&](transport::Envelope) { ++got; });
-            } catch (transport::Error const&) {
+            } catch (transport::TransportError const&) {
               return;
             }
             b->send(a.address(), ask);
             a.send(b->address(), ask);
           });
-  a.sweep(std::chrono::hours(1));
-  CHECK(a.held() == 1);
-  a.sweep(std::chrono::milliseconds(0));
-  CHECK(a.held() == 0);
+  a.closeIdle(std::chrono::hours(1));
+  CHECK(a.connectionCount() == 1);
+  a.closeIdle(std::chrono::milliseconds(0));
+  CHECK(a.connectionCount() == 0);
 }
 
 TEST_CASE("a way that goes to an earlier run of a process is dialled anew once") {
@@ -170,7 +170,7 @@
   QCoreApplication app(argc, nullptr);
   QObject owner;
   std::uint64_t got = 0;
-  transport::SeenAsk const ask{1, "x", 2, 0, ""};
+  transport::RequestIdQuery const ask{1, "x", 2, 0, ""};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
   transport::Link former(&owner, "127.0.0.1:0", [&](transport::Envelope) { ++got; });
   waitFor([&] { return got > 20; },
@@ -231,7 +231,7 @@
   QCoreApplication app(argc, nullptr);
   QObject owner;
   BlackHole const hole;
-  transport::Ask const ask{};
+  transport::ServingLeaseRequest const ask{};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
   waitFor([&] { return a.redials() >= 2; }, [&] { a.send(hole.address(), ask); });
 }
@@ -241,7 +241,7 @@
   QCoreApplication app(argc, nullptr);
   QObject owner;
   int got = 0;
-  transport::Ask const ask{};
+  transport::ServingLeaseRequest const ask{};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
   transport::Link b(&owner, "127.0.0.1:0", [&](transport::Envelope) { ++got; });
   CutPath path(b.address());
