--- /dev/null
+++ b/config/test/golden_forms.h
@@ -0,0 +1,153 @@
+#pragma once
+
+#include <QJsonObject>
+#include <catch2/catch.hpp>
+#include <string>
+#include <vector>
+
+#include <corkward/config/config.h>
+#include <corkward/config/regimes.h>
+#include <corkward/core/json.h>
+
+#include "testing/golden/golden.h"
+
+/// Parsed configurations as text, every field of them, one a line.
+namespace corkward::config::golden_forms {
+
+inline std::string const folder = "config/test/golden/";
+
+inline QJsonObject object(std::string const& text) {
+  return core::parseJson(text).toObject();
+}
+
+inline std::string field(char const* name, std::string const& value) {
+  return std::string("  ") + name + " " + value + "\n";
+}
+
+template <typename Number>
+std::string number(char const* name, Number value) {
+  return field(name, std::to_string(value));
+}
+
+/// A number as JSON has it, in the fewest digits that tell it.
+inline std::string decimal(char const* name, double value) {
+  return field(name, core::jsonText(QJsonValue(value)));
+}
+
+inline char const* classText(Class cls) {
+  return cls == Class::urgent ? "urgent" : cls == Class::quick ? "short" : "long";
+}
+
+inline std::string formOf(Path const& path) {
+  std::string out = "path\n" + field("instance", path.instance) + field("path", path.path);
+  out += field("host", path.host) + field("prefix", path.prefix) + field("pool", path.pool);
+  for (Share const& share : path.shares) out += field("share", share.pool + " " + std::to_string(share.weight));
+  out += field("class", classText(path.cls));
+  out += number("aim", path.aim) + number("deadline", path.deadline) + number("gap aim", path.gapAim);
+  out += number("resumable", path.resumable) + number("repeatable", path.repeatable) + number("stream", path.stream);
+  out += number("tries", path.tries) + number("urgency", path.urgency);
+  return out + field("regime", path.regime) + number("open", path.open);
+}
+
+inline std::string formOf(std::vector<Path> const& paths) {
+  std::string out;
+  for (Path const& path : paths) out += formOf(path);
+  return out;
+}
+
+inline std::string formOf(PoolTerms const& pool) {
+  std::string out = "pool terms\n" + field("name", pool.name) + number("connections", pool.connections);
+  out += decimal("cold rate", pool.coldRate) + number("cold for", pool.coldFor);
+  return out + number("slots", pool.slots) + number("tokens", pool.tokens);
+}
+
+inline std::string formOf(Tenant const& tenant) {
+  std::string out = "tenant\n" + field("name", tenant.name);
+  for (std::string const& key : tenant.keys) out += field("key", key);
+  out += number("urgency", tenant.urgency) + decimal("per second", tenant.perSecond) + decimal("burst", tenant.burst);
+  return out + number("in tokens", tenant.inTokens) + number("plain tokens", tenant.plainTokens);
+}
+
+inline std::string formOf(HttpTerms const& http) {
+  return "http\n" + number("head bytes", http.headBytes) + number("body bytes", http.bodyBytes) +
+         number("head ms", http.headMs) + number("idle ms", http.idleMs);
+}
+
+inline std::string formOf(Whole const& whole) {
+  std::string out = "version " + std::to_string(whole.version) + "\n" + formOf(whole.paths);
+  for (PoolTerms const& pool : whole.pools) out += formOf(pool);
+  for (Tenant const& tenant : whole.tenants) out += formOf(tenant);
+  return out + formOf(whole.http);
+}
+
+inline char const* stateText(ReplicaState state) {
+  return state == ReplicaState::serving ? "serving" : state == ReplicaState::cold ? "cold" : "leaving";
+}
+
+inline std::string formOf(Pool const& pool) {
+  std::string out = "pool\n" + number("generation", pool.generation) + decimal("cold rate", pool.coldRate);
+  for (Replica const& replica : pool.replicas) {
+    out += "replica\n" + field("id", replica.id) + field("address", replica.address) + field("zone", replica.zone);
+    out += field("state", stateText(replica.state)) + field("name", lifeName(replica));
+  }
+  return out;
+}
+
+inline std::string formOf(Certificate const& certificate) {
+  std::string out = field("name", certificate.name) + field("regime", certificate.regime);
+  out += field("carrier", certificate.carrier == Carrier::replicas ? "replicas" : "routers");
+  out += field("zone", certificate.zone) + field("pool", certificate.pool) + field("address", certificate.address);
+  out += field("life", certificate.life) + field("link", certificate.link);
+  return out + number("from", certificate.from) + number("until", certificate.until);
+}
+
+inline std::string formOf(Regimes const& regimes) {
+  std::string out;
+  for (auto const& [name, regime] : regimes.regimes)
+    out += "regime " + name + "\n" + number("certified routers", regime.certifiedRouters) +
+           decimal("reserve", regime.reserve);
+  for (auto const& [name, certificate] : regimes.certificates)
+    out += "certificate " + name + "\n" + formOf(certificate);
+  return out;
+}
+
+/// What a reader says: its result, or the error as operators see it.
+template <typename Read>
+std::string outcome(Read const& read) {
+  try {
+    return read();
+  } catch (Error const& error) {
+    CHECK(error.what() == error.pointer() + ": " + error.reason());
+    return "error at " + error.pointer() + ": " + error.reason() + "\n";
+  } catch (core::JsonError const& error) {
+    return std::string("no JSON: ") + error.what() + "\n";
+  }
+}
+
+/// Outcomes of all lines of a file of inputs, by the number of the line.
+template <typename Read>
+std::string outcomes(std::string const& inputs, Read const& read) {
+  std::string out;
+  int line = 0;
+  for (std::string const& input : golden::lines(golden::read(folder + inputs)))
+    out += "input " + std::to_string(++line) + "\n" + outcome([&] { return read(input); });
+  return out;
+}
+
+/// A family that is checked and rendered with the pools "model", "gateway" and "study", and these regimes.
+inline std::string familyForm(std::string const& name, QJsonObject const& family, Regimes const& regimes) {
+  /// 2026-03-01T00:00:00Z
+  constexpr std::int64_t spring = 1772323200000;
+  auto const known = [](std::string const& pool) { return pool == "model" || pool == "gateway" || pool == "study"; };
+  auto const regimeFault = [&](std::string const& regime, std::string const& pool) {
+    auto const fault = faultOf(regimes, regime, pool, spring);
+    return fault ? fault->reason : std::string();
+  };
+  checkFamily(family, known, regimeFault);
+  std::string out = formOf(render(name, family));
+  for (RegimeUse const& use : regimeUses(render(name, family)))
+    out += "regime use " + use.instance + " " + use.regime + " " + use.pool + "\n";
+  return out + "accepted\n";
+}
+
+}  // namespace corkward::config::golden_forms
