--- /dev/null
+++ b/alerting/test/golden_test.cpp
@@ -0,0 +1,143 @@
+#include <catch2/catch.hpp>
+
+#include <functional>
+
+#include <corkward/alerting/rules.h>
+
+#include "testing/golden/golden.h"
+
+/// Parsed alert rules, samples and errors as a released version had them, since operators keep rules of their own.
+/// Recording them anew is right only when docs/ gives rules another form.
+namespace alerting = corkward::alerting;
+namespace golden = corkward::golden;
+
+namespace {
+
+std::string const folder = "alerting/test/golden/";
+
+char const* foldText(alerting::Expression::Fold fold) {
+  using Fold = alerting::Expression::Fold;
+  switch (fold) {
+    case Fold::none:
+      return "none";
+    case Fold::sum:
+      return "sum";
+    case Fold::min:
+      return "min";
+    case Fold::max:
+      return "max";
+    case Fold::count:
+      return "count";
+  }
+  return "";
+}
+
+std::string formOf(alerting::Labels const& labels) {
+  std::string out;
+  for (auto const& [name, value] : labels) out += "  label " + name + " " + value + "\n";
+  return out;
+}
+
+std::string formOf(alerting::Expression const& expression) {
+  return std::string("  fold ") + foldText(expression.fold) + "\n  metric " + expression.metric + "\n" +
+         formOf(expression.labels) + "  compare " + expression.op + " " + std::to_string(expression.bound) + "\n";
+}
+
+std::string formOf(std::vector<alerting::Rule> const& rules) {
+  std::string out;
+  for (alerting::Rule const& rule : rules) {
+    out += "rule " + rule.alert + "\n" + formOf(rule.expr) + "  for " + std::to_string(rule.holdFor) + "\n";
+    out += "  runbook " + rule.runbook + "\n";
+    for (auto const& [name, value] : rule.parameters) out += "  parameter " + name + " " + value + "\n";
+  }
+  return out + std::to_string(rules.size()) + " rules\n";
+}
+
+std::string formOf(std::vector<alerting::Sample> const& samples) {
+  std::string out;
+  for (alerting::Sample const& sample : samples)
+    out +=
+        "  metric " + sample.metric + "\n" + formOf(sample.labels) + "  value " + std::to_string(sample.value) + "\n";
+  return out + std::to_string(samples.size()) + " samples\n";
+}
+
+/// The parsed form of an input, or the error as operators see it.
+template <typename Read>
+std::string outcome(Read const& read, std::string const& input) {
+  try {
+    return formOf(read(input));
+  } catch (alerting::Error const& error) {
+    return std::string("error: ") + error.what() + "\n";
+  }
+}
+
+/// Outcomes of all lines of a file of inputs, each behind its input.
+template <typename Read>
+std::string outcomes(Read const& read, std::string const& name) {
+  std::string out;
+  for (std::string const& line : golden::lines(golden::read(folder + name)))
+    out += "input " + line + "\n" + outcome(read, line);
+  return out;
+}
+
+/// The documents of a file, each behind a line "=== NUMBER".
+std::vector<std::string> documents(std::string const& name) {
+  std::vector<std::string> out;
+  for (std::string const& line : golden::lines(golden::read(folder + name))) {
+    if (line.rfind("=== ", 0) == 0)
+      out.emplace_back();
+    else
+      out.back() += line + "\n";
+  }
+  return out;
+}
+
+}  // namespace
+
+TEST_CASE("golden: the example of alert rules is parsed to the same form") {
+  SECTION("as it was recorded") {
+    golden::check(folder + "examples.form.txt",
+                  formOf(alerting::readRules(golden::read(folder + "examples/rules/zones.yml"))));
+  }
+  SECTION("as it is") {
+    golden::check(folder + "examples.form.txt", formOf(alerting::readRules(golden::read("examples/rules/zones.yml"))));
+  }
+}
+
+TEST_CASE("golden: expressions are parsed alike, and their errors are the same") {
+  golden::check(folder + "expressions.txt", outcomes(alerting::readExpression, "expressions.input.txt"));
+}
+
+TEST_CASE("golden: samples are parsed alike, and their errors are the same") {
+  golden::check(folder + "samples.txt", outcomes(alerting::readSamples, "samples.input.txt"));
+}
+
+TEST_CASE("golden: rule files are parsed alike, and their errors are the same") {
+  std::string text;
+  int number = 0;
+  for (std::string const& document : documents("rules.input.txt"))
+    text += "document " + std::to_string(++number) + "\n" + outcome(alerting::readRules, document);
+  golden::check(folder + "rules.txt", text);
+}
+
+TEST_CASE("golden: an alert fires at the same looks") {
+  alerting::Watch watch(alerting::readRules(documents("rules.input.txt").at(1)));
+  std::string text;
+  struct Look {
+    alerting::Tick now;
+    char const* page;
+  };
+  constexpr char const* dark = "corkward_up{zone=\"z2\",node=\"a\"} 0\nx 1\nx{n=\"2\"} 1\n";
+  constexpr char const* lit = "corkward_up{zone=\"z2\"} 1\nup 0\n";
+  constexpr Look looks[] = {{0, dark},     {9999, dark},  {10000, dark},  {20000, dark},  {21000, lit}, {22000, dark},
+                            {31999, dark}, {32000, dark}, {321999, dark}, {322000, dark}, {322001, ""}};
+  for (Look const& look : looks) {
+    text += "at " + std::to_string(look.now) + ":";
+    for (alerting::Rule const& rule : watch.look(look.now, alerting::readSamples(look.page)))
+      text += " " + rule.alert + " (" + rule.runbook + ")";
+    for (char const* const alert : {"ZoneDark", "Two words", "A", "nobody"})
+      text += watch.rising(alert) ? std::string(" ") + alert + " rises" : "";
+    text += "\n";
+  }
+  golden::check(folder + "looks.txt", text);
+}
--- /dev/null
+++ b/runbook/test/golden_test.cpp
@@ -0,0 +1,128 @@
+#include <catch2/catch.hpp>
+
+#include <QJsonArray>
+
+#include <corkward/core/json.h>
+#include <corkward/runbook/runbook.h>
+
+#include "testing/golden/golden.h"
+
+/// Parsed runbooks, errors and expectations as a released version had them, since operators keep runbooks of their own.
+/// Recording them anew is right only when docs/ gives runbooks another form.
+namespace core = corkward::core;
+namespace golden = corkward::golden;
+namespace runbook = corkward::runbook;
+
+namespace {
+
+std::string const folder = "runbook/test/golden/";
+
+using Parameters = std::map<std::string, std::string>;
+
+constexpr char const* examples[] = {"runbooks/evacuate-zone.json",
+                                    "runbooks/lift-zone.json",
+                                    "runbooks/read-back.json",
+                                    "runbooks/replace-member.json",
+                                    "runbooks/restore-after-outage.json",
+                                    "runbooks/rolling-restart.json",
+                                    "rules/evacuate-zone.json"};
+
+/// Whether a form holds what is only said to operators: names and what they are to confirm.
+enum class Texts { with, without };
+
+std::string formOf(runbook::Step const& step, Texts texts) {
+  std::string out = std::string("step ") + runbook::kindName(step.kind) + "\n";
+  if (texts == Texts::with) out += "  name " + step.name + "\n";
+  for (auto const& [name, value] : step.words)
+    if (texts == Texts::with || name != "say") out += "  " + name + " " + value + "\n";
+  out += "  body " + core::jsonText(step.body) + "\n";
+  out += "  expect " + core::jsonText(step.expect) + "\n";
+  return out + "  limit " + std::to_string(step.limitSeconds) + "\n";
+}
+
+std::string formOf(runbook::Runbook const& book, Texts texts) {
+  std::string out = "runbook " + (texts == Texts::with ? book.name : "") + "\n";
+  for (runbook::Step const& step : book.steps) out += formOf(step, texts);
+  return out;
+}
+
+std::string exampleForm(std::string const& file, Texts texts) {
+  std::string const text = golden::read(file);
+  Parameters parameters;
+  for (QJsonValue const name : core::parseJson(text).toObject().value("parameters").toArray())
+    parameters[core::str(name.toString())] = "given-" + core::str(name.toString());
+  return formOf(runbook::readRunbook(text, parameters), texts);
+}
+
+/// The parsed form, or the error as operators see it.
+std::string outcome(std::string const& text, Parameters const& parameters) {
+  try {
+    return formOf(runbook::readRunbook(text, parameters), Texts::with);
+  } catch (runbook::Error const& error) {
+    CHECK(std::string(error.what()).rfind(error.pointer() + ": ", 0) == 0);
+    return std::string("error at ") + error.what() + "\n";
+  } catch (core::JsonError const& error) {
+    return std::string("no JSON: ") + error.what() + "\n";
+  }
+}
+
+std::vector<QJsonObject> inputs(std::string const& name) {
+  std::vector<QJsonObject> out;
+  for (std::string const& line : golden::lines(golden::read(folder + name)))
+    out.push_back(core::parseJson(line).toObject());
+  return out;
+}
+
+/// Outcomes of all lines of a file of inputs, by the number of the line.
+std::string outcomes(std::string const& name) {
+  std::string out;
+  int line = 0;
+  for (QJsonObject const& input : inputs(name)) {
+    Parameters parameters;
+    QJsonObject const given = input.value("parameters").toObject();
+    for (QString const& key : given.keys()) parameters[core::str(key)] = core::str(given.value(key).toString());
+    out += "input " + std::to_string(++line) + "\n" + outcome(core::jsonText(input.value("runbook")), parameters);
+  }
+  return out;
+}
+
+}  // namespace
+
+TEST_CASE("golden: the examples of runbooks are parsed to the same form") {
+  std::string text;
+  for (char const* const name : examples) {
+    text += std::string("example ") + name + "\n" + exampleForm(folder + "examples/" + name, Texts::with);
+    INFO(name);
+    CHECK(exampleForm(std::string("examples/") + name, Texts::without) ==
+          exampleForm(folder + "examples/" + name, Texts::without));
+  }
+  golden::check(folder + "examples.form.txt", text);
+}
+
+TEST_CASE("golden: runbooks of all kinds of steps are parsed to the same form") {
+  golden::check(folder + "valid.form.txt", outcomes("valid.input.txt"));
+}
+
+TEST_CASE("golden: errors of runbooks are the same") {
+  golden::check(folder + "invalid.errors.txt",
+                outcomes("invalid.input.txt") + outcome(R"({"runbook":"a","runbook":"b"})", {}));
+}
+
+TEST_CASE("golden: expectations of pages are met alike") {
+  std::string text;
+  for (QJsonObject const& input : inputs("expectations.input.txt")) {
+    QJsonObject const expect = input.value("expect").toObject();
+    runbook::Expectation const found = runbook::meets(input.value("page").toObject(), expect);
+    text += core::jsonText(expect) + " met " + std::to_string(found.met) + " seen " + found.seen + "\n";
+  }
+  golden::check(folder + "expectations.txt", text);
+}
+
+TEST_CASE("golden: kinds of steps have the same names, and change the same") {
+  using runbook::Kind;
+  std::string text;
+  for (Kind const kind : {Kind::evacuate, Kind::lift, Kind::putTemplate, Kind::patchTemplate, Kind::putInstance,
+                          Kind::patchInstance, Kind::wait, Kind::verify, Kind::save, Kind::confirm})
+    text += std::string(runbook::kindName(kind)) + " changes " + std::to_string(runbook::changes(kind)) + "\n";
+  golden::check(folder + "kinds.txt", text);
+}
