--- a/audit/test/golden_test.cpp
+++ b/audit/test/golden_test.cpp
@@ -4,7 +4,7 @@
 #include <QJsonDocument>
 #include <functional>
 
-#include <corkward/audit/trail.h>
+#include <corkward/audit/audit_log.h>
 #include <corkward/core/json.h>
 
 #include "testing/golden/folder.h"
@@ -23,7 +23,7 @@
 constexpr audit::Bounds smallFiles{1500, 3};
 
 /// One kind of each thing that a router counts, the first with all fields, others with few.
-std::vector<audit::Kind> kinds() {
+std::vector<audit::RecordKind> kinds() {
   return {{"handed-over", "health", "desk.nord", "model", "127.0.0.1:80", "r-1", "z1", "model-z1", "no reason"},
           {"resumed", "health", "desk.nord", "model", "127.0.0.2:80", "r-2", "z\xc3\xbcrich/1", "model-z1", {}},
           {"served", "health", "desk.nord", "model", "127.0.0.1:80", "r-1", "z1", "model-z1", {}},
@@ -34,9 +34,9 @@
 }
 
 /// Counts each kind once and the n-th one n times more, over two spans.
-void countAll(audit::Trail& trail, std::int64_t wall) {
-  std::vector<audit::Kind> const all = kinds();
-  for (audit::Kind const& kind : all) trail.count(kind, wall);
+void countAll(audit::AuditLog& trail, std::int64_t wall) {
+  std::vector<audit::RecordKind> const all = kinds();
+  for (audit::RecordKind const& kind : all) trail.count(kind, wall);
   for (std::size_t i = 0; i < all.size(); ++i)
     for (std::size_t n = 0; n < i; ++n) trail.count(all[i], wall + 100);
   trail.clockEvent(wall + audit::spanMs - 1);
@@ -48,7 +48,7 @@
 /// One file with all records that there are.
 golden::Files oneFile() {
   golden::NotingFolder folder;
-  audit::Trail trail(folder, "n1", noon);
+  audit::AuditLog trail(folder, "n1", noon);
   trail.probe(noon + 1);
   countAll(trail, noon + 2);
   trail.close(noon + 2 * audit::spanMs);
@@ -59,16 +59,16 @@
 golden::Files boundedFiles() {
   golden::NotingFolder folder;
   {
-    audit::Trail trail(folder, "n2", noon, smallFiles);
+    audit::AuditLog trail(folder, "n2", noon, smallFiles);
     countAll(trail, noon + 10);
   }
   {
-    audit::Trail trail(folder, "n2", noon + 10 * audit::spanMs, smallFiles);
+    audit::AuditLog trail(folder, "n2", noon + 10 * audit::spanMs, smallFiles);
     trail.count(kinds().at(1), noon + 10 * audit::spanMs + 1);
     trail.count(kinds().at(1), noon + 10 * audit::spanMs + 2);
     trail.close(noon + 10 * audit::spanMs + 3);
   }
-  audit::Trail trail(folder, "n2", noon + 70 * audit::spanMs, smallFiles);
+  audit::AuditLog trail(folder, "n2", noon + 70 * audit::spanMs, smallFiles);
   trail.count(kinds().at(3), noon + 70 * audit::spanMs + 1);
   trail.count(kinds().at(3), noon + 70 * audit::spanMs + 2);
   return golden::filesOf(folder);
@@ -92,12 +92,12 @@
   return "audit/test/golden/" + scenario + ".folder.txt";
 }
 
-audit::TrailView viewOf(golden::Files const& files) {
+audit::AuditLogView viewOf(golden::Files const& files) {
   golden::NotingFolder folder(files);
-  return audit::readTrail(folder);
+  return audit::readAuditLog(folder);
 }
 
-audit::TrailView recorded(std::string const& scenario) {
+audit::AuditLogView recorded(std::string const& scenario) {
   return viewOf(golden::readFiles(folderName(scenario)));
 }
 
@@ -106,7 +106,7 @@
   return QJsonDocument(report).toJson(QJsonDocument::Indented).toStdString() + core::jsonText(report) + "\n";
 }
 
-std::string viewText(audit::TrailView const& view) {
+std::string viewText(audit::AuditLogView const& view) {
   std::string out = "node " + view.node + "\n";
   out += "first " + std::to_string(view.first) + "\n";
   out += "head " + std::to_string(view.head.number) + " " + view.head.hash + "\n";
@@ -198,7 +198,7 @@
 TEST_CASE("golden: a recorded trail is gone on with alike") {
   for (Scenario const& scenario : scenarios) DYNAMIC_SECTION(scenario.name) {
       golden::NotingFolder folder(golden::readFiles(folderName(scenario.name)));
-      audit::Trail trail(folder, "n1", noon + 90 * audit::spanMs, smallFiles);
+      audit::AuditLog trail(folder, "n1", noon + 90 * audit::spanMs, smallFiles);
       countAll(trail, noon + 90 * audit::spanMs + 1);
       std::string text = "not synced " + trail.takeUnsynced() + "\n";
       trail.close(noon + 92 * audit::spanMs);
@@ -210,11 +210,11 @@
 }
 
 TEST_CASE("golden: the report of recorded trails is the same") {
-  std::vector<audit::TrailView> const trails{recorded("one-file"), recorded("bounded-files")};
-  audit::Head const& head = trails[1].head;
+  std::vector<audit::AuditLogView> const trails{recorded("one-file"), recorded("bounded-files")};
+  audit::AuditHead const& head = trails[1].head;
   struct Row {
     char const* name;
-    audit::Ask ask;
+    audit::ReportQuery ask;
   };
   std::vector<Row> const rows{
       {"all", {}},
@@ -235,7 +235,7 @@
 
 TEST_CASE("golden: what is found in a tampered copy of a recorded trail is the same") {
   golden::Files const files = golden::readFiles(folderName("bounded-files"));
-  audit::Ask ask;
+  audit::ReportQuery ask;
   ask.regime = "none";
   ask.heads = {{"n2", viewOf(files).head}};
   std::string text;
--- a/config/test/golden_errors_test.cpp
+++ b/config/test/golden_errors_test.cpp
@@ -47,12 +47,13 @@
 }
 
 std::string wholeError(char const* field, QJsonValue const& value) {
-  return forms::outcome([&] { return forms::formOf(config::readWhole(wholeWith(field, value))); });
+  return forms::outcome([&] { return forms::formOf(config::readFleetConfiguration(wholeWith(field, value))); });
 }
 
 std::string patchError(char const* part, QJsonArray const& list) {
   QJsonObject const patch{{"version", 2}, {part, QJsonObject{{"paths", list}}}};
-  return forms::outcome([&] { return core::jsonText(config::patchWhole(wholeWith("version", 1), patch)); });
+  return forms::outcome(
+      [&] { return core::jsonText(config::patchFleetConfiguration(wholeWith("version", 1), patch)); });
 }
 
 std::string familyError(QJsonObject const& spec, QJsonObject const& instances) {
@@ -77,7 +78,7 @@
 }  // namespace
 
 TEST_CASE("golden: errors of whole configurations are the same") {
-  checkErrors("whole", [](QJsonObject const& spec) { config::readWhole(spec); });
+  checkErrors("whole", [](QJsonObject const& spec) { config::readFleetConfiguration(spec); });
 }
 
 TEST_CASE("golden: errors of families are the same") {
--- a/config/test/golden_forms.h
+++ b/config/test/golden_forms.h
@@ -34,19 +34,20 @@
   return field(name, core::jsonText(QJsonValue(value)));
 }
 
-inline char const* classText(Class cls) {
-  return cls == Class::urgent ? "urgent" : cls == Class::quick ? "short" : "long";
+inline char const* classText(RequestClass cls) {
+  return cls == RequestClass::urgent ? "urgent" : cls == RequestClass::quick ? "short" : "long";
 }
 
 inline std::string formOf(Path const& path) {
   std::string out = "path\n" + field("instance", path.instance) + field("path", path.path);
   out += field("host", path.host) + field("prefix", path.prefix) + field("pool", path.pool);
-  for (Share const& share : path.shares) out += field("share", share.pool + " " + std::to_string(share.weight));
-  out += field("class", classText(path.cls));
-  out += number("aim", path.aim) + number("deadline", path.deadline) + number("gap aim", path.gapAim);
+  for (WeightedPool const& share : path.weightedPools)
+    out += field("share", share.pool + " " + std::to_string(share.weight));
+  out += field("class", classText(path.requestClass));
+  out += number("aim", path.latencyTarget) + number("deadline", path.deadline) + number("gap aim", path.eventGapTarget);
   out += number("resumable", path.resumable) + number("repeatable", path.repeatable) + number("stream", path.stream);
-  out += number("tries", path.tries) + number("urgency", path.urgency);
-  return out + field("regime", path.regime) + number("open", path.open);
+  out += number("tries", path.maxAttempts) + number("urgency", path.urgency);
+  return out + field("regime", path.regime) + number("open", path.isPublic);
 }
 
 inline std::string formOf(std::vector<Path> const& paths) {
@@ -55,7 +56,7 @@
   return out;
 }
 
-inline std::string formOf(PoolTerms const& pool) {
+inline std::string formOf(PoolSettings const& pool) {
   std::string out = "pool terms\n" + field("name", pool.name) + number("connections", pool.connections);
   out += decimal("cold rate", pool.coldRate) + number("cold for", pool.coldFor);
   return out + number("slots", pool.slots) + number("tokens", pool.tokens);
@@ -64,18 +65,19 @@
 inline std::string formOf(Tenant const& tenant) {
   std::string out = "tenant\n" + field("name", tenant.name);
   for (std::string const& key : tenant.keys) out += field("key", key);
-  out += number("urgency", tenant.urgency) + decimal("per second", tenant.perSecond) + decimal("burst", tenant.burst);
-  return out + number("in tokens", tenant.inTokens) + number("plain tokens", tenant.plainTokens);
+  out +=
+      number("urgency", tenant.urgency) + decimal("per second", tenant.ratePerSecond) + decimal("burst", tenant.burst);
+  return out + number("in tokens", tenant.inTokens) + number("plain tokens", tenant.defaultTokens);
 }
 
-inline std::string formOf(HttpTerms const& http) {
+inline std::string formOf(HttpLimits const& http) {
   return "http\n" + number("head bytes", http.headBytes) + number("body bytes", http.bodyBytes) +
          number("head ms", http.headMs) + number("idle ms", http.idleMs);
 }
 
-inline std::string formOf(Whole const& whole) {
+inline std::string formOf(FleetConfiguration const& whole) {
   std::string out = "version " + std::to_string(whole.version) + "\n" + formOf(whole.paths);
-  for (PoolTerms const& pool : whole.pools) out += formOf(pool);
+  for (PoolSettings const& pool : whole.pools) out += formOf(pool);
   for (Tenant const& tenant : whole.tenants) out += formOf(tenant);
   return out + formOf(whole.http);
 }
@@ -84,11 +86,11 @@
   return state == ReplicaState::serving ? "serving" : state == ReplicaState::cold ? "cold" : "leaving";
 }
 
-inline std::string formOf(Pool const& pool) {
+inline std::string formOf(EndpointList const& pool) {
   std::string out = "pool\n" + number("generation", pool.generation) + decimal("cold rate", pool.coldRate);
   for (Replica const& replica : pool.replicas) {
     out += "replica\n" + field("id", replica.id) + field("address", replica.address) + field("zone", replica.zone);
-    out += field("state", stateText(replica.state)) + field("name", lifeName(replica));
+    out += field("state", stateText(replica.state)) + field("name", incarnationName(replica));
   }
   return out;
 }
@@ -97,7 +99,7 @@
   std::string out = field("name", certificate.name) + field("regime", certificate.regime);
   out += field("carrier", certificate.carrier == Carrier::replicas ? "replicas" : "routers");
   out += field("zone", certificate.zone) + field("pool", certificate.pool) + field("address", certificate.address);
-  out += field("life", certificate.life) + field("link", certificate.link);
+  out += field("life", certificate.incarnation) + field("link", certificate.link);
   return out + number("from", certificate.from) + number("until", certificate.until);
 }
 
@@ -116,7 +118,7 @@
 std::string outcome(Read const& read) {
   try {
     return read();
-  } catch (Error const& error) {
+  } catch (ConfigError const& error) {
     CHECK(error.what() == error.pointer() + ": " + error.reason());
     return "error at " + error.pointer() + ": " + error.reason() + "\n";
   } catch (core::JsonError const& error) {
--- a/config/test/golden_test.cpp
+++ b/config/test/golden_test.cpp
@@ -37,9 +37,9 @@
   QJsonObject const instance = fileAt(examples + name + ".nord.json");
   std::string const form =
       forms::familyForm(name, familyOf(own.value("spec").toObject(), instance.value("spec").toObject()), regimes);
-  return "template " + core::str(own.value("template").toString()) + "\ninstance " +
-         core::str(instance.value("template").toString()) + " " + core::str(instance.value("instance").toString()) +
-         "\n" + form;
+  return "template " + core::toStdString(own.value("template").toString()) + "\ninstance " +
+         core::toStdString(instance.value("template").toString()) + " " +
+         core::toStdString(instance.value("instance").toString()) + "\n" + form;
 }
 
 /// All configurations of a folder of examples.
@@ -52,7 +52,7 @@
   out += "example regimes/certificates.json\n" + forms::formOf(regimes);
   out += "example regimes/pilot-desk\n" + declaredForm(examples + "regimes/", "pilot-desk", regimes);
   out += "example configuration.json\n";
-  return out + forms::formOf(config::readWhole(fileAt(examples + "configuration.json")));
+  return out + forms::formOf(config::readFleetConfiguration(fileAt(examples + "configuration.json")));
 }
 
 /// A family as it is kept in a register is checked, rendered, and written without its history.
@@ -66,11 +66,11 @@
 
 std::string poolOutcome(std::string const& input) {
   QJsonObject const value = forms::object(input);
-  config::Pool const pool = config::keptPool(value);
+  config::EndpointList const pool = config::storedPool(value);
   return forms::formOf(pool) + "written " + core::jsonText(config::poolJson(pool)) + "\n";
 }
 
-std::string certifiedText(config::Regimes const& regimes, config::Wall now) {
+std::string certifiedText(config::Regimes const& regimes, config::WallTime now) {
   std::string out;
   for (char const* const regime : {"health", "export", "nobody"})
     for (char const* const zone : {"z1", "z2", "z3"}) {
@@ -87,7 +87,7 @@
   return out;
 }
 
-std::string faultsText(config::Regimes const& regimes, config::Wall now) {
+std::string faultsText(config::Regimes const& regimes, config::WallTime now) {
   std::string out;
   for (char const* const regime : {"health", "export", "nobody"})
     for (char const* const pool : {"model", "gateway"}) {
@@ -112,16 +112,16 @@
 TEST_CASE("golden: whole configurations are parsed to the same form") {
   golden::check(forms::folder + "valid-whole.form.txt",
                 forms::outcomes("valid-whole.input.txt", [](std::string const& input) {
-                  return forms::formOf(config::readWhole(forms::object(input)));
+                  return forms::formOf(config::readFleetConfiguration(forms::object(input)));
                 }));
 }
 
 TEST_CASE("golden: patches of a whole configuration write the same JSON") {
   QJsonObject current = fileAt(forms::folder + "examples/configuration.json");
   std::string const text = forms::outcomes("patches.input.txt", [&](std::string const& input) {
-    QJsonObject const next = config::patchWhole(current, forms::object(input));
+    QJsonObject const next = config::patchFleetConfiguration(current, forms::object(input));
     std::string const written = "written " + core::jsonText(next) + "\n";
-    std::string const read = forms::outcome([&] { return forms::formOf(config::readWhole(next)); });
+    std::string const read = forms::outcome([&] { return forms::formOf(config::readFleetConfiguration(next)); });
     if (read.rfind("error", 0) != 0) current = next;
     return written + read;
   });
@@ -140,11 +140,11 @@
   golden::check(forms::folder + "valid-regimes.form.txt",
                 forms::outcomes("valid-regimes.input.txt", [](std::string const& input) {
                   QJsonObject const spec = forms::object(input);
-                  config::Regimes const kept = config::keptRegimes(entry(spec));
+                  config::Regimes const kept = config::storedRegimes(entry(spec));
                   REQUIRE(forms::formOf(kept) == forms::formOf(config::readRegimes(spec)));
                   return forms::formOf(kept);
                 }));
-  CHECK(forms::formOf(config::keptRegimes({})).empty());
+  CHECK(forms::formOf(config::storedRegimes({})).empty());
 }
 
 TEST_CASE("golden: certificates count, and faults of regimes are told, alike") {
@@ -152,9 +152,9 @@
       forms::object(golden::lines(golden::read(forms::folder + "valid-regimes.input.txt")).front()));
   std::string text;
   /// Around the beginning and the end of certificates, between them, and without a time.
-  std::vector<config::Wall> const times{std::nullopt,  1767225659999, 1767225660000, spring,       1780271940249,
-                                        1780271940250, 1798761539999, 1798761540000, 1800000000000};
-  for (config::Wall const& now : times) {
+  std::vector<config::WallTime> const times{std::nullopt,  1767225659999, 1767225660000, spring,       1780271940249,
+                                            1780271940250, 1798761539999, 1798761540000, 1800000000000};
+  for (config::WallTime const& now : times) {
     text += "at " + (now ? std::to_string(*now) : std::string("no time")) + "\n";
     for (auto const& [name, certificate] : regimes.certificates)
       text += "  counts " + name + ": " + std::to_string(config::counts(certificate, now)) + "\n";
@@ -195,11 +195,12 @@
 }
 
 TEST_CASE("golden: keys, pages, classes and bounds are the same") {
-  std::string text = std::string("key ") + config::wholeKey + "\npage " + config::wholePage + "\n";
+  std::string text =
+      std::string("key ") + config::fleetConfigurationKey + "\npage " + config::fleetConfigurationPage + "\n";
   text += std::string("key ") + config::regimesKey + "\nmargin " + std::to_string(config::wallMargin) + "\n";
-  for (config::ClassRow const& row : config::classTable)
-    text += "class " + std::string(row.name) + " " + forms::classText(row.cls) + " aim " + std::to_string(row.aim) +
-            " deadline " + std::to_string(row.deadline) + "\n";
+  for (config::RequestClassDefaults const& row : config::requestClassDefaults)
+    text += "class " + std::string(row.name) + " " + forms::classText(row.requestClass) + " aim " +
+            std::to_string(row.latencyTarget) + " deadline " + std::to_string(row.deadline) + "\n";
   text += "text " + std::to_string(config::maxText) + "\npools " + std::to_string(config::maxPools) + "\n";
   text += "paths " + std::to_string(config::maxPaths) + "\ntenants " + std::to_string(config::maxTenants) + "\n";
   text += "tenant keys " + std::to_string(config::maxTenantKeys) + "\n";
--- a/runbook/test/golden_test.cpp
+++ b/runbook/test/golden_test.cpp
@@ -50,7 +50,7 @@
   std::string const text = golden::read(file);
   Parameters parameters;
   for (QJsonValue const name : core::parseJson(text).toObject().value("parameters").toArray())
-    parameters[core::str(name.toString())] = "given-" + core::str(name.toString());
+    parameters[core::toStdString(name.toString())] = "given-" + core::toStdString(name.toString());
   return formOf(runbook::readRunbook(text, parameters), texts);
 }
 
@@ -80,7 +80,8 @@
   for (QJsonObject const& input : inputs(name)) {
     Parameters parameters;
     QJsonObject const given = input.value("parameters").toObject();
-    for (QString const& key : given.keys()) parameters[core::str(key)] = core::str(given.value(key).toString());
+    for (QString const& key : given.keys())
+      parameters[core::toStdString(key)] = core::toStdString(given.value(key).toString());
     out += "input " + std::to_string(++line) + "\n" + outcome(core::jsonText(input.value("runbook")), parameters);
   }
   return out;
--- a/storage/test/golden_test.cpp
+++ b/storage/test/golden_test.cpp
@@ -139,7 +139,7 @@
   golden::NotingFolder folder(damaged);
   storage::WriteAheadLog log(folder, smallSegment);
   REQUIRE(log.recover().damaged);
-  storage::setAside(folder, label);
+  storage::quarantine(folder, label);
   storage::WriteAheadLog fresh(folder, smallSegment);
   REQUIRE_FALSE(fresh.recover().damaged);
   writeBatches(fresh, 20, 22);
@@ -183,7 +183,7 @@
   return "storage/test/golden/" + scenario + "." + part + ".txt";
 }
 
-std::string recoveredText(storage::Recovered const& recovered) {
+std::string recoveredText(storage::RecoveredState const& recovered) {
   std::string out = "damaged " + std::to_string(recovered.damaged) + "\n";
   out += "torn tail " + std::to_string(recovered.tornTail) + "\n";
   out += "damage " + recovered.damage + "\n";
@@ -196,10 +196,10 @@
 std::string recoveryText(golden::Files const& files) {
   golden::NotingFolder folder(files);
   storage::WriteAheadLog log(folder, smallSegment);
-  storage::Recovered const recovered = log.recover();
+  storage::RecoveredState const recovered = log.recover();
   std::string out = "recovered\n" + recoveredText(recovered) + "usable " + std::to_string(!log.failed()) + "\n";
   if (recovered.damaged) {
-    storage::setAside(folder, secondLabel);
+    storage::quarantine(folder, secondLabel);
     storage::WriteAheadLog fresh(folder, smallSegment);
     out += "after it was set aside\n" + recoveredText(fresh.recover());
     fresh.write(batch(30));
@@ -254,7 +254,7 @@
 
 TEST_CASE("golden: a folder on the disk has the same files") {
   TemporaryFolder const place;
-  std::unique_ptr<storage::Folder> const folder = storage::openFolder(place.path());
+  std::unique_ptr<storage::Directory> const folder = storage::openDirectory(place.path());
   storage::WriteAheadLog log(*folder, smallSegment);
   log.recover();
   writeBatches(log, 0, 14);
--- a/testing/golden/folder.h
+++ b/testing/golden/folder.h
@@ -8,7 +8,7 @@
 
 #include <corkward/storage/write_ahead_log.h>
 
-#include "storage/test/crash_folder.h"
+#include "storage/test/crash_directory.h"
 #include "testing/golden/golden.h"
 
 /// Folders of a disk as golden files. A file begins with the line "file NAME"; its bytes follow as lines "x HEX", or as
@@ -88,7 +88,7 @@
       storage::CrashFolder::append(name, bytes);
       storage::CrashFolder::sync(name);
     }
-    storage::CrashFolder::syncFolder();
+    storage::CrashFolder::syncDirectory();
   }
 
   /// Changes so far, one a line.
@@ -116,9 +116,9 @@
     note("truncate " + name + " to " + std::to_string(size) + " bytes");
     storage::CrashFolder::truncate(name, size);
   }
-  void syncFolder() override {
+  void syncDirectory() override {
     note("sync folder");
-    storage::CrashFolder::syncFolder();
+    storage::CrashFolder::syncDirectory();
   }
 
  private:
@@ -126,7 +126,7 @@
 };
 
 /// Content of any folder.
-inline Files filesOf(storage::Folder& folder) {
+inline Files filesOf(storage::Directory& folder) {
   Files out;
   for (std::string const& name : folder.list()) out[name] = folder.read(name);
   return out;
