--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -88,7 +88,7 @@
   std::move(from.sends.begin(), from.sends.end(), std::back_inserter(out.sends));
   std::move(from.persists.begin(), from.persists.end(), std::back_inserter(out.persists));
   for (core::LogEvent& n : from.logEvents) {
-    journal_.append(now, n.event, n.fields.count("key") > 0 ? n.fields["key"] : "");
+    journal_.append(now, std::string(n.event.metricLabel()), n.fields.count("key") > 0 ? n.fields["key"] : "");
     out.logEvents.push_back(std::move(n));
   }
   for (consensus::CommittedValue const& c : from.commits) {
--- a/core/include/corkward/core/types.h
+++ b/core/include/corkward/core/types.h
@@ -6,6 +6,8 @@
 #include <unordered_map>
 #include <vector>
 
+#include <corkward/core/log_event.h>
+
 namespace corkward::core {
 
 /// Milliseconds on a monotonic clock that goes on counting while the machine is suspended.
@@ -53,12 +55,6 @@
 /// Stable hash of a text, equal on every machine.
 std::uint64_t stableHash(std::string const& text);
 
-/// One line of a log: an event and its key=value pairs.
-struct LogEvent {
-  std::string event;
-  std::map<std::string, std::string> fields;
-};
-
 /// Throws InvariantError.
 [[noreturn]] void failInvariant(char const* what, char const* file, int line);
 
--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -592,7 +592,7 @@
   bool warmHeld(Tick now, NameIndex replica) const;
   void expireSeen(Tick now);
   void freeGone(Tick now);
-  void logEvent(RouterCommands& out, Tick now, std::string event, std::map<std::string, std::string> fields = {});
+  void logEvent(RouterCommands& out, Tick now, core::EventName event, std::map<std::string, std::string> fields = {});
   void count(Tick now, std::string const& what, std::string const& about = "");
   void on(RouterCommands& out, Tick now, std::string const& from, transport::GossipShuffle const& m);
   void on(RouterCommands& out, Tick now, std::string const& from, transport::ConfigurationUpdate const& m);
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -30,10 +30,10 @@
   journal_.append(now, what, about);
 }
 
-void RequestRouter::logEvent(RouterCommands& out, Tick now, std::string event,
+void RequestRouter::logEvent(RouterCommands& out, Tick now, core::EventName event,
                              std::map<std::string, std::string> fields) {
-  count(now, event, fields.empty() ? "" : fields.begin()->second);
-  out.logEvents.push_back(core::LogEvent{std::move(event), std::move(fields)});
+  count(now, std::string(event.metricLabel()), fields.empty() ? "" : fields.begin()->second);
+  out.logEvents.push_back(core::LogEvent{event, std::move(fields)});
 }
 
 RouterCommands RequestRouter::started(Tick now) {
--- a/testing/sim/world.cpp
+++ b/testing/sim/world.cpp
@@ -278,8 +278,8 @@
     disk(n);
   }
   for (core::LogEvent const& logEvent : c.logEvents)
-    if (logEvent.event.find("member") != std::string::npos || logEvent.event == "struck-off")
-      ++result_.counts[logEvent.event];
+    if (logEvent.event.logName().find("member") != std::string::npos || logEvent.event == "struck-off")
+      ++result_.counts[std::string(logEvent.event.logName())];
   for (core::LogEvent const& logEvent : c.logEvents)
     if (logEvent.event == "absurd-message") violation("two values under one revision at " + link);
   for (core::LogEvent const& logEvent : c.logEvents)
