--- /dev/null
+++ b/testing/golden/program.h
@@ -0,0 +1,78 @@
+#pragma once
+
+#include <QProcess>
+#include <QProcessEnvironment>
+#include <QStringList>
+#include <catch2/catch.hpp>
+#include <cstdlib>
+#include <regex>
+#include <set>
+#include <string>
+
+#include "testing/golden/golden.h"
+
+/// What programs accept on their command lines, compared with what earlier releases accepted.
+namespace corkward::golden {
+
+constexpr int programLimitMs = 20000;
+
+struct ProgramRun {
+  int code = -1;
+  std::string out;
+  std::string err;
+};
+
+/// Runs one of the built programs to its end, given its path below the build folder.
+inline ProgramRun runProgram(std::string const& program, QStringList const& words,
+                             QProcessEnvironment const& environment = QProcessEnvironment::systemEnvironment()) {
+  QProcess process;
+  process.setProcessEnvironment(environment);
+  process.start(QString::fromStdString(std::string(CORKWARD_BIN) + "/" + program), words);
+  process.closeWriteChannel();
+  REQUIRE(process.waitForFinished(programLimitMs));
+  REQUIRE(process.exitStatus() == QProcess::NormalExit);
+  return {process.exitCode(), process.readAllStandardOutput().toStdString(),
+          process.readAllStandardError().toStdString()};
+}
+
+/// The options of a help text as lines `--name`, or `--name arg` for one with a value, sorted.
+inline std::string optionsOf(std::string const& help) {
+  std::set<std::string> options;
+  std::regex const option("^  (?:-\\w \\[ )?(--[a-z0-9-]+)(?: \\])?( arg)?.*");
+  for (std::string const& line : lines(help)) {
+    std::smatch match;
+    if (std::regex_match(line, match, option)) options.insert(match[1].str() + match[2].str());
+  }
+  std::string text;
+  for (std::string const& line : options) text += line + "\n";
+  return text;
+}
+
+inline bool recording() {
+  char const* const record = std::getenv("CORKWARD_RECORD_GOLDEN");
+  return record != nullptr && std::string(record) == "1";
+}
+
+/// Every recorded option must go on being accepted, whether the help text still shows it or not; new ones may be added.
+/// --version ends a program that could read its command line with 0.
+inline void checkOptions(std::string const& name, std::string const& program) {
+  ProgramRun const help = runProgram(program, {"--help"});
+  REQUIRE(help.code == 0);
+  if (recording()) check(name, optionsOf(help.out));
+  std::vector<std::string> const recorded = lines(read(name));
+  REQUIRE_FALSE(recorded.empty());
+  for (std::string const& line : recorded) {
+    INFO(program << " " << line);
+    std::size_t const space = line.find(' ');
+    QStringList words{QString::fromStdString(line.substr(0, space))};
+    if (space != std::string::npos) words << "1";
+    if (line != "--version") words << "--version";
+    ProgramRun const accepted = runProgram(program, words);
+    CHECK(accepted.err == "");
+    CHECK(accepted.code == 0);
+  }
+  // Shows that the calls above would fail for an option that is not accepted.
+  CHECK(runProgram(program, {"--not-an-option", "--version"}).code == 2);
+}
+
+}  // namespace corkward::golden
