--- /dev/null
+++ b/programs/test/golden_requests_test.cpp
@@ -0,0 +1,299 @@
+#include <catch2/catch.hpp>
+
+#include <QCoreApplication>
+#include <QEventLoop>
+#include <QProcess>
+#include <QTcpServer>
+#include <QTcpSocket>
+#include <QTemporaryDir>
+#include <QTimer>
+#include <deque>
+#include <map>
+#include <memory>
+#include <regex>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include <corkward/audit/trail.h>
+
+#include "testing/golden/golden.h"
+
+/// What `corkward` and `corkward-runbook` send for each of their commands, against a stand-in for a controller. Old
+/// commands must go on sending the same bytes to controllers of any release. Recording anew is right only when the
+/// operator interface of docs/interface.md changes its form.
+
+namespace audit = corkward::audit;
+namespace golden = corkward::golden;
+namespace storage = corkward::storage;
+
+namespace {
+
+constexpr int limitMs = 30000;
+
+QCoreApplication& application() {
+  static int argc = 0;
+  static QCoreApplication app(argc, nullptr);
+  return app;
+}
+
+struct Page {
+  int status = 200;
+  std::string body = R"({"spec":{},"stamp":7})";
+};
+
+/// Answers every request with a canned page and writes down what came in.
+class Controller : public QObject {
+ public:
+  Controller() {
+    REQUIRE(server_.listen(QHostAddress::LocalHost, 0));
+    QObject::connect(&server_, &QTcpServer::newConnection, this, [this] { accept(); });
+  }
+  std::string address() const { return "127.0.0.1:" + std::to_string(server_.serverPort()); }
+  /// Answers of one `METHOD path`, one after the other; the last one stays.
+  void answers(std::string const& request, std::deque<Page> pages) { pages_[request] = std::move(pages); }
+  /// Answers to what has no page of its own.
+  void otherwise(Page const& page) { otherwise_ = page; }
+  std::string takeRequests() { return std::exchange(requests_, ""); }
+
+ private:
+  void accept() {
+    while (QTcpSocket* const socket = server_.nextPendingConnection()) {
+      auto const bytes = std::make_shared<QByteArray>();
+      QObject::connect(socket, &QTcpSocket::disconnected, socket, &QObject::deleteLater);
+      QObject::connect(socket, &QTcpSocket::readyRead, this, [this, socket, bytes] {
+        *bytes += socket->readAll();
+        qsizetype const end = bytes->indexOf("\r\n\r\n");
+        if (end < 0) return;
+        std::string const head = bytes->left(end).toStdString();
+        std::smatch length;
+        std::regex const field("\r\ncontent-length: *([0-9]+)", std::regex::icase);
+        qsizetype const wanted = std::regex_search(head, length, field) ? std::stoi(length[1].str()) : 0;
+        if (bytes->size() - end - 4 < wanted) return;
+        serve(socket, head, bytes->mid(end + 4).toStdString());
+        bytes->clear();
+      });
+    }
+  }
+
+  void serve(QTcpSocket* socket, std::string const& head, std::string const& body) {
+    std::vector<std::string> const fields = golden::lines(std::regex_replace(head, std::regex("\r\n"), "\n"));
+    // What the HTTP library adds by itself depends on its release and the machine's language.
+    std::regex const ofLibrary("(connection|accept-encoding|accept-language|user-agent): .*", std::regex::icase);
+    for (std::string const& field : fields)
+      if (!std::regex_match(field, ofLibrary))
+        requests_ += "  | " + std::regex_replace(field, std::regex(address()), "ADDRESS") + "\n";
+    for (std::string const& line : golden::lines(body)) requests_ += "  > " + line + "\n";
+    std::string const request = fields.front().substr(0, fields.front().rfind(' '));
+    Page const page = next(request.substr(0, request.find('?')));
+    std::string answer = "HTTP/1.1 " + std::to_string(page.status) + " x\r\nconnection: close\r\n";
+    if (page.status < 300) answer += "etag: \"7\"\r\n";
+    answer += "content-length: " + std::to_string(page.body.size()) + "\r\n\r\n" + page.body;
+    socket->write(QByteArray::fromStdString(answer));
+    socket->disconnectFromHost();
+  }
+
+  Page next(std::string const& request) {
+    auto const found = pages_.find(request);
+    if (found == pages_.end()) return otherwise_;
+    Page const page = found->second.front();
+    if (found->second.size() > 1) found->second.pop_front();
+    return page;
+  }
+
+  QTcpServer server_;
+  std::map<std::string, std::deque<Page>> pages_;
+  Page otherwise_;
+  std::string requests_;
+};
+
+/// Command lines with their exit codes, the requests that they sent and, where asked for, what they printed.
+class Session {
+ public:
+  Controller& controller() { return controller_; }
+
+  void run(std::string const& program, std::vector<std::string> const& words, bool showOutput = false) {
+    text_ += "$ " + program;
+    QStringList flags;
+    for (std::string word : words) {
+      text_ += " " + word;
+      word = std::regex_replace(word, std::regex("^ADDRESS"), controller_.address());
+      word = std::regex_replace(word, std::regex("^GOLDEN"), golden::path("programs/test/golden"));
+      word = std::regex_replace(word, std::regex("SCRATCH"), scratch());
+      flags << QString::fromStdString(word);
+    }
+    QProcess process;
+    QEventLoop loop;
+    QObject::connect(&process, &QProcess::finished, &loop, &QEventLoop::quit);
+    QTimer::singleShot(limitMs, &loop, &QEventLoop::quit);
+    process.start(QString::fromStdString(std::string(CORKWARD_BIN) + "/programs/" + program), flags);
+    process.closeWriteChannel();
+    if (process.state() != QProcess::NotRunning) loop.exec();
+    REQUIRE(process.state() == QProcess::NotRunning);
+    text_ += "\n  exit code " + std::to_string(process.exitCode()) + "\n";
+    text_ += withoutNames(controller_.takeRequests());
+    if (!showOutput) return;
+    for (std::string const& line : golden::lines(process.readAllStandardOutput().toStdString()))
+      text_ += "  < " + withoutNames(line) + "\n";
+  }
+  void corkward(std::vector<std::string> words, bool showOutput = false) {
+    words.insert(words.begin(), {"--substation", "ADDRESS"});
+    run("corkward", words, showOutput);
+  }
+  std::string scratch() const { return scratch_.path().toStdString(); }
+  std::string const& text() const { return text_; }
+
+ private:
+  /// Names that the programs draw at random.
+  static std::string withoutNames(std::string const& text) {
+    return std::regex_replace(text, std::regex("\\b[0-9a-f]{32}\\b"), "RANDOM");
+  }
+
+  /// Before the controller, whose sockets need it.
+  QCoreApplication& application_ = application();
+  QTemporaryDir scratch_;
+  Controller controller_;
+  std::string text_;
+};
+
+}  // namespace
+
+TEST_CASE("each command sends the recorded request", "[golden]") {
+  Session session;
+  std::string const file = "GOLDEN/spec.json";
+  std::vector<std::string> const change{"--stamp", "6", "--change-id", "change-1"};
+  auto const changes = [&](std::vector<std::string> words) {
+    words.insert(words.begin(), change.begin(), change.end());
+    session.corkward(words);
+  };
+  for (std::vector<std::string> const& words : std::vector<std::vector<std::string>>{{"template-get", "desk"},
+                                                                                     {"templates"},
+                                                                                     {"instance-get", "desk", "nord"},
+                                                                                     {"blueprint-get"},
+                                                                                     {"certificates-get"},
+                                                                                     {"evacuation", "north west/1"},
+                                                                                     {"pool-get", "model a/b"},
+                                                                                     {"change", "change-1"},
+                                                                                     {"fleet"}})
+    session.corkward(words);
+  for (std::vector<std::string> const& words :
+       std::vector<std::vector<std::string>>{{"template-put", "desk", file},
+                                             {"template-patch", "desk", file},
+                                             {"template-delete", "desk"},
+                                             {"instance-put", "desk", "nord", file},
+                                             {"instance-patch", "desk", "nord", file},
+                                             {"instance-delete", "desk", "nord"},
+                                             {"blueprint-put", file},
+                                             {"blueprint-patch", file},
+                                             {"certificates-put", file},
+                                             {"certificates-patch", file},
+                                             {"revoke", "c1"},
+                                             {"evacuate", "north west/1"},
+                                             {"lift", "north west/1"},
+                                             {"pool-put", "model a/b", file},
+                                             {"node-gone", "10.4.0.7:7721"}})
+    changes(words);
+  golden::check("programs/test/golden/requests_commands.txt", session.text());
+}
+
+TEST_CASE("the options of a command change its request and its end as recorded", "[golden]") {
+  Session session;
+  session.corkward({"--dry-run", "--stamp", "6", "--change-id", "c", "template-put", "desk", "GOLDEN/spec.json"});
+  session.corkward({"--stamp", "6", "template-delete", "desk"});
+  session.corkward({"evacuate", "z1"});
+  session.run("corkward", {"--substation", "127.0.0.1:1", "--substation", "ADDRESS", "--limit", "5", "fleet"});
+  session.corkward({"--json", "template-get", "desk"}, true);
+  session.controller().answers("PUT /v1/evacuations/z2", {{503, "{}"}, {200, R"({"stamp":8})"}});
+  session.corkward({"--json", "--wait", "20", "--change-id", "c", "evacuate", "z2"}, true);
+  for (int const status : {200, 201, 400, 404, 405, 409, 412, 413, 422, 428, 431, 503, 504, 500}) {
+    session.controller().answers("PUT /v1/evacuations/z3", {{status, R"({"reason":"r"})"}});
+    session.corkward({"--json", "--change-id", "c", "evacuate", "z3"}, true);
+  }
+  session.controller().answers("PUT /v1/evacuations/z3", {{504, R"({"pending":true,"stamp":9})"}});
+  session.corkward({"--json", "--change-id", "c", "evacuate", "z3"}, true);
+  session.run("corkward", {"--substation", "127.0.0.1:1", "--limit", "5", "fleet"});
+  session.corkward({"--prune", "fleet"});
+  session.corkward({"--limit", "0", "fleet"});
+  session.corkward({"--wait", "3601", "fleet"});
+  session.corkward({"template-get"});
+  golden::check("programs/test/golden/requests_options.txt", session.text());
+}
+
+TEST_CASE("a folder of declarations is compared and applied with the recorded requests", "[golden]") {
+  Session session;
+  session.controller().otherwise({404, "{}"});
+  session.controller().answers("GET /v1/platform/pools/model", {{}});
+  auto const all = [&] {
+    session.corkward({"--json", "diff", "GOLDEN/declared"}, true);
+    session.corkward({"--json", "--dry-run", "apply", "GOLDEN/declared"}, true);
+    session.corkward({"--json", "--prune", "diff", "GOLDEN/declared"}, true);
+  };
+  all();
+  for (char const* const path :
+       {"PUT /v1/certificates", "PUT /v1/templates/desk", "PUT /v1/templates/desk/instances/nord"})
+    session.controller().answers(path, {{201, R"({"stamp":1})"}});
+  session.corkward({"--json", "--wait", "5", "apply", "GOLDEN/declared"}, true);
+  // In force: another template, an instance and a whole family that are not declared.
+  session.controller().answers("GET /v1/certificates",
+                               {{200, R"({"spec":{"regimes":{},"certificates":{}},"stamp":3})"}});
+  session.controller().answers("GET /v1/templates", {{200, R"({"templates":["desk","old"]})"}});
+  session.controller().answers(
+      "GET /v1/templates/desk",
+      {{200,
+        R"({"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]},"stamp":4,"instances":["nord","sued"]})"}});
+  session.controller().answers("GET /v1/templates/desk/instances/nord", {{200, R"({"spec":{},"stamp":5})"}});
+  session.controller().answers("GET /v1/templates/desk/instances/sued", {{200, R"({"spec":{},"stamp":6})"}});
+  session.controller().answers(
+      "GET /v1/templates/old",
+      {{200, R"({"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]},"stamp":2,"instances":[]})"}});
+  session.controller().answers("DELETE /v1/templates/desk/instances/sued", {{200, R"({"stamp":8})"}});
+  session.controller().answers("DELETE /v1/templates/old", {{200, R"({"stamp":9})"}});
+  all();
+  session.corkward({"--json", "--prune", "apply", "GOLDEN/declared"}, true);
+  session.controller().answers("PUT /v1/templates/desk", {{412, R"({"stamp":9,"reason":"stale"})"}});
+  session.corkward({"--json", "apply", "GOLDEN/declared"}, true);
+  golden::check("programs/test/golden/requests_declared.txt", session.text());
+}
+
+TEST_CASE("a report of regimes is printed as recorded", "[golden]") {
+  Session session;
+  {
+    std::unique_ptr<storage::Folder> const disk = storage::openFolder(session.scratch() + "/audit");
+    audit::Trail trail(*disk, "10.4.0.7:7721", 1780000000000);
+    trail.count(audit::Kind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}},
+                1780000000000);
+    trail.count(audit::Kind{"denied", "health", "desk.nord", "", "", "", "", "", "no certificate"}, 1780000004000);
+    trail.close(1780000010000);
+  }
+  session.run("corkward", {"--json", "regime", "report", "SCRATCH/audit"}, true);
+  session.run("corkward",
+              {"--json", "--regime", "health", "--from", "2026-05-28T20:00:00Z", "--until", "2026-05-29T00:00:00Z",
+               "--span", "10", "regime", "report", "SCRATCH/audit"},
+              true);
+  session.run("corkward",
+              {"--json", "--head", "10.4.0.7:7721=9:" + std::string(64, 'a'), "regime", "report", "SCRATCH/audit"},
+              true);
+  session.run("corkward", {"regime", "report"});
+  golden::check("programs/test/golden/report.txt", session.text());
+}
+
+TEST_CASE("the steps of a runbook send the recorded requests", "[golden]") {
+  Session session;
+  session.controller().answers("GET /v1/templates", {{200, R"({"templates":["desk"]})"}});
+  std::vector<std::string> words{
+      "--substation",       "ADDRESS", "--set", "zone=north west", "--set", "file=SCRATCH/saved", "--yes",
+      "GOLDEN/runbook.json"};
+  session.controller().otherwise({404, R"({"stamp":7})"});
+  for (char const* const path :
+       {"PUT /v1/evacuations/north%20west", "GET /v1/evacuations/north%20west", "DELETE /v1/evacuations/north%20west",
+        "GET /v1/templates/desk", "PUT /v1/templates/desk", "PATCH /v1/templates/desk",
+        "GET /v1/templates/desk/instances/nord", "PUT /v1/templates/desk/instances/nord",
+        "PATCH /v1/templates/desk/instances/nord"})
+    session.controller().answers(path, {{}});
+  session.run("corkward-runbook", words);
+  words.insert(words.begin(), "--dry-run");
+  session.run("corkward-runbook", words);
+  words.insert(words.begin(), "--check");
+  session.run("corkward-runbook", words);
+  golden::check("programs/test/golden/requests_runbook.txt", session.text());
+}
