--- a/core/include/corkward/core/http_status.h
+++ b/core/include/corkward/core/http_status.h
@@ -4,10 +4,13 @@
 
 /// Status codes of HTTP/1.1 (RFC 9110, section 15; 429 of RFC 6585) that the fleet's pages and edges answer with.
 enum class HttpStatus : int {
+  continueRequest = 100,
+  switchingProtocols = 101,
   ok = 200,
   created = 201,
   accepted = 202,
   noContent = 204,
+  notModified = 304,
   temporaryRedirect = 307,
   badRequest = 400,
   unauthorized = 401,
@@ -28,6 +31,7 @@
   badGateway = 502,
   serviceUnavailable = 503,
   gatewayTimeout = 504,
+  httpVersionNotSupported = 505,
 };
 
 /// The code as it stands on the wire.
--- a/core/src/log.cpp
+++ b/core/src/log.cpp
@@ -1,4 +1,3 @@
-#include <corkward/core/error.h>
 #include <corkward/core/log.h>
 
 #include <log4cxx/consoleappender.h>
@@ -15,7 +14,8 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 5> levels{"trace", "debug", "info", "warn", "error"};
+constexpr std::array<LogLevel, 5> logLevels{LogLevel::trace, LogLevel::debug, LogLevel::info, LogLevel::warn,
+                                            LogLevel::error};
 
 log4cxx::LoggerPtr& logger() {
   static log4cxx::LoggerPtr it = log4cxx::Logger::getLogger("corkward");
@@ -43,10 +43,29 @@
 
 }  // namespace
 
-void startLog(std::string const& node, std::string const& file, std::string const& level) {
-  bool known = false;
-  for (std::string_view const l : levels) known = known || l == level;
-  if (!known) throw Error("log-level: unknown level " + level);
+std::string_view name(LogLevel level) {
+  switch (level) {
+    case LogLevel::trace:
+      return "trace";
+    case LogLevel::debug:
+      return "debug";
+    case LogLevel::info:
+      return "info";
+    case LogLevel::warn:
+      return "warn";
+    case LogLevel::error:
+      return "error";
+  }
+  return "";
+}
+
+std::optional<LogLevel> logLevelOf(std::string_view text) {
+  for (LogLevel const level : logLevels)
+    if (name(level) == text) return level;
+  return std::nullopt;
+}
+
+void startLog(std::string const& node, std::string const& file, LogLevel level) {
   log4cxx::LayoutPtr const layout(
       new log4cxx::PatternLayout("time=%d{yyyy-MM-ddTHH:mm:ss.SSSZ} level=%p node=" + node + " %m%n"));
   log4cxx::AppenderPtr appender;
@@ -57,7 +76,7 @@
   logger()->removeAllAppenders();
   logger()->setAdditivity(false);
   logger()->addAppender(appender);
-  logger()->setLevel(log4cxx::Level::toLevel(level));
+  logger()->setLevel(log4cxx::Level::toLevel(std::string(name(level))));
 }
 
 void writeLog(LogEvent const& logEvent) {
--- /dev/null
+++ b/programs/cli/commands.cpp
@@ -0,0 +1,168 @@
+#include "commands.h"
+
+#include <algorithm>
+
+#include <corkward/config/config.h>
+
+#include "former_names.h"
+#include "operator_client.h"
+#include "operator_paths.h"
+
+namespace corkward::programs {
+
+namespace {
+
+using core::HttpMethod;
+using Arguments = std::vector<std::string>;
+
+CommandRequest getTemplate(Arguments const& arguments) {
+  return {HttpMethod::get, paths::ofTemplate(arguments[0])};
+}
+CommandRequest putTemplate(Arguments const& arguments) {
+  return {HttpMethod::put, paths::ofTemplate(arguments[0]), arguments[1]};
+}
+CommandRequest patchTemplate(Arguments const& arguments) {
+  return {HttpMethod::patch, paths::ofTemplate(arguments[0]), arguments[1]};
+}
+CommandRequest deleteTemplate(Arguments const& arguments) {
+  return {HttpMethod::del, paths::ofTemplate(arguments[0])};
+}
+CommandRequest listTemplates(Arguments const&) {
+  return {HttpMethod::get, paths::templates};
+}
+
+CommandRequest getInstance(Arguments const& arguments) {
+  return {HttpMethod::get, paths::ofTemplate(arguments[0], arguments[1])};
+}
+CommandRequest putInstance(Arguments const& arguments) {
+  return {HttpMethod::put, paths::ofTemplate(arguments[0], arguments[1]), arguments[2]};
+}
+CommandRequest patchInstance(Arguments const& arguments) {
+  return {HttpMethod::patch, paths::ofTemplate(arguments[0], arguments[1]), arguments[2]};
+}
+CommandRequest deleteInstance(Arguments const& arguments) {
+  return {HttpMethod::del, paths::ofTemplate(arguments[0], arguments[1])};
+}
+
+CommandRequest getFleetConfiguration(Arguments const&) {
+  return {HttpMethod::get, config::fleetConfigurationPage};
+}
+CommandRequest putFleetConfiguration(Arguments const& arguments) {
+  return {HttpMethod::put, config::fleetConfigurationPage, arguments[0]};
+}
+CommandRequest patchFleetConfiguration(Arguments const& arguments) {
+  return {HttpMethod::patch, config::fleetConfigurationPage, arguments[0]};
+}
+
+CommandRequest getCertificates(Arguments const&) {
+  return {HttpMethod::get, paths::certificates};
+}
+CommandRequest putCertificates(Arguments const& arguments) {
+  return {HttpMethod::put, paths::certificates, arguments[0]};
+}
+CommandRequest patchCertificates(Arguments const& arguments) {
+  return {HttpMethod::patch, paths::certificates, arguments[0]};
+}
+CommandRequest revokeCertificate(Arguments const& arguments) {
+  return {HttpMethod::del, paths::ofCertificate(arguments[0])};
+}
+
+CommandRequest putEvacuation(Arguments const& arguments) {
+  return {HttpMethod::put, paths::ofEvacuation(arguments[0])};
+}
+CommandRequest deleteEvacuation(Arguments const& arguments) {
+  return {HttpMethod::del, paths::ofEvacuation(arguments[0])};
+}
+CommandRequest getEvacuation(Arguments const& arguments) {
+  return {HttpMethod::get, paths::ofEvacuation(arguments[0])};
+}
+
+CommandRequest getPool(Arguments const& arguments) {
+  return {HttpMethod::get, paths::ofPool(arguments[0])};
+}
+CommandRequest putPool(Arguments const& arguments) {
+  return {HttpMethod::put, paths::ofPool(arguments[0]), arguments[1]};
+}
+
+CommandRequest getChange(Arguments const& arguments) {
+  return {HttpMethod::get, paths::ofChange(arguments[0])};
+}
+CommandRequest removeNode(Arguments const& arguments) {
+  return {HttpMethod::del, paths::ofNode(arguments[0])};
+}
+CommandRequest getFleet(Arguments const&) {
+  return {HttpMethod::get, paths::fleet};
+}
+
+std::size_t argumentCount(Command const& command) {
+  std::string const names = command.arguments;
+  return names.empty() ? 0 : static_cast<std::size_t>(std::count(names.begin(), names.end(), ' ')) + 1;
+}
+
+Command const& commandNamed(std::string const& name) {
+  std::string const current = currentCommandName(name);
+  auto const found = std::find_if(commands().begin(), commands().end(),
+                                  [&](Command const& command) { return current == command.name; });
+  if (found == commands().end()) throw UsageError("no such command: " + name);
+  return *found;
+}
+
+}  // namespace
+
+std::vector<Command> const& commands() {
+  static std::vector<Command> const table{
+      {"template-get", "T", "read a template", getTemplate},
+      {"template-put", "T FILE", "create or replace a template (--revision, 0 for a new one)", putTemplate},
+      {"template-patch", "T FILE", "change part of a template by a merge patch (--revision)", patchTemplate},
+      {"template-delete", "T", "remove a template without instances (--revision)", deleteTemplate},
+      {"templates", "", "list the templates", listTemplates},
+      {"instance-get", "T I", "read an instance", getInstance},
+      {"instance-put", "T I FILE", "create or replace an instance (--revision, 0 for a new one)", putInstance},
+      {"instance-patch", "T I FILE", "change part of an instance by a merge patch (--revision)", patchInstance},
+      {"instance-delete", "T I", "remove an instance (--revision)", deleteInstance},
+      {"fleet-configuration-get", "", "read the fleet configuration", getFleetConfiguration},
+      {"fleet-configuration-put", "FILE",
+       "replace the fleet configuration (--revision, the version that it is based on, 0 when there is none so far)",
+       putFleetConfiguration},
+      {"fleet-configuration-patch", "FILE",
+       "set and remove named items of the fleet configuration (--revision, the version that it is based on)",
+       patchFleetConfiguration},
+      {"certificates-get", "", "read the regimes and their certificates", getCertificates},
+      {"certificates-put", "FILE",
+       "replace the regimes and their certificates (--revision, 0 when there are none so far)", putCertificates},
+      {"certificates-patch", "FILE", "change part of them by a merge patch (--revision)", patchCertificates},
+      {"revoke", "CERTIFICATE", "revoke a certificate at once; answers which tenants are left without one",
+       revokeCertificate},
+      {"evacuate", "ZONE", "evacuate a zone", putEvacuation},
+      {"lift", "ZONE", "lift a zone's evacuation", deleteEvacuation},
+      {"evacuation", "ZONE", "read whether a zone is evacuated", getEvacuation},
+      {"pool-get", "POOL", "read a pool's endpoint list", getPool},
+      {"pool-put", "POOL FILE", "replace a pool's endpoint list, as the platform does", putPool},
+      {"change", "ID", "read the outcome of a change", getChange},
+      {"diff", "DIR", "compare a directory of declarations with the fleet (exit code 1 when they differ)", nullptr},
+      {"apply", "DIR", "change the fleet to the directory's declarations (--dry-run, --prune, --wait)", nullptr},
+      {"regime", "report FOLDER...",
+       "what ran where, was rejected and resumed, from copies of the routers' audit directories (--regime, --from, "
+       "--until, --span, --head; exit code 1 when records were changed or are missing)",
+       nullptr},
+      {"node-remove", "LINK", "declare that a lost node's machine is switched off for good", removeNode},
+      {"fleet", "", "show the fleet as one controller sees it", getFleet}};
+  return table;
+}
+
+std::string currentCommandName(std::string const& name) {
+  for (auto const& [former, current] : former_names::commands)
+    if (name == former) return current;
+  return name;
+}
+
+CommandRequest requestOf(std::vector<std::string> const& words) {
+  if (words.empty()) throw UsageError("no command; see --help");
+  Command const& command = commandNamed(words[0]);
+  std::size_t const wanted = argumentCount(command);
+  bool const complete = words.size() == wanted + 1 && command.request != nullptr;
+  if (!complete) throw UsageError(words[0] + " wants: " + (wanted == 0 ? "nothing more" : command.arguments));
+  return command.request({words.begin() + 1, words.end()});
+}
+
+}  // namespace corkward::programs
--- a/programs/cli/regime_report.cpp
+++ b/programs/cli/regime_report.cpp
@@ -4,6 +4,8 @@
 #include <QDir>
 #include <QJsonArray>
 #include <iostream>
+#include <memory>
+#include <utility>
 
 #include <corkward/audit/audit_log.h>
 #include <corkward/core/json.h>
@@ -14,96 +16,117 @@
 
 namespace {
 
-constexpr int mostMinutes = 44640;
+constexpr int maxSpanMinutes = 44640;
+/// Length of a SHA-256 hash in hexadecimal digits.
+constexpr std::size_t hashLength = 64;
 
-std::int64_t timeOf(char const* flag, std::string const& text) {
+/// Milliseconds since 1970 of an option's time; 0: no bound.
+std::int64_t parseTime(char const* option, std::string const& text) {
   if (text.empty()) return 0;
-  QDateTime const t = QDateTime::fromString(core::toQString(text), Qt::ISODate);
-  if (!t.isValid() || text.back() != 'Z')
-    throw UsageError(std::string(flag) + ": must be a time in UTC, as 2027-01-31T00:00:00Z");
-  return t.toMSecsSinceEpoch();
+  QDateTime const time = QDateTime::fromString(core::toQString(text), Qt::ISODate);
+  if (!time.isValid() || text.back() != 'Z')
+    throw UsageError(std::string(option) + ": must be a time in UTC, as 2027-01-31T00:00:00Z");
+  return time.toMSecsSinceEpoch();
 }
 
-std::pair<std::string, audit::AuditHead> headOf(std::string const& text) {
+/// A checkpoint with its node.
+std::pair<std::string, audit::AuditHead> parseCheckpoint(std::string const& text) {
   std::size_t const equals = text.rfind('=');
   std::size_t const colon = text.rfind(':');
-  bool ok = equals != std::string::npos && equals > 0 && colon != std::string::npos && colon > equals;
-  std::uint64_t const number = ok ? core::toQString(text.substr(equals + 1, colon - equals - 1)).toULongLong(&ok) : 0;
-  if (!ok || number == 0 || text.size() - colon - 1 != 64)
+  bool valid = equals != std::string::npos && equals > 0 && colon != std::string::npos && colon > equals;
+  std::uint64_t const number =
+      valid ? core::toQString(text.substr(equals + 1, colon - equals - 1)).toULongLong(&valid) : 0;
+  if (!valid || number == 0 || text.size() - colon - 1 != hashLength)
     throw UsageError("head: must be NODE=NUMBER:HASH, but is " + text);
   return {text.substr(0, equals), audit::AuditHead{number, text.substr(colon + 1)}};
 }
 
-std::string text(QJsonObject const& o, char const* field) {
-  return core::toStdString(o.value(QLatin1String(field)).toString());
+audit::ReportQuery queryOf(ReportOptions const& options) {
+  if (options.spanMinutes < 1 || options.spanMinutes > maxSpanMinutes)
+    throw UsageError("span: must be 1 to " + std::to_string(maxSpanMinutes));
+  audit::ReportQuery query;
+  query.regime = options.regime;
+  query.from = parseTime("from", options.from);
+  query.until = parseTime("until", options.until);
+  query.span = options.spanMinutes * audit::spanMs;
+  for (std::string const& checkpoint : options.checkpoints) query.heads.push_back(parseCheckpoint(checkpoint));
+  return query;
 }
 
-void sayCount(QJsonObject const& c) {
-  std::cout << "  " << text(c, "what") << " " << c.value("count").toInteger() << " of " << text(c, "instance");
-  if (c.contains("life"))
-    std::cout << " at " << text(c, "pool") << " " << text(c, "address") << " life " << text(c, "life") << " zone "
-              << text(c, "zone") << " under " << text(c, "certificate");
-  if (c.contains("reason")) std::cout << ": " << text(c, "reason");
+audit::AuditLogView readLog(std::string const& directory) {
+  if (!QDir(core::toQString(directory)).exists()) throw UsageError("no such folder: " + directory);
+  try {
+    std::unique_ptr<storage::Directory> const opened = storage::openDirectory(directory);
+    audit::AuditLogView log = audit::readAuditLog(*opened);
+    if (log.records.empty() && log.faults.empty()) throw UsageError(directory + ": holds no records");
+    return log;
+  } catch (storage::StorageError const& error) {
+    throw UsageError(directory + ": " + error.what());
+  }
+}
+
+std::string text(QJsonObject const& object, char const* field) {
+  return core::toStdString(object.value(QLatin1String(field)).toString());
+}
+
+void printCount(QJsonObject const& count) {
+  std::cout << "  " << text(count, "what") << " " << count.value("count").toInteger() << " of "
+            << text(count, "instance");
+  if (count.contains("life"))
+    std::cout << " at " << text(count, "pool") << " " << text(count, "address") << " life " << text(count, "life")
+              << " zone " << text(count, "zone") << " under " << text(count, "certificate");
+  if (count.contains("reason")) std::cout << ": " << text(count, "reason");
   std::cout << "\n";
 }
 
-void sayNode(QJsonObject const& n) {
-  QJsonObject const head = n.value("head").toObject();
-  std::cout << "node " << text(n, "node") << ": records " << n.value("first").toInteger() << " to "
-            << head.value("n").toInteger() << ", newest " << text(head, "hash")
-            << (n.value("tornEnd").toBool() ? ", the end is torn" : "") << "\n";
-  for (QJsonValue const l : n.value("lives").toArray()) {
-    QJsonObject const life = l.toObject();
-    std::cout << "  " << text(life, "from") << " to " << text(life, "until")
-              << (life.value("countsAreLeast").toBool() ? ": no end was written, its last minute's counts are the least"
-                                                        : ": complete")
-              << "\n";
-  }
-  for (QJsonValue const f : n.value("faults").toArray()) {
-    QJsonObject const fault = f.toObject();
-    std::cout << "  NOT AS WRITTEN: ";
-    if (fault.contains("file")) std::cout << text(fault, "file") << " line " << fault.value("line").toInteger() << " ";
-    std::cout << text(fault, "reason") << "\n";
+void printRegime(QString const& regime, QJsonArray const& spans) {
+  for (QJsonValue const span : spans) {
+    std::cout << "regime " << core::toStdString(regime) << " from " << text(span.toObject(), "span") << "\n";
+    for (QJsonValue const count : span.toObject().value("counts").toArray()) printCount(count.toObject());
   }
 }
 
+void printIncarnation(QJsonObject const& incarnation) {
+  bool const incomplete = incarnation.value("countsAreLeast").toBool();
+  std::cout << "  " << text(incarnation, "from") << " to " << text(incarnation, "until")
+            << (incomplete ? ": no end was written, its last minute's counts are the least" : ": complete") << "\n";
+}
+
+void printFault(QJsonObject const& fault) {
+  std::cout << "  NOT AS WRITTEN: ";
+  if (fault.contains("file")) std::cout << text(fault, "file") << " line " << fault.value("line").toInteger() << " ";
+  std::cout << text(fault, "reason") << "\n";
+}
+
+void printNode(QJsonObject const& node) {
+  QJsonObject const head = node.value("head").toObject();
+  std::cout << "node " << text(node, "node") << ": records " << node.value("first").toInteger() << " to "
+            << head.value("n").toInteger() << ", newest " << text(head, "hash")
+            << (node.value("tornEnd").toBool() ? ", the end is torn" : "") << "\n";
+  for (QJsonValue const incarnation : node.value("lives").toArray()) printIncarnation(incarnation.toObject());
+  for (QJsonValue const fault : node.value("faults").toArray()) printFault(fault.toObject());
+}
+
+void printReport(QJsonObject const& report, bool intact) {
+  QJsonObject const regimes = report.value("regimes").toObject();
+  for (QString const& regime : regimes.keys()) printRegime(regime, regimes.value(regime).toArray());
+  for (QJsonValue const node : report.value("nodes").toArray()) printNode(node.toObject());
+  std::cout << (intact ? "all records are as they were written" : "NOT all records are as they were written") << "\n";
+}
+
 }  // namespace
 
-int reportRegimes(ReportConnections const& ways) {
-  if (ways.spanMinutes < 1 || ways.spanMinutes > mostMinutes)
-    throw UsageError("span: must be 1 to " + std::to_string(mostMinutes));
-  audit::ReportQuery ask;
-  ask.regime = ways.regime;
-  ask.from = timeOf("from", ways.from);
-  ask.until = timeOf("until", ways.until);
-  ask.span = ways.spanMinutes * audit::spanMs;
-  for (std::string const& h : ways.heads) ask.heads.push_back(headOf(h));
-  std::vector<audit::AuditLogView> trails;
-  for (std::string const& name : ways.folders) {
-    if (!QDir(core::toQString(name)).exists()) throw UsageError("no such folder: " + name);
-    try {
-      std::unique_ptr<storage::Directory> const folder = storage::openDirectory(name);
-      trails.push_back(audit::readAuditLog(*folder));
-    } catch (storage::StorageError const& e) {
-      throw UsageError(name + ": " + e.what());
-    }
-    if (trails.back().records.empty() && trails.back().faults.empty()) throw UsageError(name + ": holds no records");
-  }
-  QJsonObject const report = audit::report(trails, ask);
-  bool const whole = report.value("whole").toBool();
-  if (ways.json) {
+ExitCode reportRegimes(ReportOptions const& options) {
+  audit::ReportQuery const query = queryOf(options);
+  std::vector<audit::AuditLogView> logs;
+  for (std::string const& directory : options.directories) logs.push_back(readLog(directory));
+  QJsonObject const report = audit::report(logs, query);
+  bool const intact = report.value("whole").toBool();
+  if (options.json)
     std::cout << core::jsonText(report) << "\n";
-    return whole ? 0 : 1;
-  }
-  QJsonObject const regimes = report.value("regimes").toObject();
-  for (QString const& regime : regimes.keys())
-    for (QJsonValue const s : regimes.value(regime).toArray()) {
-      std::cout << "regime " << core::toStdString(regime) << " from " << text(s.toObject(), "span") << "\n";
-      for (QJsonValue const c : s.toObject().value("counts").toArray()) sayCount(c.toObject());
-    }
-  for (QJsonValue const n : report.value("nodes").toArray()) sayNode(n.toObject());
-  std::cout << (whole ? "all records are as they were written" : "NOT all records are as they were written") << "\n";
-  return whole ? 0 : 1;
+  else
+    printReport(report, intact);
+  return intact ? ExitCode::ok : ExitCode::differs;
 }
 
 }  // namespace corkward::programs
--- a/programs/common/clock.h
+++ b/programs/common/clock.h
@@ -1,29 +1,22 @@
 #pragma once
 
-#include <QObject>
-#include <functional>
+#include <cstdint>
+#include <string>
 
 #include <corkward/core/types.h>
 
 namespace corkward::programs {
 
-/// Monotonic milliseconds that count suspension.
+/// Milliseconds of the boot clock: monotonic, and it goes on while the machine is suspended.
 core::Tick now();
 
-/// A seed for reducers and fresh names, from the system.
-std::uint64_t freshSeed();
+/// Milliseconds since 1970-01-01 UTC, by the machine's wall clock.
+std::int64_t wallClock();
 
-/// A name that is never used again: 32 hexadecimal digits.
-std::string freshName();
+/// A seed for random generators, from the system's source of randomness.
+std::uint64_t randomSeed();
 
-/// Keeps SIGHUP from ending the process while it starts: one that comes before onReload is told then. To be called
-/// first of all.
-void holdReloads();
-
-/// Calls the function on the owner's thread when SIGHUP arrives.
-void onReload(QObject* owner, std::function<void()> const& function);
-
-/// Calls the function on the owner's thread when SIGTERM or SIGINT arrives.
-void onTermination(QObject* owner, std::function<void()> const& function);
+/// A random identifier of 32 hexadecimal digits (a UUID, RFC 9562, version 4).
+std::string randomId();
 
 }  // namespace corkward::programs
--- /dev/null
+++ b/programs/common/former_names.h
@@ -0,0 +1,34 @@
+#pragma once
+
+#include <array>
+#include <string_view>
+
+/// Names of earlier releases that are still accepted. They do what today's names do and send the same requests; scripts
+/// and deployments of operators use them, so no release drops one. This is the only place where they are declared.
+namespace corkward::programs::former_names {
+
+struct FormerName {
+  char const* former;
+  char const* current;
+};
+
+/// Options of `corkward` and `corkward-runbook`, without the dashes.
+inline constexpr FormerName controllerOption{"substation", "controller"};
+inline constexpr FormerName revisionOption{"stamp", "revision"};
+
+/// Roles of `corkward-hosted`.
+inline constexpr FormerName routerRole{"nacelle", "router"};
+inline constexpr FormerName controllerRole{"substation", "control"};
+
+/// Commands of `corkward`.
+inline constexpr std::array<FormerName, 4> commands{{{"blueprint-get", "fleet-configuration-get"},
+                                                     {"blueprint-put", "fleet-configuration-put"},
+                                                     {"blueprint-patch", "fleet-configuration-patch"},
+                                                     {"node-gone", "node-remove"}}};
+
+/// Whether a text is the name, today's or the former one.
+constexpr bool matches(FormerName const& name, std::string_view text) {
+  return text == name.current || text == name.former;
+}
+
+}  // namespace corkward::programs::former_names
--- /dev/null
+++ b/programs/common/graceful_shutdown.cpp
@@ -0,0 +1,39 @@
+#include "graceful_shutdown.h"
+
+#include <QCoreApplication>
+#include <algorithm>
+#include <string>
+
+#include <corkward/core/log.h>
+
+#include "clock.h"
+#include "events.h"
+
+namespace corkward::programs {
+
+namespace {
+
+/// Callers that were sent here just before the signal still arrive for this long, in milliseconds.
+constexpr core::Tick lateCallerPeriod = 1000;
+
+}  // namespace
+
+bool GracefulShutdown::begin() {
+  if (deadline_ != 0) return false;
+  deadline_ = now() + limit_;
+  earliest_ = now() + std::max(lateCallerPeriod, minimum_);
+  return true;
+}
+
+void GracefulShutdown::poll(http::Server& server, std::size_t pending) {
+  if (deadline_ == 0) return;
+  bool const outOfTime = now() >= deadline_;
+  std::size_t const remaining = pending + server.pendingCount();
+  if (!outOfTime && (remaining > 0 || now() < earliest_)) return;
+  server.close();
+  if (!outOfTime && server.pendingCount() + server.expecting() > 0) return;
+  core::writeLog(core::LogEvent{events::stopped, {{"pending", std::to_string(remaining)}}});
+  QCoreApplication::exit(0);
+}
+
+}  // namespace corkward::programs
--- a/programs/common/metrics_server.cpp
+++ b/programs/common/metrics_server.cpp
@@ -1,15 +1,17 @@
 #include "metrics_server.h"
 
+#include <corkward/core/http_status.h>
 #include <corkward/core/log.h>
 
-#include "process.h"
+#include "events.h"
+#include "standard_endpoints.h"
 
 namespace corkward::programs {
 
 namespace {
 
-constexpr int mostConnections = 8;
-constexpr int idleMs = 10000;
+constexpr int maxConnections = 8;
+constexpr int idleTimeoutMs = 10000;
 
 }  // namespace
 
@@ -17,19 +19,18 @@
     : metrics_(std::move(metrics)) {
   if (address.empty()) return;
   http::ServerLimits limits;
-  limits.connections = mostConnections;
-  limits.idleMs = idleMs;
-  http::Server::Events events;
-  events.request = [this](http::Request const& request) {
-    if (plainPage(
-            *server_, request, [] { return true; }, metrics_))
-      return;
-    server_->answer(request.id, 404, {}, "");
+  limits.connections = maxConnections;
+  limits.idleMs = idleTimeoutMs;
+  http::Server::Events handlers;
+  handlers.request = [this](http::Request const& request) {
+    auto const alwaysReady = [] { return true; };
+    if (serveStandardEndpoint(*server_, request, alwaysReady, metrics_)) return;
+    server_->answer(request.id, core::code(core::HttpStatus::notFound), {}, "");
   };
   try {
-    server_ = std::make_unique<http::Server>(address, limits, std::move(events));
-  } catch (http::HttpError const& e) {
-    core::writeWarning(core::LogEvent{"metrics-unavailable", {{"error", e.what()}}});
+    server_ = std::make_unique<http::Server>(address, limits, std::move(handlers));
+  } catch (http::HttpError const& error) {
+    core::writeWarning(core::LogEvent{events::metricsUnavailable, {{"error", error.what()}}});
   }
 }
 
--- a/programs/common/metrics_server.h
+++ b/programs/common/metrics_server.h
@@ -8,19 +8,20 @@
 
 namespace corkward::programs {
 
-/// Tells a process's own figures at an address of their own, for deployments whose HTTP edges have no place for them.
-/// When the address cannot be had, the process goes on without and says so in its log: figures are never a reason to
-/// fail callers.
+/// Serves a process's own metrics at a separate address, for deployments whose HTTP surface has no place for them.
+/// When the address cannot be bound, the process goes on without and logs a warning: metrics are never a reason to fail
+/// callers.
 class MetricsServer {
  public:
   /// @param address ip:port; empty: none
-  /// @param metrics the page's text, called at each question
+  /// @param metrics the page in Prometheus' text format, evaluated for each scrape
   MetricsServer(std::string const& address, std::function<std::string()> metrics);
-  /// Whether the page can be asked for.
+  /// Whether the page can be scraped.
   bool listening() const { return server_ != nullptr; }
 
  private:
   std::function<std::string()> metrics_;
+  /// Null when there is no address, or it could not be bound.
   std::unique_ptr<http::Server> server_;
 };
 
--- /dev/null
+++ b/programs/common/metrics_text.h
@@ -0,0 +1,14 @@
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+namespace corkward::programs {
+
+/// Type of a metric, as the Prometheus text format names it.
+enum class MetricType { counter, gauge };
+
+/// One metric without labels in the Prometheus text format, with its type.
+std::string metricText(std::string const& name, MetricType type, std::uint64_t value);
+
+}  // namespace corkward::programs
--- a/programs/common/operator_client.cpp
+++ b/programs/common/operator_client.cpp
@@ -17,50 +17,80 @@
 
 namespace corkward::programs {
 
-OperatorOutcome callOperator(std::vector<std::string> const& controllers, OperatorCall const& call, int limitSeconds) {
-  OperatorOutcome out;
-  for (std::string const& base : controllers) {
-    QUrl const url(QString::fromStdString("http://" + base + call.path + (call.dryRun ? "?dryRun=1" : "")));
-    if (!url.isValid() || url.host().isEmpty()) throw UsageError("controller: must be ip:port, but is " + base);
-    QNetworkAccessManager manager;
-    QNetworkRequest request(url);
-    request.setTransferTimeout(limitSeconds * 1000);
-    request.setHeader(QNetworkRequest::ContentTypeHeader, "application/json");
-    if (!call.revision.empty())
-      request.setRawHeader("If-Match", QByteArray::fromStdString("\"" + call.revision + "\""));
-    if (!call.changeId.empty()) request.setRawHeader("Corkward-Change-Id", QByteArray::fromStdString(call.changeId));
-    QNetworkReply* const reply = manager.sendCustomRequest(request, QByteArray::fromStdString(call.method),
-                                                           QByteArray::fromStdString(call.body));
-    QEventLoop loop;
-    QObject::connect(reply, &QNetworkReply::finished, &loop, &QEventLoop::quit);
-    if (!reply->isFinished()) loop.exec();
-    out.status = reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
-    out.from = base;
-    out.error = reply->errorString().toStdString();
-    if (out.status == 0) continue;
-    out.text = reply->readAll();
-    out.revision = QString::fromUtf8(reply->rawHeader("ETag")).remove('"').toStdString();
-    try {
-      out.body = core::parseJson(out.text.toStdString()).toObject();
-    } catch (core::JsonError const&) {
-      out.body = {};
-    }
-    return out;
+namespace {
+
+constexpr int millisPerSecond = 1000;
+constexpr int retryIntervalMs = 300;
+
+QUrl urlOf(std::string const& controller, OperatorCall const& call) {
+  QUrl const url(QString::fromStdString("http://" + controller + call.path + (call.dryRun ? "?dryRun=1" : "")));
+  if (!url.isValid() || url.host().isEmpty()) throw UsageError("controller: must be ip:port, but is " + controller);
+  return url;
+}
+
+QNetworkRequest requestOf(std::string const& controller, OperatorCall const& call, int timeoutSeconds) {
+  QNetworkRequest request(urlOf(controller, call));
+  request.setTransferTimeout(timeoutSeconds * millisPerSecond);
+  request.setHeader(QNetworkRequest::ContentTypeHeader, "application/json");
+  if (!call.revision.empty()) request.setRawHeader("If-Match", QByteArray::fromStdString("\"" + call.revision + "\""));
+  if (!call.changeId.empty()) request.setRawHeader("Corkward-Change-Id", QByteArray::fromStdString(call.changeId));
+  return request;
+}
+
+/// The text as a JSON object; empty when it is none.
+QJsonObject objectOf(QByteArray const& text) {
+  try {
+    return core::parseJson(text.toStdString()).toObject();
+  } catch (core::JsonError const&) {
+    return {};
   }
+}
+
+OperatorReply callController(std::string const& controller, OperatorCall const& call, int timeoutSeconds) {
+  QNetworkAccessManager manager;
+  QByteArray const method(core::name(call.method).data(), static_cast<qsizetype>(core::name(call.method).size()));
+  QNetworkReply* const reply = manager.sendCustomRequest(requestOf(controller, call, timeoutSeconds), method,
+                                                         QByteArray::fromStdString(call.body));
+  QEventLoop loop;
+  QObject::connect(reply, &QNetworkReply::finished, &loop, &QEventLoop::quit);
+  if (!reply->isFinished()) loop.exec();
+  OperatorReply out;
+  out.status = reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
+  out.controller = controller;
+  out.error = reply->errorString().toStdString();
+  if (!out.answered()) return out;
+  out.text = reply->readAll();
+  out.revision = QString::fromUtf8(reply->rawHeader("ETag")).remove('"').toStdString();
+  out.body = objectOf(out.text);
   return out;
 }
 
-OperatorOutcome waitInForce(std::vector<std::string> const& controllers, OperatorCall const& call,
-                            OperatorOutcome first, int limitSeconds, int waitSeconds) {
-  core::Tick const until = now() + waitSeconds * core::Tick{1000};
-  OperatorOutcome out = std::move(first);
-  while ((out.status == 0 || out.status == 503 || out.status == 504) && now() < until) {
-    QEventLoop loop;
-    QTimer::singleShot(300, &loop, &QEventLoop::quit);
-    loop.exec();
-    out = callOperator(controllers, call, limitSeconds);
+}  // namespace
+
+OperatorReply callOperator(std::vector<std::string> const& controllers, OperatorCall const& call, int timeoutSeconds) {
+  OperatorReply reply;
+  for (std::string const& controller : controllers) {
+    reply = callController(controller, call, timeoutSeconds);
+    if (reply.answered()) break;
   }
-  return out;
+  return reply;
+}
+
+OperatorReply waitForRollout(std::vector<std::string> const& controllers, OperatorCall const& call, OperatorReply first,
+                             int timeoutSeconds, int waitSeconds) {
+  core::Tick const deadline = now() + waitSeconds * core::Tick{millisPerSecond};
+  OperatorReply reply = std::move(first);
+  while (reply.mayRetry() && now() < deadline) {
+    pause(retryIntervalMs);
+    reply = callOperator(controllers, call, timeoutSeconds);
+  }
+  return reply;
+}
+
+void pause(int milliseconds) {
+  QEventLoop loop;
+  QTimer::singleShot(milliseconds, &loop, &QEventLoop::quit);
+  loop.exec();
 }
 
 std::string readFile(std::string const& path) {
--- a/programs/control/control_daemon.cpp
+++ b/programs/control/control_daemon.cpp
@@ -1,115 +1,107 @@
 #include "control_daemon.h"
 
-#include <QDateTime>
-#include <QHostAddress>
-#include <QTcpSocket>
+#include <utility>
 
-#include <corkward/core/log.h>
 #include <corkward/core/guarantees.h>
+#include <corkward/core/http_status.h>
+#include <corkward/core/log.h>
 
 #include "clock.h"
+#include "events.h"
+#include "metrics_text.h"
+#include "process_probe.h"
+#include "signals.h"
+#include "standard_endpoints.h"
 
 namespace corkward::programs {
 
 namespace {
 
-constexpr int probeLimitMs = 300;
-/// How often a disk that failed is tried again.
-constexpr int diskAgainMs = 1000;
-constexpr char const* triedRecord = "tried";
+/// What is kept of a call until its answer is written: all but the body.
+transport::OperatorCall withoutBody(transport::OperatorCall const& call) {
+  transport::OperatorCall out;
+  out.token = call.token;
+  out.method = call.method;
+  out.path = call.path;
+  out.ifMatch = call.ifMatch;
+  out.changeId = call.changeId;
+  out.dryRun = call.dryRun;
+  return out;
+}
+
+/// Answer of a call that was pending when the disk failed.
+control::OperatorResponse diskFailureResponse(std::uint64_t token) {
+  return {token,
+          core::code(core::HttpStatus::gatewayTimeout),
+          {{"error", "unknown"}, {"reason", "this machine's disk had failed; ask again"}}};
+}
 
 }  // namespace
 
-ControlDaemon::ControlDaemon(Settings const& s, control::ControllerTuning const& tuning,
+ControlDaemon::ControlDaemon(Settings const& settings, control::ControllerTuning const& tuning,
                              http::OperatorMapping const& mapping, ControllerSurface surface)
-    : settings_(s),
+    : settings_(settings),
       tuning_(tuning),
       mapping_(mapping),
       surface_(std::move(surface)),
-      drain_(s.drainLimitMs),
-      seed_(freshSeed()),
-      folder_(storage::openDirectory(s.data)),
-      lock_("data", s.data),
-      log_(std::make_unique<storage::WriteAheadLog>(*folder_)),
-      reducer_(std::in_place, contactOf(s, transport::controllerRole), freshName(), s.seeds, s.founders, seed_, tuning),
+      shutdown_(settings.drainLimitMs),
+      log_(this, settings.data,
+           LogWriter::Events{
+               [this](std::vector<std::uint64_t> const& tickets, bool written) { onPersisted(tickets, written); },
+               [this](storage::RecoveredState const& recovered) { restartReducer(recovered); }}),
+      reducer_(std::in_place, contactOf(settings, transport::controllerRole), randomId(), settings.seeds,
+               settings.founders, randomSeed(), tuning),
       link_(
-          this, s.link, [this](transport::Envelope e) { run(reducer_->onMessage(now(), e.from, e.message)); },
-          s.listen),
-      server_(surface_.http.empty() ? std::vector<std::string>{s.http} : surface_.http, surface_.limits, events()),
-      disk_(1) {
-  storage::RecoveredState const got = recoverAtStart();
-  run(reducer_->restore(got.slots, got.damaged, now()));
-  QObject::connect(&clock_, &QTimer::timeout, this, [this] { clockEvent(); });
-  clock_.start(surface_.clockEveryMs);
-  QObject::connect(&diskAgain_, &QTimer::timeout, this, [this] { tryDisk(); });
+          this, settings.link,
+          [this](transport::Envelope const& envelope) {
+            execute(reducer_->onMessage(now(), envelope.from, envelope.message));
+          },
+          settings.listen),
+      server_(surface_.addresses.empty() ? std::vector<std::string>{settings.http} : surface_.addresses,
+              surface_.limits, serverEvents()) {
+  storage::RecoveredState const recovered = log_.recoverAtStart();
+  execute(reducer_->restore(recovered.slots, recovered.damaged, now()));
+  QObject::connect(&timer_, &QTimer::timeout, this, [this] { onTimer(); });
+  timer_.start(surface_.timerIntervalMs);
   onTermination(this, [this] { drain(); });
-  core::writeLog(core::LogEvent{"started", {{"link", link_.address()}, {"http", server_.address()}, {"zone", s.zone}}});
-}
-
-storage::RecoveredState ControlDaemon::recoverAtStart() {
-  storage::RecoveredState got;
-  try {
-    got = log_->recover();
-    if (got.tornTail) core::writeLog(core::LogEvent{"torn-tail-cut", {}});
-    if (got.damaged) {
-      core::writeLog(core::LogEvent{"ledger-damaged", {{"place", got.damage}}});
-      setAside();
-    }
-  } catch (storage::StorageError const& e) {
-    // The log refuses the first write, of a fresh id, so nothing is announced until the disk was tried again and read.
-    core::writeLog(core::LogEvent{"read-failed", {{"error", e.what()}}});
-    got = storage::RecoveredState{};
-    got.damaged = true;
-  }
-  return got;
+  core::writeLog(core::LogEvent{events::started,
+                                {{"link", link_.address()}, {"http", server_.address()}, {"zone", settings.zone}}});
 }
 
-http::Server::Events ControlDaemon::events() {
-  http::Server::Events e;
-  e.request = [this](http::Request request) { serve(std::move(request)); };
-  e.disconnected = [this](std::uint64_t id) { calls_.erase(id); };
-  return e;
+http::Server::Events ControlDaemon::serverEvents() {
+  http::Server::Events events;
+  events.request = [this](http::Request const& request) { serve(request); };
+  events.disconnected = [this](std::uint64_t id) { pendingCalls_.erase(id); };
+  return events;
 }
 
-void ControlDaemon::platformLists(std::map<std::string, config::EndpointList> const& lists) {
-  run(reducer_->updateEndpointLists(now(), lists));
+void ControlDaemon::updateEndpointLists(std::map<std::string, config::EndpointList> const& lists) {
+  execute(reducer_->updateEndpointLists(now(), lists));
 }
 
-bool ControlDaemon::readsLists() const {
+bool ControlDaemon::isEndpointListReader() const {
   return reducer_->isEndpointListReader(now());
 }
 
-void ControlDaemon::retune(std::vector<std::string> const& seeds) {
+void ControlDaemon::updateSeeds(std::vector<std::string> const& seeds) {
   settings_.seeds = seeds;
   reducer_->setSeeds(seeds);
 }
 
-void ControlDaemon::setAside() {
-  storage::quarantine(*folder_, std::to_string(now()));
-  log_ = std::make_unique<storage::WriteAheadLog>(*folder_);
-  log_->recover();
-}
-
-void ControlDaemon::serve(http::Request request) {
-  if (surface_.pages && surface_.pages(*this, request)) return;
-  if (surface_.ownPages && plainPage(
-                               server_, request, [this] { return ready(); }, [this] { return metrics(); }))
-    return;
-  http::OperatorRequest asked = mapping_.operatorCall(request, freshName());
-  if (!asked.call) {
-    server_.answer(request.id, asked.answer.status, asked.answer.fields, asked.answer.body);
+void ControlDaemon::serve(http::Request const& request) {
+  bool const served =
+      surface_.standardEndpoints && serveStandardEndpoint(
+                                        server_, request, [this] { return ready(); }, [this] { return metrics(); });
+  if (served) return;
+  http::OperatorRequest const mapped = mapping_.operatorCall(request, randomId());
+  if (!mapped.call) {
+    server_.answer(request.id, mapped.answer.status, mapped.answer.fields, mapped.answer.body);
     return;
   }
-  asked.call->token = request.id;
-  transport::OperatorCall const call = std::move(*asked.call);
-  transport::OperatorCall& kept = calls_[call.token];
-  kept.token = call.token;
-  kept.method = call.method;
-  kept.path = call.path;
-  kept.ifMatch = call.ifMatch;
-  kept.changeId = call.changeId;
-  kept.dryRun = call.dryRun;
-  run(reducer_->onOperatorCall(now(), call));
+  transport::OperatorCall call = *mapped.call;
+  call.token = request.id;
+  pendingCalls_[call.token] = withoutBody(call);
+  execute(reducer_->onOperatorCall(now(), call));
 }
 
 bool ControlDaemon::ready() const {
@@ -117,123 +109,58 @@
 }
 
 std::string ControlDaemon::metrics() const {
-  return reducer_->metrics(now()) + "# TYPE corkward_garbage_frames_total counter\ncorkward_garbage_frames_total " +
-         std::to_string(link_.malformedFrames()) + "\n" + core::guaranteeMetrics();
-}
-
-void ControlDaemon::answer(control::OperatorResponse const& a) {
-  std::unordered_map<std::uint64_t, transport::OperatorCall>::iterator const it = calls_.find(a.token);
-  if (it == calls_.end()) return;
-  http::Response const out = mapping_.answer(it->second, a.status, a.body);
-  calls_.erase(it);
-  server_.answer(a.token, out.status, out.fields, out.body);
-}
-
-void ControlDaemon::run(control::ControllerCommands&& commands) {
-  if (!commands.persists.empty()) {
-    std::vector<storage::Record> records;
-    std::vector<std::uint64_t> tickets;
-    for (consensus::PersistCommand const& p : commands.persists) {
-      records.push_back(storage::Record{p.key, p.payload});
-      tickets.push_back(p.ticket);
-    }
-    disk_.run([this, life = life_, records = std::move(records), tickets = std::move(tickets)] {
-      bool ok = life == diskLife_;
-      std::string why;
-      try {
-        if (ok) log_->write(records);
-      } catch (storage::StorageError const& e) {
-        ok = false;
-        why = e.what();
-      }
-      QMetaObject::invokeMethod(
-          this,
-          [this, life, tickets, ok, why] {
-            if (life != life_) return;
-            if (!ok) {
-              core::writeLog(core::LogEvent{"write-failed", {{"error", why}}});
-              if (!diskAgain_.isActive()) diskAgain_.start(diskAgainMs);
-            }
-            for (std::uint64_t const t : tickets) run(reducer_->onPersisted(now(), t, ok));
-          },
-          Qt::QueuedConnection);
-    });
-  }
-  for (transport::Send const& s : commands.sends) link_.send(s.to, s.message);
-  for (control::OperatorResponse const& a : commands.responses) answer(a);
-  for (std::string const& p : commands.probes) probe(p);
-  for (core::LogEvent const& n : commands.logEvents) core::writeLog(n);
-}
-
-void ControlDaemon::tryDisk() {
-  disk_.run([this, life = life_] {
-    if (life != diskLife_) return;
-    storage::RecoveredState got;
-    try {
-      log_ = std::make_unique<storage::WriteAheadLog>(*folder_);
-      got = log_->recover();
-      if (got.damaged) setAside();
-      std::vector<storage::Record> records{storage::Record{triedRecord, ""}};
-      if (!got.damaged)
-        for (std::map<std::string, std::string>::value_type const& s : got.slots)
-          records.push_back(storage::Record{s.first, s.second});
-      log_->write(records);
-    } catch (storage::StorageError const&) {
-      return;
-    }
-    ++diskLife_;
-    QMetaObject::invokeMethod(
-        this, [this, got] { startOver(got); }, Qt::QueuedConnection);
-  });
-}
-
-void ControlDaemon::startOver(storage::RecoveredState const& got) {
-  diskAgain_.stop();
-  ++life_;
-  core::writeLog(core::LogEvent{"disk-again", {}});
-  std::vector<std::uint64_t> open;
-  for (std::unordered_map<std::uint64_t, transport::OperatorCall>::value_type const& c : calls_)
-    open.push_back(c.first);
-  for (std::uint64_t const token : open)
-    answer(control::OperatorResponse{
-        token, 504, {{"error", "unknown"}, {"reason", "this machine's disk had failed; ask again"}}});
-  reducer_.emplace(contactOf(settings_, transport::controllerRole), freshName(), settings_.seeds, settings_.founders,
-                   freshSeed(), tuning_);
-  run(reducer_->restore(got.slots, got.damaged, now()));
-  if (draining_) run(reducer_->drain(now()));
+  return reducer_->metrics(now()) +
+         metricText("corkward_garbage_frames_total", MetricType::counter, link_.malformedFrames()) +
+         core::guaranteeMetrics();
+}
+
+void ControlDaemon::respond(control::OperatorResponse const& response) {
+  auto const found = pendingCalls_.find(response.token);
+  if (found == pendingCalls_.end()) return;
+  http::Response const mapped = mapping_.answer(found->second, response.status, response.body);
+  pendingCalls_.erase(found);
+  server_.answer(response.token, mapped.status, mapped.fields, mapped.body);
+}
+
+void ControlDaemon::execute(control::ControllerCommands&& commands) {
+  if (!commands.persists.empty()) log_.write(commands.persists);
+  for (transport::Send const& send : commands.sends) link_.send(send.to, send.message);
+  for (control::OperatorResponse const& response : commands.responses) respond(response);
+  for (std::string const& link : commands.probes) probe(link);
+  for (core::LogEvent const& event : commands.logEvents) core::writeLog(event);
+}
+
+void ControlDaemon::onPersisted(std::vector<std::uint64_t> const& tickets, bool written) {
+  for (std::uint64_t const ticket : tickets) execute(reducer_->onPersisted(now(), ticket, written));
+}
+
+void ControlDaemon::restartReducer(storage::RecoveredState const& recovered) {
+  std::vector<std::uint64_t> tokens;
+  for (auto const& [token, call] : pendingCalls_) tokens.push_back(token);
+  for (std::uint64_t const token : tokens) respond(diskFailureResponse(token));
+  reducer_.emplace(contactOf(settings_, transport::controllerRole), randomId(), settings_.seeds, settings_.founders,
+                   randomSeed(), tuning_);
+  execute(reducer_->restore(recovered.slots, recovered.damaged, now()));
+  if (draining_) execute(reducer_->drain(now()));
 }
 
 void ControlDaemon::probe(std::string const& link) {
-  std::pair<std::string, std::uint16_t> const at = http::splitAddress(link);
-  QTcpSocket* const socket = new QTcpSocket(this);
-  QObject::connect(socket, &QTcpSocket::errorOccurred, this, [this, socket, link](QAbstractSocket::SocketError e) {
-    if (e == QAbstractSocket::ConnectionRefusedError) run(reducer_->onProbeResult(now(), link, true));
-    socket->deleteLater();
-  });
-  QObject::connect(socket, &QTcpSocket::connected, this, [socket] {
-    socket->abort();
-    socket->deleteLater();
-  });
-  QTimer::singleShot(probeLimitMs, socket, [socket] {
-    socket->abort();
-    socket->deleteLater();
-  });
-  socket->connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
-}
-
-void ControlDaemon::clockEvent() {
-  reducer_->setWallTime(QDateTime::currentMSecsSinceEpoch());
-  run(reducer_->onTimer(now()));
-  std::size_t const stillHeld = draining_ && !reducer_->handoverComplete(now()) ? 1 : 0;
-  drain_.look(server_, reducer_->pendingCount() + stillHeld);
+  probeProcess(this, link, [this, link] { execute(reducer_->onProbeResult(now(), link, true)); });
+}
+
+void ControlDaemon::onTimer() {
+  reducer_->setWallTime(wallClock());
+  execute(reducer_->onTimer(now()));
+  std::size_t const handovers = draining_ && !reducer_->handoverComplete(now()) ? 1 : 0;
+  shutdown_.poll(server_, reducer_->pendingCount() + handovers);
 }
 
 void ControlDaemon::drain() {
-  if (!drain_.begin()) return;
+  if (!shutdown_.begin()) return;
   draining_ = true;
   server_.startDraining();
-  core::writeLog(core::LogEvent{"draining", {{"in-hand", std::to_string(reducer_->pendingCount())}}});
-  run(reducer_->drain(now()));
+  core::writeLog(core::LogEvent{events::draining, {{"pending", std::to_string(reducer_->pendingCount())}}});
+  execute(reducer_->drain(now()));
 }
 
 }  // namespace corkward::programs
--- a/programs/control/main.cpp
+++ b/programs/control/main.cpp
@@ -1,15 +1,15 @@
+/// corkward-control: the control plane's daemon with the product's own HTTP surface.
+
 #include "control_daemon.h"
 
 namespace corkward::programs {
 
 namespace {
 
-/// The control plane's daemon with the product's own surface.
-struct OwnController {
-  explicit OwnController(Settings const& settings)
-      : controller(settings, corkward::control::ControllerTuning{}, mapping) {}
+struct NativeController {
+  explicit NativeController(Settings const& settings) : daemon(settings, control::ControllerTuning{}, mapping) {}
   http::NativeOperatorMapping mapping;
-  ControlDaemon controller;
+  ControlDaemon daemon;
 };
 
 }  // namespace
@@ -17,6 +17,6 @@
 }  // namespace corkward::programs
 
 int main(int argc, char** argv) {
-  return corkward::programs::runProgram<corkward::programs::OwnController>(
-      "corkward-control", corkward::programs::Role::controller, argc, argv);
+  namespace programs = corkward::programs;
+  return programs::runDaemon<programs::NativeController>("corkward-control", programs::Role::controller, argc, argv);
 }
--- a/programs/router/main.cpp
+++ b/programs/router/main.cpp
@@ -1,14 +1,15 @@
+/// corkward-router: the data plane's daemon with the product's own HTTP surface.
+
 #include "router_daemon.h"
 
 namespace corkward::programs {
 
 namespace {
 
-/// The data plane's daemon with the product's own surface.
-struct OwnRouter {
-  explicit OwnRouter(Settings const& settings) : router(settings, dataplane::RouterTuning{}, mapping) {}
+struct NativeRouter {
+  explicit NativeRouter(Settings const& settings) : daemon(settings, dataplane::RouterTuning{}, mapping) {}
   http::NativeMapping mapping;
-  RouterDaemon router;
+  RouterDaemon daemon;
 };
 
 }  // namespace
@@ -16,6 +17,6 @@
 }  // namespace corkward::programs
 
 int main(int argc, char** argv) {
-  return corkward::programs::runProgram<corkward::programs::OwnRouter>("corkward-router",
-                                                                       corkward::programs::Role::router, argc, argv);
+  namespace programs = corkward::programs;
+  return programs::runDaemon<programs::NativeRouter>("corkward-router", programs::Role::router, argc, argv);
 }
--- /dev/null
+++ b/programs/router/request_relay.cpp
@@ -0,0 +1,218 @@
+#include "request_relay.h"
+
+#include <utility>
+#include <vector>
+
+#include "clock.h"
+
+namespace corkward::programs {
+
+namespace {
+
+/// Bytes that may wait to be written to a caller before its replica is not read any more.
+constexpr std::int64_t callerBufferLimit = 256 << 10;
+/// Reading goes on below this.
+constexpr std::int64_t callerBufferResume = callerBufferLimit / 2;
+/// Least milliseconds between two reports of progress, and between two checks for stalled callers.
+constexpr core::Tick progressInterval = 1000;
+/// A caller that reads nothing for this long is disconnected.
+constexpr core::Tick callerStallTimeout = 60000;
+
+}  // namespace
+
+RequestRelay::RequestRelay(QObject* owner, http::Server& server, http::UpstreamPool& upstreams,
+                           http::Mapping const& mapping, AuditRecorder& recorder, Events events)
+    : owner_(owner),
+      server_(server),
+      upstreams_(upstreams),
+      mapping_(mapping),
+      recorder_(recorder),
+      events_(std::move(events)) {}
+
+RequestRelay::ActiveRequest* RequestRelay::find(std::uint64_t id) {
+  auto const found = requests_.find(id);
+  return found == requests_.end() ? nullptr : &found->second;
+}
+
+void RequestRelay::add(http::Request request, http::CallerRequest caller) {
+  ActiveRequest& active = requests_[request.id];
+  if (caller.events)
+    active.stream.asEvents(std::move(caller.lastEvent));
+  else
+    active.lastEvent = std::move(caller.lastEvent);
+  active.request = std::move(request);
+  active.caller = std::move(*caller.request);
+}
+
+http::UpstreamConnection::Events RequestRelay::upstreamEvents(std::uint64_t id) {
+  http::UpstreamConnection::Events events;
+  events.connected = [this, id] { events_.connected(id); };
+  events.rejected = [this, id] { onConnectFailed(id); };
+  events.head = [this, id](http::ReplicaHead const& head) { onHead(id, head); };
+  events.piece = [this, id](std::string bytes) { onChunk(id, std::move(bytes)); };
+  events.ended = [this, id](bool complete) { onEnded(id, complete); };
+  return events;
+}
+
+void RequestRelay::execute(dataplane::Connect const& command) {
+  ActiveRequest* const active = find(command.call);
+  if (active == nullptr) return;
+  closeUpstream(command.call);
+  active->path = command.path;
+  active->pausedSince = 0;
+  if (command.events && !active->everConnected) active->stream.asEvents(std::move(active->lastEvent));
+  active->everConnected = true;
+  active->stream.connecting(command.resume);
+  http::UpstreamConnection::Events events = upstreamEvents(command.call);
+  active->upstream =
+      command.incarnation.empty()
+          ? upstreams_.acquire(command.address, command.fresh, std::move(events), owner_)
+          : new http::UpstreamConnection(command.address, command.incarnation, std::move(events), owner_);
+}
+
+void RequestRelay::onConnectFailed(std::uint64_t id) {
+  ActiveRequest const* const active = find(id);
+  bool const local = active != nullptr && active->upstream != nullptr && active->upstream->outOfDescriptors();
+  if (local)
+    events_.localConnectFailed(id);
+  else
+    events_.connectFailed(id);
+}
+
+void RequestRelay::execute(dataplane::SendRequest const& command) {
+  ActiveRequest* const active = find(command.call);
+  if (active == nullptr || active->upstream == nullptr) return;
+  if (server_.isDisconnected(command.call)) {
+    server_.abort(command.call);
+    onCallerDisconnected(command.call);
+    return;
+  }
+  if (!command.regime.empty() && active->unrecorded) {
+    closeUpstream(command.call);
+    events_.finished(command.call, dataplane::UpstreamResult::notExecuted);
+    return;
+  }
+  dataplane::Resume const resume = active->stream.resume();
+  http::Dispatch const dispatch{active->request, active->caller, active->path, command, resume};
+  active->upstream->send(mapping_.replicaRequest(dispatch), active->request.body);
+}
+
+void RequestRelay::execute(dataplane::CloseUpstream const& command) {
+  closeUpstream(command.call);
+}
+
+void RequestRelay::execute(dataplane::WriteAuditRecord const& command) {
+  bool const written = recorder_.write(command);
+  ActiveRequest* const active = find(command.call);
+  if (active != nullptr) active->unrecorded = !written;
+}
+
+void RequestRelay::execute(dataplane::Reject const& command) {
+  closeUpstream(command.call);
+  requests_.erase(command.call);
+  server_.answer(command.call, command.status, mapping_.rejectFields(command), mapping_.rejectBody(command));
+}
+
+void RequestRelay::execute(dataplane::ResetDownstream const& command) {
+  closeUpstream(command.call);
+  requests_.erase(command.call);
+  server_.abort(command.call);
+}
+
+void RequestRelay::closeUpstream(std::uint64_t id, CloseMode mode) {
+  ActiveRequest* const active = find(id);
+  if (active == nullptr || active->upstream == nullptr) return;
+  http::UpstreamConnection* const upstream = std::exchange(active->upstream, nullptr);
+  if (mode == CloseMode::drainAndReuse) {
+    upstream->release();
+    return;
+  }
+  upstream->stop();
+  upstream->deleteLater();
+}
+
+void RequestRelay::onHead(std::uint64_t id, http::ReplicaHead const& head) {
+  ActiveRequest* const active = find(id);
+  if (active != nullptr) apply(id, active->stream.head(mapping_.head(head, active->request)));
+}
+
+void RequestRelay::onChunk(std::uint64_t id, std::string bytes) {
+  ActiveRequest* const active = find(id);
+  if (active == nullptr) return;
+  apply(id, active->stream.piece(std::move(bytes)));
+  reportProgress(id);
+  applyBackpressure(id);
+}
+
+void RequestRelay::onEnded(std::uint64_t id, bool complete) {
+  ActiveRequest* const active = find(id);
+  if (active == nullptr) return;
+  bool const stale = !complete && active->upstream != nullptr && active->upstream->forgotten();
+  dataplane::StreamSteps steps = active->stream.ended(complete);
+  if (stale && steps.ended == dataplane::UpstreamResult::connectionLost)
+    steps.ended = dataplane::UpstreamResult::staleConnection;
+  apply(id, std::move(steps));
+}
+
+void RequestRelay::apply(std::uint64_t id, dataplane::StreamSteps&& steps) {
+  if (steps.failed) events_.responseFailed(id);
+  if (steps.begin)
+    server_.begin(id, steps.begin->status, steps.begin->fields, steps.begin->length, steps.begin->reason);
+  if (!steps.chunk.empty()) server_.writeChunk(id, steps.chunk);
+  if (steps.firstByte) events_.firstByte(id, *steps.firstByte);
+  if (steps.closeUpstream) {
+    bool const reusable = steps.ended == dataplane::UpstreamResult::notExecuted;
+    closeUpstream(id, reusable ? CloseMode::drainAndReuse : CloseMode::close);
+  }
+  if (steps.finish) {
+    requests_.erase(id);
+    server_.finish(id);
+  }
+  if (steps.ended) events_.finished(id, *steps.ended);
+}
+
+void RequestRelay::reportProgress(std::uint64_t id) {
+  ActiveRequest* const active = find(id);
+  if (active == nullptr || now() - active->progressAt < progressInterval) return;
+  active->progressAt = now();
+  events_.progress(id);
+}
+
+void RequestRelay::applyBackpressure(std::uint64_t id) {
+  ActiveRequest* const active = find(id);
+  bool const reads = active != nullptr && active->upstream != nullptr && active->pausedSince == 0;
+  if (!reads || server_.bufferedBytes(id) <= callerBufferLimit) return;
+  active->pausedSince = now();
+  active->upstream->pause(true);
+}
+
+void RequestRelay::onCallerWritable(std::uint64_t id) {
+  ActiveRequest* const active = find(id);
+  bool const paused = active != nullptr && active->pausedSince != 0 && active->upstream != nullptr;
+  if (!paused || server_.bufferedBytes(id) >= callerBufferResume) return;
+  active->pausedSince = 0;
+  active->upstream->pause(false);
+}
+
+void RequestRelay::onTimer() {
+  if (now() < nextStallCheckAt_) return;
+  nextStallCheckAt_ = now() + progressInterval;
+  std::vector<std::uint64_t> stalled;
+  for (auto const& [id, active] : requests_) {
+    if (active.pausedSince == 0) continue;
+    events_.progress(id);
+    if (now() - active.pausedSince > callerStallTimeout) stalled.push_back(id);
+  }
+  for (std::uint64_t const id : stalled) {
+    server_.abort(id);
+    onCallerDisconnected(id);
+  }
+}
+
+void RequestRelay::onCallerDisconnected(std::uint64_t id) {
+  events_.callerDisconnected(id);
+  closeUpstream(id);
+  requests_.erase(id);
+}
+
+}  // namespace corkward::programs
--- a/programs/runbook/main.cpp
+++ b/programs/runbook/main.cpp
@@ -1,4 +1,4 @@
-/// corkward-runbook: carries out one runbook, or watches alerts and carries out theirs.
+/// corkward-runbook: executes one runbook, or watches alert rules and executes theirs.
 
 #include <QCoreApplication>
 #include <boost/program_options.hpp>
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "alert_watcher.h"
+#include "former_names.h"
 #include "operator_client.h"
-#include "pause.h"
-#include "process.h"
 #include "runbook_executor.h"
+#include "signals.h"
 
 namespace corkward::programs {
 
@@ -20,137 +20,159 @@
 
 namespace {
 
+constexpr char const* defaultController = "127.0.0.1:9100";
+constexpr int maxIntervalSeconds = 600;
+/// The watch sleeps in slices, so that a signal ends it soon.
 constexpr int sliceMs = 250;
 constexpr int slicesPerSecond = 1000 / sliceMs;
-/// The duty is renewed once in so many slices.
+/// The singleton role is renewed once in so many slices.
 constexpr int slicesPerRenewal = 12;
 
-/// What the command line says.
+enum class ExitCode : int { ok = 0, stepFailed = 1, invalidUsage = 2 };
+
+/// The values of the command line.
 struct Options {
   std::vector<std::string> controllers;
-  std::vector<std::string> sets;
+  /// name=value for parameters of the runbook.
+  std::vector<std::string> parameters;
   std::vector<std::string> targets;
-  std::vector<std::string> words;
-  std::string account;
-  std::string rules;
-  int everySeconds = 5;
-  int rounds = 0;
-  int acts = 0;
+  /// File of the runbook.
+  std::vector<std::string> runbooks;
+  std::string accountFile;
+  std::string rulesFile;
+  int intervalSeconds = 5;
+  /// 0: no end.
+  int maxEvaluations = 0;
+  int maxExecutions = 0;
   bool check = false;
   bool dryRun = false;
-  bool yes = false;
+  bool assumeYes = false;
 };
 
-std::map<std::string, std::string> parametersOf(std::vector<std::string> const& words) {
+std::map<std::string, std::string> parseParameters(std::vector<std::string> const& texts) {
   std::map<std::string, std::string> out;
-  for (std::string const& w : words) {
-    std::size_t const eq = w.find('=');
-    if (eq == std::string::npos || eq == 0) throw UsageError("set: must be name=value, but is " + w);
-    out[w.substr(0, eq)] = w.substr(eq + 1);
+  for (std::string const& text : texts) {
+    std::size_t const equals = text.find('=');
+    if (equals == std::string::npos || equals == 0) throw UsageError("set: must be name=value, but is " + text);
+    out[text.substr(0, equals)] = text.substr(equals + 1);
   }
   return out;
 }
 
-po::options_description flagsOf(Options& o) {
-  po::options_description flags("Flags");
-  flags.add_options()("substation", po::value(&o.controllers)->default_value({"127.0.0.1:9100"}, "127.0.0.1:9100"),
-                      "address of a controller, ip:port; give all of them")(
-      "set", po::value(&o.sets), "name=value for a parameter of the runbook")(
-      "check", "check the runbook or the rules and exit")(
-      "dry-run", "say what each step would do; changes are only checked")("yes", "take every confirm step as done")(
-      "account", po::value(&o.account), "file that the account is added to")(
-      "rules", po::value(&o.rules), "watch with this rule file; its runbooks stand beside it")(
-      "target", po::value(&o.targets), "metrics page to watch, ip:port or zone=ip:port")(
-      "every", po::value(&o.everySeconds)->default_value(5), "seconds between two looks, 1 to 600")(
-      "rounds", po::value(&o.rounds)->default_value(0), "looks before the end; 0 for no end")(
-      "acts", po::value(&o.acts)->default_value(0), "runbooks carried out before the end; 0 for no end")(
-      "help", "print this and exit")("version", "print the version and exit");
-  return flags;
+po::options_description visibleOptions(Options& options) {
+  po::options_description out("Flags");
+  out.add_options()(former_names::controllerOption.current, po::value(&options.controllers),
+                    "address of a controller, ip:port (127.0.0.1:9100 when left out); give all of them")(
+      "set", po::value(&options.parameters), "name=value for a parameter of the runbook")(
+      "check", po::bool_switch(&options.check), "check the runbook or the rules and exit")(
+      "dry-run", po::bool_switch(&options.dryRun), "say what each step would do; changes are only checked")(
+      "yes", po::bool_switch(&options.assumeYes), "take every confirm step for done")(
+      "account", po::value(&options.accountFile), "file that the account is appended to")(
+      "rules", po::value(&options.rulesFile), "watch with this rule file; its runbooks stand beside it")(
+      "target", po::value(&options.targets), "metrics page to watch, ip:port or zone=ip:port")(
+      "every", po::value(&options.intervalSeconds)->default_value(options.intervalSeconds),
+      "seconds between two evaluations, 1 to 600")(
+      "rounds", po::value(&options.maxEvaluations)->default_value(options.maxEvaluations),
+      "evaluations before the end; 0 for no end")(
+      "acts", po::value(&options.maxExecutions)->default_value(options.maxExecutions),
+      "runbooks executed before the end; 0 for no end")("help", "print this and exit")("version",
+                                                                                       "print the version and exit");
+  return out;
+}
+
+void printHelp(po::options_description const& options) {
+  auto const& [former, current] = former_names::controllerOption;
+  std::cout << "corkward-runbook [flags] RUNBOOK\ncorkward-runbook [flags] --rules FILE --target ...\n\n"
+            << options << "\nFormer names, which are accepted as well: --" << former << " (--" << current << ")\n"
+            << "\nExit codes: 0 done, 1 a step failed and the rest was not done, 2 bad use and nothing done\n";
 }
 
-/// The options, or nothing when all that was wanted has been printed.
+/// Reads the command line. Throws po::error or UsageError.
+/// @return nothing when all that was wanted has been printed
 std::optional<Options> readOptions(int argc, char** argv) {
-  Options o;
-  po::options_description const flags = flagsOf(o);
+  Options options;
+  std::vector<std::string> formerControllers;
+  po::options_description const visible = visibleOptions(options);
   po::options_description hidden;
-  hidden.add_options()("runbook", po::value(&o.words));
+  hidden.add_options()("runbook", po::value(&options.runbooks))(former_names::controllerOption.former,
+                                                                po::value(&formerControllers));
   po::options_description all;
-  all.add(flags).add(hidden);
+  all.add(visible).add(hidden);
   po::positional_options_description positional;
   positional.add("runbook", -1);
-  po::variables_map vm;
-  po::store(po::command_line_parser(argc, argv).options(all).positional(positional).run(), vm);
-  po::notify(vm);
-  if (vm.count("help") > 0) {
-    std::cout << "corkward-runbook [flags] RUNBOOK\ncorkward-runbook [flags] --rules FILE --target ...\n\n"
-              << flags
-              << "\nExit codes: 0 done, 1 a step failed and the rest was not done, 2 bad use and nothing done\n";
+  po::variables_map values;
+  po::store(po::command_line_parser(argc, argv).options(all).positional(positional).run(), values);
+  po::notify(values);
+  if (values.count("help") > 0) {
+    printHelp(visible);
     return std::nullopt;
   }
-  if (vm.count("version") > 0) {
+  if (values.count("version") > 0) {
     std::cout << "corkward-runbook " << CORKWARD_VERSION << "\n";
     return std::nullopt;
   }
-  o.check = vm.count("check") > 0;
-  o.dryRun = vm.count("dry-run") > 0;
-  o.yes = vm.count("yes") > 0;
-  if (o.everySeconds < 1 || o.everySeconds > 600) throw UsageError("every: must be 1 to 600");
-  return o;
+  options.controllers.insert(options.controllers.end(), formerControllers.begin(), formerControllers.end());
+  if (options.controllers.empty()) options.controllers.emplace_back(defaultController);
+  if (options.intervalSeconds < 1 || options.intervalSeconds > maxIntervalSeconds)
+    throw UsageError("every: must be 1 to 600");
+  return options;
 }
 
-int watch(AlertWatcher& watcher, Options const& o) {
-  bool ending = false;
-  onTermination(QCoreApplication::instance(), [&ending] { ending = true; });
-  for (int round = 0; !ending && (o.rounds == 0 || round < o.rounds); ++round) {
-    watcher.look(o.targets);
-    if (o.acts > 0 && watcher.acted() >= o.acts) break;
-    for (int slice = 0; slice < slicesPerSecond * o.everySeconds && !ending; ++slice) {
-      if (slice % slicesPerRenewal == slicesPerRenewal - 1) watcher.keep();
+void watch(AlertWatcher& watcher, Options const& options) {
+  bool terminating = false;
+  onTermination(QCoreApplication::instance(), [&terminating] { terminating = true; });
+  int const slices = slicesPerSecond * options.intervalSeconds;
+  for (int round = 0; !terminating && (options.maxEvaluations == 0 || round < options.maxEvaluations); ++round) {
+    watcher.evaluate(options.targets);
+    if (options.maxExecutions > 0 && watcher.executedCount() >= options.maxExecutions) break;
+    for (int slice = 0; slice < slices && !terminating; ++slice) {
+      if (slice % slicesPerRenewal == slicesPerRenewal - 1) watcher.renewRole();
       pause(sliceMs);
     }
   }
-  watcher.leave();
-  return 0;
+  watcher.releaseRole();
 }
 
-int watchRules(Options const& o, RunbookExecutor& executor) {
-  if (!o.words.empty()) throw UsageError("a runbook and --rules exclude each other");
-  std::vector<alerting::Rule> const rules = alerting::readRules(readFile(o.rules));
-  std::size_t const slash = o.rules.rfind('/');
-  std::string const folder = slash == std::string::npos ? "." : o.rules.substr(0, slash);
-  for (alerting::Rule const& r : rules) runbook::readRunbook(readFile(pathInFolder(folder, r.runbook)), r.parameters);
-  if (o.check) {
+ExitCode watchRules(Options const& options, RunbookExecutor& executor) {
+  if (!options.runbooks.empty()) throw UsageError("a runbook and --rules exclude each other");
+  std::vector<alerting::Rule> const rules = alerting::readRules(readFile(options.rulesFile));
+  std::size_t const slash = options.rulesFile.rfind('/');
+  std::string const directory = slash == std::string::npos ? "." : options.rulesFile.substr(0, slash);
+  for (alerting::Rule const& rule : rules)
+    runbook::readRunbook(readFile(runbookPath(directory, rule.runbook)), rule.parameters);
+  if (options.check) {
     std::cout << rules.size() << " rules are valid\n";
-    return 0;
+    return ExitCode::ok;
   }
-  if (o.targets.empty()) throw UsageError("target: missing");
-  AlertWatcher watcher(o.controllers, executor, rules, folder);
-  return watch(watcher, o);
+  if (options.targets.empty()) throw UsageError("target: missing");
+  AlertWatcher watcher(options.controllers, executor, rules, directory);
+  watch(watcher, options);
+  return ExitCode::ok;
 }
 
-int carryOutOne(Options const& o, RunbookExecutor& executor) {
-  if (o.words.size() != 1) throw UsageError("one runbook is needed; see --help");
-  runbook::Runbook const book = runbook::readRunbook(readFile(o.words[0]), parametersOf(o.sets));
-  if (o.check) {
+ExitCode executeOne(Options const& options, RunbookExecutor& executor) {
+  if (options.runbooks.size() != 1) throw UsageError("one runbook is needed; see --help");
+  runbook::Runbook const book =
+      runbook::readRunbook(readFile(options.runbooks[0]), parseParameters(options.parameters));
+  if (options.check) {
     std::cout << book.name << ": " << book.steps.size() << " steps are valid\n";
-    return 0;
+    return ExitCode::ok;
   }
-  return executor.carryOut(book) ? 0 : 1;
+  return executor.execute(book) ? ExitCode::ok : ExitCode::stepFailed;
 }
 
-int runRunbook(int argc, char** argv) {
-  QCoreApplication const app(argc, argv);
+ExitCode run(int argc, char** argv) {
   try {
-    std::optional<Options> const o = readOptions(argc, argv);
-    if (!o) return 0;
-    RunbookExecutor executor(o->controllers, o->dryRun, o->yes, o->account);
-    return o->rules.empty() ? carryOutOne(*o, executor) : watchRules(*o, executor);
-  } catch (po::error const& e) {
-    std::cerr << "corkward-runbook: " << e.what() << "\n";
-  } catch (core::Error const& e) {
-    std::cerr << "corkward-runbook: " << e.what() << "\n";
+    std::optional<Options> const options = readOptions(argc, argv);
+    if (!options) return ExitCode::ok;
+    RunbookExecutor executor({options->controllers, options->dryRun, options->assumeYes, options->accountFile});
+    return options->rulesFile.empty() ? executeOne(*options, executor) : watchRules(*options, executor);
+  } catch (po::error const& error) {
+    std::cerr << "corkward-runbook: " << error.what() << "\n";
+  } catch (core::Error const& error) {
+    std::cerr << "corkward-runbook: " << error.what() << "\n";
   }
-  return 2;
+  return ExitCode::invalidUsage;
 }
 
 }  // namespace
@@ -158,5 +180,6 @@
 }  // namespace corkward::programs
 
 int main(int argc, char** argv) {
-  return corkward::programs::runRunbook(argc, argv);
+  QCoreApplication const application(argc, argv);
+  return static_cast<int>(corkward::programs::run(argc, argv));
 }
--- a/programs/runbook/runbook_executor.cpp
+++ b/programs/runbook/runbook_executor.cpp
@@ -5,170 +5,196 @@
 #include <iostream>
 #include <utility>
 
-#include <corkward/config/config.h>
 #include <corkward/core/json.h>
 
-#include "clock.h"
-#include "pause.h"
+#include "operator_paths.h"
 
 namespace corkward::programs {
 
 namespace {
 
-constexpr int pollMs = 250;
-constexpr int callSeconds = 15;
+using core::HttpMethod;
+
+constexpr int pollIntervalMs = 250;
+constexpr int callTimeoutSeconds = 15;
+constexpr core::Tick millisPerSecond = 1000;
+/// Bytes of a page's value that an account repeats.
+constexpr std::size_t maxShownValue = 200;
+
+core::Tick deadlineOf(runbook::Step const& step) {
+  return now() + step.limitSeconds * millisPerSecond;
+}
 
 }  // namespace
 
-bool RunbookExecutor::carryOut(runbook::Runbook const& book, std::string const& run) {
-  logEvent("runbook=" + book.name + " run=" + run + (dryRun_ ? " dry-run=yes" : "") +
-           " steps=" + std::to_string(book.steps.size()));
-  for (std::size_t i = 0; i < book.steps.size(); ++i) {
+bool RunbookExecutor::execute(runbook::Runbook const& book, std::string const& run) {
+  std::size_t const count = book.steps.size();
+  writeAccount("runbook=" + book.name + " run=" + run + (options_.dryRun ? " dry-run=yes" : "") +
+               " steps=" + std::to_string(count));
+  for (std::size_t i = 0; i < count; ++i) {
     runbook::Step const& step = book.steps[i];
-    StepOutcome const out =
-        may_ && !may_() ? StepOutcome{false, "the duty is no longer held"} : take(step, run + "-" + std::to_string(i));
-    logEvent("run=" + run + " step=" + std::to_string(i + 1) + " do=" + runbook::kindName(step.kind) + " name=\"" +
-             step.name + "\" outcome=" + (out.ok ? "done" : "failed") + " said=\"" + out.said + "\"");
-    if (!out.ok) {
-      logEvent("run=" + run + " stopped-at=" + std::to_string(i + 1) +
-               " not-done=" + std::to_string(book.steps.size() - i));
+    bool const mayGoOn = !mayGoOn_ || mayGoOn_();
+    StepOutcome const outcome =
+        mayGoOn ? executeStep(step, run + "-" + std::to_string(i)) : StepOutcome{false, "the duty is no longer held"};
+    writeStepAccount(run, i + 1, step, outcome);
+    if (!outcome.done) {
+      writeAccount("run=" + run + " stopped-at=" + std::to_string(i + 1) + " not-done=" + std::to_string(count - i));
       return false;
     }
   }
-  logEvent("run=" + run + " outcome=done");
+  writeAccount("run=" + run + " outcome=done");
   return true;
 }
 
-void RunbookExecutor::logEvent(std::string const& line) {
+void RunbookExecutor::writeStepAccount(std::string const& run, std::size_t number, runbook::Step const& step,
+                                       StepOutcome const& outcome) const {
+  writeAccount("run=" + run + " step=" + std::to_string(number) + " do=" + runbook::kindName(step.kind) + " name=\"" +
+               step.name + "\" outcome=" + (outcome.done ? "done" : "failed") + " said=\"" + outcome.detail + "\"");
+}
+
+void RunbookExecutor::writeAccount(std::string const& line) const {
   std::cout << line << std::endl;
-  if (account_.empty()) return;
-  QFile file(core::toQString(account_));
+  if (options_.accountFile.empty()) return;
+  QFile file(core::toQString(options_.accountFile));
   if (file.open(QIODevice::Append)) file.write(QByteArray::fromStdString(line + "\n"));
 }
 
-OperatorOutcome RunbookExecutor::call(OperatorCall const& c) {
-  return callOperator(controllers_, c, callSeconds);
+OperatorReply RunbookExecutor::call(OperatorCall const& call) const {
+  return callOperator(options_.controllers, call, callTimeoutSeconds);
 }
 
-StepOutcome RunbookExecutor::take(runbook::Step const& step, std::string const& changeId) {
+StepOutcome RunbookExecutor::executeStep(runbook::Step const& step, std::string const& changeId) {
+  auto const argument = [&](char const* name) { return step.words.at(name); };
+  auto const changeEvacuation = [&](HttpMethod method) {
+    return change({method, paths::ofEvacuation(argument("zone")), "", "", changeId, options_.dryRun}, step);
+  };
+  auto const changeTemplate = [&](HttpMethod method) {
+    return changeNewest(paths::ofTemplate(argument("template")), method, step, changeId);
+  };
+  auto const changeInstance = [&](HttpMethod method) {
+    return changeNewest(paths::ofTemplate(argument("template"), argument("instance")), method, step, changeId);
+  };
   switch (step.kind) {
     case runbook::Kind::evacuate:
-      return change({"PUT", "/v1/evacuations/" + config::addressPart(step.words.at("zone")), "", "", changeId, dryRun_},
-                    step);
+      return changeEvacuation(HttpMethod::put);
     case runbook::Kind::lift:
-      return change(
-          {"DELETE", "/v1/evacuations/" + config::addressPart(step.words.at("zone")), "", "", changeId, dryRun_}, step);
+      return changeEvacuation(HttpMethod::del);
     case runbook::Kind::putTemplate:
+      return changeTemplate(HttpMethod::put);
     case runbook::Kind::patchTemplate:
-      return onNewest("/v1/templates/" + step.words.at("template"), step.kind == runbook::Kind::putTemplate, step,
-                      changeId);
+      return changeTemplate(HttpMethod::patch);
     case runbook::Kind::putInstance:
+      return changeInstance(HttpMethod::put);
     case runbook::Kind::patchInstance:
-      return onNewest("/v1/templates/" + step.words.at("template") + "/instances/" + step.words.at("instance"),
-                      step.kind == runbook::Kind::putInstance, step, changeId);
+      return changeInstance(HttpMethod::patch);
     case runbook::Kind::wait:
-      return wait(step);
+      return waitForPage(step);
     case runbook::Kind::verify:
-      return verify(step.words.at("file"));
+      return verify(argument("file"));
     case runbook::Kind::save:
-      return save(step.words.at("file"));
+      return save(argument("file"));
     case runbook::Kind::confirm:
-      return confirm(step.words.at("say"));
+      return confirm(argument("say"));
   }
   return {};
 }
 
-StepOutcome RunbookExecutor::onNewest(std::string const& path, bool put, runbook::Step const& step,
-                                      std::string const& changeId) {
-  OperatorOutcome const before = call({"GET", "/v1/changes/" + changeId, "", "", "", false});
-  if (before.status == 200 || before.body.value("pending").toBool())
+StepOutcome RunbookExecutor::changeNewest(std::string const& path, HttpMethod method, runbook::Step const& step,
+                                          std::string const& changeId) {
+  OperatorReply const before = call({HttpMethod::get, paths::ofChange(changeId)});
+  if (before.is(core::HttpStatus::ok) || before.pending())
     return {true, "done before, revision " + std::to_string(before.body.value("stamp").toInteger())};
-  OperatorOutcome const now = call({"GET", path, "", "", "", false});
-  if (now.status != 200 && !(put && now.status == 404))
-    return {false, "reading it: status " + std::to_string(now.status)};
-  std::string const revision = now.status == 404 ? "0" : now.revision;
-  return change({put ? "PUT" : "PATCH", path, core::jsonText(step.body), revision, changeId, dryRun_}, step);
+  OperatorReply const current = call({HttpMethod::get, path});
+  bool const isNew = method == HttpMethod::put && current.is(core::HttpStatus::notFound);
+  if (!current.is(core::HttpStatus::ok) && !isNew)
+    return {false, "reading it: status " + std::to_string(current.status)};
+  std::string const revision = isNew ? "0" : current.revision;
+  return change({method, path, core::jsonText(step.body), revision, changeId, options_.dryRun}, step);
 }
 
-StepOutcome RunbookExecutor::change(OperatorCall const& c, runbook::Step const& step) {
-  core::Tick const until = now() + step.limitSeconds * 1000;
+StepOutcome RunbookExecutor::change(OperatorCall const& operatorCall, runbook::Step const& step) {
+  core::Tick const deadline = deadlineOf(step);
   for (;;) {
-    OperatorOutcome const out = call(c);
-    if (out.status == 200 || out.status == 201) return {true, "stamp " + out.revision};
-    bool const again = out.status == 0 || out.status == 503 || out.status == 504;
-    if (!again || now() >= until)
-      return {false, out.status == 0 ? "no answer: " + out.error
-                                     : "status " + std::to_string(out.status) + " " +
-                                           core::toStdString(out.body.value("reason").toString())};
-    pause(pollMs);
+    OperatorReply const reply = call(operatorCall);
+    if (reply.accepted()) return {true, "stamp " + reply.revision};
+    if (!reply.mayRetry() || now() >= deadline)
+      return {false, reply.answered() ? "status " + std::to_string(reply.status) + " " +
+                                            core::toStdString(reply.body.value("reason").toString())
+                                      : "no answer: " + reply.error};
+    pause(pollIntervalMs);
   }
 }
 
-StepOutcome RunbookExecutor::wait(runbook::Step const& step) {
-  if (dryRun_) return {true, "would wait"};
-  core::Tick const until = now() + step.limitSeconds * 1000;
-  std::string seen = "nothing";
+StepOutcome RunbookExecutor::waitForPage(runbook::Step const& step) {
+  if (options_.dryRun) return {true, "would wait"};
+  core::Tick const deadline = deadlineOf(step);
+  std::string lastSeen = "nothing";
   for (;;) {
-    OperatorOutcome const out = call({"GET", step.words.at("page"), "", "", "", false});
-    if (out.status == 200) {
-      runbook::Expectation const e = runbook::meets(out.body, step.expect);
-      if (e.met) return {true, "as expected"};
-      seen = e.seen.substr(0, 200);
+    OperatorReply const page = call({HttpMethod::get, step.words.at("page")});
+    if (page.is(core::HttpStatus::ok)) {
+      runbook::Expectation const expectation = runbook::meets(page.body, step.expect);
+      if (expectation.met) return {true, "as expected"};
+      lastSeen = expectation.seen.substr(0, maxShownValue);
     }
-    if (now() >= until) return {false, "not in " + std::to_string(step.limitSeconds) + " s; last seen " + seen};
-    pause(pollMs);
+    if (now() >= deadline) return {false, "not in " + std::to_string(step.limitSeconds) + " s; last seen " + lastSeen};
+    pause(pollIntervalMs);
   }
 }
 
-std::optional<QJsonObject> RunbookExecutor::readAll() {
-  OperatorOutcome const names = call({"GET", "/v1/templates", "", "", "", false});
-  if (names.status != 200) return std::nullopt;
-  QJsonObject all;
-  for (QJsonValue const n : names.body.value("templates").toArray()) {
-    std::string const path = "/v1/templates/" + core::toStdString(n.toString());
-    OperatorOutcome const t = call({"GET", path, "", "", "", false});
-    if (t.status != 200) return std::nullopt;
-    QJsonObject instances;
-    for (QJsonValue const i : t.body.value("instances").toArray()) {
-      OperatorOutcome const one =
-          call({"GET", path + "/instances/" + core::toStdString(i.toString()), "", "", "", false});
-      if (one.status != 200) return std::nullopt;
-      instances.insert(i.toString(), one.body);
-    }
-    all.insert(n.toString(),
-               QJsonObject{{"spec", t.body.value("spec")}, {"stamp", t.body.value("stamp")}, {"instances", instances}});
+std::optional<QJsonObject> RunbookExecutor::readTemplate(std::string const& name) const {
+  OperatorReply const reply = call({HttpMethod::get, paths::ofTemplate(name)});
+  if (!reply.is(core::HttpStatus::ok)) return std::nullopt;
+  QJsonObject instances;
+  for (QJsonValue const instance : reply.body.value("instances").toArray()) {
+    OperatorReply const page = call({HttpMethod::get, paths::ofTemplate(name, core::toStdString(instance.toString()))});
+    if (!page.is(core::HttpStatus::ok)) return std::nullopt;
+    instances.insert(instance.toString(), page.body);
+  }
+  return QJsonObject{
+      {"spec", reply.body.value("spec")}, {"stamp", reply.body.value("stamp")}, {"instances", instances}};
+}
+
+std::optional<QJsonObject> RunbookExecutor::readTemplates() const {
+  OperatorReply const names = call({HttpMethod::get, paths::templates});
+  if (!names.is(core::HttpStatus::ok)) return std::nullopt;
+  QJsonObject out;
+  for (QJsonValue const name : names.body.value("templates").toArray()) {
+    std::optional<QJsonObject> const entry = readTemplate(core::toStdString(name.toString()));
+    if (!entry) return std::nullopt;
+    out.insert(name.toString(), *entry);
   }
-  return all;
+  return out;
 }
 
-StepOutcome RunbookExecutor::save(std::string const& path) {
-  std::optional<QJsonObject> const all = readAll();
-  if (!all) return {false, "the configuration could not be read"};
-  if (dryRun_) return {true, "would write " + path};
+StepOutcome RunbookExecutor::save(std::string const& path) const {
+  std::optional<QJsonObject> const templates = readTemplates();
+  if (!templates) return {false, "the configuration could not be read"};
+  if (options_.dryRun) return {true, "would write " + path};
   QFile file(core::toQString(path));
   if (!file.open(QIODevice::WriteOnly)) return {false, "cannot write " + path};
-  file.write(QByteArray::fromStdString(core::jsonText(*all) + "\n"));
-  return {true, std::to_string(all->size()) + " templates"};
+  file.write(QByteArray::fromStdString(core::jsonText(*templates) + "\n"));
+  return {true, std::to_string(templates->size()) + " templates"};
 }
 
-StepOutcome RunbookExecutor::verify(std::string const& path) {
-  std::optional<QJsonObject> const all = readAll();
-  if (!all) return {false, "the configuration could not be read"};
+StepOutcome RunbookExecutor::verify(std::string const& path) const {
+  std::optional<QJsonObject> const templates = readTemplates();
+  if (!templates) return {false, "the configuration could not be read"};
   QJsonValue const saved = core::parseJson(readFile(path));
-  if (saved == QJsonValue(*all)) return {true, "as saved"};
-  for (QString const& k : saved.toObject().keys())
-    if (saved.toObject().value(k) != all->value(k))
-      return {false, "template " + core::toStdString(k) + " differs from " + path};
+  if (saved == QJsonValue(*templates)) return {true, "as saved"};
+  for (QString const& name : saved.toObject().keys())
+    if (saved.toObject().value(name) != templates->value(name))
+      return {false, "template " + core::toStdString(name) + " differs from " + path};
   return {false, "there are templates that " + path + " does not have"};
 }
 
-StepOutcome RunbookExecutor::confirm(std::string const& say) {
-  if (dryRun_) return {true, "would ask: " + say};
-  if (yes_) return {true, "taken as done: " + say};
-  std::cout << say << "\nDone? (yes/no) " << std::flush;
+StepOutcome RunbookExecutor::confirm(std::string const& prompt) const {
+  if (options_.dryRun) return {true, "would ask: " + prompt};
+  if (options_.assumeYes) return {true, "taken as done: " + prompt};
+  std::cout << prompt << "\nDone? (yes/no) " << std::flush;
   std::string line;
   std::getline(std::cin, line);
-  return {line == "yes", line == "yes" ? "confirmed" : "not confirmed"};
+  bool const confirmed = line == "yes";
+  return {confirmed, confirmed ? "confirmed" : "not confirmed"};
 }
 
 }  // namespace corkward::programs
--- a/programs/runbook/runbook_executor.h
+++ b/programs/runbook/runbook_executor.h
@@ -1,7 +1,5 @@
 #pragma once
 
-/// Runbooks are carried out here: one step after the other, by the operator interface alone.
-
 #include <QJsonObject>
 #include <functional>
 #include <optional>
@@ -15,45 +13,58 @@
 
 namespace corkward::programs {
 
-/// What became of one step.
+/// Outcome of one step.
 struct StepOutcome {
-  bool ok = false;
-  std::string said;
+  bool done = false;
+  /// For the account of the run.
+  std::string detail;
+};
+
+/// Options of all runs of an executor.
+struct ExecutorOptions {
+  std::vector<std::string> controllers;
+  /// Only check the changes and say what would be done.
+  bool dryRun = false;
+  /// Take confirm steps for done without a prompt.
+  bool assumeYes = false;
+  /// File that each line of the account is appended to; empty: none. The lines are printed in any case.
+  std::string accountFile;
 };
 
-/// Carries out checked runbooks, by the operator interface alone.
+/// Executes runbooks, one step after the other, by the operator interface alone.
 class RunbookExecutor {
  public:
-  /// The account is the file that each line of the run is added to; empty: none.
-  RunbookExecutor(std::vector<std::string> controllers, bool dryRun, bool yes, std::string account)
-      : controllers_(std::move(controllers)), dryRun_(dryRun), yes_(yes), account_(std::move(account)) {}
+  explicit RunbookExecutor(ExecutorOptions options) : options_(std::move(options)) {}
 
-  /// Asked before each step; a false one ends the run.
-  void guard(std::function<bool()> may) { may_ = std::move(may); }
+  /// Called before each step; when it returns false the run ends there.
+  void setGuard(std::function<bool()> mayGoOn) { mayGoOn_ = std::move(mayGoOn); }
 
-  /// True when every step was done. Steps of one run name have the same change ids, so what was done is not done again.
-  bool carryOut(runbook::Runbook const& book, std::string const& run = freshName());
+  /// Executes the steps up to the first that fails. Steps of runs with the same name have the same change ids, so a
+  /// change that was made before is not made again.
+  /// @return whether every step was done
+  bool execute(runbook::Runbook const& book, std::string const& run = randomId());
 
  private:
-  void logEvent(std::string const& line);
-  OperatorOutcome call(OperatorCall const& c);
-  StepOutcome take(runbook::Step const& step, std::string const& changeId);
-  /// Puts or patches on the newest revision, unless a change of this id was taken before.
-  StepOutcome onNewest(std::string const& path, bool put, runbook::Step const& step, std::string const& changeId);
-  /// Sends a change until there is a clear answer or the step's limit is over.
-  StepOutcome change(OperatorCall const& c, runbook::Step const& step);
-  StepOutcome wait(runbook::Step const& step);
-  /// All templates and instances as they stand; nothing when one of them could not be read.
-  std::optional<QJsonObject> readAll();
-  StepOutcome save(std::string const& path);
-  StepOutcome verify(std::string const& path);
-  StepOutcome confirm(std::string const& say);
-
-  std::vector<std::string> controllers_;
-  bool dryRun_;
-  bool yes_;
-  std::string account_;
-  std::function<bool()> may_;
+  void writeAccount(std::string const& line) const;
+  void writeStepAccount(std::string const& run, std::size_t number, runbook::Step const& step,
+                        StepOutcome const& outcome) const;
+  OperatorReply call(OperatorCall const& call) const;
+  StepOutcome executeStep(runbook::Step const& step, std::string const& changeId);
+  /// Puts or patches on the newest revision, unless a change of this id was made before.
+  StepOutcome changeNewest(std::string const& path, core::HttpMethod method, runbook::Step const& step,
+                           std::string const& changeId);
+  /// Retries a change until its outcome is final or the step's time is over.
+  StepOutcome change(OperatorCall const& call, runbook::Step const& step);
+  StepOutcome waitForPage(runbook::Step const& step);
+  /// All templates with their instances; nothing when one of them could not be read.
+  std::optional<QJsonObject> readTemplates() const;
+  std::optional<QJsonObject> readTemplate(std::string const& name) const;
+  StepOutcome save(std::string const& path) const;
+  StepOutcome verify(std::string const& path) const;
+  StepOutcome confirm(std::string const& prompt) const;
+
+  ExecutorOptions options_;
+  std::function<bool()> mayGoOn_;
 };
 
 }  // namespace corkward::programs
--- a/programs/runbook/singleton_role_client.cpp
+++ b/programs/runbook/singleton_role_client.cpp
@@ -1,69 +1,87 @@
 #include "singleton_role_client.h"
 
 #include <QJsonArray>
+#include <algorithm>
+#include <utility>
 
 #include <corkward/core/json.h>
 
 #include "clock.h"
+#include "operator_paths.h"
 
 namespace corkward::programs {
 
 namespace {
 
-/// Shorter than the controllers' own count by more than clocks may differ.
-constexpr core::Tick leaseHere = 12000;
-constexpr int askSeconds = 1;
+/// Milliseconds; shorter than the controllers' own count by more than clocks may differ.
+constexpr core::Tick leaseDuration = 12000;
+constexpr int requestTimeoutSeconds = 1;
+
+std::set<std::string> textsOf(QJsonValue const& list) {
+  std::set<std::string> out;
+  for (QJsonValue const item : list.toArray()) out.insert(core::toStdString(item.toString()));
+  return out;
+}
+
+std::uint64_t numberOf(QJsonValue const& value) {
+  return static_cast<std::uint64_t>(value.toInteger());
+}
 
 }  // namespace
 
-SingletonRoleClient::SingletonRoleClient(std::vector<std::string> controllers, std::string name, std::string who)
-    : controllers_(std::move(controllers)), name_(std::move(name)), who_(std::move(who)) {}
+SingletonRoleClient::SingletonRoleClient(std::vector<std::string> controllers, std::string role, std::string holder)
+    : controllers_(std::move(controllers)), role_(std::move(role)), holder_(std::move(holder)) {}
+
+OperatorReply SingletonRoleClient::call(std::string const& controller, core::HttpMethod method,
+                                        std::string const& successor) const {
+  QJsonObject const body{{"holder", core::toQString(holder_)}, {"successor", core::toQString(successor)}};
+  return callOperator({controller}, {method, paths::ofSingletonRole(role_), core::jsonText(body)},
+                      requestTimeoutSeconds);
+}
+
+void SingletonRoleClient::Votes::add(QJsonObject const& page) {
+  std::uint64_t const revision = numberOf(page.value("cohortStamp"));
+  if (members.empty() || revision > membersRevision) {
+    membersRevision = revision;
+    members = textsOf(page.value("cohort"));
+  }
+  if (!page.value("granted").toBool()) return;
+  grantedBy.insert(core::toStdString(page.value("member").toString()));
+  term = std::max(term, numberOf(page.value("epoch")));
+}
 
-OperatorOutcome SingletonRoleClient::ask(std::string const& controller, char const* method,
-                                         std::string const& successor) const {
-  QJsonObject const body{{"holder", core::toQString(who_)}, {"successor", core::toQString(successor)}};
-  return callOperator({controller}, {method, "/v1/duties/" + name_, core::jsonText(body), "", "", false}, askSeconds);
+bool SingletonRoleClient::Votes::isMajority() const {
+  auto const granted = [&](std::string const& member) { return grantedBy.count(member) > 0; };
+  auto const votes = static_cast<std::size_t>(std::count_if(members.begin(), members.end(), granted));
+  return !members.empty() && votes >= members.size() / 2 + 1;
 }
 
-bool SingletonRoleClient::held() const {
-  return now() < until_;
+bool SingletonRoleClient::isHeld() const {
+  return now() < expiresAt_;
 }
 
 bool SingletonRoleClient::renew() {
-  core::Tick const asked = now();
-  std::set<std::string> yes;
-  std::set<std::string> membership;
-  std::uint64_t newest = 0;
-  std::uint64_t term = 0;
-  waiting_.clear();
-  for (std::string const& s : controllers_) {
-    OperatorOutcome const out = ask(s, "PUT", "");
-    if (out.status != 200) continue;
-    std::uint64_t const revision = static_cast<std::uint64_t>(out.body.value("cohortStamp").toInteger());
-    if (membership.empty() || revision > newest) {
-      newest = revision;
-      membership.clear();
-      for (QJsonValue const v : out.body.value("cohort").toArray()) membership.insert(core::toStdString(v.toString()));
-    }
-    for (QJsonValue const v : out.body.value("waiting").toArray()) waiting_.insert(core::toStdString(v.toString()));
-    if (!out.body.value("granted").toBool()) continue;
-    yes.insert(core::toStdString(out.body.value("member").toString()));
-    term = std::max(term, static_cast<std::uint64_t>(out.body.value("epoch").toInteger()));
+  core::Tick const requestedAt = now();
+  Votes votes;
+  contenders_.clear();
+  for (std::string const& controller : controllers_) {
+    OperatorReply const reply = call(controller, core::HttpMethod::put, "");
+    if (!reply.is(core::HttpStatus::ok)) continue;
+    votes.add(reply.body);
+    contenders_.merge(textsOf(reply.body.value("waiting")));
   }
-  std::size_t n = 0;
-  for (std::string const& member : membership) n += yes.count(member);
-  if (!membership.empty() && n >= membership.size() / 2 + 1) {
-    until_ = asked + leaseHere;
-    term_ = term;
+  if (votes.isMajority()) {
+    expiresAt_ = requestedAt + leaseDuration;
+    term_ = votes.term;
   }
-  return held();
+  return isHeld();
 }
 
 void SingletonRoleClient::release() {
-  if (!held()) return;
-  until_ = 0;
-  std::string const successor = waiting_.empty() ? "" : *waiting_.begin();
-  for (std::string const& s : controllers_) ask(s, "DELETE", successor);
+  if (!isHeld()) return;
+  expiresAt_ = 0;
+  std::string const successor = contenders_.empty() ? "" : *contenders_.begin();
+  for (std::string const& controller : controllers_) call(controller, core::HttpMethod::del, successor);
 }
 
 }  // namespace corkward::programs
--- a/programs/runbook/singleton_role_client.h
+++ b/programs/runbook/singleton_role_client.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <functional>
+#include <cstdint>
 #include <set>
 #include <string>
 #include <vector>
@@ -11,26 +11,47 @@
 
 namespace corkward::programs {
 
-/// A duty that one of several processes does at a time: a lease that a majority of the disks' members grants, under a
-/// rising epoch. Counted from before it was asked for, so it is over here before any member takes it for over.
+/// Competes for a role that one process holds at a time, as a lease granted by a majority of the controllers with a
+/// disk. Terms rise with each holder (a fencing token). The lease counts from before it was requested, so it ends here
+/// before any controller takes it for ended.
 class SingletonRoleClient {
  public:
-  SingletonRoleClient(std::vector<std::string> controllers, std::string name, std::string who);
-  /// Asks for the lease, or for more of it. True while this process has it.
+  /// @param controllers all of them, ip:port: the lease needs a majority
+  /// @param role name of the role
+  /// @param holder random id of this process
+  SingletonRoleClient(std::vector<std::string> controllers, std::string role, std::string holder);
+  /// Requests the lease, or its extension.
+  /// @return whether this process holds it
   bool renew();
-  bool held() const;
+  bool isHeld() const;
+  /// Term of the lease that was granted last.
   std::uint64_t term() const { return term_; }
-  /// Gives it up to one of those that wait.
+  /// Hands the lease to one of the contenders.
   void release();
 
  private:
-  OperatorOutcome ask(std::string const& controller, char const* method, std::string const& successor) const;
+  /// What the controllers answered to one request for the lease.
+  struct Votes {
+    std::set<std::string> grantedBy;
+    /// Members by the newest membership that was seen, and its revision.
+    std::set<std::string> members;
+    std::uint64_t membersRevision = 0;
+    std::uint64_t term = 0;
+
+    void add(QJsonObject const& page);
+    bool isMajority() const;
+  };
+
+  OperatorReply call(std::string const& controller, core::HttpMethod method, std::string const& successor) const;
+
   std::vector<std::string> controllers_;
-  std::string name_;
-  std::string who_;
-  core::Tick until_ = 0;
+  std::string role_;
+  std::string holder_;
+  /// End of the lease by the boot clock; 0: not held.
+  core::Tick expiresAt_ = 0;
   std::uint64_t term_ = 0;
-  std::set<std::string> waiting_;
+  /// Others that requested the role, by the newest answers.
+  std::set<std::string> contenders_;
 };
 
 }  // namespace corkward::programs
--- a/programs/test/clock_test.cpp
+++ b/programs/test/signals_test.cpp
@@ -7,7 +7,7 @@
 #include <unistd.h>
 #include <vector>
 
-#include "clock.h"
+#include "signals.h"
 
 namespace programs = corkward::programs;
 
@@ -18,16 +18,16 @@
   static QCoreApplication app(argc, nullptr);
 }
 
-bool open(int descriptor) {
+bool isOpen(int descriptor) {
   return ::fcntl(descriptor, F_GETFD) >= 0;
 }
 
 }  // namespace
 
-TEST_CASE("owners of signal handlers that come and go in one process close no descriptor but their own") {
+TEST_CASE("owners of signal handlers that come and go in one process close only their own descriptors") {
   application();
-  bool const held = GENERATE(false, true);
-  if (held) programs::holdReloads();
+  bool const deferred = GENERATE(false, true);
+  if (deferred) programs::deferReloads();
   std::unique_ptr<QObject> first = std::make_unique<QObject>();
   std::unique_ptr<QObject> second = std::make_unique<QObject>();
   for (QObject* const owner : {first.get(), second.get()}) {
@@ -35,17 +35,17 @@
     programs::onReload(owner, [] {});
   }
   first.reset();
-  // Takes the numbers that the first owner's pipes had.
+  // Reuse the numbers of the first owner's descriptors.
   std::vector<int> others;
   for (int i = 0; i < 8; ++i) others.push_back(::dup(STDERR_FILENO));
   second.reset();
-  for (int const other : others) CHECK(open(other));
+  for (int const other : others) CHECK(isOpen(other));
   for (int const other : others) ::close(other);
 }
 
-TEST_CASE("a reload that comes before there is an owner is told to it, once") {
+TEST_CASE("a reload signal that arrives before its handler is delivered to it, once") {
   application();
-  programs::holdReloads();
+  programs::deferReloads();
   REQUIRE(::raise(SIGHUP) == 0);
   int reloads = 0;
   QObject owner;
--- a/testing/fleet/fleet.cpp
+++ b/testing/fleet/fleet.cpp
@@ -20,7 +20,7 @@
 namespace corkward::testing {
 
 Fleet::Fleet(Deployment const& deployment) : deployment_(deployment) {
-  core::RandomGenerator rng(programs::freshSeed());
+  core::RandomGenerator rng(programs::randomSeed());
   net_ = "127." + std::to_string(10 + rng.below(200)) + "." + std::to_string(1 + rng.below(250)) + ".";
   int machine = 0;
   for (int i = 0; i < deployment.disks; ++i) {
--- a/testing/fuzz/main.cpp
+++ b/testing/fuzz/main.cpp
@@ -86,10 +86,10 @@
 }  // namespace corkward::fuzz
 
 int main(int argc, char** argv) {
-  corkward::programs::chooseEventLoop();
+  corkward::programs::selectQtEventLoop();
   QCoreApplication app(argc, argv);
   try {
-    corkward::core::startLog("fuzz", "", "error");
+    corkward::core::startLog("fuzz", "", corkward::core::LogLevel::error);
     return corkward::fuzz::run(argc, argv);
   } catch (boost::program_options::error const& e) {
     std::cerr << "corkward-fuzz: " << e.what() << "\n";
--- a/testing/fuzz/scene.cpp
+++ b/testing/fuzz/scene.cpp
@@ -47,8 +47,8 @@
   programs::RouterSurface s;
   s.limits.named = false;
   s.limits.faultFields = {};
-  s.kept = http::KeepAlivePolicy{8, 1000, 250};
-  s.ownPages = false;
+  s.keepAlive = http::KeepAlivePolicy{8, 1000, 250};
+  s.standardEndpoints = false;
   s.seed = seed;
   return s;
 }
--- a/testing/replica/main.cpp
+++ b/testing/replica/main.cpp
@@ -35,7 +35,7 @@
 
   explicit Replica(Ways const& ways)
       : ways_(ways),
-        name_(programs::freshName().substr(0, 8)),
+        name_(programs::randomId().substr(0, 8)),
         record_(ways.record, std::ios::app),
         server_(ways.http, http::ServerLimits{}, events()) {
     write("up", "", "", "");
--- a/testing/test/fleet_test.cpp
+++ b/testing/test/fleet_test.cpp
@@ -437,7 +437,7 @@
   bringUp(fleet);
   std::vector<std::string> subs;
   for (testing::Node const& n : fleet.controllers()) {
-    subs.push_back("--substation");
+    subs.push_back("--controller");
     subs.push_back(n.http);
   }
   std::function<testing::Fleet::Tool(std::string, std::vector<std::string>, std::string)> const run =
@@ -453,41 +453,44 @@
         return out;
       };
   CHECK(run("corkward", {"templates"}, "").out.find("fault-desk") != std::string::npos);
-  CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "0", "--dry-run"},
+  CHECK(run("corkward", {"template-put", "neu", "-", "--revision", "0", "--dry-run"},
             R"({"paths":[{"path":"a","pool":"model","class":"short"}]})")
             .code == 0);
   CHECK(run("corkward", {"template-get", "neu"}, "").code == 3);
-  CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "0"},
+  CHECK(run("corkward", {"template-put", "neu", "-", "--revision", "0"},
             R"({"paths":[{"path":"a","pool":"model","class":"short"}]})")
             .code == 0);
-  CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "0"},
+  CHECK(run("corkward", {"template-put", "neu", "-", "--revision", "0"},
             R"({"paths":[{"path":"a","pool":"model","class":"short"}]})")
             .code == 4);
-  CHECK(run("corkward", {"template-put", "neu", "-", "--stamp", "1"}, "{").code == 3);
+  CHECK(run("corkward", {"template-put", "neu", "-", "--revision", "1"}, "{").code == 3);
   CHECK(run("corkward", {"dance"}, "").code == 2);
-  CHECK(fleet.tool("corkward", {"fleet", "--substation", "127.0.0.1:1"}).code == 7);
+  CHECK(fleet.tool("corkward", {"fleet", "--controller", "127.0.0.1:1"}).code == 7);
   testing::Fleet::Tool const asJson = run("corkward", {"template-get", "neu", "--json"}, "");
   CHECK(core::parseJson(asJson.out).toObject().value("stamp").toInteger() == 1);
 
   std::string const whole = CORKWARD_SOURCE "/examples/configuration.json";
-  CHECK(run("corkward", {"blueprint-get"}, "").code == 3);
-  CHECK(run("corkward", {"blueprint-put", whole, "--stamp", "0", "--dry-run"}, "").code == 0);
-  CHECK(run("corkward", {"blueprint-get"}, "").code == 3);
-  CHECK(run("corkward", {"blueprint-put", whole}, "").code == 3);
-  CHECK(run("corkward", {"blueprint-put", whole, "--stamp", "0"}, "").code == 0);
-  CHECK(run("corkward", {"blueprint-put", whole, "--stamp", "4"}, "").out.find("replayed") != std::string::npos);
-  CHECK(run("corkward", {"blueprint-patch", "-", "--stamp", "0"}, R"({"version":9})").code == 4);
-  CHECK(run("corkward", {"blueprint-patch", "-", "--stamp", "7"}, R"({"version":9,"drop":{"pools":["model"]}})").code ==
-        3);
-  CHECK(run("corkward", {"blueprint-patch", "-", "--stamp", "7"}, R"({"version":9,"drop":{"paths":["pitch"]}})").code ==
-        0);
-  QJsonObject const read = core::parseJson(run("corkward", {"blueprint-get", "--json"}, "").out).toObject();
+  CHECK(run("corkward", {"fleet-configuration-get"}, "").code == 3);
+  CHECK(run("corkward", {"fleet-configuration-put", whole, "--revision", "0", "--dry-run"}, "").code == 0);
+  CHECK(run("corkward", {"fleet-configuration-get"}, "").code == 3);
+  CHECK(run("corkward", {"fleet-configuration-put", whole}, "").code == 3);
+  CHECK(run("corkward", {"fleet-configuration-put", whole, "--revision", "0"}, "").code == 0);
+  CHECK(run("corkward", {"fleet-configuration-put", whole, "--revision", "4"}, "").out.find("replayed") !=
+        std::string::npos);
+  CHECK(run("corkward", {"fleet-configuration-patch", "-", "--revision", "0"}, R"({"version":9})").code == 4);
+  CHECK(run("corkward", {"fleet-configuration-patch", "-", "--revision", "7"},
+            R"({"version":9,"drop":{"pools":["model"]}})")
+            .code == 3);
+  CHECK(run("corkward", {"fleet-configuration-patch", "-", "--revision", "7"},
+            R"({"version":9,"drop":{"paths":["pitch"]}})")
+            .code == 0);
+  QJsonObject const read = core::parseJson(run("corkward", {"fleet-configuration-get", "--json"}, "").out).toObject();
   CHECK((read.value("stamp").toInteger() == 9 && read.value("body").toObject().value("version").toInteger() == 9));
   CHECK(read.value("body").toObject().value("spec").toObject().value("paths").toArray().size() == 1);
   QJsonObject large = read.value("body").toObject().value("spec").toObject();
   large.insert("version", 10);
   large.insert("extra", QJsonObject{{"text", QString(3 << 20, 'x')}});
-  CHECK(run("corkward", {"blueprint-put", "-", "--stamp", "9"}, core::jsonText(large)).code == 0);
+  CHECK(run("corkward", {"fleet-configuration-put", "-", "--revision", "9"}, core::jsonText(large)).code == 0);
 
   std::string const books = CORKWARD_SOURCE "/examples/runbooks/";
   CHECK(run("corkward-runbook", {books + "evacuate-zone.json"}, "").code == 2);
@@ -504,7 +507,7 @@
   CHECK(run("corkward-runbook",
             {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "")
             .code == 0);
-  CHECK(run("corkward", {"template-delete", "neu", "--stamp", "1"}, "").code == 0);
+  CHECK(run("corkward", {"template-delete", "neu", "--revision", "1"}, "").code == 0);
   testing::Fleet::Tool const differs =
       run("corkward-runbook",
           {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "");
@@ -587,7 +590,7 @@
   testing::Node next;
   next.name = "second-watch";
   next.program = CORKWARD_BIN "/programs/corkward-runbook";
-  for (testing::Node const& s : fleet.controllers()) next.flags += {"--substation", core::toQString(s.http)};
+  for (testing::Node const& s : fleet.controllers()) next.flags += {"--controller", core::toQString(s.http)};
   next.flags += {"--rules",  core::toQString(fleet.folder() + "/quick.yml"),
                  "--target", core::toQString("z2=" + lost.http),
                  "--every",  "1"};
--- a/testing/test/fuzz_test.cpp
+++ b/testing/test/fuzz_test.cpp
@@ -24,10 +24,10 @@
 
 void application() {
   static int argc = 0;
-  corkward::programs::chooseEventLoop();
+  corkward::programs::selectQtEventLoop();
   static QCoreApplication app(argc, nullptr);
   static bool const quiet = [] {
-    corkward::core::startLog("fuzz", "", "error");
+    corkward::core::startLog("fuzz", "", corkward::core::LogLevel::error);
     return true;
   }();
   static_cast<void>(quiet);
