--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -41,7 +41,7 @@
   out.poolKnown = [this](std::string const& pool) {
     return wholePools_.count(pool) > 0 || registers_.committed().count("pool:" + pool) > 0;
   };
-  out.poolUnsure = [this](std::string const& pool) {
+  out.poolUnconfirmed = [this](std::string const& pool) {
     bool const wholeUnsure = registers_.committed().count(config::fleetConfigurationKey) == 0 &&
                              registers_.mayHaveAcceptedValue(config::fleetConfigurationKey);
     return wholeUnsure || registers_.mayHaveAcceptedValue("pool:" + pool);
@@ -189,7 +189,7 @@
   bool const known = call.method == "GET" || call.method == "PUT" || (call.method == "DELETE" && !pool && !whole) ||
                      (call.method == "PATCH" && patched);
   bool const node = target && target->key == rosterKey;
-  if (!target || (node && (target->instance.empty() || call.method != "DELETE"))) {
+  if (!target || (node && (target->entry.empty() || call.method != "DELETE"))) {
     out.responses.push_back(OperatorResponse{call.token, 404, {{"error", "not found"}, {"reason", "no such page"}}});
   } else if (!known) {
     out.responses.push_back(OperatorResponse{call.token, 405, {{"error", "method not allowed"}}});
--- a/control/src/guarantee_checks.cpp
+++ b/control/src/guarantee_checks.cpp
@@ -43,9 +43,9 @@
   bool const ofFamily = !target.templateName.empty();
   if (!ofFamily) return it->second.revision;
   QJsonObject const& family = it->second.value;
-  QJsonValue const row = target.instance.empty()
+  QJsonValue const row = target.entry.empty()
                              ? family.value("template")
-                             : family.value("instances").toObject().value(core::toQString(target.instance));
+                             : family.value("instances").toObject().value(core::toQString(target.entry));
   return static_cast<std::uint64_t>(row.toObject().value("stamp").toInteger());
 }
 
--- a/control/src/internal.h
+++ b/control/src/internal.h
@@ -7,10 +7,11 @@
 #include <corkward/control/controller.h>
 #include <corkward/core/json.h>
 
+#include "call_method.h"
+#include "keys.h"
+
 namespace corkward::control {
 
-inline constexpr char const* rosterKey = "roster";
-inline constexpr char const* rosterMethod = "ROSTER";
 inline constexpr char const* templatesPath = "/v1/templates";
 inline constexpr std::string_view changesPage = "/v1/changes/";
 /// Calls that a controller has in hand at the most.
@@ -32,8 +33,4 @@
   return {{"error", "not confirmed"}, {"reason", "this controller is not in touch with a majority"}};
 }
 
-inline bool isChange(std::string const& method) {
-  return method == "PUT" || method == "PATCH" || method == "DELETE";
-}
-
 }  // namespace corkward::control
--- a/control/test/golden_pages_test.cpp
+++ b/control/test/golden_pages_test.cpp
@@ -766,7 +766,7 @@
   std::string text;
   auto const ask = [&text](std::string const& method, std::string const& path, std::string const& key,
                            std::uint64_t revision, QJsonObject const& value, std::string const& body,
-                           std::string const& ifMatch, bool poolUnsure = false) {
+                           std::string const& ifMatch, bool poolUnconfirmed = false) {
     transport::OperatorCall call;
     call.method = method;
     call.path = path;
@@ -775,7 +775,7 @@
     call.changeId = "c";
     control::ClusterView around;
     around.poolKnown = [](std::string const&) { return false; };
-    around.poolUnsure = [poolUnsure](std::string const&) { return poolUnsure; };
+    around.poolUnconfirmed = [poolUnconfirmed](std::string const&) { return poolUnconfirmed; };
     around.regimeFault = [](config::Regimes const&, std::string const&, std::string const&) {
       return std::optional<config::RegimeFault>();
     };
