--- a/programs/test/golden_settings_test.cpp
+++ b/programs/test/golden_settings_test.cpp
@@ -30,7 +30,8 @@
       << "\n  zone = " << settings.zone << "\n  seeds =" << listText(settings.seeds) << "\n  data = " << settings.data
       << "\n  founders =" << listText(settings.founders) << "\n  audit = " << settings.audit
       << "\n  audit megabytes = " << settings.auditMegabytes << "\n  log file = " << settings.logFile
-      << "\n  log level = " << settings.logLevel << "\n  drain limit = " << settings.drainLimitMs << "\n";
+      << "\n  log level = " << corkward::core::name(settings.logLevel) << "\n  drain limit = " << settings.drainLimitMs
+      << "\n";
   return out.str();
 }
 
