--- a/consensus/include/corkward/consensus/switches.h
+++ b/consensus/include/corkward/consensus/mechanism_switches.h
@@ -4,28 +4,28 @@
 
 namespace corkward::consensus {
 
-/// A mechanism of the registers that a test build may turn off, to see that its absence shows.
+/// A safety mechanism of the registers that a test build may turn off, to check that the explorer finds its absence.
 enum class Mechanism : std::uint8_t {
-  /// A member refuses ballots under the one it promised.
+  /// A member rejects ballots lower than the one it promised.
   promiseCheck,
   /// A new owner first proposes the newest value that a majority has accepted.
   newestAccepted,
-  /// A member answers after its record is synced.
+  /// A member replies only after its record is synced.
   syncBeforeAnswer,
-  /// A read is answered once a majority has confirmed the owner after the question began.
+  /// A read is answered only after a majority has confirmed the owner since the read began.
   readConfirmation,
-  /// The next change of the membership waits until a majority has caught up with the present one.
+  /// The next membership change waits until a majority has caught up under the present one.
   catchUpFirst,
-  /// A newcomer votes after it has copied from a majority.
+  /// A new member votes only after it has copied the state of a majority.
   catchUpBeforeVote,
-  /// A change of the membership needs majorities of the old and of the new one.
+  /// A membership change needs majorities of the old and of the new membership.
   jointQuorum,
-  /// Ballots of an older membership are refused.
+  /// Ballots from an older membership are rejected.
   membershipGuard,
 };
 
 /// Mechanisms that are off. Only builds with tests can turn one off: elsewhere all are on at compile time.
-class Switches {
+class MechanismSwitches {
  public:
 #ifdef CORKWARD_TESTS
   void turnOff(Mechanism mechanism) {
--- a/consensus/include/corkward/consensus/types.h
+++ b/consensus/include/corkward/consensus/types.h
@@ -1,11 +1,15 @@
 #pragma once
 
+/// Types of the consensus package's interface: tuning, members, the validator, and the commands that events cause.
+
 #include <QJsonObject>
+#include <cstdint>
 #include <functional>
+#include <set>
 #include <string>
 #include <vector>
 
-#include <corkward/consensus/switches.h>
+#include <corkward/consensus/mechanism_switches.h>
 #include <corkward/core/types.h>
 #include <corkward/transport/message.h>
 
@@ -20,41 +24,65 @@
   using core::Error::Error;
 };
 
-/// Key under which the membership of disks itself is kept.
+/// Key under which the membership itself is replicated. Its text stands in messages and records, so it stays.
 inline constexpr char const* membershipKey = "cohort";
 
-/// Starting values; the daemon's settings may change them.
+/// Timeouts (milliseconds) and limits. The daemon's settings may change them.
 struct ConsensusTuning {
   Tick heartbeatEvery = 150;
+  /// A peer that was silent for longer counts as unreachable, and an owner as lost.
   Tick ownerTimeout = 1000;
+  /// Upper bound of the random delay before an election, so that few members start one at the same time.
   Tick electionSpread = 500;
-  /// After a restart, with a majority voting and no claim of a key: wait before it is campaigned for, and its spread.
+  /// After a restart, with a majority voting and no owner announced: wait before an election, and its random spread.
   Tick restartPause = 150;
   Tick restartSpread = 250;
   Tick resendEvery = 200;
   Tick callTimeout = 4000;
-  /// A member that has been silent for so long may be replaced, or struck off when three or more are left.
+  /// A member that was unreachable for so long may be replaced, or removed when three or more are left.
   Tick replaceUnreachableAfter = 20000;
   std::size_t maxMembers = 9;
+  /// A write that takes longer counts as a stalled disk.
   Tick stallAfter = 800;
-  /// A message of a copy holds values of about so many bytes, or one value that is larger.
+  /// A snapshot chunk has values of about so many bytes, or one value that is larger.
   std::size_t snapshotChunkBytes = 1U << 20;
-  /// Longest wait before a member that lacks chosen values on its disk asks for them again.
+  /// Longest wait before a member whose disk lacks chosen values requests them again.
   Tick maxCatchUpBackoff = 4000;
   /// For the explorer: what a test build may turn off. Nothing is off in a daemon.
-  Switches switches;
+  MechanismSwitches switches;
 };
 
-/// One machine of the membership.
+/// One member: a machine with a disk.
 struct Member {
+  /// Never reused: a machine that was removed, or lost its disk, joins under a new id.
   std::string id;
+  /// Address on which the member receives messages.
   std::string link;
 };
 
-/// What a judge says of a call against the current value.
+/// The members that vote, and the revision of the membership key that says so.
+struct Membership {
+  /// 0 while no membership is known.
+  std::uint64_t revision = 0;
+  std::vector<Member> members = {};
+
+  bool contains(std::string const& memberId) const;
+  /// Whether more than half of the members are among the ids; false for an empty membership.
+  bool hasMajority(std::set<std::string> const& memberIds) const;
+};
+
+/// Members that a value of the membership key lists. Malformed entries become members with empty fields.
+std::vector<Member> membersFromJson(QJsonObject const& membershipValue);
+/// Value of the membership key that lists the members; membersFromJson is its inverse.
+QJsonObject membersToJson(std::vector<Member> const& members);
+
+/// What the validator decides on a call.
 struct Verdict {
+  /// False: the call reads, and its answer waits until the owner's ownership is confirmed.
   bool change = false;
+  /// The key's next value, if the call changes it.
   QJsonObject value;
+  /// HTTP status and body of the answer.
   int status = 200;
   QJsonObject body;
 };
@@ -70,24 +98,25 @@
   std::string payload;
 };
 
-/// A value is on a majority of the disks.
+/// A value that a majority of the members has accepted on disk.
 struct CommittedValue {
   std::string key;
   std::uint64_t revision = 0;
   QJsonObject value;
 };
 
-/// What became of a call that this member's queue held.
+/// Outcome of a call that was submitted to this member.
 struct CallCompleted {
   std::uint64_t token = 0;
   std::string key;
   /// Revision that the call's change was committed under; 0 when it changed nothing.
   std::uint64_t revision = 0;
+  /// HTTP status and body of the answer.
   int status = 0;
   QJsonObject body;
 };
 
-/// Commands that one event brought about.
+/// Commands that one event caused.
 struct RegisterCommands {
   std::vector<transport::Send> sends;
   std::vector<PersistCommand> persists;
@@ -98,7 +127,4 @@
   std::vector<core::LogEvent> logEvents;
 };
 
-/// Members named in a membership value.
-std::vector<Member> membersOf(QJsonObject const& membershipValue);
-
 }  // namespace corkward::consensus
--- a/consensus/src/catch_up.cpp
+++ b/consensus/src/catch_up.cpp
@@ -1,152 +1,182 @@
-// Catching up: after each change of the membership a member copies what it lacks from others, until a majority of the
-// set, itself included, has answered. Then it has every value that was chosen before, and says so in its heartbeats. A
-// new member votes only from then on.
-#include <corkward/consensus/replicated_registers.h>
+#include "catch_up.h"
 
 #include <algorithm>
+#include <map>
 
+#include <corkward/consensus/events.h>
 #include <corkward/core/json.h>
-#include "records.h"
+#include "context.h"
 
 namespace corkward::consensus {
 
 namespace {
 
-/// Questions for copies are numbered from a random number below this one in each life.
-constexpr std::uint64_t askSpace = std::uint64_t{1} << 48;
+/// The first request's number is drawn below this one.
+constexpr std::uint64_t requestNumberSpace = std::uint64_t{1} << 48;
 
 }  // namespace
 
-void ReplicatedRegisters::persistCaughtUp(RegisterCommands& out) {
-  catchUpTicket_ = nextTicket_++;
-  catchUpRevision_ = membershipRevision_;
-  persistMeta(out, catchUpTicket_, true, membershipRevision_);
+void CatchUp::restart() {
+  copiedFrom_.clear();
+  requestedAt_ = -1;
 }
 
-void ReplicatedRegisters::catchUp(RegisterCommands& out, Tick now) {
-  if (caughtUp_ == membershipRevision_) copyChosen(out, now);
-  if (caughtUp_ == membershipRevision_ || catchUpTicket_ != 0 || diskFailed_ || !isMember(self_.id)) return;
-  std::size_t const wanted =
-      tuning_.switches.off(Mechanism::catchUpBeforeVote) ? 0 : (membership_.size() + (voting_ ? 0 : 1)) / 2;
-  if (catchUpReplicas_.size() >= wanted) {
-    persistCaughtUp(out);
+void CatchUp::resetAfterRemoval() {
+  copiedFrom_.clear();
+  pendingTicket_ = 0;
+  caughtUpRevision_ = 0;
+}
+
+bool CatchUp::hasCaughtUp(EventContext const& context) const {
+  return caughtUpRevision_ == context.currentMembership().revision;
+}
+
+void CatchUp::advance(EventContext& context) {
+  if (hasCaughtUp(context)) {
+    requestMissingValues(context);
     return;
   }
-  bool const again = copyAskedAt_ >= 0;
-  if (again && now - copyAskedAt_ <= tuning_.resendEvery) return;
-  copyAskedAt_ = now;
-  transport::ValueRequest const fetch = copyRequest("");
-  for (Member const& m : membership_) {
-    if (m.id == self_.id || catchUpReplicas_.count(m.id) > 0 || (!again && !peers_[m.id].voting)) continue;
-    out.sends.push_back(transport::Send{m.link, fetch});
+  if (isPersisting() || context.persistence.hasFailed() || !context.selfIsMember()) return;
+  // A member that does not vote yet counts for nothing in the majority.
+  std::size_t const size = context.currentMembership().members.size();
+  std::size_t const needed = (size + (context.local.mayVote() ? 0 : 1)) / 2;
+  if (copiedFrom_.size() >= (context.tuning.switches.off(Mechanism::catchUpBeforeVote) ? 0 : needed))
+    complete(context);
+  else
+    requestSnapshots(context);
+}
+
+void CatchUp::complete(EventContext& context) {
+  pendingRevision_ = context.currentMembership().revision;
+  pendingTicket_ = context.persistence.writeMetadata(
+      context, {context.local.id(), true, pendingRevision_, context.local.founders()});
+}
+
+void CatchUp::onPersisted(EventContext& context, std::uint64_t ticket) {
+  if (ticket != pendingTicket_) return;
+  pendingTicket_ = 0;
+  caughtUpRevision_ = pendingRevision_;
+  context.heartbeats.scheduleNow();
+  if (!context.local.mayVote()) context.log(events::memberVotes, {{"member", context.local.id()}});
+  context.local.startVoting();
+}
+
+void CatchUp::requestSnapshots(EventContext& context) {
+  bool const again = requestedAt_ >= 0;
+  if (again && context.now - requestedAt_ <= context.tuning.resendEvery) return;
+  requestedAt_ = context.now;
+  transport::ValueRequest const request = nextRequest(context, "");
+  for (auto const& member : context.currentMembership().members) {
+    if (member.id == context.local.id() || copiedFrom_.count(member.id) > 0) continue;
+    // The first request goes to one voting member, repeated ones to all that are missing.
+    if (!again && !context.detector.find(member.id)->voting) continue;
+    context.sendToPeer(member.link, request);
     if (!again) return;
   }
 }
 
-transport::ValueRequest ReplicatedRegisters::copyRequest(std::string const& after) {
-  if (firstAsk_ == 0) {
-    firstAsk_ = 1 + rng_.below(askSpace);
-    lastAsk_ = firstAsk_ - 1;
+transport::ValueRequest CatchUp::nextRequest(EventContext& context, std::string const& afterKey) {
+  if (firstRequest_ == 0) {
+    firstRequest_ = 1 + context.random.below(requestNumberSpace);
+    lastRequest_ = firstRequest_ - 1;
   }
-  transport::ValueRequest fetch{after, true, self_.id, membershipRevision_, {}, ++lastAsk_};
-  for (std::map<std::string, RegisterState>::value_type const& r : registers_)
-    if (after.empty() || after < r.first)
-      fetch.knownSlots.push_back(
-          transport::RecordSlot{r.first, r.second.promised, r.second.acceptedBallot, r.second.revision, {}});
-  return fetch;
+  transport::ValueRequest request{afterKey, true,          context.local.id(), context.currentMembership().revision,
+                                  {},       ++lastRequest_};
+  for (auto const& [key, keyRegister] : context.registers) {
+    if (!afterKey.empty() && key <= afterKey) continue;
+    Acceptor const& acceptor = keyRegister.acceptor();
+    request.knownSlots.push_back(
+        transport::RecordSlot{key, acceptor.promised(), acceptor.position().ballot, acceptor.revision(), {}});
+  }
+  return request;
 }
 
-void ReplicatedRegisters::copyChosen(RegisterCommands& out, Tick now) {
-  bool const lacking = std::any_of(committed_.begin(), committed_.end(),
-                                   [&](std::map<std::string, CommittedValue>::value_type const& c) {
-                                     return registerFor(c.first).revision < c.second.revision;
-                                   });
-  if (!lacking || !isVoting() || stalled_) {
-    lackingSince_ = -1;
-    copyChosenAfter_ = tuning_.resendEvery;
+void CatchUp::requestMissingValues(EventContext& context) {
+  auto const& committed = context.learner.committed();
+  bool const missing = std::any_of(committed.begin(), committed.end(), [&](auto const& entry) {
+    return context.registers.at(entry.first).acceptor().revision() < entry.second.revision;
+  });
+  if (!missing || !context.canVoteNow()) {
+    missingSince_ = -1;
+    backoff_ = context.tuning.resendEvery;
     return;
   }
-  if (lackingSince_ < 0) lackingSince_ = now;
-  std::vector<Member> const live = successors(now);
-  if (now - lackingSince_ < copyChosenAfter_ || live.empty()) return;
-  lackingSince_ = now;
-  copyChosenAfter_ = std::min(2 * copyChosenAfter_, tuning_.maxCatchUpBackoff);
-  out.sends.push_back(transport::Send{live[copyChosenTurn_++ % live.size()].link, copyRequest("")});
+  if (missingSince_ < 0) missingSince_ = context.now;
+  std::vector<Member> const available = context.availablePeers();
+  if (context.now - missingSince_ < backoff_ || available.empty()) return;
+  missingSince_ = context.now;
+  backoff_ = std::min(2 * backoff_, context.tuning.maxCatchUpBackoff);
+  Member const& source = available[missingRequests_++ % available.size()];
+  context.sendToPeer(source.link, nextRequest(context, ""));
 }
 
-void ReplicatedRegisters::on(RegisterCommands& out, Tick now, std::string const& from,
-                             transport::ValueRequest const& m) {
-  if (m.isCatchUp) {
-    if (!isVoting() || !isMember(m.member) || m.membershipRevision != membershipRevision_) return;
-    std::map<std::string, transport::RecordSlot> have;
-    for (transport::RecordSlot const& s : m.knownSlots) have[s.key] = s;
-    transport::SnapshotChunk copy{self_.id, membershipRevision_, {}, m.requestNumber};
-    std::size_t bytes = 0;
-    RegisterState newest;
-    for (std::map<std::string, RegisterState>::const_iterator it = registers_.upper_bound(m.key);
-         it != registers_.end(); ++it) {
-      RegisterState const& r = it->second;
-      transport::RecordSlot const& theirs = have[it->first];
-      if (!(theirs.promised < r.promised) && !newer(r, theirs)) continue;
-      if (m.requestNumber > 0 && bytes >= tuning_.snapshotChunkBytes) {
-        copy.hasMore = true;
-        break;
-      }
-      copy.slots.push_back(transport::RecordSlot{it->first, r.promised, r.acceptedBallot, r.revision, r.value});
-      bytes += core::jsonText(r.value).size();
-    }
-    for (std::map<std::string, RegisterState>::value_type const& r : registers_)
-      newest.ticket = std::max(newest.ticket, r.second.ticket);
-    sendWhenSynced(out, now, newest, from, copy);
+void CatchUp::onValueRequest(EventContext& context, std::string const& from, transport::ValueRequest const& request) {
+  if (!request.isCatchUp) {
+    CommittedValue const* const committed = context.learner.find(request.key);
+    if (committed == nullptr) return;
+    transport::CommittedEntry const entry{request.key, committed->revision, committed->value};
+    context.sendToPeer(from, transport::Commit{context.registers.at(request.key).acceptor().promised(), entry});
     return;
   }
-  std::map<std::string, CommittedValue>::const_iterator const it = committed_.find(m.key);
-  if (it != committed_.end())
-    out.sends.push_back(transport::Send{
-        from, transport::Commit{registerFor(m.key).promised,
-                                transport::CommittedEntry{m.key, it->second.revision, it->second.value}}});
-}
-
-bool ReplicatedRegisters::takesCopy(transport::SnapshotChunk const& m) const {
-  bool const ours =
-      m.requestNumber == 0 || (firstAsk_ > 0 && firstAsk_ <= m.requestNumber && m.requestNumber <= lastAsk_);
-  return ours && m.membershipRevision == membershipRevision_ && !diskFailed_ && isMember(self_.id) &&
-         isMember(m.member);
+  Membership const& membership = context.currentMembership();
+  if (!context.isVoting() || !membership.contains(request.member) || request.membershipRevision != membership.revision)
+    return;
+  context.persistence.sendWhenSynced(context, context.registers.newestTicket(), from, snapshotFor(context, request));
 }
 
-void ReplicatedRegisters::takeSlots(RegisterCommands& out, Tick now, std::vector<transport::RecordSlot> const& slots) {
-  for (transport::RecordSlot const& s : slots) {
-    RegisterState& r = registerFor(s.key);
-    bool const taken = s.revision > 0 && newer(s, r);
-    if (!taken && s.promised <= r.promised) continue;
-    r.promised = std::max(r.promised, s.promised);
-    r.highest = std::max(r.highest, s.promised.number);
-    if (taken) {
-      r.acceptedBallot = s.acceptedBallot;
-      r.revision = s.revision;
-      r.value = s.value;
-      accepted(now, s.key, r);
+transport::SnapshotChunk CatchUp::snapshotFor(EventContext const& context, transport::ValueRequest const& request) {
+  std::map<std::string, transport::RecordSlot> known;
+  for (auto const& slot : request.knownSlots) known[slot.key] = slot;
+  transport::SnapshotChunk chunk{context.local.id(), context.currentMembership().revision, {}, request.requestNumber};
+  std::size_t bytes = 0;
+  for (auto it = context.registers.after(request.key); it != context.registers.end(); ++it) {
+    auto const& [key, keyRegister] = *it;
+    Acceptor const& acceptor = keyRegister.acceptor();
+    transport::RecordSlot const& theirs = known[key];
+    bool const newer = theirs.promised < acceptor.promised() ||
+                       AcceptedPosition{theirs.acceptedBallot, theirs.revision} < acceptor.position();
+    if (!newer) continue;
+    if (request.requestNumber > 0 && bytes >= context.tuning.snapshotChunkBytes) {
+      chunk.hasMore = true;
+      break;
     }
-    if (r.role != Role::idle && r.mine < r.promised)
-      stepDown(out, now, s.key, r, "a member has promised a higher epoch");
-    if (!voting_) r.ownerHeard = now;
-    persist(out, now, s.key, r);
+    chunk.slots.push_back(transport::RecordSlot{key, acceptor.promised(), acceptor.position().ballot,
+                                                acceptor.revision(), acceptor.value()});
+    bytes += core::jsonText(acceptor.value()).size();
   }
+  return chunk;
 }
 
-void ReplicatedRegisters::on(RegisterCommands& out, Tick now, std::string const& from,
-                             transport::SnapshotChunk const& m) {
-  if (!takesCopy(m)) return;
-  takeSlots(out, now, m.slots);
-  if (m.hasMore && !m.slots.empty()) {
-    if (caughtUp_ != membershipRevision_) copyAskedAt_ = now;
-    out.sends.push_back(transport::Send{from, copyRequest(m.slots.back().key)});
+bool CatchUp::isExpected(EventContext const& context, transport::SnapshotChunk const& chunk) const {
+  // Releases that don't number requests send 0.
+  bool const requested = chunk.requestNumber == 0 || (firstRequest_ > 0 && firstRequest_ <= chunk.requestNumber &&
+                                                      chunk.requestNumber <= lastRequest_);
+  Membership const& membership = context.currentMembership();
+  return requested && chunk.membershipRevision == membership.revision && !context.persistence.hasFailed() &&
+         context.selfIsMember() && membership.contains(chunk.member);
+}
+
+void CatchUp::onSnapshotChunk(EventContext& context, std::string const& from, transport::SnapshotChunk const& chunk) {
+  if (!isExpected(context, chunk)) return;
+  for (auto const& slot : chunk.slots) context.registers.at(slot.key).mergeSnapshot(context, slot);
+  if (chunk.hasMore && !chunk.slots.empty()) {
+    if (!hasCaughtUp(context)) requestedAt_ = context.now;
+    context.sendToPeer(from, nextRequest(context, chunk.slots.back().key));
     return;
   }
-  if (caughtUp_ == membershipRevision_ || catchUpTicket_ != 0) return;
-  catchUpReplicas_.insert(m.member);
-  copyAskedAt_ = -1;
-  catchUp(out, now);
+  if (hasCaughtUp(context) || isPersisting()) return;
+  copiedFrom_.insert(chunk.member);
+  requestedAt_ = -1;
+  advance(context);
+}
+
+void CatchUp::addTo(Fingerprint& fingerprint) const {
+  fingerprint.addFlag(isPersisting());
+  fingerprint.addFlag(requestedAt_ >= 0);
+  fingerprint.addTime(requestedAt_);
+  fingerprint.add(isPersisting() ? pendingRevision_ : 0);
+  fingerprint.add(caughtUpRevision_);
+  fingerprint.add(copiedFrom_);
 }
 
 }  // namespace corkward::consensus
--- /dev/null
+++ b/consensus/src/fingerprint.h
@@ -0,0 +1,39 @@
+#pragma once
+
+/// Hash of a member's state, by which the explorer recognises states that it has visited.
+
+#include <QJsonObject>
+#include <cstdint>
+#include <set>
+#include <string>
+
+#include <corkward/consensus/types.h>
+
+namespace corkward::consensus {
+
+/// Running hash of a sequence of values.
+class Fingerprint {
+ public:
+  /// @param cap spans of time over so many milliseconds count as equal
+  Fingerprint(Tick now, Tick cap) : now_(now), cap_(cap) {}
+
+  void add(std::uint64_t value);
+  void addFlag(bool flag) { add(flag ? 1U : 0U); }
+  void add(std::string const& text);
+  void add(QJsonObject const& value);
+  void add(Ballot const& ballot);
+  void add(transport::Digest const& digest);
+  void add(transport::Revisions const& revisions);
+  void add(std::set<std::string> const& names);
+  /// Adds a point in time, as the span since then or until then.
+  void addTime(Tick time);
+  std::uint64_t value() const { return hash_; }
+  Tick now() const { return now_; }
+
+ private:
+  std::uint64_t hash_ = 0x243F6A8885A308D3ULL;
+  Tick now_;
+  Tick cap_;
+};
+
+}  // namespace corkward::consensus
--- /dev/null
+++ b/consensus/src/owner_monitor.cpp
@@ -0,0 +1,36 @@
+#include "owner_monitor.h"
+
+namespace corkward::consensus {
+
+void OwnerMonitor::startUnclaimed(Tick now) {
+  lastHeardAt_ = now;
+  unclaimed_ = true;
+}
+
+void OwnerMonitor::ownerAnnounced(std::string const& memberId, Tick now) {
+  ownerAccepted(memberId, now);
+  electionAt_ = 0;
+}
+
+void OwnerMonitor::ownerAccepted(std::string const& memberId, Tick now) {
+  unclaimed_ = false;
+  lastHeardAt_ = now;
+  owner_ = memberId;
+}
+
+void OwnerMonitor::electionStarted() {
+  electionAt_ = 0;
+  unclaimed_ = false;
+}
+
+void OwnerMonitor::steppedDown(Tick now) {
+  lastHeardAt_ = now;
+  electionAt_ = 0;
+}
+
+std::optional<Tick> OwnerMonitor::electionAt() const {
+  if (electionAt_ == 0) return std::nullopt;
+  return electionAt_;
+}
+
+}  // namespace corkward::consensus
--- a/consensus/test/cluster.h
+++ b/consensus/test/cluster.h
@@ -13,6 +13,7 @@
 #include <vector>
 
 #include <corkward/core/json.h>
+#include <corkward/consensus/events.h>
 #include <corkward/consensus/replicated_registers.h>
 
 namespace corkward::consensus {
@@ -153,14 +154,14 @@
     std::vector<Held> disks;
     if (newest[membershipKey] == 0) return {};
     QJsonObject const membership = core::parseJson(committed_[{membershipKey, newest[membershipKey]}]).toObject();
-    for (Member const& c : membersOf(membership))
+    for (Member const& c : membersFromJson(membership))
       for (std::map<std::string, Machine>::value_type const& m : machines) {
         if (m.second.disk.count("meta") == 0) continue;
         QJsonObject const meta = core::parseJson(m.second.disk.at("meta")).toObject();
         if (core::toStdString(meta.value("id").toString()) == c.id && meta.value("voting").toBool())
           disks.push_back(Held{c.id, &m.second.disk, {}, false});
       }
-    std::size_t const most = membersOf(membership).size() / 2 + 1;
+    std::size_t const most = membersFromJson(membership).size() / 2 + 1;
     std::vector<std::string> out;
     for (std::map<std::string, std::set<std::string>>::value_type const& key : acknowledged) {
       for (Held& d : disks) d.read(key.first, key.second);
@@ -288,7 +289,7 @@
         to(link, life, [this, link, r] { hand(link, r.first, r.second); });
       });
     for (core::LogEvent const& n : c.logEvents)
-      if (n.event == "absurd-message") wrong.push_back("absurd message at " + m.link);
+      if (n.event == events::messageRejected) wrong.push_back("message rejected at " + m.link);
     for (transport::Send const& s : c.sends) {
       if (watch) watch(m.link, s);
       std::map<std::string, Machine>::const_iterator const it = machines.find(s.to);
--- a/testing/explore/world.cpp
+++ b/testing/explore/world.cpp
@@ -4,6 +4,7 @@
 #include <algorithm>
 #include <bit>
 
+#include <corkward/consensus/events.h>
 #include <corkward/core/json.h>
 
 namespace corkward::explore {
@@ -235,7 +236,7 @@
 
 void World::take(State& s, int machine, consensus::RegisterCommands const& c, Sync sync) const {
   for (core::LogEvent const& e : c.logEvents)
-    if (e.event == "absurd-message") s.broken = "two values under one revision reach a member";
+    if (e.event == consensus::events::messageRejected) s.broken = "two values under one revision reach a member";
   for (transport::Send const& send : c.sends) post(s, machine, send);
   for (consensus::CommittedValue const& k : c.commits) onCommit(s, k);
   for (consensus::CallCompleted const& d : c.completedCalls) onDecided(s, d);
@@ -274,7 +275,7 @@
   if (c.key == consensus::membershipKey && c.revision > history.newestMembership) {
     history.newestMembership = c.revision;
     history.members.clear();
-    for (consensus::Member const& m : consensus::membersOf(c.value)) history.members.push_back(m.id);
+    for (consensus::Member const& m : consensus::membersFromJson(c.value)) history.members.push_back(m.id);
   }
   checkMarks(s);
 }
--- a/testing/sim/world.cpp
+++ b/testing/sim/world.cpp
@@ -1,6 +1,7 @@
 #include <algorithm>
 
 #include <corkward/config/config.h>
+#include <corkward/consensus/events.h>
 #include <corkward/core/guarantees.h>
 #include <corkward/core/json.h>
 
@@ -278,10 +279,10 @@
     disk(n);
   }
   for (core::LogEvent const& logEvent : c.logEvents)
-    if (logEvent.event.logName().find("member") != std::string::npos || logEvent.event == "struck-off")
+    if (logEvent.event.logName().find("member") != std::string::npos || logEvent.event == consensus::events::removedFromMembership)
       ++result_.counts[std::string(logEvent.event.logName())];
   for (core::LogEvent const& logEvent : c.logEvents)
-    if (logEvent.event == "absurd-message") violation("two values under one revision at " + link);
+    if (logEvent.event == consensus::events::messageRejected) violation("two values under one revision at " + link);
   for (core::LogEvent const& logEvent : c.logEvents)
     if (plan_.operators.any && logEvent.event == "committed" &&
         logEvent.fields.at("key") == config::fleetConfigurationKey)
