--- a/control/src/quota_coordination.cpp
+++ b/control/src/quota_coordination.cpp
@@ -31,11 +31,14 @@
   Tick const wait = quota::grantDelayAfterStart;
   Tick const age = registers_.quorumContactAge(now);
   bool const inTouch = age >= 0 && age <= tuning_.servingLeaseDuration;
-  standing_.mayRenew = inTouch && now - started_ > wait;
-  standing_.mayGrant = standing_.mayRenew && now - membersSince_ > wait;
-  standing_.alive = registers_.aliveLinks(now);
-  standing_.contact = age < 0 ? -1 : now - age;
-  standing_.leaving = draining_;
+  bool const mayRenew = inTouch && now - started_ > wait;
+  bool const mayGrant = mayRenew && now - membersSince_ > wait;
+  standing_.grantPermission = mayGrant   ? quota::GrantPermission::all
+                              : mayRenew ? quota::GrantPermission::renewals
+                                         : quota::GrantPermission::none;
+  standing_.aliveMembers = registers_.aliveLinks(now);
+  standing_.quorumContactSince = age < 0 ? -1 : now - age;
+  standing_.draining = draining_;
 }
 
 void Controller::lendLimits(ControllerCommands& out, Tick now) {
@@ -44,19 +47,19 @@
 }
 
 void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::UsageReport const& m) {
-  append(out, lender_.arrived(now, from, m, standing_));
+  append(out, lender_.onMessage(now, from, m, standing_));
 }
 
 void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::AllocationReport const& m) {
-  append(out, lender_.arrived(now, from, m, standing_));
+  append(out, lender_.onMessage(now, from, m, standing_));
 }
 
 void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::PartitionLeaseRequest const& m) {
-  append(out, lender_.arrived(now, from, m, standing_));
+  append(out, lender_.onMessage(now, from, m, standing_));
 }
 
 void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::PartitionLeaseReply const& m) {
-  append(out, lender_.arrived(now, from, m, standing_));
+  append(out, lender_.onMessage(now, from, m, standing_));
 }
 
 }  // namespace corkward::control
--- a/dataplane/src/tenant_limits.cpp
+++ b/dataplane/src/tenant_limits.cpp
@@ -37,7 +37,7 @@
 
 bool RequestRouter::spendQuota(Tick now, Call& call) {
   if (call.tenant.empty()) return true;
-  if (call.quota == QuotaState::taken && now - call.quotaAt > quota::handOverWithin) giveBackQuota(now, call);
+  if (call.quota == QuotaState::taken && now - call.quotaAt > quota::maxDispatchDelay) giveBackQuota(now, call);
   if (call.quota != QuotaState::taken && !tenants_.take(now, call.tenant, call.amount)) return false;
   call.quota = QuotaState::used;
   return true;
--- a/dataplane/src/tenants.cpp
+++ b/dataplane/src/tenants.cpp
@@ -14,7 +14,7 @@
 constexpr Tick passOverFor = 2000;
 /// Milliseconds that a request waits for its amount. Amounts that come later are void, see
 /// quota::QuotaLimiter::onGrant.
-constexpr Tick waitAtMost = quota::handOverWithin / 2;
+constexpr Tick waitAtMost = quota::maxDispatchDelay / 2;
 /// Milliseconds for which no amount is asked for after a lender had too little, or nobody lent.
 constexpr Tick scarceFor = 30;
 constexpr Tick nobodyFor = 150;
@@ -118,7 +118,7 @@
   std::string best;
   for (std::string const& link : controllers_) {
     if (silent(now, link)) continue;
-    if (best.empty() || quota::rankOf(part, link) < quota::rankOf(part, best)) best = link;
+    if (best.empty() || quota::ownerRank(part, link) < quota::ownerRank(part, best)) best = link;
   }
   return best;
 }
@@ -137,7 +137,7 @@
   std::string const lender = lenderOf(now, quota::partitionOf(waiting.tenant));
   if (limit == nullptr || lender.empty() || waiting.asked >= mostAsks) return false;
   ++waiting.asked;
-  quota::TenantUsage use = limit->gate.report(now, limit->limit, slack_, waiting.amount);
+  quota::TenantUsage use = limit->gate.takeReport(now, limit->limit, slack_, waiting.amount);
   use.tenant = waiting.tenant;
   send(now, lender, {std::move(use)}, {std::move(waiting)}, out);
   return true;
@@ -149,7 +149,7 @@
     if (!limit.gate.reportDue(now)) continue;
     std::string const lender = lenderOf(now, quota::partitionOf(name));
     if (lender.empty()) continue;
-    quota::TenantUsage use = limit.gate.report(now, limit.limit, slack_, 0);
+    quota::TenantUsage use = limit.gate.takeReport(now, limit.limit, slack_, 0);
     use.tenant = name;
     uses[lender].push_back(std::move(use));
   }
@@ -221,7 +221,7 @@
   claims.link = link_;
   claims.incarnation = life_;
   claims.terms = message.terms;
-  for (quota::PartitionEpoch const& term : message.terms) {
+  for (quota::PartitionTerm const& term : message.terms) {
     countsFrom_[term.partition] = nextReport_;
     told_[term.partition] = from;
     nobodyUntil_.erase(term.partition);
@@ -229,11 +229,11 @@
   for (auto const& [name, limit] : gates_) {
     std::uint64_t const part = quota::partitionOf(name);
     bool const asked = std::any_of(message.terms.begin(), message.terms.end(),
-                                   [&](quota::PartitionEpoch const& term) { return term.partition == part; });
+                                   [&](quota::PartitionTerm const& term) { return term.partition == part; });
     if (!asked || !limit.gate.hasAllocation(now)) continue;
     quota::TenantUsage use = limit.gate.currentUsage(now, limit.limit, slack_);
     use.tenant = name;
-    claims.uses.push_back(std::move(use));
+    claims.usages.push_back(std::move(use));
   }
   return {from, std::move(claims)};
 }
--- a/dataplane/test/golden_pages_test.cpp
+++ b/dataplane/test/golden_pages_test.cpp
@@ -243,7 +243,7 @@
     REQUIRE_FALSE(reports.empty());
     auto const [to, report] = reports.back();
     step("lent " + std::to_string(amount),
-         reducer.onMessage(now, to, quota::QuotaGrants{report.number, {{"t", 1, 1, 0, amount, share}}, {}}));
+         reducer.onMessage(now, to, quota::QuotaGrants{report.reportNumber, {{"t", 1, 1, 0, amount, share}}, {}}));
   }
   void state() { text += core::jsonText(reducer.state(now)) + "\n"; }
   void metrics() { text += reducer.metrics(now); }
--- a/dataplane/test/limited_fleet.h
+++ b/dataplane/test/limited_fleet.h
@@ -96,7 +96,7 @@
   }
   /// Most that was handed over within a window, and what the operators allow.
   double mostInWindow() const { return most_; }
-  double allowed() const { return quota::allowed(plan_.limit, plan_.slack); }
+  double allowed() const { return quota::allowedAmount(plan_.limit, plan_.slack); }
   void beginWindow() {
     run_.clear();
     sum_ = 0;
@@ -160,13 +160,12 @@
     Node const& node = nodes_.at(link);
     out.members = members_;
     for (std::string const& member : members_)
-      if (reach(link, member) && awake(member)) out.alive.push_back(member);
+      if (reach(link, member) && awake(member)) out.aliveMembers.push_back(member);
     bool const paused = node.startedAt != 0 && now_ - node.startedAt <= quota::grantDelayAfterStart;
-    out.mayRenew = !paused;
-    out.mayGrant = out.mayRenew;
+    out.grantPermission = paused ? quota::GrantPermission::none : quota::GrantPermission::all;
     if (!toAsk || without_ != Without::claims) out.routers = {routerLinks_.begin(), routerLinks_.end()};
     if (without_ == Without::majority) out.members = {link};
-    out.contact = out.alive.size() > members_.size() / 2 ? now_ : -1;
+    out.quorumContactSince = out.aliveMembers.size() > members_.size() / 2 ? now_ : -1;
     return out;
   }
   void send(std::string const& from, std::vector<quota::Send> sends) {
@@ -198,8 +197,8 @@
     std::visit(
         [&](auto const& m) {
           std::vector<transport::Send> out;
-          if constexpr (requires { node.lender->arrived(now_, packet.from, m, quota::MembershipView{}); }) {
-            if (node.lender) send(packet.to, node.lender->arrived(now_, packet.from, m, standing(packet.to)));
+          if constexpr (requires { node.lender->onMessage(now_, packet.from, m, quota::MembershipView{}); }) {
+            if (node.lender) send(packet.to, node.lender->onMessage(now_, packet.from, m, standing(packet.to)));
           } else if constexpr (requires { node.tenants->arrived(now_, packet.from, m, out); }) {
             if (!node.tenants) return;
             decide(packet.to, node.tenants->arrived(now_, packet.from, m, out));
@@ -228,7 +227,7 @@
     }
     Tick const soon = now_ + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(plan_.held) + 1));
     Tick const at = plan_.together > 0 ? (now_ / plan_.together + 1) * plan_.together : soon;
-    if (at - takenAt > quota::handOverWithin && without_ != Without::handOverLimit) {
+    if (at - takenAt > quota::maxDispatchDelay && without_ != Without::handOverLimit) {
       nodes_.at(router).tenants->giveBack(now_, "t", request.amount);
       ++refused;
       return;
--- a/dataplane/test/tenants_test.cpp
+++ b/dataplane/test/tenants_test.cpp
@@ -44,15 +44,15 @@
   Asked const asked{sends[0].to, std::get<quota::UsageReport>(sends[0].message)};
   CHECK(asked.report.link == "n1");
   CHECK(asked.report.incarnation == 7);
-  REQUIRE(asked.report.uses.size() == 1);
-  CHECK(asked.report.uses[0].tenant == of.name);
-  CHECK(asked.report.uses[0].wanted == 5);
+  REQUIRE(asked.report.usages.size() == 1);
+  CHECK(asked.report.usages[0].tenant == of.name);
+  CHECK(asked.report.usages[0].requestedAmount == 5);
   return asked;
 }
 
 quota::QuotaGrants answer(Asked const& asked, std::uint64_t amount, std::uint64_t share = quota::fractionUnits,
                           std::uint64_t fraction = 0) {
-  return {asked.report.number, {{"a", 1, 1, fraction, amount, share}}, {}};
+  return {asked.report.reportNumber, {{"a", 1, 1, fraction, amount, share}}, {}};
 }
 
 }  // namespace
@@ -103,7 +103,7 @@
   tenants.clockEvent(1500, sends);
   Asked const second = askedFor(tenants, 1510, t, 2);
   CHECK(second.to != first);
-  tenants.arrived(1520, second.to, {second.report.number, {}, {}}, sends);
+  tenants.arrived(1520, second.to, {second.report.reportNumber, {}, {}}, sends);
   CHECK(askedFor(tenants, 1530, t, 3).to == second.to);
   CHECK(askedFor(tenants, 3600, t, 4).to == first);
 }
@@ -122,7 +122,7 @@
   Asked const elsewhere = askedFor(tenants, 1100, t, 2);
   std::string const other = elsewhere.to == "c1" ? "c2" : "c1";
   sends.clear();
-  CHECK(tenants.arrived(1104, elsewhere.to, {elsewhere.report.number, {}, {{quota::partitionOf("a"), other}}}, sends)
+  CHECK(tenants.arrived(1104, elsewhere.to, {elsewhere.report.reportNumber, {}, {{quota::partitionOf("a"), other}}}, sends)
             .empty());
   REQUIRE(sends.size() == 1);
   CHECK(sends[0].to == other);
@@ -165,7 +165,7 @@
   Asked const asked = askedFor(tenants, 1000, t);
   transport::Send const claim = tenants.arrived(1001, "c9", quota::AllocationQuery{{{quota::partitionOf("a"), 4}}});
   CHECK(claim.to == "c9");
-  CHECK(std::get<quota::AllocationReport>(claim.message).uses.empty());
+  CHECK(std::get<quota::AllocationReport>(claim.message).usages.empty());
   std::vector<dataplane::QuotaDecision> const decisions = tenants.arrived(1004, asked.to, answer(asked, 5), sends);
   REQUIRE(decisions.size() == 1);
   CHECK(decisions[0].admission != dataplane::Admission::granted);
--- a/quota/include/corkward/quota/demand_estimator.h
+++ b/quota/include/corkward/quota/demand_estimator.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What is asked for in a second, as a mean that fades.
+/// Rate of demand as an exponentially decaying average.
 
 #include <corkward/core/types.h>
 
@@ -8,19 +8,21 @@
 
 using core::Tick;
 
-/// A sum of amounts that fades exponentially, read as a rate.
+/// Sums up amounts whose weight decays exponentially, and reads the sum as a rate.
 class DemandEstimator {
  public:
-  /// Milliseconds after which an amount weighs 1/e.
-  explicit DemandEstimator(Tick memory) : memory_(memory) {}
+  /// @param timeConstant milliseconds after which an amount's weight has decayed to 1/e
+  explicit DemandEstimator(Tick timeConstant) : timeConstant_(timeConstant) {}
   void add(Tick now, double amount);
   double perSecond(Tick now) const;
 
  private:
-  double left(Tick now) const;
+  double decayedSum(Tick now) const;
 
-  Tick memory_;
-  Tick at_ = 0;
+  Tick timeConstant_;
+  /// When `sum_` was last brought up to date.
+  Tick updatedAt_ = 0;
+  /// Decayed sum as of `updatedAt_`.
   double sum_ = 0;
 };
 
--- a/quota/include/corkward/quota/grant_table.h
+++ b/quota/include/corkward/quota/grant_table.h
@@ -1,88 +1,109 @@
 #pragma once
 
-/// What the lender of one tenant's limit has lent, to whom and until when. Pure, with the time in each call.
+/// What the owner of a tenant's partition has granted of the tenant's limit: to whom, how much and until when. Pure,
+/// with the time in each call.
 ///
-/// The limit is spread in fractions: each router holds one under a loan, the lender keeps what is not lent out. While a
-/// router is in touch, what flows into its fraction flows to the lender, and the router asks for single amounts beside
-/// the little that it holds; a router out of touch spends its fraction by itself (see limit.h). A smaller loan frees
-/// the difference only when the router says that it has it, or when the older one has run out.
+/// The limit is split in fractions: each router has one under an allocation that expires, the owner keeps the rest.
+/// While a router is connected, the refill of its fraction goes to the owner, and the router requests single amounts
+/// beside the small reserve that it stores; a disconnected router spends its fraction by itself (see limit.h). A
+/// smaller allocation frees the difference only when the router has confirmed it, or when the larger one has expired.
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <string>
 
+#include <corkward/quota/decaying_maximum.h>
 #include <corkward/quota/limit.h>
 #include <corkward/quota/messages.h>
 
 namespace corkward::quota {
 
+/// What a router may be granted.
+enum class GrantScope {
+  /// Single amounts: the router is not in the roster.
+  amountsOnly,
+  /// Single amounts and an allocation.
+  allocation,
+};
+
+/// Grants of one tenant's limit. Fractions are parts of the limit, 0 to 1; amounts are requests or tokens.
 class GrantTable {
  public:
-  /// Epoch: the lender's term. Unknown: loans of an earlier lender may be out that this one has not heard of; they run
-  /// out by `unknownUntil`.
-  GrantTable(Tick now, std::uint64_t epoch, Limit const& limit, OverdraftAllowance const& slack, Tick unknownUntil);
+  /// @param term the owner's term
+  /// @param unreportedUntil until then allocations of earlier owners may be valid that this one does not know of
+  GrantTable(Tick now, std::uint64_t term, Limit const& limit, OverdraftAllowance const& allowance,
+             Tick unreportedUntil);
 
-  void setLimit(Tick now, Limit const& limit, OverdraftAllowance const& slack);
-  /// A router holds a loan of an earlier lender, by its own word.
-  void claim(Tick now, std::string const& router, std::uint64_t life, TenantUsage const& use);
-  /// Only so many routers may hold loans that this ledger does not know.
-  void unheard(Tick now, std::size_t routers);
-  /// Takes a router's report in and answers it. Lends: the router may get a fraction, not only single amounts.
-  QuotaGrant report(Tick now, std::string const& router, std::uint64_t life, TenantUsage const& use, bool lends);
+  void setLimit(Tick now, Limit const& limit, OverdraftAllowance const& allowance);
+  /// A router reports the allocation that an earlier owner has granted it.
+  void restoreAllocation(Tick now, std::string const& router, std::uint64_t incarnation, TenantUsage const& usage);
+  /// At most this many routers may hold allocations that this table does not know of.
+  void limitUnreported(Tick now, std::size_t routers);
+  /// Records a router's report and replies to it.
+  QuotaGrant onReport(Tick now, std::string const& router, std::uint64_t incarnation, TenantUsage const& usage,
+                      GrantScope scope);
 
-  /// What the lender may lend at once.
-  double level(Tick now) const;
-  /// Fraction that is out, or may be.
-  double out(Tick now) const;
-  double demand(Tick now) const;
+  /// Amount that the owner may grant at once.
+  double availableAmount(Tick now) const;
+  /// Fraction that is allocated to routers, or may be.
+  double allocatedFraction(Tick now) const;
+  /// Demand of all routers that have reported lately, as an amount per second.
+  double demandPerSecond(Tick now) const;
 
  private:
-  /// One router's loan.
-  struct Entry {
+  /// One router's allocation and its last report.
+  struct RouterAllocation {
     std::uint64_t incarnation = 0;
-    /// Newest loan: its number, its fraction, and until when the router may spend it.
-    std::uint64_t number = 0;
-    double fraction = 0;
-    Tick until = 0;
-    /// Greatest fraction that it may still hold.
-    double reserved = 0;
-    /// When the newest loan was sent, and until when the flow into the fraction is the lender's.
-    Tick sentAt = 0;
-    Tick flowUntil = 0;
-    double demand = 0;
-    double left = 0;
-    Tick heard = 0;
+    /// Number of the newest grant with an allocation; 0: this owner has granted none.
+    std::uint64_t grantNumber = 0;
+    /// Fraction in the newest grant, and until when the router may spend it.
+    double grantedFraction = 0;
+    Tick expiresAt = 0;
+    /// Greatest fraction that the router may hold; at least `grantedFraction`.
+    double reservedFraction = 0;
+    /// When the newest grant was sent.
+    Tick grantSentAt = 0;
+    /// Until when the refill of the reserved fraction goes to the owner.
+    Tick ownerRefillUntil = 0;
+    double demandPerSecond = 0;
+    double remainingAmount = 0;
+    Tick reportedAt = 0;
   };
-  void settle(Tick now);
-  double unknown(Tick now) const;
-  double kept(Tick now) const;
-  /// What the lender may hold at the most.
-  double most(Tick now) const;
-  /// What has flowed to the lender since the level was settled.
-  double flowed(Tick now) const;
-  void topUp(Tick now, Entry const& entry, QuotaGrant& loan);
-  Entry& entryOf(std::string const& router, std::uint64_t life);
-  /// Greatest fraction that is lent out: what is kept must do for the largest requests that were seen of late.
-  double lendable(Tick now) const;
-  void sawAmount(Tick now, double amount);
-  double fractionFor(Tick now, std::string const& router) const;
-  double share(Tick now) const;
-  /// Takes in what a router says of itself.
-  void heard(Tick now, Entry& entry, TenantUsage const& use);
-  void lend(Tick now, Entry& entry, double fraction, QuotaGrant& loan);
+  /// Adds the refill since the last update and removes expired allocations.
+  void update(Tick now);
+  /// Fraction that earlier owners' unreported allocations may have.
+  double unreportedFraction(Tick now) const;
+  /// Fraction that the owner keeps for itself.
+  double ownerFraction(Tick now) const;
+  /// Greatest amount that the owner may store.
+  double ownerCapacity(Tick now) const;
+  /// Amount that has been refilled to the owner since the last update.
+  double refilledAmount(Tick now) const;
+  /// Greatest fraction to allocate: the owner's rest must suffice for the largest amounts requested of late.
+  double allocatableFraction(Tick now) const;
+  double targetFraction(Tick now, std::string const& router) const;
+  /// Fraction of the tenant's requests that routers may try to admit.
+  double admissionShare(Tick now) const;
+  RouterAllocation& allocationOf(std::string const& router, std::uint64_t incarnation);
+  void recordUsage(Tick now, RouterAllocation& allocation, TenantUsage const& usage);
+  void grantAmount(Tick now, TenantUsage const& usage, QuotaGrant& grant);
+  void grantFraction(Tick now, RouterAllocation& allocation, double fraction, QuotaGrant& grant);
+  /// Fills the router's reserve up, while enough is available.
+  void topUp(Tick now, RouterAllocation const& allocation, QuotaGrant& grant);
 
-  std::uint64_t epoch_;
+  std::uint64_t term_;
   Limit limit_;
-  OverdraftAllowance slack_;
-  std::map<std::string, Entry> entries_;
-  double level_ = 0;
-  Tick at_ = 0;
-  /// Largest single amount that was wanted, and when; it fades.
-  double largest_ = 0;
-  Tick largestAt_ = 0;
-  double unknown_ = 0;
-  Tick unknownUntil_ = 0;
-  std::uint64_t nextNumber_ = 1;
+  OverdraftAllowance allowance_;
+  std::map<std::string, RouterAllocation> allocations_;
+  /// Amount that the owner had at `updatedAt_`; at most ownerCapacity.
+  double availableAmount_ = 0;
+  Tick updatedAt_ = 0;
+  DecayingMaximum largestRequestedAmount_;
+  /// Only shrinks; counts until `unreportedUntil_`.
+  double unreportedFraction_ = 0;
+  Tick unreportedUntil_ = 0;
+  std::uint64_t nextGrantNumber_ = 1;
 };
 
 }  // namespace corkward::quota
--- a/quota/include/corkward/quota/limit.h
+++ b/quota/include/corkward/quota/limit.h
@@ -1,7 +1,32 @@
 #pragma once
 
-/// A tenant's limit over all nodes together, what may be admitted beyond it, and the greatest sum that the fractions of
-/// this package let pass. Amounts are requests or tokens, as the tenant's limit is measured.
+/// A tenant's limit over the fleet, and how it is bounded.
+///
+/// Terms. A *limit* is a token bucket in requests or tokens. The *partition owner* is the controller that holds the
+/// lease on the tenant's partition (partition_leases.h). It splits the bucket into fractions: a router holds an
+/// *allocation* (a fraction of the limit, for allocationDuration), the owner keeps the rest and grants single amounts
+/// out of it, and routers without an allocation share unallocatedFraction. A *counter* is anything that may admit
+/// requests against such a fraction: the owner's GrantTable and each router's QuotaLimiter.
+///
+/// Claim: in any window, the fleet dispatches at most maxDispatchedAmount() to replicas, whatever is partitioned, lost
+/// or paused.
+///
+/// Argument:
+///  1. The fractions of all counters sum up to at most 1 at any time. One owner at a time grants them, since two leases
+///     on a partition never overlap; a new owner counts maxAllocatedFraction as allocated until the routers have
+///     reported what they hold, or until allocations of its predecessors have expired; a smaller allocation frees the
+///     difference only once the router has confirmed it or the larger one has expired.
+///  2. The refill of a fraction f, which is f x perSecond, reaches one counter at a time: the owner for
+///     refillTransferDelay after it sent the newest grant that the router has confirmed, the router from
+///     refillTransferDelay after it received its newest grant, which is later.
+///  3. What is stored by virtue of a fraction f is at most f x totalCapacity(). Together the counters store at most
+///     totalCapacity(), so within a window of W milliseconds they admit at most totalCapacity() plus the refill of W.
+///  4. An amount that was taken from a counter is dispatched within maxDispatchDelay or returned. What is dispatched in
+///     a window was therefore taken within W + maxDispatchDelay.
+/// Hence totalCapacity() + perSecond x (W + maxDispatchDelay). The exception is a fleet without any owner for longer
+/// than allocationDuration: unallocatedFraction is then bounded in the mean only, since requests draw lots for it.
+///
+/// The bound case by case, the alternatives and their costs: docs/design.md, "Tenants' limits over all nodes".
 
 #include <corkward/core/types.h>
 
@@ -9,50 +34,50 @@
 
 using core::Tick;
 
-/// A tenant's token bucket.
+/// A tenant's token bucket. Amounts are requests or tokens, as the tenant's limit is measured.
 struct Limit {
-  /// What flows into the bucket in a second; 0: no limit.
+  /// Refill of the bucket, as an amount per second; 0: no limit.
   double perSecond = 0;
-  /// What the bucket holds.
+  /// Size of the bucket, as an amount.
   double burst = 0;
   bool operator==(Limit const&) const = default;
 };
 
-/// What may be admitted beyond the bucket in each window, as the fleet's operators bound it: an overrun as a share of
-/// what the bucket gives, and a fixed slack. Zeros: nothing.
+/// What operators allow beyond the bucket in each window. Zeros: nothing.
 struct OverdraftAllowance {
-  /// Milliseconds.
+  /// Length of the window, in milliseconds.
   Tick window = 8000;
-  double overrun = 0;
-  double fixed = 0;
+  /// As a fraction of what the bucket admits in a window.
+  double overrunFraction = 0;
+  /// As an amount.
+  double fixedAmount = 0;
 };
 
-/// Milliseconds from the moment an amount is taken out of a counter until the request is handed to a replica. An amount
-/// that waited longer is given back and has to be taken anew.
-inline constexpr Tick handOverWithin = 500;
-/// Milliseconds for which a router may spend the fraction that it was lent, from when it asked for it.
+/// Milliseconds from taking an amount out of a counter until the request is dispatched to a replica. An amount that
+/// waited longer is returned and has to be taken again.
+inline constexpr Tick maxDispatchDelay = 500;
+/// Milliseconds for which a router may spend an allocation, from when it sent the report that the grant answers.
 inline constexpr Tick allocationDuration = 10000;
-/// Milliseconds after its newest loan arrived from which what flows into a router's fraction is the router's; until
-/// then it is the lender's, which counts the same time from when it sent that loan.
-inline constexpr Tick ownFlowAfter = 1500;
-/// Part of its fraction's capacity that a router may hold before ownFlowAfter; the rest is the lender's until then.
+/// Milliseconds after its newest grant arrived from which the refill of a router's allocation is the router's; until
+/// then it is the owner's, which counts the same time from when it sent that grant.
+inline constexpr Tick refillTransferDelay = 1500;
+/// Fraction of its allocation's capacity that a router may store before refillTransferDelay has passed; the rest is
+/// the owner's until then.
 inline constexpr double connectedReserveFraction = 0.25;
-/// Greatest part of a limit that a lender has out in fractions; the rest answers requests for single amounts.
+/// Greatest fraction of a limit that an owner allocates to routers; the rest answers requests for single amounts.
 inline constexpr double maxAllocatedFraction = 0.6;
-/// Greatest fraction that one router is lent.
+/// Greatest fraction of a limit that one router is allocated.
 inline constexpr double maxFractionPerRouter = 0.1;
-/// Part of a limit that routers without a loan share among them, each as much as any other.
+/// Fraction of a limit that routers without an allocation share equally.
 inline constexpr double unallocatedFraction = 0.005;
 
-/// The most that the operators allow in a window: (perSecond x window + burst) x (1 + overrun) + fixed.
-double allowed(Limit const& limit, OverdraftAllowance const& slack);
-/// What all counters of a tenant hold together at the most, so that greatestSum stays within allowed. Where the slack
-/// does not reach for handOverWithin, at least half of the burst and a quarter of a second's flow.
-double capacity(Limit const& limit, OverdraftAllowance const& slack);
-/// The most that is handed to replicas in a window, whatever is cut off, lost or frozen: the fractions of all counters
-/// are 1 in sum at any time, what flows into a fraction f, f x perSecond, flows to one counter at a time, all that is
-/// held by virtue of it is no more than f x capacity, and what is taken out is handed over within handOverWithin. Hence
-/// capacity + perSecond x (window + handOverWithin).
-double greatestSum(Limit const& limit, OverdraftAllowance const& slack);
+/// The amount that operators allow in a window: (perSecond x window + burst) x (1 + overrunFraction) + fixedAmount.
+double allowedAmount(Limit const& limit, OverdraftAllowance const& allowance);
+/// The amount that all counters of a tenant store together at the most, chosen so that maxDispatchedAmount stays
+/// within allowedAmount. At least half of the burst, a quarter of a second's refill and 1, even where the allowance
+/// does not cover maxDispatchDelay.
+double totalCapacity(Limit const& limit, OverdraftAllowance const& allowance);
+/// The greatest amount that is dispatched to replicas in a window; see the argument at the top.
+double maxDispatchedAmount(Limit const& limit, OverdraftAllowance const& allowance);
 
 }  // namespace corkward::quota
--- a/quota/include/corkward/quota/messages.h
+++ b/quota/include/corkward/quota/messages.h
@@ -1,8 +1,11 @@
 #pragma once
 
-/// Messages between the routers, which spend tenants' limits, and the controllers, one of which lends each part of them
-/// out; and between the controllers, which agree on who lends.
+/// Messages between routers, which spend tenants' limits, and the owners of the tenants' partitions; and between
+/// controllers, which grant each other leases on partitions.
+///
+/// The one-letter tags in each() are the wire format: they stay when a field is renamed.
 
+#include <algorithm>
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -11,97 +14,109 @@
 
 namespace corkward::quota {
 
-/// Tenants are spread over so many parts; each part has a lender of its own.
+/// Number of partitions that tenants are hashed to; each partition has an owner of its own.
 inline constexpr std::uint64_t partitionCount = 16;
-/// Units of a fraction or share on the wire that stand for the whole.
+/// Fractions on the wire are integers in units of 1 / fractionUnits.
 inline constexpr std::uint64_t fractionUnits = 1000000000;
 
-/// The part that a tenant belongs to.
+inline double fractionFromWire(std::uint64_t units) {
+  return static_cast<double>(units) / static_cast<double>(fractionUnits);
+}
+
+inline std::uint64_t fractionToWire(double fraction) {
+  return static_cast<std::uint64_t>(std::clamp(fraction, 0.0, 1.0) * static_cast<double>(fractionUnits));
+}
+
+/// The partition that a tenant belongs to.
 inline std::uint64_t partitionOf(std::string const& tenant) {
   return core::stableHash(tenant) % partitionCount;
 }
 
-/// Order in which controllers come into question as lenders of a part: the lowest first.
-inline std::uint64_t rankOf(std::uint64_t part, std::string const& controller) {
-  return core::stableHash("quota " + std::to_string(part) + "|" + controller);
+/// Rendezvous hash of a controller for a partition: the controller with the lowest rank is the preferred owner.
+inline std::uint64_t ownerRank(std::uint64_t partition, std::string const& controller) {
+  return core::stableHash("quota " + std::to_string(partition) + "|" + controller);
 }
 
-/// One tenant at one router: what it asks for, and which loan it holds.
+/// One tenant at one router: its demand, what the router requests or returns, and the allocation that it holds.
 struct TenantUsage {
   std::string tenant;
-  /// What its requests came to in a second, of late.
-  std::uint64_t demand = 0;
-  /// Amount that a request waits for; the lender gives all of it or nothing.
-  std::uint64_t wanted = 0;
-  /// Amount that this router has left.
-  std::uint64_t remaining = 0;
-  /// Amount that it gives back to the lender.
-  std::uint64_t returned = 0;
-  /// The loan that it holds, as parts of `whole`, whose it is, and for how many milliseconds on; 0: none.
-  std::uint64_t fraction = 0;
-  std::uint64_t epoch = 0;
-  std::uint64_t number = 0;
-  std::uint64_t remainingMs = 0;
-  /// A loan is wanted anew; else only the amount is.
+  /// Recent demand of the tenant's requests at this router, as an amount per second.
+  std::uint64_t demandPerSecond = 0;
+  /// Amount that a request waits for; the owner grants all of it or nothing.
+  std::uint64_t requestedAmount = 0;
+  /// Amount that this router can still spend.
+  std::uint64_t remainingAmount = 0;
+  /// Amount that the router returns to the owner.
+  std::uint64_t returnedAmount = 0;
+  /// The allocation that it holds, in units of 1 / fractionUnits; 0: none.
+  std::uint64_t allocatedFraction = 0;
+  /// Term of the owner that granted the allocation, and the number of that grant.
+  std::uint64_t ownerTerm = 0;
+  std::uint64_t grantNumber = 0;
+  /// Milliseconds until the allocation expires.
+  std::uint64_t allocationRemainingMs = 0;
+  /// A new allocation is requested; else the amount alone.
   bool wantsRenewal = false;
   template <class F>
   void each(F& f) {
     f("t", tenant);
     f("x", wantsRenewal);
-    f("d", demand);
-    f("w", wanted);
-    f("a", remaining);
-    f("b", returned);
-    f("f", fraction);
-    f("e", epoch);
-    f("n", number);
-    f("r", remainingMs);
+    f("d", demandPerSecond);
+    f("w", requestedAmount);
+    f("a", remainingAmount);
+    f("b", returnedAmount);
+    f("f", allocatedFraction);
+    f("e", ownerTerm);
+    f("n", grantNumber);
+    f("r", allocationRemainingMs);
   }
 };
 
-/// A router reports to the coordinator of its tenants' partition; expects QuotaGrants.
+/// A router's report to the owner of its tenants' partitions; the reply is QuotaGrants.
 struct UsageReport {
+  /// Address of the sender, and which incarnation of that process it is.
   std::string link;
-  /// Number of the sender's life.
   std::uint64_t incarnation = 0;
-  /// Names the report in its answer.
-  std::uint64_t number = 0;
-  std::vector<TenantUsage> uses;
+  /// Identifies the report in its reply; rises with each report of a router.
+  std::uint64_t reportNumber = 0;
+  std::vector<TenantUsage> usages;
   template <class F>
   void each(F& f) {
     f("l", link);
     f("i", incarnation);
-    f("n", number);
-    f("u", uses);
+    f("n", reportNumber);
+    f("u", usages);
   }
 };
 
-/// What a lender gives one router of one tenant's limit.
+/// What a partition's owner grants one router of one tenant's limit.
 struct QuotaGrant {
   std::string tenant;
-  std::uint64_t epoch = 0;
-  /// Rises with each loan of this lender; 0: the router's loan stays as it is, and only the amount counts.
-  std::uint64_t number = 0;
-  /// Fraction of the limit, in parts of `whole`, that the router may spend from here on.
-  std::uint64_t fraction = 0;
-  /// Amount to be spent at once, in answer to what was wanted.
-  std::uint64_t amount = 0;
-  /// Which share of the tenant's requests routers may try to admit, in parts of `whole`.
+  /// Term of the owner.
+  std::uint64_t ownerTerm = 0;
+  /// Rises with each allocation of this owner; 0: the router's allocation stays as it is, only the amount counts.
+  std::uint64_t grantNumber = 0;
+  /// Fraction of the limit that the router may spend from now on, in units of 1 / fractionUnits.
+  std::uint64_t allocatedFraction = 0;
+  /// Amount that may be spent at once, in reply to TenantUsage::requestedAmount.
+  std::uint64_t grantedAmount = 0;
+  /// Fraction of the tenant's requests that routers may try to admit, in units of 1 / fractionUnits.
   std::uint64_t admissionShare = 0;
   template <class F>
   void each(F& f) {
     f("t", tenant);
-    f("e", epoch);
-    f("n", number);
-    f("f", fraction);
-    f("a", amount);
+    f("e", ownerTerm);
+    f("n", grantNumber);
+    f("f", allocatedFraction);
+    f("a", grantedAmount);
     f("s", admissionShare);
   }
 };
 
-/// Who lends a part, as far as the sender knows; empty: nobody.
+/// The owner of a partition, as far as the sender knows.
 struct PartitionOwner {
   std::uint64_t partition = 0;
+  /// Address of the controller; empty: none is known.
   std::string coordinator;
   template <class F>
   void each(F& f) {
@@ -110,7 +125,7 @@
   }
 };
 
-/// Answer to a Report: loans of the parts that the sender lends, and whom to ask for the others.
+/// Reply to a UsageReport: grants for the partitions that the sender owns, and the owners of the others.
 struct QuotaGrants {
   std::uint64_t reportNumber = 0;
   std::vector<QuotaGrant> grants;
@@ -123,20 +138,21 @@
   }
 };
 
-/// A part under a term of office.
-struct PartitionEpoch {
+/// A partition and the term under which it is owned or requested. Terms of a partition rise with each owner.
+struct PartitionTerm {
   std::uint64_t partition = 0;
-  std::uint64_t epoch = 0;
+  std::uint64_t term = 0;
   template <class F>
   void each(F& f) {
     f("p", partition);
-    f("e", epoch);
+    f("e", term);
   }
 };
 
-/// A new lender asks a router which loans of its parts it holds; answers to reports from before count no more there.
+/// A new owner queries a router for the allocations that it holds in these partitions; the router ignores replies to
+/// reports that it sent before.
 struct AllocationQuery {
-  std::vector<PartitionEpoch> terms;
+  std::vector<PartitionTerm> terms;
   template <class F>
   void each(F& f) {
     f("p", terms);
@@ -147,25 +163,26 @@
 struct AllocationReport {
   std::string link;
   std::uint64_t incarnation = 0;
-  std::vector<PartitionEpoch> terms;
-  std::vector<TenantUsage> uses;
+  std::vector<PartitionTerm> terms;
+  std::vector<TenantUsage> usages;
   template <class F>
   void each(F& f) {
     f("l", link);
     f("i", incarnation);
     f("p", terms);
-    f("u", uses);
+    f("u", usages);
   }
 };
 
-/// A controller asks each member for a term as lender, or to prolong the one it has.
+/// A controller requests leases on partitions from each member, or renews or releases those that it has.
 struct PartitionLeaseRequest {
+  /// Moment on the sender's clock, in milliseconds; leases count from it.
   core::Tick sentAt = 0;
   std::string link;
   std::uint64_t incarnation = 0;
-  /// It lends no more under these terms.
+  /// The sender gives these leases up.
   bool release = false;
-  std::vector<PartitionEpoch> terms;
+  std::vector<PartitionTerm> terms;
   template <class F>
   void each(F& f) {
     f("t", sentAt);
@@ -176,16 +193,18 @@
   }
 };
 
-/// A member's word on one part: granted, or to whom and under which epoch it was granted before.
+/// A member's decision on one partition's lease.
 struct PartitionLeaseDecision {
   std::uint64_t partition = 0;
-  std::uint64_t epoch = 0;
+  /// Greatest term that the member has granted.
+  std::uint64_t term = 0;
   bool granted = false;
+  /// Who holds the lease by this member's grant; empty: nobody.
   std::string holder;
   template <class F>
   void each(F& f) {
     f("p", partition);
-    f("e", epoch);
+    f("e", term);
     f("g", granted);
     f("h", holder);
   }
@@ -193,6 +212,7 @@
 
 /// One member's reply to a PartitionLeaseRequest.
 struct PartitionLeaseReply {
+  /// PartitionLeaseRequest::sentAt of the request.
   core::Tick requestSentAt = 0;
   std::vector<PartitionLeaseDecision> decisions;
   template <class F>
--- a/quota/include/corkward/quota/partition_leases.h
+++ b/quota/include/corkward/quota/partition_leases.h
@@ -1,77 +1,50 @@
 #pragma once
 
-/// Who lends each part of the tenants' limits: terms that a majority of the members grants, counted from when they were
-/// asked for. A lease without a disk: a member that may have forgotten what it granted grants nothing for longer than a
-/// term, so two terms of one part never overlap.
+/// The leases on partitions that one controller holds or contends for; see partition_lease_grants.h for what the
+/// members grant.
 
+#include <cstdint>
 #include <map>
 #include <string>
 #include <vector>
 
 #include <corkward/quota/limit.h>
 #include <corkward/quota/messages.h>
+#include <corkward/quota/partition_lease_grants.h>
 
 namespace corkward::quota {
 
-/// Milliseconds for which a member's grant holds.
-inline constexpr Tick partitionLeaseDuration = 800;
-/// Milliseconds for which a member grants no new term after it has started, joined or seen a new membership: by then
-/// what it may have granted before has run out.
-inline constexpr Tick grantDelayAfterStart = partitionLeaseDuration + 200;
-
-/// One member's grants.
-class PartitionLeaseGrants {
- public:
-  /// May: this member votes, and has for longer than a term, under one membership. Renewing a grant to the same holder
-  /// takes less: see `mayRenew`.
-  PartitionLeaseReply onRequest(Tick now, PartitionLeaseRequest const& ask, bool may, bool mayRenew);
-  /// Who holds a part by this member's own grant; empty: nobody.
-  std::string holder(Tick now, std::uint64_t part) const;
-  std::uint64_t epoch(std::uint64_t part) const;
-
- private:
-  struct Grant {
-    std::string holder;
-    std::uint64_t incarnation = 0;
-    std::uint64_t epoch = 0;
-    Tick until = -1;
-  };
-  PartitionLeaseDecision answer(Tick now, PartitionLeaseRequest const& ask, PartitionEpoch const& wanted, bool may,
-                                bool mayRenew);
-
-  std::map<std::uint64_t, Grant> grants_;
-};
-
-/// The terms that one controller holds or asks for.
+/// Requests leases under rising terms and counts the members' grants.
 class PartitionLeases {
  public:
-  /// Asks for a part under an epoch above all that were heard of, or goes on asking; under a higher one if a member has
-  /// granted such an epoch to another. For parts that are not held. Least: a number that earlier lives of the members
-  /// did not reach.
-  void seek(Tick now, std::uint64_t part, std::uint64_t least);
-  /// Since when a part is sought or held; below 0: it is not.
-  Tick since(std::uint64_t part) const;
-  /// Gives up whatever is sought or held of a part.
-  void drop(std::uint64_t part);
-  /// A member answered.
-  void answered(std::string const& member, PartitionLeaseReply const& grant);
-  /// Until when the part is held, by the grants of these members; 0 or past: it is not.
-  Tick heldUntil(std::uint64_t part, std::vector<std::string> const& members) const;
-  /// What is to be asked for now.
-  std::vector<PartitionEpoch> wanted() const;
-  std::uint64_t epoch(std::uint64_t part) const;
+  /// Starts to contend for a partition under a term above all known ones, or goes on contending; under a higher term
+  /// if a member has granted such a term to another controller. For partitions that are not owned.
+  /// @param minTerm a term that earlier incarnations of the members did not reach
+  void contend(Tick now, std::uint64_t partition, std::uint64_t minTerm);
+  /// Since when the partition is contended for or owned; below 0: it is neither.
+  Tick contendingSince(std::uint64_t partition) const;
+  /// Stops contending for a partition, and gives up its lease if there is one.
+  void abandon(std::uint64_t partition);
+  void onReply(std::string const& member, PartitionLeaseReply const& reply);
+  /// Until when the lease on a partition is valid by the grants of a majority of these members; 0 or past: it is not.
+  Tick validUntil(std::uint64_t partition, std::vector<std::string> const& members) const;
+  /// All leases to request or renew, by partition.
+  std::vector<PartitionTerm> requestedTerms() const;
+  /// Term under which the partition is contended for or owned; 0: it is neither.
+  std::uint64_t term(std::uint64_t partition) const;
 
  private:
-  struct Term {
-    std::uint64_t epoch = 0;
+  struct Candidacy {
+    std::uint64_t term = 0;
     Tick since = 0;
-    /// A member has granted another such an epoch or a higher one.
-    bool outbid = false;
-    /// When the newest grant of each member was asked for.
-    std::map<std::string, Tick> granted;
+    /// A member has granted another controller this term or a higher one.
+    bool superseded = false;
+    /// When the request that led to the newest grant was sent, by member.
+    std::map<std::string, Tick> grantRequestedAt;
   };
-  std::map<std::uint64_t, Term> terms_;
-  std::map<std::uint64_t, std::uint64_t> highest_;
+  std::map<std::uint64_t, Candidacy> candidacies_;
+  /// Highest term that any member has reported, by partition.
+  std::map<std::uint64_t, std::uint64_t> highestTerms_;
 };
 
 }  // namespace corkward::quota
--- a/quota/include/corkward/quota/quota_coordinator.h
+++ b/quota/include/corkward/quota/quota_coordinator.h
@@ -1,15 +1,18 @@
 #pragma once
 
-/// One controller's part in lending tenants' limits: it grants terms, seeks them for parts that nobody lends, and lends
-/// what it holds a term for. A reducer beside the controller's own.
+/// The coordination of tenants' limits at one controller: it grants leases on partitions, contends for those that
+/// nobody owns, and grants quota for those that it owns. A reducer beside the controller's own.
 
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <set>
 #include <string>
 #include <variant>
 #include <vector>
 
-#include <corkward/quota/grant_table.h>
+#include <corkward/quota/owned_partition.h>
+#include <corkward/quota/partition_lease_grants.h>
 #include <corkward/quota/partition_leases.h>
 
 namespace corkward::quota {
@@ -20,79 +23,80 @@
   std::variant<PartitionLeaseRequest, PartitionLeaseReply, AllocationQuery, QuotaGrants> message;
 };
 
-/// What the controller knows of itself, the members and the routers.
+/// What the controller knows of itself, the members and the routers. Processes are named by their link addresses.
 struct MembershipView {
-  /// Votes, and has for longer than a term: see TermGrants.
-  bool mayGrant = false;
-  bool mayRenew = false;
-  /// Links of all members, this one included, and of those that were heard of late.
+  /// Which leases this member may grant.
+  GrantPermission grantPermission = GrantPermission::none;
+  /// All members, this one included.
   std::vector<std::string> members;
-  std::vector<std::string> alive;
-  /// Routers of the roster that is committed here, and of those before that may still serve.
+  /// Those members that were heard from lately.
+  std::vector<std::string> aliveMembers;
+  /// Routers of the roster that is committed here, and earlier ones that may still serve.
   std::set<std::string> routers;
   /// When the newest contact with a majority of the members began; below 0: there is none.
-  Tick contact = -1;
-  /// The process is to end: it seeks no term and gives up those it has.
-  bool leaving = false;
+  Tick quorumContactSince = -1;
+  /// The process shuts down: it contends for no lease and releases those it has.
+  bool draining = false;
 };
 
+/// Reducer: time, messages and the membership in, messages out.
 class QuotaCoordinator {
  public:
-  QuotaCoordinator(std::string link, std::uint64_t life, OverdraftAllowance const& slack);
+  /// @param incarnation rises with each start of a member; terms of leases begin with it
+  QuotaCoordinator(std::string link, std::uint64_t incarnation, OverdraftAllowance const& allowance);
 
-  /// The limits of the configuration in place, by tenant; those without a limit are left out.
+  /// The limits of the active configuration, by tenant; tenants without a limit are left out.
   void configure(Tick now, std::map<std::string, Limit> limits);
-  std::vector<Send> clockEvent(Tick now, MembershipView const& standing);
-  std::vector<Send> arrived(Tick now, std::string const& from, UsageReport const& message,
-                            MembershipView const& standing);
-  std::vector<Send> arrived(Tick now, std::string const& from, PartitionLeaseRequest const& message,
-                            MembershipView const& standing);
-  std::vector<Send> arrived(Tick now, std::string const& from, PartitionLeaseReply const& message,
-                            MembershipView const& standing);
-  std::vector<Send> arrived(Tick now, std::string const& from, AllocationReport const& message,
-                            MembershipView const& standing);
+  std::vector<Send> clockEvent(Tick now, MembershipView const& view);
+  std::vector<Send> onMessage(Tick now, std::string const& from, UsageReport const& message,
+                              MembershipView const& view);
+  std::vector<Send> onMessage(Tick now, std::string const& from, PartitionLeaseRequest const& message,
+                              MembershipView const& view);
+  std::vector<Send> onMessage(Tick now, std::string const& from, PartitionLeaseReply const& message,
+                              MembershipView const& view);
+  std::vector<Send> onMessage(Tick now, std::string const& from, AllocationReport const& message,
+                              MembershipView const& view);
 
-  /// Holds a term of that part.
-  bool ownsPartition(Tick now, std::uint64_t part, MembershipView const& standing) const;
-  /// Parts that are lent from here.
-  std::size_t ownedPartitionCount(Tick now, MembershipView const& standing) const;
+  bool ownsPartition(Tick now, std::uint64_t partition, MembershipView const& view) const;
+  std::size_t ownedPartitionCount(Tick now, MembershipView const& view) const;
 
  private:
-  /// A part that this controller lends.
-  struct OwnedPartition {
-    std::uint64_t epoch = 0;
-    Tick since = 0;
-    /// Loans of earlier lenders have run out by then.
-    Tick unknownUntil = 0;
-    /// Routers were asked for their loans, all of the roster of that time.
-    bool asked = false;
-    /// Those that have not answered yet.
-    std::set<std::string> unheard;
-    std::map<std::string, GrantTable> ledgers;
+  /// The owner of a partition as another member has named it.
+  struct AnnouncedOwner {
+    std::string link;
+    Tick validUntil = 0;
   };
-  std::string holderOf(Tick now, std::uint64_t part, MembershipView const& standing) const;
-  bool firstFor(std::uint64_t part, std::vector<std::string> const& alive) const;
-  void considerSeeking(Tick now, MembershipView const& standing);
-  void keepOffices(Tick now, MembershipView const& standing);
-  void askTerms(std::vector<Send>& out, Tick now, MembershipView const& standing);
-  void askClaims(std::vector<Send>& out, Tick now, MembershipView const& standing);
-  void release(std::vector<Send>& out, Tick now, MembershipView const& standing);
-  PartitionLeaseRequest termAsk(Tick now) const;
-  GrantTable& ledgerOf(Tick now, OwnedPartition& office, std::string const& tenant);
+  /// Owner of a partition as far as this controller knows; empty: none.
+  std::string ownerOf(Tick now, std::uint64_t partition, MembershipView const& view) const;
+  /// No other live member comes before this one as owner of the partition.
+  bool isPreferredOwner(std::uint64_t partition, std::vector<std::string> const& aliveMembers) const;
+  bool mayContend(Tick now, std::uint64_t partition, MembershipView const& view) const;
+  /// Starts or stops to contend for each partition that is not owned here.
+  void updateContention(Tick now, MembershipView const& view);
+  /// Drops partitions whose lease has expired and takes over those whose lease was acquired.
+  void updateOwnedPartitions(Tick now, MembershipView const& view);
+  PartitionLeaseRequest leaseRequest(Tick now) const;
+  void requestLeases(std::vector<Send>& out, Tick now, MembershipView const& view);
+  void releaseLeases(std::vector<Send>& out, Tick now, MembershipView const& view);
+  /// Queries routers that have not reported their allocations of partitions that are owned here.
+  void queryAllocations(std::vector<Send>& out, Tick now, MembershipView const& view);
+  GrantTable& grantTable(Tick now, OwnedPartition& partition, std::string const& tenant);
 
   std::string link_;
   std::uint64_t incarnation_;
-  OverdraftAllowance slack_;
+  OverdraftAllowance allowance_;
   std::map<std::string, Limit> limits_;
+  /// What this member has granted to itself and others.
   PartitionLeaseGrants grants_;
-  PartitionLeases terms_;
+  /// What this controller contends for or owns.
+  PartitionLeases leases_;
+  /// Partitions whose lease this controller had at the last update; whether it is still valid is said by `leases_`.
   std::map<std::uint64_t, OwnedPartition> ownedPartitions_;
-  /// Who was said to lend a part, and until when that is believed.
-  std::map<std::uint64_t, std::pair<std::string, Tick>> announcedOwners_;
-  /// Parts that are not sought again before then.
-  std::map<std::uint64_t, Tick> restUntil_;
-  Tick askAt_ = 0;
-  Tick claimAt_ = 0;
+  std::map<std::uint64_t, AnnouncedOwner> announcedOwners_;
+  /// Until when this controller does not contend for a partition again.
+  std::map<std::uint64_t, Tick> backoffUntil_;
+  Tick nextLeaseRequestAt_ = 0;
+  Tick nextAllocationQueryAt_ = 0;
 };
 
 }  // namespace corkward::quota
--- a/quota/include/corkward/quota/quota_limiter.h
+++ b/quota/include/corkward/quota/quota_limiter.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// One tenant at one router: which of its requests go on, by the fraction of the limit that was lent to this router and
-/// by single amounts that it asks for. Pure, with the time in each call.
+/// One tenant at one router: admits its requests against the fraction of the limit that this router was allocated, and
+/// against single amounts that the partition's owner grants. Pure, with the time in each call.
 
+#include <cstddef>
 #include <cstdint>
 
 #include <corkward/quota/demand_estimator.h>
@@ -11,74 +12,88 @@
 
 namespace corkward::quota {
 
-/// A router without a loan counts as one of so many that share unlentPart.
+/// How many routers share unallocatedFraction equally.
 struct UnallocatedShare {
   std::size_t routers = 1;
 };
 
+/// Rate limiter of one tenant at one router. Amounts are requests or tokens, as the limit is measured.
 class QuotaLimiter {
  public:
-  /// Milliseconds between reports while requests come.
+  /// Milliseconds between reports while requests arrive.
   static constexpr Tick reportEvery = 200;
 
   QuotaLimiter();
 
-  /// A request of that amount has come. False: the share that was told does not let it on; draw: a random number, 0 to
-  /// 1.
+  /// Records the demand of a request.
+  /// @param draw a random number, 0 to 1
+  /// @return false: the request is not among the fraction of requests that may be admitted at present
   bool onRequest(Tick now, double amount, double draw);
-  /// Takes the amount out of what this router has, if that suffices.
-  bool tryAcquire(Tick now, Limit const& limit, OverdraftAllowance const& slack, double amount);
-  /// Takes the amount out of this router's part of unlentPart. For a greater amount than is there, a
-  /// draw decides, whose odds are what is there over the amount and which uses that up, so that in the mean nothing is
-  /// taken beyond it.
-  bool tryAcquireUnallocated(Tick now, Limit const& limit, OverdraftAllowance const& slack, double amount,
-                             UnallocatedShare crowd, double draw);
-  /// An amount that was taken is not needed after all.
-  void refund(Tick now, Limit const& limit, OverdraftAllowance const& slack, double amount);
+  /// Takes the amount if this router has as much; else takes nothing and returns false.
+  bool tryAcquire(Tick now, Limit const& limit, OverdraftAllowance const& allowance, double amount);
+  /// Takes the amount out of this router's part of unallocatedFraction. For more than there is, the draw decides with
+  /// a probability of what there is over the amount, and uses that up: the mean of what is admitted stays within it.
+  /// @param draw a random number, 0 to 1
+  bool tryAcquireUnallocated(Tick now, Limit const& limit, OverdraftAllowance const& allowance, double amount,
+                             UnallocatedShare sharing, double draw);
+  /// Returns an amount that was acquired and is not needed.
+  void refund(Tick now, Limit const& limit, OverdraftAllowance const& allowance, double amount);
 
-  /// An answer to a report that was sent at `askedAt`; amounts that come later than handOverWithin / 2 are void.
-  void onGrant(Tick now, Limit const& limit, OverdraftAllowance const& slack, Tick askedAt, QuotaGrant const& loan);
-  /// Puts back what is beyond this router's capacity, once requests that waited have been served.
-  void trim(Tick now, Limit const& limit, OverdraftAllowance const& slack);
+  /// Applies the reply to a report.
+  /// @param reportSentAt when that report was sent; a granted amount that comes more than maxDispatchDelay / 2 later is
+  ///   void
+  void onGrant(Tick now, Limit const& limit, OverdraftAllowance const& allowance, Tick reportSentAt,
+               QuotaGrant const& grant);
+  /// Puts aside for the owner what exceeds this router's capacity, once waiting requests have been served.
+  void trim(Tick now, Limit const& limit, OverdraftAllowance const& allowance);
 
-  /// What is to be reported; what it gives back is taken off here.
-  TenantUsage report(Tick now, Limit const& limit, OverdraftAllowance const& slack, double wanted);
-  /// The loan as it is held, without giving anything back.
-  TenantUsage currentUsage(Tick now, Limit const& limit, OverdraftAllowance const& slack) const;
-  /// A report is due: requests came, or a loan is to be prolonged or given back.
+  /// The report to send now. The amounts that it returns to the owner are deducted here.
+  /// @param requestedAmount amount that a request waits for; 0: none
+  TenantUsage takeReport(Tick now, Limit const& limit, OverdraftAllowance const& allowance, double requestedAmount);
+  /// Demand and allocation as they are; returns nothing to the owner.
+  TenantUsage currentUsage(Tick now, Limit const& limit, OverdraftAllowance const& allowance) const;
+  /// A report is due: requests arrived, or an allocation is to be renewed or given up.
   bool reportDue(Tick now) const;
-  /// Nothing is held and nothing came for so long that it may be forgotten.
+  /// It has no allocation and had no request for so long that it may be removed.
   bool idle(Tick now) const;
-  bool hasAllocation(Tick now) const { return now < until_ && fraction_ > 0; }
-  double remaining(Tick now, Limit const& limit, OverdraftAllowance const& slack) const;
+  bool hasAllocation(Tick now) const { return now < expiresAt_ && allocatedFraction_ > 0; }
+  /// Amount that this router can spend.
+  double remainingAmount(Tick now, Limit const& limit, OverdraftAllowance const& allowance) const;
 
  private:
-  void settle(Tick now, Limit const& limit, OverdraftAllowance const& slack);
-  /// Puts aside for the lender what is beyond `most`. True: there was something.
-  bool shed(double most);
-  void renewed(Tick now, Tick askedAt, QuotaGrant const& loan);
-  /// What flows into this router's fraction is still the lender's.
-  bool connected(Tick now) const;
-  /// What this router may hold at the most.
-  double most(Tick now, Limit const& limit, OverdraftAllowance const& slack) const;
+  /// Adds the refill since the last update and ends an expired allocation.
+  void update(Tick now, Limit const& limit, OverdraftAllowance const& allowance);
+  /// Puts aside for the owner what exceeds the amount. True: there was something.
+  bool returnExcess(double maxAmount);
+  void applyAllocation(Tick now, Tick reportSentAt, QuotaGrant const& grant);
+  /// The refill of this router's allocation still goes to the owner.
+  bool refillsOwner(Tick now) const;
+  /// Greatest amount that this router may store.
+  double maxAmount(Tick now, Limit const& limit, OverdraftAllowance const& allowance) const;
 
   DemandEstimator demand_;
-  Tick seenAt_ = -1;
-  bool fresh_ = false;
-  double share_ = 1.0;
-  Tick sharedAt_ = 0;
-  double fraction_ = 0;
-  Tick until_ = 0;
-  /// When the newest loan arrived.
-  Tick lentAt_ = -ownFlowAfter;
-  std::uint64_t epoch_ = 0;
-  std::uint64_t number_ = 0;
-  double left_ = 0;
-  Tick at_ = 0;
-  double returned_ = 0;
-  double unlent_ = 0;
-  Tick unlentAt_ = -1;
-  Tick renewedAt_ = -reportEvery;
+  Tick lastRequestAt_ = -1;
+  /// Something happened since the last renewal that the owner should learn of.
+  bool hasUnreportedChange_ = false;
+  /// Fraction of the requests that may be admitted, and when the owner last said so.
+  double admissionShare_ = 1.0;
+  Tick admissionShareAt_ = 0;
+  /// The allocation: a fraction of the limit until `expiresAt_`, granted under the owner's term and number.
+  double allocatedFraction_ = 0;
+  Tick expiresAt_ = 0;
+  std::uint64_t ownerTerm_ = 0;
+  std::uint64_t grantNumber_ = 0;
+  /// When the newest grant of an allocation arrived.
+  Tick grantedAt_ = -refillTransferDelay;
+  /// Amount that can be spent, as of `updatedAt_`.
+  double remainingAmount_ = 0;
+  Tick updatedAt_ = 0;
+  /// Amount put aside for the owner until the next report.
+  double returnedAmount_ = 0;
+  /// Amount of the router's part of unallocatedFraction, as of `unallocatedAt_`; -1: never used.
+  double unallocatedAmount_ = 0;
+  Tick unallocatedAt_ = -1;
+  Tick renewalRequestedAt_ = -reportEvery;
 };
 
 }  // namespace corkward::quota
--- /dev/null
+++ b/quota/src/decaying_maximum.cpp
@@ -0,0 +1,17 @@
+#include <corkward/quota/decaying_maximum.h>
+
+#include <algorithm>
+#include <cmath>
+
+namespace corkward::quota {
+
+void DecayingMaximum::record(Tick now, double amount) {
+  maximum_ = std::max(value(now), amount);
+  recordedAt_ = now;
+}
+
+double DecayingMaximum::value(Tick now) const {
+  return maximum_ * std::exp2(-static_cast<double>(now - recordedAt_) / static_cast<double>(halfLife_));
+}
+
+}  // namespace corkward::quota
--- a/quota/src/demand_estimator.cpp
+++ b/quota/src/demand_estimator.cpp
@@ -4,17 +4,17 @@
 
 namespace corkward::quota {
 
-double DemandEstimator::left(Tick now) const {
-  return sum_ * std::exp(-static_cast<double>(now - at_) / static_cast<double>(memory_));
+double DemandEstimator::decayedSum(Tick now) const {
+  return sum_ * std::exp(-static_cast<double>(now - updatedAt_) / static_cast<double>(timeConstant_));
 }
 
 void DemandEstimator::add(Tick now, double amount) {
-  sum_ = left(now) + amount;
-  at_ = now;
+  sum_ = decayedSum(now) + amount;
+  updatedAt_ = now;
 }
 
 double DemandEstimator::perSecond(Tick now) const {
-  return 1000.0 * left(now) / static_cast<double>(memory_);
+  return 1000.0 * decayedSum(now) / static_cast<double>(timeConstant_);
 }
 
 }  // namespace corkward::quota
--- a/quota/src/grant_table.cpp
+++ b/quota/src/grant_table.cpp
@@ -7,215 +7,216 @@
 
 namespace {
 
-/// Milliseconds after which a router's last report says nothing of the tenant's demand any more.
-constexpr Tick reportSpeaks = 2000;
-/// A router's fraction is changed when it is off by more than this part of itself: what a smaller one frees flows to
-/// nobody until the router has said that it has it.
-constexpr double worthChanging = 0.25;
-/// The lender keeps a capacity of so many of the largest amounts that were wanted; what it has seen halves in so many
-/// milliseconds.
-constexpr double keptForLargest = 2.0;
-constexpr Tick largestHalves = 20000;
-/// Below this part of the capacity routers are told to admit only a share of the requests.
-constexpr double scarce = 0.5;
-/// Part of the capacity that this leaves for large requests, which need more at once than flows in for them.
-constexpr double spared = 0.25;
-/// What is left beyond that may be spent within a second; of what is missing to it, this part is won back in a second.
-constexpr double sparedBack = 0.25;
-/// A demand of this part of the flow or less needs no refusals: what is missing comes by itself.
-constexpr double enoughFlow = 0.9;
-
-double fromWire(std::uint64_t fraction) {
-  return static_cast<double>(fraction) / static_cast<double>(fractionUnits);
-}
-
-std::uint64_t toWire(double fraction) {
-  return static_cast<std::uint64_t>(std::clamp(fraction, 0.0, 1.0) * static_cast<double>(fractionUnits));
-}
+/// Milliseconds after which a router's last report no longer counts as demand.
+constexpr Tick reportValidity = 2000;
+/// A router's fraction is changed when it is off by more than this part of itself: the difference to a smaller one is
+/// refilled to nobody until the router has confirmed it.
+constexpr double fractionHysteresis = 0.25;
+/// The owner keeps a capacity of this many of the largest requested amounts.
+constexpr double largestRequestsReserve = 2.0;
+/// Milliseconds after which the largest requested amount counts half.
+constexpr Tick largestRequestHalfLife = 20000;
+/// Below this part of the capacity, routers may admit only a fraction of the requests.
+constexpr double scarcityThreshold = 0.5;
+/// Part of the capacity that is spared for large requests, which need more at once than is refilled for them.
+constexpr double largeRequestReserve = 0.25;
+/// What is available beyond the reserve may be spent within a second; of what is missing to it, this part is recovered
+/// in a second.
+constexpr double reserveRecoveryPerSecond = 0.25;
+/// A demand of at most this part of the refill needs no rejections: what is missing is refilled anyway.
+constexpr double demandBelowRefill = 0.9;
 
 }  // namespace
 
-GrantTable::GrantTable(Tick now, std::uint64_t epoch, Limit const& limit, OverdraftAllowance const& slack,
-                       Tick unknownUntil)
-    : epoch_(epoch),
+GrantTable::GrantTable(Tick now, std::uint64_t term, Limit const& limit, OverdraftAllowance const& allowance,
+                       Tick unreportedUntil)
+    : term_(term),
       limit_(limit),
-      slack_(slack),
-      at_(now),
-      unknown_(maxAllocatedFraction),
-      unknownUntil_(unknownUntil) {}
+      allowance_(allowance),
+      updatedAt_(now),
+      largestRequestedAmount_(largestRequestHalfLife),
+      unreportedFraction_(maxAllocatedFraction),
+      unreportedUntil_(unreportedUntil) {}
 
-double GrantTable::unknown(Tick now) const {
-  return now < unknownUntil_ ? unknown_ : 0.0;
+double GrantTable::unreportedFraction(Tick now) const {
+  return now < unreportedUntil_ ? unreportedFraction_ : 0.0;
 }
 
-double GrantTable::out(Tick now) const {
-  double sum = unknown(now);
-  for (auto const& [router, entry] : entries_)
-    if (now < entry.until) sum += entry.reserved;
+double GrantTable::allocatedFraction(Tick now) const {
+  double sum = unreportedFraction(now);
+  for (auto const& [router, allocation] : allocations_)
+    if (now < allocation.expiresAt) sum += allocation.reservedFraction;
   return sum;
 }
 
-double GrantTable::kept(Tick now) const {
-  return std::max(0.0, 1.0 - unallocatedFraction - out(now));
+double GrantTable::ownerFraction(Tick now) const {
+  return std::max(0.0, 1.0 - unallocatedFraction - allocatedFraction(now));
 }
 
-double GrantTable::most(Tick now) const {
-  double fraction = kept(now);
-  for (auto const& [router, entry] : entries_)
-    if (now < entry.until && now < entry.flowUntil) fraction += (1.0 - connectedReserveFraction) * entry.reserved;
-  return fraction * capacity(limit_, slack_);
+double GrantTable::ownerCapacity(Tick now) const {
+  double fraction = ownerFraction(now);
+  for (auto const& [router, allocation] : allocations_)
+    if (now < allocation.expiresAt && now < allocation.ownerRefillUntil)
+      fraction += (1.0 - connectedReserveFraction) * allocation.reservedFraction;
+  return fraction * totalCapacity(limit_, allowance_);
 }
 
-double GrantTable::flowed(Tick now) const {
-  double fractionTime = kept(now) * static_cast<double>(now - at_);
-  for (auto const& [router, entry] : entries_) {
-    Tick const end = std::min({now, entry.flowUntil, entry.until});
-    if (end > at_) fractionTime += entry.reserved * static_cast<double>(end - at_);
+double GrantTable::refilledAmount(Tick now) const {
+  double fractionTime = ownerFraction(now) * static_cast<double>(now - updatedAt_);
+  for (auto const& [router, allocation] : allocations_) {
+    Tick const end = std::min({now, allocation.ownerRefillUntil, allocation.expiresAt});
+    if (end > updatedAt_) fractionTime += allocation.reservedFraction * static_cast<double>(end - updatedAt_);
   }
   return limit_.perSecond * fractionTime / 1000.0;
 }
 
-double GrantTable::level(Tick now) const {
-  return std::min(level_ + flowed(now), most(now));
+double GrantTable::availableAmount(Tick now) const {
+  return std::min(availableAmount_ + refilledAmount(now), ownerCapacity(now));
 }
 
-void GrantTable::settle(Tick now) {
-  level_ = level(now);
-  at_ = now;
-  std::erase_if(entries_, [&](auto const& entry) { return now >= entry.second.until; });
+void GrantTable::update(Tick now) {
+  availableAmount_ = availableAmount(now);
+  updatedAt_ = now;
+  std::erase_if(allocations_, [&](auto const& entry) { return now >= entry.second.expiresAt; });
 }
 
-void GrantTable::setLimit(Tick now, Limit const& limit, OverdraftAllowance const& slack) {
-  settle(now);
+void GrantTable::setLimit(Tick now, Limit const& limit, OverdraftAllowance const& allowance) {
+  update(now);
   limit_ = limit;
-  slack_ = slack;
-  level_ = level(now);
-}
-
-void GrantTable::unheard(Tick now, std::size_t routers) {
-  settle(now);
-  unknown_ = std::min(unknown_, maxFractionPerRouter * static_cast<double>(routers));
-}
-
-GrantTable::Entry& GrantTable::entryOf(std::string const& router, std::uint64_t life) {
-  Entry& entry = entries_[router];
-  if (entry.incarnation == life) return entry;
-  // What an earlier life held is gone with it; a word of an earlier life that comes late frees nothing.
-  Entry fresh;
-  fresh.incarnation = life;
-  fresh.reserved = life > entry.incarnation ? 0.0 : entry.reserved;
-  fresh.until = life > entry.incarnation ? 0 : entry.until;
-  entry = fresh;
-  return entry;
-}
-
-void GrantTable::claim(Tick now, std::string const& router, std::uint64_t life, TenantUsage const& use) {
-  if (use.fraction == 0 || use.remainingMs == 0) return;
-  settle(now);
-  Entry& entry = entryOf(router, life);
-  if (entry.number != 0) return;
-  Tick const until = now + std::min<Tick>(static_cast<Tick>(use.remainingMs), allocationDuration);
-  double const claimed = fromWire(use.fraction);
-  unknown_ = std::max(0.0, unknown_ - std::max(0.0, claimed - entry.reserved));
-  entry.reserved = std::max(entry.reserved, claimed);
-  entry.until = std::max(entry.until, until);
-}
-
-double GrantTable::demand(Tick now) const {
+  allowance_ = allowance;
+  availableAmount_ = availableAmount(now);
+}
+
+void GrantTable::limitUnreported(Tick now, std::size_t routers) {
+  update(now);
+  unreportedFraction_ = std::min(unreportedFraction_, maxFractionPerRouter * static_cast<double>(routers));
+}
+
+GrantTable::RouterAllocation& GrantTable::allocationOf(std::string const& router, std::uint64_t incarnation) {
+  RouterAllocation& allocation = allocations_[router];
+  if (allocation.incarnation == incarnation) return allocation;
+  // An earlier incarnation's allocation ended with it; but a late report of an earlier incarnation frees nothing.
+  bool const restarted = incarnation > allocation.incarnation;
+  RouterAllocation fresh;
+  fresh.incarnation = incarnation;
+  fresh.reservedFraction = restarted ? 0.0 : allocation.reservedFraction;
+  fresh.expiresAt = restarted ? 0 : allocation.expiresAt;
+  allocation = fresh;
+  return allocation;
+}
+
+void GrantTable::restoreAllocation(Tick now, std::string const& router, std::uint64_t incarnation,
+                                   TenantUsage const& usage) {
+  if (usage.allocatedFraction == 0 || usage.allocationRemainingMs == 0) return;
+  update(now);
+  RouterAllocation& allocation = allocationOf(router, incarnation);
+  if (allocation.grantNumber != 0) return;
+  Tick const expiresAt = now + std::min<Tick>(static_cast<Tick>(usage.allocationRemainingMs), allocationDuration);
+  double const reported = fractionFromWire(usage.allocatedFraction);
+  unreportedFraction_ = std::max(0.0, unreportedFraction_ - std::max(0.0, reported - allocation.reservedFraction));
+  allocation.reservedFraction = std::max(allocation.reservedFraction, reported);
+  allocation.expiresAt = std::max(allocation.expiresAt, expiresAt);
+}
+
+double GrantTable::demandPerSecond(Tick now) const {
   double sum = 0;
-  for (auto const& [router, entry] : entries_)
-    if (now - entry.heard <= reportSpeaks) sum += entry.demand;
+  for (auto const& [router, allocation] : allocations_)
+    if (now - allocation.reportedAt <= reportValidity) sum += allocation.demandPerSecond;
   return sum;
 }
 
-double GrantTable::lendable(Tick now) const {
-  double const faded =
-      largest_ * std::exp2(-static_cast<double>(now - largestAt_) / static_cast<double>(largestHalves));
-  double const needed = keptForLargest * faded / capacity(limit_, slack_);
-  return std::clamp(1.0 - unallocatedFraction - needed, 0.0, maxAllocatedFraction);
-}
-
-void GrantTable::sawAmount(Tick now, double amount) {
-  double const faded =
-      largest_ * std::exp2(-static_cast<double>(now - largestAt_) / static_cast<double>(largestHalves));
-  largest_ = std::max(faded, amount);
-  largestAt_ = now;
-}
-
-double GrantTable::fractionFor(Tick now, std::string const& router) const {
-  Entry const& entry = entries_.at(router);
-  double const all = demand(now);
-  if (all <= 0 || entry.demand <= 0) return 0;
-  double const others = out(now) - (now < entry.until ? entry.reserved : 0.0);
-  double const most = lendable(now);
-  double const free = std::max(0.0, most - others);
-  double const target = std::min({free, maxFractionPerRouter, most * entry.demand / all});
-  bool const near = std::abs(target - entry.fraction) <= worthChanging * entry.fraction;
-  return near && entry.fraction <= free ? entry.fraction : target;
-}
-
-double GrantTable::share(Tick now) const {
-  double left = level(now);
-  for (auto const& [router, entry] : entries_)
-    if (now - entry.heard <= reportSpeaks) left += entry.left;
-  if (left >= scarce * capacity(limit_, slack_)) return 1.0;
-  double const wanted = demand(now);
-  if (wanted <= enoughFlow * limit_.perSecond) return 1.0;
-  double const beyond = left - spared * capacity(limit_, slack_);
-  double const given = limit_.perSecond + (beyond < 0 ? sparedBack : 1.0) * beyond;
-  return std::clamp(given / wanted, 0.0, 1.0);
-}
-
-void GrantTable::topUp(Tick now, Entry const& entry, QuotaGrant& loan) {
-  if (level_ < scarce * most(now)) return;
-  double const missing = connectedReserveFraction * entry.fraction * capacity(limit_, slack_) - entry.left;
+double GrantTable::allocatableFraction(Tick now) const {
+  double const neededFraction =
+      largestRequestsReserve * largestRequestedAmount_.value(now) / totalCapacity(limit_, allowance_);
+  return std::clamp(1.0 - unallocatedFraction - neededFraction, 0.0, maxAllocatedFraction);
+}
+
+double GrantTable::targetFraction(Tick now, std::string const& router) const {
+  RouterAllocation const& allocation = allocations_.at(router);
+  double const totalDemand = demandPerSecond(now);
+  if (totalDemand <= 0 || allocation.demandPerSecond <= 0) return 0;
+  double const othersFraction =
+      allocatedFraction(now) - (now < allocation.expiresAt ? allocation.reservedFraction : 0.0);
+  double const allocatable = allocatableFraction(now);
+  double const free = std::max(0.0, allocatable - othersFraction);
+  double const target = std::min({free, maxFractionPerRouter, allocatable * allocation.demandPerSecond / totalDemand});
+  double const granted = allocation.grantedFraction;
+  bool const withinHysteresis = std::abs(target - granted) <= fractionHysteresis * granted;
+  return withinHysteresis && granted <= free ? granted : target;
+}
+
+double GrantTable::admissionShare(Tick now) const {
+  double available = availableAmount(now);
+  for (auto const& [router, allocation] : allocations_)
+    if (now - allocation.reportedAt <= reportValidity) available += allocation.remainingAmount;
+  double const capacity = totalCapacity(limit_, allowance_);
+  if (available >= scarcityThreshold * capacity) return 1.0;
+  double const demand = demandPerSecond(now);
+  if (demand <= demandBelowRefill * limit_.perSecond) return 1.0;
+  double const beyondReserve = available - largeRequestReserve * capacity;
+  double const admitted = limit_.perSecond + (beyondReserve < 0 ? reserveRecoveryPerSecond : 1.0) * beyondReserve;
+  return std::clamp(admitted / demand, 0.0, 1.0);
+}
+
+void GrantTable::topUp(Tick now, RouterAllocation const& allocation, QuotaGrant& grant) {
+  if (availableAmount_ < scarcityThreshold * ownerCapacity(now)) return;
+  double const missing = connectedReserveFraction * allocation.grantedFraction * totalCapacity(limit_, allowance_) -
+                         allocation.remainingAmount;
   if (missing < 1.0) return;
-  loan.amount += static_cast<std::uint64_t>(missing);
-  level_ -= missing;
-}
-
-void GrantTable::lend(Tick now, Entry& entry, double fraction, QuotaGrant& loan) {
-  if (entry.reserved == 0) entry.flowUntil = now + ownFlowAfter;
-  entry.fraction = fraction;
-  entry.reserved = std::max(entry.reserved, fraction);
-  entry.until = now + allocationDuration;
-  entry.sentAt = now;
-  entry.number = nextNumber_++;
-  loan.number = entry.number;
-  loan.fraction = toWire(fraction);
-  topUp(now, entry, loan);
-}
-
-void GrantTable::heard(Tick now, Entry& entry, TenantUsage const& use) {
-  bool const newest = use.epoch == epoch_ && use.number == entry.number && entry.number != 0;
-  if (newest) {
-    entry.reserved = entry.fraction;
-    entry.flowUntil = entry.sentAt + ownFlowAfter;
+  grant.grantedAmount += static_cast<std::uint64_t>(missing);
+  availableAmount_ -= missing;
+}
+
+void GrantTable::grantAmount(Tick now, TenantUsage const& usage, QuotaGrant& grant) {
+  double const requested = static_cast<double>(usage.requestedAmount);
+  largestRequestedAmount_.record(now, requested);
+  if (requested > availableAmount_) return;
+  availableAmount_ -= requested;
+  grant.grantedAmount = usage.requestedAmount;
+}
+
+void GrantTable::grantFraction(Tick now, RouterAllocation& allocation, double fraction, QuotaGrant& grant) {
+  if (allocation.reservedFraction == 0) allocation.ownerRefillUntil = now + refillTransferDelay;
+  allocation.grantedFraction = fraction;
+  allocation.reservedFraction = std::max(allocation.reservedFraction, fraction);
+  allocation.expiresAt = now + allocationDuration;
+  allocation.grantSentAt = now;
+  allocation.grantNumber = nextGrantNumber_++;
+  grant.grantNumber = allocation.grantNumber;
+  grant.allocatedFraction = fractionToWire(fraction);
+  topUp(now, allocation, grant);
+}
+
+void GrantTable::recordUsage(Tick now, RouterAllocation& allocation, TenantUsage const& usage) {
+  bool const confirmsNewestGrant =
+      usage.ownerTerm == term_ && usage.grantNumber == allocation.grantNumber && allocation.grantNumber != 0;
+  if (confirmsNewestGrant) {
+    allocation.reservedFraction = allocation.grantedFraction;
+    allocation.ownerRefillUntil = allocation.grantSentAt + refillTransferDelay;
   }
-  entry.demand = static_cast<double>(use.demand);
-  entry.left = static_cast<double>(use.remaining);
-  entry.heard = now;
-  if (now < entry.flowUntil) level_ = std::min(level_ + static_cast<double>(use.returned), most(now));
-}
-
-QuotaGrant GrantTable::report(Tick now, std::string const& router, std::uint64_t life, TenantUsage const& use,
-                              bool lends) {
-  claim(now, router, life, use);
-  settle(now);
-  Entry& entry = entryOf(router, life);
-  heard(now, entry, use);
-  QuotaGrant loan;
-  loan.tenant = use.tenant;
-  loan.epoch = epoch_;
-  double const wanted = static_cast<double>(use.wanted);
-  sawAmount(now, wanted);
-  if (wanted <= level_) {
-    level_ -= wanted;
-    loan.amount = use.wanted;
+  allocation.demandPerSecond = static_cast<double>(usage.demandPerSecond);
+  allocation.remainingAmount = static_cast<double>(usage.remainingAmount);
+  allocation.reportedAt = now;
+  if (now < allocation.ownerRefillUntil)
+    availableAmount_ = std::min(availableAmount_ + static_cast<double>(usage.returnedAmount), ownerCapacity(now));
+}
+
+QuotaGrant GrantTable::onReport(Tick now, std::string const& router, std::uint64_t incarnation,
+                                TenantUsage const& usage, GrantScope scope) {
+  restoreAllocation(now, router, incarnation, usage);
+  update(now);
+  RouterAllocation& allocation = allocationOf(router, incarnation);
+  recordUsage(now, allocation, usage);
+  QuotaGrant grant;
+  grant.tenant = usage.tenant;
+  grant.ownerTerm = term_;
+  grantAmount(now, usage, grant);
+  if (usage.wantsRenewal) {
+    double const fraction = scope == GrantScope::allocation ? targetFraction(now, router) : 0.0;
+    grantFraction(now, allocation, fraction, grant);
   }
-  if (use.wantsRenewal) lend(now, entry, lends ? fractionFor(now, router) : 0.0, loan);
-  loan.admissionShare = toWire(share(now));
-  return loan;
+  grant.admissionShare = fractionToWire(admissionShare(now));
+  return grant;
 }
 
 }  // namespace corkward::quota
--- a/quota/src/limit.cpp
+++ b/quota/src/limit.cpp
@@ -10,24 +10,26 @@
   return static_cast<double>(milliseconds) / 1000.0;
 }
 
-/// Least capacity, as parts of the burst and of a second's flow, and as an amount.
-constexpr double leastOfBurst = 0.5;
-constexpr double leastOfSecond = 0.25;
-constexpr double leastAmount = 1.0;
+/// Least capacity: as a fraction of the burst, as seconds of refill, and as an amount.
+constexpr double minBurstFraction = 0.5;
+constexpr double minRefillSeconds = 0.25;
+constexpr double minAmount = 1.0;
 
 }  // namespace
 
-double allowed(Limit const& limit, OverdraftAllowance const& slack) {
-  return (limit.perSecond * seconds(slack.window) + limit.burst) * (1.0 + slack.overrun) + slack.fixed;
+double allowedAmount(Limit const& limit, OverdraftAllowance const& allowance) {
+  return (limit.perSecond * seconds(allowance.window) + limit.burst) * (1.0 + allowance.overrunFraction) +
+         allowance.fixedAmount;
 }
 
-double capacity(Limit const& limit, OverdraftAllowance const& slack) {
-  double const room = allowed(limit, slack) - limit.perSecond * seconds(slack.window + handOverWithin);
-  return std::max({room, leastOfBurst * limit.burst, leastOfSecond * limit.perSecond, leastAmount});
+double totalCapacity(Limit const& limit, OverdraftAllowance const& allowance) {
+  double const withinAllowance =
+      allowedAmount(limit, allowance) - limit.perSecond * seconds(allowance.window + maxDispatchDelay);
+  return std::max({withinAllowance, minBurstFraction * limit.burst, minRefillSeconds * limit.perSecond, minAmount});
 }
 
-double greatestSum(Limit const& limit, OverdraftAllowance const& slack) {
-  return capacity(limit, slack) + limit.perSecond * seconds(slack.window + handOverWithin);
+double maxDispatchedAmount(Limit const& limit, OverdraftAllowance const& allowance) {
+  return totalCapacity(limit, allowance) + limit.perSecond * seconds(allowance.window + maxDispatchDelay);
 }
 
 }  // namespace corkward::quota
--- a/quota/src/quota_coordinator.cpp
+++ b/quota/src/quota_coordinator.cpp
@@ -7,211 +7,206 @@
 
 namespace {
 
-/// Milliseconds between questions for terms, to take one and to keep it.
-constexpr Tick askEvery = 200;
-/// Milliseconds between questions for loans to routers that have not answered.
-constexpr Tick claimEvery = 200;
-/// Milliseconds after which a controller gives up seeking a part, and how long it leaves it to others then: by its
-/// rank, so that two that share the members' grants don't go on to do so.
-constexpr Tick seekFor = partitionLeaseDuration;
-constexpr Tick restLeast = partitionLeaseDuration;
-constexpr Tick restSpread = 1000;
+/// Milliseconds between requests for leases, to acquire and to renew them.
+constexpr Tick leaseRequestInterval = 200;
+/// Milliseconds between queries to routers that have not reported their allocations.
+constexpr Tick allocationQueryInterval = 200;
+/// Milliseconds after which a controller stops to contend for a partition.
+constexpr Tick contentionTimeout = partitionLeaseDuration;
+/// Milliseconds for which it leaves the partition to others then: at least the minimum, and up to the spread more by a
+/// hash of its address, so that two controllers that split the members' grants don't do so again.
+constexpr Tick minContentionBackoff = partitionLeaseDuration;
+constexpr Tick contentionBackoffSpread = 1000;
 
 }  // namespace
 
-QuotaCoordinator::QuotaCoordinator(std::string link, std::uint64_t life, OverdraftAllowance const& slack)
-    : link_(std::move(link)), incarnation_(life), slack_(slack) {}
+QuotaCoordinator::QuotaCoordinator(std::string link, std::uint64_t incarnation, OverdraftAllowance const& allowance)
+    : link_(std::move(link)), incarnation_(incarnation), allowance_(allowance) {}
 
 void QuotaCoordinator::configure(Tick now, std::map<std::string, Limit> limits) {
   limits_ = std::move(limits);
-  for (auto& [part, office] : ownedPartitions_) {
-    std::erase_if(office.ledgers, [&](auto const& ledger) { return limits_.count(ledger.first) == 0; });
-    for (auto& [tenant, ledger] : office.ledgers) ledger.setLimit(now, limits_.at(tenant), slack_);
-  }
+  for (auto& [number, partition] : ownedPartitions_) partition.configure(now, limits_, allowance_);
 }
 
-bool QuotaCoordinator::ownsPartition(Tick now, std::uint64_t part, MembershipView const& standing) const {
-  return ownedPartitions_.count(part) > 0 && now < terms_.heldUntil(part, standing.members);
+bool QuotaCoordinator::ownsPartition(Tick now, std::uint64_t partition, MembershipView const& view) const {
+  return ownedPartitions_.contains(partition) && now < leases_.validUntil(partition, view.members);
 }
 
-std::size_t QuotaCoordinator::ownedPartitionCount(Tick now, MembershipView const& standing) const {
-  std::size_t count = 0;
-  for (auto const& [part, office] : ownedPartitions_) count += ownsPartition(now, part, standing) ? 1 : 0;
-  return count;
+std::size_t QuotaCoordinator::ownedPartitionCount(Tick now, MembershipView const& view) const {
+  auto const owned = std::count_if(ownedPartitions_.begin(), ownedPartitions_.end(),
+                                   [&](auto const& entry) { return ownsPartition(now, entry.first, view); });
+  return static_cast<std::size_t>(owned);
 }
 
-std::string QuotaCoordinator::holderOf(Tick now, std::uint64_t part, MembershipView const& standing) const {
-  if (ownsPartition(now, part, standing)) return link_;
-  std::string granted = grants_.holder(now, part);
-  if (!granted.empty() && granted != link_) return granted;
-  auto const told = announcedOwners_.find(part);
-  return told == announcedOwners_.end() || now >= told->second.second ? "" : told->second.first;
+std::string QuotaCoordinator::ownerOf(Tick now, std::uint64_t partition, MembershipView const& view) const {
+  if (ownsPartition(now, partition, view)) return link_;
+  std::string grantedTo = grants_.holder(now, partition);
+  if (!grantedTo.empty() && grantedTo != link_) return grantedTo;
+  auto const announced = announcedOwners_.find(partition);
+  if (announced == announcedOwners_.end() || now >= announced->second.validUntil) return "";
+  return announced->second.link;
 }
 
-bool QuotaCoordinator::firstFor(std::uint64_t part, std::vector<std::string> const& alive) const {
-  return std::none_of(alive.begin(), alive.end(), [&](std::string const& other) {
-    return other != link_ && rankOf(part, other) < rankOf(part, link_);
+bool QuotaCoordinator::isPreferredOwner(std::uint64_t partition, std::vector<std::string> const& aliveMembers) const {
+  return std::none_of(aliveMembers.begin(), aliveMembers.end(), [&](std::string const& other) {
+    return other != link_ && ownerRank(partition, other) < ownerRank(partition, link_);
   });
 }
 
-void QuotaCoordinator::considerSeeking(Tick now, MembershipView const& standing) {
-  for (std::uint64_t part = 0; part < partitionCount; ++part) {
-    if (ownsPartition(now, part, standing)) continue;
-    bool const sought = terms_.since(part) >= 0;
-    bool const others = !holderOf(now, part, standing).empty();
-    bool const resting = restUntil_.count(part) > 0 && now < restUntil_.at(part);
-    bool const may = standing.mayGrant && !standing.leaving && !resting && !limits_.empty();
-    if (!may || others || !firstFor(part, standing.alive)) {
-      terms_.drop(part);
-    } else if (sought && now - terms_.since(part) > seekFor) {
-      terms_.drop(part);
-      restUntil_[part] = now + restLeast + static_cast<Tick>(core::stableHash(link_) % restSpread);
+bool QuotaCoordinator::mayContend(Tick now, std::uint64_t partition, MembershipView const& view) const {
+  if (view.grantPermission != GrantPermission::all || view.draining || limits_.empty()) return false;
+  auto const backoff = backoffUntil_.find(partition);
+  if (backoff != backoffUntil_.end() && now < backoff->second) return false;
+  return ownerOf(now, partition, view).empty() && isPreferredOwner(partition, view.aliveMembers);
+}
+
+void QuotaCoordinator::updateContention(Tick now, MembershipView const& view) {
+  for (std::uint64_t partition = 0; partition < partitionCount; ++partition) {
+    if (ownsPartition(now, partition, view)) continue;
+    Tick const since = leases_.contendingSince(partition);
+    bool const timedOut = since >= 0 && now - since > contentionTimeout;
+    if (!mayContend(now, partition, view)) {
+      leases_.abandon(partition);
+    } else if (timedOut) {
+      leases_.abandon(partition);
+      Tick const spread = static_cast<Tick>(core::stableHash(link_) % contentionBackoffSpread);
+      backoffUntil_[partition] = now + minContentionBackoff + spread;
     } else {
-      terms_.seek(now, part, incarnation_);
+      leases_.contend(now, partition, incarnation_);
     }
   }
 }
 
-void QuotaCoordinator::keepOffices(Tick now, MembershipView const& standing) {
-  std::erase_if(ownedPartitions_, [&](auto const& office) {
-    if (now < terms_.heldUntil(office.first, standing.members)) return false;
-    terms_.drop(office.first);
+void QuotaCoordinator::updateOwnedPartitions(Tick now, MembershipView const& view) {
+  std::erase_if(ownedPartitions_, [&](auto const& entry) {
+    std::uint64_t const partition = entry.first;
+    if (now < leases_.validUntil(partition, view.members)) return false;
+    leases_.abandon(partition);
     return true;
   });
-  for (PartitionEpoch const& term : terms_.wanted()) {
-    if (ownedPartitions_.count(term.partition) > 0 || now >= terms_.heldUntil(term.partition, standing.members))
-      continue;
-    OwnedPartition office;
-    office.epoch = term.epoch;
-    office.since = now;
-    office.unknownUntil = now + allocationDuration;
-    ownedPartitions_.emplace(term.partition, std::move(office));
-  }
+  for (auto const& [partition, term] : leases_.requestedTerms())
+    if (now < leases_.validUntil(partition, view.members))
+      ownedPartitions_.try_emplace(partition, OwnedPartition(now, term));
 }
 
-PartitionLeaseRequest QuotaCoordinator::termAsk(Tick now) const {
-  PartitionLeaseRequest ask;
-  ask.sentAt = now;
-  ask.link = link_;
-  ask.incarnation = incarnation_;
-  ask.terms = terms_.wanted();
-  return ask;
+PartitionLeaseRequest QuotaCoordinator::leaseRequest(Tick now) const {
+  PartitionLeaseRequest request;
+  request.sentAt = now;
+  request.link = link_;
+  request.incarnation = incarnation_;
+  request.terms = leases_.requestedTerms();
+  return request;
 }
 
-void QuotaCoordinator::askTerms(std::vector<Send>& out, Tick now, MembershipView const& standing) {
-  PartitionLeaseRequest const ask = termAsk(now);
-  if (ask.terms.empty()) return;
-  for (std::string const& member : standing.members) {
+void QuotaCoordinator::requestLeases(std::vector<Send>& out, Tick now, MembershipView const& view) {
+  PartitionLeaseRequest const request = leaseRequest(now);
+  if (request.terms.empty()) return;
+  for (std::string const& member : view.members) {
     if (member == link_)
-      terms_.answered(link_, grants_.onRequest(now, ask, standing.mayGrant, standing.mayRenew));
+      leases_.onReply(link_, grants_.onRequest(now, request, view.grantPermission));
     else
-      out.push_back({member, ask});
+      out.push_back({member, request});
   }
 }
 
-void QuotaCoordinator::askClaims(std::vector<Send>& out, Tick now, MembershipView const& standing) {
-  std::map<std::string, AllocationQuery> asks;
-  for (auto& [part, office] : ownedPartitions_) {
-    if (now >= office.unknownUntil) office.unheard.clear();
-    if (!office.asked && standing.contact > office.since) {
-      office.asked = true;
-      office.unheard = standing.routers;
-      for (auto& [tenant, ledger] : office.ledgers) ledger.unheard(now, office.unheard.size());
-    }
-    for (std::string const& router : office.unheard) asks[router].terms.push_back({part, office.epoch});
-  }
-  for (auto& [router, ask] : asks) out.push_back({router, std::move(ask)});
+void QuotaCoordinator::releaseLeases(std::vector<Send>& out, Tick now, MembershipView const& view) {
+  PartitionLeaseRequest request = leaseRequest(now);
+  if (request.terms.empty()) return;
+  request.release = true;
+  for (PartitionTerm const& released : request.terms) leases_.abandon(released.partition);
+  ownedPartitions_.clear();
+  grants_.onRequest(now, request, GrantPermission::none);
+  for (std::string const& member : view.members)
+    if (member != link_) out.push_back({member, request});
 }
 
-void QuotaCoordinator::release(std::vector<Send>& out, Tick now, MembershipView const& standing) {
-  PartitionLeaseRequest ask = termAsk(now);
-  if (ask.terms.empty()) return;
-  ask.release = true;
-  for (PartitionEpoch const& term : ask.terms) terms_.drop(term.partition);
-  ownedPartitions_.clear();
-  grants_.onRequest(now, ask, false, false);
-  for (std::string const& member : standing.members)
-    if (member != link_) out.push_back({member, ask});
+void QuotaCoordinator::queryAllocations(std::vector<Send>& out, Tick now, MembershipView const& view) {
+  std::map<std::string, AllocationQuery> queries;
+  for (auto& [number, partition] : ownedPartitions_) {
+    partition.advanceRecovery(now, view.quorumContactSince, view.routers);
+    for (std::string const& router : partition.unreportedRouters())
+      queries[router].terms.push_back({number, partition.term()});
+  }
+  for (auto& [router, query] : queries) out.push_back({router, std::move(query)});
 }
 
-std::vector<Send> QuotaCoordinator::clockEvent(Tick now, MembershipView const& standing) {
+std::vector<Send> QuotaCoordinator::clockEvent(Tick now, MembershipView const& view) {
   std::vector<Send> out;
-  if (standing.leaving) {
-    release(out, now, standing);
+  if (view.draining) {
+    releaseLeases(out, now, view);
     return out;
   }
-  if (now >= askAt_) {
-    askAt_ = now + askEvery;
-    considerSeeking(now, standing);
-    askTerms(out, now, standing);
+  if (now >= nextLeaseRequestAt_) {
+    nextLeaseRequestAt_ = now + leaseRequestInterval;
+    updateContention(now, view);
+    requestLeases(out, now, view);
   }
-  keepOffices(now, standing);
-  if (now >= claimAt_) {
-    claimAt_ = now + claimEvery;
-    askClaims(out, now, standing);
+  updateOwnedPartitions(now, view);
+  if (now >= nextAllocationQueryAt_) {
+    nextAllocationQueryAt_ = now + allocationQueryInterval;
+    queryAllocations(out, now, view);
   }
   return out;
 }
 
-GrantTable& QuotaCoordinator::ledgerOf(Tick now, OwnedPartition& office, std::string const& tenant) {
-  auto const found = office.ledgers.find(tenant);
-  if (found != office.ledgers.end()) return found->second;
-  GrantTable ledger(office.since, office.epoch, limits_.at(tenant), slack_, office.unknownUntil);
-  if (office.asked) ledger.unheard(now, office.unheard.size());
-  return office.ledgers.emplace(tenant, std::move(ledger)).first->second;
+GrantTable& QuotaCoordinator::grantTable(Tick now, OwnedPartition& partition, std::string const& tenant) {
+  return partition.grantTable(now, tenant, limits_.at(tenant), allowance_);
 }
 
-std::vector<Send> QuotaCoordinator::arrived(Tick now, std::string const& from, UsageReport const& message,
-                                            MembershipView const& standing) {
+std::vector<Send> QuotaCoordinator::onMessage(Tick now, std::string const& from, UsageReport const& message,
+                                              MembershipView const& view) {
   if (message.link != from) return {};
-  bool const listed = standing.routers.count(from) > 0;
-  QuotaGrants answer;
-  answer.reportNumber = message.number;
-  std::set<std::uint64_t> elsewhere;
-  for (TenantUsage const& use : message.uses) {
-    std::uint64_t const part = partitionOf(use.tenant);
-    if (limits_.count(use.tenant) == 0) {
-      answer.grants.push_back({use.tenant, 0, 0, 0, use.wanted, fractionUnits});
-    } else if (ownsPartition(now, part, standing)) {
-      GrantTable& ledger = ledgerOf(now, ownedPartitions_.at(part), use.tenant);
-      answer.grants.push_back(ledger.report(now, from, message.incarnation, use, listed));
-    } else if (elsewhere.insert(part).second) {
-      answer.partitionOwners.push_back({part, holderOf(now, part, standing)});
+  GrantScope const scope = view.routers.contains(from) ? GrantScope::allocation : GrantScope::amountsOnly;
+  QuotaGrants reply;
+  reply.reportNumber = message.reportNumber;
+  std::set<std::uint64_t> ownedElsewhere;
+  for (TenantUsage const& usage : message.usages) {
+    std::uint64_t const partition = partitionOf(usage.tenant);
+    if (!limits_.contains(usage.tenant)) {
+      QuotaGrant unlimited;
+      unlimited.tenant = usage.tenant;
+      unlimited.grantedAmount = usage.requestedAmount;
+      unlimited.admissionShare = fractionUnits;
+      reply.grants.push_back(std::move(unlimited));
+    } else if (ownsPartition(now, partition, view)) {
+      GrantTable& table = grantTable(now, ownedPartitions_.at(partition), usage.tenant);
+      reply.grants.push_back(table.onReport(now, from, message.incarnation, usage, scope));
+    } else if (ownedElsewhere.insert(partition).second) {
+      reply.partitionOwners.push_back({partition, ownerOf(now, partition, view)});
     }
   }
-  return {Send{from, std::move(answer)}};
+  return {Send{from, std::move(reply)}};
 }
 
-std::vector<Send> QuotaCoordinator::arrived(Tick now, std::string const& from, PartitionLeaseRequest const& message,
-                                            MembershipView const& standing) {
-  bool const member = std::find(standing.members.begin(), standing.members.end(), from) != standing.members.end();
-  if (message.link != from || !member) return {};
-  return {Send{from, grants_.onRequest(now, message, standing.mayGrant, standing.mayRenew)}};
+std::vector<Send> QuotaCoordinator::onMessage(Tick now, std::string const& from, PartitionLeaseRequest const& message,
+                                              MembershipView const& view) {
+  bool const fromMember = std::find(view.members.begin(), view.members.end(), from) != view.members.end();
+  if (message.link != from || !fromMember) return {};
+  return {Send{from, grants_.onRequest(now, message, view.grantPermission)}};
 }
 
-std::vector<Send> QuotaCoordinator::arrived(Tick now, std::string const& from, PartitionLeaseReply const& message,
-                                            MembershipView const& standing) {
-  terms_.answered(from, message);
-  for (PartitionLeaseDecision const& answer : message.decisions)
-    if (!answer.granted && !answer.holder.empty() && answer.holder != link_)
-      announcedOwners_[answer.partition] = {answer.holder, now + partitionLeaseDuration};
-  keepOffices(now, standing);
+std::vector<Send> QuotaCoordinator::onMessage(Tick now, std::string const& from, PartitionLeaseReply const& message,
+                                              MembershipView const& view) {
+  leases_.onReply(from, message);
+  for (PartitionLeaseDecision const& decision : message.decisions)
+    if (!decision.granted && !decision.holder.empty() && decision.holder != link_)
+      announcedOwners_[decision.partition] = {decision.holder, now + partitionLeaseDuration};
+  updateOwnedPartitions(now, view);
   return {};
 }
 
-std::vector<Send> QuotaCoordinator::arrived(Tick now, std::string const& from, AllocationReport const& message,
-                                            MembershipView const&) {
+std::vector<Send> QuotaCoordinator::onMessage(Tick now, std::string const& from, AllocationReport const& message,
+                                              MembershipView const&) {
   if (message.link != from) return {};
-  for (PartitionEpoch const& term : message.terms) {
-    auto const at = ownedPartitions_.find(term.partition);
-    if (at == ownedPartitions_.end() || at->second.epoch != term.epoch) continue;
-    OwnedPartition& office = at->second;
-    if (!office.asked) continue;
-    for (TenantUsage const& use : message.uses)
-      if (partitionOf(use.tenant) == term.partition && limits_.count(use.tenant) > 0)
-        ledgerOf(now, office, use.tenant).claim(now, from, message.incarnation, use);
-    office.unheard.erase(from);
-    for (auto& [tenant, ledger] : office.ledgers) ledger.unheard(now, office.unheard.size());
+  for (auto const& [number, term] : message.terms) {
+    auto const found = ownedPartitions_.find(number);
+    if (found == ownedPartitions_.end()) continue;
+    OwnedPartition& partition = found->second;
+    if (partition.term() != term || !partition.isRecoveryStarted()) continue;
+    for (TenantUsage const& usage : message.usages)
+      if (partitionOf(usage.tenant) == number && limits_.contains(usage.tenant))
+        grantTable(now, partition, usage.tenant).restoreAllocation(now, from, message.incarnation, usage);
+    partition.onRouterReported(now, from);
   }
   return {};
 }
--- a/quota/src/quota_limiter.cpp
+++ b/quota/src/quota_limiter.cpp
@@ -8,141 +8,143 @@
 namespace {
 
 /// Milliseconds over which a tenant's demand is averaged.
-constexpr Tick demandMemory = 3000;
-/// Milliseconds after which a share says nothing any more.
-constexpr Tick shareHolds = 1500;
-/// Milliseconds between reports of a loan that nobody uses.
-constexpr Tick renewEvery = 600;
-/// Part of what it may hold that a router keeps while the tenant asks for more than its limit; others need the rest.
-constexpr double keptWhenScarce = 0.5;
-/// Milliseconds without a request after which a gate may be forgotten.
-constexpr Tick idleFor = 60000;
+constexpr Tick demandTimeConstant = 3000;
+/// Milliseconds after which an admission share no longer applies.
+constexpr Tick admissionShareValidity = 1500;
+/// Milliseconds between reports of an allocation that no request uses.
+constexpr Tick idleRenewalInterval = 600;
+/// Part of its capacity that a router keeps while the tenant's demand exceeds its limit; others need the rest.
+constexpr double capacityWhenScarce = 0.5;
+/// Milliseconds without a request after which a limiter may be removed.
+constexpr Tick idleTimeout = 60000;
 
 }  // namespace
 
-QuotaLimiter::QuotaLimiter() : demand_(demandMemory) {}
+QuotaLimiter::QuotaLimiter() : demand_(demandTimeConstant) {}
 
 bool QuotaLimiter::onRequest(Tick now, double amount, double draw) {
   demand_.add(now, amount);
-  seenAt_ = now;
-  fresh_ = true;
-  return now - sharedAt_ > shareHolds || draw < share_;
+  lastRequestAt_ = now;
+  hasUnreportedChange_ = true;
+  return now - admissionShareAt_ > admissionShareValidity || draw < admissionShare_;
 }
 
-bool QuotaLimiter::connected(Tick now) const {
-  return now < lentAt_ + ownFlowAfter;
+bool QuotaLimiter::refillsOwner(Tick now) const {
+  return now < grantedAt_ + refillTransferDelay;
 }
 
-double QuotaLimiter::most(Tick now, Limit const& limit, OverdraftAllowance const& slack) const {
-  if (now >= until_) return 0;
-  return (connected(now) ? connectedReserveFraction : 1.0) * fraction_ * capacity(limit, slack);
+double QuotaLimiter::maxAmount(Tick now, Limit const& limit, OverdraftAllowance const& allowance) const {
+  if (now >= expiresAt_) return 0;
+  return (refillsOwner(now) ? connectedReserveFraction : 1.0) * allocatedFraction_ * totalCapacity(limit, allowance);
 }
 
-double QuotaLimiter::remaining(Tick now, Limit const& limit, OverdraftAllowance const& slack) const {
-  if (now >= until_) return 0;
-  Tick const from = std::max(at_, lentAt_ + ownFlowAfter);
-  if (now <= from) return left_;
-  double const flowed = fraction_ * limit.perSecond * static_cast<double>(now - from) / 1000.0;
-  return std::min(left_ + flowed, std::max(left_, most(now, limit, slack)));
+double QuotaLimiter::remainingAmount(Tick now, Limit const& limit, OverdraftAllowance const& allowance) const {
+  if (now >= expiresAt_) return 0;
+  Tick const refillFrom = std::max(updatedAt_, grantedAt_ + refillTransferDelay);
+  if (now <= refillFrom) return remainingAmount_;
+  double const refill = allocatedFraction_ * limit.perSecond * static_cast<double>(now - refillFrom) / 1000.0;
+  return std::min(remainingAmount_ + refill, std::max(remainingAmount_, maxAmount(now, limit, allowance)));
 }
 
-void QuotaLimiter::settle(Tick now, Limit const& limit, OverdraftAllowance const& slack) {
-  left_ = remaining(now, limit, slack);
-  at_ = now;
-  if (now >= until_) fraction_ = 0;
+void QuotaLimiter::update(Tick now, Limit const& limit, OverdraftAllowance const& allowance) {
+  remainingAmount_ = remainingAmount(now, limit, allowance);
+  updatedAt_ = now;
+  if (now >= expiresAt_) allocatedFraction_ = 0;
 }
 
-bool QuotaLimiter::tryAcquire(Tick now, Limit const& limit, OverdraftAllowance const& slack, double amount) {
-  settle(now, limit, slack);
-  if (left_ < amount) return false;
-  left_ -= amount;
+bool QuotaLimiter::tryAcquire(Tick now, Limit const& limit, OverdraftAllowance const& allowance, double amount) {
+  update(now, limit, allowance);
+  if (remainingAmount_ < amount) return false;
+  remainingAmount_ -= amount;
   return true;
 }
 
-bool QuotaLimiter::tryAcquireUnallocated(Tick now, Limit const& limit, OverdraftAllowance const& slack, double amount,
-                                         UnallocatedShare crowd, double draw) {
-  double const part = unallocatedFraction / static_cast<double>(std::max<std::size_t>(crowd.routers, 1));
-  double const most = part * capacity(limit, slack);
-  double const flowed = unlentAt_ < 0 ? 0.0 : part * limit.perSecond * static_cast<double>(now - unlentAt_) / 1000.0;
-  unlent_ = std::min(unlent_ + flowed, most);
-  unlentAt_ = now;
-  bool const taken = draw * amount < unlent_;
-  unlent_ = std::max(0.0, unlent_ - amount);
-  return taken;
+bool QuotaLimiter::tryAcquireUnallocated(Tick now, Limit const& limit, OverdraftAllowance const& allowance,
+                                         double amount, UnallocatedShare sharing, double draw) {
+  double const fraction = unallocatedFraction / static_cast<double>(std::max<std::size_t>(sharing.routers, 1));
+  double const capacity = fraction * totalCapacity(limit, allowance);
+  double const refill =
+      unallocatedAt_ < 0 ? 0.0 : fraction * limit.perSecond * static_cast<double>(now - unallocatedAt_) / 1000.0;
+  unallocatedAmount_ = std::min(unallocatedAmount_ + refill, capacity);
+  unallocatedAt_ = now;
+  bool const acquired = draw * amount < unallocatedAmount_;
+  unallocatedAmount_ = std::max(0.0, unallocatedAmount_ - amount);
+  return acquired;
 }
 
-void QuotaLimiter::refund(Tick now, Limit const& limit, OverdraftAllowance const& slack, double amount) {
-  settle(now, limit, slack);
-  if (now >= until_) return;
-  left_ += amount;
-  trim(now, limit, slack);
+void QuotaLimiter::refund(Tick now, Limit const& limit, OverdraftAllowance const& allowance, double amount) {
+  update(now, limit, allowance);
+  if (now >= expiresAt_) return;
+  remainingAmount_ += amount;
+  trim(now, limit, allowance);
 }
 
-void QuotaLimiter::trim(Tick now, Limit const& limit, OverdraftAllowance const& slack) {
-  settle(now, limit, slack);
-  if (shed(most(now, limit, slack))) fresh_ = true;
+void QuotaLimiter::trim(Tick now, Limit const& limit, OverdraftAllowance const& allowance) {
+  update(now, limit, allowance);
+  if (returnExcess(maxAmount(now, limit, allowance))) hasUnreportedChange_ = true;
 }
 
-bool QuotaLimiter::shed(double most) {
-  if (left_ <= most) return false;
-  returned_ += left_ - most;
-  left_ = most;
+bool QuotaLimiter::returnExcess(double maxAmount) {
+  if (remainingAmount_ <= maxAmount) return false;
+  returnedAmount_ += remainingAmount_ - maxAmount;
+  remainingAmount_ = maxAmount;
   return true;
 }
 
-void QuotaLimiter::renewed(Tick now, Tick askedAt, QuotaGrant const& loan) {
-  double const fraction = static_cast<double>(loan.fraction) / static_cast<double>(fractionUnits);
-  fraction_ = fraction;
-  until_ = askedAt + allocationDuration;
-  epoch_ = loan.epoch;
-  number_ = loan.number;
-  lentAt_ = now;
-}
-
-void QuotaLimiter::onGrant(Tick now, Limit const& limit, OverdraftAllowance const& slack, Tick askedAt,
-                           QuotaGrant const& loan) {
-  settle(now, limit, slack);
-  if (loan.number != 0) renewed(now, askedAt, loan);
-  share_ = static_cast<double>(loan.admissionShare) / static_cast<double>(fractionUnits);
-  sharedAt_ = now;
-  if (now - askedAt <= handOverWithin / 2) left_ += static_cast<double>(loan.amount);
-}
-
-TenantUsage QuotaLimiter::currentUsage(Tick now, Limit const& limit, OverdraftAllowance const& slack) const {
-  TenantUsage use;
-  use.demand = static_cast<std::uint64_t>(demand_.perSecond(now));
-  use.remaining = static_cast<std::uint64_t>(remaining(now, limit, slack));
-  if (now < until_) {
-    use.fraction = static_cast<std::uint64_t>(fraction_ * static_cast<double>(fractionUnits));
-    use.epoch = epoch_;
-    use.number = number_;
-    use.remainingMs = static_cast<std::uint64_t>(until_ - now);
+void QuotaLimiter::applyAllocation(Tick now, Tick reportSentAt, QuotaGrant const& grant) {
+  allocatedFraction_ = fractionFromWire(grant.allocatedFraction);
+  expiresAt_ = reportSentAt + allocationDuration;
+  ownerTerm_ = grant.ownerTerm;
+  grantNumber_ = grant.grantNumber;
+  grantedAt_ = now;
+}
+
+void QuotaLimiter::onGrant(Tick now, Limit const& limit, OverdraftAllowance const& allowance, Tick reportSentAt,
+                           QuotaGrant const& grant) {
+  update(now, limit, allowance);
+  if (grant.grantNumber != 0) applyAllocation(now, reportSentAt, grant);
+  admissionShare_ = fractionFromWire(grant.admissionShare);
+  admissionShareAt_ = now;
+  if (now - reportSentAt <= maxDispatchDelay / 2) remainingAmount_ += static_cast<double>(grant.grantedAmount);
+}
+
+TenantUsage QuotaLimiter::currentUsage(Tick now, Limit const& limit, OverdraftAllowance const& allowance) const {
+  TenantUsage usage;
+  usage.demandPerSecond = static_cast<std::uint64_t>(demand_.perSecond(now));
+  usage.remainingAmount = static_cast<std::uint64_t>(remainingAmount(now, limit, allowance));
+  if (now < expiresAt_) {
+    usage.allocatedFraction = static_cast<std::uint64_t>(allocatedFraction_ * static_cast<double>(fractionUnits));
+    usage.ownerTerm = ownerTerm_;
+    usage.grantNumber = grantNumber_;
+    usage.allocationRemainingMs = static_cast<std::uint64_t>(expiresAt_ - now);
   }
-  return use;
-}
-
-TenantUsage QuotaLimiter::report(Tick now, Limit const& limit, OverdraftAllowance const& slack, double wanted) {
-  settle(now, limit, slack);
-  shed((share_ < 1.0 ? keptWhenScarce : 1.0) * most(now, limit, slack));
-  TenantUsage use = currentUsage(now, limit, slack);
-  use.wanted = static_cast<std::uint64_t>(std::ceil(wanted));
-  use.returned = static_cast<std::uint64_t>(returned_);
-  returned_ = 0;
-  use.wantsRenewal = now - renewedAt_ >= reportEvery;
-  if (use.wantsRenewal) {
-    renewedAt_ = now;
-    fresh_ = false;
+  return usage;
+}
+
+TenantUsage QuotaLimiter::takeReport(Tick now, Limit const& limit, OverdraftAllowance const& allowance,
+                                     double requestedAmount) {
+  update(now, limit, allowance);
+  returnExcess((admissionShare_ < 1.0 ? capacityWhenScarce : 1.0) * maxAmount(now, limit, allowance));
+  TenantUsage usage = currentUsage(now, limit, allowance);
+  usage.requestedAmount = static_cast<std::uint64_t>(std::ceil(requestedAmount));
+  usage.returnedAmount = static_cast<std::uint64_t>(returnedAmount_);
+  returnedAmount_ = 0;
+  usage.wantsRenewal = now - renewalRequestedAt_ >= reportEvery;
+  if (usage.wantsRenewal) {
+    renewalRequestedAt_ = now;
+    hasUnreportedChange_ = false;
   }
-  return use;
+  return usage;
 }
 
 bool QuotaLimiter::reportDue(Tick now) const {
-  if (now - renewedAt_ < reportEvery) return false;
-  return fresh_ || (hasAllocation(now) && now - renewedAt_ >= renewEvery);
+  Tick const sinceRenewal = now - renewalRequestedAt_;
+  if (sinceRenewal < reportEvery) return false;
+  return hasUnreportedChange_ || (hasAllocation(now) && sinceRenewal >= idleRenewalInterval);
 }
 
 bool QuotaLimiter::idle(Tick now) const {
-  return now - seenAt_ > idleFor && now >= until_;
+  return now - lastRequestAt_ > idleTimeout && now >= expiresAt_;
 }
 
 }  // namespace corkward::quota
--- a/quota/test/quota_coordinator_test.cpp
+++ b/quota/test/quota_coordinator_test.cpp
@@ -7,35 +7,39 @@
 namespace {
 
 quota::UsageReport report(std::string const& link, std::string const& tenant) {
-  quota::TenantUsage use;
-  use.tenant = tenant;
-  use.wanted = 5;
-  return {link, 1, 9, {use}};
+  quota::TenantUsage usage;
+  usage.tenant = tenant;
+  usage.requestedAmount = 5;
+  return {link, 1, 9, {usage}};
+}
+
+quota::QuotaCoordinator coordinator() {
+  quota::QuotaCoordinator out("c1", 1, quota::OverdraftAllowance{});
+  out.configure(0, {{"a", {1000, 1000}}});
+  return out;
 }
 
 }  // namespace
 
-TEST_CASE("a report in another's name is not taken; one of a tenant without a limit here is answered in full") {
-  quota::QuotaCoordinator lender("c1", 1, quota::OverdraftAllowance{});
-  lender.configure(0, {{"a", {1000, 1000}}});
-  quota::MembershipView const standing;
-  CHECK(lender.arrived(10, "n1", report("n2", "a"), standing).empty());
-  std::vector<quota::Send> const sends = lender.arrived(10, "n1", report("n1", "free"), standing);
+TEST_CASE("a report in another's name is rejected; one of a tenant without a limit here is granted in full") {
+  quota::QuotaCoordinator coordinator = ::coordinator();
+  quota::MembershipView const view;
+  CHECK(coordinator.onMessage(10, "n1", report("n2", "a"), view).empty());
+  std::vector<quota::Send> const sends = coordinator.onMessage(10, "n1", report("n1", "free"), view);
   REQUIRE(sends.size() == 1);
   CHECK(sends[0].to == "n1");
-  quota::QuotaGrants const loans = std::get<quota::QuotaGrants>(sends[0].message);
-  CHECK(loans.reportNumber == 9);
-  REQUIRE(loans.grants.size() == 1);
-  CHECK(loans.grants[0].amount == 5);
+  quota::QuotaGrants const reply = std::get<quota::QuotaGrants>(sends[0].message);
+  CHECK(reply.reportNumber == 9);
+  REQUIRE(reply.grants.size() == 1);
+  CHECK(reply.grants[0].grantedAmount == 5);
 }
 
-TEST_CASE("who holds no term lends nothing and names nobody") {
-  quota::QuotaCoordinator lender("c1", 1, quota::OverdraftAllowance{});
-  lender.configure(0, {{"a", {1000, 1000}}});
-  std::vector<quota::Send> const sends = lender.arrived(10, "n1", report("n1", "a"), quota::MembershipView{});
+TEST_CASE("a controller that owns no partition grants nothing and names no owner") {
+  quota::QuotaCoordinator coordinator = ::coordinator();
+  std::vector<quota::Send> const sends = coordinator.onMessage(10, "n1", report("n1", "a"), quota::MembershipView{});
   REQUIRE(sends.size() == 1);
-  quota::QuotaGrants const loans = std::get<quota::QuotaGrants>(sends[0].message);
-  CHECK(loans.grants.empty());
-  REQUIRE(loans.partitionOwners.size() == 1);
-  CHECK(loans.partitionOwners[0].coordinator.empty());
+  quota::QuotaGrants const reply = std::get<quota::QuotaGrants>(sends[0].message);
+  CHECK(reply.grants.empty());
+  REQUIRE(reply.partitionOwners.size() == 1);
+  CHECK(reply.partitionOwners[0].coordinator.empty());
 }
