--- a/consensus/src/acceptor.cpp
+++ b/consensus/src/acceptor.cpp
@@ -25,4 +25,11 @@
   value_ = std::move(value);
 }
 
+void Acceptor::addTo(Fingerprint& fingerprint) const {
+  fingerprint.add(promised_);
+  fingerprint.add(position_.ballot);
+  fingerprint.add(position_.revision);
+  fingerprint.add(value_);
+}
+
 }  // namespace corkward::consensus
--- a/consensus/src/acceptor.h
+++ b/consensus/src/acceptor.h
@@ -7,6 +7,7 @@
 #include <cstdint>
 
 #include <corkward/consensus/types.h>
+#include "fingerprint.h"
 
 namespace corkward::consensus {
 
@@ -39,6 +40,7 @@
   std::uint64_t revision() const { return position_.revision; }
   bool hasAccepted() const { return position_.revision > 0; }
   QJsonObject const& value() const { return value_; }
+  void addTo(Fingerprint& fingerprint) const;
 
  private:
   /// Invariant: never lower than a ballot that this member replied to with a promise or an acceptance.
--- /dev/null
+++ b/consensus/src/call_queue.cpp
@@ -0,0 +1,34 @@
+#include "call_queue.h"
+
+#include <utility>
+
+namespace corkward::consensus {
+
+void CallQueue::push(transport::OperatorCall call, Tick now) {
+  queued_.push_back(QueuedCall{std::move(call), now});
+}
+
+std::optional<transport::OperatorCall> CallQueue::pop() {
+  if (queued_.empty()) return std::nullopt;
+  transport::OperatorCall call = std::move(queued_.front().call);
+  queued_.pop_front();
+  return call;
+}
+
+std::vector<transport::OperatorCall> CallQueue::takeExpired(Tick timeout, Tick now) {
+  std::vector<transport::OperatorCall> expired;
+  while (!queued_.empty() && now - queued_.front().submittedAt > timeout) expired.push_back(*pop());
+  return expired;
+}
+
+std::vector<transport::OperatorCall> CallQueue::takeAll() {
+  std::vector<transport::OperatorCall> calls;
+  while (!queued_.empty()) calls.push_back(*pop());
+  return calls;
+}
+
+void CallQueue::addTo(Fingerprint& fingerprint) const {
+  for (auto const& queued : queued_) fingerprint.add(queued.call.token);
+}
+
+}  // namespace corkward::consensus
--- a/consensus/src/linearizable_reads.cpp
+++ b/consensus/src/linearizable_reads.cpp
@@ -27,4 +27,12 @@
   pending_.clear();
 }
 
+void LinearizableReads::addTo(Fingerprint& fingerprint) const {
+  for (auto const& read : pending_) {
+    fingerprint.add(read.token);
+    fingerprint.add(read.confirmedBy);
+    fingerprint.addTime(read.startedAt);
+  }
+}
+
 }  // namespace corkward::consensus
--- a/consensus/src/linearizable_reads.h
+++ b/consensus/src/linearizable_reads.h
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include <corkward/consensus/types.h>
+#include "fingerprint.h"
 
 namespace corkward::consensus {
 
@@ -35,7 +36,8 @@
   void abort(std::string const& key, std::vector<CallCompleted>& completed);
 
   bool empty() const { return pending_.empty(); }
-  std::vector<PendingRead> const& pending() const { return pending_; }
+  std::size_t size() const { return pending_.size(); }
+  void addTo(Fingerprint& fingerprint) const;
 
  private:
   /// In order of arrival; empty unless this member owns the key.
--- a/consensus/src/owner_monitor.cpp
+++ b/consensus/src/owner_monitor.cpp
@@ -33,4 +33,11 @@
   return electionAt_;
 }
 
+void OwnerMonitor::addTo(Fingerprint& fingerprint) const {
+  fingerprint.add(owner_);
+  fingerprint.addFlag(unclaimed_);
+  fingerprint.addTime(lastHeardAt_);
+  fingerprint.addTime(electionAt_);
+}
+
 }  // namespace corkward::consensus
--- a/consensus/src/owner_monitor.h
+++ b/consensus/src/owner_monitor.h
@@ -6,6 +6,7 @@
 #include <string>
 
 #include <corkward/consensus/types.h>
+#include "fingerprint.h"
 
 namespace corkward::consensus {
 
@@ -36,9 +37,7 @@
   bool timedOut(Tick now, Tick timeout) const { return now - lastHeardAt_ > timeout; }
   /// Id of the last known owner, which may be silent by now; empty: none.
   std::string const& owner() const { return owner_; }
-  Tick lastHeardAt() const { return lastHeardAt_; }
-  /// For the fingerprint: 0 when no election is scheduled.
-  Tick rawElectionAt() const { return electionAt_; }
+  void addTo(Fingerprint& fingerprint) const;
 
  private:
   std::string owner_;
--- a/consensus/src/proposer.cpp
+++ b/consensus/src/proposer.cpp
@@ -73,4 +73,24 @@
   return std::exchange(proposal_, std::nullopt);
 }
 
+void Proposer::addTo(Fingerprint& fingerprint) const {
+  fingerprint.add(static_cast<std::uint64_t>(role_));
+  fingerprint.add(ballot_);
+  fingerprint.add(highestBallotNumber_);
+  if (role_ != Role::idle) fingerprint.addTime(prepareSentAt_);
+  if (role_ == Role::preparing) fingerprint.addTime(roleSince_);
+  fingerprint.add(promises_.size());
+  for (auto const& [memberId, promise] : promises_) {
+    fingerprint.add(memberId);
+    fingerprint.add(promise.acceptedBallot);
+    fingerprint.add(promise.revision);
+  }
+  if (!proposal_) return;
+  fingerprint.add(proposal_->token);
+  fingerprint.add(proposal_->revision);
+  fingerprint.add(proposal_->value);
+  fingerprint.add(proposal_->acceptedBy);
+  fingerprint.addTime(proposal_->sentAt);
+}
+
 }  // namespace corkward::consensus
--- a/consensus/src/proposer.h
+++ b/consensus/src/proposer.h
@@ -74,11 +74,11 @@
   bool isPreparing() const { return role_ == Role::preparing; }
   bool isOwner() const { return role_ == Role::owner; }
   Ballot const& ballot() const { return ballot_; }
-  std::uint64_t highestBallotNumber() const { return highestBallotNumber_; }
   std::optional<Proposal> const& proposal() const { return proposal_; }
   std::map<std::string, transport::Promise> const& promises() const { return promises_; }
   Tick prepareSentAt() const { return prepareSentAt_; }
   Tick roleSince() const { return roleSince_; }
+  void addTo(Fingerprint& fingerprint) const;
 
  private:
   Role role_ = Role::idle;
--- a/consensus/src/register.cpp
+++ b/consensus/src/register.cpp
@@ -47,7 +47,7 @@
 }
 
 void Register::submit(EventContext& context, transport::OperatorCall const& call) {
-  queuedCalls_.push_back(QueuedCall{call, context.now});
+  queuedCalls_.push(call, context.now);
   if (proposer_.isOwner())
     processQueue(context);
   else if (proposer_.isIdle())
@@ -55,8 +55,7 @@
 }
 
 void Register::failQueuedCalls(EventContext& context, CallFailure failure) {
-  for (auto const& queued : queuedCalls_) context.complete(failedCall(queued.call.token, key_, failure));
-  queuedCalls_.clear();
+  for (auto const& call : queuedCalls_.takeAll()) context.complete(failedCall(call.token, key_, failure));
 }
 
 // Phase 1: elections.
@@ -86,7 +85,8 @@
   observeBallot(prepare.ballot);
   ownerMonitor_.candidateSeen();
   if (isRejected(context, prepare.ballot, fromOldMembership)) {
-    rejectPrepare(context, from, prepare);
+    context.send(from,
+                 transport::Promise{key_, prepare.ballot, context.local.id(), false, acceptor_.promised(), {}, 0, {}});
     return;
   }
   if (acceptor_.promised() < prepare.ballot) {
@@ -101,11 +101,6 @@
                          acceptor_.position().ballot, acceptor_.revision(), acceptor_.value()});
 }
 
-void Register::rejectPrepare(EventContext& context, std::string const& from, transport::Prepare const& prepare) const {
-  context.send(from,
-               transport::Promise{key_, prepare.ballot, context.local.id(), false, acceptor_.promised(), {}, 0, {}});
-}
-
 void Register::onPromise(EventContext& context, transport::Promise const& promise) {
   observeBallot(promise.promised);
   if (!proposer_.awaitsPromise(promise) || !context.currentMembership().contains(promise.member)) return;
@@ -233,17 +228,16 @@
 
 void Register::processQueue(EventContext& context) {
   while (proposer_.isOwner() && !proposer_.proposal() && !queuedCalls_.empty()) {
-    QueuedCall const next = std::move(queuedCalls_.front());
-    queuedCalls_.pop_front();
+    transport::OperatorCall const call = *queuedCalls_.pop();
     CommittedValue const* const committed = context.learner.find(key_);
     CommittedValue const current = committed == nullptr ? CommittedValue{} : *committed;
-    Verdict const verdict = context.validator(key_, current.revision, current.value, next.call);
+    Verdict const verdict = context.validator(key_, current.revision, current.value, call);
     if (!verdict.change) {
-      startRead(context, next.call.token, verdict);
+      startRead(context, call.token, verdict);
       continue;
     }
     Proposal proposal;
-    proposal.token = next.call.token;
+    proposal.token = call.token;
     proposal.revision = current.revision + 1;
     proposal.value = verdict.value;
     proposal.status = verdict.status;
@@ -282,10 +276,8 @@
 
 void Register::expireCalls(EventContext& context) {
   Tick const timeout = context.tuning.callTimeout;
-  while (!queuedCalls_.empty() && context.now - queuedCalls_.front().submittedAt > timeout) {
-    context.complete(failedCall(queuedCalls_.front().call.token, key_, CallFailure::noQuorum));
-    queuedCalls_.pop_front();
-  }
+  for (auto const& call : queuedCalls_.takeExpired(timeout, context.now))
+    context.complete(failedCall(call.token, key_, CallFailure::noQuorum));
   rerouteCalls(context);
   std::optional<Proposal> const& proposal = proposer_.proposal();
   if (!proposal || proposal->token == 0 || context.now - proposal->startedAt <= timeout) return;
@@ -297,8 +289,7 @@
   if (queuedCalls_.empty() || !proposer_.isIdle() ||
       ownerLink(context.currentMembership(), context.local.self(), context.tuning.ownerTimeout, context.now).empty())
     return;
-  for (auto const& queued : queuedCalls_) context.commands.rerouted.emplace_back(key_, queued.call);
-  queuedCalls_.clear();
+  for (auto const& call : queuedCalls_.takeAll()) context.commands.rerouted.emplace_back(key_, call);
 }
 
 std::string Register::ownerLink(Membership const& membership, Member const& self, Tick ownerTimeout, Tick now) const {
@@ -370,40 +361,13 @@
 
 void Register::addTo(Fingerprint& fingerprint, Persistence const& persistence) const {
   fingerprint.add(key_);
-  fingerprint.add(acceptor_.promised());
-  fingerprint.add(acceptor_.position().ballot);
-  fingerprint.add(acceptor_.revision());
-  fingerprint.add(acceptor_.value());
+  acceptor_.addTo(fingerprint);
   fingerprint.addFlag(persistence.isPending(ticket_));
-  fingerprint.add(static_cast<std::uint64_t>(proposer_.role()));
-  fingerprint.add(proposer_.ballot());
-  fingerprint.add(proposer_.highestBallotNumber());
-  fingerprint.add(ownerMonitor_.owner());
-  fingerprint.addFlag(ownerMonitor_.isUnclaimed());
-  if (!proposer_.isIdle()) fingerprint.addTime(proposer_.prepareSentAt());
-  if (proposer_.isPreparing()) fingerprint.addTime(proposer_.roleSince());
-  fingerprint.addTime(ownerMonitor_.lastHeardAt());
-  fingerprint.addTime(ownerMonitor_.rawElectionAt());
+  proposer_.addTo(fingerprint);
+  ownerMonitor_.addTo(fingerprint);
   fingerprint.addTime(valueRequestedAt_);
-  fingerprint.add(proposer_.promises().size());
-  for (auto const& [memberId, promise] : proposer_.promises()) {
-    fingerprint.add(memberId);
-    fingerprint.add(promise.acceptedBallot);
-    fingerprint.add(promise.revision);
-  }
-  if (std::optional<Proposal> const& proposal = proposer_.proposal()) {
-    fingerprint.add(proposal->token);
-    fingerprint.add(proposal->revision);
-    fingerprint.add(proposal->value);
-    fingerprint.add(proposal->acceptedBy);
-    fingerprint.addTime(proposal->sentAt);
-  }
-  for (auto const& queued : queuedCalls_) fingerprint.add(queued.call.token);
-  for (auto const& read : reads_.pending()) {
-    fingerprint.add(read.token);
-    fingerprint.add(read.confirmedBy);
-    fingerprint.addTime(read.startedAt);
-  }
+  queuedCalls_.addTo(fingerprint);
+  reads_.addTo(fingerprint);
 }
 
 }  // namespace corkward::consensus
--- a/consensus/src/register.h
+++ b/consensus/src/register.h
@@ -3,11 +3,11 @@
 /// One key at one member: acceptor, proposer, owner and queued calls together.
 
 #include <cstdint>
-#include <deque>
 #include <string>
 
 #include <corkward/consensus/types.h>
 #include "acceptor.h"
+#include "call_queue.h"
 #include "fingerprint.h"
 #include "linearizable_reads.h"
 #include "owner_monitor.h"
@@ -63,18 +63,12 @@
   std::string ownerLink(Membership const& membership, Member const& self, Tick ownerTimeout, Tick now) const;
   Acceptor const& acceptor() const { return acceptor_; }
   Proposer const& proposer() const { return proposer_; }
-  OwnerMonitor const& ownerMonitor() const { return ownerMonitor_; }
   bool hasQueuedCalls() const { return !queuedCalls_.empty(); }
   /// Ticket of the newest write of the acceptor's state; 0: none.
   std::uint64_t ticket() const { return ticket_; }
   void addTo(Fingerprint& fingerprint, Persistence const& persistence) const;
 
  private:
-  struct QueuedCall {
-    transport::OperatorCall call;
-    Tick submittedAt = 0;
-  };
-
   void startElection(EventContext& context);
   void sendPrepare(EventContext& context, Member const& member);
   void becomeOwner(EventContext& context);
@@ -84,7 +78,6 @@
   void processQueue(EventContext& context);
   void startRead(EventContext& context, std::uint64_t token, Verdict const& verdict);
   bool isRejected(EventContext const& context, Ballot const& ballot, bool fromOldMembership) const;
-  void rejectPrepare(EventContext& context, std::string const& from, transport::Prepare const& prepare) const;
   void persist(EventContext& context);
 
   void expireCalls(EventContext& context);
@@ -103,8 +96,8 @@
   std::uint64_t ticket_ = 0;
   Proposer proposer_;
   OwnerMonitor ownerMonitor_;
-  /// In order of arrival. Evaluated while this member owns the key; else they wait for an election or an owner.
-  std::deque<QueuedCall> queuedCalls_;
+  /// Evaluated while this member owns the key; else they wait for an election or an owner.
+  CallQueue queuedCalls_;
   /// Invariant: empty unless this member owns the key.
   LinearizableReads reads_;
   /// When the committed value was requested last.
