--- /dev/null
+++ b/control/test/fleet_configuration_validator_test.cpp
@@ -0,0 +1,76 @@
+#include <catch2/catch.hpp>
+
+#include <QJsonArray>
+
+#include <corkward/config/config.h>
+
+#include "validation_requests.h"
+
+namespace config = corkward::config;
+namespace control = corkward::control;
+namespace core = corkward::core;
+using control::operatorCall;
+using control::RejectionReason;
+
+namespace {
+
+std::string specOf(int version, std::string const& note = "") {
+  return core::jsonText(QJsonObject{{"version", version},
+                                    {"pools", QJsonArray{QJsonObject{{"name", "big"}}}},
+                                    {"paths", QJsonArray{}},
+                                    {"extra", QJsonObject{{"note", core::toQString(note)}}}});
+}
+
+corkward::transport::OperatorCall put(int version, std::string const& ifMatch, std::string const& note = "") {
+  return operatorCall("PUT", config::fleetConfigurationPage, specOf(version, note), ifMatch);
+}
+
+}  // namespace
+
+TEST_CASE("the fleet configuration's version rises with each change") {
+  control::ValidatedKey key(control::validateFleetConfiguration);
+  CHECK(control::isRejected(key.call(put(5, "")), RejectionReason::versionMissing));
+  control::ValidationResult const first = key.call(put(5, "0"));
+  REQUIRE(control::isAccepted(first));
+  CHECK(std::get<control::AcceptedChange>(first).status == core::HttpStatus::created);
+  CHECK(std::get<control::AcceptedChange>(first).version == 5);
+  control::ValidationResult const lower = key.call(put(4, "5"));
+  REQUIRE(control::isRejected(lower, RejectionReason::invalidConfiguration));
+  CHECK(std::get<control::Rejection>(lower).pointer == "/version");
+  CHECK(std::get<control::Rejection>(lower).version == 5);
+  control::ValidationResult const second = key.call(put(9, "\"5\""));
+  REQUIRE(control::isAccepted(second));
+  CHECK(std::get<control::AcceptedChange>(second).status == core::HttpStatus::ok);
+  CHECK(key.revision == 2);
+}
+
+TEST_CASE("a change of the fleet configuration that comes again is replayed, another on its base is stale") {
+  control::ValidatedKey key(control::validateFleetConfiguration);
+  REQUIRE(control::isAccepted(key.call(put(5, "0", "one"))));
+  REQUIRE(control::isAccepted(key.call(put(6, "5", "two"))));
+  control::ValidationResult const again = key.call(put(5, "0", "one"));
+  REQUIRE(control::isReplay(again));
+  CHECK(std::get<control::Replay>(again).revision == 1);
+  CHECK(std::get<control::Replay>(again).version == 5);
+  control::ValidationResult const other = key.call(put(5, "0", "other"));
+  REQUIRE(control::isRejected(other, RejectionReason::staleVersion));
+  CHECK(std::get<control::Rejection>(other).version == 6);
+  CHECK(std::get<control::Rejection>(other).revision == 2);
+  CHECK(control::isReplay(key.call(put(6, "6", "two"))));
+}
+
+TEST_CASE("the bound of the configuration's bytes grows with each patch and is reset by a full configuration") {
+  corkward::transport::OperatorCall call = operatorCall("PATCH", config::fleetConfigurationPage, "12345");
+  CHECK(control::fleetConfigurationBytes(100, call) == 105);
+  call.method = "PUT";
+  CHECK(control::fleetConfigurationBytes(100, call) == 5);
+}
+
+TEST_CASE("the fleet configuration is neither deleted nor patched before there is one") {
+  control::ValidatedKey key(control::validateFleetConfiguration);
+  CHECK(control::isRejected(key.call(operatorCall("GET", config::fleetConfigurationPage)), RejectionReason::notFound));
+  CHECK(control::isRejected(key.call(operatorCall("PATCH", config::fleetConfigurationPage, specOf(5), "0")),
+                            RejectionReason::notFound));
+  CHECK(control::isRejected(key.call(operatorCall("DELETE", config::fleetConfigurationPage, "", "0")),
+                            RejectionReason::methodNotAllowed));
+}
