--- a/control/include/corkward/control/controller_directory.h
+++ b/control/include/corkward/control/controller_directory.h
@@ -11,27 +11,27 @@
 
 using core::Tick;
 
-/// Role of a guide among the contacts.
+/// Role of a controller directory among the contacts; bytes on the wire.
 inline constexpr char const* directoryRole = "guide";
 
-/// Reducer of a machine that serves operators without a disk: it holds nothing and is never a member. It knows which
-/// controllers answer, names them to processes that enter here, and tells disks that it founds nothing. It is named to
-/// nobody.
+/// Reducer of a machine that serves operators without storage: it stores nothing and is never a member. It knows which
+/// controllers answer, names them to processes that start, and lets members without state know that it founds nothing.
+/// No process is referred to it.
 class ControllerDirectory {
  public:
   ControllerDirectory(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed);
 
   std::vector<transport::Send> arrived(Tick now, std::string const& from, transport::Message const& message);
   std::vector<transport::Send> clockEvent(Tick now);
-  /// Links of controllers that answered of late; when none did, of all that are known.
+  /// Links of the controllers that were heard lately; when none was, of all that are known.
   std::vector<std::string> controllers(Tick now) const;
   void setSeeds(std::vector<std::string> seeds) { partialView_.setSeeds(std::move(seeds)); }
 
  private:
   gossip::PartialView partialView_;
-  /// Controllers that were ever known, and when each was heard itself; -1: not yet.
-  std::map<std::string, Tick> controllers_;
-  Tick askAt_ = 0;
+  /// All controllers that were ever known, and when each was last heard first-hand; -1: not yet.
+  std::map<std::string, Tick> lastHeardAt_;
+  Tick nextQueryAt_ = 0;
 };
 
 }  // namespace corkward::control
--- /dev/null
+++ b/control/include/corkward/control/router_status_reporter.h
@@ -0,0 +1,34 @@
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include <corkward/control/rollout_tracker.h>
+
+namespace corkward::control {
+
+/// Controllers report to each other which routers they serve and what those have, so that each can judge rollouts.
+class RouterStatusReporter {
+ public:
+  explicit RouterStatusReporter(ControllerTuning const& tuning) : tuning_(tuning) {}
+
+  /// The next report is due at once.
+  void reportSoon(Tick now) { nextReportAt_ = now; }
+  /// The report that goes to all members now, with the incomplete rollouts as questions; nothing: none is due.
+  std::optional<transport::RouterStatusReport> dueReport(Tick now, Roster const& roster, RouterRegistry const& routers,
+                                                         RolloutTracker const& rollouts);
+  /// Reply to a member's report that asks how far some rollouts are.
+  transport::RouterStatusReport replyTo(Tick now, transport::RouterStatusReport const& report, Roster const& roster,
+                                        RouterRegistry const& routers, CommittedValues const& values) const;
+
+ private:
+  transport::RouterStatusReport status(Tick now, Roster const& roster, RouterRegistry const& routers) const;
+  /// Pause until the next report.
+  /// @param newestSince start of the newest incomplete rollout; nothing: there is none
+  Tick pauseAfter(Tick now, std::optional<Tick> newestSince) const;
+
+  ControllerTuning const tuning_;
+  Tick nextReportAt_ = 0;
+};
+
+}  // namespace corkward::control
--- a/control/src/certificates_validator.cpp
+++ b/control/src/certificates_validator.cpp
@@ -78,7 +78,7 @@
                         std::vector<config::RegimeFault> const& faults) {
   AcceptedChange accepted{
       QJsonObject{{fields::spec, next},
-                  {QLatin1String(ChangeHistory::field), historyWith(request.value, request.revision, digest)}}};
+                  {QLatin1String(ChangeHistory::storedField), historyWith(request.value, request.revision, digest)}}};
   accepted.status = request.revision == 0 ? core::HttpStatus::created : core::HttpStatus::ok;
   accepted.revision = request.nextRevision();
   for (config::RegimeFault const& fault : faults) accepted.uncovered.push_back(fault.reason);
@@ -91,7 +91,7 @@
   auto const& [revision, value, call] = request;
   CallMethod const method = methodOf(call.method);
   QJsonObject const body = changeBody(call);
-  std::string const digest = orderDigest(call, body, call.changeId);
+  std::string const digest = contentDigest(call, body, call.changeId);
   bool const isStale = !call.ifMatch.empty() && !isBuiltOn(call, revision);
   std::optional<ValidationResult> past = resultFromHistory(revision, revision, call, digest, value);
   if (past && (std::holds_alternative<Replay>(*past) || isStale)) return *std::move(past);
--- /dev/null
+++ b/control/src/events.h
@@ -0,0 +1,26 @@
+#pragma once
+
+/// Log events of the controller, and the events that it counts on the metrics page alone. Metric labels are bytes of
+/// the page.
+
+#include <corkward/core/log_event.h>
+
+namespace corkward::control::events {
+
+/// A value is known to be on a majority of the disks.
+inline constexpr core::EventName committed{"committed"};
+/// An operator's change was answered.
+inline constexpr core::EventName changeCompleted{"change"};
+/// An operator's read was not answered with what it asked for.
+inline constexpr core::EventName readFailed{"read-failed"};
+/// A roster is proposed.
+inline constexpr core::EventName rosterProposed{"roster"};
+
+// Counted only.
+inline constexpr char const* configurationPushed = "news_pushed";
+inline constexpr char const* removalHintAccepted = "leaving_hint";
+inline constexpr char const* endpointListUnreadable = "unreadable_list";
+/// Followed by the reply's status.
+inline constexpr char const* callAnswered = "answered_";
+
+}  // namespace corkward::control::events
--- a/control/src/family_validator.cpp
+++ b/control/src/family_validator.cpp
@@ -120,7 +120,7 @@
   auto const& [revision, value, call] = request;
   CallMethod const method = methodOf(call.method);
   QJsonObject const body = changeBody(call);
-  std::string const digest = orderDigest(call, body, call.changeId);
+  std::string const digest = contentDigest(call, body, call.changeId);
   bool const isCurrent = isBuiltOn(call, entry.revision());
   std::optional<ValidationResult> past = resultFromHistory(revision, revision, call, digest, value);
   if (past && (std::holds_alternative<Replay>(*past) || !isCurrent)) return *std::move(past);
@@ -130,7 +130,7 @@
   if (std::optional<Rejection> fault = checkFamily(next, clusterView)) return *std::move(fault);
   if (core::jsonText(next).size() > maxFamilyBytes)
     return Rejection{RejectionReason::tooLarge, "the family would pass its limit"};
-  next.insert(QLatin1String(ChangeHistory::field), historyWith(value, revision, digest));
+  next.insert(QLatin1String(ChangeHistory::storedField), historyWith(value, revision, digest));
   AcceptedChange accepted{next};
   accepted.status = method == CallMethod::put && !entry.exists() ? core::HttpStatus::created : core::HttpStatus::ok;
   accepted.revision = request.nextRevision();
--- a/control/src/fleet_configuration_validator.cpp
+++ b/control/src/fleet_configuration_validator.cpp
@@ -63,7 +63,7 @@
   auto const newest = static_cast<std::int64_t>(current.version);
   bool const isCommitted = !isPatch && version == newest && current.exists() && next == current.spec;
   if (isCommitted) return Replay{core::code(core::HttpStatus::ok), revision, newest};
-  std::string const digest = orderDigest(call, next, "");
+  std::string const digest = contentDigest(call, next, "");
   if (!isBuiltOn(call, current.version)) return resultOnOlderVersion(request, digest, version, current.version);
   if (isPatch && !current.exists()) return noConfiguration();
   if (version <= newest) {
@@ -78,7 +78,7 @@
   }
   config::readFleetConfiguration(next);
   AcceptedChange accepted{QJsonObject{
-      {fields::spec, next}, {QLatin1String(ChangeHistory::field), historyWith(value, current.version, digest)}}};
+      {fields::spec, next}, {QLatin1String(ChangeHistory::storedField), historyWith(value, current.version, digest)}}};
   accepted.status = current.exists() ? core::HttpStatus::ok : core::HttpStatus::created;
   accepted.revision = request.nextRevision();
   accepted.version = version;
--- a/control/src/guarantee_checks.cpp
+++ b/control/src/guarantee_checks.cpp
@@ -1,61 +1,57 @@
-#include <corkward/control/controller.h>
+#include <corkward/control/guarantee_checks.h>
 
-#include <corkward/core/json.h>
+#include <corkward/config/config.h>
 #include <corkward/core/guarantees.h>
+#include <corkward/core/http_status.h>
+
+#include "call_method.h"
+#include "json_fields.h"
 
 namespace corkward::control {
 
 namespace {
 
 /// Confirmed changes of one key that are remembered to be compared with later ones.
-constexpr std::size_t confirmedKept = 64;
-constexpr int ok = 200;
-constexpr int created = 201;
+constexpr std::size_t rememberedChanges = 64;
 
-/// Keys whose changes name the revision that they build on, each at most once.
+/// True for keys whose changes name the version that they build on, each at most once.
 bool namesItsBase(std::string const& key, transport::OperatorCall const& call) {
   return key == config::fleetConfigurationKey && !call.ifMatch.empty() && !call.dryRun;
 }
 
-}  // namespace
-
-void Controller::checkCommitted(consensus::CommittedValue const& c) const {
-  std::map<std::string, Settling>::const_iterator const before = settling_.find(c.key);
-  CORKWARD_GUARANTEE(core::Guarantee::revisionsRise, before == settling_.end() || c.revision > before->second.revision,
-                     c.key + " falls to revision " + std::to_string(c.revision));
+bool isAccepted(int status) {
+  return status == core::code(core::HttpStatus::ok) || status == core::code(core::HttpStatus::created);
 }
 
-void Controller::checkConfirmed(consensus::CallCompleted const& d, transport::OperatorCall const& call) {
-  bool const taken = d.revision != 0 && (d.status == ok || d.status == created);
-  if (!taken || !namesItsBase(d.key, call)) return;
-  std::deque<std::pair<std::string, std::uint64_t>>& all = confirmed_[d.key];
-  for (std::pair<std::string, std::uint64_t> const& one : all)
-    CORKWARD_GUARANTEE(core::Guarantee::oneChangePerRevision, one.first != call.ifMatch || one.second == d.revision,
-                       d.key + ": revisions " + std::to_string(one.second) + " and " + std::to_string(d.revision) +
-                           " both on " + call.ifMatch);
-  all.emplace_back(call.ifMatch, d.revision);
-  if (all.size() > confirmedKept) all.pop_front();
+}  // namespace
+
+void GuaranteeChecks::checkCommitted(consensus::CommittedValue const& committed,
+                                     std::optional<std::uint64_t> previous) const {
+  CORKWARD_GUARANTEE(core::Guarantee::revisionsRise, !previous || committed.revision > *previous,
+                     committed.key + " falls to revision " + std::to_string(committed.revision));
 }
 
-std::uint64_t Controller::committedStamp(Target const& target) const {
-  std::map<std::string, consensus::CommittedValue>::const_iterator const it = registers_.committed().find(target.key);
-  if (it == registers_.committed().end()) return 0;
-  bool const ofFamily = !target.templateName.empty();
-  if (!ofFamily) return it->second.revision;
-  QJsonObject const& family = it->second.value;
-  QJsonValue const row = target.entry.empty()
-                             ? family.value("template")
-                             : family.value("instances").toObject().value(core::toQString(target.entry));
-  return static_cast<std::uint64_t>(row.toObject().value("stamp").toInteger());
+void GuaranteeChecks::checkConfirmed(consensus::CallCompleted const& completed, transport::OperatorCall const& call) {
+  bool const isConfirmed = completed.revision != 0 && isAccepted(completed.status);
+  if (!isConfirmed || !namesItsBase(completed.key, call)) return;
+  std::deque<ConfirmedChange>& changes = confirmed_[completed.key];
+  for (ConfirmedChange const& other : changes)
+    CORKWARD_GUARANTEE(core::Guarantee::oneChangePerRevision,
+                       other.base != call.ifMatch || other.revision == completed.revision,
+                       completed.key + ": revisions " + std::to_string(other.revision) + " and " +
+                           std::to_string(completed.revision) + " both on " + call.ifMatch);
+  changes.push_back(ConfirmedChange{call.ifMatch, completed.revision});
+  if (changes.size() > rememberedChanges) changes.pop_front();
 }
 
-void Controller::checkServed(CallState const& state, int status, QJsonObject const& body) const {
-  bool const read = state.call.method == "GET" && status == ok && body.contains("stamp");
-  if (!read) return;
-  std::uint64_t const served = static_cast<std::uint64_t>(body.value("stamp").toInteger());
-  CORKWARD_GUARANTEE(core::Guarantee::currentWhenServed, served >= state.knownWhenAsked,
-                     state.call.path + ": stamp " + std::to_string(served) + " is served, " +
-                         std::to_string(state.knownWhenAsked) + " was committed when it was asked for");
+void GuaranteeChecks::checkServed(PendingCall const& call, int status, QJsonObject const& body) const {
+  bool const isRead = methodOf(call.call.method) == CallMethod::get && status == core::code(core::HttpStatus::ok) &&
+                      body.contains(fields::revision);
+  if (!isRead) return;
+  auto const served = static_cast<std::uint64_t>(body.value(fields::revision).toInteger());
+  CORKWARD_GUARANTEE(core::Guarantee::currentWhenServed, served >= call.revisionAtArrival,
+                     call.call.path + ": stamp " + std::to_string(served) + " is served, " +
+                         std::to_string(call.revisionAtArrival) + " was committed when it was asked for");
 }
 
 }  // namespace corkward::control
--- /dev/null
+++ b/control/src/pending_calls.cpp
@@ -0,0 +1,48 @@
+#include <corkward/control/pending_calls.h>
+
+#include <corkward/core/types.h>
+
+namespace corkward::control {
+
+namespace {
+
+/// Id of a run's first call, drawn at random from 2^52. Forwarded calls carry their id and their replies come back by
+/// it, so a reply meant for a call of an earlier run of this process must find none of that id in this one.
+std::uint64_t firstId(std::uint64_t seed) {
+  constexpr std::uint64_t streamOfIds = 0x9b;
+  constexpr int unusedBits = 12;
+  return (core::RandomGenerator(seed ^ streamOfIds).next() >> unusedBits) + 1;
+}
+
+}  // namespace
+
+PendingCalls::PendingCalls(std::uint64_t seed) : nextId_(firstId(seed)) {}
+
+PendingCall* PendingCalls::find(std::uint64_t id) {
+  auto const it = calls_.find(id);
+  return it == calls_.end() ? nullptr : &it->second;
+}
+
+std::uint64_t PendingCalls::add(PendingCall call) {
+  std::uint64_t const id = nextId_++;
+  call.call.token = id;
+  calls_[id] = std::move(call);
+  return id;
+}
+
+std::optional<PendingCall> PendingCalls::remove(std::uint64_t id) {
+  auto const it = calls_.find(id);
+  if (it == calls_.end()) return std::nullopt;
+  PendingCall call = std::move(it->second);
+  calls_.erase(it);
+  return call;
+}
+
+std::vector<std::uint64_t> PendingCalls::olderThan(Tick now, Tick age) const {
+  std::vector<std::uint64_t> ids;
+  for (auto const& [id, call] : calls_)
+    if (now - call.since > age) ids.push_back(id);
+  return ids;
+}
+
+}  // namespace corkward::control
--- a/control/src/quota_coordination.cpp
+++ b/control/src/quota_coordination.cpp
@@ -1,62 +1,57 @@
-// Lending of tenants' limits: what the lender is told of this controller, and its messages.
-#include "internal.h"
+#include <corkward/control/quota_coordination.h>
 
-namespace corkward::control {
+#include <variant>
 
-namespace {
+namespace corkward::control {
 
-template <class Sends>
-void append(ControllerCommands& out, Sends&& sends) {
+std::vector<transport::Send> QuotaCoordination::sendsOf(std::vector<quota::Send>&& sends) {
+  std::vector<transport::Send> out;
   for (quota::Send& send : sends)
-    std::visit([&](auto& message) { out.sends.push_back(transport::Send{send.to, std::move(message)}); }, send.message);
+    std::visit([&](auto& message) { out.push_back(transport::Send{send.to, std::move(message)}); }, send.message);
+  return out;
 }
 
-}  // namespace
-
-void Controller::refreshStanding(Tick now) {
-  std::vector<std::string> links;
-  for (consensus::Member const& m : registers_.membership()) links.push_back(m.link);
-  if (links != standing_.members) {
-    standing_.members = std::move(links);
-    membersSince_ = now;
-  }
-  if (std::uint64_t const roster = committedRevision(rosterKey); roster != standingRoster_) {
-    standingRoster_ = roster;
-    standing_.routers = roster_.nodes;
-    standing_.routers.insert(roster_.previous.begin(), roster_.previous.end());
-    standing_.routers.insert(roster_.gone.begin(), roster_.gone.end());
-  }
-  // Contact with a majority also says that no newer membership was accepted here without being known as chosen: a
-  // member that may have been struck off is not renewed by one that took part in striking it off.
-  Tick const wait = quota::grantDelayAfterStart;
-  Tick const age = registers_.quorumContactAge(now);
-  bool const inTouch = age >= 0 && age <= tuning_.servingLeaseDuration;
-  standing_.mayRenew = inTouch && now - started_ > wait;
-  standing_.mayGrant = standing_.mayRenew && now - membersSince_ > wait;
-  standing_.alive = registers_.aliveLinks(now);
-  standing_.contact = age < 0 ? -1 : now - age;
-  standing_.leaving = draining_;
+void QuotaCoordination::configure(Tick now, config::FleetConfiguration const& configuration) {
+  std::map<std::string, quota::Limit> limits;
+  for (config::Tenant const& tenant : configuration.tenants)
+    if (tenant.ratePerSecond > 0) limits[tenant.name] = quota::Limit{tenant.ratePerSecond, tenant.burst};
+  coordinator_.configure(now, std::move(limits));
 }
 
-void Controller::lendLimits(ControllerCommands& out, Tick now) {
-  refreshStanding(now);
-  append(out, lender_.clockEvent(now, standing_));
-}
-
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::UsageReport const& m) {
-  append(out, lender_.arrived(now, from, m, standing_));
+void QuotaCoordination::refreshMembers(Tick now, consensus::ReplicatedRegisters const& registers) {
+  std::vector<std::string> links;
+  for (consensus::Member const& member : registers.membership()) links.push_back(member.link);
+  if (links == view_.members) return;
+  view_.members = std::move(links);
+  membersSince_ = now;
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::AllocationReport const& m) {
-  append(out, lender_.arrived(now, from, m, standing_));
+void QuotaCoordination::refreshRouters(Roster const& roster) {
+  if (roster.revision() == rosterRevision_) return;
+  rosterRevision_ = roster.revision();
+  view_.routers = roster.nodes();
+  view_.routers.insert(roster.previousNodes().begin(), roster.previousNodes().end());
+  view_.routers.insert(roster.departed().begin(), roster.departed().end());
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::PartitionLeaseRequest const& m) {
-  append(out, lender_.arrived(now, from, m, standing_));
+void QuotaCoordination::refreshPermissions(Tick now, ClusterStatus const& status) {
+  // Contact with a majority also says that no newer membership was accepted here without being known as chosen: a
+  // member that may have been removed is not renewed by one that took part in its removal.
+  Tick const wait = quota::grantDelayAfterStart;
+  Tick const contactAge = status.registers.quorumContactAge(now);
+  bool const hasContact = contactAge >= 0 && contactAge <= status.servingLeaseDuration;
+  view_.mayRenew = hasContact && now - status.startedAt > wait;
+  view_.mayGrant = view_.mayRenew && now - membersSince_ > wait;
+  view_.alive = status.registers.aliveLinks(now);
+  view_.contact = contactAge < 0 ? -1 : now - contactAge;
+  view_.leaving = status.draining;
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::PartitionLeaseReply const& m) {
-  append(out, lender_.arrived(now, from, m, standing_));
+std::vector<transport::Send> QuotaCoordination::onTimer(Tick now, ClusterStatus const& status) {
+  refreshMembers(now, status.registers);
+  refreshRouters(status.roster);
+  refreshPermissions(now, status);
+  return sendsOf(coordinator_.clockEvent(now, view_));
 }
 
 }  // namespace corkward::control
--- a/control/src/roster.cpp
+++ b/control/src/roster.cpp
@@ -1,95 +1,67 @@
-// The roster: which routers a change must have reached before it counts as in force.
+#include <corkward/control/roster.h>
+
 #include <QJsonArray>
 #include <algorithm>
-#include <functional>
 #include <iterator>
 
-#include "internal.h"
+#include <corkward/core/json.h>
+
+#include "json_fields.h"
 
 namespace corkward::control {
 
-void Controller::foldRoster(QJsonObject const& value) {
-  std::function<std::set<std::string>(char const*)> const links = [&](char const* field) {
-    std::set<std::string> out;
-    for (QJsonValue const v : value.value(QLatin1String(field)).toArray())
-      out.insert(core::toStdString(v.isString() ? v.toString() : v.toObject().value("link").toString()));
-    return out;
-  };
-  roster_ = RosterView{links("nodes"), links("previous"), links("gone"), {}};
-  std::set_union(roster_.nodes.begin(), roster_.nodes.end(), roster_.previous.begin(), roster_.previous.end(),
-                 std::back_inserter(roster_.places));
+namespace {
+
+/// A node is written as an object with its link, a departed one as its link alone.
+std::string linkOf(QJsonValue const& node) {
+  return core::toStdString(node.isString() ? node.toString() : node.toObject().value(fields::link).toString());
+}
+
+std::set<std::string> linksOf(QJsonArray const& nodes) {
+  std::set<std::string> links;
+  for (QJsonValue const node : nodes) links.insert(linkOf(node));
+  return links;
+}
+
+RosterNode nodeOf(QJsonValue const& node) {
+  QJsonObject const json = node.toObject();
+  return RosterNode{linkOf(node), core::toStdString(json.value(fields::httpAddress).toString()),
+                    core::toStdString(json.value(fields::zone).toString())};
+}
+
+QJsonObject jsonOf(RosterNode const& node) {
+  return QJsonObject{{fields::link, core::toQString(node.link)},
+                     {fields::httpAddress, core::toQString(node.httpAddress)},
+                     {fields::zone, core::toQString(node.zone)}};
+}
+
+}  // namespace
+
+RosterValue RosterValue::parse(QJsonObject const& value) {
+  RosterValue parsed;
+  for (QJsonValue const node : value.value(fields::nodes).toArray()) parsed.nodes.push_back(nodeOf(node));
+  parsed.previousNodes = linksOf(value.value(fields::previousNodes).toArray());
+  parsed.departed = linksOf(value.value(fields::departed).toArray());
+  return parsed;
 }
 
-bool Controller::rosterSettled(Tick now) const {
-  std::uint64_t const revision = committedRevision(rosterKey);
-  if (revision == 0) return true;
-  return now - rosterCommittedAt_ > tuning_.servingLeaseDuration + tuning_.servingLeaseMargin &&
-         inForce(now, rosterKey, revision, rosterCommittedAt_) != InForce::no;
+QJsonObject RosterValue::proposalJson() const {
+  QJsonArray nodeList;
+  for (RosterNode const& node : nodes) nodeList.append(jsonOf(node));
+  QJsonArray departedList;
+  for (std::string const& link : departed) departedList.append(core::toQString(link));
+  return QJsonObject{{fields::nodes, nodeList}, {fields::departed, departedList}};
 }
 
-void Controller::considerRoster(ControllerCommands& out, Tick now) {
-  if (now < rosterAt_ || rosterCalling_ || draining_ || !ready(now)) return;
-  rosterAt_ = now + 300;
-  std::function<bool(std::map<std::string, Router>::value_type const&)> const silent =
-      [&](std::map<std::string, Router>::value_type const& n) {
-        return n.second.heard >= 0 && now - n.second.heard > tuning_.forgetAfter;
-      };
-  if (std::any_of(routers_.begin(), routers_.end(), silent)) {
-    std::set<std::string> const& kept = roster_.nodes;
-    std::erase_if(routers_, [&](std::map<std::string, Router>::value_type const& n) {
-      return silent(n) && kept.count(n.first) == 0;
-    });
-  }
-  std::string const owner = registers_.ownerLink(rosterKey, now);
-  if (owner != registers_.self().link && (!owner.empty() || committedRevision(rosterKey) > 0)) return;
-  if (owner.empty() && registers_.membership().front().id != registers_.self().id) return;
-  if (!rosterSettled(now)) return;
-  std::map<std::string, QJsonObject> nodes;
-  std::map<std::string, consensus::CommittedValue>::const_iterator const it = registers_.committed().find(rosterKey);
-  if (it != registers_.committed().end())
-    for (QJsonValue const v : it->second.value.value("nodes").toArray())
-      nodes[core::toStdString(v.toObject().value("link").toString())] = v.toObject();
-  bool changed = false;
-  std::set<std::string> gone = roster_.gone;
-  for (std::map<std::string, Router>::value_type const& n : routers_) {
-    if (n.second.heard < 0 || now - n.second.heard > 2000 || n.second.contact.role != transport::routerRole ||
-        n.second.contact.draining || nodes.count(n.first) > 0)
-      continue;
-    nodes[n.first] = QJsonObject{{"link", core::toQString(n.first)},
-                                 {"http", core::toQString(n.second.contact.httpAddress)},
-                                 {"zone", core::toQString(n.second.contact.zone)}};
-    gone.erase(n.first);
-    changed = true;
-  }
-  if (now - started_ > tuning_.removeSilentRouterAfter) {
-    for (std::map<std::string, QJsonObject>::iterator n = nodes.begin(); n != nodes.end();) {
-      std::map<std::string, Router>::const_iterator const seen = routers_.find(n->first);
-      Tick const direct = seen == routers_.end() || seen->second.heard < 0 ? now - started_ : now - seen->second.heard;
-      Tick const told = partialView_.age(n->first, now);
-      bool const dark =
-          direct > tuning_.removeSilentRouterAfter && (told < 0 || told > tuning_.removeSilentRouterAfter);
-      changed = changed || dark;
-      n = dark ? nodes.erase(n) : std::next(n);
-    }
-  }
-  if (!changed) return;
-  QJsonArray list;
-  for (std::map<std::string, QJsonObject>::value_type const& n : nodes) list.append(n.second);
-  QJsonArray goneList;
-  for (std::string const& link : gone) goneList.append(core::toQString(link));
-  std::uint64_t const id = nextCall_++;
-  CallState state;
-  state.key = rosterKey;
-  state.call.token = id;
-  state.call.method = rosterMethod;
-  state.call.path = "/v1/roster/nodes";
-  state.call.ifMatch = std::to_string(committedRevision(rosterKey));
-  state.call.body = core::jsonText(QJsonObject{{"nodes", list}, {"gone", goneList}});
-  state.since = now;
-  calls_[id] = state;
-  rosterCalling_ = true;
-  out.logEvents.push_back(core::LogEvent{"roster", {{"nodes", std::to_string(nodes.size())}}});
-  take(out, now, registers_.submit(now, rosterKey, state.call));
+void Roster::load(Tick now, std::uint64_t revision, QJsonObject const& value) {
+  value_ = RosterValue::parse(value);
+  revision_ = revision;
+  committedAt_ = now;
+  nodes_.clear();
+  for (RosterNode const& node : value_.nodes) nodes_.insert(node.link);
+  bitPositions_.clear();
+  std::set_union(nodes_.begin(), nodes_.end(), value_.previousNodes.begin(), value_.previousNodes.end(),
+                 std::back_inserter(bitPositions_));
 }
 
 }  // namespace corkward::control
--- /dev/null
+++ b/control/src/roster_reconciler.cpp
@@ -0,0 +1,56 @@
+#include <corkward/control/roster_reconciler.h>
+
+#include <map>
+
+namespace corkward::control {
+
+namespace {
+
+constexpr Tick reconcileEvery = 300;
+/// A router joins the roster when it was heard within this time.
+constexpr Tick heardLately = 2000;
+
+bool isJoining(Tick now, RouterRegistry::Router const& router) {
+  bool const isHeard = router.lastHeardAt >= 0 && now - router.lastHeardAt <= heardLately;
+  return isHeard && router.contact.role == transport::routerRole && !router.contact.draining;
+}
+
+}  // namespace
+
+void RosterReconciler::scheduleNext(Tick now) {
+  nextAt_ = now + reconcileEvery;
+}
+
+bool RosterReconciler::isSilent(Tick now, std::string const& link, RouterRegistry const& routers,
+                                gossip::PartialView const& partialView) const {
+  RouterRegistry::Router const* const router = routers.find(link);
+  bool const neverHeard = router == nullptr || router->lastHeardAt < 0;
+  Tick const silence = now - (neverHeard ? startedAt_ : router->lastHeardAt);
+  Tick const gossipAge = partialView.age(link, now);
+  return silence > removeSilentAfter_ && (gossipAge < 0 || gossipAge > removeSilentAfter_);
+}
+
+std::optional<RosterValue> RosterReconciler::nextRoster(Tick now, Roster const& roster, RouterRegistry const& routers,
+                                                        gossip::PartialView const& partialView) const {
+  std::map<std::string, RosterNode> nodes;
+  for (RosterNode const& node : roster.value().nodes) nodes[node.link] = node;
+  std::set<std::string> departed = roster.departed();
+  bool changed = false;
+  for (auto const& [link, router] : routers.all()) {
+    if (nodes.count(link) > 0 || !isJoining(now, router)) continue;
+    nodes[link] = RosterNode{link, router.contact.httpAddress, router.contact.zone};
+    departed.erase(link);
+    changed = true;
+  }
+  if (now - startedAt_ > removeSilentAfter_) {
+    auto const silent = [&](auto const& node) { return isSilent(now, node.first, routers, partialView); };
+    if (std::erase_if(nodes, silent) > 0) changed = true;
+  }
+  if (!changed) return std::nullopt;
+  RosterValue next;
+  for (auto const& [link, node] : nodes) next.nodes.push_back(node);
+  next.departed = std::move(departed);
+  return next;
+}
+
+}  // namespace corkward::control
--- /dev/null
+++ b/control/src/router_status_reporter.cpp
@@ -0,0 +1,86 @@
+#include <corkward/control/router_status_reporter.h>
+
+#include <algorithm>
+
+namespace corkward::control {
+
+namespace {
+
+/// Rollouts that one report asks about, or reports on, at the most.
+constexpr std::size_t maxRollouts = 32;
+
+/// Which routers that are served here have that revision of the key.
+transport::RolloutProgress progressOf(transport::RolloutProgress const& asked, Roster const& roster,
+                                      RouterRegistry const& routers, CommittedValues const& values) {
+  transport::RolloutProgress progress{asked.key, asked.revision, {}};
+  bool const isCommitted = revisionOf(values, asked.key) >= asked.revision;
+  for (std::size_t position = 0; position < roster.bitPositions().size(); ++position) {
+    RouterRegistry::Router const* const router = routers.find(roster.bitPositions()[position]);
+    if (router == nullptr || !router->hasSession()) continue;
+    auto const missing = router->missingRevisions.find(asked.key);
+    bool const has = missing == router->missingRevisions.end() ? isCommitted && router->revisionsKnown
+                                                               : missing->second >= asked.revision;
+    if (has) progress.acknowledgedBy.set(position);
+  }
+  return progress;
+}
+
+}  // namespace
+
+transport::RouterStatusReport RouterStatusReporter::status(Tick now, Roster const& roster,
+                                                           RouterRegistry const& routers) const {
+  auto const requestedLately = [&](RouterRegistry::Router const& router) {
+    return router.hasSession() && now - router.lastRequestAt <= tuning_.routerSessionTimeout;
+  };
+  transport::RouterStatusReport report;
+  report.rosterRevision = roster.revision();
+  report.committedDigest = routers.committedDigest();
+  for (std::size_t position = 0; position < roster.bitPositions().size(); ++position) {
+    RouterRegistry::Router const* const router = routers.find(roster.bitPositions()[position]);
+    if (router == nullptr || !router->hasSession()) continue;
+    if (requestedLately(*router)) report.recentlyHeard.set(position);
+    if (router->isUpToDate()) report.upToDate.set(position);
+  }
+  for (auto const& [link, router] : routers.all())
+    if (requestedLately(router) && roster.nodes().count(link) == 0) report.unlistedRouters.push_back(router.contact);
+  return report;
+}
+
+Tick RouterStatusReporter::pauseAfter(Tick now, std::optional<Tick> newestSince) const {
+  if (!newestSince) return tuning_.statusReportEvery;
+  bool const isYoung = now - *newestSince < tuning_.rolloutStartPeriod;
+  return isYoung ? tuning_.statusReportAtRolloutStart : tuning_.statusReportDuringRollout;
+}
+
+std::optional<transport::RouterStatusReport> RouterStatusReporter::dueReport(Tick now, Roster const& roster,
+                                                                             RouterRegistry const& routers,
+                                                                             RolloutTracker const& rollouts) {
+  if (now < nextReportAt_) return std::nullopt;
+  transport::RouterStatusReport report = status(now, roster, routers);
+  std::optional<Tick> newestSince;
+  auto const ask = [&](std::string const& key, std::uint64_t revision, Tick since) {
+    newestSince = std::max(newestSince.value_or(since), since);
+    if (report.incompleteRollouts.size() < maxRollouts)
+      report.incompleteRollouts.push_back(transport::RolloutProgress{key, revision, {}});
+  };
+  for (PendingRolloutReply const& reply : rollouts.pendingReplies()) ask(reply.key, reply.revision, reply.since);
+  for (std::string const& key : rollouts.incomplete()) {
+    RolloutTracker::Rollout const& rollout = *rollouts.find(key);
+    ask(key, rollout.revision, rollout.since);
+  }
+  nextReportAt_ = now + pauseAfter(now, newestSince);
+  return report;
+}
+
+transport::RouterStatusReport RouterStatusReporter::replyTo(Tick now, transport::RouterStatusReport const& report,
+                                                            Roster const& roster, RouterRegistry const& routers,
+                                                            CommittedValues const& values) const {
+  transport::RouterStatusReport reply = status(now, roster, routers);
+  for (transport::RolloutProgress const& asked : report.incompleteRollouts) {
+    if (reply.rolloutProgress.size() >= maxRollouts) break;
+    reply.rolloutProgress.push_back(progressOf(asked, roster, routers, values));
+  }
+  return reply;
+}
+
+}  // namespace corkward::control
--- a/control/src/status_pages.cpp
+++ b/control/src/status_pages.cpp
@@ -1,71 +1,127 @@
-// What operators are told of the fleet, and the process's own figures.
+#include "status_pages.h"
+
 #include <QJsonArray>
 
-#include <corkward/config/config.h>
+#include <corkward/core/json.h>
 
-#include "internal.h"
+#include "change_window.h"
+#include "json_fields.h"
+#include "keys.h"
+#include "paths.h"
+#include "responses.h"
 
 namespace corkward::control {
 
-QJsonObject Controller::fleet(Tick now) const {
+namespace {
+
+QJsonObject routerJson(Tick now, std::string const& link, RouterRegistry const& routers,
+                       RolloutTracker const& rollouts) {
+  RouterRegistry::Router const* const router = routers.find(link);
+  bool const isHeard = router != nullptr && router->lastHeardAt >= 0;
+  return QJsonObject{{fields::link, core::toQString(link)},
+                     {fields::httpAddress, core::toQString(isHeard ? router->contact.httpAddress : "")},
+                     {fields::zone, core::toQString(isHeard ? router->contact.zone : "")},
+                     {"heardMsAgo", isHeard ? static_cast<qint64>(now - router->lastHeardAt) : -1},
+                     {"keysBehind", static_cast<qint64>(rollouts.missingAt(link))}};
+}
+
+/// One metric without labels.
+template <class Value>
+std::string gauge(std::string const& name, Value value) {
+  return "# TYPE " + name + " gauge\n" + name + " " + std::to_string(value) + "\n";
+}
+
+std::string eventCounters(core::Journal const& journal) {
+  std::string text = "# TYPE corkward_substation_events_total counter\n";
+  for (auto const& [event, count] : journal.counts())
+    text += "corkward_substation_events_total{event=\"" + event + "\"} " + std::to_string(count) + "\n";
+  return text;
+}
+
+std::string certificateGauges(config::Regimes const& regimes, std::int64_t wallTime) {
+  constexpr std::int64_t millisecondsPerSecond = 1000;
+  std::string text = "# TYPE corkward_substation_certificate_seconds_left gauge\n";
+  for (auto const& [name, certificate] : regimes.certificates) {
+    std::int64_t const left = (certificate.until - config::wallMargin - wallTime) / millisecondsPerSecond;
+    text += "corkward_substation_certificate_seconds_left{certificate=\"" + name + "\",regime=\"" + certificate.regime +
+            "\"} " + std::to_string(left) + "\n";
+  }
+  return text;
+}
+
+QJsonObject changeBody(std::string const& key, ChangeWindow::Change const& change) {
+  QJsonObject body{{fields::changeId, core::toQString(change.id)},
+                   {"key", core::toQString(key)},
+                   {fields::status, change.status},
+                   {fields::revision, static_cast<qint64>(change.revision)}};
+  if (change.version) body.insert(fields::version, static_cast<qint64>(*change.version));
+  return body;
+}
+
+}  // namespace
+
+QJsonObject fleetPage(Tick now, consensus::ReplicatedRegisters const& registers, Roster const& roster,
+                      RouterRegistry const& routers, RolloutTracker const& rollouts, bool ready) {
   QJsonArray members;
-  for (consensus::Member const& m : registers_.membership())
-    members.append(QJsonObject{{"id", core::toQString(m.id)}, {"link", core::toQString(m.link)}});
+  for (consensus::Member const& member : registers.membership())
+    members.append(QJsonObject{{"id", core::toQString(member.id)}, {fields::link, core::toQString(member.link)}});
   QJsonArray nodes;
-  for (std::string const& link : roster_.nodes) {
-    std::map<std::string, Router>::const_iterator const it = routers_.find(link);
-    qint64 behind = 0;
-    for (std::string const& key : unsettled_) {
-      Settling const& s = settling_.at(key);
-      transport::Revisions::const_iterator const have = s.has.find(link);
-      behind += have == s.has.end() || have->second < s.revision ? 1 : 0;
-    }
-    bool const seen = it != routers_.end() && it->second.heard >= 0;
-    nodes.append(QJsonObject{{"link", core::toQString(link)},
-                             {"http", core::toQString(seen ? it->second.contact.httpAddress : "")},
-                             {"zone", core::toQString(seen ? it->second.contact.zone : "")},
-                             {"heardMsAgo", seen ? static_cast<qint64>(now - it->second.heard) : -1},
-                             {"keysBehind", behind}});
-  }
+  for (std::string const& link : roster.nodes()) nodes.append(routerJson(now, link, routers, rollouts));
   QJsonObject revisions;
   QJsonObject owners;
-  for (std::map<std::string, consensus::CommittedValue>::value_type const& c : registers_.committed()) {
-    revisions.insert(core::toQString(c.first), static_cast<qint64>(c.second.revision));
-    owners.insert(core::toQString(c.first), core::toQString(registers_.ownerLink(c.first, now)));
+  for (auto const& [key, committed] : registers.committed()) {
+    revisions.insert(core::toQString(key), static_cast<qint64>(committed.revision));
+    owners.insert(core::toQString(key), core::toQString(registers.ownerLink(key, now)));
   }
-  return QJsonObject{{"self", core::toQString(registers_.self().link)},
-                     {"member", core::toQString(registers_.self().id)},
-                     {"voting", registers_.isVoting()},
-                     {"diskOk", registers_.isDiskHealthy()},
-                     {"ready", ready(now)},
-                     {"majorityAgeMs", static_cast<qint64>(registers_.quorumContactAge(now))},
+  return QJsonObject{{"self", core::toQString(registers.self().link)},
+                     {"member", core::toQString(registers.self().id)},
+                     {"voting", registers.isVoting()},
+                     {"diskOk", registers.isDiskHealthy()},
+                     {"ready", ready},
+                     {"majorityAgeMs", static_cast<qint64>(registers.quorumContactAge(now))},
                      {"cohort", members},
                      {"nacelles", nodes},
                      {"stamps", revisions},
                      {"owners", owners}};
 }
 
-std::string Controller::metrics(Tick now) const {
-  std::string out = "# TYPE corkward_substation_events_total counter\n";
-  for (std::map<std::string, std::uint64_t>::value_type const& c : journal_.counts())
-    out += "corkward_substation_events_total{event=\"" + c.first + "\"} " + std::to_string(c.second) + "\n";
-  out +=
-      "# TYPE corkward_substation_ready gauge\ncorkward_substation_ready " + std::string(ready(now) ? "1" : "0") + "\n";
-  out += "# TYPE corkward_substation_majority_age_ms gauge\ncorkward_substation_majority_age_ms " +
-         std::to_string(registers_.quorumContactAge(now)) + "\n";
-  out += "# TYPE corkward_substation_owned_keys gauge\ncorkward_substation_owned_keys " +
-         std::to_string(registers_.ownedCount()) + "\n";
-  out += "# TYPE corkward_quota_parts_lent gauge\ncorkward_quota_parts_lent " +
-         std::to_string(lender_.ownedPartitionCount(now, standing_)) + "\n";
-  out += "# TYPE corkward_substation_calls_in_hand gauge\ncorkward_substation_calls_in_hand " +
-         std::to_string(calls_.size()) + "\n";
-  config::Regimes const regimes = around().regimes();
-  if (!wall_ || regimes.certificates.empty()) return out;
-  out += "# TYPE corkward_substation_certificate_seconds_left gauge\n";
-  for (std::map<std::string, config::Certificate>::value_type const& c : regimes.certificates)
-    out += "corkward_substation_certificate_seconds_left{certificate=\"" + c.first + "\",regime=\"" + c.second.regime +
-           "\"} " + std::to_string((c.second.until - config::wallMargin - *wall_) / 1000) + "\n";
-  return out;
+QJsonObject templatesPage(CommittedValues const& values) {
+  QJsonArray names;
+  for (auto const& [key, committed] : values) {
+    std::optional<std::string> const name = nameOf(key, familyKeyPrefix);
+    if (name && committed.value.contains(fields::templateSpec)) names.append(core::toQString(*name));
+  }
+  return QJsonObject{{"templates", names}};
+}
+
+OperatorResponse changePage(transport::OperatorCall const& call, CommittedValues const& values,
+                            RolloutTracker const* rollouts, RolloutInputs const& inputs) {
+  std::string const id = call.path.substr(paths::changes.size());
+  for (auto const& [key, committed] : values) {
+    std::optional<ChangeWindow::Change> const change = ChangeWindow(committed.value).find(id);
+    if (!change) continue;
+    QJsonObject body = changeBody(key, *change);
+    if (rollouts == nullptr) return respond(call.token, core::HttpStatus::ok, body);
+    body.insert(fields::rolloutComplete, true);
+    if (rollouts->isComplete(inputs, key)) return respond(call.token, core::HttpStatus::ok, body);
+    return respond(call.token, core::HttpStatus::gatewayTimeout, pendingRolloutBody(body, change->revision));
+  }
+  return respond(
+      call.token, core::HttpStatus::notFound,
+      {{fields::error, "not found"},
+       {fields::reason, "not accepted so far; final once a later change of the same template was accepted"}});
+}
+
+std::string metricsText(core::Journal const& journal, ControllerGauges const& gauges, config::Regimes const& regimes,
+                        config::WallTime const& wallTime) {
+  std::string text = eventCounters(journal);
+  text += gauge("corkward_substation_ready", gauges.ready ? 1 : 0);
+  text += gauge("corkward_substation_majority_age_ms", gauges.quorumContactAge);
+  text += gauge("corkward_substation_owned_keys", gauges.ownedKeys);
+  text += gauge("corkward_quota_parts_lent", gauges.ownedQuotaPartitions);
+  text += gauge("corkward_substation_calls_in_hand", gauges.pendingCalls);
+  if (!wallTime || regimes.certificates.empty()) return text;
+  return text + certificateGauges(regimes, *wallTime);
 }
 
 }  // namespace corkward::control
--- /dev/null
+++ b/control/src/warmup_leases.cpp
@@ -0,0 +1,35 @@
+// Leases that this member grants: which router warms a cold replica up.
+#include <corkward/control/controller.h>
+
+namespace corkward::control {
+
+namespace {
+
+/// What a lease of an earlier run, or of an earlier membership, may outlast its duration by.
+constexpr Tick grantMargin = 500;
+
+}  // namespace
+
+bool Controller::mayGrantLeases(Tick now, Tick duration) const {
+  if (!ready(now) || now - startedAt_ < duration + grantMargin) return false;
+  bool const votedLongEnough =
+      lastWithoutVoteAt_ < 0 || now - lastWithoutVoteAt_ >= duration + tuning_.servingLeaseDuration + grantMargin;
+  return votedLongEnough;
+}
+
+void Controller::on(ControllerCommands& out, Tick now, std::string const& from,
+                    transport::WarmupLeaseRequest const& request) {
+  LeaseTable::Claim const claim{request.replica, request.link, request.incarnation, tuning_.warmupLeaseDuration};
+  if (request.release) {
+    leases_.release(now, claim, request.successor);
+    return;
+  }
+  if (!mayGrantLeases(now, claim.duration)) return;
+  std::optional<LeaseTable::Grant> const grant = leases_.acquire(now, claim);
+  if (!grant) return;
+  out.sends.push_back(
+      transport::Send{from, transport::WarmupLeaseGrant{request.sentAt, request.replica, registers_.self().id,
+                                                        grant->granted, grant->term, grant->holder}});
+}
+
+}  // namespace corkward::control
--- a/control/test/golden_pages_test.cpp
+++ b/control/test/golden_pages_test.cpp
@@ -791,12 +791,12 @@
 
   control::ChangeHistory history({}, 0);
   for (std::uint64_t base = 0; base < 3 * 1024; ++base)
-    history.append(control::orderDigest({}, {}, std::to_string(base)), base);
+    history.append(control::contentDigest({}, {}, std::to_string(base)), base);
   QJsonObject old = family;
-  old.insert(control::ChangeHistory::field, history.json());
+  old.insert(control::ChangeHistory::storedField, history.json());
   ask("PUT", desk, "family:desk", 3072, old, deskSpec, "7");
   QJsonObject whole{{"spec", QJsonObject{{"version", 3072}, {"paths", QJsonArray{}}, {"pools", QJsonArray{}}}}};
-  whole.insert(control::ChangeHistory::field, history.json());
+  whole.insert(control::ChangeHistory::storedField, history.json());
   ask("PUT", config::fleetConfigurationPage, config::fleetConfigurationKey, 3072, whole, wholeSpec, "7");
   ask("DELETE", config::fleetConfigurationPage, config::fleetConfigurationKey, 3072, whole, "", "3072");
   ask("DELETE", "/v1/alerts/a", "alert:a", 1, {}, "", "1");
--- a/control/test/golden_test.cpp
+++ b/control/test/golden_test.cpp
@@ -2,6 +2,7 @@
 
 #include <QDateTime>
 #include <map>
+#include <memory>
 #include <sstream>
 #include <string>
 #include <vector>
@@ -217,17 +218,17 @@
 };
 
 /// A controller that has taken all changes.
-Recorder afterAllChanges() {
-  Recorder recorder;
-  recorder.meetRouter("n4");
+std::unique_ptr<Recorder> afterAllChanges() {
+  auto recorder = std::make_unique<Recorder>();
+  recorder->meetRouter("n4");
   for (Change const& change : changes) {
     INFO(change.method << " " << change.path << " " << change.changeId);
-    control::OperatorResponse const answer = recorder.call(change);
+    control::OperatorResponse const answer = recorder->call(change);
     INFO(core::jsonText(answer.body));
     REQUIRE(answer.status == change.status);
     CHECK_FALSE(answer.body.contains("replayed"));
   }
-  recorder.readList();
+  recorder->readList();
   return recorder;
 }
 
@@ -253,15 +254,15 @@
 }  // namespace
 
 TEST_CASE("a controller commits the recorded values") {
-  golden::check(valuesFile, afterAllChanges().values());
+  golden::check(valuesFile, afterAllChanges()->values());
 }
 
 TEST_CASE("a controller writes the recorded records") {
-  golden::check(recordsFile, afterAllChanges().records());
+  golden::check(recordsFile, afterAllChanges()->records());
 }
 
 TEST_CASE("a controller answers reads as recorded") {
-  golden::check(pagesFile, afterAllChanges().answersOfPages());
+  golden::check(pagesFile, afterAllChanges()->answersOfPages());
 }
 
 TEST_CASE("a controller restored from recorded records serves the recorded values") {
--- a/control/test/resend_test.cpp
+++ b/control/test/resend_test.cpp
@@ -108,9 +108,9 @@
   std::size_t most = 0;
   for (qint64 base = 0; base < 5000; ++base) {
     REQUIRE(acknowledged(r.call(orderOn(base)).status));
-    most = std::max(most, kept(control::ChangeHistory::field));
+    most = std::max(most, kept(control::ChangeHistory::storedField));
     if (base + 1 != 100 && base + 1 != 1000 && base + 1 != 5000) continue;
-    WARN(base + 1 << " changes: digests " << kept(control::ChangeHistory::field) << " B, ids " << kept("changes")
+    WARN(base + 1 << " changes: digests " << kept(control::ChangeHistory::storedField) << " B, ids " << kept("changes")
                   << " B, configuration " << kept("spec") << " B");
   }
   WARN("most digests " << most << " B");
