--- a/alerting/include/corkward/alerting/rules.h
+++ b/alerting/include/corkward/alerting/rules.h
@@ -4,74 +4,42 @@
 #include <string>
 #include <vector>
 
-#include <corkward/core/error.h>
+#include <corkward/alerting/expression.h>
 #include <corkward/core/types.h>
 
 namespace corkward::alerting {
 
-using core::Tick;
-
-/// A rule file that is not wholly understood; says line and column. No rule of it counts.
-class Error : public core::Error {
- public:
-  using core::Error::Error;
-};
-
-using Labels = std::map<std::string, std::string>;
-
-/// One sample of a scraped page.
-struct Sample {
-  std::string metric;
-  Labels labels;
-  double value = 0;
-};
-
-/// The subset of expressions: [sum|min|max|count] (metric{label="value",...}) op number.
-struct Expression {
-  enum class Fold { none, sum, min, max, count };
-  Fold fold = Fold::none;
-  std::string metric;
-  Labels labels;
-  std::string op;
-  double bound = 0;
-};
-
-/// One alert rule with the runbook that an operator declared for it.
+/// An alert rule with the runbook that an operator declared for it.
 struct Rule {
   std::string alert;
-  Expression expr;
-  Tick holdFor = 0;
+  Expression expression;
+  /// Milliseconds for which the expression must be true before the alert fires.
+  core::Tick pendingFor = 0;
+  /// File name of the runbook.
   std::string runbook;
+  /// Values of the runbook's parameters.
   std::map<std::string, std::string> parameters;
 };
 
-/// Reads an expression. Throws Error with the column.
-Expression readExpression(std::string const& text);
-
-/// Reads a rule file in the Prometheus manner. Throws Error at the first thing that is not understood.
+/// Reads a rule file in the Prometheus format. Throws ParseError at the first thing that is not understood.
 std::vector<Rule> readRules(std::string const& yaml);
 
-/// Reads a page in Prometheus' text form. Throws Error.
-std::vector<Sample> readSamples(std::string const& page);
-
-/// Whether the expression holds. With no fold: for any sample. A metric that is absent holds only for count.
-bool holds(Expression const& expr, std::vector<Sample> const& samples);
-
-/// Follows which alerts have held long enough.
-class Watch {
+/// Evaluates rules over time: an alert is pending while its expression is true, and fires when it has been so for long
+/// enough.
+class RuleEvaluator {
  public:
-  explicit Watch(std::vector<Rule> rules) : rules_(std::move(rules)) {}
-  /// One look at all samples; returns the rules that have held for long enough by now.
-  std::vector<Rule> look(Tick now, std::vector<Sample> const& samples);
-  /// Whether the alert's expression held at the last look, for however long.
-  bool rising(std::string const& alert) const;
+  explicit RuleEvaluator(std::vector<Rule> rules) : rules_(std::move(rules)) {}
+  /// Evaluates all rules for the newest samples.
+  /// @param now monotonic milliseconds
+  /// @return the rules that fire
+  std::vector<Rule> evaluate(core::Tick now, std::vector<Sample> const& samples);
+  /// Whether the alert's expression was true at the last evaluation, for however long.
+  bool isPendingOrFiring(std::string const& alert) const;
 
  private:
-  struct State {
-    Tick since = -1;
-  };
   std::vector<Rule> rules_;
-  std::map<std::string, State> states_;
+  /// Since when the expressions of alerts have been true without a break.
+  std::map<std::string, core::Tick> trueSince_;
 };
 
 }  // namespace corkward::alerting
--- a/alerting/test/golden_test.cpp
+++ b/alerting/test/golden_test.cpp
@@ -15,18 +15,18 @@
 
 std::string const folder = "alerting/test/golden/";
 
-char const* foldText(alerting::Expression::Fold fold) {
-  using Fold = alerting::Expression::Fold;
-  switch (fold) {
-    case Fold::none:
+char const* aggregationText(alerting::Aggregation aggregation) {
+  using alerting::Aggregation;
+  switch (aggregation) {
+    case Aggregation::none:
       return "none";
-    case Fold::sum:
+    case Aggregation::sum:
       return "sum";
-    case Fold::min:
+    case Aggregation::min:
       return "min";
-    case Fold::max:
+    case Aggregation::max:
       return "max";
-    case Fold::count:
+    case Aggregation::count:
       return "count";
   }
   return "";
@@ -39,14 +39,15 @@
 }
 
 std::string formOf(alerting::Expression const& expression) {
-  return std::string("  fold ") + foldText(expression.fold) + "\n  metric " + expression.metric + "\n" +
-         formOf(expression.labels) + "  compare " + expression.op + " " + std::to_string(expression.bound) + "\n";
+  return std::string("  fold ") + aggregationText(expression.aggregation) + "\n  metric " + expression.metric + "\n" +
+         formOf(expression.labels) + "  compare " + std::string(name(expression.comparison)) + " " +
+         std::to_string(expression.bound) + "\n";
 }
 
 std::string formOf(std::vector<alerting::Rule> const& rules) {
   std::string out;
   for (alerting::Rule const& rule : rules) {
-    out += "rule " + rule.alert + "\n" + formOf(rule.expr) + "  for " + std::to_string(rule.holdFor) + "\n";
+    out += "rule " + rule.alert + "\n" + formOf(rule.expression) + "  for " + std::to_string(rule.pendingFor) + "\n";
     out += "  runbook " + rule.runbook + "\n";
     for (auto const& [name, value] : rule.parameters) out += "  parameter " + name + " " + value + "\n";
   }
@@ -66,7 +67,7 @@
 std::string outcome(Read const& read, std::string const& input) {
   try {
     return formOf(read(input));
-  } catch (alerting::Error const& error) {
+  } catch (alerting::ParseError const& error) {
     return std::string("error: ") + error.what() + "\n";
   }
 }
@@ -120,23 +121,24 @@
   golden::check(folder + "rules.txt", text);
 }
 
-TEST_CASE("golden: an alert fires at the same looks") {
-  alerting::Watch watch(alerting::readRules(documents("rules.input.txt").at(1)));
+TEST_CASE("golden: an alert fires at the same evaluations") {
+  alerting::RuleEvaluator evaluator(alerting::readRules(documents("rules.input.txt").at(1)));
   std::string text;
-  struct Look {
-    alerting::Tick now;
+  struct Evaluation {
+    corkward::core::Tick now;
     char const* page;
   };
   constexpr char const* dark = "corkward_up{zone=\"z2\",node=\"a\"} 0\nx 1\nx{n=\"2\"} 1\n";
   constexpr char const* lit = "corkward_up{zone=\"z2\"} 1\nup 0\n";
-  constexpr Look looks[] = {{0, dark},     {9999, dark},  {10000, dark},  {20000, dark},  {21000, lit}, {22000, dark},
-                            {31999, dark}, {32000, dark}, {321999, dark}, {322000, dark}, {322001, ""}};
-  for (Look const& look : looks) {
-    text += "at " + std::to_string(look.now) + ":";
-    for (alerting::Rule const& rule : watch.look(look.now, alerting::readSamples(look.page)))
+  constexpr Evaluation evaluations[] = {{0, dark},      {9999, dark},   {10000, dark}, {20000, dark},
+                                        {21000, lit},   {22000, dark},  {31999, dark}, {32000, dark},
+                                        {321999, dark}, {322000, dark}, {322001, ""}};
+  for (Evaluation const& evaluation : evaluations) {
+    text += "at " + std::to_string(evaluation.now) + ":";
+    for (alerting::Rule const& rule : evaluator.evaluate(evaluation.now, alerting::readSamples(evaluation.page)))
       text += " " + rule.alert + " (" + rule.runbook + ")";
     for (char const* const alert : {"ZoneDark", "Two words", "A", "nobody"})
-      text += watch.rising(alert) ? std::string(" ") + alert + " rises" : "";
+      text += evaluator.isPendingOrFiring(alert) ? std::string(" ") + alert + " rises" : "";
     text += "\n";
   }
   golden::check(folder + "looks.txt", text);
--- /dev/null
+++ b/core/test/http_method_test.cpp
@@ -0,0 +1,17 @@
+#include <catch2/catch.hpp>
+
+#include <corkward/core/http_method.h>
+
+namespace core = corkward::core;
+using core::HttpMethod;
+
+TEST_CASE("methods are read as they are written") {
+  for (HttpMethod const method : {HttpMethod::get, HttpMethod::head, HttpMethod::post, HttpMethod::put,
+                                  HttpMethod::patch, HttpMethod::del, HttpMethod::options})
+    CHECK(core::httpMethodOf(core::name(method)) == method);
+  CHECK(core::name(HttpMethod::del) == "DELETE");
+}
+
+TEST_CASE("methods that are not known, or in other case, are none") {
+  for (char const* const text : {"", "get", "TRACE", "GETS", " GET"}) CHECK_FALSE(core::httpMethodOf(text));
+}
--- /dev/null
+++ b/core/test/log_level_test.cpp
@@ -0,0 +1,12 @@
+#include <catch2/catch.hpp>
+
+#include <corkward/core/log.h>
+
+namespace core = corkward::core;
+using core::LogLevel;
+
+TEST_CASE("log levels are read as they are written") {
+  for (LogLevel const level : {LogLevel::trace, LogLevel::debug, LogLevel::info, LogLevel::warn, LogLevel::error})
+    CHECK(core::logLevelOf(core::name(level)) == level);
+  for (char const* const text : {"", "INFO", "fatal", "information"}) CHECK_FALSE(core::logLevelOf(text));
+}
--- a/http/include/corkward/http/headers.h
+++ b/http/include/corkward/http/headers.h
@@ -14,14 +14,14 @@
 using HeaderList = dataplane::HeaderList;
 
 /// Text in lower case, as header names compare.
-std::string lower(std::string text);
+std::string toLower(std::string text);
 
-/// First value of the name, which is given in lower case; empty: none.
-std::string field(HeaderList const& fields, std::string const& name);
-std::string field(HeaderMap const& fields, std::string const& name);
+/// First value of a name, which is given in lower case; empty: none.
+std::string headerValue(HeaderList const& headers, std::string const& name);
+std::string headerValue(HeaderMap const& headers, std::string const& name);
 
-/// Fields that go on to the next connection: all but those that concern one connection or the framing of one body.
-HeaderList endToEnd(HeaderMap const& fields);
-HeaderList endToEnd(HeaderList const& fields);
+/// End-to-end headers (RFC 9110, section 7.6.1): all but those that concern one connection or the framing of one body.
+HeaderList endToEndHeaders(HeaderMap const& headers);
+HeaderList endToEndHeaders(HeaderList const& headers);
 
 }  // namespace corkward::http
--- a/http/include/corkward/http/mapping.h
+++ b/http/include/corkward/http/mapping.h
@@ -11,50 +11,53 @@
 
 namespace corkward::http {
 
-/// A caller's request as the data plane's event, or the fault that it is answered with at once.
+/// A caller's request as an event for the data plane, or the error that it is rejected with.
 struct CallerRequest {
+  /// Empty for a request that is rejected.
   std::optional<dataplane::Request> request;
+  /// Status and reason of the rejection.
   int status = 0;
   std::string reason;
-  /// The answer may be a row of events that goes on at another replica; and the last event that the caller has.
-  bool events = false;
-  std::string lastEvent;
+  /// A response that is an event stream may be resumed at another replica, after the last event that was passed on.
+  bool isEventStream = false;
+  /// Last event that the caller says it has; empty: none.
+  std::string lastEventId;
 };
 
-/// What a request to a replica is made from. The references hold during the call only.
+/// What a request to a replica is made of. The references are valid during the call only.
 struct Dispatch {
   Request const& request;
   dataplane::Request const& caller;
-  /// Path as the plane connected for it.
+  /// Path that the data plane connected for.
   std::string const& path;
-  dataplane::SendRequest const& handOver;
+  dataplane::SendRequest const& command;
   dataplane::Resume const& resume;
 };
 
-/// The one mapping between HTTP and the data plane's events. Calls keep no state and may come in any order.
+/// Maps HTTP to the data plane's events and back; there is one for each HTTP surface. Mappings keep no state.
 class Mapping {
  public:
   virtual ~Mapping() = default;
   /// Reads a caller's request.
   virtual CallerRequest callerRequest(Request const& request) const = 0;
-  /// Head of the request that the replica is handed; the body goes with it unchanged. Host and the body's length are
-  /// added where they are missing.
+  /// Head of the request to a replica; the body goes with it unchanged. Host and the body's length are added where they
+  /// are missing.
   virtual ReplicaRequest replicaRequest(Dispatch const& dispatch) const = 0;
-  /// Reads the head of a replica's answer to the request.
-  virtual dataplane::ResponseHead head(ReplicaHead const& head, Request const& request) const = 0;
-  /// Header fields and body of a rejection, or of an outcome that is not known.
-  virtual HeaderList rejectFields(dataplane::Reject const& reject) const = 0;
-  virtual std::string rejectBody(dataplane::Reject const& reject) const = 0;
+  /// Reads the head of a replica's response to the request.
+  virtual dataplane::ResponseHead responseHead(ReplicaHead const& head, Request const& request) const = 0;
+  /// Headers and body of a rejection, or of an outcome that is not known.
+  virtual HeaderList rejectionHeaders(dataplane::Reject const& reject) const = 0;
+  virtual std::string rejectionBody(dataplane::Reject const& reject) const = 0;
 };
 
-/// The product's own headers: POST /v1/{instance}/{path...}; see docs/interface.md.
+/// The product's own HTTP surface: POST /v1/{instance}/{path...}; see docs/interface.md.
 class NativeMapping : public Mapping {
  public:
   CallerRequest callerRequest(Request const& request) const override;
   ReplicaRequest replicaRequest(Dispatch const& dispatch) const override;
-  dataplane::ResponseHead head(ReplicaHead const& head, Request const& request) const override;
-  HeaderList rejectFields(dataplane::Reject const& reject) const override;
-  std::string rejectBody(dataplane::Reject const& reject) const override;
+  dataplane::ResponseHead responseHead(ReplicaHead const& head, Request const& request) const override;
+  HeaderList rejectionHeaders(dataplane::Reject const& reject) const override;
+  std::string rejectionBody(dataplane::Reject const& reject) const override;
 };
 
 }  // namespace corkward::http
--- a/http/include/corkward/http/operator_mapping.h
+++ b/http/include/corkward/http/operator_mapping.h
@@ -9,34 +9,36 @@
 
 namespace corkward::http {
 
-/// A whole answer.
+/// A complete response.
 struct Response {
   int status = 200;
-  HeaderList fields;
+  HeaderList headers;
   std::string body;
 };
 
-/// An operator's or the platform's request as the control plane's event, or what it is answered with at once.
+/// A request of an operator or the platform as an event for the control plane, or the response to one that is none.
 struct OperatorRequest {
+  /// Empty for a request that is answered at once.
   std::optional<transport::OperatorCall> call;
-  Response answer;
+  Response immediateResponse;
 };
 
-/// The one mapping between HTTP and the control plane's events.
+/// Maps HTTP to the control plane's events and back; there is one for each HTTP surface. Mappings keep no state.
 class OperatorMapping {
  public:
   virtual ~OperatorMapping() = default;
-  /// Reads a request as a call. The change id is the caller's, or the given one.
+  /// Reads a request as a call. Its change id is the caller's, or the given one.
   virtual OperatorRequest operatorCall(Request const& request, std::string const& freshChangeId) const = 0;
-  /// @param call the call that is answered, without its body
-  virtual Response answer(transport::OperatorCall const& call, int status, QJsonObject const& body) const = 0;
+  /// The response to a call.
+  /// @param call the call without its body
+  virtual Response response(transport::OperatorCall const& call, int status, QJsonObject const& body) const = 0;
 };
 
 /// The product's own operator interface; see docs/interface.md.
 class NativeOperatorMapping : public OperatorMapping {
  public:
   OperatorRequest operatorCall(Request const& request, std::string const& freshChangeId) const override;
-  Response answer(transport::OperatorCall const& call, int status, QJsonObject const& body) const override;
+  Response response(transport::OperatorCall const& call, int status, QJsonObject const& body) const override;
 };
 
 }  // namespace corkward::http
--- a/http/include/corkward/http/server.h
+++ b/http/include/corkward/http/server.h
@@ -3,128 +3,104 @@
 #include <QObject>
 #include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
-#include <corkward/core/error.h>
 #include <corkward/core/types.h>
 #include <corkward/http/headers.h>
-
-class QTcpServer;
-class QTcpSocket;
+#include <corkward/http/http_error.h>
+#include <corkward/http/socket_address.h>
 
 namespace corkward::http {
 
-/// An error of the HTTP edge.
-class HttpError : public core::Error {
- public:
-  using core::Error::Error;
-};
-
-/// A whole request, head and body within their bounds.
+/// A complete request, head and body within their limits.
 struct Request {
   std::uint64_t id = 0;
-  /// Which of the server's addresses it came in at.
-  std::size_t at = 0;
+  /// Index of the server's address that it came in at.
+  std::size_t listener = 0;
   std::string method;
+  /// Path and query as they were sent.
   std::string target;
-  HeaderMap fields;
+  HeaderMap headers;
   std::string body;
-  /// Milliseconds from the first byte of it that was read until all of it was there.
-  core::Tick readFor = 0;
+  /// Milliseconds from its first byte that was read until all of it was there.
+  core::Tick readDuration = 0;
 };
 
-/// Bounds of a HTTP edge, and how it signs.
+/// Limits of a server, and how it signs its responses.
 struct ServerLimits {
-  std::uint32_t head = 16U << 10;
-  std::uint64_t body = 1U << 20;
-  int connections = 4096;
-  int headMs = 10000;
-  int idleMs = 60000;
-  /// Answers name the server.
-  bool named = true;
-  /// Fields of the answers to requests that break HTTP or these bounds.
-  HeaderList faultFields = {{"corkward-outcome", "not-run"}};
+  std::uint32_t headLimitBytes = 16U << 10;
+  std::uint64_t bodyLimitBytes = 1U << 20;
+  /// Further connections are rejected with 503, and twice as many are closed at once.
+  int maxConnections = 4096;
+  /// Milliseconds for a request to arrive, from its first byte or from the start of the connection.
+  int headTimeoutMs = 10000;
+  /// Milliseconds that a connection without a request stays open.
+  int idleTimeoutMs = 60000;
+  bool sendsServerHeader = true;
+  /// Headers of the responses to requests that break HTTP or these limits.
+  HeaderList errorHeaders = {{"corkward-outcome", "not-run"}};
 };
 
-/// HTTP/1.1 edge for callers, operators and the platform: Boost.Beast parses, Qt carries the bytes.
-/// One request at a time per connection; an answer goes out whole or piece by piece.
+/// HTTP/1.1 server for callers, operators and the platform: Boost.Beast parses, Qt carries the bytes. Each connection
+/// has one request at a time; its response is written at once or in parts.
 class Server : public QObject {
  public:
   struct Events {
     std::function<void(Request)> request;
-    /// The caller's connection is gone before its answer was finished.
+    /// The caller's connection ended before its response was complete.
     std::function<void(std::uint64_t id)> disconnected;
-    /// Some of what waited to be written to the caller has gone out.
+    /// Some of the buffered bytes of a response were written to the caller.
     std::function<void(std::uint64_t id)> writable;
   };
-  /// Listens at ip:port, at one or at several with the bounds shared; port 0 takes a free one. Throws http::Error.
+  /// Listens at ip:port, at one or at several with the limits shared; port 0 takes a free one. Throws HttpError.
   Server(std::string const& address, ServerLimits limits, Events events, QObject* parent = nullptr);
   Server(std::vector<std::string> const& addresses, ServerLimits limits, Events events, QObject* parent = nullptr);
   ~Server() override;
 
-  std::string const& address(std::size_t at = 0) const { return addresses_.at(at); }
-  /// Bounds for what comes from here on.
-  void setLimits(ServerLimits limits) { limits_ = std::move(limits); }
-  /// A whole answer at once.
-  void answer(std::uint64_t id, int status, HeaderList const& fields, std::string const& body);
-  /// Starts an answer; length below zero: in chunks. An answer that has no body has none, whatever is told.
-  /// @param reason words of the status; empty: the usual ones
-  void begin(std::uint64_t id, int status, HeaderList const& fields, std::int64_t length,
-             std::string const& reason = {});
+  /// The address with the port that was taken.
+  std::string const& address(std::size_t listener = 0) const;
+  /// Limits for what comes from here on.
+  void setLimits(ServerLimits limits);
+
+  // Responses; a request that is not known any more is ignored.
+
+  /// Writes a complete response.
+  void respond(std::uint64_t id, int status, HeaderList const& headers, std::string const& body);
+  /// Starts a response.
+  /// @param bodyLength below zero: the body goes in chunks. A response without a body has none, whatever is said here.
+  /// @param reason phrase of the status; empty: the usual one
+  void beginResponse(std::uint64_t id, int status, HeaderList const& headers, std::int64_t bodyLength,
+                     std::string const& reason = {});
   void writeChunk(std::uint64_t id, std::string const& bytes);
-  /// The body's own end was seen.
-  void finish(std::uint64_t id);
-  /// Cuts the connection: what the caller has cannot look complete.
+  /// Ends a response whose body is complete.
+  void finishResponse(std::uint64_t id);
+  /// Resets the connection, so that what the caller has cannot look complete.
   void abort(std::uint64_t id);
   /// Bytes that wait to be written for the request.
   std::int64_t bufferedBytes(std::uint64_t id) const;
-  /// The caller has closed or lost the connection of the request, as its socket says at this moment; the event gone may
+  /// The caller has closed or lost the connection of the request, as its socket says at this moment; the event may
   /// still be on its way.
   bool isDisconnected(std::uint64_t id) const;
-  /// From here on each answer says that its connection is closed after it; what still comes is served.
-  void startDraining() { leaving_ = true; }
-  /// Takes every connection that waits at the addresses, and listens there no more.
-  void close();
-  /// Connections without a request in hand whose caller has sent something, or has just come and is about to.
-  std::size_t expecting() const;
-  /// Requests without their whole answer, and answers that are not all written.
+
+  /// From here on each response announces that its connection is closed; what still comes is served.
+  void startDraining();
+  /// Accepts every connection that waits at the addresses, and stops listening.
+  void closeListeners();
+  /// Connections without a request whose caller has sent something, or has just connected and is about to.
+  std::size_t expectedRequests() const;
+  /// Requests without their complete response, and responses that are not fully written.
   std::size_t pendingCount() const;
-  std::size_t connections() const { return conns_.size(); }
-  std::uint64_t malformed() const { return malformed_; }
+  std::size_t connectionCount() const;
+  /// Requests that broke HTTP or the limits.
+  std::uint64_t malformedRequests() const;
   /// Connections that could not be accepted at once, for want of descriptors or memory.
-  std::uint64_t acceptsFailed() const { return acceptsFailed_; }
+  std::uint64_t failedAccepts() const;
 
  private:
-  struct Conn;
-  void accept(std::size_t at);
-  /// A listening socket whose accept failed stands still until it is told to go on.
-  void acceptAgain(QTcpServer* server);
-  void welcome(QTcpSocket* socket, std::size_t at);
-  void readable(std::shared_ptr<Conn> const& conn);
-  void fault(std::shared_ptr<Conn> const& conn, int status, std::string const& reason);
-  void done(std::shared_ptr<Conn> conn);
-  void linger(std::shared_ptr<Conn> const& conn);
-  std::string headOf(Conn& conn, int status, HeaderList const& fields, std::int64_t length, std::string const& reason);
-  void drop(std::shared_ptr<Conn> const& conn);
-  Conn* find(std::uint64_t id) const;
-
-  std::vector<std::string> addresses_;
-  std::vector<QTcpServer*> servers_;
-  ServerLimits limits_;
-  Events events_;
-  std::uint64_t next_ = 1;
-  std::uint64_t malformed_ = 0;
-  std::uint64_t acceptsFailed_ = 0;
-  bool leaving_ = false;
-  std::unordered_map<Conn const*, std::shared_ptr<Conn>> conns_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<Conn>> byId_;
+  class Implementation;
+  std::unique_ptr<Implementation> implementation_;
 };
 
-/// Splits ip:port. Throws http::Error.
-std::pair<std::string, std::uint16_t> splitAddress(std::string const& address);
-
 }  // namespace corkward::http
--- /dev/null
+++ b/http/include/corkward/http/socket_address.h
@@ -0,0 +1,22 @@
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+class QTcpSocket;
+
+namespace corkward::http {
+
+/// An IP address with a port.
+struct SocketAddress {
+  std::string host;
+  std::uint16_t port = 0;
+};
+
+/// Reads ip:port. Throws HttpError.
+SocketAddress parseSocketAddress(std::string const& text);
+
+/// Starts to connect a socket to ip:port. Throws HttpError when that is no address.
+void connectSocket(QTcpSocket& socket, std::string const& address);
+
+}  // namespace corkward::http
--- a/http/include/corkward/http/upstream_pool.h
+++ b/http/include/corkward/http/upstream_pool.h
@@ -13,55 +13,69 @@
 
 namespace corkward::http {
 
-/// Which connections to replicas are kept.
+/// Which connections to replicas are kept for further requests; times in milliseconds.
 struct KeepAlivePolicy {
-  /// Idle ones kept for one replica at the most; 0: each request has a connection of its own.
-  std::size_t perReplica = 0;
-  /// An idle one is used for less than this many milliseconds, or half of what the replica's Keep-Alive says.
-  core::Tick idleLimit = 5000;
-  /// The same for a request that may run once only; 0: it has a fresh connection.
-  core::Tick freshIdleLimit = 0;
-  /// An answer of no told length is whole when the replica closes its connection in order. False: it is always taken
-  /// for cut, as a replica's process that dies closes its connections in order as well.
-  bool closeEndsAnswer = false;
+  /// Idle connections kept for one replica at most; 0: each request has a connection of its own.
+  std::size_t maxIdlePerReplica = 0;
+  /// An idle connection is used for less than this, or than half of the replica's Keep-Alive time-out.
+  core::Tick idleTimeout = 5000;
+  /// The same for a request that may be executed once only; 0: it has a new connection.
+  core::Tick freshIdleTimeout = 0;
+  /// A response without an announced end is complete when the replica closes its connection in order. False: it always
+  /// counts as cut, since a replica's process that dies closes its connections in order as well.
+  bool closeCompletesResponse = false;
 };
 
-/// Lends connections to replicas. One goes back only when its request was written whole, its answer was whole with
-/// nothing after it, and neither side said that it ends; one that says anything while it is idle is thrown away.
+/// Keeps idle connections to replicas for further requests. A connection comes back only when its request was fully
+/// written, its response was complete with nothing after it, and neither side announced its end; one on which anything
+/// arrives while it is idle is closed.
 class UpstreamPool : public QObject {
  public:
   /// @param now monotonic milliseconds
-  UpstreamPool(KeepAlivePolicy kept, std::function<core::Tick()> now, QObject* parent = nullptr);
+  UpstreamPool(KeepAlivePolicy policy, std::function<core::Tick()> now, QObject* parent = nullptr);
   ~UpstreamPool() override;
-  /// A connection for one request, a kept one or a new one. The relay is its parent's or the owner's to delete.
-  /// @param fresh see KeepAlivePolicy::freshIdleLimit
+  /// A connection for one request: an idle one or a new one. It belongs to the parent.
+  /// @param fresh see KeepAlivePolicy::freshIdleTimeout
   UpstreamConnection* acquire(std::string const& address, bool fresh, UpstreamConnection::Events events,
                               QObject* parent);
-  /// Throws the idle ones of the address away.
-  void drop(std::string const& address);
-  void setKept(KeepAlivePolicy kept);
-  std::size_t idle() const { return count_; }
-  /// Connections opened, and requests that went on a kept one.
-  std::uint64_t opened() const { return opened_; }
-  std::uint64_t reused() const { return reused_; }
+  /// Closes the idle connections to an address.
+  void closeIdle(std::string const& address);
+  void setKeepAlive(KeepAlivePolicy policy);
+  KeepAlivePolicy const& policy() const { return policy_; }
+  std::size_t idleCount() const { return idleCount_; }
+  /// Connections that were opened.
+  std::uint64_t openedCount() const { return openedCount_; }
+  /// Requests that were sent on a connection that had been idle.
+  std::uint64_t reusedCount() const { return reusedCount_; }
 
  private:
   friend class UpstreamConnection;
-  struct Idle {
+  struct IdleConnection {
     QTcpSocket* socket = nullptr;
     core::Tick since = 0;
-    core::Tick limit = 0;
+    /// Milliseconds for which it may be reused, by its replica's word and the policy of that time.
+    core::Tick timeout = 0;
   };
-  void put(std::string const& address, QTcpSocket* socket, core::Tick keepAlive);
-  void forget(std::string const& address, QTcpSocket* socket);
-  void sweep();
-  KeepAlivePolicy kept_;
+  void countOpened() { ++openedCount_; }
+  void countReused() { ++reusedCount_; }
+  /// Takes a connection back.
+  void put(std::string const& address, QTcpSocket* socket, core::Tick keepAliveTimeout);
+  /// The youngest idle connection that may be used; its socket is null when there is none.
+  UpstreamConnection::ReusedSocket take(std::string const& address, bool fresh);
+  /// Closes an idle connection on which something arrived.
+  void remove(std::string const& address, QTcpSocket* socket);
+  void closeExpired();
+
+  KeepAlivePolicy policy_;
   std::function<core::Tick()> now_;
-  std::unordered_map<std::string, std::vector<Idle>> idle_;
-  std::size_t count_ = 0;
-  std::uint64_t opened_ = 0;
-  std::uint64_t reused_ = 0;
-  QTimer sweep_;
+  /// By the replica's address, the oldest first.
+  std::unordered_map<std::string, std::vector<IdleConnection>> idle_;
+  /// Over all addresses.
+  std::size_t idleCount_ = 0;
+  std::uint64_t openedCount_ = 0;
+  std::uint64_t reusedCount_ = 0;
+  /// Active while there are idle connections.
+  QTimer expiryTimer_;
 };
 
 }  // namespace corkward::http
--- a/http/src/headers.cpp
+++ b/http/src/headers.cpp
@@ -1,5 +1,6 @@
 #include <corkward/http/headers.h>
 
+#include <algorithm>
 #include <array>
 #include <boost/beast/http/rfc7230.hpp>
 #include <cctype>
@@ -8,7 +9,7 @@
 
 namespace {
 
-constexpr std::array<char const*, 11> ofOneConnection{"connection",
+constexpr std::array<char const*, 11> hopByHopHeaders{"connection",
                                                       "keep-alive",
                                                       "proxy-connection",
                                                       "proxy-authenticate",
@@ -20,46 +21,55 @@
                                                       "content-length",
                                                       "expect"};
 
-template <class List>
-HeaderList passedOn(List const& fields) {
-  std::string named;
-  for (typename List::value_type const& f : fields)
-    if (lower(f.first) == "connection") named += (named.empty() ? "" : ",") + lower(f.second);
-  boost::beast::http::token_list also(named);
+/// All values of Connection, joined: they name further hop-by-hop headers.
+template <class Headers>
+std::string connectionOptions(Headers const& headers) {
+  std::string out;
+  for (auto const& [name, value] : headers)
+    if (toLower(name) == "connection") out += (out.empty() ? "" : ",") + toLower(value);
+  return out;
+}
+
+template <class Headers>
+HeaderList withoutHopByHop(Headers const& headers) {
+  std::string const options = connectionOptions(headers);
+  boost::beast::http::token_list named(options);
   HeaderList out;
-  out.reserve(fields.size());
-  for (typename List::value_type const& f : fields) {
-    std::string const name = lower(f.first);
-    bool own = also.exists(name);
-    for (char const* const n : ofOneConnection) own = own || name == n;
-    if (!own) out.emplace_back(f.first, f.second);
+  out.reserve(headers.size());
+  for (auto const& [name, value] : headers) {
+    std::string const lowerName = toLower(name);
+    bool const hopByHop =
+        std::find(hopByHopHeaders.begin(), hopByHopHeaders.end(), lowerName) != hopByHopHeaders.end() ||
+        named.exists(lowerName);
+    if (!hopByHop) out.emplace_back(name, value);
   }
   return out;
 }
 
 }  // namespace
 
-std::string lower(std::string text) {
+std::string toLower(std::string text) {
   for (char& c : text) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
   return text;
 }
 
-std::string field(HeaderList const& fields, std::string const& name) {
-  for (HeaderList::value_type const& f : fields)
-    if (f.first.size() == name.size() && lower(f.first) == name) return f.second;
+std::string headerValue(HeaderList const& headers, std::string const& name) {
+  for (auto const& [headerName, value] : headers)
+    if (headerName.size() == name.size() && toLower(headerName) == name) return value;
   return "";
 }
 
-std::string field(HeaderMap const& fields, std::string const& name) {
-  HeaderMap::const_iterator const it = fields.find(name);
-  return it == fields.end() ? "" : it->second;
+std::string headerValue(HeaderMap const& headers, std::string const& name) {
+  auto const found = headers.find(name);
+  return found == headers.end() ? "" : found->second;
 }
 
-HeaderList endToEnd(HeaderMap const& fields) {
-  return passedOn(fields);
+HeaderList endToEndHeaders(HeaderMap const& headers) {
+  return withoutHopByHop(headers);
 }
-HeaderList endToEnd(HeaderList const& fields) {
-  return passedOn(fields);
+
+HeaderList endToEndHeaders(HeaderList const& headers) {
+  return withoutHopByHop(headers);
 }
 
 }  // namespace corkward::http
--- a/http/src/mapping.cpp
+++ b/http/src/mapping.cpp
@@ -2,123 +2,188 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
+#include <corkward/core/http_method.h>
+#include <corkward/core/http_status.h>
 #include <corkward/core/json.h>
 
 namespace corkward::http {
 
 namespace {
 
-constexpr std::size_t maxName = 256;
+using core::HttpStatus;
+
+// Header fields of the product, in lower case (docs/interface.md).
+constexpr char const* requestIdHeader = "corkward-request-id";
+constexpr char const* prefixHeader = "corkward-prefix";
+constexpr char const* attemptHeader = "corkward-attempt";
+constexpr char const* deadlineHeader = "corkward-deadline-ms";
+constexpr char const* ageHeader = "corkward-age-ms";
+constexpr char const* earlierHeader = "corkward-earlier";
+constexpr char const* outcomeHeader = "corkward-outcome";
+constexpr char const* runHeader = "corkward-run";
+constexpr char const* offsetHeader = "corkward-offset";
+constexpr char const* replicaHeader = "corkward-replica";
+constexpr char const* lastEventIdHeader = "last-event-id";
+constexpr char const* contentTypeHeader = "content-type";
+
+// Values of corkward-earlier, of corkward-outcome, and of corkward-run.
+constexpr char const* notExecutedValue = "not-run";
+constexpr char const* notExecutedReachedValue = "not-run-reached";
+constexpr char const* executedValue = "run";
+constexpr char const* unknownValue = "unknown";
+constexpr char const* noRunValue = "none";
+
+constexpr char const* pathPrefix = "/v1/";
+constexpr std::size_t maxTargetLength = 1024;
+constexpr std::size_t maxNameLength = 256;
 /// Bytes of a caller's name for its request that the log repeats.
-constexpr std::size_t longestTrace = 64;
-constexpr char const* lastEventId = "last-event-id";
-
-bool number(std::string const& text, std::uint64_t most, std::uint64_t& out) {
-  if (text.empty() || text.size() > 12 ||
-      !std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; }))
-    return false;
-  out = std::stoull(text);
-  return out <= most;
+constexpr std::size_t maxTraceLength = 64;
+constexpr std::uint64_t maxAttempt = 1000000;
+constexpr std::uint64_t maxDeadlineMs = 600000;
+constexpr std::uint64_t maxAgeMs = 99999999999;
+constexpr std::size_t maxDigits = 12;
+/// Age of a request whose caller names none.
+constexpr core::Tick unknownAge = -1;
+
+/// A number in plain digits, up to a bound; nothing for any other text.
+std::optional<std::uint64_t> parseNumber(std::string const& text, std::uint64_t max) {
+  bool const isNumber = !text.empty() && text.size() <= maxDigits &&
+                        std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
+  if (!isNumber) return std::nullopt;
+  std::uint64_t const value = std::stoull(text);
+  return value <= max ? std::optional<std::uint64_t>(value) : std::nullopt;
 }
 
-CallerRequest fault(int status, std::string reason) {
+CallerRequest rejected(HttpStatus status, std::string reason) {
   CallerRequest out;
-  out.status = status;
+  out.status = core::code(status);
   out.reason = std::move(reason);
   return out;
 }
 
+CallerRequest invalid(std::string reason) {
+  return rejected(HttpStatus::badRequest, std::move(reason));
+}
+
+std::string rangeReason(char const* header, std::uint64_t min, std::uint64_t max) {
+  return std::string(header) + ": must be a number from " + std::to_string(min) + " to " + std::to_string(max);
+}
+
+bool isCallerTarget(std::string const& target) {
+  return target.rfind(pathPrefix, 0) == 0 && target.size() <= maxTargetLength;
+}
+
+/// Splits the path of a caller's target into instance and path; false when it has not both.
+bool readPath(std::string const& target, dataplane::Request& out) {
+  std::string const rest = target.substr(0, target.find('?')).substr(std::string(pathPrefix).size());
+  std::size_t const slash = rest.find('/');
+  if (slash == std::string::npos || slash == 0 || slash + 1 == rest.size()) return false;
+  out.instance = rest.substr(0, slash);
+  out.path = rest.substr(slash + 1);
+  return true;
+}
+
+/// Reads the caller's names for the request; the reason when one is not valid.
+std::optional<std::string> readNames(HeaderMap const& headers, dataplane::Request& out) {
+  out.id = headerValue(headers, requestIdHeader);
+  out.trace = out.id.substr(0, maxTraceLength);
+  out.prefix = headerValue(headers, prefixHeader);
+  if (out.id.size() > maxNameLength) return std::string(requestIdHeader) + ": longer than 256";
+  if (out.prefix.size() > maxNameLength) return std::string(prefixHeader) + ": longer than 256";
+  return std::nullopt;
+}
+
+/// Reads attempt, deadline, earlier outcome and age; the reason when one is not valid.
+std::optional<std::string> readAttempt(HeaderMap const& headers, dataplane::Request& out) {
+  std::string const attempt = headerValue(headers, attemptHeader);
+  out.attempt = attempt.empty() ? 0 : parseNumber(attempt, maxAttempt).value_or(0);
+  if (!attempt.empty() && out.attempt == 0) return rangeReason(attemptHeader, 1, maxAttempt);
+  std::string const deadline = headerValue(headers, deadlineHeader);
+  out.deadline = deadline.empty() ? 0 : static_cast<core::Tick>(parseNumber(deadline, maxDeadlineMs).value_or(0));
+  if (!deadline.empty() && out.deadline == 0) return rangeReason(deadlineHeader, 1, maxDeadlineMs);
+  std::string const earlier = headerValue(headers, earlierHeader);
+  if (!earlier.empty() && earlier != notExecutedValue && earlier != notExecutedReachedValue)
+    return std::string(earlierHeader) + ": must be not-run or not-run-reached";
+  out.earlierNotExecuted = !earlier.empty();
+  out.earlierReachedReplica = earlier == notExecutedReachedValue;
+  std::string const age = headerValue(headers, ageHeader);
+  std::optional<std::uint64_t> const ageMs = parseNumber(age, maxAgeMs);
+  if (!age.empty() && !ageMs) return rangeReason(ageHeader, 0, maxAgeMs);
+  out.age = ageMs ? static_cast<core::Tick>(*ageMs) : unknownAge;
+  return std::nullopt;
+}
+
 }  // namespace
 
 CallerRequest NativeMapping::callerRequest(Request const& request) const {
-  if (request.target.rfind("/v1/", 0) != 0 || request.target.size() > 1024) return fault(404, "no such page");
-  if (request.method != "POST") return fault(405, "POST is needed");
-  std::string const rest = request.target.substr(
-      4, request.target.find('?') == std::string::npos ? std::string::npos : request.target.find('?') - 4);
-  std::size_t const slash = rest.find('/');
-  if (slash == std::string::npos || slash == 0 || slash + 1 == rest.size()) return fault(404, "no such page");
-  dataplane::Request r;
-  r.call = request.id;
-  r.instance = rest.substr(0, slash);
-  r.path = rest.substr(slash + 1);
-  r.id = field(request.fields, "corkward-request-id");
-  r.trace = r.id.substr(0, longestTrace);
-  r.prefix = field(request.fields, "corkward-prefix");
-  if (r.id.size() > maxName) return fault(400, "corkward-request-id: longer than 256");
-  if (r.prefix.size() > maxName) return fault(400, "corkward-prefix: longer than 256");
-  std::string const attempt = field(request.fields, "corkward-attempt");
-  r.attempt = 0;
-  if (!attempt.empty() && (!number(attempt, 1000000, r.attempt) || r.attempt == 0))
-    return fault(400, "corkward-attempt: must be a number from 1 to 1000000");
-  std::string const deadline = field(request.fields, "corkward-deadline-ms");
-  std::uint64_t ms = 0;
-  if (!deadline.empty() && (!number(deadline, 600000, ms) || ms == 0))
-    return fault(400, "corkward-deadline-ms: must be a number from 1 to 600000");
-  r.deadline = static_cast<core::Tick>(ms);
-  r.readFor = request.readFor;
-  std::string const earlier = field(request.fields, "corkward-earlier");
-  if (!earlier.empty() && earlier != "not-run" && earlier != "not-run-reached")
-    return fault(400, "corkward-earlier: must be not-run or not-run-reached");
-  r.earlierNotExecuted = !earlier.empty();
-  r.earlierReachedReplica = earlier == "not-run-reached";
-  std::string const age = field(request.fields, "corkward-age-ms");
-  std::uint64_t old = 0;
-  if (!age.empty() && !number(age, 99999999999, old))
-    return fault(400, "corkward-age-ms: must be a number from 0 to 99999999999");
-  r.age = age.empty() ? -1 : static_cast<core::Tick>(old);
-  CallerRequest out;
-  std::string const last = field(request.fields, lastEventId);
-  if (last.size() <= maxName) out.lastEvent = last;
-  out.request = r;
-  return out;
+  dataplane::Request out;
+  if (!isCallerTarget(request.target)) return rejected(HttpStatus::notFound, "no such page");
+  if (core::httpMethodOf(request.method) != core::HttpMethod::post)
+    return rejected(HttpStatus::methodNotAllowed, "POST is needed");
+  if (!readPath(request.target, out)) return rejected(HttpStatus::notFound, "no such page");
+  out.call = request.id;
+  out.readFor = request.readDuration;
+  if (auto const reason = readNames(request.headers, out)) return invalid(*reason);
+  if (auto const reason = readAttempt(request.headers, out)) return invalid(*reason);
+  CallerRequest caller;
+  std::string const lastEventId = headerValue(request.headers, lastEventIdHeader);
+  if (lastEventId.size() <= maxNameLength) caller.lastEventId = lastEventId;
+  caller.request = std::move(out);
+  return caller;
 }
 
 ReplicaRequest NativeMapping::replicaRequest(Dispatch const& dispatch) const {
-  std::string type = field(dispatch.request.fields, "content-type");
+  std::string type = headerValue(dispatch.request.headers, contentTypeHeader);
   if (type.empty()) type = "application/json";
-  ReplicaRequest out{"POST", "/" + dispatch.path, {{"content-type", std::move(type)}}};
-  out.fields.emplace_back("corkward-attempt", std::to_string(std::max<std::uint64_t>(dispatch.caller.attempt, 1)));
-  if (!dispatch.caller.id.empty()) out.fields.emplace_back("corkward-request-id", dispatch.caller.id);
+  ReplicaRequest out{"POST", "/" + dispatch.path, {{contentTypeHeader, std::move(type)}}};
+  std::uint64_t const attempt = std::max<std::uint64_t>(dispatch.caller.attempt, 1);
+  out.headers.emplace_back(attemptHeader, std::to_string(attempt));
+  if (!dispatch.caller.id.empty()) out.headers.emplace_back(requestIdHeader, dispatch.caller.id);
   if (!dispatch.resume.lastEvent.empty()) {
-    out.fields.emplace_back(lastEventId, dispatch.resume.lastEvent);
+    out.headers.emplace_back(lastEventIdHeader, dispatch.resume.lastEvent);
   } else if (dispatch.resume.resuming) {
-    out.fields.emplace_back("corkward-run", dispatch.resume.run);
-    out.fields.emplace_back("corkward-offset", std::to_string(dispatch.resume.offset));
+    out.headers.emplace_back(runHeader, dispatch.resume.run);
+    out.headers.emplace_back(offsetHeader, std::to_string(dispatch.resume.offset));
   }
   return out;
 }
 
-dataplane::ResponseHead NativeMapping::head(ReplicaHead const& head, Request const&) const {
+dataplane::ResponseHead NativeMapping::responseHead(ReplicaHead const& head, Request const&) const {
   dataplane::ResponseHead out;
   out.status = head.status;
-  out.length = head.length;
-  out.bodiless = head.bodiless;
-  std::string const run = field(head.fields, "corkward-run");
-  out.notExecuted = head.status == 503 && run == "none";
-  out.failed = head.status >= 500 && !out.notExecuted;
-  out.events = head.status / 100 == 2 && lower(field(head.fields, "content-type")).rfind("text/event-stream", 0) == 0;
-  if (run != "none") out.run = run;
-  out.offset = field(head.fields, "corkward-offset");
-  for (char const* const kept : {"content-type", "corkward-run", "corkward-replica"}) {
-    std::string value = field(head.fields, kept);
-    if (!value.empty()) out.fields.emplace_back(kept, std::move(value));
+  out.length = head.bodyLength;
+  out.bodiless = head.hasNoBody;
+  std::string const run = headerValue(head.headers, runHeader);
+  out.notExecuted = head.status == core::code(HttpStatus::serviceUnavailable) && run == noRunValue;
+  out.failed = head.status >= core::code(HttpStatus::internalServerError) && !out.notExecuted;
+  bool const success = head.status / 100 == 2;
+  std::string const type = toLower(headerValue(head.headers, contentTypeHeader));
+  out.events = success && type.rfind("text/event-stream", 0) == 0;
+  if (run != noRunValue) out.run = run;
+  out.offset = headerValue(head.headers, offsetHeader);
+  for (char const* const name : {contentTypeHeader, runHeader, replicaHeader}) {
+    std::string value = headerValue(head.headers, name);
+    if (!value.empty()) out.fields.emplace_back(name, std::move(value));
   }
-  out.fields.emplace_back("corkward-outcome", "run");
+  out.fields.emplace_back(outcomeHeader, executedValue);
   return out;
 }
 
-HeaderList NativeMapping::rejectFields(dataplane::Reject const& reject) const {
-  HeaderList out{{"content-type", "application/json"},
-                 {"corkward-outcome", reject.notExecuted ? "not-run" : "unknown"}};
-  if (reject.notExecuted) out.emplace_back("corkward-earlier", reject.reachedReplica ? "not-run-reached" : "not-run");
+HeaderList NativeMapping::rejectionHeaders(dataplane::Reject const& reject) const {
+  HeaderList out{{contentTypeHeader, "application/json"},
+                 {outcomeHeader, reject.notExecuted ? notExecutedValue : unknownValue}};
+  if (reject.notExecuted)
+    out.emplace_back(earlierHeader, reject.reachedReplica ? notExecutedReachedValue : notExecutedValue);
   if (reject.retryAfter > 0)
     out.emplace_back("retry-after", core::toStdString(QString::number(std::ceil(reject.retryAfter), 'f', 0)));
   return out;
 }
 
-std::string NativeMapping::rejectBody(dataplane::Reject const& reject) const {
-  QJsonObject body{{"outcome", reject.notExecuted ? "not-run" : "unknown"}, {"reason", core::toQString(reject.reason)}};
+std::string NativeMapping::rejectionBody(dataplane::Reject const& reject) const {
+  QJsonObject body{{"outcome", reject.notExecuted ? notExecutedValue : unknownValue},
+                   {"reason", core::toQString(reject.reason)}};
   if (reject.retryAfter > 0) body.insert("retryAfter", std::ceil(reject.retryAfter));
   return core::jsonText(body) + "\n";
 }
--- a/http/src/wire.h
+++ b/http/src/message_text.h
@@ -10,8 +10,8 @@
 /// Appends a sequence of buffers to text.
 template <class Buffers>
 void append(std::string& out, Buffers const& buffers) {
-  for (boost::asio::const_buffer const b : boost::beast::buffers_range_ref(buffers))
-    out.append(static_cast<char const*>(b.data()), b.size());
+  for (boost::asio::const_buffer const buffer : boost::beast::buffers_range_ref(buffers))
+    out.append(static_cast<char const*>(buffer.data()), buffer.size());
 }
 
 /// The head of a message as it goes on the wire.
@@ -20,13 +20,13 @@
   std::string out;
   boost::beast::http::serializer<isRequest, boost::beast::http::empty_body> serializer(message);
   serializer.split(true);
-  boost::beast::error_code ec;
-  serializer.next(ec, [&out](boost::beast::error_code&, auto const& buffers) { append(out, buffers); });
+  boost::beast::error_code error;
+  serializer.next(error, [&out](boost::beast::error_code&, auto const& buffers) { append(out, buffers); });
   return out;
 }
 
-/// Bytes go into the socket's own buffer together, so that what is written together leaves together.
-inline void put(QTcpSocket& socket, std::string const& bytes) {
+/// Adds bytes to the socket's own buffer, so that what is written in one turn of the event loop leaves together.
+inline void write(QTcpSocket& socket, std::string const& bytes) {
   socket.write(bytes.data(), static_cast<qint64>(bytes.size()));
 }
 
--- a/http/src/operator_mapping.cpp
+++ b/http/src/operator_mapping.cpp
@@ -1,12 +1,29 @@
 #include <corkward/http/operator_mapping.h>
 
+#include <corkward/core/http_status.h>
 #include <corkward/core/json.h>
 
 namespace corkward::http {
 
 namespace {
 
-constexpr std::size_t maxName = 256;
+using core::HttpStatus;
+
+constexpr std::size_t maxChangeIdLength = 256;
+constexpr char const* retryAfterSeconds = "1";
+/// If-Match for what does not exist yet.
+constexpr char const* noRevision = "0";
+
+bool hasDryRun(std::string const& query) {
+  return query == "dryRun=1" || query.rfind("dryRun=1&", 0) == 0 || query.find("&dryRun=1") != std::string::npos;
+}
+
+/// Revision that a change is based on; empty: none is given.
+std::string revisionOf(HeaderMap const& headers) {
+  std::string revision = headerValue(headers, "if-match");
+  if (revision.empty() && headerValue(headers, "if-none-match") == "*") revision = noRevision;
+  return revision;
+}
 
 }  // namespace
 
@@ -16,25 +33,25 @@
   call.method = request.method;
   std::size_t const query = request.target.find('?');
   call.path = request.target.substr(0, query);
-  std::string const words = query == std::string::npos ? "" : request.target.substr(query + 1);
-  call.dryRun = words == "dryRun=1" || words.rfind("dryRun=1&", 0) == 0 || words.find("&dryRun=1") != std::string::npos;
-  call.ifMatch = field(request.fields, "if-match");
-  if (call.ifMatch.empty() && field(request.fields, "if-none-match") == "*") call.ifMatch = "0";
-  call.changeId = field(request.fields, "corkward-change-id");
+  call.dryRun = query != std::string::npos && hasDryRun(request.target.substr(query + 1));
+  call.ifMatch = revisionOf(request.headers);
+  call.changeId = headerValue(request.headers, "corkward-change-id");
   if (call.changeId.empty()) call.changeId = freshChangeId;
-  if (call.changeId.size() > maxName) call.changeId.resize(maxName);
+  if (call.changeId.size() > maxChangeIdLength) call.changeId.resize(maxChangeIdLength);
   call.body = request.body;
   OperatorRequest out;
   out.call = std::move(call);
   return out;
 }
 
-Response NativeOperatorMapping::answer(transport::OperatorCall const&, int status, QJsonObject const& body) const {
+Response NativeOperatorMapping::response(transport::OperatorCall const&, int status, QJsonObject const& body) const {
   Response out{status, {{"content-type", "application/json"}}, core::jsonText(body) + "\n"};
-  char const* const tag = body.contains("version") ? "version" : "stamp";
-  if (body.contains(tag) && status < 300)
-    out.fields.emplace_back("etag", "\"" + std::to_string(body.value(tag).toInteger()) + "\"");
-  if (status == 503) out.fields.emplace_back("retry-after", "1");
+  char const* const revisionField = body.contains("version") ? "version" : "stamp";
+  constexpr int firstRedirectCode = 300;
+  bool const success = status < firstRedirectCode;
+  if (body.contains(revisionField) && success)
+    out.headers.emplace_back("etag", "\"" + std::to_string(body.value(revisionField).toInteger()) + "\"");
+  if (status == core::code(HttpStatus::serviceUnavailable)) out.headers.emplace_back("retry-after", retryAfterSeconds);
   return out;
 }
 
--- /dev/null
+++ b/http/src/request_parser.cpp
@@ -0,0 +1,89 @@
+#include "request_parser.h"
+
+#include <utility>
+
+#include <corkward/http/headers.h>
+
+namespace corkward::http {
+
+namespace beast = boost::beast;
+
+namespace {
+
+/// Version of HTTP/1.1 as Beast writes it.
+constexpr unsigned http11 = 11;
+
+RequestError errorOf(beast::error_code const& error) {
+  core::HttpStatus status = core::HttpStatus::badRequest;
+  if (error == beast::http::error::body_limit) status = core::HttpStatus::contentTooLarge;
+  if (error == beast::http::error::header_limit) status = core::HttpStatus::headerFieldsTooLarge;
+  return {status, error.message()};
+}
+
+/// Header fields with names in lower case; values of one name are joined (RFC 9110, section 5.3), cookies with
+/// semicolons (RFC 6265, section 5.4).
+HeaderMap headersOf(beast::http::fields const& fields) {
+  HeaderMap out;
+  for (auto const& field : fields) {
+    std::string const name = toLower(std::string(field.name_string()));
+    auto const [entry, isNew] = out.emplace(name, std::string(field.value()));
+    if (!isNew) entry->second.append(name == "cookie" ? "; " : ", ").append(field.value().data(), field.value().size());
+  }
+  return out;
+}
+
+}  // namespace
+
+void RequestParser::begin(ServerLimits const& limits) {
+  parser_.emplace();
+  parser_->header_limit(limits.headLimitBytes);
+  parser_->body_limit(limits.bodyLimitBytes);
+  parser_->eager(true);
+  maxHeadBytes_ = static_cast<qsizetype>(limits.headLimitBytes);
+  continueReported_ = false;
+  readingSince_.start();
+}
+
+ParseResult RequestParser::parse(QByteArray& buffer) {
+  beast::error_code error;
+  std::size_t const used =
+      parser_->put(boost::asio::buffer(buffer.constData(), static_cast<std::size_t>(buffer.size())), error);
+  buffer.remove(0, static_cast<qsizetype>(used));
+  ParseResult result;
+  if (error && error != beast::http::error::need_more) {
+    result.outcome = errorOf(error);
+    return result;
+  }
+  result.expectsContinue = takeExpectsContinue();
+  if (parser_->is_done())
+    result.outcome = release();
+  else if (buffer.size() > maxHeadBytes_)
+    result.outcome = RequestError{core::HttpStatus::headerFieldsTooLarge, "head too large"};
+  return result;
+}
+
+bool RequestParser::takeExpectsContinue() {
+  if (!parser_->is_header_done() || continueReported_) return false;
+  bool const expects = toLower(std::string(parser_->get()[beast::http::field::expect])) == "100-continue";
+  continueReported_ = expects;
+  return expects;
+}
+
+std::variant<IncompleteRequest, ParsedRequest, RequestError> RequestParser::release() {
+  beast::http::request<beast::http::string_body> message = parser_->release();
+  parser_.reset();
+  if (message.version() != http11)
+    return RequestError{core::HttpStatus::httpVersionNotSupported,
+                        "HTTP/1.1 is needed: only there can a cut body be told from a whole one"};
+  ParsedRequest out;
+  out.keepAlive = message.keep_alive();
+  out.isHead = message.method() == beast::http::verb::head;
+  out.request.method = std::string(message.method_string());
+  out.request.target = std::string(message.target());
+  out.request.headers = headersOf(message);
+  out.request.body = std::move(message.body());
+  out.request.readDuration = readingSince_.elapsed();
+  return out;
+}
+
+}  // namespace corkward::http
--- a/http/src/upstream_pool.cpp
+++ b/http/src/upstream_pool.cpp
@@ -2,12 +2,14 @@
 
 #include <QTcpSocket>
 #include <algorithm>
+#include <utility>
 
 namespace corkward::http {
 
 namespace {
 
-constexpr int sweepEveryMs = 500;
+constexpr int expiryIntervalMs = 500;
+/// Idle milliseconds after which the replica may have closed the connection unseen.
 constexpr core::Tick restedAfter = 500;
 
 void closeSocket(QTcpSocket* socket) {
@@ -18,95 +20,104 @@
 
 }  // namespace
 
-UpstreamPool::UpstreamPool(KeepAlivePolicy kept, std::function<core::Tick()> now, QObject* parent)
-    : QObject(parent), kept_(kept), now_(std::move(now)) {
-  QObject::connect(&sweep_, &QTimer::timeout, this, [this] { sweep(); });
+UpstreamPool::UpstreamPool(KeepAlivePolicy policy, std::function<core::Tick()> now, QObject* parent)
+    : QObject(parent), policy_(policy), now_(std::move(now)) {
+  QObject::connect(&expiryTimer_, &QTimer::timeout, this, [this] { closeExpired(); });
 }
 
 UpstreamPool::~UpstreamPool() {
-  for (std::unordered_map<std::string, std::vector<Idle>>::value_type const& a : idle_)
-    for (Idle const& i : a.second) i.socket->disconnect();
+  for (auto const& [address, connections] : idle_)
+    for (IdleConnection const& connection : connections) connection.socket->disconnect();
 }
 
 UpstreamConnection* UpstreamPool::acquire(std::string const& address, bool fresh, UpstreamConnection::Events events,
                                           QObject* parent) {
+  UpstreamConnection::ReusedSocket const reused = take(address, fresh);
+  return new UpstreamConnection(address, std::move(events), parent, this, reused);
+}
+
+UpstreamConnection::ReusedSocket UpstreamPool::take(std::string const& address, bool fresh) {
+  auto const found = idle_.find(address);
+  if (found == idle_.end()) return {};
   core::Tick const now = now_();
-  QTcpSocket* socket = nullptr;
-  bool rested = false;
-  std::unordered_map<std::string, std::vector<Idle>>::iterator const it = idle_.find(address);
-  while (it != idle_.end() && !it->second.empty() && socket == nullptr) {
-    Idle const last = it->second.back();
-    if (fresh && now - last.since >= std::min(kept_.freshIdleLimit, last.limit)) break;
-    it->second.pop_back();
-    --count_;
-    if (now - last.since < std::min(kept_.idleLimit, last.limit) &&
-        last.socket->state() == QAbstractSocket::ConnectedState && last.socket->bytesAvailable() == 0) {
-      last.socket->disconnect(this);
-      socket = last.socket;
-      rested = now - last.since >= restedAfter;
+  std::vector<IdleConnection>& connections = found->second;
+  UpstreamConnection::ReusedSocket out;
+  while (!connections.empty() && out.socket == nullptr) {
+    IdleConnection const youngest = connections.back();
+    core::Tick const idleFor = now - youngest.since;
+    if (fresh && idleFor >= std::min(policy_.freshIdleTimeout, youngest.timeout)) break;
+    connections.pop_back();
+    --idleCount_;
+    bool const usable = idleFor < std::min(policy_.idleTimeout, youngest.timeout) &&
+                        youngest.socket->state() == QAbstractSocket::ConnectedState &&
+                        youngest.socket->bytesAvailable() == 0;
+    if (usable) {
+      youngest.socket->disconnect(this);
+      out = {youngest.socket, idleFor >= restedAfter};
     } else {
-      closeSocket(last.socket);
+      closeSocket(youngest.socket);
     }
   }
-  if (it != idle_.end() && it->second.empty()) idle_.erase(it);
-  return new UpstreamConnection(address, std::move(events), parent, this, socket, rested);
+  if (connections.empty()) idle_.erase(found);
+  return out;
 }
 
-void UpstreamPool::put(std::string const& address, QTcpSocket* socket, core::Tick keepAlive) {
+void UpstreamPool::put(std::string const& address, QTcpSocket* socket, core::Tick keepAliveTimeout) {
   socket->setParent(this);
-  core::Tick const limit = std::min(kept_.idleLimit, keepAlive / 2);
-  if (limit <= 0) {
+  core::Tick const timeout = std::min(policy_.idleTimeout, keepAliveTimeout / 2);
+  if (timeout <= 0) {
     closeSocket(socket);
     return;
   }
-  QObject::connect(socket, &QTcpSocket::readyRead, this, [this, address, socket] { forget(address, socket); });
-  QObject::connect(socket, &QTcpSocket::disconnected, this, [this, address, socket] { forget(address, socket); });
-  std::vector<Idle>& all = idle_[address];
-  all.push_back(Idle{socket, now_(), limit});
-  ++count_;
-  if (all.size() > kept_.perReplica) {
-    closeSocket(all.front().socket);
-    all.erase(all.begin());
-    --count_;
+  QObject::connect(socket, &QTcpSocket::readyRead, this, [this, address, socket] { remove(address, socket); });
+  QObject::connect(socket, &QTcpSocket::disconnected, this, [this, address, socket] { remove(address, socket); });
+  std::vector<IdleConnection>& connections = idle_[address];
+  connections.push_back(IdleConnection{socket, now_(), timeout});
+  ++idleCount_;
+  if (connections.size() > policy_.maxIdlePerReplica) {
+    closeSocket(connections.front().socket);
+    connections.erase(connections.begin());
+    --idleCount_;
   }
-  if (!sweep_.isActive()) sweep_.start(sweepEveryMs);
+  if (!expiryTimer_.isActive()) expiryTimer_.start(expiryIntervalMs);
 }
 
-void UpstreamPool::forget(std::string const& address, QTcpSocket* socket) {
-  std::unordered_map<std::string, std::vector<Idle>>::iterator const it = idle_.find(address);
-  if (it == idle_.end()) return;
-  count_ -= std::erase_if(it->second, [socket](Idle const& i) { return i.socket == socket; });
-  if (it->second.empty()) idle_.erase(it);
+void UpstreamPool::remove(std::string const& address, QTcpSocket* socket) {
+  auto const found = idle_.find(address);
+  if (found == idle_.end()) return;
+  idleCount_ -=
+      std::erase_if(found->second, [socket](IdleConnection const& connection) { return connection.socket == socket; });
+  if (found->second.empty()) idle_.erase(found);
   closeSocket(socket);
 }
 
-void UpstreamPool::drop(std::string const& address) {
-  std::unordered_map<std::string, std::vector<Idle>>::iterator const it = idle_.find(address);
-  if (it == idle_.end()) return;
-  for (Idle const& i : it->second) closeSocket(i.socket);
-  count_ -= it->second.size();
-  idle_.erase(it);
+void UpstreamPool::closeIdle(std::string const& address) {
+  auto const found = idle_.find(address);
+  if (found == idle_.end()) return;
+  for (IdleConnection const& connection : found->second) closeSocket(connection.socket);
+  idleCount_ -= found->second.size();
+  idle_.erase(found);
 }
 
-void UpstreamPool::setKept(KeepAlivePolicy kept) {
-  kept_ = kept;
-  std::vector<std::string> all;
-  if (kept.perReplica == 0)
-    for (std::unordered_map<std::string, std::vector<Idle>>::value_type const& a : idle_) all.push_back(a.first);
-  for (std::string const& a : all) drop(a);
+void UpstreamPool::setKeepAlive(KeepAlivePolicy policy) {
+  policy_ = policy;
+  if (policy.maxIdlePerReplica > 0) return;
+  std::vector<std::string> addresses;
+  for (auto const& [address, connections] : idle_) addresses.push_back(address);
+  for (std::string const& address : addresses) closeIdle(address);
 }
 
-void UpstreamPool::sweep() {
+void UpstreamPool::closeExpired() {
   core::Tick const now = now_();
-  for (std::unordered_map<std::string, std::vector<Idle>>::iterator it = idle_.begin(); it != idle_.end();) {
-    count_ -= std::erase_if(it->second, [&](Idle const& i) {
-      bool const old = now - i.since >= std::min(kept_.idleLimit, i.limit);
-      if (old) closeSocket(i.socket);
-      return old;
+  for (auto entry = idle_.begin(); entry != idle_.end();) {
+    idleCount_ -= std::erase_if(entry->second, [&](IdleConnection const& connection) {
+      bool const expired = now - connection.since >= std::min(policy_.idleTimeout, connection.timeout);
+      if (expired) closeSocket(connection.socket);
+      return expired;
     });
-    it = it->second.empty() ? idle_.erase(it) : std::next(it);
+    entry = entry->second.empty() ? idle_.erase(entry) : std::next(entry);
   }
-  if (count_ == 0) sweep_.stop();
+  if (idleCount_ == 0) expiryTimer_.stop();
 }
 
 }  // namespace corkward::http
--- a/http/test/descriptors_test.cpp
+++ b/http/test/descriptors_test.cpp
@@ -39,8 +39,8 @@
   LateClient() : socket(new QTcpSocket()) { socket->bind(QHostAddress(QHostAddress::LocalHost), 0); }
   ~LateClient() { socket->deleteLater(); }
   void ask(std::string const& address) {
-    std::pair<std::string, std::uint16_t> const at = http::splitAddress(address);
-    socket->connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
+    http::SocketAddress const at = http::parseSocketAddress(address);
+    socket->connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
     socket->write("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
   }
   bool answered() {
@@ -55,11 +55,11 @@
 
 }  // namespace
 
-TEST_CASE("a server that had no descriptor left takes connections as soon as there are some again", "[descriptors]") {
+TEST_CASE("a server that was out of descriptors accepts connections as soon as there are some again", "[descriptors]") {
   application();
   http::Server* at = nullptr;
   http::Server::Events events;
-  events.request = [&](http::Request const& r) { at->answer(r.id, 200, {}, "ok"); };
+  events.request = [&](http::Request const& r) { at->respond(r.id, 200, {}, "ok"); };
   http::Server server("127.0.0.1:0", http::ServerLimits{}, events);
   at = &server;
   LateClient first;
@@ -70,7 +70,7 @@
     REQUIRE(until([&] { return first.socket->state() == QAbstractSocket::ConnectedState; }));
     // The server's turn to accept has come when the event loop has nothing left to do at once.
     while (QCoreApplication::eventDispatcher()->processEvents(QEventLoop::AllEvents)) continue;
-    CHECK(server.connections() == 0);
+    CHECK(server.connectionCount() == 0);
   }
   CHECK(first.answered());
   second.ask(server.address());
--- a/http/test/golden_exchange.h
+++ b/http/test/golden_exchange.h
@@ -28,16 +28,16 @@
 
   /// One more connection, which stays open and asks for nothing.
   void occupy() {
-    std::pair<std::string, std::uint16_t> const at = splitAddress(server_.address());
-    idle_.connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
-    until([this] { return server_.connections() == 1; });
+    SocketAddress const at = parseSocketAddress(server_.address());
+    idle_.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
+    until([this] { return server_.connectionCount() == 1; });
   }
   /// Sends the bytes on a connection of their own and gives all bytes of the one answer.
   std::string answerTo(std::string const& bytes, Serve serve) {
     serve_ = std::move(serve);
-    std::pair<std::string, std::uint16_t> const at = splitAddress(server_.address());
+    SocketAddress const at = parseSocketAddress(server_.address());
     QTcpSocket socket;
-    socket.connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
+    socket.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
     socket.write(QByteArray::fromStdString(bytes));
     bool const bodiless = bytes.rfind("HEAD ", 0) == 0;
     std::string got;
@@ -53,7 +53,7 @@
     Server::Events e;
     e.request = [this](Request const& request) {
       Request said = request;
-      said.readFor = saidReadFor;
+      said.readDuration = saidReadFor;
       serve_(server_, said);
     };
     return e;
@@ -63,7 +63,7 @@
     std::string const got = goesOn ? all.substr(all.find("\r\n\r\n") + 4) : all;
     std::size_t const end = got.find("\r\n\r\n");
     if (end == std::string::npos) return false;
-    std::string const head = lower(got.substr(0, end));
+    std::string const head = toLower(got.substr(0, end));
     std::size_t const status = std::stoul(head.substr(head.find(' ') + 1, 3));
     if (bodiless || status == 204 || status == 304) return true;
     if (head.find("transfer-encoding: chunked") != std::string::npos)
@@ -129,13 +129,13 @@
   line("prefix", r.prefix);
   line("deadline", std::to_string(r.deadline));
   line("read-for", std::to_string(r.readFor));
-  line("events", caller.events ? "yes" : "no");
-  line("last-event", caller.lastEvent);
+  line("events", caller.isEventStream ? "yes" : "no");
+  line("last-event", caller.lastEventId);
   return out;
 }
 
 inline std::string shown(ReplicaRequest const& request) {
-  return request.method + " " + request.target + "\n" + shown(request.fields);
+  return request.method + " " + request.target + "\n" + shown(request.headers);
 }
 
 inline std::string shown(dataplane::ResponseHead const& head) {
@@ -178,7 +178,7 @@
       event = shown(caller);
       dataplane::Reject const reject{request.id, caller.request ? 503 : caller.status,
                                      caller.request ? "answered by the test" : caller.reason, true, 0};
-      server.answer(request.id, reject.status, mapping.rejectFields(reject), mapping.rejectBody(reject));
+      server.respond(request.id, reject.status, mapping.rejectionHeaders(reject), mapping.rejectionBody(reject));
     });
     text_ += event;
     if (event.rfind("request", 0) != 0) text_ += "<\n" + shown(got);
@@ -186,17 +186,18 @@
   /// What the server itself answers to the bytes.
   void refused(std::string const& bytes) {
     text_ += ">\n" + shown(bytes) + "<\n" + shown(exchange_.answerTo(bytes, [](Server& server, Request const& request) {
-               server.answer(request.id, 200, {}, "served");
+               server.respond(request.id, 200, {}, "served");
              }));
   }
   void rejected(Mapping const& mapping, dataplane::Reject const& reject, std::string const& method = "POST") {
     text_ += "reject " + std::to_string(reject.status) + (reject.notExecuted ? " not-run" : "") +
              (reject.reachedReplica ? " reached" : "") + " retry-after=" + std::to_string(reject.retryAfter) + " " +
              method + "\n<\n" +
-             shown(exchange_.answerTo(
-                 method + " /x HTTP/1.1\r\nHost: h\r\n\r\n", [&](Server& server, Request const& request) {
-                   server.answer(request.id, reject.status, mapping.rejectFields(reject), mapping.rejectBody(reject));
-                 }));
+             shown(exchange_.answerTo(method + " /x HTTP/1.1\r\nHost: h\r\n\r\n",
+                                      [&](Server& server, Request const& request) {
+                                        server.respond(request.id, reject.status, mapping.rejectionHeaders(reject),
+                                                       mapping.rejectionBody(reject));
+                                      }));
   }
   /// What a replica is handed for the caller's bytes.
   void dispatch(Mapping const& mapping, std::string const& bytes, dataplane::SendRequest const& handOver,
@@ -208,23 +209,23 @@
       text_ += "to the replica\n";
       if (caller.request)
         text_ += shown(mapping.replicaRequest(Dispatch{request, *caller.request, path, handOver, resume}));
-      server.answer(request.id, 200, {}, "");
+      server.respond(request.id, 200, {}, "");
     });
   }
   /// The answer that a caller gets for a replica's, with that body.
   void replicaAnswer(Mapping const& mapping, ReplicaHead const& replica, std::string const& body,
                      HeaderMap const& asked = {}) {
-    text_ += "replica " + std::to_string(replica.status) + " length=" + std::to_string(replica.length) + "\n" +
-             shown(replica.fields);
+    text_ += "replica " + std::to_string(replica.status) + " length=" + std::to_string(replica.bodyLength) + "\n" +
+             shown(replica.headers);
     Request request;
     request.method = "POST";
-    request.fields = asked;
-    dataplane::ResponseHead const head = mapping.head(replica, request);
+    request.headers = asked;
+    dataplane::ResponseHead const head = mapping.responseHead(replica, request);
     text_ += shown(head) + "<\n" +
              shown(exchange_.answerTo("POST /x HTTP/1.1\r\nHost: h\r\n\r\n", [&](Server& server, Request const& r) {
-               server.begin(r.id, head.status, head.fields, head.length, head.reason);
+               server.beginResponse(r.id, head.status, head.fields, head.length, head.reason);
                server.writeChunk(r.id, body);
-               server.finish(r.id);
+               server.finishResponse(r.id);
              }));
   }
   void operatorCall(OperatorMapping const& mapping, std::string const& bytes) {
@@ -233,8 +234,9 @@
     std::string const got = exchange_.answerTo(bytes, [&](Server& server, Request const& request) {
       OperatorRequest const asked = mapping.operatorCall(request, "fresh");
       event = shown(asked);
-      server.answer(request.id, asked.call ? 200 : asked.answer.status, asked.call ? HeaderList{} : asked.answer.fields,
-                    asked.call ? "" : asked.answer.body);
+      server.respond(request.id, asked.call ? 200 : asked.immediateResponse.status,
+                     asked.call ? HeaderList{} : asked.immediateResponse.headers,
+                     asked.call ? "" : asked.immediateResponse.body);
     });
     text_ += event;
     if (event.rfind("call", 0) != 0) text_ += "<\n" + shown(got);
@@ -242,13 +244,13 @@
   void operatorAnswer(OperatorMapping const& mapping, transport::OperatorCall const& call, int status,
                       std::string const& body) {
     text_ += "answer to " + call.method + " " + call.path + ": " + std::to_string(status) + " " + body + "\n";
-    whole(mapping.answer(call, status, core::parseJson(body).toObject()));
+    whole(mapping.response(call, status, core::parseJson(body).toObject()));
   }
   /// An answer as bytes.
   void whole(Response const& answer) {
     text_ += "<\n" + shown(exchange_.answerTo("GET /x HTTP/1.1\r\nHost: h\r\n\r\n",
                                               [&](Server& server, Request const& request) {
-                                                server.answer(request.id, answer.status, answer.fields, answer.body);
+                                                server.respond(request.id, answer.status, answer.headers, answer.body);
                                               }));
   }
 
--- a/http/test/golden_mapping_test.cpp
+++ b/http/test/golden_mapping_test.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("golden: callers' requests on the product's own surface") {
+TEST_CASE("golden: callers' requests on the native surface") {
   application();
   Transcript t;
   http::NativeMapping const own;
@@ -74,7 +74,7 @@
   t.refused("POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n{}");
   t.refused("POST /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}");
   http::ServerLimits one = http::ServerLimits();
-  one.connections = 1;
+  one.maxConnections = 1;
   Transcript full(one);
   full.occupy();
   full.refused("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}");
@@ -83,7 +83,7 @@
   check("caller_requests.txt", t);
 }
 
-TEST_CASE("golden: rejections on the product's own surface") {
+TEST_CASE("golden: rejections on the native surface") {
   application();
   Transcript t;
   http::NativeMapping const own;
@@ -98,7 +98,7 @@
   check("rejections.txt", t);
 }
 
-TEST_CASE("golden: what a replica is handed on the product's own surface") {
+TEST_CASE("golden: requests to replicas on the native surface") {
   application();
   Transcript t;
   http::NativeMapping const own;
@@ -117,7 +117,7 @@
   check("replica_requests.txt", t);
 }
 
-TEST_CASE("golden: replicas' answers on the product's own surface") {
+TEST_CASE("golden: replicas' responses on the native surface") {
   application();
   Transcript t;
   http::NativeMapping const own;
@@ -141,7 +141,7 @@
   check("replica_answers.txt", t);
 }
 
-TEST_CASE("golden: operators' requests on the product's own surface") {
+TEST_CASE("golden: operators' requests on the native surface") {
   application();
   Transcript t;
   http::NativeOperatorMapping const own;
@@ -160,7 +160,7 @@
   check("operator_requests.txt", t);
 }
 
-TEST_CASE("golden: answers to operators on the product's own surface") {
+TEST_CASE("golden: responses to operators on the native surface") {
   application();
   Transcript t;
   http::NativeOperatorMapping const own;
--- a/http/test/http_test.cpp
+++ b/http/test/http_test.cpp
@@ -53,9 +53,9 @@
   http::UpstreamConnection* upstream = nullptr;
   http::UpstreamConnection::Events e;
   e.connected = [&] { upstream->send({"POST", "/x"}, "{}"); };
-  e.rejected = [&] { got.rejected = true; };
+  e.connectFailed = [&] { got.rejected = true; };
   e.head = [&](http::ReplicaHead h) { got.status = h.status; };
-  e.piece = [&](std::string bytes) { got.body += bytes; };
+  e.chunk = [&](std::string bytes) { got.body += bytes; };
   e.ended = [&](bool whole) { got.ended = whole ? 1 : 0; };
   upstream = new http::UpstreamConnection(address, std::move(e), &owner);
   REQUIRE(until([&] { return got.rejected || got.ended >= 0; }));
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-TEST_CASE("a body counts as whole only when the replica's own end was seen") {
+TEST_CASE("a body is complete only when the response's own end was seen") {
   application();
   struct Row {
     char const* bytes;
@@ -90,7 +90,7 @@
   CHECK(forwarded("127.0.0.1:1").rejected);
 }
 
-TEST_CASE("a paused relay stops reading, so a slow caller holds its replica back") {
+TEST_CASE("a paused connection stops reading, so that a slow caller slows its replica down") {
   application();
   std::string const body(8 << 20, 'x');
   Raw const raw("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body, true);
@@ -101,13 +101,13 @@
   bool paused = false;
   http::UpstreamConnection::Events e;
   e.connected = [&] { upstream->send({"POST", "/x"}, "{}"); };
-  e.rejected = [] {};
+  e.connectFailed = [] {};
   e.head = [](http::ReplicaHead) {};
-  e.piece = [&](std::string bytes) {
+  e.chunk = [&](std::string bytes) {
     got += bytes.size();
     if (got > (1 << 20) && !paused) {
       paused = true;
-      upstream->pause(true);
+      upstream->setPaused(true);
     }
   };
   e.ended = [&](bool whole) { ended = whole ? 1 : 0; };
@@ -117,25 +117,27 @@
   for (int i = 0; i < 200; ++i) QCoreApplication::processEvents();
   CHECK(got == at);
   CHECK(ended == -1);
-  upstream->pause(false);
+  upstream->setPaused(false);
   REQUIRE(until([&] { return ended >= 0; }));
   CHECK(ended == 1);
   CHECK(got == body.size());
 }
 
-TEST_CASE("random and damaged requests get an answer or an end, and the HTTP edge goes on") {
+TEST_CASE("random and damaged requests get a response or an end, and the server goes on") {
   application();
   std::size_t served = 0;
   http::Server* http = nullptr;
   http::Server::Events e;
   e.request = [&](http::Request r) {
     ++served;
-    http->answer(r.id, 200, {}, "ok");
+    http->respond(r.id, 200, {}, "ok");
   };
-  http::Server server("127.0.0.1:0", http::ServerLimits{.head = 2048, .body = 4096, .headMs = 100, .idleMs = 100},
-                      std::move(e));
+  http::Server server(
+      "127.0.0.1:0",
+      http::ServerLimits{.headLimitBytes = 2048, .bodyLimitBytes = 4096, .headTimeoutMs = 100, .idleTimeoutMs = 100},
+      std::move(e));
   http = &server;
-  std::pair<std::string, std::uint16_t> const at = http::splitAddress(server.address());
+  http::SocketAddress const at = http::parseSocketAddress(server.address());
   std::string const good = "POST /v1/a/b HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
   core::RandomGenerator rng(11);
   for (int round = 0; round < 400; ++round) {
@@ -149,30 +151,30 @@
       bytes.resize(rng.below(bytes.size()));
     }
     QTcpSocket socket;
-    socket.connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
+    socket.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
     socket.write(QByteArray::fromStdString(bytes));
     REQUIRE(
         until([&] { return socket.bytesAvailable() > 0 || (socket.state() == QAbstractSocket::UnconnectedState); }));
   }
   std::size_t const before = served;
   QTcpSocket socket;
-  socket.connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
+  socket.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
   socket.write(QByteArray::fromStdString(good + good));
   REQUIRE(until([&] { return served == before + 2; }));
-  CHECK(server.malformed() > 100);
+  CHECK(server.malformedRequests() > 100);
 }
 
-TEST_CASE("a caller over the bound of connections is told at once when to come back") {
+TEST_CASE("a caller beyond the limit of connections is rejected at once with a time to retry") {
   application();
   http::Server::Events e;
   e.request = [](http::Request) {};
-  http::Server server("127.0.0.1:0", http::ServerLimits{.connections = 2}, std::move(e));
-  std::pair<std::string, std::uint16_t> const at = http::splitAddress(server.address());
+  http::Server server("127.0.0.1:0", http::ServerLimits{.maxConnections = 2}, std::move(e));
+  http::SocketAddress const at = http::parseSocketAddress(server.address());
   QTcpSocket first;
   QTcpSocket second;
   QTcpSocket third;
   for (QTcpSocket* const s : {&first, &second, &third}) {
-    s->connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
+    s->connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
     REQUIRE(until([&] { return s->state() == QAbstractSocket::ConnectedState; }));
   }
   REQUIRE(until([&] { return third.bytesAvailable() > 0; }));
@@ -183,9 +185,11 @@
   CHECK(first.bytesAvailable() == 0);
 }
 
-TEST_CASE("an answer's ETag is what a change built on it says in If-Match") {
+TEST_CASE("the ETag of a response is what a change based on it has in If-Match") {
   http::NativeOperatorMapping const operators;
-  CHECK(http::field(operators.answer({}, 200, QJsonObject{{"stamp", 3}}).fields, "etag") == "\"3\"");
-  CHECK(http::field(operators.answer({}, 200, QJsonObject{{"stamp", 3}, {"version", 70}}).fields, "etag") == "\"70\"");
-  CHECK(http::field(operators.answer({}, 412, QJsonObject{{"stamp", 3}, {"version", 70}}).fields, "etag").empty());
+  CHECK(http::headerValue(operators.response({}, 200, QJsonObject{{"stamp", 3}}).headers, "etag") == "\"3\"");
+  CHECK(http::headerValue(operators.response({}, 200, QJsonObject{{"stamp", 3}, {"version", 70}}).headers, "etag") ==
+        "\"70\"");
+  CHECK(http::headerValue(operators.response({}, 412, QJsonObject{{"stamp", 3}, {"version", 70}}).headers, "etag")
+            .empty());
 }
--- a/http/test/response_guarantees_test.cpp
+++ b/http/test/response_guarantees_test.cpp
@@ -22,8 +22,8 @@
     http::Server::Events events;
     events.request = [this, answer](http::Request const& r) { answer(*server, r.id); };
     server = std::make_unique<http::Server>("127.0.0.1:0", http::ServerLimits{}, events);
-    std::pair<std::string, std::uint16_t> const at = http::splitAddress(server->address());
-    socket.connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
+    http::SocketAddress const at = http::parseSocketAddress(server->address());
+    socket.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
     socket.write("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
   }
   /// What the caller gets until its connection ends.
@@ -41,11 +41,11 @@
 
 }  // namespace
 
-TEST_CASE("an answer that is ended before all its bytes are there is cut, and counts as a broken promise") {
+TEST_CASE("a response that is finished before its body is complete resets the connection, and violates a guarantee") {
   Exchange exchange([](http::Server& server, std::uint64_t id) {
-    server.begin(id, 200, {}, 10);
+    server.beginResponse(id, 200, {}, 10);
     server.writeChunk(id, "1234");
-    server.finish(id);
+    server.finishResponse(id);
   });
   CHECK_FALSE(exchange.untilCut().endsWith("1234567890"));
   std::vector<std::string> const broken = core::GuaranteeCounts::ofThread().takeNewViolations();
@@ -53,14 +53,14 @@
   CHECK(broken[0] == "promise whole-answers broken 1 times, first: 6 bytes are missing");
 }
 
-TEST_CASE("a second head for one request cuts the connection, and counts as a broken promise") {
+TEST_CASE("a second head for one request resets the connection, and violates a guarantee") {
   bool const whole = GENERATE(true, false);
   Exchange exchange([whole](http::Server& server, std::uint64_t id) {
-    server.begin(id, 200, {}, 10);
+    server.beginResponse(id, 200, {}, 10);
     if (whole)
-      server.answer(id, 503, {}, "late");
+      server.respond(id, 503, {}, "late");
     else
-      server.begin(id, 200, {}, 10);
+      server.beginResponse(id, 200, {}, 10);
   });
   CHECK(exchange.untilCut().count("HTTP/1.1") <= 1);
   std::vector<std::string> const broken = core::GuaranteeCounts::ofThread().takeNewViolations();
--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -129,16 +129,16 @@
       got.connected = true;
       upstream->send({method, "/x"}, method == "POST" ? "{}" : "");
     };
-    e.rejected = [this] { got.rejected = true; };
+    e.connectFailed = [this] { got.rejected = true; };
     e.head = [this](http::ReplicaHead h) {
       got.status = h.status;
-      if (stopAtHead) upstream->stop();
+      if (stopAtHead) upstream->close();
       if (releaseAtHead) upstream->release();
     };
-    e.piece = [this](std::string bytes) { got.body += bytes; };
+    e.chunk = [this](std::string bytes) { got.body += bytes; };
     e.ended = [this](bool whole) {
       got.ended = whole ? 1 : 0;
-      got.forgotten = upstream->forgotten();
+      got.forgotten = upstream->isStale();
       ++got.ends;
     };
     upstream = upstreams.acquire(address, fresh, std::move(e), &owner);
@@ -166,30 +166,30 @@
 
 }  // namespace
 
-TEST_CASE("a connection goes back after a whole answer and carries the next request") {
+TEST_CASE("a connection is returned after a complete response and reused for the next request") {
   application();
   Rig rig({});
   for (int i = 0; i < 20; ++i) {
     Got const got = rig.ask();
     REQUIRE(got.ended == 1);
     REQUIRE(got.body == "ok");
-    REQUIRE(rig.upstreams.idle() == 1);
+    REQUIRE(rig.upstreams.idleCount() == 1);
   }
   CHECK(rig.replica.connections == 1);
-  CHECK(rig.upstreams.opened() == 1);
-  CHECK(rig.upstreams.reused() == 19);
+  CHECK(rig.upstreams.openedCount() == 1);
+  CHECK(rig.upstreams.reusedCount() == 19);
 }
 
-TEST_CASE("no connection is kept unless that is asked for") {
+TEST_CASE("no connection is kept unless the policy says so") {
   application();
   Rig rig({}, http::KeepAlivePolicy{});
   rig.ask();
   rig.ask();
-  CHECK(rig.upstreams.idle() == 0);
+  CHECK(rig.upstreams.idleCount() == 0);
   CHECK(rig.replica.connections == 2);
 }
 
-TEST_CASE("a connection is not kept after an answer that ends it, is not whole, or has bytes after it") {
+TEST_CASE("a connection is not kept after a response that closes it, is incomplete, or has bytes after it") {
   application();
   struct Row {
     char const* bytes;
@@ -225,13 +225,13 @@
     Rig rig({{r.bytes, false}});
     Got const got = rig.ask();
     CHECK(got.ended == r.ended);
-    CHECK(rig.upstreams.idle() == (r.kept ? 1 : 0));
+    CHECK(rig.upstreams.idleCount() == (r.kept ? 1 : 0));
     CHECK(rig.ask().body == "ok");
     CHECK(rig.replica.connections == (r.kept ? 1 : 2));
   }
 }
 
-TEST_CASE("an answer that is cut at any byte does not look whole") {
+TEST_CASE("a response that is cut at any byte is incomplete") {
   application();
   std::string const bytes =
       GENERATE("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
@@ -245,7 +245,7 @@
   }
 }
 
-TEST_CASE("only a kept connection that was long idle and says nothing counts as forgotten") {
+TEST_CASE("only a reused connection that was long idle and brings nothing is stale") {
   application();
   struct Row {
     std::string bytes;
@@ -256,7 +256,7 @@
        {Row{"", 600, true}, Row{"", 10, false}, Row{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", 600, false}}) {
     Rig rig({{good, false}, {r.bytes, true}, {"", true}});
     rig.ask();
-    REQUIRE(rig.upstreams.idle() == 1);
+    REQUIRE(rig.upstreams.idleCount() == 1);
     rig.now += r.idle;
     Got const got = rig.ask();
     CHECK(got.ended == 0);
@@ -266,11 +266,11 @@
   }
 }
 
-TEST_CASE("an idle connection that is closed or says something is thrown away") {
+TEST_CASE("an idle connection that ends or brings bytes is closed") {
   application();
   Rig rig({});
   rig.ask();
-  REQUIRE(rig.upstreams.idle() == 1);
+  REQUIRE(rig.upstreams.idleCount() == 1);
   SECTION("closed") {
     rig.replica.last->disconnectFromHost();
   }
@@ -280,12 +280,12 @@
   SECTION("a late answer") {
     rig.replica.last->write(good);
   }
-  REQUIRE(until([&] { return rig.upstreams.idle() == 0; }));
+  REQUIRE(until([&] { return rig.upstreams.idleCount() == 0; }));
   CHECK(rig.ask().ended == 1);
   CHECK(rig.replica.connections == 2);
 }
 
-TEST_CASE("a connection that ends or speaks between being lent and being used is replaced unseen") {
+TEST_CASE("a reused connection that ends or brings bytes before it is used is replaced by a new one") {
   application();
   Rig rig({});
   rig.ask();
@@ -304,10 +304,10 @@
   CHECK(got.ends == 1);
   CHECK(rig.replica.requests == 2);
   CHECK(rig.replica.connections == 2);
-  CHECK(rig.upstreams.reused() == 0);
+  CHECK(rig.upstreams.reusedCount() == 0);
 }
 
-TEST_CASE("a request on a kept connection that ends at that moment is broken and never sent again") {
+TEST_CASE("a request on a reused connection that ends at that moment fails and is not sent again") {
   application();
   Rig rig({{good, false}, {"", true}});
   rig.ask();
@@ -321,19 +321,21 @@
   CHECK(rig.replica.connections == 1);
 }
 
-TEST_CASE("an error at an address throws away all that is kept of it") {
+TEST_CASE("an error at an address closes all idle connections to it") {
   application();
   Rig rig({{good, false}, {good, false}, {"nonsense\r\n\r\n", false}});
   Ask one(rig.upstreams, rig.replica.address());
   Ask two(rig.upstreams, rig.replica.address());
   one.wait();
   two.wait();
-  REQUIRE(rig.upstreams.idle() == 2);
+  REQUIRE(rig.upstreams.idleCount() == 2);
   CHECK(rig.ask().ended == 0);
-  CHECK(rig.upstreams.idle() == 0);
+  CHECK(rig.upstreams.idleCount() == 0);
 }
 
-TEST_CASE("an idle connection is used up to its age, half of the replica's own, and the bound of a single run") {
+TEST_CASE(
+    "an idle connection is used up to the policy's time-out, half of the replica's, and the one for single "
+    "executions") {
   application();
   struct Row {
     char const* bytes;
@@ -356,7 +358,7 @@
   }
 }
 
-TEST_CASE("no more idle connections are kept of a replica than the bound") {
+TEST_CASE("at most the policy's number of idle connections to a replica is kept") {
   application();
   Rig rig({});
   Ask one(rig.upstreams, rig.replica.address());
@@ -365,13 +367,13 @@
   one.wait();
   two.wait();
   three.wait();
-  CHECK(rig.upstreams.idle() == 2);
+  CHECK(rig.upstreams.idleCount() == 2);
   REQUIRE(until([&] { return rig.replica.closed == 1; }));
-  rig.upstreams.setKept(http::KeepAlivePolicy{});
-  CHECK(rig.upstreams.idle() == 0);
+  rig.upstreams.setKeepAlive(http::KeepAlivePolicy{});
+  CHECK(rig.upstreams.idleCount() == 0);
 }
 
-TEST_CASE("an answer that is not wanted ends its connection, or is read to its end when it is short") {
+TEST_CASE("an unwanted response closes its connection, or is read to its end when it is short") {
   application();
   bool const stop = GENERATE(true, false);
   std::string const bytes =
@@ -383,7 +385,7 @@
     unwanted.stopAtHead = stop;
     unwanted.releaseAtHead = !stop;
     unwanted.wait();
-    REQUIRE(until([&] { return kept ? rig.upstreams.idle() == 1 : rig.replica.closed == 1; }));
+    REQUIRE(until([&] { return kept ? rig.upstreams.idleCount() == 1 : rig.replica.closed == 1; }));
     CHECK(unwanted.got.body.empty());
     CHECK(unwanted.got.ends == 0);
   }
@@ -391,15 +393,15 @@
   CHECK(rig.replica.connections == (kept ? 1 : 2));
 }
 
-TEST_CASE("an answer to HEAD has no body, whatever its length says") {
+TEST_CASE("a response to HEAD has no body, whatever its length says") {
   application();
   Rig rig({{"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n", false}});
   Ask ask(rig.upstreams, rig.replica.address(), false, "HEAD");
   CHECK(ask.wait().ended == 1);
-  CHECK(rig.upstreams.idle() == 1);
+  CHECK(rig.upstreams.idleCount() == 1);
 }
 
-TEST_CASE("no event comes from within a call, and a refused connection is told once") {
+TEST_CASE("no event comes from within a call, and a refused connection is reported once") {
   application();
   http::UpstreamPool upstreams({2, 5000, 0}, [] { return 1; });
   Ask ask(upstreams, "127.0.0.1:1");
@@ -409,7 +411,9 @@
   CHECK_FALSE(ask.got.connected);
 }
 
-TEST_CASE("an answer of no length is whole when its connection is closed in order, and cut by a reset at any byte") {
+TEST_CASE(
+    "a response without a length is complete when its connection is closed in order, and incomplete after a reset at "
+    "any byte") {
   application();
   std::string const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
   std::string const body = GENERATE("", "h", "hello");
@@ -426,28 +430,28 @@
   CHECK(got.ended == (inOrder ? 1 : 0));
   CHECK(got.ends == 1);
   CHECK(got.body == body);
-  CHECK(rig.upstreams.idle() == 0);
+  CHECK(rig.upstreams.idleCount() == 0);
 }
 
-TEST_CASE("an answer of no length that waits for a slow caller ends as its connection did") {
+TEST_CASE("a response without a length that waits for a slow caller ends as its connection did") {
   application();
   bool const inOrder = GENERATE(true, false);
   std::string const body(3 << 20, 'b');
   Rig rig({{"HTTP/1.1 200 OK\r\n\r\n" + body, inOrder}}, {2, 5000, 0, true});
   Ask ask(rig.upstreams, rig.replica.address());
   REQUIRE(until([&] { return ask.got.status == 200; }));
-  ask.upstream->pause(true);
+  ask.upstream->setPaused(true);
   if (!inOrder) rig.replica.resetLast();
   int const closedBefore = rig.replica.closed;
   REQUIRE(until([&] { return inOrder || rig.replica.closed >= closedBefore; }));
-  ask.upstream->pause(false);
+  ask.upstream->setPaused(false);
   Got const got = ask.wait();
   CHECK(got.ended == (inOrder ? 1 : 0));
   CHECK(got.ends == 1);
   CHECK((got.body.size() == body.size()) == inOrder);
 }
 
-TEST_CASE("a stopped connection tells nothing more, not even a rejection that was under way") {
+TEST_CASE("a closed connection reports nothing more, not even a failure that was on its way") {
   application();
   Rig rig({});
   http::UpstreamConnection::Events e;
@@ -460,10 +464,10 @@
     other->write("surplus");
     other->flush();
     upstream->send({"POST", "/x"}, "{}");
-    upstream->stop();
+    upstream->close();
     stopped = true;
   };
-  e.rejected = [&] { ++rejections; };
+  e.connectFailed = [&] { ++rejections; };
   upstream = rig.upstreams.acquire(rig.replica.address(), false, std::move(e), nullptr);
   REQUIRE(until([&] { return stopped; }));
   bool later = false;
@@ -487,7 +491,7 @@
     std::shared_ptr<http::UpstreamConnection*> const upstream = std::make_shared<http::UpstreamConnection*>(nullptr);
     http::UpstreamConnection::Events e;
     e.connected = [upstream, text] { (*upstream)->send({"POST", "/x"}, text); };
-    e.rejected = [] { FAIL("no connection"); };
+    e.connectFailed = [] { FAIL("no connection"); };
     e.head = [this, upstream, releases](http::ReplicaHead const&) {
       if (!releases) return;
       ++answered;
@@ -498,7 +502,7 @@
   }
 };
 
-TEST_CASE("a body that is read on after its early answer is followed by nothing but the next request's own bytes") {
+TEST_CASE("a request body that is read after an early response is followed by the next request alone") {
   application();
   constexpr std::size_t beyondAllBuffers = 48U << 20;
   bool const fits = GENERATE(true, false);
@@ -523,7 +527,7 @@
   CHECK(replica.got.back().find("next") != std::string::npos);
 }
 
-TEST_CASE("what follows a long body with an early answer doesn't wait behind the rest of that body") {
+TEST_CASE("a request that follows a long body with an early response does not wait behind the rest of that body") {
   // Found by the fuzzer (early-answers.json): the body lay whole in the system's buffers, so the connection was kept,
   // and the next request reached the replica only once that had read on.
   application();
@@ -536,7 +540,7 @@
   CHECK(calls.replica.got.size() == 2);
 }
 
-TEST_CASE("random and damaged answers get an end, and none that is damaged in its framing looks whole") {
+TEST_CASE("random and damaged responses come to an end, and none with damaged framing is complete") {
   application();
   core::RandomGenerator rng(3);
   std::string const whole = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
@@ -551,7 +555,7 @@
     Rig rig({{bytes, true}});
     Got const got = rig.ask();
     REQUIRE(got.ends == 1);
-    REQUIRE(rig.upstreams.idle() == 0);
+    REQUIRE(rig.upstreams.idleCount() == 0);
     if (round % 2 == 0) REQUIRE(got.ended == 0);
   }
 }
--- a/programs/common/graceful_shutdown.cpp
+++ b/programs/common/graceful_shutdown.cpp
@@ -30,8 +30,8 @@
   bool const outOfTime = now() >= deadline_;
   std::size_t const remaining = pending + server.pendingCount();
   if (!outOfTime && (remaining > 0 || now() < earliest_)) return;
-  server.close();
-  if (!outOfTime && server.pendingCount() + server.expecting() > 0) return;
+  server.closeListeners();
+  if (!outOfTime && server.pendingCount() + server.expectedRequests() > 0) return;
   core::writeLog(core::LogEvent{events::stopped, {{"pending", std::to_string(remaining)}}});
   QCoreApplication::exit(0);
 }
--- a/programs/common/metrics_server.cpp
+++ b/programs/common/metrics_server.cpp
@@ -19,13 +19,13 @@
     : metrics_(std::move(metrics)) {
   if (address.empty()) return;
   http::ServerLimits limits;
-  limits.connections = maxConnections;
-  limits.idleMs = idleTimeoutMs;
+  limits.maxConnections = maxConnections;
+  limits.idleTimeoutMs = idleTimeoutMs;
   http::Server::Events handlers;
   handlers.request = [this](http::Request const& request) {
     auto const alwaysReady = [] { return true; };
     if (serveStandardEndpoint(*server_, request, alwaysReady, metrics_)) return;
-    server_->answer(request.id, core::code(core::HttpStatus::notFound), {}, "");
+    server_->respond(request.id, core::code(core::HttpStatus::notFound), {}, "");
   };
   try {
     server_ = std::make_unique<http::Server>(address, limits, std::move(handlers));
--- a/programs/common/standard_endpoints.cpp
+++ b/programs/common/standard_endpoints.cpp
@@ -12,7 +12,7 @@
 constexpr char const* prometheusText = "text/plain; version=0.0.4";
 
 std::string malformedRequestsMetric(http::Server const& server) {
-  return metricText("corkward_malformed_requests_total", MetricType::counter, server.malformed());
+  return metricText("corkward_malformed_requests_total", MetricType::counter, server.malformedRequests());
 }
 
 }  // namespace
@@ -23,7 +23,7 @@
 
 void respondReadiness(http::Server& server, http::Request const& request, bool ready) {
   auto const status = ready ? core::HttpStatus::ok : core::HttpStatus::serviceUnavailable;
-  server.answer(request.id, core::code(status), {{"content-type", plainText}}, ready ? "ready\n" : "not ready\n");
+  server.respond(request.id, core::code(status), {{"content-type", plainText}}, ready ? "ready\n" : "not ready\n");
 }
 
 bool serveStandardEndpoint(http::Server& server, http::Request const& request, std::function<bool()> const& ready,
@@ -31,11 +31,11 @@
   int const ok = core::code(core::HttpStatus::ok);
   std::string const path = pathOf(request);
   if (path == "/healthz") {
-    server.answer(request.id, ok, {{"content-type", plainText}}, "ok\n");
+    server.respond(request.id, ok, {{"content-type", plainText}}, "ok\n");
   } else if (path == "/readyz") {
     respondReadiness(server, request, ready());
   } else if (path == "/metrics") {
-    server.answer(request.id, ok, {{"content-type", prometheusText}}, metrics() + malformedRequestsMetric(server));
+    server.respond(request.id, ok, {{"content-type", prometheusText}}, metrics() + malformedRequestsMetric(server));
   } else {
     return false;
   }
--- a/programs/control/control_daemon.cpp
+++ b/programs/control/control_daemon.cpp
@@ -95,7 +95,8 @@
   if (served) return;
   http::OperatorRequest const mapped = mapping_.operatorCall(request, randomId());
   if (!mapped.call) {
-    server_.answer(request.id, mapped.answer.status, mapped.answer.fields, mapped.answer.body);
+    server_.respond(request.id, mapped.immediateResponse.status, mapped.immediateResponse.headers,
+                    mapped.immediateResponse.body);
     return;
   }
   transport::OperatorCall call = *mapped.call;
@@ -117,9 +118,9 @@
 void ControlDaemon::respond(control::OperatorResponse const& response) {
   auto const found = pendingCalls_.find(response.token);
   if (found == pendingCalls_.end()) return;
-  http::Response const mapped = mapping_.answer(found->second, response.status, response.body);
+  http::Response const mapped = mapping_.response(found->second, response.status, response.body);
   pendingCalls_.erase(found);
-  server_.answer(response.token, mapped.status, mapped.fields, mapped.body);
+  server_.respond(response.token, mapped.status, mapped.headers, mapped.body);
 }
 
 void ControlDaemon::execute(control::ControllerCommands&& commands) {
--- a/programs/control/control_daemon.h
+++ b/programs/control/control_daemon.h
@@ -26,7 +26,7 @@
 struct ControllerSurface {
   /// Addresses for operators and the platform, ip:port, all served alike; empty: Settings::http.
   std::vector<std::string> addresses = {};
-  http::ServerLimits limits = http::ServerLimits{.body = control::maxFleetConfigurationBytes};
+  http::ServerLimits limits = http::ServerLimits{.bodyLimitBytes = control::maxFleetConfigurationBytes};
   /// Interval of the reducer's timer events, in milliseconds.
   int timerIntervalMs = 25;
   /// Whether /healthz, /readyz and /metrics are served.
--- a/programs/control/process_probe.cpp
+++ b/programs/control/process_probe.cpp
@@ -1,11 +1,10 @@
 #include "process_probe.h"
 
-#include <QHostAddress>
 #include <QTcpSocket>
 #include <QTimer>
 #include <utility>
 
-#include <corkward/http/server.h>
+#include <corkward/http/socket_address.h>
 
 namespace corkward::programs {
 
@@ -21,7 +20,6 @@
 }  // namespace
 
 void probeProcess(QObject* owner, std::string const& address, std::function<void()> refused) {
-  auto const [host, port] = http::splitAddress(address);
   auto* const socket = new QTcpSocket(owner);
   QObject::connect(socket, &QTcpSocket::errorOccurred, owner,
                    [socket, refused = std::move(refused)](QAbstractSocket::SocketError error) {
@@ -30,7 +28,7 @@
                    });
   QObject::connect(socket, &QTcpSocket::connected, owner, [socket] { discard(socket); });
   QTimer::singleShot(probeTimeoutMs, socket, [socket] { discard(socket); });
-  socket->connectToHost(QHostAddress(QString::fromStdString(host)), port);
+  http::connectSocket(*socket, address);
 }
 
 }  // namespace corkward::programs
--- a/programs/router/request_relay.cpp
+++ b/programs/router/request_relay.cpp
@@ -36,10 +36,10 @@
 
 void RequestRelay::add(http::Request request, http::CallerRequest caller) {
   ActiveRequest& active = requests_[request.id];
-  if (caller.events)
-    active.stream.asEvents(std::move(caller.lastEvent));
+  if (caller.isEventStream)
+    active.stream.asEvents(std::move(caller.lastEventId));
   else
-    active.lastEvent = std::move(caller.lastEvent);
+    active.lastEvent = std::move(caller.lastEventId);
   active.request = std::move(request);
   active.caller = std::move(*caller.request);
 }
@@ -47,9 +47,9 @@
 http::UpstreamConnection::Events RequestRelay::upstreamEvents(std::uint64_t id) {
   http::UpstreamConnection::Events events;
   events.connected = [this, id] { events_.connected(id); };
-  events.rejected = [this, id] { onConnectFailed(id); };
+  events.connectFailed = [this, id] { onConnectFailed(id); };
   events.head = [this, id](http::ReplicaHead const& head) { onHead(id, head); };
-  events.piece = [this, id](std::string bytes) { onChunk(id, std::move(bytes)); };
+  events.chunk = [this, id](std::string bytes) { onChunk(id, std::move(bytes)); };
   events.ended = [this, id](bool complete) { onEnded(id, complete); };
   return events;
 }
@@ -110,7 +110,7 @@
 void RequestRelay::execute(dataplane::Reject const& command) {
   closeUpstream(command.call);
   requests_.erase(command.call);
-  server_.answer(command.call, command.status, mapping_.rejectFields(command), mapping_.rejectBody(command));
+  server_.respond(command.call, command.status, mapping_.rejectionHeaders(command), mapping_.rejectionBody(command));
 }
 
 void RequestRelay::execute(dataplane::ResetDownstream const& command) {
@@ -127,13 +127,13 @@
     upstream->release();
     return;
   }
-  upstream->stop();
+  upstream->close();
   upstream->deleteLater();
 }
 
 void RequestRelay::onHead(std::uint64_t id, http::ReplicaHead const& head) {
   ActiveRequest* const active = find(id);
-  if (active != nullptr) apply(id, active->stream.head(mapping_.head(head, active->request)));
+  if (active != nullptr) apply(id, active->stream.head(mapping_.responseHead(head, active->request)));
 }
 
 void RequestRelay::onChunk(std::uint64_t id, std::string bytes) {
@@ -147,7 +147,7 @@
 void RequestRelay::onEnded(std::uint64_t id, bool complete) {
   ActiveRequest* const active = find(id);
   if (active == nullptr) return;
-  bool const stale = !complete && active->upstream != nullptr && active->upstream->forgotten();
+  bool const stale = !complete && active->upstream != nullptr && active->upstream->isStale();
   dataplane::StreamSteps steps = active->stream.ended(complete);
   if (stale && steps.ended == dataplane::UpstreamResult::connectionLost)
     steps.ended = dataplane::UpstreamResult::staleConnection;
@@ -157,7 +157,7 @@
 void RequestRelay::apply(std::uint64_t id, dataplane::StreamSteps&& steps) {
   if (steps.failed) events_.responseFailed(id);
   if (steps.begin)
-    server_.begin(id, steps.begin->status, steps.begin->fields, steps.begin->length, steps.begin->reason);
+    server_.beginResponse(id, steps.begin->status, steps.begin->fields, steps.begin->length, steps.begin->reason);
   if (!steps.chunk.empty()) server_.writeChunk(id, steps.chunk);
   if (steps.firstByte) events_.firstByte(id, *steps.firstByte);
   if (steps.closeUpstream) {
@@ -166,7 +166,7 @@
   }
   if (steps.finish) {
     requests_.erase(id);
-    server_.finish(id);
+    server_.finishResponse(id);
   }
   if (steps.ended) events_.finished(id, *steps.ended);
 }
@@ -183,7 +183,7 @@
   bool const reads = active != nullptr && active->upstream != nullptr && active->pausedSince == 0;
   if (!reads || server_.bufferedBytes(id) <= callerBufferLimit) return;
   active->pausedSince = now();
-  active->upstream->pause(true);
+  active->upstream->setPaused(true);
 }
 
 void RequestRelay::onCallerWritable(std::uint64_t id) {
@@ -191,7 +191,7 @@
   bool const paused = active != nullptr && active->pausedSince != 0 && active->upstream != nullptr;
   if (!paused || server_.bufferedBytes(id) >= callerBufferResume) return;
   active->pausedSince = 0;
-  active->upstream->pause(false);
+  active->upstream->setPaused(false);
 }
 
 void RequestRelay::onTimer() {
--- a/programs/router/router_daemon.cpp
+++ b/programs/router/router_daemon.cpp
@@ -83,10 +83,10 @@
 std::string RouterDaemon::metrics() const {
   using enum MetricType;
   return reducer_.metrics(now()) + metricText("corkward_garbage_frames_total", counter, link_.malformedFrames()) +
-         metricText("corkward_replica_connections_total", counter, upstreams_.opened()) +
-         metricText("corkward_replica_connections_reused_total", counter, upstreams_.reused()) +
-         metricText("corkward_caller_connections", gauge, server_.connections()) +
-         metricText("corkward_caller_accepts_failed_total", counter, server_.acceptsFailed()) +
+         metricText("corkward_replica_connections_total", counter, upstreams_.openedCount()) +
+         metricText("corkward_replica_connections_reused_total", counter, upstreams_.reusedCount()) +
+         metricText("corkward_caller_connections", gauge, server_.connectionCount()) +
+         metricText("corkward_caller_accepts_failed_total", counter, server_.failedAccepts()) +
          core::guaranteeMetrics();
 }
 
@@ -111,8 +111,8 @@
 void RouterDaemon::respondState(http::Request const& request) {
   QJsonObject state = reducer_.state(now());
   if (std::optional<QJsonObject> const head = recorder_.head()) state.insert("audit", *head);
-  server_.answer(request.id, core::code(core::HttpStatus::ok), {{"content-type", "application/json"}},
-                 core::jsonText(state) + "\n");
+  server_.respond(request.id, core::code(core::HttpStatus::ok), {{"content-type", "application/json"}},
+                  core::jsonText(state) + "\n");
 }
 
 void RouterDaemon::serve(http::Request request) {
@@ -121,7 +121,7 @@
   http::CallerRequest caller = mapping_.callerRequest(request);
   if (!caller.request) {
     dataplane::Reject const reject{request.id, caller.status, caller.reason, true, 0};
-    server_.answer(request.id, caller.status, mapping_.rejectFields(reject), mapping_.rejectBody(reject));
+    server_.respond(request.id, caller.status, mapping_.rejectionHeaders(reject), mapping_.rejectionBody(reject));
     return;
   }
   dataplane::Request const event = *caller.request;
@@ -153,8 +153,8 @@
 
 void RouterDaemon::execute(dataplane::EndpointListResponse const& command) {
   if (command.call == noRequest) return;
-  http::Response const response = operatorMapping_.answer({}, command.status, command.body);
-  server_.answer(command.call, response.status, response.fields, response.body);
+  http::Response const response = operatorMapping_.response({}, command.status, command.body);
+  server_.respond(command.call, response.status, response.headers, response.body);
 }
 
 void RouterDaemon::onTimer() {
--- a/programs/runbook/alert_watcher.cpp
+++ b/programs/runbook/alert_watcher.cpp
@@ -50,7 +50,7 @@
     : controllers_(controllers),
       executor_(executor),
       rules_(rules),
-      watch_(std::move(rules)),
+      evaluator_(std::move(rules)),
       id_(randomId()),
       role_(controllers, roleName, id_) {
   for (alerting::Rule const& rule : rules_)
@@ -84,13 +84,13 @@
 }
 
 void AlertWatcher::evaluate(std::vector<std::string> const& targets) {
-  std::vector<alerting::Rule> const firingRules = watch_.look(now(), scrapeMetrics(targets));
+  std::vector<alerting::Rule> const firingRules = evaluator_.evaluate(now(), scrapeMetrics(targets));
   updateRole();
   if (!heldRole_) return;
   for (alerting::Rule const& rule : rules_) {
     bool const firing = std::any_of(firingRules.begin(), firingRules.end(),
                                     [&](alerting::Rule const& other) { return other.alert == rule.alert; });
-    bool const pending = !firing && watch_.rising(rule.alert);
+    bool const pending = !firing && evaluator_.isPendingOrFiring(rule.alert);
     if (pending) continue;
     auto const known = knownStates_.find(rule.alert);
     bool const upToDate =
--- a/programs/runbook/alert_watcher.h
+++ b/programs/runbook/alert_watcher.h
@@ -22,7 +22,7 @@
 /// executed a second time.
 class AlertWatcher {
  public:
-  /// Reads the runbooks of all rules. Throws runbook::Error, core::JsonError or UsageError.
+  /// Reads the runbooks of all rules. Throws runbook::RunbookError, core::JsonError or UsageError.
   AlertWatcher(std::vector<std::string> const& controllers, RunbookExecutor& executor,
                std::vector<alerting::Rule> rules, std::string const& directory);
 
@@ -50,7 +50,7 @@
   std::vector<std::string> controllers_;
   RunbookExecutor& executor_;
   std::vector<alerting::Rule> rules_;
-  alerting::Watch watch_;
+  alerting::RuleEvaluator evaluator_;
   std::string id_;
   SingletonRoleClient role_;
   /// Whether the role was held at the last evaluation.
--- a/programs/runbook/metrics_scraper.cpp
+++ b/programs/runbook/metrics_scraper.cpp
@@ -36,7 +36,7 @@
     std::vector<alerting::Sample> samples = alerting::readSamples(page.text.toStdString());
     for (alerting::Sample& sample : samples) sample.labels.insert(target.labels.begin(), target.labels.end());
     return samples;
-  } catch (alerting::Error const& error) {
+  } catch (alerting::ParseError const& error) {
     std::cerr << "corkward-runbook: metrics of " << target.address << ": " << error.what() << "\n";
     return std::nullopt;
   }
--- a/programs/runbook/metrics_scraper.h
+++ b/programs/runbook/metrics_scraper.h
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include <corkward/alerting/rules.h>
+#include <corkward/alerting/expression.h>
 
 namespace corkward::programs {
 
--- a/programs/runbook/runbook_executor.cpp
+++ b/programs/runbook/runbook_executor.cpp
@@ -64,7 +64,7 @@
 }
 
 StepOutcome RunbookExecutor::executeStep(runbook::Step const& step, std::string const& changeId) {
-  auto const argument = [&](char const* name) { return step.words.at(name); };
+  auto const argument = [&](char const* name) { return step.arguments.at(name); };
   auto const changeEvacuation = [&](HttpMethod method) {
     return change({method, paths::ofEvacuation(argument("zone")), "", "", changeId, options_.dryRun}, step);
   };
@@ -75,25 +75,25 @@
     return changeNewest(paths::ofTemplate(argument("template"), argument("instance")), method, step, changeId);
   };
   switch (step.kind) {
-    case runbook::Kind::evacuate:
+    case runbook::StepKind::evacuate:
       return changeEvacuation(HttpMethod::put);
-    case runbook::Kind::lift:
+    case runbook::StepKind::lift:
       return changeEvacuation(HttpMethod::del);
-    case runbook::Kind::putTemplate:
+    case runbook::StepKind::putTemplate:
       return changeTemplate(HttpMethod::put);
-    case runbook::Kind::patchTemplate:
+    case runbook::StepKind::patchTemplate:
       return changeTemplate(HttpMethod::patch);
-    case runbook::Kind::putInstance:
+    case runbook::StepKind::putInstance:
       return changeInstance(HttpMethod::put);
-    case runbook::Kind::patchInstance:
+    case runbook::StepKind::patchInstance:
       return changeInstance(HttpMethod::patch);
-    case runbook::Kind::wait:
+    case runbook::StepKind::wait:
       return waitForPage(step);
-    case runbook::Kind::verify:
+    case runbook::StepKind::verify:
       return verify(argument("file"));
-    case runbook::Kind::save:
+    case runbook::StepKind::save:
       return save(argument("file"));
-    case runbook::Kind::confirm:
+    case runbook::StepKind::confirm:
       return confirm(argument("say"));
   }
   return {};
@@ -130,11 +130,11 @@
   core::Tick const deadline = deadlineOf(step);
   std::string lastSeen = "nothing";
   for (;;) {
-    OperatorReply const page = call({HttpMethod::get, step.words.at("page")});
+    OperatorReply const page = call({HttpMethod::get, step.arguments.at("page")});
     if (page.is(core::HttpStatus::ok)) {
-      runbook::Expectation const expectation = runbook::meets(page.body, step.expect);
-      if (expectation.met) return {true, "as expected"};
-      lastSeen = expectation.seen.substr(0, maxShownValue);
+      runbook::ConditionOutcome const outcome = runbook::evaluate(*step.condition, page.body);
+      if (outcome.met) return {true, "as expected"};
+      lastSeen = outcome.seen.substr(0, maxShownValue);
     }
     if (now() >= deadline) return {false, "not in " + std::to_string(step.limitSeconds) + " s; last seen " + lastSeen};
     pause(pollIntervalMs);
--- a/runbook/include/corkward/runbook/runbook.h
+++ b/runbook/include/corkward/runbook/runbook.h
@@ -2,17 +2,20 @@
 
 #include <QJsonObject>
 #include <map>
+#include <optional>
 #include <string>
 #include <vector>
 
 #include <corkward/core/error.h>
+#include <corkward/runbook/page_condition.h>
 
 namespace corkward::runbook {
 
-/// A runbook that cannot be carried out as written; says the place as a JSON pointer. Nothing was done.
-class Error : public core::Error {
+/// A runbook that cannot be executed as it is written; nothing was done.
+class RunbookError : public core::Error {
  public:
-  Error(std::string pointer, std::string const& reason)
+  /// @param pointer JSON pointer of the place in the runbook
+  RunbookError(std::string pointer, std::string const& reason)
       : core::Error(pointer + ": " + reason), pointer_(std::move(pointer)) {}
   std::string const& pointer() const { return pointer_; }
 
@@ -20,15 +23,31 @@
   std::string pointer_;
 };
 
-enum class Kind { evacuate, lift, putTemplate, patchTemplate, putInstance, patchInstance, wait, verify, save, confirm };
+enum class StepKind {
+  evacuate,
+  lift,
+  putTemplate,
+  patchTemplate,
+  putInstance,
+  patchInstance,
+  wait,
+  verify,
+  save,
+  confirm
+};
 
-/// One step, filled in and checked.
+/// One step, checked, with the parameters filled in.
 struct Step {
+  /// For the account of a run; the kind's name when the runbook gives none.
   std::string name;
-  Kind kind = Kind::confirm;
-  std::map<std::string, std::string> words;
+  StepKind kind = StepKind::confirm;
+  /// Texts of the step by their names, such as zone or template: all that its kind has.
+  std::map<std::string, std::string> arguments;
+  /// Body of a change.
   QJsonObject body;
-  QJsonObject expect;
+  /// Of a wait step.
+  std::optional<PageCondition> condition;
+  /// Seconds for the step.
   int limitSeconds = 30;
 };
 
@@ -38,20 +57,17 @@
   std::vector<Step> steps;
 };
 
-/// Reads a runbook, fills its parameters in and checks every step. Throws Error or core::JsonError.
-Runbook readRunbook(std::string const& text, std::map<std::string, std::string> const& parameters);
+/// Values of a runbook's parameters by their names.
+using Parameters = std::map<std::string, std::string>;
 
-/// What a wait step expects of a page; pure.
-struct Expectation {
-  bool met = false;
-  std::string seen;
-};
-Expectation meets(QJsonObject const& page, QJsonObject const& expect);
+/// Reads a runbook, fills its parameters in and checks every step. Throws RunbookError, or core::JsonError for a text
+/// that is no JSON.
+Runbook readRunbook(std::string const& text, Parameters const& parameters);
 
 /// Name of a kind as runbooks write it.
-char const* kindName(Kind kind);
+char const* kindName(StepKind kind);
 
-/// True for kinds that change something.
-bool changes(Kind kind);
+/// Whether steps of the kind change the fleet.
+bool isChange(StepKind kind);
 
 }  // namespace corkward::runbook
--- a/runbook/test/golden_test.cpp
+++ b/runbook/test/golden_test.cpp
@@ -33,10 +33,11 @@
 std::string formOf(runbook::Step const& step, Texts texts) {
   std::string out = std::string("step ") + runbook::kindName(step.kind) + "\n";
   if (texts == Texts::with) out += "  name " + step.name + "\n";
-  for (auto const& [name, value] : step.words)
+  for (auto const& [name, value] : step.arguments)
     if (texts == Texts::with || name != "say") out += "  " + name + " " + value + "\n";
   out += "  body " + core::jsonText(step.body) + "\n";
-  out += "  expect " + core::jsonText(step.expect) + "\n";
+  QJsonObject const condition = step.condition ? runbook::toJson(*step.condition) : QJsonObject();
+  out += "  expect " + core::jsonText(condition) + "\n";
   return out + "  limit " + std::to_string(step.limitSeconds) + "\n";
 }
 
@@ -58,7 +59,7 @@
 std::string outcome(std::string const& text, Parameters const& parameters) {
   try {
     return formOf(runbook::readRunbook(text, parameters), Texts::with);
-  } catch (runbook::Error const& error) {
+  } catch (runbook::RunbookError const& error) {
     CHECK(std::string(error.what()).rfind(error.pointer() + ": ", 0) == 0);
     return std::string("error at ") + error.what() + "\n";
   } catch (core::JsonError const& error) {
@@ -109,21 +110,23 @@
                 outcomes("invalid.input.txt") + outcome(R"({"runbook":"a","runbook":"b"})", {}));
 }
 
-TEST_CASE("golden: expectations of pages are met alike") {
+TEST_CASE("golden: conditions of pages are evaluated alike") {
   std::string text;
   for (QJsonObject const& input : inputs("expectations.input.txt")) {
     QJsonObject const expect = input.value("expect").toObject();
-    runbook::Expectation const found = runbook::meets(input.value("page").toObject(), expect);
+    runbook::ConditionOutcome const found =
+        runbook::evaluate(runbook::readCondition(expect), input.value("page").toObject());
     text += core::jsonText(expect) + " met " + std::to_string(found.met) + " seen " + found.seen + "\n";
   }
   golden::check(folder + "expectations.txt", text);
 }
 
 TEST_CASE("golden: kinds of steps have the same names, and change the same") {
-  using runbook::Kind;
+  using runbook::StepKind;
   std::string text;
-  for (Kind const kind : {Kind::evacuate, Kind::lift, Kind::putTemplate, Kind::patchTemplate, Kind::putInstance,
-                          Kind::patchInstance, Kind::wait, Kind::verify, Kind::save, Kind::confirm})
-    text += std::string(runbook::kindName(kind)) + " changes " + std::to_string(runbook::changes(kind)) + "\n";
+  for (StepKind const kind :
+       {StepKind::evacuate, StepKind::lift, StepKind::putTemplate, StepKind::patchTemplate, StepKind::putInstance,
+        StepKind::patchInstance, StepKind::wait, StepKind::verify, StepKind::save, StepKind::confirm})
+    text += std::string(runbook::kindName(kind)) + " changes " + std::to_string(runbook::isChange(kind)) + "\n";
   golden::check(folder + "kinds.txt", text);
 }
--- a/runbook/test/runbook_test.cpp
+++ b/runbook/test/runbook_test.cpp
@@ -6,22 +6,22 @@
 namespace core = corkward::core;
 namespace runbook = corkward::runbook;
 
-TEST_CASE("a runbook is filled in and checked whole before anything is done") {
-  runbook::Runbook const b = runbook::readRunbook(
+TEST_CASE("the parameters of a runbook are filled in, and every step is checked") {
+  runbook::Runbook const book = runbook::readRunbook(
       R"({"runbook":"r","parameters":["zone"],"steps":[{"do":"evacuate","zone":"${zone}"},
           {"do":"wait","page":"/v1/fleet","expect":{"pointer":"/nacelles","each":"keysBehind","equals":0},"limitSeconds":5}]})",
       {{"zone", "z2"}});
-  REQUIRE(b.steps.size() == 2);
-  CHECK(b.steps[0].words.at("zone") == "z2");
-  CHECK(b.steps[1].limitSeconds == 5);
+  REQUIRE(book.steps.size() == 2);
+  CHECK(book.steps[0].arguments.at("zone") == "z2");
+  CHECK(book.steps[1].limitSeconds == 5);
 }
 
-TEST_CASE("a faulty runbook is rejected with its place") {
-  struct Row {
+TEST_CASE("an invalid runbook is rejected with a pointer to the error") {
+  struct Case {
     char const* text;
     char const* pointer;
   };
-  constexpr Row rows[] = {
+  constexpr Case cases[] = {
       {R"({"steps":[]})", "/runbook"},
       {R"({"runbook":"r","steps":[]})", "/steps"},
       {R"({"runbook":"r","steps":[{"do":"dance"}]})", "/steps/0/do"},
@@ -31,27 +31,27 @@
       {R"({"runbook":"r","steps":[{"do":"wait","page":"/v1/fleet","expect":{"pointer":"/a"}}]})", "/steps/0/expect"},
       {R"({"runbook":"r","parameters":["p"],"steps":[{"do":"lift","zone":"z"}]})", "/parameters"},
       {R"({"runbook":"r","steps":[{"do":"lift","zone":"z","limitSeconds":0}]})", "/steps/0/limitSeconds"}};
-  for (Row const& r : rows) {
+  for (auto const& [text, pointer] : cases) {
     try {
-      runbook::readRunbook(r.text, {});
-      FAIL("accepted: " << r.text);
-    } catch (runbook::Error const& e) {
-      CHECK(e.pointer() == r.pointer);
+      runbook::readRunbook(text, {});
+      FAIL("accepted: " << text);
+    } catch (runbook::RunbookError const& error) {
+      CHECK(error.pointer() == pointer);
     }
   }
-  CHECK_THROWS_AS(runbook::readRunbook(R"({"runbook":"r","steps":[{"do":"lift","zone":"z"}]})", {{"unasked", "1"}}),
-                  runbook::Error);
+  CHECK_THROWS_AS(runbook::readRunbook(R"({"runbook":"r","steps":[{"do":"lift","zone":"z"}]})", {{"undeclared", "1"}}),
+                  runbook::RunbookError);
 }
 
-TEST_CASE("expectations look at pages, never guess") {
+TEST_CASE("conditions are met by values of pages only") {
   QJsonObject const page =
       core::parseJson(R"({"voting":true,"cohort":[1,2,3],"nacelles":[{"keysBehind":0},{"keysBehind":2}]})").toObject();
-  CHECK(runbook::meets(page, core::parseJson(R"({"pointer":"/voting","equals":true})").toObject()).met);
-  CHECK(runbook::meets(page, core::parseJson(R"({"pointer":"/cohort","atLeast":3})").toObject()).met);
-  CHECK_FALSE(
-      runbook::meets(page, core::parseJson(R"({"pointer":"/nacelles","each":"keysBehind","equals":0})").toObject())
-          .met);
-  CHECK(runbook::meets(page, core::parseJson(R"({"pointer":"/nacelles","each":"keysBehind","atMost":2})").toObject())
-            .met);
-  CHECK_FALSE(runbook::meets(page, core::parseJson(R"({"pointer":"/nowhere","equals":true})").toObject()).met);
+  auto const met = [&](char const* condition) {
+    return runbook::evaluate(runbook::readCondition(core::parseJson(condition).toObject()), page).met;
+  };
+  CHECK(met(R"({"pointer":"/voting","equals":true})"));
+  CHECK(met(R"({"pointer":"/cohort","atLeast":3})"));
+  CHECK_FALSE(met(R"({"pointer":"/nacelles","each":"keysBehind","equals":0})"));
+  CHECK(met(R"({"pointer":"/nacelles","each":"keysBehind","atMost":2})"));
+  CHECK_FALSE(met(R"({"pointer":"/nowhere","equals":true})"));
 }
--- a/testing/fleet/tap.cpp
+++ b/testing/fleet/tap.cpp
@@ -90,9 +90,9 @@
       std::shared_ptr<Pair> const k = weak.lock();
       if (k && k->b->state() == QAbstractSocket::UnconnectedState && !k->bClosed) end(k, true);
     });
-    std::pair<std::string, std::uint16_t> const at = http::splitAddress(target_);
+    http::SocketAddress const at = http::parseSocketAddress(target_);
     if (p->way != Way::dark) {
-      p->b->connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
+      p->b->connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
       continue;
     }
     ++dark_;
--- a/testing/fleet/traffic.cpp
+++ b/testing/fleet/traffic.cpp
@@ -109,16 +109,16 @@
     http::ReplicaRequest request{"POST",
                                  "/v1/" + open.instance + "/" + open.path,
                                  {{"content-type", "application/json"}, {"corkward-request-id", open.record.id}}};
-    if (!open.prefix.empty()) request.fields.emplace_back("corkward-prefix", open.prefix);
+    if (!open.prefix.empty()) request.headers.emplace_back("corkward-prefix", open.prefix);
     if (open.record.numbered) {
-      request.fields.emplace_back("corkward-attempt", std::to_string(open.record.attempts));
-      request.fields.emplace_back("corkward-age-ms", std::to_string(programs::now() - open.record.began));
+      request.headers.emplace_back("corkward-attempt", std::to_string(open.record.attempts));
+      request.headers.emplace_back("corkward-age-ms", std::to_string(programs::now() - open.record.began));
       if (open.record.attempts > 1 && open.earlierNotRun)
-        request.fields.emplace_back("corkward-earlier", open.earlierReached ? "not-run-reached" : "not-run");
+        request.headers.emplace_back("corkward-earlier", open.earlierReached ? "not-run-reached" : "not-run");
     }
     open.forwarder->send(request, open.body);
   };
-  e.rejected = [this, id] {
+  e.connectFailed = [this, id] {
     Open& open = open_.at(id);
     open.forwarder->deleteLater();
     open.forwarder = nullptr;
@@ -131,7 +131,7 @@
     });
   };
   e.head = [this, id](http::ReplicaHead head) { open_.at(id).head = std::move(head); };
-  e.piece = [this, id](std::string bytes) {
+  e.chunk = [this, id](std::string bytes) {
     Open& open = open_.at(id);
     if (open.head.status == 200 && open.record.firstWord < 0)
       open.record.firstWord = programs::now() - open.record.began;
@@ -151,9 +151,9 @@
     finish(id, whole ? (v.whole ? "served" : "bad-body") : (v.oneRun ? "broken" : "bad-body"));
     return;
   }
-  bool const notRun = o.head.status != 0 && http::field(o.head.fields, "corkward-outcome") == "not-run";
-  if (notRun && http::field(o.head.fields, "corkward-earlier") == "not-run-reached") o.earlierReached = true;
-  std::string const retryAfter = http::field(o.head.fields, "retry-after");
+  bool const notRun = o.head.status != 0 && http::headerValue(o.head.headers, "corkward-outcome") == "not-run";
+  if (notRun && http::headerValue(o.head.headers, "corkward-earlier") == "not-run-reached") o.earlierReached = true;
+  std::string const retryAfter = http::headerValue(o.head.headers, "retry-after");
   if (notRun && !retryAfter.empty() && o.record.attempts < maxAttempts && programs::now() < o.deadline) {
     int const wait = std::atoi(retryAfter.c_str()) * 1000;
     QTimer::singleShot(wait + static_cast<int>(rng_.below(200)), this, [this, id] {
--- a/testing/fuzz/caller.cpp
+++ b/testing/fuzz/caller.cpp
@@ -107,8 +107,8 @@
         if (socket_ != nullptr && socket_->state() == QAbstractSocket::UnconnectedState) ended();
       },
       Qt::QueuedConnection);
-  std::pair<std::string, std::uint16_t> const at = http::splitAddress(address_);
-  socket_->connectToHost(QHostAddress(QString::fromStdString(at.first)), at.second);
+  http::SocketAddress const at = http::parseSocketAddress(address_);
+  socket_->connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
 }
 
 void Caller::start(std::size_t place) {
--- a/testing/fuzz/oracles.cpp
+++ b/testing/fuzz/oracles.cpp
@@ -87,7 +87,7 @@
 
   void answer(Seen const& seen, std::vector<Dispatch const*> const& all) {
     if (seen.status == 0) return;
-    std::string const seal = http::field(seen.fields, wire::seal);
+    std::string const seal = http::headerValue(seen.fields, wire::seal);
     std::map<std::string, Dispatch const*>::const_iterator const found = bySeal_.find(seal);
     Dispatch const* const run = seal.empty() || found == bySeal_.end() ? nullptr : found->second;
     bool const success = seen.status >= 200 && seen.status < 300;
@@ -139,8 +139,8 @@
   void sent(Seen const& seen, Dispatch const& d) {
     if (d.method != "POST" || d.target != seen.target) broken("as-sent", about(seen) + " reached " + d.target);
     for (http::HeaderList::value_type const& f : carried(seen))
-      if (http::field(d.fields, f.first) != f.second)
-        broken("as-sent", about(seen) + " has " + f.first + ": " + http::field(d.fields, f.first));
+      if (http::headerValue(d.fields, f.first) != f.second)
+        broken("as-sent", about(seen) + " has " + f.first + ": " + http::headerValue(d.fields, f.first));
     if (d.bodyWhole && d.body != seen.body)
       broken("as-sent", about(seen) + " has another body: " + shown(d.body, seen.body));
     left(seen, d);
@@ -158,7 +158,7 @@
   void left(Seen const& seen, Dispatch const& d) {
     if (seen.freeAt == 0) return;
     core::Tick const since = std::max(seen.startedAt, seen.freeAt);
-    core::Tick const told = std::strtoll(http::field(d.fields, wire::timeLeft).c_str(), nullptr, 10);
+    core::Tick const told = std::strtoll(http::headerValue(d.fields, wire::timeLeft).c_str(), nullptr, 10);
     core::Tick const bound = std::min<core::Tick>(seen.ask.toldMs, terms_.deadlineMs) - (d.at - since);
     if (told > std::max<core::Tick>(bound, 1) + timeSlackMs + lag_(since, d.at))
       broken("time-left", about(seen) + " was sent with " + std::to_string(told) + " ms of " + std::to_string(bound));
--- a/testing/fuzz/scene.cpp
+++ b/testing/fuzz/scene.cpp
@@ -45,8 +45,8 @@
 
 programs::RouterSurface surface(std::uint64_t seed) {
   programs::RouterSurface s;
-  s.limits.named = false;
-  s.limits.faultFields = {};
+  s.limits.sendsServerHeader = false;
+  s.limits.errorHeaders = {};
   s.keepAlive = http::KeepAlivePolicy{8, 1000, 250};
   s.standardEndpoints = false;
   s.seed = seed;
@@ -199,7 +199,7 @@
 
 std::pair<std::size_t, Script> Scene::arrived(std::size_t replica, Dispatch dispatch, std::size_t bodyLength) {
   std::size_t const place = record_.dispatches.size();
-  dispatch.attempt = http::field(dispatch.fields, wire::attempt);
+  dispatch.attempt = http::headerValue(dispatch.fields, wire::attempt);
   dispatch.seal = "s" + std::to_string(replica) + "." + std::to_string(place);
   Seen const* const caller = callerOf(dispatch.attempt);
   Answer answer;
@@ -216,8 +216,8 @@
     answer = answers[std::min(before, answers.size() - 1)];
     asked.row = caller->ask.route == Route::row || caller->ask.route == Route::tell;
     asked.events = answers.front().size;
-    asked.after =
-        static_cast<std::size_t>(std::strtoull(http::field(dispatch.fields, wire::lastEvent).c_str(), nullptr, 10));
+    asked.after = static_cast<std::size_t>(
+        std::strtoull(http::headerValue(dispatch.fields, wire::lastEvent).c_str(), nullptr, 10));
   }
   Script script = scriptOf(answer, asked);
   dispatch.fault = answer.fault;
--- a/testing/replica/main.cpp
+++ b/testing/replica/main.cpp
@@ -69,24 +69,24 @@
   }
 
   void take(http::Request r) {
-    std::string const id = r.fields["corkward-request-id"];
+    std::string const id = r.headers["corkward-request-id"];
     std::string const target = r.target;
-    std::string const attempt = r.fields["corkward-attempt"];
+    std::string const attempt = r.headers["corkward-attempt"];
     if (r.method == "GET" && target == "/corkward/life") {
       write("asked", "", "", ways_.life);
       if (ways_.life.empty())
-        server_.answer(r.id, 404, {}, "");
+        server_.respond(r.id, 404, {}, "");
       else
-        server_.answer(r.id, 200, {{"corkward-life", ways_.life}}, "");
+        server_.respond(r.id, 200, {{"corkward-life", ways_.life}}, "");
       return;
     }
-    if (r.fields.count("corkward-run") > 0) {
+    if (r.headers.count("corkward-run") > 0) {
       resume(r, id);
       return;
     }
     if (static_cast<int>(running_.size() + queue_.size()) >= ways_.slots + ways_.queue) {
       write("not-run", "", id, attempt);
-      server_.answer(r.id, 503, {{"corkward-run", "none"}}, "");
+      server_.respond(r.id, 503, {{"corkward-run", "none"}}, "");
       return;
     }
     Run run;
@@ -98,7 +98,7 @@
     run.firstMs = ways_.firstMs;
     run.events = target.find("tale") != std::string::npos;
     if (run.events) run.words = static_cast<std::uint64_t>(ways_.longWords);
-    if (run.events && r.fields.count("last-event-id") > 0) run.next = std::stoull(r.fields.at("last-event-id"));
+    if (run.events && r.headers.count("last-event-id") > 0) run.next = std::stoull(r.headers.at("last-event-id"));
     std::string prefix;
     try {
       prefix = core::toStdString(core::parseJson(r.body).toObject().value("prefix").toString());
@@ -118,19 +118,19 @@
   }
 
   void resume(http::Request const& r, std::string const& id) {
-    std::string const run = r.fields.at("corkward-run");
-    std::string const offset = r.fields.count("corkward-offset") > 0 ? r.fields.at("corkward-offset") : "";
+    std::string const run = r.headers.at("corkward-run");
+    std::string const offset = r.headers.count("corkward-offset") > 0 ? r.headers.at("corkward-offset") : "";
     std::unordered_map<std::string, std::uint64_t>::const_iterator const it = known_.find(run);
     std::string const body = it == known_.end() ? "" : bodyOf(run, it->second);
     if (it == known_.end() || offset.empty() || std::stoull(offset) > body.size()) {
       write("resume-denied", run, id, offset);
-      server_.answer(r.id, 410, {}, "");
+      server_.respond(r.id, 410, {}, "");
       return;
     }
     write("resume", run, id, offset);
-    server_.begin(r.id, 206, {{"corkward-run", run}, {"corkward-offset", offset}}, -1);
+    server_.beginResponse(r.id, 206, {{"corkward-run", run}, {"corkward-offset", offset}}, -1);
     server_.writeChunk(r.id, body.substr(std::stoull(offset)));
-    server_.finish(r.id);
+    server_.finishResponse(r.id);
   }
 
   void next() {
@@ -152,7 +152,8 @@
       stepEvents(run);
       return;
     }
-    if (run.next == 0) server_.begin(call, 200, {{"corkward-run", run.run}, {"content-type", "text/plain"}}, -1);
+    if (run.next == 0)
+      server_.beginResponse(call, 200, {{"corkward-run", run.run}, {"content-type", "text/plain"}}, -1);
     if (ways_.dropAfter > 0 && run.next == static_cast<std::uint64_t>(ways_.dropAfter)) {
       write("dropped", run.run, run.id, "");
       running_.erase(it);
@@ -166,7 +167,7 @@
       return;
     }
     server_.writeChunk(call, run.run + " end " + std::to_string(run.words) + "\n");
-    server_.finish(call);
+    server_.finishResponse(call);
     write("end", run.run, run.id, "");
     running_.erase(it);
     next();
@@ -174,7 +175,8 @@
 
   void stepEvents(Run& run) {
     std::uint64_t const call = run.call;
-    if (!run.begun) server_.begin(call, 200, {{"corkward-run", run.run}, {"content-type", "text/event-stream"}}, -1);
+    if (!run.begun)
+      server_.beginResponse(call, 200, {{"corkward-run", run.run}, {"content-type", "text/event-stream"}}, -1);
     run.begun = true;
     if (run.next < run.words) {
       std::string const number = std::to_string(++run.next);
@@ -182,7 +184,7 @@
       QTimer::singleShot(ways_.gapMs, this, [this, call] { step(call); });
       return;
     }
-    server_.finish(call);
+    server_.finishResponse(call);
     write("end", run.run, run.id, "");
     running_.erase(call);
     next();
--- a/testing/test/fleet_test.cpp
+++ b/testing/test/fleet_test.cpp
@@ -56,10 +56,10 @@
 
 /// Sends bytes as they are and waits for the end of the connection or for the words.
 Raw raw(testing::Fleet& fleet, std::string const& address, std::string const& bytes, std::string const& words) {
-  std::pair<std::string, std::uint16_t> const at = http::splitAddress(address);
+  http::SocketAddress const at = http::parseSocketAddress(address);
   QTcpSocket socket;
   Raw out;
-  socket.connectToHost(QHostAddress(core::toQString(at.first)), at.second);
+  socket.connectToHost(QHostAddress(core::toQString(at.host)), at.port);
   fleet.until("a connection", [&] { return socket.state() == QAbstractSocket::ConnectedState; });
   socket.write(QByteArray::fromStdString(bytes));
   fleet.until("an answer to raw bytes", [&] {
@@ -159,9 +159,9 @@
   CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Attempt: 2\r\n", "{}"), "outcome")
             .got.find(" 409 ") != std::string::npos);
   {
-    std::pair<std::string, std::uint16_t> const at = http::splitAddress(nac.http);
+    http::SocketAddress const at = http::parseSocketAddress(nac.http);
     QTcpSocket cut;
-    cut.connectToHost(QHostAddress(core::toQString(at.first)), at.second);
+    cut.connectToHost(QHostAddress(core::toQString(at.host)), at.port);
     cut.write(
         "POST /v1/fault-desk.nord/pitch HTTP/1.1\r\nCorkward-Request-Id: truncated\r\nContent-Length: 100\r\n\r\nhalf");
     fleet.until("bytes to leave",
@@ -171,9 +171,9 @@
   core::RandomGenerator rng(7);
   for (testing::Node const* const n : {&sub, &nac})
     for (int i = 0; i < 20; ++i) {
-      std::pair<std::string, std::uint16_t> const at = http::splitAddress(n->link);
+      http::SocketAddress const at = http::parseSocketAddress(n->link);
       QTcpSocket socket;
-      socket.connectToHost(QHostAddress(core::toQString(at.first)), at.second);
+      socket.connectToHost(QHostAddress(core::toQString(at.host)), at.port);
       fleet.until("the link port", [&] { return socket.state() == QAbstractSocket::ConnectedState; });
       QByteArray bytes(400, '\0');
       for (char& c : bytes) c = static_cast<char>(rng.next());
@@ -235,9 +235,9 @@
     CHECK(resumes == 1);
   }
   SECTION("a replica killed after the hand-over is unknown, never rejected") {
-    std::pair<std::string, std::uint16_t> const at = http::splitAddress(nac.http);
+    http::SocketAddress const at = http::parseSocketAddress(nac.http);
     QTcpSocket socket;
-    socket.connectToHost(QHostAddress(core::toQString(at.first)), at.second);
+    socket.connectToHost(QHostAddress(core::toQString(at.host)), at.port);
     socket.write(
         QByteArray::fromStdString(post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: killed1\r\n", "{}")));
     fleet.until("the run", [&] { return runsOf(fleet, "killed1") == 1; });
@@ -258,9 +258,9 @@
     CHECK(none.got.find("retry-after: ") != std::string::npos);
   }
   SECTION("a caller that is gone is told to its replica") {
-    std::pair<std::string, std::uint16_t> const at = http::splitAddress(nac.http);
+    http::SocketAddress const at = http::parseSocketAddress(nac.http);
     QTcpSocket socket;
-    socket.connectToHost(QHostAddress(core::toQString(at.first)), at.second);
+    socket.connectToHost(QHostAddress(core::toQString(at.host)), at.port);
     socket.write(QByteArray::fromStdString(post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: gone1\r\n", "{}")));
     fleet.until("the run", [&] { return runsOf(fleet, "gone1") == 1; });
     socket.abort();
--- a/testing/test/regimes_test.cpp
+++ b/testing/test/regimes_test.cpp
@@ -153,9 +153,9 @@
           http::ReplicaRequest{"POST", "/v1/pilot.n/tale", {{"corkward-request-id", id}, {"corkward-attempt", "1"}}},
           "{}");
     };
-    e.rejected = [this] { over = true; };
+    e.connectFailed = [this] { over = true; };
     e.head = [this](http::ReplicaHead const& head) { status = head.status; };
-    e.piece = [this](std::string bytes) { got += bytes; };
+    e.chunk = [this](std::string bytes) { got += bytes; };
     e.ended = [this](bool end) {
       whole = end;
       over = true;
