--- a/control/include/corkward/control/quota_coordination.h
+++ b/control/include/corkward/control/quota_coordination.h
@@ -35,7 +35,7 @@
   /// A message of the quota protocol.
   template <class Message>
   std::vector<transport::Send> onMessage(Tick now, std::string const& from, Message const& message) {
-    return sendsOf(coordinator_.arrived(now, from, message, view_));
+    return sendsOf(coordinator_.onMessage(now, from, message, view_));
   }
   /// Partitions of the limits that this controller coordinates.
   std::size_t ownedPartitionCount(Tick now) const { return coordinator_.ownedPartitionCount(now, view_); }
