--- a/control/src/operator_calls.cpp
+++ b/control/src/operator_calls.cpp
@@ -46,7 +46,7 @@
   }
 }
 
-std::size_t maxBodyBytes(Target const& target) {
+std::size_t bodyLimit(Target const& target) {
   return target.key == config::fleetConfigurationKey ? maxFleetConfigurationBytes : maxCallBodyBytes;
 }
 
@@ -95,7 +95,7 @@
   if (!target || !hasPage(*target, method))
     return respond(call.token, HttpStatus::notFound, {{fields::error, "not found"}, {fields::reason, "no such page"}});
   if (!isAllowed(*target, method)) return methodNotAllowed(call.token);
-  if (call.body.size() > maxBodyBytes(*target))
+  if (call.body.size() > bodyLimit(*target))
     return respond(call.token, HttpStatus::contentTooLarge, {{fields::error, "too large"}});
   if (draining_) return notAccepted(call.token, "leaving");
   if (calls_.isFull()) return notAccepted(call.token, tooManyCalls);
--- a/dataplane/test/tenants_test.cpp
+++ b/dataplane/test/tenants_test.cpp
@@ -122,7 +122,8 @@
   Asked const elsewhere = askedFor(tenants, 1100, t, 2);
   std::string const other = elsewhere.to == "c1" ? "c2" : "c1";
   sends.clear();
-  CHECK(tenants.arrived(1104, elsewhere.to, {elsewhere.report.reportNumber, {}, {{quota::partitionOf("a"), other}}}, sends)
+  CHECK(tenants
+            .arrived(1104, elsewhere.to, {elsewhere.report.reportNumber, {}, {{quota::partitionOf("a"), other}}}, sends)
             .empty());
   REQUIRE(sends.size() == 1);
   CHECK(sends[0].to == other);
--- a/testing/sim/world.cpp
+++ b/testing/sim/world.cpp
@@ -279,7 +279,8 @@
     disk(n);
   }
   for (core::LogEvent const& logEvent : c.logEvents)
-    if (logEvent.event.logName().find("member") != std::string::npos || logEvent.event == consensus::events::removedFromMembership)
+    if (logEvent.event.logName().find("member") != std::string::npos ||
+        logEvent.event == consensus::events::removedFromMembership)
       ++result_.counts[std::string(logEvent.event.logName())];
   for (core::LogEvent const& logEvent : c.logEvents)
     if (logEvent.event == consensus::events::messageRejected) violation("two values under one revision at " + link);
--- a/testing/test/sim_test.cpp
+++ b/testing/test/sim_test.cpp
@@ -79,7 +79,8 @@
       plan.every = 4000;
       for (std::map<std::string, std::size_t>::value_type const& c : clean(plan).counts) counts[c.first] += c.second;
     }
-  for (char const* change : {"add-member", "replace-member", "member-removed", "removed-from-membership"}) CHECK(counts[change] > 0);
+  for (char const* change : {"add-member", "replace-member", "member-removed", "removed-from-membership"})
+    CHECK(counts[change] > 0);
   for (int const founders : {1, 2}) {
     testing::Plan plan = testing::only(static_cast<std::uint64_t>(founders), {Fault::killControl, Fault::longAbsence});
     plan.founders = founders;
