--- a/control/include/corkward/control/cluster_view_source.h
+++ b/control/include/corkward/control/cluster_view_source.h
@@ -9,7 +9,7 @@
 
 namespace corkward::control {
 
-/// Answers what validators ask of the other keys from the committed values. Views refer to their source, which has to
+/// Gives validators a view of the other keys' committed values. Views refer to their source, which has to
 /// outlive them.
 class ClusterViewSource {
  public:
--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -3,16 +3,12 @@
 /// The control plane of one machine as a pure reducer over its events. The reducer dispatches each event to the classes
 /// that own the state and joins their commands; see docs/design.md.
 
-#include <QJsonObject>
 #include <map>
 #include <string>
 #include <vector>
 
-#include <corkward/config/config.h>
-#include <corkward/consensus/replicated_registers.h>
 #include <corkward/control/cluster_view_source.h>
 #include <corkward/control/controller_commands.h>
-#include <corkward/control/controller_tuning.h>
 #include <corkward/control/endpoint_lists.h>
 #include <corkward/control/guarantee_checks.h>
 #include <corkward/control/lease_table.h>
@@ -24,7 +20,6 @@
 #include <corkward/control/router_status_reporter.h>
 #include <corkward/core/http_status.h>
 #include <corkward/core/journal.h>
-#include <corkward/gossip/partial_view.h>
 
 namespace corkward::control {
 
@@ -33,7 +28,6 @@
   Controller(transport::Contact self, std::string memberId, std::vector<std::string> seeds,
              std::vector<std::string> founders, std::uint64_t seed, ControllerTuning tuning = {});
   Controller(Controller const&) = delete;
-  Controller& operator=(Controller const&) = delete;
 
   /// The first event: what the write-ahead log gave back. Damaged: nothing of it counts.
   ControllerCommands restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now);
@@ -46,7 +40,7 @@
   /// Result of a probe of a link address.
   ControllerCommands onProbeResult(Tick now, std::string const& link, bool refused);
   /// The platform's endpoint lists as they were just read, by pool. Lists that differ from the committed ones are
-  /// proposed; what they take away is announced at once.
+  /// proposed; the replicas that they remove are announced at once.
   ControllerCommands updateEndpointLists(Tick now, std::map<std::string, config::EndpointList> const& lists);
   /// True while this controller is the one that reads the platform's lists: it owns the roster's key.
   bool isEndpointListReader(Tick now) const;
--- a/control/include/corkward/control/endpoint_lists.h
+++ b/control/include/corkward/control/endpoint_lists.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Endpoint lists as the platform gives them, on their way to a majority of the disks.
+/// Endpoint lists as the platform gives them, until they are committed.
 
 #include <cstdint>
 #include <map>
@@ -23,16 +23,16 @@
 /// The lists that are newer than the committed ones: their removal hints, and the calls that propose them.
 class EndpointLists {
  public:
-  /// By pool; each of a generation above the committed list's when it was taken.
+  /// By pool; each of a generation above the committed list's when it was accepted.
   std::map<std::string, transport::EndpointRemovalHint> const& hints() const { return hints_; }
-  /// Takes a hint; false when a list that is as new is committed or was hinted at, or the pool has no list so far.
+  /// Adds a hint; false when a list that is as new is committed or was hinted at, or the pool has no list so far.
   bool addHint(transport::EndpointRemovalHint const& hint, CommittedValues const& values);
   /// Drops the hints whose lists, or newer ones, are committed.
   void dropCommittedHints(CommittedValues const& values);
   /// The lists that were read, and an empty one for each pool that has a committed list but was not read.
   static std::map<std::string, config::EndpointList> withVanishedPools(
       std::map<std::string, config::EndpointList> lists, CommittedValues const& values);
-  /// True when the list says the same as the committed one, whatever their generations; drops the pool's hint then.
+  /// True when the list equals the committed one, whatever their generations; drops the pool's hint then.
   bool isCommitted(std::string const& pool, config::EndpointList const& list, CommittedValues const& values);
   /// Generation of a list that is newer than all that are known.
   std::uint64_t nextGeneration(std::string const& pool, CommittedValues const& values) const;
--- a/control/include/corkward/control/lease_table.h
+++ b/control/include/corkward/control/lease_table.h
@@ -18,7 +18,7 @@
 /// the term). Whether this member may grant any is its caller's decision.
 class LeaseTable {
  public:
-  /// Who asks for a lease, or gives it up.
+  /// Claims a lease, or releases it.
   struct Claim {
     std::string name;
     std::string holder;
@@ -41,9 +41,9 @@
   std::optional<Grant> acquire(Tick now, Claim const& claim);
   /// Ends a lease of this holder. A successor that is named has it alone for as long as a lease lasts.
   void release(Tick now, Claim const& claim, std::string const& successor);
-  /// Notes that the claimant asked in vain.
+  /// Notes that the claimant was denied the lease.
   void addContender(Tick now, Claim const& claim);
-  /// Those who asked in vain within a lease's duration, sorted.
+  /// Those who were denied within a lease's duration, sorted.
   std::vector<std::string> contenders(Tick now, Claim const& claim);
 
   static constexpr std::size_t maxLeases = 4096;
@@ -51,11 +51,11 @@
  private:
   struct Lease {
     std::string holder;
-    /// 0: the holder was named as a successor, and any incarnation of it may take the lease over.
+    /// 0: the holder was named as a successor, and any incarnation of it may acquire the lease.
     std::uint64_t incarnation = 0;
     std::uint64_t term = 0;
     Tick expiresAt = 0;
-    /// Who asked in vain, and when.
+    /// Who was denied, and when.
     std::map<std::string, Tick> contenders;
   };
 
--- a/control/include/corkward/control/rollout_tracker.h
+++ b/control/include/corkward/control/rollout_tracker.h
@@ -36,7 +36,7 @@
   QJsonObject body = {};
 };
 
-/// What the tracker judges rollouts by.
+/// The inputs by which the tracker evaluates rollouts.
 struct RolloutInputs {
   Tick now = 0;
   QuorumContact quorumContact;
@@ -46,7 +46,7 @@
 
 class RolloutTracker {
  public:
-  /// The newest revision of a key on its way to the routers.
+  /// The newest revision of a key being rolled out to the routers.
   struct Rollout {
     std::uint64_t revision = 0;
     /// When it was committed here.
@@ -112,7 +112,7 @@
 };
 
 /// Reply to a change that is committed while its rollout is not known to be complete. It has status 504: no script must
-/// take it for a success.
+/// count it as a success.
 QJsonObject pendingRolloutBody(QJsonObject body, std::uint64_t revision);
 
 }  // namespace corkward::control
--- a/control/include/corkward/control/router_registry.h
+++ b/control/include/corkward/control/router_registry.h
@@ -71,7 +71,7 @@
   /// What a router acknowledges of one key.
   static void recordAcknowledged(Router& router, std::string const& key, std::uint64_t revision,
                                  std::uint64_t committed);
-  /// What a router has of all keys, said in full.
+  /// The router's full revisions.
   static void recordRevisions(Router& router, transport::Revisions const& revisions, CommittedValues const& values);
   /// True when the digest is that of the revisions which the router is known to have.
   bool matchesKnownRevisions(Router const& router, transport::Digest const& digest,
--- a/control/include/corkward/control/router_status_reporter.h
+++ b/control/include/corkward/control/router_status_reporter.h
@@ -7,17 +7,17 @@
 
 namespace corkward::control {
 
-/// Controllers report to each other which routers they serve and what those have, so that each can judge rollouts.
+/// Controllers report to each other which routers they serve and what those have, so that each can evaluate rollouts.
 class RouterStatusReporter {
  public:
   explicit RouterStatusReporter(ControllerTuning const& tuning) : tuning_(tuning) {}
 
   /// The next report is due at once.
   void reportSoon(Tick now) { nextReportAt_ = now; }
-  /// The report that goes to all members now, with the incomplete rollouts as questions; nothing: none is due.
+  /// The report that goes to all members now, with queries for the incomplete rollouts; nothing: none is due.
   std::optional<transport::RouterStatusReport> dueReport(Tick now, Roster const& roster, RouterRegistry const& routers,
                                                          RolloutTracker const& rollouts);
-  /// Reply to a member's report that asks how far some rollouts are.
+  /// Reply to a member's report that queries the progress of rollouts.
   transport::RouterStatusReport replyTo(Tick now, transport::RouterStatusReport const& report, Roster const& roster,
                                         RouterRegistry const& routers, CommittedValues const& values) const;
 
--- a/control/src/change_request.h
+++ b/control/src/change_request.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What the validators of all kinds of target share: a call's body, the revision that it was built on, and what its
-/// key's history says of it.
+/// What the validators of all kinds of target share: a call's body, the revision that it was built on, and its outcome
+/// by its key's history.
 
 #include <QJsonObject>
 #include <cstdint>
@@ -18,7 +18,7 @@
 /// If-Match as operators may write it, without the quotes of an entity tag.
 std::string unquotedIfMatch(std::string const& ifMatch);
 
-/// True when the call says that it was built on this revision or version.
+/// True when the call names as its base this revision or version.
 bool isBuiltOn(transport::OperatorCall const& call, std::uint64_t base);
 
 /// The call's body as an object; throws core::JsonError.
--- a/control/src/events.h
+++ b/control/src/events.h
@@ -11,7 +11,7 @@
 inline constexpr core::EventName committed{"committed"};
 /// An operator's change was answered.
 inline constexpr core::EventName changeCompleted{"change"};
-/// An operator's read was not answered with what it asked for.
+/// An operator's read failed.
 inline constexpr core::EventName readFailed{"read-failed"};
 /// A roster is proposed.
 inline constexpr core::EventName rosterProposed{"roster"};
--- a/control/src/operator_calls.cpp
+++ b/control/src/operator_calls.cpp
@@ -179,8 +179,8 @@
   guarantees_.checkConfirmed(completed, pending->call);
   constexpr int endOfSuccess = 300;
   bool const replayed = completed.body.value(fields::replayed).toBool() && completed.status < endOfSuccess;
-  // A replay on a key without a value asks for what has always been so, as lifting an evacuation that never was: no
-  // router can lack it, so there is nothing to wait for.
+  // A replay on a key without a value requests the state that has always been, as lifting an evacuation that never was:
+  // no router can lack it, so there is nothing to wait for.
   bool const hasNoRollout = completed.revision == 0 && (!replayed || revisionOf(values(), completed.key) == 0);
   if (!tuning_.awaitRollout || hasNoRollout) {
     QJsonObject body = completed.body;
@@ -293,7 +293,7 @@
 void Controller::finishWithoutOutcome(ControllerCommands& out, Tick now, std::uint64_t id, char const* reason) {
   PendingCall const* const call = calls_.find(id);
   if (call == nullptr) return;
-  // A change may be committed yet, hence no status that a caller would take for a rejection.
+  // A change may be committed yet, hence no status that means a rejection.
   if (isChange(call->call.method))
     finish(out, now, id, HttpStatus::gatewayTimeout, {{fields::error, "unknown"}, {fields::reason, reason}});
   else
--- a/control/src/quota_coordination.cpp
+++ b/control/src/quota_coordination.cpp
@@ -35,7 +35,7 @@
 }
 
 void QuotaCoordination::refreshPermissions(Tick now, ClusterStatus const& status) {
-  // Contact with a majority also says that no newer membership was accepted here without being known as chosen: a
+  // Contact with a majority also implies that no newer membership was accepted here without being known as chosen: a
   // member that may have been removed is not renewed by one that took part in its removal.
   Tick const wait = quota::grantDelayAfterStart;
   Tick const contactAge = status.registers.quorumContactAge(now);
--- a/control/src/router_status_reporter.cpp
+++ b/control/src/router_status_reporter.cpp
@@ -6,20 +6,20 @@
 
 namespace {
 
-/// Rollouts that one report asks about, or reports on, at the most.
+/// Most rollouts that one report queries or reports on.
 constexpr std::size_t maxRollouts = 32;
 
 /// Which routers that are served here have that revision of the key.
-transport::RolloutProgress progressOf(transport::RolloutProgress const& asked, Roster const& roster,
+transport::RolloutProgress progressOf(transport::RolloutProgress const& query, Roster const& roster,
                                       RouterRegistry const& routers, CommittedValues const& values) {
-  transport::RolloutProgress progress{asked.key, asked.revision, {}};
-  bool const isCommitted = revisionOf(values, asked.key) >= asked.revision;
+  transport::RolloutProgress progress{query.key, query.revision, {}};
+  bool const isCommitted = revisionOf(values, query.key) >= query.revision;
   for (std::size_t position = 0; position < roster.bitPositions().size(); ++position) {
     RouterRegistry::Router const* const router = routers.find(roster.bitPositions()[position]);
     if (router == nullptr || !router->hasSession()) continue;
-    auto const missing = router->missingRevisions.find(asked.key);
+    auto const missing = router->missingRevisions.find(query.key);
     bool const has = missing == router->missingRevisions.end() ? isCommitted && router->revisionsKnown
-                                                               : missing->second >= asked.revision;
+                                                               : missing->second >= query.revision;
     if (has) progress.acknowledgedBy.set(position);
   }
   return progress;
@@ -58,15 +58,15 @@
   if (now < nextReportAt_) return std::nullopt;
   transport::RouterStatusReport report = status(now, roster, routers);
   std::optional<Tick> newestSince;
-  auto const ask = [&](std::string const& key, std::uint64_t revision, Tick since) {
+  auto const addQuery = [&](std::string const& key, std::uint64_t revision, Tick since) {
     newestSince = std::max(newestSince.value_or(since), since);
     if (report.incompleteRollouts.size() < maxRollouts)
       report.incompleteRollouts.push_back(transport::RolloutProgress{key, revision, {}});
   };
-  for (PendingRolloutReply const& reply : rollouts.pendingReplies()) ask(reply.key, reply.revision, reply.since);
+  for (PendingRolloutReply const& reply : rollouts.pendingReplies()) addQuery(reply.key, reply.revision, reply.since);
   for (std::string const& key : rollouts.incomplete()) {
     RolloutTracker::Rollout const& rollout = *rollouts.find(key);
-    ask(key, rollout.revision, rollout.since);
+    addQuery(key, rollout.revision, rollout.since);
   }
   nextReportAt_ = now + pauseAfter(now, newestSince);
   return report;
@@ -76,9 +76,9 @@
                                                             Roster const& roster, RouterRegistry const& routers,
                                                             CommittedValues const& values) const {
   transport::RouterStatusReport reply = status(now, roster, routers);
-  for (transport::RolloutProgress const& asked : report.incompleteRollouts) {
+  for (transport::RolloutProgress const& query : report.incompleteRollouts) {
     if (reply.rolloutProgress.size() >= maxRollouts) break;
-    reply.rolloutProgress.push_back(progressOf(asked, roster, routers, values));
+    reply.rolloutProgress.push_back(progressOf(query, roster, routers, values));
   }
   return reply;
 }
--- a/control/src/singleton_roles.h
+++ b/control/src/singleton_roles.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The page by which operators' programs take turns at singleton roles, such as the alert watch.
+/// The page by which operators' programs share singleton roles, such as the alert watch.
 
 #include <optional>
 #include <string>
@@ -13,7 +13,7 @@
 
 namespace corkward::control {
 
-/// What the page says of this member beside the lease.
+/// What the page shows of this member beside the lease.
 struct SingletonRoleContext {
   /// This member is in contact with a majority, and has been up for long enough to know of each lease that it granted.
   bool mayGrant = false;
--- a/control/src/status_pages.h
+++ b/control/src/status_pages.h
@@ -11,7 +11,8 @@
 
 namespace corkward::control {
 
-/// The fleet as this controller sees it; current or not, it says how old its contact with a majority is.
+/// The fleet as this controller sees it; whether or not it is current, it shows the age of the last contact with a
+/// majority.
 QJsonObject fleetPage(Tick now, consensus::ReplicatedRegisters const& registers, Roster const& roster,
                       RouterRegistry const& routers, RolloutTracker const& rollouts, bool ready);
 
--- a/control/src/validation_result.h
+++ b/control/src/validation_result.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What a validator says of a call on a key, and how that stands on the operators' pages.
+/// The typed result of validating a call, and its HTTP status and JSON text.
 
 #include <QJsonArray>
 #include <QJsonObject>
@@ -84,7 +84,7 @@
   std::optional<bool> evacuated = {};
   /// Tenants that are left without a certificate, one line each.
   std::vector<std::string> uncovered = {};
-  /// A trial run says so on the page, and always with status 200.
+  /// A dry run is marked on the page, and always has status 200.
   bool marksDryRun = false;
 };
 
--- a/control/src/validators.h
+++ b/control/src/validators.h
@@ -14,7 +14,7 @@
 
 namespace corkward::control {
 
-/// What a validator judges.
+/// Input of a validator.
 struct ValidationRequest {
   /// Newest revision of the key; 0: it has no value.
   std::uint64_t revision = 0;
--- a/control/test/controller_test.cpp
+++ b/control/test/controller_test.cpp
@@ -14,7 +14,7 @@
 namespace control = corkward::control;
 using corkward::control::Rig;
 
-TEST_CASE("a whole snapshot waits for a majority, whatever the asker would take") {
+TEST_CASE("a full snapshot waits for a majority, whatever the router would accept") {
   Rig rig;
   rig.alive = {"a"};
   rig.run(3000);
@@ -26,8 +26,8 @@
   ask.wantsSnapshot = true;
   std::function<bool(control::ControllerCommands const&)> const whole = [](control::ControllerCommands const& c) {
     return std::any_of(c.sends.begin(), c.sends.end(), [](transport::Send const& s) {
-      transport::ConfigurationUpdate const* const news = std::get_if<transport::ConfigurationUpdate>(&s.message);
-      return s.to == "b" && news != nullptr && news->isSnapshot && !news->entries.empty();
+      transport::ConfigurationUpdate const* const update = std::get_if<transport::ConfigurationUpdate>(&s.message);
+      return s.to == "b" && update != nullptr && update->isSnapshot && !update->entries.empty();
     });
   };
   CHECK_FALSE(whole(rig.reducer.onMessage(rig.now, "b", ask)));
@@ -35,7 +35,7 @@
   CHECK_FALSE(whole(rig.reducer.onMessage(rig.now, "b", ask)));
 }
 
-TEST_CASE("a change is answered when all have it, or a majority has and the rest are fenced") {
+TEST_CASE("a change is answered when all routers have it, or a majority has it and the others are fenced") {
   Rig rig;
   REQUIRE(rig.reducer.ready(rig.now));
   rig.alive = {"a", "b", "c"};
@@ -59,7 +59,7 @@
   CHECK(rig.statusOf(rig.call("GET", page)) == 200);
 }
 
-TEST_CASE("an evacuation sent again after its lifting takes no effect a second time") {
+TEST_CASE("an evacuation that is resent after it was lifted is not applied again") {
   Rig rig;
   rig.alive = {"a", "b", "c"};
   rig.run(6000);
@@ -90,7 +90,7 @@
   CHECK(rig.answers.at(lift).body.value("inForce").toBool());
 }
 
-TEST_CASE("a node that refuses the connection does not hold a change up") {
+TEST_CASE("a router that refuses connections does not delay a rollout") {
   Rig rig;
   rig.alive = {"a", "b", "c"};
   rig.run(6000);
@@ -98,11 +98,11 @@
   std::uint64_t const t = rig.call("PUT", "/v1/evacuations/z2");
   rig.run(700);
   CHECK(rig.statusOf(t) == 0);
-  rig.take(rig.reducer.onProbeResult(rig.now, "c", true));
+  rig.apply(rig.reducer.onProbeResult(rig.now, "c", true));
   CHECK(rig.statusOf(t) == 200);
 }
 
-TEST_CASE("what a router acknowledges late, after it was let go, says nothing of later changes") {
+TEST_CASE("a late acknowledgement after a router's session ended does not count for later changes") {
   Rig rig;
   rig.alive = {"a", "b", "c"};
   rig.run(6000);
@@ -122,14 +122,14 @@
   late.link = "c";
   late.incarnation = 1;
   late.digest = transport::digestOf(rig.have["c"]);
-  rig.take(rig.reducer.onMessage(rig.now, "c", late));
+  rig.apply(rig.reducer.onMessage(rig.now, "c", late));
   rig.call("PUT", "/v1/evacuations/z2");
   rig.run(600);
   transport::ServingLeaseRequest ask;
   ask.sentAt = rig.now;
   ask.sender = Rig::contact("c", transport::routerRole);
   ask.digest = late.digest;
-  rig.take(rig.reducer.onMessage(rig.now, "c", ask));
+  rig.apply(rig.reducer.onMessage(rig.now, "c", ask));
   transport::RouterStatusReport const answer = told();
   CHECK(answer.upToDate.test(0));
   CHECK_FALSE(answer.upToDate.test(c));
@@ -138,7 +138,7 @@
   CHECK_FALSE(answer.rolloutProgress[0].acknowledgedBy.test(c));
 }
 
-TEST_CASE("a whole roster lost for good holds changes up until its nodes are declared gone") {
+TEST_CASE("rollouts wait for a roster that is lost for good until its nodes are declared departed") {
   Rig rig;
   rig.alive = {"a", "b", "c"};
   rig.run(6000);
@@ -158,7 +158,7 @@
   CHECK(nodes == std::set<std::string>{"d", "e", "f"});
 }
 
-TEST_CASE("a duty has one holder, who may name its successor, under a rising epoch") {
+TEST_CASE("a singleton role has one holder, who may name its successor, under a rising term") {
   Rig rig;
   rig.run(16000);
   std::function<QJsonObject(char const*, char const*)> const put = [&](char const* method, char const* body) {
@@ -183,7 +183,7 @@
   CHECK(rig.statusOf(rig.call("PUT", "/v1/duties/watch", "{}")) == 422);
 }
 
-TEST_CASE("well-typed messages with absurd values break no invariant") {
+TEST_CASE("well-typed messages with random values violate no invariant") {
   core::RandomGenerator rng(23);
   std::vector<std::string> const names{"n1",     "n2",         "s1",          "m1",      "m2", "roster",
                                        "cohort", "pool:model", "family:desk", "zone:z1", "x",  ""};
@@ -193,10 +193,10 @@
     rig.run(3000);
     for (int i = 0; i < 400; ++i) {
       rig.now += static_cast<core::Tick>(rng.below(40));
-      rig.take(rig.reducer.onMessage(
+      rig.apply(rig.reducer.onMessage(
           rig.now, names[rng.below(names.size())],
           transport::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<transport::Message>))));
-      if (i % 9 == 0) rig.take(rig.reducer.onTimer(rig.now));
+      if (i % 9 == 0) rig.apply(rig.reducer.onTimer(rig.now));
       if (i % 40 == 0) rig.call("PUT", "/v1/evacuations/z1");
     }
   }
@@ -205,7 +205,7 @@
     CHECK_THAT(broken, Catch::Contains("one-value-per-revision"));
 }
 
-TEST_CASE("a platform's list is taken whatever its pools and zones are called") {
+TEST_CASE("a platform's endpoint list is accepted whatever its pools and zones are called") {
   control::ControllerTuning tuning;
   tuning.awaitRollout = false;
   Rig rig(tuning);
@@ -218,7 +218,7 @@
   replica.zone = "ZH.a_1 b";
   corkward::config::EndpointList list;
   list.replicas = {replica};
-  rig.take(rig.reducer.updateEndpointLists(rig.now, {{pool, list}, {"lm", list}}));
+  rig.apply(rig.reducer.updateEndpointLists(rig.now, {{pool, list}, {"lm", list}}));
   rig.run(1000);
   CHECK(rig.have["a"].count("pool:" + pool) == 1);
   CHECK(rig.have["a"].count("pool:lm") == 1);
--- a/control/test/cut_test.cpp
+++ b/control/test/cut_test.cpp
@@ -22,10 +22,10 @@
 constexpr core::Tick messageDelay = 2;
 constexpr core::Tick diskDelay = 2;
 constexpr core::Tick clockEvery = 25;
-/// After this long a caller goes on to another machine.
+/// After this long a caller turns to another machine.
 constexpr core::Tick callerWaits = 1000;
 
-/// Three controllers on disks that answer, one of which can be cut off from the others.
+/// Three controllers on disks that answer, one of which can be partitioned from the others.
 struct ThreeControllers {
   struct Member {
     std::unique_ptr<control::Controller> reducer;
@@ -38,9 +38,9 @@
   std::string cutOff;
   /// First snapshots sent to each router.
   std::map<std::string, int> snapshots;
-  /// Called with the news that any controller sends to a router.
+  /// Called with each configuration update that a controller sends to a router.
   std::function<void(transport::ConfigurationUpdate const&)> heard;
-  /// Called with each answer that one controller sends to another, before it is sent.
+  /// Called with each reply that one controller sends to another, before it is sent.
   std::function<void(transport::OperatorCallReply&)> relayed;
   std::uint64_t token = 1;
 
@@ -53,14 +53,14 @@
           Rig::contact(link, transport::controllerRole), std::string("m") + link, std::vector<std::string>{},
           std::vector<std::string>{"s1", "s2", "s3"}, seed++, tuning);
     for (std::map<std::string, Member>::value_type& m : members)
-      take(m.first, m.second.reducer->restore({}, false, now));
+      apply(m.first, m.second.reducer->restore({}, false, now));
     run(4000);
     REQUIRE(members.at("s1").reducer->ready(now));
   }
-  void take(std::string const& link, control::ControllerCommands&& c) {
+  void apply(std::string const& link, control::ControllerCommands&& c) {
     for (consensus::PersistCommand const& p : c.persists)
       events.emplace(now + diskDelay, [this, link, ticket = p.ticket] {
-        take(link, members.at(link).reducer->onPersisted(now, ticket, true));
+        apply(link, members.at(link).reducer->onPersisted(now, ticket, true));
       });
     for (transport::Send& s : c.sends) {
       transport::OperatorCallReply* const response = std::get_if<transport::OperatorCallReply>(&s.message);
@@ -73,13 +73,13 @@
     }
   }
   void deliver(std::string const& from, transport::Send const& s) {
-    transport::ConfigurationUpdate const* const news = std::get_if<transport::ConfigurationUpdate>(&s.message);
-    if (news != nullptr && heard) heard(*news);
-    if (news != nullptr && news->isSnapshot) ++snapshots[s.to];
+    transport::ConfigurationUpdate const* const update = std::get_if<transport::ConfigurationUpdate>(&s.message);
+    if (update != nullptr && heard) heard(*update);
+    if (update != nullptr && update->isSnapshot) ++snapshots[s.to];
     if (members.count(s.to) == 0) return;
     if (from != s.to && (from == cutOff || s.to == cutOff)) return;
     events.emplace(now + messageDelay,
-                   [this, from, s] { take(s.to, members.at(s.to).reducer->onMessage(now, from, s.message)); });
+                   [this, from, s] { apply(s.to, members.at(s.to).reducer->onMessage(now, from, s.message)); });
   }
   void run(core::Tick span) {
     for (core::Tick const until = now + span; now < until; ++now) {
@@ -89,7 +89,7 @@
         event();
       }
       if (now % clockEvery != 0) continue;
-      for (std::map<std::string, Member>::value_type& m : members) take(m.first, m.second.reducer->onTimer(now));
+      for (std::map<std::string, Member>::value_type& m : members) apply(m.first, m.second.reducer->onTimer(now));
     }
   }
   std::uint64_t call(std::string const& at, std::string const& method, std::string const& path,
@@ -101,7 +101,7 @@
     c.body = body;
     c.ifMatch = ifMatch;
     c.changeId = "c" + std::to_string(c.token);
-    take(at, members.at(at).reducer->onOperatorCall(now, c));
+    apply(at, members.at(at).reducer->onOperatorCall(now, c));
     return c.token;
   }
   void ask(std::string const& at, std::uint64_t incarnation) {
@@ -110,7 +110,7 @@
     ask.sender = Rig::contact("router", transport::routerRole);
     ask.sender.incarnation = incarnation;
     ask.wantsSnapshot = true;
-    take(at, members.at(at).reducer->onMessage(now, "router", ask));
+    apply(at, members.at(at).reducer->onMessage(now, "router", ask));
   }
   int statusOf(std::uint64_t call) const { return answers.count(call) > 0 ? answers.at(call).status : 0; }
 };
@@ -118,7 +118,7 @@
 std::string const configuration = R"({"version":1,"paths":[],"pools":[]})";
 std::string const malformed = R"({"version":1,"surprise":1})";
 
-/// Every kind of question whose answer rests on state, at the controller of that name.
+/// Every kind of call whose reply depends on state, at the controller of that name.
 std::vector<std::uint64_t> askAll(ThreeControllers& fleet, std::string const& at) {
   return {fleet.call(at, "GET", config::fleetConfigurationPage),
           fleet.call(at, "PUT", config::fleetConfigurationPage, configuration, "7"),
@@ -132,7 +132,7 @@
 
 }  // namespace
 
-TEST_CASE("a controller that is cut off answers within the caller's second, serves nothing and refuses nothing") {
+TEST_CASE("a partitioned controller answers within a second, serves nothing and rejects nothing") {
   for (core::Tick const since : {0, 5, 150, 700, 1300, 1600, 5000, 20000}) {
     ThreeControllers fleet;
     std::uint64_t const base = fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
@@ -151,7 +151,7 @@
   }
 }
 
-TEST_CASE("after the cut the same controller answers again, and from what was chosen meanwhile") {
+TEST_CASE("after the partition the same controller answers again, from what was committed meanwhile") {
   ThreeControllers fleet;
   fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
   fleet.run(2000);
@@ -174,7 +174,7 @@
   CHECK(fleet.statusOf(again) == 200);
 }
 
-TEST_CASE("a router that starts beside a controller that is cut off gets no first snapshot there") {
+TEST_CASE("a router that starts beside a partitioned controller gets no first snapshot from it") {
   ThreeControllers fleet;
   fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
   fleet.run(2000);
@@ -190,7 +190,7 @@
   CHECK(fleet.snapshots["router"] == 1);
 }
 
-TEST_CASE("a router that restarts asks for its snapshot anew, whatever its former life had asked") {
+TEST_CASE("a restarted router requests its snapshot anew, whatever its former incarnation requested") {
   ThreeControllers fleet;
   fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
   fleet.run(2000);
@@ -232,17 +232,17 @@
   return out;
 }
 
-/// Each controller whose duty it is takes the platform's lists, as often as the platform is read.
+/// Each controller that is the endpoint list reader gets the platform's lists.
 void readLists(ThreeControllers& fleet, core::Tick span, std::map<std::string, config::EndpointList> const& lists) {
   for (core::Tick const until = fleet.now + span; fleet.now < until;) {
     for (std::map<std::string, ThreeControllers::Member>::value_type& m : fleet.members)
       if (m.second.reducer->isEndpointListReader(fleet.now))
-        fleet.take(m.first, m.second.reducer->updateEndpointLists(fleet.now, lists));
+        fleet.apply(m.first, m.second.reducer->updateEndpointLists(fleet.now, lists));
     fleet.run(readEvery);
   }
 }
 
-/// Lists without the leaving replica that routers were sent over one in which it leaves, after the cut of a controller.
+/// Lists without the leaving replica that replaced one in which it leaves, after a controller was partitioned.
 std::vector<std::string> listsThatCameBack(char const* cutOff, core::Tick leavesAfter) {
   ThreeControllers fleet;
   fleet.ask("s1", 1);
@@ -252,8 +252,8 @@
   readLists(fleet, 6 * readEvery, listsOf(true, true));
   std::map<std::string, std::uint64_t> left;
   std::vector<std::string> back;
-  fleet.heard = [&](transport::ConfigurationUpdate const& news) {
-    for (transport::CommittedEntry const& item : news.entries) {
+  fleet.heard = [&](transport::ConfigurationUpdate const& update) {
+    for (transport::CommittedEntry const& item : update.entries) {
       if (item.key.rfind("pool:", 0) != 0) continue;
       bool const leaving = core::jsonText(item.value).find("leaving") != std::string::npos;
       if (leaving)
@@ -271,7 +271,7 @@
 
 }  // namespace
 
-TEST_CASE("after a cut no list of the controller that was cut off comes back over a newer one") {
+TEST_CASE("after a partition no endpoint list of the partitioned controller replaces a newer one") {
   // How long after the cut the replica leaves decides how old the call is that the controller then has in hand.
   for (core::Tick leavesAfter = 8000; leavesAfter <= 12000; leavesAfter += readEvery)
     for (char const* const cutOff : {"s1", "s2", "s3"}) {
@@ -280,7 +280,7 @@
     }
 }
 
-TEST_CASE("an owner's answer that is older than what was committed when it was asked for breaks a promise") {
+TEST_CASE("a reply older than what was committed when the read arrived violates a guarantee") {
   ThreeControllers fleet;
   std::string const name = "/v1/templates/desk";
   std::string const desk = R"({"paths":[{"path":"a","pool":"big","class":"short"}]})";
--- a/control/test/fleet_configuration_test.cpp
+++ b/control/test/fleet_configuration_test.cpp
@@ -23,8 +23,8 @@
 
 namespace {
 
-/// Calls on the page of the whole configuration, each waited for.
-struct Desk {
+/// Synchronous calls on the page of the fleet configuration.
+struct OperatorClient {
   Rig rig;
   control::OperatorResponse last;
 
@@ -49,8 +49,8 @@
 
 }  // namespace
 
-TEST_CASE("the whole configuration is put, read and patched under its own version") {
-  Desk d;
+TEST_CASE("the fleet configuration is put, read and patched under its own version") {
+  OperatorClient d;
   d.rig.alive = {"a", "b", "c"};
   d.rig.run(6000);
   CHECK(d.call("GET") == 404);
@@ -79,8 +79,8 @@
   CHECK((d.rig.statusOf(asked) == 200 && d.rig.answers[asked].body.value("version").toInteger() == 9));
 }
 
-TEST_CASE("a change of the whole configuration that is not valid changes nothing") {
-  Desk d;
+TEST_CASE("an invalid change of the fleet configuration changes nothing") {
+  OperatorClient d;
   REQUIRE(d.put(spec(5), "0") == 201);
   struct Row {
     char const* method;
@@ -126,8 +126,8 @@
   CHECK(d.last.body.value("stamp").toInteger() == 1);
 }
 
-TEST_CASE("a change of the whole configuration that is sent again is answered as it was") {
-  Desk d;
+TEST_CASE("a resent change of the fleet configuration gets its first reply") {
+  OperatorClient d;
   REQUIRE(d.put(spec(5), "0", "one") == 201);
   REQUIRE(d.patch(patchOf(6, {"b"}), "5", "two") == 200);
   REQUIRE(d.put(spec(7, {"c"}), "6", "three") == 200);
@@ -148,8 +148,8 @@
   CHECK(d.version() == 7);
 }
 
-TEST_CASE("of two changes on one version of the whole configuration one is taken") {
-  Desk d;
+TEST_CASE("of two changes on one version of the fleet configuration one is accepted") {
+  OperatorClient d;
   REQUIRE(d.put(spec(5), "0") == 201);
   std::uint64_t const one = d.rig.call("PUT", page, core::jsonText(spec(6, {"x"})), "5");
   std::uint64_t const two = d.rig.call("PATCH", page, core::jsonText(patchOf(8, {"y"})), "5");
@@ -161,8 +161,8 @@
   CHECK(d.version() == 6);
 }
 
-TEST_CASE("a dry run checks the whole configuration and changes nothing") {
-  Desk d;
+TEST_CASE("a dry run checks the fleet configuration and changes nothing") {
+  OperatorClient d;
   transport::OperatorCall c;
   c.token = 77;
   c.method = "PUT";
@@ -171,15 +171,15 @@
   c.changeId = "dry";
   c.dryRun = true;
   c.body = core::jsonText(spec(5));
-  d.rig.take(d.rig.reducer.onOperatorCall(d.rig.now, c));
+  d.rig.apply(d.rig.reducer.onOperatorCall(d.rig.now, c));
   d.rig.run(700);
   CHECK(d.rig.statusOf(77) == 200);
   CHECK((d.rig.answers[77].body.value("dryRun").toBool() && d.rig.answers[77].body.value("version").toInteger() == 5));
   CHECK(d.call("GET") == 404);
 }
 
-TEST_CASE("bodies of the whole configuration may be larger than others, and it stays within its limit") {
-  Desk d;
+TEST_CASE("bodies of the fleet configuration may be larger than others, and it stays within its limit") {
+  OperatorClient d;
   QJsonObject large = spec(5);
   large.insert("extra", QJsonObject{{"text", QString(3 << 20, 'x')}});
   CHECK(d.put(large, "0") == 201);
@@ -200,8 +200,8 @@
   CHECK(d.version() == 8);
 }
 
-TEST_CASE("a family may name pools of the whole configuration in place") {
-  Desk d;
+TEST_CASE("a family may name pools of the committed fleet configuration") {
+  OperatorClient d;
   constexpr char const* body = R"({"paths":[{"path":"a","pool":"big","class":"short"}]})";
   std::function<int(char const*, char const*)> const put = [&](char const* path, char const* text) {
     std::uint64_t const t = d.rig.call("PUT", path, text, "0");
@@ -221,7 +221,7 @@
 TEST_CASE("two thousand paths are put and patched") {
   std::vector<std::string> names;
   for (int i = 0; i < 2000; ++i) names.push_back("p" + std::to_string(i));
-  Desk d;
+  OperatorClient d;
   REQUIRE(d.put(spec(5, names), "0") == 201);
   CHECK(d.patch(QJsonObject{{"version", 6},
                             {"set", QJsonObject{{"paths", QJsonArray{pathRow("new")}}}},
@@ -234,7 +234,7 @@
   CHECK(rows.last().toObject().value("name") == "new");
 }
 
-TEST_CASE("without waiting for its force a change is answered as soon as it is on a majority of the disks") {
+TEST_CASE("without waiting for rollouts a change is answered as soon as it is on a majority of the disks") {
   control::ControllerTuning tuning;
   tuning.awaitRollout = false;
   for (bool const await : {true, false}) {
@@ -257,7 +257,7 @@
   }
 }
 
-TEST_CASE("under random load and failures the whole configuration's version rises by accepted changes alone") {
+TEST_CASE("under random load and failures the fleet configuration's version rises by accepted changes alone") {
   std::size_t most = 0;
   std::size_t taken = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -274,7 +274,7 @@
     for (core::Tick const until = c.now + 15000; c.now < until;) c.step();
     for (std::map<std::string, Membership::Member>::value_type const& m : c.members)
       CHECK(m.second.seen == c.chain.rbegin()->first);
-    c.judge();
+    c.checkInvariants();
     most = std::max(most, c.chain.size());
     for (std::map<std::string, Membership::Change>::value_type const& k : c.changes)
       taken += k.second.status == 200 || k.second.status == 201 ? 1 : 0;
--- a/control/test/golden_pages_test.cpp
+++ b/control/test/golden_pages_test.cpp
@@ -1,4 +1,4 @@
-/// Every page that a controller answers, good and refused, and its whole metrics text, as recorded under golden/.
+/// Every page that a controller answers, accepted and rejected, and its full metrics text, as recorded under golden/.
 ///
 /// What operators read is what they script against, so recording anew (see testing/golden/golden.h) is right only when
 /// a page itself is meant to change.
@@ -32,7 +32,7 @@
 
 namespace {
 
-/// Longest body that is written out; a longer one is told by its size.
+/// Longest body that is written out; of a longer one only the size is.
 constexpr std::size_t longestShown = 600;
 /// A call that has no answer after this long is written down as unanswered.
 constexpr core::Tick patience = 12000;
@@ -70,7 +70,7 @@
            std::string const& ifMatch = "", std::string const& changeId = "", bool dryRun = false) {
     transport::OperatorCall call = callOf(method, path, body, ifMatch, changeId);
     call.dryRun = dryRun;
-    rig.take(rig.reducer.onOperatorCall(rig.now, call));
+    rig.apply(rig.reducer.onOperatorCall(rig.now, call));
     wait(call);
   }
   transport::OperatorCall callOf(std::string const& method, std::string const& path, std::string const& body = "",
@@ -225,7 +225,7 @@
   p.check("pages_templates.txt");
 }
 
-TEST_CASE("golden: pages of the whole configuration") {
+TEST_CASE("golden: pages of the fleet configuration") {
   Pages p;
   std::string const page = config::fleetConfigurationPage;
   p.title("nothing so far");
@@ -463,7 +463,7 @@
   p.check("pages_lists.txt");
 }
 
-TEST_CASE("golden: pages of duties") {
+TEST_CASE("golden: pages of singleton roles") {
   Pages p;
   std::string const watch = "/v1/duties/watch";
   p.title("too early to know who has it");
@@ -492,7 +492,7 @@
   p.check("pages_duties.txt");
 }
 
-TEST_CASE("golden: the fleet, its roster, and changes that are not in force") {
+TEST_CASE("golden: the fleet, its roster, and changes whose rollout is incomplete") {
   Pages p;
   p.title("a controller alone");
   p.ask("GET", "/v1/fleet");
@@ -528,7 +528,7 @@
   p.check("pages_fleet.txt");
 }
 
-TEST_CASE("golden: an answer that does not wait until a change is in force") {
+TEST_CASE("golden: a reply that does not wait for a change's rollout") {
   control::ControllerTuning tuning;
   tuning.awaitRollout = false;
   Pages p(tuning);
@@ -602,11 +602,11 @@
   core::Tick& now;
   std::map<std::uint64_t, control::OperatorResponse> answers;
 
-  void take(control::ControllerCommands const& commands) {
+  void apply(control::ControllerCommands const& commands) {
     for (control::OperatorResponse const& a : commands.responses) answers[a.token] = a;
   }
   void run(core::Tick span) {
-    for (core::Tick const until = now + span; now < until; now += 25) take(reducer.onTimer(now));
+    for (core::Tick const until = now + span; now < until; now += 25) apply(reducer.onTimer(now));
   }
   std::string told(transport::OperatorCall const& call) const {
     auto const answer = answers.find(call.token);
@@ -617,10 +617,10 @@
 
 }  // namespace
 
-TEST_CASE("golden: a controller that leaves") {
+TEST_CASE("golden: a controller that drains") {
   Pages p;
   p.rig.run(16000);
-  p.rig.take(p.rig.reducer.drain(p.rig.now));
+  p.rig.apply(p.rig.reducer.drain(p.rig.now));
   for (auto const& [method, path] : kinds) p.ask(method, path, holder, "0");
   p.ask("GET", "/v1/fleet");
   p.check("pages_leaving.txt");
@@ -632,25 +632,25 @@
   control::Controller reducer(Rig::contact("s1", transport::controllerRole), "m1", {}, {"s1", "s2", "s3"}, 3);
   core::Tick now = 1000;
   Silent alone{reducer, now, {}};
-  alone.take(reducer.restore({}, false, now));
+  alone.apply(reducer.restore({}, false, now));
   alone.run(1000);
   for (auto const& [method, path] : kinds) {
     transport::OperatorCall const call = calls.callOf(method, path, holder, "0");
-    alone.take(reducer.onOperatorCall(now, call));
+    alone.apply(reducer.onOperatorCall(now, call));
     alone.run(1000);
     text += alone.told(call);
   }
   text += "\n# too many questions\n";
-  for (int i = 0; i < 4096; ++i) alone.take(reducer.onOperatorCall(now, calls.callOf("GET", "/v1/templates")));
+  for (int i = 0; i < 4096; ++i) alone.apply(reducer.onOperatorCall(now, calls.callOf("GET", "/v1/templates")));
   for (char const* const path : {"/v1/templates", "/v1/changes/x", "/v1/fleet"}) {
     transport::OperatorCall const call = calls.callOf("GET", path);
-    alone.take(reducer.onOperatorCall(now, call));
+    alone.apply(reducer.onOperatorCall(now, call));
     text += alone.told(call);
   }
   golden::check(file("pages_out_of_contact.txt"), text);
 }
 
-TEST_CASE("golden: the disk falls silent while calls are in hand") {
+TEST_CASE("golden: the disk stops answering while calls are pending") {
   std::string text;
   Pages p;
   p.rig.run(3000);
@@ -658,23 +658,23 @@
   std::vector<transport::OperatorCall> calls;
   for (auto const& [method, path] : kinds) {
     calls.push_back(p.callOf(method, path, holder, "0"));
-    silent.take(p.rig.reducer.onOperatorCall(p.rig.now, calls.back()));
+    silent.apply(p.rig.reducer.onOperatorCall(p.rig.now, calls.back()));
   }
   silent.run(patience);
   for (transport::OperatorCall const& call : calls) text += silent.told(call);
   golden::check(file("pages_disk_silent.txt"), text);
 }
 
-TEST_CASE("golden: a controller that has too much in hand") {
+TEST_CASE("golden: a controller with too many pending calls") {
   std::string text;
   Pages p;
   p.rig.run(3000);
   Silent full{p.rig.reducer, p.rig.now, {}};
   for (int i = 0; i < 4096; ++i)
-    full.take(p.rig.reducer.onOperatorCall(p.rig.now, p.callOf("PUT", "/v1/evacuations/y" + std::to_string(i))));
+    full.apply(p.rig.reducer.onOperatorCall(p.rig.now, p.callOf("PUT", "/v1/evacuations/y" + std::to_string(i))));
   for (auto const& [method, path] : kinds) {
     transport::OperatorCall const call = p.callOf(method, path, holder, "0");
-    full.take(p.rig.reducer.onOperatorCall(p.rig.now, call));
+    full.apply(p.rig.reducer.onOperatorCall(p.rig.now, call));
     text += full.told(call);
   }
   golden::check(file("pages_full.txt"), text);
@@ -698,20 +698,20 @@
       members[link] = std::make_unique<control::Controller>(Rig::contact(link, transport::controllerRole),
                                                             std::string("m") + link, std::vector<std::string>{},
                                                             std::vector<std::string>{"s1", "s2", "s3"}, seed++);
-    for (auto const& [link, reducer] : members) take(link, reducer->restore({}, false, now));
+    for (auto const& [link, reducer] : members) apply(link, reducer->restore({}, false, now));
     run(4000);
     REQUIRE(members.at("s1")->ready(now));
   }
-  void take(std::string const& link, control::ControllerCommands&& commands) {
+  void apply(std::string const& link, control::ControllerCommands&& commands) {
     for (auto const& persist : commands.persists)
       events.emplace(now + 2, [this, link, ticket = persist.ticket] {
-        take(link, members.at(link)->onPersisted(now, ticket, true));
+        apply(link, members.at(link)->onPersisted(now, ticket, true));
       });
     for (transport::Send const& send : commands.sends) {
       bool const lost = loseAnswers && std::holds_alternative<transport::OperatorCallReply>(send.message);
       if (lost || members.count(send.to) == 0) continue;
       events.emplace(now + 2,
-                     [this, link, send] { take(send.to, members.at(send.to)->onMessage(now, link, send.message)); });
+                     [this, link, send] { apply(send.to, members.at(send.to)->onMessage(now, link, send.message)); });
     }
     for (control::OperatorResponse const& a : commands.responses) answers[a.token] = a;
   }
@@ -723,7 +723,7 @@
         event();
       }
       if (now % 25 != 0) continue;
-      for (auto const& [link, reducer] : members) take(link, reducer->onTimer(now));
+      for (auto const& [link, reducer] : members) apply(link, reducer->onTimer(now));
     }
   }
   std::string ask(std::string const& at, std::string const& method, std::string const& path,
@@ -735,7 +735,7 @@
     call.body = body;
     call.ifMatch = ifMatch;
     call.changeId = "c" + std::to_string(call.token);
-    take(at, members.at(at)->onOperatorCall(now, call));
+    apply(at, members.at(at)->onOperatorCall(now, call));
     for (core::Tick const until = now + patience; answers.count(call.token) == 0 && now < until;) run(25);
     REQUIRE(answers.count(call.token) == 1);
     return at + asked(call) + answered(answers.at(call.token).status, answers.at(call.token).body);
@@ -744,7 +744,7 @@
 
 }  // namespace
 
-TEST_CASE("golden: three controllers relay calls to the owner of a key") {
+TEST_CASE("golden: three controllers forward calls to the owner of a key") {
   Three fleet;
   std::string text;
   for (char const* const link : {"s1", "s2", "s3"}) {
@@ -762,7 +762,7 @@
   golden::check(file("pages_relayed.txt"), text);
 }
 
-TEST_CASE("golden: refusals that only a key's own history or size brings") {
+TEST_CASE("golden: rejections that only a key's own history or size brings") {
   std::string text;
   auto const ask = [&text](std::string const& method, std::string const& path, std::string const& key,
                            std::uint64_t revision, QJsonObject const& value, std::string const& body,
@@ -844,13 +844,13 @@
   replica.address = "10.0.0.1:80";
   replica.zone = "z1";
   list.replicas = {replica};
-  p.rig.take(p.rig.reducer.updateEndpointLists(p.rig.now, {{"model", list}}));
+  p.rig.apply(p.rig.reducer.updateEndpointLists(p.rig.now, {{"model", list}}));
   p.rig.run(700);
   p.rig.deaf = {"b", "c"};
   p.ask("PUT", "/v1/evacuations/z2");
   p.rig.call("PUT", "/v1/evacuations/z3");
   text += "# with routers, certificates and a call in hand\n" + p.rig.reducer.metrics(p.rig.now);
-  p.rig.take(p.rig.reducer.drain(p.rig.now));
+  p.rig.apply(p.rig.reducer.drain(p.rig.now));
   p.rig.run(6000);
   text += "# leaving\n" + p.rig.reducer.metrics(p.rig.now);
   control::Controller alone(Rig::contact("s1", transport::controllerRole), "m1", {}, {"s1", "s2", "s3"}, 3);
--- a/control/test/golden_test.cpp
+++ b/control/test/golden_test.cpp
@@ -158,14 +158,14 @@
     run(3000);
     return rig.answers[token];
   }
-  /// A router that asks once and is not heard again.
+  /// A router that sends one request and is not heard again.
   void meetRouter(std::string const& link) {
     transport::ServingLeaseRequest ask;
     ask.sentAt = rig.now;
     ask.sender = Rig::contact(link, transport::routerRole);
     ask.sender.httpAddress = "127.0.0.1:8004";
     ask.sender.zone = "Zone ü/1";
-    rig.take(rig.reducer.onMessage(rig.now, link, ask));
+    rig.apply(rig.reducer.onMessage(rig.now, link, ask));
     run(6000);
   }
   /// The controller reads the platform's list of one pool itself.
@@ -176,7 +176,7 @@
                              .toObject());
     config::EndpointList const model = config::readPool(core::parseJson(secondList).toObject());
     config::EndpointList const labelled = config::readPool(core::parseJson(labelledList).toObject());
-    rig.take(rig.reducer.updateEndpointLists(rig.now, {{"read", list}, {"model", model}, {"Pool ü/1", labelled}}));
+    rig.apply(rig.reducer.updateEndpointLists(rig.now, {{"read", list}, {"model", model}, {"Pool ü/1", labelled}}));
     run(3000);
   }
 
@@ -217,7 +217,7 @@
   std::ostringstream values_;
 };
 
-/// A controller that has taken all changes.
+/// A controller that has accepted all changes.
 std::unique_ptr<Recorder> afterAllChanges() {
   auto recorder = std::make_unique<Recorder>();
   recorder->meetRouter("n4");
--- a/control/test/operators.h
+++ b/control/test/operators.h
@@ -19,7 +19,7 @@
 
 namespace corkward::control {
 
-/// Page of the whole configuration.
+/// Page of the fleet configuration.
 inline constexpr char const* page = config::fleetConfigurationPage;
 
 inline QJsonObject pathRow(std::string const& name, std::string const& pool = "big") {
@@ -46,17 +46,17 @@
   return QJsonObject{{"version", version}, {"set", QJsonObject{{"paths", rows}}}, {"extra", QJsonObject{{"by", by}}}};
 }
 
-/// Three members with links that lose, repeat and delay, disks that take their time, and processes that die.
+/// Three members with links that lose, duplicate and delay, slow disks, and processes that are killed.
 struct Membership {
   struct Member {
     std::unique_ptr<Controller> reducer;
     std::map<std::string, std::string> disk;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t seen = 0;
   };
   struct Event {
     std::string to;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::function<ControllerCommands(Controller&)> run;
   };
   /// One change as an operator sent it.
@@ -65,7 +65,7 @@
     transport::OperatorCall call;
     bool valid = true;
     int status = 0;
-    /// What the newest answer said.
+    /// Status of the newest reply.
     int last = 0;
   };
 
@@ -86,16 +86,16 @@
   }
   void start(std::string const& link) {
     Member& m = members[link];
-    ++m.life;
+    ++m.incarnation;
     m.seen = 0;
     ControllerTuning tuning;
     tuning.awaitRollout = false;
     m.reducer = std::make_unique<Controller>(Rig::contact(link, transport::controllerRole),
-                                             "m" + link + std::to_string(m.life), std::vector<std::string>{},
+                                             "m" + link + std::to_string(m.incarnation), std::vector<std::string>{},
                                              std::vector<std::string>{"s1", "s2", "s3"}, rng.next(), tuning);
-    take(link, m.reducer->restore(m.disk, false, now));
+    apply(link, m.reducer->restore(m.disk, false, now));
   }
-  /// The process is gone and comes back with an empty disk.
+  /// The process is replaced by one with an empty disk.
   void wipe(std::string const& link) {
     members[link].disk.clear();
     start(link);
@@ -103,8 +103,8 @@
   void run(core::Tick how) {
     for (core::Tick const until = now + how; now < until;) step();
   }
-  /// Sends every change that was acknowledged once more, each to a member drawn by lot, and gives their number.
-  std::size_t resendTaken() {
+  /// Resends every acknowledged change, each to a random member, and returns their number.
+  std::size_t resendAcknowledged() {
     std::size_t sent = 0;
     for (std::map<std::string, Change>::value_type& c : changes) {
       if (c.second.status != 200 && c.second.status != 201) continue;
@@ -116,13 +116,13 @@
     return sent;
   }
   void later(core::Tick how, std::string const& to, std::function<ControllerCommands(Controller&)> run) {
-    events.emplace(now + how, Event{to, members[to].life, std::move(run)});
+    events.emplace(now + how, Event{to, members[to].incarnation, std::move(run)});
   }
-  void take(std::string const& link, ControllerCommands&& c) {
+  void apply(std::string const& link, ControllerCommands&& c) {
     Member& m = members[link];
     for (consensus::PersistCommand const& p : c.persists) {
-      std::uint64_t const life = m.life;
-      later(1 + static_cast<core::Tick>(rng.below(15)), link, [this, link, life, p](Controller& reducer) {
+      std::uint64_t const incarnation = m.incarnation;
+      later(1 + static_cast<core::Tick>(rng.below(15)), link, [this, link, incarnation, p](Controller& reducer) {
         members[link].disk[p.key] = p.payload;
         return reducer.onPersisted(now, p.ticket, true);
       });
@@ -168,7 +168,7 @@
     byToken[call.token] = c.id;
     std::map<std::string, Member>::iterator const to =
         std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
-    take(to->first, to->second.reducer->onOperatorCall(now, call));
+    apply(to->first, to->second.reducer->onOperatorCall(now, call));
   }
   void read() {
     transport::OperatorCall call;
@@ -178,7 +178,7 @@
     reads[call.token] = newestRead;
     std::map<std::string, Member>::iterator const to =
         std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
-    take(to->first, to->second.reducer->onOperatorCall(now, call));
+    apply(to->first, to->second.reducer->onOperatorCall(now, call));
   }
   void operate() {
     if (rng.chance(0.3) && !changes.empty()) {
@@ -215,16 +215,16 @@
       Event const e = std::move(events.begin()->second);
       events.erase(events.begin());
       Member& m = members[e.to];
-      if (e.life != 0 && e.life != m.life) continue;
-      take(e.to, e.run(*m.reducer));
+      if (e.incarnation != 0 && e.incarnation != m.incarnation) continue;
+      apply(e.to, e.run(*m.reducer));
     }
     if (now % 25 == 0)
-      for (std::map<std::string, Member>::value_type& m : members) take(m.first, m.second.reducer->onTimer(now));
+      for (std::map<std::string, Member>::value_type& m : members) apply(m.first, m.second.reducer->onTimer(now));
   }
   std::string by(QJsonObject const& value) const {
     return core::toStdString(value.value("extra").toObject().value("by").toString());
   }
-  void judge() {
+  void checkInvariants() {
     QJsonObject before;
     std::uint64_t revision = 0;
     std::map<std::string, std::string> takenOn;
--- a/control/test/regimes_test.cpp
+++ b/control/test/regimes_test.cpp
@@ -32,12 +32,12 @@
 constexpr char const* farAway = "2030-01-01T00:00:00Z";
 constexpr char const* regulated = R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})";
 
-/// Calls of operators and the platform, each waited for.
-struct Desk {
+/// Synchronous calls of operators and the platform.
+struct OperatorClient {
   Rig rig;
   control::OperatorResponse last;
 
-  Desk() {
+  OperatorClient() {
     rig.reducer.setWallTime(at("2026-06-01T00:00:00Z"));
     call("PUT", "/v1/platform/pools/model",
          R"({"generation":1,"replicas":[{"id":"r1","address":"10.0.0.1:80","zone":"z1","state":"serving"},
@@ -63,7 +63,7 @@
 }  // namespace
 
 TEST_CASE("certificates are put, read, patched and revoked under their own revision") {
-  Desk d;
+  OperatorClient d;
   CHECK(d.call("GET", page) == 404);
   CHECK(d.put({}, "") == 428);
   CHECK(d.put({{"c1", certificate("model", "z1", farAway)}}, "0", "first") == 201);
@@ -92,7 +92,7 @@
 }
 
 TEST_CASE("a bad declaration of certificates changes nothing") {
-  Desk d;
+  OperatorClient d;
   REQUIRE(d.put({{"c1", certificate("model", "z1", farAway)}}, "0") == 201);
   CHECK(d.call("PUT", page, "{", "1") == 400);
   CHECK(d.call("PUT", page, "[]", "1") == 400);
@@ -109,14 +109,14 @@
   c.changeId = "dry";
   c.dryRun = true;
   c.body = core::jsonText(declared({}));
-  d.rig.take(d.rig.reducer.onOperatorCall(d.rig.now, c));
+  d.rig.apply(d.rig.reducer.onOperatorCall(d.rig.now, c));
   d.rig.run(700);
   CHECK(d.rig.answers[dry].body.value("dryRun").toBool());
   CHECK(d.revision() == 1);
 }
 
-TEST_CASE("a tenant whose regime nobody could serve is rejected at once, with its place") {
-  Desk d;
+TEST_CASE("a tenant whose regime nobody could serve is rejected at once, with a pointer to the fault") {
+  OperatorClient d;
   REQUIRE(d.call("PUT", "/v1/templates/desk", regulated, "0") == 201);
   std::string const tenant = "/v1/templates/desk/instances/nord";
   CHECK(d.call("PUT", tenant, "{}", "0") == 422);
@@ -138,8 +138,8 @@
   CHECK(d.call("GET", tenant) == 200);
 }
 
-TEST_CASE("certificates that tenants need are kept, unless they are revoked by name, which says who is left without") {
-  Desk d;
+TEST_CASE("certificates that tenants need stay, unless they are revoked by name, which lists the uncovered tenants") {
+  OperatorClient d;
   REQUIRE(d.put({{"c1", certificate("model", "z1", farAway)}, {"c2", certificate("model", "z2", farAway)}}, "0") ==
           201);
   REQUIRE(d.call("PUT", "/v1/templates/desk", regulated, "0") == 201);
@@ -157,8 +157,8 @@
   CHECK(d.call("PUT", "/v1/templates/desk/instances/sued", "{}", "0") == 422);
 }
 
-TEST_CASE("metrics say how long each certificate still counts") {
-  Desk d;
+TEST_CASE("metrics show how long each certificate remains valid") {
+  OperatorClient d;
   CHECK(d.rig.reducer.metrics(d.rig.now).find("certificate_seconds_left") == std::string::npos);
   REQUIRE(d.put({{"c1", certificate("model", "z1", "2026-06-01T01:00:00Z")}}, "0") == 201);
   CHECK(d.rig.reducer.metrics(d.rig.now).find(
@@ -166,8 +166,8 @@
         std::string::npos);
 }
 
-TEST_CASE("of two operators on one revision one is taken, a revocation among them") {
-  Desk d;
+TEST_CASE("of two changes on one revision one is accepted, a revocation among them") {
+  OperatorClient d;
   REQUIRE(d.put({{"c1", certificate("model", "z1", farAway)}}, "0") == 201);
   std::uint64_t const a = d.rig.call("PATCH", page, R"({"certificates":{"c1":{"zone":"z2"}}})", "1");
   std::uint64_t const b = d.rig.call("DELETE", std::string(page) + "/c1", "", "1");
@@ -185,8 +185,8 @@
   CHECK(d.last.body.value("spec").toObject().value("certificates").toObject().keys() == QStringList{"c3"});
 }
 
-TEST_CASE("a revocation is acknowledged only when it is in force at every router that may still hand on") {
-  Desk d;
+TEST_CASE("a revocation is acknowledged only when its rollout to every router that may still serve is complete") {
+  OperatorClient d;
   d.rig.alive = {"a", "b", "c"};
   d.rig.run(6000);
   REQUIRE(d.put({{"c1", certificate("model", "z1", farAway)}}, "0") == 201);
--- a/control/test/resend_test.cpp
+++ b/control/test/resend_test.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-/// The whole configuration's register without disks or links: calls are judged and taken one after the other.
+/// The fleet configuration's register without disks or links: calls are validated and applied one after the other.
 struct Register {
   std::uint64_t revision = 0;
   QJsonObject value;
@@ -50,7 +50,7 @@
   return c;
 }
 
-/// Orders of an operator, each on top of the one before; every third replaces the whole.
+/// Changes of an operator, each on top of the one before; every third replaces the configuration.
 transport::OperatorCall orderOn(qint64 base, QString const& by = "") {
   std::string const id = core::toStdString(by) + std::to_string(base);
   std::vector<std::string> const names{"p" + std::to_string(base % 7)};
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-TEST_CASE("an order sent again is acknowledged however many changes came between, another under its number is not") {
+TEST_CASE("a resent change is acknowledged however many changes came between, another on its base is not") {
   constexpr qint64 most = 1000;
   Register r;
   for (qint64 base = 0; base < most; ++base) REQUIRE(acknowledged(r.call(orderOn(base)).status));
@@ -81,7 +81,7 @@
   CHECK(r.revision == most);
 }
 
-TEST_CASE("beyond what is remembered an order gets no clear answer, and a version that never was is refused") {
+TEST_CASE("a change older than the history gets no definite reply, and one on an unknown version is rejected") {
   constexpr qint64 most = 5000;
   constexpr qint64 atLeast = 1024;
   Register r;
@@ -102,7 +102,7 @@
   CHECK(r.call(order("PUT", spec(most + 20), most + 4, "z")).status == 412);
 }
 
-TEST_CASE("what a key remembers of its changes stays within 36 KiB on the disks, and routers are sent none of it") {
+TEST_CASE("a key's history stays within 36 KiB on disk and is not sent to routers") {
   Register r;
   auto const kept = [&r](char const* part) { return core::jsonText(QJsonObject{{part, r.value.value(part)}}).size(); };
   std::size_t most = 0;
@@ -125,7 +125,7 @@
   CHECK(rig.pushed[config::fleetConfigurationKey].keys() == QStringList{"spec"});
 }
 
-TEST_CASE("a register that an earlier release kept refuses none of the changes of that time") {
+TEST_CASE("a value that an earlier release stored leads to no rejection of the changes of that time") {
   Register r;
   for (qint64 base = 0; base < 100; ++base) REQUIRE(acknowledged(r.call(orderOn(base)).status));
   r.value.remove("taken");
@@ -137,7 +137,7 @@
   }
 }
 
-TEST_CASE("the order of fields and white space are no part of an order, a field that nobody knows is") {
+TEST_CASE("field order and white space are no part of a change's identity, an unknown field is") {
   Register r;
   REQUIRE(acknowledged(r.call(orderOn(0)).status));
   transport::OperatorCall first = order("PATCH", patchOf(5, {"b"}, "one"), 1, "a");
@@ -160,7 +160,7 @@
   CHECK(r.revision == 3);
 }
 
-TEST_CASE("changes of a family and certificates that are sent again are acknowledged after hundreds of others") {
+TEST_CASE("resent changes of a family and of certificates are acknowledged after hundreds of others") {
   for (std::string const target : {"/v1/templates/t", "/v1/certificates"}) {
     bool const family = target == "/v1/templates/t";
     std::string const key = control::targetOf(target)->key;
@@ -195,7 +195,7 @@
   }
 }
 
-TEST_CASE("an answer to a call of a process that was killed is none to a call of the next one") {
+TEST_CASE("a reply to a call of a killed process does not answer a call of the next one") {
   Membership c(5);
   c.calm = true;
   c.run(4000);
@@ -227,7 +227,7 @@
   CHECK(out.responses.empty());
 }
 
-TEST_CASE("an order to evacuate that was relayed late is not carried out after it was lifted") {
+TEST_CASE("an evacuation that was forwarded late is not applied after it was lifted") {
   Membership c(6);
   c.calm = true;
   c.run(4000);
@@ -239,15 +239,15 @@
     call.token = 8000 + relayed.size();
     return c.members[link].reducer->onOperatorCall(c.now, call);
   };
-  c.take("s1", begin("DELETE", "s1"));
+  c.apply("s1", begin("DELETE", "s1"));
   c.run(2000);
   std::string owner;
   for (char const* const link : {"s1", "s2", "s3"})
     if (c.members[link].reducer->registers().owns("zone:z1")) owner = link;
   if (owner.empty()) {
-    c.take("s1", begin("PUT", "s1"));
+    c.apply("s1", begin("PUT", "s1"));
     c.run(2000);
-    c.take("s1", begin("DELETE", "s1"));
+    c.apply("s1", begin("DELETE", "s1"));
     c.run(2000);
     for (char const* const link : {"s1", "s2", "s3"})
       if (c.members[link].reducer->registers().owns("zone:z1")) owner = link;
@@ -262,22 +262,22 @@
   for (transport::Send const& s : out.sends)
     if (transport::OperatorCall const* const sent = std::get_if<transport::OperatorCall>(&s.message)) late = *sent;
   REQUIRE(late.method == "PUT");
-  c.take(relay, std::move(out));
+  c.apply(relay, std::move(out));
   c.run(1000);
   CHECK(evacuated());
-  c.take(owner, begin("DELETE", owner));
+  c.apply(owner, begin("DELETE", owner));
   c.run(1000);
   CHECK_FALSE(evacuated());
   late.token += 1000;
-  c.take(owner, c.members[owner].reducer->onMessage(c.now, relay, late));
+  c.apply(owner, c.members[owner].reducer->onMessage(c.now, relay, late));
   c.run(2000);
   CHECK_FALSE(evacuated());
-  c.take(relay, begin("PUT", relay));
+  c.apply(relay, begin("PUT", relay));
   c.run(1000);
   CHECK(evacuated());
 }
 
-TEST_CASE("every acknowledged change sent again at the end is acknowledged, after failovers and replaced members") {
+TEST_CASE("every acknowledged change is acknowledged when resent at the end, after failovers and replaced members") {
   for (std::uint64_t seed = 21; seed <= 24; ++seed) {
     INFO("seed " << seed);
     Membership c(seed);
@@ -295,7 +295,7 @@
     CHECK(replaced >= 3);
     CHECK(c.chain.size() > 200);
     std::size_t const revisions = c.chain.size();
-    CHECK(c.resendTaken() > 100);
+    CHECK(c.resendAcknowledged() > 100);
     c.run(10000);
     for (std::map<std::string, Membership::Change>::value_type const& k : c.changes) {
       if (!acknowledged(k.second.status)) continue;
@@ -303,6 +303,6 @@
       CHECK(acknowledged(k.second.last));
     }
     CHECK(c.chain.size() == revisions);
-    c.judge();
+    c.checkInvariants();
   }
 }
--- a/control/test/rig.h
+++ b/control/test/rig.h
@@ -9,7 +9,7 @@
 
 namespace corkward::control {
 
-/// A membership of one whose disk answers at once, with routers that ask and acknowledge as told.
+/// A membership of one whose disk answers at once, with routers that send requests and acknowledge updates.
 struct Rig {
   Controller reducer;
   core::Tick now = 1000;
@@ -17,11 +17,11 @@
   std::set<std::string> alive;
   std::set<std::string> deaf;
   std::map<std::string, transport::Revisions> have;
-  /// Values as routers got them last, by key.
+  /// Values as they were last pushed to routers, by key.
   std::map<std::string, QJsonObject> pushed;
-  /// Who was asked for its revisions in full.
-  std::set<std::string> named;
-  /// Records as they were written last, by key.
+  /// Routers whose full revisions the controller wants.
+  std::set<std::string> revisionsWanted;
+  /// Newest record on disk, by key.
   std::map<std::string, std::string> disk;
   std::uint64_t next = 1;
 
@@ -36,42 +36,42 @@
   /// Starts with a disk that has these records.
   explicit Rig(ControllerTuning tuning = {}, std::map<std::string, std::string> records = {})
       : reducer(contact("s1", transport::controllerRole), "m1", {}, {"s1"}, 3, tuning), disk(std::move(records)) {
-    take(reducer.restore(disk, false, now));
+    apply(reducer.restore(disk, false, now));
     run(3000);
   }
-  void take(ControllerCommands&& c) {
+  void apply(ControllerCommands&& c) {
     for (OperatorResponse const& a : c.responses) answers[a.token] = a;
     for (transport::Send const& s : c.sends) {
-      transport::ConfigurationUpdate const* const news = std::get_if<transport::ConfigurationUpdate>(&s.message);
+      transport::ConfigurationUpdate const* const update = std::get_if<transport::ConfigurationUpdate>(&s.message);
       if (transport::ServingLeaseGrant const* const c = std::get_if<transport::ServingLeaseGrant>(&s.message);
           c != nullptr) {
         if (c->wantsRevisions)
-          named.insert(s.to);
+          revisionsWanted.insert(s.to);
         else
-          named.erase(s.to);
+          revisionsWanted.erase(s.to);
       }
-      if (news == nullptr || alive.count(s.to) == 0 || deaf.count(s.to) > 0) continue;
-      for (transport::CommittedEntry const& i : news->entries) {
+      if (update == nullptr || alive.count(s.to) == 0 || deaf.count(s.to) > 0) continue;
+      for (transport::CommittedEntry const& i : update->entries) {
         have[s.to][i.key] = std::max(have[s.to][i.key], i.revision);
         pushed[i.key] = i.value;
       }
     }
     for (corkward::consensus::PersistCommand const& p : c.persists) {
       disk[p.key] = p.payload;
-      take(reducer.onPersisted(now, p.ticket, true));
+      apply(reducer.onPersisted(now, p.ticket, true));
     }
   }
   void run(core::Tick how) {
     for (core::Tick const until = now + how; now < until; now += 25) {
-      take(reducer.onTimer(now));
+      apply(reducer.onTimer(now));
       if (now % 300 != 0) continue;
       for (std::string const& n : alive) {
         transport::ServingLeaseRequest ask;
         ask.sentAt = now;
         ask.sender = contact(n, transport::routerRole);
         ask.digest = transport::digestOf(have[n]);
-        if (named.count(n) > 0) ask.revisions = have[n];
-        take(reducer.onMessage(now, n, ask));
+        if (revisionsWanted.count(n) > 0) ask.revisions = have[n];
+        apply(reducer.onMessage(now, n, ask));
       }
     }
   }
@@ -84,7 +84,7 @@
     c.body = body;
     c.ifMatch = ifMatch;
     c.changeId = changeId.empty() ? "c" + std::to_string(c.token) : changeId;
-    take(reducer.onOperatorCall(now, c));
+    apply(reducer.onOperatorCall(now, c));
     return c.token;
   }
   int statusOf(std::uint64_t token) const { return answers.count(token) > 0 ? answers.at(token).status : 0; }
