--- a/control/include/corkward/control/cluster_view_source.h
+++ b/control/include/corkward/control/cluster_view_source.h
@@ -15,8 +15,11 @@
  public:
   /// @param registers have to outlive the source
   explicit ClusterViewSource(consensus::ReplicatedRegisters const& registers) : registers_(registers) {}
+  ~ClusterViewSource() = default;
   ClusterViewSource(ClusterViewSource const&) = delete;
+  ClusterViewSource(ClusterViewSource&&) = delete;
   ClusterViewSource& operator=(ClusterViewSource const&) = delete;
+  ClusterViewSource& operator=(ClusterViewSource&&) = delete;
 
   ClusterView view() const;
   /// Takes the pools of a newly committed configuration.
--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// The control plane of one machine as a pure reducer over its events. The reducer dispatches each event to the classes
-/// that own the state and joins their commands; see docs/design.md.
+/// that own the state and joins their commands; see docs/design.md. It is neither copied nor moved: its parts refer to
+/// each other.
 
 #include <map>
 #include <string>
@@ -27,7 +28,6 @@
  public:
   Controller(transport::Contact self, std::string memberId, std::vector<std::string> seeds,
              std::vector<std::string> founders, std::uint64_t seed, ControllerTuning tuning = {});
-  Controller(Controller const&) = delete;
 
   /// The first event: what the write-ahead log gave back. Damaged: nothing of it counts.
   ControllerCommands restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now);
