--- a/control/include/corkward/control/cluster_view_source.h
+++ b/control/include/corkward/control/cluster_view_source.h
@@ -9,14 +9,17 @@
 
 namespace corkward::control {
 
-/// Answers what validators ask of the other keys from the committed values. Views refer to their source, which has to
+/// Gives validators a view of the other keys' committed values. Views refer to their source, which has to
 /// outlive them.
 class ClusterViewSource {
  public:
   /// @param registers have to outlive the source
   explicit ClusterViewSource(consensus::ReplicatedRegisters const& registers) : registers_(registers) {}
+  ~ClusterViewSource() = default;
   ClusterViewSource(ClusterViewSource const&) = delete;
+  ClusterViewSource(ClusterViewSource&&) = delete;
   ClusterViewSource& operator=(ClusterViewSource const&) = delete;
+  ClusterViewSource& operator=(ClusterViewSource&&) = delete;
 
   ClusterView view() const;
   /// Takes the pools of a newly committed configuration.
