--- a/consensus/test/cluster.h
+++ b/consensus/test/cluster.h
@@ -114,7 +114,7 @@
   ReplicatedRegisters& at(std::string const& link) { return *machines.at(link).member; }
   bool votes(std::string const& link) {
     Machine const& m = machines.at(link);
-    return m.member && m.member->isVoting() && memberHere(m);
+    return m.member && m.member->isVoting() && isMemberHere(m);
   }
   bool allVote() {
     for (std::map<std::string, Machine>::value_type const& m : machines)
@@ -122,7 +122,7 @@
     return true;
   }
   std::size_t size(std::string const& link) { return at(link).membership().size(); }
-  bool calm() {
+  bool isStable() {
     std::set<std::size_t> sizes;
     for (std::map<std::string, Machine>::value_type const& m : machines) {
       if (!m.second.member) return false;
@@ -150,7 +150,7 @@
   }
   int statusOf(std::uint64_t token) const { return answers.count(token) > 0 ? answers.at(token) : 0; }
   /// Keys of which some majority of the newest membership's disks lacks a mark that was acknowledged.
-  std::vector<std::string> lost() {
+  std::vector<std::string> lostAcknowledged() {
     std::vector<Held> disks;
     if (newest[membershipKey] == 0) return {};
     QJsonObject const membership = core::parseJson(committed_[{membershipKey, newest[membershipKey]}]).toObject();
@@ -189,7 +189,7 @@
   std::map<std::uint64_t, int> answers;
   std::map<std::string, std::set<std::string>> acknowledged;
   std::map<std::string, std::uint64_t> newest;
-  std::vector<std::string> wrong;
+  std::vector<std::string> violations;
   std::function<void(std::string const& from, transport::Send const& send)> watch;
 
  private:
@@ -236,7 +236,7 @@
     marks.append(core::toQString(call.body));
     return Verdict{true, QJsonObject{{"marks", marks}}, 200, {}};
   }
-  static bool memberHere(Machine const& m) {
+  static bool isMemberHere(Machine const& m) {
     for (Member const& c : m.member->membership())
       if (c.id == m.member->self().id) return true;
     return false;
@@ -276,7 +276,7 @@
       std::string& text = committed_[{k.key, k.revision}];
       std::string const here = core::jsonText(k.value);
       if (!text.empty() && text != here)
-        wrong.push_back("two values of " + k.key + " under revision " + std::to_string(k.revision));
+        violations.push_back("two values of " + k.key + " under revision " + std::to_string(k.revision));
       text = here;
       newest[k.key] = std::max(newest[k.key], k.revision);
     }
@@ -289,7 +289,7 @@
         to(link, life, [this, link, r] { hand(link, r.first, r.second); });
       });
     for (core::LogEvent const& n : c.logEvents)
-      if (n.event == events::messageRejected) wrong.push_back("message rejected at " + m.link);
+      if (n.event == events::messageRejected) violations.push_back("message rejected at " + m.link);
     for (transport::Send const& s : c.sends) {
       if (watch) watch(m.link, s);
       std::map<std::string, Machine>::const_iterator const it = machines.find(s.to);
--- a/consensus/test/replacement_test.cpp
+++ b/consensus/test/replacement_test.cpp
@@ -26,9 +26,9 @@
   return t;
 }
 
-void found(Cluster& cluster, std::vector<std::string> const& links) {
+void bootstrap(Cluster& cluster, std::vector<std::string> const& links) {
   for (std::string const& l : links) cluster.boot(l, three);
-  REQUIRE(cluster.until([&] { return cluster.calm(); }, 6000) >= 0);
+  REQUIRE(cluster.until([&] { return cluster.isStable(); }, 6000) >= 0);
 }
 
 bool acknowledges(Cluster& cluster, std::string const& link, std::string const& key, Tick limit) {
@@ -67,25 +67,25 @@
   for (std::size_t members : {3U, 4U, 5U})
     for (bool const planned : {true, false})
       for (bool const wiped : {true, false})
-        for (std::string const& leaver : three)
+        for (std::string const& leaving : three)
           for (std::string const& lost : three) {
-            if (lost == leaver) continue;
-            Cluster cluster(members * 7 + leaver[0], quick());
+            if (lost == leaving) continue;
+            Cluster cluster(members * 7 + leaving[0], quick());
             std::vector<std::string> links{"a", "b", "c", "d", "e"};
             links.resize(members);
-            found(cluster, links);
+            bootstrap(cluster, links);
             REQUIRE(acknowledges(cluster, "a", "k", 3000));
-            INFO(members << " members, " << (planned ? "planned" : "gone") << ", " << leaver << " replaced, then "
+            INFO(members << " members, " << (planned ? "planned" : "gone") << ", " << leaving << " replaced, then "
                          << lost << (wiped ? " wiped" : " killed"));
             if (!planned) {
-              cluster.remove(leaver);
+              cluster.remove(leaving);
               cluster.run(1000);
             }
             cluster.boot("x");
             Tick const came = cluster.now;
             if (planned) {
               cluster.run(1000);
-              CHECK(drain(cluster, leaver, true) < 2000);
+              CHECK(drain(cluster, leaving, true) < 2000);
             }
             cluster.run(came + catchUp - cluster.now);
             cluster.kill(lost);
@@ -93,16 +93,16 @@
             CHECK(acknowledges(cluster, "x", "k", 3000));
             cluster.run(1000);
             cluster.boot(lost);
-            CHECK(cluster.until([&] { return cluster.calm(); }, catchUp) >= 0);
-            CHECK(cluster.wrong.empty());
-            CHECK(cluster.lost().empty());
+            CHECK(cluster.until([&] { return cluster.isStable(); }, catchUp) >= 0);
+            CHECK(cluster.violations.empty());
+            CHECK(cluster.lostAcknowledged().empty());
           }
 }
 
 TEST_CASE("a member that was told to end leaves nothing on too few disks") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Cluster cluster(seed, quick());
-    found(cluster, three);
+    bootstrap(cluster, three);
     REQUIRE(acknowledges(cluster, "a", "k", 3000));
     cluster.cutOff("c", true);
     std::uint64_t revision = 0;
@@ -121,7 +121,7 @@
 TEST_CASE("a member that was told to end takes no key while another can, and answers what it had begun") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Cluster cluster(seed, quick());
-    found(cluster, three);
+    bootstrap(cluster, three);
     for (char const* key : {"i", "j", "k"}) REQUIRE(acknowledges(cluster, "a", key, 3000));
     std::string const owner = cluster.at("a").ownerLink("k", cluster.now);
     std::uint64_t const token = cluster.call(owner, "k");
@@ -135,7 +135,7 @@
     }
     cluster.kill(owner);
     cluster.boot(owner);
-    CHECK(cluster.until([&] { return cluster.calm(); }, 2000) >= 0);
+    CHECK(cluster.until([&] { return cluster.isStable(); }, 2000) >= 0);
     CHECK(cluster.size("a") == 3);
   }
 }
@@ -145,18 +145,18 @@
     Cluster cluster(members, quick());
     std::vector<std::string> links{"a", "b", "c", "d", "e", "f"};
     links.resize(members);
-    found(cluster, links);
+    bootstrap(cluster, links);
     for (std::string const& l : links) {
       REQUIRE(acknowledges(cluster, l, "k", 3000));
       CHECK(drain(cluster, l, false) < 2000);
       cluster.run(300);
       cluster.boot(l);
       INFO(l << " of " << members);
-      CHECK(cluster.until([&] { return cluster.calm(); }, catchUp) >= 0);
+      CHECK(cluster.until([&] { return cluster.isStable(); }, catchUp) >= 0);
     }
     CHECK(acknowledges(cluster, "a", "k", 2000));
-    CHECK(cluster.wrong.empty());
-    CHECK(cluster.lost().empty());
+    CHECK(cluster.violations.empty());
+    CHECK(cluster.lostAcknowledged().empty());
   }
 }
 
@@ -164,7 +164,7 @@
   consensus::ConsensusTuning tuning = quick();
   tuning.snapshotChunkBytes = 100;
   Cluster cluster(3, tuning);
-  found(cluster, three);
+  bootstrap(cluster, three);
   for (int i = 0; i < 40; ++i) REQUIRE(acknowledges(cluster, "a", "k" + std::to_string(i), 3000));
   std::size_t most = 0;
   int parts = 0;
@@ -181,19 +181,19 @@
   cluster.run(1200);
   cluster.boot("c");
   Tick const since = cluster.now;
-  while (cluster.now - since < catchUp && !cluster.calm()) {
+  while (cluster.now - since < catchUp && !cluster.isStable()) {
     cluster.call("a", "k" + std::to_string(cluster.rng.below(40)));
     cluster.run(20);
   }
-  CHECK(cluster.calm());
+  CHECK(cluster.isStable());
   CHECK(parts > 3);
   CHECK(most < 200);
-  CHECK(cluster.lost().empty());
+  CHECK(cluster.lostAcknowledged().empty());
 }
 
 TEST_CASE("an answer to a copy that an earlier life asked for counts for nothing") {
   Cluster cluster(9, quick());
-  found(cluster, three);
+  bootstrap(cluster, three);
   REQUIRE(acknowledges(cluster, "a", "k", 3000));
   cluster.kill("c");
   cluster.machines.at("c").disk.clear();
@@ -221,7 +221,7 @@
 TEST_CASE("a replacement is borne in a time that does not grow with the changes behind") {
   for (int changes : {1, 300, 2000}) {
     Cluster cluster(5, quick());
-    found(cluster, three);
+    bootstrap(cluster, three);
     for (int i = 0; i < changes; ++i) {
       std::uint64_t const token = cluster.call("a", "k");
       REQUIRE(cluster.until([&] { return cluster.statusOf(token) == 200; }, 3000) >= 0);
--- a/consensus/test/replicated_registers_test.cpp
+++ b/consensus/test/replicated_registers_test.cpp
@@ -23,18 +23,18 @@
 }
 
 /// A membership of the named machines, founded by the first three of them, with something acknowledged.
-void moor(Cluster& cluster, std::vector<std::string> const& links) {
+void bootstrap(Cluster& cluster, std::vector<std::string> const& links) {
   std::vector<std::string> const founders(
       links.begin(), links.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(3, links.size())));
   for (std::string const& l : links) cluster.boot(l, founders);
-  REQUIRE(cluster.until([&] { return cluster.calm(); }, 6000) >= 0);
+  REQUIRE(cluster.until([&] { return cluster.isStable(); }, 6000) >= 0);
   std::uint64_t const token = cluster.call(links.front(), "k");
   REQUIRE(cluster.until([&] { return cluster.statusOf(token) == 200; }, 3000) >= 0);
 }
 
-void sound(Cluster& cluster) {
-  CHECK(cluster.wrong == std::vector<std::string>{});
-  CHECK(cluster.lost() == std::vector<std::string>{});
+void checkConsistent(Cluster& cluster) {
+  CHECK(cluster.violations == std::vector<std::string>{});
+  CHECK(cluster.lostAcknowledged() == std::vector<std::string>{});
 }
 
 bool acknowledges(Cluster& cluster, std::string const& link, std::string const& key, Tick limit) {
@@ -53,7 +53,7 @@
 TEST_CASE("one, two or three founders found a membership; without founders an empty disk never does") {
   for (std::size_t n = 1; n <= 3; ++n) {
     Cluster cluster(n);
-    moor(cluster, std::vector<std::string>(three.begin(), three.begin() + static_cast<std::ptrdiff_t>(n)));
+    bootstrap(cluster, std::vector<std::string>(three.begin(), three.begin() + static_cast<std::ptrdiff_t>(n)));
     CHECK(cluster.size("a") == n);
   }
   Cluster cluster(4);
@@ -72,9 +72,9 @@
   cluster.run(5000);
   for (std::string const& l : three) CHECK(cluster.at(l).membership().empty());
   for (std::string const& l : three) cluster.at(l).onMessage(cluster.now, "g", transport::NotAVotingMember{});
-  CHECK(cluster.until([&] { return cluster.calm(); }, 4000) >= 0);
+  CHECK(cluster.until([&] { return cluster.isStable(); }, 4000) >= 0);
   CHECK(acknowledges(cluster, "c", "k", 2000));
-  sound(cluster);
+  checkConsistent(cluster);
 }
 
 TEST_CASE("a founder killed and restarted in the middle of founding, its founders untold, does not block it") {
@@ -87,9 +87,9 @@
       cluster.run(300);
       cluster.boot(victim);
       INFO("killed " << victim << " after " << when);
-      CHECK(cluster.until([&] { return cluster.calm(); }, 4000) >= 0);
+      CHECK(cluster.until([&] { return cluster.isStable(); }, 4000) >= 0);
       CHECK(acknowledges(cluster, "b", "k", 2000));
-      sound(cluster);
+      checkConsistent(cluster);
     }
 }
 
@@ -102,8 +102,8 @@
     cluster.run(300);
     for (std::string const& l : three) cluster.boot(l);
     INFO("killed after " << when);
-    CHECK(cluster.until([&] { return cluster.calm(); }, 4000) >= 0);
-    sound(cluster);
+    CHECK(cluster.until([&] { return cluster.isStable(); }, 4000) >= 0);
+    checkConsistent(cluster);
   }
 }
 
@@ -114,34 +114,34 @@
     for (std::string const& l : three) cluster.boot(l, three);
     cluster.run(3000);
     cluster.loss = 0;
-    CHECK(cluster.until([&] { return cluster.calm(); }, 4000) >= 0);
-    sound(cluster);
+    CHECK(cluster.until([&] { return cluster.isStable(); }, 4000) >= 0);
+    checkConsistent(cluster);
   }
 }
 
 TEST_CASE("newcomers that know the seeds alone join one by one and vote soon") {
   Cluster four(1, quick());
-  moor(four, three);
+  bootstrap(four, three);
   four.boot("d");
-  CHECK(four.until([&] { return four.calm(); }, 2000) >= 0);
+  CHECK(four.until([&] { return four.isStable(); }, 2000) >= 0);
   CHECK(four.size("a") == 4);
   CHECK(acknowledges(four, "d", "k", 1000));
-  sound(four);
+  checkConsistent(four);
   Cluster six(2, quick());
-  moor(six, three);
+  bootstrap(six, three);
   for (char const* l : {"d", "e", "f"}) six.boot(l);
-  CHECK(six.until([&] { return six.calm(); }, 3000) >= 0);
+  CHECK(six.until([&] { return six.isStable(); }, 3000) >= 0);
   CHECK(acknowledges(six, "f", "k", 1000));
-  sound(six);
+  checkConsistent(six);
   Cluster first(3, quick());
   for (char const* l : {"a", "b", "c", "d", "e", "f"}) first.boot(l, three);
-  CHECK(first.until([&] { return first.calm(); }, 4500) >= 0);
-  sound(first);
+  CHECK(first.until([&] { return first.isStable(); }, 4500) >= 0);
+  checkConsistent(first);
   Cluster alone(4, quick(), {"a"});
   alone.boot("a", {"a"});
   for (char const* l : {"b", "c"}) alone.boot(l);
-  CHECK(alone.until([&] { return alone.calm(); }, 4000) >= 0);
-  sound(alone);
+  CHECK(alone.until([&] { return alone.isStable(); }, 4000) >= 0);
+  checkConsistent(alone);
 }
 
 TEST_CASE("no more than nine machines vote") {
@@ -153,50 +153,50 @@
   std::size_t votes = 0;
   for (std::string const& l : all) votes += cluster.votes(l) ? 1 : 0;
   CHECK(votes == 9);
-  sound(cluster);
+  checkConsistent(cluster);
 }
 
 TEST_CASE("a machine that returns empty takes its address's place at once, another one the place of the dark") {
   Cluster cluster(1, quick());
-  moor(cluster, three);
+  bootstrap(cluster, three);
   cluster.kill("b");
   cluster.machines.at("b").disk.clear();
   cluster.run(300);
   cluster.boot("b");
-  Tick const took = cluster.until([&] { return cluster.calm(); }, 2500);
+  Tick const took = cluster.until([&] { return cluster.isStable(); }, 2500);
   CHECK(took > 0);
   CHECK(cluster.size("a") == 3);
   cluster.remove("c");
   cluster.run(3200);
   cluster.boot("d");
-  CHECK(cluster.until([&] { return cluster.calm(); }, 1500) >= 0);
+  CHECK(cluster.until([&] { return cluster.isStable(); }, 1500) >= 0);
   CHECK(cluster.size("a") == 3);
   CHECK(acknowledges(cluster, "d", "k", 1000));
-  sound(cluster);
+  checkConsistent(cluster);
 }
 
 TEST_CASE("a member added beside a dark one has it struck off once that was dark for long enough") {
   Cluster cluster(1, quick());
-  moor(cluster, three);
+  bootstrap(cluster, three);
   cluster.remove("c");
   cluster.run(1500);
   cluster.boot("d");
   CHECK(cluster.until([&] { return cluster.votes("d"); }, 1500) >= 0);
   CHECK(cluster.size("a") == 4);
   CHECK(cluster.until([&] { return cluster.size("a") == 3; }, 3000) >= 0);
-  CHECK(cluster.until([&] { return cluster.calm(); }, 1000) >= 0);
+  CHECK(cluster.until([&] { return cluster.isStable(); }, 1000) >= 0);
   cluster.kill("d");
   cluster.run(10000);
   CHECK(cluster.size("a") == 3);
   CHECK(acknowledges(cluster, "a", "k", 3000));
-  sound(cluster);
+  checkConsistent(cluster);
 }
 
 TEST_CASE("a member that was struck off returns with its old disk, drops its state and joins under a fresh id") {
   for (bool const frozen : {true, false})
     for (bool const restarted : {false, true}) {
       Cluster cluster(7, quick());
-      moor(cluster, {"a", "b", "c", "d"});
+      bootstrap(cluster, {"a", "b", "c", "d"});
       std::string const old = cluster.at("d").self().id;
       std::map<std::string, std::string> const disk = cluster.machines.at("d").disk;
       if (frozen)
@@ -205,16 +205,16 @@
         cluster.cutOff("d", true);
       CHECK(cluster.until([&] { return cluster.size("a") == 3; }, 6000) >= 0);
       CHECK(acknowledges(cluster, "a", "k", 3000));
-      bool oldVoice = false;
+      bool oldIdReplied = false;
       bool learned = false;
       cluster.watch = [&](std::string const& from, transport::Send const& s) {
         if (from != "d" || !learned) return;
         if (transport::Promise const* const p = std::get_if<transport::Promise>(&s.message))
-          oldVoice = oldVoice || p->member == old;
+          oldIdReplied = oldIdReplied || p->member == old;
         if (transport::Accepted const* const p = std::get_if<transport::Accepted>(&s.message))
-          oldVoice = oldVoice || p->member == old;
+          oldIdReplied = oldIdReplied || p->member == old;
         if (transport::SnapshotChunk const* const p = std::get_if<transport::SnapshotChunk>(&s.message))
-          oldVoice = oldVoice || p->member == old;
+          oldIdReplied = oldIdReplied || p->member == old;
       };
       if (frozen)
         cluster.thaw("d");
@@ -229,19 +229,19 @@
         CHECK_FALSE(cluster.at("d").isVoting());
         CHECK(cluster.at("d").self().id != old);
       }
-      CHECK(cluster.until([&] { return cluster.calm(); }, 2500) >= 0);
+      CHECK(cluster.until([&] { return cluster.isStable(); }, 2500) >= 0);
       CHECK(cluster.size("a") == 4);
       CHECK(cluster.at("d").self().id != old);
-      CHECK_FALSE(oldVoice);
+      CHECK_FALSE(oldIdReplied);
       CHECK(acknowledges(cluster, "d", "k", 1000));
-      sound(cluster);
+      checkConsistent(cluster);
       CHECK(cluster.machines.at("d").disk.at("meta") != disk.at("meta"));
     }
 }
 
 TEST_CASE("records of an earlier identity are nothing to the next one") {
   Cluster cluster(7, quick());
-  moor(cluster, three);
+  bootstrap(cluster, three);
   std::map<std::string, std::string> disk = cluster.machines.at("b").disk;
   disk["meta"] = R"({"id":"fresh","voting":false,"settled":0,"founders":[]})";
   consensus::ReplicatedRegisters m(consensus::Member{"x", "b"}, three, {}, 1);
@@ -264,7 +264,7 @@
 
 TEST_CASE("a membership of even size stands the loss of one and not the split in halves") {
   Cluster cluster(5, quick());
-  moor(cluster, {"a", "b", "c", "d"});
+  bootstrap(cluster, {"a", "b", "c", "d"});
   for (char const* x : {"a", "b"})
     for (char const* y : {"c", "d"}) cluster.cut(x, y, true);
   cluster.run(8000);
@@ -278,12 +278,12 @@
   CHECK(acknowledges(cluster, "a", "k", 4000));
   cluster.kill("b");
   CHECK(acknowledges(cluster, "a", "k", 3000));
-  sound(cluster);
+  checkConsistent(cluster);
 }
 
 TEST_CASE("what three of five had stays when two of those three are struck off and the third is killed") {
   Cluster cluster(11, quick());
-  moor(cluster, {"a", "b", "c", "d", "e"});
+  bootstrap(cluster, {"a", "b", "c", "d", "e"});
   cluster.kill("d");
   cluster.kill("e");
   for (char const* key : {"i", "j"}) {
@@ -298,19 +298,19 @@
     cluster.remove(struck);
     REQUIRE(cluster.until([&] { return cluster.size("a") == before - 1 && cluster.allVote(); }, 8000) >= 0);
     cluster.run(500);
-    sound(cluster);
+    checkConsistent(cluster);
   }
   for (char const* l : {"a", "d", "e"}) cluster.kill(l);
   cluster.boot("d");
   cluster.boot("e");
   CHECK(acknowledges(cluster, "d", "i", 5000));
   CHECK(acknowledges(cluster, "e", "j", 5000));
-  sound(cluster);
+  checkConsistent(cluster);
 }
 
 TEST_CASE("a newcomer votes only with what it copied") {
   Cluster cluster(12, quick());
-  moor(cluster, three);
+  bootstrap(cluster, three);
   cluster.kill("b");
   REQUIRE(acknowledges(cluster, "a", "k", 4000));
   cluster.boot("b");
@@ -318,10 +318,10 @@
   cluster.kill("c");
   cluster.machines.at("c").disk.clear();
   cluster.boot("c");
-  REQUIRE(cluster.until([&] { return cluster.calm(); }, 4000) >= 0);
+  REQUIRE(cluster.until([&] { return cluster.isStable(); }, 4000) >= 0);
   cluster.kill("a");
   CHECK(acknowledges(cluster, "c", "k", 5000));
-  sound(cluster);
+  checkConsistent(cluster);
 }
 
 TEST_CASE("after the restart of all members every key is committed again within a second") {
@@ -330,7 +330,7 @@
     std::vector<std::string> links(three);
     if (seed % 2 == 0) links.push_back("d");
     if (seed % 3 == 0) links.push_back("e");
-    moor(cluster, links);
+    bootstrap(cluster, links);
     std::set<std::string> keys{"cohort"};
     for (int i = 0; i < 30; ++i) {
       keys.insert("k" + std::to_string(i));
@@ -351,14 +351,14 @@
         5000);
     CHECK(took >= 0);
     CHECK(took <= 1000);
-    sound(cluster);
+    checkConsistent(cluster);
   }
 }
 
 TEST_CASE("after the restart of all members at once every key is committed again before their pause has passed") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Cluster cluster(seed, quick());
-    moor(cluster, three);
+    bootstrap(cluster, three);
     std::set<std::string> keys{"cohort"};
     for (int i = 0; i < 3; ++i) {
       keys.insert("k" + std::to_string(i));
@@ -377,13 +377,13 @@
         2000);
     CHECK(took >= 0);
     CHECK(took <= 150);
-    sound(cluster);
+    checkConsistent(cluster);
   }
 }
 
 TEST_CASE("one member's restart takes no key from an owner that is up") {
   Cluster cluster(3, quick());
-  moor(cluster, three);
+  bootstrap(cluster, three);
   std::string const owner = cluster.at("a").ownerLink("k", cluster.now);
   std::string const other = owner == "a" ? "b" : "a";
   cluster.kill(other);
@@ -395,7 +395,7 @@
 
 TEST_CASE("what one member has accepted and does not know as committed leaves it out of touch") {
   Cluster cluster(1, quick());
-  moor(cluster, three);
+  bootstrap(cluster, three);
   std::string const owner = cluster.at("a").ownerLink("k", cluster.now);
   std::string const other = owner == "a" ? "b" : "a";
   std::string const third = owner == "c" || other == "c" ? (owner == "b" || other == "b" ? "a" : "b") : "c";
@@ -415,7 +415,7 @@
 TEST_CASE("a read asked in the millisecond of an earlier heartbeat waits for a later one") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Cluster cluster(seed, quick());
-    moor(cluster, three);
+    bootstrap(cluster, three);
     std::string const owner = cluster.at("a").ownerLink("k", cluster.now);
     bool beaten = false;
     cluster.watch = [&](std::string const& from, transport::Send const& s) {
@@ -433,7 +433,7 @@
 namespace {
 
 /// Members are killed, frozen, cut off, emptied, moved and added at random while callers append marks.
-void storm(std::uint64_t seed) {
+void runRandomFaults(std::uint64_t seed) {
   Cluster cluster(seed, [&] {
     consensus::ConsensusTuning t;
     t.replaceUnreachableAfter = seed % 2 == 0 ? 1200 : 3000;
@@ -441,7 +441,7 @@
   }());
   std::vector<std::string> links(three);
   for (std::size_t i = 0; i < seed % 4; ++i) links.push_back(std::string(1, static_cast<char>('d' + i)));
-  moor(cluster, links);
+  bootstrap(cluster, links);
   int next = 0;
   std::vector<std::pair<Tick, std::function<void()>>> later;
   Tick const end = cluster.now + 40000;
@@ -463,10 +463,10 @@
     if (!up.empty()) cluster.call(up[cluster.rng.below(up.size())], "k" + std::to_string(cluster.rng.below(3)));
     if (cluster.now < fault || up.empty()) continue;
     fault = cluster.now + 100 + static_cast<Tick>(cluster.rng.below(1500));
-    if (!cluster.lost().empty()) break;
+    if (!cluster.lostAcknowledged().empty()) break;
     std::string const v = up[cluster.rng.below(up.size())];
     Tick const back = cluster.now + 100 + static_cast<Tick>(cluster.rng.below(cluster.rng.chance(0.5) ? 800 : 6000));
-    bool const whole = cluster.calm();
+    bool const whole = cluster.isStable();
     switch (cluster.rng.below(9)) {
       case 0:
       case 1:
@@ -511,7 +511,7 @@
         break;
     }
   }
-  CHECK(cluster.lost() == std::vector<std::string>{});
+  CHECK(cluster.lostAcknowledged() == std::vector<std::string>{});
   for (std::pair<Tick, std::function<void()>> const& l : later) l.second();
   cluster.cuts.clear();
   for (std::map<std::string, Cluster::Machine>::value_type& m : cluster.machines) {
@@ -520,19 +520,19 @@
     cluster.boot(m.first);
   }
   INFO("seed " << seed);
-  CHECK(cluster.until([&] { return cluster.calm(); }, 20000) >= 0);
+  CHECK(cluster.until([&] { return cluster.isStable(); }, 20000) >= 0);
   cluster.run(3000);
   std::size_t acknowledged = 0;
   for (std::map<std::string, std::set<std::string>>::value_type const& a : cluster.acknowledged)
     acknowledged += a.second.size();
   CHECK(acknowledged > 50);
-  sound(cluster);
+  checkConsistent(cluster);
 }
 
 }  // namespace
 
 TEST_CASE("random failures of members of every count lose nothing that was acknowledged") {
-  for (std::uint64_t seed = 1; seed <= 60; ++seed) storm(seed);
+  for (std::uint64_t seed = 1; seed <= 60; ++seed) runRandomFaults(seed);
 }
 
 TEST_CASE("a read asked in the millisecond of an earlier heartbeat isn't confirmed by that heartbeat's echo") {
@@ -540,7 +540,7 @@
   // confirmed, and arrives after the question, while the asked member's clock still shows the millisecond of its
   // heartbeat.
   Cluster cluster(1, quick());
-  moor(cluster, three);
+  bootstrap(cluster, three);
   std::string const asked = cluster.at("a").ownerLink("k", cluster.now);
   REQUIRE_FALSE(asked.empty());
   Tick const now = cluster.now + 1000;
@@ -575,7 +575,7 @@
 
 TEST_CASE("a second value under a revision that is committed breaks a promise, and the first one stays") {
   Cluster cluster(5);
-  moor(cluster, three);
+  bootstrap(cluster, three);
   consensus::ReplicatedRegisters& member = cluster.at("a");
   consensus::CommittedValue const before = member.committed().at("k");
   core::GuaranteeCounts& counts = core::GuaranteeCounts::ofThread();
