--- a/programs/cli/change_plan.cpp
+++ b/programs/cli/change_plan.cpp
@@ -244,7 +244,7 @@
 }
 
 OperatorReply ChangePlanner::read(std::string const& path) const {
-  OperatorReply const reply = call_({HttpMethod::get, path});
+  OperatorReply reply = call_({HttpMethod::get, path});
   if (reply.is(core::HttpStatus::ok) || reply.is(core::HttpStatus::notFound)) return reply;
   throw core::Error("cannot read " + path + ": " +
                     (reply.answered() ? "status " + std::to_string(reply.status) : "no answer: " + reply.error));
--- a/programs/common/operator_client.cpp
+++ b/programs/common/operator_client.cpp
@@ -23,7 +23,7 @@
 constexpr int retryIntervalMs = 300;
 
 QUrl urlOf(std::string const& controller, OperatorCall const& call) {
-  QUrl const url(QString::fromStdString("http://" + controller + call.path + (call.dryRun ? "?dryRun=1" : "")));
+  QUrl url(QString::fromStdString("http://" + controller + call.path + (call.dryRun ? "?dryRun=1" : "")));
   if (!url.isValid() || url.host().isEmpty()) throw UsageError("controller: must be ip:port, but is " + controller);
   return url;
 }
