--- a/alerting/src/rules.cpp
+++ b/alerting/src/rules.cpp
@@ -22,7 +22,7 @@
 void checkKeys(YAML::Node const& node, std::set<std::string> const& allowed) {
   if (!node.IsMap()) throw ParseError(place(node) + "must be a mapping");
   for (auto const& entry : node) {
-    std::string const key = entry.first.as<std::string>();
+    auto const key = entry.first.as<std::string>();
     if (allowed.count(key) == 0) throw ParseError(place(entry.first) + "unknown field " + key);
   }
 }
--- a/http/include/corkward/http/mapping.h
+++ b/http/include/corkward/http/mapping.h
@@ -37,7 +37,12 @@
 /// Maps HTTP to the data plane's events and back; there is one for each HTTP surface. Mappings keep no state.
 class Mapping {
  public:
+  Mapping() = default;
   virtual ~Mapping() = default;
+  Mapping(Mapping const&) = delete;
+  Mapping& operator=(Mapping const&) = delete;
+  Mapping(Mapping&&) = delete;
+  Mapping& operator=(Mapping&&) = delete;
   /// Reads a caller's request.
   virtual CallerRequest callerRequest(Request const& request) const = 0;
   /// Head of the request to a replica; the body goes with it unchanged. Host and the body's length are added where they
--- a/http/include/corkward/http/operator_mapping.h
+++ b/http/include/corkward/http/operator_mapping.h
@@ -26,7 +26,12 @@
 /// Maps HTTP to the control plane's events and back; there is one for each HTTP surface. Mappings keep no state.
 class OperatorMapping {
  public:
+  OperatorMapping() = default;
   virtual ~OperatorMapping() = default;
+  OperatorMapping(OperatorMapping const&) = delete;
+  OperatorMapping& operator=(OperatorMapping const&) = delete;
+  OperatorMapping(OperatorMapping&&) = delete;
+  OperatorMapping& operator=(OperatorMapping&&) = delete;
   /// Reads a request as a call. Its change id is the caller's, or the given one.
   virtual OperatorRequest operatorCall(Request const& request, std::string const& freshChangeId) const = 0;
   /// The response to a call.
--- a/http/include/corkward/http/server.h
+++ b/http/include/corkward/http/server.h
@@ -58,6 +58,10 @@
   Server(std::string const& address, ServerLimits limits, Events events, QObject* parent = nullptr);
   Server(std::vector<std::string> const& addresses, ServerLimits limits, Events events, QObject* parent = nullptr);
   ~Server() override;
+  Server(Server const&) = delete;
+  Server& operator=(Server const&) = delete;
+  Server(Server&&) = delete;
+  Server& operator=(Server&&) = delete;
 
   /// The address with the port that was taken.
   std::string const& address(std::size_t listener = 0) const;
--- a/http/include/corkward/http/upstream_connection.h
+++ b/http/include/corkward/http/upstream_connection.h
@@ -57,6 +57,10 @@
   /// fails.
   UpstreamConnection(std::string const& address, std::string incarnation, Events events, QObject* parent);
   ~UpstreamConnection() override;
+  UpstreamConnection(UpstreamConnection const&) = delete;
+  UpstreamConnection& operator=(UpstreamConnection const&) = delete;
+  UpstreamConnection(UpstreamConnection&&) = delete;
+  UpstreamConnection& operator=(UpstreamConnection&&) = delete;
   /// Sends the request. Only once, after the event connected.
   void send(ReplicaRequest const& request, std::string const& body);
   /// Closes the connection; no event comes after.
--- a/http/include/corkward/http/upstream_pool.h
+++ b/http/include/corkward/http/upstream_pool.h
@@ -34,6 +34,10 @@
   /// @param now monotonic milliseconds
   UpstreamPool(KeepAlivePolicy policy, std::function<core::Tick()> now, QObject* parent = nullptr);
   ~UpstreamPool() override;
+  UpstreamPool(UpstreamPool const&) = delete;
+  UpstreamPool& operator=(UpstreamPool const&) = delete;
+  UpstreamPool(UpstreamPool&&) = delete;
+  UpstreamPool& operator=(UpstreamPool&&) = delete;
   /// A connection for one request: an idle one or a new one. It belongs to the parent.
   /// @param fresh see KeepAlivePolicy::freshIdleTimeout
   UpstreamConnection* acquire(std::string const& address, bool fresh, UpstreamConnection::Events events,
--- a/http/src/server.cpp
+++ b/http/src/server.cpp
@@ -30,6 +30,8 @@
   ~Implementation() override;
   Implementation(Implementation const&) = delete;
   Implementation& operator=(Implementation const&) = delete;
+  Implementation(Implementation&&) = delete;
+  Implementation& operator=(Implementation&&) = delete;
 
   ServerLimits const& limits() const override { return limits_; }
   bool isDraining() const override { return draining_; }
--- a/http/src/server_connection.h
+++ b/http/src/server_connection.h
@@ -21,7 +21,12 @@
 /// What a connection needs of its server.
 class ConnectionHost {
  public:
+  ConnectionHost() = default;
   virtual ~ConnectionHost() = default;
+  ConnectionHost(ConnectionHost const&) = delete;
+  ConnectionHost& operator=(ConnectionHost const&) = delete;
+  ConnectionHost(ConnectionHost&&) = delete;
+  ConnectionHost& operator=(ConnectionHost&&) = delete;
   virtual ServerLimits const& limits() const = 0;
   /// Responses announce that their connection is closed.
   virtual bool isDraining() const = 0;
--- a/http/src/upstream_connection.cpp
+++ b/http/src/upstream_connection.cpp
@@ -3,7 +3,6 @@
 #include <QPointer>
 #include <QTcpSocket>
 #include <QTimer>
-#include <boost/beast/http.hpp>
 #include <utility>
 
 #include <corkward/core/http_method.h>
@@ -13,18 +12,15 @@
 
 #include "close_observer.h"
 #include "message_text.h"
+#include "request_head.h"
 #include "response_parser.h"
 #include "socket_peek.h"
 
 namespace corkward::http {
 
-namespace beast = boost::beast;
-
 namespace {
 
 constexpr qint64 readBufferBytes = 64 << 10;
-/// Version of HTTP/1.1 as Beast writes it.
-constexpr unsigned http11 = 11;
 /// Bytes and milliseconds that the rest of a response may take for its connection to be kept.
 constexpr std::size_t maxDiscardedBytes = 16U << 10;
 constexpr int discardTimeoutMs = 500;
@@ -41,19 +37,6 @@
          peek(socket) == PeekResult::nothing;
 }
 
-/// Methods whose requests without a body announce no length.
-bool mayLackLength(std::string const& method) {
-  switch (core::httpMethodOf(method).value_or(core::HttpMethod::post)) {
-    case core::HttpMethod::get:
-    case core::HttpMethod::head:
-    case core::HttpMethod::del:
-    case core::HttpMethod::options:
-      return true;
-    default:
-      return false;
-  }
-}
-
 }  // namespace
 
 struct UpstreamConnection::State {
@@ -205,14 +188,10 @@
 }
 
 void UpstreamConnection::requestIncarnation() {
-  beast::http::request<beast::http::empty_body> message;
-  message.version(http11);
-  message.method(beast::http::verb::get);
-  message.target(incarnationPath);
-  message.set(beast::http::field::host, address_);
   state_->phase = State::Phase::verifying;
   state_->parser.begin(false);
-  write(*socket_, headText(message));
+  ReplicaRequest const request{std::string(core::name(core::HttpMethod::get)), incarnationPath};
+  write(*socket_, requestHead(request, RequestFraming{address_, 0, true}));
 }
 
 void UpstreamConnection::readIncarnation() {
@@ -249,18 +228,11 @@
     failConnect();
     return;
   }
-  beast::http::request<beast::http::empty_body> message;
-  message.version(http11);
-  message.method_string(request.method);
-  message.target(request.target);
-  if (headerValue(request.headers, "host").empty()) message.set(beast::http::field::host, address_);
-  for (auto const& [name, value] : request.headers) message.insert(name, value);
-  if (!state_->poolKeepsConnections()) message.set(beast::http::field::connection, "close");
-  if (!body.empty() || !mayLackLength(request.method)) message.content_length(body.size());
+  RequestFraming const framing{address_, body.size(), state_->poolKeepsConnections()};
   state_->parser.begin(request.method == core::name(core::HttpMethod::head));
   state_->phase = State::Phase::sent;
   state_->hadLongBody = body.size() > maxKeptRequestBytes;
-  write(*socket_, headText(message));
+  write(*socket_, requestHead(request, framing));
   if (!body.empty()) write(*socket_, body);
 }
 
--- a/programs/router/audit_recorder.h
+++ b/programs/router/audit_recorder.h
@@ -28,6 +28,8 @@
   ~AuditRecorder();
   AuditRecorder(AuditRecorder const&) = delete;
   AuditRecorder& operator=(AuditRecorder const&) = delete;
+  AuditRecorder(AuditRecorder&&) = delete;
+  AuditRecorder& operator=(AuditRecorder&&) = delete;
   /// @return whether the record is in the file
   bool write(dataplane::WriteAuditRecord const& record);
   /// Writes the counts of a span that has ended, and syncs in its turn.
--- a/programs/test/regime_report_test.cpp
+++ b/programs/test/regime_report_test.cpp
@@ -20,7 +20,7 @@
     std::unique_ptr<storage::Directory> const disk = storage::openDirectory(directory.path());
     audit::AuditLog log(*disk, "n1", 1780000000000);
     log.count(audit::RecordKind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}},
-                1780000000000);
+              1780000000000);
     log.close(1780000000001);
   }
   programs::ReportOptions options;
@@ -31,9 +31,9 @@
   options.checkpoints = {"n1=2:" + std::string(64, 'a')};
   CHECK(programs::reportRegimes(options) == ExitCode::differs);
   for (char const* invalid : {"n1", "n1=2",
-                          "n1=x:"
-                          "0",
-                          "=2:0"}) {
+                              "n1=x:"
+                              "0",
+                              "=2:0"}) {
     options.checkpoints = {invalid};
     CHECK_THROWS_AS(programs::reportRegimes(options), programs::UsageError);
   }
