--- a/audit/include/corkward/audit/audit_log.h
+++ b/audit/include/corkward/audit/audit_log.h
@@ -14,7 +14,7 @@
 namespace corkward::audit {
 
 /// What became of requests, whose they were, and where they ran: what is counted together.
-struct RecordKind {
+struct RecordCategory {
   /// handed-over, resumed, served, not-run, broken or rejected.
   std::string outcome;
   std::string regime;
@@ -25,7 +25,7 @@
   std::string zone = {};
   std::string certificate = {};
   std::string reason = {};
-  auto operator<=>(RecordKind const&) const = default;
+  auto operator<=>(RecordCategory const&) const = default;
 };
 
 /// The newest record of a trail: a trail that was cut short since does not hold it.
@@ -35,11 +35,11 @@
 };
 
 /// Counts of one span are written when it ends.
-inline constexpr std::int64_t spanMs = 60000;
+inline constexpr std::int64_t countPeriodMs = 60000;
 
-struct Bounds {
+struct RetentionLimits {
   std::uint64_t segmentBytes = 1U << 20;
-  std::size_t segments = 64;
+  std::size_t maxSegments = 64;
 };
 
 /// Writes the audit trail of one node: records in lines, each with the SHA-256 of its text, which holds the hash of the
@@ -47,14 +47,14 @@
 class AuditLog {
  public:
   /// Goes on after the newest record in the folder; a last line that was torn is cut off. The folder must outlive it.
-  AuditLog(storage::Directory& folder, std::string node, std::int64_t wall, Bounds bounds = {});
+  AuditLog(storage::Directory& folder, std::string node, std::int64_t wall, RetentionLimits bounds = {});
   /// Counts one request. The first of its kind in a span is in the file when this returns, the others when the span
   /// ends.
-  void count(RecordKind const& kind, std::int64_t wall);
+  void countOutcome(RecordCategory const& kind, std::int64_t wall);
   /// Writes the counts of a span that has ended.
-  void clockEvent(std::int64_t wall);
+  void onTimer(std::int64_t wall);
   /// Writes a record that says no more than that it could be written.
-  void probe(std::int64_t wall);
+  void probeDisk(std::int64_t wall);
   /// Writes all counts; nothing is missing from this life.
   void close(std::int64_t wall);
   AuditHead const& head() const { return head_; }
@@ -64,25 +64,25 @@
  private:
   void write(QJsonObject record, std::int64_t wall);
   void writeCounts(std::int64_t wall);
-  void begin(std::int64_t wall);
+  void beginSegment(std::int64_t wall);
 
-  storage::Directory& folder_;
+  storage::Directory& directory_;
   std::string node_;
-  Bounds bounds_;
+  RetentionLimits bounds_;
   AuditHead head_;
   std::string file_;
   std::uint64_t size_ = 0;
   std::vector<std::string> files_;
   bool unsynced_ = false;
   /// The file may end in a part of a line that could not be written.
-  bool halfWritten_ = false;
-  std::int64_t span_ = 0;
+  bool partiallyWritten_ = false;
+  std::int64_t countPeriod_ = 0;
   /// Counted in this span and not written yet; 0: the first one is written.
-  std::map<RecordKind, std::uint64_t> counts_;
+  std::map<RecordCategory, std::uint64_t> counts_;
 };
 
 /// A place where a trail is not as it was written.
-struct Fault {
+struct IntegrityFault {
   std::string file;
   std::size_t line = 0;
   std::string reason;
@@ -92,11 +92,11 @@
 struct AuditLogView {
   std::string node;
   std::vector<QJsonObject> records;
-  std::vector<Fault> faults;
+  std::vector<IntegrityFault> faults;
   /// The newest line is not whole: the node was writing, or lost its power.
-  bool tornEnd = false;
+  bool tornTail = false;
   /// Number of the first record that is kept; those before were dropped by the bound.
-  std::uint64_t first = 0;
+  std::uint64_t firstNumber = 0;
   AuditHead head;
   /// Hash of each record by its number.
   std::map<std::uint64_t, std::string> hashes;
@@ -118,6 +118,6 @@
 };
 /// {"regimes": {name: [{"span", "counts": [{"what", "instance", ..., "count"}]}]}, "nodes": [{"node", "first", "head",
 /// "lives": [...], "faults": [...]}], "whole"}; a life that has no end says that its counts are the least.
-QJsonObject report(std::vector<AuditLogView> const& trails, ReportQuery const& ask);
+QJsonObject auditReport(std::vector<AuditLogView> const& trails, ReportQuery const& ask);
 
 }  // namespace corkward::audit
--- a/audit/src/audit_log.cpp
+++ b/audit/src/audit_log.cpp
@@ -25,7 +25,7 @@
   return core::toStdString(QDateTime::fromMSecsSinceEpoch(wall, Qt::UTC).toString(Qt::ISODateWithMs));
 }
 
-std::string hashOf(std::string const& text) {
+std::string lineHash(std::string const& text) {
   return QCryptographicHash::hash(QByteArray::fromStdString(text), QCryptographicHash::Sha256).toHex().toStdString();
 }
 
@@ -37,13 +37,13 @@
   return out;
 }
 
-std::vector<Line> readLines(std::string const& text) {
-  std::vector<Line> out;
+std::vector<LogLine> readLines(std::string const& text) {
+  std::vector<LogLine> out;
   std::size_t at = 0;
   while (at < text.size()) {
     std::size_t const end = text.find('\n', at);
-    Line line;
-    line.at = at;
+    LogLine line;
+    line.offset = at;
     std::string const bytes = text.substr(at, end == std::string::npos ? std::string::npos : end - at);
     at = end == std::string::npos ? text.size() : end + 1;
     line.end = at;
@@ -51,7 +51,7 @@
     if (end == std::string::npos) {
       line.fault = "is torn";
       line.torn = true;
-    } else if (blank != 64 || hashOf(bytes.substr(blank + 1)) != bytes.substr(0, blank)) {
+    } else if (blank != 64 || lineHash(bytes.substr(blank + 1)) != bytes.substr(0, blank)) {
       line.fault = "is not as it was written: its hash differs";
     } else {
       try {
@@ -66,30 +66,30 @@
   return out;
 }
 
-AuditLog::AuditLog(storage::Directory& folder, std::string node, std::int64_t wall, Bounds bounds)
-    : folder_(folder),
+AuditLog::AuditLog(storage::Directory& folder, std::string node, std::int64_t wall, RetentionLimits bounds)
+    : directory_(folder),
       node_(std::move(node)),
       bounds_(bounds),
       files_(auditLogFiles(folder)),
-      span_(wall - wall % spanMs) {
+      countPeriod_(wall - wall % countPeriodMs) {
   for (std::size_t i = files_.size(); i > 0 && head_.number == 0; --i) {
-    std::vector<Line> lines = readLines(folder_.read(files_[i - 1]));
+    std::vector<LogLine> lines = readLines(directory_.read(files_[i - 1]));
     if (!lines.empty() && lines.back().torn) {
-      folder_.truncate(files_[i - 1], lines.back().at);
+      directory_.truncate(files_[i - 1], lines.back().offset);
       lines.pop_back();
     }
-    std::vector<Line>::const_reverse_iterator const good =
-        std::find_if(lines.crbegin(), lines.crend(), [](Line const& l) { return l.fault.empty(); });
+    std::vector<LogLine>::const_reverse_iterator const good =
+        std::find_if(lines.crbegin(), lines.crend(), [](LogLine const& l) { return l.fault.empty(); });
     if (good == lines.crend()) continue;
     head_ = AuditHead{static_cast<std::uint64_t>(good->record.value("n").toInteger()), good->hash};
     if (i < files_.size() || good != lines.crbegin()) continue;
     file_ = files_[i - 1];
     size_ = good->end;
   }
-  begin(wall);
+  beginSegment(wall);
 }
 
-void AuditLog::begin(std::int64_t wall) {
+void AuditLog::beginSegment(std::int64_t wall) {
   write(QJsonObject{{"what", "opened"}, {"node", core::toQString(node_)}}, wall);
 }
 
@@ -98,60 +98,60 @@
   record.insert("prev", core::toQString(head_.hash));
   record.insert("at", core::toQString(timeText(wall)));
   std::string const text = core::jsonText(record);
-  std::string const hash = hashOf(text);
+  std::string const hash = lineHash(text);
   std::string const line = hash + " " + text + "\n";
   if (file_.empty() || size_ + line.size() > bounds_.segmentBytes) {
-    if (!file_.empty()) folder_.sync(file_);
+    if (!file_.empty()) directory_.sync(file_);
     file_ = fileFor(head_.number + 1);
     size_ = 0;
     if (files_.empty() || files_.back() != file_) files_.push_back(file_);
-    while (files_.size() > std::max<std::size_t>(bounds_.segments, 2)) {
-      folder_.remove(files_.front());
+    while (files_.size() > std::max<std::size_t>(bounds_.maxSegments, 2)) {
+      directory_.remove(files_.front());
       files_.erase(files_.begin());
     }
   }
-  if (halfWritten_) folder_.truncate(file_, size_);
-  halfWritten_ = true;
-  folder_.append(file_, line);
-  halfWritten_ = false;
+  if (partiallyWritten_) directory_.truncate(file_, size_);
+  partiallyWritten_ = true;
+  directory_.append(file_, line);
+  partiallyWritten_ = false;
   size_ += line.size();
   unsynced_ = true;
   head_ = AuditHead{head_.number + 1, hash};
 }
 
-void AuditLog::count(RecordKind const& kind, std::int64_t wall) {
-  clockEvent(wall);
-  std::map<RecordKind, std::uint64_t>::iterator const it = counts_.find(kind);
+void AuditLog::countOutcome(RecordCategory const& kind, std::int64_t wall) {
+  onTimer(wall);
+  std::map<RecordCategory, std::uint64_t>::iterator const it = counts_.find(kind);
   if (it != counts_.end()) {
     ++it->second;
     return;
   }
-  write(countRecord(kind, span_, 1), wall);
+  write(countRecord(kind, countPeriod_, 1), wall);
   counts_[kind] = 0;
 }
 
-void AuditLog::clockEvent(std::int64_t wall) {
-  if (wall >= span_ && wall < span_ + spanMs) return;
+void AuditLog::onTimer(std::int64_t wall) {
+  if (wall >= countPeriod_ && wall < countPeriod_ + countPeriodMs) return;
   writeCounts(wall);
-  span_ = wall - wall % spanMs;
+  countPeriod_ = wall - wall % countPeriodMs;
 }
 
 void AuditLog::writeCounts(std::int64_t wall) {
   while (!counts_.empty()) {
-    std::map<RecordKind, std::uint64_t>::iterator const it = counts_.begin();
-    if (it->second > 0) write(countRecord(it->first, span_, it->second), wall);
+    std::map<RecordCategory, std::uint64_t>::iterator const it = counts_.begin();
+    if (it->second > 0) write(countRecord(it->first, countPeriod_, it->second), wall);
     counts_.erase(it);
   }
 }
 
-void AuditLog::probe(std::int64_t wall) {
+void AuditLog::probeDisk(std::int64_t wall) {
   write(QJsonObject{{"what", "probed"}}, wall);
 }
 
 void AuditLog::close(std::int64_t wall) {
   writeCounts(wall);
   write(QJsonObject{{"what", "closed"}}, wall);
-  folder_.sync(file_);
+  directory_.sync(file_);
   unsynced_ = false;
 }
 
--- a/audit/src/lines.h
+++ b/audit/src/lines.h
@@ -9,8 +9,8 @@
 namespace corkward::audit {
 
 /// One line of a trail's file.
-struct Line {
-  std::size_t at = 0;
+struct LogLine {
+  std::size_t offset = 0;
   std::size_t end = 0;
   std::string hash;
   QJsonObject record;
@@ -18,13 +18,13 @@
   bool torn = false;
 };
 
-std::vector<Line> readLines(std::string const& text);
+std::vector<LogLine> readLines(std::string const& text);
 /// Files of a trail, oldest first.
 std::vector<std::string> auditLogFiles(storage::Directory& folder);
-std::string hashOf(std::string const& text);
+std::string lineHash(std::string const& text);
 std::string timeText(std::int64_t wall);
 
-QJsonObject countRecord(RecordKind const& kind, std::int64_t span, std::uint64_t count);
-RecordKind kindOf(QJsonObject const& record);
+QJsonObject countRecord(RecordCategory const& kind, std::int64_t span, std::uint64_t count);
+RecordCategory readCategory(QJsonObject const& record);
 
 }  // namespace corkward::audit
--- a/audit/src/report.cpp
+++ b/audit/src/report.cpp
@@ -11,15 +11,17 @@
 
 namespace {
 
-struct FieldRow {
+struct FieldName {
   char const* name;
-  std::string RecordKind::*field;
+  std::string RecordCategory::*field;
 };
 
-constexpr FieldRow fieldTable[] = {
-    {"what", &RecordKind::outcome}, {"regime", &RecordKind::regime},           {"instance", &RecordKind::instance},
-    {"pool", &RecordKind::pool},    {"address", &RecordKind::address},         {"life", &RecordKind::incarnation},
-    {"zone", &RecordKind::zone},    {"certificate", &RecordKind::certificate}, {"reason", &RecordKind::reason}};
+constexpr FieldName fieldNames[] = {
+    {"what", &RecordCategory::outcome},      {"regime", &RecordCategory::regime},
+    {"instance", &RecordCategory::instance}, {"pool", &RecordCategory::pool},
+    {"address", &RecordCategory::address},   {"life", &RecordCategory::incarnation},
+    {"zone", &RecordCategory::zone},         {"certificate", &RecordCategory::certificate},
+    {"reason", &RecordCategory::reason}};
 
 std::int64_t wallOf(QJsonObject const& record, char const* field) {
   return QDateTime::fromString(record.value(QLatin1String(field)).toString(), Qt::ISODateWithMs).toMSecsSinceEpoch();
@@ -40,12 +42,12 @@
   }
   if (!life.isEmpty()) lives.append(life);
   QJsonArray faults;
-  for (Fault const& f : t.faults)
+  for (IntegrityFault const& f : t.faults)
     faults.append(QJsonObject{{"file", core::toQString(f.file)},
                               {"line", static_cast<qint64>(f.line)},
                               {"reason", core::toQString(f.reason)}});
   for (std::pair<std::string, AuditHead> const& h : ask.heads) {
-    if (h.first != t.node || h.second.number < t.first) continue;
+    if (h.first != t.node || h.second.number < t.firstNumber) continue;
     std::map<std::uint64_t, std::string>::const_iterator const it = t.hashes.find(h.second.number);
     if (it != t.hashes.end() && it->second == h.second.hash) continue;
     faults.append(QJsonObject{{"reason", core::toQString("record " + std::to_string(h.second.number) +
@@ -54,25 +56,26 @@
   whole = whole && faults.isEmpty();
   return QJsonObject{
       {"node", core::toQString(t.node)},
-      {"first", static_cast<qint64>(t.first)},
+      {"first", static_cast<qint64>(t.firstNumber)},
       {"faults", faults},
       {"lives", lives},
-      {"tornEnd", t.tornEnd},
+      {"tornEnd", t.tornTail},
       {"head", QJsonObject{{"n", static_cast<qint64>(t.head.number)}, {"hash", core::toQString(t.head.hash)}}}};
 }
 
 }  // namespace
 
-QJsonObject countRecord(RecordKind const& kind, std::int64_t span, std::uint64_t count) {
+QJsonObject countRecord(RecordCategory const& kind, std::int64_t span, std::uint64_t count) {
   QJsonObject out{{"span", core::toQString(timeText(span))}, {"count", static_cast<qint64>(count)}};
-  for (FieldRow const& f : fieldTable)
+  for (FieldName const& f : fieldNames)
     if (!(kind.*f.field).empty()) out.insert(QLatin1String(f.name), core::toQString(kind.*f.field));
   return out;
 }
 
-RecordKind kindOf(QJsonObject const& record) {
-  RecordKind out;
-  for (FieldRow const& f : fieldTable) out.*f.field = core::toStdString(record.value(QLatin1String(f.name)).toString());
+RecordCategory readCategory(QJsonObject const& record) {
+  RecordCategory out;
+  for (FieldName const& f : fieldNames)
+    out.*f.field = core::toStdString(record.value(QLatin1String(f.name)).toString());
   return out;
 }
 
@@ -80,25 +83,25 @@
   AuditLogView out;
   std::vector<std::string> const files = auditLogFiles(folder);
   for (std::string const& file : files) {
-    std::vector<Line> const lines = readLines(folder.read(file));
+    std::vector<LogLine> const lines = readLines(folder.read(file));
     for (std::size_t i = 0; i < lines.size(); ++i) {
-      Line const& line = lines[i];
+      LogLine const& line = lines[i];
       if (line.torn && file == files.back()) {
-        out.tornEnd = true;
+        out.tornTail = true;
         continue;
       }
       if (!line.fault.empty()) {
-        out.faults.push_back(Fault{file, i + 1, line.fault});
+        out.faults.push_back(IntegrityFault{file, i + 1, line.fault});
         continue;
       }
       std::uint64_t const n = static_cast<std::uint64_t>(line.record.value("n").toInteger());
       std::string const prev = core::toStdString(line.record.value("prev").toString());
       if (out.records.empty()) {
-        out.first = n;
+        out.firstNumber = n;
         if (n == 1 && !prev.empty())
-          out.faults.push_back(Fault{file, i + 1, "is the first record and names one before"});
+          out.faults.push_back(IntegrityFault{file, i + 1, "is the first record and names one before"});
       } else if (n != out.head.number + 1 || prev != out.head.hash) {
-        out.faults.push_back(Fault{file, i + 1, "does not follow record " + std::to_string(out.head.number)});
+        out.faults.push_back(IntegrityFault{file, i + 1, "does not follow record " + std::to_string(out.head.number)});
       }
       if (line.record.value("what").toString() == "opened")
         out.node = core::toStdString(line.record.value("node").toString());
@@ -110,15 +113,15 @@
   return out;
 }
 
-QJsonObject report(std::vector<AuditLogView> const& trails, ReportQuery const& ask) {
-  std::map<std::string, std::map<std::int64_t, std::map<RecordKind, std::uint64_t>>> sums;
+QJsonObject auditReport(std::vector<AuditLogView> const& trails, ReportQuery const& ask) {
+  std::map<std::string, std::map<std::int64_t, std::map<RecordCategory, std::uint64_t>>> sums;
   bool whole = true;
   QJsonArray nodes;
   for (AuditLogView const& t : trails) {
     nodes.append(nodeReport(t, ask, whole));
     for (QJsonObject const& r : t.records) {
       if (!r.contains("count")) continue;
-      RecordKind const kind = kindOf(r);
+      RecordCategory const kind = readCategory(r);
       std::int64_t const span = wallOf(r, "span");
       if ((!ask.regime.empty() && kind.regime != ask.regime) || span < ask.from || (ask.until > 0 && span >= ask.until))
         continue;
@@ -134,11 +137,12 @@
                              {"faults", QJsonArray{QJsonObject{{"reason", "no trail of this node was given"}}}}});
   }
   QJsonObject regimes;
-  for (std::pair<std::string const, std::map<std::int64_t, std::map<RecordKind, std::uint64_t>>> const& regime : sums) {
+  for (std::pair<std::string const, std::map<std::int64_t, std::map<RecordCategory, std::uint64_t>>> const& regime :
+       sums) {
     QJsonArray spans;
-    for (std::pair<std::int64_t const, std::map<RecordKind, std::uint64_t>> const& span : regime.second) {
+    for (std::pair<std::int64_t const, std::map<RecordCategory, std::uint64_t>> const& span : regime.second) {
       QJsonArray counts;
-      for (std::map<RecordKind, std::uint64_t>::value_type const& c : span.second) {
+      for (std::map<RecordCategory, std::uint64_t>::value_type const& c : span.second) {
         QJsonObject row = countRecord(c.first, span.first, c.second);
         row.remove("span");
         row.remove("regime");
--- a/audit/test/audit_log_test.cpp
+++ b/audit/test/audit_log_test.cpp
@@ -41,12 +41,12 @@
 
 std::int64_t const noon = QDateTime::fromString("2026-06-01T12:00:00Z", Qt::ISODate).toMSecsSinceEpoch();
 
-audit::RecordKind handed(std::string const& life) {
-  return audit::RecordKind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", life, "z1", "c1", {}};
+audit::RecordCategory handed(std::string const& life) {
+  return audit::RecordCategory{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", life, "z1", "c1", {}};
 }
 
-audit::RecordKind rejected() {
-  audit::RecordKind k;
+audit::RecordCategory rejected() {
+  audit::RecordCategory k;
   k.outcome = "denied";
   k.regime = "health";
   k.instance = "desk.nord";
@@ -67,7 +67,7 @@
 }
 
 QJsonObject reportOf(MemoryFolder& folder, audit::ReportQuery const& ask = {}) {
-  return audit::report({audit::readAuditLog(folder)}, ask);
+  return audit::auditReport({audit::readAuditLog(folder)}, ask);
 }
 
 }  // namespace
@@ -75,20 +75,20 @@
 TEST_CASE("the first of a kind is written before anything else happens, the others when the minute ends") {
   MemoryFolder folder;
   audit::AuditLog trail(folder, "n1", noon);
-  trail.count(handed("r1"), noon + 10);
+  trail.countOutcome(handed("r1"), noon + 10);
   CHECK(countsOf(reportOf(folder), "health")["handed-over r1"] == 1);
-  for (int i = 0; i < 5; ++i) trail.count(handed("r1"), noon + 20 + i);
-  trail.count(handed("r2"), noon + 30);
+  for (int i = 0; i < 5; ++i) trail.countOutcome(handed("r1"), noon + 20 + i);
+  trail.countOutcome(handed("r2"), noon + 30);
   CHECK(countsOf(reportOf(folder), "health") ==
         std::map<std::string, qint64>{{"handed-over r1", 1}, {"handed-over r2", 1}});
-  trail.clockEvent(noon + audit::spanMs);
+  trail.onTimer(noon + audit::countPeriodMs);
   CHECK(countsOf(reportOf(folder), "health") ==
         std::map<std::string, qint64>{{"handed-over r1", 6}, {"handed-over r2", 1}});
-  trail.count(handed("r1"), noon + audit::spanMs + 1);
+  trail.countOutcome(handed("r1"), noon + audit::countPeriodMs + 1);
   CHECK(countsOf(reportOf(folder), "health")["handed-over r1"] == 7);
-  trail.count(rejected(), noon + audit::spanMs + 2);
-  trail.count(rejected(), noon + audit::spanMs + 2);
-  trail.close(noon + audit::spanMs + 3);
+  trail.countOutcome(rejected(), noon + audit::countPeriodMs + 2);
+  trail.countOutcome(rejected(), noon + audit::countPeriodMs + 2);
+  trail.close(noon + audit::countPeriodMs + 3);
   CHECK(countsOf(reportOf(folder), "health")["denied "] == 2);
   CHECK(reportOf(folder).value("whole").toBool());
 }
@@ -97,12 +97,12 @@
   MemoryFolder folder;
   {
     audit::AuditLog trail(folder, "n1", noon);
-    trail.count(handed("r1"), noon);
-    trail.count(handed("r1"), noon);
+    trail.countOutcome(handed("r1"), noon);
+    trail.countOutcome(handed("r1"), noon);
   }
   {
     audit::AuditLog trail(folder, "n1", noon + 1000);
-    trail.count(handed("r1"), noon + 1000);
+    trail.countOutcome(handed("r1"), noon + 1000);
     trail.close(noon + 2000);
   }
   QJsonObject const out = reportOf(folder);
@@ -118,8 +118,8 @@
   MemoryFolder whole;
   {
     audit::AuditLog trail(whole, "n1", noon);
-    trail.count(handed("r1"), noon);
-    trail.count(handed("r2"), noon);
+    trail.countOutcome(handed("r1"), noon);
+    trail.countOutcome(handed("r2"), noon);
   }
   std::string const file = whole.files.begin()->first;
   std::string const text = whole.files.begin()->second;
@@ -139,8 +139,8 @@
 
 TEST_CASE("whatever is changed, moved or taken out shows") {
   MemoryFolder folder;
-  audit::AuditLog trail(folder, "n1", noon, audit::Bounds{1200, 100});
-  for (int i = 0; i < 30; ++i) trail.count(handed("r" + std::to_string(i)), noon + i);
+  audit::AuditLog trail(folder, "n1", noon, audit::RetentionLimits{1200, 100});
+  for (int i = 0; i < 30; ++i) trail.countOutcome(handed("r" + std::to_string(i)), noon + i);
   audit::AuditHead const head = trail.head();
   REQUIRE(folder.files.size() > 5);
   REQUIRE(reportOf(folder).value("whole").toBool());
@@ -182,20 +182,20 @@
   MemoryFolder folder;
   {
     audit::AuditLog trail(folder, "n1", noon);
-    for (int i = 0; i < 5; ++i) trail.count(handed("r" + std::to_string(i)), noon);
+    for (int i = 0; i < 5; ++i) trail.countOutcome(handed("r" + std::to_string(i)), noon);
   }
   std::string& text = folder.files.begin()->second;
   text[text.size() - 10] ^= 1;
   {
     audit::AuditLog trail(folder, "n1", noon + 1);
-    trail.count(handed("r9"), noon + 1);
+    trail.countOutcome(handed("r9"), noon + 1);
   }
   CHECK_FALSE(reportOf(folder).value("whole").toBool());
   CHECK(countsOf(reportOf(folder), "health")["handed-over r9"] == 1);
   MemoryFolder lost;
   lost.files["audit-000000000001"] = "harm\n";
   audit::AuditLog trail(lost, "n1", noon);
-  trail.count(handed("r1"), noon);
+  trail.countOutcome(handed("r1"), noon);
   CHECK_FALSE(reportOf(lost).value("whole").toBool());
 }
 
@@ -203,14 +203,14 @@
   MemoryFolder folder;
   {
     audit::AuditLog trail(folder, "n1", noon);
-    trail.count(handed("r1"), noon);
-    trail.count(handed("r2"), noon);
+    trail.countOutcome(handed("r1"), noon);
+    trail.countOutcome(handed("r2"), noon);
   }
   MemoryFolder other;
   {
     audit::AuditLog trail(other, "n1", noon + 5);
-    trail.count(handed("good"), noon);
-    trail.count(handed("r2"), noon);
+    trail.countOutcome(handed("good"), noon);
+    trail.countOutcome(handed("r2"), noon);
   }
   std::string& text = folder.files.begin()->second;
   std::string const& foreign = other.files.begin()->second;
@@ -223,8 +223,8 @@
 
 TEST_CASE("the trail stays within its bound and names what was dropped") {
   MemoryFolder folder;
-  audit::AuditLog trail(folder, "n1", noon, audit::Bounds{2000, 4});
-  for (int i = 0; i < 500; ++i) trail.count(handed("r" + std::to_string(i)), noon);
+  audit::AuditLog trail(folder, "n1", noon, audit::RetentionLimits{2000, 4});
+  for (int i = 0; i < 500; ++i) trail.countOutcome(handed("r" + std::to_string(i)), noon);
   std::size_t bytes = 0;
   for (std::map<std::string, std::string>::value_type const& f : folder.files) bytes += f.second.size();
   CHECK(folder.files.size() == 4);
@@ -232,7 +232,7 @@
   QJsonObject const out = reportOf(folder);
   CHECK(out.value("whole").toBool());
   CHECK(out.value("nodes").toArray().at(0).toObject().value("first").toInteger() > 400);
-  audit::AuditLog again(folder, "n1", noon, audit::Bounds{2000, 4});
+  audit::AuditLog again(folder, "n1", noon, audit::RetentionLimits{2000, 4});
   CHECK(again.head().number == 502);
 }
 
@@ -240,9 +240,9 @@
   MemoryFolder folder;
   audit::AuditLog trail(folder, "n1", noon);
   folder.full = true;
-  CHECK_THROWS_AS(trail.count(handed("r1"), noon), storage::StorageError);
+  CHECK_THROWS_AS(trail.countOutcome(handed("r1"), noon), storage::StorageError);
   folder.full = false;
-  trail.count(handed("r1"), noon);
+  trail.countOutcome(handed("r1"), noon);
   QJsonObject const out = reportOf(folder);
   CHECK(out.value("whole").toBool());
   CHECK(countsOf(out, "health")["handed-over r1"] == 1);
@@ -253,21 +253,24 @@
   MemoryFolder two;
   audit::AuditLog a(one, "n1", noon);
   audit::AuditLog b(two, "n2", noon);
-  a.count(handed("r1"), noon);
-  b.count(handed("r1"), noon + 3600000);
-  audit::RecordKind other = handed("r9");
+  a.countOutcome(handed("r1"), noon);
+  b.countOutcome(handed("r1"), noon + 3600000);
+  audit::RecordCategory other = handed("r9");
   other.regime = "export";
-  b.count(other, noon + 3600000);
+  b.countOutcome(other, noon + 3600000);
   audit::ReportQuery ask;
   ask.regime = "health";
-  QJsonObject out = audit::report({audit::readAuditLog(one), audit::readAuditLog(two)}, ask);
+  QJsonObject out = audit::auditReport({audit::readAuditLog(one), audit::readAuditLog(two)}, ask);
   CHECK(out.value("regimes").toObject().keys() == QStringList{"health"});
   QJsonArray const spans = out.value("regimes").toObject().value("health").toArray();
   REQUIRE(spans.size() == 2);
   CHECK(spans.at(0).toObject().value("span").toString() == "2026-06-01T12:00:00.000Z");
   ask.from = noon + 3600000;
-  out = audit::report({audit::readAuditLog(one), audit::readAuditLog(two)}, ask);
+  out = audit::auditReport({audit::readAuditLog(one), audit::readAuditLog(two)}, ask);
   CHECK(out.value("regimes").toObject().value("health").toArray().size() == 1);
   ask.until = noon + 3600000;
-  CHECK(audit::report({audit::readAuditLog(one), audit::readAuditLog(two)}, ask).value("regimes").toObject().isEmpty());
+  CHECK(audit::auditReport({audit::readAuditLog(one), audit::readAuditLog(two)}, ask)
+            .value("regimes")
+            .toObject()
+            .isEmpty());
 }
--- a/audit/test/golden_test.cpp
+++ b/audit/test/golden_test.cpp
@@ -20,10 +20,10 @@
 
 /// 2026-06-01T12:00:00Z
 constexpr std::int64_t noon = 1780315200000;
-constexpr audit::Bounds smallFiles{1500, 3};
+constexpr audit::RetentionLimits smallFiles{1500, 3};
 
 /// One kind of each thing that a router counts, the first with all fields, others with few.
-std::vector<audit::RecordKind> kinds() {
+std::vector<audit::RecordCategory> kinds() {
   return {{"handed-over", "health", "desk.nord", "model", "127.0.0.1:80", "r-1", "z1", "model-z1", "no reason"},
           {"resumed", "health", "desk.nord", "model", "127.0.0.2:80", "r-2", "z\xc3\xbcrich/1", "model-z1", {}},
           {"served", "health", "desk.nord", "model", "127.0.0.1:80", "r-1", "z1", "model-z1", {}},
@@ -35,23 +35,23 @@
 
 /// Counts each kind once and the n-th one n times more, over two spans.
 void countAll(audit::AuditLog& trail, std::int64_t wall) {
-  std::vector<audit::RecordKind> const all = kinds();
-  for (audit::RecordKind const& kind : all) trail.count(kind, wall);
+  std::vector<audit::RecordCategory> const all = kinds();
+  for (audit::RecordCategory const& kind : all) trail.countOutcome(kind, wall);
   for (std::size_t i = 0; i < all.size(); ++i)
-    for (std::size_t n = 0; n < i; ++n) trail.count(all[i], wall + 100);
-  trail.clockEvent(wall + audit::spanMs - 1);
-  trail.clockEvent(wall + audit::spanMs);
-  trail.count(all.front(), wall + audit::spanMs + 5);
-  trail.count(all.front(), wall + audit::spanMs + 6);
+    for (std::size_t n = 0; n < i; ++n) trail.countOutcome(all[i], wall + 100);
+  trail.onTimer(wall + audit::countPeriodMs - 1);
+  trail.onTimer(wall + audit::countPeriodMs);
+  trail.countOutcome(all.front(), wall + audit::countPeriodMs + 5);
+  trail.countOutcome(all.front(), wall + audit::countPeriodMs + 6);
 }
 
 /// One file with all records that there are.
 golden::Files oneFile() {
   golden::NotingFolder folder;
   audit::AuditLog trail(folder, "n1", noon);
-  trail.probe(noon + 1);
+  trail.probeDisk(noon + 1);
   countAll(trail, noon + 2);
-  trail.close(noon + 2 * audit::spanMs);
+  trail.close(noon + 2 * audit::countPeriodMs);
   return golden::filesOf(folder);
 }
 
@@ -63,14 +63,14 @@
     countAll(trail, noon + 10);
   }
   {
-    audit::AuditLog trail(folder, "n2", noon + 10 * audit::spanMs, smallFiles);
-    trail.count(kinds().at(1), noon + 10 * audit::spanMs + 1);
-    trail.count(kinds().at(1), noon + 10 * audit::spanMs + 2);
-    trail.close(noon + 10 * audit::spanMs + 3);
+    audit::AuditLog trail(folder, "n2", noon + 10 * audit::countPeriodMs, smallFiles);
+    trail.countOutcome(kinds().at(1), noon + 10 * audit::countPeriodMs + 1);
+    trail.countOutcome(kinds().at(1), noon + 10 * audit::countPeriodMs + 2);
+    trail.close(noon + 10 * audit::countPeriodMs + 3);
   }
-  audit::AuditLog trail(folder, "n2", noon + 70 * audit::spanMs, smallFiles);
-  trail.count(kinds().at(3), noon + 70 * audit::spanMs + 1);
-  trail.count(kinds().at(3), noon + 70 * audit::spanMs + 2);
+  audit::AuditLog trail(folder, "n2", noon + 70 * audit::countPeriodMs, smallFiles);
+  trail.countOutcome(kinds().at(3), noon + 70 * audit::countPeriodMs + 1);
+  trail.countOutcome(kinds().at(3), noon + 70 * audit::countPeriodMs + 2);
   return golden::filesOf(folder);
 }
 
@@ -108,10 +108,10 @@
 
 std::string viewText(audit::AuditLogView const& view) {
   std::string out = "node " + view.node + "\n";
-  out += "first " + std::to_string(view.first) + "\n";
+  out += "first " + std::to_string(view.firstNumber) + "\n";
   out += "head " + std::to_string(view.head.number) + " " + view.head.hash + "\n";
-  out += "torn end " + std::to_string(view.tornEnd) + "\n";
-  for (audit::Fault const& fault : view.faults)
+  out += "torn end " + std::to_string(view.tornTail) + "\n";
+  for (audit::IntegrityFault const& fault : view.faults)
     out += "fault " + fault.file + " line " + std::to_string(fault.line) + ": " + fault.reason + "\n";
   for (QJsonObject const& record : view.records) out += "record " + core::jsonText(record) + "\n";
   for (auto const& [number, hash] : view.hashes) out += "hash " + std::to_string(number) + " " + hash + "\n";
@@ -198,10 +198,10 @@
 TEST_CASE("golden: a recorded trail is gone on with alike") {
   for (Scenario const& scenario : scenarios) DYNAMIC_SECTION(scenario.name) {
       golden::NotingFolder folder(golden::readFiles(folderName(scenario.name)));
-      audit::AuditLog trail(folder, "n1", noon + 90 * audit::spanMs, smallFiles);
-      countAll(trail, noon + 90 * audit::spanMs + 1);
+      audit::AuditLog trail(folder, "n1", noon + 90 * audit::countPeriodMs, smallFiles);
+      countAll(trail, noon + 90 * audit::countPeriodMs + 1);
       std::string text = "not synced " + trail.takeUnsynced() + "\n";
-      trail.close(noon + 92 * audit::spanMs);
+      trail.close(noon + 92 * audit::countPeriodMs);
       text += "head " + std::to_string(trail.head().number) + " " + trail.head().hash + "\n";
       text += "changes\n" + folder.changes + "folder\n";
       text += golden::filesText(golden::filesOf(folder), golden::Form::text);
@@ -219,17 +219,17 @@
   std::vector<Row> const rows{
       {"all", {}},
       {"one-regime", {"export", 0, 0, 3600000, {}}},
-      {"part-of-time", {"", noon + audit::spanMs, noon + 70 * audit::spanMs, 3600000, {}}},
-      {"by-minute", {"health", 0, 0, audit::spanMs, {}}},
+      {"part-of-time", {"", noon + audit::countPeriodMs, noon + 70 * audit::countPeriodMs, 3600000, {}}},
+      {"by-minute", {"health", 0, 0, audit::countPeriodMs, {}}},
       {"heads-noted", {"none", 0, 0, 3600000, {{"n2", head}, {"n2", {1, "dropped since"}}}}},
       {"heads-missing",
        {"none", 0, 0, 3600000, {{"n2", {head.number, "other"}}, {"n2", {head.number + 1, head.hash}}, {"n3", head}}}}};
   for (Row const& row : rows) DYNAMIC_SECTION(row.name) {
       golden::check(std::string("audit/test/golden/report.") + row.name + ".txt",
-                    reportText(audit::report(trails, row.ask)));
+                    reportText(audit::auditReport(trails, row.ask)));
     }
   DYNAMIC_SECTION("torn end") {
-    golden::check("audit/test/golden/report.torn-end.txt", reportText(audit::report({recorded("torn-end")}, {})));
+    golden::check("audit/test/golden/report.torn-end.txt", reportText(audit::auditReport({recorded("torn-end")}, {})));
   }
 }
 
@@ -242,14 +242,14 @@
   for (TamperedCopy const& copy : tamperedCopies()) {
     golden::Files tampered = files;
     copy.tamper(tampered);
-    text += std::string(copy.name) + "\n" + core::jsonText(audit::report({viewOf(tampered)}, ask)) + "\n";
+    text += std::string(copy.name) + "\n" + core::jsonText(audit::auditReport({viewOf(tampered)}, ask)) + "\n";
   }
   golden::check("audit/test/golden/tampered.txt", text);
 }
 
 TEST_CASE("golden: a trail's bounds are the same unless others are set") {
-  audit::Bounds const bounds;
+  audit::RetentionLimits const bounds;
   CHECK(bounds.segmentBytes == 1048576);
-  CHECK(bounds.segments == 64);
-  CHECK(audit::spanMs == 60000);
+  CHECK(bounds.maxSegments == 64);
+  CHECK(audit::countPeriodMs == 60000);
 }
--- a/config/include/corkward/config/config.h
+++ b/config/include/corkward/config/config.h
@@ -66,7 +66,7 @@
   /// A broken stream may go on elsewhere after its last whole event.
   bool resumable = false;
   /// A request may run more than once.
-  bool repeatable = false;
+  bool idempotent = false;
   /// The answer is a row of events.
   bool stream = false;
   /// Replicas that one request may be handed to at the most.
@@ -98,21 +98,21 @@
 struct PoolSettings {
   std::string name;
   /// Connections that one replica takes from all callers.
-  int connections = 0;
+  int maxConnections = 0;
   /// Requests a second that a cold replica bears, and how long it stays cold after its start.
-  double coldRate = 0;
-  core::Tick coldFor = 0;
+  double slowStartRate = 0;
+  core::Tick slowStartDuration = 0;
   /// Requests that one replica runs at once, and tokens that its memory keeps; 0: not said.
-  int slots = 0;
-  std::int64_t tokens = 0;
+  int concurrentRequests = 0;
+  std::int64_t prefixCacheTokens = 0;
 };
 
 /// Bounds of the callers' HTTP edge; 0: not said.
 struct HttpLimits {
-  std::uint32_t headBytes = 0;
-  std::uint64_t bodyBytes = 0;
-  core::Tick headMs = 0;
-  core::Tick idleMs = 0;
+  std::uint32_t headerByteLimit = 0;
+  std::uint64_t bodyByteLimit = 0;
+  core::Tick headerTimeout = 0;
+  core::Tick idleTimeout = 0;
   bool operator==(HttpLimits const&) const = default;
 };
 
@@ -139,42 +139,42 @@
 QJsonObject patchFleetConfiguration(QJsonObject const& current, QJsonObject const& patch);
 
 /// Limits of a configuration; texts in bytes.
-inline constexpr std::size_t maxText = 128;
+inline constexpr std::size_t maxTextBytes = 128;
 inline constexpr std::size_t maxPools = 2000;
 inline constexpr std::size_t maxPaths = 10000;
 inline constexpr std::size_t maxTenants = 10000;
 inline constexpr std::size_t maxTenantKeys = 1000;
 inline constexpr std::size_t maxInstances = 2000;
-inline constexpr std::size_t maxRendered = 100000;
+inline constexpr std::size_t maxRenderedPaths = 100000;
 inline constexpr std::size_t changeWindow = 64;
 
 /// True for names of templates, instances and alerts: a-z, 0-9 and '-', at most 63, not starting with '-'.
-bool validName(std::string const& name);
+bool isValidName(std::string const& name);
 /// True for what a platform may call its pools and zones: a text of one line, at most maxText bytes, neither "." nor
 /// "..".
-bool validLabel(std::string const& label);
+bool isValidLabel(std::string const& label);
 /// A label as one part of a page's address, percent-encoded, and back.
-std::string addressPart(std::string const& label);
-std::string labelOf(std::string const& addressPart);
+std::string percentEncodeLabel(std::string const& label);
+std::string percentDecodeLabel(std::string const& addressPart);
 
 /// Tells whether a pool is known.
-using PoolKnown = std::function<bool(std::string const&)>;
+using IsKnownPool = std::function<bool(std::string const&)>;
 /// Why a regime's requests could not be served in a pool; empty: they can.
-using RegimeFaultOf = std::function<std::string(std::string const& regime, std::string const& pool)>;
+using RegimeFaultText = std::function<std::string(std::string const& regime, std::string const& pool)>;
 
 /// Checks a family (a template and all its instances) as one value; throws Error at the first fault.
 /// Every kept value may carry "changes", the ids of the last accepted changes, and "taken", the digests of many more.
 /// Family: {"template": {"spec", "revision"}, "instances": {name: {"spec", "revision"}}, "changes": [...]}.
-void checkFamily(QJsonObject const& family, PoolKnown const& known, RegimeFaultOf const& regimeFault);
+void checkTemplateFamily(QJsonObject const& family, IsKnownPool const& known, RegimeFaultText const& regimeFault);
 
 /// A kept value without what it remembers of its changes.
-QJsonObject withoutHistory(QJsonObject value);
+QJsonObject removeChangeHistory(QJsonObject value);
 
 /// Paths of all instances of a family. The family must be a checked one.
-std::vector<Path> render(std::string const& templateName, QJsonObject const& family);
+std::vector<Path> renderPaths(std::string const& templateName, QJsonObject const& family);
 
 /// State of a replica on the platform's list.
-enum class ReplicaState { serving, cold, leaving };
+enum class ReplicaState { serving, warmingUp, draining };
 
 struct Replica {
   /// Name of this life of the replica, never used again; empty: its address is all that is known.
@@ -192,15 +192,15 @@
 /// The platform's list of one pool.
 struct EndpointList {
   std::uint64_t generation = 0;
-  double coldRate = 2.0;
+  double slowStartRate = 2.0;
   std::vector<Replica> replicas;
 };
 
 /// Reads and checks a pool's list; throws Error.
-EndpointList readPool(QJsonObject const& value);
+EndpointList readEndpointList(QJsonObject const& value);
 /// The same from a value as it is kept, with the ids of its changes.
-EndpointList storedPool(QJsonObject value);
+EndpointList readStoredEndpointList(QJsonObject value);
 /// The list as readPool reads it.
-QJsonObject poolJson(EndpointList const& pool);
+QJsonObject endpointListJson(EndpointList const& pool);
 
 }  // namespace corkward::config
--- a/config/include/corkward/config/regimes.h
+++ b/config/include/corkward/config/regimes.h
@@ -15,7 +15,7 @@
 using WallTime = std::optional<std::int64_t>;
 
 /// What the carriers of a certificate are.
-enum class Carrier { replicas, routers };
+enum class CertificateSubject { replicas, routers };
 
 /// A certificate for one regime. Of replicas: for each life that the platform lists in that zone of that pool, or for
 /// one life alone. Of routers: for each in that zone, or for the one with that link in that zone. An address alone
@@ -23,7 +23,7 @@
 struct Certificate {
   std::string name;
   std::string regime;
-  Carrier carrier = Carrier::replicas;
+  CertificateSubject subject = CertificateSubject::replicas;
   std::string zone;
   std::string pool;
   /// Address and life go together; both empty: each life in that zone of the pool.
@@ -38,9 +38,9 @@
 /// What a regime demands.
 struct Regime {
   /// Only certified routers hand its requests on.
-  bool certifiedRouters = true;
+  bool requiresCertifiedRouters = true;
   /// Share of a certified replica's room that work of no regime leaves free; 1: it never goes there.
-  double reserve = 0.5;
+  double reservedFraction = 0.5;
 };
 
 /// Regimes and certificates: one value under one key.
@@ -53,24 +53,24 @@
 inline constexpr char const* regimesKey = "certificates";
 /// A certificate counts from this long after its beginning until this long before its end, so that clocks may differ by
 /// it.
-inline constexpr std::int64_t wallMargin = 60000;
+inline constexpr std::int64_t clockMarginMs = 60000;
 inline constexpr std::size_t maxRegimes = 64;
 inline constexpr std::size_t maxCertificates = 4096;
 
 /// Reads and checks {"regimes": {...}, "certificates": {...}}; throws Error.
 Regimes readRegimes(QJsonObject const& spec);
 /// The same from a value as it is kept; none when there is no such value.
-Regimes storedRegimes(QJsonObject const& value);
+Regimes readStoredRegimes(QJsonObject const& value);
 
 /// Whether it counts at that moment.
-bool counts(Certificate const& certificate, WallTime now);
+bool isInForce(Certificate const& certificate, WallTime now);
 /// The certificate under which this replica may have requests of the regime now; null: none, or in doubt. A replica
 /// whose life is not told has none.
-Certificate const* certifies(Regimes const& regimes, std::string const& regime, std::string const& pool,
-                             Replica const& replica, WallTime now);
+Certificate const* findCertificate(Regimes const& regimes, std::string const& regime, std::string const& pool,
+                                   Replica const& replica, WallTime now);
 /// Whether this router may hand requests of the regime on now.
-bool routerMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone,
-               WallTime now);
+bool routerMayForward(Regimes const& regimes, std::string const& regime, std::string const& link,
+                      std::string const& zone, WallTime now);
 
 /// Why no request of the regime could be served in the pool, as a JSON pointer into the regimes and a reason; nothing:
 /// it can. Without a time only what has no certificate at all is a fault.
@@ -78,16 +78,16 @@
   std::string pointer;
   std::string reason;
 };
-std::optional<RegimeFault> faultOf(Regimes const& regimes, std::string const& regime, std::string const& pool,
-                                   WallTime now);
+std::optional<RegimeFault> findRegimeFault(Regimes const& regimes, std::string const& regime, std::string const& pool,
+                                           WallTime now);
 
 /// A tenant's path that wants a regime.
-struct RegimeUse {
+struct RegimeRequirement {
   std::string instance;
   std::string regime;
   std::string pool;
 };
 /// What the paths want of regimes, each once.
-std::vector<RegimeUse> regimeUses(std::vector<Path> const& paths);
+std::vector<RegimeRequirement> regimeRequirements(std::vector<Path> const& paths);
 
 }  // namespace corkward::config
--- a/config/src/config.cpp
+++ b/config/src/config.cpp
@@ -114,7 +114,7 @@
   if (!one.contains("regime") && !spec.contains("regime")) return "";
   std::string const place = regimePlace(one, at);
   QJsonValue const v = one.contains("regime") ? one.value("regime") : fill(spec.value("regime"), parameters, place);
-  if (!v.isString() || !validName(toStdString(v.toString()))) throw ConfigError(place, "not a valid name");
+  if (!v.isString() || !isValidName(toStdString(v.toString()))) throw ConfigError(place, "not a valid name");
   return toStdString(v.toString());
 }
 
@@ -163,7 +163,7 @@
     QJsonValue const events = fill(row.value("events"), parameters, place + "/events");
     if (!events.isUndefined() && !events.isBool()) throw ConfigError(place + "/events", "must be true or false");
     p.stream = events.toBool();
-    p.repeatable = p.stream && p.resumable;
+    p.idempotent = p.stream && p.resumable;
     p.regime = regime;
     out.push_back(std::move(p));
   }
@@ -179,7 +179,7 @@
   if (declared.size() > 64) throw ConfigError("/template/parameters", "more than 64");
   for (QString const& name : declared.keys()) {
     std::string const at = "/template/parameters/" + toStdString(name);
-    if (!validName(toStdString(name))) throw ConfigError(at, "not a valid name");
+    if (!isValidName(toStdString(name))) throw ConfigError(at, "not a valid name");
     if (!declared.value(name).isObject()) throw ConfigError(at, "must be an object");
     QJsonObject const p = declared.value(name).toObject();
     checkParameter(p, at);
@@ -202,28 +202,28 @@
 
 }  // namespace
 
-bool validName(std::string const& name) {
+bool isValidName(std::string const& name) {
   if (name.empty() || name.size() > 63 || name.front() == '-') return false;
   return std::all_of(name.begin(), name.end(),
                      [](char c) { return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-'; });
 }
 
-bool validLabel(std::string const& label) {
-  if (label.empty() || label.size() > maxText || label == "." || label == "..") return false;
+bool isValidLabel(std::string const& label) {
+  if (label.empty() || label.size() > maxTextBytes || label == "." || label == "..") return false;
   QString const text = core::toQString(label);
   return toStdString(text) == label &&
          std::none_of(text.begin(), text.end(), [](QChar c) { return c.category() == QChar::Other_Control; });
 }
 
-std::string addressPart(std::string const& label) {
+std::string percentEncodeLabel(std::string const& label) {
   return QUrl::toPercentEncoding(core::toQString(label)).toStdString();
 }
 
-std::string labelOf(std::string const& addressPart) {
+std::string percentDecodeLabel(std::string const& addressPart) {
   return QByteArray::fromPercentEncoding(QByteArray::fromStdString(addressPart)).toStdString();
 }
 
-void checkFamily(QJsonObject const& family, PoolKnown const& known, RegimeFaultOf const& regimeFault) {
+void checkTemplateFamily(QJsonObject const& family, IsKnownPool const& known, RegimeFaultText const& regimeFault) {
   QJsonObject const instances = family.value("instances").toObject();
   if (!family.contains("template")) {
     if (!instances.isEmpty()) throw ConfigError("/template", "has instances");
@@ -242,13 +242,13 @@
       if (!known(p.pool)) throw ConfigError(at, "no pool named " + p.pool);
       std::string const fault = p.regime.empty() ? "" : regimeFault(p.regime, p.pool);
       if (!fault.empty()) throw ConfigError(regimePlace(one, at), fault);
-      if (++rendered > maxRendered)
-        throw ConfigError("/instances", "more than " + std::to_string(maxRendered) + " paths in all");
+      if (++rendered > maxRenderedPaths)
+        throw ConfigError("/instances", "more than " + std::to_string(maxRenderedPaths) + " paths in all");
     }
   }
 }
 
-std::vector<Path> render(std::string const& templateName, QJsonObject const& family) {
+std::vector<Path> renderPaths(std::string const& templateName, QJsonObject const& family) {
   std::vector<Path> out;
   QJsonObject const spec = family.value("template").toObject().value("spec").toObject();
   QJsonObject const instances = family.value("instances").toObject();
@@ -261,40 +261,41 @@
   return out;
 }
 
-QJsonObject withoutHistory(QJsonObject value) {
+QJsonObject removeChangeHistory(QJsonObject value) {
   value.remove("changes");
   value.remove("taken");
   return value;
 }
 
-EndpointList storedPool(QJsonObject value) {
-  return readPool(withoutHistory(std::move(value)));
+EndpointList readStoredEndpointList(QJsonObject value) {
+  return readEndpointList(removeChangeHistory(std::move(value)));
 }
 
-QJsonObject poolJson(EndpointList const& pool) {
+QJsonObject endpointListJson(EndpointList const& pool) {
   QJsonArray rows;
   for (Replica const& r : pool.replicas) {
     QJsonObject row{{"address", core::toQString(r.address)},
                     {"zone", core::toQString(r.zone)},
-                    {"state", r.state == ReplicaState::serving ? "serving"
-                              : r.state == ReplicaState::cold  ? "cold"
-                                                               : "leaving"}};
+                    {"state", r.state == ReplicaState::serving     ? "serving"
+                              : r.state == ReplicaState::warmingUp ? "cold"
+                                                                   : "leaving"}};
     if (!r.id.empty()) row.insert("id", core::toQString(r.id));
     rows.append(row);
   }
   return QJsonObject{
-      {"generation", static_cast<qint64>(pool.generation)}, {"coldRate", pool.coldRate}, {"replicas", rows}};
+      {"generation", static_cast<qint64>(pool.generation)}, {"coldRate", pool.slowStartRate}, {"replicas", rows}};
 }
 
-EndpointList readPool(QJsonObject const& value) {
+EndpointList readEndpointList(QJsonObject const& value) {
   onlyFields(value, {"generation", "coldRate", "replicas"}, "");
   EndpointList out;
   if (!isInteger(value.value("generation")) || value.value("generation").toInteger() < 1)
     throw ConfigError("/generation", "must be an integer of 1 or more");
   out.generation = static_cast<std::uint64_t>(value.value("generation").toInteger());
   if (value.contains("coldRate")) {
-    out.coldRate = value.value("coldRate").toDouble(-1);
-    if (!(out.coldRate >= 0 && out.coldRate <= 1000)) throw ConfigError("/coldRate", "must be a number from 0 to 1000");
+    out.slowStartRate = value.value("coldRate").toDouble(-1);
+    if (!(out.slowStartRate >= 0 && out.slowStartRate <= 1000))
+      throw ConfigError("/coldRate", "must be a number from 0 to 1000");
   }
   if (!value.value("replicas").isArray()) throw ConfigError("/replicas", "must be a list");
   QJsonArray const rows = value.value("replicas").toArray();
@@ -309,8 +310,8 @@
     Replica r;
     if (row.contains("id")) {
       r.id = toStdString(row.value("id").toString());
-      if (r.id.empty() || r.id.size() > maxText)
-        throw ConfigError(at + "/id", "must be a text of 1 to " + std::to_string(maxText) + " bytes");
+      if (r.id.empty() || r.id.size() > maxTextBytes)
+        throw ConfigError(at + "/id", "must be a text of 1 to " + std::to_string(maxTextBytes) + " bytes");
       if (!ids.insert(r.id).second) throw ConfigError(at + "/id", "stands twice");
     }
     r.address = toStdString(row.value("address").toString());
@@ -323,13 +324,13 @@
       throw ConfigError(at + "/address", "must be ip:port");
     if (!seen.insert(r.address).second) throw ConfigError(at + "/address", "stands twice");
     r.zone = toStdString(row.value("zone").toString());
-    if (!validLabel(r.zone)) throw ConfigError(at + "/zone", "not a valid name");
+    if (!isValidLabel(r.zone)) throw ConfigError(at + "/zone", "not a valid name");
     struct StateRow {
       char const* name;
       ReplicaState state;
     };
     constexpr std::array<StateRow, 3> states{
-        {{"serving", ReplicaState::serving}, {"cold", ReplicaState::cold}, {"leaving", ReplicaState::leaving}}};
+        {{"serving", ReplicaState::serving}, {"cold", ReplicaState::warmingUp}, {"leaving", ReplicaState::draining}}};
     bool found = false;
     for (StateRow const& s : states)
       if (row.value("state").toString() == QLatin1String(s.name)) {
--- a/config/src/fleet_configuration.cpp
+++ b/config/src/fleet_configuration.cpp
@@ -89,7 +89,7 @@
 using PoolNames = std::unordered_set<std::string>;
 
 std::string knownPool(QJsonObject const& o, PoolNames const& pools, std::string const& at) {
-  std::string name = text(o, "pool", maxText, at);
+  std::string name = text(o, "pool", maxTextBytes, at);
   if (pools.count(name) == 0) throw ConfigError(at + "/pool", "no pool named " + name);
   return name;
 }
@@ -120,17 +120,17 @@
 PoolSettings readPoolTerms(QJsonObject const& row, std::string const& at) {
   onlyFields(row, {"name", "standing", "connections", "coldRate", "coldMs", "slots", "tokens", "extra"}, at);
   PoolSettings out;
-  out.name = text(row, "name", maxText, at);
+  out.name = text(row, "name", maxTextBytes, at);
   if (row.contains("standing") && text(row, "standing", maxPlace, at).front() != '/')
     throw ConfigError(at + "/standing", "must begin with /");
-  out.connections = static_cast<int>(integer(row, "connections", 0, mostCount, 0, at));
+  out.maxConnections = static_cast<int>(integer(row, "connections", 0, mostCount, 0, at));
   QJsonValue const rate = row.value("coldRate");
-  out.coldRate = rate.toDouble(rate.isUndefined() ? 0 : -1);
-  if (!(out.coldRate >= 0 && out.coldRate <= static_cast<double>(mostCount)))
+  out.slowStartRate = rate.toDouble(rate.isUndefined() ? 0 : -1);
+  if (!(out.slowStartRate >= 0 && out.slowStartRate <= static_cast<double>(mostCount)))
     throw ConfigError(at + "/coldRate", "must be a number, 0 to " + std::to_string(mostCount));
-  out.coldFor = integer(row, "coldMs", 0, mostNumber, 0, at);
-  out.slots = static_cast<int>(integer(row, "slots", 0, mostCount, 0, at));
-  out.tokens = integer(row, "tokens", 0, mostNumber, 0, at);
+  out.slowStartDuration = integer(row, "coldMs", 0, mostNumber, 0, at);
+  out.concurrentRequests = static_cast<int>(integer(row, "slots", 0, mostCount, 0, at));
+  out.prefixCacheTokens = integer(row, "tokens", 0, mostNumber, 0, at);
   objectIfSaid(row, "extra", at);
   return out;
 }
@@ -141,7 +141,7 @@
               "affine", "pool", "shares", "open", "extra"},
              at);
   Path out;
-  out.instance = text(row, "name", maxText, at);
+  out.instance = text(row, "name", maxTextBytes, at);
   out.host = text(row, "host", maxPlace, at);
   out.prefix = text(row, "prefix", maxPlace, at);
   if (out.prefix.front() != '/' || out.prefix.back() != '/')
@@ -165,7 +165,7 @@
   out.maxAttempts = static_cast<int>(integer(row, "tries", 1, mostCount, 1, at));
   out.stream = found->stream;
   out.resumable = flag(row, "resumable", at) && out.stream;
-  out.repeatable = found->repeatable || out.resumable;
+  out.idempotent = found->repeatable || out.resumable;
   flag(row, "affine", at);
   out.isPublic = flag(row, "open", at);
   out.weightedPools = readShares(row, pools, at);
@@ -199,7 +199,7 @@
 Tenant readTenant(QJsonObject const& row, std::string const& at) {
   onlyFields(row, {"name", "keys", "urgency", "rate", "burst", "unit", "plainTokens", "extra"}, at);
   Tenant out;
-  out.name = text(row, "name", maxText, at);
+  out.name = text(row, "name", maxTextBytes, at);
   out.keys = readKeys(row, at);
   if (!row.value("urgency").isUndefined() && !row.value("urgency").isNull())
     out.urgency = static_cast<int>(integer(row, "urgency", 0, 9, 5, at));
@@ -237,10 +237,10 @@
   QJsonObject const row = v.toObject();
   onlyFields(row, {"headBytes", "bodyBytes", "headMs", "idleMs"}, "/door");
   HttpLimits out;
-  out.headBytes = static_cast<std::uint32_t>(integer(row, "headBytes", 0, mostCount, 0, "/door"));
-  out.bodyBytes = static_cast<std::uint64_t>(integer(row, "bodyBytes", 0, mostNumber, 0, "/door"));
-  out.headMs = integer(row, "headMs", 0, mostNumber, 0, "/door");
-  out.idleMs = integer(row, "idleMs", 0, mostNumber, 0, "/door");
+  out.headerByteLimit = static_cast<std::uint32_t>(integer(row, "headBytes", 0, mostCount, 0, "/door"));
+  out.bodyByteLimit = static_cast<std::uint64_t>(integer(row, "bodyBytes", 0, mostNumber, 0, "/door"));
+  out.headerTimeout = integer(row, "headMs", 0, mostNumber, 0, "/door");
+  out.idleTimeout = integer(row, "idleMs", 0, mostNumber, 0, "/door");
   return out;
 }
 
@@ -251,7 +251,7 @@
   QJsonArray const items = set.contains(QLatin1String(list)) ? listAt(set, list, "/set", maxPaths) : QJsonArray();
   for (qsizetype i = 0; i < items.size(); ++i) {
     std::string const at = std::string("/set/") + list + "/" + std::to_string(i);
-    std::string const name = text(itemAt(items, i, at), "name", maxText, at);
+    std::string const name = text(itemAt(items, i, at), "name", maxTextBytes, at);
     if (!fresh.emplace(name, items.at(i)).second) throw ConfigError(at + "/name", "stands twice");
     order.push_back(name);
   }
--- a/config/src/regimes.cpp
+++ b/config/src/regimes.cpp
@@ -17,7 +17,7 @@
 
 std::string nameAt(QJsonObject const& o, char const* field, std::string const& at) {
   std::string out = toStdString(o.value(QLatin1String(field)).toString());
-  if (!validName(out))
+  if (!isValidName(out))
     throw ConfigError(at + "/" + field, o.contains(QLatin1String(field)) ? "not a valid name" : "missing");
   return out;
 }
@@ -25,8 +25,8 @@
 std::string textAt(QJsonObject const& o, char const* field, std::string const& at) {
   if (!o.contains(QLatin1String(field))) return "";
   std::string out = toStdString(o.value(QLatin1String(field)).toString());
-  if (out.empty() || out.size() > maxText)
-    throw ConfigError(at + "/" + field, "must be a text of 1 to " + std::to_string(maxText) + " bytes");
+  if (out.empty() || out.size() > maxTextBytes)
+    throw ConfigError(at + "/" + field, "must be a text of 1 to " + std::to_string(maxTextBytes) + " bytes");
   return out;
 }
 
@@ -52,7 +52,7 @@
 }
 
 QJsonObject itemAt(QJsonObject const& part, QString const& name, std::string const& at) {
-  if (!validName(toStdString(name))) throw ConfigError(at, "not a valid name");
+  if (!isValidName(toStdString(name))) throw ConfigError(at, "not a valid name");
   if (!part.value(name).isObject()) throw ConfigError(at, "must be an object");
   return part.value(name).toObject();
 }
@@ -64,10 +64,11 @@
   QString const routers = row.value("nacelles").toString();
   if (routers != QLatin1String("certified") && routers != QLatin1String("any"))
     throw ConfigError(at + "/nacelles", "must be certified or any");
-  out.certifiedRouters = routers == QLatin1String("certified");
+  out.requiresCertifiedRouters = routers == QLatin1String("certified");
   if (row.contains("reserve")) {
-    out.reserve = row.value("reserve").toDouble(-1);
-    if (!(out.reserve >= 0 && out.reserve <= 1)) throw ConfigError(at + "/reserve", "must be a number from 0 to 1");
+    out.reservedFraction = row.value("reserve").toDouble(-1);
+    if (!(out.reservedFraction >= 0 && out.reservedFraction <= 1))
+      throw ConfigError(at + "/reserve", "must be a number from 0 to 1");
   }
   return out;
 }
@@ -77,12 +78,12 @@
   out.name = name;
   QString const carrier = row.value("carrier").toString();
   if (carrier == QLatin1String("replicas"))
-    out.carrier = Carrier::replicas;
+    out.subject = CertificateSubject::replicas;
   else if (carrier == QLatin1String("nacelles"))
-    out.carrier = Carrier::routers;
+    out.subject = CertificateSubject::routers;
   else
     throw ConfigError(at + "/carrier", "must be replicas or routers");
-  bool const replicas = out.carrier == Carrier::replicas;
+  bool const replicas = out.subject == CertificateSubject::replicas;
   if (replicas)
     onlyFields(row, {"regime", "carrier", "pool", "zone", "address", "life", "from", "until", "note"}, at);
   else
@@ -90,7 +91,7 @@
   noteAt(row, at);
   out.regime = nameAt(row, "regime", at);
   out.zone = toStdString(row.value("zone").toString());
-  if (!validLabel(out.zone)) throw ConfigError(at + "/zone", row.contains("zone") ? "not a valid name" : "missing");
+  if (!isValidLabel(out.zone)) throw ConfigError(at + "/zone", row.contains("zone") ? "not a valid name" : "missing");
   if (replicas) {
     out.pool = textAt(row, "pool", at);
     if (out.pool.empty()) throw ConfigError(at + "/pool", "missing");
@@ -104,9 +105,9 @@
   }
   out.from = row.contains("from") ? timeAt(row, "from", at) : 0;
   out.until = timeAt(row, "until", at);
-  if (out.until - out.from <= 2 * wallMargin)
+  if (out.until - out.from <= 2 * clockMarginMs)
     throw ConfigError(at + "/until",
-                      "must be more than " + std::to_string(2 * wallMargin / 1000) + " s after the beginning");
+                      "must be more than " + std::to_string(2 * clockMarginMs / 1000) + " s after the beginning");
   return out;
 }
 
@@ -131,52 +132,52 @@
   return out;
 }
 
-Regimes storedRegimes(QJsonObject const& value) {
+Regimes readStoredRegimes(QJsonObject const& value) {
   return value.contains("spec") ? readRegimes(value.value("spec").toObject()) : Regimes{};
 }
 
-bool counts(Certificate const& certificate, WallTime now) {
-  return now && (certificate.from == 0 || *now >= certificate.from + wallMargin) &&
-         *now < certificate.until - wallMargin;
+bool isInForce(Certificate const& certificate, WallTime now) {
+  return now && (certificate.from == 0 || *now >= certificate.from + clockMarginMs) &&
+         *now < certificate.until - clockMarginMs;
 }
 
-Certificate const* certifies(Regimes const& regimes, std::string const& regime, std::string const& pool,
-                             Replica const& replica, WallTime now) {
+Certificate const* findCertificate(Regimes const& regimes, std::string const& regime, std::string const& pool,
+                                   Replica const& replica, WallTime now) {
   if (replica.id.empty() || regimes.regimes.count(regime) == 0) return nullptr;
   for (std::map<std::string, Certificate>::value_type const& entry : regimes.certificates) {
     Certificate const& c = entry.second;
-    if (c.carrier != Carrier::replicas || c.regime != regime || c.pool != pool || c.zone != replica.zone ||
-        !counts(c, now))
+    if (c.subject != CertificateSubject::replicas || c.regime != regime || c.pool != pool || c.zone != replica.zone ||
+        !isInForce(c, now))
       continue;
     if (c.incarnation.empty() || (c.incarnation == replica.id && c.address == replica.address)) return &c;
   }
   return nullptr;
 }
 
-bool routerMay(Regimes const& regimes, std::string const& regime, std::string const& link, std::string const& zone,
-               WallTime now) {
+bool routerMayForward(Regimes const& regimes, std::string const& regime, std::string const& link,
+                      std::string const& zone, WallTime now) {
   std::map<std::string, Regime>::const_iterator const it = regimes.regimes.find(regime);
   if (it == regimes.regimes.end() || !now) return false;
-  if (!it->second.certifiedRouters) return true;
+  if (!it->second.requiresCertifiedRouters) return true;
   return std::any_of(regimes.certificates.begin(), regimes.certificates.end(),
                      [&](std::map<std::string, Certificate>::value_type const& entry) {
                        Certificate const& c = entry.second;
-                       return c.carrier == Carrier::routers && c.regime == regime && c.zone == zone &&
-                              (c.link.empty() || c.link == link) && counts(c, now);
+                       return c.subject == CertificateSubject::routers && c.regime == regime && c.zone == zone &&
+                              (c.link.empty() || c.link == link) && isInForce(c, now);
                      });
 }
 
-std::optional<RegimeFault> faultOf(Regimes const& regimes, std::string const& regime, std::string const& pool,
-                                   WallTime now) {
+std::optional<RegimeFault> findRegimeFault(Regimes const& regimes, std::string const& regime, std::string const& pool,
+                                           WallTime now) {
   std::map<std::string, Regime>::const_iterator const it = regimes.regimes.find(regime);
   if (it == regimes.regimes.end()) return RegimeFault{"/regimes/" + regime, "no regime named " + regime};
   bool replicas = false;
-  bool routers = !it->second.certifiedRouters;
+  bool routers = !it->second.requiresCertifiedRouters;
   for (std::map<std::string, Certificate>::value_type const& entry : regimes.certificates) {
     Certificate const& c = entry.second;
-    if (c.regime != regime || (now && *now >= c.until - wallMargin)) continue;
-    replicas = replicas || (c.carrier == Carrier::replicas && c.pool == pool);
-    routers = routers || c.carrier == Carrier::routers;
+    if (c.regime != regime || (now && *now >= c.until - clockMarginMs)) continue;
+    replicas = replicas || (c.subject == CertificateSubject::replicas && c.pool == pool);
+    routers = routers || c.subject == CertificateSubject::routers;
   }
   if (!replicas)
     return RegimeFault{"/certificates",
@@ -185,12 +186,12 @@
   return std::nullopt;
 }
 
-std::vector<RegimeUse> regimeUses(std::vector<Path> const& paths) {
+std::vector<RegimeRequirement> regimeRequirements(std::vector<Path> const& paths) {
   std::set<std::tuple<std::string, std::string, std::string>> seen;
-  std::vector<RegimeUse> out;
+  std::vector<RegimeRequirement> out;
   for (Path const& p : paths)
     if (!p.regime.empty() && seen.emplace(p.instance, p.regime, p.pool).second)
-      out.push_back(RegimeUse{p.instance, p.regime, p.pool});
+      out.push_back(RegimeRequirement{p.instance, p.regime, p.pool});
   return out;
 }
 
--- a/config/test/config_test.cpp
+++ b/config/test/config_test.cpp
@@ -33,8 +33,8 @@
 TEST_CASE("a template and its instances render to paths") {
   QJsonObject const f = family(good, R"({"nord":{"spec":{"parameters":{"farm":"nord-7"}},"stamp":2},
                                          "sued":{"spec":{"parameters":{"farm":"sued","aim":60}},"stamp":3}})");
-  config::checkFamily(f, known, noRegime);
-  std::vector<config::Path> const paths = config::render("fault", f);
+  config::checkTemplateFamily(f, known, noRegime);
+  std::vector<config::Path> const paths = config::renderPaths("fault", f);
   REQUIRE(paths.size() == 6);
   CHECK(paths[0].instance == "fault.nord");
   CHECK(paths[0].path == "narrate/nord-7");
@@ -69,7 +69,7 @@
       {R"({"paths":[{"path":"a","pool":"model","class":"${c}"}]})", R"({"i":{"spec":{}}})", "/template/paths/0/class"}};
   for (Row const& r : rows) {
     try {
-      config::checkFamily(family(r.spec, r.instances), known, noRegime);
+      config::checkTemplateFamily(family(r.spec, r.instances), known, noRegime);
       FAIL("accepted: " << r.spec << r.instances);
     } catch (config::ConfigError const& e) {
       CHECK(e.pointer() == r.pointer);
@@ -80,31 +80,31 @@
 TEST_CASE("a zone's or pool's name may be any one-line text, and is one part of a page's address") {
   for (char const* const name : {"zh-a", "ZH_a.1", "-x", "a b", "a/b", "..b", "50%", "z\xc3\xbcrich"}) {
     INFO(name);
-    CHECK(config::validLabel(name));
-    std::string const part = config::addressPart(name);
+    CHECK(config::isValidLabel(name));
+    std::string const part = config::percentEncodeLabel(name);
     CHECK(part.find_first_of("/ ?#") == std::string::npos);
-    CHECK(config::labelOf(part) == name);
+    CHECK(config::percentDecodeLabel(part) == name);
   }
-  CHECK(config::labelOf("Wt.A") == "Wt.A");
-  CHECK(config::addressPart("zh-a.B_1") == "zh-a.B_1");
+  CHECK(config::percentDecodeLabel("Wt.A") == "Wt.A");
+  CHECK(config::percentEncodeLabel("zh-a.B_1") == "zh-a.B_1");
   for (std::string const& name : {std::string(), std::string("."), std::string(".."), std::string("a\nb"),
                                   std::string("a\0b", 3), std::string("\xff"), std::string(129, 'a')}) {
     INFO(name);
-    CHECK_FALSE(config::validLabel(name));
+    CHECK_FALSE(config::isValidLabel(name));
   }
-  CHECK(config::validLabel(std::string(128, 'a')));
+  CHECK(config::isValidLabel(std::string(128, 'a')));
 }
 
 TEST_CASE("a platform list is checked whole") {
-  config::EndpointList const p = config::readPool(
+  config::EndpointList const p = config::readEndpointList(
       core::parseJson(
           R"({"generation":3,"coldRate":1.5,"replicas":[{"address":"127.0.0.1:80","zone":"z1","state":"cold"}]})")
           .toObject());
-  CHECK(p.replicas.at(0).state == config::ReplicaState::cold);
+  CHECK(p.replicas.at(0).state == config::ReplicaState::warmingUp);
   for (char const* bad : {R"({"generation":0,"replicas":[]})", R"({"generation":1})",
                           R"({"generation":1,"replicas":[{"address":"x","zone":"z","state":"cold"}]})",
                           R"({"generation":1,"replicas":[{"address":"127.0.0.1:80","zone":"z","state":"warm"}]})",
                           R"({"generation":1,"replicas":[{"address":"127.0.0.1:99999","zone":"z","state":"cold"}]})",
                           R"({"generation":1,"coldRate":-1,"replicas":[]})"})
-    CHECK_THROWS_AS(config::readPool(core::parseJson(bad).toObject()), config::ConfigError);
+    CHECK_THROWS_AS(config::readEndpointList(core::parseJson(bad).toObject()), config::ConfigError);
 }
--- a/config/test/fleet_configuration_test.cpp
+++ b/config/test/fleet_configuration_test.cpp
@@ -76,7 +76,7 @@
   CHECK(a.instance == "Pfad 1/ü");
   CHECK(a.path.empty());
   CHECK((a.host == "a.example" && a.prefix == "/x/"));
-  CHECK((a.stream && a.resumable && a.repeatable));
+  CHECK((a.stream && a.resumable && a.idempotent));
   CHECK((a.deadline == 15000 && a.latencyTarget == 800 && a.eventGapTarget == 400 && a.urgency == 0 &&
          a.maxAttempts == 2));
   REQUIRE(a.weightedPools.size() == 2);
@@ -85,14 +85,15 @@
   CHECK(a.pool == "big");
   CHECK(a.requestClass == config::RequestClass::bulk);
   config::Path const& b = w.paths[1];
-  CHECK((b.repeatable && !b.stream && !b.resumable && b.maxAttempts == 1 && b.urgency == 5 && b.eventGapTarget == 0));
+  CHECK((b.idempotent && !b.stream && !b.resumable && b.maxAttempts == 1 && b.urgency == 5 && b.eventGapTarget == 0));
   CHECK((b.requestClass == config::RequestClass::quick && b.latencyTarget == 800));
   CHECK((b.weightedPools.size() == 1 && b.weightedPools[0].pool == "small" && b.weightedPools[0].weight == 1));
   REQUIRE(w.pools.size() == 2);
-  CHECK((w.pools[0].connections == 650 && w.pools[0].coldRate == 2.5 && w.pools[0].coldFor == 3000 &&
-         w.pools[0].slots == 128 && w.pools[0].tokens == 729140));
-  CHECK((w.pools[1].connections == 0 && w.pools[1].coldRate == 0));
-  CHECK((w.http.headBytes == 16384 && w.http.bodyBytes == 4194304 && w.http.headMs == 3000 && w.http.idleMs == 15000));
+  CHECK((w.pools[0].maxConnections == 650 && w.pools[0].slowStartRate == 2.5 && w.pools[0].slowStartDuration == 3000 &&
+         w.pools[0].concurrentRequests == 128 && w.pools[0].prefixCacheTokens == 729140));
+  CHECK((w.pools[1].maxConnections == 0 && w.pools[1].slowStartRate == 0));
+  CHECK((w.http.headerByteLimit == 16384 && w.http.bodyByteLimit == 4194304 && w.http.headerTimeout == 3000 &&
+         w.http.idleTimeout == 15000));
 }
 
 TEST_CASE("a path's class follows from its aim and its deadline") {
@@ -112,13 +113,13 @@
 
 TEST_CASE("only a stream can be resumable, and only what may run again is repeatable") {
   CHECK_FALSE(read(R"("resumable":true)").resumable);
-  CHECK_FALSE(read("").repeatable);
+  CHECK_FALSE(read("").idempotent);
   config::Path const plain =
       config::readFleetConfiguration(object(without("kind", R"({"kind":"stream"})"))).paths.at(0);
-  CHECK((plain.stream && !plain.resumable && !plain.repeatable));
+  CHECK((plain.stream && !plain.resumable && !plain.idempotent));
   config::Path const resumed =
       config::readFleetConfiguration(object(without("kind", R"({"kind":"stream","resumable":true})"))).paths.at(0);
-  CHECK((resumed.stream && resumed.resumable && resumed.repeatable));
+  CHECK((resumed.stream && resumed.resumable && resumed.idempotent));
   CHECK_FALSE(config::readFleetConfiguration(object(without("kind", R"({"kind":"repeatable","resumable":true})")))
                   .paths.at(0)
                   .resumable);
@@ -243,21 +244,21 @@
   QJsonObject const family{
       {"template", object(R"({"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]},"stamp":1})")},
       {"instances", object(R"({"i":{"spec":{},"stamp":2}})")}};
-  config::Path const p = config::render("t", family).at(0);
+  config::Path const p = config::renderPaths("t", family).at(0);
   REQUIRE(p.weightedPools.size() == 1);
   CHECK((p.weightedPools[0].pool == "model" && p.weightedPools[0].weight == 1));
 }
 
 TEST_CASE("a replica may have a name of its own life") {
-  config::EndpointList const p = config::readPool(object(
+  config::EndpointList const p = config::readEndpointList(object(
       R"({"generation":1,"replicas":[{"id":"i-7f","address":"127.0.0.1:80","zone":"z","state":"cold"},{"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
   CHECK((p.replicas.at(0).id == "i-7f" && p.replicas.at(1).id.empty()));
   std::function<std::string(std::string const&, std::string const&)> const fault =
       [](std::string const& one, std::string const& two) -> std::string {
     try {
-      config::readPool(object(R"({"generation":1,"replicas":[{"id":)" + one +
-                              R"(,"address":"127.0.0.1:80","zone":"z","state":"cold"},{"id":)" + two +
-                              R"(,"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
+      config::readEndpointList(object(R"({"generation":1,"replicas":[{"id":)" + one +
+                                      R"(,"address":"127.0.0.1:80","zone":"z","state":"cold"},{"id":)" + two +
+                                      R"(,"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
     } catch (config::ConfigError const& e) {
       return e.pointer();
     }
--- a/config/test/golden_errors_test.cpp
+++ b/config/test/golden_errors_test.cpp
@@ -88,7 +88,7 @@
 }
 
 TEST_CASE("golden: errors of pools are the same") {
-  checkErrors("pool", [](QJsonObject const& value) { config::readPool(value); });
+  checkErrors("pool", [](QJsonObject const& value) { config::readEndpointList(value); });
 }
 
 TEST_CASE("golden: errors of regimes and certificates are the same") {
@@ -110,9 +110,10 @@
   text += familyError({{"parameters", manyParameters}, {"paths", QJsonArray{pathRow(0)}}}, {});
   text += familyError(templateOf(config::maxPaths + 1), {});
   text += familyError(templateOf(1), objectOver(config::maxInstances, QJsonObject{{"spec", QJsonObject()}}));
-  text += familyError(templateOf(config::maxRendered / 1000), objectOver(1000, QJsonObject{{"spec", QJsonObject()}}));
+  text +=
+      familyError(templateOf(config::maxRenderedPaths / 1000), objectOver(1000, QJsonObject{{"spec", QJsonObject()}}));
   text += regimesError(objectOver(config::maxRegimes, regime), {});
   text += regimesError({}, objectOver(config::maxCertificates, QJsonObject()));
-  text += forms::outcome([&] { return forms::formOf(config::readPool(pool)); });
+  text += forms::outcome([&] { return forms::formOf(config::readEndpointList(pool)); });
   golden::check(forms::folder + "too-many.errors.txt", text);
 }
--- a/config/test/golden_forms.h
+++ b/config/test/golden_forms.h
@@ -45,7 +45,7 @@
     out += field("share", share.pool + " " + std::to_string(share.weight));
   out += field("class", classText(path.requestClass));
   out += number("aim", path.latencyTarget) + number("deadline", path.deadline) + number("gap aim", path.eventGapTarget);
-  out += number("resumable", path.resumable) + number("repeatable", path.repeatable) + number("stream", path.stream);
+  out += number("resumable", path.resumable) + number("repeatable", path.idempotent) + number("stream", path.stream);
   out += number("tries", path.maxAttempts) + number("urgency", path.urgency);
   return out + field("regime", path.regime) + number("open", path.isPublic);
 }
@@ -57,9 +57,9 @@
 }
 
 inline std::string formOf(PoolSettings const& pool) {
-  std::string out = "pool terms\n" + field("name", pool.name) + number("connections", pool.connections);
-  out += decimal("cold rate", pool.coldRate) + number("cold for", pool.coldFor);
-  return out + number("slots", pool.slots) + number("tokens", pool.tokens);
+  std::string out = "pool terms\n" + field("name", pool.name) + number("connections", pool.maxConnections);
+  out += decimal("cold rate", pool.slowStartRate) + number("cold for", pool.slowStartDuration);
+  return out + number("slots", pool.concurrentRequests) + number("tokens", pool.prefixCacheTokens);
 }
 
 inline std::string formOf(Tenant const& tenant) {
@@ -71,8 +71,8 @@
 }
 
 inline std::string formOf(HttpLimits const& http) {
-  return "http\n" + number("head bytes", http.headBytes) + number("body bytes", http.bodyBytes) +
-         number("head ms", http.headMs) + number("idle ms", http.idleMs);
+  return "http\n" + number("head bytes", http.headerByteLimit) + number("body bytes", http.bodyByteLimit) +
+         number("head ms", http.headerTimeout) + number("idle ms", http.idleTimeout);
 }
 
 inline std::string formOf(FleetConfiguration const& whole) {
@@ -83,11 +83,11 @@
 }
 
 inline char const* stateText(ReplicaState state) {
-  return state == ReplicaState::serving ? "serving" : state == ReplicaState::cold ? "cold" : "leaving";
+  return state == ReplicaState::serving ? "serving" : state == ReplicaState::warmingUp ? "cold" : "leaving";
 }
 
 inline std::string formOf(EndpointList const& pool) {
-  std::string out = "pool\n" + number("generation", pool.generation) + decimal("cold rate", pool.coldRate);
+  std::string out = "pool\n" + number("generation", pool.generation) + decimal("cold rate", pool.slowStartRate);
   for (Replica const& replica : pool.replicas) {
     out += "replica\n" + field("id", replica.id) + field("address", replica.address) + field("zone", replica.zone);
     out += field("state", stateText(replica.state)) + field("name", incarnationName(replica));
@@ -97,7 +97,7 @@
 
 inline std::string formOf(Certificate const& certificate) {
   std::string out = field("name", certificate.name) + field("regime", certificate.regime);
-  out += field("carrier", certificate.carrier == Carrier::replicas ? "replicas" : "routers");
+  out += field("carrier", certificate.subject == CertificateSubject::replicas ? "replicas" : "routers");
   out += field("zone", certificate.zone) + field("pool", certificate.pool) + field("address", certificate.address);
   out += field("life", certificate.incarnation) + field("link", certificate.link);
   return out + number("from", certificate.from) + number("until", certificate.until);
@@ -106,8 +106,8 @@
 inline std::string formOf(Regimes const& regimes) {
   std::string out;
   for (auto const& [name, regime] : regimes.regimes)
-    out += "regime " + name + "\n" + number("certified routers", regime.certifiedRouters) +
-           decimal("reserve", regime.reserve);
+    out += "regime " + name + "\n" + number("certified routers", regime.requiresCertifiedRouters) +
+           decimal("reserve", regime.reservedFraction);
   for (auto const& [name, certificate] : regimes.certificates)
     out += "certificate " + name + "\n" + formOf(certificate);
   return out;
@@ -142,12 +142,12 @@
   constexpr std::int64_t spring = 1772323200000;
   auto const known = [](std::string const& pool) { return pool == "model" || pool == "gateway" || pool == "study"; };
   auto const regimeFault = [&](std::string const& regime, std::string const& pool) {
-    auto const fault = faultOf(regimes, regime, pool, spring);
+    auto const fault = findRegimeFault(regimes, regime, pool, spring);
     return fault ? fault->reason : std::string();
   };
-  checkFamily(family, known, regimeFault);
-  std::string out = formOf(render(name, family));
-  for (RegimeUse const& use : regimeUses(render(name, family)))
+  checkTemplateFamily(family, known, regimeFault);
+  std::string out = formOf(renderPaths(name, family));
+  for (RegimeRequirement const& use : regimeRequirements(renderPaths(name, family)))
     out += "regime use " + use.instance + " " + use.regime + " " + use.pool + "\n";
   return out + "accepted\n";
 }
--- a/config/test/golden_test.cpp
+++ b/config/test/golden_test.cpp
@@ -61,13 +61,13 @@
   config::Regimes const regimes = config::readRegimes(
       forms::object(golden::lines(golden::read(forms::folder + "valid-regimes.input.txt")).front()));
   return forms::familyForm("desk", family, regimes) + "without history " +
-         core::jsonText(config::withoutHistory(family)) + "\n";
+         core::jsonText(config::removeChangeHistory(family)) + "\n";
 }
 
 std::string poolOutcome(std::string const& input) {
   QJsonObject const value = forms::object(input);
-  config::EndpointList const pool = config::storedPool(value);
-  return forms::formOf(pool) + "written " + core::jsonText(config::poolJson(pool)) + "\n";
+  config::EndpointList const pool = config::readStoredEndpointList(value);
+  return forms::formOf(pool) + "written " + core::jsonText(config::endpointListJson(pool)) + "\n";
 }
 
 std::string certifiedText(config::Regimes const& regimes, config::WallTime now) {
@@ -76,13 +76,13 @@
     for (char const* const zone : {"z1", "z2", "z3"}) {
       for (char const* const life : {"", "r7", "r8"}) {
         config::Replica const replica{life, "127.0.0.1:80", zone, config::ReplicaState::serving};
-        config::Certificate const* const found = config::certifies(regimes, regime, "model", replica, now);
+        config::Certificate const* const found = config::findCertificate(regimes, regime, "model", replica, now);
         out += std::string("  replica ") + regime + " " + zone + " " + life + ": " +
                (found == nullptr ? "none" : found->name) + "\n";
       }
       for (char const* const link : {"127.0.0.8:1", "127.0.0.9:1"})
         out += std::string("  router ") + regime + " " + zone + " " + link + ": " +
-               std::to_string(config::routerMay(regimes, regime, link, zone, now)) + "\n";
+               std::to_string(config::routerMayForward(regimes, regime, link, zone, now)) + "\n";
     }
   return out;
 }
@@ -91,7 +91,7 @@
   std::string out;
   for (char const* const regime : {"health", "export", "nobody"})
     for (char const* const pool : {"model", "gateway"}) {
-      auto const fault = config::faultOf(regimes, regime, pool, now);
+      auto const fault = config::findRegimeFault(regimes, regime, pool, now);
       out += std::string("  fault ") + regime + " " + pool + ": " +
              (fault ? fault->pointer + ": " + fault->reason : "none") + "\n";
     }
@@ -140,11 +140,11 @@
   golden::check(forms::folder + "valid-regimes.form.txt",
                 forms::outcomes("valid-regimes.input.txt", [](std::string const& input) {
                   QJsonObject const spec = forms::object(input);
-                  config::Regimes const kept = config::storedRegimes(entry(spec));
+                  config::Regimes const kept = config::readStoredRegimes(entry(spec));
                   REQUIRE(forms::formOf(kept) == forms::formOf(config::readRegimes(spec)));
                   return forms::formOf(kept);
                 }));
-  CHECK(forms::formOf(config::storedRegimes({})).empty());
+  CHECK(forms::formOf(config::readStoredRegimes({})).empty());
 }
 
 TEST_CASE("golden: certificates count, and faults of regimes are told, alike") {
@@ -157,7 +157,7 @@
   for (config::WallTime const& now : times) {
     text += "at " + (now ? std::to_string(*now) : std::string("no time")) + "\n";
     for (auto const& [name, certificate] : regimes.certificates)
-      text += "  counts " + name + ": " + std::to_string(config::counts(certificate, now)) + "\n";
+      text += "  counts " + name + ": " + std::to_string(config::isInForce(certificate, now)) + "\n";
     text += certifiedText(regimes, now) + faultsText(regimes, now);
   }
   golden::check(forms::folder + "certificates-in-force.txt", text);
@@ -187,9 +187,10 @@
                                        std::string(129, 'a')};
   std::string text;
   for (std::string const& name : names) {
-    std::string const part = config::addressPart(name);
-    text += part + " name " + std::to_string(config::validName(name)) + " label " +
-            std::to_string(config::validLabel(name)) + " back " + std::to_string(config::labelOf(part) == name) + "\n";
+    std::string const part = config::percentEncodeLabel(name);
+    text += part + " name " + std::to_string(config::isValidName(name)) + " label " +
+            std::to_string(config::isValidLabel(name)) + " back " +
+            std::to_string(config::percentDecodeLabel(part) == name) + "\n";
   }
   golden::check(forms::folder + "names.txt", text);
 }
@@ -197,15 +198,15 @@
 TEST_CASE("golden: keys, pages, classes and bounds are the same") {
   std::string text =
       std::string("key ") + config::fleetConfigurationKey + "\npage " + config::fleetConfigurationPage + "\n";
-  text += std::string("key ") + config::regimesKey + "\nmargin " + std::to_string(config::wallMargin) + "\n";
+  text += std::string("key ") + config::regimesKey + "\nmargin " + std::to_string(config::clockMarginMs) + "\n";
   for (config::RequestClassDefaults const& row : config::requestClassDefaults)
     text += "class " + std::string(row.name) + " " + forms::classText(row.requestClass) + " aim " +
             std::to_string(row.latencyTarget) + " deadline " + std::to_string(row.deadline) + "\n";
-  text += "text " + std::to_string(config::maxText) + "\npools " + std::to_string(config::maxPools) + "\n";
+  text += "text " + std::to_string(config::maxTextBytes) + "\npools " + std::to_string(config::maxPools) + "\n";
   text += "paths " + std::to_string(config::maxPaths) + "\ntenants " + std::to_string(config::maxTenants) + "\n";
   text += "tenant keys " + std::to_string(config::maxTenantKeys) + "\n";
   text += "instances " + std::to_string(config::maxInstances) + "\n";
-  text += "rendered " + std::to_string(config::maxRendered) + "\n";
+  text += "rendered " + std::to_string(config::maxRenderedPaths) + "\n";
   text += "changes " + std::to_string(config::changeWindow) + "\n";
   text += "regimes " + std::to_string(config::maxRegimes) + "\n";
   text += "certificates " + std::to_string(config::maxCertificates) + "\n";
--- a/config/test/regimes_test.cpp
+++ b/config/test/regimes_test.cpp
@@ -39,7 +39,7 @@
   config::WallTime const now = at("2026-03-01T00:00:00Z");
   std::function<std::string(char const*, char const*, config::Replica const&, config::WallTime)> const under =
       [&](char const* regime, char const* pool, config::Replica const& one, config::WallTime wall) {
-        config::Certificate const* const c = config::certifies(r, regime, pool, one, wall);
+        config::Certificate const* const c = config::findCertificate(r, regime, pool, one, wall);
         return c == nullptr ? std::string() : c->name;
       };
   CHECK(under("health", "model", replica("10.0.0.5:80", "r1", "z1"), now) == "h-z1");
@@ -58,39 +58,39 @@
 TEST_CASE("a certificate counts from a margin after its beginning to a margin before its end") {
   config::Regimes const r = config::readRegimes(object(good));
   config::Certificate const& c = r.certificates.at("h-z1");
-  CHECK_FALSE(config::counts(c, at("2026-01-01T00:00:59Z")));
-  CHECK(config::counts(c, at("2026-01-01T00:01:00Z")));
-  CHECK(config::counts(c, at("2026-12-31T23:58:59Z")));
-  CHECK_FALSE(config::counts(c, at("2026-12-31T23:59:00Z")));
-  CHECK_FALSE(config::counts(c, std::nullopt));
-  CHECK(config::counts(r.certificates.at("h-one"), 0));
+  CHECK_FALSE(config::isInForce(c, at("2026-01-01T00:00:59Z")));
+  CHECK(config::isInForce(c, at("2026-01-01T00:01:00Z")));
+  CHECK(config::isInForce(c, at("2026-12-31T23:58:59Z")));
+  CHECK_FALSE(config::isInForce(c, at("2026-12-31T23:59:00Z")));
+  CHECK_FALSE(config::isInForce(c, std::nullopt));
+  CHECK(config::isInForce(r.certificates.at("h-one"), 0));
 }
 
 TEST_CASE("a router is certified by its zone, or by link and zone, where the regime asks for it") {
   config::Regimes const r = config::readRegimes(object(good));
   config::WallTime const now = at("2026-03-01T00:00:00Z");
-  CHECK(config::routerMay(r, "health", "10.0.0.3:1", "z1", now));
-  CHECK(config::routerMay(r, "health", "10.0.0.9:1", "z2", now));
-  CHECK_FALSE(config::routerMay(r, "health", "10.0.0.8:1", "z2", now));
-  CHECK_FALSE(config::routerMay(r, "health", "10.0.0.9:1", "z3", now));
-  CHECK_FALSE(config::routerMay(r, "health", "10.0.0.3:1", "z1", at("2027-03-01T00:00:00Z")));
-  CHECK(config::routerMay(r, "export", "10.0.0.8:1", "z9", now));
-  CHECK_FALSE(config::routerMay(r, "export", "10.0.0.8:1", "z9", std::nullopt));
-  CHECK_FALSE(config::routerMay(r, "nobody", "10.0.0.3:1", "z1", now));
+  CHECK(config::routerMayForward(r, "health", "10.0.0.3:1", "z1", now));
+  CHECK(config::routerMayForward(r, "health", "10.0.0.9:1", "z2", now));
+  CHECK_FALSE(config::routerMayForward(r, "health", "10.0.0.8:1", "z2", now));
+  CHECK_FALSE(config::routerMayForward(r, "health", "10.0.0.9:1", "z3", now));
+  CHECK_FALSE(config::routerMayForward(r, "health", "10.0.0.3:1", "z1", at("2027-03-01T00:00:00Z")));
+  CHECK(config::routerMayForward(r, "export", "10.0.0.8:1", "z9", now));
+  CHECK_FALSE(config::routerMayForward(r, "export", "10.0.0.8:1", "z9", std::nullopt));
+  CHECK_FALSE(config::routerMayForward(r, "nobody", "10.0.0.3:1", "z1", now));
 }
 
 TEST_CASE("a regime that nothing could serve is told with its place") {
   config::Regimes r = config::readRegimes(object(good));
   config::WallTime const now = at("2026-03-01T00:00:00Z");
-  CHECK_FALSE(config::faultOf(r, "health", "model", now));
-  CHECK(config::faultOf(r, "nobody", "model", now)->pointer == "/regimes/nobody");
-  CHECK(config::faultOf(r, "health", "gateway", now)->pointer == "/certificates");
-  CHECK(config::faultOf(r, "export", "model", at("2026-07-01T00:00:00Z")));
-  CHECK_FALSE(config::faultOf(r, "export", "model", std::nullopt));
+  CHECK_FALSE(config::findRegimeFault(r, "health", "model", now));
+  CHECK(config::findRegimeFault(r, "nobody", "model", now)->pointer == "/regimes/nobody");
+  CHECK(config::findRegimeFault(r, "health", "gateway", now)->pointer == "/certificates");
+  CHECK(config::findRegimeFault(r, "export", "model", at("2026-07-01T00:00:00Z")));
+  CHECK_FALSE(config::findRegimeFault(r, "export", "model", std::nullopt));
   r.certificates.erase("h-nodes");
-  CHECK_FALSE(config::faultOf(r, "health", "model", now));
+  CHECK_FALSE(config::findRegimeFault(r, "health", "model", now));
   r.certificates.erase("h-node");
-  CHECK(config::faultOf(r, "health", "model", now)->reason ==
+  CHECK(config::findRegimeFault(r, "health", "model", now)->reason ==
         "regime health has no certificate in force for any router");
 }
 
@@ -173,15 +173,15 @@
         {"instances", QJsonObject{{"i", QJsonObject{{"spec", object(r.instance)}, {"stamp", 2}}}}}};
     std::string out;
     try {
-      config::checkFamily(
+      config::checkTemplateFamily(
           family, [](std::string const&) { return true; },
           [&](std::string const& regime, std::string const& pool) {
             std::optional<config::RegimeFault> const fault =
-                config::faultOf(regimes, regime, pool, at("2026-03-01T00:00:00Z"));
+                config::findRegimeFault(regimes, regime, pool, at("2026-03-01T00:00:00Z"));
             return fault ? fault->reason : std::string();
           });
-      out = config::render("t", family).at(0).regime;
-      CHECK(config::regimeUses(config::render("t", family)).size() == (out.empty() ? 0 : 1));
+      out = config::renderPaths("t", family).at(0).regime;
+      CHECK(config::regimeRequirements(config::renderPaths("t", family)).size() == (out.empty() ? 0 : 1));
     } catch (config::ConfigError const& e) {
       out = e.pointer();
     }
--- a/control/include/corkward/control/cluster_view_source.h
+++ b/control/include/corkward/control/cluster_view_source.h
@@ -33,7 +33,7 @@
  private:
   bool isPoolKnown(std::string const& pool) const;
   bool isPoolUnconfirmed(std::string const& pool) const;
-  std::vector<config::RegimeUse> regimeUses() const;
+  std::vector<config::RegimeRequirement> regimeUses() const;
   std::optional<config::RegimeFault> regimeFault(config::Regimes const& regimes, std::string const& regime,
                                                  std::string const& pool) const;
 
--- a/control/include/corkward/control/validator.h
+++ b/control/include/corkward/control/validator.h
@@ -32,9 +32,9 @@
 
 /// What the validation of one key needs of the other keys, as this controller knows them.
 struct ClusterView {
-  config::PoolKnown poolKnown;
+  config::IsKnownPool poolKnown;
   /// A pool that is not known may still come up, since a key that may name it is not recovered yet.
-  config::PoolKnown poolUnconfirmed = [](std::string const&) { return false; };
+  config::IsKnownPool poolUnconfirmed = [](std::string const&) { return false; };
   /// Why a regime could not be served in a pool under these certificates.
   std::function<std::optional<config::RegimeFault>(config::Regimes const&, std::string const& regime,
                                                    std::string const& pool)>
@@ -42,7 +42,7 @@
   /// Committed regimes and certificates.
   std::function<config::Regimes()> regimes = {};
   /// Which regimes the committed tenants use, and in which pools.
-  std::function<std::vector<config::RegimeUse>()> regimeUses = {};
+  std::function<std::vector<config::RegimeRequirement>()> regimeUses = {};
 };
 
 /// Validates a call on a key of any kind; pure.
--- a/control/src/call_target.cpp
+++ b/control/src/call_target.cpp
@@ -30,10 +30,10 @@
 
 /// templates/NAME or templates/NAME/instances/NAME
 std::optional<Target> familyTarget(std::vector<std::string> const& parts) {
-  if (parts.size() < 3 || !config::validName(parts[2])) return std::nullopt;
+  if (parts.size() < 3 || !config::isValidName(parts[2])) return std::nullopt;
   std::string const key = keyOf(familyKeyPrefix, parts[2]);
   if (parts.size() == 3) return Target{key, parts[2], ""};
-  bool const isInstance = parts.size() == 5 && parts[3] == "instances" && config::validName(parts[4]);
+  bool const isInstance = parts.size() == 5 && parts[3] == "instances" && config::isValidName(parts[4]);
   if (isInstance) return Target{key, parts[2], parts[4]};
   return std::nullopt;
 }
@@ -41,27 +41,27 @@
 /// certificates or certificates/NAME
 std::optional<Target> certificatesTarget(std::vector<std::string> const& parts) {
   if (parts.size() == 2) return Target{config::regimesKey, "", ""};
-  if (parts.size() == 3 && config::validName(parts[2])) return Target{config::regimesKey, "", parts[2]};
+  if (parts.size() == 3 && config::isValidName(parts[2])) return Target{config::regimesKey, "", parts[2]};
   return std::nullopt;
 }
 
 /// evacuations/ZONE
 std::optional<Target> evacuationTarget(std::vector<std::string> const& parts) {
-  std::string const zone = config::labelOf(parts.back());
-  if (parts.size() != 3 || !config::validLabel(zone)) return std::nullopt;
+  std::string const zone = config::percentDecodeLabel(parts.back());
+  if (parts.size() != 3 || !config::isValidLabel(zone)) return std::nullopt;
   return Target{keyOf(zoneKeyPrefix, zone), "", ""};
 }
 
 /// platform/pools/POOL
 std::optional<Target> poolTarget(std::vector<std::string> const& parts) {
-  std::string const pool = config::labelOf(parts.back());
-  if (parts.size() != 4 || parts[2] != "pools" || !config::validLabel(pool)) return std::nullopt;
+  std::string const pool = config::percentDecodeLabel(parts.back());
+  if (parts.size() != 4 || parts[2] != "pools" || !config::isValidLabel(pool)) return std::nullopt;
   return Target{keyOf(poolKeyPrefix, pool), "", ""};
 }
 
 /// alerts/NAME
 std::optional<Target> alertTarget(std::vector<std::string> const& parts) {
-  if (parts.size() != 3 || !config::validName(parts[2])) return std::nullopt;
+  if (parts.size() != 3 || !config::isValidName(parts[2])) return std::nullopt;
   return Target{keyOf(alertKeyPrefix, parts[2]), "", ""};
 }
 
--- a/control/src/certificates_validator.cpp
+++ b/control/src/certificates_validator.cpp
@@ -23,7 +23,7 @@
 /// Tenants that could not be served under these certificates, one fault each.
 std::vector<config::RegimeFault> uncoveredTenants(config::Regimes const& regimes, ClusterView const& clusterView) {
   std::vector<config::RegimeFault> faults;
-  for (config::RegimeUse const& use : clusterView.regimeUses()) {
+  for (config::RegimeRequirement const& use : clusterView.regimeUses()) {
     std::optional<config::RegimeFault> const fault = clusterView.regimeFault(regimes, use.regime, use.pool);
     if (fault) faults.push_back(config::RegimeFault{fault->pointer, use.instance + ": " + fault->reason});
   }
--- a/control/src/cluster_view_source.cpp
+++ b/control/src/cluster_view_source.cpp
@@ -25,15 +25,16 @@
 
 config::Regimes ClusterViewSource::regimes() const {
   consensus::CommittedValue const* const committed = findValue(registers_.committed(), config::regimesKey);
-  return committed == nullptr ? config::Regimes{} : config::storedRegimes(committed->value);
+  return committed == nullptr ? config::Regimes{} : config::readStoredRegimes(committed->value);
 }
 
-std::vector<config::RegimeUse> ClusterViewSource::regimeUses() const {
-  std::vector<config::RegimeUse> uses;
+std::vector<config::RegimeRequirement> ClusterViewSource::regimeUses() const {
+  std::vector<config::RegimeRequirement> uses;
   for (auto const& [key, committed] : registers_.committed()) {
     std::optional<std::string> const templateName = nameOf(key, familyKeyPrefix);
     if (!templateName) continue;
-    std::vector<config::RegimeUse> const ofFamily = config::regimeUses(config::render(*templateName, committed.value));
+    std::vector<config::RegimeRequirement> const ofFamily =
+        config::regimeRequirements(config::renderPaths(*templateName, committed.value));
     uses.insert(uses.end(), ofFamily.begin(), ofFamily.end());
   }
   return uses;
@@ -42,12 +43,12 @@
 std::optional<config::RegimeFault> ClusterViewSource::regimeFault(config::Regimes const& regimes,
                                                                   std::string const& regime,
                                                                   std::string const& pool) const {
-  std::optional<config::RegimeFault> const fault = config::faultOf(regimes, regime, pool, wallTime_);
+  std::optional<config::RegimeFault> const fault = config::findRegimeFault(regimes, regime, pool, wallTime_);
   consensus::CommittedValue const* const list = findValue(registers_.committed(), keyOf(poolKeyPrefix, pool));
   if (fault || !wallTime_ || list == nullptr) return fault;
-  std::vector<config::Replica> const replicas = config::storedPool(list->value).replicas;
+  std::vector<config::Replica> const replicas = config::readStoredEndpointList(list->value).replicas;
   bool const anyCertified = std::any_of(replicas.begin(), replicas.end(), [&](config::Replica const& replica) {
-    return config::certifies(regimes, regime, pool, replica, wallTime_) != nullptr;
+    return config::findCertificate(regimes, regime, pool, replica, wallTime_) != nullptr;
   });
   if (anyCertified) return std::nullopt;
   return config::RegimeFault{"/certificates",
--- a/control/src/endpoint_list_validator.cpp
+++ b/control/src/endpoint_list_validator.cpp
@@ -11,7 +11,7 @@
 ValidationResult validateChange(ValidationRequest const& request) {
   auto const& [revision, value, call] = request;
   QJsonObject const next = readBody(call);
-  std::uint64_t const generation = config::readPool(next).generation;
+  std::uint64_t const generation = config::readEndpointList(next).generation;
   auto const committed = static_cast<std::uint64_t>(value.value(fields::generation).toInteger());
   if (generation == committed && next == value) return Replay{core::code(core::HttpStatus::ok), revision};
   if (!call.ifMatch.empty() && call.ifMatch != std::to_string(revision))
--- a/control/src/endpoint_lists.cpp
+++ b/control/src/endpoint_lists.cpp
@@ -23,9 +23,9 @@
                                              std::uint64_t committedRevision) {
   transport::OperatorCall call;
   call.method = "PUT";
-  call.path = std::string(paths::platformPools) + config::addressPart(pool);
+  call.path = std::string(paths::platformPools) + config::percentEncodeLabel(pool);
   call.ifMatch = std::to_string(committedRevision);
-  call.body = core::jsonText(config::poolJson(list));
+  call.body = core::jsonText(config::endpointListJson(list));
   return call;
 }
 
@@ -33,7 +33,7 @@
   transport::EndpointRemovalHint hint{pool, list.generation, {}, {}};
   for (config::Replica const& replica : list.replicas) {
     if (replica.state == config::ReplicaState::serving) hint.serving.push_back(config::incarnationName(replica));
-    if (replica.state == config::ReplicaState::cold) hint.cold.push_back(config::incarnationName(replica));
+    if (replica.state == config::ReplicaState::warmingUp) hint.cold.push_back(config::incarnationName(replica));
   }
   return hint;
 }
@@ -64,8 +64,8 @@
 bool EndpointLists::isCommitted(std::string const& pool, config::EndpointList const& list,
                                 CommittedValues const& values) {
   consensus::CommittedValue const* const committed = findValue(values, keyOf(poolKeyPrefix, pool));
-  QJsonObject const stored = committed == nullptr ? QJsonObject() : config::withoutHistory(committed->value);
-  bool const isSame = withoutGeneration(stored) == withoutGeneration(config::poolJson(list));
+  QJsonObject const stored = committed == nullptr ? QJsonObject() : config::removeChangeHistory(committed->value);
+  bool const isSame = withoutGeneration(stored) == withoutGeneration(config::endpointListJson(list));
   if (isSame) hints_.erase(pool);
   return isSame;
 }
--- a/control/src/family_validator.cpp
+++ b/control/src/family_validator.cpp
@@ -100,7 +100,7 @@
     return fault ? fault->reason : std::string();
   };
   try {
-    config::checkFamily(family, poolKnown, regimeFault);
+    config::checkTemplateFamily(family, poolKnown, regimeFault);
   } catch (config::ConfigError const& error) {
     if (!restsOnUnconfirmedPool) throw;
     return Rejection{RejectionReason::unconfirmed, "the pools are still being recovered; send it again"};
@@ -141,7 +141,7 @@
 }  // namespace
 
 ValidationResult validateFamily(ValidationRequest const& request, ClusterView const& clusterView) {
-  FamilyEntry const entry(config::withoutHistory(request.value), *targetOf(request.call.path));
+  FamilyEntry const entry(config::removeChangeHistory(request.value), *targetOf(request.call.path));
   if (methodOf(request.call.method) == CallMethod::get) {
     if (!entry.exists()) return entry.notFound();
     return entry.page();
--- a/control/src/operator_calls.cpp
+++ b/control/src/operator_calls.cpp
@@ -121,7 +121,7 @@
 void Controller::announceList(ControllerCommands& out, Tick now, transport::OperatorCall const& call,
                               std::string const& pool) {
   try {
-    config::EndpointList const list = config::readPool(core::parseJson(call.body).toObject());
+    config::EndpointList const list = config::readEndpointList(core::parseJson(call.body).toObject());
     on(out, now, "", removalHintOf(pool, list));
   } catch (core::Error const&) {
     journal_.append(now, events::endpointListUnreadable, keyOf(poolKeyPrefix, pool));
--- a/control/src/router_registry.cpp
+++ b/control/src/router_registry.cpp
@@ -116,7 +116,8 @@
   update.isSnapshot = router.snapshotRequestedAt >= 0 && confirmedSince(quorumContact, router.snapshotRequestedAt);
   auto const add = [&](consensus::CommittedValue const& value) {
     router.pushesInFlight[value.key] = PushInFlight{value.revision, now};
-    update.entries.push_back(transport::CommittedEntry{value.key, value.revision, config::withoutHistory(value.value)});
+    update.entries.push_back(
+        transport::CommittedEntry{value.key, value.revision, config::removeChangeHistory(value.value)});
   };
   if (update.isSnapshot) {
     router.snapshotRequestedAt = -1;
--- a/control/src/singleton_roles.cpp
+++ b/control/src/singleton_roles.cpp
@@ -86,7 +86,7 @@
 std::optional<std::string> singletonRoleOf(std::string const& path) {
   if (path.rfind(paths::singletonRoles, 0) != 0) return std::nullopt;
   std::string const name = path.substr(paths::singletonRoles.size());
-  if (!config::validName(name)) return std::nullopt;
+  if (!config::isValidName(name)) return std::nullopt;
   return name;
 }
 
--- a/control/src/status_pages.cpp
+++ b/control/src/status_pages.cpp
@@ -42,7 +42,7 @@
   constexpr std::int64_t millisecondsPerSecond = 1000;
   std::string text = "# TYPE corkward_substation_certificate_seconds_left gauge\n";
   for (auto const& [name, certificate] : regimes.certificates) {
-    std::int64_t const left = (certificate.until - config::wallMargin - wallTime) / millisecondsPerSecond;
+    std::int64_t const left = (certificate.until - config::clockMarginMs - wallTime) / millisecondsPerSecond;
     text += "corkward_substation_certificate_seconds_left{certificate=\"" + name + "\",regime=\"" + certificate.regime +
             "\"} " + std::to_string(left) + "\n";
   }
--- a/control/src/validator.cpp
+++ b/control/src/validator.cpp
@@ -41,7 +41,7 @@
   if (hasPrefix(key, familyKeyPrefix)) return validateFamily(withHistory, clusterView);
   if (key == config::fleetConfigurationKey) return validateFleetConfiguration(withHistory);
   if (key == config::regimesKey) return validateCertificates(withHistory, clusterView);
-  QJsonObject const current = config::withoutHistory(value);
+  QJsonObject const current = config::removeChangeHistory(value);
   ValidationRequest const request{revision, current, call};
   if (hasPrefix(key, poolKeyPrefix)) return validateEndpointList(request);
   if (hasPrefix(key, zoneKeyPrefix)) return validateEvacuation(request);
--- a/control/test/certificates_validator_test.cpp
+++ b/control/test/certificates_validator_test.cpp
@@ -21,7 +21,7 @@
 struct Certificates {
   control::ValidationResult call(corkward::transport::OperatorCall const& call) {
     control::ClusterView view;
-    view.regimeUses = [] { return std::vector<config::RegimeUse>{{"desk.nord", "health", "model"}}; };
+    view.regimeUses = [] { return std::vector<config::RegimeRequirement>{{"desk.nord", "health", "model"}}; };
     view.regimeFault = [](config::Regimes const& regimes, std::string const&, std::string const&) {
       return regimes.certificates.empty()
                  ? std::optional<config::RegimeFault>(config::RegimeFault{"/certificates", "none left"})
--- a/control/test/controller_test.cpp
+++ b/control/test/controller_test.cpp
@@ -222,7 +222,7 @@
   rig.run(1000);
   CHECK(rig.have["a"].count("pool:" + pool) == 1);
   CHECK(rig.have["a"].count("pool:lm") == 1);
-  std::uint64_t const look = rig.call("GET", "/v1/platform/pools/" + corkward::config::addressPart(pool));
+  std::uint64_t const look = rig.call("GET", "/v1/platform/pools/" + corkward::config::percentEncodeLabel(pool));
   rig.run(300);
   REQUIRE(rig.statusOf(look) == 200);
   QJsonObject const row = rig.answers.at(look).body.value("replicas").toArray().at(0).toObject();
--- a/control/test/cut_test.cpp
+++ b/control/test/cut_test.cpp
@@ -226,7 +226,7 @@
         };
     config::EndpointList& pool = out["p" + std::to_string(i)];
     pool.replicas = {replica("10.0.0.1:80", config::ReplicaState::serving),
-                     replica("10.0.0.2:80", leaves ? config::ReplicaState::leaving : config::ReplicaState::serving)};
+                     replica("10.0.0.2:80", leaves ? config::ReplicaState::draining : config::ReplicaState::serving)};
     if (come) pool.replicas.push_back(replica("10.0.0.3:80", config::ReplicaState::serving));
   }
   return out;
--- a/control/test/endpoint_lists_test.cpp
+++ b/control/test/endpoint_lists_test.cpp
@@ -18,7 +18,8 @@
 }
 
 control::CommittedValues committed(std::uint64_t generation) {
-  return {{"pool:model", {"pool:model", 3, config::poolJson(listOf(generation))}}, {"roster", {"roster", 1, {}}}};
+  return {{"pool:model", {"pool:model", 3, config::endpointListJson(listOf(generation))}},
+          {"roster", {"roster", 1, {}}}};
 }
 
 }  // namespace
@@ -42,7 +43,7 @@
 TEST_CASE("a list that says the same as the committed one ends its hint, whatever its generation") {
   EndpointLists lists;
   lists.addHint({"model", 9, {}, {}}, committed(4));
-  CHECK_FALSE(lists.isCommitted("model", listOf(0, config::ReplicaState::cold), committed(4)));
+  CHECK_FALSE(lists.isCommitted("model", listOf(0, config::ReplicaState::warmingUp), committed(4)));
   CHECK(lists.hints().size() == 1);
   CHECK(lists.isCommitted("model", listOf(0), committed(4)));
   CHECK(lists.hints().empty());
@@ -59,8 +60,8 @@
 
 TEST_CASE("a removal hint names serving and cold replicas by their incarnations") {
   config::EndpointList list = listOf(7);
-  list.replicas.push_back(config::Replica{"r2", "10.0.0.2:80", "z1", config::ReplicaState::cold});
-  list.replicas.push_back(config::Replica{"r3", "10.0.0.3:80", "z1", config::ReplicaState::leaving});
+  list.replicas.push_back(config::Replica{"r2", "10.0.0.2:80", "z1", config::ReplicaState::warmingUp});
+  list.replicas.push_back(config::Replica{"r3", "10.0.0.3:80", "z1", config::ReplicaState::draining});
   transport::EndpointRemovalHint const hint = control::removalHintOf("model", list);
   CHECK(hint.generation == 7);
   CHECK(hint.serving == std::vector<std::string>{"10.0.0.1:80|r1"});
--- a/control/test/golden_pages_test.cpp
+++ b/control/test/golden_pages_test.cpp
@@ -780,7 +780,7 @@
       return std::optional<config::RegimeFault>();
     };
     around.regimes = [] { return config::Regimes{}; };
-    around.regimeUses = [] { return std::vector<config::RegimeUse>(); };
+    around.regimeUses = [] { return std::vector<config::RegimeRequirement>(); };
     auto const verdict = control::validateCall(key, revision, value, call, around);
     text += asked(call) + answered(verdict.status, verdict.body);
   };
--- a/control/test/golden_test.cpp
+++ b/control/test/golden_test.cpp
@@ -171,11 +171,11 @@
   /// The controller reads the platform's list of one pool itself.
   void readList() {
     config::EndpointList const list =
-        config::readPool(core::parseJson(R"({"generation":1,"coldRate":0.5,"replicas":[{"id":"r9",
+        config::readEndpointList(core::parseJson(R"({"generation":1,"coldRate":0.5,"replicas":[{"id":"r9",
           "address":"127.0.0.1:9009","zone":"z1","state":"cold"}]})")
-                             .toObject());
-    config::EndpointList const model = config::readPool(core::parseJson(secondList).toObject());
-    config::EndpointList const labelled = config::readPool(core::parseJson(labelledList).toObject());
+                                     .toObject());
+    config::EndpointList const model = config::readEndpointList(core::parseJson(secondList).toObject());
+    config::EndpointList const labelled = config::readEndpointList(core::parseJson(labelledList).toObject());
     rig.apply(rig.reducer.updateEndpointLists(rig.now, {{"read", list}, {"model", model}, {"Pool ü/1", labelled}}));
     run(3000);
   }
--- a/control/test/resend_test.cpp
+++ b/control/test/resend_test.cpp
@@ -168,7 +168,7 @@
     QJsonObject value;
     control::ClusterView around{[](std::string const&) { return true; }};
     around.regimes = [] { return config::Regimes{}; };
-    around.regimeUses = [] { return std::vector<config::RegimeUse>{}; };
+    around.regimeUses = [] { return std::vector<config::RegimeRequirement>{}; };
     auto const call = [&](std::uint64_t base, std::string const& by) {
       transport::OperatorCall c;
       c.method = "PUT";
--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -27,83 +27,83 @@
 /// Starting values of the data plane.
 struct RouterTuning {
   /// How long a confirmation of serving lease holds, counted from when it was asked for.
-  Tick confirmFor = 1500;
-  Tick askEvery = 300;
+  Tick servingLeaseDuration = 1500;
+  Tick leaseRequestInterval = 300;
   /// How often control is asked while there is no whole snapshot yet, from the start on.
-  Tick askWhole = 50;
+  Tick snapshotRequestInterval = 50;
   /// How often neighbours are contacted while control confirms, and while it does not.
-  Tick touchAtRest = 1000;
-  Tick touchEvery = 200;
+  Tick idleHeartbeatInterval = 1000;
+  Tick heartbeatInterval = 200;
   /// How many of them.
-  std::size_t neighboursAtRest = 2;
-  std::size_t neighbours = 6;
+  std::size_t idleNeighbourCount = 2;
+  std::size_t neighbourCount = 6;
   /// How long a neighbour is kept before another takes its place.
-  Tick neighbourFor = 10000;
+  Tick neighbourRotationPeriod = 10000;
   /// How long one that was silent is passed over, when there are others.
-  Tick passOver = 10000;
+  Tick unresponsivePeerTimeout = 10000;
   /// Controllers that are asked for confirmations, and how many when some do not answer.
-  std::size_t heldLinks = 2;
-  std::size_t heldLinksMost = 4;
-  Tick seenWait = 500;
+  std::size_t controllerLinkCount = 2;
+  std::size_t maxControllerLinks = 4;
+  Tick requestIdQueryTimeout = 500;
   /// How long ids are remembered.
-  Tick seenFor = 600000;
+  Tick requestIdRetention = 600000;
   /// How far back a router must remember to vouch for an id whose age is not said.
-  Tick vouchAfter = 60000;
+  Tick minimumMemoryAge = 60000;
   /// What is added to an age that is said: for the way, a slow head, and clocks whose rates differ.
   Tick ageMargin = 15000;
   /// How long after its start a router sends no clients here, and rejects ids of unsaid age when too few remember far
   /// enough.
-  Tick youngWait = 3000;
+  Tick startupGracePeriod = 3000;
   /// How far a majority must remember when others do not answer.
-  Tick dimWait = 10000;
+  Tick quorumMemoryWait = 10000;
   /// How long a node that is new on the roster waits for the others to know of it, at the most.
-  Tick joinLimit = 10000;
-  std::size_t seenBound = 100000;
-  Tick connectLimit = 700;
-  Tick coolFor = 1500;
+  Tick joinTimeout = 10000;
+  std::size_t maxRequestIds = 100000;
+  Tick connectTimeout = 700;
+  Tick connectFailureBackoff = 1500;
   /// Rest of a replica that said "not run".
-  Tick busyFor = 300;
-  Tick warmEvery = 400;
-  Tick warmLease = 1400;
-  double heldPerCap = 4.0;
-  std::size_t heldLeast = 8;
+  Tick overloadBackoff = 300;
+  Tick warmupRequestInterval = 400;
+  Tick warmupLeaseDuration = 1400;
+  double queuedPerCapacity = 4.0;
+  std::size_t minQueueLength = 8;
   /// A request is held for this many of its aims at the most.
-  double heldAims = 2.0;
+  double maxQueueTargets = 2.0;
   double nodeLimitPerReplica = 8.0;
   /// Seconds after which a caller is asked to come back when nothing better is known.
-  double comeBack = 1.0;
+  double defaultRetryAfter = 1.0;
   /// The same, when its tenant is beyond its limit.
-  double quotaComeBack = 1.0;
+  double quotaRetryAfter = 1.0;
   /// A router in an evacuated zone says that it is not ready, though it goes on serving.
   bool evacuationFailsReady = true;
   /// A draining node goes on taking requests for this long, until callers are sent elsewhere.
-  Tick drainServe = 0;
+  Tick drainAcceptPeriod = 0;
   /// When its work in hand is cut, counted from the begin of the drain: a request that would take longer than is left
   /// is turned away. 0: not told.
-  Tick drainLimit = 0;
+  Tick drainTimeout = 0;
   /// At the replica short prompts go ahead of long ones, whatever the path's own rank.
-  bool ranksBySize = false;
-  std::int64_t shortTokens = 4000;
-  std::int64_t longTokens = 16000;
+  bool prioritizeByPromptSize = false;
+  std::int64_t shortPromptTokens = 4000;
+  std::int64_t longPromptTokens = 16000;
   /// Repeats that all nodes together may spend beyond their share, in ten seconds.
   double retryAllowance = scaling::RetryBudget::allowance;
-  int resumes = 2;
+  int maxResumes = 2;
   /// A stream in which nothing moves for this long is given up as broken.
-  Tick streamIdle = 10000;
+  Tick streamIdleTimeout = 10000;
   /// A router whose roster is smaller than this cannot stand on its neighbours alone.
-  std::size_t leastRoster = 3;
+  std::size_t minRosterSize = 3;
   /// False: whoever has a whole snapshot serves on, without confirmations, roster or joining wait; for callers whose
   /// own rules bound how old a configuration may be. The first snapshot of a life still comes from a controller that
   /// was in contact with a majority after it was asked, or from neighbours once a majority of the roster was heard.
-  bool fenced = true;
+  bool leaseRequired = true;
   /// Records of regimes' work can be kept here; without them nothing of a regime is handed on.
-  bool records = false;
+  bool auditRecordsAvailable = false;
   /// A stream of the whole configuration's paths is cut this long after its deadline, which the replica's own end may
   /// take to arrive.
-  Tick pastDeadline = 100;
+  Tick deadlineGracePeriod = 100;
   /// What tenants may send beyond their limits.
-  quota::OverdraftAllowance quotaSlack;
-  scaling::ScalerParameters figures = scaling::defaultScalerParameters;
+  quota::OverdraftAllowance overdraftAllowance;
+  scaling::ScalerParameters scalerParameters = scaling::defaultScalerParameters;
 };
 
 /// One part of a prompt, by a hash that is equal on every node, and its length in tokens.
@@ -126,10 +126,10 @@
   /// Tokens of the prompt and asked for at the most, together, when the caller says how many.
   std::optional<std::int64_t> tokens;
   /// Key of the tenant that sends; empty: none was given.
-  std::string key;
+  std::string tenantKey;
   std::string id;
   /// Name of this attempt in logs, as the caller gave it; it decides nothing.
-  std::string trace;
+  std::string attemptName;
   /// Which attempt this is; 0: the caller does not number its attempts, so this may be any of them.
   std::uint64_t attempt = 1;
   /// The caller says that every earlier attempt was answered "not run".
@@ -137,12 +137,12 @@
   /// The caller says that one of those had reached a replica, which rejected it.
   bool earlierReachedReplica = false;
   /// Milliseconds since the caller's first attempt; below zero: not said.
-  Tick age = -1;
+  Tick ageMs = -1;
   std::string prefix;
   /// Milliseconds the caller still waits; 0: the path's own deadline.
   Tick deadline = 0;
   /// Milliseconds from the request's first byte until it was whole, which the caller's time and the path's include.
-  Tick readFor = 0;
+  Tick readDuration = 0;
 };
 
 /// How a relayed call ended.
@@ -177,9 +177,9 @@
 struct SendRequest {
   CallId call = 0;
   /// Name of the replica's life that the request is meant for; empty: any.
-  std::string expect = {};
+  std::string expectedIncarnation = {};
   /// Milliseconds that the caller still waits.
-  Tick left = 0;
+  Tick remainingMs = 0;
   int urgency = 5;
   /// Not empty: a request of a regime. The Record of it stands before this, and it goes out at once when that is
   /// written; else it ended as UpstreamResult::notExecuted.
@@ -217,12 +217,12 @@
 };
 
 /// What becomes of a regime's request.
-enum class AuditOutcome { handedOver, resumed, served, notExecuted, broken, rejected };
+enum class AuditOutcome { dispatched, resumed, served, notExecuted, aborted, rejected };
 
 /// Command: write down for the audit report, before the commands after it, what becomes of a regime's request.
 struct WriteAuditRecord {
   CallId call = 0;
-  AuditOutcome outcome = AuditOutcome::handedOver;
+  AuditOutcome outcome = AuditOutcome::dispatched;
   std::string regime;
   std::string instance;
   /// Where it runs or ran, and the certificate's name; empty for a rejection.
@@ -251,9 +251,9 @@
 struct RouterUsage {
   std::size_t replicas = 0;
   std::size_t instances = 0;
-  std::size_t credits = 0;
+  std::size_t queues = 0;
   /// Credits that are looked at.
-  std::size_t creditsAwake = 0;
+  std::size_t activeQueues = 0;
   std::size_t contacts = 0;
   std::size_t ids = 0;
   std::size_t prefixes = 0;
@@ -276,29 +276,29 @@
   RouterCommands onConnectFailure(Tick now, CallId call);
   /// This node could open no connection at all, for want of descriptors; the replica has no part in it.
   RouterCommands onLocalConnectFailure(Tick now, CallId call);
-  RouterCommands firstByteReceived(Tick now, CallId call, bool runKnown);
+  RouterCommands onFirstByte(Tick now, CallId call, bool runKnown);
   /// The replica answers with a failure of its own, of which nothing was passed on yet. When the commands say Connect,
   /// another replica is tried and the answer is forgotten; else it is passed on as it comes.
-  RouterCommands upstreamFailed(Tick now, CallId call);
+  RouterCommands onUpstreamError(Tick now, CallId call);
   /// The stream moves: words came, or the caller is the one that is slow. Told at most every second.
-  RouterCommands progress(Tick now, CallId call);
-  RouterCommands upstreamFinished(Tick now, CallId call, UpstreamResult end);
-  RouterCommands callerDisconnected(Tick now, CallId call);
+  RouterCommands onProgress(Tick now, CallId call);
+  RouterCommands onUpstreamFinished(Tick now, CallId call, UpstreamResult end);
+  RouterCommands onCallerDisconnected(Tick now, CallId call);
   /// The platform's list as told to this node: what it takes away is out of use at once, what it adds waits for
   /// control.
   RouterCommands onEndpointList(Tick now, CallId call, std::string const& pool, std::string const& body);
   /// Other figures and seeds from here on; scalers that stand keep theirs.
-  void retune(RouterTuning const& tuning, std::vector<std::string> seeds);
+  void updateTuning(RouterTuning const& tuning, std::vector<std::string> seeds);
   /// No new work from here on; ids and duties go to the others.
   RouterCommands drain(Tick now);
   /// Wall time at that tick, in milliseconds since 1970; told with each clock event. Within one life it never goes
   /// back.
   void setWallTime(Tick now, std::int64_t wall);
   /// Wall time at a tick; nothing before it was told.
-  config::WallTime wallAt(Tick now) const;
+  config::WallTime wallTimeAt(Tick now) const;
   /// Whether records can be written from here on.
-  void setRecording(bool works) { tuning_.records = works; }
-  bool setRecording() const { return tuning_.records; }
+  void setAuditAvailable(bool works) { tuning_.auditRecordsAvailable = works; }
+  bool setAuditAvailable() const { return tuning_.auditRecordsAvailable; }
 
   /// Whether clients should be sent here.
   bool ready(Tick now) const;
@@ -310,18 +310,18 @@
   QJsonObject state(Tick now) const;
   std::uint64_t revisionOf(std::string const& key) const;
   /// Replicas held for a pool by each instance's part, and requests held there.
-  std::vector<std::pair<std::size_t, std::size_t>> parts(std::string const& pool) const;
+  std::vector<std::pair<std::size_t, std::size_t>> subsetSizes(std::string const& pool) const;
   /// Value in force for a key; empty when there is none.
-  QJsonObject valueOf(std::string const& key) const;
+  QJsonObject configurationValue(std::string const& key) const;
   /// Bounds of the callers' HTTP edge as the whole configuration says them.
-  config::HttpLimits const& httpTerms() const { return httpTerms_; }
+  config::HttpLimits const& httpLimits() const { return httpLimits_; }
   core::Journal const& journal() const { return journal_; }
 
  private:
-  enum class Phase { asking, counting, held, connecting, handed, streaming };
+  enum class Phase { queryingRequestId, awaitingQuota, queued, connecting, dispatched, streaming };
   /// A call's amount of its tenant's limit: not taken or not needed, taken, or used by a run.
   enum class QuotaState { none, taken, used };
-  static char const* nameOf(Phase phase);
+  static char const* phaseName(Phase phase);
   struct Call {
     Request request;
     NameIndex path = 0;
@@ -329,23 +329,23 @@
     std::uint64_t pathRevision = 0;
     NameIndex pool = 0;
     /// Replicas that it was handed to, the last one included.
-    std::vector<NameIndex> handedTo;
-    Phase phase = Phase::held;
+    std::vector<NameIndex> dispatchedTo;
+    Phase phase = Phase::queued;
     Tick arrived = 0;
-    Tick until = 0;
-    Tick phaseAt = 0;
-    Tick handedAt = 0;
+    Tick deadline = 0;
+    Tick phaseSince = 0;
+    Tick dispatchedAt = 0;
     NameIndex replica = 0;
-    bool counted = false;
+    bool holdsSlot = false;
     /// Tokens counted in Replica::reading.
-    std::int64_t reading = 0;
-    bool echo = false;
+    std::int64_t prefillTokens = 0;
+    bool pendingEcho = false;
     bool runKnown = false;
     /// The outcome of the newest dispatch was counted for or against its replica.
-    bool judged = false;
+    bool outcomeRecorded = false;
     bool dispatched = false;
     /// Some attempt of this id may have reached a replica before.
-    bool reached = false;
+    bool reachedReplica = false;
     /// Some replica may have run it and is not asked any more, so that no rejection may say "not run"; on the product's
     /// own surface.
     bool mayHaveRun = false;
@@ -353,31 +353,31 @@
     bool outstanding = false;
     int resumes = 0;
     std::uint64_t prefix = 0;
-    std::set<std::string> waiting;
+    std::set<std::string> awaitedPeers;
     /// Who asked for an unnumbered id before, and must say that it did not run there.
-    std::set<std::string> claimants;
-    std::set<std::string> clearedBy;
+    std::set<std::string> earlierClaimants;
+    std::set<std::string> clearedByPeers;
     /// How far back those remember that said clear.
-    std::vector<Tick> memories;
-    bool ranElsewhere = false;
+    std::vector<Tick> peerMemoryStarts;
+    bool executedElsewhere = false;
     /// Who sends it, what it counts as against that tenant's limit, and the rank of its path or tenant.
     std::string tenant;
     double amount = 0;
-    QuotaState quota = QuotaState::none;
+    QuotaState quotaState = QuotaState::none;
     /// When the amount was taken out of the limit, at the earliest.
-    Tick quotaAt = 0;
+    Tick quotaTakenAt = 0;
     int urgency = 5;
   };
-  struct Key {
+  struct ConfigurationValue {
     std::uint64_t revision = 0;
     QJsonObject value;
   };
-  struct Row {
+  struct Route {
     config::Path path;
     NameIndex pool = 0;
     NameIndex instance = 0;
     /// Pools that share the requests, with weights above 0.
-    std::vector<std::pair<NameIndex, std::uint32_t>> shares;
+    std::vector<std::pair<NameIndex, std::uint32_t>> backends;
   };
   struct Replica {
     NameIndex pool = 0;
@@ -386,56 +386,56 @@
     std::string id;
     std::string zone;
     std::uint64_t hash = 0;
-    config::ReplicaState state = config::ReplicaState::leaving;
+    config::ReplicaState state = config::ReplicaState::draining;
     bool listed = false;
     /// It is among those that read the pool's too long prompts.
-    bool apart = false;
+    bool isolated = false;
     /// Tokens that this node has sent and that are not read yet, as far as it knows.
-    std::int64_t reading = 0;
+    std::int64_t prefillTokens = 0;
     /// Taken away by a list that is newer than the one in force.
-    bool away = false;
-    Tick coolUntil = 0;
+    bool unreachable = false;
+    Tick backoffUntil = 0;
     /// Own requests that it has in hand.
     int inFlight = 0;
     scaling::Reliability reliability;
     /// Among the replicas of its pool that the pick may do without; see avoidWorst.
-    bool avoided = false;
+    bool ejected = false;
   };
   struct PoolView {
-    std::uint64_t generation = 0;
-    double coldRate = 0;
+    std::uint64_t listGeneration = 0;
+    double slowStartRate = 0;
     std::vector<NameIndex> replicas;
     transport::EndpointRemovalHint hint;
     /// What the whole configuration says of the pool, if it names it.
-    std::optional<config::PoolSettings> terms;
+    std::optional<config::PoolSettings> settings;
     /// Those that may be drawn from, what they are made of has changed since, and when it next changes with time alone.
     /// By regime; empty: work of none.
     std::map<std::string, scaling::Candidates> candidates;
     /// What binds the instances may have changed.
-    bool rebound = false;
+    bool bindingsChanged = false;
     bool changed = true;
     Tick changesAt = 0;
   };
-  struct Credit {
+  struct AdmissionQueue {
     scaling::Scaler scaler;
-    std::array<std::list<CallId>, 3> held;
-    unsigned turn = 0;
-    scaling::CompletionRate rate;
-    std::size_t heldCount() const { return held[0].size() + held[1].size() + held[2].size(); }
+    std::array<std::list<CallId>, 3> waiting;
+    unsigned classTurn = 0;
+    scaling::CompletionRate completions;
+    std::size_t queuedCount() const { return waiting[0].size() + waiting[1].size() + waiting[2].size(); }
   };
-  struct Warm {
+  struct WarmupLease {
     Tick until = -1;
-    Tick coveredUntil = 0;
+    Tick fullyGrantedUntil = 0;
     Tick wantedSince = -1;
     std::map<Tick, std::set<std::string>> grants;
     scaling::SlowStartBucket bucket;
   };
-  struct Seen {
-    Tick at = 0;
+  struct RequestIdRecord {
+    Tick lastSeenAt = 0;
     bool mayHaveRun = false;
-    bool reached = false;
-    std::uint64_t promisedAway = 0;
-    CallId call = 0;
+    bool reachedReplica = false;
+    std::uint64_t claimedByAttempt = 0;
+    CallId activeCall = 0;
     std::vector<std::string> claimants;
   };
   /// What the roster says, folded once when it comes.
@@ -450,150 +450,150 @@
     bool joining = false;
     Tick joinedAt = 0;
   };
-  struct Confirmation {
-    Tick at = -1;
+  struct LeaseGrantRecord {
+    Tick grantedAt = -1;
     transport::Digest digest;
     transport::Revisions revisions;
-    Tick good = -1;
+    Tick usefulAt = -1;
   };
   /// A process that is asked again and again.
-  struct HeldLink {
-    Tick since = 0;
+  struct PeerLink {
+    Tick openedAt = 0;
     /// First question that has had no answer; below zero: none.
-    Tick unanswered = -1;
+    Tick firstUnansweredAt = -1;
     /// Newest answer that was of use.
-    Tick good = -1;
-    Tick silentAt = -1;
-    bool wantRevisions = false;
-    Tick namedAt = -1;
+    Tick lastUsefulAt = -1;
+    Tick timedOutAt = -1;
+    bool revisionsRequested = false;
+    Tick announcedAt = -1;
   };
-  using CreditKey = std::pair<NameIndex, NameIndex>;
+  using QueueKey = std::pair<NameIndex, NameIndex>;
 
-  void apply(RouterCommands& out, Tick now, std::vector<transport::CommittedEntry> const& items);
-  void applyOne(RouterCommands& out, Tick now, transport::CommittedEntry const& item);
+  void applyEntries(RouterCommands& out, Tick now, std::vector<transport::CommittedEntry> const& items);
+  void applyEntry(RouterCommands& out, Tick now, transport::CommittedEntry const& item);
   void refreshCandidates(RouterCommands& out, Tick now);
   void refreshPool(Tick now, NameIndex pool);
-  void wake(Tick now, CreditKey const& key);
-  void cool(NameIndex replica, Tick until);
-  void refreshHint(PoolView& view);
-  bool takeHint(RouterCommands& out, Tick now, transport::EndpointRemovalHint const& hint);
-  std::vector<transport::EndpointRemovalHint> hints() const;
+  void activate(Tick now, QueueKey const& key);
+  void backOff(NameIndex replica, Tick until);
+  void refreshRemovalHint(PoolView& view);
+  bool applyRemovalHint(RouterCommands& out, Tick now, transport::EndpointRemovalHint const& hint);
+  std::vector<transport::EndpointRemovalHint> removalHints() const;
   bool usable(Tick now, NameIndex replica) const;
-  double coldRate(NameIndex pool) const;
+  double slowStartRate(NameIndex pool) const;
   NameIndex findPath(Request const& request) const;
-  NameIndex choosePool(Tick now, Row const& row, CallId id) const;
+  NameIndex choosePool(Tick now, Route const& row, CallId id) const;
   NameIndex poolIndex(std::string const& name);
-  void applyWhole(QJsonObject const& value);
-  void forgetRoutes(std::string const& owner);
-  void addRow(std::string const& owner, std::string const& route, config::Path const& path,
-              std::string const& instance);
-  SendRequest handOver(Tick now, CallId id);
+  void applyFleetConfiguration(QJsonObject const& value);
+  void removeRoutes(std::string const& owner);
+  void addRoute(std::string const& owner, std::string const& route, config::Path const& path,
+                std::string const& instance);
+  SendRequest dispatch(Tick now, CallId id);
   /// How long the path's requests take here of late: the longest, which each one that is served lets fade.
-  void noteTaken(Call const& call, Tick took);
+  void recordServiceTime(Call const& call, Tick took);
   /// A request of the path that comes now could be cut by the end of the drain. As long as few were served here, which
   /// are the quickest, it may take as long as its path allows.
   bool outlastsDrain(Tick now, config::Path const& path) const;
-  void checkHandOver(Tick now, Call const& call, Tick left) const;
+  void checkDispatch(Tick now, Call const& call, Tick left) const;
   /// Notes a request that ends without its whole answer, for the log and the counters.
-  void noteFailure(RouterCommands& out, Tick now, Call const& call, int status, std::string const& reason);
-  std::int64_t unread(Call const& call, NameIndex replica, NameIndex home) const;
-  void haveRead(Call& call);
-  bool mayGoOn(Tick now, Call const& call) const;
+  void recordFailure(RouterCommands& out, Tick now, Call const& call, int status, std::string const& reason);
+  std::int64_t uncachedPrefillTokens(Call const& call, NameIndex replica, NameIndex home) const;
+  void finishPrefill(Call& call);
+  bool mayRetry(Tick now, Call const& call) const;
   /// Counts the outcome of the newest dispatch for or against its replica, once.
   void recordOutcome(RouterCommands& out, Tick now, Call& call, bool bad);
-  void avoidWorst(Tick now, NameIndex pool);
-  bool overdue(Call const& call, Tick took) const;
+  void ejectOutliers(Tick now, NameIndex pool);
+  bool isOverdue(Call const& call, Tick took) const;
   /// Undoes the last hand-over of a call whose connection could not be written to.
-  void takeBack(RouterCommands& out, Tick now, CallId id);
+  void undoDispatch(RouterCommands& out, Tick now, CallId id);
   /// A stream that a path of the whole configuration bounds runs past its deadline.
-  bool pastDeadline(Tick now, Call const& call) const;
+  bool isPastDeadline(Tick now, Call const& call) const;
   void connectTo(RouterCommands& out, Tick now, CallId id, NameIndex replica);
   /// All serving replicas of the pool, whatever the part is.
-  std::vector<scaling::Candidate> beyondPart(Tick now, NameIndex pool) const;
-  bool resumeElsewhere(RouterCommands& out, Tick now, CallId id);
-  std::int64_t choose(Tick now, Call const& call, std::vector<scaling::Candidate> const& choices) const;
-  NameIndex home(Call const& call) const;
-  bool mayBeHome(NameIndex replica) const;
+  std::vector<scaling::Candidate> candidatesBeyondSubset(Tick now, NameIndex pool) const;
+  bool resumeOnOtherReplica(RouterCommands& out, Tick now, CallId id);
+  std::int64_t chooseReplica(Tick now, Call const& call, std::vector<scaling::Candidate> const& choices) const;
+  NameIndex homeReplica(Call const& call) const;
+  bool isHomeCandidate(NameIndex replica) const;
   /// The prompt cannot be read within its aim, and the pool has replicas that read such ones.
-  bool readsApart(Call const& call) const;
-  void setApart(PoolView const& view);
-  bool evacuated(std::string const& zone) const;
-  bool knowsAll(transport::Revisions const& revisions) const;
-  bool knows(transport::Digest const& digest, transport::Revisions const& revisions) const;
-  bool confirmedWithin(Tick now, Tick age) const;
-  bool mostHeard(Tick now) const;
+  bool needsIsolatedReplica(Call const& call) const;
+  void isolateReplicas(PoolView const& view);
+  bool isEvacuated(std::string const& zone) const;
+  bool hasAllRevisions(transport::Revisions const& revisions) const;
+  bool isUpToDate(transport::Digest const& digest, transport::Revisions const& revisions) const;
+  bool hasLeaseWithin(Tick now, Tick age) const;
+  bool hasHeardMajority(Tick now) const;
   void refreshServingLease();
-  void countHeard(std::string const& from, transport::PeerHeartbeat const& echo);
-  void considerWhole(RouterCommands& out, Tick now, std::string const& from);
-  std::string ages(Tick now) const;
+  void recordHeartbeat(std::string const& from, transport::PeerHeartbeat const& echo);
+  void adoptSnapshot(RouterCommands& out, Tick now, std::string const& from);
+  std::string encodeAges(Tick now) const;
   void chooseControllers(Tick now);
-  void sendAsk(RouterCommands& out, Tick now, std::string const& to);
+  void sendLeaseRequest(RouterCommands& out, Tick now, std::string const& to);
   std::vector<std::string> chooseNeighbours(Tick now, std::size_t wanted, Tick every);
-  void touchNeighbours(RouterCommands& out, Tick now);
+  void sendHeartbeats(RouterCommands& out, Tick now);
   void sendMissing(RouterCommands& out, std::string const& to, transport::Revisions const& have) const;
-  std::vector<std::string> const& rosterOthers() const { return roster_.others; }
+  std::vector<std::string> const& otherRouters() const { return roster_.others; }
   std::size_t rosterSize() const { return roster_.size; }
-  void foldRoster(Tick now, std::uint64_t revision, QJsonObject const& value);
-  void watchJoining(Tick now);
-  bool remembers(Tick now, Tick age) const;
-  void noteLag(Tick now);
-  void askOthers(RouterCommands& out, Tick now, CallId id);
-  void decideClaim(RouterCommands& out, Tick now, CallId id, bool over);
+  void loadRoster(Tick now, std::uint64_t revision, QJsonObject const& value);
+  void updateJoining(Tick now);
+  bool remembersSince(Tick now, Tick age) const;
+  void recordLag(Tick now);
+  void queryPeers(RouterCommands& out, Tick now, CallId id);
+  void decideRequestId(RouterCommands& out, Tick now, CallId id, bool over);
   std::vector<std::string> controllers(Tick now) const;
   transport::Revisions revisions() const;
-  Credit& credit(RouterCommands& out, Tick now, CreditKey const& key);
-  bool mayTry(Tick now, Credit& c, CreditKey key, Call const& call) const;
-  std::vector<scaling::Candidate> usableOf(Tick now, Credit const& c, bool warmRoom) const;
+  AdmissionQueue& queueFor(RouterCommands& out, Tick now, QueueKey const& key);
+  bool mayAttempt(Tick now, AdmissionQueue& c, QueueKey key, Call const& call) const;
+  std::vector<scaling::Candidate> usableCandidates(Tick now, AdmissionQueue const& c, bool warmRoom) const;
   void admit(RouterCommands& out, Tick now, CallId id);
-  bool tryConnect(RouterCommands& out, Tick now, CallId id);
-  void pump(RouterCommands& out, Tick now, CreditKey key);
-  void look(RouterCommands& out, Tick now, CreditKey key, CallId unplaced = 0);
-  void uncount(RouterCommands& out, Tick now, Call& call);
+  bool attemptConnect(RouterCommands& out, Tick now, CallId id);
+  void dispatchQueued(RouterCommands& out, Tick now, QueueKey key);
+  void evaluateQueue(RouterCommands& out, Tick now, QueueKey key, CallId unplaced = 0);
+  void releaseSlot(RouterCommands& out, Tick now, Call& call);
   void reject(RouterCommands& out, Tick now, CallId id, int status, std::string reason, bool notRun, double retryAfter);
-  void forget(Tick now, CallId id);
-  void drop(RouterCommands& out, Tick now, CallId id);
-  Seen& remember(Tick now, std::string const& key);
+  void removeCall(Tick now, CallId id);
+  void dropCall(RouterCommands& out, Tick now, CallId id);
+  RequestIdRecord& requestIdRecord(Tick now, std::string const& key);
   std::string const& addressOf(NameIndex replica) const;
-  void breakOff(RouterCommands& out, Tick now, CallId id, std::string const& why = "the connection broke");
+  void abortStream(RouterCommands& out, Tick now, CallId id, std::string const& why = "the connection broke");
   /// Finds the call's tenant by its key under the configuration in force; false: it needs one and has none.
-  bool identify(Call& call, config::Path const& path) const;
+  bool identifyTenant(Call& call, config::Path const& path) const;
   // Tenants' limits (tenant_limits.cpp).
   /// What the limit of the call's tenant says of it; what it asks for is sent.
-  Admission withinQuota(RouterCommands& out, Tick now, Call& call);
+  Admission admitByQuota(RouterCommands& out, Tick now, Call& call);
   /// Before a hand-over: the call's amount is taken and was taken lately, or can be taken at once.
   bool spendQuota(Tick now, Call& call);
   void rejectOverQuota(RouterCommands& out, Tick now, CallId id, Admission admission);
   /// The call goes without having used its amount.
-  void giveBackQuota(Tick now, Call& call);
-  void decideQuota(RouterCommands& out, Tick now, std::vector<QuotaDecision> const& decisions);
-  void watchTenants(RouterCommands& out, Tick now);
+  void returnQuota(Tick now, Call& call);
+  void applyQuotaDecisions(RouterCommands& out, Tick now, std::vector<QuotaDecision> const& decisions);
+  void updateTenants(RouterCommands& out, Tick now);
   /// A request that may be served goes on: its id is looked up, then it is admitted.
-  void place(RouterCommands& out, Tick now, CallId id);
-  void unhold(CallId id);
+  void admitOrQueue(RouterCommands& out, Tick now, CallId id);
+  void dequeue(CallId id);
   void retry(RouterCommands& out, Tick now, CallId id, char const* why);
-  double comeBack(Credit const& c, config::RequestClass cls) const;
-  Tick expectedWait(Credit const& c, config::RequestClass cls) const;
-  void warmDuties(RouterCommands& out, Tick now);
+  double retryAfter(AdmissionQueue const& c, config::RequestClass cls) const;
+  Tick expectedWait(AdmissionQueue const& c, config::RequestClass cls) const;
+  void updateWarmupLeases(RouterCommands& out, Tick now);
   std::string const& regimeOf(Call const& call) const;
   std::string const& regimeOf(NameIndex instance) const;
-  std::string unsure(Tick now, std::string const& regime) const;
-  std::string closed(Tick now, std::string const& regime) const;
+  std::string regimeUncertainty(Tick now, std::string const& regime) const;
+  std::string regimeRejection(Tick now, std::string const& regime) const;
   config::Certificate const* certificate(Tick now, std::string const& regime, NameIndex replica) const;
-  bool lawful(Tick now, Call const& call) const;
-  bool fits(Tick now, Call const& call, NameIndex replica) const;
+  bool allowedByRegime(Tick now, Call const& call) const;
+  bool certifiedFor(Tick now, Call const& call, NameIndex replica) const;
   void refreshCertified(Tick now);
   /// What work of each regime, and of none, may draw from of these.
-  std::map<std::string, scaling::Candidates> byRegime(std::vector<scaling::Candidate> const& all) const;
+  std::map<std::string, scaling::Candidates> candidatesByRegime(std::vector<scaling::Candidate> const& all) const;
   static scaling::Candidates candidatesOf(PoolView const& view, std::string const& regime);
-  bool mayDraw(std::string const& regime, NameIndex replica) const;
-  void record(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened, std::string reason = {});
-  void watchRegimes(RouterCommands& out, Tick now);
-  void leave(RouterCommands& out, Tick now, CallId id, std::string const& why);
-  bool warmHeld(Tick now, NameIndex replica) const;
-  void expireSeen(Tick now);
-  void freeGone(Tick now);
+  bool mayUseReplica(std::string const& regime, NameIndex replica) const;
+  void recordAudit(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened, std::string reason = {});
+  void enforceRegimes(RouterCommands& out, Tick now);
+  void abandonForRegime(RouterCommands& out, Tick now, CallId id, std::string const& why);
+  bool holdsWarmupLease(Tick now, NameIndex replica) const;
+  void expireRequestIds(Tick now);
+  void releaseRemoved(Tick now);
   void logEvent(RouterCommands& out, Tick now, core::EventName event, std::map<std::string, std::string> fields = {});
-  void count(Tick now, std::string const& what, std::string const& about = "");
+  void countMetric(Tick now, std::string const& what, std::string const& about = "");
   void on(RouterCommands& out, Tick now, std::string const& from, transport::GossipShuffle const& m);
   void on(RouterCommands& out, Tick now, std::string const& from, transport::ConfigurationUpdate const& m);
   void on(RouterCommands& out, Tick now, std::string const& from, transport::ServingLeaseGrant const& m);
@@ -610,82 +610,82 @@
   RouterTuning tuning_;
   std::uint64_t seed_;
   /// Name of this run of the process among claimants of ids.
-  std::string who_;
+  std::string processName_;
   gossip::PartialView partialView_;
   core::Journal journal_;
   FailureLog failures_;
   /// How long the requests of a path take here.
-  struct Taken {
+  struct ServiceTime {
     Tick longest = 0;
     unsigned served = 0;
   };
   /// By instance and path.
-  std::map<std::pair<std::string, std::string>, Taken> taken_;
-  Tick started_ = 0;
+  std::map<std::pair<std::string, std::string>, ServiceTime> serviceTimes_;
+  Tick startedAt_ = 0;
   bool draining_ = false;
   Tick drainedAt_ = 0;
-  bool whole_ = false;
-  std::map<std::string, Key> keys_;
-  core::InternedNames instances_;
-  core::InternedNames pools_;
+  bool snapshotApplied_ = false;
+  std::map<std::string, ConfigurationValue> values_;
+  core::InternedNames instanceNames_;
+  core::InternedNames poolNames_;
   core::InternedNames replicaNames_;
   std::vector<Replica> replicas_;
-  std::vector<PoolView> poolViews_;
-  std::vector<Row> rows_;
-  std::unordered_map<std::string, NameIndex> routes_;
+  std::vector<PoolView> pools_;
+  std::vector<Route> routes_;
+  std::unordered_map<std::string, NameIndex> routeIndex_;
   std::map<std::string, std::vector<std::string>> ownedRoutes_;
-  config::HttpLimits httpTerms_;
+  config::HttpLimits httpLimits_;
   Tenants tenants_;
   std::set<std::string> evacuated_;
   /// Rises whenever paths change.
   std::uint64_t configurationRevision_ = 1;
-  std::map<std::string, Confirmation> confirmations_;
+  std::map<std::string, LeaseGrantRecord> leaseGrants_;
   /// Echoes that name what is not known here yet.
-  std::map<std::string, transport::PeerHeartbeat> echoes_;
+  std::map<std::string, transport::PeerHeartbeat> pendingHeartbeats_;
   /// Newest tick at which that router had nothing in force that this one lacks now.
-  std::map<std::string, Tick> heard_;
+  std::map<std::string, Tick> heardAt_;
   /// Digest of the keys, and those it had before in this life, newest last.
   transport::Digest digest_;
-  std::deque<transport::Digest> had_;
-  std::map<std::string, HeldLink> controllers_;
-  std::map<std::string, HeldLink> neighbours_;
-  std::map<std::string, Tick> silent_;
-  std::vector<std::string> held_;
-  std::map<std::string, Tick> fetchedAt_;
+  std::deque<transport::Digest> digestHistory_;
+  std::map<std::string, PeerLink> controllers_;
+  std::map<std::string, PeerLink> neighbours_;
+  std::map<std::string, Tick> unresponsiveSince_;
+  std::vector<std::string> controllerChoice_;
+  std::map<std::string, Tick> valueRequestedAt_;
   /// A neighbour has sent a whole snapshot.
   bool snapshotSeen_ = false;
   /// Control has vouched for this life's snapshot. Until then this node is none of the majority that it stands on: its
   /// life before may have been counted for a change that it lacks now.
-  bool vouched_ = false;
+  bool confirmedByControl_ = false;
   core::RandomGenerator rng_;
-  std::map<CreditKey, Credit> credits_;
+  std::map<QueueKey, AdmissionQueue> queues_;
   /// Credits that looks may change: all others are at rest.
-  std::set<CreditKey> awake_;
-  std::map<NameIndex, Warm> warm_;
+  std::set<QueueKey> activeQueues_;
+  std::map<NameIndex, WarmupLease> warmupLeases_;
   scaling::PrefixCacheIndex prefixes_;
-  scaling::PrefixCacheEstimate kept_;
-  scaling::RetryBudgets budget_;
+  scaling::PrefixCacheEstimate prefixCache_;
+  scaling::RetryBudgets retryBudgets_;
   std::unordered_map<CallId, Call> calls_;
-  std::unordered_map<std::string, Seen> seen_;
-  std::deque<std::pair<Tick, std::string>> seenOrder_;
+  std::unordered_map<std::string, RequestIdRecord> requestIds_;
+  std::deque<std::pair<Tick, std::string>> requestIdOrder_;
   /// Every id that was seen from then on is still remembered.
   Tick memoryFrom_ = 0;
   Tick lastEvent_ = 0;
   /// Longest time without an event of late: what was read after it may be that much older than it says.
-  Tick lag_ = 0;
-  Tick lagAt_ = -1;
+  Tick eventLag_ = 0;
+  Tick eventLagAt_ = -1;
   RosterView roster_;
   std::vector<std::string> membershipIds_;
   std::vector<std::string> membershipLinks_;
-  Tick askAt_ = 0;
-  Tick touchedAt_ = 0;
-  Tick warmAt_ = 0;
-  Tick lookAt_ = 0;
-  Tick freeAt_ = 0;
-  bool pumping_ = false;
+  Tick nextLeaseRequestAt_ = 0;
+  Tick lastHeartbeatAt_ = 0;
+  Tick nextWarmupRequestAt_ = 0;
+  Tick nextEvaluationAt_ = 0;
+  Tick nextReleaseAt_ = 0;
+  bool dispatching_ = false;
   config::Regimes regimes_;
   /// Some path has been bound to a regime in this life.
-  bool bound_ = false;
+  bool regimeBound_ = false;
   /// What binds an instance, by the newest of its paths.
   std::map<NameIndex, std::string> instanceRegimes_;
   /// Replicas that have a certificate for a regime, and the share of their room that other work leaves free; as of
--- a/dataplane/include/corkward/dataplane/tenants.h
+++ b/dataplane/include/corkward/dataplane/tenants.h
@@ -28,7 +28,7 @@
   std::uint64_t call = 0;
   Admission admission = Admission::granted;
   /// When the amount was taken, at the earliest; see quota::handOverWithin.
-  Tick takenAt = 0;
+  Tick amountTakenAt = 0;
 };
 
 /// The tenants of the whole configuration, the gates of their limits, and the reports to the controllers that lend.
@@ -44,7 +44,7 @@
   /// Whose key that is; null: nobody's.
   config::Tenant const* byKey(std::string const& key) const;
   /// Members of the control plane, and how many routers there are.
-  void around(std::vector<std::string> const& controllers, std::size_t routers);
+  void setMembers(std::vector<std::string> const& controllers, std::size_t routers);
 
   /// What a request counts as against its tenant's limit; tokens: what it says that it has, if it says so.
   static double amountOf(config::Tenant const& tenant, std::optional<std::int64_t> tokens);
@@ -52,73 +52,73 @@
   Admission admit(Tick now, std::uint64_t call, config::Tenant const& tenant, double amount,
                   std::vector<transport::Send>& out);
   /// Takes the amount at once or not at all: for a further run of a request, or one that waited too long.
-  bool take(Tick now, std::string const& tenant, double amount);
+  bool takeAmount(Tick now, std::string const& tenant, double amount);
   /// An amount that was taken is not used.
-  void giveBack(Tick now, std::string const& tenant, double amount);
+  void returnAmount(Tick now, std::string const& tenant, double amount);
 
-  std::vector<QuotaDecision> arrived(Tick now, std::string const& from, quota::QuotaGrants const& message,
-                                     std::vector<transport::Send>& out);
+  std::vector<QuotaDecision> onMessage(Tick now, std::string const& from, quota::QuotaGrants const& message,
+                                       std::vector<transport::Send>& out);
   /// A new lender asks which loans of its parts are held here.
-  transport::Send arrived(Tick now, std::string const& from, quota::AllocationQuery const& message);
+  transport::Send onMessage(Tick now, std::string const& from, quota::AllocationQuery const& message);
   /// Reports that are due, and requests that have waited long enough.
-  std::vector<QuotaDecision> clockEvent(Tick now, std::vector<transport::Send>& out);
+  std::vector<QuotaDecision> onTimer(Tick now, std::vector<transport::Send>& out);
 
  private:
   struct Limited {
-    quota::QuotaLimiter gate;
+    quota::QuotaLimiter limiter;
     quota::Limit limit;
     /// The lender had too little for the last request that asked; others are not asked for until then.
-    Tick scarceUntil = 0;
+    Tick depletedUntil = 0;
   };
   struct Waiting {
     std::uint64_t call = 0;
     std::string tenant;
     double amount = 0;
     Tick since = 0;
-    int asked = 0;
+    int queries = 0;
   };
   /// A report whose answer is still to come.
-  struct Asked {
+  struct PendingReport {
     Tick at = 0;
-    std::string lender;
+    std::string coordinator;
     std::vector<Waiting> waiting;
   };
   /// What is known of a controller as a lender.
-  struct Lender {
+  struct CoordinatorLink {
     /// First report that has had no answer; below 0: none.
-    Tick unanswered = -1;
+    Tick firstUnansweredAt = -1;
     /// When it was last found silent; below 0: never.
-    Tick silentAt = -1;
+    Tick timedOutAt = -1;
   };
   Limited* limited(std::string const& tenant);
-  double draw();
-  void findSilent(Tick now);
-  bool silent(Tick now, std::string const& link) const;
+  double randomFraction();
+  void detectTimeouts(Tick now);
+  bool isUnresponsive(Tick now, std::string const& link) const;
   /// Whom to ask for a part; empty: nobody answers.
-  std::string lenderOf(Tick now, std::uint64_t part) const;
+  std::string coordinatorOf(Tick now, std::uint64_t part) const;
   /// Sends a report of one tenant with the amount that a request waits for. False: there is nobody to ask.
-  bool ask(Tick now, Waiting waiting, std::vector<transport::Send>& out);
+  bool requestAmount(Tick now, Waiting waiting, std::vector<transport::Send>& out);
   void send(Tick now, std::string const& lender, std::vector<quota::TenantUsage> uses, std::vector<Waiting> waiting,
             std::vector<transport::Send>& out);
   /// Decides on a request for which no amount came.
-  QuotaDecision withoutLender(Tick now, Waiting const& waiting);
-  void report(Tick now, std::vector<transport::Send>& out);
+  QuotaDecision decideWithoutCoordinator(Tick now, Waiting const& waiting);
+  void sendReports(Tick now, std::vector<transport::Send>& out);
 
   std::string link_;
-  std::uint64_t life_;
+  std::uint64_t incarnation_;
   core::RandomGenerator rng_;
-  quota::OverdraftAllowance slack_;
+  quota::OverdraftAllowance overdraftAllowance_;
   std::vector<config::Tenant> tenants_;
   std::unordered_map<std::string, std::size_t> byKey_;
-  std::map<std::string, Limited> gates_;
+  std::map<std::string, Limited> limiters_;
   std::vector<std::string> controllers_;
-  quota::UnallocatedShare crowd_;
-  std::map<std::string, Lender> lenders_;
+  quota::UnallocatedShare unallocatedShare_;
+  std::map<std::string, CoordinatorLink> coordinators_;
   /// Who was said to lend a part; empty: nobody.
-  std::map<std::uint64_t, std::string> told_;
+  std::map<std::uint64_t, std::string> announcedOwners_;
   /// Nobody lends these parts; that is asked again then.
-  std::map<std::uint64_t, Tick> nobodyUntil_;
-  std::map<std::uint64_t, Asked> asked_;
+  std::map<std::uint64_t, Tick> ownerlessUntil_;
+  std::map<std::uint64_t, PendingReport> pendingReports_;
   std::uint64_t nextReport_ = 1;
   /// First report of each part whose answer counts, since a new lender was told of the loans before it.
   std::map<std::uint64_t, std::uint64_t> countsFrom_;
--- a/dataplane/src/admission.cpp
+++ b/dataplane/src/admission.cpp
@@ -19,45 +19,45 @@
 NameIndex RequestRouter::findPath(Request const& request) const {
   if (!request.instance.empty()) {
     std::unordered_map<std::string, NameIndex>::const_iterator const it =
-        routes_.find(request.instance + "/" + request.path);
-    return it == routes_.end() ? core::InternedNames::none : it->second;
+        routeIndex_.find(request.instance + "/" + request.path);
+    return it == routeIndex_.end() ? core::InternedNames::none : it->second;
   }
   std::string const key = request.host + request.target.substr(0, request.target.find_first_of("?#"));
   for (std::size_t slash = key.rfind('/'); slash != std::string::npos && slash >= request.host.size();
        slash = key.rfind('/', slash - 1)) {
-    std::unordered_map<std::string, NameIndex>::const_iterator const it = routes_.find(key.substr(0, slash + 1));
-    if (it != routes_.end()) return it->second;
+    std::unordered_map<std::string, NameIndex>::const_iterator const it = routeIndex_.find(key.substr(0, slash + 1));
+    if (it != routeIndex_.end()) return it->second;
     if (slash == 0) break;
   }
   return core::InternedNames::none;
 }
 
-NameIndex RequestRouter::choosePool(Tick now, Row const& row, CallId id) const {
+NameIndex RequestRouter::choosePool(Tick now, Route const& row, CallId id) const {
   std::uint64_t sum = 0;
-  for (std::pair<NameIndex, std::uint32_t> const& s : row.shares) sum += s.second;
+  for (std::pair<NameIndex, std::uint32_t> const& s : row.backends) sum += s.second;
   std::uint64_t at = core::RandomGenerator(seed_ ^ id).below(sum);
   NameIndex chosen = row.pool;
-  for (std::pair<NameIndex, std::uint32_t> const& s : row.shares) {
+  for (std::pair<NameIndex, std::uint32_t> const& s : row.backends) {
     chosen = s.first;
     if (at < s.second) break;
     at -= s.second;
   }
   std::function<bool(NameIndex)> const serves = [&](NameIndex pool) {
-    std::vector<NameIndex> const& all = poolViews_[pool].replicas;
+    std::vector<NameIndex> const& all = pools_[pool].replicas;
     return std::any_of(all.begin(), all.end(),
-                       [&](NameIndex const r) { return usable(now, r) && mayDraw(row.path.regime, r); });
+                       [&](NameIndex const r) { return usable(now, r) && mayUseReplica(row.path.regime, r); });
   };
-  if (row.shares.size() < 2 || serves(chosen)) return chosen;
-  for (std::pair<NameIndex, std::uint32_t> const& s : row.shares)
+  if (row.backends.size() < 2 || serves(chosen)) return chosen;
+  for (std::pair<NameIndex, std::uint32_t> const& s : row.backends)
     if (serves(s.first)) return s.first;
   return chosen;
 }
 
-bool RequestRouter::identify(Call& call, config::Path const& path) const {
+bool RequestRouter::identifyTenant(Call& call, config::Path const& path) const {
   call.urgency = path.urgency;
   call.tenant.clear();
   if (path.host.empty() || !tenants_.required()) return true;
-  config::Tenant const* const tenant = tenants_.byKey(call.request.key);
+  config::Tenant const* const tenant = tenants_.byKey(call.request.tenantKey);
   if (tenant == nullptr) return path.isPublic;
   call.tenant = tenant->name;
   if (tenant->urgency >= 0) call.urgency = tenant->urgency;
@@ -66,73 +66,73 @@
 
 RouterCommands RequestRouter::onRequest(Tick now, Request const& request) {
   RouterCommands out;
-  noteLag(now);
-  count(now, "requests");
+  recordLag(now);
+  countMetric(now, "requests");
   CallId const id = request.call;
   Call call;
   call.request = request;
-  call.phase = Phase::asking;
+  call.phase = Phase::queryingRequestId;
   call.arrived = now;
-  call.phaseAt = now;
+  call.phaseSince = now;
   NameIndex const path = findPath(request);
   if (path != core::InternedNames::none) {
     call.path = path;
     call.pathRevision = configurationRevision_;
   }
   calls_[id] = call;
-  if (draining_ && now - drainedAt_ >= tuning_.drainServe) {
-    reject(out, now, id, 503, "leaving", true, tuning_.comeBack);
+  if (draining_ && now - drainedAt_ >= tuning_.drainAcceptPeriod) {
+    reject(out, now, id, 503, "leaving", true, tuning_.defaultRetryAfter);
     return out;
   }
   if (!servingLease(now)) {
-    reject(out, now, id, 503, "no serving lease", true, tuning_.comeBack);
+    reject(out, now, id, 503, "no serving lease", true, tuning_.defaultRetryAfter);
     return out;
   }
   if (path == core::InternedNames::none) {
     reject(out, now, id, 404, "no such path", true, 0);
     return out;
   }
-  Row const& row = rows_[path];
+  Route const& row = routes_[path];
   Call& mine = calls_[id];
-  if (!identify(mine, row.path)) {
+  if (!identifyTenant(mine, row.path)) {
     reject(out, now, id, 401, "no tenant has this key", true, 0);
     return out;
   }
   if (outlastsDrain(now, row.path)) {
-    reject(out, now, id, 503, "leaving before it could end", true, tuning_.comeBack);
+    reject(out, now, id, 503, "leaving before it could end", true, tuning_.defaultRetryAfter);
     return out;
   }
   mine.pool = choosePool(now, row, id);
-  mine.until = now + (request.deadline > 0 ? std::min(request.deadline, row.path.deadline) : row.path.deadline) -
-               request.readFor;
+  mine.deadline = now + (request.deadline > 0 ? std::min(request.deadline, row.path.deadline) : row.path.deadline) -
+                  request.readDuration;
   mine.prefix = request.prefix.empty() ? 0 : core::stableHash(request.instance + "|" + request.prefix);
-  mine.echo = request.attempt > 1;
-  mine.reached =
+  mine.pendingEcho = request.attempt > 1;
+  mine.reachedReplica =
       request.earlierReachedReplica || (request.attempt > 1 && !request.earlierNotExecuted && row.path.resumable);
-  Admission const admission = withinQuota(out, now, mine);
+  Admission const admission = admitByQuota(out, now, mine);
   if (admission == Admission::pending)
-    mine.phase = Phase::counting;
+    mine.phase = Phase::awaitingQuota;
   else if (admission == Admission::granted)
-    place(out, now, id);
+    admitOrQueue(out, now, id);
   else
     rejectOverQuota(out, now, id, admission);
   return out;
 }
 
-void RequestRouter::place(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::admitOrQueue(RouterCommands& out, Tick now, CallId id) {
   Call& mine = calls_.at(id);
   Request const& request = mine.request;
-  Row const& row = rows_[mine.path];
-  mine.phase = Phase::asking;
+  Route const& row = routes_[mine.path];
+  mine.phase = Phase::queryingRequestId;
   if (!request.id.empty()) {
-    expireSeen(now);
+    expireRequestIds(now);
     std::string const key = request.instance + "|" + request.id;
-    std::unordered_map<std::string, Seen>::iterator const it = seen_.find(key);
-    if (it != seen_.end()) {
-      Seen const before = it->second;
-      mine.echo = true;
-      mine.reached = mine.reached || before.reached;
-      if (request.attempt > 0 && before.promisedAway >= request.attempt) {
+    std::unordered_map<std::string, RequestIdRecord>::iterator const it = requestIds_.find(key);
+    if (it != requestIds_.end()) {
+      RequestIdRecord const before = it->second;
+      mine.pendingEcho = true;
+      mine.reachedReplica = mine.reachedReplica || before.reachedReplica;
+      if (request.attempt > 0 && before.claimedByAttempt >= request.attempt) {
         reject(out, now, id, 409, "a later attempt went to another node", false, 0);
         return;
       }
@@ -140,35 +140,35 @@
         reject(out, now, id, 409, "an earlier attempt may have run", false, 0);
         return;
       }
-      if (request.attempt == 0) mine.claimants.insert(before.claimants.begin(), before.claimants.end());
-      std::unordered_map<CallId, Call>::const_iterator const held = calls_.find(before.call);
-      if (before.call != 0 && before.call != id && held != calls_.end()) {
-        if (held->second.phase == Phase::held || held->second.phase == Phase::asking) {
-          reject(out, now, before.call, 409, "replaced by a later attempt", true, 0);
+      if (request.attempt == 0) mine.earlierClaimants.insert(before.claimants.begin(), before.claimants.end());
+      std::unordered_map<CallId, Call>::const_iterator const held = calls_.find(before.activeCall);
+      if (before.activeCall != 0 && before.activeCall != id && held != calls_.end()) {
+        if (held->second.phase == Phase::queued || held->second.phase == Phase::queryingRequestId) {
+          reject(out, now, before.activeCall, 409, "replaced by a later attempt", true, 0);
         } else if (!row.path.resumable) {
           reject(out, now, id, 409, "an earlier attempt is in hand", false, 0);
           return;
         }
       }
     }
-    remember(now, key).call = id;
+    requestIdRecord(now, key).activeCall = id;
   }
   if (!request.id.empty() && request.attempt == 0) {
-    askOthers(out, now, id);
-    decideClaim(out, now, id, false);
+    queryPeers(out, now, id);
+    decideRequestId(out, now, id, false);
     return;
   }
   if (request.attempt > 1 && !request.earlierNotExecuted && !row.path.resumable) {
     if (request.id.empty()) {
       reject(out, now, id, 409, "a later attempt without an id cannot be told from the first", false, 0);
-    } else if (request.age < 0) {
+    } else if (request.ageMs < 0) {
       reject(out, now, id, 409, "a later attempt that does not say its age cannot be looked up", false, 0);
-    } else if (!remembers(now, request.age)) {
+    } else if (!remembersSince(now, request.ageMs)) {
       reject(out, now, id, 409, "this node does not remember far enough to say whether an earlier attempt ran", false,
              0);
     } else {
-      askOthers(out, now, id);
-      if (calls_.at(id).waiting.empty()) admit(out, now, id);
+      queryPeers(out, now, id);
+      if (calls_.at(id).awaitedPeers.empty()) admit(out, now, id);
     }
     return;
   }
@@ -177,65 +177,67 @@
 
 void RequestRouter::admit(RouterCommands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
-  std::string const shut = closed(now, regimeOf(call));
+  std::string const shut = regimeRejection(now, regimeOf(call));
   if (!shut.empty()) {
-    reject(out, now, id, 503, shut, true, tuning_.comeBack);
+    reject(out, now, id, 503, shut, true, tuning_.defaultRetryAfter);
     return;
   }
-  Row const& row = rows_[call.path];
-  CreditKey const key{call.pool, row.instance};
-  bool const fresh = credits_.count(key) == 0;
-  Credit& c = credit(out, now, key);
-  if (fresh && call.request.segments.size() > 1) c.scaler.begin(home(call));
-  call.phase = Phase::held;
-  if (call.reached && !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance)) {
-    reject(out, now, id, 503, "no retry left for what may have reached a replica before", true, tuning_.comeBack);
+  Route const& row = routes_[call.path];
+  QueueKey const key{call.pool, row.instance};
+  bool const fresh = queues_.count(key) == 0;
+  AdmissionQueue& c = queueFor(out, now, key);
+  if (fresh && call.request.segments.size() > 1) c.scaler.beginWith(homeReplica(call));
+  call.phase = Phase::queued;
+  if (call.reachedReplica && !retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance)) {
+    reject(out, now, id, 503, "no retry left for what may have reached a replica before", true,
+           tuning_.defaultRetryAfter);
     return;
   }
-  std::size_t const ahead = c.heldCount();
-  if (call.request.segments.size() > 1 && !c.scaler.has(home(call))) look(out, now, key, id);
-  if (ahead == 0 && tryConnect(out, now, id)) {
-    look(out, now, key);
+  std::size_t const ahead = c.queuedCount();
+  if (call.request.segments.size() > 1 && !c.scaler.has(homeReplica(call))) evaluateQueue(out, now, key, id);
+  if (ahead == 0 && attemptConnect(out, now, id)) {
+    evaluateQueue(out, now, key);
     return;
   }
-  std::size_t const bound = std::max(tuning_.heldLeast, static_cast<std::size_t>(tuning_.heldPerCap * c.scaler.cap()));
+  std::size_t const bound =
+      std::max(tuning_.minQueueLength, static_cast<std::size_t>(tuning_.queuedPerCapacity * c.scaler.cap()));
   bool const none = c.scaler.subset().empty();
   Tick const wait = expectedWait(c, row.path.requestClass);
-  bool const late = wait > static_cast<Tick>(tuning_.heldAims * static_cast<double>(row.path.latencyTarget)) ||
-                    now + wait > call.until;
-  bool const slow = c.scaler.allSlow() && ahead >= static_cast<std::size_t>(std::max(1.0, c.scaler.cap()));
+  bool const late = wait > static_cast<Tick>(tuning_.maxQueueTargets * static_cast<double>(row.path.latencyTarget)) ||
+                    now + wait > call.deadline;
+  bool const slow = c.scaler.areAllSlow() && ahead >= static_cast<std::size_t>(std::max(1.0, c.scaler.cap()));
   if (none || ahead >= bound || late || slow) {
     reject(out, now, id, 503,
            none   ? "no replica"
            : slow ? "all replicas slow"
                   : "too much held",
-           true, comeBack(c, row.path.requestClass));
+           true, retryAfter(c, row.path.requestClass));
     return;
   }
-  c.held[lane(row.path.requestClass)].push_back(id);
-  look(out, now, key);
-  pump(out, now, key);
+  c.waiting[lane(row.path.requestClass)].push_back(id);
+  evaluateQueue(out, now, key);
+  dispatchQueued(out, now, key);
 }
 
-void RequestRouter::unhold(CallId id) {
+void RequestRouter::dequeue(CallId id) {
   Call const& call = calls_.at(id);
-  if (call.phase != Phase::held) return;
-  std::map<CreditKey, Credit>::iterator const it = credits_.find({call.pool, rows_[call.path].instance});
-  if (it == credits_.end()) return;
-  for (std::list<CallId>& lane : it->second.held) lane.remove(id);
+  if (call.phase != Phase::queued) return;
+  std::map<QueueKey, AdmissionQueue>::iterator const it = queues_.find({call.pool, routes_[call.path].instance});
+  if (it == queues_.end()) return;
+  for (std::list<CallId>& lane : it->second.waiting) lane.remove(id);
 }
 
-char const* RequestRouter::nameOf(Phase phase) {
+char const* RequestRouter::phaseName(Phase phase) {
   switch (phase) {
-    case Phase::asking:
+    case Phase::queryingRequestId:
       return "asking";
-    case Phase::counting:
+    case Phase::awaitingQuota:
       return "counting";
-    case Phase::held:
+    case Phase::queued:
       return "held";
     case Phase::connecting:
       return "connecting";
-    case Phase::handed:
+    case Phase::dispatched:
       return "handed";
     case Phase::streaming:
       return "streaming";
@@ -243,43 +245,44 @@
   return "unknown";
 }
 
-void RequestRouter::noteFailure(RouterCommands& out, Tick now, Call const& call, int status,
-                                std::string const& reason) {
-  bool const placed = call.phase != Phase::asking && call.phase != Phase::held;
+void RequestRouter::recordFailure(RouterCommands& out, Tick now, Call const& call, int status,
+                                  std::string const& reason) {
+  bool const placed = call.phase != Phase::queryingRequestId && call.phase != Phase::queued;
   Failure failure;
-  failure.trace = call.request.trace;
-  if (call.path < rows_.size() && call.pathRevision > 0) failure.path = rows_[call.path].path.instance;
+  failure.trace = call.request.attemptName;
+  if (call.path < routes_.size() && call.pathRevision > 0) failure.path = routes_[call.path].path.instance;
   if (placed && call.replica < replicas_.size()) failure.replica = replicas_[call.replica].address;
   failure.status = status;
   failure.reason = reason;
-  failure.phase = nameOf(call.phase);
+  failure.phase = phaseName(call.phase);
   failure.took = now - call.arrived;
-  failure.handOvers = call.handedTo.size();
+  failure.handOvers = call.dispatchedTo.size();
   failure.configuration = revisionOf(config::fleetConfigurationKey);
   if (std::optional<core::LogEvent> line = failures_.note(now, failure)) out.failures.push_back(std::move(*line));
 }
 
-void RequestRouter::drop(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::dropCall(RouterCommands& out, Tick now, CallId id) {
   Call gone = calls_.at(id);
-  forget(now, id);
-  uncount(out, now, gone);
+  removeCall(now, id);
+  releaseSlot(out, now, gone);
 }
 
 void RequestRouter::reject(RouterCommands& out, Tick now, CallId id, int status, std::string reason, bool notRun,
                            double retryAfter) {
   Call& call = calls_.at(id);
   CORKWARD_INVARIANT(call.phase != Phase::streaming);
-  CORKWARD_INVARIANT(!notRun || call.phase != Phase::handed);
+  CORKWARD_INVARIANT(!notRun || call.phase != Phase::dispatched);
   notRun = notRun && !call.mayHaveRun;
-  bool const once = call.outstanding && !rows_[call.path].path.repeatable && !rows_[call.path].path.resumable;
+  bool const once = call.outstanding && !routes_[call.path].path.idempotent && !routes_[call.path].path.resumable;
   CORKWARD_GUARANTEE(core::Guarantee::notExecutedIsTrue, !once || (!notRun && !saysNotRun(status)),
-                     call.request.trace + " got " + std::to_string(status) + ": " + reason);
-  unhold(id);
-  noteFailure(out, now, call, status, reason);
-  count(now, "denied_" + std::to_string(status), reason);
-  if (!regimeOf(call).empty()) record(out, now, call, AuditOutcome::rejected, reason);
-  out.calls.push_back(Reject{id, status, std::move(reason), notRun, retryAfter, call.reached || call.dispatched});
-  drop(out, now, id);
+                     call.request.attemptName + " got " + std::to_string(status) + ": " + reason);
+  dequeue(id);
+  recordFailure(out, now, call, status, reason);
+  countMetric(now, "denied_" + std::to_string(status), reason);
+  if (!regimeOf(call).empty()) recordAudit(out, now, call, AuditOutcome::rejected, reason);
+  out.calls.push_back(
+      Reject{id, status, std::move(reason), notRun, retryAfter, call.reachedReplica || call.dispatched});
+  dropCall(out, now, id);
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -10,99 +10,100 @@
 namespace corkward::dataplane {
 
 std::uint64_t RequestRouter::revisionOf(std::string const& key) const {
-  std::map<std::string, Key>::const_iterator const it = keys_.find(key);
-  return it == keys_.end() ? 0 : it->second.revision;
+  std::map<std::string, ConfigurationValue>::const_iterator const it = values_.find(key);
+  return it == values_.end() ? 0 : it->second.revision;
 }
 
-QJsonObject RequestRouter::valueOf(std::string const& key) const {
-  std::map<std::string, Key>::const_iterator const it = keys_.find(key);
-  return it == keys_.end() ? QJsonObject() : it->second.value;
+QJsonObject RequestRouter::configurationValue(std::string const& key) const {
+  std::map<std::string, ConfigurationValue>::const_iterator const it = values_.find(key);
+  return it == values_.end() ? QJsonObject() : it->second.value;
 }
 
 transport::Revisions RequestRouter::revisions() const {
   transport::Revisions out;
-  for (std::map<std::string, Key>::value_type const& k : keys_) out[k.first] = k.second.revision;
+  for (std::map<std::string, ConfigurationValue>::value_type const& k : values_) out[k.first] = k.second.revision;
   return out;
 }
 
-void RequestRouter::apply(RouterCommands& out, Tick now, std::vector<transport::CommittedEntry> const& items) {
+void RequestRouter::applyEntries(RouterCommands& out, Tick now, std::vector<transport::CommittedEntry> const& items) {
   bool any = false;
   for (transport::CommittedEntry const& item : items) {
     std::uint64_t const before = revisionOf(item.key);
     if (item.revision <= before) continue;
-    applyOne(out, now, item);
+    applyEntry(out, now, item);
     digest_.replace(item.key, before, revisionOf(item.key));
     any = true;
   }
   if (!any) return;
-  had_.push_back(digest_);
-  if (had_.size() > digestsKept) had_.pop_front();
+  digestHistory_.push_back(digest_);
+  if (digestHistory_.size() > digestsKept) digestHistory_.pop_front();
   refreshServingLease();
   certifiedAt_ = -1;
-  for (PoolView& view : poolViews_) {
+  for (PoolView& view : pools_) {
     view.changed = true;
-    view.rebound = bound_;
+    view.bindingsChanged = regimeBound_;
   }
   refreshCandidates(out, now);
-  watchRegimes(out, now);
+  enforceRegimes(out, now);
 }
 
 NameIndex RequestRouter::poolIndex(std::string const& name) {
-  NameIndex const pool = pools_.intern(name);
-  if (pool >= poolViews_.size()) poolViews_.resize(pool + 1);
+  NameIndex const pool = poolNames_.intern(name);
+  if (pool >= pools_.size()) pools_.resize(pool + 1);
   return pool;
 }
 
-void RequestRouter::forgetRoutes(std::string const& owner) {
-  for (std::string const& route : ownedRoutes_[owner]) routes_.erase(route);
+void RequestRouter::removeRoutes(std::string const& owner) {
+  for (std::string const& route : ownedRoutes_[owner]) routeIndex_.erase(route);
   ownedRoutes_[owner].clear();
   ++configurationRevision_;
 }
 
-void RequestRouter::addRow(std::string const& owner, std::string const& route, config::Path const& path,
-                           std::string const& instance) {
-  Row row{path, poolIndex(path.pool), instances_.intern(instance), {}};
+void RequestRouter::addRoute(std::string const& owner, std::string const& route, config::Path const& path,
+                             std::string const& instance) {
+  Route row{path, poolIndex(path.pool), instanceNames_.intern(instance), {}};
   for (config::WeightedPool const& s : path.weightedPools)
-    if (s.weight > 0) row.shares.emplace_back(poolIndex(s.pool), s.weight);
-  if (row.shares.empty()) row.shares.emplace_back(row.pool, 1);
-  bound_ = bound_ || !path.regime.empty();
-  if (bound_) instanceRegimes_[row.instance] = path.regime;
-  routes_[route] = static_cast<NameIndex>(rows_.size());
+    if (s.weight > 0) row.backends.emplace_back(poolIndex(s.pool), s.weight);
+  if (row.backends.empty()) row.backends.emplace_back(row.pool, 1);
+  regimeBound_ = regimeBound_ || !path.regime.empty();
+  if (regimeBound_) instanceRegimes_[row.instance] = path.regime;
+  routeIndex_[route] = static_cast<NameIndex>(routes_.size());
   ownedRoutes_[owner].push_back(route);
-  rows_.push_back(std::move(row));
+  routes_.push_back(std::move(row));
 }
 
-void RequestRouter::applyWhole(QJsonObject const& value) {
+void RequestRouter::applyFleetConfiguration(QJsonObject const& value) {
   config::FleetConfiguration const whole = config::readFleetConfiguration(value.value("spec").toObject());
-  forgetRoutes(config::fleetConfigurationKey);
-  for (config::Path const& p : whole.paths) addRow(config::fleetConfigurationKey, p.host + p.prefix, p, wholeInstance);
-  for (PoolView& view : poolViews_) view.terms.reset();
-  for (config::PoolSettings const& t : whole.pools) poolViews_[poolIndex(t.name)].terms = t;
-  httpTerms_ = whole.http;
+  removeRoutes(config::fleetConfigurationKey);
+  for (config::Path const& p : whole.paths)
+    addRoute(config::fleetConfigurationKey, p.host + p.prefix, p, wholeInstance);
+  for (PoolView& view : pools_) view.settings.reset();
+  for (config::PoolSettings const& t : whole.pools) pools_[poolIndex(t.name)].settings = t;
+  httpLimits_ = whole.http;
   tenants_.configure(whole.tenants);
 }
 
-void RequestRouter::applyOne(RouterCommands& out, Tick now, transport::CommittedEntry const& item) {
+void RequestRouter::applyEntry(RouterCommands& out, Tick now, transport::CommittedEntry const& item) {
   std::size_t const colon = item.key.find(':');
   std::string const kind = item.key.substr(0, colon);
   std::string const name = colon == std::string::npos ? "" : item.key.substr(colon + 1);
   try {
     if (kind == "family") {
-      std::vector<config::Path> const paths = config::render(name, item.value);
-      forgetRoutes(item.key);
-      for (config::Path const& p : paths) addRow(item.key, p.instance + "/" + p.path, p, p.instance);
+      std::vector<config::Path> const paths = config::renderPaths(name, item.value);
+      removeRoutes(item.key);
+      for (config::Path const& p : paths) addRoute(item.key, p.instance + "/" + p.path, p, p.instance);
     } else if (item.key == config::regimesKey) {
-      regimes_ = config::storedRegimes(item.value);
+      regimes_ = config::readStoredRegimes(item.value);
     } else if (item.key == config::fleetConfigurationKey) {
-      applyWhole(item.value);
+      applyFleetConfiguration(item.value);
     } else if (kind == "pool") {
-      config::EndpointList const list = config::storedPool(item.value);
+      config::EndpointList const list = config::readStoredEndpointList(item.value);
       NameIndex const pool = poolIndex(name);
-      PoolView& view = poolViews_[pool];
+      PoolView& view = pools_[pool];
       for (NameIndex const r : view.replicas) replicas_[r].listed = false;
       view.replicas.clear();
-      view.generation = list.generation;
-      view.coldRate = list.coldRate;
+      view.listGeneration = list.generation;
+      view.slowStartRate = list.slowStartRate;
       for (config::Replica const& r : list.replicas) {
         NameIndex const ix = replicaNames_.intern(name + "|" + config::incarnationName(r));
         if (ix >= replicas_.size()) replicas_.resize(ix + 1);
@@ -116,14 +117,14 @@
         mine.listed = true;
         view.replicas.push_back(ix);
       }
-      refreshHint(view);
+      refreshRemovalHint(view);
     } else if (kind == "zone") {
       if (item.value.value("evacuated").toBool())
         evacuated_.insert(name);
       else
         evacuated_.erase(name);
     }
-    if (item.key == rosterKey) foldRoster(now, item.revision, item.value);
+    if (item.key == rosterKey) loadRoster(now, item.revision, item.value);
     if (item.key == membershipKey) {
       membershipIds_.clear();
       membershipLinks_.clear();
@@ -138,51 +139,51 @@
   }
   CORKWARD_GUARANTEE(core::Guarantee::revisionsRise, item.revision > revisionOf(item.key),
                      item.key + " falls to revision " + std::to_string(item.revision));
-  keys_[item.key] = Key{item.revision, item.value};
+  values_[item.key] = ConfigurationValue{item.revision, item.value};
   logEvent(out, now, "in-force", {{"key", item.key}, {"stamp", std::to_string(item.revision)}});
-  if (rows_.size() < 1024 || rows_.size() < 4 * routes_.size()) return;
-  std::vector<bool> used(rows_.size(), false);
-  for (std::unordered_map<std::string, NameIndex>::value_type const& r : routes_) used[r.second] = true;
+  if (routes_.size() < 1024 || routes_.size() < 4 * routeIndex_.size()) return;
+  std::vector<bool> used(routes_.size(), false);
+  for (std::unordered_map<std::string, NameIndex>::value_type const& r : routeIndex_) used[r.second] = true;
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_) used[c.second.path] = true;
-  std::vector<NameIndex> moved(rows_.size(), 0);
-  std::vector<Row> kept;
-  for (std::size_t i = 0; i < rows_.size(); ++i) {
+  std::vector<NameIndex> moved(routes_.size(), 0);
+  std::vector<Route> kept;
+  for (std::size_t i = 0; i < routes_.size(); ++i) {
     if (!used[i]) continue;
     moved[i] = static_cast<NameIndex>(kept.size());
-    kept.push_back(std::move(rows_[i]));
+    kept.push_back(std::move(routes_[i]));
   }
-  rows_ = std::move(kept);
-  for (std::unordered_map<std::string, NameIndex>::value_type& r : routes_) r.second = moved[r.second];
+  routes_ = std::move(kept);
+  for (std::unordered_map<std::string, NameIndex>::value_type& r : routeIndex_) r.second = moved[r.second];
   for (std::unordered_map<CallId, Call>::value_type& c : calls_) c.second.path = moved[c.second.path];
 }
 
-void RequestRouter::refreshHint(PoolView& view) {
-  if (view.hint.generation <= view.generation) view.hint = transport::EndpointRemovalHint{};
+void RequestRouter::refreshRemovalHint(PoolView& view) {
+  if (view.hint.generation <= view.listGeneration) view.hint = transport::EndpointRemovalHint{};
   std::set<std::string> const serving(view.hint.serving.begin(), view.hint.serving.end());
   std::set<std::string> const cold(view.hint.cold.begin(), view.hint.cold.end());
   for (NameIndex const r : view.replicas) {
     std::string const life = config::incarnationName(config::Replica{replicas_[r].id, replicas_[r].address, {}, {}});
-    bool const mayWarm = replicas_[r].state == config::ReplicaState::cold && cold.count(life) > 0;
-    replicas_[r].away = view.hint.generation > 0 && serving.count(life) == 0 && !mayWarm;
+    bool const mayWarm = replicas_[r].state == config::ReplicaState::warmingUp && cold.count(life) > 0;
+    replicas_[r].unreachable = view.hint.generation > 0 && serving.count(life) == 0 && !mayWarm;
   }
 }
 
-bool RequestRouter::takeHint(RouterCommands& out, Tick now, transport::EndpointRemovalHint const& hint) {
-  if (keys_.count("pool:" + hint.pool) == 0) return false;
-  PoolView& view = poolViews_[pools_.intern(hint.pool)];
-  if (hint.generation <= view.generation || hint.generation <= view.hint.generation) return false;
+bool RequestRouter::applyRemovalHint(RouterCommands& out, Tick now, transport::EndpointRemovalHint const& hint) {
+  if (values_.count("pool:" + hint.pool) == 0) return false;
+  PoolView& view = pools_[poolNames_.intern(hint.pool)];
+  if (hint.generation <= view.listGeneration || hint.generation <= view.hint.generation) return false;
   view.hint = hint;
-  refreshHint(view);
+  refreshRemovalHint(view);
   view.changed = true;
   logEvent(out, now, "leaving-hint", {{"pool", hint.pool}, {"generation", std::to_string(hint.generation)}});
   refreshCandidates(out, now);
-  watchRegimes(out, now);
+  enforceRegimes(out, now);
   return true;
 }
 
-std::vector<transport::EndpointRemovalHint> RequestRouter::hints() const {
+std::vector<transport::EndpointRemovalHint> RequestRouter::removalHints() const {
   std::vector<transport::EndpointRemovalHint> out;
-  for (PoolView const& view : poolViews_)
+  for (PoolView const& view : pools_)
     if (view.hint.generation > 0) out.push_back(view.hint);
   return out;
 }
@@ -194,11 +195,11 @@
   try {
     QJsonValue const v = core::parseJson(body);
     if (!v.isObject()) throw core::JsonError("must be an object");
-    config::EndpointList const list = config::readPool(v.toObject());
-    std::map<std::string, Key>::const_iterator const key = keys_.find("pool:" + pool);
-    std::uint64_t const have = key == keys_.end() ? 0 : poolViews_[pools_.intern(pool)].generation;
+    config::EndpointList const list = config::readEndpointList(v.toObject());
+    std::map<std::string, ConfigurationValue>::const_iterator const key = values_.find("pool:" + pool);
+    std::uint64_t const have = key == values_.end() ? 0 : pools_[poolNames_.intern(pool)].listGeneration;
     std::uint64_t const newest =
-        key == keys_.end() ? 0 : std::max(have, poolViews_[pools_.intern(pool)].hint.generation);
+        key == values_.end() ? 0 : std::max(have, pools_[poolNames_.intern(pool)].hint.generation);
     if (list.generation < newest) {
       answer.status = 409;
       answer.body = {{"error", "older generation"},
@@ -209,7 +210,7 @@
       transport::EndpointRemovalHint hint{pool, list.generation, {}, {}};
       for (config::Replica const& r : list.replicas) {
         if (r.state == config::ReplicaState::serving) hint.serving.push_back(config::incarnationName(r));
-        if (r.state == config::ReplicaState::cold) hint.cold.push_back(config::incarnationName(r));
+        if (r.state == config::ReplicaState::warmingUp) hint.cold.push_back(config::incarnationName(r));
       }
       on(out, now, "", hint);
       answer.status = 504;
@@ -229,7 +230,7 @@
                    {"reason", core::toQString(e.reason())},
                    {"pointer", core::toQString(e.pointer())}};
   }
-  count(now, "list_told_" + std::to_string(answer.status), pool);
+  countMetric(now, "list_told_" + std::to_string(answer.status), pool);
   out.calls.push_back(std::move(answer));
   return out;
 }
@@ -237,43 +238,43 @@
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from,
                        transport::ConfigurationUpdate const& m) {
   bool const fromRouter = m.isSnapshot && m.number == 0;
-  apply(out, now, m.entries);
-  if (m.isSnapshot && !whole_ && (tuning_.fenced || !m.entries.empty())) {
+  applyEntries(out, now, m.entries);
+  if (m.isSnapshot && !snapshotApplied_ && (tuning_.leaseRequired || !m.entries.empty())) {
     if (!fromRouter) {
-      whole_ = true;
-      vouched_ = true;
+      snapshotApplied_ = true;
+      confirmedByControl_ = true;
       logEvent(out, now, "whole-image", {{"from", from}});
     }
     snapshotSeen_ = true;
   }
-  considerWhole(out, now, from);
+  adoptSnapshot(out, now, from);
   transport::ConfigurationAck ack{m.number, partialView_.self().link, partialView_.self().incarnation, {}, digest_};
   if (!m.isSnapshot)
     for (transport::CommittedEntry const& i : m.entries) ack.revisions[i.key] = revisionOf(i.key);
-  std::set<std::string> to(held_.begin(), held_.end());
+  std::set<std::string> to(controllerChoice_.begin(), controllerChoice_.end());
   if (m.number > 0) to.insert(from);
   for (std::string const& s : to) out.sends.push_back(transport::Send{s, ack});
 }
 
-void RequestRouter::considerWhole(RouterCommands& out, Tick now, std::string const& from) {
-  if (whole_ || !snapshotSeen_ || !mostHeard(now)) return;
-  whole_ = true;
+void RequestRouter::adoptSnapshot(RouterCommands& out, Tick now, std::string const& from) {
+  if (snapshotApplied_ || !snapshotSeen_ || !hasHeardMajority(now)) return;
+  snapshotApplied_ = true;
   logEvent(out, now, "whole-image", {{"from", "neighbours"}, {"last", from}});
 }
 
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const&, transport::EndpointRemovalHint const& m) {
-  if (!takeHint(out, now, m)) return;
-  std::vector<std::string> others = rosterOthers();
+  if (!applyRemovalHint(out, now, m)) return;
+  std::vector<std::string> others = otherRouters();
   for (std::size_t i = others.size(); i > 1; --i) std::swap(others[i - 1], others[rng_.below(i)]);
-  std::set<std::string> to(others.begin(),
-                           others.begin() + static_cast<std::ptrdiff_t>(std::min(others.size(), tuning_.neighbours)));
-  to.insert(held_.begin(), held_.end());
+  std::set<std::string> to(
+      others.begin(), others.begin() + static_cast<std::ptrdiff_t>(std::min(others.size(), tuning_.neighbourCount)));
+  to.insert(controllerChoice_.begin(), controllerChoice_.end());
   for (std::string const& link : to) out.sends.push_back(transport::Send{link, m});
 }
 
 void RequestRouter::sendMissing(RouterCommands& out, std::string const& to, transport::Revisions const& have) const {
   transport::ConfigurationUpdate news;
-  for (std::map<std::string, Key>::value_type const& k : keys_) {
+  for (std::map<std::string, ConfigurationValue>::value_type const& k : values_) {
     transport::Revisions::const_iterator const it = have.find(k.first);
     if (it == have.end() || it->second < k.second.revision)
       news.entries.push_back(transport::CommittedEntry{k.first, k.second.revision, k.second.value});
@@ -282,8 +283,8 @@
 }
 
 void RequestRouter::on(RouterCommands& out, Tick, std::string const& from, transport::ValueRequest const& m) {
-  std::map<std::string, Key>::const_iterator const it = keys_.find(m.key);
-  if (it == keys_.end()) return;
+  std::map<std::string, ConfigurationValue>::const_iterator const it = values_.find(m.key);
+  if (it == values_.end()) return;
   transport::ConfigurationUpdate news;
   news.entries.push_back(transport::CommittedEntry{it->first, it->second.revision, it->second.value});
   out.sends.push_back(transport::Send{from, std::move(news)});
