--- a/dataplane/src/dispatch.cpp
+++ b/dataplane/src/dispatch.cpp
@@ -7,19 +7,19 @@
 
 namespace corkward::dataplane {
 
-bool RequestRouter::tryConnect(RouterCommands& out, Tick now, CallId id) {
+bool RequestRouter::attemptConnect(RouterCommands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
-  Row const& row = rows_[call.path];
-  CreditKey const key{call.pool, row.instance};
-  Credit& c = credits_.at(key);
-  bool const room = mayTry(now, c, key, call);
-  std::int64_t chosen = choose(now, call, usableOf(now, c, room));
+  Route const& row = routes_[call.path];
+  QueueKey const key{call.pool, row.instance};
+  AdmissionQueue& c = queues_.at(key);
+  bool const room = mayAttempt(now, c, key, call);
+  std::int64_t chosen = chooseReplica(now, call, usableCandidates(now, c, room));
   if (chosen < 0 && room && call.dispatched && !regimeOf(call).empty())
-    chosen = choose(now, call, beyondPart(now, call.pool));
+    chosen = chooseReplica(now, call, candidatesBeyondSubset(now, call.pool));
   if (chosen < 0) return false;
   NameIndex const replica = static_cast<NameIndex>(chosen);
-  if (replicas_[replica].state == config::ReplicaState::cold) {
-    bool const taken = warm_.at(replica).bucket.take(now, coldRate(call.pool));
+  if (replicas_[replica].state == config::ReplicaState::warmingUp) {
+    bool const taken = warmupLeases_.at(replica).bucket.takeToken(now, slowStartRate(call.pool));
     CORKWARD_INVARIANT(taken);
   }
   connectTo(out, now, id, replica);
@@ -28,27 +28,27 @@
 
 void RequestRouter::connectTo(RouterCommands& out, Tick now, CallId id, NameIndex replica) {
   Call& call = calls_.at(id);
-  Row const& row = rows_[call.path];
+  Route const& row = routes_[call.path];
   call.phase = Phase::connecting;
-  call.phaseAt = now;
+  call.phaseSince = now;
   call.replica = replica;
-  call.counted = true;
-  credits_.at({call.pool, row.instance}).scaler.onSent(replica, row.path.requestClass == config::RequestClass::bulk);
+  call.holdsSlot = true;
+  queues_.at({call.pool, row.instance}).scaler.onSent(replica, row.path.requestClass == config::RequestClass::bulk);
   ++replicas_[replica].inFlight;
-  out.calls.push_back(Connect{id, addressOf(replica), row.path.path, false, !row.path.repeatable,
+  out.calls.push_back(Connect{id, addressOf(replica), row.path.path, false, !row.path.idempotent,
                               regimeOf(call).empty() ? "" : replicas_[replica].id, ownEvents(row.path)});
 }
 
 RouterCommands RequestRouter::onConnected(Tick now, CallId id) {
   RouterCommands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
-  if (it != calls_.end() && it->second.phase == Phase::handed && it->second.resumes > 0) {
-    if (servingLease(now) && usable(now, it->second.replica) && lawful(now, it->second) &&
+  if (it != calls_.end() && it->second.phase == Phase::dispatched && it->second.resumes > 0) {
+    if (servingLease(now) && usable(now, it->second.replica) && allowedByRegime(now, it->second) &&
         spendQuota(now, it->second)) {
-      record(out, now, it->second, AuditOutcome::resumed);
-      out.calls.push_back(handOver(now, id));
-    } else if (!rows_[it->second.path].path.stream || !resumeElsewhere(out, now, id)) {
-      breakOff(out, now, id);
+      recordAudit(out, now, it->second, AuditOutcome::resumed);
+      out.calls.push_back(dispatch(now, id));
+    } else if (!routes_[it->second.path].path.stream || !resumeOnOtherReplica(out, now, id)) {
+      abortStream(out, now, id);
     }
     return out;
   }
@@ -56,7 +56,7 @@
   Call& call = it->second;
   if (!servingLease(now)) {
     out.calls.push_back(CloseUpstream{id});
-    reject(out, now, id, 503, "no serving lease", true, tuning_.comeBack);
+    reject(out, now, id, 503, "no serving lease", true, tuning_.defaultRetryAfter);
     return out;
   }
   NameIndex const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
@@ -65,109 +65,110 @@
     reject(out, now, id, 404, "the configuration has changed", true, 0);
     return out;
   }
-  if (!identify(call, rows_[path].path)) {
+  if (!identifyTenant(call, routes_[path].path)) {
     out.calls.push_back(CloseUpstream{id});
     reject(out, now, id, 401, "the tenant's key was taken away", true, 0);
     return out;
   }
-  std::vector<std::pair<NameIndex, std::uint32_t>> const& shares = rows_[path].shares;
-  bool const rebound = rows_[path].path.regime != rows_[call.path].path.regime;
-  if (rebound || std::none_of(shares.begin(), shares.end(),
+  std::vector<std::pair<NameIndex, std::uint32_t>> const& backends = routes_[path].backends;
+  bool const rebound = routes_[path].path.regime != routes_[call.path].path.regime;
+  if (rebound || std::none_of(backends.begin(), backends.end(),
                               [&](std::pair<NameIndex, std::uint32_t> const& s) { return s.first == call.pool; })) {
     out.calls.push_back(CloseUpstream{id});
-    call.phase = Phase::held;
-    uncount(out, now, call);
+    call.phase = Phase::queued;
+    releaseSlot(out, now, call);
     call.path = path;
     call.pathRevision = configurationRevision_;
-    call.pool = choosePool(now, rows_[path], id);
+    call.pool = choosePool(now, routes_[path], id);
     admit(out, now, id);
     return out;
   }
-  std::string const shut = closed(now, regimeOf(call));
+  std::string const shut = regimeRejection(now, regimeOf(call));
   if (!shut.empty()) {
     out.calls.push_back(CloseUpstream{id});
-    reject(out, now, id, 503, shut, true, tuning_.comeBack);
+    reject(out, now, id, 503, shut, true, tuning_.defaultRetryAfter);
     return out;
   }
-  if (!usable(now, call.replica) || !lawful(now, call)) {
+  if (!usable(now, call.replica) || !allowedByRegime(now, call)) {
     out.calls.push_back(CloseUpstream{id});
     retry(out, now, id, "replica left before sending");
     return out;
   }
-  if (now >= call.until) {
+  if (now >= call.deadline) {
     out.calls.push_back(CloseUpstream{id});
-    reject(out, now, id, 503, "deadline passed", true, tuning_.comeBack);
+    reject(out, now, id, 503, "deadline passed", true, tuning_.defaultRetryAfter);
     return out;
   }
   if (!spendQuota(now, call)) {
     out.calls.push_back(CloseUpstream{id});
     bool const ran = call.outstanding;
     reject(out, now, id, ran ? 502 : 429, ran ? "unknown, may have run; its tenant is beyond its limit" : overQuota,
-           !ran, ran ? 0 : tuning_.quotaComeBack);
+           !ran, ran ? 0 : tuning_.quotaRetryAfter);
     return out;
   }
-  if (!call.reached && !call.dispatched) budget_.first(now, call.pool);
-  call.phase = Phase::handed;
-  call.phaseAt = now;
-  call.handedAt = now;
+  if (!call.reachedReplica && !call.dispatched) retryBudgets_.onFirstAttempt(now, call.pool);
+  call.phase = Phase::dispatched;
+  call.phaseSince = now;
+  call.dispatchedAt = now;
   call.dispatched = true;
   if (!call.request.id.empty()) {
-    Seen& seen = remember(now, call.request.instance + "|" + call.request.id);
+    RequestIdRecord& seen = requestIdRecord(now, call.request.instance + "|" + call.request.id);
     seen.mayHaveRun = true;
-    seen.reached = true;
+    seen.reachedReplica = true;
   }
   if (call.prefix != 0) {
-    count(now, prefixes_.last(call.prefix) == static_cast<std::int64_t>(call.replica) ? "prefix_kept" : "prefix_moved");
-    prefixes_.served(call.prefix, call.replica);
+    countMetric(now, prefixes_.lastReplica(call.prefix) == static_cast<std::int64_t>(call.replica) ? "prefix_kept"
+                                                                                                   : "prefix_moved");
+    prefixes_.recordServed(call.prefix, call.replica);
   }
-  count(now, "handed_over");
-  record(out, now, call, AuditOutcome::handedOver);
-  out.calls.push_back(handOver(now, id));
+  countMetric(now, "handed_over");
+  recordAudit(out, now, call, AuditOutcome::dispatched);
+  out.calls.push_back(dispatch(now, id));
   return out;
 }
 
-void RequestRouter::checkHandOver(Tick now, Call const& call, Tick left) const {
-  Row const& row = rows_[call.path];
-  std::string const& trace = call.request.trace;
-  bool const mayRepeat = row.path.repeatable || row.path.resumable || call.resumes > 0;
+void RequestRouter::checkDispatch(Tick now, Call const& call, Tick left) const {
+  Route const& row = routes_[call.path];
+  std::string const& trace = call.request.attemptName;
+  bool const mayRepeat = row.path.idempotent || row.path.resumable || call.resumes > 0;
   CORKWARD_GUARANTEE(core::Guarantee::runsOnce, mayRepeat || !call.outstanding, trace + " is handed over once more");
   bool const bounded = !row.path.host.empty() && regimeOf(call).empty();
   bool const samePath = call.pathRevision == configurationRevision_;
   CORKWARD_GUARANTEE(
       core::Guarantee::withinAttempts,
-      !bounded || !samePath || static_cast<int>(call.handedTo.size()) < std::max(row.path.maxAttempts, 1),
-      trace + " is handed to replica " + std::to_string(call.handedTo.size() + 1));
+      !bounded || !samePath || static_cast<int>(call.dispatchedTo.size()) < std::max(row.path.maxAttempts, 1),
+      trace + " is handed to replica " + std::to_string(call.dispatchedTo.size() + 1));
   CORKWARD_GUARANTEE(core::Guarantee::allowedReplica,
                      usable(now, call.replica) && replicas_[call.replica].pool == call.pool,
                      trace + " goes to " + replicaNames_.name(call.replica));
-  Tick const waited = now - call.arrived + call.request.readFor;
+  Tick const waited = now - call.arrived + call.request.readDuration;
   CORKWARD_GUARANTEE(core::Guarantee::timeLeft,
                      call.request.deadline <= 0 || left <= std::max<Tick>(call.request.deadline - waited, 1),
                      trace + " goes on with " + std::to_string(left) + " ms");
 }
 
-SendRequest RequestRouter::handOver(Tick now, CallId id) {
+SendRequest RequestRouter::dispatch(Tick now, CallId id) {
   Call& call = calls_.at(id);
-  Tick const left = std::max<Tick>(call.until - now, 1);
-  checkHandOver(now, call, left);
+  Tick const left = std::max<Tick>(call.deadline - now, 1);
+  checkDispatch(now, call, left);
   call.outstanding = true;
-  call.handedTo.push_back(call.replica);
-  call.judged = false;
+  call.dispatchedTo.push_back(call.replica);
+  call.outcomeRecorded = false;
   std::vector<PromptSegment> const& parts = call.request.segments;
   if (parts.size() > 1) {
-    call.reading = unread(call, call.replica, home(call)) + parts.back().tokens;
-    replicas_[call.replica].reading += call.reading;
+    call.prefillTokens = uncachedPrefillTokens(call, call.replica, homeReplica(call)) + parts.back().tokens;
+    replicas_[call.replica].prefillTokens += call.prefillTokens;
   }
-  std::optional<config::PoolSettings> const& terms = poolViews_[call.pool].terms;
+  std::optional<config::PoolSettings> const& terms = pools_[call.pool].settings;
   for (std::size_t i = 0; i + 1 < parts.size(); ++i)
-    kept_.sent(call.replica, parts[i].hash, parts[i].tokens, terms ? terms->tokens / 2 : 0);
+    prefixCache_.recordSent(call.replica, parts[i].hash, parts[i].tokens, terms ? terms->prefixCacheTokens / 2 : 0);
   int rank = call.urgency;
-  if (!parts.empty() && tuning_.ranksBySize) {
+  if (!parts.empty() && tuning_.prioritizeByPromptSize) {
     std::int64_t tokens = 0;
     for (PromptSegment const& p : parts) tokens += p.tokens;
-    rank = tokens < tuning_.shortTokens ? 1 : tokens < tuning_.longTokens ? 3 : 5;
+    rank = tokens < tuning_.shortPromptTokens ? 1 : tokens < tuning_.longPromptTokens ? 3 : 5;
   }
-  bool const tells = tenants_.required() && !rows_[call.path].path.host.empty();
+  bool const tells = tenants_.required() && !routes_[call.path].path.host.empty();
   return SendRequest{id,
                      replicas_[call.replica].id,
                      left,
@@ -176,28 +177,28 @@
                      tells ? std::optional<std::string>(call.tenant) : std::nullopt};
 }
 
-bool RequestRouter::mayGoOn(Tick now, Call const& call) const {
-  config::Path const& path = rows_[call.path].path;
-  return static_cast<int>(call.handedTo.size()) < std::max(path.maxAttempts, 1) && now < call.until;
+bool RequestRouter::mayRetry(Tick now, Call const& call) const {
+  config::Path const& path = routes_[call.path].path;
+  return static_cast<int>(call.dispatchedTo.size()) < std::max(path.maxAttempts, 1) && now < call.deadline;
 }
 
-bool RequestRouter::resumeElsewhere(RouterCommands& out, Tick now, CallId id) {
+bool RequestRouter::resumeOnOtherReplica(RouterCommands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
-  uncount(out, now, call);
-  Row const& row = rows_[call.path];
-  Credit& c = credits_.at({call.pool, row.instance});
-  std::int64_t chosen = choose(now, call, usableOf(now, c, true));
-  if (chosen < 0 && !regimeOf(call).empty()) chosen = choose(now, call, beyondPart(now, call.pool));
+  releaseSlot(out, now, call);
+  Route const& row = routes_[call.path];
+  AdmissionQueue& c = queues_.at({call.pool, row.instance});
+  std::int64_t chosen = chooseReplica(now, call, usableCandidates(now, c, true));
+  if (chosen < 0 && !regimeOf(call).empty()) chosen = chooseReplica(now, call, candidatesBeyondSubset(now, call.pool));
   if (chosen < 0 || !servingLease(now)) return false;
   call.replica = static_cast<NameIndex>(chosen);
-  if (replicas_[call.replica].state == config::ReplicaState::cold &&
-      !warm_.at(call.replica).bucket.take(now, coldRate(call.pool)))
+  if (replicas_[call.replica].state == config::ReplicaState::warmingUp &&
+      !warmupLeases_.at(call.replica).bucket.takeToken(now, slowStartRate(call.pool)))
     return false;
   c.scaler.onSent(call.replica, row.path.requestClass == config::RequestClass::bulk);
   ++replicas_[call.replica].inFlight;
-  call.counted = true;
-  call.phase = Phase::handed;
-  call.phaseAt = now;
+  call.holdsSlot = true;
+  call.phase = Phase::dispatched;
+  call.phaseSince = now;
   out.calls.push_back(Connect{id, addressOf(call.replica), row.path.path, true, false,
                               regimeOf(call).empty() ? "" : replicas_[call.replica].id, ownEvents(row.path)});
   return true;
@@ -207,49 +208,50 @@
   Call& call = calls_.at(id);
   bool const again = call.dispatched;
   CORKWARD_INVARIANT(call.phase == Phase::connecting);
-  call.phase = Phase::held;
-  uncount(out, now, call);
-  if (now >= call.until) {
-    reject(out, now, id, 503, "deadline passed", true, tuning_.comeBack);
+  call.phase = Phase::queued;
+  releaseSlot(out, now, call);
+  if (now >= call.deadline) {
+    reject(out, now, id, 503, "deadline passed", true, tuning_.defaultRetryAfter);
     return;
   }
-  if (again && (!mayGoOn(now, call) || !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance))) {
-    reject(out, now, id, 503, std::string(why) + "; no retry left", true, tuning_.comeBack);
+  if (again &&
+      (!mayRetry(now, call) || !retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance))) {
+    reject(out, now, id, 503, std::string(why) + "; no retry left", true, tuning_.defaultRetryAfter);
     return;
   }
-  count(now, again ? "retried_dispatched" : "retried");
-  CreditKey const key{call.pool, rows_[call.path].instance};
-  if (tryConnect(out, now, id)) return;
-  credits_.at(key).held[lane(rows_[call.path].path.requestClass)].push_front(id);
+  countMetric(now, again ? "retried_dispatched" : "retried");
+  QueueKey const key{call.pool, routes_[call.path].instance};
+  if (attemptConnect(out, now, id)) return;
+  queues_.at(key).waiting[lane(routes_[call.path].path.requestClass)].push_front(id);
 }
 
-void RequestRouter::takeBack(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::undoDispatch(RouterCommands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
-  call.handedTo.pop_back();
+  call.dispatchedTo.pop_back();
   call.outstanding = false;
-  if (call.quota == QuotaState::used) call.quota = QuotaState::taken;
+  if (call.quotaState == QuotaState::used) call.quotaState = QuotaState::taken;
   call.phase = Phase::connecting;
-  call.dispatched = !call.handedTo.empty();
+  call.dispatched = !call.dispatchedTo.empty();
   if (!call.dispatched && !call.request.id.empty())
-    remember(now, call.request.instance + "|" + call.request.id).mayHaveRun = false;
-  record(out, now, call, AuditOutcome::notExecuted);
+    requestIdRecord(now, call.request.instance + "|" + call.request.id).mayHaveRun = false;
+  recordAudit(out, now, call, AuditOutcome::notExecuted);
 }
 
 RouterCommands RequestRouter::onConnectFailure(Tick now, CallId id) {
   RouterCommands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return out;
-  bool const resuming = it->second.phase == Phase::handed && it->second.resumes > 0;
-  if (!resuming && it->second.phase == Phase::handed) takeBack(out, now, id);
+  bool const resuming = it->second.phase == Phase::dispatched && it->second.resumes > 0;
+  if (!resuming && it->second.phase == Phase::dispatched) undoDispatch(out, now, id);
   if (!resuming && it->second.phase != Phase::connecting) return out;
-  it->second.judged = now >= it->second.until;
+  it->second.outcomeRecorded = now >= it->second.deadline;
   recordOutcome(out, now, it->second, true);
   if (resuming) {
-    cool(it->second.replica, now + tuning_.coolFor);
-    if (!rows_[it->second.path].path.stream || !resumeElsewhere(out, now, id)) breakOff(out, now, id);
+    backOff(it->second.replica, now + tuning_.connectFailureBackoff);
+    if (!routes_[it->second.path].path.stream || !resumeOnOtherReplica(out, now, id)) abortStream(out, now, id);
     return out;
   }
-  cool(it->second.replica, now + tuning_.coolFor);
+  backOff(it->second.replica, now + tuning_.connectFailureBackoff);
   logEvent(out, now, "replica-cooled",
            {{"replica", replicaNames_.name(it->second.replica)}, {"why", "connect rejected"}});
   retry(out, now, id, "replica refused the connection");
@@ -263,11 +265,11 @@
   if (it == calls_.end()) return out;
   Call const& call = it->second;
   char const* const why = "this node is out of descriptors";
-  if (call.phase == Phase::handed && call.resumes > 0) {
-    breakOff(out, now, id, why);
+  if (call.phase == Phase::dispatched && call.resumes > 0) {
+    abortStream(out, now, id, why);
   } else if (call.phase == Phase::connecting) {
     out.calls.push_back(CloseUpstream{id});
-    reject(out, now, id, 503, why, true, tuning_.comeBack);
+    reject(out, now, id, 503, why, true, tuning_.defaultRetryAfter);
   }
   return out;
 }
--- a/dataplane/src/peers.cpp
+++ b/dataplane/src/peers.cpp
@@ -10,7 +10,7 @@
 
 namespace corkward::dataplane {
 
-void RequestRouter::foldRoster(Tick now, std::uint64_t revision, QJsonObject const& value) {
+void RequestRouter::loadRoster(Tick now, std::uint64_t revision, QJsonObject const& value) {
   RosterView view;
   view.revision = revision;
   std::vector<transport::Contact> const contacts = gossip::rosterContacts(value);
@@ -32,8 +32,8 @@
   roster_ = std::move(view);
 }
 
-void RequestRouter::watchJoining(Tick now) {
-  if (roster_.joining && roster_.self && now - roster_.joinedAt >= tuning_.joinLimit) roster_.joining = false;
+void RequestRouter::updateJoining(Tick now) {
+  if (roster_.joining && roster_.self && now - roster_.joinedAt >= tuning_.joinTimeout) roster_.joining = false;
 }
 
 std::vector<std::string> RequestRouter::controllers(Tick now) const {
@@ -44,12 +44,12 @@
 }
 
 void RequestRouter::chooseControllers(Tick now) {
-  Tick const patience = 2 * tuning_.askEvery + tuning_.askEvery / 2;
-  for (std::string const& link : held_) {
-    HeldLink& l = controllers_[link];
-    if (l.unanswered < 0 || now - l.unanswered <= patience) continue;
-    l.silentAt = now;
-    l.unanswered = -1;
+  Tick const patience = 2 * tuning_.leaseRequestInterval + tuning_.leaseRequestInterval / 2;
+  for (std::string const& link : controllerChoice_) {
+    PeerLink& l = controllers_[link];
+    if (l.firstUnansweredAt < 0 || now - l.firstUnansweredAt <= patience) continue;
+    l.timedOutAt = now;
+    l.firstUnansweredAt = -1;
   }
   std::map<std::string, std::string> zones;
   for (transport::Contact const& c : partialView_.ofRole(transport::controllerRole, now)) zones[c.link] = c.zone;
@@ -57,44 +57,44 @@
   std::vector<std::string> known = controllers(now);
   if (known.empty()) known = partialView_.seeds();
   for (std::string const& link : known) {
-    HeldLink& l = controllers_[link];
-    bool const silent = l.silentAt >= 0 && now - l.silentAt < tuning_.passOver;
-    ranked[{silent ? l.silentAt : 0, zones[link] != partialView_.self().zone,
+    PeerLink& l = controllers_[link];
+    bool const silent = l.timedOutAt >= 0 && now - l.timedOutAt < tuning_.unresponsivePeerTimeout;
+    ranked[{silent ? l.timedOutAt : 0, zones[link] != partialView_.self().zone,
             core::stableHash(link + partialView_.self().link)}] = link;
   }
-  held_.clear();
+  controllerChoice_.clear();
   std::size_t live = 0;
   for (std::map<std::tuple<Tick, bool, std::uint64_t>, std::string>::value_type const& r : ranked) {
-    if (live >= tuning_.heldLinks || held_.size() >= tuning_.heldLinksMost) break;
-    HeldLink const& l = controllers_.at(r.second);
-    live += l.good >= 0 && now - l.good <= patience ? 1 : 0;
-    held_.push_back(r.second);
+    if (live >= tuning_.controllerLinkCount || controllerChoice_.size() >= tuning_.maxControllerLinks) break;
+    PeerLink const& l = controllers_.at(r.second);
+    live += l.lastUsefulAt >= 0 && now - l.lastUsefulAt <= patience ? 1 : 0;
+    controllerChoice_.push_back(r.second);
   }
 }
 
-void RequestRouter::sendAsk(RouterCommands& out, Tick now, std::string const& to) {
-  HeldLink& l = controllers_[to];
-  l.since = now;
-  if (l.unanswered < 0) l.unanswered = now;
-  transport::ServingLeaseRequest ask{now, partialView_.self(), !whole_, false, digest_, {}};
-  if (l.wantRevisions) {
+void RequestRouter::sendLeaseRequest(RouterCommands& out, Tick now, std::string const& to) {
+  PeerLink& l = controllers_[to];
+  l.openedAt = now;
+  if (l.firstUnansweredAt < 0) l.firstUnansweredAt = now;
+  transport::ServingLeaseRequest ask{now, partialView_.self(), !snapshotApplied_, false, digest_, {}};
+  if (l.revisionsRequested) {
     ask.revisions = revisions();
-    l.wantRevisions = false;
-    l.namedAt = now;
+    l.revisionsRequested = false;
+    l.announcedAt = now;
   }
   out.sends.push_back(transport::Send{to, std::move(ask)});
 }
 
 std::vector<std::string> RequestRouter::chooseNeighbours(Tick now, std::size_t wanted, Tick every) {
-  std::vector<std::string> known = rosterOthers();
-  if (known.empty() || !whole_)
+  std::vector<std::string> known = otherRouters();
+  if (known.empty() || !snapshotApplied_)
     for (transport::Contact const& c : partialView_.ofRole(transport::routerRole, now)) known.push_back(c.link);
   std::sort(known.begin(), known.end());
   known.erase(std::unique(known.begin(), known.end()), known.end());
-  std::erase_if(neighbours_, [&](std::map<std::string, HeldLink>::value_type const& n) {
-    bool const silent = n.second.unanswered >= 0 && now - n.second.unanswered > every + every / 2;
-    if (silent) silent_[n.first] = now;
-    return silent || now - n.second.since > tuning_.neighbourFor ||
+  std::erase_if(neighbours_, [&](std::map<std::string, PeerLink>::value_type const& n) {
+    bool const silent = n.second.firstUnansweredAt >= 0 && now - n.second.firstUnansweredAt > every + every / 2;
+    if (silent) unresponsiveSince_[n.first] = now;
+    return silent || now - n.second.openedAt > tuning_.neighbourRotationPeriod ||
            !std::binary_search(known.begin(), known.end(), n.first);
   });
   std::function<bool(std::string const&)> const near = [&](std::string const& link) {
@@ -107,8 +107,8 @@
   for (std::size_t i = free.size(); i > 1; --i) std::swap(free[i - 1], free[rng_.below(i)]);
   std::stable_sort(free.begin(), free.end(), [&](std::string const& a, std::string const& b) {
     std::function<bool(std::string const&)> const silent = [&](std::string const& link) {
-      std::map<std::string, Tick>::const_iterator const it = silent_.find(link);
-      return it != silent_.end() && now - it->second < tuning_.passOver;
+      std::map<std::string, Tick>::const_iterator const it = unresponsiveSince_.find(link);
+      return it != unresponsiveSince_.end() && now - it->second < tuning_.unresponsivePeerTimeout;
     };
     return !silent(a) && silent(b);
   });
@@ -116,40 +116,43 @@
     neighbours_.erase(std::next(neighbours_.begin(), static_cast<std::ptrdiff_t>(rng_.below(neighbours_.size()))));
   while (neighbours_.size() < wanted && !free.empty()) {
     std::size_t nearOnes = 0;
-    for (std::map<std::string, HeldLink>::value_type const& n : neighbours_) nearOnes += near(n.first) ? 1 : 0;
+    for (std::map<std::string, PeerLink>::value_type const& n : neighbours_) nearOnes += near(n.first) ? 1 : 0;
     bool const wantNear = 3 * nearOnes < wanted;
     std::vector<std::string>::iterator it = std::find_if(free.begin(), free.end(), [&](std::string const& l) {
-      std::map<std::string, Tick>::const_iterator const s = silent_.find(l);
-      return near(l) == wantNear && (s == silent_.end() || now - s->second >= tuning_.passOver);
+      std::map<std::string, Tick>::const_iterator const s = unresponsiveSince_.find(l);
+      return near(l) == wantNear &&
+             (s == unresponsiveSince_.end() || now - s->second >= tuning_.unresponsivePeerTimeout);
     });
     if (it == free.end()) it = free.begin();
-    neighbours_[*it].since = now - static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(tuning_.neighbourFor / 2)));
+    neighbours_[*it].openedAt =
+        now - static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(tuning_.neighbourRotationPeriod / 2)));
     free.erase(it);
   }
   std::vector<std::string> out;
-  for (std::map<std::string, HeldLink>::value_type const& n : neighbours_) out.push_back(n.first);
+  for (std::map<std::string, PeerLink>::value_type const& n : neighbours_) out.push_back(n.first);
   return out;
 }
 
-void RequestRouter::touchNeighbours(RouterCommands& out, Tick now) {
-  bool const lacking = tuning_.fenced ? !confirmedWithin(now, 2 * tuning_.askEvery) : !whole_;
-  Tick const every = lacking ? tuning_.touchEvery : tuning_.touchAtRest;
-  if (now - touchedAt_ < every) return;
-  touchedAt_ = now;
+void RequestRouter::sendHeartbeats(RouterCommands& out, Tick now) {
+  bool const lacking =
+      tuning_.leaseRequired ? !hasLeaseWithin(now, 2 * tuning_.leaseRequestInterval) : !snapshotApplied_;
+  Tick const every = lacking ? tuning_.heartbeatInterval : tuning_.idleHeartbeatInterval;
+  if (now - lastHeartbeatAt_ < every) return;
+  lastHeartbeatAt_ = now;
   transport::PeerHeartbeat touch;
   touch.sentAt = now;
-  touch.hasSnapshot = whole_;
+  touch.hasSnapshot = snapshotApplied_;
   touch.link = partialView_.self().link;
   touch.digest = digest_;
   touch.wantsAges = lacking;
-  touch.removalHints = hints();
-  bool const wantWhole = !whole_ && !snapshotSeen_ && now - started_ > 2000;
+  touch.removalHints = removalHints();
+  bool const wantWhole = !snapshotApplied_ && !snapshotSeen_ && now - startedAt_ > 2000;
   std::vector<std::string> const to =
-      chooseNeighbours(now, lacking ? tuning_.neighbours : tuning_.neighboursAtRest, every);
+      chooseNeighbours(now, lacking ? tuning_.neighbourCount : tuning_.idleNeighbourCount, every);
   std::size_t const asked = wantWhole && !to.empty() ? rng_.below(to.size()) : to.size();
   for (std::size_t i = 0; i < to.size(); ++i) {
-    HeldLink& n = neighbours_[to[i]];
-    if (n.unanswered < 0) n.unanswered = now;
+    PeerLink& n = neighbours_[to[i]];
+    if (n.firstUnansweredAt < 0) n.firstUnansweredAt = now;
     touch.wantsSnapshot = i == asked;
     out.sends.push_back(transport::Send{to[i], touch});
   }
@@ -157,48 +160,49 @@
 
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::PeerHeartbeat const& m) {
   if (m.link != from) return;
-  for (transport::EndpointRemovalHint const& h : m.removalHints) takeHint(out, now, h);
+  for (transport::EndpointRemovalHint const& h : m.removalHints) applyRemovalHint(out, now, h);
   if (!m.isReply) {
     transport::PeerHeartbeat echo;
     echo.sentAt = m.sentAt;
     echo.isReply = true;
-    echo.hasSnapshot = whole_;
+    echo.hasSnapshot = snapshotApplied_;
     echo.link = partialView_.self().link;
     echo.digest = digest_;
     if (!(m.digest == digest_)) echo.revisions = revisions();
-    if (m.wantsAges && whole_) {
+    if (m.wantsAges && snapshotApplied_) {
       echo.rosterRevision = roster_.revision;
-      echo.ages = ages(now);
+      echo.ages = encodeAges(now);
     }
-    echo.removalHints = hints();
+    echo.removalHints = removalHints();
     out.sends.push_back(transport::Send{from, std::move(echo)});
-    if (m.wantsSnapshot && whole_) {
+    if (m.wantsSnapshot && snapshotApplied_) {
       transport::ConfigurationUpdate news;
       news.isSnapshot = true;
-      for (std::map<std::string, Key>::value_type const& k : keys_)
+      for (std::map<std::string, ConfigurationValue>::value_type const& k : values_)
         news.entries.push_back(transport::CommittedEntry{k.first, k.second.revision, k.second.value});
       out.sends.push_back(transport::Send{from, std::move(news)});
     }
     return;
   }
-  std::map<std::string, HeldLink>::iterator const n = neighbours_.find(from);
-  if (n != neighbours_.end()) n->second.unanswered = -1;
+  std::map<std::string, PeerLink>::iterator const n = neighbours_.find(from);
+  if (n != neighbours_.end()) n->second.firstUnansweredAt = -1;
   if (m.sentAt > now) return;
-  if (knows(m.digest, m.revisions)) {
-    countHeard(from, m);
+  if (isUpToDate(m.digest, m.revisions)) {
+    recordHeartbeat(from, m);
   } else {
-    echoes_[from] = m;
+    pendingHeartbeats_[from] = m;
   }
-  considerWhole(out, now, from);
+  adoptSnapshot(out, now, from);
   if (!(transport::digestOf(m.revisions) == m.digest)) return;
   for (transport::Revisions::value_type const& s : m.revisions) {
     if (revisionOf(s.first) >= s.second) continue;
-    Tick& at = fetchedAt_[s.first];
-    if (at != 0 && now - at < tuning_.touchEvery) continue;
+    Tick& at = valueRequestedAt_[s.first];
+    if (at != 0 && now - at < tuning_.heartbeatInterval) continue;
     at = now;
     out.sends.push_back(transport::Send{from, transport::ValueRequest{s.first, false, "", 0}});
   }
-  if (whole_ && m.hasSnapshot && m.digest.count > 0 && !(m.digest == digest_)) sendMissing(out, from, m.revisions);
+  if (snapshotApplied_ && m.hasSnapshot && m.digest.count > 0 && !(m.digest == digest_))
+    sendMissing(out, from, m.revisions);
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/regimes.cpp
+++ b/dataplane/src/regimes.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 std::string const unbound;
-constexpr Tick certifiedFor = 1000;
+constexpr Tick certificateRefreshInterval = 1000;
 
 }  // namespace
 
 std::string const& RequestRouter::regimeOf(Call const& call) const {
-  if (!bound_ || call.pathRevision == 0) return unbound;
+  if (!regimeBound_ || call.pathRevision == 0) return unbound;
   NameIndex const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
-  return rows_[path == core::InternedNames::none ? call.path : path].path.regime;
+  return routes_[path == core::InternedNames::none ? call.path : path].path.regime;
 }
 
 std::string const& RequestRouter::regimeOf(NameIndex instance) const {
@@ -24,60 +24,61 @@
   return it == instanceRegimes_.end() ? unbound : it->second;
 }
 
-std::string RequestRouter::unsure(Tick now, std::string const& regime) const {
-  if (!tuning_.fenced || !servingLease(now)) return "no serving lease";
-  config::WallTime const wall = wallAt(now);
+std::string RequestRouter::regimeUncertainty(Tick now, std::string const& regime) const {
+  if (!tuning_.leaseRequired || !servingLease(now)) return "no serving lease";
+  config::WallTime const wall = wallTimeAt(now);
   if (!wall) return "no wall time, so no certificate counts";
   if (regimes_.regimes.count(regime) == 0) return "no regime " + regime + " is declared";
-  if (!config::routerMay(regimes_, regime, partialView_.self().link, partialView_.self().zone, wall))
+  if (!config::routerMayForward(regimes_, regime, partialView_.self().link, partialView_.self().zone, wall))
     return "this node is not certified for regime " + regime;
   return "";
 }
 
-std::string RequestRouter::closed(Tick now, std::string const& regime) const {
+std::string RequestRouter::regimeRejection(Tick now, std::string const& regime) const {
   if (regime.empty()) return "";
-  std::string why = unsure(now, regime);
-  if (why.empty() && !tuning_.records) why = "no records of regimes can be kept";
+  std::string why = regimeUncertainty(now, regime);
+  if (why.empty() && !tuning_.auditRecordsAvailable) why = "no records of regimes can be kept";
   return why;
 }
 
 config::Certificate const* RequestRouter::certificate(Tick now, std::string const& regime, NameIndex replica) const {
   Replica const& r = replicas_[replica];
   if (!r.listed) return nullptr;
-  return config::certifies(regimes_, regime, pools_.name(r.pool), config::Replica{r.id, r.address, r.zone, r.state},
-                           wallAt(now));
+  return config::findCertificate(regimes_, regime, poolNames_.name(r.pool),
+                                 config::Replica{r.id, r.address, r.zone, r.state}, wallTimeAt(now));
 }
 
-bool RequestRouter::lawful(Tick now, Call const& call) const {
+bool RequestRouter::allowedByRegime(Tick now, Call const& call) const {
   std::string const& regime = regimeOf(call);
-  return regime.empty() || (closed(now, regime).empty() && certificate(now, regime, call.replica) != nullptr);
+  return regime.empty() || (regimeRejection(now, regime).empty() && certificate(now, regime, call.replica) != nullptr);
 }
 
 void RequestRouter::refreshCertified(Tick now) {
-  if (certifiedAt_ >= 0 && now - certifiedAt_ < certifiedFor) return;
+  if (certifiedAt_ >= 0 && now - certifiedAt_ < certificateRefreshInterval) return;
   certifiedAt_ = now;
   std::map<std::string, std::set<NameIndex>> certified;
   std::map<NameIndex, double> reserved;
   for (std::map<std::string, config::Regime>::value_type const& regime : regimes_.regimes)
-    for (PoolView const& view : poolViews_)
+    for (PoolView const& view : pools_)
       for (NameIndex const r : view.replicas) {
         if (certificate(now, regime.first, r) == nullptr) continue;
         certified[regime.first].insert(r);
         double& share = reserved.try_emplace(r, 0.0).first->second;
-        share = std::max(share, regime.second.reserve);
+        share = std::max(share, regime.second.reservedFraction);
       }
   if (certified == certified_ && reserved == reserved_) return;
   certified_ = std::move(certified);
   reserved_ = std::move(reserved);
-  for (PoolView& view : poolViews_) view.changed = true;
+  for (PoolView& view : pools_) view.changed = true;
 }
 
-std::map<std::string, scaling::Candidates> RequestRouter::byRegime(std::vector<scaling::Candidate> const& all) const {
+std::map<std::string, scaling::Candidates> RequestRouter::candidatesByRegime(
+    std::vector<scaling::Candidate> const& all) const {
   std::map<std::string, scaling::Candidates> out;
   std::function<void(std::string const&)> const draw = [&](std::string const& regime) {
     std::vector<scaling::Candidate> some;
     std::copy_if(all.begin(), all.end(), std::back_inserter(some),
-                 [&](scaling::Candidate const& c) { return mayDraw(regime, c.replica); });
+                 [&](scaling::Candidate const& c) { return mayUseReplica(regime, c.replica); });
     out[regime] = scaling::Candidates(std::move(some));
   };
   draw(unbound);
@@ -90,7 +91,7 @@
   return it == view.candidates.end() ? scaling::Candidates() : it->second;
 }
 
-bool RequestRouter::mayDraw(std::string const& regime, NameIndex replica) const {
+bool RequestRouter::mayUseReplica(std::string const& regime, NameIndex replica) const {
   if (regime.empty()) {
     std::map<NameIndex, double>::const_iterator const share = reserved_.find(replica);
     return share == reserved_.end() || share->second < 1;
@@ -99,20 +100,21 @@
   return it != certified_.end() && it->second.count(replica) > 0;
 }
 
-bool RequestRouter::fits(Tick now, Call const& call, NameIndex replica) const {
+bool RequestRouter::certifiedFor(Tick now, Call const& call, NameIndex replica) const {
   std::string const& regime = regimeOf(call);
-  if (!mayDraw(regime, replica)) return false;
-  if (!regime.empty()) return closed(now, regime).empty();
+  if (!mayUseReplica(regime, replica)) return false;
+  if (!regime.empty()) return regimeRejection(now, regime).empty();
   std::map<NameIndex, double>::const_iterator const share = reserved_.find(replica);
   if (share == reserved_.end()) return true;
   int others = replicas_[replica].inFlight;
-  for (std::map<CreditKey, Credit>::value_type const& c : credits_)
+  for (std::map<QueueKey, AdmissionQueue>::value_type const& c : queues_)
     if (!regimeOf(c.first.second).empty()) others -= c.second.scaler.inFlightAt(replica);
-  double const limit = credits_.at({call.pool, rows_[call.path].instance}).scaler.limit();
+  double const limit = queues_.at({call.pool, routes_[call.path].instance}).scaler.limit();
   return others + 1 <= std::max(1.0, (1.0 - share->second) * limit);
 }
 
-void RequestRouter::record(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened, std::string reason) {
+void RequestRouter::recordAudit(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened,
+                                std::string reason) {
   std::string const& regime = regimeOf(call);
   if (regime.empty()) return;
   WriteAuditRecord r;
@@ -123,7 +125,7 @@
   r.reason = std::move(reason);
   if (happened != AuditOutcome::rejected) {
     Replica const& at = replicas_[call.replica];
-    r.pool = pools_.name(at.pool);
+    r.pool = poolNames_.name(at.pool);
     r.address = at.address;
     r.incarnation = at.id;
     r.zone = at.zone;
@@ -133,12 +135,13 @@
   out.calls.push_back(std::move(r));
 }
 
-void RequestRouter::watchRegimes(RouterCommands& out, Tick now) {
-  if (!bound_) return;
+void RequestRouter::enforceRegimes(RouterCommands& out, Tick now) {
+  if (!regimeBound_) return;
   refreshCertified(now);
   std::vector<CallId> ours;
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_)
-    if (c.second.phase != Phase::asking && c.second.phase != Phase::counting && !regimeOf(c.second).empty())
+    if (c.second.phase != Phase::queryingRequestId && c.second.phase != Phase::awaitingQuota &&
+        !regimeOf(c.second).empty())
       ours.push_back(c.first);
   std::sort(ours.begin(), ours.end());
   std::map<std::string, std::pair<std::string, std::string>> known;
@@ -148,24 +151,26 @@
     Call& call = it->second;
     std::string const regime = regimeOf(call);
     std::map<std::string, std::pair<std::string, std::string>>::iterator why = known.find(regime);
-    if (why == known.end()) why = known.emplace(regime, std::pair(unsure(now, regime), closed(now, regime))).first;
+    if (why == known.end())
+      why = known.emplace(regime, std::pair(regimeUncertainty(now, regime), regimeRejection(now, regime))).first;
     std::string const& shut = why->second.second;
-    bool const mayStay = mayDraw(regime, call.replica);
-    if (call.phase == Phase::held) {
-      std::vector<NameIndex> const& all = poolViews_[call.pool].replicas;
-      bool const any = std::any_of(all.begin(), all.end(), [&](NameIndex const r) { return mayDraw(regime, r); });
-      if (!shut.empty() || !any) reject(out, now, id, 503, any ? shut : "no certified replica", true, tuning_.comeBack);
+    bool const mayStay = mayUseReplica(regime, call.replica);
+    if (call.phase == Phase::queued) {
+      std::vector<NameIndex> const& all = pools_[call.pool].replicas;
+      bool const any = std::any_of(all.begin(), all.end(), [&](NameIndex const r) { return mayUseReplica(regime, r); });
+      if (!shut.empty() || !any)
+        reject(out, now, id, 503, any ? shut : "no certified replica", true, tuning_.defaultRetryAfter);
     } else if (call.phase == Phase::connecting) {
       if (shut.empty() && mayStay) continue;
       out.calls.push_back(CloseUpstream{id});
       if (shut.empty())
         retry(out, now, id, "the certificate ended before sending");
       else
-        reject(out, now, id, 503, shut, true, tuning_.comeBack);
+        reject(out, now, id, 503, shut, true, tuning_.defaultRetryAfter);
     } else if (!why->second.first.empty() || !mayStay) {
-      leave(out, now, id, why->second.first.empty() ? "no certificate any more" : why->second.first);
-    } else if (call.phase == Phase::handed && call.resumes > 0 && call.handedTo.back() != call.replica &&
-               now - call.phaseAt > tuning_.connectLimit) {
+      abandonForRegime(out, now, id, why->second.first.empty() ? "no certificate any more" : why->second.first);
+    } else if (call.phase == Phase::dispatched && call.resumes > 0 && call.dispatchedTo.back() != call.replica &&
+               now - call.phaseSince > tuning_.connectTimeout) {
       out.calls.push_back(CloseUpstream{id});
       RouterCommands const more = onConnectFailure(now, id);
       out.calls.insert(out.calls.end(), more.calls.begin(), more.calls.end());
@@ -174,38 +179,38 @@
   }
 }
 
-void RequestRouter::leave(RouterCommands& out, Tick now, CallId id, std::string const& why) {
+void RequestRouter::abandonForRegime(RouterCommands& out, Tick now, CallId id, std::string const& why) {
   Call& call = calls_.at(id);
-  Row const& row = rows_[call.path];
-  count(now, "regime_left", why);
-  bool const open = closed(now, regimeOf(call)).empty() && row.path.repeatable && now < call.until;
-  if (call.phase == Phase::handed && call.resumes > 0 && call.handedTo.back() != call.replica) {
+  Route const& row = routes_[call.path];
+  countMetric(now, "regime_left", why);
+  bool const open = regimeRejection(now, regimeOf(call)).empty() && row.path.idempotent && now < call.deadline;
+  if (call.phase == Phase::dispatched && call.resumes > 0 && call.dispatchedTo.back() != call.replica) {
     out.calls.push_back(CloseUpstream{id});
-    if (!open || !row.path.stream || !resumeElsewhere(out, now, id)) breakOff(out, now, id, why);
+    if (!open || !row.path.stream || !resumeOnOtherReplica(out, now, id)) abortStream(out, now, id, why);
     return;
   }
   if (call.phase == Phase::streaming || call.resumes > 0) {
     bool const again = open && row.path.stream && call.runKnown && call.resumes == 0 &&
-                       budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance);
+                       retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance);
     if (again) {
       ++call.resumes;
-      count(now, "resumed");
+      countMetric(now, "resumed");
       out.calls.push_back(CloseUpstream{id});
     }
-    if (!again || !resumeElsewhere(out, now, id)) breakOff(out, now, id, why);
+    if (!again || !resumeOnOtherReplica(out, now, id)) abortStream(out, now, id, why);
     return;
   }
   out.calls.push_back(CloseUpstream{id});
-  if (!open || !mayGoOn(now, call) || !budget_.retry(now, call.pool, rosterSize(), tuning_.retryAllowance)) {
+  if (!open || !mayRetry(now, call) || !retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance)) {
     reject(out, now, id, 502, "unknown, may have run; " + why, false, 0);
     return;
   }
-  count(now, "retried_dispatched");
+  countMetric(now, "retried_dispatched");
   call.mayHaveRun = true;
-  call.phase = Phase::held;
-  uncount(out, now, call);
-  if (!tryConnect(out, now, id))
-    credits_.at({call.pool, row.instance}).held[lane(row.path.requestClass)].push_front(id);
+  call.phase = Phase::queued;
+  releaseSlot(out, now, call);
+  if (!attemptConnect(out, now, id))
+    queues_.at({call.pool, row.instance}).waiting[lane(row.path.requestClass)].push_front(id);
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/replica_choice.cpp
+++ b/dataplane/src/replica_choice.cpp
@@ -10,23 +10,24 @@
   return replicas_[replica].address;
 }
 
-double RequestRouter::coldRate(NameIndex pool) const {
-  PoolView const& view = poolViews_[pool];
-  return view.terms ? view.terms->coldRate : view.coldRate;
+double RequestRouter::slowStartRate(NameIndex pool) const {
+  PoolView const& view = pools_[pool];
+  return view.settings ? view.settings->slowStartRate : view.slowStartRate;
 }
 
 bool RequestRouter::usable(Tick now, NameIndex replica) const {
   Replica const& r = replicas_[replica];
-  if (!r.listed || r.away || r.state == config::ReplicaState::leaving || evacuated(r.zone) || now < r.coolUntil)
+  if (!r.listed || r.unreachable || r.state == config::ReplicaState::draining || isEvacuated(r.zone) ||
+      now < r.backoffUntil)
     return false;
-  return r.state == config::ReplicaState::serving || warmHeld(now, replica);
+  return r.state == config::ReplicaState::serving || holdsWarmupLease(now, replica);
 }
 
-void RequestRouter::avoidWorst(Tick now, NameIndex pool) {
-  std::vector<NameIndex> const& all = poolViews_[pool].replicas;
+void RequestRouter::ejectOutliers(Tick now, NameIndex pool) {
+  std::vector<NameIndex> const& all = pools_[pool].replicas;
   std::vector<NameIndex> worst;
   for (NameIndex const r : all) {
-    replicas_[r].avoided = false;
+    replicas_[r].ejected = false;
     if (!replicas_[r].reliability.trusted() && usable(now, r)) worst.push_back(r);
   }
   if (worst.empty()) return;
@@ -34,48 +35,50 @@
       std::count_if(all.begin(), all.end(), [&](NameIndex const r) { return usable(now, r); }));
   if (2 * worst.size() > serving) return;
   std::sort(worst.begin(), worst.end(), [&](NameIndex const a, NameIndex const b) {
-    return std::pair(-replicas_[a].reliability.rate(now, tuning_.figures), a) <
-           std::pair(-replicas_[b].reliability.rate(now, tuning_.figures), b);
+    return std::pair(-replicas_[a].reliability.failureRate(now, tuning_.scalerParameters), a) <
+           std::pair(-replicas_[b].reliability.failureRate(now, tuning_.scalerParameters), b);
   });
   worst.resize(std::min(worst.size(), serving / 3));
-  for (NameIndex const r : worst) replicas_[r].avoided = true;
+  for (NameIndex const r : worst) replicas_[r].ejected = true;
 }
 
 void RequestRouter::recordOutcome(RouterCommands& out, Tick now, Call& call, bool bad) {
-  if (call.judged) return;
-  call.judged = true;
+  if (call.outcomeRecorded) return;
+  call.outcomeRecorded = true;
   Replica& r = replicas_[call.replica];
   bool const before = r.reliability.trusted();
-  bool const rests = r.reliability.outcome(now, bad, tuning_.figures);
+  bool const rests = r.reliability.recordOutcome(now, bad, tuning_.scalerParameters);
   if (rests)
     logEvent(out, now, "replica-distrusted",
              {{"replica", replicaNames_.name(call.replica)},
-              {"rate", std::to_string(r.reliability.rate(now, tuning_.figures))}});
+              {"rate", std::to_string(r.reliability.failureRate(now, tuning_.scalerParameters))}});
   if (!before && r.reliability.trusted())
     logEvent(out, now, "replica-trusted", {{"replica", replicaNames_.name(call.replica)}});
-  if (!before || rests) poolViews_[r.pool].changed = true;
-  if (rests || before != r.reliability.trusted()) avoidWorst(now, r.pool);
+  if (!before || rests) pools_[r.pool].changed = true;
+  if (rests || before != r.reliability.trusted()) ejectOutliers(now, r.pool);
 }
 
-bool RequestRouter::overdue(Call const& call, Tick took) const {
-  Row const& row = rows_[call.path];
-  double const usual = credits_.at({call.pool, row.instance}).scaler.firstByteMean();
+bool RequestRouter::isOverdue(Call const& call, Tick took) const {
+  Route const& row = routes_[call.path];
+  double const usual = queues_.at({call.pool, row.instance}).scaler.firstByteMean();
   return static_cast<double>(took) >
-         tuning_.figures.lateAims * std::max(static_cast<double>(row.path.latencyTarget), usual);
+         tuning_.scalerParameters.lateTargets * std::max(static_cast<double>(row.path.latencyTarget), usual);
 }
 
-void RequestRouter::cool(NameIndex replica, Tick until) {
-  replicas_[replica].coolUntil = until;
-  poolViews_[replicas_[replica].pool].changed = true;
+void RequestRouter::backOff(NameIndex replica, Tick until) {
+  replicas_[replica].backoffUntil = until;
+  pools_[replicas_[replica].pool].changed = true;
 }
 
-std::vector<scaling::Candidate> RequestRouter::usableOf(Tick now, Credit const& c, bool warmRoom) const {
+std::vector<scaling::Candidate> RequestRouter::usableCandidates(Tick now, AdmissionQueue const& c,
+                                                                bool warmRoom) const {
   std::vector<scaling::Candidate> out;
   for (scaling::Candidate const& p : c.scaler.subset()) {
     if (!usable(now, p.replica)) continue;
-    if (p.cold) {
-      std::map<NameIndex, Warm>::const_iterator const w = warm_.find(p.replica);
-      if (w == warm_.end() || now >= w->second.until || !w->second.bucket.has(now, coldRate(replicas_[p.replica].pool)))
+    if (p.warmingUp) {
+      std::map<NameIndex, WarmupLease>::const_iterator const w = warmupLeases_.find(p.replica);
+      if (w == warmupLeases_.end() || now >= w->second.until ||
+          !w->second.bucket.hasToken(now, slowStartRate(replicas_[p.replica].pool)))
         continue;
     } else if (!warmRoom) {
       continue;
@@ -85,38 +88,39 @@
   return out;
 }
 
-bool RequestRouter::mayBeHome(NameIndex replica) const {
+bool RequestRouter::isHomeCandidate(NameIndex replica) const {
   Replica const& r = replicas_[replica];
-  return r.listed && !r.away && r.state == config::ReplicaState::serving && !evacuated(r.zone);
+  return r.listed && !r.unreachable && r.state == config::ReplicaState::serving && !isEvacuated(r.zone);
 }
 
-void RequestRouter::setApart(PoolView const& view) {
+void RequestRouter::isolateReplicas(PoolView const& view) {
   std::vector<std::pair<std::uint64_t, NameIndex>> order;
   for (NameIndex const r : view.replicas) {
-    replicas_[r].apart = false;
-    if (mayBeHome(r)) order.emplace_back(core::RandomGenerator(replicas_[r].hash).next(), r);
+    replicas_[r].isolated = false;
+    if (isHomeCandidate(r)) order.emplace_back(core::RandomGenerator(replicas_[r].hash).next(), r);
   }
   std::sort(order.begin(), order.end());
-  order.resize(static_cast<std::size_t>(tuning_.figures.isolatedShare * static_cast<double>(order.size())));
-  for (std::pair<std::uint64_t, NameIndex> const& o : order) replicas_[o.second].apart = true;
+  order.resize(static_cast<std::size_t>(tuning_.scalerParameters.isolatedFraction * static_cast<double>(order.size())));
+  for (std::pair<std::uint64_t, NameIndex> const& o : order) replicas_[o.second].isolated = true;
 }
 
-bool RequestRouter::readsApart(Call const& call) const {
+bool RequestRouter::needsIsolatedReplica(Call const& call) const {
   if (static_cast<double>(call.request.segments.back().tokens) <=
-      tuning_.figures.withinAim * static_cast<double>(rows_[call.path].path.latencyTarget))
+      tuning_.scalerParameters.targetTokensPerMs * static_cast<double>(routes_[call.path].path.latencyTarget))
     return false;
-  std::vector<NameIndex> const& all = poolViews_[call.pool].replicas;
-  return std::any_of(all.begin(), all.end(), [&](NameIndex const r) { return replicas_[r].apart && mayBeHome(r); });
+  std::vector<NameIndex> const& all = pools_[call.pool].replicas;
+  return std::any_of(all.begin(), all.end(),
+                     [&](NameIndex const r) { return replicas_[r].isolated && isHomeCandidate(r); });
 }
 
-NameIndex RequestRouter::home(Call const& call) const {
-  bool const apart = readsApart(call);
+NameIndex RequestRouter::homeReplica(Call const& call) const {
+  bool const apart = needsIsolatedReplica(call);
   std::uint64_t const shared = call.request.segments[call.request.segments.size() - 2].hash;
   NameIndex best = core::InternedNames::none;
   std::uint64_t bestOrder = 0;
-  for (NameIndex const r : poolViews_[call.pool].replicas) {
+  for (NameIndex const r : pools_[call.pool].replicas) {
     Replica const& replica = replicas_[r];
-    if (!mayBeHome(r) || replica.apart != apart) continue;
+    if (!isHomeCandidate(r) || replica.isolated != apart) continue;
     std::uint64_t const order = core::RandomGenerator(shared ^ replica.hash).next();
     if (best != core::InternedNames::none && order >= bestOrder) continue;
     best = r;
@@ -125,47 +129,48 @@
   return best;
 }
 
-std::int64_t RequestRouter::unread(Call const& call, NameIndex replica, NameIndex home) const {
+std::int64_t RequestRouter::uncachedPrefillTokens(Call const& call, NameIndex replica, NameIndex home) const {
   std::int64_t out = 0;
   bool kept = true;
   for (std::size_t i = 0; i + 1 < call.request.segments.size(); ++i) {
-    kept = kept && (replica == home || kept_.has(replica, call.request.segments[i].hash));
+    kept = kept && (replica == home || prefixCache_.has(replica, call.request.segments[i].hash));
     if (!kept) out += call.request.segments[i].tokens;
   }
   return out;
 }
 
-void RequestRouter::haveRead(Call& call) {
-  if (call.reading == 0) return;
-  replicas_[call.replica].reading -= call.reading;
-  call.reading = 0;
+void RequestRouter::finishPrefill(Call& call) {
+  if (call.prefillTokens == 0) return;
+  replicas_[call.replica].prefillTokens -= call.prefillTokens;
+  call.prefillTokens = 0;
 }
 
-std::int64_t RequestRouter::choose(Tick now, Call const& call, std::vector<scaling::Candidate> const& all) const {
-  scaling::Scaler const& scaler = credits_.at({call.pool, rows_[call.path].instance}).scaler;
+std::int64_t RequestRouter::chooseReplica(Tick now, Call const& call,
+                                          std::vector<scaling::Candidate> const& all) const {
+  scaling::Scaler const& scaler = queues_.at({call.pool, routes_[call.path].instance}).scaler;
   std::vector<scaling::Candidate> choices;
   for (scaling::Candidate const& c : all)
-    if (std::find(call.handedTo.begin(), call.handedTo.end(), c.replica) == call.handedTo.end() &&
-        fits(now, call, c.replica))
+    if (std::find(call.dispatchedTo.begin(), call.dispatchedTo.end(), c.replica) == call.dispatchedTo.end() &&
+        certifiedFor(now, call, c.replica))
       choices.push_back(c);
   std::function<bool(scaling::Candidate const&)> const avoid = [&](scaling::Candidate const& c) {
     Replica const& r = replicas_[c.replica];
-    return r.avoided && (r.reliability.resting(now) || r.inFlight > 0);
+    return r.ejected && (r.reliability.isResting(now) || r.inFlight > 0);
   };
   if (!std::all_of(choices.begin(), choices.end(), avoid)) std::erase_if(choices, avoid);
   if (call.request.segments.size() < 2) {
-    std::int64_t const last = call.prefix == 0 ? -1 : prefixes_.last(call.prefix);
+    std::int64_t const last = call.prefix == 0 ? -1 : prefixes_.lastReplica(call.prefix);
     return scaling::chooseReplica(scaler, choices, call.prefix == 0 ? seed_ ^ call.request.call : call.prefix, last);
   }
-  NameIndex const at = home(call);
-  bool const apart = at != core::InternedNames::none && replicas_[at].apart;
+  NameIndex const at = homeReplica(call);
+  bool const apart = at != core::InternedNames::none && replicas_[at].isolated;
   std::unordered_map<NameIndex, double> heldUp;
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_) {
     Call const& other = c.second;
-    if (other.phase != Phase::handed || other.reading == 0) continue;
-    double const late =
-        static_cast<double>(now - other.handedAt - tuning_.figures.wordSlack) * tuning_.figures.readPerMs -
-        static_cast<double>(other.reading);
+    if (other.phase != Phase::dispatched || other.prefillTokens == 0) continue;
+    double const late = static_cast<double>(now - other.dispatchedAt - tuning_.scalerParameters.firstByteSlack) *
+                            tuning_.scalerParameters.prefillTokensPerMs -
+                        static_cast<double>(other.prefillTokens);
     double& worst = heldUp[other.replica];
     worst = std::max(worst, late);
   }
@@ -173,10 +178,11 @@
   double bestCost = 0;
   std::uint64_t bestOrder = 0;
   for (scaling::Candidate const& c : choices) {
-    double const cost = scaler.inFlightAt(c.replica) * tuning_.figures.inFlightTokens + heldUp[c.replica] +
-                        tuning_.figures.unreadWeight * static_cast<double>(unread(call, c.replica, at)) +
-                        static_cast<double>(replicas_[c.replica].reading) +
-                        (replicas_[c.replica].apart != apart ? tuning_.figures.wrongKind : 0.0);
+    double const cost =
+        scaler.inFlightAt(c.replica) * tuning_.scalerParameters.inFlightTokens + heldUp[c.replica] +
+        tuning_.scalerParameters.uncachedTokenWeight * static_cast<double>(uncachedPrefillTokens(call, c.replica, at)) +
+        static_cast<double>(replicas_[c.replica].prefillTokens) +
+        (replicas_[c.replica].isolated != apart ? tuning_.scalerParameters.wrongGroupPenalty : 0.0);
     std::uint64_t const order =
         core::RandomGenerator(call.request.segments[call.request.segments.size() - 2].hash ^ replicas_[c.replica].hash)
             .next();
@@ -188,9 +194,9 @@
   return best;
 }
 
-std::vector<scaling::Candidate> RequestRouter::beyondPart(Tick now, NameIndex pool) const {
+std::vector<scaling::Candidate> RequestRouter::candidatesBeyondSubset(Tick now, NameIndex pool) const {
   std::vector<scaling::Candidate> out;
-  for (NameIndex const r : poolViews_[pool].replicas)
+  for (NameIndex const r : pools_[pool].replicas)
     if (usable(now, r) && replicas_[r].state == config::ReplicaState::serving)
       out.push_back(scaling::Candidate{r, false, core::stableHash(replicaNames_.name(r))});
   return out;
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -21,24 +21,24 @@
                              RouterTuning tuning)
     : tuning_(tuning),
       seed_(seed),
-      who_(self.link + "#" + std::to_string(seed)),
+      processName_(self.link + "#" + std::to_string(seed)),
       partialView_(std::move(self), std::move(seeds), seed ^ 0x91),
-      tenants_(partialView_.self().link, partialView_.self().incarnation, seed ^ 0x2d, tuning.quotaSlack),
+      tenants_(partialView_.self().link, partialView_.self().incarnation, seed ^ 0x2d, tuning.overdraftAllowance),
       rng_(seed ^ 0x3b) {}
 
-void RequestRouter::count(Tick now, std::string const& what, std::string const& about) {
+void RequestRouter::countMetric(Tick now, std::string const& what, std::string const& about) {
   journal_.append(now, what, about);
 }
 
 void RequestRouter::logEvent(RouterCommands& out, Tick now, core::EventName event,
                              std::map<std::string, std::string> fields) {
-  count(now, std::string(event.metricLabel()), fields.empty() ? "" : fields.begin()->second);
+  countMetric(now, std::string(event.metricLabel()), fields.empty() ? "" : fields.begin()->second);
   out.logEvents.push_back(core::LogEvent{event, std::move(fields)});
 }
 
 RouterCommands RequestRouter::started(Tick now) {
   RouterCommands out;
-  started_ = now;
+  startedAt_ = now;
   memoryFrom_ = now;
   lastEvent_ = now;
   logEvent(out, now, "started", {{"link", partialView_.self().link}});
@@ -60,45 +60,48 @@
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
 }
 
-void RequestRouter::noteLag(Tick now) {
+void RequestRouter::recordLag(Tick now) {
   if (now - lastEvent_ > 300) {
-    lag_ = now - lastEvent_;
-    lagAt_ = now;
+    eventLag_ = now - lastEvent_;
+    eventLagAt_ = now;
   }
   lastEvent_ = now;
 }
 
 RouterCommands RequestRouter::onTimer(Tick now) {
   RouterCommands out;
-  noteLag(now);
-  watchJoining(now);
-  if (now >= askAt_) {
-    askAt_ = now + (whole_ ? tuning_.askEvery : std::min(tuning_.askEvery, tuning_.askWhole));
+  recordLag(now);
+  updateJoining(now);
+  if (now >= nextLeaseRequestAt_) {
+    nextLeaseRequestAt_ =
+        now + (snapshotApplied_ ? tuning_.leaseRequestInterval
+                                : std::min(tuning_.leaseRequestInterval, tuning_.snapshotRequestInterval));
     chooseControllers(now);
-    for (std::string const& s : held_) sendAsk(out, now, s);
+    for (std::string const& s : controllerChoice_) sendLeaseRequest(out, now, s);
   }
-  touchNeighbours(out, now);
+  sendHeartbeats(out, now);
   std::vector<transport::Send> sends = partialView_.clockEvent(now);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
-  watchTenants(out, now);
-  if (now >= freeAt_) {
-    freeAt_ = now + freeEvery;
-    freeGone(now);
+  updateTenants(out, now);
+  if (now >= nextReleaseAt_) {
+    nextReleaseAt_ = now + freeEvery;
+    releaseRemoved(now);
   }
-  if (now >= warmAt_) {
-    warmAt_ = now + tuning_.warmEvery;
-    warmDuties(out, now);
+  if (now >= nextWarmupRequestAt_) {
+    nextWarmupRequestAt_ = now + tuning_.warmupRequestInterval;
+    updateWarmupLeases(out, now);
   }
   std::vector<CallId> late;
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_) {
     Call const& call = c.second;
-    if ((call.phase == Phase::asking && now - call.phaseAt > tuning_.seenWait) ||
-        (call.phase == Phase::connecting && now - call.phaseAt > tuning_.connectLimit) ||
-        (call.phase == Phase::streaming && now - call.phaseAt > tuning_.streamIdle) || pastDeadline(now, call) ||
-        (call.phase == Phase::held &&
-         now - call.arrived >
-             static_cast<Tick>(2 * tuning_.heldAims * static_cast<double>(rows_[call.path].path.latencyTarget))) ||
-        (call.phase != Phase::streaming && now >= call.until))
+    if ((call.phase == Phase::queryingRequestId && now - call.phaseSince > tuning_.requestIdQueryTimeout) ||
+        (call.phase == Phase::connecting && now - call.phaseSince > tuning_.connectTimeout) ||
+        (call.phase == Phase::streaming && now - call.phaseSince > tuning_.streamIdleTimeout) ||
+        isPastDeadline(now, call) ||
+        (call.phase == Phase::queued &&
+         now - call.arrived > static_cast<Tick>(2 * tuning_.maxQueueTargets *
+                                                static_cast<double>(routes_[call.path].path.latencyTarget))) ||
+        (call.phase != Phase::streaming && now >= call.deadline))
       late.push_back(c.first);
   }
   std::sort(late.begin(), late.end());
@@ -106,20 +109,20 @@
     std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
     if (it == calls_.end()) continue;
     switch (it->second.phase) {
-      case Phase::asking:
+      case Phase::queryingRequestId:
         if (it->second.request.attempt == 0) {
-          decideClaim(out, now, id, true);
+          decideRequestId(out, now, id, true);
           break;
         }
         reject(out, now, id, 409, "another node cannot say whether an earlier attempt ran", false, 0);
         break;
-      case Phase::counting:
-        reject(out, now, id, 503, "deadline passed", true, tuning_.comeBack);
+      case Phase::awaitingQuota:
+        reject(out, now, id, 503, "deadline passed", true, tuning_.defaultRetryAfter);
         break;
-      case Phase::held: {
-        Row const& row = rows_[it->second.path];
+      case Phase::queued: {
+        Route const& row = routes_[it->second.path];
         reject(out, now, id, 503, "held too long", true,
-               comeBack(credits_.at({it->second.pool, row.instance}), row.path.requestClass));
+               retryAfter(queues_.at({it->second.pool, row.instance}), row.path.requestClass));
         break;
       }
       case Phase::connecting: {
@@ -128,10 +131,10 @@
         append(out, more);
         break;
       }
-      case Phase::handed: {
-        if (overdue(it->second, now - it->second.phaseAt)) recordOutcome(out, now, it->second, true);
+      case Phase::dispatched: {
+        if (isOverdue(it->second, now - it->second.phaseSince)) recordOutcome(out, now, it->second, true);
         if (it->second.resumes > 0) {
-          breakOff(out, now, id);
+          abortStream(out, now, id);
         } else {
           out.calls.push_back(CloseUpstream{id});
           reject(out, now, id, 504, "unknown, may have run", false, 0);
@@ -139,92 +142,92 @@
         break;
       }
       case Phase::streaming: {
-        if (pastDeadline(now, it->second)) {
-          breakOff(out, now, id, "deadline passed");
+        if (isPastDeadline(now, it->second)) {
+          abortStream(out, now, id, "deadline passed");
           break;
         }
         out.calls.push_back(CloseUpstream{id});
-        RouterCommands const more = upstreamFinished(now, id, UpstreamResult::connectionLost);
+        RouterCommands const more = onUpstreamFinished(now, id, UpstreamResult::connectionLost);
         append(out, more);
         break;
       }
     }
   }
-  if (now >= lookAt_) {
-    lookAt_ = now + lookEvery;
+  if (now >= nextEvaluationAt_) {
+    nextEvaluationAt_ = now + lookEvery;
     refreshCandidates(out, now);
-    std::vector<CreditKey> const keys(awake_.begin(), awake_.end());
-    for (CreditKey const& k : keys) credits_.at(k).rate.closeWindow(now);
-    for (CreditKey const& k : keys) look(out, now, k);
-    std::erase_if(awake_, [&](CreditKey const& k) {
-      Credit const& c = credits_.at(k);
-      return c.heldCount() == 0 && c.scaler.atRest();
+    std::vector<QueueKey> const keys(activeQueues_.begin(), activeQueues_.end());
+    for (QueueKey const& k : keys) queues_.at(k).completions.closeWindow(now);
+    for (QueueKey const& k : keys) evaluateQueue(out, now, k);
+    std::erase_if(activeQueues_, [&](QueueKey const& k) {
+      AdmissionQueue const& c = queues_.at(k);
+      return c.queuedCount() == 0 && c.scaler.isAtRest();
     });
   }
-  watchRegimes(out, now);
+  enforceRegimes(out, now);
   return out;
 }
 
-bool RequestRouter::pastDeadline(Tick now, Call const& call) const {
-  return call.phase == Phase::streaming && !rows_[call.path].path.host.empty() &&
-         now >= call.until + tuning_.pastDeadline;
+bool RequestRouter::isPastDeadline(Tick now, Call const& call) const {
+  return call.phase == Phase::streaming && !routes_[call.path].path.host.empty() &&
+         now >= call.deadline + tuning_.deadlineGracePeriod;
 }
 
 RouterUsage RequestRouter::usage() const {
   return RouterUsage{replicaNames_.count(),
-                     instances_.count(),
-                     credits_.size(),
-                     awake_.size(),
-                     confirmations_.size() + echoes_.size() + heard_.size() + controllers_.size() + neighbours_.size() +
-                         silent_.size() + fetchedAt_.size(),
-                     seen_.size(),
+                     instanceNames_.count(),
+                     queues_.size(),
+                     activeQueues_.size(),
+                     leaseGrants_.size() + pendingHeartbeats_.size() + heardAt_.size() + controllers_.size() +
+                         neighbours_.size() + unresponsiveSince_.size() + valueRequestedAt_.size(),
+                     requestIds_.size(),
                      prefixes_.size(),
                      calls_.size()};
 }
 
-void RequestRouter::freeGone(Tick now) {
-  std::function<bool(Tick)> const old = [&](Tick at) { return now - at > tuning_.vouchAfter; };
-  std::erase_if(confirmations_,
-                [&](std::map<std::string, Confirmation>::value_type const& c) { return old(c.second.at); });
-  std::erase_if(echoes_, [&](std::map<std::string, transport::PeerHeartbeat>::value_type const& e) {
+void RequestRouter::releaseRemoved(Tick now) {
+  std::function<bool(Tick)> const old = [&](Tick at) { return now - at > tuning_.minimumMemoryAge; };
+  std::erase_if(leaseGrants_,
+                [&](std::map<std::string, LeaseGrantRecord>::value_type const& c) { return old(c.second.grantedAt); });
+  std::erase_if(pendingHeartbeats_, [&](std::map<std::string, transport::PeerHeartbeat>::value_type const& e) {
     return old(e.second.sentAt);
   });
-  std::erase_if(controllers_, [&](std::map<std::string, HeldLink>::value_type const& l) {
-    return old(std::max(l.second.since, l.second.good));
+  std::erase_if(controllers_, [&](std::map<std::string, PeerLink>::value_type const& l) {
+    return old(std::max(l.second.openedAt, l.second.lastUsefulAt));
   });
-  for (std::map<std::string, Tick>* const times : {&heard_, &fetchedAt_, &silent_})
+  for (std::map<std::string, Tick>* const times : {&heardAt_, &valueRequestedAt_, &unresponsiveSince_})
     std::erase_if(*times, [&](std::map<std::string, Tick>::value_type const& t) { return old(t.second); });
-  expireSeen(now);
+  expireRequestIds(now);
   std::set<NameIndex> replicasUsed;
   std::set<NameIndex> instancesUsed;
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_) {
     replicasUsed.insert(c.second.replica);
-    instancesUsed.insert(rows_.empty() ? 0 : rows_[c.second.path].instance);
+    instancesUsed.insert(routes_.empty() ? 0 : routes_[c.second.path].instance);
   }
-  for (std::unordered_map<std::string, NameIndex>::value_type const& r : routes_)
-    instancesUsed.insert(rows_[r.second].instance);
-  std::erase_if(credits_, [&](std::map<CreditKey, Credit>::value_type const& c) {
-    return instancesUsed.count(c.first.second) == 0 && c.second.scaler.inFlight() == 0 && c.second.heldCount() == 0;
+  for (std::unordered_map<std::string, NameIndex>::value_type const& r : routeIndex_)
+    instancesUsed.insert(routes_[r.second].instance);
+  std::erase_if(queues_, [&](std::map<QueueKey, AdmissionQueue>::value_type const& c) {
+    return instancesUsed.count(c.first.second) == 0 && c.second.scaler.inFlight() == 0 && c.second.queuedCount() == 0;
   });
-  std::erase_if(awake_, [&](CreditKey const& k) { return credits_.count(k) == 0; });
-  for (std::map<CreditKey, Credit>::value_type const& c : credits_) instancesUsed.insert(c.first.second);
-  for (NameIndex ix = 0; ix < instances_.size(); ++ix)
-    if (!instances_.name(ix).empty() && instancesUsed.count(ix) == 0) {
+  std::erase_if(activeQueues_, [&](QueueKey const& k) { return queues_.count(k) == 0; });
+  for (std::map<QueueKey, AdmissionQueue>::value_type const& c : queues_) instancesUsed.insert(c.first.second);
+  for (NameIndex ix = 0; ix < instanceNames_.size(); ++ix)
+    if (!instanceNames_.name(ix).empty() && instancesUsed.count(ix) == 0) {
       instanceRegimes_.erase(ix);
-      instances_.release(ix);
+      instanceNames_.release(ix);
     }
   for (NameIndex ix = 0; ix < replicas_.size(); ++ix) {
     if (replicaNames_.name(ix).empty() || replicas_[ix].listed || replicasUsed.count(ix) > 0) continue;
-    for (std::map<CreditKey, Credit>::value_type& c : credits_) c.second.scaler.forget(ix);
+    for (std::map<QueueKey, AdmissionQueue>::value_type& c : queues_) c.second.scaler.forget(ix);
     prefixes_.forget(ix);
-    kept_.forget(ix);
-    warm_.erase(ix);
+    prefixCache_.forget(ix);
+    warmupLeases_.erase(ix);
     replicas_[ix] = Replica{};
     replicaNames_.release(ix);
   }
 }
 
-void RequestRouter::retune(RouterTuning const& tuning, std::vector<std::string> seeds) {
+void RequestRouter::updateTuning(RouterTuning const& tuning, std::vector<std::string> seeds) {
   tuning_ = tuning;
   partialView_.setSeeds(std::move(seeds));
 }
@@ -234,7 +237,7 @@
   wallAhead_ = std::max(wallAhead_.value_or(wall - now), wall - now);
 }
 
-config::WallTime RequestRouter::wallAt(Tick now) const {
+config::WallTime RequestRouter::wallTimeAt(Tick now) const {
   return wallAhead_ ? config::WallTime(now + *wallAhead_) : std::nullopt;
 }
 
@@ -245,20 +248,20 @@
   drainedAt_ = now;
   partialView_.setDraining();
   logEvent(out, now, "draining", {{"in-hand", std::to_string(calls_.size())}});
-  std::vector<std::string> const& others = rosterOthers();
-  std::vector<transport::RequestIdHandover> left(1, transport::RequestIdHandover{who_, false, {}});
-  for (std::unordered_map<std::string, Seen>::value_type const& s : seen_) {
-    if (!s.second.mayHaveRun && s.second.call == 0) continue;
-    if (left.back().ids.size() >= leftAtOnce) left.push_back(transport::RequestIdHandover{who_, false, {}});
+  std::vector<std::string> const& others = otherRouters();
+  std::vector<transport::RequestIdHandover> left(1, transport::RequestIdHandover{processName_, false, {}});
+  for (std::unordered_map<std::string, RequestIdRecord>::value_type const& s : requestIds_) {
+    if (!s.second.mayHaveRun && s.second.activeCall == 0) continue;
+    if (left.back().ids.size() >= leftAtOnce) left.push_back(transport::RequestIdHandover{processName_, false, {}});
     left.back().ids.push_back(s.first);
   }
   left.back().last = true;
   for (std::string const& link : others)
     for (transport::RequestIdHandover const& l : left) out.sends.push_back(transport::Send{link, l});
-  for (std::map<NameIndex, Warm>::value_type& w : warm_) {
+  for (std::map<NameIndex, WarmupLease>::value_type& w : warmupLeases_) {
     if (now >= w.second.until) continue;
     w.second.until = -1;
-    poolViews_[replicas_[w.first].pool].changed = true;
+    pools_[replicas_[w.first].pool].changed = true;
     for (std::string const& s : controllers(now))
       out.sends.push_back(
           transport::Send{s, transport::WarmupLeaseRequest{now, replicaNames_.name(w.first), partialView_.self().link,
@@ -267,8 +270,9 @@
   }
   std::vector<CallId> waiting;
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_)
-    if (c.second.phase == Phase::asking || c.second.phase == Phase::counting) waiting.push_back(c.first);
-  for (CallId const id : waiting) reject(out, now, id, 503, "leaving", true, tuning_.comeBack);
+    if (c.second.phase == Phase::queryingRequestId || c.second.phase == Phase::awaitingQuota)
+      waiting.push_back(c.first);
+  for (CallId const id : waiting) reject(out, now, id, 503, "leaving", true, tuning_.defaultRetryAfter);
   return out;
 }
 
@@ -283,27 +287,27 @@
   out +=
       "# TYPE corkward_nacelle_part gauge\n# TYPE corkward_nacelle_cap gauge\n# TYPE corkward_nacelle_in_flight "
       "gauge\n# TYPE corkward_nacelle_held gauge\n";
-  for (std::map<CreditKey, Credit>::value_type const& c : credits_) {
+  for (std::map<QueueKey, AdmissionQueue>::value_type const& c : queues_) {
     std::string const labels =
-        "{instance=\"" + instances_.name(c.first.second) + "\",pool=\"" + pools_.name(c.first.first) + "\"} ";
+        "{instance=\"" + instanceNames_.name(c.first.second) + "\",pool=\"" + poolNames_.name(c.first.first) + "\"} ";
     out += "corkward_nacelle_part" + labels + std::to_string(c.second.scaler.subset().size()) + "\n";
     out += "corkward_nacelle_cap" + labels + std::to_string(c.second.scaler.cap()) + "\n";
     out += "corkward_nacelle_in_flight" + labels + std::to_string(c.second.scaler.inFlight()) + "\n";
-    out += "corkward_nacelle_held" + labels + std::to_string(c.second.heldCount()) + "\n";
+    out += "corkward_nacelle_held" + labels + std::to_string(c.second.queuedCount()) + "\n";
   }
   return out;
 }
 
 QJsonObject RequestRouter::state(Tick now) const {
   QJsonObject revisionsOut;
-  for (std::map<std::string, Key>::value_type const& k : keys_)
+  for (std::map<std::string, ConfigurationValue>::value_type const& k : values_)
     revisionsOut.insert(core::toQString(k.first), static_cast<qint64>(k.second.revision));
   return QJsonObject{{"link", core::toQString(partialView_.self().link)},
                      {"zone", core::toQString(partialView_.self().zone)},
                      {"standing", servingLease(now)},
                      {"ready", ready(now)},
                      {"draining", draining_},
-                     {"whole", whole_},
+                     {"whole", snapshotApplied_},
                      {"rosterSize", static_cast<qint64>(rosterSize())},
                      {"inHand", static_cast<qint64>(calls_.size())},
                      {"stamps", revisionsOut}};
--- a/dataplane/src/serving_lease.cpp
+++ b/dataplane/src/serving_lease.cpp
@@ -6,33 +6,34 @@
 
 namespace corkward::dataplane {
 
-bool RequestRouter::knowsAll(transport::Revisions const& revisions) const {
+bool RequestRouter::hasAllRevisions(transport::Revisions const& revisions) const {
   return std::all_of(revisions.begin(), revisions.end(),
                      [&](transport::Revisions::value_type const& s) { return revisionOf(s.first) >= s.second; });
 }
 
-bool RequestRouter::knows(transport::Digest const& digest, transport::Revisions const& revisions) const {
-  if (std::find(had_.begin(), had_.end(), digest) != had_.end()) return true;
-  return transport::digestOf(revisions) == digest && knowsAll(revisions);
+bool RequestRouter::isUpToDate(transport::Digest const& digest, transport::Revisions const& revisions) const {
+  if (std::find(digestHistory_.begin(), digestHistory_.end(), digest) != digestHistory_.end()) return true;
+  return transport::digestOf(revisions) == digest && hasAllRevisions(revisions);
 }
 
 void RequestRouter::refreshServingLease() {
-  for (std::map<std::string, Confirmation>::value_type& c : confirmations_)
-    if (c.second.at > c.second.good && knows(c.second.digest, c.second.revisions)) {
-      c.second.good = c.second.at;
-      vouched_ = vouched_ || c.second.at >= started_;
+  for (std::map<std::string, LeaseGrantRecord>::value_type& c : leaseGrants_)
+    if (c.second.grantedAt > c.second.usefulAt && isUpToDate(c.second.digest, c.second.revisions)) {
+      c.second.usefulAt = c.second.grantedAt;
+      confirmedByControl_ = confirmedByControl_ || c.second.grantedAt >= startedAt_;
     }
-  for (std::map<std::string, transport::PeerHeartbeat>::iterator e = echoes_.begin(); e != echoes_.end();) {
-    bool const known = knows(e->second.digest, e->second.revisions);
-    if (known) countHeard(e->first, e->second);
-    e = known ? echoes_.erase(e) : std::next(e);
+  for (std::map<std::string, transport::PeerHeartbeat>::iterator e = pendingHeartbeats_.begin();
+       e != pendingHeartbeats_.end();) {
+    bool const known = isUpToDate(e->second.digest, e->second.revisions);
+    if (known) recordHeartbeat(e->first, e->second);
+    e = known ? pendingHeartbeats_.erase(e) : std::next(e);
   }
 }
 
-void RequestRouter::countHeard(std::string const& from, transport::PeerHeartbeat const& echo) {
+void RequestRouter::recordHeartbeat(std::string const& from, transport::PeerHeartbeat const& echo) {
   if (!echo.hasSnapshot) return;
   std::function<void(std::string const&, Tick)> const heard = [this](std::string const& link, Tick at) {
-    Tick& newest = heard_.try_emplace(link, at).first->second;
+    Tick& newest = heardAt_.try_emplace(link, at).first->second;
     newest = std::max(newest, at);
   };
   heard(from, echo.sentAt);
@@ -44,69 +45,70 @@
   }
 }
 
-std::string RequestRouter::ages(Tick now) const {
+std::string RequestRouter::encodeAges(Tick now) const {
   std::string out;
   for (std::map<std::string, std::string>::value_type const& z : roster_.zones) {
-    std::map<std::string, Tick>::const_iterator const it = heard_.find(z.first);
+    std::map<std::string, Tick>::const_iterator const it = heardAt_.find(z.first);
     Tick const age = z.first == partialView_.self().link ? 0
-                     : it == heard_.end()                ? tuning_.confirmFor + 1
+                     : it == heardAt_.end()              ? tuning_.servingLeaseDuration + 1
                                                          : now - it->second;
     Tick const units = (age + transport::ageUnit - 1) / transport::ageUnit;
-    out += static_cast<char>(age > tuning_.confirmFor || units >= unknownAge ? unknownAge : units);
+    out += static_cast<char>(age > tuning_.servingLeaseDuration || units >= unknownAge ? unknownAge : units);
   }
   return out;
 }
 
-bool RequestRouter::confirmedWithin(Tick now, Tick age) const {
-  return std::any_of(confirmations_.begin(), confirmations_.end(),
-                     [&](std::map<std::string, Confirmation>::value_type const& c) {
-                       return c.second.good >= 0 && now - c.second.good <= age;
+bool RequestRouter::hasLeaseWithin(Tick now, Tick age) const {
+  return std::any_of(leaseGrants_.begin(), leaseGrants_.end(),
+                     [&](std::map<std::string, LeaseGrantRecord>::value_type const& c) {
+                       return c.second.usefulAt >= 0 && now - c.second.usefulAt <= age;
                      });
 }
 
-bool RequestRouter::mostHeard(Tick now) const {
-  if (rosterSize() < tuning_.leastRoster) return false;
-  std::size_t fresh = vouched_ ? 1 : 0;
-  for (std::string const& link : rosterOthers()) {
-    std::map<std::string, Tick>::const_iterator const it = heard_.find(link);
-    fresh += it != heard_.end() && now - it->second <= tuning_.confirmFor ? 1 : 0;
+bool RequestRouter::hasHeardMajority(Tick now) const {
+  if (rosterSize() < tuning_.minRosterSize) return false;
+  std::size_t fresh = confirmedByControl_ ? 1 : 0;
+  for (std::string const& link : otherRouters()) {
+    std::map<std::string, Tick>::const_iterator const it = heardAt_.find(link);
+    fresh += it != heardAt_.end() && now - it->second <= tuning_.servingLeaseDuration ? 1 : 0;
   }
   return fresh >= majorityOf(rosterSize());
 }
 
 bool RequestRouter::servingLease(Tick now) const {
-  if (!tuning_.fenced) return whole_ && !rows_.empty();
-  if (!whole_ || !roster_.self || roster_.joining) return false;
-  return confirmedWithin(now, tuning_.confirmFor) || mostHeard(now);
+  if (!tuning_.leaseRequired) return snapshotApplied_ && !routes_.empty();
+  if (!snapshotApplied_ || !roster_.self || roster_.joining) return false;
+  return hasLeaseWithin(now, tuning_.servingLeaseDuration) || hasHeardMajority(now);
 }
 
-bool RequestRouter::evacuated(std::string const& zone) const {
+bool RequestRouter::isEvacuated(std::string const& zone) const {
   return evacuated_.count(zone) > 0;
 }
 
 bool RequestRouter::ready(Tick now) const {
-  bool const young = tuning_.fenced && now - started_ < tuning_.youngWait;
+  bool const young = tuning_.leaseRequired && now - startedAt_ < tuning_.startupGracePeriod;
   return !draining_ && !young && servingLease(now) &&
-         !(tuning_.evacuationFailsReady && evacuated(partialView_.self().zone)) && !rows_.empty();
+         !(tuning_.evacuationFailsReady && isEvacuated(partialView_.self().zone)) && !routes_.empty();
 }
 
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::ServingLeaseGrant const& m) {
-  for (transport::EndpointRemovalHint const& h : m.removalHints) takeHint(out, now, h);
-  std::map<std::string, HeldLink>::iterator const held = controllers_.find(from);
+  for (transport::EndpointRemovalHint const& h : m.removalHints) applyRemovalHint(out, now, h);
+  std::map<std::string, PeerLink>::iterator const held = controllers_.find(from);
   if (held != controllers_.end()) {
     if (m.hasQuorum) {
-      held->second.unanswered = -1;
-      held->second.good = now;
+      held->second.firstUnansweredAt = -1;
+      held->second.lastUsefulAt = now;
     }
-    held->second.wantRevisions = m.wantsRevisions;
-    if (m.wantsRevisions && now - held->second.namedAt >= tuning_.askEvery / 3) sendAsk(out, now, from);
+    held->second.revisionsRequested = m.wantsRevisions;
+    if (m.wantsRevisions && now - held->second.announcedAt >= tuning_.leaseRequestInterval / 3)
+      sendLeaseRequest(out, now, from);
   }
   if (m.rosterRevision > 0 && m.rosterRevision >= roster_.revision) roster_.joining = false;
   if (!m.hasQuorum || m.quorumAge < 0 || m.requestSentAt > now) return;
-  Confirmation& c = confirmations_[from];
+  LeaseGrantRecord& c = leaseGrants_[from];
   Tick const at = m.requestSentAt - m.quorumAge;
-  if (at > c.at) {
-    c.at = at;
+  if (at > c.grantedAt) {
+    c.grantedAt = at;
     c.digest = m.digest;
     c.revisions = m.revisions;
   }
--- a/dataplane/src/tenant_limits.cpp
+++ b/dataplane/src/tenant_limits.cpp
@@ -23,61 +23,61 @@
 
 }  // namespace
 
-Admission RequestRouter::withinQuota(RouterCommands& out, Tick now, Call& call) {
-  config::Tenant const* const tenant = call.tenant.empty() ? nullptr : tenants_.byKey(call.request.key);
+Admission RequestRouter::admitByQuota(RouterCommands& out, Tick now, Call& call) {
+  config::Tenant const* const tenant = call.tenant.empty() ? nullptr : tenants_.byKey(call.request.tenantKey);
   if (tenant == nullptr) return Admission::granted;
   call.amount = Tenants::amountOf(*tenant, call.request.tokens);
   Admission const admission = tenants_.admit(now, call.request.call, *tenant, call.amount, out.sends);
   if (admission == Admission::granted) {
-    call.quota = QuotaState::taken;
-    call.quotaAt = now;
+    call.quotaState = QuotaState::taken;
+    call.quotaTakenAt = now;
   }
   return admission;
 }
 
 bool RequestRouter::spendQuota(Tick now, Call& call) {
   if (call.tenant.empty()) return true;
-  if (call.quota == QuotaState::taken && now - call.quotaAt > quota::maxDispatchDelay) giveBackQuota(now, call);
-  if (call.quota != QuotaState::taken && !tenants_.take(now, call.tenant, call.amount)) return false;
-  call.quota = QuotaState::used;
+  if (call.quotaState == QuotaState::taken && now - call.quotaTakenAt > quota::maxDispatchDelay) returnQuota(now, call);
+  if (call.quotaState != QuotaState::taken && !tenants_.takeAmount(now, call.tenant, call.amount)) return false;
+  call.quotaState = QuotaState::used;
   return true;
 }
 
 void RequestRouter::rejectOverQuota(RouterCommands& out, Tick now, CallId id, Admission admission) {
-  reject(out, now, id, 429, reasonOf(admission), true, tuning_.quotaComeBack);
+  reject(out, now, id, 429, reasonOf(admission), true, tuning_.quotaRetryAfter);
 }
 
-void RequestRouter::giveBackQuota(Tick now, Call& call) {
-  if (call.quota == QuotaState::taken) tenants_.giveBack(now, call.tenant, call.amount);
-  call.quota = QuotaState::none;
+void RequestRouter::returnQuota(Tick now, Call& call) {
+  if (call.quotaState == QuotaState::taken) tenants_.returnAmount(now, call.tenant, call.amount);
+  call.quotaState = QuotaState::none;
 }
 
-void RequestRouter::decideQuota(RouterCommands& out, Tick now, std::vector<QuotaDecision> const& decisions) {
+void RequestRouter::applyQuotaDecisions(RouterCommands& out, Tick now, std::vector<QuotaDecision> const& decisions) {
   for (QuotaDecision const& decision : decisions) {
     std::unordered_map<CallId, Call>::iterator const it = calls_.find(decision.call);
-    Call* const call = it == calls_.end() || it->second.phase != Phase::counting ? nullptr : &it->second;
+    Call* const call = it == calls_.end() || it->second.phase != Phase::awaitingQuota ? nullptr : &it->second;
     if (call == nullptr) continue;
     if (decision.admission != Admission::granted) {
       rejectOverQuota(out, now, decision.call, decision.admission);
       continue;
     }
-    call->quota = QuotaState::taken;
-    call->quotaAt = decision.takenAt;
-    place(out, now, decision.call);
+    call->quotaState = QuotaState::taken;
+    call->quotaTakenAt = decision.amountTakenAt;
+    admitOrQueue(out, now, decision.call);
   }
 }
 
-void RequestRouter::watchTenants(RouterCommands& out, Tick now) {
-  tenants_.around(membershipLinks_, rosterSize());
-  decideQuota(out, now, tenants_.clockEvent(now, out.sends));
+void RequestRouter::updateTenants(RouterCommands& out, Tick now) {
+  tenants_.setMembers(membershipLinks_, rosterSize());
+  applyQuotaDecisions(out, now, tenants_.onTimer(now, out.sends));
 }
 
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, quota::QuotaGrants const& m) {
-  decideQuota(out, now, tenants_.arrived(now, from, m, out.sends));
+  applyQuotaDecisions(out, now, tenants_.onMessage(now, from, m, out.sends));
 }
 
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, quota::AllocationQuery const& m) {
-  out.sends.push_back(tenants_.arrived(now, from, m));
+  out.sends.push_back(tenants_.onMessage(now, from, m));
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/tenants.cpp
+++ b/dataplane/src/tenants.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 Tenants::Tenants(std::string link, std::uint64_t life, std::uint64_t seed, quota::OverdraftAllowance const& slack)
-    : link_(std::move(link)), life_(life), rng_(seed), slack_(slack) {}
+    : link_(std::move(link)), incarnation_(life), rng_(seed), overdraftAllowance_(slack) {}
 
 void Tenants::configure(std::vector<config::Tenant> tenants) {
   tenants_ = std::move(tenants);
@@ -37,9 +37,9 @@
     for (std::string const& key : tenant.keys) byKey_[key] = i;
     if (tenant.ratePerSecond <= 0) continue;
     limitedNames.insert(tenant.name);
-    gates_[tenant.name].limit = {tenant.ratePerSecond, tenant.burst};
+    limiters_[tenant.name].limit = {tenant.ratePerSecond, tenant.burst};
   }
-  std::erase_if(gates_, [&](auto const& gate) { return limitedNames.count(gate.first) == 0; });
+  std::erase_if(limiters_, [&](auto const& gate) { return limitedNames.count(gate.first) == 0; });
 }
 
 config::Tenant const* Tenants::byKey(std::string const& key) const {
@@ -47,9 +47,9 @@
   return it == byKey_.end() ? nullptr : &tenants_[it->second];
 }
 
-void Tenants::around(std::vector<std::string> const& controllers, std::size_t routers) {
+void Tenants::setMembers(std::vector<std::string> const& controllers, std::size_t routers) {
   if (controllers_ != controllers) controllers_ = controllers;
-  crowd_.routers = std::max(crowd_.routers, routers);
+  unallocatedShare_.routers = std::max(unallocatedShare_.routers, routers);
 }
 
 double Tenants::amountOf(config::Tenant const& tenant, std::optional<std::int64_t> tokens) {
@@ -58,11 +58,11 @@
 }
 
 Tenants::Limited* Tenants::limited(std::string const& tenant) {
-  auto const it = gates_.find(tenant);
-  return it == gates_.end() ? nullptr : &it->second;
+  auto const it = limiters_.find(tenant);
+  return it == limiters_.end() ? nullptr : &it->second;
 }
 
-double Tenants::draw() {
+double Tenants::randomFraction() {
   return static_cast<double>(rng_.next() >> 11) * 0x1.0p-53;
 }
 
@@ -70,54 +70,56 @@
                          std::vector<transport::Send>& out) {
   Limited* const limit = limited(tenant.name);
   if (limit == nullptr) return Admission::granted;
-  if (!limit->gate.onRequest(now, amount, draw())) return Admission::rejectedByAllocation;
-  if (limit->gate.tryAcquire(now, limit->limit, slack_, amount)) return Admission::granted;
+  if (!limit->limiter.onRequest(now, amount, randomFraction())) return Admission::rejectedByAllocation;
+  if (limit->limiter.tryAcquire(now, limit->limit, overdraftAllowance_, amount)) return Admission::granted;
   Waiting const waiting{call, tenant.name, amount, now, 0};
-  if (now < limit->scarceUntil) return Admission::rejectedByCoordinator;
-  if (ask(now, waiting, out)) return Admission::pending;
-  return withoutLender(now, waiting).admission;
+  if (now < limit->depletedUntil) return Admission::rejectedByCoordinator;
+  if (requestAmount(now, waiting, out)) return Admission::pending;
+  return decideWithoutCoordinator(now, waiting).admission;
 }
 
-bool Tenants::take(Tick now, std::string const& tenant, double amount) {
+bool Tenants::takeAmount(Tick now, std::string const& tenant, double amount) {
   Limited* const limit = limited(tenant);
-  return limit == nullptr || limit->gate.tryAcquire(now, limit->limit, slack_, amount);
+  return limit == nullptr || limit->limiter.tryAcquire(now, limit->limit, overdraftAllowance_, amount);
 }
 
-void Tenants::giveBack(Tick now, std::string const& tenant, double amount) {
+void Tenants::returnAmount(Tick now, std::string const& tenant, double amount) {
   Limited* const limit = limited(tenant);
-  if (limit != nullptr) limit->gate.refund(now, limit->limit, slack_, amount);
+  if (limit != nullptr) limit->limiter.refund(now, limit->limit, overdraftAllowance_, amount);
 }
 
-QuotaDecision Tenants::withoutLender(Tick now, Waiting const& waiting) {
+QuotaDecision Tenants::decideWithoutCoordinator(Tick now, Waiting const& waiting) {
   Limited* const limit = limited(waiting.tenant);
-  bool const granted = limit == nullptr || limit->gate.tryAcquire(now, limit->limit, slack_, waiting.amount) ||
-                       limit->gate.tryAcquireUnallocated(now, limit->limit, slack_, waiting.amount, crowd_, draw());
+  bool const granted = limit == nullptr ||
+                       limit->limiter.tryAcquire(now, limit->limit, overdraftAllowance_, waiting.amount) ||
+                       limit->limiter.tryAcquireUnallocated(now, limit->limit, overdraftAllowance_, waiting.amount,
+                                                            unallocatedShare_, randomFraction());
   return {waiting.call, granted ? Admission::granted : Admission::rejectedWithoutCoordinator, now};
 }
 
-void Tenants::findSilent(Tick now) {
-  for (auto& entry : lenders_) {
-    Lender& lender = entry.second;
-    if (lender.unanswered < 0 || now - lender.unanswered <= answerWithin) continue;
-    lender.silentAt = now;
-    lender.unanswered = -1;
-    std::erase_if(told_, [&](auto const& told) { return told.second == entry.first; });
+void Tenants::detectTimeouts(Tick now) {
+  for (auto& entry : coordinators_) {
+    CoordinatorLink& lender = entry.second;
+    if (lender.firstUnansweredAt < 0 || now - lender.firstUnansweredAt <= answerWithin) continue;
+    lender.timedOutAt = now;
+    lender.firstUnansweredAt = -1;
+    std::erase_if(announcedOwners_, [&](auto const& told) { return told.second == entry.first; });
   }
 }
 
-bool Tenants::silent(Tick now, std::string const& link) const {
-  auto const it = lenders_.find(link);
-  return it != lenders_.end() && it->second.silentAt >= 0 && now - it->second.silentAt < passOverFor;
+bool Tenants::isUnresponsive(Tick now, std::string const& link) const {
+  auto const it = coordinators_.find(link);
+  return it != coordinators_.end() && it->second.timedOutAt >= 0 && now - it->second.timedOutAt < passOverFor;
 }
 
-std::string Tenants::lenderOf(Tick now, std::uint64_t part) const {
-  auto const nobody = nobodyUntil_.find(part);
-  if (nobody != nobodyUntil_.end() && now < nobody->second) return {};
-  auto const told = told_.find(part);
-  if (told != told_.end() && !silent(now, told->second)) return told->second;
+std::string Tenants::coordinatorOf(Tick now, std::uint64_t part) const {
+  auto const nobody = ownerlessUntil_.find(part);
+  if (nobody != ownerlessUntil_.end() && now < nobody->second) return {};
+  auto const told = announcedOwners_.find(part);
+  if (told != announcedOwners_.end() && !isUnresponsive(now, told->second)) return told->second;
   std::string best;
   for (std::string const& link : controllers_) {
-    if (silent(now, link)) continue;
+    if (isUnresponsive(now, link)) continue;
     if (best.empty() || quota::ownerRank(part, link) < quota::ownerRank(part, best)) best = link;
   }
   return best;
@@ -125,113 +127,113 @@
 
 void Tenants::send(Tick now, std::string const& lender, std::vector<quota::TenantUsage> uses,
                    std::vector<Waiting> waiting, std::vector<transport::Send>& out) {
-  Lender& known = lenders_[lender];
-  if (known.unanswered < 0) known.unanswered = now;
+  CoordinatorLink& known = coordinators_[lender];
+  if (known.firstUnansweredAt < 0) known.firstUnansweredAt = now;
   std::uint64_t const number = nextReport_++;
-  asked_[number] = Asked{now, lender, std::move(waiting)};
-  out.push_back(transport::Send{lender, quota::UsageReport{link_, life_, number, std::move(uses)}});
+  pendingReports_[number] = PendingReport{now, lender, std::move(waiting)};
+  out.push_back(transport::Send{lender, quota::UsageReport{link_, incarnation_, number, std::move(uses)}});
 }
 
-bool Tenants::ask(Tick now, Waiting waiting, std::vector<transport::Send>& out) {
+bool Tenants::requestAmount(Tick now, Waiting waiting, std::vector<transport::Send>& out) {
   Limited* const limit = limited(waiting.tenant);
-  std::string const lender = lenderOf(now, quota::partitionOf(waiting.tenant));
-  if (limit == nullptr || lender.empty() || waiting.asked >= mostAsks) return false;
-  ++waiting.asked;
-  quota::TenantUsage use = limit->gate.takeReport(now, limit->limit, slack_, waiting.amount);
+  std::string const lender = coordinatorOf(now, quota::partitionOf(waiting.tenant));
+  if (limit == nullptr || lender.empty() || waiting.queries >= mostAsks) return false;
+  ++waiting.queries;
+  quota::TenantUsage use = limit->limiter.takeReport(now, limit->limit, overdraftAllowance_, waiting.amount);
   use.tenant = waiting.tenant;
   send(now, lender, {std::move(use)}, {std::move(waiting)}, out);
   return true;
 }
 
-void Tenants::report(Tick now, std::vector<transport::Send>& out) {
+void Tenants::sendReports(Tick now, std::vector<transport::Send>& out) {
   std::map<std::string, std::vector<quota::TenantUsage>> uses;
-  for (auto& [name, limit] : gates_) {
-    if (!limit.gate.reportDue(now)) continue;
-    std::string const lender = lenderOf(now, quota::partitionOf(name));
+  for (auto& [name, limit] : limiters_) {
+    if (!limit.limiter.reportDue(now)) continue;
+    std::string const lender = coordinatorOf(now, quota::partitionOf(name));
     if (lender.empty()) continue;
-    quota::TenantUsage use = limit.gate.takeReport(now, limit.limit, slack_, 0);
+    quota::TenantUsage use = limit.limiter.takeReport(now, limit.limit, overdraftAllowance_, 0);
     use.tenant = name;
     uses[lender].push_back(std::move(use));
   }
   for (auto& [lender, some] : uses) send(now, lender, std::move(some), {}, out);
 }
 
-std::vector<QuotaDecision> Tenants::clockEvent(Tick now, std::vector<transport::Send>& out) {
+std::vector<QuotaDecision> Tenants::onTimer(Tick now, std::vector<transport::Send>& out) {
   std::vector<QuotaDecision> decisions;
-  for (auto& [number, asked] : asked_) {
+  for (auto& [number, asked] : pendingReports_) {
     std::erase_if(asked.waiting, [&](Waiting const& waiting) {
       if (now - waiting.since < waitAtMost) return false;
-      decisions.push_back(withoutLender(now, waiting));
+      decisions.push_back(decideWithoutCoordinator(now, waiting));
       return true;
     });
   }
-  std::erase_if(asked_, [&](auto const& asked) { return now - asked.second.at > passOverFor; });
+  std::erase_if(pendingReports_, [&](auto const& asked) { return now - asked.second.at > passOverFor; });
   if (now < reportAt_) return decisions;
   reportAt_ = now + reportEvery;
-  findSilent(now);
-  report(now, out);
-  if (gates_.size() > gatesKept)
-    for (auto& [name, limit] : gates_)
-      if (limit.gate.idle(now)) limit.gate = quota::QuotaLimiter();
+  detectTimeouts(now);
+  sendReports(now, out);
+  if (limiters_.size() > gatesKept)
+    for (auto& [name, limit] : limiters_)
+      if (limit.limiter.idle(now)) limit.limiter = quota::QuotaLimiter();
   return decisions;
 }
 
-std::vector<QuotaDecision> Tenants::arrived(Tick now, std::string const& from, quota::QuotaGrants const& message,
-                                            std::vector<transport::Send>& out) {
+std::vector<QuotaDecision> Tenants::onMessage(Tick now, std::string const& from, quota::QuotaGrants const& message,
+                                              std::vector<transport::Send>& out) {
   std::vector<QuotaDecision> decisions;
-  auto const at = asked_.find(message.reportNumber);
-  if (at == asked_.end() || at->second.lender != from) return decisions;
-  Asked const asked = std::move(at->second);
-  asked_.erase(at);
-  lenders_[from].unanswered = -1;
+  auto const at = pendingReports_.find(message.reportNumber);
+  if (at == pendingReports_.end() || at->second.coordinator != from) return decisions;
+  PendingReport const asked = std::move(at->second);
+  pendingReports_.erase(at);
+  coordinators_[from].firstUnansweredAt = -1;
   for (quota::PartitionOwner const& elsewhere : message.partitionOwners) {
-    told_[elsewhere.partition] = elsewhere.coordinator;
+    announcedOwners_[elsewhere.partition] = elsewhere.coordinator;
     if (elsewhere.coordinator.empty()) {
-      told_.erase(elsewhere.partition);
-      nobodyUntil_[elsewhere.partition] = now + nobodyFor;
+      announcedOwners_.erase(elsewhere.partition);
+      ownerlessUntil_[elsewhere.partition] = now + nobodyFor;
     }
   }
   for (quota::QuotaGrant const& loan : message.grants) {
     std::uint64_t const part = quota::partitionOf(loan.tenant);
     Limited* const limit = limited(loan.tenant);
     if (limit == nullptr || message.reportNumber < countsFrom_[part]) continue;
-    told_[part] = from;
-    limit->gate.onGrant(now, limit->limit, slack_, asked.at, loan);
+    announcedOwners_[part] = from;
+    limit->limiter.onGrant(now, limit->limit, overdraftAllowance_, asked.at, loan);
   }
   for (Waiting const& waiting : asked.waiting) {
     Limited* const limit = limited(waiting.tenant);
     bool const lent = std::any_of(message.grants.begin(), message.grants.end(),
                                   [&](quota::QuotaGrant const& loan) { return loan.tenant == waiting.tenant; });
-    if (limit == nullptr || limit->gate.tryAcquire(now, limit->limit, slack_, waiting.amount)) {
+    if (limit == nullptr || limit->limiter.tryAcquire(now, limit->limit, overdraftAllowance_, waiting.amount)) {
       decisions.push_back({waiting.call, Admission::granted, asked.at});
     } else if (lent) {
-      limit->scarceUntil = now + scarceFor;
+      limit->depletedUntil = now + scarceFor;
       decisions.push_back({waiting.call, Admission::rejectedByCoordinator, now});
-    } else if (!ask(now, waiting, out)) {
-      decisions.push_back(withoutLender(now, waiting));
+    } else if (!requestAmount(now, waiting, out)) {
+      decisions.push_back(decideWithoutCoordinator(now, waiting));
     }
   }
   for (quota::QuotaGrant const& loan : message.grants)
-    if (Limited* const limit = limited(loan.tenant)) limit->gate.trim(now, limit->limit, slack_);
+    if (Limited* const limit = limited(loan.tenant)) limit->limiter.trim(now, limit->limit, overdraftAllowance_);
   return decisions;
 }
 
-transport::Send Tenants::arrived(Tick now, std::string const& from, quota::AllocationQuery const& message) {
+transport::Send Tenants::onMessage(Tick now, std::string const& from, quota::AllocationQuery const& message) {
   quota::AllocationReport claims;
   claims.link = link_;
-  claims.incarnation = life_;
+  claims.incarnation = incarnation_;
   claims.terms = message.terms;
   for (quota::PartitionTerm const& term : message.terms) {
     countsFrom_[term.partition] = nextReport_;
-    told_[term.partition] = from;
-    nobodyUntil_.erase(term.partition);
+    announcedOwners_[term.partition] = from;
+    ownerlessUntil_.erase(term.partition);
   }
-  for (auto const& [name, limit] : gates_) {
+  for (auto const& [name, limit] : limiters_) {
     std::uint64_t const part = quota::partitionOf(name);
     bool const asked = std::any_of(message.terms.begin(), message.terms.end(),
                                    [&](quota::PartitionTerm const& term) { return term.partition == part; });
-    if (!asked || !limit.gate.hasAllocation(now)) continue;
-    quota::TenantUsage use = limit.gate.currentUsage(now, limit.limit, slack_);
+    if (!asked || !limit.limiter.hasAllocation(now)) continue;
+    quota::TenantUsage use = limit.limiter.currentUsage(now, limit.limit, overdraftAllowance_);
     use.tenant = name;
     claims.usages.push_back(std::move(use));
   }
--- a/dataplane/src/warmup_leases.cpp
+++ b/dataplane/src/warmup_leases.cpp
@@ -4,22 +4,22 @@
 
 namespace corkward::dataplane {
 
-bool RequestRouter::warmHeld(Tick now, NameIndex replica) const {
-  std::map<NameIndex, Warm>::const_iterator const it = warm_.find(replica);
-  return it != warm_.end() && now < it->second.until;
+bool RequestRouter::holdsWarmupLease(Tick now, NameIndex replica) const {
+  std::map<NameIndex, WarmupLease>::const_iterator const it = warmupLeases_.find(replica);
+  return it != warmupLeases_.end() && now < it->second.until;
 }
 
-void RequestRouter::warmDuties(RouterCommands& out, Tick now) {
+void RequestRouter::updateWarmupLeases(RouterCommands& out, Tick now) {
   std::vector<std::string> const subs = controllers(now);
-  std::vector<std::string> nodes = rosterOthers();
+  std::vector<std::string> nodes = otherRouters();
   nodes.push_back(partialView_.self().link);
-  for (std::size_t p = 0; p < poolViews_.size(); ++p) {
-    for (NameIndex const r : poolViews_[p].replicas) {
-      Warm& w = warm_.try_emplace(r).first->second;
-      bool const want = !draining_ && whole_ && replicas_[r].state == config::ReplicaState::cold &&
-                        replicas_[r].listed && !evacuated(replicas_[r].zone);
+  for (std::size_t p = 0; p < pools_.size(); ++p) {
+    for (NameIndex const r : pools_[p].replicas) {
+      WarmupLease& w = warmupLeases_.try_emplace(r).first->second;
+      bool const want = !draining_ && snapshotApplied_ && replicas_[r].state == config::ReplicaState::warmingUp &&
+                        replicas_[r].listed && !isEvacuated(replicas_[r].zone);
       if (!want) {
-        poolViews_[p].changed = poolViews_[p].changed || now < w.until;
+        pools_[p].changed = pools_[p].changed || now < w.until;
         w.until = -1;
         w.wantedSince = -1;
         continue;
@@ -30,8 +30,8 @@
       Tick rank = 0;
       for (std::string const& n : nodes) rank += core::stableHash(name + n) < mine ? 1 : 0;
       bool const held = now < w.until;
-      Tick const openSince = std::max(w.wantedSince, w.coveredUntil);
-      if (!held && now - openSince < rank * 2 * tuning_.warmEvery) continue;
+      Tick const openSince = std::max(w.wantedSince, w.fullyGrantedUntil);
+      if (!held && now - openSince < rank * 2 * tuning_.warmupRequestInterval) continue;
       if (w.grants.size() > 8) w.grants.erase(w.grants.begin());
       for (std::string const& s : subs)
         out.sends.push_back(
@@ -44,9 +44,10 @@
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const&, transport::WarmupLeaseGrant const& m) {
   NameIndex const r = replicaNames_.find(m.replica);
   if (r >= replicas_.size() || m.requestSentAt > now) return;
-  Warm& w = warm_.try_emplace(r).first->second;
+  WarmupLease& w = warmupLeases_.try_emplace(r).first->second;
   if (!m.granted) {
-    if (m.holder != partialView_.self().link) w.coveredUntil = std::max(w.coveredUntil, now + tuning_.warmLease);
+    if (m.holder != partialView_.self().link)
+      w.fullyGrantedUntil = std::max(w.fullyGrantedUntil, now + tuning_.warmupLeaseDuration);
     return;
   }
   if (membershipIds_.empty()) return;
@@ -54,12 +55,12 @@
   yes.insert(m.member);
   std::size_t n = 0;
   for (std::string const& id : membershipIds_) n += yes.count(id);
-  if (n < majorityOf(membershipIds_.size()) || m.requestSentAt + tuning_.warmLease <= w.until) return;
+  if (n < majorityOf(membershipIds_.size()) || m.requestSentAt + tuning_.warmupLeaseDuration <= w.until) return;
   bool const fresh = now >= w.until;
-  w.until = m.requestSentAt + tuning_.warmLease;
+  w.until = m.requestSentAt + tuning_.warmupLeaseDuration;
   if (!fresh) return;
   w.bucket = scaling::SlowStartBucket(now);
-  poolViews_[replicas_[r].pool].changed = true;
+  pools_[replicas_[r].pool].changed = true;
   logEvent(out, now, "warming-duty", {{"replica", m.replica}, {"epoch", std::to_string(m.term)}});
   refreshCandidates(out, now);
 }
--- a/dataplane/test/golden_pages_test.cpp
+++ b/dataplane/test/golden_pages_test.cpp
@@ -44,7 +44,7 @@
   return "connect call=" + std::to_string(m.call) + " path=" + m.path + " resume=" + yes(m.resume);
 }
 std::string shown(dataplane::SendRequest const& m) {
-  return "hand-over call=" + std::to_string(m.call) + " left=" + std::to_string(m.left) +
+  return "hand-over call=" + std::to_string(m.call) + " left=" + std::to_string(m.remainingMs) +
          " urgency=" + std::to_string(m.urgency) + (m.tenant ? " tenant=" + *m.tenant : "") +
          (m.regime.empty() ? "" : " regime=" + m.regime);
 }
@@ -99,7 +99,7 @@
 
 dataplane::RouterTuning recording() {
   dataplane::RouterTuning tuning;
-  tuning.records = true;
+  tuning.auditRecordsAvailable = true;
   return tuning;
 }
 
@@ -207,7 +207,7 @@
     r.call = next++;
     r.host = "h";
     r.target = "/" + path + "/x";
-    r.key = key;
+    r.tenantKey = key;
     return r;
   }
   /// Sends the request and gives its number.
@@ -226,13 +226,13 @@
   }
   std::uint64_t streaming(dataplane::Request const& r) {
     std::uint64_t const call = handed(r);
-    step("first word", reducer.firstByteReceived(now, call, true));
+    step("first word", reducer.onFirstByte(now, call, true));
     return call;
   }
   /// How a request that a replica has in hand ends; nothing else can end so.
   void ended(std::uint64_t call, dataplane::UpstreamResult end, char const* words) {
     if (inHand.erase(call) == 0) return;
-    step(std::string("ended ") + words, reducer.upstreamFinished(now, call, end));
+    step(std::string("ended ") + words, reducer.onUpstreamFinished(now, call, end));
   }
   void whole_(std::uint64_t call) { ended(call, dataplane::UpstreamResult::complete, "whole"); }
   void notRun(std::uint64_t call) { ended(call, dataplane::UpstreamResult::notExecuted, "not run"); }
@@ -297,8 +297,8 @@
   {
     Router r(text, "leaving", [] {
       dataplane::RouterTuning tuning = recording();
-      tuning.drainServe = 2500;
-      tuning.drainLimit = 7000;
+      tuning.drainAcceptPeriod = 2500;
+      tuning.drainTimeout = 7000;
       return tuning;
     }());
     r.ask(r.own("a", "waits", 0));
@@ -447,15 +447,15 @@
   {
     Router r(text, "a replica's own failure, and callers that leave");
     std::uint64_t const again = r.handed(r.hosted("again"));
-    r.step("failed", r.reducer.upstreamFailed(r.now, again));
+    r.step("failed", r.reducer.onUpstreamError(r.now, again));
     r.connected(again);
-    r.step("failed", r.reducer.upstreamFailed(r.now, again));
+    r.step("failed", r.reducer.onUpstreamError(r.now, again));
     r.whole_(again);
     std::uint64_t const once = r.handed(r.hosted("once"));
-    r.step("failed", r.reducer.upstreamFailed(r.now, once));
+    r.step("failed", r.reducer.onUpstreamError(r.now, once));
     r.whole_(once);
-    r.step("caller gone", r.reducer.callerDisconnected(r.now, r.handed(r.own("a"))));
-    r.step("caller gone", r.reducer.callerDisconnected(r.now, r.streaming(r.own("e", "", 1, "law.nord"))));
+    r.step("caller gone", r.reducer.onCallerDisconnected(r.now, r.handed(r.own("a"))));
+    r.step("caller gone", r.reducer.onCallerDisconnected(r.now, r.streaming(r.own("e", "", 1, "law.nord"))));
     r.metrics();
     r.state();
   }
@@ -480,7 +480,7 @@
       std::uint64_t const call = r.handed(r.own("a"));
       r.now += 4000;
       r.confirm();
-      r.step("first word", r.reducer.firstByteReceived(r.now, call, true));
+      r.step("first word", r.reducer.onFirstByte(r.now, call, true));
       r.whole_(call);
     }
     text = before;
@@ -511,7 +511,7 @@
     r.ask(later);
     later = r.own("a", "y", 3);
     later.earlierNotExecuted = false;
-    later.age = 90000;
+    later.ageMs = 90000;
     r.ask(later);
   }
   {
@@ -519,17 +519,17 @@
     r.pass(2400);
     dataplane::Request later = r.own("a", "y", 2);
     later.earlierNotExecuted = false;
-    later.age = 5000;
+    later.ageMs = 5000;
     r.ask(later);
     echo(r, later.call, "n2", false);
     later = r.own("a", "z", 2);
     later.earlierNotExecuted = false;
-    later.age = 5000;
+    later.ageMs = 5000;
     r.ask(later);
     r.pass(600);
     later = r.own("a", "w", 2);
     later.earlierNotExecuted = false;
-    later.age = 5000;
+    later.ageMs = 5000;
     r.ask(later);
     echo(r, later.call, "n2", true);
     echo(r, later.call, "n3", true);
@@ -540,7 +540,7 @@
     r.step("another node asks",
            r.reducer.onMessage(r.now, "n2", transport::RequestIdQuery{9, "desk.nord|x", 3, 0, "n2#1"}));
     r.whole_(r.handed(r.own("a", "x", 2)));
-    r.step("caller gone", r.reducer.callerDisconnected(r.now, call));
+    r.step("caller gone", r.reducer.onCallerDisconnected(r.now, call));
   }
   {
     Router r(text, "an earlier attempt is in hand");
@@ -639,7 +639,7 @@
     std::uint64_t const call = r.ask(r.hosted("again", "k"));
     r.lend(1);
     r.connected(call);
-    r.step("failed", r.reducer.upstreamFailed(r.now, call));
+    r.step("failed", r.reducer.onUpstreamError(r.now, call));
     r.connected(call);
   }
   {
@@ -671,13 +671,13 @@
   }
   {
     dataplane::RouterTuning tuning = recording();
-    tuning.records = false;
+    tuning.auditRecordsAvailable = false;
     Router r(text, "no records", tuning);
     r.ask(bound(r));
   }
   {
     dataplane::RouterTuning tuning = recording();
-    tuning.fenced = false;
+    tuning.leaseRequired = false;
     Router r(text, "no fence", tuning);
     r.ask(bound(r));
   }
@@ -723,12 +723,12 @@
   }
   {
     Router r(text, "the caller of a regime's request goes away");
-    r.step("caller gone", r.reducer.callerDisconnected(r.now, r.streaming(bound(r, "e"))));
+    r.step("caller gone", r.reducer.onCallerDisconnected(r.now, r.streaming(bound(r, "e"))));
   }
   {
     Router r(text, "records end before the hand-over");
     std::uint64_t const call = r.ask(bound(r));
-    r.reducer.setRecording(false);
+    r.reducer.setAuditAvailable(false);
     r.connected(call);
   }
   {
--- a/dataplane/test/grey_test.cpp
+++ b/dataplane/test/grey_test.cpp
@@ -42,11 +42,11 @@
 
   static dataplane::RouterTuning tuning(int replicas) {
     dataplane::RouterTuning t;
-    t.fenced = false;
-    t.youngWait = 0;
-    t.figures.firstPart = static_cast<std::size_t>(replicas);
-    t.figures.cooldown = 100000000;
-    t.figures.minLimit = 4;
+    t.leaseRequired = false;
+    t.startupGracePeriod = 0;
+    t.scalerParameters.initialSubset = static_cast<std::size_t>(replicas);
+    t.scalerParameters.cooldown = 100000000;
+    t.scalerParameters.minLimit = 4;
     return t;
   }
 
@@ -107,13 +107,13 @@
     core::Tick const took = f == Fate::slow ? 1500 : 20;
     after(took, [this, f, address, call = m.call] {
       if (f == Fate::broken || f == Fate::forgotten) {
-        run(reducer.upstreamFinished(now, call,
-                                     f == Fate::broken ? dataplane::UpstreamResult::connectionLost
-                                                       : dataplane::UpstreamResult::staleConnection));
+        run(reducer.onUpstreamFinished(now, call,
+                                       f == Fate::broken ? dataplane::UpstreamResult::connectionLost
+                                                         : dataplane::UpstreamResult::staleConnection));
         return;
       }
       if (f == Fate::failed) {
-        dataplane::RouterCommands const c = reducer.upstreamFailed(now, call);
+        dataplane::RouterCommands const c = reducer.onUpstreamError(now, call);
         run(c);
         for (dataplane::CallCommand const& v : c.calls)
           if (dataplane::Connect const* const again = std::get_if<dataplane::Connect>(&v);
@@ -121,8 +121,8 @@
             return;
         ++passedOn;
       }
-      run(reducer.firstByteReceived(now, call, false));
-      run(reducer.upstreamFinished(now, call, dataplane::UpstreamResult::complete));
+      run(reducer.onFirstByte(now, call, false));
+      run(reducer.onUpstreamFinished(now, call, dataplane::UpstreamResult::complete));
     });
   }
   void act(dataplane::CloseUpstream const&) {}
@@ -252,12 +252,12 @@
   Load load(10, 9, tuning);
   load.fate = [&](std::string const&) { return Fate::whole; };
   load.go(1000, 40);
-  REQUIRE(load.reducer.parts("model").at(0).first == 3);
+  REQUIRE(load.reducer.subsetSizes("model").at(0).first == 3);
   std::string const ill = load.reached.begin()->first;
   load.fate = [&](std::string const& a) { return a == ill ? Fate::broken : Fate::whole; };
   load.go(3000, 40);
   CHECK(load.distrusts == 1);
-  CHECK(load.reducer.parts("model").at(0).first == 3);
+  CHECK(load.reducer.subsetSizes("model").at(0).first == 3);
   load.reached.clear();
   load.go(5000, 40);
   CHECK(load.reached.count(ill) == 0);
--- a/dataplane/test/limited_fleet.h
+++ b/dataplane/test/limited_fleet.h
@@ -149,7 +149,7 @@
     node.startedAt = now_;
     node.tenants = std::make_unique<Tenants>(link, node.life, rng_.next(), plan_.slack);
     node.tenants->configure({tenant_});
-    node.tenants->around(members_, plan_.routers);
+    node.tenants->setMembers(members_, plan_.routers);
     std::erase_if(waiting_, [&](auto const& request) { return request.second.router == link; });
   }
   void configure(Node& node) { node.lender->configure(now_, {{"t", plan_.limit}}); }
@@ -199,13 +199,13 @@
           std::vector<transport::Send> out;
           if constexpr (requires { node.lender->onMessage(now_, packet.from, m, quota::MembershipView{}); }) {
             if (node.lender) send(packet.to, node.lender->onMessage(now_, packet.from, m, standing(packet.to)));
-          } else if constexpr (requires { node.tenants->arrived(now_, packet.from, m, out); }) {
+          } else if constexpr (requires { node.tenants->onMessage(now_, packet.from, m, out); }) {
             if (!node.tenants) return;
-            decide(packet.to, node.tenants->arrived(now_, packet.from, m, out));
+            decide(packet.to, node.tenants->onMessage(now_, packet.from, m, out));
             send(packet.to, std::move(out));
-          } else if constexpr (requires { node.tenants->arrived(now_, packet.from, m); }) {
+          } else if constexpr (requires { node.tenants->onMessage(now_, packet.from, m); }) {
             if (node.tenants)
-              send(packet.to, std::vector<transport::Send>{node.tenants->arrived(now_, packet.from, m)});
+              send(packet.to, std::vector<transport::Send>{node.tenants->onMessage(now_, packet.from, m)});
           }
         },
         packet.message);
@@ -217,7 +217,7 @@
       Request const request = it->second;
       waiting_.erase(it);
       longestWait = std::max(longestWait, now_ - request.came);
-      conclude(router, request, decision.admission, decision.takenAt);
+      conclude(router, request, decision.admission, decision.amountTakenAt);
     }
   }
   void conclude(std::string const& router, Request const& request, Admission admission, Tick takenAt) {
@@ -228,7 +228,7 @@
     Tick const soon = now_ + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(plan_.held) + 1));
     Tick const at = plan_.together > 0 ? (now_ / plan_.together + 1) * plan_.together : soon;
     if (at - takenAt > quota::maxDispatchDelay && without_ != Without::handOverLimit) {
-      nodes_.at(router).tenants->giveBack(now_, "t", request.amount);
+      nodes_.at(router).tenants->returnAmount(now_, "t", request.amount);
       ++refused;
       return;
     }
@@ -275,7 +275,7 @@
       if (node.lender) send(link, node.lender->clockEvent(now_, standing(link, true)));
       if (!node.tenants) continue;
       std::vector<transport::Send> out;
-      decide(link, node.tenants->clockEvent(now_, out));
+      decide(link, node.tenants->onTimer(now_, out));
       send(link, std::move(out));
     }
   }
--- a/dataplane/test/prompt_test.cpp
+++ b/dataplane/test/prompt_test.cpp
@@ -23,14 +23,14 @@
 
   static dataplane::RouterTuning tuning() {
     dataplane::RouterTuning t;
-    t.fenced = false;
-    t.youngWait = 0;
-    t.figures.width = 0.005;
-    t.figures.firstLimit = 1.0;
-    t.figures.minLimit = 0.05;
-    t.figures.maxLimit = 1000;
-    t.figures.steady = 0.7;
-    t.figures.limitDecay = 0.9;
+    t.leaseRequired = false;
+    t.startupGracePeriod = 0;
+    t.scalerParameters.width = 0.005;
+    t.scalerParameters.initialLimit = 1.0;
+    t.scalerParameters.minLimit = 0.05;
+    t.scalerParameters.maxLimit = 1000;
+    t.scalerParameters.steady = 0.7;
+    t.scalerParameters.limitDecay = 0.9;
     return t;
   }
 
@@ -64,8 +64,8 @@
   /// All that is in flight ends whole.
   void end() {
     for (; open < next; ++open) {
-      reducer.firstByteReceived(now, open, true);
-      reducer.upstreamFinished(now, open, dataplane::UpstreamResult::complete);
+      reducer.onFirstByte(now, open, true);
+      reducer.onUpstreamFinished(now, open, dataplane::UpstreamResult::complete);
     }
   }
 
--- a/dataplane/test/regimes_test.cpp
+++ b/dataplane/test/regimes_test.cpp
@@ -78,7 +78,7 @@
   }
   static dataplane::RouterTuning kept() {
     dataplane::RouterTuning t;
-    t.records = true;
+    t.auditRecordsAvailable = true;
     return t;
   }
   static std::vector<Life> lives() {
@@ -129,7 +129,7 @@
     call = next;
     std::string const address = find<dataplane::Connect>(ask("law.nord", path)).address;
     find<dataplane::SendRequest>(connected(call));
-    reducer.firstByteReceived(now, call, true);
+    reducer.onFirstByte(now, call, true);
     return address;
   }
   dataplane::RouterCommands pass(core::Tick span) {
@@ -179,7 +179,7 @@
     CHECK(to.incarnation == (to.address == "10.0.0.1:80" ? "L1" : "L2"));
     rig.connected(to.call);
     dataplane::WriteAuditRecord const record = Rig::find<dataplane::WriteAuditRecord>(rig.last);
-    CHECK(record.outcome == AuditOutcome::handedOver);
+    CHECK(record.outcome == AuditOutcome::dispatched);
     CHECK(record.certificate == record.zone);
     CHECK(record.incarnation == to.incarnation);
     CHECK(Rig::find<dataplane::SendRequest>(rig.last).regime == "health");
@@ -199,13 +199,13 @@
 TEST_CASE("a router that is not sure rejects a regime's requests at once, and others not") {
   dataplane::RouterTuning plain = Rig::kept();
   SECTION("records cannot be kept") {
-    plain.records = false;
+    plain.auditRecordsAvailable = false;
   }
   SECTION("there is no fence") {
-    plain.fenced = false;
+    plain.leaseRequired = false;
   }
-  Rig rig(plain, plain.records == false || plain.fenced == false);
-  if (plain.records && plain.fenced) {
+  Rig rig(plain, plain.auditRecordsAvailable == false || plain.leaseRequired == false);
+  if (plain.auditRecordsAvailable && plain.leaseRequired) {
     SECTION("no wall time was told") {}
     SECTION("no certificates are known") {
       rig.reducer.setWallTime(rig.now, wall0);
@@ -272,7 +272,7 @@
     CHECK(rig.rejectedNotRun());
   }
   SECTION("records can no longer be kept") {
-    rig.reducer.setRecording(false);
+    rig.reducer.setAuditAvailable(false);
     rig.connected(1);
     CHECK(rig.rejectedNotRun());
   }
@@ -312,11 +312,11 @@
   CHECK(next.incarnation == (next.address == "10.0.0.1:80" ? "L1" : "L2"));
   rig.connected(call);
   CHECK(Rig::find<dataplane::WriteAuditRecord>(rig.last).outcome == AuditOutcome::resumed);
-  CHECK(Rig::find<dataplane::SendRequest>(rig.last).expect == next.incarnation);
-  rig.reducer.firstByteReceived(rig.now, call, true);
-  rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
+  CHECK(Rig::find<dataplane::SendRequest>(rig.last).expectedIncarnation == next.incarnation);
+  rig.reducer.onFirstByte(rig.now, call, true);
+  rig.last = rig.reducer.onUpstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
   CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
-  CHECK(Rig::find<dataplane::WriteAuditRecord>(rig.last).outcome == AuditOutcome::broken);
+  CHECK(Rig::find<dataplane::WriteAuditRecord>(rig.last).outcome == AuditOutcome::aborted);
 }
 
 TEST_CASE("a stream that breaks goes on once at another certified replica, and nowhere else") {
@@ -324,7 +324,7 @@
   std::uint64_t call = 0;
   std::string const address = rig.streaming(call);
   SECTION("another is certified") {
-    rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
+    rig.last = rig.reducer.onUpstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
     dataplane::Connect const next = Rig::find<dataplane::Connect>(rig.last);
     CHECK(next.address != address);
     CHECK(certifiedAddress(next.address));
@@ -343,7 +343,7 @@
     std::vector<Life> lives = Rig::lives();
     std::erase_if(lives, [&](Life const& l) { return certifiedAddress(l.address) && l.address != address; });
     rig.news("pool:model", list(2, lives));
-    rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
+    rig.last = rig.reducer.onUpstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
     CHECK(Rig::count<dataplane::Connect>(rig.last) == 0);
     CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
   }
@@ -405,7 +405,7 @@
     if (left)
       rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
     else
-      rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
+      rig.last = rig.reducer.onUpstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
     dataplane::Connect const other = Rig::find<dataplane::Connect>(rig.last);
     CHECK_FALSE(other.resume);
     CHECK(other.address != address);
@@ -430,12 +430,12 @@
     std::uint64_t call = 0;
     std::string const address = rig.streaming(call, "r");
     if (!still) rig.reducer.setWallTime(rig.now, wall0 + 950000);
-    rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
+    rig.last = rig.reducer.onUpstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
     CHECK(Rig::count<dataplane::Connect>(rig.last) == (still ? 1 : 0));
     if (!still) continue;
     CHECK(Rig::find<dataplane::Connect>(rig.last).address == address);
     rig.connected(call);
-    rig.last = rig.reducer.upstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
+    rig.last = rig.reducer.onUpstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
     CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
   }
 }
--- a/dataplane/test/request_router_test.cpp
+++ b/dataplane/test/request_router_test.cpp
@@ -103,20 +103,20 @@
   request.path = "a";
   request.id = "waited";
   request.deadline = 1000;
-  request.readFor = 150;
+  request.readDuration = 150;
   REQUIRE(Rig::find<dataplane::Connect>(rig.reducer.onRequest(rig.now, request)) != nullptr);
   rig.now += 400;
   rig.confirm();
   dataplane::RouterCommands const connected = rig.reducer.onConnected(rig.now, request.call);
   dataplane::SendRequest const* const handOver = Rig::find<dataplane::SendRequest>(connected);
   REQUIRE(handOver != nullptr);
-  CHECK(handOver->left == 450);
+  CHECK(handOver->remainingMs == 450);
 }
 
 TEST_CASE("a node that leaves takes what it can finish, and nothing that may be cut") {
   dataplane::RouterTuning tuning;
-  tuning.drainServe = 2500;
-  tuning.drainLimit = 7000;
+  tuning.drainAcceptPeriod = 2500;
+  tuning.drainTimeout = 7000;
   Rig rig(tuning);
   std::function<int(dataplane::RouterCommands const&)> const status = [](dataplane::RouterCommands const& commands) {
     for (dataplane::CallCommand const& c : commands.calls)
@@ -128,10 +128,10 @@
     rig.ask("long-" + std::to_string(i), 1, "desk.nord", "a");
     dataplane::CallId const served = rig.next - 1;
     rig.reducer.onConnected(rig.now, served);
-    rig.reducer.firstByteReceived(rig.now, served, true);
+    rig.reducer.onFirstByte(rig.now, served, true);
     rig.now += 5000;
     rig.confirm();
-    rig.reducer.upstreamFinished(rig.now, served, dataplane::UpstreamResult::complete);
+    rig.reducer.onUpstreamFinished(rig.now, served, dataplane::UpstreamResult::complete);
   }
   rig.reducer.drain(rig.now);
   rig.now += 500;
@@ -197,7 +197,7 @@
   CHECK_FALSE(rig.reducer.servingLease(rig.now));
   transport::ConfigurationUpdate news;
   news.number = 2;
-  news.entries = {{"family:desk", 2, rig.reducer.valueOf("family:desk")}};
+  news.entries = {{"family:desk", 2, rig.reducer.configurationValue("family:desk")}};
   rig.reducer.onMessage(rig.now, "s1", news);
   CHECK(rig.reducer.servingLease(rig.now));
 }
@@ -231,7 +231,7 @@
 
 TEST_CASE("a router without a fence serves from its whole snapshot on, with no confirmation, roster or wait") {
   dataplane::RouterTuning tuning;
-  tuning.fenced = false;
+  tuning.leaseRequired = false;
   Rig rig(tuning);
   rig.reducer.started(rig.now);
   rig.now += 60000;
@@ -253,13 +253,13 @@
   CHECK(rig.reducer.servingLease(rig.now));
   CHECK_FALSE(rig.reducer.ready(rig.now));
   tuning.evacuationFailsReady = false;
-  rig.reducer.retune(tuning, {"s1"});
+  rig.reducer.updateTuning(tuning, {"s1"});
   CHECK(rig.reducer.ready(rig.now));
 }
 
 TEST_CASE("a router without a fence is ready at its first whole snapshot, and not without one or without paths") {
   dataplane::RouterTuning tuning;
-  tuning.fenced = false;
+  tuning.leaseRequired = false;
   dataplane::RequestRouter reducer(Rig::self(), {"s1"}, 7, tuning);
   reducer.started(0);
   CHECK_FALSE(reducer.servingLease(100));
@@ -282,7 +282,7 @@
   CHECK(Rig::find<dataplane::Reject>(rejected)->notExecuted);
   Rig const donor;
   news.isSnapshot = false;
-  news.entries = {{"family:desk", 1, donor.reducer.valueOf("family:desk")}};
+  news.entries = {{"family:desk", 1, donor.reducer.configurationValue("family:desk")}};
   reducer.onMessage(110, "s1", news);
   CHECK(reducer.ready(110));
   dataplane::RequestRouter other(Rig::self(), {"s1"}, 7, tuning);
@@ -291,7 +291,7 @@
   news.isSnapshot = true;
   news.entries = {
       {"pool:model", 1, Rig::pool(1, "serving")},
-      {"family:desk", 1, donor.reducer.valueOf("family:desk")},
+      {"family:desk", 1, donor.reducer.configurationValue("family:desk")},
       {"roster", 2, core::parseJson(R"({"nodes":[{"link":"n1"},{"link":"n2"},{"link":"n3"}]})").toObject()}};
   other.onMessage(100, "n2", news);
   CHECK_FALSE(other.ready(100));
@@ -341,7 +341,7 @@
     for (int i = 0; i < 40; ++i) {
       dataplane::RouterCommands const c = rig.ask("u" + std::to_string(rig.next));
       if (dataplane::Connect const* const m = Rig::find<dataplane::Connect>(c)) out.insert(m->address);
-      rig.reducer.callerDisconnected(rig.now, rig.next - 1);
+      rig.reducer.onCallerDisconnected(rig.now, rig.next - 1);
     }
     return out;
   };
@@ -386,7 +386,7 @@
   rig.ask("x");
   REQUIRE(Rig::find<dataplane::SendRequest>(rig.reducer.onConnected(rig.now, 1)) != nullptr);
   dataplane::RouterCommands const lost =
-      rig.reducer.upstreamFinished(rig.now, 1, dataplane::UpstreamResult::connectionLost);
+      rig.reducer.onUpstreamFinished(rig.now, 1, dataplane::UpstreamResult::connectionLost);
   REQUIRE(Rig::find<dataplane::Reject>(lost) != nullptr);
   CHECK_FALSE(Rig::find<dataplane::Reject>(lost)->notExecuted);
   CHECK(Rig::find<dataplane::Reject>(lost)->status == 502);
@@ -413,7 +413,7 @@
   r.path = "a";
   r.id = "x";
   r.attempt = attempt;
-  r.age = age;
+  r.ageMs = age;
   return r;
 }
 
@@ -469,11 +469,11 @@
 
 TEST_CASE("a trimmed memory of ids vouches only for what came after the trimming") {
   dataplane::RouterTuning tuning;
-  tuning.seenBound = 50;
+  tuning.maxRequestIds = 50;
   Rig rig(tuning);
   for (int i = 0; i < 60; ++i) {
     rig.ask("i" + std::to_string(i));
-    rig.reducer.callerDisconnected(rig.now, rig.next - 1);
+    rig.reducer.onCallerDisconnected(rig.now, rig.next - 1);
   }
   rig.now += 1000;
   rig.confirm();
@@ -648,7 +648,7 @@
 
 TEST_CASE("a router asks its seeds for its first snapshot at once, and soon again until it has one") {
   dataplane::RouterTuning tuning;
-  tuning.askEvery = 500;
+  tuning.leaseRequestInterval = 500;
   dataplane::RequestRouter reducer(Rig::self(), {"s1", "s2"}, 7, tuning);
   reducer.started(0);
   std::function<std::size_t(core::Tick, core::Tick)> const asks = [&](core::Tick from, core::Tick to) {
@@ -696,30 +696,30 @@
 TEST_CASE("a held request gives way to its own echo, and echoes do not widen the part") {
   Rig rig;
   for (int i = 0; i < 200; ++i) rig.ask("fill" + std::to_string(i));
-  std::size_t const part = rig.reducer.parts("model").front().first;
-  std::size_t const held = rig.reducer.parts("model").front().second;
+  std::size_t const part = rig.reducer.subsetSizes("model").front().first;
+  std::size_t const held = rig.reducer.subsetSizes("model").front().second;
   REQUIRE(held > 0);
   rig.ask("echo");
-  std::size_t const before = rig.reducer.parts("model").front().second;
+  std::size_t const before = rig.reducer.subsetSizes("model").front().second;
   for (std::uint64_t a = 2; a < 30; ++a) rig.ask("echo", a);
-  CHECK(rig.reducer.parts("model").front().second <= before);
-  CHECK(rig.reducer.parts("model").front().first == part);
+  CHECK(rig.reducer.subsetSizes("model").front().second <= before);
+  CHECK(rig.reducer.subsetSizes("model").front().first == part);
 }
 
 TEST_CASE("the part begins with and widens by the replica that keeps an arriving prompt's parts") {
   dataplane::RouterTuning tuning;
-  tuning.figures.width = 0.005;
-  tuning.figures.firstLimit = 1;
-  tuning.figures.steady = 0.7;
-  tuning.figures.minLimit = 0.05;
-  tuning.figures.limitDecay = 0.9;
+  tuning.scalerParameters.width = 0.005;
+  tuning.scalerParameters.initialLimit = 1;
+  tuning.scalerParameters.steady = 0.7;
+  tuning.scalerParameters.minLimit = 0.05;
+  tuning.scalerParameters.limitDecay = 0.9;
   for (std::uint64_t first = 0; first < 20; ++first) {
     std::vector<std::vector<std::string>> went;
     for (char const* link : {"n1", "n2", "n3", "n4"}) {
       transport::Contact self = Rig::self();
       self.link = link;
       dataplane::RouterTuning unfenced = tuning;
-      unfenced.fenced = false;
+      unfenced.leaseRequired = false;
       Rig const donor;
       dataplane::RequestRouter reducer(self, {"s1"}, 7, unfenced);
       reducer.started(0);
@@ -727,7 +727,7 @@
       news.number = 1;
       news.isSnapshot = true;
       news.entries = {{"pool:model", 1, Rig::pool(1, "serving")},
-                      {"family:desk", 1, donor.reducer.valueOf("family:desk")}};
+                      {"family:desk", 1, donor.reducer.configurationValue("family:desk")}};
       reducer.onMessage(0, "s1", news);
       went.emplace_back();
       for (std::uint64_t i = 0; i < 3; ++i) {
@@ -757,9 +757,9 @@
   Rig rig;
   rig.ask("x");
   rig.reducer.onConnected(rig.now, 1);
-  rig.reducer.firstByteReceived(rig.now, 1, true);
+  rig.reducer.onFirstByte(rig.now, 1, true);
   rig.now += 9000;
-  rig.reducer.progress(rig.now, 1);
+  rig.reducer.onProgress(rig.now, 1);
   rig.now += 9000;
   CHECK(Rig::find<dataplane::ResetDownstream>(rig.reducer.onTimer(rig.now)) == nullptr);
   rig.now += 1500;
@@ -865,8 +865,8 @@
     dataplane::RouterCommands const c = rig.ask("q" + n, 1, "desk.i" + n);
     REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
     rig.reducer.onConnected(rig.now, rig.next - 1);
-    rig.reducer.firstByteReceived(rig.now, rig.next - 1, true);
-    rig.reducer.upstreamFinished(rig.now, rig.next - 1, dataplane::UpstreamResult::complete);
+    rig.reducer.onFirstByte(rig.now, rig.next - 1, true);
+    rig.reducer.onUpstreamFinished(rig.now, rig.next - 1, dataplane::UpstreamResult::complete);
     transport::PeerHeartbeat touch;
     touch.isReply = touch.hasSnapshot = true;
     touch.link = "node" + n;
@@ -882,13 +882,13 @@
   dataplane::RouterUsage const held = rig.reducer.usage();
   CHECK(held.replicas <= 8);
   CHECK(held.instances <= 8);
-  CHECK(held.credits <= 4);
+  CHECK(held.queues <= 4);
   CHECK(held.contacts <= 8);
 }
 
 TEST_CASE("ids that others ask about are trimmed on a node that has no callers of its own") {
   dataplane::RouterTuning tuning;
-  tuning.seenBound = 50;
+  tuning.maxRequestIds = 50;
   Rig rig(tuning);
   for (std::uint64_t i = 0; i < 300; ++i)
     rig.reducer.onMessage(rig.now, "n2", transport::RequestIdQuery{i, "desk.nord|" + std::to_string(i), 0, 0, "n2#1"});
@@ -911,17 +911,17 @@
   struct Call {
     std::string tenant;
     core::NameIndex replica = 0;
-    core::Tick handedAt = 0;
+    core::Tick dispatchedAt = 0;
   };
   std::map<std::uint64_t, Call> inHand;
 
   static dataplane::RouterTuning open() {
     dataplane::RouterTuning t;
-    t.fenced = false;
-    t.youngWait = 0;
-    t.figures.limitDecay = 0.9;
-    t.figures.steady = 0.7;
-    t.figures.width = 0.5;
+    t.leaseRequired = false;
+    t.startupGracePeriod = 0;
+    t.scalerParameters.limitDecay = 0.9;
+    t.scalerParameters.steady = 0.7;
+    t.scalerParameters.width = 0.5;
     return t;
   }
   Twins() : tuning(open()), reducer(Rig::self(), {"s1"}, seed, tuning) {
@@ -953,12 +953,14 @@
     std::vector<corkward::scaling::Candidate> all;
     for (int const r : replicas)
       all.push_back({static_cast<core::NameIndex>(r), false, core::stableHash("model|" + address(r))});
-    for (std::map<std::string, corkward::scaling::Scaler>::value_type& s : scalers) s.second.candidates(all);
+    for (std::map<std::string, corkward::scaling::Scaler>::value_type& s : scalers) s.second.setCandidates(all);
   }
   corkward::scaling::Scaler& scaler(std::string const& tenant) {
     std::map<std::string, corkward::scaling::Scaler>::iterator it = scalers.find(tenant);
     if (it != scalers.end()) return it->second;
-    it = scalers.emplace(tenant, corkward::scaling::Scaler(seed ^ core::stableHash("n1desk." + tenant), tuning.figures))
+    it = scalers
+             .emplace(tenant,
+                      corkward::scaling::Scaler(seed ^ core::stableHash("n1desk." + tenant), tuning.scalerParameters))
              .first;
     lookAtCandidates();
     return it->second;
@@ -984,9 +986,9 @@
     Call const call = inHand.begin()->second;
     inHand.erase(inHand.begin());
     corkward::scaling::Scaler& s = scaler(call.tenant);
-    reducer.firstByteReceived(now, id, true);
-    s.onFirstByte(now, call.replica, now - call.handedAt, 8000);
-    reducer.upstreamFinished(now, id, dataplane::UpstreamResult::complete);
+    reducer.onFirstByte(now, id, true);
+    s.onFirstByte(now, call.replica, now - call.dispatchedAt, 8000);
+    reducer.onUpstreamFinished(now, id, dataplane::UpstreamResult::complete);
     s.onEnded(call.replica, false);
     s.evaluate(now, 0);
   }
@@ -1036,7 +1038,7 @@
     twins.compare();
     for (std::map<std::string, corkward::scaling::Scaler>::value_type const& s : twins.scalers)
       widest = std::max(widest, s.second.subset().size());
-    allAsleep += twins.scalers.size() == 3 && twins.reducer.usage().creditsAwake == 0 ? 1 : 0;
+    allAsleep += twins.scalers.size() == 3 && twins.reducer.usage().activeQueues == 0 ? 1 : 0;
   }
   CHECK(widest >= 3);
   CHECK(twins.scalers.size() == 3);
--- a/dataplane/test/tenants_test.cpp
+++ b/dataplane/test/tenants_test.cpp
@@ -27,7 +27,7 @@
 dataplane::Tenants tenantsOf(config::Tenant const& of, std::uint64_t seed = 1) {
   dataplane::Tenants tenants("n1", 7, seed, quota::OverdraftAllowance{});
   tenants.configure({of});
-  tenants.around(controllers, 3);
+  tenants.setMembers(controllers, 3);
   return tenants;
 }
 
@@ -100,10 +100,10 @@
   dataplane::Tenants tenants = tenantsOf(t);
   std::vector<transport::Send> sends;
   std::string const first = askedFor(tenants, 1000, t).to;
-  tenants.clockEvent(1500, sends);
+  tenants.onTimer(1500, sends);
   Asked const second = askedFor(tenants, 1510, t, 2);
   CHECK(second.to != first);
-  tenants.arrived(1520, second.to, {second.report.reportNumber, {}, {}}, sends);
+  tenants.onMessage(1520, second.to, {second.report.reportNumber, {}, {}}, sends);
   CHECK(askedFor(tenants, 1530, t, 3).to == second.to);
   CHECK(askedFor(tenants, 3600, t, 4).to == first);
 }
@@ -113,24 +113,25 @@
   dataplane::Tenants tenants = tenantsOf(t);
   std::vector<transport::Send> sends;
   Asked const granted = askedFor(tenants, 1000, t, 1);
-  std::vector<dataplane::QuotaDecision> decisions = tenants.arrived(1004, granted.to, answer(granted, 5), sends);
+  std::vector<dataplane::QuotaDecision> decisions = tenants.onMessage(1004, granted.to, answer(granted, 5), sends);
   REQUIRE(decisions.size() == 1);
   CHECK(decisions[0].call == 1);
   CHECK(decisions[0].admission == dataplane::Admission::granted);
-  CHECK(decisions[0].takenAt == 1000);
+  CHECK(decisions[0].amountTakenAt == 1000);
 
   Asked const elsewhere = askedFor(tenants, 1100, t, 2);
   std::string const other = elsewhere.to == "c1" ? "c2" : "c1";
   sends.clear();
-  CHECK(tenants
-            .arrived(1104, elsewhere.to, {elsewhere.report.reportNumber, {}, {{quota::partitionOf("a"), other}}}, sends)
-            .empty());
+  CHECK(
+      tenants
+          .onMessage(1104, elsewhere.to, {elsewhere.report.reportNumber, {}, {{quota::partitionOf("a"), other}}}, sends)
+          .empty());
   REQUIRE(sends.size() == 1);
   CHECK(sends[0].to == other);
 
   sends.clear();
   Asked const refused = askedFor(tenants, 1200, t, 3);
-  decisions = tenants.arrived(1204, refused.to, answer(refused, 0), sends);
+  decisions = tenants.onMessage(1204, refused.to, answer(refused, 0), sends);
   REQUIRE(decisions.size() == 1);
   CHECK(decisions[0].admission == dataplane::Admission::rejectedByCoordinator);
 }
@@ -140,12 +141,12 @@
   dataplane::Tenants tenants = tenantsOf(t);
   std::vector<transport::Send> sends;
   Asked const asked = askedFor(tenants, 1000, t);
-  CHECK(tenants.arrived(1002, "stranger", answer(asked, 5), sends).empty());
+  CHECK(tenants.onMessage(1002, "stranger", answer(asked, 5), sends).empty());
   quota::QuotaGrants other = answer(asked, 5);
   other.reportNumber += 17;
-  CHECK(tenants.arrived(1002, asked.to, other, sends).empty());
-  CHECK(tenants.arrived(1004, asked.to, answer(asked, 5), sends).size() == 1);
-  CHECK(tenants.arrived(1006, asked.to, answer(asked, 5), sends).empty());
+  CHECK(tenants.onMessage(1002, asked.to, other, sends).empty());
+  CHECK(tenants.onMessage(1004, asked.to, answer(asked, 5), sends).size() == 1);
+  CHECK(tenants.onMessage(1006, asked.to, answer(asked, 5), sends).empty());
 }
 
 TEST_CASE("a request without an answer is decided on within a quarter of a second, by what no loan is needed for") {
@@ -153,8 +154,8 @@
   dataplane::Tenants tenants = tenantsOf(t);
   std::vector<transport::Send> sends;
   askedFor(tenants, 1000, t);
-  CHECK(tenants.clockEvent(1240, sends).empty());
-  std::vector<dataplane::QuotaDecision> const decisions = tenants.clockEvent(1260, sends);
+  CHECK(tenants.onTimer(1240, sends).empty());
+  std::vector<dataplane::QuotaDecision> const decisions = tenants.onTimer(1260, sends);
   REQUIRE(decisions.size() == 1);
   CHECK(decisions[0].admission == dataplane::Admission::rejectedWithoutCoordinator);
 }
@@ -164,10 +165,10 @@
   dataplane::Tenants tenants = tenantsOf(t);
   std::vector<transport::Send> sends;
   Asked const asked = askedFor(tenants, 1000, t);
-  transport::Send const claim = tenants.arrived(1001, "c9", quota::AllocationQuery{{{quota::partitionOf("a"), 4}}});
+  transport::Send const claim = tenants.onMessage(1001, "c9", quota::AllocationQuery{{{quota::partitionOf("a"), 4}}});
   CHECK(claim.to == "c9");
   CHECK(std::get<quota::AllocationReport>(claim.message).usages.empty());
-  std::vector<dataplane::QuotaDecision> const decisions = tenants.arrived(1004, asked.to, answer(asked, 5), sends);
+  std::vector<dataplane::QuotaDecision> const decisions = tenants.onMessage(1004, asked.to, answer(asked, 5), sends);
   REQUIRE(decisions.size() == 1);
   CHECK(decisions[0].admission != dataplane::Admission::granted);
 }
@@ -177,12 +178,12 @@
   dataplane::Tenants tenants = tenantsOf(t);
   std::vector<transport::Send> sends;
   Asked asked = askedFor(tenants, 1020, t);
-  tenants.arrived(1030, asked.to, answer(asked, 5, 0), sends);
+  tenants.onMessage(1030, asked.to, answer(asked, 5, 0), sends);
   for (std::uint64_t i = 0; i < 50; ++i)
     CHECK(tenants.admit(1040, 100 + i, t, 5, sends) == dataplane::Admission::rejectedByAllocation);
   dataplane::Tenants half = tenantsOf(t);
   asked = askedFor(half, 1020, t);
-  half.arrived(1030, asked.to, answer(asked, 100000, quota::fractionUnits / 2, quota::fractionUnits), sends);
+  half.onMessage(1030, asked.to, answer(asked, 100000, quota::fractionUnits / 2, quota::fractionUnits), sends);
   int admitted = 0;
   for (std::uint64_t i = 0; i < 1000; ++i)
     admitted += half.admit(1040, 200 + i, t, 0.01, sends) == dataplane::Admission::granted ? 1 : 0;
--- a/gossip/include/corkward/gossip/partial_view.h
+++ b/gossip/include/corkward/gossip/partial_view.h
@@ -53,7 +53,7 @@
  private:
   struct Seen {
     transport::Contact contact;
-    Tick at = 0;
+    Tick lastSeenAt = 0;
   };
   void merge(Tick now, transport::Contact const& contact);
   transport::GossipShuffle sample(Tick now, bool reply, bool brief);
--- a/gossip/src/partial_view.cpp
+++ b/gossip/src/partial_view.cpp
@@ -39,15 +39,16 @@
   Seen& seen = view_[contact.link];
   Tick const at = now - contact.age;
   if (contact.incarnation < seen.contact.incarnation ||
-      (contact.incarnation == seen.contact.incarnation && at <= seen.at && seen.at != 0))
+      (contact.incarnation == seen.contact.incarnation && at <= seen.lastSeenAt && seen.lastSeenAt != 0))
     return;
   seen.contact = contact;
-  seen.at = at;
+  seen.lastSeenAt = at;
   if (view_.size() <= viewBound) return;
-  std::map<std::string, Seen>::iterator const oldest =
-      std::min_element(view_.begin(), view_.end(),
-                       [](std::map<std::string, Seen>::value_type const& a,
-                          std::map<std::string, Seen>::value_type const& b) { return a.second.at < b.second.at; });
+  std::map<std::string, Seen>::iterator const oldest = std::min_element(
+      view_.begin(), view_.end(),
+      [](std::map<std::string, Seen>::value_type const& a, std::map<std::string, Seen>::value_type const& b) {
+        return a.second.lastSeenAt < b.second.lastSeenAt;
+      });
   view_.erase(oldest);
 }
 
@@ -72,7 +73,7 @@
   std::vector<transport::Contact> out;
   for (std::map<std::string, Seen>::value_type const& s : view_) {
     out.push_back(s.second.contact);
-    out.back().age = now - s.second.at;
+    out.back().age = now - s.second.lastSeenAt;
   }
   for (std::size_t i = out.size(); i > 1; --i) std::swap(out[i - 1], out[rng_.below(i)]);
   if (out.size() > sampleSize) out.resize(sampleSize);
@@ -123,7 +124,7 @@
   if (now < shuffleAt_) return out;
   shuffleAt_ = now + (view_.size() < fewContacts ? shuffleAtFirst : shuffleEvery);
   for (std::map<std::string, Seen>::iterator it = view_.begin(); it != view_.end();)
-    it = now - it->second.at > dropAfter ? view_.erase(it) : std::next(it);
+    it = now - it->second.lastSeenAt > dropAfter ? view_.erase(it) : std::next(it);
   std::vector<std::string> targets;
   for (std::map<std::string, Seen>::value_type const& s : view_) targets.push_back(s.first);
   if (!targets.empty()) {
@@ -142,14 +143,14 @@
   for (std::map<std::string, Seen>::value_type const& s : view_) {
     if (s.second.contact.role != role) continue;
     out.push_back(s.second.contact);
-    out.back().age = now - s.second.at;
+    out.back().age = now - s.second.lastSeenAt;
   }
   return out;
 }
 
 Tick PartialView::age(std::string const& link, Tick now) const {
   std::map<std::string, Seen>::const_iterator const it = view_.find(link);
-  return it == view_.end() ? -1 : now - it->second.at;
+  return it == view_.end() ? -1 : now - it->second.lastSeenAt;
 }
 
 ServingLease PartialView::servingLease(std::string const& link, Tick now) const {
--- a/http/src/mapping.cpp
+++ b/http/src/mapping.cpp
@@ -88,7 +88,7 @@
 /// Reads the caller's names for the request; the reason when one is not valid.
 std::optional<std::string> readNames(HeaderMap const& headers, dataplane::Request& out) {
   out.id = headerValue(headers, requestIdHeader);
-  out.trace = out.id.substr(0, maxTraceLength);
+  out.attemptName = out.id.substr(0, maxTraceLength);
   out.prefix = headerValue(headers, prefixHeader);
   if (out.id.size() > maxNameLength) return std::string(requestIdHeader) + ": longer than 256";
   if (out.prefix.size() > maxNameLength) return std::string(prefixHeader) + ": longer than 256";
@@ -111,7 +111,7 @@
   std::string const age = headerValue(headers, ageHeader);
   std::optional<std::uint64_t> const ageMs = parseNumber(age, maxAgeMs);
   if (!age.empty() && !ageMs) return rangeReason(ageHeader, 0, maxAgeMs);
-  out.age = ageMs ? static_cast<core::Tick>(*ageMs) : unknownAge;
+  out.ageMs = ageMs ? static_cast<core::Tick>(*ageMs) : unknownAge;
   return std::nullopt;
 }
 
@@ -124,7 +124,7 @@
     return rejected(HttpStatus::methodNotAllowed, "POST is needed");
   if (!readPath(request.target, out)) return rejected(HttpStatus::notFound, "no such page");
   out.call = request.id;
-  out.readFor = request.readDuration;
+  out.readDuration = request.readDuration;
   if (auto const reason = readNames(request.headers, out)) return invalid(*reason);
   if (auto const reason = readAttempt(request.headers, out)) return invalid(*reason);
   CallerRequest caller;
--- a/http/test/golden_mapping_test.cpp
+++ b/http/test/golden_mapping_test.cpp
@@ -103,8 +103,8 @@
   Transcript t;
   http::NativeMapping const own;
   dataplane::SendRequest handOver;
-  handOver.left = 1200;
-  handOver.expect = "L1";
+  handOver.remainingMs = 1200;
+  handOver.expectedIncarnation = "L1";
   handOver.tenant = "t";
   std::string const full = post("/v1/desk.nord/hint/a",
                                 "Corkward-Request-Id: 9c41\r\nCorkward-Attempt: 3\r\nContent-Type: text/plain\r\n"
--- a/programs/cli/change_plan.cpp
+++ b/programs/cli/change_plan.cpp
@@ -100,13 +100,13 @@
 
 /// What families are checked against.
 struct ValidationContext {
-  config::PoolKnown poolExists;
+  config::IsKnownPool poolExists;
   config::Regimes regimes;
   config::WallTime wallTime;
 
   /// Why a tenant under the regime cannot be served from the pool; empty: it can.
   std::string regimeError(std::string const& regime, std::string const& pool) const {
-    std::optional<config::RegimeFault> const fault = config::faultOf(regimes, regime, pool, wallTime);
+    std::optional<config::RegimeFault> const fault = config::findRegimeFault(regimes, regime, pool, wallTime);
     return fault ? fault->reason : std::string();
   }
 };
@@ -121,7 +121,7 @@
   } else {
     family.insert(templateField, entry);
   }
-  config::checkFamily(family, context.poolExists, [&](std::string const& regime, std::string const& pool) {
+  config::checkTemplateFamily(family, context.poolExists, [&](std::string const& regime, std::string const& pool) {
     return context.regimeError(regime, pool);
   });
 }
@@ -189,11 +189,11 @@
   for (auto const& [templateName, family] : families) {
     std::vector<config::Path> routes;
     try {
-      routes = config::render(templateName, family);
+      routes = config::renderPaths(templateName, family);
     } catch (config::ConfigError const&) {
       continue;
     }
-    for (config::RegimeUse const& use : config::regimeUses(routes)) {
+    for (config::RegimeRequirement const& use : config::regimeRequirements(routes)) {
       std::string const error = context.regimeError(use.regime, use.pool);
       if (!error.empty()) return use.instance + ": " + error;
     }
@@ -307,7 +307,7 @@
   readPools();
   OperatorReply const storedCertificates = read(paths::certificates);
   ValidationContext const context{[this](std::string const& pool) { return poolExists(pool); },
-                                  config::storedRegimes(storedCertificates.body), wallClock()};
+                                  config::readStoredRegimes(storedCertificates.body), wallClock()};
   readFamilies();
   bool const certificatesChange =
       certificates_ != nullptr && storedCertificates.body.value(specField) != QJsonValue(certificates_->spec);
--- a/programs/cli/declaration.cpp
+++ b/programs/cli/declaration.cpp
@@ -53,10 +53,10 @@
   }
   checkFields(file, object);
   out.templateName = core::toStdString(object.value("template").toString());
-  if (!config::validName(out.templateName)) throw UsageError(file + ": /template: must be a name");
+  if (!config::isValidName(out.templateName)) throw UsageError(file + ": /template: must be a name");
   out.instance = core::toStdString(object.value("instance").toString());
   bool const isInstance = object.contains("instance");
-  if (isInstance && !config::validName(out.instance)) throw UsageError(file + ": /instance: must be a name");
+  if (isInstance && !config::isValidName(out.instance)) throw UsageError(file + ": /instance: must be a name");
   if (isInstance) out.kind = Declaration::Kind::instance;
   if (!object.value("spec").isObject()) throw UsageError(file + ": /spec: must be an object");
   out.spec = object.value("spec").toObject();
--- a/programs/cli/regime_report.cpp
+++ b/programs/cli/regime_report.cpp
@@ -48,7 +48,7 @@
   query.regime = options.regime;
   query.from = parseTime("from", options.from);
   query.until = parseTime("until", options.until);
-  query.span = options.spanMinutes * audit::spanMs;
+  query.span = options.spanMinutes * audit::countPeriodMs;
   for (std::string const& checkpoint : options.checkpoints) query.heads.push_back(parseCheckpoint(checkpoint));
   return query;
 }
@@ -120,7 +120,7 @@
   audit::ReportQuery const query = queryOf(options);
   std::vector<audit::AuditLogView> logs;
   for (std::string const& directory : options.directories) logs.push_back(readLog(directory));
-  QJsonObject const report = audit::report(logs, query);
+  QJsonObject const report = audit::auditReport(logs, query);
   bool const intact = report.value("whole").toBool();
   if (options.json)
     std::cout << core::jsonText(report) << "\n";
--- a/programs/common/operator_paths.cpp
+++ b/programs/common/operator_paths.cpp
@@ -13,11 +13,11 @@
 }
 
 std::string ofEvacuation(std::string const& zone) {
-  return "/v1/evacuations/" + config::addressPart(zone);
+  return "/v1/evacuations/" + config::percentEncodeLabel(zone);
 }
 
 std::string ofPool(std::string const& pool) {
-  return "/v1/platform/pools/" + config::addressPart(pool);
+  return "/v1/platform/pools/" + config::percentEncodeLabel(pool);
 }
 
 std::string ofChange(std::string const& changeId) {
--- a/programs/common/settings.cpp
+++ b/programs/common/settings.cpp
@@ -120,7 +120,7 @@
   if (settings.listen == settings.http) throw SettingsError("http: must differ from listen");
   if (settings.link == settings.http) throw SettingsError("http: must differ from link");
   if (settings.zone.empty()) throw SettingsError("zone: missing");
-  if (!config::validName(settings.zone)) throw SettingsError("zone: not a valid name: " + settings.zone);
+  if (!config::isValidName(settings.zone)) throw SettingsError("zone: not a valid name: " + settings.zone);
   if (settings.seeds.size() > maxSeeds) throw SettingsError("seed: more than 8");
   if (settings.seeds.empty() && role == Role::router) throw SettingsError("seed: missing");
   for (std::string const& seed : settings.seeds) checkAddress("seed", seed, Presence::required);
--- a/programs/router/audit_recorder.cpp
+++ b/programs/router/audit_recorder.cpp
@@ -19,7 +19,7 @@
 /// The outcome as audit records on disk name it; the texts are those of earlier releases.
 char const* outcomeText(dataplane::AuditOutcome outcome) {
   switch (outcome) {
-    case dataplane::AuditOutcome::handedOver:
+    case dataplane::AuditOutcome::dispatched:
       return "handed-over";
     case dataplane::AuditOutcome::resumed:
       return "resumed";
@@ -27,7 +27,7 @@
       return "served";
     case dataplane::AuditOutcome::notExecuted:
       return "not-run";
-    case dataplane::AuditOutcome::broken:
+    case dataplane::AuditOutcome::aborted:
       return "broken";
     case dataplane::AuditOutcome::rejected:
       return "denied";
@@ -35,8 +35,8 @@
   return "";
 }
 
-audit::RecordKind kindOf(dataplane::WriteAuditRecord const& record) {
-  audit::RecordKind kind;
+audit::RecordCategory kindOf(dataplane::WriteAuditRecord const& record) {
+  audit::RecordCategory kind;
   kind.outcome = outcomeText(record.outcome);
   kind.regime = record.regime;
   kind.instance = record.instance;
@@ -54,8 +54,8 @@
 AuditRecorder::AuditRecorder(QObject* owner, Settings const& settings, AvailabilityChanged availabilityChanged)
     : owner_(owner), availabilityChanged_(std::move(availabilityChanged)) {
   if (settings.audit.empty()) return;
-  audit::Bounds bounds;
-  bounds.segments = static_cast<std::size_t>(settings.auditMegabytes);
+  audit::RetentionLimits bounds;
+  bounds.maxSegments = static_cast<std::size_t>(settings.auditMegabytes);
   directory_ = storage::openDirectory(settings.audit);
   lock_.emplace("audit", settings.audit);
   worker_.emplace(1);
@@ -88,12 +88,12 @@
 
 bool AuditRecorder::write(dataplane::WriteAuditRecord const& record) {
   if (log_ == nullptr) return false;
-  return tryWrite([&] { log_->count(kindOf(record), wallClock()); });
+  return tryWrite([&] { log_->countOutcome(kindOf(record), wallClock()); });
 }
 
 void AuditRecorder::onTimer() {
   if (log_ == nullptr) return;
-  bool const written = tryWrite([this] { log_->clockEvent(wallClock()); });
+  bool const written = tryWrite([this] { log_->onTimer(wallClock()); });
   if (written && now() >= nextSyncAt_) {
     nextSyncAt_ = now() + syncInterval;
     sync();
@@ -133,7 +133,7 @@
     setAvailable(false, error);
     return;
   }
-  if (!available_ && tryWrite([this] { log_->probe(wallClock()); })) setAvailable(true, "");
+  if (!available_ && tryWrite([this] { log_->probeDisk(wallClock()); })) setAvailable(true, "");
 }
 
 std::optional<QJsonObject> AuditRecorder::head() const {
--- a/programs/router/router_daemon.cpp
+++ b/programs/router/router_daemon.cpp
@@ -30,10 +30,10 @@
     : settings_(settings),
       mapping_(mapping),
       surface_(std::move(surface)),
-      shutdown_(settings.drainLimitMs, tuning.drainServe),
+      shutdown_(settings.drainLimitMs, tuning.drainAcceptPeriod),
       reducer_(contactOf(settings, transport::routerRole), settings.seeds,
                surface_.seed == 0 ? randomSeed() : surface_.seed, tuning),
-      recorder_(this, settings, [this](bool available) { reducer_.setRecording(available); }),
+      recorder_(this, settings, [this](bool available) { reducer_.setAuditAvailable(available); }),
       link_(
           this, settings.link,
           [this](transport::Envelope const& envelope) {
@@ -64,15 +64,13 @@
   events.connected = [this](std::uint64_t id) { execute(reducer_.onConnected(now(), id)); };
   events.connectFailed = [this](std::uint64_t id) { execute(reducer_.onConnectFailure(now(), id)); };
   events.localConnectFailed = [this](std::uint64_t id) { execute(reducer_.onLocalConnectFailure(now(), id)); };
-  events.responseFailed = [this](std::uint64_t id) { execute(reducer_.upstreamFailed(now(), id)); };
-  events.firstByte = [this](std::uint64_t id, bool runKnown) {
-    execute(reducer_.firstByteReceived(now(), id, runKnown));
-  };
-  events.progress = [this](std::uint64_t id) { execute(reducer_.progress(now(), id)); };
+  events.responseFailed = [this](std::uint64_t id) { execute(reducer_.onUpstreamError(now(), id)); };
+  events.firstByte = [this](std::uint64_t id, bool runKnown) { execute(reducer_.onFirstByte(now(), id, runKnown)); };
+  events.progress = [this](std::uint64_t id) { execute(reducer_.onProgress(now(), id)); };
   events.finished = [this](std::uint64_t id, UpstreamResult result) {
-    execute(reducer_.upstreamFinished(now(), id, result));
+    execute(reducer_.onUpstreamFinished(now(), id, result));
   };
-  events.callerDisconnected = [this](std::uint64_t id) { execute(reducer_.callerDisconnected(now(), id)); };
+  events.callerDisconnected = [this](std::uint64_t id) { execute(reducer_.onCallerDisconnected(now(), id)); };
   return events;
 }
 
@@ -101,7 +99,7 @@
     return true;
   }
   if (path.rfind(poolsPath, 0) == 0 && method == core::HttpMethod::put) {
-    std::string const pool = config::labelOf(path.substr(std::string(poolsPath).size()));
+    std::string const pool = config::percentDecodeLabel(path.substr(std::string(poolsPath).size()));
     execute(reducer_.onEndpointList(now(), request.id, pool, request.body));
     return true;
   }
@@ -130,9 +128,9 @@
 }
 
 void RouterDaemon::retune(dataplane::RouterTuning const& tuning, std::vector<std::string> const& seeds) {
-  bool const recording = reducer_.setRecording();
-  reducer_.retune(tuning, seeds);
-  reducer_.setRecording(recording);
+  bool const recording = reducer_.setAuditAvailable();
+  reducer_.updateTuning(tuning, seeds);
+  reducer_.setAuditAvailable(recording);
 }
 
 void RouterDaemon::updateEndpointList(std::string const& pool, std::string const& body) {
@@ -140,8 +138,8 @@
 }
 
 void RouterDaemon::execute(dataplane::RouterCommands&& commands) {
-  if (surface_.limitsUnder && reducer_.httpTerms() != httpLimits_) {
-    httpLimits_ = reducer_.httpTerms();
+  if (surface_.limitsUnder && reducer_.httpLimits() != httpLimits_) {
+    httpLimits_ = reducer_.httpLimits();
     server_.setLimits(surface_.limitsUnder(httpLimits_));
   }
   for (transport::Send const& send : commands.sends) link_.send(send.to, send.message);
--- a/programs/test/audit_recorder_test.cpp
+++ b/programs/test/audit_recorder_test.cpp
@@ -70,9 +70,9 @@
   {
     programs::AuditRecorder recorder(&node.owner, node.settings, node.onAvailability());
     CHECK(node.availability == std::vector<bool>{true});
-    CHECK(recorder.write(record(dataplane::AuditOutcome::handedOver)));
+    CHECK(recorder.write(record(dataplane::AuditOutcome::dispatched)));
     CHECK(node.recordedCount() == 1);
-    CHECK(recorder.write(record(dataplane::AuditOutcome::handedOver)));
+    CHECK(recorder.write(record(dataplane::AuditOutcome::dispatched)));
     CHECK(recorder.write(record(dataplane::AuditOutcome::rejected)));
     CHECK(node.recordedCount() >= 2);
     CHECK(recorder.head()->value("n").toInteger() >= 3);
@@ -80,7 +80,7 @@
                     programs::SettingsError);
   }
   std::unique_ptr<storage::Directory> const opened = storage::openDirectory(node.settings.audit);
-  QJsonObject const report = audit::report({audit::readAuditLog(*opened)}, {});
+  QJsonObject const report = audit::auditReport({audit::readAuditLog(*opened)}, {});
   qint64 sent = 0;
   for (QJsonValue const span : report.value("regimes").toObject().value("health").toArray())
     for (QJsonValue const count : span.toObject().value("counts").toArray())
@@ -94,7 +94,7 @@
   node.settings.audit.clear();
   programs::AuditRecorder recorder(&node.owner, node.settings, node.onAvailability());
   CHECK(node.availability.empty());
-  CHECK_FALSE(recorder.write(record(dataplane::AuditOutcome::handedOver)));
+  CHECK_FALSE(recorder.write(record(dataplane::AuditOutcome::dispatched)));
   CHECK_FALSE(recorder.head());
 }
 
@@ -103,7 +103,7 @@
   programs::AuditRecorder recorder(&node.owner, node.settings, node.onAvailability());
   QString const path = core::toQString(node.settings.audit);
   REQUIRE(QDir(node.directory.path()).rename("audit", "away"));
-  CHECK_FALSE(recorder.write(record(dataplane::AuditOutcome::handedOver)));
+  CHECK_FALSE(recorder.write(record(dataplane::AuditOutcome::dispatched)));
   CHECK(node.availability == std::vector<bool>{true, false});
   REQUIRE(QDir(node.directory.path()).rename("away", "audit"));
   CHECK(node.until([&] {
@@ -111,6 +111,6 @@
     return node.availability.size() == 3;
   }));
   CHECK(node.availability.back());
-  CHECK(recorder.write(record(dataplane::AuditOutcome::handedOver)));
+  CHECK(recorder.write(record(dataplane::AuditOutcome::dispatched)));
   CHECK(node.recordedCount() == 1);
 }
--- a/programs/test/golden_requests_test.cpp
+++ b/programs/test/golden_requests_test.cpp
@@ -260,10 +260,11 @@
   {
     std::unique_ptr<storage::Directory> const disk = storage::openDirectory(session.scratch() + "/audit");
     audit::AuditLog trail(*disk, "10.4.0.7:7721", 1780000000000);
-    trail.count(audit::RecordKind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}},
-                1780000000000);
-    trail.count(audit::RecordKind{"denied", "health", "desk.nord", "", "", "", "", "", "no certificate"},
-                1780000004000);
+    trail.countOutcome(
+        audit::RecordCategory{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}},
+        1780000000000);
+    trail.countOutcome(audit::RecordCategory{"denied", "health", "desk.nord", "", "", "", "", "", "no certificate"},
+                       1780000004000);
     trail.close(1780000010000);
   }
   session.run("corkward", {"--json", "regime", "report", "SCRATCH/audit"}, true);
--- a/programs/test/regime_report_test.cpp
+++ b/programs/test/regime_report_test.cpp
@@ -19,8 +19,9 @@
   {
     std::unique_ptr<storage::Directory> const disk = storage::openDirectory(directory.path());
     audit::AuditLog log(*disk, "n1", 1780000000000);
-    log.count(audit::RecordKind{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}},
-              1780000000000);
+    log.countOutcome(
+        audit::RecordCategory{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}},
+        1780000000000);
     log.close(1780000000001);
   }
   programs::ReportOptions options;
--- a/scaling/include/corkward/scaling/candidates.h
+++ b/scaling/include/corkward/scaling/candidates.h
@@ -14,7 +14,7 @@
 /// A replica that a part may draw from.
 struct Candidate {
   NameIndex replica = 0;
-  bool cold = false;
+  bool warmingUp = false;
   /// Hash of its address, equal on every node.
   std::uint64_t hash = 0;
   bool operator==(Candidate const&) const = default;
--- a/scaling/include/corkward/scaling/completion_rate.h
+++ b/scaling/include/corkward/scaling/completion_rate.h
@@ -10,7 +10,7 @@
 class CompletionRate {
  public:
   static constexpr Tick window = 1000;
-  void ended() { ++ended_; }
+  void onCompleted() { ++completed_; }
   void closeWindow(Tick now);
   /// Makes up for the looks that were left out, as if there had been one at the end of each window before now.
   void catchUp(Tick now);
@@ -18,8 +18,8 @@
 
  private:
   double perSecond_ = 0;
-  Tick from_ = 0;
-  int ended_ = 0;
+  Tick windowStart_ = 0;
+  int completed_ = 0;
 };
 
 }  // namespace corkward::scaling
--- a/scaling/include/corkward/scaling/prefix_cache.h
+++ b/scaling/include/corkward/scaling/prefix_cache.h
@@ -14,10 +14,10 @@
 /// Remembers which replica last served a prefix, bounded, oldest out first.
 class PrefixCacheIndex {
  public:
-  explicit PrefixCacheIndex(std::size_t bound = defaultScalerParameters.prefixes) : bound_(bound) {}
-  void served(std::uint64_t prefix, NameIndex replica);
+  explicit PrefixCacheIndex(std::size_t bound = defaultScalerParameters.maxPrefixes) : bound_(bound) {}
+  void recordServed(std::uint64_t prefix, NameIndex replica);
   /// Replica that served it last, or -1.
-  std::int64_t last(std::uint64_t prefix) const;
+  std::int64_t lastReplica(std::uint64_t prefix) const;
   std::size_t size() const { return byPrefix_.size(); }
   /// Forgets a replica that is gone for good.
   void forget(NameIndex replica);
@@ -32,10 +32,10 @@
 /// Remembers which parts of prompts this node sent to which replica, bounded by count and by each replica's own memory.
 class PrefixCacheEstimate {
  public:
-  explicit PrefixCacheEstimate(std::size_t bound = defaultScalerParameters.parts) : bound_(bound) {}
+  explicit PrefixCacheEstimate(std::size_t bound = defaultScalerParameters.maxCachedSegments) : bound_(bound) {}
   /// A part, named by a hash of itself and all before it, was sent. Memory: tokens that the replica keeps; 0: not
   /// known.
-  void sent(NameIndex replica, std::uint64_t part, std::int64_t tokens, std::int64_t memory);
+  void recordSent(NameIndex replica, std::uint64_t part, std::int64_t tokens, std::int64_t memory);
   bool has(NameIndex replica, std::uint64_t part) const;
   void forget(NameIndex replica);
   std::size_t size() const { return count_; }
--- a/scaling/include/corkward/scaling/reliability.h
+++ b/scaling/include/corkward/scaling/reliability.h
@@ -10,21 +10,21 @@
 class Reliability {
  public:
   /// Takes one outcome in. True when the replica has to rest from now on.
-  bool outcome(Tick now, bool failed, ScalerParameters const& f = defaultScalerParameters);
+  bool recordOutcome(Tick now, bool failed, ScalerParameters const& f = defaultScalerParameters);
   bool trusted() const { return trusted_; }
   /// Not trusted, and not to be probed yet.
-  bool resting(Tick now) const { return !trusted_ && now < restUntil_; }
+  bool isResting(Tick now) const { return !trusted_ && now < restUntil_; }
   Tick restUntil() const { return restUntil_; }
   /// Share of failures of late, newer outcomes weighing more.
-  double rate(Tick now, ScalerParameters const& f = defaultScalerParameters) const;
+  double failureRate(Tick now, ScalerParameters const& f = defaultScalerParameters) const;
 
  private:
-  double rate_ = 0;
+  double failureRate_ = 0;
   double failures_ = 0;
   Tick at_ = 0;
   bool trusted_ = true;
   Tick restUntil_ = 0;
-  Tick rest_ = 0;
+  Tick restDuration_ = 0;
   int successes_ = 0;
 };
 
--- a/scaling/include/corkward/scaling/retry_budget.h
+++ b/scaling/include/corkward/scaling/retry_budget.h
@@ -15,31 +15,31 @@
 class RetryBudget {
  public:
   static constexpr Tick window = 10000;
-  static constexpr Tick earnsFor = 1000;
-  static constexpr double share = 0.2;
+  static constexpr Tick earningWindow = 1000;
+  static constexpr double retryFraction = 0.2;
   static constexpr double allowance = 10.0;
-  void first(Tick now);
+  void onFirstAttempt(Tick now);
   /// True, and counted, when one more retry is within the budget.
-  bool retry(Tick now, std::size_t nodes, double ofAll = allowance);
+  bool takeRetry(Tick now, std::size_t nodes, double ofAll = allowance);
   /// The same, not counted.
   bool mayRetry(Tick now, std::size_t nodes, double ofAll = allowance);
   /// True while nothing in it counts any more.
-  bool idle(Tick now);
+  bool isIdle(Tick now);
 
  private:
   void expire(Tick now);
   double earned_ = 0;
-  std::deque<Tick> firsts_;
+  std::deque<Tick> firstAttempts_;
   /// Retries that were paid out of the allowance.
-  std::deque<Tick> allowed_;
+  std::deque<Tick> retries_;
 };
 
 /// Own retries at each pool and over all: one more has to be within both, so that no pool's requests pay for repeats at
 /// another.
 class RetryBudgets {
  public:
-  void first(Tick now, NameIndex pool);
-  bool retry(Tick now, NameIndex pool, std::size_t nodes, double ofAll = RetryBudget::allowance);
+  void onFirstAttempt(Tick now, NameIndex pool);
+  bool takeRetry(Tick now, NameIndex pool, std::size_t nodes, double ofAll = RetryBudget::allowance);
   /// Pools that are remembered.
   std::size_t size() const { return pools_.size(); }
 
--- a/scaling/include/corkward/scaling/scaler.h
+++ b/scaling/include/corkward/scaling/scaler.h
@@ -18,14 +18,14 @@
 
   /// New candidates. Those of the part that are gone leave at once and are replaced one for one; neither counts as a
   /// step.
-  void candidates(Candidates all);
+  void setCandidates(Candidates all);
   /// Before anything was sent: the part begins with this replica, if it is a candidate.
-  void begin(NameIndex wanted);
+  void beginWith(NameIndex wanted);
   /// One look at the demand; held counts no echoes. Takes at most one step and returns +1, -1 or 0. A widening takes
   /// the wanted candidate, if that is outside the part, else the next in this node's order.
   int evaluate(Tick now, std::size_t held, std::int64_t wanted = -1);
   /// True when looks with nothing held change nothing until a request is sent or candidates change.
-  bool atRest() const;
+  bool isAtRest() const;
 
   double cap() const;
   /// Room under the cap for one more request of the kind.
@@ -34,17 +34,17 @@
   bool raiseLimitFor(bool bulk);
   std::vector<Candidate> const& subset() const { return subset_; }
   /// How many it may draw from.
-  std::size_t candidates() const { return all_.size(); }
+  std::size_t setCandidates() const { return all_.size(); }
   bool has(NameIndex replica) const;
   int inFlight() const { return inFlight_; }
   int inFlightAt(NameIndex replica) const;
   double limit() const { return limit_; }
   /// True when the replica's mean first word is past the aim it was last measured against.
-  bool slow(NameIndex replica) const;
-  ScalerParameters const& figuresUsed() const { return f_; }
+  bool isSlow(NameIndex replica) const;
+  ScalerParameters const& parameters() const { return parameters_; }
   /// True when all of the part is slow and the last widening did not help.
-  bool allSlow() const { return allSlow_; }
-  double firstByteMean() const { return mean_; }
+  bool areAllSlow() const { return allSlow_; }
+  double firstByteMean() const { return meanFirstByte_; }
 
   /// Forgets a replica that is gone for good and has nothing in flight.
   void forget(NameIndex replica) { times_.erase(replica); }
@@ -54,28 +54,28 @@
   void onEnded(NameIndex replica, bool bulk);
 
  private:
-  double z(std::size_t held) const;
+  double excessDemand(std::size_t held) const;
   /// Takes the first candidates of this node's order until the part has so many.
   void growSubset(std::size_t size);
-  std::uint64_t order(Candidate const& c) const;
+  std::uint64_t subsetOrder(Candidate const& c) const;
 
   struct Times {
-    double mean = 0;
-    Tick aim = 0;
+    double meanFirstByte = 0;
+    Tick latencyTarget = 0;
     int answers = 0;
   };
   std::uint64_t seed_;
-  ScalerParameters f_;
+  ScalerParameters parameters_;
   Candidates all_;
   std::vector<Candidate> subset_;
   std::unordered_map<NameIndex, int> inFlightAt_;
   std::unordered_map<NameIndex, Times> times_;
   int inFlight_ = 0;
-  int bulk_ = 0;
+  int bulkInFlight_ = 0;
   double limit_;
-  Tick cutAt_ = 0;
+  Tick limitCutAt_ = 0;
   Tick calmSince_ = -1;
-  double mean_ = 0;
+  double meanFirstByte_ = 0;
   /// Running mean of answer times as shares of their aims.
   double strain_ = 0;
   double meanAtWidening_ = 0;
--- a/scaling/include/corkward/scaling/slow_start_bucket.h
+++ b/scaling/include/corkward/scaling/slow_start_bucket.h
@@ -10,8 +10,8 @@
 class SlowStartBucket {
  public:
   explicit SlowStartBucket(Tick now = 0) : at_(now) {}
-  bool take(Tick now, double rate);
-  bool has(Tick now, double rate) const;
+  bool takeToken(Tick now, double rate);
+  bool hasToken(Tick now, double rate) const;
 
  private:
   double tokens_ = 0;
--- a/scaling/src/balancing.cpp
+++ b/scaling/src/balancing.cpp
@@ -13,8 +13,8 @@
   std::uint64_t bestOrder = 0;
   for (Candidate const& c : usable) {
     int const n = scaler.inFlightAt(c.replica);
-    if (static_cast<std::int64_t>(c.replica) == last && !scaler.slow(c.replica) &&
-        n <= fewest + scaler.figuresUsed().prefixSlack)
+    if (static_cast<std::int64_t>(c.replica) == last && !scaler.isSlow(c.replica) &&
+        n <= fewest + scaler.parameters().prefixSlack)
       return last;
     std::uint64_t const order = core::RandomGenerator(prefix ^ c.hash).next();
     if (n != fewest || (best >= 0 && order >= bestOrder)) continue;
--- a/scaling/src/completion_rate.cpp
+++ b/scaling/src/completion_rate.cpp
@@ -7,19 +7,19 @@
 namespace corkward::scaling {
 
 void CompletionRate::closeWindow(Tick now) {
-  if (now - from_ < window) return;
-  double const rate = 1000.0 * ended_ / static_cast<double>(now - from_);
+  if (now - windowStart_ < window) return;
+  double const rate = 1000.0 * completed_ / static_cast<double>(now - windowStart_);
   perSecond_ = perSecond_ == 0 ? rate : 0.5 * perSecond_ + 0.5 * rate;
-  ended_ = 0;
-  from_ = now;
+  completed_ = 0;
+  windowStart_ = now;
 }
 
 void CompletionRate::catchUp(Tick now) {
-  Tick const windows = (now - from_ - 1) / window;
+  Tick const windows = (now - windowStart_ - 1) / window;
   if (windows < 1) return;
-  closeWindow(from_ + window);
+  closeWindow(windowStart_ + window);
   perSecond_ = std::ldexp(perSecond_, -static_cast<int>(std::min<Tick>(windows - 1, std::numeric_limits<int>::max())));
-  from_ += (windows - 1) * window;
+  windowStart_ += (windows - 1) * window;
 }
 
 }  // namespace corkward::scaling
--- a/scaling/src/prefix_cache.cpp
+++ b/scaling/src/prefix_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace corkward::scaling {
 
-void PrefixCacheIndex::served(std::uint64_t prefix, NameIndex replica) {
+void PrefixCacheIndex::recordServed(std::uint64_t prefix, NameIndex replica) {
   byPrefix_[prefix] = {replica, ++turn_};
   order_.emplace_back(prefix, turn_);
   while (byPrefix_.size() > bound_ || order_.size() > 4 * bound_) {
@@ -15,7 +15,7 @@
   }
 }
 
-std::int64_t PrefixCacheIndex::last(std::uint64_t prefix) const {
+std::int64_t PrefixCacheIndex::lastReplica(std::uint64_t prefix) const {
   std::unordered_map<std::uint64_t, std::pair<NameIndex, std::uint64_t>>::const_iterator const it =
       byPrefix_.find(prefix);
   return it == byPrefix_.end() ? -1 : static_cast<std::int64_t>(it->second.first);
@@ -42,7 +42,7 @@
   }
 }
 
-void PrefixCacheEstimate::sent(NameIndex replica, std::uint64_t part, std::int64_t tokens, std::int64_t memory) {
+void PrefixCacheEstimate::recordSent(NameIndex replica, std::uint64_t part, std::int64_t tokens, std::int64_t memory) {
   Memory& m = byReplica_[replica];
   std::pair<std::unordered_map<std::uint64_t, std::pair<std::int64_t, std::uint64_t>>::iterator, bool> const at =
       m.parts.try_emplace(part, tokens, 0);
--- a/scaling/src/reliability.cpp
+++ b/scaling/src/reliability.cpp
@@ -5,27 +5,27 @@
 
 namespace corkward::scaling {
 
-double Reliability::rate(Tick now, ScalerParameters const& f) const {
-  return rate_ * std::exp2(-static_cast<double>(now - at_) / static_cast<double>(f.errorHalf));
+double Reliability::failureRate(Tick now, ScalerParameters const& f) const {
+  return failureRate_ * std::exp2(-static_cast<double>(now - at_) / static_cast<double>(f.failureHalfLife));
 }
 
-bool Reliability::outcome(Tick now, bool failed, ScalerParameters const& f) {
-  double const aged = std::exp2(-static_cast<double>(now - at_) / static_cast<double>(f.errorHalf));
-  rate_ = rate_ * aged + f.errorMean * ((failed ? 1.0 : 0.0) - rate_ * aged);
+bool Reliability::recordOutcome(Tick now, bool failed, ScalerParameters const& f) {
+  double const aged = std::exp2(-static_cast<double>(now - at_) / static_cast<double>(f.failureHalfLife));
+  failureRate_ = failureRate_ * aged + f.failureMeanWeight * ((failed ? 1.0 : 0.0) - failureRate_ * aged);
   failures_ = failures_ * aged + (failed ? 1.0 : 0.0);
   at_ = now;
-  if (resting(now)) return false;
+  if (isResting(now)) return false;
   successes_ = failed ? 0 : successes_ + 1;
   if (!failed) {
-    if (successes_ % f.probes != 0) return false;
+    if (successes_ % f.probesToTrust != 0) return false;
     trusted_ = true;
-    if (successes_ > f.probes) rest_ /= 2;
+    if (successes_ > f.probesToTrust) restDuration_ /= 2;
     return false;
   }
-  if (trusted_ && (rate_ < f.errorMost || failures_ < f.errorLeast)) return false;
+  if (trusted_ && (failureRate_ < f.maxFailureRate || failures_ < f.minFailures)) return false;
   trusted_ = false;
-  rest_ = std::clamp(2 * rest_, f.restFirst, f.restMost);
-  restUntil_ = now + rest_;
+  restDuration_ = std::clamp(2 * restDuration_, f.initialRest, f.maxRest);
+  restUntil_ = now + restDuration_;
   return true;
 }
 
--- a/scaling/src/retry_budget.cpp
+++ b/scaling/src/retry_budget.cpp
@@ -13,52 +13,52 @@
 }  // namespace
 
 void RetryBudget::expire(Tick now) {
-  while (!firsts_.empty() && firsts_.front() <= now - earnsFor) firsts_.pop_front();
-  while (!allowed_.empty() && allowed_.front() <= now - window) allowed_.pop_front();
-  earned_ = std::min(earned_, share * static_cast<double>(firsts_.size()));
+  while (!firstAttempts_.empty() && firstAttempts_.front() <= now - earningWindow) firstAttempts_.pop_front();
+  while (!retries_.empty() && retries_.front() <= now - window) retries_.pop_front();
+  earned_ = std::min(earned_, retryFraction * static_cast<double>(firstAttempts_.size()));
 }
 
-void RetryBudget::first(Tick now) {
-  firsts_.push_back(now);
-  earned_ += share;
+void RetryBudget::onFirstAttempt(Tick now) {
+  firstAttempts_.push_back(now);
+  earned_ += retryFraction;
   expire(now);
 }
 
 bool RetryBudget::mayRetry(Tick now, std::size_t nodes, double ofAll) {
   expire(now);
   return earned_ >= 1.0 ||
-         static_cast<double>(allowed_.size()) + 1.0 <= ofAll / static_cast<double>(std::max<std::size_t>(nodes, 1));
+         static_cast<double>(retries_.size()) + 1.0 <= ofAll / static_cast<double>(std::max<std::size_t>(nodes, 1));
 }
 
-bool RetryBudget::retry(Tick now, std::size_t nodes, double ofAll) {
+bool RetryBudget::takeRetry(Tick now, std::size_t nodes, double ofAll) {
   if (!mayRetry(now, nodes, ofAll)) return false;
   if (earned_ >= 1.0)
     earned_ -= 1.0;
   else
-    allowed_.push_back(now);
+    retries_.push_back(now);
   return true;
 }
 
-bool RetryBudget::idle(Tick now) {
+bool RetryBudget::isIdle(Tick now) {
   expire(now);
-  return firsts_.empty() && allowed_.empty();
+  return firstAttempts_.empty() && retries_.empty();
 }
 
 RetryBudget& RetryBudgets::at(Tick now, NameIndex pool) {
   if (pools_.size() > poolsKept && pools_.count(pool) == 0)
     for (std::map<NameIndex, RetryBudget>::iterator it = pools_.begin(); it != pools_.end();)
-      it = it->second.idle(now) ? pools_.erase(it) : std::next(it);
+      it = it->second.isIdle(now) ? pools_.erase(it) : std::next(it);
   return pools_[pool];
 }
 
-void RetryBudgets::first(Tick now, NameIndex pool) {
-  all_.first(now);
-  at(now, pool).first(now);
+void RetryBudgets::onFirstAttempt(Tick now, NameIndex pool) {
+  all_.onFirstAttempt(now);
+  at(now, pool).onFirstAttempt(now);
 }
 
-bool RetryBudgets::retry(Tick now, NameIndex pool, std::size_t nodes, double ofAll) {
-  return at(now, pool).mayRetry(now, nodes, ofAll) && all_.retry(now, nodes, ofAll) &&
-         pools_.at(pool).retry(now, nodes, ofAll);
+bool RetryBudgets::takeRetry(Tick now, NameIndex pool, std::size_t nodes, double ofAll) {
+  return at(now, pool).mayRetry(now, nodes, ofAll) && all_.takeRetry(now, nodes, ofAll) &&
+         pools_.at(pool).takeRetry(now, nodes, ofAll);
 }
 
 }  // namespace corkward::scaling
--- a/scaling/test/scaling_test.cpp
+++ b/scaling/test/scaling_test.cpp
@@ -18,7 +18,7 @@
 
 TEST_CASE("each width crossed adds one replica, and a calm of 5 s gives one back") {
   scaling::Scaler s(7);
-  s.candidates(warm(9));
+  s.setCandidates(warm(9));
   REQUIRE(s.subset().size() == 1);
   CHECK(s.evaluate(0, 1) == 0);
   CHECK(s.evaluate(0, 2) == 1);
@@ -37,7 +37,7 @@
 
 TEST_CASE("a widening takes the wanted replica first, by one step and only past the width") {
   scaling::Scaler s(7);
-  s.candidates(warm(9));
+  s.setCandidates(warm(9));
   core::NameIndex wanted = 0;
   while (s.has(wanted)) ++wanted;
   scaling::Scaler other = s;
@@ -58,8 +58,8 @@
 TEST_CASE("a part begins with the wanted replica, and a step up takes the wanted one, never more than one") {
   for (core::NameIndex wanted = 0; wanted < 9; ++wanted) {
     scaling::Scaler s(7);
-    s.candidates(warm(9));
-    s.begin(wanted);
+    s.setCandidates(warm(9));
+    s.beginWith(wanted);
     REQUIRE(s.subset().size() == 1);
     CHECK(s.subset().front().replica == wanted);
     core::NameIndex const next = (wanted + 4) % 9;
@@ -71,23 +71,23 @@
     CHECK(s.subset().size() == 3);
     CHECK(s.evaluate(0, 6, 99) == 1);
     CHECK(s.subset().size() == 4);
-    s.begin(next);
+    s.beginWith(next);
     CHECK(s.subset().front().replica == wanted);
   }
 }
 
 TEST_CASE("a replica that leaves is replaced one for one and is no step") {
   scaling::Scaler s(7);
-  s.candidates(warm(4));
+  s.setCandidates(warm(4));
   s.evaluate(0, 2);
   core::NameIndex const gone = s.subset().front().replica;
   std::vector<scaling::Candidate> rest;
   for (scaling::Candidate const& c : warm(4))
     if (c.replica != gone) rest.push_back(c);
-  s.candidates(rest);
+  s.setCandidates(rest);
   CHECK(s.subset().size() == 2);
   for (scaling::Candidate const& c : s.subset()) CHECK(c.replica != gone);
-  s.candidates({});
+  s.setCandidates({});
   CHECK(s.subset().empty());
   CHECK(s.cap() == 0);
   CHECK_FALSE(s.hasCapacity(false));
@@ -95,7 +95,7 @@
 
 TEST_CASE("when all are slow and a widening did not help, no more are taken and the cap falls") {
   scaling::Scaler s(3);
-  s.candidates(warm(9));
+  s.setCandidates(warm(9));
   core::Tick now = 0;
   double const before = s.limit();
   for (int i = 0; i < 400; ++i) {
@@ -107,7 +107,7 @@
       s.onEnded(c.replica, false);
     }
   }
-  CHECK(s.allSlow());
+  CHECK(s.areAllSlow());
   CHECK(s.subset().size() < 9);
   CHECK(s.limit() < before);
   for (int i = 0; i < 60; ++i)
@@ -116,20 +116,20 @@
       s.onFirstByte(now, c.replica, 100, 800);
       s.onEnded(c.replica, false);
     }
-  CHECK_FALSE(s.allSlow());
+  CHECK_FALSE(s.areAllSlow());
 }
 
 TEST_CASE("cold replicas count as part but not for the cap") {
   scaling::Scaler s(3);
-  s.candidates({{0, true, 11}, {1, false, 12}});
+  s.setCandidates({{0, true, 11}, {1, false, 12}});
   s.evaluate(0, 2);
   CHECK(s.subset().size() == 2);
-  CHECK(s.cap() == scaling::defaultScalerParameters.firstLimit);
+  CHECK(s.cap() == scaling::defaultScalerParameters.initialLimit);
 }
 
 TEST_CASE("a prefix stays with its replica until that is too busy") {
   scaling::Scaler s(3);
-  s.candidates(warm(3));
+  s.setCandidates(warm(3));
   s.evaluate(0, 9);
   s.evaluate(0, 9);
   std::vector<scaling::Candidate> const usable = s.subset();
@@ -149,10 +149,10 @@
     std::vector<core::Tick> retries;
     for (core::Tick now = 0; now < 60000; now += static_cast<core::Tick>(rng.below(60))) {
       if (rng.chance(0.5)) {
-        b.first(now);
+        b.onFirstAttempt(now);
         firsts.push_back(now);
       }
-      if (b.retry(now, 5)) retries.push_back(now);
+      if (b.takeRetry(now, 5)) retries.push_back(now);
     }
     REQUIRE_FALSE(retries.empty());
     for (core::Tick const end : retries) {
@@ -172,12 +172,12 @@
   std::vector<core::Tick> firsts;
   std::vector<core::Tick> retries;
   for (core::Tick now = 0; now < 30000; ++now) {
-    b.first(now, large);
+    b.onFirstAttempt(now, large);
     if (now % 50 == 0) {
-      b.first(now, small);
+      b.onFirstAttempt(now, small);
       firsts.push_back(now);
     }
-    if (now % 10 == 0 && b.retry(now, small, 5)) retries.push_back(now);
+    if (now % 10 == 0 && b.takeRetry(now, small, 5)) retries.push_back(now);
   }
   for (core::Tick const end : retries) {
     std::size_t f = 0;
@@ -187,33 +187,33 @@
     REQUIRE(static_cast<double>(r) <= 0.2 * static_cast<double>(f) + 2.0 + 0.2 * 20);
   }
   CHECK(retries.size() > 100);
-  for (int i = 0; i < 1000; ++i) b.first(40000 + i * 2000, static_cast<core::NameIndex>(i));
+  for (int i = 0; i < 1000; ++i) b.onFirstAttempt(40000 + i * 2000, static_cast<core::NameIndex>(i));
   CHECK(b.size() < 40);
 }
 
 TEST_CASE("retries do not outlive a crowd that is gone") {
   scaling::RetryBudget b;
-  for (core::Tick now = 0; now < 2000; ++now) b.first(now);
+  for (core::Tick now = 0; now < 2000; ++now) b.onFirstAttempt(now);
   int retries = 0;
-  for (core::Tick now = 5000; now < 12000; now += 10) retries += b.retry(now, 5) ? 1 : 0;
+  for (core::Tick now = 5000; now < 12000; now += 10) retries += b.takeRetry(now, 5) ? 1 : 0;
   CHECK(retries <= 4);
 }
 
 TEST_CASE("a cold bucket never passes its rate and starts empty") {
   scaling::SlowStartBucket b(1000);
   int taken = 0;
-  for (core::Tick now = 1000; now <= 11000; now += 7) taken += b.take(now, 2.0) ? 1 : 0;
+  for (core::Tick now = 1000; now <= 11000; now += 7) taken += b.takeToken(now, 2.0) ? 1 : 0;
   CHECK(taken <= 20);
   CHECK(taken >= 18);
-  CHECK_FALSE(scaling::SlowStartBucket(0).has(400, 2.0));
+  CHECK_FALSE(scaling::SlowStartBucket(0).hasToken(400, 2.0));
 }
 
 TEST_CASE("remembered prefixes stay bounded") {
   scaling::PrefixCacheIndex p(100);
-  for (std::uint64_t i = 0; i < 10000; ++i) p.served(i % 300, 1);
+  for (std::uint64_t i = 0; i < 10000; ++i) p.recordServed(i % 300, 1);
   CHECK(p.size() <= 100);
-  CHECK(p.last(9999 % 300) == 1);
-  CHECK(p.last(100000) == -1);
+  CHECK(p.lastReplica(9999 % 300) == 1);
+  CHECK(p.lastReplica(100000) == -1);
 }
 
 TEST_CASE("a scaler at rest that is not looked at does what one does that is looked at ten times a second") {
@@ -231,8 +231,8 @@
     scaling::CompletionRate rateLooked;
     scaling::CompletionRate rateSkipped;
     std::vector<scaling::Candidate> all = warm(6);
-    looked.candidates(all);
-    skipped.candidates(all);
+    looked.setCandidates(all);
+    skipped.setCandidates(all);
     bool asleep = false;
     std::vector<core::NameIndex> sent;
     for (core::Tick now = 100; now < 240000; now += 50) {
@@ -255,35 +255,35 @@
         skipped.onFirstByte(now, sent.back(), took, 600);
         looked.onEnded(sent.back(), false);
         skipped.onEnded(sent.back(), false);
-        rateLooked.ended();
-        rateSkipped.ended();
+        rateLooked.onCompleted();
+        rateSkipped.onCompleted();
         sent.pop_back();
       }
       if (rng.chance(0.01)) {
         all = warm(6);
         std::erase_if(all, [&](scaling::Candidate const&) { return rng.chance(0.4); });
-        looked.candidates(all);
-        skipped.candidates(all);
-        if (asleep && !skipped.atRest()) {
+        looked.setCandidates(all);
+        skipped.setCandidates(all);
+        if (asleep && !skipped.isAtRest()) {
           rateSkipped.catchUp(now);
           asleep = false;
         }
       }
       if (now % 100 != 0) continue;
-      looked.candidates(all);
+      looked.setCandidates(all);
       rateLooked.closeWindow(now);
       int const step = looked.evaluate(now, 0);
       if (!asleep) {
         rateSkipped.closeWindow(now);
         REQUIRE(skipped.evaluate(now, 0) == step);
-        asleep = skipped.atRest();
+        asleep = skipped.isAtRest();
         rested += asleep ? 1 : 0;
       } else {
         REQUIRE(step == 0);
       }
       REQUIRE(skipped.subset() == looked.subset());
       REQUIRE(skipped.limit() == looked.limit());
-      REQUIRE(skipped.allSlow() == looked.allSlow());
+      REQUIRE(skipped.areAllSlow() == looked.areAllSlow());
       scaling::CompletionRate caughtUp = rateSkipped;
       caughtUp.catchUp(now + 1);
       REQUIRE(caughtUp.perSecond() == rateLooked.perSecond());
--- a/testing/capacity/parts.cpp
+++ b/testing/capacity/parts.cpp
@@ -378,13 +378,13 @@
 /// Bounds that never stop a request, so that what is measured is the cost and not the scaler's choice.
 dataplane::RouterTuning open() {
   dataplane::RouterTuning t;
-  t.figures.firstPart = 1000000;
-  t.figures.firstLimit = 1e9;
-  t.figures.maxLimit = 1e9;
-  t.figures.bulkShare = 1;
-  t.figures.cooldown = 1000000000;
+  t.scalerParameters.initialSubset = 1000000;
+  t.scalerParameters.initialLimit = 1e9;
+  t.scalerParameters.maxLimit = 1e9;
+  t.scalerParameters.bulkFraction = 1;
+  t.scalerParameters.cooldown = 1000000000;
   t.nodeLimitPerReplica = 1e9;
-  t.heldLeast = 1000000;
+  t.minQueueLength = 1000000;
   return t;
 }
 
@@ -417,10 +417,12 @@
         failed("calls: a request was rejected: " + d->reason);
       }
     if (!handed) failed("calls: a request was held");
-    node_.firstByteReceived(fleet_.now(), r.call, true);
+    node_.onFirstByte(fleet_.now(), r.call, true);
     return r.call;
   }
-  void end(dataplane::CallId call) { node_.upstreamFinished(fleet_.now(), call, dataplane::UpstreamResult::complete); }
+  void end(dataplane::CallId call) {
+    node_.onUpstreamFinished(fleet_.now(), call, dataplane::UpstreamResult::complete);
+  }
   dataplane::RequestRouter& node() { return node_; }
 
  private:
@@ -499,7 +501,7 @@
       {"page.metrics", "operator", "bytes", counted, static_cast<double>(callers.node().metrics(fleet.now()).size())});
   out.push_back({"held.ids", "router", "ids", counted, static_cast<double>(held.ids)});
   out.push_back({"held.prefixes", "router", "prefixes", counted, static_cast<double>(held.prefixes)});
-  out.push_back({"held.credits", "router", "credits", counted, static_cast<double>(held.credits)});
+  out.push_back({"held.credits", "router", "credits", counted, static_cast<double>(held.queues)});
   return out;
 }
 
@@ -544,7 +546,7 @@
     fleet.count(true);
     fleet.run(1000);
     clocks.push_back(fleet.clockUs(false));
-    for (dataplane::CallId const c : calls) callers.node().progress(fleet.now(), c);
+    for (dataplane::CallId const c : calls) callers.node().onProgress(fleet.now(), c);
   }
   out.push_back({"clock", "router", "us/s", timed, middle(clocks)});
   out.push_back({"in_hand", "router", "calls", counted, static_cast<double>(callers.node().pendingCount())});
--- a/testing/capacity/sizes.cpp
+++ b/testing/capacity/sizes.cpp
@@ -25,8 +25,8 @@
   std::int64_t const each = (sizes.tenants + sizes.templates - 1) / sizes.templates;
   if (each > static_cast<std::int64_t>(config::maxInstances))
     throw SizesError("tenants: over " + std::to_string(config::maxInstances) + " for one template");
-  if (each * sizes.paths > static_cast<std::int64_t>(config::maxRendered))
-    throw SizesError("paths: over " + std::to_string(config::maxRendered) + " for the tenants of one template");
+  if (each * sizes.paths > static_cast<std::int64_t>(config::maxRenderedPaths))
+    throw SizesError("paths: over " + std::to_string(config::maxRenderedPaths) + " for the tenants of one template");
   if (sizes.changes > 0 && sizes.tenants == 0) throw SizesError("changes: there is no tenant to change");
 }
 
--- a/testing/fuzz/scene.cpp
+++ b/testing/fuzz/scene.cpp
@@ -36,10 +36,10 @@
 
 dataplane::RouterTuning tuning() {
   dataplane::RouterTuning t = platform::routerTuning(platform::NodeFile{});
-  t.figures.firstLimit = 64;
-  t.figures.minLimit = 64;
-  t.busyFor = 20;
-  t.coolFor = 100;
+  t.scalerParameters.initialLimit = 64;
+  t.scalerParameters.minLimit = 64;
+  t.overloadBackoff = 20;
+  t.connectFailureBackoff = 100;
   return t;
 }
 
--- a/testing/sim/callers.cpp
+++ b/testing/sim/callers.cpp
@@ -71,7 +71,7 @@
   r.path = c.path;
   r.id = id;
   r.attempt = c.numbered ? c.attempt : 0;
-  r.age = now_ - c.began;
+  r.ageMs = now_ - c.began;
   r.prefix = c.prefix;
   r.earlierNotExecuted = c.numbered && c.attempt > 1 && c.earlierNotRun;
   r.earlierReachedReplica = c.earlierReached;
@@ -89,7 +89,7 @@
     if (k == callers_.end() || !k->second.open || k->second.call != call || k->second.worded) return;
     toNode(link, life, [this, link, call] {
       Node& m = *node(link);
-      run(m, m.data->callerDisconnected(local(m), call));
+      run(m, m.data->onCallerDisconnected(local(m), call));
     });
     callerCut(id);
   });
--- a/testing/sim/certificates.cpp
+++ b/testing/sim/certificates.cpp
@@ -80,7 +80,7 @@
   }
   std::map<std::string, std::uint64_t> const turns = certificateTurns_;
   bool const jumps = std::find(plan_.faults.begin(), plan_.faults.end(), Fault::wallClockJump) != plan_.faults.end();
-  Tick const until = now_ + lasts - config::wallMargin + clocksDiffer + (jumps ? mostBack : 0);
+  Tick const until = now_ + lasts - config::clockMarginMs + clocksDiffer + (jumps ? mostBack : 0);
   std::string const body = core::jsonText(QJsonObject{{"certificates", all}});
   change(config::regimesKey, "", "PATCH", page, body, certificateRevision_, "",
          [this, names, turns, until](int status, QJsonObject const& answer) {
@@ -122,7 +122,7 @@
       patchCertificates({names[rng_.below(names.size())]}, farAway);
       break;
     default:
-      patchCertificates({one}, config::wallMargin + 1000 + static_cast<Tick>(rng_.below(6000)));
+      patchCertificates({one}, config::clockMarginMs + 1000 + static_cast<Tick>(rng_.below(6000)));
   }
 }
 
--- a/testing/sim/control_faults.cpp
+++ b/testing/sim/control_faults.cpp
@@ -157,7 +157,7 @@
   for (std::map<std::string, Node>::value_type& n : nodes_) {
     if (!n.second.alive) continue;
     if (n.second.control) n.second.control->setSeeds(seeds);
-    if (n.second.data) n.second.data->retune(routerTuning(), seeds);
+    if (n.second.data) n.second.data->updateTuning(routerTuning(), seeds);
   }
 }
 
--- a/testing/sim/oracles.cpp
+++ b/testing/sim/oracles.cpp
@@ -42,10 +42,15 @@
     if (c.key == family && c.status >= 400 && c.status < 500 && !c.mark.empty()) rejected.insert(c.mark);
   for (std::map<std::string, Node>::value_type const& n : nodes_) {
     if (!n.second.alive || !n.second.data) continue;
-    std::string const logEvent = core::toStdString(
-        n.second.data->valueOf(family).value("template").toObject().value("spec").toObject().value("note").toString());
+    std::string const logEvent = core::toStdString(n.second.data->configurationValue(family)
+                                                       .value("template")
+                                                       .toObject()
+                                                       .value("spec")
+                                                       .toObject()
+                                                       .value("note")
+                                                       .toString());
     if (rejected.count(logEvent) > 0) violation("a rejected change is in force: " + logEvent);
-    for (std::pair<std::size_t, std::size_t> const& part : n.second.data->parts("model")) {
+    for (std::pair<std::size_t, std::size_t> const& part : n.second.data->subsetSizes("model")) {
       result_.partSum += static_cast<double>(part.first);
       ++result_.partSamples;
       result_.counts["held-most"] = std::max(result_.counts["held-most"], part.second);
--- a/testing/sim/outages.cpp
+++ b/testing/sim/outages.cpp
@@ -22,7 +22,7 @@
     ++result_.counts["reset-callers"];
     toNode(n.link, n.life, [this, link = n.link, call = h.second] {
       Node& k = *node(link);
-      run(k, k.data->callerDisconnected(local(k), call));
+      run(k, k.data->onCallerDisconnected(local(k), call));
     });
     callerCut(h.first);
   }
