--- a/testing/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -400,7 +400,7 @@
     steps.ended = dataplane::UpstreamResult::complete;
     steps.finish = true;
   }
-  if (steps.failed) run(n, n.data->upstreamFailed(local(n), call));
+  if (steps.failed) run(n, n.data->onUpstreamError(local(n), call));
   std::map<std::string, Caller>::iterator const c = callers_.find(id);
   bool const hears = c != callers_.end() && c->second.open && c->second.call == call;
   if (hears && steps.begin) {
@@ -417,9 +417,9 @@
       result_.firstWords[c->second.cls].push_back(now_ - c->second.began);
       result_.servedWords[c->second.cls].push_back(now_ - c->second.attemptAt);
     }
-    run(n, n.data->firstByteReceived(local(n), call, *steps.firstByte));
+    run(n, n.data->onFirstByte(local(n), call, *steps.firstByte));
   } else if (!steps.chunk.empty()) {
-    run(n, n.data->progress(local(n), call));
+    run(n, n.data->onProgress(local(n), call));
   }
   if (steps.closeUpstream) abandon(n, call);
   if (steps.finish) {
@@ -431,7 +431,7 @@
                                        [&](std::string const& run) { return c->second.got == run + " failed\n"; });
         if (!known) violation("a replica's failure is altered or of somebody else: " + id);
         callerEnds(id, "replica-failed");
-        if (steps.ended) run(n, n.data->upstreamFinished(local(n), call, *steps.ended));
+        if (steps.ended) run(n, n.data->onUpstreamFinished(local(n), call, *steps.ended));
         return;
       }
       if (plan_.mutation == Mutation::foreignBody && rng_.chance(0.05)) c->second.got = bodyOf("somebody", 3);
@@ -443,7 +443,7 @@
           violation("a cut row of events looks whole: " + id);
         ++result_.counts[resumesOf_.count({id, call}) > 0 ? "tales-served-after-resume" : "tales-served"];
         callerEnds(id, "served");
-        if (steps.ended) run(n, n.data->upstreamFinished(local(n), call, *steps.ended));
+        if (steps.ended) run(n, n.data->onUpstreamFinished(local(n), call, *steps.ended));
         return;
       }
       BodyVerdict const v = checkBody(c->second.got);
@@ -455,7 +455,7 @@
       callerEnds(id, "served");
     }
   }
-  if (steps.ended) run(n, n.data->upstreamFinished(local(n), call, *steps.ended));
+  if (steps.ended) run(n, n.data->onUpstreamFinished(local(n), call, *steps.ended));
 }
 
 void World::abandon(Node& n, std::uint64_t call) {
--- a/testing/sim/sweep.cpp
+++ b/testing/sim/sweep.cpp
@@ -48,8 +48,8 @@
       "width", po::value(&figures.width), "each width")("calm-for", po::value(&figures.cooldown), "give-back wait, ms")(
       "slack", po::value(&figures.prefixSlack), "prefix slack")("prefixes", po::value(&prefixes), "other prefixes")(
       "skip", po::value(&skip), "ms at the start whose first words do not count")(
-      "first-limit", po::value(&figures.firstLimit), "limit per replica at the start")(
-      "bulk-share", po::value(&figures.bulkShare), "share of the cap for long requests")(
+      "first-limit", po::value(&figures.initialLimit), "limit per replica at the start")(
+      "bulk-share", po::value(&figures.bulkFraction), "share of the cap for long requests")(
       "nacelles", po::value(&routers), "how many instead of eight")(
       "traffic", po::bool_switch(&traffic), "print messages and bytes a second and node, by sender and kind")(
       "counts", po::bool_switch(&counts), "print what each run counted")(
--- a/testing/sim/world.cpp
+++ b/testing/sim/world.cpp
@@ -96,23 +96,24 @@
 
 dataplane::RouterTuning World::routerTuning() const {
   dataplane::RouterTuning t;
-  if (plan_.mutation == Mutation::noFence || plan_.mutation == Mutation::forgetLeaving) t.confirmFor = 1000000000;
+  if (plan_.mutation == Mutation::noFence || plan_.mutation == Mutation::forgetLeaving)
+    t.servingLeaseDuration = 1000000000;
   if (plan_.mutation == Mutation::vouchTooSoon) t.ageMargin = -1000000000;
-  if (plan_.mutation == Mutation::warmForever) t.warmLease = 1000000000;
-  t.figures = plan_.figures;
-  if (plan_.mutation == Mutation::blindTrust) t.figures.errorLeast = 1e9;
-  t.records = plan_.regimes;
+  if (plan_.mutation == Mutation::warmForever) t.warmupLeaseDuration = 1000000000;
+  t.scalerParameters = plan_.figures;
+  if (plan_.mutation == Mutation::blindTrust) t.scalerParameters.minFailures = 1e9;
+  t.auditRecordsAvailable = plan_.regimes;
   if (!plan_.fenced) {
-    t.fenced = false;
-    t.askEvery = 500;
-    t.youngWait = 0;
-    t.connectLimit = 400;
-    t.coolFor = 1000;
-    t.comeBack = 0.2;
+    t.leaseRequired = false;
+    t.leaseRequestInterval = 500;
+    t.startupGracePeriod = 0;
+    t.connectTimeout = 400;
+    t.connectFailureBackoff = 1000;
+    t.defaultRetryAfter = 0.2;
   }
   if (plan_.plain) {
-    t.figures.firstPart = 1000;
-    t.figures.cooldown = 1000000000;
+    t.scalerParameters.initialSubset = 1000;
+    t.scalerParameters.cooldown = 1000000000;
   }
   return t;
 }
@@ -352,7 +353,7 @@
       std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it =
           upstreams_.find({n.link, w->call});
       bool const before =
-          w->outcome == dataplane::AuditOutcome::handedOver || w->outcome == dataplane::AuditOutcome::resumed;
+          w->outcome == dataplane::AuditOutcome::dispatched || w->outcome == dataplane::AuditOutcome::resumed;
       if (it != upstreams_.end() && before && plan_.mutation != Mutation::unrecorded)
         it->second.recorded = w->incarnation;
     } else if (dataplane::CloseUpstream const* const a = std::get_if<dataplane::CloseUpstream>(&v)) {
