--- a/core/include/corkward/core/guarantees.h
+++ b/core/include/corkward/core/guarantees.h
@@ -8,8 +8,8 @@
 
 namespace corkward::core {
 
-/// What the fleet promises to callers and operators, as far as one process can check it while it runs. Unlike
-/// CORKWARD_INVARIANT, whose break leaves no state to go on with, a broken promise is counted, logged and survived.
+/// What the fleet guarantees to callers and operators, as far as one process can check it while it runs. Unlike
+/// CORKWARD_INVARIANT, whose break leaves no state to go on with, a violated guarantee is counted, logged and survived.
 enum class Guarantee : std::size_t {
   /// A request that may run once is handed over again only after "not run".
   runsOnce,
@@ -39,8 +39,8 @@
 
 inline constexpr std::size_t guaranteeCount = 12;
 
-/// Name of a promise in logs and metrics.
-char const* nameOf(Guarantee promise);
+/// Name of a guarantee in logs and metrics.
+char const* nameOf(Guarantee guarantee);
 
 /// Counts of the calling thread, which owns the reducer that it drives. A process has one such thread; simulated runs
 /// have one for each world.
@@ -49,11 +49,11 @@
   /// Counts of the calling thread.
   static GuaranteeCounts& ofThread();
 
-  /// Counts one broken promise and logs it; of each promise only the first few are logged.
-  void recordViolation(Guarantee promise, std::string const& detail);
-  std::uint64_t count(Guarantee promise) const { return counts_.at(static_cast<std::size_t>(promise)); }
+  /// Counts one violation and logs it; of each guarantee only the first few are logged.
+  void recordViolation(Guarantee guarantee, std::string const& detail);
+  std::uint64_t count(Guarantee guarantee) const { return counts_.at(static_cast<std::size_t>(guarantee)); }
   std::uint64_t total() const;
-  /// One line for each promise that was broken since the last call, with its first detail; forgets them.
+  /// One line for each guarantee that was violated since the last call, with its first detail; forgets them.
   std::vector<std::string> takeNewViolations();
 
  private:
@@ -62,12 +62,12 @@
   std::array<std::string, guaranteeCount> details_{};
 };
 
-/// Every promise with its count as lines of a metrics page, also those that were never broken.
+/// Every guarantee with its count as lines of a metrics page, also those that were never violated.
 std::string guaranteeMetrics();
 
 }  // namespace corkward::core
 
-/// Checks a promise; the detail is made only when it is broken.
+/// Checks a guarantee; the detail is built only when it is violated.
 #define CORKWARD_GUARANTEE(guarantee, condition, detail)                                                \
   do {                                                                                                  \
     if (!(condition)) ::corkward::core::GuaranteeCounts::ofThread().recordViolation(guarantee, detail); \
--- /dev/null
+++ b/core/src/events.h
@@ -0,0 +1,12 @@
+#pragma once
+
+/// Log events of the core package.
+
+#include <corkward/core/log_event.h>
+
+namespace corkward::core::events {
+
+/// A guarantee that holds at run time was found violated; the process goes on.
+inline constexpr EventName guaranteeViolated{"guarantee-violated"};
+
+}  // namespace corkward::core::events
--- a/core/src/guarantees.cpp
+++ b/core/src/guarantees.cpp
@@ -3,6 +3,8 @@
 
 #include <numeric>
 
+#include "events.h"
+
 namespace corkward::core {
 
 namespace {
@@ -24,8 +26,8 @@
 
 }  // namespace
 
-char const* nameOf(Guarantee promise) {
-  return names.at(static_cast<std::size_t>(promise));
+char const* nameOf(Guarantee guarantee) {
+  return names.at(static_cast<std::size_t>(guarantee));
 }
 
 GuaranteeCounts& GuaranteeCounts::ofThread() {
@@ -33,12 +35,12 @@
   return counts;
 }
 
-void GuaranteeCounts::recordViolation(Guarantee promise, std::string const& detail) {
-  std::size_t const place = static_cast<std::size_t>(promise);
+void GuaranteeCounts::recordViolation(Guarantee guarantee, std::string const& detail) {
+  std::size_t const place = static_cast<std::size_t>(guarantee);
   ++counts_.at(place);
   if (counts_.at(place) == reported_.at(place) + 1) details_.at(place) = detail;
   if (counts_.at(place) <= loggedOfEach)
-    writeError(LogEvent{"promise-broken", {{"promise", nameOf(promise)}, {"detail", detail}}});
+    writeError(LogEvent{events::guaranteeViolated, {{"guarantee", nameOf(guarantee)}, {"detail", detail}}});
 }
 
 std::uint64_t GuaranteeCounts::total() const {
@@ -50,7 +52,7 @@
   for (std::size_t place = 0; place < guaranteeCount; ++place) {
     std::uint64_t const fresh = counts_.at(place) - reported_.at(place);
     if (fresh == 0) continue;
-    out.push_back(std::string("promise ") + names.at(place) + " broken " + std::to_string(fresh) +
+    out.push_back(std::string("guarantee ") + names.at(place) + " violated " + std::to_string(fresh) +
                   " times, first: " + details_.at(place));
     reported_.at(place) = counts_.at(place);
   }
--- a/core/test/core_test.cpp
+++ b/core/test/core_test.cpp
@@ -70,7 +70,7 @@
   CHECK(j.counts().at("x") == 100);
 }
 
-TEST_CASE("a broken promise is counted and told, and the process goes on") {
+TEST_CASE("a violated guarantee is counted and reported, and the process goes on") {
   core::GuaranteeCounts& counts = core::GuaranteeCounts::ofThread();
   std::uint64_t const before = counts.count(core::Guarantee::runsOnce);
   int made = 0;
@@ -87,6 +87,6 @@
   CHECK(core::guaranteeMetrics().find("{promise=\"events-in-order\"}") != std::string::npos);
   std::vector<std::string> const told = counts.takeNewViolations();
   REQUIRE(told.size() == 1);
-  CHECK(told[0] == "promise runs-once broken 2 times, first: request r1");
+  CHECK(told[0] == "guarantee runs-once violated 2 times, first: request r1");
   CHECK(counts.takeNewViolations().empty());
 }
--- a/http/test/response_guarantees_test.cpp
+++ b/http/test/response_guarantees_test.cpp
@@ -50,7 +50,7 @@
   CHECK_FALSE(exchange.untilCut().endsWith("1234567890"));
   std::vector<std::string> const broken = core::GuaranteeCounts::ofThread().takeNewViolations();
   REQUIRE(broken.size() == 1);
-  CHECK(broken[0] == "promise whole-answers broken 1 times, first: 6 bytes are missing");
+  CHECK(broken[0] == "guarantee whole-answers violated 1 times, first: 6 bytes are missing");
 }
 
 TEST_CASE("a second head for one request resets the connection, and violates a guarantee") {
@@ -65,5 +65,5 @@
   CHECK(exchange.untilCut().count("HTTP/1.1") <= 1);
   std::vector<std::string> const broken = core::GuaranteeCounts::ofThread().takeNewViolations();
   REQUIRE(broken.size() == 1);
-  CHECK(broken[0].rfind("promise one-answer broken 1 times", 0) == 0);
+  CHECK(broken[0].rfind("guarantee one-answer violated 1 times", 0) == 0);
 }
--- a/testing/fleet/chaos_judge.cpp
+++ b/testing/fleet/chaos_judge.cpp
@@ -67,7 +67,7 @@
       std::ifstream log(fleet_.folder() + "/" + node.name + ".log");
       std::string line;
       while (std::getline(log, line))
-        for (char const* const bad : {"promise-broken", "broken invariant", "terminate called", "panic"})
+        for (char const* const bad : {"guarantee-violated", "broken invariant", "terminate called", "panic"})
           if (line.find(bad) != std::string::npos) violation(node.name + ": " + line.substr(0, 300));
     }
 }
--- a/transport/include/corkward/transport/link.h
+++ b/transport/include/corkward/transport/link.h
@@ -5,6 +5,7 @@
 #include <chrono>
 #include <functional>
 #include <map>
+#include <memory>
 #include <string>
 #include <thread>
 
@@ -13,6 +14,8 @@
 
 namespace corkward::transport {
 
+class SocketCloser;
+
 /// Held nng connections between our own processes: one pull socket listens, one push socket per membership member
 /// dials. Messages are handed over on the thread of the object that the link was made for. What cannot be queued is
 /// dropped: every protocol above repeats itself. A connection, or an attempt at one, that met a cut or a machine that
@@ -44,16 +47,21 @@
 
  private:
   using Clock = std::chrono::steady_clock;
+  /// Written by nng's threads until the socket is closed.
+  struct ConnectionCounts {
+    std::atomic<int> connects{0};
+    std::atomic<int> disconnects{0};
+  };
   struct Connection {
     std::uint32_t socket = 0;
     Clock::time_point used;
     ConnectionHealth health;
-    /// Written by nng's threads until the socket is closed.
-    std::atomic<int> connects{0};
-    std::atomic<int> disconnects{0};
-    bool connected() const { return connects > disconnects; }
+    /// Of the present socket; a socket that is being closed keeps its own.
+    std::shared_ptr<ConnectionCounts> counts;
+    bool connected() const { return counts->connects > counts->disconnects; }
   };
   bool dial(std::string const& to, Connection& way);
+  void close(Connection const& connection);
   /// Closes the way's connection and dials anew; false when that failed and the way is gone.
   bool redial(std::map<std::string, Connection>::iterator way);
   void onReceived(std::string const& from, std::uint64_t run, std::uint32_t pipe);
@@ -69,6 +77,7 @@
   std::atomic<bool> stopping_{false};
   std::atomic<std::uint64_t> malformedFrames_{0};
   std::thread thread_;
+  std::unique_ptr<SocketCloser> closer_;
 };
 
 }  // namespace corkward::transport
--- a/transport/src/link.cpp
+++ b/transport/src/link.cpp
@@ -7,6 +7,8 @@
 #include <nng/protocol/pipeline0/pull.h>
 #include <nng/protocol/pipeline0/push.h>
 
+#include "socket_closer.h"
+
 namespace corkward::transport {
 
 namespace {
@@ -41,7 +43,8 @@
       address_(name),
       onMessage_(std::move(arrived)),
       run_(QRandomGenerator::system()->generate()),
-      lastIdleSweep_(Clock::now()) {
+      lastIdleSweep_(Clock::now()),
+      closer_(std::make_unique<SocketCloser>()) {
   std::string const address = listen.empty() ? name : listen;
   nng_socket s;
   check(nng_pull0_open(&s), "nng pull socket");
@@ -64,8 +67,8 @@
 Link::~Link() {
   stopping_ = true;
   thread_.join();
-  nng_close(socketOf(pull_));
-  for (std::map<std::string, Connection>::value_type const& o : connections_) nng_close(socketOf(o.second.socket));
+  closer_->close(pull_);
+  for (auto const& [address, connection] : connections_) close(connection);
 }
 
 void Link::receive() {
@@ -94,22 +97,25 @@
   nng_socket s;
   if (nng_push0_open(&s) != 0) return false;
   way.socket = s.id;
-  way.connects = 0;
-  way.disconnects = 0;
+  way.counts = std::make_shared<ConnectionCounts>();
   way.health.dialled(clockNow());
-  nng_pipe_notify(s, NNG_PIPE_EV_ADD_POST, count, &way.connects);
-  nng_pipe_notify(s, NNG_PIPE_EV_REM_POST, count, &way.disconnects);
+  nng_pipe_notify(s, NNG_PIPE_EV_ADD_POST, count, &way.counts->connects);
+  nng_pipe_notify(s, NNG_PIPE_EV_REM_POST, count, &way.counts->disconnects);
   nng_socket_set_int(s, NNG_OPT_SENDBUF, queued);
   nng_socket_set_ms(s, NNG_OPT_RECONNMINT, 50);
   nng_socket_set_ms(s, NNG_OPT_RECONNMAXT, 500);
   if (nng_dial(s, ("tcp://" + to).c_str(), nullptr, NNG_FLAG_NONBLOCK) == 0) return true;
-  nng_close(s);
+  close(way);
   return false;
 }
 
+void Link::close(Connection const& connection) {
+  closer_->close(connection.socket, connection.counts);
+}
+
 bool Link::redial(std::map<std::string, Connection>::iterator way) {
   ++redials_;
-  nng_close(socketOf(way->second.socket));
+  close(way->second);
   if (dial(way->first, way->second)) return true;
   connections_.erase(way);
   return false;
@@ -120,14 +126,14 @@
   if (it == connections_.end()) return;
   Connection& way = it->second;
   way.used = Clock::now();
-  if (way.health.staleOnReceive(clockNow(), way.connected(), way.connects, run, pipe)) redial(it);
+  if (way.health.staleOnReceive(clockNow(), way.connected(), way.counts->connects, run, pipe)) redial(it);
 }
 
 void Link::closeIdle(std::chrono::milliseconds idle) {
   lastIdleSweep_ = Clock::now();
   for (std::map<std::string, Connection>::iterator it = connections_.begin(); it != connections_.end();) {
     bool const gone = lastIdleSweep_ - it->second.used >= idle;
-    if (gone) nng_close(socketOf(it->second.socket));
+    if (gone) close(it->second);
     it = gone ? connections_.erase(it) : std::next(it);
   }
 }
