--- a/audit/include/corkward/audit/audit_log.h
+++ b/audit/include/corkward/audit/audit_log.h
@@ -25,6 +25,7 @@
   std::string zone = {};
   std::string certificate = {};
   std::string reason = {};
+  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the zero inside a defaulted comparison for a pointer.
   auto operator<=>(RecordCategory const&) const = default;
 };
 
--- a/audit/src/audit_log.cpp
+++ b/audit/src/audit_log.cpp
@@ -78,8 +78,7 @@
       directory_.truncate(files_[i - 1], lines.back().offset);
       lines.pop_back();
     }
-    std::vector<LogLine>::const_reverse_iterator const good =
-        std::find_if(lines.crbegin(), lines.crend(), [](LogLine const& l) { return l.fault.empty(); });
+    auto const good = std::find_if(lines.crbegin(), lines.crend(), [](LogLine const& l) { return l.fault.empty(); });
     if (good == lines.crend()) continue;
     head_ = AuditHead{static_cast<std::uint64_t>(good->record.value("n").toInteger()), good->hash};
     if (i < files_.size() || good != lines.crbegin()) continue;
@@ -121,7 +120,7 @@
 
 void AuditLog::countOutcome(RecordCategory const& kind, std::int64_t wall) {
   onTimer(wall);
-  std::map<RecordCategory, std::uint64_t>::iterator const it = counts_.find(kind);
+  auto const it = counts_.find(kind);
   if (it != counts_.end()) {
     ++it->second;
     return;
@@ -138,7 +137,7 @@
 
 void AuditLog::writeCounts(std::int64_t wall) {
   while (!counts_.empty()) {
-    std::map<RecordCategory, std::uint64_t>::iterator const it = counts_.begin();
+    auto const it = counts_.begin();
     if (it->second > 0) write(countRecord(it->first, countPeriod_, it->second), wall);
     counts_.erase(it);
   }
--- a/audit/src/report.cpp
+++ b/audit/src/report.cpp
@@ -46,11 +46,11 @@
     faults.append(QJsonObject{{"file", core::toQString(f.file)},
                               {"line", static_cast<qint64>(f.line)},
                               {"reason", core::toQString(f.reason)}});
-  for (std::pair<std::string, AuditHead> const& h : ask.heads) {
-    if (h.first != t.node || h.second.number < t.firstNumber) continue;
-    std::map<std::uint64_t, std::string>::const_iterator const it = t.hashes.find(h.second.number);
-    if (it != t.hashes.end() && it->second == h.second.hash) continue;
-    faults.append(QJsonObject{{"reason", core::toQString("record " + std::to_string(h.second.number) +
+  for (auto const& [node, head] : ask.heads) {
+    if (node != t.node || head.number < t.firstNumber) continue;
+    auto const it = t.hashes.find(head.number);
+    if (it != t.hashes.end() && it->second == head.hash) continue;
+    faults.append(QJsonObject{{"reason", core::toQString("record " + std::to_string(head.number) +
                                                          " that was noted elsewhere is not in the trail")}});
   }
   whole = whole && faults.isEmpty();
@@ -128,29 +128,28 @@
       sums[kind.regime][span - span % ask.span][kind] += static_cast<std::uint64_t>(r.value("count").toInteger());
     }
   }
-  for (std::pair<std::string, AuditHead> const& h : ask.heads) {
+  for (auto const& [node, head] : ask.heads) {
     bool const known =
-        std::any_of(trails.begin(), trails.end(), [&](AuditLogView const& t) { return t.node == h.first; });
+        std::any_of(trails.begin(), trails.end(), [&name = node](AuditLogView const& t) { return t.node == name; });
     if (known) continue;
     whole = false;
-    nodes.append(QJsonObject{{"node", core::toQString(h.first)},
+    nodes.append(QJsonObject{{"node", core::toQString(node)},
                              {"faults", QJsonArray{QJsonObject{{"reason", "no trail of this node was given"}}}}});
   }
   QJsonObject regimes;
-  for (std::pair<std::string const, std::map<std::int64_t, std::map<RecordCategory, std::uint64_t>>> const& regime :
-       sums) {
+  for (auto const& [regime, countsBySpan] : sums) {
     QJsonArray spans;
-    for (std::pair<std::int64_t const, std::map<RecordCategory, std::uint64_t>> const& span : regime.second) {
+    for (auto const& [spanStart, countsByCategory] : countsBySpan) {
       QJsonArray counts;
-      for (std::map<RecordCategory, std::uint64_t>::value_type const& c : span.second) {
-        QJsonObject row = countRecord(c.first, span.first, c.second);
-        row.remove("span");
-        row.remove("regime");
-        counts.append(row);
+      for (auto const& [category, number] : countsByCategory) {
+        QJsonObject record = countRecord(category, spanStart, number);
+        record.remove("span");
+        record.remove("regime");
+        counts.append(record);
       }
-      spans.append(QJsonObject{{"span", core::toQString(timeText(span.first))}, {"counts", counts}});
+      spans.append(QJsonObject{{"span", core::toQString(timeText(spanStart))}, {"counts", counts}});
     }
-    regimes.insert(core::toQString(regime.first), spans);
+    regimes.insert(core::toQString(regime), spans);
   }
   return QJsonObject{{"regimes", regimes}, {"nodes", nodes}, {"whole", whole}};
 }
--- a/audit/test/audit_log_test.cpp
+++ b/audit/test/audit_log_test.cpp
@@ -21,7 +21,7 @@
 
   std::vector<std::string> list() override {
     std::vector<std::string> out;
-    for (std::map<std::string, std::string>::value_type const& f : files) out.push_back(f.first);
+    for (auto const& [name, bytes] : files) out.push_back(name);
     return out;
   }
   std::string read(std::string const& name) override { return files.at(name); }
@@ -226,7 +226,7 @@
   audit::AuditLog trail(folder, "n1", noon, audit::RetentionLimits{2000, 4});
   for (int i = 0; i < 500; ++i) trail.countOutcome(handed("r" + std::to_string(i)), noon);
   std::size_t bytes = 0;
-  for (std::map<std::string, std::string>::value_type const& f : folder.files) bytes += f.second.size();
+  for (auto const& [name, content] : folder.files) bytes += content.size();
   CHECK(folder.files.size() == 4);
   CHECK(bytes <= 8000);
   QJsonObject const out = reportOf(folder);
--- a/config/include/corkward/config/config.h
+++ b/config/include/corkward/config/config.h
@@ -201,6 +201,6 @@
 /// The same from a value as it is kept, with the ids of its changes.
 EndpointList readStoredEndpointList(QJsonObject value);
 /// The list as readPool reads it.
-QJsonObject endpointListJson(EndpointList const& pool);
+QJsonObject endpointListJson(EndpointList const& list);
 
 }  // namespace corkward::config
--- a/config/src/config.cpp
+++ b/config/src/config.cpp
@@ -94,9 +94,9 @@
   return true;
 }
 
-core::Tick milliseconds(QJsonObject const& row, char const* name, core::Tick otherwise, QJsonObject const& parameters,
-                        std::string const& at) {
-  QJsonValue const raw = row.value(QLatin1String(name));
+core::Tick milliseconds(QJsonObject const& pathSpec, char const* name, core::Tick otherwise,
+                        QJsonObject const& parameters, std::string const& at) {
+  QJsonValue const raw = pathSpec.value(QLatin1String(name));
   if (raw.isUndefined()) return otherwise;
   QJsonValue const v = fill(raw, parameters, at + "/" + name);
   if (!isInteger(v) || v.toInteger() < 10 || v.toInteger() > 600000)
@@ -105,69 +105,93 @@
 }
 
 /// Where an instance's regime stands: an instance may put another in place of its template's, but never none.
-std::string regimePlace(QJsonObject const& one, std::string const& at) {
+std::string regimePointer(QJsonObject const& one, std::string const& at) {
   return one.contains("regime") ? at + "/regime" : "/template/regime";
 }
 
 std::string regimeOf(QJsonObject const& spec, QJsonObject const& one, QJsonObject const& parameters,
                      std::string const& at) {
   if (!one.contains("regime") && !spec.contains("regime")) return "";
-  std::string const place = regimePlace(one, at);
-  QJsonValue const v = one.contains("regime") ? one.value("regime") : fill(spec.value("regime"), parameters, place);
-  if (!v.isString() || !isValidName(toStdString(v.toString()))) throw ConfigError(place, "not a valid name");
+  std::string const pointer = regimePointer(one, at);
+  QJsonValue const v = one.contains("regime") ? one.value("regime") : fill(spec.value("regime"), parameters, pointer);
+  if (!v.isString() || !isValidName(toStdString(v.toString()))) throw ConfigError(pointer, "not a valid name");
   return toStdString(v.toString());
 }
 
-std::vector<Path> renderInstance(std::string const& instance, QJsonObject const& spec, QJsonObject const& one,
-                                 std::string const& at) {
+/// Values of the template's parameters for one instance: those it gives, and the defaults of the others.
+QJsonObject resolveParameters(QJsonObject const& spec, QJsonObject const& one, std::string const& at) {
   QJsonObject const given = one.value("parameters").toObject();
   QJsonObject const declared = spec.value("parameters").toObject();
   QJsonObject parameters;
   for (QString const& name : declared.keys()) {
-    QJsonObject const p = declared.value(name).toObject();
-    QJsonValue const v = given.contains(name) ? given.value(name) : p.value("default");
-    if (v.isUndefined()) throw ConfigError(at + "/parameters/" + toStdString(name), "missing parameter");
-    checkValue(p, v, at + "/parameters/" + toStdString(name));
-    parameters.insert(name, v);
+    std::string const pointer = at + "/parameters/" + toStdString(name);
+    QJsonObject const declaration = declared.value(name).toObject();
+    QJsonValue const value = given.contains(name) ? given.value(name) : declaration.value("default");
+    if (value.isUndefined()) throw ConfigError(pointer, "missing parameter");
+    checkValue(declaration, value, pointer);
+    parameters.insert(name, value);
   }
   for (QString const& name : given.keys())
     if (!declared.contains(name))
       throw ConfigError(at + "/parameters/" + toStdString(name), "the template has no such parameter");
+  return parameters;
+}
+
+RequestClassDefaults const& findRequestClass(QString const& name, std::string const& at) {
+  for (RequestClassDefaults const& known : requestClassDefaults)
+    if (name == QLatin1String(known.name.data(), static_cast<qsizetype>(known.name.size()))) return known;
+  throw ConfigError(at, "must be urgent, short or long");
+}
+
+/// An optional flag of a path; false when it is missing.
+bool renderFlag(QJsonObject const& pathSpec, char const* name, QJsonObject const& parameters, std::string const& at) {
+  QJsonValue const value = fill(pathSpec.value(QLatin1String(name)), parameters, at + "/" + name);
+  if (!value.isUndefined() && !value.isBool()) throw ConfigError(at + "/" + name, "must be true or false");
+  return value.toBool();
+}
+
+std::string renderPathName(QJsonObject const& pathSpec, QJsonObject const& parameters, std::string const& at) {
+  std::string const path = toStdString(fill(pathSpec.value("path"), parameters, at + "/path").toString());
+  if (!validPath(path)) throw ConfigError(at + "/path", "not a valid path: " + path);
+  return path;
+}
+
+/// Fills in all of a path but its instance, its name and its regime.
+Path renderPath(QJsonObject const& pathSpec, QJsonObject const& parameters, std::string const& at) {
+  Path path;
+  path.pool = toStdString(fill(pathSpec.value("pool"), parameters, at + "/pool").toString());
+  path.weightedPools = {WeightedPool{path.pool, 1}};
+  QString const className = fill(pathSpec.value("class"), parameters, at + "/class").toString();
+  RequestClassDefaults const& defaults = findRequestClass(className, at + "/class");
+  path.requestClass = defaults.requestClass;
+  path.latencyTarget = milliseconds(pathSpec, "aimMs", defaults.latencyTarget, parameters, at);
+  path.deadline = milliseconds(pathSpec, "deadlineMs", defaults.deadline, parameters, at);
+  path.resumable = renderFlag(pathSpec, "resumable", parameters, at);
+  path.stream = renderFlag(pathSpec, "events", parameters, at);
+  path.idempotent = path.stream && path.resumable;
+  return path;
+}
+
+std::vector<Path> renderInstance(std::string const& instance, QJsonObject const& spec, QJsonObject const& one,
+                                 std::string const& at) {
+  QJsonObject const parameters = resolveParameters(spec, one, at);
   std::string const regime = regimeOf(spec, one, parameters, at);
-  std::vector<Path> out;
-  std::set<std::string> seen;
-  QJsonArray const rows = spec.value("paths").toArray();
-  for (qsizetype i = 0; i < rows.size(); ++i) {
-    std::string const place = "/template/paths/" + std::to_string(i);
-    QJsonObject const row = rows.at(i).toObject();
-    Path p;
-    p.instance = instance;
-    p.path = toStdString(fill(row.value("path"), parameters, place + "/path").toString());
-    if (!validPath(p.path)) throw ConfigError(place + "/path", "not a valid path: " + p.path);
-    if (!seen.insert(p.path).second)
-      throw ConfigError(place + "/path", "ambiguous: " + p.path + " stands twice in " + instance);
-    p.pool = toStdString(fill(row.value("pool"), parameters, place + "/pool").toString());
-    p.weightedPools = {WeightedPool{p.pool, 1}};
-    QJsonValue const cls = fill(row.value("class"), parameters, place + "/class");
-    RequestClassDefaults const* found = nullptr;
-    for (RequestClassDefaults const& c : requestClassDefaults)
-      if (cls.toString() == QLatin1String(c.name.data(), static_cast<qsizetype>(c.name.size()))) found = &c;
-    if (found == nullptr) throw ConfigError(place + "/class", "must be urgent, short or long");
-    p.requestClass = found->requestClass;
-    p.latencyTarget = milliseconds(row, "aimMs", found->latencyTarget, parameters, place);
-    p.deadline = milliseconds(row, "deadlineMs", found->deadline, parameters, place);
-    QJsonValue const resumable = fill(row.value("resumable"), parameters, place + "/resumable");
-    if (!resumable.isUndefined() && !resumable.isBool())
-      throw ConfigError(place + "/resumable", "must be true or false");
-    p.resumable = resumable.toBool();
-    QJsonValue const events = fill(row.value("events"), parameters, place + "/events");
-    if (!events.isUndefined() && !events.isBool()) throw ConfigError(place + "/events", "must be true or false");
-    p.stream = events.toBool();
-    p.idempotent = p.stream && p.resumable;
-    p.regime = regime;
-    out.push_back(std::move(p));
+  std::vector<Path> paths;
+  std::set<std::string> names;
+  QJsonArray const pathSpecs = spec.value("paths").toArray();
+  for (qsizetype i = 0; i < pathSpecs.size(); ++i) {
+    std::string const pathAt = "/template/paths/" + std::to_string(i);
+    QJsonObject const pathSpec = pathSpecs.at(i).toObject();
+    std::string const name = renderPathName(pathSpec, parameters, pathAt);
+    if (!names.insert(name).second)
+      throw ConfigError(pathAt + "/path", "ambiguous: " + name + " stands twice in " + instance);
+    Path path = renderPath(pathSpec, parameters, pathAt);
+    path.instance = instance;
+    path.path = name;
+    path.regime = regime;
+    paths.push_back(std::move(path));
   }
-  return out;
+  return paths;
 }
 
 void checkTemplate(QJsonObject const& spec) {
@@ -186,20 +210,101 @@
     if (p.contains("default")) checkValue(p, p.value("default"), at + "/default");
   }
   if (!spec.value("paths").isArray()) throw ConfigError("/template/paths", "must be a list");
-  QJsonArray const rows = spec.value("paths").toArray();
-  if (rows.isEmpty()) throw ConfigError("/template/paths", "must not be empty");
-  if (static_cast<std::size_t>(rows.size()) > maxPaths)
+  QJsonArray const pathSpecs = spec.value("paths").toArray();
+  if (pathSpecs.isEmpty()) throw ConfigError("/template/paths", "must not be empty");
+  if (static_cast<std::size_t>(pathSpecs.size()) > maxPaths)
     throw ConfigError("/template/paths", "more than " + std::to_string(maxPaths));
-  for (qsizetype i = 0; i < rows.size(); ++i) {
+  for (qsizetype i = 0; i < pathSpecs.size(); ++i) {
     std::string const at = "/template/paths/" + std::to_string(i);
-    if (!rows.at(i).isObject()) throw ConfigError(at, "must be an object");
-    QJsonObject const row = rows.at(i).toObject();
-    onlyFields(row, {"path", "pool", "class", "aimMs", "deadlineMs", "resumable", "events"}, at);
+    if (!pathSpecs.at(i).isObject()) throw ConfigError(at, "must be an object");
+    QJsonObject const pathSpec = pathSpecs.at(i).toObject();
+    onlyFields(pathSpec, {"path", "pool", "class", "aimMs", "deadlineMs", "resumable", "events"}, at);
     for (char const* needed : {"path", "pool", "class"})
-      if (!row.value(QLatin1String(needed)).isString()) throw ConfigError(at + "/" + needed, "must be a text");
+      if (!pathSpec.value(QLatin1String(needed)).isString()) throw ConfigError(at + "/" + needed, "must be a text");
   }
 }
 
+/// Replicas that one endpoint list may name.
+constexpr qsizetype maxReplicas = 4096;
+constexpr int maxSlowStartRate = 1000;
+constexpr int maxPort = 65535;
+/// A colon and the digits of the highest port.
+constexpr std::size_t maxPortSuffixBytes = 6;
+
+/// What must not stand twice in one endpoint list.
+struct UsedReplicaNames {
+  std::set<std::string> ids;
+  std::set<std::string> addresses;
+};
+
+struct ReplicaStateName {
+  char const* name;
+  ReplicaState state;
+};
+
+/// The names of the states in the JSON of an endpoint list.
+constexpr std::array<ReplicaStateName, 3> replicaStateNames{
+    {{"serving", ReplicaState::serving}, {"cold", ReplicaState::warmingUp}, {"leaving", ReplicaState::draining}}};
+
+char const* nameOf(ReplicaState state) {
+  auto const known = std::find_if(replicaStateNames.begin(), replicaStateNames.end(),
+                                  [&](ReplicaStateName const& entry) { return entry.state == state; });
+  CORKWARD_INVARIANT(known != replicaStateNames.end());
+  return known->name;
+}
+
+std::uint64_t readGeneration(QJsonValue const& value) {
+  if (!isInteger(value) || value.toInteger() < 1) throw ConfigError("/generation", "must be an integer of 1 or more");
+  return static_cast<std::uint64_t>(value.toInteger());
+}
+
+double readSlowStartRate(QJsonValue const& value) {
+  double const rate = value.toDouble(-1);
+  if (!(rate >= 0 && rate <= maxSlowStartRate))
+    throw ConfigError("/coldRate", "must be a number from 0 to " + std::to_string(maxSlowStartRate));
+  return rate;
+}
+
+std::string readReplicaId(QJsonValue const& value, std::string const& at) {
+  std::string id = toStdString(value.toString());
+  if (id.empty() || id.size() > maxTextBytes)
+    throw ConfigError(at, "must be a text of 1 to " + std::to_string(maxTextBytes) + " bytes");
+  return id;
+}
+
+/// Whether a text is an address and a port with a colon between them; the address itself is not looked at.
+bool isAddressWithPort(std::string const& text) {
+  std::size_t const colon = text.rfind(':');
+  if (colon == std::string::npos || colon == 0) return false;
+  std::string const digits = text.substr(colon + 1);
+  if (digits.empty() || digits.size() >= maxPortSuffixBytes) return false;
+  if (!std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; })) return false;
+  int const port = std::stoi(digits);
+  return port > 0 && port <= maxPort;
+}
+
+ReplicaState readReplicaState(QString const& name, std::string const& at) {
+  for (ReplicaStateName const& known : replicaStateNames)
+    if (name == QLatin1String(known.name)) return known.state;
+  throw ConfigError(at, "must be serving, cold or leaving");
+}
+
+Replica readReplica(QJsonObject const& value, UsedReplicaNames& used, std::string const& at) {
+  onlyFields(value, {"id", "address", "zone", "state"}, at);
+  Replica replica;
+  if (value.contains("id")) {
+    replica.id = readReplicaId(value.value("id"), at + "/id");
+    if (!used.ids.insert(replica.id).second) throw ConfigError(at + "/id", "stands twice");
+  }
+  replica.address = toStdString(value.value("address").toString());
+  if (!isAddressWithPort(replica.address)) throw ConfigError(at + "/address", "must be ip:port");
+  if (!used.addresses.insert(replica.address).second) throw ConfigError(at + "/address", "stands twice");
+  replica.zone = toStdString(value.value("zone").toString());
+  if (!isValidLabel(replica.zone)) throw ConfigError(at + "/zone", "not a valid name");
+  replica.state = readReplicaState(value.value("state").toString(), at + "/state");
+  return replica;
+}
+
 }  // namespace
 
 bool isValidName(std::string const& name) {
@@ -241,7 +346,7 @@
     for (Path const& p : renderInstance(toStdString(name), spec, one, at)) {
       if (!known(p.pool)) throw ConfigError(at, "no pool named " + p.pool);
       std::string const fault = p.regime.empty() ? "" : regimeFault(p.regime, p.pool);
-      if (!fault.empty()) throw ConfigError(regimePlace(one, at), fault);
+      if (!fault.empty()) throw ConfigError(regimePointer(one, at), fault);
       if (++rendered > maxRenderedPaths)
         throw ConfigError("/instances", "more than " + std::to_string(maxRenderedPaths) + " paths in all");
     }
@@ -271,76 +376,34 @@
   return readEndpointList(removeChangeHistory(std::move(value)));
 }
 
-QJsonObject endpointListJson(EndpointList const& pool) {
-  QJsonArray rows;
-  for (Replica const& r : pool.replicas) {
-    QJsonObject row{{"address", core::toQString(r.address)},
-                    {"zone", core::toQString(r.zone)},
-                    {"state", r.state == ReplicaState::serving     ? "serving"
-                              : r.state == ReplicaState::warmingUp ? "cold"
-                                                                   : "leaving"}};
-    if (!r.id.empty()) row.insert("id", core::toQString(r.id));
-    rows.append(row);
+QJsonObject endpointListJson(EndpointList const& list) {
+  QJsonArray replicas;
+  for (Replica const& replica : list.replicas) {
+    QJsonObject value{{"address", core::toQString(replica.address)},
+                      {"zone", core::toQString(replica.zone)},
+                      {"state", nameOf(replica.state)}};
+    if (!replica.id.empty()) value.insert("id", core::toQString(replica.id));
+    replicas.append(value);
   }
   return QJsonObject{
-      {"generation", static_cast<qint64>(pool.generation)}, {"coldRate", pool.slowStartRate}, {"replicas", rows}};
+      {"generation", static_cast<qint64>(list.generation)}, {"coldRate", list.slowStartRate}, {"replicas", replicas}};
 }
 
 EndpointList readEndpointList(QJsonObject const& value) {
   onlyFields(value, {"generation", "coldRate", "replicas"}, "");
-  EndpointList out;
-  if (!isInteger(value.value("generation")) || value.value("generation").toInteger() < 1)
-    throw ConfigError("/generation", "must be an integer of 1 or more");
-  out.generation = static_cast<std::uint64_t>(value.value("generation").toInteger());
-  if (value.contains("coldRate")) {
-    out.slowStartRate = value.value("coldRate").toDouble(-1);
-    if (!(out.slowStartRate >= 0 && out.slowStartRate <= 1000))
-      throw ConfigError("/coldRate", "must be a number from 0 to 1000");
-  }
+  EndpointList list;
+  list.generation = readGeneration(value.value("generation"));
+  if (value.contains("coldRate")) list.slowStartRate = readSlowStartRate(value.value("coldRate"));
   if (!value.value("replicas").isArray()) throw ConfigError("/replicas", "must be a list");
-  QJsonArray const rows = value.value("replicas").toArray();
-  if (rows.size() > 4096) throw ConfigError("/replicas", "more than 4096");
-  std::set<std::string> seen;
-  std::set<std::string> ids;
-  for (qsizetype i = 0; i < rows.size(); ++i) {
+  QJsonArray const replicas = value.value("replicas").toArray();
+  if (replicas.size() > maxReplicas) throw ConfigError("/replicas", "more than " + std::to_string(maxReplicas));
+  UsedReplicaNames used;
+  for (qsizetype i = 0; i < replicas.size(); ++i) {
     std::string const at = "/replicas/" + std::to_string(i);
-    if (!rows.at(i).isObject()) throw ConfigError(at, "must be an object");
-    QJsonObject const row = rows.at(i).toObject();
-    onlyFields(row, {"id", "address", "zone", "state"}, at);
-    Replica r;
-    if (row.contains("id")) {
-      r.id = toStdString(row.value("id").toString());
-      if (r.id.empty() || r.id.size() > maxTextBytes)
-        throw ConfigError(at + "/id", "must be a text of 1 to " + std::to_string(maxTextBytes) + " bytes");
-      if (!ids.insert(r.id).second) throw ConfigError(at + "/id", "stands twice");
-    }
-    r.address = toStdString(row.value("address").toString());
-    std::size_t const colon = r.address.rfind(':');
-    bool digits =
-        colon != std::string::npos && colon > 0 && colon + 1 < r.address.size() && r.address.size() - colon <= 6;
-    for (std::size_t k = colon + 1; digits && k < r.address.size(); ++k)
-      digits = r.address[k] >= '0' && r.address[k] <= '9';
-    if (!digits || std::stoi(r.address.substr(colon + 1)) > 65535 || std::stoi(r.address.substr(colon + 1)) == 0)
-      throw ConfigError(at + "/address", "must be ip:port");
-    if (!seen.insert(r.address).second) throw ConfigError(at + "/address", "stands twice");
-    r.zone = toStdString(row.value("zone").toString());
-    if (!isValidLabel(r.zone)) throw ConfigError(at + "/zone", "not a valid name");
-    struct StateRow {
-      char const* name;
-      ReplicaState state;
-    };
-    constexpr std::array<StateRow, 3> states{
-        {{"serving", ReplicaState::serving}, {"cold", ReplicaState::warmingUp}, {"leaving", ReplicaState::draining}}};
-    bool found = false;
-    for (StateRow const& s : states)
-      if (row.value("state").toString() == QLatin1String(s.name)) {
-        r.state = s.state;
-        found = true;
-      }
-    if (!found) throw ConfigError(at + "/state", "must be serving, cold or leaving");
-    out.replicas.push_back(std::move(r));
+    if (!replicas.at(i).isObject()) throw ConfigError(at, "must be an object");
+    list.replicas.push_back(readReplica(replicas.at(i).toObject(), used, at));
   }
-  return out;
+  return list;
 }
 
 }  // namespace corkward::config
--- a/config/src/fleet_configuration.cpp
+++ b/config/src/fleet_configuration.cpp
@@ -268,12 +268,12 @@
   for (QJsonValue const item : current) {
     std::string const name = toStdString(item.toObject().value("name").toString());
     if (gone.count(name) > 0) continue;
-    std::unordered_map<std::string, QJsonValue>::iterator const it = fresh.find(name);
+    auto const it = fresh.find(name);
     out.append(it == fresh.end() ? item : it->second);
     if (it != fresh.end()) fresh.erase(it);
   }
   for (std::string const& name : order) {
-    std::unordered_map<std::string, QJsonValue>::const_iterator const it = fresh.find(name);
+    auto const it = fresh.find(name);
     if (it != fresh.end()) out.append(it->second);
   }
   return out;
--- a/config/src/regimes.cpp
+++ b/config/src/regimes.cpp
@@ -144,8 +144,7 @@
 Certificate const* findCertificate(Regimes const& regimes, std::string const& regime, std::string const& pool,
                                    Replica const& replica, WallTime now) {
   if (replica.id.empty() || regimes.regimes.count(regime) == 0) return nullptr;
-  for (std::map<std::string, Certificate>::value_type const& entry : regimes.certificates) {
-    Certificate const& c = entry.second;
+  for (auto const& [id, c] : regimes.certificates) {
     if (c.subject != CertificateSubject::replicas || c.regime != regime || c.pool != pool || c.zone != replica.zone ||
         !isInForce(c, now))
       continue;
@@ -156,25 +155,23 @@
 
 bool routerMayForward(Regimes const& regimes, std::string const& regime, std::string const& link,
                       std::string const& zone, WallTime now) {
-  std::map<std::string, Regime>::const_iterator const it = regimes.regimes.find(regime);
+  auto const it = regimes.regimes.find(regime);
   if (it == regimes.regimes.end() || !now) return false;
   if (!it->second.requiresCertifiedRouters) return true;
-  return std::any_of(regimes.certificates.begin(), regimes.certificates.end(),
-                     [&](std::map<std::string, Certificate>::value_type const& entry) {
-                       Certificate const& c = entry.second;
-                       return c.subject == CertificateSubject::routers && c.regime == regime && c.zone == zone &&
-                              (c.link.empty() || c.link == link) && isInForce(c, now);
-                     });
+  return std::any_of(regimes.certificates.begin(), regimes.certificates.end(), [&](auto const& entry) {
+    Certificate const& c = entry.second;
+    return c.subject == CertificateSubject::routers && c.regime == regime && c.zone == zone &&
+           (c.link.empty() || c.link == link) && isInForce(c, now);
+  });
 }
 
 std::optional<RegimeFault> findRegimeFault(Regimes const& regimes, std::string const& regime, std::string const& pool,
                                            WallTime now) {
-  std::map<std::string, Regime>::const_iterator const it = regimes.regimes.find(regime);
+  auto const it = regimes.regimes.find(regime);
   if (it == regimes.regimes.end()) return RegimeFault{"/regimes/" + regime, "no regime named " + regime};
   bool replicas = false;
   bool routers = !it->second.requiresCertifiedRouters;
-  for (std::map<std::string, Certificate>::value_type const& entry : regimes.certificates) {
-    Certificate const& c = entry.second;
+  for (auto const& [id, c] : regimes.certificates) {
     if (c.regime != regime || (now && *now >= c.until - clockMarginMs)) continue;
     replicas = replicas || (c.subject == CertificateSubject::replicas && c.pool == pool);
     routers = routers || c.subject == CertificateSubject::routers;
--- a/consensus/src/acceptor.h
+++ b/consensus/src/acceptor.h
@@ -15,6 +15,7 @@
 struct AcceptedPosition {
   Ballot ballot;
   std::uint64_t revision = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the zero inside a defaulted comparison for a pointer.
   std::strong_ordering operator<=>(AcceptedPosition const&) const = default;
   bool operator==(AcceptedPosition const&) const = default;
 };
--- a/consensus/src/context.h
+++ b/consensus/src/context.h
@@ -24,7 +24,7 @@
 /// its state; the others use its public functions.
 class EventContext {
  public:
-  EventContext(Replica& replica, Tick now);
+  EventContext(Replica& replica, Tick time);
 
   /// Sends a message. One to this member itself is handled at once, before the function returns.
   void send(std::string const& to, transport::Message message);
--- a/consensus/test/cluster.h
+++ b/consensus/test/cluster.h
@@ -86,7 +86,7 @@
   }
 
   void cutOff(std::string const& link, bool on) {
-    for (std::map<std::string, Machine>::value_type const& m : machines) cut(link, m.first, on);
+    for (auto const& [name, machine] : machines) cut(link, name, on);
   }
   void cut(std::string const& a, std::string const& b, bool on) {
     for (std::pair<std::string, std::string> const& p : {std::pair(a, b), std::pair(b, a)})
@@ -117,16 +117,16 @@
     return m.member && m.member->isVoting() && isMemberHere(m);
   }
   bool allVote() {
-    for (std::map<std::string, Machine>::value_type const& m : machines)
-      if (m.second.member && !votes(m.first)) return false;
+    for (auto const& [name, machine] : machines)
+      if (machine.member && !votes(name)) return false;
     return true;
   }
   std::size_t size(std::string const& link) { return at(link).membership().size(); }
   bool isStable() {
     std::set<std::size_t> sizes;
-    for (std::map<std::string, Machine>::value_type const& m : machines) {
-      if (!m.second.member) return false;
-      sizes.insert(m.second.member->membership().size());
+    for (auto const& [name, machine] : machines) {
+      if (!machine.member) return false;
+      sizes.insert(machine.member->membership().size());
     }
     return allVote() && sizes == std::set<std::size_t>{machines.size()};
   }
@@ -155,23 +155,23 @@
     if (newest[membershipKey] == 0) return {};
     QJsonObject const membership = core::parseJson(committed_[{membershipKey, newest[membershipKey]}]).toObject();
     for (Member const& c : membersFromJson(membership))
-      for (std::map<std::string, Machine>::value_type const& m : machines) {
-        if (m.second.disk.count("meta") == 0) continue;
-        QJsonObject const meta = core::parseJson(m.second.disk.at("meta")).toObject();
+      for (auto const& [name, machine] : machines) {
+        if (machine.disk.count("meta") == 0) continue;
+        QJsonObject const meta = core::parseJson(machine.disk.at("meta")).toObject();
         if (core::toStdString(meta.value("id").toString()) == c.id && meta.value("voting").toBool())
-          disks.push_back(Held{c.id, &m.second.disk, {}, false});
+          disks.push_back(Held{c.id, &machine.disk, {}, false});
       }
     std::size_t const most = membersFromJson(membership).size() / 2 + 1;
     std::vector<std::string> out;
-    for (std::map<std::string, std::set<std::string>>::value_type const& key : acknowledged) {
-      for (Held& d : disks) d.read(key.first, key.second);
+    for (auto const& [key, values] : acknowledged) {
+      for (Held& d : disks) d.read(key, values);
       for (unsigned set = 0; set < 1U << disks.size(); ++set) {
         if (static_cast<std::size_t>(std::popcount(set)) != most) continue;
         Held const* best = nullptr;
         for (std::size_t i = 0; i < disks.size(); ++i)
           if ((set >> i & 1U) != 0 && (best == nullptr || best->at < disks[i].at)) best = &disks[i];
         if (best->whole) continue;
-        out.push_back(key.first);
+        out.push_back(key);
         break;
       }
     }
@@ -209,7 +209,7 @@
     void read(std::string const& key, std::set<std::string> const& want) {
       at = {};
       whole = false;
-      std::map<std::string, std::string>::const_iterator const it = disk->find("slot:" + key);
+      auto const it = disk->find("slot:" + key);
       if (it == disk->end()) return;
       QJsonObject const o = core::parseJson(it->second).toObject();
       if (core::toStdString(o.value("i").toString()) != id) return;
@@ -257,7 +257,7 @@
       act();
   }
   bool lives(std::string const& link, std::uint64_t life) const {
-    std::map<std::string, Machine>::const_iterator const it = machines.find(link);
+    auto const it = machines.find(link);
     return it != machines.end() && it->second.life == life && it->second.member;
   }
   void clock(std::string const& link, std::uint64_t life) {
@@ -292,7 +292,7 @@
       if (n.event == events::messageRejected) violations.push_back("message rejected at " + m.link);
     for (transport::Send const& s : c.sends) {
       if (watch) watch(m.link, s);
-      std::map<std::string, Machine>::const_iterator const it = machines.find(s.to);
+      auto const it = machines.find(s.to);
       if (it == machines.end() || !it->second.member || cuts.count({m.link, s.to}) > 0 || rng.chance(loss)) continue;
       after(1 + static_cast<Tick>(rng.below(4)),
             [this, from = m.link, link = s.to, life = it->second.life, message = s.message] {
--- a/consensus/test/random_faults_test.cpp
+++ b/consensus/test/random_faults_test.cpp
@@ -38,8 +38,8 @@
       act();
     }
     std::vector<std::string> up;
-    for (std::map<std::string, Cluster::Machine>::value_type const& m : cluster.machines)
-      if (m.second.member && !m.second.frozen) up.push_back(m.first);
+    for (auto const& [link, machine] : cluster.machines)
+      if (machine.member && !machine.frozen) up.push_back(link);
     if (!up.empty()) cluster.call(up[cluster.rng.below(up.size())], "k" + std::to_string(cluster.rng.below(3)));
     if (cluster.now < fault || up.empty()) continue;
     fault = cluster.now + 100 + static_cast<Tick>(cluster.rng.below(1500));
@@ -92,19 +92,18 @@
     }
   }
   CHECK(cluster.lostAcknowledged() == std::vector<std::string>{});
-  for (std::pair<Tick, std::function<void()>> const& l : later) l.second();
+  for (auto const& [at, act] : later) act();
   cluster.cuts.clear();
-  for (std::map<std::string, Cluster::Machine>::value_type& m : cluster.machines) {
-    m.second.diskDelay = 2;
-    if (m.second.frozen) cluster.thaw(m.first);
-    cluster.boot(m.first);
+  for (auto& [link, machine] : cluster.machines) {
+    machine.diskDelay = 2;
+    if (machine.frozen) cluster.thaw(link);
+    cluster.boot(link);
   }
   INFO("seed " << seed);
   CHECK(cluster.until([&] { return cluster.isStable(); }, 20000) >= 0);
   cluster.run(3000);
   std::size_t acknowledged = 0;
-  for (std::map<std::string, std::set<std::string>>::value_type const& a : cluster.acknowledged)
-    acknowledged += a.second.size();
+  for (auto const& [key, values] : cluster.acknowledged) acknowledged += values.size();
   CHECK(acknowledged > 50);
   checkConsistent(cluster);
 }
--- a/control/include/corkward/control/rollout_tracker.h
+++ b/control/include/corkward/control/rollout_tracker.h
@@ -104,7 +104,7 @@
   /// Marks the reply with its outcome when it is due.
   bool isDue(RolloutInputs const& inputs, PendingRolloutReply& reply) const;
 
-  ControllerTuning const tuning_;
+  ControllerTuning tuning_;
   std::map<std::string, Rollout> rollouts_;
   /// Keys of rollouts_ that are not complete.
   std::set<std::string> incompleteRollouts_;
--- a/control/include/corkward/control/router_registry.h
+++ b/control/include/corkward/control/router_registry.h
@@ -93,7 +93,7 @@
  private:
   bool isInFlight(Tick now, Router const& router, std::string const& key, std::uint64_t committed) const;
 
-  ControllerTuning const tuning_;
+  ControllerTuning tuning_;
   std::map<std::string, Router> routers_;
   transport::Digest committedDigest_;
 };
--- a/control/include/corkward/control/router_status_reporter.h
+++ b/control/include/corkward/control/router_status_reporter.h
@@ -27,7 +27,7 @@
   /// @param newestSince start of the newest incomplete rollout; nothing: there is none
   Tick pauseAfter(Tick now, std::optional<Tick> newestSince) const;
 
-  ControllerTuning const tuning_;
+  ControllerTuning tuning_;
   Tick nextReportAt_ = 0;
 };
 
--- a/control/src/cluster_view_source.cpp
+++ b/control/src/cluster_view_source.cpp
@@ -43,7 +43,7 @@
 std::optional<config::RegimeFault> ClusterViewSource::regimeFault(config::Regimes const& regimes,
                                                                   std::string const& regime,
                                                                   std::string const& pool) const {
-  std::optional<config::RegimeFault> const fault = config::findRegimeFault(regimes, regime, pool, wallTime_);
+  std::optional<config::RegimeFault> fault = config::findRegimeFault(regimes, regime, pool, wallTime_);
   consensus::CommittedValue const* const list = findValue(registers_.committed(), keyOf(poolKeyPrefix, pool));
   if (fault || !wallTime_ || list == nullptr) return fault;
   std::vector<config::Replica> const replicas = config::readStoredEndpointList(list->value).replicas;
--- a/control/src/controller_directory.cpp
+++ b/control/src/controller_directory.cpp
@@ -39,6 +39,7 @@
   for (auto const& [link, heardAt] : lastHeardAt_) links.insert(link);
   links.erase(partialView_.self().link);
   std::vector<transport::Send> sends;
+  sends.reserve(links.size());
   for (std::string const& link : links)
     sends.push_back(transport::Send{link, transport::GossipShuffle{{}, true, 0, {}}});
   return sends;
--- a/control/test/fleet_configuration_test.cpp
+++ b/control/test/fleet_configuration_test.cpp
@@ -272,12 +272,10 @@
     }
     c.calm = true;
     for (core::Tick const until = c.now + 15000; c.now < until;) c.step();
-    for (std::map<std::string, Membership::Member>::value_type const& m : c.members)
-      CHECK(m.second.seen == c.chain.rbegin()->first);
+    for (auto const& [link, member] : c.members) CHECK(member.seen == c.chain.rbegin()->first);
     c.checkInvariants();
     most = std::max(most, c.chain.size());
-    for (std::map<std::string, Membership::Change>::value_type const& k : c.changes)
-      taken += k.second.status == 200 || k.second.status == 201 ? 1 : 0;
+    for (auto const& [token, change] : c.changes) taken += change.status == 200 || change.status == 201 ? 1 : 0;
   }
   CHECK(most > 20);
   CHECK(taken > 200);
--- a/control/test/operators.h
+++ b/control/test/operators.h
@@ -106,10 +106,10 @@
   /// Resends every acknowledged change, each to a random member, and returns their number.
   std::size_t resendAcknowledged() {
     std::size_t sent = 0;
-    for (std::map<std::string, Change>::value_type& c : changes) {
-      if (c.second.status != 200 && c.second.status != 201) continue;
-      c.second.last = 0;
-      send(c.second);
+    for (auto& [token, change] : changes) {
+      if (change.status != 200 && change.status != 201) continue;
+      change.last = 0;
+      send(change);
       run(20);
       ++sent;
     }
@@ -139,7 +139,7 @@
     }
     for (OperatorResponse const& a : c.responses) answered(a);
     std::map<std::string, consensus::CommittedValue> const& all = m.reducer->registers().committed();
-    std::map<std::string, consensus::CommittedValue>::const_iterator const it = all.find(config::fleetConfigurationKey);
+    auto const it = all.find(config::fleetConfigurationKey);
     if (it == all.end() || it->second.revision == m.seen) return;
     CHECK(it->second.revision > m.seen);
     m.seen = it->second.revision;
@@ -148,7 +148,7 @@
     CHECK(kept == known);
   }
   void answered(OperatorResponse const& a) {
-    std::map<std::uint64_t, std::string>::const_iterator const it = byToken.find(a.token);
+    auto const it = byToken.find(a.token);
     if (it != byToken.end()) {
       Change& c = changes.at(it->second);
       c.last = a.status;
@@ -166,8 +166,7 @@
     transport::OperatorCall call = c.call;
     call.token = token++;
     byToken[call.token] = c.id;
-    std::map<std::string, Member>::iterator const to =
-        std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
+    auto const to = std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
     apply(to->first, to->second.reducer->onOperatorCall(now, call));
   }
   void read() {
@@ -176,8 +175,7 @@
     call.method = "GET";
     call.path = page;
     reads[call.token] = newestRead;
-    std::map<std::string, Member>::iterator const to =
-        std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
+    auto const to = std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
     apply(to->first, to->second.reducer->onOperatorCall(now, call));
   }
   void operate() {
@@ -229,24 +227,24 @@
     std::uint64_t revision = 0;
     std::map<std::string, std::string> takenOn;
     std::set<std::string> inForce;
-    for (std::map<std::uint64_t, QJsonObject>::value_type const& link : chain) {
-      CHECK(link.first == ++revision);
-      Change const& c = changes.at(by(link.second));
-      qint64 const version = link.second.value("version").toInteger();
+    for (auto const& [acknowledgedRevision, configuration] : chain) {
+      CHECK(acknowledgedRevision == ++revision);
+      Change const& c = changes.at(by(configuration));
+      qint64 const version = configuration.value("version").toInteger();
       CHECK(version > before.value("version").toInteger());
       CHECK(c.valid);
       CHECK(c.call.ifMatch == std::to_string(before.value("version").toInteger()));
       QJsonObject const said = core::parseJson(c.call.body).toObject();
-      CHECK(link.second == (c.call.method == "PUT" ? said : config::patchFleetConfiguration(before, said)));
+      CHECK(configuration == (c.call.method == "PUT" ? said : config::patchFleetConfiguration(before, said)));
       CHECK(inForce.insert(c.id).second);
-      before = link.second;
+      before = configuration;
     }
-    for (std::map<std::string, Change>::value_type const& c : changes) {
-      if (c.second.status == 200 || c.second.status == 201) {
-        CHECK(inForce.count(c.first) == 1);
-        CHECK(takenOn.emplace(c.second.call.ifMatch, c.first).second);
+    for (auto const& [token, change] : changes) {
+      if (change.status == 200 || change.status == 201) {
+        CHECK(inForce.count(token) == 1);
+        CHECK(takenOn.emplace(change.call.ifMatch, token).second);
       }
-      if (c.second.status == 412 || c.second.status == 422) CHECK(inForce.count(c.first) == 0);
+      if (change.status == 412 || change.status == 422) CHECK(inForce.count(token) == 0);
     }
   }
 };
--- a/control/test/resend_test.cpp
+++ b/control/test/resend_test.cpp
@@ -297,10 +297,10 @@
     std::size_t const revisions = c.chain.size();
     CHECK(c.resendAcknowledged() > 100);
     c.run(10000);
-    for (std::map<std::string, Membership::Change>::value_type const& k : c.changes) {
-      if (!acknowledged(k.second.status)) continue;
-      INFO(k.first << " on " << k.second.call.ifMatch);
-      CHECK(acknowledged(k.second.last));
+    for (auto const& [token, change] : c.changes) {
+      if (!acknowledged(change.status)) continue;
+      INFO(token << " on " << change.call.ifMatch);
+      CHECK(acknowledged(change.last));
     }
     CHECK(c.chain.size() == revisions);
     c.checkInvariants();
--- a/core/include/corkward/core/workers.h
+++ b/core/include/corkward/core/workers.h
@@ -17,6 +17,8 @@
   ~WorkerPool();
   WorkerPool(WorkerPool const&) = delete;
   WorkerPool& operator=(WorkerPool const&) = delete;
+  WorkerPool(WorkerPool&&) = delete;
+  WorkerPool& operator=(WorkerPool&&) = delete;
   /// Queues a job; a job never throws.
   void run(std::function<void()> job);
 
--- a/core/src/core.cpp
+++ b/core/src/core.cpp
@@ -6,9 +6,9 @@
 namespace corkward::core {
 
 NameIndex InternedNames::intern(std::string const& name) {
-  std::unordered_map<std::string, NameIndex>::const_iterator const it = byName_.find(name);
+  auto const it = byName_.find(name);
   if (it != byName_.end()) return it->second;
-  NameIndex ix = static_cast<NameIndex>(names_.size());
+  auto ix = static_cast<NameIndex>(names_.size());
   if (free_.empty()) {
     names_.push_back(name);
   } else {
@@ -21,7 +21,7 @@
 }
 
 NameIndex InternedNames::find(std::string const& name) const {
-  std::unordered_map<std::string, NameIndex>::const_iterator const it = byName_.find(name);
+  auto const it = byName_.find(name);
   return it == byName_.end() ? none : it->second;
 }
 
--- a/core/src/guarantees.cpp
+++ b/core/src/guarantees.cpp
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-char const* nameOf(Guarantee promise) {
-  return names.at(static_cast<std::size_t>(promise));
+char const* nameOf(Guarantee guarantee) {
+  return names.at(static_cast<std::size_t>(guarantee));
 }
 
 GuaranteeCounts& GuaranteeCounts::ofThread() {
@@ -33,12 +33,12 @@
   return counts;
 }
 
-void GuaranteeCounts::recordViolation(Guarantee promise, std::string const& detail) {
-  std::size_t const place = static_cast<std::size_t>(promise);
-  ++counts_.at(place);
-  if (counts_.at(place) == reported_.at(place) + 1) details_.at(place) = detail;
-  if (counts_.at(place) <= loggedOfEach)
-    writeError(LogEvent{"promise-broken", {{"promise", nameOf(promise)}, {"detail", detail}}});
+void GuaranteeCounts::recordViolation(Guarantee guarantee, std::string const& detail) {
+  auto const index = static_cast<std::size_t>(guarantee);
+  ++counts_.at(index);
+  if (counts_.at(index) == reported_.at(index) + 1) details_.at(index) = detail;
+  if (counts_.at(index) <= loggedOfEach)
+    writeError(LogEvent{"promise-broken", {{"promise", nameOf(guarantee)}, {"detail", detail}}});
 }
 
 std::uint64_t GuaranteeCounts::total() const {
@@ -47,12 +47,12 @@
 
 std::vector<std::string> GuaranteeCounts::takeNewViolations() {
   std::vector<std::string> out;
-  for (std::size_t place = 0; place < guaranteeCount; ++place) {
-    std::uint64_t const fresh = counts_.at(place) - reported_.at(place);
+  for (std::size_t index = 0; index < guaranteeCount; ++index) {
+    std::uint64_t const fresh = counts_.at(index) - reported_.at(index);
     if (fresh == 0) continue;
-    out.push_back(std::string("promise ") + names.at(place) + " broken " + std::to_string(fresh) +
-                  " times, first: " + details_.at(place));
-    reported_.at(place) = counts_.at(place);
+    out.push_back(std::string("promise ") + names.at(index) + " broken " + std::to_string(fresh) +
+                  " times, first: " + details_.at(index));
+    reported_.at(index) = counts_.at(index);
   }
   return out;
 }
@@ -60,9 +60,9 @@
 std::string guaranteeMetrics() {
   GuaranteeCounts const& counts = GuaranteeCounts::ofThread();
   std::string out = "# TYPE corkward_promises_broken_total counter\n";
-  for (std::size_t place = 0; place < guaranteeCount; ++place)
-    out += "corkward_promises_broken_total{promise=\"" + std::string(names.at(place)) + "\"} " +
-           std::to_string(counts.count(static_cast<Guarantee>(place))) + "\n";
+  for (std::size_t index = 0; index < guaranteeCount; ++index)
+    out += "corkward_promises_broken_total{promise=\"" + std::string(names.at(index)) + "\"} " +
+           std::to_string(counts.count(static_cast<Guarantee>(index))) + "\n";
   return out;
 }
 
--- a/core/src/json.cpp
+++ b/core/src/json.cpp
@@ -25,7 +25,7 @@
     check(field.value, depth + 1);
   }
   std::sort(keys.begin(), keys.end());
-  std::vector<std::string_view>::const_iterator const twice = std::adjacent_find(keys.begin(), keys.end());
+  auto const twice = std::adjacent_find(keys.begin(), keys.end());
   if (twice != keys.end()) throw JsonError("duplicate key \"" + std::string(*twice) + "\"");
 }
 
@@ -57,7 +57,7 @@
   if (!patch.isObject()) return patch;
   QJsonObject out = target.isObject() ? target.toObject() : QJsonObject();
   QJsonObject const fields = patch.toObject();
-  for (QJsonObject::const_iterator it = fields.begin(); it != fields.end(); ++it) {
+  for (auto it = fields.begin(); it != fields.end(); ++it) {
     if (it.value().isNull())
       out.remove(it.key());
     else
--- a/core/src/log.cpp
+++ b/core/src/log.cpp
@@ -36,8 +36,7 @@
 
 std::string lineOf(LogEvent const& logEvent) {
   std::string line = "event=" + quoted(std::string(logEvent.event.logName()));
-  for (std::map<std::string, std::string>::value_type const& f : logEvent.fields)
-    line += " " + f.first + "=" + quoted(f.second);
+  for (auto const& [name, value] : logEvent.fields) line += " " + name + "=" + quoted(value);
   return line;
 }
 
--- a/gossip/src/partial_view.cpp
+++ b/gossip/src/partial_view.cpp
@@ -44,11 +44,9 @@
   seen.contact = contact;
   seen.lastSeenAt = at;
   if (view_.size() <= viewBound) return;
-  std::map<std::string, Seen>::iterator const oldest = std::min_element(
-      view_.begin(), view_.end(),
-      [](std::map<std::string, Seen>::value_type const& a, std::map<std::string, Seen>::value_type const& b) {
-        return a.second.lastSeenAt < b.second.lastSeenAt;
-      });
+  auto const oldest = std::min_element(view_.begin(), view_.end(), [](auto const& a, auto const& b) {
+    return a.second.lastSeenAt < b.second.lastSeenAt;
+  });
   view_.erase(oldest);
 }
 
@@ -61,9 +59,8 @@
 }
 
 std::ptrdiff_t PartialView::place(transport::Contact const& contact) const {
-  std::vector<transport::Contact>::const_iterator const it =
-      std::lower_bound(roster_.begin(), roster_.end(), contact.link,
-                       [](transport::Contact const& c, std::string const& link) { return c.link < link; });
+  auto const it = std::lower_bound(roster_.begin(), roster_.end(), contact.link,
+                                   [](transport::Contact const& c, std::string const& link) { return c.link < link; });
   bool const same = it != roster_.end() && it->link == contact.link && it->httpAddress == contact.httpAddress &&
                     it->role == contact.role && it->zone == contact.zone && it->draining == contact.draining;
   return same ? it - roster_.begin() : -1;
@@ -71,9 +68,9 @@
 
 transport::GossipShuffle PartialView::sample(Tick now, bool reply, bool brief) {
   std::vector<transport::Contact> out;
-  for (std::map<std::string, Seen>::value_type const& s : view_) {
-    out.push_back(s.second.contact);
-    out.back().age = now - s.second.lastSeenAt;
+  for (auto const& [link, seen] : view_) {
+    out.push_back(seen.contact);
+    out.back().age = now - seen.lastSeenAt;
   }
   for (std::size_t i = out.size(); i > 1; --i) std::swap(out[i - 1], out[rng_.below(i)]);
   if (out.size() > sampleSize) out.resize(sampleSize);
@@ -109,7 +106,7 @@
 }
 
 std::vector<transport::Send> PartialView::heard(Tick now, transport::Contact const& contact) {
-  std::map<std::string, Seen>::const_iterator const it = view_.find(contact.link);
+  auto const it = view_.find(contact.link);
   std::vector<transport::Send> out;
   if (it != view_.end() && it->second.contact.incarnation > contact.incarnation)
     out.push_back(
@@ -123,10 +120,10 @@
   std::vector<transport::Send> out;
   if (now < shuffleAt_) return out;
   shuffleAt_ = now + (view_.size() < fewContacts ? shuffleAtFirst : shuffleEvery);
-  for (std::map<std::string, Seen>::iterator it = view_.begin(); it != view_.end();)
+  for (auto it = view_.begin(); it != view_.end();)
     it = now - it->second.lastSeenAt > dropAfter ? view_.erase(it) : std::next(it);
   std::vector<std::string> targets;
-  for (std::map<std::string, Seen>::value_type const& s : view_) targets.push_back(s.first);
+  for (auto const& [link, seen] : view_) targets.push_back(link);
   if (!targets.empty()) {
     std::string const to = targets[rng_.below(targets.size())];
     out.push_back(transport::Send{to, sample(now, true, alike_)});
@@ -140,16 +137,16 @@
 
 std::vector<transport::Contact> PartialView::ofRole(std::string const& role, Tick now) const {
   std::vector<transport::Contact> out;
-  for (std::map<std::string, Seen>::value_type const& s : view_) {
-    if (s.second.contact.role != role) continue;
-    out.push_back(s.second.contact);
-    out.back().age = now - s.second.lastSeenAt;
+  for (auto const& [link, seen] : view_) {
+    if (seen.contact.role != role) continue;
+    out.push_back(seen.contact);
+    out.back().age = now - seen.lastSeenAt;
   }
   return out;
 }
 
 Tick PartialView::age(std::string const& link, Tick now) const {
-  std::map<std::string, Seen>::const_iterator const it = view_.find(link);
+  auto const it = view_.find(link);
   return it == view_.end() ? -1 : now - it->second.lastSeenAt;
 }
 
--- a/gossip/test/partial_view_test.cpp
+++ b/gossip/test/partial_view_test.cpp
@@ -49,13 +49,13 @@
       transport::GossipShuffle const& shuffle = std::get<transport::GossipShuffle>(m);
       known += shuffle.knownContacts.size() / 3;
       whole += shuffle.contacts.size() - 1;
-      std::map<std::string, gossip::PartialView>::iterator const to = all.find(s.to);
+      auto const to = all.find(s.to);
       if (to != all.end()) deliver(s.to, to->second.arrived(now, from, shuffle));
     }
   }
   void run(core::Tick time) {
     for (core::Tick const until = now + time; now < until; now += 100)
-      for (std::map<std::string, gossip::PartialView>::value_type& l : all) deliver(l.first, l.second.clockEvent(now));
+      for (auto& [link, view] : all) deliver(link, view.clockEvent(now));
   }
 };
 
@@ -129,21 +129,20 @@
     CHECK(f.known == 0);
     f.whole = 0;
   }
-  for (std::map<std::string, gossip::PartialView>::value_type& l : fleets[1].all) l.second.setRoster(1, roster(30));
+  for (auto& [link, view] : fleets[1].all) view.setRoster(1, roster(30));
   int turn = 0;
-  for (std::map<std::string, gossip::PartialView>::value_type& l : fleets[2].all)
-    l.second.setRoster(++turn % 2 == 0 ? 2 : 3, roster(29));
+  for (auto& [link, view] : fleets[2].all) view.setRoster(++turn % 2 == 0 ? 2 : 3, roster(29));
   std::vector<core::Tick> ages(3, 0);
   for (int second = 0; second < 60; ++second) {
     for (std::size_t f = 0; f < fleets.size(); ++f) {
       fleets[f].run(1000);
-      for (std::map<std::string, gossip::PartialView>::value_type const& l : fleets[f].all)
+      for (auto const& [link, view] : fleets[f].all)
         for (int n = 1; n <= 30; ++n) {
-          if (l.first == node(n)) continue;
-          core::Tick const age = l.second.age(node(n), fleets[f].now);
+          if (link == node(n)) continue;
+          core::Tick const age = view.age(node(n), fleets[f].now);
           REQUIRE(age >= 0);
           ages[f] += age;
-          if (f == 1) REQUIRE(age == fleets[0].all.at(l.first).age(node(n), fleets[0].now));
+          if (f == 1) REQUIRE(age == fleets[0].all.at(link).age(node(n), fleets[0].now));
         }
     }
   }
--- a/quota/src/grant_table.cpp
+++ b/quota/src/grant_table.cpp
@@ -168,7 +168,7 @@
 }
 
 void GrantTable::grantAmount(Tick now, TenantUsage const& usage, QuotaGrant& grant) {
-  double const requested = static_cast<double>(usage.requestedAmount);
+  auto const requested = static_cast<double>(usage.requestedAmount);
   largestRequestedAmount_.record(now, requested);
   if (requested > availableAmount_) return;
   availableAmount_ -= requested;
--- a/scaling/src/candidates.cpp
+++ b/scaling/src/candidates.cpp
@@ -16,8 +16,8 @@
 }
 
 Candidate const* Candidates::find(NameIndex replica) const {
-  std::vector<Candidate>::const_iterator const it = std::lower_bound(
-      all().begin(), all().end(), replica, [](Candidate const& c, NameIndex r) { return c.replica < r; });
+  auto const it = std::lower_bound(all().begin(), all().end(), replica,
+                                   [](Candidate const& c, NameIndex r) { return c.replica < r; });
   return it == all().end() || it->replica != replica ? nullptr : &*it;
 }
 
--- a/scaling/src/prefix_cache.cpp
+++ b/scaling/src/prefix_cache.cpp
@@ -4,72 +4,81 @@
 
 namespace corkward::scaling {
 
+namespace {
+
+/// Outdated uses may stand in an order of usage up to this multiple of what is remembered.
+constexpr std::size_t maxUsagesPerEntry = 4;
+/// Orders of usage up to this length are not worth compacting.
+constexpr std::size_t minCompactedUsages = 16;
+
+}  // namespace
+
 void PrefixCacheIndex::recordServed(std::uint64_t prefix, NameIndex replica) {
-  byPrefix_[prefix] = {replica, ++turn_};
-  order_.emplace_back(prefix, turn_);
-  while (byPrefix_.size() > bound_ || order_.size() > 4 * bound_) {
-    std::unordered_map<std::uint64_t, std::pair<NameIndex, std::uint64_t>>::const_iterator const it =
-        byPrefix_.find(order_.front().first);
-    if (it != byPrefix_.end() && it->second.second == order_.front().second) byPrefix_.erase(it);
-    order_.pop_front();
+  byPrefix_[prefix] = LastServed{replica, ++lastUsage_};
+  usageOrder_.push_back(PrefixUsage{prefix, lastUsage_});
+  while (byPrefix_.size() > bound_ || usageOrder_.size() > maxUsagesPerEntry * bound_) {
+    PrefixUsage const oldest = usageOrder_.front();
+    auto const it = byPrefix_.find(oldest.prefix);
+    if (it != byPrefix_.end() && it->second.usage == oldest.usage) byPrefix_.erase(it);
+    usageOrder_.pop_front();
   }
 }
 
 std::int64_t PrefixCacheIndex::lastReplica(std::uint64_t prefix) const {
-  std::unordered_map<std::uint64_t, std::pair<NameIndex, std::uint64_t>>::const_iterator const it =
-      byPrefix_.find(prefix);
-  return it == byPrefix_.end() ? -1 : static_cast<std::int64_t>(it->second.first);
+  auto const it = byPrefix_.find(prefix);
+  return it == byPrefix_.end() ? -1 : static_cast<std::int64_t>(it->second.replica);
 }
 
 void PrefixCacheIndex::forget(NameIndex replica) {
-  std::erase_if(byPrefix_,
-                [&](std::unordered_map<std::uint64_t, std::pair<NameIndex, std::uint64_t>>::value_type const& p) {
-                  return p.second.first == replica;
-                });
+  std::erase_if(byPrefix_, [&](auto const& entry) { return entry.second.replica == replica; });
+}
+
+bool PrefixCacheEstimate::ReplicaCache::isLatest(SegmentUsage const& used) const {
+  auto const it = segments.find(used.segment);
+  return it != segments.end() && it->second.usage == used.usage;
+}
+
+void PrefixCacheEstimate::ReplicaCache::compactUsageOrder() {
+  std::erase_if(usageOrder, [this](SegmentUsage const& used) { return !isLatest(used); });
 }
 
-void PrefixCacheEstimate::dropOldest(Memory& m) {
-  while (!m.order.empty()) {
-    std::pair<std::uint64_t, std::uint64_t> const oldest = m.order.front();
-    m.order.pop_front();
-    std::unordered_map<std::uint64_t, std::pair<std::int64_t, std::uint64_t>>::const_iterator const it =
-        m.parts.find(oldest.first);
-    if (it == m.parts.end() || it->second.second != oldest.second) continue;
-    m.tokens -= it->second.first;
-    m.parts.erase(it);
+void PrefixCacheEstimate::dropOldest(ReplicaCache& cache) {
+  while (!cache.usageOrder.empty()) {
+    SegmentUsage const oldest = cache.usageOrder.front();
+    cache.usageOrder.pop_front();
+    if (!cache.isLatest(oldest)) continue;
+    auto const it = cache.segments.find(oldest.segment);
+    cache.tokens -= it->second.tokens;
+    cache.segments.erase(it);
     --count_;
     return;
   }
 }
 
-void PrefixCacheEstimate::recordSent(NameIndex replica, std::uint64_t part, std::int64_t tokens, std::int64_t memory) {
-  Memory& m = byReplica_[replica];
-  std::pair<std::unordered_map<std::uint64_t, std::pair<std::int64_t, std::uint64_t>>::iterator, bool> const at =
-      m.parts.try_emplace(part, tokens, 0);
-  if (at.second) {
-    m.tokens += tokens;
+void PrefixCacheEstimate::recordSent(NameIndex replica, std::uint64_t segment, std::int64_t tokens,
+                                     std::int64_t memory) {
+  ReplicaCache& cache = byReplica_[replica];
+  auto const [it, inserted] = cache.segments.try_emplace(segment, CachedSegment{tokens, 0});
+  if (inserted) {
+    cache.tokens += tokens;
     ++count_;
   }
-  at.first->second.second = ++turn_;
-  m.order.emplace_back(part, turn_);
-  while (m.parts.size() > 1 && ((memory > 0 && m.tokens > memory) || count_ > bound_)) dropOldest(m);
-  while (m.order.size() > 4 * m.parts.size() + 16) {
-    std::deque<std::pair<std::uint64_t, std::uint64_t>> kept;
-    for (std::pair<std::uint64_t, std::uint64_t> const& o : m.order)
-      if (m.parts.count(o.first) > 0 && m.parts.at(o.first).second == o.second) kept.push_back(o);
-    m.order = std::move(kept);
-  }
+  it->second.usage = ++lastUsage_;
+  cache.usageOrder.push_back(SegmentUsage{segment, lastUsage_});
+  while (cache.segments.size() > 1 && ((memory > 0 && cache.tokens > memory) || count_ > bound_)) dropOldest(cache);
+  while (cache.usageOrder.size() > maxUsagesPerEntry * cache.segments.size() + minCompactedUsages)
+    cache.compactUsageOrder();
 }
 
-bool PrefixCacheEstimate::has(NameIndex replica, std::uint64_t part) const {
-  std::unordered_map<NameIndex, Memory>::const_iterator const it = byReplica_.find(replica);
-  return it != byReplica_.end() && it->second.parts.count(part) > 0;
+bool PrefixCacheEstimate::has(NameIndex replica, std::uint64_t segment) const {
+  auto const it = byReplica_.find(replica);
+  return it != byReplica_.end() && it->second.segments.count(segment) > 0;
 }
 
 void PrefixCacheEstimate::forget(NameIndex replica) {
-  std::unordered_map<NameIndex, Memory>::const_iterator const it = byReplica_.find(replica);
+  auto const it = byReplica_.find(replica);
   if (it == byReplica_.end()) return;
-  count_ -= it->second.parts.size();
+  count_ -= it->second.segments.size();
   byReplica_.erase(it);
 }
 
--- a/scaling/src/retry_budget.cpp
+++ b/scaling/src/retry_budget.cpp
@@ -46,8 +46,7 @@
 
 RetryBudget& RetryBudgets::at(Tick now, NameIndex pool) {
   if (pools_.size() > poolsKept && pools_.count(pool) == 0)
-    for (std::map<NameIndex, RetryBudget>::iterator it = pools_.begin(); it != pools_.end();)
-      it = it->second.isIdle(now) ? pools_.erase(it) : std::next(it);
+    for (auto it = pools_.begin(); it != pools_.end();) it = it->second.isIdle(now) ? pools_.erase(it) : std::next(it);
   return pools_[pool];
 }
 
--- a/scaling/src/scaler.cpp
+++ b/scaling/src/scaler.cpp
@@ -72,12 +72,12 @@
 }
 
 int Scaler::inFlightAt(NameIndex replica) const {
-  std::unordered_map<NameIndex, int>::const_iterator const it = inFlightAt_.find(replica);
+  auto const it = inFlightAt_.find(replica);
   return it == inFlightAt_.end() ? 0 : it->second;
 }
 
 bool Scaler::isSlow(NameIndex replica) const {
-  std::unordered_map<NameIndex, Times>::const_iterator const it = times_.find(replica);
+  auto const it = times_.find(replica);
   return it != times_.end() && it->second.answers > 0 &&
          it->second.meanFirstByte > static_cast<double>(it->second.latencyTarget);
 }
@@ -123,12 +123,11 @@
   }
   if (calmSince_ < 0) calmSince_ = now;
   if (now - calmSince_ < parameters_.cooldown) return 0;
-  std::vector<Candidate>::iterator const idle =
-      std::min_element(subset_.begin(), subset_.end(), [&](Candidate const& a, Candidate const& b) {
-        if (a.warmingUp != b.warmingUp) return a.warmingUp;
-        if (inFlightAt(a.replica) != inFlightAt(b.replica)) return inFlightAt(a.replica) < inFlightAt(b.replica);
-        return subsetOrder(a) > subsetOrder(b);
-      });
+  auto const idle = std::min_element(subset_.begin(), subset_.end(), [&](Candidate const& a, Candidate const& b) {
+    if (a.warmingUp != b.warmingUp) return a.warmingUp;
+    if (inFlightAt(a.replica) != inFlightAt(b.replica)) return inFlightAt(a.replica) < inFlightAt(b.replica);
+    return subsetOrder(a) > subsetOrder(b);
+  });
   subset_.erase(idle);
   calmSince_ = now;
   return -1;
@@ -171,7 +170,7 @@
 }
 
 void Scaler::onEnded(NameIndex replica, bool bulk) {
-  std::unordered_map<NameIndex, int>::iterator const it = inFlightAt_.find(replica);
+  auto const it = inFlightAt_.find(replica);
   CORKWARD_INVARIANT(it != inFlightAt_.end() && it->second > 0 && inFlight_ > 0);
   if (--it->second == 0) inFlightAt_.erase(it);
   --inFlight_;
--- a/storage/include/corkward/storage/write_ahead_log.h
+++ b/storage/include/corkward/storage/write_ahead_log.h
@@ -19,6 +19,7 @@
 /// The folder a write-ahead log lives in. The real one does POSIX files; the simulator's forgets what was not synced.
 class Directory {
  public:
+  Directory() = default;
   virtual ~Directory() = default;
   virtual std::vector<std::string> list() = 0;
   virtual std::string read(std::string const& name) = 0;
@@ -29,9 +30,16 @@
   virtual void remove(std::string const& name) = 0;
   virtual void truncate(std::string const& name, std::uint64_t size) = 0;
   virtual void syncDirectory() = 0;
+
+ protected:
+  // Only whole implementations are copied or moved, never a Directory on its own.
+  Directory(Directory const&) = default;
+  Directory& operator=(Directory const&) = default;
+  Directory(Directory&&) = default;
+  Directory& operator=(Directory&&) = default;
 };
 
-/// A folder on the machine's own disk, made if it is missing. Throws write-ahead log::Error.
+/// A folder on the machine's own disk, made if it is missing. Throws StorageError.
 std::unique_ptr<Directory> openDirectory(std::string const& path);
 
 /// Key and payload of one record; a later record of a key replaces an earlier one.
--- a/storage/src/directory.cpp
+++ b/storage/src/directory.cpp
@@ -23,6 +23,8 @@
   ~Fd() { ::close(fd_); }
   Fd(Fd const&) = delete;
   Fd& operator=(Fd const&) = delete;
+  Fd(Fd&&) = delete;
+  Fd& operator=(Fd&&) = delete;
   int get() const { return fd_; }
 
  private:
--- a/storage/src/write_ahead_log.cpp
+++ b/storage/src/write_ahead_log.cpp
@@ -110,8 +110,8 @@
   }
   // From the oldest on, a snapshot before its segment: what is left after each step still lacks or shows the damage.
   std::sort(files.begin(), files.end());
-  for (std::pair<std::uint64_t, std::string> const& file : files) {
-    folder.rename(file.second, prefix + label + "-" + file.second);
+  for (auto const& [number, name] : files) {
+    folder.rename(name, prefix + label + "-" + name);
     folder.syncDirectory();
   }
 }
@@ -211,7 +211,7 @@
 void WriteAheadLog::snapshot() {
   std::uint64_t const next = segment_ + 1;
   std::string bytes;
-  for (std::map<std::string, std::string>::value_type const& s : slots_) bytes += frame(Record{s.first, s.second});
+  for (auto const& [key, value] : slots_) bytes += frame(Record{key, value});
   bytes += frame(Record{snapshotEnd, ""});
   std::string const fresh = unfinishedSnapshot;
   for (std::string const& name : folder_.list())
--- a/storage/test/crash_directory.h
+++ b/storage/test/crash_directory.h
@@ -27,7 +27,7 @@
 
   std::vector<std::string> list() override {
     std::vector<std::string> out;
-    for (Names::value_type const& n : names_) out.push_back(n.first);
+    for (auto const& [name, inode] : names_) out.push_back(name);
     return out;
   }
   std::string read(std::string const& name) override { return inode(name).bytes; }
@@ -74,22 +74,22 @@
   /// Bytes under all names.
   std::size_t bytes() {
     std::size_t sum = 0;
-    for (Names::value_type const& n : names_) sum += inodes_[n.second].bytes.size();
+    for (auto const& [name, inode] : names_) sum += inodes_[inode].bytes.size();
     return sum;
   }
 
   /// How many names begin so.
   std::size_t countOf(std::string const& kind) const {
     std::size_t n = 0;
-    for (Names::value_type const& name : names_) n += name.first.rfind(kind, 0) == 0 ? 1 : 0;
+    for (auto const& [name, inode] : names_) n += name.rfind(kind, 0) == 0 ? 1 : 0;
     return n;
   }
   bool has(std::string const& kind) const { return countOf(kind) > 0; }
   /// Damages the first record of the newest file whose name begins so.
   void flip(std::string const& kind) {
     std::string newest;
-    for (Names::value_type const& name : names_)
-      if (name.first.rfind(kind, 0) == 0) newest = name.first;
+    for (auto const& [name, inode] : names_)
+      if (name.rfind(kind, 0) == 0) newest = name;
     inode(newest).bytes.at(9) ^= 1;
   }
 
@@ -113,9 +113,9 @@
   /// Names, bytes, and what of these is synced: two folders of one text behave alike.
   std::string text() const {
     std::string out;
-    for (Names::value_type const& n : names_)
-      out += n.first + "=" + inodes_[n.second].bytes + "/" + std::to_string(inodes_[n.second].synced) + ";";
-    for (Names::value_type const& n : durable_) out += n.first + ":" + std::to_string(n.second) + ";";
+    for (auto const& [name, inode] : names_)
+      out += name + "=" + inodes_[inode].bytes + "/" + std::to_string(inodes_[inode].synced) + ";";
+    for (auto const& [name, inode] : durable_) out += name + ":" + std::to_string(inode) + ";";
     for (Entry const& e : entries_) out += e.from + ">" + e.to + ";";
     return out;
   }
@@ -147,10 +147,10 @@
       if (!entries_[i].from.empty()) names.erase(entries_[i].from);
       if (!entries_[i].to.empty()) names[entries_[i].to] = entries_[i].inode;
     }
-    for (Names::value_type const& n : names) {
-      Inode const& was = inodes_[n.second];
+    for (auto const& [name, inode] : names) {
+      Inode const& was = inodes_[inode];
       std::size_t const size = was.synced + (was.bytes.size() - was.synced) * part / 2;
-      out.names_[n.first] = out.inodes_.size();
+      out.names_[name] = out.inodes_.size();
       out.inodes_.push_back(Inode{was.bytes.substr(0, size), size});
     }
     out.durable_ = out.names_;
--- a/storage/test/crash_test.cpp
+++ b/storage/test/crash_test.cpp
@@ -18,13 +18,13 @@
 /// Takes what a recovery gave back, which counts from then on: members answer from it.
 void take(Owed& owed, storage::RecoveredState const& got) {
   REQUIRE_FALSE(got.damaged);
-  for (std::map<std::string, int>::value_type const& k : owed.atLeast) {
-    INFO(k.first << " must be " << k.second << " or newer");
-    REQUIRE(got.slots.count(k.first) == 1);
-    REQUIRE(std::stoi(got.slots.at(k.first)) >= k.second);
-    REQUIRE(std::stoi(got.slots.at(k.first)) <= owed.atMost.at(k.first));
+  for (auto const& [key, number] : owed.atLeast) {
+    INFO(key << " must be " << number << " or newer");
+    REQUIRE(got.slots.count(key) == 1);
+    REQUIRE(std::stoi(got.slots.at(key)) >= number);
+    REQUIRE(std::stoi(got.slots.at(key)) <= owed.atMost.at(key));
   }
-  for (std::map<std::string, std::string>::value_type const& s : got.slots) owed.atLeast[s.first] = std::stoi(s.second);
+  for (auto const& [key, value] : got.slots) owed.atLeast[key] = std::stoi(value);
 }
 
 /// Recovers and writes some records, until the folder stops it.
@@ -45,7 +45,7 @@
 
 std::string text(Owed const& owed) {
   std::string out;
-  for (std::map<std::string, int>::value_type const& k : owed.atLeast) out += k.first + std::to_string(k.second) + ";";
+  for (auto const& [key, number] : owed.atLeast) out += key + std::to_string(number) + ";";
   return out;
 }
 
--- a/storage/test/write_ahead_log_test.cpp
+++ b/storage/test/write_ahead_log_test.cpp
@@ -23,7 +23,7 @@
 
   std::vector<std::string> list() override {
     std::vector<std::string> out;
-    for (std::map<std::string, File>::value_type const& f : files) out.push_back(f.first);
+    for (auto const& [name, file] : files) out.push_back(name);
     return out;
   }
   std::string read(std::string const& name) override { return files.at(name).bytes; }
@@ -43,10 +43,10 @@
   }
   void syncDirectory() override {}
   void powerLoss(core::RandomGenerator& rng) {
-    for (std::map<std::string, File>::value_type& f : files) {
-      std::size_t const loose = f.second.bytes.size() - f.second.synced;
-      f.second.bytes.resize(f.second.synced + rng.below(loose + 1));
-      f.second.synced = f.second.bytes.size();
+    for (auto& [name, file] : files) {
+      std::size_t const loose = file.bytes.size() - file.synced;
+      file.bytes.resize(file.synced + rng.below(loose + 1));
+      file.synced = file.bytes.size();
     }
   }
 };
@@ -110,7 +110,7 @@
       storage::WriteAheadLog log(folder, 600);
       storage::RecoveredState const got = log.recover();
       REQUIRE_FALSE(got.damaged);
-      for (std::map<std::string, std::string>::value_type const& s : sure) REQUIRE(got.slots.at(s.first) == s.second);
+      for (auto const& [key, value] : sure) REQUIRE(got.slots.at(key) == value);
       sure = got.slots;
       for (int i = 0; i < 40; ++i) {
         storage::Record const r{"k" + std::to_string(rng.below(6)),
--- a/transport/include/corkward/transport/link.h
+++ b/transport/include/corkward/transport/link.h
@@ -13,7 +13,7 @@
 
 namespace corkward::transport {
 
-/// Held nng connections between our own processes: one pull socket listens, one push socket per membership member
+/// Persistent nng connections between our own processes: one pull socket listens, one push socket per membership member
 /// dials. Messages are handed over on the thread of the object that the link was made for. What cannot be queued is
 /// dropped: every protocol above repeats itself. A connection, or an attempt at one, that met a cut or a machine that
 /// is down may hang for as long again once that is over; ConnectionHealth says when it is closed and dialled anew.
@@ -25,6 +25,8 @@
   ~Link();
   Link(Link const&) = delete;
   Link& operator=(Link const&) = delete;
+  Link(Link&&) = delete;
+  Link& operator=(Link&&) = delete;
 
   /// Address that others reach this process at.
   std::string const& address() const { return address_; }
@@ -32,14 +34,14 @@
   void send(std::string const& to, Message const& message);
   /// Frames that were not an envelope.
   std::uint64_t malformedFrames() const { return malformedFrames_; }
-  /// Ways that were closed and dialled anew.
+  /// Connections that were closed and dialled anew.
   std::uint64_t redials() const { return redials_; }
-  /// Ways to others that are held now.
+  /// Connections to others that are open now.
   std::size_t connectionCount() const { return connections_.size(); }
-  /// Closes and frees the ways to addresses that were neither sent to nor heard from for so long.
+  /// Closes and frees the connections to addresses that were neither sent to nor heard from for so long.
   void closeIdle(std::chrono::milliseconds idle);
-  /// How long a way that is neither sent on nor heard from is kept. Shuffles go to ever other contacts, so what a
-  /// process holds grows with this and, once the fleet is larger than what is met within it, no more with the fleet.
+  /// How long a connection that is neither sent on nor heard from is kept. Shuffles go to ever other contacts, so what
+  /// a process holds grows with this and, once the fleet is larger than what is met within it, no more with the fleet.
   static constexpr std::chrono::seconds idleTimeout{20};
 
  private:
@@ -53,9 +55,10 @@
     std::atomic<int> disconnects{0};
     bool connected() const { return connects > disconnects; }
   };
-  bool dial(std::string const& to, Connection& way);
-  /// Closes the way's connection and dials anew; false when that failed and the way is gone.
-  bool redial(std::map<std::string, Connection>::iterator way);
+  using Connections = std::map<std::string, Connection>;
+  bool dial(std::string const& to, Connection& connection);
+  /// Closes the connection and dials anew; false when that failed and the connection was dropped.
+  bool redial(Connections::iterator connection);
   void onReceived(std::string const& from, std::uint64_t run, std::uint32_t pipe);
   void receive();
   QObject* owner_;
@@ -63,7 +66,7 @@
   std::function<void(Envelope)> onMessage_;
   std::uint32_t pull_ = 0;
   std::uint64_t run_ = 0;
-  std::map<std::string, Connection> connections_;
+  Connections connections_;
   Clock::time_point lastIdleSweep_;
   std::uint64_t redials_ = 0;
   std::atomic<bool> stopping_{false};
--- a/transport/include/corkward/transport/values.h
+++ b/transport/include/corkward/transport/values.h
@@ -15,6 +15,7 @@
 struct Ballot {
   std::uint64_t number = 0;
   std::string member;
+  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the zero inside a defaulted comparison for a pointer.
   std::strong_ordering operator<=>(Ballot const&) const = default;
   bool operator==(Ballot const&) const = default;
   template <class F>
--- a/transport/src/connection_health.cpp
+++ b/transport/src/connection_health.cpp
@@ -23,7 +23,7 @@
 }
 
 bool ConnectionHealth::responseOverdue(core::Tick now) const {
-  core::Tick const forBytes = static_cast<core::Tick>(unansweredBytes_ / slowestBytesPerMs);
+  auto const forBytes = static_cast<core::Tick>(unansweredBytes_ / slowestBytesPerMs);
   return unansweredSince_ >= 0 && now - unansweredSince_ > responseTimeout + forBytes;
 }
 
--- a/transport/src/link.cpp
+++ b/transport/src/link.cpp
@@ -65,7 +65,7 @@
   stopping_ = true;
   thread_.join();
   nng_close(socketOf(pull_));
-  for (std::map<std::string, Connection>::value_type const& o : connections_) nng_close(socketOf(o.second.socket));
+  for (auto const& [link, connection] : connections_) nng_close(socketOf(connection.socket));
 }
 
 void Link::receive() {
@@ -90,15 +90,15 @@
   }
 }
 
-bool Link::dial(std::string const& to, Connection& way) {
+bool Link::dial(std::string const& to, Connection& connection) {
   nng_socket s;
   if (nng_push0_open(&s) != 0) return false;
-  way.socket = s.id;
-  way.connects = 0;
-  way.disconnects = 0;
-  way.health.dialled(clockNow());
-  nng_pipe_notify(s, NNG_PIPE_EV_ADD_POST, count, &way.connects);
-  nng_pipe_notify(s, NNG_PIPE_EV_REM_POST, count, &way.disconnects);
+  connection.socket = s.id;
+  connection.connects = 0;
+  connection.disconnects = 0;
+  connection.health.dialled(clockNow());
+  nng_pipe_notify(s, NNG_PIPE_EV_ADD_POST, count, &connection.connects);
+  nng_pipe_notify(s, NNG_PIPE_EV_REM_POST, count, &connection.disconnects);
   nng_socket_set_int(s, NNG_OPT_SENDBUF, queued);
   nng_socket_set_ms(s, NNG_OPT_RECONNMINT, 50);
   nng_socket_set_ms(s, NNG_OPT_RECONNMAXT, 500);
@@ -107,25 +107,25 @@
   return false;
 }
 
-bool Link::redial(std::map<std::string, Connection>::iterator way) {
+bool Link::redial(Connections::iterator connection) {
   ++redials_;
-  nng_close(socketOf(way->second.socket));
-  if (dial(way->first, way->second)) return true;
-  connections_.erase(way);
+  nng_close(socketOf(connection->second.socket));
+  if (dial(connection->first, connection->second)) return true;
+  connections_.erase(connection);
   return false;
 }
 
 void Link::onReceived(std::string const& from, std::uint64_t run, std::uint32_t pipe) {
-  std::map<std::string, Connection>::iterator const it = connections_.find(from);
+  auto const it = connections_.find(from);
   if (it == connections_.end()) return;
-  Connection& way = it->second;
-  way.used = Clock::now();
-  if (way.health.staleOnReceive(clockNow(), way.connected(), way.connects, run, pipe)) redial(it);
+  Connection& connection = it->second;
+  connection.used = Clock::now();
+  if (connection.health.staleOnReceive(clockNow(), connection.connected(), connection.connects, run, pipe)) redial(it);
 }
 
 void Link::closeIdle(std::chrono::milliseconds idle) {
   lastIdleSweep_ = Clock::now();
-  for (std::map<std::string, Connection>::iterator it = connections_.begin(); it != connections_.end();) {
+  for (auto it = connections_.begin(); it != connections_.end();) {
     bool const gone = lastIdleSweep_ - it->second.used >= idle;
     if (gone) nng_close(socketOf(it->second.socket));
     it = gone ? connections_.erase(it) : std::next(it);
@@ -135,17 +135,17 @@
 void Link::send(std::string const& to, Message const& message) {
   Clock::time_point const now = Clock::now();
   if (now - lastIdleSweep_ > sweepEvery) closeIdle(idleTimeout);
-  std::map<std::string, Connection>::iterator const it = connections_.try_emplace(to).first;
+  auto const it = connections_.try_emplace(to).first;
   if (it->second.socket == 0 && !dial(to, it->second)) {
     connections_.erase(it);
     return;
   }
-  Connection& way = it->second;
-  if (way.health.staleOnSend(clockNow(), way.connected()) && !redial(it)) return;
-  way.used = now;
+  Connection& connection = it->second;
+  if (connection.health.staleOnSend(clockNow(), connection.connected()) && !redial(it)) return;
+  connection.used = now;
   std::string bytes = pack(Envelope{address_, message, run_});
-  way.health.sent(clockNow(), expectsReply(message), bytes.size());
-  nng_send(socketOf(way.socket), bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK);
+  connection.health.sent(clockNow(), expectsReply(message), bytes.size());
+  nng_send(socketOf(connection.socket), bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK);
 }
 
 }  // namespace corkward::transport
--- a/transport/src/message.cpp
+++ b/transport/src/message.cpp
@@ -64,9 +64,9 @@
   }
   static QCborValue put(Revisions const& v) {
     QCborArray out;
-    for (Revisions::value_type const& item : v) {
-      out.append(put(item.first));
-      out.append(put(item.second));
+    for (auto const& [key, revision] : v) {
+      out.append(put(key));
+      out.append(put(revision));
     }
     return out;
   }
@@ -183,7 +183,7 @@
 
 Digest digestOf(Revisions const& revisions) {
   Digest out;
-  for (Revisions::value_type const& s : revisions) out.replace(s.first, 0, s.second);
+  for (auto const& [offset, bytes] : revisions) out.replace(offset, 0, bytes);
   return out;
 }
 
