--- a/core/src/guarantees.cpp
+++ b/core/src/guarantees.cpp
@@ -36,10 +36,10 @@
 }
 
 void GuaranteeCounts::recordViolation(Guarantee guarantee, std::string const& detail) {
-  std::size_t const place = static_cast<std::size_t>(guarantee);
-  ++counts_.at(place);
-  if (counts_.at(place) == reported_.at(place) + 1) details_.at(place) = detail;
-  if (counts_.at(place) <= loggedOfEach)
+  auto const index = static_cast<std::size_t>(guarantee);
+  ++counts_.at(index);
+  if (counts_.at(index) == reported_.at(index) + 1) details_.at(index) = detail;
+  if (counts_.at(index) <= loggedOfEach)
     writeError(LogEvent{events::guaranteeViolated, {{"guarantee", nameOf(guarantee)}, {"detail", detail}}});
 }
 
@@ -49,12 +49,12 @@
 
 std::vector<std::string> GuaranteeCounts::takeNewViolations() {
   std::vector<std::string> out;
-  for (std::size_t place = 0; place < guaranteeCount; ++place) {
-    std::uint64_t const fresh = counts_.at(place) - reported_.at(place);
+  for (std::size_t index = 0; index < guaranteeCount; ++index) {
+    std::uint64_t const fresh = counts_.at(index) - reported_.at(index);
     if (fresh == 0) continue;
-    out.push_back(std::string("guarantee ") + names.at(place) + " violated " + std::to_string(fresh) +
-                  " times, first: " + details_.at(place));
-    reported_.at(place) = counts_.at(place);
+    out.push_back(std::string("guarantee ") + names.at(index) + " violated " + std::to_string(fresh) +
+                  " times, first: " + details_.at(index));
+    reported_.at(index) = counts_.at(index);
   }
   return out;
 }
@@ -62,9 +62,9 @@
 std::string guaranteeMetrics() {
   GuaranteeCounts const& counts = GuaranteeCounts::ofThread();
   std::string out = "# TYPE corkward_promises_broken_total counter\n";
-  for (std::size_t place = 0; place < guaranteeCount; ++place)
-    out += "corkward_promises_broken_total{promise=\"" + std::string(names.at(place)) + "\"} " +
-           std::to_string(counts.count(static_cast<Guarantee>(place))) + "\n";
+  for (std::size_t index = 0; index < guaranteeCount; ++index)
+    out += "corkward_promises_broken_total{promise=\"" + std::string(names.at(index)) + "\"} " +
+           std::to_string(counts.count(static_cast<Guarantee>(index))) + "\n";
   return out;
 }
 
--- a/transport/src/link.cpp
+++ b/transport/src/link.cpp
@@ -68,7 +68,7 @@
   stopping_ = true;
   thread_.join();
   closer_->close(pull_);
-  for (auto const& [address, connection] : connections_) close(connection);
+  for (auto const& [link, connection] : connections_) close(connection);
 }
 
 void Link::receive() {
@@ -93,19 +93,19 @@
   }
 }
 
-bool Link::dial(std::string const& to, Connection& way) {
+bool Link::dial(std::string const& to, Connection& connection) {
   nng_socket s;
   if (nng_push0_open(&s) != 0) return false;
-  way.socket = s.id;
-  way.counts = std::make_shared<ConnectionCounts>();
-  way.health.dialled(clockNow());
-  nng_pipe_notify(s, NNG_PIPE_EV_ADD_POST, count, &way.counts->connects);
-  nng_pipe_notify(s, NNG_PIPE_EV_REM_POST, count, &way.counts->disconnects);
+  connection.socket = s.id;
+  connection.counts = std::make_shared<ConnectionCounts>();
+  connection.health.dialled(clockNow());
+  nng_pipe_notify(s, NNG_PIPE_EV_ADD_POST, count, &connection.counts->connects);
+  nng_pipe_notify(s, NNG_PIPE_EV_REM_POST, count, &connection.counts->disconnects);
   nng_socket_set_int(s, NNG_OPT_SENDBUF, queued);
   nng_socket_set_ms(s, NNG_OPT_RECONNMINT, 50);
   nng_socket_set_ms(s, NNG_OPT_RECONNMAXT, 500);
   if (nng_dial(s, ("tcp://" + to).c_str(), nullptr, NNG_FLAG_NONBLOCK) == 0) return true;
-  close(way);
+  close(connection);
   return false;
 }
 
@@ -113,25 +113,26 @@
   closer_->close(connection.socket, connection.counts);
 }
 
-bool Link::redial(std::map<std::string, Connection>::iterator way) {
+bool Link::redial(Connections::iterator connection) {
   ++redials_;
-  close(way->second);
-  if (dial(way->first, way->second)) return true;
-  connections_.erase(way);
+  close(connection->second);
+  if (dial(connection->first, connection->second)) return true;
+  connections_.erase(connection);
   return false;
 }
 
 void Link::onReceived(std::string const& from, std::uint64_t run, std::uint32_t pipe) {
-  std::map<std::string, Connection>::iterator const it = connections_.find(from);
+  auto const it = connections_.find(from);
   if (it == connections_.end()) return;
-  Connection& way = it->second;
-  way.used = Clock::now();
-  if (way.health.staleOnReceive(clockNow(), way.connected(), way.counts->connects, run, pipe)) redial(it);
+  Connection& connection = it->second;
+  connection.used = Clock::now();
+  if (connection.health.staleOnReceive(clockNow(), connection.connected(), connection.counts->connects, run, pipe))
+    redial(it);
 }
 
 void Link::closeIdle(std::chrono::milliseconds idle) {
   lastIdleSweep_ = Clock::now();
-  for (std::map<std::string, Connection>::iterator it = connections_.begin(); it != connections_.end();) {
+  for (auto it = connections_.begin(); it != connections_.end();) {
     bool const gone = lastIdleSweep_ - it->second.used >= idle;
     if (gone) close(it->second);
     it = gone ? connections_.erase(it) : std::next(it);
@@ -141,17 +142,17 @@
 void Link::send(std::string const& to, Message const& message) {
   Clock::time_point const now = Clock::now();
   if (now - lastIdleSweep_ > sweepEvery) closeIdle(idleTimeout);
-  std::map<std::string, Connection>::iterator const it = connections_.try_emplace(to).first;
+  auto const it = connections_.try_emplace(to).first;
   if (it->second.socket == 0 && !dial(to, it->second)) {
     connections_.erase(it);
     return;
   }
-  Connection& way = it->second;
-  if (way.health.staleOnSend(clockNow(), way.connected()) && !redial(it)) return;
-  way.used = now;
+  Connection& connection = it->second;
+  if (connection.health.staleOnSend(clockNow(), connection.connected()) && !redial(it)) return;
+  connection.used = now;
   std::string bytes = pack(Envelope{address_, message, run_});
-  way.health.sent(clockNow(), expectsReply(message), bytes.size());
-  nng_send(socketOf(way.socket), bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK);
+  connection.health.sent(clockNow(), expectsReply(message), bytes.size());
+  nng_send(socketOf(connection.socket), bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK);
 }
 
 }  // namespace corkward::transport
