--- a/testing/capacity/fleet.cpp
+++ b/testing/capacity/fleet.cpp
@@ -129,7 +129,7 @@
 
 void Fleet::configure() {
   std::vector<std::uint64_t> open;
-  std::function<void()> const wait = [&] {
+  auto const wait = [&] {
     bool const all = until(
         [&] { return std::all_of(open.begin(), open.end(), [&](std::uint64_t t) { return answer(t).has_value(); }); },
         answerLimit);
@@ -182,15 +182,14 @@
 }
 
 std::optional<Answered> Fleet::answer(std::uint64_t token) const {
-  std::map<std::uint64_t, Answered>::const_iterator const it = answers_.find(token);
+  auto const it = answers_.find(token);
   return it == answers_.end() ? std::nullopt : std::optional<Answered>(it->second);
 }
 
 std::uint64_t Fleet::change(std::size_t at, std::int64_t tenant) {
   std::string const path = "/v1/templates/" + familyOf(sizes_, tenant) + "/instances/" + instanceOf(sizes_, tenant);
   std::map<std::string, consensus::CommittedValue> const& held = processes_[at].control->registers().committed();
-  std::map<std::string, consensus::CommittedValue>::const_iterator const it =
-      held.find("family:" + familyOf(sizes_, tenant));
+  auto const it = held.find("family:" + familyOf(sizes_, tenant));
   qint64 revision = 0;
   if (it != held.end())
     revision = it->second.value.value("instances")
@@ -207,8 +206,7 @@
   std::uint64_t newest = 0;
   for (Process const& p : processes_) {
     if (!p.control) continue;
-    std::map<std::string, consensus::CommittedValue>::const_iterator const it =
-        p.control->registers().committed().find("family:" + familyOf(sizes_, tenant));
+    auto const it = p.control->registers().committed().find("family:" + familyOf(sizes_, tenant));
     if (it != p.control->registers().committed().end()) newest = std::max(newest, it->second.revision);
   }
   return newest;
@@ -311,7 +309,7 @@
 
 void Fleet::deliver(Event& event) {
   Process& p = processes_[event.to];
-  std::unordered_map<std::size_t, Tick>::iterator const way = ways_[event.to].find(event.from);
+  auto const way = ways_[event.to].find(event.from);
   if (way != ways_[event.to].end() && now_ - way->second < idleAfter) way->second = now_;
   std::string const from = processes_[event.from].link;
   transport::Envelope envelope;
@@ -374,7 +372,7 @@
   for (transport::Send const& s : commands.sends) send(ix, s);
   for (control::OperatorResponse const& a : commands.responses) answers_[a.token] = Answered{a.status, a.body, now_};
   for (std::string const& link : commands.probes) {
-    std::unordered_map<std::string, std::size_t>::const_iterator const it = byLink_.find(link);
+    auto const it = byLink_.find(link);
     if (it == byLink_.end() || processes_[it->second].alive || dark_[it->second]) continue;
     if (regionsCut_ && processes_[it->second].region != p.region) continue;
     take(ix, p.control->onProbeResult(now_, link, true));
@@ -389,8 +387,7 @@
   std::size_t out = 0;
   for (std::size_t i = 0; i < processes_.size(); ++i) {
     if (!processes_[i].alive || (processes_[i].disk != nullptr) != control) continue;
-    for (std::unordered_map<std::size_t, Tick>::value_type const& w : ways_[i])
-      out += now_ - w.second < idleAfter ? 1 : 0;
+    for (auto const& [peer, lastUsedAt] : ways_[i]) out += now_ - lastUsedAt < idleAfter ? 1 : 0;
   }
   return out;
 }
@@ -411,12 +408,11 @@
     t.sentBytes += e.bytes.size();
     t.packUs += packed - start;
   }
-  std::unordered_map<std::string, std::size_t>::const_iterator const it = byLink_.find(send.to);
+  auto const it = byLink_.find(send.to);
   if (it == byLink_.end()) return;
-  std::pair<std::unordered_map<std::size_t, Tick>::iterator, bool> const way =
-      ways_[from].try_emplace(it->second, now_);
-  if (way.second || now_ - way.first->second >= idleAfter) ++dialled_[p.disk ? 1 : 0];
-  way.first->second = now_;
+  auto const [lastUsed, opened] = ways_[from].try_emplace(it->second, now_);
+  if (opened || now_ - lastUsed->second >= idleAfter) ++dialled_[p.disk ? 1 : 0];
+  lastUsed->second = now_;
   Process const& to = processes_[it->second];
   if (!to.alive || (regionsCut_ && to.region != p.region)) return;
   if (!counting_) e.message = std::make_shared<transport::Message const>(send.message);
--- a/testing/capacity/rig.cpp
+++ b/testing/capacity/rig.cpp
@@ -6,72 +6,109 @@
 #include <map>
 #include <ostream>
 
-#include "parts.h"
+#include "experiments.h"
 
 namespace corkward::testing::capacity {
 
 namespace po = boost::program_options;
 
-int rig(int argc, char const* const* argv, std::ostream& out, std::ostream& errors) {
-  std::string part;
-  std::string sweepText;
+namespace {
+
+/// What the command line asks for.
+struct RigOptions {
+  std::string experiment;
+  std::string sweep;
   std::string file;
-  std::map<std::string, std::int64_t> given;
+  std::map<std::string, std::int64_t> sizes;
+};
+
+po::options_description describe(RigOptions& options) {
   po::options_description flags(
       "corkward-capacity: slopes of the real reducers and codecs, many hollow processes in one, in virtual time");
   po::options_description_easy_init add = flags.add_options();
-  add("part", po::value(&part), "what is measured");
-  add("sweep", po::value(&sweepText), "NAME=VALUE,VALUE,...: run at each of these sizes");
-  add("out", po::value(&file), "file for the CSV instead of standard output");
+  add("part", po::value(&options.experiment), "what is measured");
+  add("sweep", po::value(&options.sweep), "NAME=VALUE,VALUE,...: run at each of these sizes");
+  add("out", po::value(&options.file), "file for the CSV instead of standard output");
   add("help", "print this");
   Sizes const defaults;
-  for (SizeRow const& r : sizeTable) add(r.name, po::value(&given[r.name])->default_value(defaults.*(r.field)), r.what);
+  for (SizeRow const& size : sizeTable)
+    add(size.name, po::value(&options.sizes[size.name])->default_value(defaults.*(size.field)), size.what);
+  return flags;
+}
+
+void printHelp(std::ostream& out, po::options_description const& flags) {
+  out << flags << "\nparts:\n";
+  for (Experiment const& experiment : experiments)
+    out << "  " << std::left << std::setw(10) << experiment.name << experiment.description << "\n";
+}
+
+/// Throws SizesError for a missing or unknown name.
+Experiment const& chosenExperiment(std::string const& name) {
+  Experiment const* const found = findExperiment(name);
+  if (found == nullptr) throw SizesError(name.empty() ? "part: missing" : "part: no such part: " + name);
+  return *found;
+}
+
+Sizes atSize(Sizes sizes, std::string const& name, std::int64_t value) {
+  setSize(sizes, name, value);
+  return sizes;
+}
+
+/// The command line without the name of the file that the figures go into.
+void printCommandLine(std::ostream& out, int argc, char const* const* argv) {
+  out << "# corkward-capacity";
+  for (int i = 1; i < argc; ++i) {
+    std::string const argument = argv[i];
+    if (argument == "--out" && i + 1 < argc)
+      ++i;
+    else if (argument.rfind("--out=", 0) != 0)
+      out << " " << argument;
+  }
+}
+
+void printFigures(std::ostream& out, Experiment const& experiment, Sizes const& sizes, Sweep const& sweep) {
+  out << "\nmeasure,role,unit,kind,of,size,value\n" << std::setprecision(8);
+  for (std::int64_t const value : sweep.values) {
+    for (Measurement const& row : experiment.run(atSize(sizes, sweep.name, value)))
+      out << row.measure << "," << row.role << "," << row.unit << "," << row.kind << "," << sweep.name << "," << value
+          << "," << row.value << "\n";
+    out.flush();
+  }
+  if (!out) throw SizesError("out: cannot be written");
+}
+
+/// Checks the options and runs the experiment at every size; throws SizesError.
+void runExperiment(RigOptions const& options, int argc, char const* const* argv, std::ostream& out) {
+  Experiment const& experiment = chosenExperiment(options.experiment);
+  Sizes sizes;
+  for (auto const& [name, value] : options.sizes) setSize(sizes, name, value);
+  Sweep sweep{"nodes", {sizes.nodes}};
+  if (!options.sweep.empty()) sweep = readSweep(options.sweep);
+  for (std::int64_t const value : sweep.values) checkSizes(atSize(sizes, sweep.name, value));
+  std::ofstream file;
+  if (!options.file.empty()) {
+    file.open(options.file);
+    if (!file) throw SizesError("out: cannot be written: " + options.file);
+  }
+  std::ostream& target = options.file.empty() ? out : file;
+  printCommandLine(target, argc, argv);
+  printFigures(target, experiment, sizes, sweep);
+}
+
+}  // namespace
+
+int rig(int argc, char const* const* argv, std::ostream& out, std::ostream& errors) {
+  RigOptions options;
+  po::options_description const flags = describe(options);
   try {
     po::variables_map vm;
     po::store(po::command_line_parser(argc, argv).options(flags).positional(po::positional_options_description()).run(),
               vm);
     po::notify(vm);
-    if (vm.count("help") > 0) {
-      out << flags << "\nparts:\n";
-      for (PartRow const* p = partTable; p->name != nullptr; ++p)
-        out << "  " << std::left << std::setw(10) << p->name << p->what << "\n";
-      return 0;
-    }
-    PartRow const* const chosen = findPart(part);
-    if (chosen == nullptr) throw SizesError(part.empty() ? "part: missing" : "part: no such part: " + part);
-    Sizes sizes;
-    for (std::map<std::string, std::int64_t>::value_type const& g : given) setSize(sizes, g.first, g.second);
-    Sweep sweep{"nodes", {sizes.nodes}};
-    if (!sweepText.empty()) sweep = readSweep(sweepText);
-    for (std::int64_t const value : sweep.values) {
-      Sizes one = sizes;
-      setSize(one, sweep.name, value);
-      checkSizes(one);
-    }
-    std::ofstream written;
-    if (!file.empty()) {
-      written.open(file);
-      if (!written) throw SizesError("out: cannot be written: " + file);
-    }
-    std::ostream& to = file.empty() ? out : written;
-    to << "# corkward-capacity";
-    for (int i = 1; i < argc; ++i) {
-      std::string const word = argv[i];
-      if (word == "--out" && i + 1 < argc)
-        ++i;
-      else if (word.rfind("--out=", 0) != 0)
-        to << " " << word;
-    }
-    to << "\nmeasure,role,unit,kind,of,size,value\n" << std::setprecision(8);
-    for (std::int64_t const value : sweep.values) {
-      Sizes one = sizes;
-      setSize(one, sweep.name, value);
-      for (Row const& r : chosen->run(one))
-        to << r.measure << "," << r.role << "," << r.unit << "," << r.kind << "," << sweep.name << "," << value << ","
-           << r.value << "\n";
-      to.flush();
-    }
-    if (!to) throw SizesError("out: cannot be written");
+    if (vm.count("help") > 0)
+      printHelp(out, flags);
+    else
+      runExperiment(options, argc, argv, out);
   } catch (po::error const& e) {
     errors << "corkward-capacity: " << e.what() << "\n";
     return 2;
--- a/testing/capacity/tally.cpp
+++ b/testing/capacity/tally.cpp
@@ -26,7 +26,7 @@
 Tally& Tallies::of(transport::Message const& message) {
   std::string const duty = dutyOf(message);
   std::string const kind = transport::kindName(message);
-  std::vector<Tally>::iterator const it =
+  auto const it =
       std::find_if(all_.begin(), all_.end(), [&](Tally const& t) { return t.kind == kind && t.duty == duty; });
   if (it != all_.end()) return *it;
   Tally t;
--- a/testing/explore/search.h
+++ b/testing/explore/search.h
@@ -87,7 +87,7 @@
   void enter(typename Model::State&& state, std::uint32_t parent, typename Model::Action const& action) {
     if (!seen_.insert(model_.digest(state)).second) return;
     nodes_.push_back(Node{parent, action});
-    std::uint32_t const node = static_cast<std::uint32_t>(nodes_.size() - 1);
+    auto const node = static_cast<std::uint32_t>(nodes_.size() - 1);
     if (!state.broken.empty()) {
       out_.broken = state.broken;
       tell(node);
--- a/testing/explore/world.cpp
+++ b/testing/explore/world.cpp
@@ -48,15 +48,15 @@
   m.diskVotes = false;
   m.held = Held();
   m.diskDigest = 1;
-  for (std::map<std::string, std::string>::value_type const& r : m.disk)
-    m.diskDigest = mix(mix(m.diskDigest, core::stableHash(r.first)), core::stableHash(r.second));
-  std::map<std::string, std::string>::const_iterator const meta = m.disk.find("meta");
+  for (auto const& [key, record] : m.disk)
+    m.diskDigest = mix(mix(m.diskDigest, core::stableHash(key)), core::stableHash(record));
+  auto const meta = m.disk.find("meta");
   if (meta == m.disk.end()) return;
   QJsonObject const o = core::parseJson(meta->second).toObject();
   m.diskId = core::toStdString(o.value("id").toString());
   m.diskVotes = o.value("voting").toBool();
   m.diskCaughtUp = static_cast<std::uint64_t>(o.value("settled").toInteger());
-  std::map<std::string, std::string>::const_iterator const slot = m.disk.find(std::string("slot:") + callersKey);
+  auto const slot = m.disk.find(std::string("slot:") + callersKey);
   if (slot == m.disk.end()) return;
   QJsonObject const v = core::parseJson(slot->second).toObject();
   if (core::toStdString(v.value("i").toString()) != m.diskId) return;
@@ -189,7 +189,7 @@
 
 void World::change(State& s, int machine) const {
   Machine& m = edit(s, machine);
-  std::map<std::string, consensus::CommittedValue>::const_iterator const it = m.member->committed().find(callersKey);
+  auto const it = m.member->committed().find(callersKey);
   std::uint64_t const base = it == m.member->committed().end() ? 0 : it->second.revision;
   History& history = editHistory(s);
   transport::OperatorCall call;
@@ -208,7 +208,7 @@
   call.token = ++history.tokens;
   call.method = "GET";
   std::set<std::string>& want = history.questions[call.token];
-  for (std::map<std::string, std::uint64_t>::value_type const& c : history.confirmed) want.insert(c.first);
+  for (auto const& [mark, revision] : history.confirmed) want.insert(mark);
   take(s, machine, m.member->submit(m.now, callersKey, call), Sync::atOnce);
 }
 
@@ -264,7 +264,7 @@
 void World::onCommit(State& s, consensus::CommittedValue const& c) const {
   std::string const text = core::jsonText(c.value);
   std::pair<std::string, std::uint64_t> const at(c.key, c.revision);
-  std::map<std::pair<std::string, std::uint64_t>, std::string>::const_iterator const it = s.history->chosen.find(at);
+  auto const it = s.history->chosen.find(at);
   if (it != s.history->chosen.end()) {
     if (it->second != text) s.broken = "two values chosen for " + c.key + " revision " + std::to_string(c.revision);
     return;
@@ -281,7 +281,7 @@
 }
 
 void World::onDecided(State& s, consensus::CallCompleted const& d) const {
-  std::map<std::uint64_t, std::set<std::string>>::const_iterator const question = s.history->questions.find(d.token);
+  auto const question = s.history->questions.find(d.token);
   if (question != s.history->questions.end()) {
     if (d.status == 200 && !hasAll(marksOf(d.body), question->second))
       s.broken = "a read misses what was confirmed before the question began";
@@ -297,10 +297,10 @@
 }
 
 void World::checkMarks(State& s) const {
-  for (std::map<std::uint64_t, std::set<std::string>>::value_type const& c : s.history->marks)
-    for (std::map<std::string, std::uint64_t>::value_type const& k : s.history->confirmed)
-      if (k.second <= c.first && c.second.count(k.first) == 0)
-        s.broken = "confirmed " + k.first + " is not in revision " + std::to_string(c.first);
+  for (auto const& [revision, marks] : s.history->marks)
+    for (auto const& [mark, confirmedAt] : s.history->confirmed)
+      if (confirmedAt <= revision && marks.count(mark) == 0)
+        s.broken = "confirmed " + mark + " is not in revision " + std::to_string(revision);
 }
 
 void World::checkRebuild(State& s) const {
@@ -310,7 +310,7 @@
     if (m->diskVotes && std::count(s.history->members.begin(), s.history->members.end(), m->diskId) > 0)
       disks.push_back(&m->held);
   std::set<std::string> want;
-  for (std::map<std::string, std::uint64_t>::value_type const& c : s.history->confirmed) want.insert(c.first);
+  for (auto const& [mark, revision] : s.history->confirmed) want.insert(mark);
   std::size_t const most = s.history->members.size() / 2 + 1;
   for (unsigned set = 0; set < 1U << disks.size(); ++set) {
     if (static_cast<std::size_t>(std::popcount(set)) != most) continue;
@@ -388,13 +388,10 @@
 std::uint64_t World::digest(History const& history) {
   if (history.digest != 0) return history.digest;
   std::uint64_t h = 1;
-  for (std::map<std::pair<std::string, std::uint64_t>, std::string>::value_type const& c : history.chosen)
-    h = mix(mix(h, c.first.second), core::stableHash(c.first.first + c.second));
-  for (std::map<std::string, std::uint64_t>::value_type const& c : history.confirmed)
-    h = mix(h, core::stableHash(c.first));
-  for (std::map<std::uint64_t, std::set<std::string>>::value_type const& q : history.questions)
-    h = mix(mix(h, q.first), q.second.size());
-  for (std::map<std::uint64_t, std::uint64_t>::value_type const& b : history.baseOf) h = mix(mix(h, b.first), b.second);
+  for (auto const& [slot, value] : history.chosen) h = mix(mix(h, slot.second), core::stableHash(slot.first + value));
+  for (auto const& [mark, revision] : history.confirmed) h = mix(h, core::stableHash(mark));
+  for (auto const& [token, marks] : history.questions) h = mix(mix(h, token), marks.size());
+  for (auto const& [token, base] : history.baseOf) h = mix(mix(h, token), base);
   for (std::uint64_t const b : history.bases) h = mix(h, b);
   history.digest = h | 1U;
   return history.digest;
--- a/testing/fleet/chaos.cpp
+++ b/testing/fleet/chaos.cpp
@@ -29,7 +29,7 @@
   for (std::unique_ptr<Tap> const& t : callerTaps_) t->harm(0.02);
   for (int i = 0; i < plan_.events; ++i) {
     int const overlapping = 1 + static_cast<int>(rng_.below(static_cast<std::uint64_t>(plan_.overlap)));
-    for (int k = 0; k < overlapping; ++k) cause();
+    for (int k = 0; k < overlapping; ++k) injectFault();
     operatorTurn();
     std::size_t const before = served();
     fleet_.until("traffic beside the failures", [&] { return served() >= before + 60; });
@@ -45,7 +45,7 @@
     throw FleetError(std::string(e.what()) + ": " + std::to_string(traffic_->open()) + " open, " +
                      traffic_->openText() + (putting_ ? ", a change is under way" : "") + "; " + whatLasts());
   }
-  judge();
+  checkResult();
   return std::move(result_);
 }
 
@@ -116,14 +116,14 @@
   });
 }
 
-void Chaos::state(Node const& r, std::string const& next) {
+void Chaos::setReplicaState(Node const& replica, std::string const& next) {
   Tick const now = programs::now();
   for (std::vector<Ban>* const bans : {&leaving_, &cold_})
-    for (Ban& b : *bans)
-      if (b.name == r.name && b.until < 0) b.until = now;
-  states_[r.name] = next;
-  if (next == "leaving") leaving_.push_back(Ban{r.name, now, -1});
-  if (next == "cold") cold_.push_back(Ban{r.name, now, -1});
+    for (Ban& ban : *bans)
+      if (ban.name == replica.name && ban.until < 0) ban.until = now;
+  states_[replica.name] = next;
+  if (next == "leaving") leaving_.push_back(Ban{replica.name, now, -1});
+  if (next == "cold") cold_.push_back(Ban{replica.name, now, -1});
   giveList();
 }
 
@@ -178,10 +178,10 @@
 }
 
 void Chaos::probe() {
-  for (std::size_t i = 0; i < puts_.size(); ++i) {
-    Node const& n = fleet_.routers()[rng_.below(fleet_.routers().size())];
-    if (!n.process) continue;
-    fleet_.callAsync(n.http, "POST", "/v1/" + fleet_.instances()[0] + "/" + puts_[i].mark, "{}", "", "", 8000,
+  for (Put const& put : puts_) {
+    Node const& router = fleet_.routers()[rng_.below(fleet_.routers().size())];
+    if (!router.process) continue;
+    fleet_.callAsync(router.http, "POST", "/v1/" + fleet_.instances()[0] + "/" + put.mark, "{}", "", "", 8000,
                      [](Reply const&) {});
   }
 }
--- a/testing/fleet/chaos_failures.cpp
+++ b/testing/fleet/chaos_failures.cpp
@@ -11,109 +11,175 @@
 
 namespace corkward::testing {
 
-void Chaos::cause() {
-  std::vector<Node*> routers;
-  std::vector<Node*> controllers;
-  for (Node& n : fleet_.routers())
-    if (n.process && frozen_.count(n.name) == 0) routers.push_back(&n);
-  for (Node& n : fleet_.controllers())
-    if (n.process && frozen_.count(n.name) == 0) controllers.push_back(&n);
-  if (routers.empty() || controllers.empty()) return;
-  bool const allRun = controllers.size() == fleet_.controllers().size();
-  Node& router = *routers[rng_.below(routers.size())];
-  Node& controller = *controllers[rng_.below(controllers.size())];
-  Node& model = fleet_.replicas()[rng_.below(static_cast<std::uint64_t>(fleet_.deployment().models))];
-  int const how = 500 + static_cast<int>(rng_.below(3000));
-  switch (rng_.below(plan_.overlap > 1 ? 16 : 13)) {
-    case 0:
-      if (routers.size() * 2 > fleet_.routers().size() + 2) killed(router, how);
-      break;
-    case 1:
-      for (Node* const s : controllers) killed(*s, how);
-      break;
-    case 2:
-      frozen(router, 2000 + how);
-      break;
-    case 3:
-      frozen(controller, 2000 + how);
-      break;
-    case 4:
-      logEvent("restart " + router.name);
-      if (fleet_.stop(router) != 0) violation(router.name + " did not end cleanly");
-      fleet_.start(router);
-      break;
-    case 5:
-      if (!allRun) break;
-      logEvent("restart " + controller.name);
-      fleet_.stop(controller);
-      fleet_.start(controller);
-      break;
-    case 6:
-      if (!allRun || !allVote()) break;
-      logEvent("wipe " + controller.name);
-      fleet_.kill9(controller);
-      fleet_.wipe(controller);
-      fleet_.start(controller);
-      break;
-    case 7:
-      if (!allRun || !allVote()) break;
-      logEvent("tear " + controller.name);
-      fleet_.kill9(controller);
-      tear(controller);
-      fleet_.start(controller);
-      break;
-    case 8:
-      if (!allRun || !allVote()) break;
-      logEvent("full " + controller.name);
-      fleet_.kill9(controller);
-      fleet_.start(controller, 4000);
-      QTimer::singleShot(4000 + how, &fleet_, [this, &controller] {
-        if (!controller.process || frozen_.count(controller.name) > 0) return;
-        fleet_.kill9(controller);
-        fleet_.start(controller);
-      });
-      break;
-    case 9:
-      replace(model);
-      break;
-    case 10: {
-      logEvent("crash " + model.name);
-      fleet_.kill9(model);
-      QTimer::singleShot(how, &fleet_, [this, &model] {
-        if (!model.process) fleet_.start(model);
-      });
-      break;
-    }
-    case 11: {
-      bool const cut = rng_.chance(0.5);
-      Tap* const tap = linkTaps_[rng_.below(linkTaps_.size())].get();
-      logEvent(std::string(cut ? "cut" : "hold") + " a link inwards");
-      cut ? tap->cut(true) : tap->hold(true);
-      QTimer::singleShot(1000 + how, &fleet_, [tap, cut] { cut ? tap->cut(false) : tap->hold(false); });
-      break;
-    }
-    case 12:
-      evacuate();
-      break;
-    case 13:
-      cutOff(controller, 2 * how);
-      break;
-    case 14:
-      split(2 * how);
-      break;
-    case 15:
+namespace {
+
+/// Faults of one turn. Those from isolateController on need a plan with overlapping faults.
+enum class ChaosFault {
+  crashRouter,
+  crashControllers,
+  freezeRouter,
+  freezeController,
+  restartRouter,
+  restartController,
+  wipeDisk,
+  truncateLog,
+  fillDisk,
+  replaceReplica,
+  crashReplica,
+  breakLink,
+  evacuateZone,
+  isolateController,
+  partitionControllers,
+  stopTogether
+};
+
+constexpr std::uint64_t singleFaults = static_cast<std::uint64_t>(ChaosFault::isolateController);
+constexpr std::uint64_t overlappingFaults = static_cast<std::uint64_t>(ChaosFault::stopTogether) + 1;
+/// Size limit of every file that a controller with a full disk writes, in bytes.
+constexpr std::uint64_t fullDiskBytes = 4000;
+/// Time for which a controller's disk is full at the least, in ms.
+constexpr int fullDiskMs = 4000;
+
+}  // namespace
+
+std::vector<Node*> Chaos::runningNodes(std::vector<Node>& group) const {
+  std::vector<Node*> out;
+  for (Node& node : group)
+    if (node.process && frozen_.count(node.name) == 0) out.push_back(&node);
+  return out;
+}
+
+std::optional<Chaos::FaultTargets> Chaos::drawTargets() {
+  FaultTargets out;
+  out.routers = runningNodes(fleet_.routers());
+  out.controllers = runningNodes(fleet_.controllers());
+  if (out.routers.empty() || out.controllers.empty()) return std::nullopt;
+  out.router = out.routers[rng_.below(out.routers.size())];
+  out.controller = out.controllers[rng_.below(out.controllers.size())];
+  out.model = &fleet_.replicas()[rng_.below(static_cast<std::uint64_t>(fleet_.deployment().models))];
+  out.durationMs = 500 + static_cast<int>(rng_.below(3000));
+  return out;
+}
+
+void Chaos::injectFault() {
+  std::optional<FaultTargets> const targets = drawTargets();
+  if (!targets) return;
+  Node& router = *targets->router;
+  Node& controller = *targets->controller;
+  int const durationMs = targets->durationMs;
+  bool const allRun = targets->controllers.size() == fleet_.controllers().size();
+  switch (static_cast<ChaosFault>(rng_.below(plan_.overlap > 1 ? overlappingFaults : singleFaults))) {
+    case ChaosFault::crashRouter:
+      if (targets->routers.size() * 2 > fleet_.routers().size() + 2) crashAndRestart(router, durationMs);
+      break;
+    case ChaosFault::crashControllers:
+      for (Node* const node : targets->controllers) crashAndRestart(*node, durationMs);
+      break;
+    case ChaosFault::freezeRouter:
+      freezeAndResume(router, 2000 + durationMs);
+      break;
+    case ChaosFault::freezeController:
+      freezeAndResume(controller, 2000 + durationMs);
+      break;
+    case ChaosFault::restartRouter:
+      restartRouter(router);
+      break;
+    case ChaosFault::restartController:
+      if (allRun) restartController(controller);
+      break;
+    case ChaosFault::wipeDisk:
+      if (allRun && allVote()) wipeDisk(controller);
+      break;
+    case ChaosFault::truncateLog:
+      if (allRun && allVote()) truncateLog(controller);
+      break;
+    case ChaosFault::fillDisk:
+      if (allRun && allVote()) fillDisk(controller, durationMs);
+      break;
+    case ChaosFault::replaceReplica:
+      replaceReplica(*targets->model);
+      break;
+    case ChaosFault::crashReplica:
+      crashReplica(*targets->model, durationMs);
+      break;
+    case ChaosFault::breakLink:
+      breakLink(durationMs);
+      break;
+    case ChaosFault::evacuateZone:
+      evacuateZone();
+      break;
+    case ChaosFault::isolateController:
+      isolate(controller, 2 * durationMs);
+      break;
+    case ChaosFault::partitionControllers:
+      partitionControllers(2 * durationMs);
+      break;
+    case ChaosFault::stopTogether:
       stopTogether(router, controller);
       break;
   }
 }
 
+void Chaos::restartRouter(Node& router) {
+  logEvent("restart " + router.name);
+  if (fleet_.stop(router) != 0) violation(router.name + " did not end cleanly");
+  fleet_.start(router);
+}
+
+void Chaos::restartController(Node& controller) {
+  logEvent("restart " + controller.name);
+  fleet_.stop(controller);
+  fleet_.start(controller);
+}
+
+void Chaos::wipeDisk(Node& controller) {
+  logEvent("wipe " + controller.name);
+  fleet_.kill9(controller);
+  fleet_.wipe(controller);
+  fleet_.start(controller);
+}
+
+void Chaos::truncateLog(Node& controller) {
+  logEvent("tear " + controller.name);
+  fleet_.kill9(controller);
+  truncateNewestFile(controller);
+  fleet_.start(controller);
+}
+
+void Chaos::fillDisk(Node& controller, int durationMs) {
+  logEvent("full " + controller.name);
+  fleet_.kill9(controller);
+  fleet_.start(controller, fullDiskBytes);
+  QTimer::singleShot(fullDiskMs + durationMs, &fleet_, [this, &controller] {
+    if (!controller.process || frozen_.count(controller.name) > 0) return;
+    fleet_.kill9(controller);
+    fleet_.start(controller);
+  });
+}
+
+void Chaos::crashReplica(Node& replica, int durationMs) {
+  logEvent("crash " + replica.name);
+  fleet_.kill9(replica);
+  QTimer::singleShot(durationMs, &fleet_, [this, &replica] {
+    if (!replica.process) fleet_.start(replica);
+  });
+}
+
+void Chaos::breakLink(int durationMs) {
+  bool const cut = rng_.chance(0.5);
+  Tap* const proxy = linkTaps_[rng_.below(linkTaps_.size())].get();
+  logEvent(std::string(cut ? "cut" : "hold") + " a link inwards");
+  cut ? proxy->cut(true) : proxy->hold(true);
+  QTimer::singleShot(1000 + durationMs, &fleet_, [proxy, cut] { cut ? proxy->cut(false) : proxy->hold(false); });
+}
+
 Tap& Chaos::tapOf(Node const& node) {
   for (std::unique_ptr<Tap> const& tap : linkTaps_)
     if (tap->address() == node.link) return *tap;
   throw FleetError("no tap of " + node.name);
 }
 
-void Chaos::cutOff(Node& node, int how) {
+void Chaos::isolate(Node& node, int durationMs) {
   if (cutting_) return;
   cutting_ = true;
   logEvent("cut off " + node.name);
@@ -121,13 +187,13 @@
   own->cut(true);
   for (std::unique_ptr<Tap> const& tap : linkTaps_)
     if (tap.get() != own) tap->cutFrom({node.link});
-  QTimer::singleShot(how, &fleet_, [this, own] {
+  QTimer::singleShot(durationMs, &fleet_, [this, own] {
     own->cut(false);
-    joinAll();
+    healPartitions();
   });
 }
 
-void Chaos::split(int how) {
+void Chaos::partitionControllers(int durationMs) {
   if (cutting_) return;
   cutting_ = true;
   std::vector<Node>& all = fleet_.controllers();
@@ -137,10 +203,10 @@
     halves[i < all.size() / 2 ? 0 : 1].insert(all[(begin + i) % all.size()].link);
   logEvent("split the controllers");
   for (Node const& node : all) tapOf(node).cutFrom(halves[halves[0].count(node.link) > 0 ? 1 : 0]);
-  QTimer::singleShot(how, &fleet_, [this] { joinAll(); });
+  QTimer::singleShot(durationMs, &fleet_, [this] { healPartitions(); });
 }
 
-void Chaos::joinAll() {
+void Chaos::healPartitions() {
   for (std::unique_ptr<Tap> const& tap : linkTaps_) tap->cutFrom({});
   cutting_ = false;
 }
@@ -155,25 +221,25 @@
   fleet_.start(router);
 }
 
-void Chaos::killed(Node& n, int how) {
-  logEvent("kill " + n.name);
-  fleet_.kill9(n);
-  QTimer::singleShot(how, &fleet_, [this, &n] {
-    if (!n.process) fleet_.start(n);
+void Chaos::crashAndRestart(Node& node, int durationMs) {
+  logEvent("kill " + node.name);
+  fleet_.kill9(node);
+  QTimer::singleShot(durationMs, &fleet_, [this, &node] {
+    if (!node.process) fleet_.start(node);
   });
 }
 
-void Chaos::frozen(Node& n, int how) {
-  logEvent("freeze " + n.name);
-  fleet_.freeze(n);
-  frozen_.insert(n.name);
-  QTimer::singleShot(how, &fleet_, [this, &n] {
-    frozen_.erase(n.name);
-    if (n.process) fleet_.wake(n);
+void Chaos::freezeAndResume(Node& node, int durationMs) {
+  logEvent("freeze " + node.name);
+  fleet_.freeze(node);
+  frozen_.insert(node.name);
+  QTimer::singleShot(durationMs, &fleet_, [this, &node] {
+    frozen_.erase(node.name);
+    if (node.process) fleet_.wake(node);
   });
 }
 
-void Chaos::tear(Node const& controller) {
+void Chaos::truncateNewestFile(Node const& controller) {
   QDir const dir(core::toQString(controller.data));
   QStringList const files = dir.entryList({"*log*", "*segment*"}, QDir::Files, QDir::Time);
   if (files.isEmpty()) return;
@@ -181,23 +247,23 @@
   file.resize(std::max<qint64>(0, file.size() - 1 - static_cast<qint64>(rng_.below(60))));
 }
 
-void Chaos::replace(Node& model) {
+void Chaos::replaceReplica(Node& model) {
   if (replacing_) return;
   replacing_ = true;
   logEvent("replace " + model.name);
-  state(model, "leaving");
+  setReplicaState(model, "leaving");
   QTimer::singleShot(4000, &fleet_, [this, &model] {
     fleet_.kill9(model);
     fleet_.start(model);
-    state(model, "cold");
+    setReplicaState(model, "cold");
     QTimer::singleShot(5000, &fleet_, [this, &model] {
-      state(model, "serving");
+      setReplicaState(model, "serving");
       replacing_ = false;
     });
   });
 }
 
-void Chaos::evacuate() {
+void Chaos::evacuateZone() {
   if (evacuating_) return;
   evacuating_ = true;
   std::string const zone = "z2";
@@ -205,19 +271,19 @@
   Node const& to = fleet_.controllers()[rng_.below(fleet_.controllers().size())];
   fleet_.callAsync(to.http, "PUT", "/v1/evacuations/" + zone, "", "", "", 14000, [this, zone](Reply const& r) {
     if (r.status == 200) zones_.push_back(Ban{zone, programs::now(), -1});
-    QTimer::singleShot(7000, &fleet_, [this, zone] { lift(zone); });
+    QTimer::singleShot(7000, &fleet_, [this, zone] { endEvacuation(zone); });
   });
 }
 
-void Chaos::lift(std::string const& zone) {
-  for (Ban& b : zones_)
-    if (b.until < 0) b.until = programs::now();
+void Chaos::endEvacuation(std::string const& zone) {
+  for (Ban& ban : zones_)
+    if (ban.until < 0) ban.until = programs::now();
   Node const& to = fleet_.controllers()[rng_.below(fleet_.controllers().size())];
   fleet_.callAsync(to.http, "DELETE", "/v1/evacuations/" + zone, "", "", "", 14000, [this, zone](Reply const& r) {
     if (r.status == 200)
       evacuating_ = false;
     else
-      QTimer::singleShot(500, &fleet_, [this, zone] { lift(zone); });
+      QTimer::singleShot(500, &fleet_, [this, zone] { endEvacuation(zone); });
   });
 }
 
--- a/testing/fleet/chaos_judge.cpp
+++ b/testing/fleet/chaos_judge.cpp
@@ -11,6 +11,17 @@
 
 namespace corkward::testing {
 
+namespace {
+
+/// Time within which no router uses a replica that is shown leaving, in ms.
+constexpr Tick leavingAppliedMs = 3000;
+/// Time within which an acknowledged evacuation of a zone is applied, in ms.
+constexpr Tick evacuationAppliedMs = 5000;
+/// Time within which an acknowledged configuration change is applied, in ms.
+constexpr Tick changeAppliedMs = 2000;
+
+}  // namespace
+
 std::vector<Arrival> Chaos::arrivalsAt(Node const& r) const {
   std::vector<Arrival> out;
   std::ifstream file(r.record);
@@ -28,40 +39,45 @@
   return out;
 }
 
-void Chaos::judge() {
+void Chaos::checkResult() {
   result_.report = traffic_->report();
-  for (std::vector<std::unique_ptr<Tap>>* const taps : {&replicaTaps_, &callerTaps_})
-    for (std::unique_ptr<Tap> const& t : *taps) result_.harmed += t->harmed();
-  Report const& r = result_.report;
+  for (std::vector<std::unique_ptr<Tap>>* const proxies : {&replicaTaps_, &callerTaps_})
+    for (std::unique_ptr<Tap> const& proxy : *proxies) result_.harmed += proxy->harmed();
+  Report const& report = result_.report;
   checkRuns();
-  if (r.badBodies > 0) violation(std::to_string(r.badBodies) + " bodies looked whole or joined and were not");
-  if (r.rejectedButRan > 0) violation(std::to_string(r.rejectedButRan) + " requests were rejected as not run and ran");
+  if (report.badBodies > 0) violation(std::to_string(report.badBodies) + " bodies looked whole or joined and were not");
+  if (report.rejectedButRan > 0)
+    violation(std::to_string(report.rejectedButRan) + " requests were rejected as not run and ran");
   std::vector<std::pair<Tick, std::string>> all;
-  for (Node const& n : fleet_.replicas())
-    for (Arrival const& a : arrivalsAt(n)) {
-      if (a.id != "-") all.emplace_back(a.at, a.id);
-      if (!plan_.timed) continue;
-      for (Ban const& b : leaving_)
-        if (b.name == n.name && a.at > b.from + 3000 && (b.until < 0 || a.at < b.until))
-          violation(n.name + " was reached " + std::to_string(a.at - b.from) + " ms after it was shown leaving");
-      for (Ban const& b : zones_)
-        if (b.name == n.zone && a.at > b.from + 5000 && (b.until < 0 || a.at < b.until))
-          violation(n.name + " was reached " + std::to_string(a.at - b.from) +
-                    " ms after its zone's evacuation was acknowledged");
-      for (Put const& p : puts_)
-        if ((p.status == 200 || p.status == 201) && a.at > p.answeredAt + 2000 && revisionOf(a.path) > 0 &&
-            revisionOf(a.path) < p.revision)
-          violation(a.path + " reached a replica " + std::to_string(a.at - p.answeredAt) + " ms after " + p.mark +
-                    " was in force");
+  for (Node const& node : fleet_.replicas())
+    for (Arrival const& arrival : arrivalsAt(node)) {
+      if (arrival.id != "-") all.emplace_back(arrival.at, arrival.id);
+      if (plan_.timed) checkArrival(node, arrival);
     }
-  for (Node const& n : fleet_.replicas()) checkCold(n);
+  for (Node const& node : fleet_.replicas()) checkCold(node);
   checkRepeats(all);
   checkChanges();
-  checkPromises();
-  if (r.outcomes.count("served") == 0) violation("nothing was served");
+  checkGuarantees();
+  if (report.outcomes.count("served") == 0) violation("nothing was served");
+}
+
+void Chaos::checkArrival(Node const& replica, Arrival const& arrival) {
+  for (Ban const& ban : leaving_)
+    if (ban.name == replica.name && arrival.at > ban.from + leavingAppliedMs && ban.holdsAt(arrival.at))
+      violation(replica.name + " was reached " + std::to_string(arrival.at - ban.from) +
+                " ms after it was shown leaving");
+  for (Ban const& ban : zones_)
+    if (ban.name == replica.zone && arrival.at > ban.from + evacuationAppliedMs && ban.holdsAt(arrival.at))
+      violation(replica.name + " was reached " + std::to_string(arrival.at - ban.from) +
+                " ms after its zone's evacuation was acknowledged");
+  for (Put const& put : puts_)
+    if (put.acknowledged() && arrival.at > put.answeredAt + changeAppliedMs && revisionOf(arrival.path) > 0 &&
+        revisionOf(arrival.path) < put.revision)
+      violation(arrival.path + " reached a replica " + std::to_string(arrival.at - put.answeredAt) + " ms after " +
+                put.mark + " was in force");
 }
 
-void Chaos::checkPromises() {
+void Chaos::checkGuarantees() {
   for (std::vector<Node>* const group : {&fleet_.controllers(), &fleet_.routers()})
     for (Node const& node : *group) {
       std::ifstream log(fleet_.folder() + "/" + node.name + ".log");
@@ -73,22 +89,25 @@
 }
 
 void Chaos::checkRuns() {
-  std::map<std::string, std::vector<std::pair<Tick, std::string>>> runs;
-  for (Node const& n : fleet_.replicas())
-    for (Arrival const& a : arrivalsAt(n))
-      if (a.what == "run" && a.id != "-") runs[a.id].emplace_back(a.at - began_, a.run);
-  for (std::map<std::string, std::vector<std::pair<Tick, std::string>>>::value_type const& r : runs) {
-    if (r.second.size() < 2) continue;
-    std::vector<CallerRecord> const& records = traffic_->records();
-    std::vector<CallerRecord>::const_iterator const caller =
-        std::find_if(records.begin(), records.end(), [&](CallerRecord const& c) { return c.id == r.first; });
-    bool const numbered = caller != records.end() && caller->numbered;
-    Tick const first = std::min_element(r.second.begin(), r.second.end())->first;
-    if (!numbered && outageAt_ >= 0 && first < outageAt_) continue;
-    std::string text = "request " + r.first + " ran twice:";
-    for (std::pair<Tick, std::string> const& k : r.second) text += " " + k.second + " at " + std::to_string(k.first);
-    violation(text + (numbered ? ", numbered" : ", unnumbered"));
-  }
+  std::map<std::string, std::vector<std::pair<Tick, std::string>>> executions;
+  for (Node const& node : fleet_.replicas())
+    for (Arrival const& arrival : arrivalsAt(node))
+      if (arrival.what == "run" && arrival.id != "-")
+        executions[arrival.id].emplace_back(arrival.at - began_, arrival.run);
+  for (auto const& [id, runs] : executions)
+    if (runs.size() > 1) checkRepeatedRun(id, runs);
+}
+
+void Chaos::checkRepeatedRun(std::string const& id, std::vector<std::pair<Tick, std::string>> const& runs) {
+  std::vector<CallerRecord> const& records = traffic_->records();
+  auto const caller =
+      std::find_if(records.begin(), records.end(), [&](CallerRecord const& record) { return record.id == id; });
+  bool const numbered = caller != records.end() && caller->numbered;
+  Tick const first = std::min_element(runs.begin(), runs.end())->first;
+  if (!numbered && outageAt_ >= 0 && first < outageAt_) return;
+  std::string text = "request " + id + " ran twice:";
+  for (auto const& [at, run] : runs) text += " " + run + " at " + std::to_string(at);
+  violation(text + (numbered ? ", numbered" : ", unnumbered"));
 }
 
 qint64 Chaos::revisionOf(std::string const& mark) const {
@@ -119,7 +138,7 @@
     (seen.insert(a.second).second ? firsts : repeats).push_back(a.first);
   result_.repeats = repeats.size();
   for (Tick const end : repeats) {
-    std::function<std::size_t(std::vector<Tick> const&)> const in = [end](std::vector<Tick> const& v) {
+    auto const in = [end](std::vector<Tick> const& v) {
       return static_cast<std::size_t>(std::upper_bound(v.begin(), v.end(), end) -
                                       std::lower_bound(v.begin(), v.end(), end - 10000));
     };
--- a/testing/fleet/chaos_main.cpp
+++ b/testing/fleet/chaos_main.cpp
@@ -37,8 +37,7 @@
       ChaosResult const r = chaos(plan);
       std::cout << plan.deployment << " seed " << plan.seed << ": harmed " << r.harmed << ", changes " << r.changes
                 << ", repeats " << r.repeats << ", back after " << r.back << " ms;";
-      for (std::map<std::string, std::size_t>::value_type const& o : r.report.outcomes)
-        std::cout << " " << o.first << " " << o.second;
+      for (auto const& [outcome, requests] : r.report.outcomes) std::cout << " " << outcome << " " << requests;
       std::cout << std::endl;
       if (!r.violations.empty()) {
         ++bad;
--- a/testing/fleet/chaos_run.h
+++ b/testing/fleet/chaos_run.h
@@ -2,6 +2,7 @@
 
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -28,9 +29,11 @@
   std::string name;
   Tick from = 0;
   Tick until = -1;
+
+  bool holdsAt(Tick time) const { return until < 0 || time < until; }
 };
 
-/// One run: a deployment of real processes behind relays, the failures that are begun, and what is judged at the end.
+/// One run: a deployment of real processes behind relays, the failures that are begun, and what is checked at the end.
 class Chaos {
  public:
   explicit Chaos(ChaosPlan const& plan) : plan_(plan), rng_(plan.seed), fleet_(deploymentOf(plan.deployment)) {}
@@ -49,7 +52,7 @@
   void giveList();
   void show(std::string const& pool, std::uint64_t generation, std::string const& body,
             std::shared_ptr<int> const& left);
-  void state(Node const& r, std::string const& next);
+  void setReplicaState(Node const& replica, std::string const& next);
 
   // An operator who puts marked templates one after the other; now and then two at once on one revision.
   void operatorTurn();
@@ -59,38 +62,65 @@
 
   /// Asks for paths that acknowledged changes have taken away, at any router.
   void probe();
-  void cause();
+  /// What the faults of one turn may strike, drawn before the fault is.
+  struct FaultTargets {
+    std::vector<Node*> routers;
+    std::vector<Node*> controllers;
+    Node* router = nullptr;
+    Node* controller = nullptr;
+    Node* model = nullptr;
+    int durationMs = 0;
+  };
+  /// Processes of the group that run and aren't frozen.
+  std::vector<Node*> runningNodes(std::vector<Node>& group) const;
+  /// Nothing when no router or no controller runs.
+  std::optional<FaultTargets> drawTargets();
+  void injectFault();
+  void restartRouter(Node& router);
+  void restartController(Node& controller);
+  void wipeDisk(Node& controller);
+  void truncateLog(Node& controller);
+  /// For a while the controller runs with a limit on the size of its files.
+  void fillDisk(Node& controller, int durationMs);
+  void crashReplica(Node& replica, int durationMs);
+  /// Cuts or holds every connection to one link address for a while.
+  void breakLink(int durationMs);
   Tap& tapOf(Node const& node);
 
   /// Cuts the machine of a controller off from every other process of the fleet, both ways.
-  void cutOff(Node& node, int how);
+  void isolate(Node& node, int durationMs);
 
   /// Cuts the controllers into two halves; routers, callers and operators reach both.
-  void split(int how);
-  void joinAll();
+  void partitionControllers(int durationMs);
+  void healPartitions();
 
   /// Stops a router and a controller at the same moment, and starts them again as each has ended.
   void stopTogether(Node& router, Node& controller);
-  void killed(Node& n, int how);
-  void frozen(Node& n, int how);
+  void crashAndRestart(Node& node, int durationMs);
+  void freezeAndResume(Node& node, int durationMs);
   bool allVote();
-  void tear(Node const& controller);
+  /// Cuts bytes off the end of the newest file of the write-ahead log.
+  void truncateNewestFile(Node const& controller);
 
   /// A release replaces one replica: shown leaving, stopped, back cold at the same address, then serving.
-  void replace(Node& model);
-  void evacuate();
-  void lift(std::string const& zone);
+  void replaceReplica(Node& model);
+  void evacuateZone();
+  void endEvacuation(std::string const& zone);
   void heal();
 
   /// What keeps a run from its end, and what each controller says of itself.
   std::string whatLasts();
   void outage();
   std::vector<Arrival> arrivalsAt(Node const& r) const;
-  void judge();
+  /// Checks the records of callers, replicas, operators and the platform.
+  void checkResult();
+  /// Checks that a request reached the replica at a time at which it might be used.
+  void checkArrival(Node const& replica, Arrival const& arrival);
 
-  /// What the processes themselves say of broken promises and invariants, in their whole logs.
-  void checkPromises();
+  /// What the processes themselves say of broken guarantees and invariants, in their whole logs.
+  void checkGuarantees();
   void checkRuns();
+  void checkRepeatedRun(std::string const& id, std::vector<std::pair<Tick, std::string>> const& runs);
 
   /// Revision under which the path is known to have been accepted.
   qint64 revisionOf(std::string const& mark) const;
@@ -106,6 +136,8 @@
     qint64 revision = 0;
     Tick answeredAt = -1;
     bool pending = false;
+
+    bool acknowledged() const { return status == 200 || status == 201; }
   };
 
   ChaosPlan plan_;
--- a/testing/fleet/fleet.cpp
+++ b/testing/fleet/fleet.cpp
@@ -211,7 +211,7 @@
 
 void Fleet::callAsync(std::string const& http, std::string const& method, std::string const& path,
                       std::string const& body, std::string const& ifMatch, std::string const& changeId, int limitMs,
-                      std::function<void(Reply)> done) {
+                      std::function<void(Reply)> const& done) {
   QNetworkReply* const reply =
       manager_.sendCustomRequest(requestOf(http, path, ifMatch, changeId, limitMs), QByteArray::fromStdString(method),
                                  QByteArray::fromStdString(body));
@@ -248,8 +248,8 @@
   return call(n, "GET", path);
 }
 
-void Fleet::getAsync(std::string const& address, std::string const& path, std::function<void(Reply)> done) {
-  callAsync(address, "GET", path, "", "", "", 1000, std::move(done));
+void Fleet::getAsync(std::string const& address, std::string const& path, std::function<void(Reply)> const& done) {
+  callAsync(address, "GET", path, "", "", "", 1000, done);
 }
 
 Node& Fleet::firstController() {
@@ -268,7 +268,7 @@
     QJsonArray list;
     for (Node const& r : replicas_) {
       if (r.pool != pool) continue;
-      std::map<std::string, std::string>::const_iterator const it = states.find(r.name);
+      auto const it = states.find(r.name);
       if (it != states.end() && it->second == "gone") continue;
       QJsonObject row{{"address", core::toQString(r.shown.empty() ? r.http : r.shown)},
                       {"zone", core::toQString(r.zone)},
@@ -296,8 +296,11 @@
   Reply const t = change("PUT", "/v1/templates/" + family, file.readAll().toStdString(), "0");
   if (t.status != 201) throw FleetError("template: status " + std::to_string(t.status) + " " + core::jsonText(t.body));
   for (std::string const& name : {std::string("nord"), std::string("sued")}) {
-    Reply const i = change("PUT", "/v1/templates/" + family + "/instances/" + name,
-                           R"({"parameters":{"site":")" + name + "\"}}", "0");
+    std::string body = R"({"parameters":{"site":")";
+    body.append(name).append("\"}}");
+    std::string path = "/v1/templates/";
+    path.append(family).append("/instances/").append(name);
+    Reply const i = change("PUT", path, body, "0");
     if (i.status != 201)
       throw FleetError("instance: status " + std::to_string(i.status) + " " + core::jsonText(i.body));
   }
--- a/testing/fleet/fleet.h
+++ b/testing/fleet/fleet.h
@@ -75,6 +75,10 @@
 class Fleet : public QObject {
  public:
   explicit Fleet(Deployment const& deployment);
+  Fleet(Fleet const&) = delete;
+  Fleet& operator=(Fleet const&) = delete;
+  Fleet(Fleet&&) = delete;
+  Fleet& operator=(Fleet&&) = delete;
   ~Fleet() override;
 
   void startAll();
@@ -108,7 +112,8 @@
                std::string const& ifMatch = "", std::string const& changeId = "");
   /// The same as call, without waiting; status 0 when there was no answer in time.
   void callAsync(std::string const& http, std::string const& method, std::string const& path, std::string const& body,
-                 std::string const& ifMatch, std::string const& changeId, int limitMs, std::function<void(Reply)> done);
+                 std::string const& ifMatch, std::string const& changeId, int limitMs,
+                 std::function<void(Reply)> const& done);
   struct Tool {
     int code = -1;
     std::string out;
@@ -119,7 +124,7 @@
 
   /// A plain GET; status 0 when nobody answers.
   Reply get(std::string const& address, std::string const& path);
-  void getAsync(std::string const& address, std::string const& path, std::function<void(Reply)> done);
+  void getAsync(std::string const& address, std::string const& path, std::function<void(Reply)> const& done);
 
   /// The platform gives both pools' lists; state by replica name, serving when not named.
   void giveLists(std::map<std::string, std::string> const& states = {});
--- a/testing/fleet/main.cpp
+++ b/testing/fleet/main.cpp
@@ -63,7 +63,7 @@
       sum.own += u.own;
       sum.threads += u.threads;
     }
-    double const count = static_cast<double>(r.second->size());
+    auto const count = static_cast<double>(r.second->size());
     std::string const end = ",nodes," + std::to_string(fleet.routers().size()) + ",";
     std::cout << "real.cpu," << r.first << ",us/s,timed" << end << sum.cpuUs / count / seconds << "\n";
     std::cout << "real.resident," << r.first << ",bytes,heap" << end << sum.resident / count << "\n";
@@ -72,89 +72,138 @@
   }
 }
 
-}  // namespace
+/// A command line that the program refuses: the option and the reason.
+class UsageError : public core::Error {
+ public:
+  using core::Error::Error;
+};
 
-int runFleet(int argc, char** argv) {
-  QCoreApplication app(argc, argv);
-  std::string name;
+/// The options of the command line.
+struct Options {
+  std::string deployment;
   int seconds = 10;
   double scale = 1.0;
   bool hold = false;
+  /// Routers instead of the deployment's; 0: the deployment's.
   int nodes = 0;
+  /// Seconds over which usage at rest is measured; 0: it is not.
   int usage = 0;
+};
+
+po::options_description describe(Options& options) {
   po::options_description flags("corkward-fleet: a fleet of real processes on loopback");
-  flags.add_options()("deployment", po::value(&name)->default_value("harmattan"), "harmattan, lernkarten or small")(
-      "seconds", po::value(&seconds)->default_value(10), "how long callers call")(
-      "scale", po::value(&scale)->default_value(1.0), "times the deployment's demand")(
-      "nodes", po::value(&nodes), "so many routers instead of the deployment's, 1 to 100")(
-      "usage", po::value(&usage), "print as CSV what the processes use at rest in so many seconds, 1 to 600, and end")(
-      "hold", po::bool_switch(&hold), "keep the fleet running until a line is read from standard input")("help",
-                                                                                                         "print this");
-  po::variables_map vm;
+  auto add = flags.add_options();
+  add("deployment", po::value(&options.deployment)->default_value("harmattan"), "harmattan, lernkarten or small");
+  add("seconds", po::value(&options.seconds)->default_value(10), "how long callers call");
+  add("scale", po::value(&options.scale)->default_value(1.0), "times the deployment's demand");
+  add("nodes", po::value(&options.nodes), "so many routers instead of the deployment's, 1 to 100");
+  add("usage", po::value(&options.usage),
+      "print as CSV what the processes use at rest in so many seconds, 1 to 600, and end");
+  add("hold", po::bool_switch(&options.hold), "keep the fleet running until a line is read from standard input");
+  add("help", "print this");
+  return flags;
+}
+
+Deployment const* findDeployment(std::string const& name) {
+  for (Deployment const& deployment : deployments)
+    if (name == deployment.name) return &deployment;
+  return nullptr;
+}
+
+void checkRange(po::variables_map const& vm, std::string const& name, int value, int most) {
+  if (vm.count(name) > 0 && (value < 1 || value > most))
+    throw UsageError(name + ": must be 1 to " + std::to_string(most) + ", not " + std::to_string(value));
+}
+
+/// Throws UsageError.
+void check(Options const& options, po::variables_map const& vm) {
+  if (findDeployment(options.deployment) == nullptr) throw UsageError("no such deployment: " + options.deployment);
+  checkRange(vm, "nodes", options.nodes, 100);
+  checkRange(vm, "usage", options.usage, 600);
+}
+
+Deployment sizedDeployment(Options const& options) {
+  Deployment sized = *findDeployment(options.deployment);
+  if (options.nodes > 0) sized.routers = options.nodes;
+  return sized;
+}
+
+/// Starts every process, gives the configuration and waits until the routers are ready.
+void startFleet(Fleet& fleet) {
+  fleet.startAll();
+  fleet.until("a ready controller", [&] {
+    for (Node& node : fleet.controllers())
+      if (fleet.get(node.http, "/readyz").status != 200) return false;
+    return true;
+  });
+  fleet.giveLists();
+  fleet.loadConfigurations();
+  fleet.untilReady(fleet.routers().size());
+}
+
+void printAddresses(Fleet& fleet) {
+  std::cout << "fleet " << fleet.deployment().name << " is up\n";
+  for (std::vector<Node>* const group : {&fleet.controllers(), &fleet.routers()})
+    for (Node const& node : *group)
+      std::cout << "  " << node.name << " " << node.http << " pid " << node.process->processId() << "\n";
+  std::cout << std::flush;
+}
+
+void waitForLine() {
+  std::cout << "press return to end\n" << std::flush;
+  std::string line;
+  std::getline(std::cin, line);
+}
+
+void runTraffic(Fleet& fleet, Options const& options) {
+  Traffic traffic(fleet, 1, options.scale);
+  traffic.startCalling();
+  fleet.runFor(options.seconds * 1000);
+  traffic.stopCalling();
+  fleet.until(
+      "the last answers", [&] { return traffic.open() == 0; }, 60000);
+  std::cout << text(traffic.report());
+}
+
+/// Does with the running fleet what the options ask for: measures usage, waits, or calls.
+void runOn(Fleet& fleet, Options const& options) {
+  if (options.usage > 0) {
+    fleet.runFor(settleMs);
+    printUsage(fleet, options.usage);
+    return;
+  }
+  printAddresses(fleet);
+  if (options.hold)
+    waitForLine();
+  else
+    runTraffic(fleet, options);
+}
+
+}  // namespace
+
+int runFleet(int argc, char** argv) {
+  QCoreApplication app(argc, argv);
+  Options options;
+  po::options_description flags = describe(options);
   try {
+    po::variables_map vm;
     po::store(po::parse_command_line(argc, argv, flags), vm);
     po::notify(vm);
+    if (vm.count("help") > 0) {
+      std::cout << flags;
+      return 0;
+    }
+    check(options, vm);
+    Fleet fleet(sizedDeployment(options));
+    startFleet(fleet);
+    runOn(fleet, options);
+    return 0;
   } catch (po::error const& e) {
     std::cerr << "corkward-fleet: " << e.what() << "\n";
     return 2;
-  }
-  if (vm.count("help") > 0) {
-    std::cout << flags;
-    return 0;
-  }
-  Deployment const* chosen = nullptr;
-  for (Deployment const& d : deployments)
-    if (name == d.name) chosen = &d;
-  if (chosen == nullptr) {
-    std::cerr << "corkward-fleet: no such deployment: " << name << "\n";
-    return 2;
-  }
-  if (vm.count("nodes") > 0 && (nodes < 1 || nodes > 100)) {
-    std::cerr << "corkward-fleet: nodes: must be 1 to 100, not " << nodes << "\n";
-    return 2;
-  }
-  if (vm.count("usage") > 0 && (usage < 1 || usage > 600)) {
-    std::cerr << "corkward-fleet: usage: must be 1 to 600, not " << usage << "\n";
+  } catch (UsageError const& e) {
+    std::cerr << "corkward-fleet: " << e.what() << "\n";
     return 2;
-  }
-  try {
-    Deployment sized = *chosen;
-    if (nodes > 0) sized.routers = nodes;
-    Fleet fleet(sized);
-    fleet.startAll();
-    fleet.until("a ready controller", [&] {
-      for (Node& n : fleet.controllers())
-        if (fleet.get(n.http, "/readyz").status != 200) return false;
-      return true;
-    });
-    fleet.giveLists();
-    fleet.loadConfigurations();
-    fleet.untilReady(fleet.routers().size());
-    if (usage > 0) {
-      fleet.runFor(settleMs);
-      printUsage(fleet, usage);
-      return 0;
-    }
-    std::cout << "fleet " << chosen->name << " is up\n";
-    for (Node const& n : fleet.controllers())
-      std::cout << "  " << n.name << " " << n.http << " pid " << n.process->processId() << "\n";
-    for (Node const& n : fleet.routers())
-      std::cout << "  " << n.name << " " << n.http << " pid " << n.process->processId() << "\n";
-    std::cout << std::flush;
-    if (hold) {
-      std::cout << "press return to end\n" << std::flush;
-      std::string line;
-      std::getline(std::cin, line);
-      return 0;
-    }
-    Traffic traffic(fleet, 1, scale);
-    traffic.startCalling();
-    fleet.runFor(seconds * 1000);
-    traffic.stopCalling();
-    fleet.until(
-        "the last answers", [&] { return traffic.open() == 0; }, 60000);
-    std::cout << text(traffic.report());
-    return 0;
   } catch (core::Error const& e) {
     std::cerr << "corkward-fleet: " << e.what() << "\n";
     return 1;
--- a/testing/fleet/tap.cpp
+++ b/testing/fleet/tap.cpp
@@ -42,125 +42,163 @@
 
 Tap::~Tap() {
   std::map<Pair*, std::shared_ptr<Pair>> const all = std::move(pairs_);
-  for (std::map<Pair*, std::shared_ptr<Pair>>::value_type const& p : all)
-    for (QTcpSocket* const s : {p.second->a, p.second->b}) {
+  for (auto const& [key, pair] : all)
+    for (QTcpSocket* const s : {pair->a, pair->b}) {
       s->disconnect();
       s->abort();
     }
 }
 
 void Tap::accept() {
-  while (QTcpSocket* const a = server_.nextPendingConnection()) {
-    if (cut_) {
-      a->abort();
-      a->deleteLater();
+  while (QTcpSocket* const caller = server_.nextPendingConnection()) {
+    if (!cut_) {
+      openPair(caller);
       continue;
     }
-    std::shared_ptr<Pair> const p = std::make_shared<Pair>();
-    p->a = a;
-    p->b = new QTcpSocket(this);
-    a->setParent(this);
-    if (rng_.chance(share_)) {
-      ++harmed_;
-      p->way = static_cast<Way>(1 + rng_.below(6));
-      p->left = static_cast<std::int64_t>(rng_.below(p->way == Way::cutUp ? 300 : 1500));
-    }
-    pairs_[p.get()] = p;
-    std::weak_ptr<Pair> const weak = p;
-    QObject::connect(p->a, &QTcpSocket::readyRead, this, [this, weak] {
-      if (std::shared_ptr<Pair> const k = weak.lock()) pass(k, true);
-    });
-    QObject::connect(p->b, &QTcpSocket::readyRead, this, [this, weak] {
-      if (std::shared_ptr<Pair> const k = weak.lock()) pass(k, false);
-    });
-    QObject::connect(p->b, &QTcpSocket::connected, this, [this, weak] {
-      if (std::shared_ptr<Pair> const k = weak.lock()) pass(k, true);
-    });
-    QObject::connect(p->a, &QTcpSocket::disconnected, this, [this, weak] {
-      if (std::shared_ptr<Pair> const k = weak.lock()) end(k, true);
-    });
-    QObject::connect(p->b, &QTcpSocket::disconnected, this, [this, weak] {
-      std::shared_ptr<Pair> const k = weak.lock();
-      if (!k) return;
-      k->bClosed = true;
-      pass(k, false);
-      if (pairs_.count(k.get()) > 0 && !k->stalled && !held_ && k->slow.isEmpty()) end(k, false);
-    });
-    QObject::connect(p->b, &QTcpSocket::errorOccurred, this, [this, weak](QAbstractSocket::SocketError) {
-      std::shared_ptr<Pair> const k = weak.lock();
-      if (k && k->b->state() == QAbstractSocket::UnconnectedState && !k->bClosed) end(k, true);
-    });
-    http::SocketAddress const at = http::parseSocketAddress(target_);
-    if (p->way != Way::dark) {
-      p->b->connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
-      continue;
-    }
-    ++dark_;
-    QTimer::singleShot(darkMs_, p->a, [this, weak] {
-      if (std::shared_ptr<Pair> const k = weak.lock()) end(k, true);
-    });
+    caller->abort();
+    caller->deleteLater();
+  }
+}
+
+void Tap::openPair(QTcpSocket* caller) {
+  std::shared_ptr<Pair> const p = std::make_shared<Pair>();
+  p->a = caller;
+  p->b = new QTcpSocket(this);
+  caller->setParent(this);
+  if (rng_.chance(share_)) {
+    ++harmed_;
+    p->way = static_cast<Way>(1 + rng_.below(6));
+    p->left = static_cast<std::int64_t>(rng_.below(p->way == Way::cutUp ? 300 : 1500));
+  }
+  pairs_[p.get()] = p;
+  connectSignals(p);
+  if (p->way != Way::dark) {
+    http::SocketAddress const target = http::parseSocketAddress(target_);
+    p->b->connectToHost(QHostAddress(QString::fromStdString(target.host)), target.port);
+    return;
   }
+  ++dark_;
+  std::weak_ptr<Pair> const weak = p;
+  QTimer::singleShot(darkMs_, p->a, [this, weak] {
+    if (std::shared_ptr<Pair> const pair = weak.lock()) end(pair, true);
+  });
+}
+
+void Tap::connectSignals(std::shared_ptr<Pair> const& p) {
+  std::weak_ptr<Pair> const weak = p;
+  auto const whileOpen = [weak](auto action) {
+    return [weak, action] {
+      if (std::shared_ptr<Pair> const pair = weak.lock()) action(pair);
+    };
+  };
+  auto const passUp = [this](std::shared_ptr<Pair> const& pair) { pass(pair, true); };
+  auto const passDown = [this](std::shared_ptr<Pair> const& pair) { pass(pair, false); };
+  auto const reset = [this](std::shared_ptr<Pair> const& pair) { end(pair, true); };
+  QObject::connect(p->a, &QTcpSocket::readyRead, this, whileOpen(passUp));
+  QObject::connect(p->b, &QTcpSocket::readyRead, this, whileOpen(passDown));
+  QObject::connect(p->b, &QTcpSocket::connected, this, whileOpen(passUp));
+  QObject::connect(p->a, &QTcpSocket::disconnected, this, whileOpen(reset));
+  QObject::connect(p->b, &QTcpSocket::disconnected, this,
+                   whileOpen([this](std::shared_ptr<Pair> const& pair) { targetClosed(pair); }));
+  QObject::connect(p->b, &QTcpSocket::errorOccurred, this, whileOpen([reset](std::shared_ptr<Pair> const& pair) {
+                     if (pair->b->state() == QAbstractSocket::UnconnectedState && !pair->bClosed) reset(pair);
+                   }));
+}
+
+void Tap::targetClosed(std::shared_ptr<Pair> const& p) {
+  p->bClosed = true;
+  pass(p, false);
+  if (isOpen(p) && !p->stalled && !held_ && p->slow.isEmpty()) end(p, false);
 }
 
 void Tap::pass(std::shared_ptr<Pair> const& p, bool up) {
-  if (pairs_.count(p.get()) == 0 || held_) return;
-  QTcpSocket* const from = up ? p->a : p->b;
-  QTcpSocket* const to = up ? p->b : p->a;
-  if (p->way == Way::dark || (up && p->b->state() != QAbstractSocket::ConnectedState) || (!up && p->stalled)) return;
-  QByteArray bytes = from->readAll();
+  if (!isOpen(p) || held_ || p->way == Way::dark) return;
+  bool const blocked = up ? p->b->state() != QAbstractSocket::ConnectedState : p->stalled;
+  if (blocked) return;
+  QByteArray const bytes = (up ? p->a : p->b)->readAll();
   if (bytes.isEmpty()) return;
-  if (up && cutSender(*p, bytes)) {
-    end(p, true);
+  if (!up) {
+    passDown(p, bytes);
     return;
   }
-  bool const cuts = (up && p->way == Way::cutUp) || (!up && p->way == Way::cutDown);
-  if (cuts && p->left < bytes.size()) {
-    to->write(bytes.left(p->left));
-    to->flush();
+  if (cutSender(*p, bytes)) {
     end(p, true);
     return;
   }
-  if (!up && p->way == Way::garbage) {
-    to->write(QByteArray("\x01\xff garbage \r\n\r\n", 15));
-    to->flush();
-    end(p, false);
+  if (p->way == Way::cutUp && p->left < bytes.size()) {
+    cutAt(p, *p->b, bytes);
     return;
   }
-  std::weak_ptr<Pair> const weak = p;
-  if (!up && p->way == Way::stall && p->left < bytes.size()) {
-    p->way = Way::pass;
-    p->stalled = true;
-    to->write(bytes.left(p->left));
-    QByteArray const rest = bytes.mid(p->left);
-    QTimer::singleShot(300 + static_cast<int>(rng_.below(9000)), this, [this, weak, rest] {
-      std::shared_ptr<Pair> const k = weak.lock();
-      if (!k || pairs_.count(k.get()) == 0) return;
-      k->stalled = false;
-      k->a->write(rest);
-      pass(k, false);
-      if (k->bClosed && pairs_.count(k.get()) > 0) end(k, false);
-    });
+  p->left -= bytes.size();
+  p->b->write(bytes);
+}
+
+void Tap::passDown(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
+  bool const reached = p->left < bytes.size();
+  if (p->way == Way::cutDown && reached) {
+    cutAt(p, *p->a, bytes);
     return;
   }
-  p->left -= bytes.size();
-  if (!up && p->way == Way::trickle) {
-    bool const idle = p->slow.isEmpty();
-    p->slow += bytes;
-    if (!idle) return;
-    QTimer* const timer = new QTimer(p->a);
-    QObject::connect(timer, &QTimer::timeout, this, [this, weak, timer] {
-      std::shared_ptr<Pair> const k = weak.lock();
-      if (!k || pairs_.count(k.get()) == 0) return;
-      k->a->write(k->slow.left(7));
-      k->slow.remove(0, 7);
-      if (!k->slow.isEmpty()) return;
-      timer->deleteLater();
-      if (k->bClosed) end(k, false);
-    });
-    timer->start(4);
+  if (p->way == Way::garbage) {
+    p->a->write(QByteArray("\x01\xff garbage \r\n\r\n", 15));
+    p->a->flush();
+    end(p, false);
+    return;
+  }
+  if (p->way == Way::stall && reached) {
+    stallAt(p, bytes);
     return;
   }
-  to->write(bytes);
+  p->left -= bytes.size();
+  if (p->way == Way::trickle)
+    trickle(p, bytes);
+  else
+    p->a->write(bytes);
+}
+
+void Tap::cutAt(std::shared_ptr<Pair> const& p, QTcpSocket& to, QByteArray const& bytes) {
+  to.write(bytes.left(p->left));
+  to.flush();
+  end(p, true);
+}
+
+void Tap::stallAt(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
+  p->way = Way::pass;
+  p->stalled = true;
+  p->a->write(bytes.left(p->left));
+  QByteArray const rest = bytes.mid(p->left);
+  std::weak_ptr<Pair> const weak = p;
+  QTimer::singleShot(300 + static_cast<int>(rng_.below(9000)), this,
+                     [this, weak, rest] { resumeStalled(weak.lock(), rest); });
+}
+
+void Tap::resumeStalled(std::shared_ptr<Pair> const& p, QByteArray const& rest) {
+  if (!isOpen(p)) return;
+  p->stalled = false;
+  p->a->write(rest);
+  pass(p, false);
+  if (p->bClosed && isOpen(p)) end(p, false);
+}
+
+void Tap::trickle(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
+  bool const idle = p->slow.isEmpty();
+  p->slow += bytes;
+  if (!idle) return;
+  auto* const timer = new QTimer(p->a);
+  std::weak_ptr<Pair> const weak = p;
+  QObject::connect(timer, &QTimer::timeout, this, [this, weak, timer] {
+    std::shared_ptr<Pair> const pair = weak.lock();
+    if (!isOpen(pair) || !trickleStep(pair)) return;
+    timer->deleteLater();
+    if (pair->bClosed) end(pair, false);
+  });
+  timer->start(4);
+}
+
+bool Tap::trickleStep(std::shared_ptr<Pair> const& p) {
+  p->a->write(p->slow.left(7));
+  p->slow.remove(0, 7);
+  return p->slow.isEmpty();
 }
 
 void Tap::end(std::shared_ptr<Pair> const& p, bool reset) {
@@ -181,7 +219,7 @@
   cut_ = on;
   if (!on) return;
   std::vector<std::shared_ptr<Pair>> all;
-  for (std::map<Pair*, std::shared_ptr<Pair>>::value_type const& p : pairs_) all.push_back(p.second);
+  for (auto const& [key, pair] : pairs_) all.push_back(pair);
   for (std::shared_ptr<Pair> const& p : all) end(p, true);
 }
 
@@ -193,8 +231,8 @@
 void Tap::cutFrom(std::set<std::string> senders) {
   cutSenders_ = std::move(senders);
   std::vector<std::shared_ptr<Pair>> cut;
-  for (std::map<Pair*, std::shared_ptr<Pair>>::value_type const& p : pairs_)
-    if (cutSenders_.count(p.second->sender) > 0) cut.push_back(p.second);
+  for (auto const& [key, pair] : pairs_)
+    if (cutSenders_.count(pair->sender) > 0) cut.push_back(pair);
   for (std::shared_ptr<Pair> const& p : cut) end(p, true);
 }
 
@@ -202,7 +240,7 @@
   held_ = on;
   if (on) return;
   std::vector<std::shared_ptr<Pair>> all;
-  for (std::map<Pair*, std::shared_ptr<Pair>>::value_type const& p : pairs_) all.push_back(p.second);
+  for (auto const& [key, pair] : pairs_) all.push_back(pair);
   for (std::shared_ptr<Pair> const& p : all) {
     pass(p, true);
     pass(p, false);
--- a/testing/fleet/tap.h
+++ b/testing/fleet/tap.h
@@ -22,6 +22,10 @@
   static constexpr int darkForMs = 15000;
 
   Tap(std::string const& target, std::string const& ip, std::uint64_t seed, int darkMs = darkForMs);
+  Tap(Tap const&) = delete;
+  Tap& operator=(Tap const&) = delete;
+  Tap(Tap&&) = delete;
+  Tap& operator=(Tap&&) = delete;
   ~Tap() override;
   std::string const& address() const { return address_; }
   /// Share of new connections that harm is done to.
@@ -41,7 +45,22 @@
   enum class Way { pass, cutUp, cutDown, stall, trickle, dark, garbage };
   struct Pair;
   void accept();
+  /// Opens the connection onward to the target and draws the fault of this one.
+  void openPair(QTcpSocket* caller);
+  /// Forwards what the two sockets of the pair report.
+  void connectSignals(std::shared_ptr<Pair> const& p);
+  void targetClosed(std::shared_ptr<Pair> const& p);
   void pass(std::shared_ptr<Pair> const& p, bool up);
+  /// Passes bytes from the target on, with the fault of the pair.
+  void passDown(std::shared_ptr<Pair> const& p, QByteArray const& bytes);
+  /// Passes bytes on up to the fault's place, then resets the pair.
+  void cutAt(std::shared_ptr<Pair> const& p, QTcpSocket& to, QByteArray const& bytes);
+  void stallAt(std::shared_ptr<Pair> const& p, QByteArray const& bytes);
+  void resumeStalled(std::shared_ptr<Pair> const& p, QByteArray const& rest);
+  void trickle(std::shared_ptr<Pair> const& p, QByteArray const& bytes);
+  /// Writes the next few bytes of a trickle; true when that was the last.
+  bool trickleStep(std::shared_ptr<Pair> const& p);
+  bool isOpen(std::shared_ptr<Pair> const& p) const { return p && pairs_.count(p.get()) > 0; }
   void end(std::shared_ptr<Pair> const& p, bool reset);
   /// Notes who sends on the pair; true when what it sends is cut.
   bool cutSender(Pair& p, QByteArray const& bytes) const;
--- a/testing/fleet/traffic.cpp
+++ b/testing/fleet/traffic.cpp
@@ -13,7 +13,11 @@
 namespace {
 
 constexpr int maxAttempts = 4;
+/// Time that a caller waits for its answer in all, in ms.
 constexpr core::Tick callerLimit = 20000;
+/// Delay before the next attempt while no node is ready, and after a lost connection, in ms.
+constexpr int noNodeDelayMs = 200;
+constexpr int retryDelayMs = 100;
 
 }  // namespace
 
@@ -87,97 +91,111 @@
   return http;
 }
 
+void Traffic::attemptLater(std::string const& id, int delayMs) {
+  QTimer::singleShot(delayMs, this, [this, id] {
+    if (open_.count(id) > 0) attempt(id);
+  });
+}
+
+bool Traffic::mayAttemptAgain(Open const& open) const {
+  return open.record.attempts < maxAttempts && programs::now() < open.deadline;
+}
+
 void Traffic::attempt(std::string const& id) {
-  Open& o = open_.at(id);
+  Open& open = open_.at(id);
   std::vector<std::string> const nodes(ready_.begin(), ready_.end());
   if (nodes.empty()) {
-    if (programs::now() > o.deadline) {
+    if (programs::now() > open.deadline)
       finish(id, "no-node");
-      return;
-    }
-    QTimer::singleShot(200, this, [this, id] {
-      if (open_.count(id) > 0) attempt(id);
-    });
-    return;
-  }
-  ++o.record.attempts;
-  o.got.clear();
-  o.head = http::ReplicaHead{};
-  http::UpstreamConnection::Events e;
-  e.connected = [this, id] {
-    Open& open = open_.at(id);
-    http::ReplicaRequest request{"POST",
-                                 "/v1/" + open.instance + "/" + open.path,
-                                 {{"content-type", "application/json"}, {"corkward-request-id", open.record.id}}};
-    if (!open.prefix.empty()) request.headers.emplace_back("corkward-prefix", open.prefix);
-    if (open.record.numbered) {
-      request.headers.emplace_back("corkward-attempt", std::to_string(open.record.attempts));
-      request.headers.emplace_back("corkward-age-ms", std::to_string(programs::now() - open.record.began));
-      if (open.record.attempts > 1 && open.earlierNotRun)
-        request.headers.emplace_back("corkward-earlier", open.earlierReached ? "not-run-reached" : "not-run");
-    }
-    open.forwarder->send(request, open.body);
-  };
-  e.connectFailed = [this, id] {
-    Open& open = open_.at(id);
-    open.forwarder->deleteLater();
-    open.forwarder = nullptr;
-    if (open.record.attempts >= maxAttempts || programs::now() > open.deadline) {
-      finish(id, "no-connection");
-      return;
-    }
-    QTimer::singleShot(100, this, [this, id] {
-      if (open_.count(id) > 0) attempt(id);
-    });
-  };
-  e.head = [this, id](http::ReplicaHead head) { open_.at(id).head = std::move(head); };
-  e.chunk = [this, id](std::string bytes) {
-    Open& open = open_.at(id);
-    if (open.head.status == 200 && open.record.firstWord < 0)
-      open.record.firstWord = programs::now() - open.record.began;
-    open.got += bytes;
-  };
-  e.ended = [this, id](bool whole) { ended(id, whole); };
-  o.forwarder = new http::UpstreamConnection(shownOf(nodes[rng_.below(nodes.size())]), std::move(e), this);
-}
-
-void Traffic::ended(std::string const& id, bool whole) {
-  Open& o = open_.at(id);
-  o.forwarder->deleteLater();
-  o.forwarder = nullptr;
-  if (o.head.status == 200) {
-    BodyVerdict const v = checkBody(o.got);
-    if (!v.run.empty()) o.record.runs.push_back(v.run);
-    finish(id, whole ? (v.whole ? "served" : "bad-body") : (v.oneRun ? "broken" : "bad-body"));
+    else
+      attemptLater(id, noNodeDelayMs);
     return;
   }
-  bool const notRun = o.head.status != 0 && http::headerValue(o.head.headers, "corkward-outcome") == "not-run";
-  if (notRun && http::headerValue(o.head.headers, "corkward-earlier") == "not-run-reached") o.earlierReached = true;
-  std::string const retryAfter = http::headerValue(o.head.headers, "retry-after");
-  if (notRun && !retryAfter.empty() && o.record.attempts < maxAttempts && programs::now() < o.deadline) {
-    int const wait = std::atoi(retryAfter.c_str()) * 1000;
-    QTimer::singleShot(wait + static_cast<int>(rng_.below(200)), this, [this, id] {
-      if (open_.count(id) > 0) attempt(id);
-    });
-    return;
+  ++open.record.attempts;
+  open.got.clear();
+  open.head = http::ReplicaHead{};
+  http::UpstreamConnection::Events events;
+  events.connected = [this, id] { sendRequest(open_.at(id)); };
+  events.connectFailed = [this, id] { connectFailed(id); };
+  events.head = [this, id](http::ReplicaHead head) { open_.at(id).head = std::move(head); };
+  events.chunk = [this, id](std::string const& bytes) { received(open_.at(id), bytes); };
+  events.ended = [this, id](bool complete) { responseEnded(id, complete); };
+  open.forwarder = new http::UpstreamConnection(shownOf(nodes[rng_.below(nodes.size())]), std::move(events), this);
+}
+
+void Traffic::sendRequest(Open& open) {
+  http::ReplicaRequest request{"POST",
+                               "/v1/" + open.instance + "/" + open.path,
+                               {{"content-type", "application/json"}, {"corkward-request-id", open.record.id}}};
+  if (!open.prefix.empty()) request.headers.emplace_back("corkward-prefix", open.prefix);
+  if (open.record.numbered) {
+    request.headers.emplace_back("corkward-attempt", std::to_string(open.record.attempts));
+    request.headers.emplace_back("corkward-age-ms", std::to_string(programs::now() - open.record.began));
+    if (open.record.attempts > 1 && open.earlierNotRun)
+      request.headers.emplace_back("corkward-earlier", open.earlierReached ? "not-run-reached" : "not-run");
   }
-  if (notRun) {
-    o.record.rejectedAsNotRun = o.earlierNotRun;
-    finish(id, "denied");
-    return;
+  open.forwarder->send(request, open.body);
+}
+
+void Traffic::connectFailed(std::string const& id) {
+  Open& open = open_.at(id);
+  open.forwarder->deleteLater();
+  open.forwarder = nullptr;
+  if (open.record.attempts >= maxAttempts || programs::now() > open.deadline)
+    finish(id, "no-connection");
+  else
+    attemptLater(id, retryDelayMs);
+}
+
+void Traffic::received(Open& open, std::string const& bytes) {
+  if (open.head.status == 200 && open.record.firstWord < 0) open.record.firstWord = programs::now() - open.record.began;
+  open.got += bytes;
+}
+
+void Traffic::responseEnded(std::string const& id, bool complete) {
+  Open& open = open_.at(id);
+  open.forwarder->deleteLater();
+  open.forwarder = nullptr;
+  bool const notRun = http::headerValue(open.head.headers, "corkward-outcome") == "not-run";
+  if (open.head.status == 200)
+    finishServed(id, complete);
+  else if (open.head.status != 0 && notRun)
+    rejected(id);
+  else if (open.head.status != 0)
+    finish(id, "unknown");
+  else if (!mayAttemptAgain(open))
+    finish(id, "cut");
+  else {
+    open.earlierNotRun = false;
+    attemptLater(id, retryDelayMs);
   }
-  if (o.head.status == 0 && o.record.attempts < maxAttempts && programs::now() < o.deadline) {
-    o.earlierNotRun = false;
-    QTimer::singleShot(100, this, [this, id] {
-      if (open_.count(id) > 0) attempt(id);
-    });
+}
+
+void Traffic::finishServed(std::string const& id, bool complete) {
+  Open& open = open_.at(id);
+  BodyVerdict const body = checkBody(open.got);
+  if (!body.run.empty()) open.record.runs.push_back(body.run);
+  if (complete)
+    finish(id, body.whole ? "served" : "bad-body");
+  else
+    finish(id, body.oneRun ? "broken" : "bad-body");
+}
+
+void Traffic::rejected(std::string const& id) {
+  Open& open = open_.at(id);
+  if (http::headerValue(open.head.headers, "corkward-earlier") == "not-run-reached") open.earlierReached = true;
+  std::string const retryAfter = http::headerValue(open.head.headers, "retry-after");
+  if (!retryAfter.empty() && mayAttemptAgain(open)) {
+    int const delayMs = std::atoi(retryAfter.c_str()) * 1000;
+    attemptLater(id, delayMs + static_cast<int>(rng_.below(200)));
     return;
   }
-  finish(id, o.head.status == 0 ? "cut" : "unknown");
+  open.record.rejectedAsNotRun = open.earlierNotRun;
+  finish(id, "denied");
 }
 
 void Traffic::finish(std::string const& id, std::string const& outcome) {
-  std::map<std::string, Open>::iterator const it = open_.find(id);
+  auto const it = open_.find(id);
   it->second.record.outcome = outcome;
   done_.push_back(std::move(it->second.record));
   open_.erase(it);
@@ -185,11 +203,11 @@
 
 std::string Traffic::openText() const {
   std::string out;
-  for (std::map<std::string, Open>::value_type const& o : open_)
-    out += o.first + " (" + o.second.record.cls + ") since " + std::to_string(programs::now() - o.second.record.began) +
-           " ms, attempt " + std::to_string(o.second.record.attempts) + ", status " +
-           std::to_string(o.second.head.status) + ", " + std::to_string(o.second.got.size()) + " bytes" +
-           (o.second.forwarder == nullptr ? ", between attempts" : ", connected") + "; ";
+  for (auto const& [id, request] : open_)
+    out += id + " (" + request.record.cls + ") since " + std::to_string(programs::now() - request.record.began) +
+           " ms, attempt " + std::to_string(request.record.attempts) + ", status " +
+           std::to_string(request.head.status) + ", " + std::to_string(request.got.size()) + " bytes" +
+           (request.forwarder == nullptr ? ", between attempts" : ", connected") + "; ";
   return out;
 }
 
@@ -216,8 +234,7 @@
       if (more.size() > 5 && more.substr(more.size() - 5) == "/miss") ++out.prefixMisses;
     }
   }
-  for (std::map<std::string, std::set<std::string>>::value_type const& r : runsOf)
-    out.runTwice += r.second.size() > 1 ? 1 : 0;
+  for (auto const& [request, executions] : runsOf) out.runTwice += executions.size() > 1 ? 1 : 0;
   for (CallerRecord const& r : done_) {
     ++out.requests;
     ++out.outcomes[r.outcome];
@@ -231,15 +248,14 @@
 std::string text(Report const& report) {
   std::ostringstream out;
   out << "requests " << report.requests << "\n";
-  for (std::map<std::string, std::size_t>::value_type const& o : report.outcomes)
-    out << "  " << o.first << " " << o.second << "\n";
+  for (auto const& [outcome, count] : report.outcomes) out << "  " << outcome << " " << count << "\n";
   out << "run twice " << report.runTwice << ", bad bodies " << report.badBodies << ", rejected but ran "
       << report.rejectedButRan << ", runs at replicas " << report.replicaRuns << "\n";
   out << "prefix hits " << report.prefixHits << ", misses " << report.prefixMisses << "\n";
-  for (std::map<std::string, std::vector<core::Tick>>::value_type const& f : report.firstWords) {
-    std::vector<core::Tick> t = f.second;
+  for (auto const& [requestClass, times] : report.firstWords) {
+    std::vector<core::Tick> t = times;
     std::sort(t.begin(), t.end());
-    out << "first word, " << f.first << ": median " << t[t.size() / 2] << " ms, 99% " << t[t.size() * 99 / 100]
+    out << "first word, " << requestClass << ": median " << t[t.size() / 2] << " ms, 99% " << t[t.size() * 99 / 100]
         << " ms (" << t.size() << ")\n";
   }
   return out.str();
--- a/testing/fleet/traffic.h
+++ b/testing/fleet/traffic.h
@@ -76,7 +76,15 @@
   void arrive();
   void attempt(std::string const& id);
   std::string shownOf(std::string const& http) const;
-  void ended(std::string const& id, bool whole);
+  void attemptLater(std::string const& id, int delayMs);
+  bool mayAttemptAgain(Open const& open) const;
+  void sendRequest(Open& open);
+  void connectFailed(std::string const& id);
+  void received(Open& open, std::string const& bytes);
+  void responseEnded(std::string const& id, bool complete);
+  void finishServed(std::string const& id, bool complete);
+  /// The router has promised that the request was not run: waits and retries, or gives up.
+  void rejected(std::string const& id);
   void finish(std::string const& id, std::string const& outcome);
   void look();
   Fleet& fleet_;
--- a/testing/fuzz/caller.cpp
+++ b/testing/fuzz/caller.cpp
@@ -34,7 +34,7 @@
   fields.emplace_back(wire::timeLeft, std::to_string(seen.ask.toldMs));
   fields.emplace_back(ownField, seen.attempt);
   std::string out = "POST " + seen.target + " HTTP/1.1\r\n";
-  for (http::HeaderList::value_type const& f : fields) out += f.first + ": " + f.second + "\r\n";
+  for (auto const& [name, value] : fields) out += name + ": " + value + "\r\n";
   if (seen.ask.expectsContinue) out += "Expect: 100-continue\r\n";
   if (!seen.ask.chunkedBody)
     return out + "Content-Length: " + std::to_string(seen.body.size()) + "\r\n\r\n" + seen.body;
@@ -185,7 +185,7 @@
       seen.status = static_cast<int>(parser_->get().result_int());
       lastOnConnection_ = !parser_->get().keep_alive();
       seen.fields.clear();
-      for (beastHttp::fields::value_type const& f : parser_->get())
+      for (auto const& f : parser_->get())
         seen.fields.emplace_back(std::string(f.name_string()), std::string(f.value()));
       seen.got = parser_->get().body();
     }
--- a/testing/fuzz/main.cpp
+++ b/testing/fuzz/main.cpp
@@ -22,8 +22,7 @@
 void print(Report const& report) {
   std::cout << report.scenes << " scenes, " << report.requests << " requests (" << report.served << " served, "
             << report.cut << " cut), " << report.dispatches << " reached a replica\n";
-  for (std::map<std::string, std::size_t>::value_type const& f : report.faults)
-    std::cout << "  " << f.first << " " << f.second << "\n";
+  for (auto const& [fault, count] : report.faults) std::cout << "  " << fault << " " << count << "\n";
   std::cout << report.findings.size() << " violations\n";
   std::size_t shown = 0;
   for (Finding const& f : report.findings) {
@@ -68,7 +67,7 @@
   if (count == 0 && seconds == 0 && folder.empty()) throw PlanError("count: must be given, or seconds, or corpus");
   std::uint64_t const most = count == 0 && seconds > 0 ? std::numeric_limits<std::uint64_t>::max() : count;
   std::vector<Plan> files = folder.empty() ? std::vector<Plan>() : corpus(folder);
-  std::function<std::optional<Plan>()> const bySeed = seeds(from, most, seconds);
+  auto const bySeed = seeds(from, most, seconds);
   std::size_t given = 0;
   Runner runner(
       [&]() -> std::optional<Plan> {
--- a/testing/fuzz/oracles.cpp
+++ b/testing/fuzz/oracles.cpp
@@ -42,7 +42,7 @@
 }
 
 std::string shown(std::string const& got, std::string const& want) {
-  std::size_t const at = static_cast<std::size_t>(
+  auto const at = static_cast<std::size_t>(
       std::mismatch(got.begin(), got.begin() + static_cast<std::ptrdiff_t>(std::min(got.size(), want.size())),
                     want.begin())
           .first -
@@ -88,7 +88,7 @@
   void answer(Seen const& seen, std::vector<Dispatch const*> const& all) {
     if (seen.status == 0) return;
     std::string const seal = http::headerValue(seen.fields, wire::seal);
-    std::map<std::string, Dispatch const*>::const_iterator const found = bySeal_.find(seal);
+    auto const found = bySeal_.find(seal);
     Dispatch const* const run = seal.empty() || found == bySeal_.end() ? nullptr : found->second;
     bool const success = seen.status >= 200 && seen.status < 300;
     if (success && (run == nullptr || run->attempt != seen.attempt)) {
@@ -138,9 +138,9 @@
 
   void sent(Seen const& seen, Dispatch const& d) {
     if (d.method != "POST" || d.target != seen.target) broken("as-sent", about(seen) + " reached " + d.target);
-    for (http::HeaderList::value_type const& f : carried(seen))
-      if (http::headerValue(d.fields, f.first) != f.second)
-        broken("as-sent", about(seen) + " has " + f.first + ": " + http::headerValue(d.fields, f.first));
+    for (auto const& [name, value] : carried(seen))
+      if (http::headerValue(d.fields, name) != value)
+        broken("as-sent", about(seen) + " has " + name + ": " + http::headerValue(d.fields, name));
     if (d.bodyWhole && d.body != seen.body)
       broken("as-sent", about(seen) + " has another body: " + shown(d.body, seen.body));
     left(seen, d);
--- a/testing/fuzz/replica.cpp
+++ b/testing/fuzz/replica.cpp
@@ -140,8 +140,7 @@
   d.lastByteAt = d.at;
   d.method = std::string(head.method_string());
   d.target = std::string(head.target());
-  for (beastHttp::fields::value_type const& f : head)
-    d.fields[http::toLower(std::string(f.name_string()))] = std::string(f.value());
+  for (auto const& f : head) d.fields[http::toLower(std::string(f.name_string()))] = std::string(f.value());
   std::size_t const length = conn->parser->content_length() ? *conn->parser->content_length() : 0;
   std::pair<std::size_t, Script> noted = events_.arrived(std::move(d), length);
   conn->dispatch = noted.first;
--- a/testing/fuzz/scene.cpp
+++ b/testing/fuzz/scene.cpp
@@ -175,7 +175,7 @@
   if (tampers(Tampering::hideCut) && seen.status == 200) seen.whole = true;
   if (tampers(Tampering::promiseAfterRun) && (seen.status == 502 || seen.status == 504)) seen.status = 503;
   bool const served = seen.whole && seen.status >= 200 && seen.status < 300;
-  std::size_t const before = static_cast<std::size_t>(std::count(seen.attempt.begin(), seen.attempt.end(), 'r'));
+  auto const before = static_cast<std::size_t>(std::count(seen.attempt.begin(), seen.attempt.end(), 'r'));
   if (seen.ask.manner == Manner::again && !served && seen.leftAt == 0 && before < comeBacks) {
     Ask const again = seen.ask;
     ask(again, seen.attempt + "r");
@@ -185,7 +185,7 @@
 }
 
 Seen* Scene::callerOf(std::string const& attempt) {
-  std::deque<Seen>::iterator const it =
+  auto const it =
       std::find_if(record_.callers.begin(), record_.callers.end(), [&](Seen const& s) { return s.attempt == attempt; });
   return it == record_.callers.end() ? nullptr : &*it;
 }
--- a/testing/replica/main.cpp
+++ b/testing/replica/main.cpp
@@ -120,7 +120,7 @@
   void resume(http::Request const& r, std::string const& id) {
     std::string const run = r.headers.at("corkward-run");
     std::string const offset = r.headers.count("corkward-offset") > 0 ? r.headers.at("corkward-offset") : "";
-    std::unordered_map<std::string, std::uint64_t>::const_iterator const it = known_.find(run);
+    auto const it = known_.find(run);
     std::string const body = it == known_.end() ? "" : bodyOf(run, it->second);
     if (it == known_.end() || offset.empty() || std::stoull(offset) > body.size()) {
       write("resume-denied", run, id, offset);
@@ -145,7 +145,7 @@
   }
 
   void step(std::uint64_t call) {
-    std::unordered_map<std::uint64_t, Run>::iterator const it = running_.find(call);
+    auto const it = running_.find(call);
     if (it == running_.end()) return;
     Run& run = it->second;
     if (run.events) {
@@ -191,12 +191,12 @@
   }
 
   void gone(std::uint64_t id) {
-    std::unordered_map<std::uint64_t, Run>::iterator const it = running_.find(id);
+    auto const it = running_.find(id);
     if (it != running_.end()) {
       write("gone", it->second.run, it->second.id, "");
       running_.erase(it);
     }
-    for (std::deque<Run>::iterator q = queue_.begin(); q != queue_.end(); ++q)
+    for (auto q = queue_.begin(); q != queue_.end(); ++q)
       if (q->call == id) {
         write("gone", q->run, q->id, "");
         queue_.erase(q);
--- a/testing/sim/callers.cpp
+++ b/testing/sim/callers.cpp
@@ -41,12 +41,12 @@
 }
 
 void World::callerSends(std::string const& id) {
-  std::map<std::string, Caller>::iterator const it = callers_.find(id);
+  auto const it = callers_.find(id);
   if (it == callers_.end()) return;
   Caller& c = it->second;
   std::vector<Node*> up;
-  for (std::map<std::string, Node>::value_type& n : nodes_)
-    if (n.second.data && n.second.alive && !n.second.draining) up.push_back(&n.second);
+  for (auto& [address, machine] : nodes_)
+    if (machine.data && machine.alive && !machine.draining) up.push_back(&machine);
   ++c.attempt;
   c.got.clear();
   c.status = 0;
@@ -85,7 +85,7 @@
     });
   });
   after(callerPatience, [this, id, call, link, life] {
-    std::map<std::string, Caller>::iterator const k = callers_.find(id);
+    auto const k = callers_.find(id);
     if (k == callers_.end() || !k->second.open || k->second.call != call || k->second.worded) return;
     toNode(link, life, [this, link, call] {
       Node& m = *node(link);
@@ -126,7 +126,7 @@
 }
 
 void World::callerCut(std::string const& id) {
-  std::map<std::string, Caller>::iterator const it = callers_.find(id);
+  auto const it = callers_.find(id);
   if (it == callers_.end() || !it->second.open) return;
   Caller& c = it->second;
   c.open = false;
--- a/testing/sim/certificates.cpp
+++ b/testing/sim/certificates.cpp
@@ -128,9 +128,9 @@
 
 void World::watchLives() {
   after(1000, [this] { watchLives(); });
-  for (std::map<std::string, Replica>::value_type const& r : replicas_) {
-    std::map<std::string, std::string>::const_iterator const it = shownLives_.find(r.first);
-    if (!r.second.listed || (it != shownLives_.end() && it->second == lifeOf(r.second))) continue;
+  for (auto const& [address, replica] : replicas_) {
+    auto const it = shownLives_.find(address);
+    if (!replica.listed || (it != shownLives_.end() && it->second == lifeOf(replica))) continue;
     platform();
     return;
   }
@@ -150,7 +150,7 @@
   std::vector<std::string> needed{r.pool + "-" + r.zone};
   if (plan_.certifiedRouters) needed.push_back("nacelles-" + from.zone);
   for (std::string const& name : needed) {
-    std::map<std::string, Tick>::const_iterator const out = outSince_.find(name);
+    auto const out = outSince_.find(name);
     if (out != outSince_.end() && now_ > out->second + 5)
       violation("a regulated request reached " + r.address + " " + std::to_string(now_ - out->second) + " ms after " +
                 name + " was out of force");
--- a/testing/sim/control_faults.cpp
+++ b/testing/sim/control_faults.cpp
@@ -25,8 +25,8 @@
       if (!wholeCore() || repairing_ || replacedInTurn_ > 0) break;
       repairing_ = true;
       std::vector<std::string> old;
-      for (std::map<std::string, Node>::value_type const& n : nodes_)
-        if (n.second.disk) old.push_back(n.first);
+      for (auto const& [link, node] : nodes_)
+        if (node.disk) old.push_back(link);
       replaceNext(old);
       break;
     }
@@ -58,12 +58,12 @@
 std::string World::oldestDisk(bool oldest) {
   std::vector<std::string> out;
   Tick since = -1;
-  for (std::map<std::string, Node>::value_type const& n : nodes_) {
-    if (!n.second.disk || !n.second.alive) continue;
-    if (oldest && !out.empty() && n.second.diskSince > since) continue;
-    if (oldest && !out.empty() && n.second.diskSince < since) out.clear();
-    since = n.second.diskSince;
-    out.push_back(n.first);
+  for (auto const& [link, node] : nodes_) {
+    if (!node.disk || !node.alive) continue;
+    if (oldest && !out.empty() && node.diskSince > since) continue;
+    if (oldest && !out.empty() && node.diskSince < since) out.clear();
+    since = node.diskSince;
+    out.push_back(link);
   }
   return out.empty() ? std::string() : out[rng_.below(out.size())];
 }
@@ -75,11 +75,11 @@
   bool const backwards = rng_.chance(0.5);
   std::vector<std::pair<std::string, std::string>> out;
   for (std::string const& c : cut)
-    for (std::map<std::string, Node>::value_type const& n : nodes_) {
-      if (std::find(cut.begin(), cut.end(), n.first) != cut.end()) continue;
-      if (!n.second.disk && !all && !(near && n.second.zone != node(c)->zone)) continue;
-      if (f != Fault::cutMemberOneWay || !backwards) out.emplace_back(c, n.first);
-      if (f != Fault::cutMemberOneWay || backwards) out.emplace_back(n.first, c);
+    for (auto const& [address, machine] : nodes_) {
+      if (std::find(cut.begin(), cut.end(), address) != cut.end()) continue;
+      if (!machine.disk && !all && !(near && machine.zone != node(c)->zone)) continue;
+      if (f != Fault::cutMemberOneWay || !backwards) out.emplace_back(c, address);
+      if (f != Fault::cutMemberOneWay || backwards) out.emplace_back(address, c);
     }
   return out;
 }
@@ -92,7 +92,7 @@
   cut.push_back(first);
   std::string const second = oldestDisk(f == Fault::cutMemberOldest);
   std::size_t disks = 0;
-  for (std::map<std::string, Node>::value_type const& n : nodes_) disks += n.second.disk ? 1 : 0;
+  for (auto const& [address, machine] : nodes_) disks += machine.disk ? 1 : 0;
   if (disks >= 5 && second != first && rng_.chance(0.5)) cut.push_back(second);
   coreCut_ = true;
   ++result_.counts["core-cuts"];
@@ -115,8 +115,8 @@
     });
   if (rng_.chance(0.5)) {
     std::vector<std::string> data;
-    for (std::map<std::string, Node>::value_type const& n : nodes_)
-      if (n.second.data) data.push_back(n.first);
+    for (auto const& [name, process] : nodes_)
+      if (process.data) data.push_back(name);
     if (!data.empty()) restartLater(data[rng_.below(data.size())], how / 2);
   }
   cutExtras(f, cut, how);
@@ -125,15 +125,15 @@
 void World::cutExtras(Fault f, std::vector<std::string> const& cut, Tick how) {
   if (f == Fault::cutMemberSeeds) {
     newSeeds(cut);
-    for (std::map<std::string, Node>::value_type const& n : nodes_)
-      if (rng_.chance(0.3) && n.second.data) restartLater(n.first, how / 3);
+    for (auto const& [address, machine] : nodes_)
+      if (rng_.chance(0.3) && machine.data) restartLater(address, how / 3);
   }
   if (f == Fault::cutMemberLure) after(how / 3, [this, cut] { lure(cut); });
   if (f != Fault::cutMemberBoth) return;
   Tick t = how / 3;
   for (std::string const& link : cut) restartLater(link, t);
-  for (std::map<std::string, Node>::value_type const& n : nodes_)
-    if (n.second.disk && std::find(cut.begin(), cut.end(), n.first) == cut.end()) restartLater(n.first, t += 1500);
+  for (auto const& [name, process] : nodes_)
+    if (process.disk && std::find(cut.begin(), cut.end(), name) == cut.end()) restartLater(name, t += 1500);
 }
 
 void World::restartLater(std::string const& link, Tick delay) {
@@ -150,22 +150,22 @@
 
 void World::newSeeds(std::vector<std::string> const& first) {
   std::vector<std::string> seeds = first;
-  for (std::map<std::string, Node>::value_type const& n : nodes_)
-    if (n.second.disk && seeds.size() < 3 && std::find(seeds.begin(), seeds.end(), n.first) == seeds.end())
-      seeds.push_back(n.first);
+  for (auto const& [link, node] : nodes_)
+    if (node.disk && seeds.size() < 3 && std::find(seeds.begin(), seeds.end(), link) == seeds.end())
+      seeds.push_back(link);
   seeds_ = seeds;
-  for (std::map<std::string, Node>::value_type& n : nodes_) {
-    if (!n.second.alive) continue;
-    if (n.second.control) n.second.control->setSeeds(seeds);
-    if (n.second.data) n.second.data->updateTuning(routerTuning(), seeds);
+  for (auto& [address, machine] : nodes_) {
+    if (!machine.alive) continue;
+    if (machine.control) machine.control->setSeeds(seeds);
+    if (machine.data) machine.data->updateTuning(routerTuning(), seeds);
   }
 }
 
 void World::lure(std::vector<std::string> const& cut) {
   std::vector<std::string> models;
-  for (std::map<std::string, Replica>::value_type const& r : replicas_)
-    if (r.second.up && r.second.listed && r.second.state == "serving" && r.second.pool == "model")
-      models.push_back(r.first);
+  for (auto const& [replicaAddress, modelReplica] : replicas_)
+    if (modelReplica.up && modelReplica.listed && modelReplica.state == "serving" && modelReplica.pool == "model")
+      models.push_back(replicaAddress);
   if (models.size() < 4) return;
   std::string const address = models[rng_.below(models.size())];
   replicas_.at(address).state = "leaving";
@@ -265,15 +265,15 @@
   ++result_.counts["strikes"];
   std::string const wiped = strike.wipe && wholeCore() ? oldestDisk(rng_.chance(0.5)) : std::string();
   bool const most = wiped.empty() || rng_.chance(0.5);
-  for (std::map<std::string, Node>::value_type& n : nodes_) {
-    bool const hit = n.second.disk ? most || n.first == wiped : strike.everyone && rng_.chance(0.7);
-    if (!hit || !n.second.alive) continue;
-    kill(n.second, true);
-    if (n.first == wiped) {
-      n.second.disk->wipe();
-      n.second.diskSince = now_;
+  for (auto& [address, machine] : nodes_) {
+    bool const hit = machine.disk ? most || address == wiped : strike.everyone && rng_.chance(0.7);
+    if (!hit || !machine.alive) continue;
+    kill(machine, true);
+    if (address == wiped) {
+      machine.disk->wipe();
+      machine.diskSince = now_;
     }
-    after(500 + static_cast<Tick>(rng_.below(1000)), [this, link = n.first] {
+    after(500 + static_cast<Tick>(rng_.below(1000)), [this, link = address] {
       if (Node* const k = node(link); k != nullptr && !k->alive) boot(*k);
     });
   }
--- a/testing/sim/disk.cpp
+++ b/testing/sim/disk.cpp
@@ -4,7 +4,7 @@
 
 std::vector<std::string> SimDisk::list() {
   std::vector<std::string> out;
-  for (Names::value_type const& f : files_) out.push_back(f.first);
+  for (auto const& [name, file] : files_) out.push_back(name);
   return out;
 }
 
@@ -79,7 +79,7 @@
       ++lostNames_;
       continue;
     }
-    Names::iterator const gone = safe_.find(change.gone);
+    auto const gone = safe_.find(change.gone);
     if (gone != safe_.end() && gone->second == change.file) safe_.erase(gone);
     if (!change.fresh.empty()) safe_[change.fresh] = change.file;
   }
@@ -88,18 +88,18 @@
 }
 
 void SimDisk::powerLoss(core::RandomGenerator& rng) {
-  for (Names::value_type& f : files_) {
-    std::size_t const loose = f.second->bytes.size() - f.second->synced;
-    f.second->bytes.resize(f.second->synced + (lying ? 0 : rng.below(loose + 1)));
-    f.second->synced = f.second->bytes.size();
+  for (auto& [name, file] : files_) {
+    std::size_t const loose = file->bytes.size() - file->synced;
+    file->bytes.resize(file->synced + (lying ? 0 : rng.below(loose + 1)));
+    file->synced = file->bytes.size();
   }
   if (looseNames) loseNames(rng);
 }
 
 bool SimDisk::damage(core::RandomGenerator& rng) {
-  for (Names::value_type& f : files_) {
-    if (f.first.rfind("damaged-", 0) == 0 || f.second->bytes.size() < 64) continue;
-    f.second->bytes[rng.below(f.second->bytes.size() / 2)] ^= 4;
+  for (auto& [name, file] : files_) {
+    if (name.rfind("damaged-", 0) == 0 || file->bytes.size() < 64) continue;
+    file->bytes[rng.below(file->bytes.size() / 2)] ^= 4;
     return true;
   }
   return false;
@@ -107,8 +107,8 @@
 
 void SimDisk::tear(std::string const& bytes, core::RandomGenerator& rng) {
   std::string last;
-  for (Names::value_type const& f : files_)
-    if (f.first.rfind("segment-", 0) == 0) last = f.first;
+  for (auto const& [name, file] : files_)
+    if (name.rfind("segment-", 0) == 0) last = name;
   if (last.empty()) return;
   files_.at(last)->bytes += bytes.substr(0, rng.below(bytes.size() + 1));
   files_.at(last)->synced = files_.at(last)->bytes.size();
--- a/testing/sim/faults.cpp
+++ b/testing/sim/faults.cpp
@@ -7,17 +7,16 @@
 
 int World::live(bool control) const {
   int n = 0;
-  for (std::map<std::string, Node>::value_type const& k : nodes_)
-    n += k.second.alive && !k.second.frozen && (k.second.disk != nullptr) == control ? 1 : 0;
+  for (auto const& [link, node] : nodes_) n += node.alive && !node.frozen && (node.disk != nullptr) == control ? 1 : 0;
   return n;
 }
 
 bool World::wholeCore() const {
   std::size_t disks = 0;
-  for (std::map<std::string, Node>::value_type const& n : nodes_) disks += n.second.disk ? 1 : 0;
-  for (std::map<std::string, Node>::value_type const& n : nodes_)
-    if (n.second.disk && (!n.second.alive || !n.second.control->registers().isVoting() ||
-                          n.second.control->registers().membership().size() != disks))
+  for (auto const& [link, node] : nodes_) disks += node.disk ? 1 : 0;
+  for (auto const& [address, machine] : nodes_)
+    if (machine.disk && (!machine.alive || !machine.control->registers().isVoting() ||
+                         machine.control->registers().membership().size() != disks))
       return false;
   return true;
 }
@@ -38,40 +37,40 @@
   if (totalOutage_ && std::find(hitsReturn.begin(), hitsReturn.end(), f) != hitsReturn.end()) returnHit_ = true;
   std::vector<Node*> control;
   std::vector<Node*> data;
-  for (std::map<std::string, Node>::value_type& n : nodes_)
-    if (n.second.alive) (n.second.disk ? control : data).push_back(&n.second);
+  for (auto& [address, machine] : nodes_)
+    if (machine.alive) (machine.disk ? control : data).push_back(&machine);
   std::vector<Replica*> models;
-  for (std::map<std::string, Replica>::value_type& r : replicas_)
-    if (r.second.up && !r.second.dark && r.second.listed && r.second.state == "serving" && r.second.pool == "model")
-      models.push_back(&r.second);
+  for (auto& [replicaAddress, modelReplica] : replicas_)
+    if (modelReplica.up && !modelReplica.dark && modelReplica.listed && modelReplica.state == "serving" &&
+        modelReplica.pool == "model")
+      models.push_back(&modelReplica);
   Tick const shortly = 500 + static_cast<Tick>(rng_.below(6000));
-  std::function<void(Node&, Tick)> const bootLater = [this](Node& n, Tick delay) {
+  auto const bootLater = [this](Node& n, Tick delay) {
     std::string const link = n.link;
     after(delay, [this, link] {
       Node* const k = node(link);
       if (k != nullptr && !k->alive) boot(*k);
     });
   };
-  std::function<void(std::vector<std::string>, std::vector<std::string>, Tick)> const cut =
-      [this](std::vector<std::string> const& a, std::vector<std::string> const& b, Tick how) {
-        std::vector<std::pair<std::string, std::string>> pairs;
-        for (std::string const& x : a)
-          for (std::string const& y : b)
-            if (x != y) {
-              pairs.emplace_back(x, y);
-              pairs.emplace_back(y, x);
-            }
-        for (std::pair<std::string, std::string> const& p : pairs) cuts_.insert(p);
-        after(how, [this, pairs] {
-          for (std::pair<std::string, std::string> const& p : pairs) cuts_.erase(p);
-        });
-      };
+  auto const cut = [this](std::vector<std::string> const& a, std::vector<std::string> const& b, Tick how) {
+    std::vector<std::pair<std::string, std::string>> pairs;
+    for (std::string const& x : a)
+      for (std::string const& y : b)
+        if (x != y) {
+          pairs.emplace_back(x, y);
+          pairs.emplace_back(y, x);
+        }
+    for (std::pair<std::string, std::string> const& p : pairs) cuts_.insert(p);
+    after(how, [this, pairs] {
+      for (std::pair<std::string, std::string> const& p : pairs) cuts_.erase(p);
+    });
+  };
   std::vector<std::string> allLinks;
   std::vector<std::string> controlLinks;
   std::vector<std::string> dataLinks;
-  for (std::map<std::string, Node>::value_type const& n : nodes_) {
-    allLinks.push_back(n.first);
-    (n.second.disk ? controlLinks : dataLinks).push_back(n.first);
+  for (auto const& [peerLink, peer] : nodes_) {
+    allLinks.push_back(peerLink);
+    (peer.disk ? controlLinks : dataLinks).push_back(peerLink);
   }
   switch (f) {
     case Fault::killRouter:
@@ -103,10 +102,10 @@
       if (totalOutage_) break;
       totalOutage_ = true;
       Tick const back = 1500;
-      for (std::map<std::string, Node>::value_type& n : nodes_) {
-        kill(n.second, true);
-        if (plan_.mutation == Mutation::noReturn && n.second.disk) continue;
-        bootLater(n.second, back);
+      for (auto& [name, process] : nodes_) {
+        kill(process, true);
+        if (plan_.mutation == Mutation::noReturn && process.disk) continue;
+        bootLater(process, back);
       }
       after(back, [this] {
         cuts_.clear();
@@ -246,8 +245,8 @@
     case Fault::breakStreams:
       for (Tick t = 0; t < shortly; t += 200)
         after(t, [this] {
-          for (std::map<std::string, Replica>::value_type& r : replicas_)
-            if (r.second.pool == "model" && rng_.chance(0.7)) breakStreams(r.second);
+          for (auto& [key, target] : replicas_)
+            if (target.pool == "model" && rng_.chance(0.7)) breakStreams(target);
         });
       break;
     case Fault::breakMany:
@@ -280,9 +279,9 @@
       }
       break;
     case Fault::allSlow:
-      for (std::map<std::string, Replica>::value_type& r : replicas_) r.second.slow = 12.0;
+      for (auto& [key, target] : replicas_) target.slow = 12.0;
       after(shortly + 3000, [this] {
-        for (std::map<std::string, Replica>::value_type& r : replicas_) r.second.slow = 1.0;
+        for (auto& [key, target] : replicas_) target.slow = 1.0;
       });
       break;
     case Fault::crowd:
@@ -325,11 +324,9 @@
             return;
           }
           std::size_t hurt = 0;
-          for (std::map<std::string, Caller>::value_type const& c : callers_)
-            hurt += c.second.open && c.second.node == link && c.second.life == life && c.second.worded &&
-                            !c.second.brokenOff
-                        ? 1
-                        : 0;
+          for (auto const& [id, caller] : callers_)
+            hurt +=
+                caller.open && caller.node == link && caller.life == life && caller.worded && !caller.brokenOff ? 1 : 0;
           if (hurt > 0)
             violation("a planned restart dropped " + std::to_string(hurt) + " requests in hand at " + link +
                       ", which still held " + std::to_string(k.data->pendingCount()) + ", " +
@@ -451,19 +448,19 @@
     case Fault::resetConnections:
       for (Tick t = 0; t < shortly; t += 300)
         after(t, [this] {
-          for (std::map<std::string, Node>::value_type& n : nodes_) {
-            if (!n.second.alive || !rng_.chance(0.2)) continue;
-            resetLinks(n.second);
-            if (n.second.data && rng_.chance(0.5)) resetCallers(n.second);
-            if (n.second.data && rng_.chance(0.5)) resetReplicas(n.second);
+          for (auto& [name, process] : nodes_) {
+            if (!process.alive || !rng_.chance(0.2)) continue;
+            resetLinks(process);
+            if (process.data && rng_.chance(0.5)) resetCallers(process);
+            if (process.data && rng_.chance(0.5)) resetReplicas(process);
           }
         });
       break;
     case Fault::forgetConnections:
       for (Tick t = 0; t < shortly + 4000; t += 100)
         after(t, [this] {
-          for (std::map<std::pair<std::string, std::string>, std::vector<Idle>>::value_type& i : idle_)
-            for (Idle& c : i.second) c.dead = c.dead || rng_.chance(0.3);
+          for (auto& [key, idle] : idle_)
+            for (Idle& c : idle) c.dead = c.dead || rng_.chance(0.3);
         });
       break;
     case Fault::slowRouter:
@@ -530,16 +527,16 @@
   zoneCuts_.clear();
   loss_ = 0;
   duplication_ = 0;
-  for (std::map<std::string, Node>::value_type& n : nodes_) {
-    n.second.diskDelay = 2;
-    if (n.second.step > 0 && n.second.alive) unslow(n.second);
-    if (n.second.diskStalled) {
-      n.second.diskStalled = false;
-      n.second.writing = false;
-      if (n.second.alive) disk(n.second);
+  for (auto& [link, node] : nodes_) {
+    node.diskDelay = 2;
+    if (node.step > 0 && node.alive) unslow(node);
+    if (node.diskStalled) {
+      node.diskStalled = false;
+      node.writing = false;
+      if (node.alive) disk(node);
     }
-    if (n.second.disk && (n.second.disk->full || n.second.disk->failing)) kill(n.second, false);
-    if (!n.second.alive && plan_.mutation != Mutation::noReturn) boot(n.second);
+    if (node.disk && (node.disk->full || node.disk->failing)) kill(node, false);
+    if (!node.alive && plan_.mutation != Mutation::noReturn) boot(node);
   }
 }
 
--- a/testing/sim/operators.cpp
+++ b/testing/sim/operators.cpp
@@ -11,8 +11,8 @@
   for (std::string const& link : luredBy_)
     if (Node const* const n = node(link); n != nullptr && n->control && n->alive && !n->draining) return link;
   std::vector<std::string> up;
-  for (std::map<std::string, Node>::value_type const& n : nodes_)
-    if (n.second.control && n.second.alive && !n.second.draining) up.push_back(n.first);
+  for (auto const& [address, machine] : nodes_)
+    if (machine.control && machine.alive && !machine.draining) up.push_back(address);
   return up.empty() ? "" : up[rng_.below(up.size())];
 }
 
@@ -128,20 +128,20 @@
   for (char const* const pool : {"model", "other"}) {
     QJsonArray list;
     std::vector<std::string> leaving;
-    for (std::map<std::string, Replica>::value_type& r : replicas_) {
-      if (r.second.pool != pool) continue;
-      if (r.second.listed && r.second.state != "leaving")
-        r.second.shownLeaving = -1;
+    for (auto& [address, replica] : replicas_) {
+      if (replica.pool != pool) continue;
+      if (replica.listed && replica.state != "leaving")
+        replica.shownLeaving = -1;
       else
-        leaving.push_back(r.first);
-      if (!r.second.listed) continue;
-      QJsonObject row{{"address", core::toQString(r.first)},
-                      {"zone", core::toQString(r.second.zone)},
-                      {"state", core::toQString(r.second.state)}};
+        leaving.push_back(address);
+      if (!replica.listed) continue;
+      QJsonObject row{{"address", core::toQString(address)},
+                      {"zone", core::toQString(replica.zone)},
+                      {"state", core::toQString(replica.state)}};
       if (plan_.regimes) {
-        row.insert("id", core::toQString(lifeOf(r.second)));
-        shownLives_[r.first] = lifeOf(r.second);
-        everListed_.insert(lifeOf(r.second));
+        row.insert("id", core::toQString(lifeOf(replica)));
+        shownLives_[address] = lifeOf(replica);
+        everListed_.insert(lifeOf(replica));
       }
       list.append(row);
     }
@@ -155,7 +155,7 @@
                      std::string const& body) {
   if (generation != generation_) return;
   std::shared_ptr<bool> const done = std::make_shared<bool>(false);
-  std::function<void()> const shown = [this, leaving, generation] {
+  auto const shown = [this, leaving, generation] {
     for (std::string const& a : leaving)
       if (generation == generation_ && replicas_.at(a).shownLeaving < 0) replicas_.at(a).shownLeaving = now_;
   };
@@ -165,8 +165,8 @@
            if (status == 200) *done = true;
          });
   std::vector<std::string> up;
-  for (std::map<std::string, Node>::value_type const& n : nodes_)
-    if (n.second.data && n.second.alive) up.push_back(n.first);
+  for (auto const& [address, machine] : nodes_)
+    if (machine.data && machine.alive) up.push_back(address);
   for (int i = 0; i < 2 && !up.empty(); ++i) {
     std::string const link = up[rng_.below(up.size())];
     shown();
--- a/testing/sim/oracles.cpp
+++ b/testing/sim/oracles.cpp
@@ -11,9 +11,9 @@
 bool World::mostLiveSince(Tick since) const {
   std::size_t all = 0;
   std::size_t live = 0;
-  for (std::map<std::string, Node>::value_type const& n : nodes_) {
-    all += n.second.disk ? 0 : 1;
-    live += n.second.data && n.second.alive && n.second.bootedAt < since ? 1 : 0;
+  for (auto const& [link, node] : nodes_) {
+    all += node.disk ? 0 : 1;
+    live += node.data && node.alive && node.bootedAt < since ? 1 : 0;
   }
   return live >= all / 2 + 1;
 }
@@ -30,9 +30,9 @@
   if (static_cast<double>(repeats_.size()) > 0.2 * static_cast<double>(firsts_.size()) + 20.0)
     violation("repeats " + std::to_string(repeats_.size()) + " over first hand-overs " +
               std::to_string(firsts_.size()) + " in 10 s");
-  for (std::map<std::string, Replica>::value_type const& r : replicas_) {
+  for (auto const& r : replicas_) {
     if (r.second.state != "cold") continue;
-    std::size_t const n = static_cast<std::size_t>(
+    auto const n = static_cast<std::size_t>(
         std::count_if(r.second.coldHits.begin(), r.second.coldHits.end(), [&](Tick t) { return t > now_ - 3000; }));
     if (static_cast<double>(n) > 3.0 * coldRate + 1.0)
       violation("cold replica " + r.first + " had " + std::to_string(n) + " requests in 3 s");
@@ -40,9 +40,9 @@
   std::set<std::string> rejected;
   for (Change const& c : changes_)
     if (c.key == family && c.status >= 400 && c.status < 500 && !c.mark.empty()) rejected.insert(c.mark);
-  for (std::map<std::string, Node>::value_type const& n : nodes_) {
-    if (!n.second.alive || !n.second.data) continue;
-    std::string const logEvent = core::toStdString(n.second.data->configurationValue(family)
+  for (auto const& [link, node] : nodes_) {
+    if (!node.alive || !node.data) continue;
+    std::string const logEvent = core::toStdString(node.data->configurationValue(family)
                                                        .value("template")
                                                        .toObject()
                                                        .value("spec")
@@ -50,13 +50,13 @@
                                                        .value("note")
                                                        .toString());
     if (rejected.count(logEvent) > 0) violation("a rejected change is in force: " + logEvent);
-    for (std::pair<std::size_t, std::size_t> const& part : n.second.data->subsetSizes("model")) {
+    for (std::pair<std::size_t, std::size_t> const& part : node.data->subsetSizes("model")) {
       result_.partSum += static_cast<double>(part.first);
       ++result_.partSamples;
       result_.counts["held-most"] = std::max(result_.counts["held-most"], part.second);
     }
     ++result_.counts["standing-looks"];
-    if (n.second.data->servingLease(local(n.second))) ++result_.counts["standing-held"];
+    if (node.data->servingLease(local(node))) ++result_.counts["standing-held"];
   }
 }
 
@@ -96,7 +96,7 @@
   std::string const want = last == nullptr ? "" : last->what;
   answers_[{link, token}] = [this, read, newest, want](int status, QJsonObject const& body) {
     *read = true;
-    std::uint64_t const revision = static_cast<std::uint64_t>(body.value("stamp").toInteger());
+    auto const revision = static_cast<std::uint64_t>(body.value("stamp").toInteger());
     if (status != 200) violation("the configuration could not be read back: " + std::to_string(status));
     if (revision < newest)
       violation("acknowledged change lost: revision " + std::to_string(revision) + ", acknowledged " +
@@ -137,17 +137,17 @@
     if (!*read) violation("the configuration could not be read back: no answer");
     std::size_t servingLease = 0;
     std::size_t all = 0;
-    for (std::map<std::string, Node>::value_type const& k : nodes_) {
-      if (!k.second.data) continue;
+    for (auto const& [address, machine] : nodes_) {
+      if (!machine.data) continue;
       ++all;
-      servingLease += k.second.alive && k.second.data->servingLease(local(k.second)) ? 1 : 0;
+      servingLease += machine.alive && machine.data->servingLease(local(machine)) ? 1 : 0;
     }
     std::set<std::size_t> sizes;
     std::size_t voting = 0;
     std::size_t disks = 0;
-    for (std::map<std::string, Node>::value_type const& k : nodes_) {
-      if (!k.second.control) continue;
-      consensus::ReplicatedRegisters const& m = k.second.control->registers();
+    for (auto const& [name, process] : nodes_) {
+      if (!process.control) continue;
+      consensus::ReplicatedRegisters const& m = process.control->registers();
       ++disks;
       sizes.insert(m.membership().size());
       voting += m.isVoting() && std::any_of(m.membership().begin(), m.membership().end(),
--- a/testing/sim/orders.cpp
+++ b/testing/sim/orders.cpp
@@ -35,8 +35,8 @@
 
 std::string World::otherController(std::string const& link) {
   std::vector<std::string> up;
-  for (std::map<std::string, Node>::value_type const& n : nodes_)
-    if (n.second.control && n.second.alive && !n.second.draining && n.first != link) up.push_back(n.first);
+  for (auto const& [address, machine] : nodes_)
+    if (machine.control && machine.alive && !machine.draining && address != link) up.push_back(address);
   if (up.empty()) return node(link) != nullptr && node(link)->alive ? link : std::string();
   return up[rng_.below(up.size())];
 }
@@ -52,7 +52,7 @@
   std::shared_ptr<bool> const done = std::make_shared<bool>(false);
   bool const late = plan_.mutation == Mutation::lateAnswers && call.method != "GET";
   answers_[{link, call.token}] = [this, done, then, late](int status, QJsonObject const& body) {
-    std::function<void()> const told = [done, then, status, body] {
+    auto const told = [done, then, status, body] {
       if (*done) return;
       *done = true;
       then(status, body);
@@ -188,7 +188,7 @@
 }
 
 void World::orderRefused(Order& order, std::string const& link, std::uint64_t baseAtSend, int status) {
-  std::size_t const ix = static_cast<std::size_t>(&order - orders_.data());
+  auto const ix = static_cast<std::size_t>(&order - orders_.data());
   bool const inFact = std::any_of(orderOf_.begin(), orderOf_.end(),
                                   [&](std::pair<std::uint64_t const, std::size_t> const& c) { return c.second == ix; });
   if (order.takenAt >= 0 || inFact) {
@@ -240,8 +240,7 @@
   ++result_.counts["reads"];
   if (plan_.mutation == Mutation::staleRead) {
     std::map<std::string, consensus::CommittedValue> const& have = n.control->registers().committed();
-    std::map<std::string, consensus::CommittedValue>::const_iterator const it =
-        have.find(config::fleetConfigurationKey);
+    auto const it = have.find(config::fleetConfigurationKey);
     QJsonObject const spec = it == have.end() ? QJsonObject() : it->second.value.value("spec").toObject();
     checkRead(link, confirmed, it == have.end() ? 404 : 200, QJsonObject{{"version", spec.value("version")}});
     return;
@@ -258,7 +257,7 @@
     ++result_.counts["reads-unclear"];
     return;
   }
-  std::uint64_t const version = static_cast<std::uint64_t>(body.value("version").toInteger());
+  auto const version = static_cast<std::uint64_t>(body.value("version").toInteger());
   if (!success(status) && confirmed > 0)
     violation("a read was refused with " + std::to_string(status) + " by " + link + " though " +
               std::to_string(confirmed) + " was confirmed");
@@ -269,7 +268,7 @@
 
 void World::wholeCommitted(Node const& n) {
   std::map<std::string, consensus::CommittedValue> const& have = n.control->registers().committed();
-  std::map<std::string, consensus::CommittedValue>::const_iterator const it = have.find(config::fleetConfigurationKey);
+  auto const it = have.find(config::fleetConfigurationKey);
   if (it == have.end()) return;
   if (!firstWhole_)
     firstWhole_ = transport::CommittedEntry{config::fleetConfigurationKey, it->second.revision, it->second.value};
@@ -277,7 +276,7 @@
   std::uint64_t version =
       static_cast<std::uint64_t>(it->second.value.value("spec").toObject().value("version").toInteger());
   if (plan_.mutation == Mutation::foreignBody && n.link == "s1") ++version;
-  std::map<std::uint64_t, std::uint64_t>::const_iterator const known = committedVersions_.find(revision);
+  auto const known = committedVersions_.find(revision);
   if (known != committedVersions_.end()) {
     if (known->second != version)
       violation("two whole configurations under revision " + std::to_string(revision) + ": " +
@@ -298,7 +297,7 @@
     before = o.id;
   }
   for (std::pair<std::uint64_t const, std::size_t> const& c : orderOf_) {
-    std::map<std::uint64_t, std::uint64_t>::const_iterator const earlier = committedVersions_.find(c.first - 1);
+    auto const earlier = committedVersions_.find(c.first - 1);
     if (earlier != committedVersions_.end() && std::to_string(earlier->second) != orders_[c.second].base)
       violation("order " + orders_[c.second].id + " on " + orders_[c.second].base + " follows version " +
                 std::to_string(earlier->second));
@@ -309,7 +308,7 @@
   call.method = "GET";
   call.path = config::fleetConfigurationPage;
   ask(link, call, 10000, [this](int status, QJsonObject const& body) {
-    std::uint64_t const version = static_cast<std::uint64_t>(body.value("version").toInteger());
+    auto const version = static_cast<std::uint64_t>(body.value("version").toInteger());
     if (!success(status) && confirmedVersion_ > 0)
       violation("the whole configuration could not be read back: " + std::to_string(status));
     else if (version < confirmedVersion_)
--- a/testing/sim/outages.cpp
+++ b/testing/sim/outages.cpp
@@ -6,18 +6,18 @@
 namespace corkward::testing {
 
 void World::resetLinks(Node& n) {
-  for (std::map<std::string, Node>::value_type const& o : nodes_)
+  for (auto const& [link, node] : nodes_)
     if (rng_.chance(0.5)) {
-      ++resets_[{n.link, o.first}];
-      ++resets_[{o.first, n.link}];
+      ++resets_[{n.link, link}];
+      ++resets_[{link, n.link}];
     }
 }
 
 void World::resetCallers(Node& n) {
   std::vector<std::pair<std::string, std::uint64_t>> hit;
-  for (std::map<std::string, Caller>::value_type const& c : callers_)
-    if (c.second.open && c.second.node == n.link && c.second.life == n.life && rng_.chance(0.5))
-      hit.emplace_back(c.first, c.second.call);
+  for (auto const& [id, caller] : callers_)
+    if (caller.open && caller.node == n.link && caller.life == n.life && rng_.chance(0.5))
+      hit.emplace_back(id, caller.call);
   for (std::pair<std::string, std::uint64_t> const& h : hit) {
     ++result_.counts["reset-callers"];
     toNode(n.link, n.life, [this, link = n.link, call = h.second] {
@@ -29,13 +29,13 @@
 }
 
 void World::resetReplicas(Node& n) {
-  for (std::map<std::pair<std::string, std::uint64_t>, Forwarded>::value_type& r : upstreams_) {
-    if (r.first.first != n.link || r.second.run.empty() || !rng_.chance(0.5)) continue;
-    Replica* const to = replica(r.second.address);
-    if (to == nullptr || to->runs.count(r.second.run) == 0 || !to->runs.at(r.second.run).alive) continue;
+  for (auto& [key, forwarded] : upstreams_) {
+    if (key.first != n.link || forwarded.run.empty() || !rng_.chance(0.5)) continue;
+    Replica* const to = replica(forwarded.address);
+    if (to == nullptr || to->runs.count(forwarded.run) == 0 || !to->runs.at(forwarded.run).alive) continue;
     ++result_.counts["reset-streams"];
-    to->runs.at(r.second.run).alive = false;
-    wire(n.link, n.life, r.first.second, r.second.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
+    to->runs.at(forwarded.run).alive = false;
+    wire(n.link, n.life, key.second, forwarded.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
   }
 }
 
@@ -55,8 +55,7 @@
     replicas_[r.address] = r;
   }
   platform();
-  std::function<void(Tick, std::string, bool)> const become = [this, fresh](Tick when, std::string const& state,
-                                                                            bool gone) {
+  auto const become = [this, fresh](Tick when, std::string const& state, bool gone) {
     after(when, [this, fresh, state, gone] {
       for (std::string const& a : fresh) {
         Replica& r = replicas_.at(a);
@@ -76,16 +75,16 @@
 void World::loseZone(std::string const& zone, Tick how) {
   ++result_.counts["lost-zones"];
   std::vector<std::string> hit;
-  for (std::map<std::string, Replica>::value_type& r : replicas_) {
-    if (r.second.zone != zone || !r.second.listed || r.second.state != "serving" || r.second.dark) continue;
-    r.second.dark = true;
-    hit.push_back(r.first);
+  for (auto& [address, replica] : replicas_) {
+    if (replica.zone != zone || !replica.listed || replica.state != "serving" || replica.dark) continue;
+    replica.dark = true;
+    hit.push_back(address);
   }
-  for (std::map<std::string, Node>::value_type& n : nodes_) {
-    if (n.second.zone != zone || !n.second.alive) continue;
-    kill(n.second, true);
-    n.second.dark = true;
-    after(how, [this, link = n.first] {
+  for (auto& [name, process] : nodes_) {
+    if (process.zone != zone || !process.alive) continue;
+    kill(process, true);
+    process.dark = true;
+    after(how, [this, link = name] {
       Node* const k = node(link);
       if (k != nullptr && !k->alive) boot(*k);
     });
--- a/testing/sim/peer_heartbeats.cpp
+++ b/testing/sim/peer_heartbeats.cpp
@@ -29,26 +29,25 @@
 std::set<std::string> World::settledCore() const {
   std::size_t disks = 0;
   std::set<std::string> out;
-  for (std::map<std::string, Node>::value_type const& n : nodes_) disks += n.second.disk ? 1 : 0;
-  for (std::map<std::string, Node>::value_type const& n : nodes_) {
-    if (!n.second.disk || !running(n.second)) continue;
+  for (auto const& [link, node] : nodes_) disks += node.disk ? 1 : 0;
+  for (auto const& [address, machine] : nodes_) {
+    if (!machine.disk || !running(machine)) continue;
     std::size_t reached = 0;
-    for (std::map<std::string, Node>::value_type const& o : nodes_)
-      reached += o.second.disk && running(o.second) && joined(n.first, o.first) ? 1 : 0;
-    if (reached > disks / 2) out.insert(n.first);
+    for (auto const& [name, process] : nodes_)
+      reached += process.disk && running(process) && joined(address, name) ? 1 : 0;
+    if (reached > disks / 2) out.insert(address);
   }
   return out;
 }
 
 std::string World::coreState() const {
   std::string out;
-  for (std::map<std::string, Node>::value_type const& n : nodes_) {
-    if (!n.second.disk) continue;
-    bool const harmed =
-        n.second.diskStalled || n.second.diskDelay != 2 || n.second.disk->full || n.second.disk->failing;
-    out += n.first + ":" + std::to_string(n.second.life) + (running(n.second) ? "+" : "-") + (harmed ? "!" : "");
-    for (std::map<std::string, Node>::value_type const& o : nodes_)
-      if (o.second.disk) out += joined(n.first, o.first) ? "1" : "0";
+  for (auto const& [link, node] : nodes_) {
+    if (!node.disk) continue;
+    bool const harmed = node.diskStalled || node.diskDelay != 2 || node.disk->full || node.disk->failing;
+    out += link + ":" + std::to_string(node.life) + (running(node) ? "+" : "-") + (harmed ? "!" : "");
+    for (auto const& [address, machine] : nodes_)
+      if (machine.disk) out += joined(link, address) ? "1" : "0";
     out += " ";
   }
   return out;
@@ -56,10 +55,11 @@
 
 bool World::calm() const {
   if (!cuts_.empty() || !zoneCuts_.empty() || loss_ > 0) return false;
-  return std::all_of(nodes_.begin(), nodes_.end(), [](std::map<std::string, Node>::value_type const& n) {
-    bool const disk = !n.second.disk || (!n.second.diskStalled && n.second.diskDelay == 2 && !n.second.disk->full &&
-                                         !n.second.disk->failing);
-    return disk && n.second.step == 0 && !n.second.frozen;
+  return std::all_of(nodes_.begin(), nodes_.end(), [](auto const& entry) {
+    Node const& node = entry.second;
+    bool const disk =
+        !node.disk || (!node.diskStalled && node.diskDelay == 2 && !node.disk->full && !node.disk->failing);
+    return disk && node.step == 0 && !node.frozen;
   });
 }
 
@@ -86,7 +86,7 @@
   bool const bad = state.find('-') != std::string::npos || state.find('!') != std::string::npos ||
                    state.find('0') != std::string::npos;
   if (!calm() || bad || state.empty()) memberTroubledAt_ = now_;
-  for (std::map<std::string, Node>::value_type& n : nodes_) {
+  for (auto& n : nodes_) {
     bool const path =
         std::all_of(settled_.begin(), settled_.end(), [&](std::string const& link) { return joined(n.first, link); });
     if (!running(n.second) || !path || loss_ > 0) n.second.troubledAt = now_;
@@ -106,14 +106,14 @@
 }
 
 void World::inspectRouters() {
-  for (std::map<std::string, Node>::value_type& n : nodes_) {
-    Node& k = n.second;
+  for (auto& [link, node] : nodes_) {
+    Node& k = node;
     if (!k.data || !k.alive || k.frozen) continue;
     std::uint64_t const have = k.data->revisionOf(config::fleetConfigurationKey);
     if (!inTouch(k)) continue;
     for (Order const& o : orders_)
       if (o.takenAt >= 0 && o.revision > have && now_ > o.takenAt + plan_.bounds.applied) {
-        violation("out of date though in touch: " + n.first + " has revision " + std::to_string(have) + ", " +
+        violation("out of date though in touch: " + link + " has revision " + std::to_string(have) + ", " +
                   std::to_string(o.revision) + " was confirmed " + std::to_string(now_ - o.takenAt) +
                   " ms ago; in trouble last " + std::to_string(now_ - k.troubledAt) + " ms ago");
         break;
@@ -125,8 +125,8 @@
   Tick const since = std::max(coreChangedAt_, memberTroubledAt_);
   if (now_ - since < plan_.bounds.catchUp) return;
   std::size_t disks = 0;
-  for (std::map<std::string, Node>::value_type const& n : nodes_) disks += n.second.disk ? 1 : 0;
-  for (std::map<std::string, Node>::value_type const& n : nodes_) {
+  for (auto const& [link, node] : nodes_) disks += node.disk ? 1 : 0;
+  for (auto const& n : nodes_) {
     if (!n.second.control) continue;
     consensus::ReplicatedRegisters const& r = n.second.control->registers();
     bool const member = std::any_of(r.membership().begin(), r.membership().end(),
--- a/testing/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -9,7 +9,7 @@
 namespace corkward::testing {
 
 World::Replica* World::replica(std::string const& address) {
-  std::map<std::string, Replica>::iterator const it = replicas_.find(address);
+  auto const it = replicas_.find(address);
   return it == replicas_.end() ? nullptr : &it->second;
 }
 
@@ -18,7 +18,7 @@
   std::uint64_t const life = n.life;
   std::uint64_t const turn = upstreams_.at({link, m.call}).turn;
   after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, m, turn] {
-    std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({link, m.call});
+    auto const it = upstreams_.find({link, m.call});
     if (it == upstreams_.end() || it->second.turn != turn) return;
     Replica const* const to = replica(m.address);
     if (to == nullptr || to->dark) return;
@@ -26,8 +26,7 @@
     bool const named = to->up && (lifeOf(*to) == m.incarnation || plan_.mutation == Mutation::skipLife);
     after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, m, turn, named] {
       toNode(link, life, [this, link, m, turn, named] {
-        std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still =
-            upstreams_.find({link, m.call});
+        auto const still = upstreams_.find({link, m.call});
         if (still == upstreams_.end() || still->second.turn != turn) return;
         Node& k = *node(link);
         Replica const& other = *replica(m.address);
@@ -45,7 +44,7 @@
 void World::connect(Node& n, dataplane::Connect m) {
   abandon(n, m.call);
   if (plan_.mutation == Mutation::resumeAnywhere && m.resume && !m.incarnation.empty()) {
-    std::map<std::string, Replica>::const_iterator it = replicas_.begin();
+    auto it = replicas_.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(rng_.below(static_cast<std::uint64_t>(plan_.models))));
     m.address = it->first;
     m.incarnation = lifeOf(it->second);
@@ -82,8 +81,7 @@
   bool const up = to->up && !(to->grey > 0 && rng_.chance(to->grey / 4));
   after(r.kept ? 0 : 1 + static_cast<Tick>(rng_.below(3)), [this, link, life, call = m.call, up, turn] {
     toNode(link, life, [this, link, call, up, turn] {
-      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const it =
-          upstreams_.find({link, call});
+      auto const it = upstreams_.find({link, call});
       if (it == upstreams_.end() || it->second.turn != turn) return;
       Node& k = *node(link);
       if (up)
@@ -95,7 +93,7 @@
 }
 
 void World::handOver(Node& n, std::uint64_t call) {
-  std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({n.link, call});
+  auto const it = upstreams_.find({n.link, call});
   if (it == upstreams_.end()) return;
   std::string const link = n.link;
   std::uint64_t const life = n.life;
@@ -116,14 +114,13 @@
   }
   bool const named = !it->second.connect.incarnation.empty();
   after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, call, turn, named] {
-    std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const r = upstreams_.find({link, call});
+    auto const r = upstreams_.find({link, call});
     if (r == upstreams_.end() || r->second.turn != turn) return;
     Replica* const to = replica(r->second.address);
     if (to == nullptr || !to->up || r->second.dead || (named && to->life != r->second.process)) {
       if (r->second.dead) ++result_.counts["forgotten-connections"];
       toNode(link, life, [this, link, call, turn] {
-        std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still =
-            upstreams_.find({link, call});
+        auto const still = upstreams_.find({link, call});
         if (still == upstreams_.end() || still->second.turn != turn) return;
         fed(*node(link), call, [](dataplane::ResponseStream& st) { return st.ended(false); });
       });
@@ -151,7 +148,7 @@
   if (leaving >= 0 && now_ > leaving + 3000)
     violation("replica " + r.address + " reached " + std::to_string(now_ - r.shownLeaving) +
               " ms after it was shown leaving");
-  std::map<std::string, std::pair<Tick, bool>>::const_iterator const zone = zoneShown_.find(r.zone);
+  auto const zone = zoneShown_.find(r.zone);
   Tick const evacuated = zone == zoneShown_.end() ? -1 : boundFrom(n, zone->second.first);
   if (zone != zoneShown_.end() && zone->second.second && evacuated >= 0 && now_ > evacuated + 5000)
     violation("zone " + r.zone + " reached " + std::to_string(now_ - zone->second.first) +
@@ -172,7 +169,7 @@
   if (m.resume && !tale) {
     dataplane::Resume const asked = streams_[{n.link, call}].resume();
     std::string const wanted = asked.run;
-    std::map<std::string, Run>::iterator const known = r.runs.find(wanted);
+    auto const known = r.runs.find(wanted);
     ++result_.counts[known != r.runs.end() ? "resumed" : "resume-denied"];
     forwarded.run = wanted;
     if (known == r.runs.end()) {
@@ -206,7 +203,7 @@
     });
     return;
   }
-  std::map<std::string, Caller>::iterator const caller = callers_.find(id);
+  auto const caller = callers_.find(id);
   Run run;
   run.run = r.address + "#" + std::to_string(nextRun_++);
   run.id = id;
@@ -283,8 +280,8 @@
   if (r.pool != "model") return;
   double usable = 0;
   double grey = 0;
-  for (std::map<std::string, Replica>::value_type const& k : replicas_) {
-    Replica const& o = k.second;
+  for (auto const& [address, replica] : replicas_) {
+    Replica const& o = replica;
     if (o.pool != "model" || !o.up || o.dark || !o.listed || o.state != "serving") continue;
     ++usable;
     if (o.grey > 0 && now_ - o.greySince > greyNoticed) ++grey;
@@ -298,7 +295,7 @@
   while (r.running < slots && !r.queue.empty()) {
     std::string const name = r.queue.front();
     r.queue.pop_front();
-    std::map<std::string, Run>::const_iterator const it = r.runs.find(name);
+    auto const it = r.runs.find(name);
     if (it == r.runs.end() || !it->second.alive) continue;
     ++r.running;
     std::string const address = r.address;
@@ -311,8 +308,8 @@
                       : run.shape == Shape::longAnswer ? 100
                       : run.bulk                       ? 600
                                                        : 200;
-    Tick const first = static_cast<Tick>(slow * static_cast<double>(read + static_cast<Tick>(rng_.below(40))));
-    Tick const rest = static_cast<Tick>(slow * static_cast<double>(r.pool == "other"                ? 5
+    auto const first = static_cast<Tick>(slow * static_cast<double>(read + static_cast<Tick>(rng_.below(40))));
+    auto const rest = static_cast<Tick>(slow * static_cast<double>(r.pool == "other"                ? 5
                                                                    : run.shape == Shape::longPrompt ? 100
                                                                    : run.shape == Shape::longAnswer ? 6000
                                                                    : run.bulk ? 2000 + rng_.below(3000)
@@ -356,14 +353,14 @@
 }
 
 void World::wire(std::string const& link, std::uint64_t life, std::uint64_t call, std::uint64_t turn, Fed event) {
-  std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({link, call});
+  auto const it = upstreams_.find({link, call});
   if (it == upstreams_.end() || it->second.turn != turn) return;
   it->second.underWay.push_back(std::move(event));
   if (it->second.underWay.size() == 1) after(2, [this, link, life, call, turn] { arrive(link, life, call, turn); });
 }
 
 void World::arrive(std::string const& link, std::uint64_t life, std::uint64_t call, std::uint64_t turn) {
-  std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({link, call});
+  auto const it = upstreams_.find({link, call});
   if (it == upstreams_.end() || it->second.turn != turn || it->second.underWay.empty()) return;
   Replica const* const r = replica(it->second.address);
   Node const* const n = node(link);
@@ -378,15 +375,14 @@
   it->second.underWay.clear();
   for (Fed const& event : events)
     toNode(link, life, [this, link, call, turn, event] {
-      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const still =
-          upstreams_.find({link, call});
+      auto const still = upstreams_.find({link, call});
       if (still == upstreams_.end() || still->second.turn != turn) return;
       fed(*node(link), call, event);
     });
 }
 
 void World::fed(Node& n, std::uint64_t call, Fed const& event) {
-  std::map<std::pair<std::string, std::uint64_t>, Forwarded>::const_iterator const it = upstreams_.find({n.link, call});
+  auto const it = upstreams_.find({n.link, call});
   if (it == upstreams_.end()) return;
   std::string const id = it->second.caller;
   std::pair<std::string, std::uint64_t> const key{n.link, call};
@@ -401,7 +397,7 @@
     steps.finish = true;
   }
   if (steps.failed) run(n, n.data->onUpstreamError(local(n), call));
-  std::map<std::string, Caller>::iterator const c = callers_.find(id);
+  auto const c = callers_.find(id);
   bool const hears = c != callers_.end() && c->second.open && c->second.call == call;
   if (hears && steps.begin) {
     c->second.got.clear();
@@ -459,7 +455,7 @@
 }
 
 void World::abandon(Node& n, std::uint64_t call) {
-  std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it = upstreams_.find({n.link, call});
+  auto const it = upstreams_.find({n.link, call});
   if (it == upstreams_.end()) return;
   Replica* const r = replica(it->second.address);
   if (r != nullptr && r->runs.count(it->second.run) > 0) r->runs.at(it->second.run).alive = false;
@@ -472,13 +468,11 @@
   r.running = 0;
   r.queue.clear();
   r.prefixes.clear();
-  std::erase_if(idle_, [&](std::map<std::pair<std::string, std::string>, std::vector<Idle>>::value_type const& i) {
-    return i.first.second == r.address;
-  });
+  std::erase_if(idle_, [&](auto const& entry) { return entry.first.second == r.address; });
   std::vector<Run> const hit = [&] {
     std::vector<Run> out;
-    for (std::map<std::string, Run>::value_type const& run : r.runs)
-      if (run.second.alive && !run.second.done) out.push_back(run.second);
+    for (auto const& [name, execution] : r.runs)
+      if (execution.alive && !execution.done) out.push_back(execution);
     return out;
   }();
   r.runs.clear();
@@ -489,10 +483,10 @@
 }
 
 void World::breakStreams(Replica& r) {
-  for (std::map<std::string, Run>::value_type& run : r.runs) {
-    if (!run.second.alive) continue;
-    run.second.alive = false;
-    Run const& b = run.second;
+  for (auto& [name, execution] : r.runs) {
+    if (!execution.alive) continue;
+    execution.alive = false;
+    Run const& b = execution;
     wire(b.node, b.life, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
   }
 }
--- a/testing/sim/sweep.cpp
+++ b/testing/sim/sweep.cpp
@@ -174,28 +174,26 @@
           for (std::string const& t : result.timeline) std::cout << " " << t << ";";
           std::cout << "\n";
         }
-        double const seconds = static_cast<double>(plan.length - 10000) / 1000.0;
-        for (std::map<std::pair<std::string, std::string>, std::pair<std::size_t, std::size_t>>::value_type const& t :
-             result.traffic) {
-          double const each = seconds * (t.first.first == transport::routerRole ? plan.routers : plan.controllers);
-          std::cout << "seed " << seed << " traffic " << t.first.first << " " << t.first.second
-                    << " messages=" << static_cast<double>(t.second.first) / each
-                    << " bytes=" << static_cast<double>(t.second.second) / each << "\n";
+        auto const seconds = static_cast<double>(plan.length - 10000) / 1000.0;
+        for (auto const& [messageType, volume] : result.traffic) {
+          double const each = seconds * (messageType.first == transport::routerRole ? plan.routers : plan.controllers);
+          std::cout << "seed " << seed << " traffic " << messageType.first << " " << messageType.second
+                    << " messages=" << static_cast<double>(volume.first) / each
+                    << " bytes=" << static_cast<double>(volume.second) / each << "\n";
         }
         if (counts) {
           std::cout << "seed " << seed;
-          for (std::map<std::string, std::size_t>::value_type const& c : result.counts)
-            std::cout << " " << c.first << "=" << c.second;
-          for (std::map<std::string, std::vector<Tick>>::value_type const& f : result.firstWords) {
-            std::vector<Tick> t = f.second;
+          for (auto const& [counter, value] : result.counts) std::cout << " " << counter << "=" << value;
+          for (auto const& [requestClass, times] : result.firstWords) {
+            std::vector<Tick> t = times;
             std::sort(t.begin(), t.end());
-            std::cout << " " << f.first << "-median=" << t[t.size() / 2] << " " << f.first
+            std::cout << " " << requestClass << "-median=" << t[t.size() / 2] << " " << requestClass
                       << "-99=" << t[t.size() * 99 / 100];
           }
-          for (std::map<std::string, std::vector<Tick>>::value_type const& f : result.servedWords) {
-            std::vector<Tick> t = f.second;
+          for (auto const& [requestClass, times] : result.servedWords) {
+            std::vector<Tick> t = times;
             std::sort(t.begin(), t.end());
-            std::cout << " " << f.first << "-served-median=" << t[t.size() / 2] << " " << f.first
+            std::cout << " " << requestClass << "-served-median=" << t[t.size() / 2] << " " << requestClass
                       << "-served-99=" << t[t.size() * 99 / 100];
           }
           if (result.partSamples > 0)
--- a/testing/sim/world.cpp
+++ b/testing/sim/world.cpp
@@ -46,12 +46,12 @@
 }
 
 World::Node* World::node(std::string const& link) {
-  std::map<std::string, Node>::iterator const it = nodes_.find(link);
+  auto const it = nodes_.find(link);
   return it == nodes_.end() ? nullptr : &it->second;
 }
 
 World::Node const* World::node(std::string const& link) const {
-  std::map<std::string, Node>::const_iterator const it = nodes_.find(link);
+  auto const it = nodes_.find(link);
   return it == nodes_.end() ? nullptr : &it->second;
 }
 
@@ -235,19 +235,17 @@
     return;
   }
   n.data.reset();
-  std::erase_if(idle_, [&](std::map<std::pair<std::string, std::string>, std::vector<Idle>>::value_type const& i) {
-    return i.first.first == n.link;
-  });
+  std::erase_if(idle_, [&](auto const& entry) { return entry.first.first == n.link; });
   std::vector<std::pair<std::string, std::uint64_t>> gone;
-  for (std::map<std::pair<std::string, std::uint64_t>, Forwarded>::value_type const& r : upstreams_)
-    if (r.first.first == n.link) gone.push_back(r.first);
+  for (auto const& [key, forwarded] : upstreams_)
+    if (key.first == n.link) gone.push_back(key);
   for (std::pair<std::string, std::uint64_t> const& g : gone) {
     abandon(n, g.second);
     streams_.erase(g);
   }
   std::vector<std::string> cut;
-  for (std::map<std::string, Caller>::value_type const& c : callers_)
-    if (c.second.open && c.second.node == n.link && c.second.life == n.life) cut.push_back(c.first);
+  for (auto const& [callerId, openCaller] : callers_)
+    if (openCaller.open && openCaller.node == n.link && openCaller.life == n.life) cut.push_back(callerId);
   for (std::string const& id : cut) after(1 + static_cast<Tick>(rng_.below(20)), [this, id] { callerCut(id); });
 }
 
@@ -291,8 +289,7 @@
       wholeCommitted(n);
   for (transport::Send const& s : c.sends) send(link, s);
   for (control::OperatorResponse const& a : c.responses) {
-    std::map<std::pair<std::string, std::uint64_t>, std::function<void(int, QJsonObject const&)>>::iterator const it =
-        answers_.find({link, a.token});
+    auto const it = answers_.find({link, a.token});
     if (it == answers_.end()) continue;
     std::function<void(int, QJsonObject const&)> const then = it->second;
     answers_.erase(it);
@@ -350,8 +347,7 @@
       handOver(n, h->call);
     } else if (dataplane::WriteAuditRecord const* const w = std::get_if<dataplane::WriteAuditRecord>(&v)) {
       ++result_.counts["records"];
-      std::map<std::pair<std::string, std::uint64_t>, Forwarded>::iterator const it =
-          upstreams_.find({n.link, w->call});
+      auto const it = upstreams_.find({n.link, w->call});
       bool const before =
           w->outcome == dataplane::AuditOutcome::dispatched || w->outcome == dataplane::AuditOutcome::resumed;
       if (it != upstreams_.end() && before && plan_.mutation != Mutation::unrecorded)
@@ -365,7 +361,7 @@
       abandon(n, d->call);
       streams_.erase({n.link, d->call});
       after(1, [this, id, reject, link = n.link] {
-        std::map<std::string, Caller>::const_iterator const it = callers_.find(id);
+        auto const it = callers_.find(id);
         if (it != callers_.end() && it->second.open && it->second.call == reject.call && it->second.node == link)
           callerRejected(id, reject);
       });
@@ -373,10 +369,10 @@
       std::string const id = callerOf_[{n.link, b->call}];
       abandon(n, b->call);
       streams_.erase({n.link, b->call});
-      std::map<std::string, Caller>::iterator const caller = callers_.find(id);
+      auto const caller = callers_.find(id);
       if (caller != callers_.end() && caller->second.call == b->call) caller->second.brokenOff = true;
       after(1, [this, id, call = b->call] {
-        std::map<std::string, Caller>::iterator const it = callers_.find(id);
+        auto const it = callers_.find(id);
         if (it == callers_.end() || !it->second.open || it->second.call != call) return;
         if (it->second.status < 500 && !it->second.got.empty() && !oneBody(it->second))
           violation("a stream has a gap, a repeat or a join, and broke: " + id);
@@ -389,7 +385,7 @@
 
 Result World::run() {
   core::GuaranteeCounts::ofThread().takeNewViolations();
-  for (std::map<std::string, Node>::value_type& n : nodes_) boot(n.second);
+  for (auto& [link, node] : nodes_) boot(node);
   at(3500, [this] { platform(); });
   if (plan_.regimes)
     at(4000, [this] {
--- a/testing/test/capacity_test.cpp
+++ b/testing/test/capacity_test.cpp
@@ -4,7 +4,7 @@
 #include <sstream>
 
 #include "fleet.h"
-#include "parts.h"
+#include "experiments.h"
 #include "rig.h"
 
 namespace capacity = corkward::testing::capacity;
@@ -45,18 +45,18 @@
   return s;
 }
 
-double valueOf(capacity::Rows const& rows, std::string const& measure, std::string const& role,
+double valueOf(capacity::Measurements const& rows, std::string const& measure, std::string const& role,
                std::string const& unit) {
-  capacity::Rows::const_iterator const it = std::find_if(rows.begin(), rows.end(), [&](capacity::Row const& r) {
+  auto const it = std::find_if(rows.begin(), rows.end(), [&](capacity::Measurement const& r) {
     return r.measure == measure && r.role == role && r.unit == unit;
   });
   REQUIRE(it != rows.end());
   return it->value;
 }
 
-std::string followsFromTheSeed(capacity::Rows const& rows) {
+std::string followsFromTheSeed(capacity::Measurements const& rows) {
   std::ostringstream out;
-  for (capacity::Row const& r : rows)
+  for (capacity::Measurement const& r : rows)
     if (r.kind == "counted") out << r.measure << "," << r.role << "," << r.unit << "," << r.value << "\n";
   return out.str();
 }
@@ -102,11 +102,11 @@
 TEST_CASE("the same seed gives the same counts, and another one others") {
   for (char const* const part : {"rest", "links", "change", "outage", "split", "zone"}) {
     capacity::Sizes sizes = small();
-    std::string const once = followsFromTheSeed(capacity::findPart(part)->run(sizes));
-    CHECK(once == followsFromTheSeed(capacity::findPart(part)->run(sizes)));
+    std::string const once = followsFromTheSeed(capacity::findExperiment(part)->run(sizes));
+    CHECK(once == followsFromTheSeed(capacity::findExperiment(part)->run(sizes)));
     if (part != std::string("rest")) continue;
     sizes.seed = 2;
-    CHECK(once != followsFromTheSeed(capacity::findPart(part)->run(sizes)));
+    CHECK(once != followsFromTheSeed(capacity::findExperiment(part)->run(sizes)));
   }
 }
 
@@ -125,14 +125,14 @@
   sizes.changes = 86400;
   sizes.apart = 0;
   sizes.seconds = 5;
-  capacity::Rows const rows = capacity::findPart("rest")->run(sizes);
+  capacity::Measurements const rows = capacity::findExperiment("rest")->run(sizes);
   double sent = 0;
   double taken = 0;
   for (char const* const role : {"router", "controller"}) {
-    double const n = static_cast<double>(role == std::string("router") ? sizes.nodes : sizes.control);
+    auto const n = static_cast<double>(role == std::string("router") ? sizes.nodes : sizes.control);
     double const all = valueOf(rows, "sent.all", role, "bytes/s");
     double duties = 0;
-    for (capacity::Row const& r : rows)
+    for (capacity::Measurement const& r : rows)
       if (r.role == role && r.unit == "bytes/s" && r.measure.rfind("sent.", 0) == 0 && r.measure != "sent.all")
         duties += r.value;
     CHECK(duties == Approx(all));
@@ -152,7 +152,7 @@
   std::map<std::int64_t, double> held;
   for (std::int64_t const nodes : {16, 64, 128}) {
     sizes.nodes = nodes;
-    held[nodes] = valueOf(capacity::findPart("links")->run(sizes), "links.held", "router", "links");
+    held[nodes] = valueOf(capacity::findExperiment("links")->run(sizes), "links.held", "router", "links");
   }
   CAPTURE(held[16], held[64], held[128]);
   CHECK(held[16] < 18);
@@ -161,7 +161,7 @@
 }
 
 TEST_CASE("every change that is answered is in force at every node") {
-  capacity::Rows const rows = capacity::findPart("change")->run(small());
+  capacity::Measurements const rows = capacity::findExperiment("change")->run(small());
   CHECK(valueOf(rows, "answered", "operator", "share") == 1);
   CHECK(valueOf(rows, "in_force.most", "operator", "ms") > 0);
   CHECK(valueOf(rows, "everywhere.most", "router", "ms") > 0);
@@ -218,13 +218,13 @@
   sizes.calls = 200;
   sizes.sessions = 300;
   sizes.prefixes = 400;
-  capacity::Rows const rows = capacity::findPart("state")->run(sizes);
+  capacity::Measurements const rows = capacity::findExperiment("state")->run(sizes);
   CHECK(valueOf(rows, "held.ids", "router", "ids") == 300);
   CHECK(valueOf(rows, "held.credits", "router", "credits") == 4);
   CHECK(valueOf(rows, "held.prefixes", "router", "prefixes") == 400);
   CHECK(valueOf(rows, "calls", "router", "bytes") > 200 * 100);
   sizes.calls = 5;
-  capacity::Rows const costs = capacity::findPart("cost")->run(sizes);
+  capacity::Measurements const costs = capacity::findExperiment("cost")->run(sizes);
   CHECK(valueOf(costs, "in_hand", "router", "calls") == 5);
   CHECK(valueOf(costs, "request", "router", "us") > 0);
   CHECK(valueOf(costs, "piece.passed", "router", "bytes") == 32);
--- a/testing/test/fleet_test.cpp
+++ b/testing/test/fleet_test.cpp
@@ -279,7 +279,7 @@
   testing::Traffic traffic(fleet, 5, 2.0);
   traffic.startCalling();
   std::string const t = "/v1/templates/fault-desk/instances/nord";
-  std::function<void(int)> const patch = [&](int aim) {
+  auto const patch = [&](int aim) {
     fleet.until("a change", [&] {
       testing::Reply const now = fleet.call(fleet.firstController(), "GET", t);
       if (now.status != 200) return false;
@@ -440,18 +440,17 @@
     subs.push_back("--controller");
     subs.push_back(n.http);
   }
-  std::function<testing::Fleet::Tool(std::string, std::vector<std::string>, std::string)> const run =
-      [&](std::string const& program, std::vector<std::string> words, std::string const& input) {
-        words.insert(words.end(), subs.begin(), subs.end());
-        if (program != "corkward") return fleet.tool(program, words, input);
-        words.insert(words.end(), {"--wait", "60"});
-        testing::Fleet::Tool out;
-        fleet.until("an answer other than to come back", [&] {
-          out = fleet.tool(program, words, input);
-          return out.code != comeBack && out.code != nobody;
-        });
-        return out;
-      };
+  auto const run = [&](std::string const& program, std::vector<std::string> words, std::string const& input) {
+    words.insert(words.end(), subs.begin(), subs.end());
+    if (program != "corkward") return fleet.tool(program, words, input);
+    words.insert(words.end(), {"--wait", "60"});
+    testing::Fleet::Tool out;
+    fleet.until("an answer other than to come back", [&] {
+      out = fleet.tool(program, words, input);
+      return out.code != comeBack && out.code != nobody;
+    });
+    return out;
+  };
   CHECK(run("corkward", {"templates"}, "").out.find("fault-desk") != std::string::npos);
   CHECK(run("corkward", {"template-put", "neu", "-", "--revision", "0", "--dry-run"},
             R"({"paths":[{"path":"a","pool":"model","class":"short"}]})")
@@ -516,8 +515,7 @@
   CHECK(run("corkward-runbook", {books + "rolling-restart.json", "--set", "node=n"}, "no\n").code == 1);
 
   std::string const declared = fleet.folder() + "/declared";
-  std::function<void(std::string const&, std::string const&)> const declareIn = [&](std::string const& name,
-                                                                                    std::string const& text) {
+  auto const declareIn = [&](std::string const& name, std::string const& text) {
     REQUIRE(QDir().mkpath(core::toQString(declared)));
     QFile f(core::toQString(declared + "/" + name));
     REQUIRE(f.open(QIODevice::WriteOnly));
--- a/testing/test/regimes_test.cpp
+++ b/testing/test/regimes_test.cpp
@@ -267,7 +267,7 @@
   for (QJsonValue const s : out.value("regimes").toObject().value("health").toArray())
     for (QJsonValue const v : s.toObject().value("counts").toArray()) {
       QJsonObject const c = v.toObject();
-      std::size_t const n = static_cast<std::size_t>(c.value("count").toInteger());
+      auto const n = static_cast<std::size_t>(c.value("count").toInteger());
       if (c.value("what") == "denied") rejected += n;
       if (c.value("what") != "handed-over") continue;
       handed += n;
--- a/testing/test/sim_test.cpp
+++ b/testing/test/sim_test.cpp
@@ -39,7 +39,7 @@
       if (fences != Fences::both && fenced != (fences == Fences::on)) continue;
       testing::Plan plan = testing::worstDay(seed, point);
       plan.fenced = fenced;
-      for (std::map<std::string, std::size_t>::value_type const& c : worst(plan).counts) counts[c.first] += c.second;
+      for (auto const& [name, count] : worst(plan).counts) counts[name] += count;
     }
   return counts;
 }
@@ -77,7 +77,7 @@
       plan.zones = 4;
       plan.replaceDarkAfter = 3000;
       plan.every = 4000;
-      for (std::map<std::string, std::size_t>::value_type const& c : clean(plan).counts) counts[c.first] += c.second;
+      for (auto const& [name, count] : clean(plan).counts) counts[name] += count;
     }
   for (char const* change : {"add-member", "replace-member", "member-removed", "removed-from-membership"})
     CHECK(counts[change] > 0);
@@ -142,8 +142,7 @@
        {Fault::greyReplicas, Fault::flapReplicas, Fault::resetConnections, Fault::forgetConnections, Fault::slowRouter,
         Fault::slowController, Fault::scaleOut, Fault::zoneLoss, Fault::shiftLengths})
     for (std::uint64_t seed = 1; seed <= 2; ++seed)
-      for (std::map<std::string, std::size_t>::value_type const& c : clean(testing::only(seed, {f})).counts)
-        counts[c.first] += c.second;
+      for (auto const& [name, count] : clean(testing::only(seed, {f})).counts) counts[name] += count;
   for (char const* happened :
        {"grey-fates", "replica-failed", "grey-fair", "reset-callers", "reset-streams", "forgotten-connections",
         "slowed-events", "joined", "lost-zones", "long-prompts", "long-answers"}) {
@@ -186,7 +185,7 @@
       testing::Plan plan = testing::only(seed, faults);
       plan.regimes = true;
       plan.every = 3000;
-      for (std::map<std::string, std::size_t>::value_type const& c : clean(plan).counts) counts[c.first] += c.second;
+      for (auto const& [name, count] : clean(plan).counts) counts[name] += count;
     }
   CHECK(counts["revoked"] > 50);
   CHECK(counts["regulated"] > 500);
@@ -196,8 +195,7 @@
 TEST_CASE("no request of a regime runs where it may not while everything fails together", "[regimes]") {
   std::map<std::string, std::size_t> counts;
   for (std::uint64_t seed = 1; seed <= 24; ++seed)
-    for (std::map<std::string, std::size_t>::value_type const& c : clean(testing::regimes(seed)).counts)
-      counts[c.first] += c.second;
+    for (auto const& [name, count] : clean(testing::regimes(seed)).counts) counts[name] += count;
   for (char const* happened : {"revoked", "life-denied", "tales-resumed", "tales-served-after-resume", "change-412"}) {
     INFO(happened);
     CHECK(counts[happened] >= 20);
--- a/testing/test/tap_test.cpp
+++ b/testing/test/tap_test.cpp
@@ -41,7 +41,7 @@
     callers.push_back(std::make_unique<QTcpSocket>());
     callers.back()->connectToHost(QHostAddress::LocalHost, static_cast<quint16>(std::stoi(port)));
   }
-  std::function<std::size_t()> const ended = [&] {
+  auto const ended = [&] {
     return static_cast<std::size_t>(
         std::count_if(callers.begin(), callers.end(), [](std::unique_ptr<QTcpSocket> const& caller) {
           return caller->state() == QAbstractSocket::UnconnectedState;
