--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -16,6 +16,7 @@
 #include <corkward/dataplane/request.h>
 #include <corkward/dataplane/router_commands.h>
 #include <corkward/dataplane/router_tuning.h>
+#include <corkward/dataplane/service_times.h>
 #include <corkward/dataplane/tenants.h>
 #include <corkward/scaling/scaling.h>
 #include <corkward/gossip/partial_view.h>
@@ -267,10 +268,7 @@
   void addRoute(std::string const& owner, std::string const& route, config::Path const& path,
                 std::string const& instance);
   SendRequest dispatch(Tick now, CallId id);
-  /// How long the path's requests take here of late: the longest, which each one that is served lets fade.
-  void recordServiceTime(Call const& call, Tick took);
-  /// A request of the path that comes now could be cut by the end of the drain. As long as few were served here, which
-  /// are the quickest, it may take as long as its path allows.
+  /// A request of the path that comes now could be cut by the end of the drain.
   bool outlastsDrain(Tick now, config::Path const& path) const;
   void checkDispatch(Tick now, Call const& call, Tick left) const;
   /// Notes a request that ends without its whole answer, for the log and the counters.
@@ -393,13 +391,7 @@
   gossip::PartialView partialView_;
   core::Journal journal_;
   FailureLog failures_;
-  /// How long the requests of a path take here.
-  struct ServiceTime {
-    Tick longest = 0;
-    unsigned served = 0;
-  };
-  /// By instance and path.
-  std::map<std::pair<std::string, std::string>, ServiceTime> serviceTimes_;
+  ServiceTimes serviceTimes_;
   Tick startedAt_ = 0;
   bool draining_ = false;
   Tick drainedAt_ = 0;
--- /dev/null
+++ b/dataplane/include/corkward/dataplane/service_times.h
@@ -0,0 +1,35 @@
+#pragma once
+
+#include <map>
+#include <string>
+#include <utility>
+
+#include <corkward/config/config.h>
+#include <corkward/core/types.h>
+
+namespace corkward::dataplane {
+
+using core::Tick;
+
+/// How long the requests of each path take on this router, so that a draining router can turn away those that would
+/// outlast it.
+class ServiceTimes {
+ public:
+  /// Counts a served request that took this long, in milliseconds.
+  void record(config::Path const& path, Tick took);
+  /// Longest time that a request of the path is expected to take: its deadline until enough requests were served, since
+  /// the first to be served are the quickest.
+  Tick expected(config::Path const& path) const;
+
+ private:
+  struct ServiceTime {
+    /// Longest time of late; fades with each request that is served.
+    Tick longest = 0;
+    unsigned served = 0;
+  };
+
+  /// By instance and path; bounded, and cleared when it is full.
+  std::map<std::pair<std::string, std::string>, ServiceTime> times_;
+};
+
+}  // namespace corkward::dataplane
--- a/dataplane/src/upstream_events.cpp
+++ b/dataplane/src/upstream_events.cpp
@@ -5,17 +5,6 @@
 
 namespace corkward::dataplane {
 
-namespace {
-
-/// Part of the longest time that a path's requests took which fades with each one that is served.
-constexpr Tick fadeOfTaken = 32;
-/// Served requests of a path after which their times are relied on.
-constexpr unsigned servedToKnow = 16;
-/// Paths whose times are remembered.
-constexpr std::size_t mostTaken = 4096;
-
-}  // namespace
-
 RouterCommands RequestRouter::onFirstByte(Tick now, CallId id, bool runKnown) {
   RouterCommands out;
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
@@ -88,7 +77,7 @@
   }
   if (end == UpstreamResult::complete) {
     countMetric(now, "served");
-    recordServiceTime(call, now - call.arrived);
+    serviceTimes_.record(routes_[call.path].path, now - call.arrived);
     recordAudit(out, now, call, AuditOutcome::served);
     dropCall(out, now, id);
     return out;
@@ -184,21 +173,9 @@
   return out;
 }
 
-void RequestRouter::recordServiceTime(Call const& call, Tick took) {
-  config::Path const& path = routes_[call.path].path;
-  ServiceTime& taken = serviceTimes_[{path.instance, path.path}];
-  ++taken.served;
-  taken.longest = std::max(took, taken.longest - taken.longest / fadeOfTaken);
-  if (serviceTimes_.size() > mostTaken) serviceTimes_.clear();
-}
-
 bool RequestRouter::outlastsDrain(Tick now, config::Path const& path) const {
   if (!draining_ || tuning_.drainTimeout <= 0) return false;
-  std::map<std::pair<std::string, std::string>, ServiceTime>::const_iterator const it =
-      serviceTimes_.find({path.instance, path.path});
-  bool const known = it != serviceTimes_.end() && it->second.served >= servedToKnow;
-  Tick const expected = known ? std::min(path.deadline, it->second.longest * 5 / 4) : path.deadline;
-  return now + expected > drainedAt_ + tuning_.drainTimeout;
+  return now + serviceTimes_.expected(path) > drainedAt_ + tuning_.drainTimeout;
 }
 
 }  // namespace corkward::dataplane
