--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -14,6 +14,7 @@
 #include <corkward/core/journal.h>
 #include <corkward/dataplane/failure_log.h>
 #include <corkward/dataplane/request.h>
+#include <corkward/dataplane/request_id_table.h>
 #include <corkward/dataplane/router_commands.h>
 #include <corkward/dataplane/router_tuning.h>
 #include <corkward/dataplane/service_times.h>
@@ -210,14 +211,6 @@
     std::map<Tick, std::set<std::string>> grants;
     scaling::SlowStartBucket bucket;
   };
-  struct RequestIdRecord {
-    Tick lastSeenAt = 0;
-    bool mayHaveRun = false;
-    bool reachedReplica = false;
-    std::uint64_t claimedByAttempt = 0;
-    CallId activeCall = 0;
-    std::vector<std::string> claimants;
-  };
   /// What the roster says, folded once when it comes.
   struct RosterView {
     std::uint64_t revision = 0;
@@ -329,7 +322,6 @@
   void reject(RouterCommands& out, Tick now, CallId id, int status, std::string reason, bool notRun, double retryAfter);
   void removeCall(Tick now, CallId id);
   void dropCall(RouterCommands& out, Tick now, CallId id);
-  RequestIdRecord& requestIdRecord(Tick now, std::string const& key);
   std::string const& addressOf(NameIndex replica) const;
   void abortStream(RouterCommands& out, Tick now, CallId id, std::string const& why = "the connection broke");
   /// Finds the call's tenant by its key under the configuration in force; false: it needs one and has none.
@@ -367,7 +359,7 @@
   void enforceRegimes(RouterCommands& out, Tick now);
   void abandonForRegime(RouterCommands& out, Tick now, CallId id, std::string const& why);
   bool holdsWarmupLease(Tick now, NameIndex replica) const;
-  void expireRequestIds(Tick now);
+  void expireRequestIds(Tick now) { requestIds_.expire(now, tuning_.requestIdRetention, tuning_.maxRequestIds); }
   void releaseRemoved(Tick now);
   void logEvent(RouterCommands& out, Tick now, core::EventName event, std::map<std::string, std::string> fields = {});
   void countMetric(Tick now, std::string const& what, std::string const& about = "");
@@ -437,10 +429,7 @@
   scaling::PrefixCacheEstimate prefixCache_;
   scaling::RetryBudgets retryBudgets_;
   std::unordered_map<CallId, Call> calls_;
-  std::unordered_map<std::string, RequestIdRecord> requestIds_;
-  std::deque<std::pair<Tick, std::string>> requestIdOrder_;
-  /// Every id that was seen from then on is still remembered.
-  Tick memoryFrom_ = 0;
+  RequestIdTable requestIds_;
   Tick lastEvent_ = 0;
   /// Longest time without an event of late: what was read after it may be that much older than it says.
   Tick eventLag_ = 0;
--- a/dataplane/src/admission.cpp
+++ b/dataplane/src/admission.cpp
@@ -126,10 +126,9 @@
   mine.phase = Phase::queryingRequestId;
   if (!request.id.empty()) {
     expireRequestIds(now);
-    std::string const key = request.instance + "|" + request.id;
-    std::unordered_map<std::string, RequestIdRecord>::iterator const it = requestIds_.find(key);
-    if (it != requestIds_.end()) {
-      RequestIdRecord const before = it->second;
+    std::string const key = requestIdKey(request);
+    if (RequestIdRecord const* const record = requestIds_.find(key)) {
+      RequestIdRecord const before = *record;
       mine.pendingEcho = true;
       mine.reachedReplica = mine.reachedReplica || before.reachedReplica;
       if (request.attempt > 0 && before.claimedByAttempt >= request.attempt) {
@@ -151,7 +150,7 @@
         }
       }
     }
-    requestIdRecord(now, key).activeCall = id;
+    requestIds_.use(now, key).activeCall = id;
   }
   if (!request.id.empty() && request.attempt == 0) {
     queryPeers(out, now, id);
--- a/dataplane/src/dispatch.cpp
+++ b/dataplane/src/dispatch.cpp
@@ -112,7 +112,7 @@
   call.dispatchedAt = now;
   call.dispatched = true;
   if (!call.request.id.empty()) {
-    RequestIdRecord& seen = requestIdRecord(now, call.request.instance + "|" + call.request.id);
+    RequestIdRecord& seen = requestIds_.use(now, requestIdKey(call.request));
     seen.mayHaveRun = true;
     seen.reachedReplica = true;
   }
@@ -232,8 +232,7 @@
   if (call.quotaState == QuotaState::used) call.quotaState = QuotaState::taken;
   call.phase = Phase::connecting;
   call.dispatched = !call.dispatchedTo.empty();
-  if (!call.dispatched && !call.request.id.empty())
-    requestIdRecord(now, call.request.instance + "|" + call.request.id).mayHaveRun = false;
+  if (!call.dispatched && !call.request.id.empty()) requestIds_.use(now, requestIdKey(call.request)).mayHaveRun = false;
   recordAudit(out, now, call, AuditOutcome::notExecuted);
 }
 
--- a/dataplane/src/request_ids.cpp
+++ b/dataplane/src/request_ids.cpp
@@ -6,7 +6,7 @@
 
 bool RequestRouter::remembersSince(Tick now, Tick age) const {
   Tick const lag = eventLagAt_ >= 0 && now - eventLagAt_ < 2000 ? eventLag_ : 0;
-  return memoryFrom_ <= now - (age + lag + tuning_.ageMargin + age / 8);
+  return requestIds_.remembersSince(now - (age + lag + tuning_.ageMargin + age / 8));
 }
 
 void RequestRouter::queryPeers(RouterCommands& out, Tick, CallId id) {
@@ -14,9 +14,9 @@
   call.phase = Phase::queryingRequestId;
   for (std::string const& link : otherRouters()) {
     call.awaitedPeers.insert(link);
-    out.sends.push_back(transport::Send{
-        link, transport::RequestIdQuery{id, call.request.instance + "|" + call.request.id, call.request.attempt,
-                                        std::max<Tick>(call.request.ageMs, 0), processName_}});
+    out.sends.push_back(
+        transport::Send{link, transport::RequestIdQuery{id, requestIdKey(call.request), call.request.attempt,
+                                                        std::max<Tick>(call.request.ageMs, 0), processName_}});
   }
 }
 
@@ -27,7 +27,7 @@
     return c != processName_ && call.clearedByPeers.count(c) == 0;
   });
   std::vector<Tick> memories = call.peerMemoryStarts;
-  memories.push_back(now - memoryFrom_);
+  memories.push_back(requestIds_.memorySpan(now));
   std::sort(memories.rbegin(), memories.rend());
   std::size_t const need = majorityOf(rosterSize());
   Tick const memory = memories.size() < need ? -1 : memories[need - 1];
@@ -51,29 +51,28 @@
   bool known = false;
   bool reached = false;
   std::vector<std::string> claimants;
-  std::unordered_map<std::string, RequestIdRecord>::iterator const it = requestIds_.find(m.id);
-  if (it != requestIds_.end()) {
+  if (RequestIdRecord const* const record = requestIds_.find(m.id)) {
     known = true;
-    reached = it->second.reachedReplica;
-    if (it->second.mayHaveRun) clear = false;
-    std::unordered_map<CallId, Call>::const_iterator const c = calls_.find(it->second.activeCall);
-    if (it->second.activeCall != 0 && c != calls_.end()) {
+    reached = record->reachedReplica;
+    if (record->mayHaveRun) clear = false;
+    std::unordered_map<CallId, Call>::const_iterator const c = calls_.find(record->activeCall);
+    if (record->activeCall != 0 && c != calls_.end()) {
       if (c->second.phase == Phase::queued || c->second.phase == Phase::queryingRequestId) {
         reached = reached || c->second.reachedReplica;
-        reject(out, now, it->second.activeCall, 409, "replaced by a later attempt", true, 0);
+        reject(out, now, record->activeCall, 409, "replaced by a later attempt", true, 0);
       } else {
         clear = false;
       }
     }
-    claimants = it->second.claimants;
+    claimants = record->claimants;
     std::erase(claimants, m.processRun);
   }
-  RequestIdRecord& s = requestIdRecord(now, m.id);
+  RequestIdRecord& s = requestIds_.use(now, m.id);
   s.claimedByAttempt = std::max(s.claimedByAttempt, m.attempt);
   if (m.attempt == 0 && std::find(s.claimants.begin(), s.claimants.end(), m.processRun) == s.claimants.end())
     s.claimants.push_back(m.processRun);
-  out.sends.push_back(transport::Send{
-      from, transport::RequestIdReply{m.token, processName_, clear, known, reached, now - memoryFrom_, claimants}});
+  out.sends.push_back(transport::Send{from, transport::RequestIdReply{m.token, processName_, clear, known, reached,
+                                                                      requestIds_.memorySpan(now), claimants}});
 }
 
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::RequestIdReply const& m) {
@@ -97,46 +96,14 @@
 }
 
 void RequestRouter::on(RouterCommands&, Tick now, std::string const&, transport::RequestIdHandover const& m) {
-  for (std::string const& id : m.ids) requestIdRecord(now, id).mayHaveRun = true;
-  if (!m.last) return;
-  for (std::unordered_map<std::string, RequestIdRecord>::value_type& s : requestIds_)
-    if (!s.second.mayHaveRun) std::erase(s.second.claimants, m.processRun);
-}
-
-RequestRouter::RequestIdRecord& RequestRouter::requestIdRecord(Tick now, std::string const& key) {
-  RequestIdRecord& s = requestIds_[key];
-  if (s.lastSeenAt == 0) requestIdOrder_.emplace_back(now, key);
-  s.lastSeenAt = now;
-  return s;
-}
-
-void RequestRouter::expireRequestIds(Tick now) {
-  while (!requestIdOrder_.empty() && (now - requestIdOrder_.front().first > tuning_.requestIdRetention ||
-                                      requestIds_.size() > tuning_.maxRequestIds)) {
-    std::pair<Tick, std::string> const front = requestIdOrder_.front();
-    requestIdOrder_.pop_front();
-    std::unordered_map<std::string, RequestIdRecord>::iterator const it = requestIds_.find(front.second);
-    if (it == requestIds_.end()) continue;
-    if (now - it->second.lastSeenAt <= tuning_.requestIdRetention && requestIds_.size() <= tuning_.maxRequestIds) {
-      requestIdOrder_.emplace_back(it->second.lastSeenAt, front.second);
-    } else {
-      memoryFrom_ = std::max(memoryFrom_, it->second.lastSeenAt);
-      requestIds_.erase(it);
-    }
-  }
+  for (std::string const& id : m.ids) requestIds_.use(now, id).mayHaveRun = true;
+  if (m.last) requestIds_.removeClaimant(m.processRun);
 }
 
 void RequestRouter::removeCall(Tick now, CallId id) {
   std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
   if (it == calls_.end()) return;
-  if (!it->second.request.id.empty()) {
-    std::unordered_map<std::string, RequestIdRecord>::iterator const s =
-        requestIds_.find(it->second.request.instance + "|" + it->second.request.id);
-    if (s != requestIds_.end() && s->second.activeCall == id) {
-      s->second.activeCall = 0;
-      s->second.lastSeenAt = now;
-    }
-  }
+  if (!it->second.request.id.empty()) requestIds_.endCall(now, requestIdKey(it->second.request), id);
   returnQuota(now, it->second);
   calls_.erase(it);
 }
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -39,7 +39,7 @@
 RouterCommands RequestRouter::started(Tick now) {
   RouterCommands out;
   startedAt_ = now;
-  memoryFrom_ = now;
+  requestIds_.start(now);
   lastEvent_ = now;
   logEvent(out, now, "started", {{"link", partialView_.self().link}});
   return out;
@@ -250,10 +250,9 @@
   logEvent(out, now, "draining", {{"in-hand", std::to_string(calls_.size())}});
   std::vector<std::string> const& others = otherRouters();
   std::vector<transport::RequestIdHandover> left(1, transport::RequestIdHandover{processName_, false, {}});
-  for (std::unordered_map<std::string, RequestIdRecord>::value_type const& s : requestIds_) {
-    if (!s.second.mayHaveRun && s.second.activeCall == 0) continue;
+  for (std::string const& id : requestIds_.executableIds()) {
     if (left.back().ids.size() >= leftAtOnce) left.push_back(transport::RequestIdHandover{processName_, false, {}});
-    left.back().ids.push_back(s.first);
+    left.back().ids.push_back(id);
   }
   left.back().last = true;
   for (std::string const& link : others)
--- a/dataplane/src/upstream_events.cpp
+++ b/dataplane/src/upstream_events.cpp
@@ -121,7 +121,7 @@
     return out;
   }
   if (end == UpstreamResult::notExecuted && !streaming && call.resumes == 0) {
-    if (!call.request.id.empty()) requestIds_[call.request.instance + "|" + call.request.id].mayHaveRun = false;
+    if (!call.request.id.empty()) requestIds_.setNotExecuted(requestIdKey(call.request));
     countMetric(now, "replica_not_run");
     backOff(call.replica, std::max(replicas_[call.replica].backoffUntil, now + tuning_.overloadBackoff));
     call.phase = Phase::connecting;
