--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -19,6 +19,7 @@
 #include <corkward/dataplane/router_tuning.h>
 #include <corkward/dataplane/service_times.h>
 #include <corkward/dataplane/tenants.h>
+#include <corkward/dataplane/warmup_leases.h>
 #include <corkward/scaling/scaling.h>
 #include <corkward/gossip/partial_view.h>
 #include <corkward/transport/message.h>
@@ -204,13 +205,6 @@
     scaling::CompletionRate completions;
     std::size_t queuedCount() const { return waiting[0].size() + waiting[1].size() + waiting[2].size(); }
   };
-  struct WarmupLease {
-    Tick until = -1;
-    Tick fullyGrantedUntil = 0;
-    Tick wantedSince = -1;
-    std::map<Tick, std::set<std::string>> grants;
-    scaling::SlowStartBucket bucket;
-  };
   /// What the roster says, folded once when it comes.
   struct RosterView {
     std::uint64_t revision = 0;
@@ -342,7 +336,12 @@
   void retry(RouterCommands& out, Tick now, CallId id, char const* why);
   double retryAfter(AdmissionQueue const& c, config::RequestClass cls) const;
   Tick expectedWait(AdmissionQueue const& c, config::RequestClass cls) const;
+  bool needsWarmupLease(Replica const& replica) const;
+  /// How long this router waits before it requests a lease that is free: the routers come in an order by hash.
+  Tick warmupRequestDelay(std::string const& replica) const;
   void updateWarmupLeases(RouterCommands& out, Tick now);
+  /// Ends the leases that are held, and names the controllers a successor for each.
+  void releaseWarmupLeases(RouterCommands& out, Tick now);
   std::string const& regimeOf(Call const& call) const;
   std::string const& regimeOf(NameIndex instance) const;
   std::string regimeUncertainty(Tick now, std::string const& regime) const;
@@ -358,7 +357,6 @@
   void recordAudit(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened, std::string reason = {});
   void enforceRegimes(RouterCommands& out, Tick now);
   void abandonForRegime(RouterCommands& out, Tick now, CallId id, std::string const& why);
-  bool holdsWarmupLease(Tick now, NameIndex replica) const;
   void expireRequestIds(Tick now) { requestIds_.expire(now, tuning_.requestIdRetention, tuning_.maxRequestIds); }
   void releaseRemoved(Tick now);
   void logEvent(RouterCommands& out, Tick now, core::EventName event, std::map<std::string, std::string> fields = {});
@@ -424,7 +422,7 @@
   std::map<QueueKey, AdmissionQueue> queues_;
   /// Credits that looks may change: all others are at rest.
   std::set<QueueKey> activeQueues_;
-  std::map<NameIndex, WarmupLease> warmupLeases_;
+  WarmupLeases warmupLeases_;
   scaling::PrefixCacheIndex prefixes_;
   scaling::PrefixCacheEstimate prefixCache_;
   scaling::RetryBudgets retryBudgets_;
--- a/dataplane/src/admission_queues.cpp
+++ b/dataplane/src/admission_queues.cpp
@@ -25,9 +25,7 @@
   for (NameIndex const ix : view.replicas) {
     Replica const& r = replicas_[ix];
     bool const cold = r.state == config::ReplicaState::warmingUp;
-    std::map<NameIndex, WarmupLease>::const_iterator const w = warmupLeases_.find(ix);
-    for (Tick const at :
-         {r.backoffUntil, cold && w != warmupLeases_.end() ? w->second.until : 0, r.reliability.restUntil()})
+    for (Tick const at : {r.backoffUntil, cold ? warmupLeases_.expiresAt(ix) : 0, r.reliability.restUntil()})
       if (at > now) view.changesAt = std::min(view.changesAt, at);
     if (usable(now, ix) && !(r.ejected && r.reliability.isResting(now)))
       all.push_back(scaling::Candidate{ix, cold, r.hash});
--- a/dataplane/src/dispatch.cpp
+++ b/dataplane/src/dispatch.cpp
@@ -19,7 +19,7 @@
   if (chosen < 0) return false;
   NameIndex const replica = static_cast<NameIndex>(chosen);
   if (replicas_[replica].state == config::ReplicaState::warmingUp) {
-    bool const taken = warmupLeases_.at(replica).bucket.takeToken(now, slowStartRate(call.pool));
+    bool const taken = warmupLeases_.takeToken(now, replica, slowStartRate(call.pool));
     CORKWARD_INVARIANT(taken);
   }
   connectTo(out, now, id, replica);
@@ -192,7 +192,7 @@
   if (chosen < 0 || !servingLease(now)) return false;
   call.replica = static_cast<NameIndex>(chosen);
   if (replicas_[call.replica].state == config::ReplicaState::warmingUp &&
-      !warmupLeases_.at(call.replica).bucket.takeToken(now, slowStartRate(call.pool)))
+      !warmupLeases_.takeToken(now, call.replica, slowStartRate(call.pool)))
     return false;
   c.scaler.onSent(call.replica, row.path.requestClass == config::RequestClass::bulk);
   ++replicas_[call.replica].inFlight;
--- a/dataplane/src/replica_choice.cpp
+++ b/dataplane/src/replica_choice.cpp
@@ -20,7 +20,7 @@
   if (!r.listed || r.unreachable || r.state == config::ReplicaState::draining || isEvacuated(r.zone) ||
       now < r.backoffUntil)
     return false;
-  return r.state == config::ReplicaState::serving || holdsWarmupLease(now, replica);
+  return r.state == config::ReplicaState::serving || warmupLeases_.holds(now, replica);
 }
 
 void RequestRouter::ejectOutliers(Tick now, NameIndex pool) {
@@ -76,10 +76,7 @@
   for (scaling::Candidate const& p : c.scaler.subset()) {
     if (!usable(now, p.replica)) continue;
     if (p.warmingUp) {
-      std::map<NameIndex, WarmupLease>::const_iterator const w = warmupLeases_.find(p.replica);
-      if (w == warmupLeases_.end() || now >= w->second.until ||
-          !w->second.bucket.hasToken(now, slowStartRate(replicas_[p.replica].pool)))
-        continue;
+      if (!warmupLeases_.hasToken(now, p.replica, slowStartRate(replicas_[p.replica].pool))) continue;
     } else if (!warmRoom) {
       continue;
     }
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -221,7 +221,7 @@
     for (std::map<QueueKey, AdmissionQueue>::value_type& c : queues_) c.second.scaler.forget(ix);
     prefixes_.forget(ix);
     prefixCache_.forget(ix);
-    warmupLeases_.erase(ix);
+    warmupLeases_.forget(ix);
     replicas_[ix] = Replica{};
     replicaNames_.release(ix);
   }
@@ -257,16 +257,7 @@
   left.back().last = true;
   for (std::string const& link : others)
     for (transport::RequestIdHandover const& l : left) out.sends.push_back(transport::Send{link, l});
-  for (std::map<NameIndex, WarmupLease>::value_type& w : warmupLeases_) {
-    if (now >= w.second.until) continue;
-    w.second.until = -1;
-    pools_[replicas_[w.first].pool].changed = true;
-    for (std::string const& s : controllers(now))
-      out.sends.push_back(
-          transport::Send{s, transport::WarmupLeaseRequest{now, replicaNames_.name(w.first), partialView_.self().link,
-                                                           partialView_.self().incarnation, true,
-                                                           others.empty() ? "" : others[w.first % others.size()]}});
-  }
+  releaseWarmupLeases(out, now);
   std::vector<CallId> waiting;
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_)
     if (c.second.phase == Phase::queryingRequestId || c.second.phase == Phase::awaitingQuota)
--- a/dataplane/src/upstream_events.cpp
+++ b/dataplane/src/upstream_events.cpp
@@ -41,7 +41,7 @@
   if (chosen < 0) return out;
   NameIndex const replica = static_cast<NameIndex>(chosen);
   bool const cold = replicas_[replica].state == config::ReplicaState::warmingUp;
-  if ((cold && !warmupLeases_.at(replica).bucket.takeToken(now, slowStartRate(call.pool))) ||
+  if ((cold && !warmupLeases_.takeToken(now, replica, slowStartRate(call.pool))) ||
       !retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance))
     return out;
   countMetric(now, "retried_dispatched");
