--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -12,6 +12,7 @@
 #include <corkward/config/config.h>
 #include <corkward/config/regimes.h>
 #include <corkward/core/journal.h>
+#include <corkward/dataplane/configuration_state.h>
 #include <corkward/dataplane/failure_log.h>
 #include <corkward/dataplane/request.h>
 #include <corkward/dataplane/request_id_table.h>
@@ -90,11 +91,11 @@
   std::size_t pendingCount() const { return calls_.size(); }
   std::string metrics(Tick now) const;
   QJsonObject state(Tick now) const;
-  std::uint64_t revisionOf(std::string const& key) const;
+  std::uint64_t revisionOf(std::string const& key) const { return configuration_.revisionOf(key); }
   /// Replicas held for a pool by each instance's part, and requests held there.
   std::vector<std::pair<std::size_t, std::size_t>> subsetSizes(std::string const& pool) const;
   /// Value in force for a key; empty when there is none.
-  QJsonObject configurationValue(std::string const& key) const;
+  QJsonObject configurationValue(std::string const& key) const { return configuration_.value(key); }
   /// Bounds of the callers' HTTP edge as the whole configuration says them.
   config::HttpLimits const& httpLimits() const { return httpLimits_; }
   core::Journal const& journal() const { return journal_; }
@@ -150,10 +151,6 @@
     Tick quotaTakenAt = 0;
     int urgency = 5;
   };
-  struct ConfigurationValue {
-    std::uint64_t revision = 0;
-    QJsonObject value;
-  };
   struct Route {
     config::Path path;
     NameIndex pool = 0;
@@ -282,8 +279,6 @@
   bool needsIsolatedReplica(Call const& call) const;
   void isolateReplicas(PoolView const& view);
   bool isEvacuated(std::string const& zone) const;
-  bool hasAllRevisions(transport::Revisions const& revisions) const;
-  bool isUpToDate(transport::Digest const& digest, transport::Revisions const& revisions) const;
   bool hasLeaseWithin(Tick now, Tick age) const;
   bool hasHeardMajority(Tick now) const;
   void refreshServingLease();
@@ -304,7 +299,6 @@
   void queryPeers(RouterCommands& out, Tick now, CallId id);
   void decideRequestId(RouterCommands& out, Tick now, CallId id, bool over);
   std::vector<std::string> controllers(Tick now) const;
-  transport::Revisions revisions() const;
   AdmissionQueue& queueFor(RouterCommands& out, Tick now, QueueKey const& key);
   bool mayAttempt(Tick now, AdmissionQueue& c, QueueKey key, Call const& call) const;
   std::vector<scaling::Candidate> usableCandidates(Tick now, AdmissionQueue const& c, bool warmRoom) const;
@@ -386,7 +380,7 @@
   bool draining_ = false;
   Tick drainedAt_ = 0;
   bool snapshotApplied_ = false;
-  std::map<std::string, ConfigurationValue> values_;
+  ConfigurationState configuration_;
   core::InternedNames instanceNames_;
   core::InternedNames poolNames_;
   core::InternedNames replicaNames_;
@@ -405,9 +399,6 @@
   std::map<std::string, transport::PeerHeartbeat> pendingHeartbeats_;
   /// Newest tick at which that router had nothing in force that this one lacks now.
   std::map<std::string, Tick> heardAt_;
-  /// Digest of the keys, and those it had before in this life, newest last.
-  transport::Digest digest_;
-  std::deque<transport::Digest> digestHistory_;
   std::map<std::string, PeerLink> controllers_;
   std::map<std::string, PeerLink> neighbours_;
   std::map<std::string, Tick> unresponsiveSince_;
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -3,40 +3,20 @@
 #include <algorithm>
 
 #include <corkward/core/json.h>
-#include <corkward/core/guarantees.h>
 
 #include "internal.h"
 
 namespace corkward::dataplane {
 
-std::uint64_t RequestRouter::revisionOf(std::string const& key) const {
-  std::map<std::string, ConfigurationValue>::const_iterator const it = values_.find(key);
-  return it == values_.end() ? 0 : it->second.revision;
-}
-
-QJsonObject RequestRouter::configurationValue(std::string const& key) const {
-  std::map<std::string, ConfigurationValue>::const_iterator const it = values_.find(key);
-  return it == values_.end() ? QJsonObject() : it->second.value;
-}
-
-transport::Revisions RequestRouter::revisions() const {
-  transport::Revisions out;
-  for (std::map<std::string, ConfigurationValue>::value_type const& k : values_) out[k.first] = k.second.revision;
-  return out;
-}
-
 void RequestRouter::applyEntries(RouterCommands& out, Tick now, std::vector<transport::CommittedEntry> const& items) {
   bool any = false;
   for (transport::CommittedEntry const& item : items) {
-    std::uint64_t const before = revisionOf(item.key);
-    if (item.revision <= before) continue;
+    if (item.revision <= revisionOf(item.key)) continue;
     applyEntry(out, now, item);
-    digest_.replace(item.key, before, revisionOf(item.key));
     any = true;
   }
   if (!any) return;
-  digestHistory_.push_back(digest_);
-  if (digestHistory_.size() > digestsKept) digestHistory_.pop_front();
+  configuration_.recordDigest();
   refreshServingLease();
   certifiedAt_ = -1;
   for (PoolView& view : pools_) {
@@ -137,9 +117,7 @@
     logEvent(out, now, "news-not-applied", {{"key", item.key}, {"error", e.what()}});
     return;
   }
-  CORKWARD_GUARANTEE(core::Guarantee::revisionsRise, item.revision > revisionOf(item.key),
-                     item.key + " falls to revision " + std::to_string(item.revision));
-  values_[item.key] = ConfigurationValue{item.revision, item.value};
+  configuration_.set(item);
   logEvent(out, now, "in-force", {{"key", item.key}, {"stamp", std::to_string(item.revision)}});
   if (routes_.size() < 1024 || routes_.size() < 4 * routeIndex_.size()) return;
   std::vector<bool> used(routes_.size(), false);
@@ -169,7 +147,7 @@
 }
 
 bool RequestRouter::applyRemovalHint(RouterCommands& out, Tick now, transport::EndpointRemovalHint const& hint) {
-  if (values_.count("pool:" + hint.pool) == 0) return false;
+  if (!configuration_.has("pool:" + hint.pool)) return false;
   PoolView& view = pools_[poolNames_.intern(hint.pool)];
   if (hint.generation <= view.listGeneration || hint.generation <= view.hint.generation) return false;
   view.hint = hint;
@@ -196,10 +174,9 @@
     QJsonValue const v = core::parseJson(body);
     if (!v.isObject()) throw core::JsonError("must be an object");
     config::EndpointList const list = config::readEndpointList(v.toObject());
-    std::map<std::string, ConfigurationValue>::const_iterator const key = values_.find("pool:" + pool);
-    std::uint64_t const have = key == values_.end() ? 0 : pools_[poolNames_.intern(pool)].listGeneration;
-    std::uint64_t const newest =
-        key == values_.end() ? 0 : std::max(have, pools_[poolNames_.intern(pool)].hint.generation);
+    bool const known = configuration_.has("pool:" + pool);
+    std::uint64_t const have = known ? pools_[poolNames_.intern(pool)].listGeneration : 0;
+    std::uint64_t const newest = known ? std::max(have, pools_[poolNames_.intern(pool)].hint.generation) : 0;
     if (list.generation < newest) {
       answer.status = 409;
       answer.body = {{"error", "older generation"},
@@ -248,7 +225,8 @@
     snapshotSeen_ = true;
   }
   adoptSnapshot(out, now, from);
-  transport::ConfigurationAck ack{m.number, partialView_.self().link, partialView_.self().incarnation, {}, digest_};
+  transport::ConfigurationAck ack{
+      m.number, partialView_.self().link, partialView_.self().incarnation, {}, configuration_.digest()};
   if (!m.isSnapshot)
     for (transport::CommittedEntry const& i : m.entries) ack.revisions[i.key] = revisionOf(i.key);
   std::set<std::string> to(controllerChoice_.begin(), controllerChoice_.end());
@@ -273,21 +251,17 @@
 }
 
 void RequestRouter::sendMissing(RouterCommands& out, std::string const& to, transport::Revisions const& have) const {
-  transport::ConfigurationUpdate news;
-  for (std::map<std::string, ConfigurationValue>::value_type const& k : values_) {
-    transport::Revisions::const_iterator const it = have.find(k.first);
-    if (it == have.end() || it->second < k.second.revision)
-      news.entries.push_back(transport::CommittedEntry{k.first, k.second.revision, k.second.value});
-  }
-  if (!news.entries.empty()) out.sends.push_back(transport::Send{to, std::move(news)});
+  transport::ConfigurationUpdate update;
+  update.entries = configuration_.missingFrom(have);
+  if (!update.entries.empty()) out.sends.push_back(transport::Send{to, std::move(update)});
 }
 
 void RequestRouter::on(RouterCommands& out, Tick, std::string const& from, transport::ValueRequest const& m) {
-  std::map<std::string, ConfigurationValue>::const_iterator const it = values_.find(m.key);
-  if (it == values_.end()) return;
-  transport::ConfigurationUpdate news;
-  news.entries.push_back(transport::CommittedEntry{it->first, it->second.revision, it->second.value});
-  out.sends.push_back(transport::Send{from, std::move(news)});
+  std::optional<transport::CommittedEntry> const entry = configuration_.entry(m.key);
+  if (!entry) return;
+  transport::ConfigurationUpdate update;
+  update.entries.push_back(*entry);
+  out.sends.push_back(transport::Send{from, std::move(update)});
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/internal.h
+++ b/dataplane/src/internal.h
@@ -15,7 +15,6 @@
 inline constexpr std::size_t leftAtOnce = 5000;
 /// What stands for "not known" among the ages of a PeerHeartbeat.
 inline constexpr int unknownAge = 255;
-inline constexpr std::size_t digestsKept = 64;
 
 inline std::size_t majorityOf(std::size_t n) {
   return n / 2 + 1;
--- a/dataplane/src/peers.cpp
+++ b/dataplane/src/peers.cpp
@@ -76,9 +76,9 @@
   PeerLink& l = controllers_[to];
   l.openedAt = now;
   if (l.firstUnansweredAt < 0) l.firstUnansweredAt = now;
-  transport::ServingLeaseRequest ask{now, partialView_.self(), !snapshotApplied_, false, digest_, {}};
+  transport::ServingLeaseRequest ask{now, partialView_.self(), !snapshotApplied_, false, configuration_.digest(), {}};
   if (l.revisionsRequested) {
-    ask.revisions = revisions();
+    ask.revisions = configuration_.revisions();
     l.revisionsRequested = false;
     l.announcedAt = now;
   }
@@ -143,7 +143,7 @@
   touch.sentAt = now;
   touch.hasSnapshot = snapshotApplied_;
   touch.link = partialView_.self().link;
-  touch.digest = digest_;
+  touch.digest = configuration_.digest();
   touch.wantsAges = lacking;
   touch.removalHints = removalHints();
   bool const wantWhole = !snapshotApplied_ && !snapshotSeen_ && now - startedAt_ > 2000;
@@ -167,8 +167,8 @@
     echo.isReply = true;
     echo.hasSnapshot = snapshotApplied_;
     echo.link = partialView_.self().link;
-    echo.digest = digest_;
-    if (!(m.digest == digest_)) echo.revisions = revisions();
+    echo.digest = configuration_.digest();
+    if (!(m.digest == configuration_.digest())) echo.revisions = configuration_.revisions();
     if (m.wantsAges && snapshotApplied_) {
       echo.rosterRevision = roster_.revision;
       echo.ages = encodeAges(now);
@@ -176,18 +176,17 @@
     echo.removalHints = removalHints();
     out.sends.push_back(transport::Send{from, std::move(echo)});
     if (m.wantsSnapshot && snapshotApplied_) {
-      transport::ConfigurationUpdate news;
-      news.isSnapshot = true;
-      for (std::map<std::string, ConfigurationValue>::value_type const& k : values_)
-        news.entries.push_back(transport::CommittedEntry{k.first, k.second.revision, k.second.value});
-      out.sends.push_back(transport::Send{from, std::move(news)});
+      transport::ConfigurationUpdate snapshot;
+      snapshot.isSnapshot = true;
+      snapshot.entries = configuration_.all();
+      out.sends.push_back(transport::Send{from, std::move(snapshot)});
     }
     return;
   }
   std::map<std::string, PeerLink>::iterator const n = neighbours_.find(from);
   if (n != neighbours_.end()) n->second.firstUnansweredAt = -1;
   if (m.sentAt > now) return;
-  if (isUpToDate(m.digest, m.revisions)) {
+  if (configuration_.covers(m.digest, m.revisions)) {
     recordHeartbeat(from, m);
   } else {
     pendingHeartbeats_[from] = m;
@@ -201,7 +200,7 @@
     at = now;
     out.sends.push_back(transport::Send{from, transport::ValueRequest{s.first, false, "", 0}});
   }
-  if (snapshotApplied_ && m.hasSnapshot && m.digest.count > 0 && !(m.digest == digest_))
+  if (snapshotApplied_ && m.hasSnapshot && m.digest.count > 0 && !(m.digest == configuration_.digest()))
     sendMissing(out, from, m.revisions);
 }
 
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -290,8 +290,8 @@
 
 QJsonObject RequestRouter::state(Tick now) const {
   QJsonObject revisionsOut;
-  for (std::map<std::string, ConfigurationValue>::value_type const& k : values_)
-    revisionsOut.insert(core::toQString(k.first), static_cast<qint64>(k.second.revision));
+  for (auto const& [key, revision] : configuration_.revisions())
+    revisionsOut.insert(core::toQString(key), static_cast<qint64>(revision));
   return QJsonObject{{"link", core::toQString(partialView_.self().link)},
                      {"zone", core::toQString(partialView_.self().zone)},
                      {"standing", servingLease(now)},
--- a/dataplane/src/serving_lease.cpp
+++ b/dataplane/src/serving_lease.cpp
@@ -6,25 +6,15 @@
 
 namespace corkward::dataplane {
 
-bool RequestRouter::hasAllRevisions(transport::Revisions const& revisions) const {
-  return std::all_of(revisions.begin(), revisions.end(),
-                     [&](transport::Revisions::value_type const& s) { return revisionOf(s.first) >= s.second; });
-}
-
-bool RequestRouter::isUpToDate(transport::Digest const& digest, transport::Revisions const& revisions) const {
-  if (std::find(digestHistory_.begin(), digestHistory_.end(), digest) != digestHistory_.end()) return true;
-  return transport::digestOf(revisions) == digest && hasAllRevisions(revisions);
-}
-
 void RequestRouter::refreshServingLease() {
   for (std::map<std::string, LeaseGrantRecord>::value_type& c : leaseGrants_)
-    if (c.second.grantedAt > c.second.usefulAt && isUpToDate(c.second.digest, c.second.revisions)) {
+    if (c.second.grantedAt > c.second.usefulAt && configuration_.covers(c.second.digest, c.second.revisions)) {
       c.second.usefulAt = c.second.grantedAt;
       confirmedByControl_ = confirmedByControl_ || c.second.grantedAt >= startedAt_;
     }
   for (std::map<std::string, transport::PeerHeartbeat>::iterator e = pendingHeartbeats_.begin();
        e != pendingHeartbeats_.end();) {
-    bool const known = isUpToDate(e->second.digest, e->second.revisions);
+    bool const known = configuration_.covers(e->second.digest, e->second.revisions);
     if (known) recordHeartbeat(e->first, e->second);
     e = known ? pendingHeartbeats_.erase(e) : std::next(e);
   }
