--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -14,12 +14,14 @@
 #include <corkward/core/journal.h>
 #include <corkward/dataplane/configuration_state.h>
 #include <corkward/dataplane/failure_log.h>
+#include <corkward/dataplane/regime_policy.h>
 #include <corkward/dataplane/request.h>
 #include <corkward/dataplane/request_id_table.h>
 #include <corkward/dataplane/router_commands.h>
 #include <corkward/dataplane/router_tuning.h>
 #include <corkward/dataplane/service_times.h>
 #include <corkward/dataplane/tenants.h>
+#include <corkward/dataplane/wall_clock.h>
 #include <corkward/dataplane/warmup_leases.h>
 #include <corkward/scaling/scaling.h>
 #include <corkward/gossip/partial_view.h>
@@ -74,11 +76,10 @@
   void updateTuning(RouterTuning const& tuning, std::vector<std::string> seeds);
   /// No new work from here on; ids and duties go to the others.
   RouterCommands drain(Tick now);
-  /// Wall time at that tick, in milliseconds since 1970; told with each clock event. Within one life it never goes
-  /// back.
+  /// Tells the wall time at that tick, in milliseconds since 1970, with each timer event.
   void setWallTime(Tick now, std::int64_t wall);
   /// Wall time at a tick; nothing before it was told.
-  config::WallTime wallTimeAt(Tick now) const;
+  config::WallTime wallTimeAt(Tick now) const { return wallClock_.at(now); }
   /// Whether records can be written from here on.
   void setAuditAvailable(bool works) { tuning_.auditRecordsAvailable = works; }
   bool setAuditAvailable() const { return tuning_.auditRecordsAvailable; }
@@ -337,17 +338,13 @@
   /// Ends the leases that are held, and names the controllers a successor for each.
   void releaseWarmupLeases(RouterCommands& out, Tick now);
   std::string const& regimeOf(Call const& call) const;
-  std::string const& regimeOf(NameIndex instance) const;
   std::string regimeUncertainty(Tick now, std::string const& regime) const;
   std::string regimeRejection(Tick now, std::string const& regime) const;
   config::Certificate const* certificate(Tick now, std::string const& regime, NameIndex replica) const;
   bool allowedByRegime(Tick now, Call const& call) const;
   bool certifiedFor(Tick now, Call const& call, NameIndex replica) const;
   void refreshCertified(Tick now);
-  /// What work of each regime, and of none, may draw from of these.
-  std::map<std::string, scaling::Candidates> candidatesByRegime(std::vector<scaling::Candidate> const& all) const;
   static scaling::Candidates candidatesOf(PoolView const& view, std::string const& regime);
-  bool mayUseReplica(std::string const& regime, NameIndex replica) const;
   void recordAudit(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened, std::string reason = {});
   void enforceRegimes(RouterCommands& out, Tick now);
   void abandonForRegime(RouterCommands& out, Tick now, CallId id, std::string const& why);
@@ -432,18 +429,8 @@
   Tick nextEvaluationAt_ = 0;
   Tick nextReleaseAt_ = 0;
   bool dispatching_ = false;
-  config::Regimes regimes_;
-  /// Some path has been bound to a regime in this life.
-  bool regimeBound_ = false;
-  /// What binds an instance, by the newest of its paths.
-  std::map<NameIndex, std::string> instanceRegimes_;
-  /// Replicas that have a certificate for a regime, and the share of their room that other work leaves free; as of
-  /// certifiedAt_.
-  std::map<std::string, std::set<NameIndex>> certified_;
-  std::map<NameIndex, double> reserved_;
-  Tick certifiedAt_ = -1;
-  /// Most that wall time was ahead of the tick.
-  std::optional<std::int64_t> wallAhead_;
+  RegimePolicy regimePolicy_;
+  WallClock wallClock_;
 };
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/admission.cpp
+++ b/dataplane/src/admission.cpp
@@ -45,7 +45,7 @@
   std::function<bool(NameIndex)> const serves = [&](NameIndex pool) {
     std::vector<NameIndex> const& all = pools_[pool].replicas;
     return std::any_of(all.begin(), all.end(),
-                       [&](NameIndex const r) { return usable(now, r) && mayUseReplica(row.path.regime, r); });
+                       [&](NameIndex const r) { return usable(now, r) && regimePolicy_.mayUse(row.path.regime, r); });
   };
   if (row.backends.size() < 2 || serves(chosen)) return chosen;
   for (std::pair<NameIndex, std::uint32_t> const& s : row.backends)
--- a/dataplane/src/admission_queues.cpp
+++ b/dataplane/src/admission_queues.cpp
@@ -30,13 +30,13 @@
     if (usable(now, ix) && !(r.ejected && r.reliability.isResting(now)))
       all.push_back(scaling::Candidate{ix, cold, r.hash});
   }
-  std::map<std::string, scaling::Candidates> candidates = candidatesByRegime(all);
+  std::map<std::string, scaling::Candidates> candidates = regimePolicy_.candidatesByRegime(all);
   if (candidates == view.candidates && !view.bindingsChanged) return;
   view.candidates = std::move(candidates);
   view.bindingsChanged = false;
   for (std::map<QueueKey, AdmissionQueue>::iterator c = queues_.lower_bound({pool, 0});
        c != queues_.end() && c->first.first == pool; ++c) {
-    c->second.scaler.setCandidates(candidatesOf(view, regimeOf(c->first.second)));
+    c->second.scaler.setCandidates(candidatesOf(view, regimePolicy_.regimeOf(c->first.second)));
     if (!c->second.scaler.isAtRest()) activate(now, c->first);
   }
 }
@@ -61,7 +61,7 @@
   refreshCandidates(out, now);
   scaling::Scaler scaler(seed_ ^ core::stableHash(partialView_.self().link + instanceNames_.name(key.second)),
                          tuning_.scalerParameters);
-  scaler.setCandidates(candidatesOf(pools_[key.first], regimeOf(key.second)));
+  scaler.setCandidates(candidatesOf(pools_[key.first], regimePolicy_.regimeOf(key.second)));
   it = queues_.emplace(key, AdmissionQueue{std::move(scaler), {}, 0, {}}).first;
   activeQueues_.insert(key);
   return it->second;
@@ -102,13 +102,13 @@
 bool RequestRouter::mayAttempt(Tick, AdmissionQueue& c, QueueKey key, Call const& call) const {
   bool const bulk = routes_[call.path].path.requestClass == config::RequestClass::bulk;
   if (!c.scaler.raiseLimitFor(bulk)) return false;
-  std::string const& regime = regimeOf(key.second);
+  std::string const& regime = regimePolicy_.regimeOf(key.second);
   std::size_t const replicas = regime.empty() ? pools_[key.first].replicas.size() : c.scaler.setCandidates();
   double const poolCap = tuning_.nodeLimitPerReplica * static_cast<double>(std::max<std::size_t>(replicas, 1));
   std::vector<std::pair<QueueKey, int>> active;
   for (std::set<QueueKey>::const_iterator k = activeQueues_.lower_bound({key.first, 0});
        k != activeQueues_.end() && k->first == key.first; ++k) {
-    if (regimeOf(k->second) != regime) continue;
+    if (regimePolicy_.regimeOf(k->second) != regime) continue;
     AdmissionQueue const& o = queues_.at(*k);
     if (*k == key || o.scaler.inFlight() > 0 || o.queuedCount() > 0) active.emplace_back(*k, o.scaler.inFlight());
   }
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -18,10 +18,10 @@
   if (!any) return;
   configuration_.recordDigest();
   refreshServingLease();
-  certifiedAt_ = -1;
+  regimePolicy_.invalidate();
   for (PoolView& view : pools_) {
     view.changed = true;
-    view.bindingsChanged = regimeBound_;
+    view.bindingsChanged = regimePolicy_.anyBound();
   }
   refreshCandidates(out, now);
   enforceRegimes(out, now);
@@ -45,8 +45,7 @@
   for (config::WeightedPool const& s : path.weightedPools)
     if (s.weight > 0) row.backends.emplace_back(poolIndex(s.pool), s.weight);
   if (row.backends.empty()) row.backends.emplace_back(row.pool, 1);
-  regimeBound_ = regimeBound_ || !path.regime.empty();
-  if (regimeBound_) instanceRegimes_[row.instance] = path.regime;
+  regimePolicy_.bind(row.instance, path.regime);
   routeIndex_[route] = static_cast<NameIndex>(routes_.size());
   ownedRoutes_[owner].push_back(route);
   routes_.push_back(std::move(row));
@@ -73,7 +72,7 @@
       removeRoutes(item.key);
       for (config::Path const& p : paths) addRoute(item.key, p.instance + "/" + p.path, p, p.instance);
     } else if (item.key == config::regimesKey) {
-      regimes_ = config::readStoredRegimes(item.value);
+      regimePolicy_.declare(config::readStoredRegimes(item.value));
     } else if (item.key == config::fleetConfigurationKey) {
       applyFleetConfiguration(item.value);
     } else if (kind == "pool") {
--- a/dataplane/src/regimes.cpp
+++ b/dataplane/src/regimes.cpp
@@ -1,6 +1,4 @@
 #include <algorithm>
-#include <functional>
-#include <iterator>
 
 #include "internal.h"
 
@@ -9,27 +7,22 @@
 namespace {
 
 std::string const unbound;
-constexpr Tick certificateRefreshInterval = 1000;
 
 }  // namespace
 
 std::string const& RequestRouter::regimeOf(Call const& call) const {
-  if (!regimeBound_ || call.pathRevision == 0) return unbound;
+  if (!regimePolicy_.anyBound() || call.pathRevision == 0) return unbound;
   NameIndex const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
   return routes_[path == core::InternedNames::none ? call.path : path].path.regime;
 }
 
-std::string const& RequestRouter::regimeOf(NameIndex instance) const {
-  std::map<NameIndex, std::string>::const_iterator const it = instanceRegimes_.find(instance);
-  return it == instanceRegimes_.end() ? unbound : it->second;
-}
-
 std::string RequestRouter::regimeUncertainty(Tick now, std::string const& regime) const {
   if (!tuning_.leaseRequired || !servingLease(now)) return "no serving lease";
   config::WallTime const wall = wallTimeAt(now);
   if (!wall) return "no wall time, so no certificate counts";
-  if (regimes_.regimes.count(regime) == 0) return "no regime " + regime + " is declared";
-  if (!config::routerMayForward(regimes_, regime, partialView_.self().link, partialView_.self().zone, wall))
+  if (regimePolicy_.declared().regimes.count(regime) == 0) return "no regime " + regime + " is declared";
+  if (!config::routerMayForward(regimePolicy_.declared(), regime, partialView_.self().link, partialView_.self().zone,
+                                wall))
     return "this node is not certified for regime " + regime;
   return "";
 }
@@ -44,7 +37,7 @@
 config::Certificate const* RequestRouter::certificate(Tick now, std::string const& regime, NameIndex replica) const {
   Replica const& r = replicas_[replica];
   if (!r.listed) return nullptr;
-  return config::findCertificate(regimes_, regime, poolNames_.name(r.pool),
+  return config::findCertificate(regimePolicy_.declared(), regime, poolNames_.name(r.pool),
                                  config::Replica{r.id, r.address, r.zone, r.state}, wallTimeAt(now));
 }
 
@@ -54,63 +47,32 @@
 }
 
 void RequestRouter::refreshCertified(Tick now) {
-  if (certifiedAt_ >= 0 && now - certifiedAt_ < certificateRefreshInterval) return;
-  certifiedAt_ = now;
-  std::map<std::string, std::set<NameIndex>> certified;
-  std::map<NameIndex, double> reserved;
-  for (std::map<std::string, config::Regime>::value_type const& regime : regimes_.regimes)
+  if (!regimePolicy_.isStale(now)) return;
+  CertifiedReplicas certified;
+  for (auto const& [name, regime] : regimePolicy_.declared().regimes)
     for (PoolView const& view : pools_)
-      for (NameIndex const r : view.replicas) {
-        if (certificate(now, regime.first, r) == nullptr) continue;
-        certified[regime.first].insert(r);
-        double& share = reserved.try_emplace(r, 0.0).first->second;
-        share = std::max(share, regime.second.reservedFraction);
-      }
-  if (certified == certified_ && reserved == reserved_) return;
-  certified_ = std::move(certified);
-  reserved_ = std::move(reserved);
+      for (NameIndex const replica : view.replicas)
+        if (certificate(now, name, replica) != nullptr) certified.add(name, replica, regime.reservedFraction);
+  if (!regimePolicy_.update(now, std::move(certified))) return;
   for (PoolView& view : pools_) view.changed = true;
 }
 
-std::map<std::string, scaling::Candidates> RequestRouter::candidatesByRegime(
-    std::vector<scaling::Candidate> const& all) const {
-  std::map<std::string, scaling::Candidates> out;
-  std::function<void(std::string const&)> const draw = [&](std::string const& regime) {
-    std::vector<scaling::Candidate> some;
-    std::copy_if(all.begin(), all.end(), std::back_inserter(some),
-                 [&](scaling::Candidate const& c) { return mayUseReplica(regime, c.replica); });
-    out[regime] = scaling::Candidates(std::move(some));
-  };
-  draw(unbound);
-  for (std::map<std::string, std::set<NameIndex>>::value_type const& regime : certified_) draw(regime.first);
-  return out;
-}
-
 scaling::Candidates RequestRouter::candidatesOf(PoolView const& view, std::string const& regime) {
   std::map<std::string, scaling::Candidates>::const_iterator const it = view.candidates.find(regime);
   return it == view.candidates.end() ? scaling::Candidates() : it->second;
 }
 
-bool RequestRouter::mayUseReplica(std::string const& regime, NameIndex replica) const {
-  if (regime.empty()) {
-    std::map<NameIndex, double>::const_iterator const share = reserved_.find(replica);
-    return share == reserved_.end() || share->second < 1;
-  }
-  std::map<std::string, std::set<NameIndex>>::const_iterator const it = certified_.find(regime);
-  return it != certified_.end() && it->second.count(replica) > 0;
-}
-
 bool RequestRouter::certifiedFor(Tick now, Call const& call, NameIndex replica) const {
   std::string const& regime = regimeOf(call);
-  if (!mayUseReplica(regime, replica)) return false;
+  if (!regimePolicy_.mayUse(regime, replica)) return false;
   if (!regime.empty()) return regimeRejection(now, regime).empty();
-  std::map<NameIndex, double>::const_iterator const share = reserved_.find(replica);
-  if (share == reserved_.end()) return true;
+  std::optional<double> const reserved = regimePolicy_.reservedFraction(replica);
+  if (!reserved) return true;
   int others = replicas_[replica].inFlight;
   for (std::map<QueueKey, AdmissionQueue>::value_type const& c : queues_)
-    if (!regimeOf(c.first.second).empty()) others -= c.second.scaler.inFlightAt(replica);
+    if (!regimePolicy_.regimeOf(c.first.second).empty()) others -= c.second.scaler.inFlightAt(replica);
   double const limit = queues_.at({call.pool, routes_[call.path].instance}).scaler.limit();
-  return others + 1 <= std::max(1.0, (1.0 - share->second) * limit);
+  return others + 1 <= std::max(1.0, (1.0 - *reserved) * limit);
 }
 
 void RequestRouter::recordAudit(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened,
@@ -136,7 +98,7 @@
 }
 
 void RequestRouter::enforceRegimes(RouterCommands& out, Tick now) {
-  if (!regimeBound_) return;
+  if (!regimePolicy_.anyBound()) return;
   refreshCertified(now);
   std::vector<CallId> ours;
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_)
@@ -154,10 +116,11 @@
     if (why == known.end())
       why = known.emplace(regime, std::pair(regimeUncertainty(now, regime), regimeRejection(now, regime))).first;
     std::string const& shut = why->second.second;
-    bool const mayStay = mayUseReplica(regime, call.replica);
+    bool const mayStay = regimePolicy_.mayUse(regime, call.replica);
     if (call.phase == Phase::queued) {
       std::vector<NameIndex> const& all = pools_[call.pool].replicas;
-      bool const any = std::any_of(all.begin(), all.end(), [&](NameIndex const r) { return mayUseReplica(regime, r); });
+      bool const any =
+          std::any_of(all.begin(), all.end(), [&](NameIndex const r) { return regimePolicy_.mayUse(regime, r); });
       if (!shut.empty() || !any)
         reject(out, now, id, 503, any ? shut : "no certified replica", true, tuning_.defaultRetryAfter);
     } else if (call.phase == Phase::connecting) {
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -213,7 +213,7 @@
   for (std::map<QueueKey, AdmissionQueue>::value_type const& c : queues_) instancesUsed.insert(c.first.second);
   for (NameIndex ix = 0; ix < instanceNames_.size(); ++ix)
     if (!instanceNames_.name(ix).empty() && instancesUsed.count(ix) == 0) {
-      instanceRegimes_.erase(ix);
+      regimePolicy_.forget(ix);
       instanceNames_.release(ix);
     }
   for (NameIndex ix = 0; ix < replicas_.size(); ++ix) {
@@ -233,12 +233,7 @@
 }
 
 void RequestRouter::setWallTime(Tick now, std::int64_t wall) {
-  if (!wallAhead_ || wall - now > *wallAhead_ + 1000) certifiedAt_ = -1;
-  wallAhead_ = std::max(wallAhead_.value_or(wall - now), wall - now);
-}
-
-config::WallTime RequestRouter::wallTimeAt(Tick now) const {
-  return wallAhead_ ? config::WallTime(now + *wallAhead_) : std::nullopt;
+  if (wallClock_.set(now, wall)) regimePolicy_.invalidate();
 }
 
 RouterCommands RequestRouter::drain(Tick now) {
--- /dev/null
+++ b/dataplane/src/wall_clock.cpp
@@ -0,0 +1,24 @@
+#include <algorithm>
+
+#include <corkward/dataplane/wall_clock.h>
+
+namespace corkward::dataplane {
+
+namespace {
+
+constexpr std::int64_t maxDriftMs = 1000;
+
+}  // namespace
+
+bool WallClock::set(Tick now, std::int64_t wall) {
+  std::int64_t const offset = wall - now;
+  bool const jumped = !offset_ || offset > *offset_ + maxDriftMs;
+  offset_ = std::max(offset_.value_or(offset), offset);
+  return jumped;
+}
+
+config::WallTime WallClock::at(Tick now) const {
+  return offset_ ? config::WallTime(now + *offset_) : std::nullopt;
+}
+
+}  // namespace corkward::dataplane
--- /dev/null
+++ b/dataplane/test/regime_policy_test.cpp
@@ -0,0 +1,74 @@
+#include <catch2/catch.hpp>
+
+#include <corkward/dataplane/regime_policy.h>
+
+namespace scaling = corkward::scaling;
+using corkward::dataplane::CertifiedReplicas;
+using corkward::dataplane::RegimePolicy;
+
+TEST_CASE("an instance is bound by its newest path") {
+  RegimePolicy policy;
+  policy.bind(1, "");
+  CHECK_FALSE(policy.anyBound());
+  policy.bind(1, "eu");
+  CHECK(policy.anyBound());
+  CHECK(policy.regimeOf(1) == "eu");
+  CHECK(policy.regimeOf(2).empty());
+  policy.bind(1, "");
+  CHECK(policy.regimeOf(1).empty());
+  CHECK(policy.anyBound());
+  policy.bind(1, "eu");
+  policy.forget(1);
+  CHECK(policy.regimeOf(1).empty());
+}
+
+TEST_CASE("certified replicas are looked up every second, and at once after a change") {
+  RegimePolicy policy;
+  CHECK(policy.isStale(0));
+  policy.update(0, {});
+  CHECK_FALSE(policy.isStale(999));
+  CHECK(policy.isStale(1000));
+  policy.invalidate();
+  CHECK(policy.isStale(1));
+}
+
+TEST_CASE("an update tells whether the certified replicas changed") {
+  RegimePolicy policy;
+  CertifiedReplicas certified;
+  CHECK_FALSE(policy.update(0, certified));
+  certified.add("eu", 1, 0.5);
+  CHECK(policy.update(1, certified));
+  CHECK_FALSE(policy.update(2, certified));
+}
+
+TEST_CASE("a regime uses its certified replicas alone, other work what is not reserved whole") {
+  RegimePolicy policy;
+  CertifiedReplicas certified;
+  certified.add("eu", 1, 0.5);
+  certified.add("eu", 2, 1.0);
+  certified.add("us", 1, 0.25);
+  policy.update(0, certified);
+  CHECK(policy.mayUse("eu", 1));
+  CHECK(policy.mayUse("eu", 2));
+  CHECK_FALSE(policy.mayUse("eu", 3));
+  CHECK_FALSE(policy.mayUse("us", 2));
+  CHECK_FALSE(policy.mayUse("unknown", 1));
+  CHECK(policy.mayUse("", 1));
+  CHECK_FALSE(policy.mayUse("", 2));
+  CHECK(policy.mayUse("", 3));
+  CHECK(*policy.reservedFraction(1) == 0.5);
+  CHECK_FALSE(policy.reservedFraction(3));
+}
+
+TEST_CASE("candidates are told apart by regime") {
+  RegimePolicy policy;
+  CertifiedReplicas certified;
+  certified.add("eu", 2, 1.0);
+  policy.update(0, certified);
+  auto const candidates = policy.candidatesByRegime({{1, false, 10}, {2, false, 20}});
+  REQUIRE(candidates.size() == 2);
+  CHECK(candidates.at("").find(1) != nullptr);
+  CHECK(candidates.at("").find(2) == nullptr);
+  CHECK(candidates.at("eu").find(1) == nullptr);
+  CHECK(candidates.at("eu").find(2) != nullptr);
+}
