--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -13,7 +13,9 @@
 #include <corkward/config/regimes.h>
 #include <corkward/core/journal.h>
 #include <corkward/dataplane/configuration_state.h>
+#include <corkward/dataplane/controller_links.h>
 #include <corkward/dataplane/failure_log.h>
+#include <corkward/dataplane/neighbour_links.h>
 #include <corkward/dataplane/regime_policy.h>
 #include <corkward/dataplane/request.h>
 #include <corkward/dataplane/request_id_table.h>
@@ -221,17 +223,6 @@
     transport::Revisions revisions;
     Tick usefulAt = -1;
   };
-  /// A process that is asked again and again.
-  struct PeerLink {
-    Tick openedAt = 0;
-    /// First question that has had no answer; below zero: none.
-    Tick firstUnansweredAt = -1;
-    /// Newest answer that was of use.
-    Tick lastUsefulAt = -1;
-    Tick timedOutAt = -1;
-    bool revisionsRequested = false;
-    Tick announcedAt = -1;
-  };
   using QueueKey = std::pair<NameIndex, NameIndex>;
 
   void applyEntries(RouterCommands& out, Tick now, std::vector<transport::CommittedEntry> const& items);
@@ -288,7 +279,7 @@
   std::string encodeAges(Tick now) const;
   void chooseControllers(Tick now);
   void sendLeaseRequest(RouterCommands& out, Tick now, std::string const& to);
-  std::vector<std::string> chooseNeighbours(Tick now, std::size_t wanted, Tick every);
+  NeighbourLinks::Peers neighbourCandidates(Tick now) const;
   void sendHeartbeats(RouterCommands& out, Tick now);
   void sendMissing(RouterCommands& out, std::string const& to, transport::Revisions const& have) const;
   std::vector<std::string> const& otherRouters() const { return roster_.others; }
@@ -396,10 +387,8 @@
   std::map<std::string, transport::PeerHeartbeat> pendingHeartbeats_;
   /// Newest tick at which that router had nothing in force that this one lacks now.
   std::map<std::string, Tick> heardAt_;
-  std::map<std::string, PeerLink> controllers_;
-  std::map<std::string, PeerLink> neighbours_;
-  std::map<std::string, Tick> unresponsiveSince_;
-  std::vector<std::string> controllerChoice_;
+  ControllerLinks controllerLinks_;
+  NeighbourLinks neighbourLinks_;
   std::map<std::string, Tick> valueRequestedAt_;
   /// A neighbour has sent a whole snapshot.
   bool snapshotSeen_ = false;
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -228,7 +228,7 @@
       m.number, partialView_.self().link, partialView_.self().incarnation, {}, configuration_.digest()};
   if (!m.isSnapshot)
     for (transport::CommittedEntry const& i : m.entries) ack.revisions[i.key] = revisionOf(i.key);
-  std::set<std::string> to(controllerChoice_.begin(), controllerChoice_.end());
+  std::set<std::string> to(controllerLinks_.chosen().begin(), controllerLinks_.chosen().end());
   if (m.number > 0) to.insert(from);
   for (std::string const& s : to) out.sends.push_back(transport::Send{s, ack});
 }
@@ -245,7 +245,7 @@
   for (std::size_t i = others.size(); i > 1; --i) std::swap(others[i - 1], others[rng_.below(i)]);
   std::set<std::string> to(
       others.begin(), others.begin() + static_cast<std::ptrdiff_t>(std::min(others.size(), tuning_.neighbourCount)));
-  to.insert(controllerChoice_.begin(), controllerChoice_.end());
+  to.insert(controllerLinks_.chosen().begin(), controllerLinks_.chosen().end());
   for (std::string const& link : to) out.sends.push_back(transport::Send{link, m});
 }
 
--- a/dataplane/src/peers.cpp
+++ b/dataplane/src/peers.cpp
@@ -1,8 +1,6 @@
 // Who is asked and touched: the roster, the controllers that are held, and the neighbours among the routers.
 #include <QJsonArray>
 #include <algorithm>
-#include <functional>
-#include <tuple>
 
 #include <corkward/core/json.h>
 
@@ -44,93 +42,36 @@
 }
 
 void RequestRouter::chooseControllers(Tick now) {
-  Tick const patience = 2 * tuning_.leaseRequestInterval + tuning_.leaseRequestInterval / 2;
-  for (std::string const& link : controllerChoice_) {
-    PeerLink& l = controllers_[link];
-    if (l.firstUnansweredAt < 0 || now - l.firstUnansweredAt <= patience) continue;
-    l.timedOutAt = now;
-    l.firstUnansweredAt = -1;
-  }
+  transport::Contact const& self = partialView_.self();
   std::map<std::string, std::string> zones;
-  for (transport::Contact const& c : partialView_.ofRole(transport::controllerRole, now)) zones[c.link] = c.zone;
-  std::map<std::tuple<Tick, bool, std::uint64_t>, std::string> ranked;
+  for (transport::Contact const& contact : partialView_.ofRole(transport::controllerRole, now))
+    zones[contact.link] = contact.zone;
   std::vector<std::string> known = controllers(now);
   if (known.empty()) known = partialView_.seeds();
-  for (std::string const& link : known) {
-    PeerLink& l = controllers_[link];
-    bool const silent = l.timedOutAt >= 0 && now - l.timedOutAt < tuning_.unresponsivePeerTimeout;
-    ranked[{silent ? l.timedOutAt : 0, zones[link] != partialView_.self().zone,
-            core::stableHash(link + partialView_.self().link)}] = link;
-  }
-  controllerChoice_.clear();
-  std::size_t live = 0;
-  for (std::map<std::tuple<Tick, bool, std::uint64_t>, std::string>::value_type const& r : ranked) {
-    if (live >= tuning_.controllerLinkCount || controllerChoice_.size() >= tuning_.maxControllerLinks) break;
-    PeerLink const& l = controllers_.at(r.second);
-    live += l.lastUsefulAt >= 0 && now - l.lastUsefulAt <= patience ? 1 : 0;
-    controllerChoice_.push_back(r.second);
-  }
+  std::vector<ControllerLinks::Candidate> candidates;
+  for (std::string const& link : known)
+    candidates.push_back({link, zones[link] == self.zone, core::stableHash(link + self.link)});
+  controllerLinks_.choose(now, candidates, tuning_);
 }
 
 void RequestRouter::sendLeaseRequest(RouterCommands& out, Tick now, std::string const& to) {
-  PeerLink& l = controllers_[to];
-  l.openedAt = now;
-  if (l.firstUnansweredAt < 0) l.firstUnansweredAt = now;
-  transport::ServingLeaseRequest ask{now, partialView_.self(), !snapshotApplied_, false, configuration_.digest(), {}};
-  if (l.revisionsRequested) {
-    ask.revisions = configuration_.revisions();
-    l.revisionsRequested = false;
-    l.announcedAt = now;
-  }
-  out.sends.push_back(transport::Send{to, std::move(ask)});
+  transport::ServingLeaseRequest request{now,   partialView_.self(),     !snapshotApplied_,
+                                         false, configuration_.digest(), {}};
+  if (controllerLinks_.onRequest(now, to)) request.revisions = configuration_.revisions();
+  out.sends.push_back(transport::Send{to, std::move(request)});
 }
 
-std::vector<std::string> RequestRouter::chooseNeighbours(Tick now, std::size_t wanted, Tick every) {
-  std::vector<std::string> known = otherRouters();
-  if (known.empty() || !snapshotApplied_)
-    for (transport::Contact const& c : partialView_.ofRole(transport::routerRole, now)) known.push_back(c.link);
-  std::sort(known.begin(), known.end());
-  known.erase(std::unique(known.begin(), known.end()), known.end());
-  std::erase_if(neighbours_, [&](std::map<std::string, PeerLink>::value_type const& n) {
-    bool const silent = n.second.firstUnansweredAt >= 0 && now - n.second.firstUnansweredAt > every + every / 2;
-    if (silent) unresponsiveSince_[n.first] = now;
-    return silent || now - n.second.openedAt > tuning_.neighbourRotationPeriod ||
-           !std::binary_search(known.begin(), known.end(), n.first);
-  });
-  std::function<bool(std::string const&)> const near = [&](std::string const& link) {
-    std::map<std::string, std::string>::const_iterator const it = roster_.zones.find(link);
-    return it != roster_.zones.end() && it->second == partialView_.self().zone;
-  };
-  std::vector<std::string> free;
-  for (std::string const& link : known)
-    if (neighbours_.count(link) == 0) free.push_back(link);
-  for (std::size_t i = free.size(); i > 1; --i) std::swap(free[i - 1], free[rng_.below(i)]);
-  std::stable_sort(free.begin(), free.end(), [&](std::string const& a, std::string const& b) {
-    std::function<bool(std::string const&)> const silent = [&](std::string const& link) {
-      std::map<std::string, Tick>::const_iterator const it = unresponsiveSince_.find(link);
-      return it != unresponsiveSince_.end() && now - it->second < tuning_.unresponsivePeerTimeout;
-    };
-    return !silent(a) && silent(b);
-  });
-  while (neighbours_.size() > wanted)
-    neighbours_.erase(std::next(neighbours_.begin(), static_cast<std::ptrdiff_t>(rng_.below(neighbours_.size()))));
-  while (neighbours_.size() < wanted && !free.empty()) {
-    std::size_t nearOnes = 0;
-    for (std::map<std::string, PeerLink>::value_type const& n : neighbours_) nearOnes += near(n.first) ? 1 : 0;
-    bool const wantNear = 3 * nearOnes < wanted;
-    std::vector<std::string>::iterator it = std::find_if(free.begin(), free.end(), [&](std::string const& l) {
-      std::map<std::string, Tick>::const_iterator const s = unresponsiveSince_.find(l);
-      return near(l) == wantNear &&
-             (s == unresponsiveSince_.end() || now - s->second >= tuning_.unresponsivePeerTimeout);
-    });
-    if (it == free.end()) it = free.begin();
-    neighbours_[*it].openedAt =
-        now - static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(tuning_.neighbourRotationPeriod / 2)));
-    free.erase(it);
-  }
-  std::vector<std::string> out;
-  for (std::map<std::string, PeerLink>::value_type const& n : neighbours_) out.push_back(n.first);
-  return out;
+NeighbourLinks::Peers RequestRouter::neighbourCandidates(Tick now) const {
+  NeighbourLinks::Peers peers;
+  peers.links = otherRouters();
+  if (peers.links.empty() || !snapshotApplied_)
+    for (transport::Contact const& contact : partialView_.ofRole(transport::routerRole, now))
+      peers.links.push_back(contact.link);
+  std::sort(peers.links.begin(), peers.links.end());
+  peers.links.erase(std::unique(peers.links.begin(), peers.links.end()), peers.links.end());
+  for (auto const& [link, zone] : roster_.zones)
+    if (zone == partialView_.self().zone) peers.sameZone.insert(link);
+  return peers;
 }
 
 void RequestRouter::sendHeartbeats(RouterCommands& out, Tick now) {
@@ -148,11 +89,11 @@
   touch.removalHints = removalHints();
   bool const wantWhole = !snapshotApplied_ && !snapshotSeen_ && now - startedAt_ > 2000;
   std::vector<std::string> const to =
-      chooseNeighbours(now, lacking ? tuning_.neighbourCount : tuning_.idleNeighbourCount, every);
+      neighbourLinks_.choose(now, lacking ? tuning_.neighbourCount : tuning_.idleNeighbourCount, every,
+                             neighbourCandidates(now), tuning_, rng_);
   std::size_t const asked = wantWhole && !to.empty() ? rng_.below(to.size()) : to.size();
   for (std::size_t i = 0; i < to.size(); ++i) {
-    PeerLink& n = neighbours_[to[i]];
-    if (n.firstUnansweredAt < 0) n.firstUnansweredAt = now;
+    neighbourLinks_.onHeartbeatSent(now, to[i]);
     touch.wantsSnapshot = i == asked;
     out.sends.push_back(transport::Send{to[i], touch});
   }
@@ -183,8 +124,7 @@
     }
     return;
   }
-  std::map<std::string, PeerLink>::iterator const n = neighbours_.find(from);
-  if (n != neighbours_.end()) n->second.firstUnansweredAt = -1;
+  neighbourLinks_.onReply(from);
   if (m.sentAt > now) return;
   if (configuration_.covers(m.digest, m.revisions)) {
     recordHeartbeat(from, m);
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -77,7 +77,7 @@
         now + (snapshotApplied_ ? tuning_.leaseRequestInterval
                                 : std::min(tuning_.leaseRequestInterval, tuning_.snapshotRequestInterval));
     chooseControllers(now);
-    for (std::string const& s : controllerChoice_) sendLeaseRequest(out, now, s);
+    for (std::string const& link : controllerLinks_.chosen()) sendLeaseRequest(out, now, link);
   }
   sendHeartbeats(out, now);
   std::vector<transport::Send> sends = partialView_.clockEvent(now);
@@ -178,8 +178,8 @@
                      instanceNames_.count(),
                      queues_.size(),
                      activeQueues_.size(),
-                     leaseGrants_.size() + pendingHeartbeats_.size() + heardAt_.size() + controllers_.size() +
-                         neighbours_.size() + unresponsiveSince_.size() + valueRequestedAt_.size(),
+                     leaseGrants_.size() + pendingHeartbeats_.size() + heardAt_.size() + controllerLinks_.size() +
+                         neighbourLinks_.size() + valueRequestedAt_.size(),
                      requestIds_.size(),
                      prefixes_.size(),
                      calls_.size()};
@@ -192,10 +192,9 @@
   std::erase_if(pendingHeartbeats_, [&](std::map<std::string, transport::PeerHeartbeat>::value_type const& e) {
     return old(e.second.sentAt);
   });
-  std::erase_if(controllers_, [&](std::map<std::string, PeerLink>::value_type const& l) {
-    return old(std::max(l.second.openedAt, l.second.lastUsefulAt));
-  });
-  for (std::map<std::string, Tick>* const times : {&heardAt_, &valueRequestedAt_, &unresponsiveSince_})
+  controllerLinks_.forgetBefore(now - tuning_.minimumMemoryAge);
+  neighbourLinks_.forgetBefore(now - tuning_.minimumMemoryAge);
+  for (std::map<std::string, Tick>* const times : {&heardAt_, &valueRequestedAt_})
     std::erase_if(*times, [&](std::map<std::string, Tick>::value_type const& t) { return old(t.second); });
   expireRequestIds(now);
   std::set<NameIndex> replicasUsed;
--- a/dataplane/src/serving_lease.cpp
+++ b/dataplane/src/serving_lease.cpp
@@ -83,16 +83,9 @@
 
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::ServingLeaseGrant const& m) {
   for (transport::EndpointRemovalHint const& h : m.removalHints) applyRemovalHint(out, now, h);
-  std::map<std::string, PeerLink>::iterator const held = controllers_.find(from);
-  if (held != controllers_.end()) {
-    if (m.hasQuorum) {
-      held->second.firstUnansweredAt = -1;
-      held->second.lastUsefulAt = now;
-    }
-    held->second.revisionsRequested = m.wantsRevisions;
-    if (m.wantsRevisions && now - held->second.announcedAt >= tuning_.leaseRequestInterval / 3)
-      sendLeaseRequest(out, now, from);
-  }
+  if (m.hasQuorum) controllerLinks_.onUsefulReply(now, from);
+  if (controllerLinks_.onRevisionsWanted(now, from, m.wantsRevisions, tuning_.leaseRequestInterval / 3))
+    sendLeaseRequest(out, now, from);
   if (m.rosterRevision > 0 && m.rosterRevision >= roster_.revision) roster_.joining = false;
   if (!m.hasQuorum || m.quorumAge < 0 || m.requestSentAt > now) return;
   LeaseGrantRecord& c = leaseGrants_[from];
