--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -20,7 +20,9 @@
 #include <corkward/dataplane/request.h>
 #include <corkward/dataplane/request_id_table.h>
 #include <corkward/dataplane/router_commands.h>
+#include <corkward/dataplane/roster.h>
 #include <corkward/dataplane/router_tuning.h>
+#include <corkward/dataplane/serving_lease.h>
 #include <corkward/dataplane/service_times.h>
 #include <corkward/dataplane/tenants.h>
 #include <corkward/dataplane/wall_clock.h>
@@ -205,24 +207,6 @@
     scaling::CompletionRate completions;
     std::size_t queuedCount() const { return waiting[0].size() + waiting[1].size() + waiting[2].size(); }
   };
-  /// What the roster says, folded once when it comes.
-  struct RosterView {
-    std::uint64_t revision = 0;
-    std::vector<std::string> others;
-    /// All links with their zones, this node's own among them; ages go in this order.
-    std::map<std::string, std::string> zones;
-    std::size_t size = 0;
-    bool self = false;
-    /// Others may not know yet that this node serves; see standing.
-    bool joining = false;
-    Tick joinedAt = 0;
-  };
-  struct LeaseGrantRecord {
-    Tick grantedAt = -1;
-    transport::Digest digest;
-    transport::Revisions revisions;
-    Tick usefulAt = -1;
-  };
   using QueueKey = std::pair<NameIndex, NameIndex>;
 
   void applyEntries(RouterCommands& out, Tick now, std::vector<transport::CommittedEntry> const& items);
@@ -271,21 +255,16 @@
   bool needsIsolatedReplica(Call const& call) const;
   void isolateReplicas(PoolView const& view);
   bool isEvacuated(std::string const& zone) const;
-  bool hasLeaseWithin(Tick now, Tick age) const;
   bool hasHeardMajority(Tick now) const;
-  void refreshServingLease();
-  void recordHeartbeat(std::string const& from, transport::PeerHeartbeat const& echo);
   void adoptSnapshot(RouterCommands& out, Tick now, std::string const& from);
-  std::string encodeAges(Tick now) const;
   void chooseControllers(Tick now);
   void sendLeaseRequest(RouterCommands& out, Tick now, std::string const& to);
   NeighbourLinks::Peers neighbourCandidates(Tick now) const;
   void sendHeartbeats(RouterCommands& out, Tick now);
   void sendMissing(RouterCommands& out, std::string const& to, transport::Revisions const& have) const;
-  std::vector<std::string> const& otherRouters() const { return roster_.others; }
-  std::size_t rosterSize() const { return roster_.size; }
+  std::vector<std::string> const& otherRouters() const { return roster_.others(); }
+  std::size_t rosterSize() const { return roster_.size(); }
   void loadRoster(Tick now, std::uint64_t revision, QJsonObject const& value);
-  void updateJoining(Tick now);
   bool remembersSince(Tick now, Tick age) const;
   void recordLag(Tick now);
   void queryPeers(RouterCommands& out, Tick now, CallId id);
@@ -382,19 +361,12 @@
   std::set<std::string> evacuated_;
   /// Rises whenever paths change.
   std::uint64_t configurationRevision_ = 1;
-  std::map<std::string, LeaseGrantRecord> leaseGrants_;
-  /// Echoes that name what is not known here yet.
-  std::map<std::string, transport::PeerHeartbeat> pendingHeartbeats_;
-  /// Newest tick at which that router had nothing in force that this one lacks now.
-  std::map<std::string, Tick> heardAt_;
+  ServingLease servingLease_;
   ControllerLinks controllerLinks_;
   NeighbourLinks neighbourLinks_;
   std::map<std::string, Tick> valueRequestedAt_;
   /// A neighbour has sent a whole snapshot.
   bool snapshotSeen_ = false;
-  /// Control has vouched for this life's snapshot. Until then this node is none of the majority that it stands on: its
-  /// life before may have been counted for a change that it lacks now.
-  bool confirmedByControl_ = false;
   core::RandomGenerator rng_;
   std::map<QueueKey, AdmissionQueue> queues_;
   /// Credits that looks may change: all others are at rest.
@@ -409,7 +381,7 @@
   /// Longest time without an event of late: what was read after it may be that much older than it says.
   Tick eventLag_ = 0;
   Tick eventLagAt_ = -1;
-  RosterView roster_;
+  Roster roster_;
   std::vector<std::string> membershipIds_;
   std::vector<std::string> membershipLinks_;
   Tick nextLeaseRequestAt_ = 0;
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -17,7 +17,7 @@
   }
   if (!any) return;
   configuration_.recordDigest();
-  refreshServingLease();
+  servingLease_.refresh(configuration_, roster_);
   regimePolicy_.invalidate();
   for (PoolView& view : pools_) {
     view.changed = true;
@@ -218,7 +218,7 @@
   if (m.isSnapshot && !snapshotApplied_ && (tuning_.leaseRequired || !m.entries.empty())) {
     if (!fromRouter) {
       snapshotApplied_ = true;
-      confirmedByControl_ = true;
+      servingLease_.onControllerSnapshot();
       logEvent(out, now, "whole-image", {{"from", from}});
     }
     snapshotSeen_ = true;
--- a/dataplane/src/peers.cpp
+++ b/dataplane/src/peers.cpp
@@ -9,29 +9,12 @@
 namespace corkward::dataplane {
 
 void RequestRouter::loadRoster(Tick now, std::uint64_t revision, QJsonObject const& value) {
-  RosterView view;
-  view.revision = revision;
   std::vector<transport::Contact> const contacts = gossip::rosterContacts(value);
-  for (transport::Contact const& c : contacts) {
-    std::string const& link = c.link;
-    ++view.size;
-    view.zones[link] = c.zone;
-    if (link == partialView_.self().link)
-      view.self = true;
-    else
-      view.others.push_back(link);
-  }
-  bool before = roster_.self && !roster_.joining;
+  bool onPrevious = false;
   for (QJsonValue const v : value.value("previous").toArray())
-    before = before || core::toStdString(v.toObject().value("link").toString()) == partialView_.self().link;
-  view.joining = !before;
-  view.joinedAt = now;
+    onPrevious = onPrevious || core::toStdString(v.toObject().value("link").toString()) == roster_.self();
   partialView_.setRoster(revision, contacts);
-  roster_ = std::move(view);
-}
-
-void RequestRouter::updateJoining(Tick now) {
-  if (roster_.joining && roster_.self && now - roster_.joinedAt >= tuning_.joinTimeout) roster_.joining = false;
+  roster_.load(now, revision, contacts, onPrevious);
 }
 
 std::vector<std::string> RequestRouter::controllers(Tick now) const {
@@ -69,14 +52,14 @@
       peers.links.push_back(contact.link);
   std::sort(peers.links.begin(), peers.links.end());
   peers.links.erase(std::unique(peers.links.begin(), peers.links.end()), peers.links.end());
-  for (auto const& [link, zone] : roster_.zones)
+  for (auto const& [link, zone] : roster_.zones())
     if (zone == partialView_.self().zone) peers.sameZone.insert(link);
   return peers;
 }
 
 void RequestRouter::sendHeartbeats(RouterCommands& out, Tick now) {
   bool const lacking =
-      tuning_.leaseRequired ? !hasLeaseWithin(now, 2 * tuning_.leaseRequestInterval) : !snapshotApplied_;
+      tuning_.leaseRequired ? !servingLease_.isGrantedWithin(now, 2 * tuning_.leaseRequestInterval) : !snapshotApplied_;
   Tick const every = lacking ? tuning_.heartbeatInterval : tuning_.idleHeartbeatInterval;
   if (now - lastHeartbeatAt_ < every) return;
   lastHeartbeatAt_ = now;
@@ -111,8 +94,8 @@
     echo.digest = configuration_.digest();
     if (!(m.digest == configuration_.digest())) echo.revisions = configuration_.revisions();
     if (m.wantsAges && snapshotApplied_) {
-      echo.rosterRevision = roster_.revision;
-      echo.ages = encodeAges(now);
+      echo.rosterRevision = roster_.revision();
+      echo.ages = servingLease_.encodeAges(now, tuning_.servingLeaseDuration, roster_);
     }
     echo.removalHints = removalHints();
     out.sends.push_back(transport::Send{from, std::move(echo)});
@@ -126,11 +109,7 @@
   }
   neighbourLinks_.onReply(from);
   if (m.sentAt > now) return;
-  if (configuration_.covers(m.digest, m.revisions)) {
-    recordHeartbeat(from, m);
-  } else {
-    pendingHeartbeats_[from] = m;
-  }
+  servingLease_.onHeartbeatReply(from, m, configuration_, roster_);
   adoptSnapshot(out, now, from);
   if (!(transport::digestOf(m.revisions) == m.digest)) return;
   for (transport::Revisions::value_type const& s : m.revisions) {
--- /dev/null
+++ b/dataplane/src/readiness.cpp
@@ -0,0 +1,38 @@
+// Whether this router may serve and is ready, and the controllers' grants that decide it.
+#include "internal.h"
+
+namespace corkward::dataplane {
+
+bool RequestRouter::hasHeardMajority(Tick now) const {
+  return rosterSize() >= tuning_.minRosterSize &&
+         servingLease_.hasHeardMajority(now, tuning_.servingLeaseDuration, roster_);
+}
+
+bool RequestRouter::servingLease(Tick now) const {
+  if (!tuning_.leaseRequired) return snapshotApplied_ && !routes_.empty();
+  if (!snapshotApplied_ || !roster_.hasJoined()) return false;
+  return servingLease_.isGrantedWithin(now, tuning_.servingLeaseDuration) || hasHeardMajority(now);
+}
+
+bool RequestRouter::isEvacuated(std::string const& zone) const {
+  return evacuated_.count(zone) > 0;
+}
+
+bool RequestRouter::ready(Tick now) const {
+  bool const young = tuning_.leaseRequired && now - startedAt_ < tuning_.startupGracePeriod;
+  return !draining_ && !young && servingLease(now) &&
+         !(tuning_.evacuationFailsReady && isEvacuated(partialView_.self().zone)) && !routes_.empty();
+}
+
+void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::ServingLeaseGrant const& m) {
+  for (transport::EndpointRemovalHint const& h : m.removalHints) applyRemovalHint(out, now, h);
+  if (m.hasQuorum) controllerLinks_.onUsefulReply(now, from);
+  if (controllerLinks_.onRevisionsWanted(now, from, m.wantsRevisions, tuning_.leaseRequestInterval / 3))
+    sendLeaseRequest(out, now, from);
+  roster_.onEveryoneHas(m.rosterRevision);
+  if (!m.hasQuorum || m.quorumAge < 0 || m.requestSentAt > now) return;
+  servingLease_.onGrant(from, m.requestSentAt - m.quorumAge, m.digest, m.revisions);
+  servingLease_.refresh(configuration_, roster_);
+}
+
+}  // namespace corkward::dataplane
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -1,5 +1,4 @@
 #include <algorithm>
-#include <functional>
 
 #include <corkward/core/json.h>
 
@@ -24,7 +23,8 @@
       processName_(self.link + "#" + std::to_string(seed)),
       partialView_(std::move(self), std::move(seeds), seed ^ 0x91),
       tenants_(partialView_.self().link, partialView_.self().incarnation, seed ^ 0x2d, tuning.overdraftAllowance),
-      rng_(seed ^ 0x3b) {}
+      rng_(seed ^ 0x3b),
+      roster_(partialView_.self().link) {}
 
 void RequestRouter::countMetric(Tick now, std::string const& what, std::string const& about) {
   journal_.append(now, what, about);
@@ -39,6 +39,7 @@
 RouterCommands RequestRouter::started(Tick now) {
   RouterCommands out;
   startedAt_ = now;
+  servingLease_.start(now);
   requestIds_.start(now);
   lastEvent_ = now;
   logEvent(out, now, "started", {{"link", partialView_.self().link}});
@@ -71,7 +72,7 @@
 RouterCommands RequestRouter::onTimer(Tick now) {
   RouterCommands out;
   recordLag(now);
-  updateJoining(now);
+  roster_.onTimer(now, tuning_.joinTimeout);
   if (now >= nextLeaseRequestAt_) {
     nextLeaseRequestAt_ =
         now + (snapshotApplied_ ? tuning_.leaseRequestInterval
@@ -178,24 +179,18 @@
                      instanceNames_.count(),
                      queues_.size(),
                      activeQueues_.size(),
-                     leaseGrants_.size() + pendingHeartbeats_.size() + heardAt_.size() + controllerLinks_.size() +
-                         neighbourLinks_.size() + valueRequestedAt_.size(),
+                     servingLease_.size() + controllerLinks_.size() + neighbourLinks_.size() + valueRequestedAt_.size(),
                      requestIds_.size(),
                      prefixes_.size(),
                      calls_.size()};
 }
 
 void RequestRouter::releaseRemoved(Tick now) {
-  std::function<bool(Tick)> const old = [&](Tick at) { return now - at > tuning_.minimumMemoryAge; };
-  std::erase_if(leaseGrants_,
-                [&](std::map<std::string, LeaseGrantRecord>::value_type const& c) { return old(c.second.grantedAt); });
-  std::erase_if(pendingHeartbeats_, [&](std::map<std::string, transport::PeerHeartbeat>::value_type const& e) {
-    return old(e.second.sentAt);
-  });
-  controllerLinks_.forgetBefore(now - tuning_.minimumMemoryAge);
-  neighbourLinks_.forgetBefore(now - tuning_.minimumMemoryAge);
-  for (std::map<std::string, Tick>* const times : {&heardAt_, &valueRequestedAt_})
-    std::erase_if(*times, [&](std::map<std::string, Tick>::value_type const& t) { return old(t.second); });
+  Tick const oldest = now - tuning_.minimumMemoryAge;
+  servingLease_.forgetBefore(oldest);
+  controllerLinks_.forgetBefore(oldest);
+  neighbourLinks_.forgetBefore(oldest);
+  std::erase_if(valueRequestedAt_, [&](auto const& requested) { return requested.second < oldest; });
   expireRequestIds(now);
   std::set<NameIndex> replicasUsed;
   std::set<NameIndex> instancesUsed;
