--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -19,6 +19,7 @@
 #include <corkward/dataplane/regime_policy.h>
 #include <corkward/dataplane/request.h>
 #include <corkward/dataplane/request_id_table.h>
+#include <corkward/dataplane/route_table.h>
 #include <corkward/dataplane/router_commands.h>
 #include <corkward/dataplane/roster.h>
 #include <corkward/dataplane/router_tuning.h>
@@ -156,13 +157,6 @@
     Tick quotaTakenAt = 0;
     int urgency = 5;
   };
-  struct Route {
-    config::Path path;
-    NameIndex pool = 0;
-    NameIndex instance = 0;
-    /// Pools that share the requests, with weights above 0.
-    std::vector<std::pair<NameIndex, std::uint32_t>> backends;
-  };
   struct Replica {
     NameIndex pool = 0;
     std::string address;
@@ -220,11 +214,11 @@
   std::vector<transport::EndpointRemovalHint> removalHints() const;
   bool usable(Tick now, NameIndex replica) const;
   double slowStartRate(NameIndex pool) const;
-  NameIndex findPath(Request const& request) const;
   NameIndex choosePool(Tick now, Route const& row, CallId id) const;
   NameIndex poolIndex(std::string const& name);
+  /// Drops the routes that are not needed any more, once they are many.
+  void compactRoutes();
   void applyFleetConfiguration(QJsonObject const& value);
-  void removeRoutes(std::string const& owner);
   void addRoute(std::string const& owner, std::string const& route, config::Path const& path,
                 std::string const& instance);
   SendRequest dispatch(Tick now, CallId id);
@@ -353,14 +347,10 @@
   core::InternedNames replicaNames_;
   std::vector<Replica> replicas_;
   std::vector<PoolView> pools_;
-  std::vector<Route> routes_;
-  std::unordered_map<std::string, NameIndex> routeIndex_;
-  std::map<std::string, std::vector<std::string>> ownedRoutes_;
+  RouteTable routes_;
   config::HttpLimits httpLimits_;
   Tenants tenants_;
   std::set<std::string> evacuated_;
-  /// Rises whenever paths change.
-  std::uint64_t configurationRevision_ = 1;
   ServingLease servingLease_;
   ControllerLinks controllerLinks_;
   NeighbourLinks neighbourLinks_;
--- a/dataplane/src/admission.cpp
+++ b/dataplane/src/admission.cpp
@@ -16,31 +16,15 @@
 
 }  // namespace
 
-NameIndex RequestRouter::findPath(Request const& request) const {
-  if (!request.instance.empty()) {
-    std::unordered_map<std::string, NameIndex>::const_iterator const it =
-        routeIndex_.find(request.instance + "/" + request.path);
-    return it == routeIndex_.end() ? core::InternedNames::none : it->second;
-  }
-  std::string const key = request.host + request.target.substr(0, request.target.find_first_of("?#"));
-  for (std::size_t slash = key.rfind('/'); slash != std::string::npos && slash >= request.host.size();
-       slash = key.rfind('/', slash - 1)) {
-    std::unordered_map<std::string, NameIndex>::const_iterator const it = routeIndex_.find(key.substr(0, slash + 1));
-    if (it != routeIndex_.end()) return it->second;
-    if (slash == 0) break;
-  }
-  return core::InternedNames::none;
-}
-
 NameIndex RequestRouter::choosePool(Tick now, Route const& row, CallId id) const {
   std::uint64_t sum = 0;
-  for (std::pair<NameIndex, std::uint32_t> const& s : row.backends) sum += s.second;
+  for (Route::Backend const& backend : row.backends) sum += backend.weight;
   std::uint64_t at = core::RandomGenerator(seed_ ^ id).below(sum);
   NameIndex chosen = row.pool;
-  for (std::pair<NameIndex, std::uint32_t> const& s : row.backends) {
-    chosen = s.first;
-    if (at < s.second) break;
-    at -= s.second;
+  for (Route::Backend const& backend : row.backends) {
+    chosen = backend.pool;
+    if (at < backend.weight) break;
+    at -= backend.weight;
   }
   std::function<bool(NameIndex)> const serves = [&](NameIndex pool) {
     std::vector<NameIndex> const& all = pools_[pool].replicas;
@@ -48,8 +32,8 @@
                        [&](NameIndex const r) { return usable(now, r) && regimePolicy_.mayUse(row.path.regime, r); });
   };
   if (row.backends.size() < 2 || serves(chosen)) return chosen;
-  for (std::pair<NameIndex, std::uint32_t> const& s : row.backends)
-    if (serves(s.first)) return s.first;
+  for (Route::Backend const& backend : row.backends)
+    if (serves(backend.pool)) return backend.pool;
   return chosen;
 }
 
@@ -74,10 +58,10 @@
   call.phase = Phase::queryingRequestId;
   call.arrived = now;
   call.phaseSince = now;
-  NameIndex const path = findPath(request);
+  NameIndex const path = routes_.find(request);
   if (path != core::InternedNames::none) {
     call.path = path;
-    call.pathRevision = configurationRevision_;
+    call.pathRevision = routes_.revision();
   }
   calls_[id] = call;
   if (draining_ && now - drainedAt_ >= tuning_.drainAcceptPeriod) {
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -33,27 +33,19 @@
   return pool;
 }
 
-void RequestRouter::removeRoutes(std::string const& owner) {
-  for (std::string const& route : ownedRoutes_[owner]) routeIndex_.erase(route);
-  ownedRoutes_[owner].clear();
-  ++configurationRevision_;
-}
-
 void RequestRouter::addRoute(std::string const& owner, std::string const& route, config::Path const& path,
                              std::string const& instance) {
   Route row{path, poolIndex(path.pool), instanceNames_.intern(instance), {}};
-  for (config::WeightedPool const& s : path.weightedPools)
-    if (s.weight > 0) row.backends.emplace_back(poolIndex(s.pool), s.weight);
-  if (row.backends.empty()) row.backends.emplace_back(row.pool, 1);
+  for (config::WeightedPool const& weighted : path.weightedPools)
+    if (weighted.weight > 0) row.backends.push_back({poolIndex(weighted.pool), weighted.weight});
+  if (row.backends.empty()) row.backends.push_back({row.pool, 1});
   regimePolicy_.bind(row.instance, path.regime);
-  routeIndex_[route] = static_cast<NameIndex>(routes_.size());
-  ownedRoutes_[owner].push_back(route);
-  routes_.push_back(std::move(row));
+  routes_.add(owner, route, std::move(row));
 }
 
 void RequestRouter::applyFleetConfiguration(QJsonObject const& value) {
   config::FleetConfiguration const whole = config::readFleetConfiguration(value.value("spec").toObject());
-  removeRoutes(config::fleetConfigurationKey);
+  routes_.remove(config::fleetConfigurationKey);
   for (config::Path const& p : whole.paths)
     addRoute(config::fleetConfigurationKey, p.host + p.prefix, p, wholeInstance);
   for (PoolView& view : pools_) view.settings.reset();
@@ -69,7 +61,7 @@
   try {
     if (kind == "family") {
       std::vector<config::Path> const paths = config::renderPaths(name, item.value);
-      removeRoutes(item.key);
+      routes_.remove(item.key);
       for (config::Path const& p : paths) addRoute(item.key, p.instance + "/" + p.path, p, p.instance);
     } else if (item.key == config::regimesKey) {
       regimePolicy_.declare(config::readStoredRegimes(item.value));
@@ -118,20 +110,15 @@
   }
   configuration_.set(item);
   logEvent(out, now, "in-force", {{"key", item.key}, {"stamp", std::to_string(item.revision)}});
-  if (routes_.size() < 1024 || routes_.size() < 4 * routeIndex_.size()) return;
-  std::vector<bool> used(routes_.size(), false);
-  for (std::unordered_map<std::string, NameIndex>::value_type const& r : routeIndex_) used[r.second] = true;
-  for (std::unordered_map<CallId, Call>::value_type const& c : calls_) used[c.second.path] = true;
-  std::vector<NameIndex> moved(routes_.size(), 0);
-  std::vector<Route> kept;
-  for (std::size_t i = 0; i < routes_.size(); ++i) {
-    if (!used[i]) continue;
-    moved[i] = static_cast<NameIndex>(kept.size());
-    kept.push_back(std::move(routes_[i]));
-  }
-  routes_ = std::move(kept);
-  for (std::unordered_map<std::string, NameIndex>::value_type& r : routeIndex_) r.second = moved[r.second];
-  for (std::unordered_map<CallId, Call>::value_type& c : calls_) c.second.path = moved[c.second.path];
+  compactRoutes();
+}
+
+void RequestRouter::compactRoutes() {
+  if (!routes_.needsCompaction()) return;
+  std::set<NameIndex> inUse;
+  for (auto const& [id, call] : calls_) inUse.insert(call.path);
+  std::vector<NameIndex> const moved = routes_.compact(inUse);
+  for (auto& [id, call] : calls_) call.path = moved[call.path];
 }
 
 void RequestRouter::refreshRemovalHint(PoolView& view) {
--- a/dataplane/src/dispatch.cpp
+++ b/dataplane/src/dispatch.cpp
@@ -59,7 +59,7 @@
     reject(out, now, id, 503, "no serving lease", true, tuning_.defaultRetryAfter);
     return out;
   }
-  NameIndex const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
+  NameIndex const path = call.pathRevision == routes_.revision() ? call.path : routes_.find(call.request);
   if (path == core::InternedNames::none) {
     out.calls.push_back(CloseUpstream{id});
     reject(out, now, id, 404, "the configuration has changed", true, 0);
@@ -70,15 +70,15 @@
     reject(out, now, id, 401, "the tenant's key was taken away", true, 0);
     return out;
   }
-  std::vector<std::pair<NameIndex, std::uint32_t>> const& backends = routes_[path].backends;
+  std::vector<Route::Backend> const& backends = routes_[path].backends;
   bool const rebound = routes_[path].path.regime != routes_[call.path].path.regime;
   if (rebound || std::none_of(backends.begin(), backends.end(),
-                              [&](std::pair<NameIndex, std::uint32_t> const& s) { return s.first == call.pool; })) {
+                              [&](Route::Backend const& backend) { return backend.pool == call.pool; })) {
     out.calls.push_back(CloseUpstream{id});
     call.phase = Phase::queued;
     releaseSlot(out, now, call);
     call.path = path;
-    call.pathRevision = configurationRevision_;
+    call.pathRevision = routes_.revision();
     call.pool = choosePool(now, routes_[path], id);
     admit(out, now, id);
     return out;
@@ -133,7 +133,7 @@
   bool const mayRepeat = row.path.idempotent || row.path.resumable || call.resumes > 0;
   CORKWARD_GUARANTEE(core::Guarantee::runsOnce, mayRepeat || !call.outstanding, trace + " is handed over once more");
   bool const bounded = !row.path.host.empty() && regimeOf(call).empty();
-  bool const samePath = call.pathRevision == configurationRevision_;
+  bool const samePath = call.pathRevision == routes_.revision();
   CORKWARD_GUARANTEE(
       core::Guarantee::withinAttempts,
       !bounded || !samePath || static_cast<int>(call.dispatchedTo.size()) < std::max(row.path.maxAttempts, 1),
--- a/dataplane/src/regimes.cpp
+++ b/dataplane/src/regimes.cpp
@@ -12,7 +12,7 @@
 
 std::string const& RequestRouter::regimeOf(Call const& call) const {
   if (!regimePolicy_.anyBound() || call.pathRevision == 0) return unbound;
-  NameIndex const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
+  NameIndex const path = call.pathRevision == routes_.revision() ? call.path : routes_.find(call.request);
   return routes_[path == core::InternedNames::none ? call.path : path].path.regime;
 }
 
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -193,13 +193,11 @@
   std::erase_if(valueRequestedAt_, [&](auto const& requested) { return requested.second < oldest; });
   expireRequestIds(now);
   std::set<NameIndex> replicasUsed;
-  std::set<NameIndex> instancesUsed;
+  std::set<NameIndex> instancesUsed = routes_.instances();
   for (std::unordered_map<CallId, Call>::value_type const& c : calls_) {
     replicasUsed.insert(c.second.replica);
     instancesUsed.insert(routes_.empty() ? 0 : routes_[c.second.path].instance);
   }
-  for (std::unordered_map<std::string, NameIndex>::value_type const& r : routeIndex_)
-    instancesUsed.insert(routes_[r.second].instance);
   std::erase_if(queues_, [&](std::map<QueueKey, AdmissionQueue>::value_type const& c) {
     return instancesUsed.count(c.first.second) == 0 && c.second.scaler.inFlight() == 0 && c.second.queuedCount() == 0;
   });
