--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -61,19 +61,19 @@
 
   RouterCommands onRequest(Tick now, Request const& request);
   /// The connection stands and no byte was handed over yet: the last check before sending.
-  RouterCommands onConnected(Tick now, CallId call);
+  RouterCommands onConnected(Tick now, CallId id);
   /// No connection could be had, so nothing was handed over.
-  RouterCommands onConnectFailure(Tick now, CallId call);
+  RouterCommands onConnectFailure(Tick now, CallId id);
   /// This node could open no connection at all, for want of descriptors; the replica has no part in it.
-  RouterCommands onLocalConnectFailure(Tick now, CallId call);
-  RouterCommands onFirstByte(Tick now, CallId call, bool runKnown);
+  RouterCommands onLocalConnectFailure(Tick now, CallId id);
+  RouterCommands onFirstByte(Tick now, CallId id, bool runKnown);
   /// The replica answers with a failure of its own, of which nothing was passed on yet. When the commands say Connect,
   /// another replica is tried and the answer is forgotten; else it is passed on as it comes.
-  RouterCommands onUpstreamError(Tick now, CallId call);
+  RouterCommands onUpstreamError(Tick now, CallId id);
   /// The stream moves: words came, or the caller is the one that is slow. Told at most every second.
-  RouterCommands onProgress(Tick now, CallId call);
-  RouterCommands onUpstreamFinished(Tick now, CallId call, UpstreamResult end);
-  RouterCommands onCallerDisconnected(Tick now, CallId call);
+  RouterCommands onProgress(Tick now, CallId id);
+  RouterCommands onUpstreamFinished(Tick now, CallId id, UpstreamResult result);
+  RouterCommands onCallerDisconnected(Tick now, CallId id);
   /// The platform's list as told to this node: what it takes away is out of use at once, what it adds waits for
   /// control.
   RouterCommands onEndpointList(Tick now, CallId call, std::string const& pool, std::string const& body);
@@ -201,6 +201,11 @@
     scaling::CompletionRate completions;
     std::size_t queuedCount() const { return waiting[0].size() + waiting[1].size() + waiting[2].size(); }
   };
+  /// Why a regime's running requests must stop, and why none may start; empty: no reason.
+  struct RegimeStanding {
+    std::string uncertainty;
+    std::string rejection;
+  };
   using QueueKey = std::pair<NameIndex, NameIndex>;
 
   void applyEntries(RouterCommands& out, Tick now, std::vector<transport::CommittedEntry> const& items);
@@ -218,10 +223,39 @@
   NameIndex poolIndex(std::string const& name);
   /// Drops the routes that are not needed any more, once they are many.
   void compactRoutes();
+  /// Throws core::Error when the value is not valid.
+  void applyValue(Tick now, transport::CommittedEntry const& item);
+  void applyEndpointList(std::string const& poolName, config::EndpointList const& list);
+  void applyMembership(QJsonObject const& value);
   void applyFleetConfiguration(QJsonObject const& value);
   void addRoute(std::string const& owner, std::string const& route, config::Path const& path,
                 std::string const& instance);
   SendRequest dispatch(Tick now, CallId id);
+  // Steps of onConnected.
+  void dispatchResume(RouterCommands& out, Tick now, CallId id);
+  void rejectConnected(RouterCommands& out, Tick now, CallId id, int status, std::string reason, double retryAfter);
+  /// The call's route is still in force; else it is rejected, or admitted anew by the route that is.
+  bool confirmRoute(RouterCommands& out, Tick now, CallId id);
+  /// The call may be sent to its replica now; else it is rejected or tried elsewhere.
+  bool confirmDispatch(RouterCommands& out, Tick now, CallId id);
+  void recordDispatch(Tick now, Call& call);
+  // Steps of onUpstreamFinished.
+  /// Notes the result for the replica, the quota and the audit; a stale connection counts as one that was lost.
+  UpstreamResult recordUpstreamResult(RouterCommands& out, Tick now, Call& call, UpstreamResult result);
+  /// The call was sent, no byte came back and it was not resumed.
+  static bool isFirstRun(Call const& call);
+  /// Calls of a regime are resumed once.
+  bool isResumeSpent(Call const& call) const;
+  /// Takes a retry from the budget for a call whose path may be retried from the start or resumed elsewhere.
+  bool takeStreamRetry(Tick now, Call const& call, UpstreamResult result);
+  void recoverStream(RouterCommands& out, Tick now, CallId id, UpstreamResult result);
+  void retryNotExecuted(RouterCommands& out, Tick now, CallId id);
+  /// Takes a retry from the budget for a call that may be resumed on its replica.
+  bool takeResume(Tick now, Call const& call, UpstreamResult result);
+  void resumeOnSameReplica(RouterCommands& out, Tick now, CallId id);
+  void failUpstream(RouterCommands& out, Tick now, CallId id);
+  /// The replica answered "not executed".
+  void backOffOverloaded(Tick now, NameIndex replica);
   /// A request of the path that comes now could be cut by the end of the drain.
   bool outlastsDrain(Tick now, config::Path const& path) const;
   void checkDispatch(Tick now, Call const& call, Tick left) const;
@@ -236,13 +270,19 @@
   bool isOverdue(Call const& call, Tick took) const;
   /// Undoes the last hand-over of a call whose connection could not be written to.
   void undoDispatch(RouterCommands& out, Tick now, CallId id);
+  // Steps of onTimer.
+  void requestLeases(RouterCommands& out, Tick now);
+  bool isExpired(Tick now, Call const& call) const;
+  void expireCalls(RouterCommands& out, Tick now);
+  void expireCall(RouterCommands& out, Tick now, CallId id);
+  void evaluateQueues(RouterCommands& out, Tick now);
   /// A stream that a path of the whole configuration bounds runs past its deadline.
   bool isPastDeadline(Tick now, Call const& call) const;
   void connectTo(RouterCommands& out, Tick now, CallId id, NameIndex replica);
   /// All serving replicas of the pool, whatever the part is.
   std::vector<scaling::Candidate> candidatesBeyondSubset(Tick now, NameIndex pool) const;
   bool resumeOnOtherReplica(RouterCommands& out, Tick now, CallId id);
-  std::int64_t chooseReplica(Tick now, Call const& call, std::vector<scaling::Candidate> const& choices) const;
+  std::int64_t chooseReplica(Tick now, Call const& call, std::vector<scaling::Candidate> const& all) const;
   NameIndex homeReplica(Call const& call) const;
   bool isHomeCandidate(NameIndex replica) const;
   /// The prompt cannot be read within its aim, and the pool has replicas that read such ones.
@@ -255,6 +295,11 @@
   void sendLeaseRequest(RouterCommands& out, Tick now, std::string const& to);
   NeighbourLinks::Peers neighbourCandidates(Tick now) const;
   void sendHeartbeats(RouterCommands& out, Tick now);
+  void replyToHeartbeat(RouterCommands& out, Tick now, std::string const& from,
+                        transport::PeerHeartbeat const& heartbeat);
+  void onHeartbeatReply(RouterCommands& out, Tick now, std::string const& from, transport::PeerHeartbeat const& reply);
+  void requestNewerValues(RouterCommands& out, Tick now, std::string const& from,
+                          transport::Revisions const& revisions);
   void sendMissing(RouterCommands& out, std::string const& to, transport::Revisions const& have) const;
   std::vector<std::string> const& otherRouters() const { return roster_.others(); }
   std::size_t rosterSize() const { return roster_.size(); }
@@ -269,6 +314,8 @@
   std::vector<scaling::Candidate> usableCandidates(Tick now, AdmissionQueue const& c, bool warmRoom) const;
   void admit(RouterCommands& out, Tick now, CallId id);
   bool attemptConnect(RouterCommands& out, Tick now, CallId id);
+  /// Connects at once, or puts the call first in its queue.
+  void connectOrQueueFirst(RouterCommands& out, Tick now, CallId id);
   void dispatchQueued(RouterCommands& out, Tick now, QueueKey key);
   void evaluateQueue(RouterCommands& out, Tick now, QueueKey key, CallId unplaced = 0);
   void releaseSlot(RouterCommands& out, Tick now, Call& call);
@@ -291,6 +338,11 @@
   void updateTenants(RouterCommands& out, Tick now);
   /// A request that may be served goes on: its id is looked up, then it is admitted.
   void admitOrQueue(RouterCommands& out, Tick now, CallId id);
+  /// The call has its request id in hand from now on; else it was rejected.
+  bool claimRequestId(RouterCommands& out, Tick now, CallId id);
+  /// An earlier attempt with the id does not stand in the way; else the call was rejected.
+  bool mayReplaceEarlier(RouterCommands& out, Tick now, CallId id, RequestIdRecord const& earlier);
+  void admitLaterAttempt(RouterCommands& out, Tick now, CallId id);
   void dequeue(CallId id);
   void retry(RouterCommands& out, Tick now, CallId id, char const* why);
   double retryAfter(AdmissionQueue const& c, config::RequestClass cls) const;
@@ -310,7 +362,14 @@
   void refreshCertified(Tick now);
   static scaling::Candidates candidatesOf(PoolView const& view, std::string const& regime);
   void recordAudit(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened, std::string reason = {});
+  /// Calls of regimes that are past admission, sorted.
+  std::vector<CallId> callsOfRegimes() const;
   void enforceRegimes(RouterCommands& out, Tick now);
+  void enforceRegime(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing);
+  void enforceWhileQueued(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing);
+  void enforceWhileConnecting(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing, bool certified);
+  /// The call is to be resumed on another replica and was not sent there yet.
+  static bool isResumeUnsent(Call const& call);
   void abandonForRegime(RouterCommands& out, Tick now, CallId id, std::string const& why);
   void expireRequestIds(Tick now) { requestIds_.expire(now, tuning_.requestIdRetention, tuning_.maxRequestIds); }
   void releaseRemoved(Tick now);
--- a/dataplane/src/admission.cpp
+++ b/dataplane/src/admission.cpp
@@ -104,58 +104,69 @@
 }
 
 void RequestRouter::admitOrQueue(RouterCommands& out, Tick now, CallId id) {
-  Call& mine = calls_.at(id);
-  Request const& request = mine.request;
-  Route const& row = routes_[mine.path];
-  mine.phase = Phase::queryingRequestId;
-  if (!request.id.empty()) {
-    expireRequestIds(now);
-    std::string const key = requestIdKey(request);
-    if (RequestIdRecord const* const record = requestIds_.find(key)) {
-      RequestIdRecord const before = *record;
-      mine.pendingEcho = true;
-      mine.reachedReplica = mine.reachedReplica || before.reachedReplica;
-      if (request.attempt > 0 && before.claimedByAttempt >= request.attempt) {
-        reject(out, now, id, 409, "a later attempt went to another node", false, 0);
-        return;
-      }
-      if (before.mayHaveRun && !row.path.resumable) {
-        reject(out, now, id, 409, "an earlier attempt may have run", false, 0);
-        return;
-      }
-      if (request.attempt == 0) mine.earlierClaimants.insert(before.claimants.begin(), before.claimants.end());
-      std::unordered_map<CallId, Call>::const_iterator const held = calls_.find(before.activeCall);
-      if (before.activeCall != 0 && before.activeCall != id && held != calls_.end()) {
-        if (held->second.phase == Phase::queued || held->second.phase == Phase::queryingRequestId) {
-          reject(out, now, before.activeCall, 409, "replaced by a later attempt", true, 0);
-        } else if (!row.path.resumable) {
-          reject(out, now, id, 409, "an earlier attempt is in hand", false, 0);
-          return;
-        }
-      }
-    }
-    requestIds_.use(now, key).activeCall = id;
-  }
+  Call& call = calls_.at(id);
+  Request const& request = call.request;
+  call.phase = Phase::queryingRequestId;
+  if (!request.id.empty() && !claimRequestId(out, now, id)) return;
   if (!request.id.empty() && request.attempt == 0) {
     queryPeers(out, now, id);
     decideRequestId(out, now, id, false);
-    return;
+  } else if (request.attempt > 1 && !request.earlierNotExecuted && !routes_[call.path].path.resumable) {
+    admitLaterAttempt(out, now, id);
+  } else {
+    admit(out, now, id);
   }
-  if (request.attempt > 1 && !request.earlierNotExecuted && !row.path.resumable) {
-    if (request.id.empty()) {
-      reject(out, now, id, 409, "a later attempt without an id cannot be told from the first", false, 0);
-    } else if (request.ageMs < 0) {
-      reject(out, now, id, 409, "a later attempt that does not say its age cannot be looked up", false, 0);
-    } else if (!remembersSince(now, request.ageMs)) {
-      reject(out, now, id, 409, "this node does not remember far enough to say whether an earlier attempt ran", false,
-             0);
-    } else {
-      queryPeers(out, now, id);
-      if (calls_.at(id).awaitedPeers.empty()) admit(out, now, id);
-    }
-    return;
+}
+
+bool RequestRouter::claimRequestId(RouterCommands& out, Tick now, CallId id) {
+  Call& call = calls_.at(id);
+  expireRequestIds(now);
+  std::string const key = requestIdKey(call.request);
+  RequestIdRecord const* const record = requestIds_.find(key);
+  if (record != nullptr && !mayReplaceEarlier(out, now, id, *record)) return false;
+  requestIds_.use(now, key).activeCall = id;
+  return true;
+}
+
+bool RequestRouter::mayReplaceEarlier(RouterCommands& out, Tick now, CallId id, RequestIdRecord const& earlier) {
+  Call& call = calls_.at(id);
+  std::uint64_t const attempt = call.request.attempt;
+  bool const resumable = routes_[call.path].path.resumable;
+  call.pendingEcho = true;
+  call.reachedReplica = call.reachedReplica || earlier.reachedReplica;
+  if (attempt > 0 && earlier.claimedByAttempt >= attempt) {
+    reject(out, now, id, 409, "a later attempt went to another node", false, 0);
+    return false;
+  }
+  if (earlier.mayHaveRun && !resumable) {
+    reject(out, now, id, 409, "an earlier attempt may have run", false, 0);
+    return false;
+  }
+  if (attempt == 0) call.earlierClaimants.insert(earlier.claimants.begin(), earlier.claimants.end());
+  CallId const activeCall = earlier.activeCall;
+  auto const active = calls_.find(activeCall);
+  if (activeCall == 0 || activeCall == id || active == calls_.end()) return true;
+  if (active->second.phase == Phase::queued || active->second.phase == Phase::queryingRequestId) {
+    reject(out, now, activeCall, 409, "replaced by a later attempt", true, 0);
+  } else if (!resumable) {
+    reject(out, now, id, 409, "an earlier attempt is in hand", false, 0);
+    return false;
+  }
+  return true;
+}
+
+void RequestRouter::admitLaterAttempt(RouterCommands& out, Tick now, CallId id) {
+  Request const& request = calls_.at(id).request;
+  if (request.id.empty()) {
+    reject(out, now, id, 409, "a later attempt without an id cannot be told from the first", false, 0);
+  } else if (request.ageMs < 0) {
+    reject(out, now, id, 409, "a later attempt that does not say its age cannot be looked up", false, 0);
+  } else if (!remembersSince(now, request.ageMs)) {
+    reject(out, now, id, 409, "this node does not remember far enough to say whether an earlier attempt ran", false, 0);
+  } else {
+    queryPeers(out, now, id);
+    if (calls_.at(id).awaitedPeers.empty()) admit(out, now, id);
   }
-  admit(out, now, id);
 }
 
 void RequestRouter::admit(RouterCommands& out, Tick now, CallId id) {
@@ -205,7 +216,7 @@
 void RequestRouter::dequeue(CallId id) {
   Call const& call = calls_.at(id);
   if (call.phase != Phase::queued) return;
-  std::map<QueueKey, AdmissionQueue>::iterator const it = queues_.find({call.pool, routes_[call.path].instance});
+  auto const it = queues_.find({call.pool, routes_[call.path].instance});
   if (it == queues_.end()) return;
   for (std::list<CallId>& lane : it->second.waiting) lane.remove(id);
 }
--- a/dataplane/src/admission_queues.cpp
+++ b/dataplane/src/admission_queues.cpp
@@ -8,9 +8,8 @@
 
 std::vector<std::pair<std::size_t, std::size_t>> RequestRouter::subsetSizes(std::string const& pool) const {
   std::vector<std::pair<std::size_t, std::size_t>> out;
-  for (std::map<QueueKey, AdmissionQueue>::value_type const& c : queues_)
-    if (poolNames_.name(c.first.first) == pool)
-      out.emplace_back(c.second.scaler.subset().size(), c.second.queuedCount());
+  for (auto const& [key, queue] : queues_)
+    if (poolNames_.name(key.first) == pool) out.emplace_back(queue.scaler.subset().size(), queue.queuedCount());
   return out;
 }
 
@@ -34,8 +33,7 @@
   if (candidates == view.candidates && !view.bindingsChanged) return;
   view.candidates = std::move(candidates);
   view.bindingsChanged = false;
-  for (std::map<QueueKey, AdmissionQueue>::iterator c = queues_.lower_bound({pool, 0});
-       c != queues_.end() && c->first.first == pool; ++c) {
+  for (auto c = queues_.lower_bound({pool, 0}); c != queues_.end() && c->first.first == pool; ++c) {
     c->second.scaler.setCandidates(candidatesOf(view, regimePolicy_.regimeOf(c->first.second)));
     if (!c->second.scaler.isAtRest()) activate(now, c->first);
   }
@@ -53,7 +51,7 @@
 }
 
 RequestRouter::AdmissionQueue& RequestRouter::queueFor(RouterCommands& out, Tick now, QueueKey const& key) {
-  std::map<QueueKey, AdmissionQueue>::iterator it = queues_.find(key);
+  auto it = queues_.find(key);
   if (it != queues_.end()) {
     activate(now, key);
     return it->second;
@@ -106,8 +104,7 @@
   std::size_t const replicas = regime.empty() ? pools_[key.first].replicas.size() : c.scaler.setCandidates();
   double const poolCap = tuning_.nodeLimitPerReplica * static_cast<double>(std::max<std::size_t>(replicas, 1));
   std::vector<std::pair<QueueKey, int>> active;
-  for (std::set<QueueKey>::const_iterator k = activeQueues_.lower_bound({key.first, 0});
-       k != activeQueues_.end() && k->first == key.first; ++k) {
+  for (auto k = activeQueues_.lower_bound({key.first, 0}); k != activeQueues_.end() && k->first == key.first; ++k) {
     if (regimePolicy_.regimeOf(k->second) != regime) continue;
     AdmissionQueue const& o = queues_.at(*k);
     if (*k == key || o.scaler.inFlight() > 0 || o.queuedCount() > 0) active.emplace_back(*k, o.scaler.inFlight());
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -55,55 +55,8 @@
 }
 
 void RequestRouter::applyEntry(RouterCommands& out, Tick now, transport::CommittedEntry const& item) {
-  std::size_t const colon = item.key.find(':');
-  std::string const kind = item.key.substr(0, colon);
-  std::string const name = colon == std::string::npos ? "" : item.key.substr(colon + 1);
   try {
-    if (kind == "family") {
-      std::vector<config::Path> const paths = config::renderPaths(name, item.value);
-      routes_.remove(item.key);
-      for (config::Path const& p : paths) addRoute(item.key, p.instance + "/" + p.path, p, p.instance);
-    } else if (item.key == config::regimesKey) {
-      regimePolicy_.declare(config::readStoredRegimes(item.value));
-    } else if (item.key == config::fleetConfigurationKey) {
-      applyFleetConfiguration(item.value);
-    } else if (kind == "pool") {
-      config::EndpointList const list = config::readStoredEndpointList(item.value);
-      NameIndex const pool = poolIndex(name);
-      PoolView& view = pools_[pool];
-      for (NameIndex const r : view.replicas) replicas_[r].listed = false;
-      view.replicas.clear();
-      view.listGeneration = list.generation;
-      view.slowStartRate = list.slowStartRate;
-      for (config::Replica const& r : list.replicas) {
-        NameIndex const ix = replicaNames_.intern(name + "|" + config::incarnationName(r));
-        if (ix >= replicas_.size()) replicas_.resize(ix + 1);
-        Replica& mine = replicas_[ix];
-        mine.pool = pool;
-        mine.address = r.address;
-        mine.id = r.id;
-        mine.hash = core::stableHash(replicaNames_.name(ix));
-        mine.zone = r.zone;
-        mine.state = r.state;
-        mine.listed = true;
-        view.replicas.push_back(ix);
-      }
-      refreshRemovalHint(view);
-    } else if (kind == "zone") {
-      if (item.value.value("evacuated").toBool())
-        evacuated_.insert(name);
-      else
-        evacuated_.erase(name);
-    }
-    if (item.key == rosterKey) loadRoster(now, item.revision, item.value);
-    if (item.key == membershipKey) {
-      membershipIds_.clear();
-      membershipLinks_.clear();
-      for (QJsonValue const v : item.value.value("members").toArray()) {
-        membershipIds_.push_back(core::toStdString(v.toObject().value("id").toString()));
-        membershipLinks_.push_back(core::toStdString(v.toObject().value("link").toString()));
-      }
-    }
+    applyValue(now, item);
   } catch (core::Error const& e) {
     logEvent(out, now, "news-not-applied", {{"key", item.key}, {"error", e.what()}});
     return;
@@ -113,6 +66,64 @@
   compactRoutes();
 }
 
+void RequestRouter::applyValue(Tick now, transport::CommittedEntry const& item) {
+  std::size_t const colon = item.key.find(':');
+  std::string const kind = item.key.substr(0, colon);
+  std::string const name = colon == std::string::npos ? "" : item.key.substr(colon + 1);
+  if (kind == "family") {
+    std::vector<config::Path> const paths = config::renderPaths(name, item.value);
+    routes_.remove(item.key);
+    for (config::Path const& path : paths) addRoute(item.key, path.instance + "/" + path.path, path, path.instance);
+  } else if (item.key == config::regimesKey) {
+    regimePolicy_.declare(config::readStoredRegimes(item.value));
+  } else if (item.key == config::fleetConfigurationKey) {
+    applyFleetConfiguration(item.value);
+  } else if (kind == "pool") {
+    applyEndpointList(name, config::readStoredEndpointList(item.value));
+  } else if (kind == "zone") {
+    if (item.value.value("evacuated").toBool())
+      evacuated_.insert(name);
+    else
+      evacuated_.erase(name);
+  } else if (item.key == rosterKey) {
+    loadRoster(now, item.revision, item.value);
+  } else if (item.key == membershipKey) {
+    applyMembership(item.value);
+  }
+}
+
+void RequestRouter::applyEndpointList(std::string const& poolName, config::EndpointList const& list) {
+  NameIndex const pool = poolIndex(poolName);
+  PoolView& view = pools_[pool];
+  for (NameIndex const replica : view.replicas) replicas_[replica].listed = false;
+  view.replicas.clear();
+  view.listGeneration = list.generation;
+  view.slowStartRate = list.slowStartRate;
+  for (config::Replica const& listed : list.replicas) {
+    NameIndex const index = replicaNames_.intern(poolName + "|" + config::incarnationName(listed));
+    if (index >= replicas_.size()) replicas_.resize(index + 1);
+    Replica& replica = replicas_[index];
+    replica.pool = pool;
+    replica.address = listed.address;
+    replica.id = listed.id;
+    replica.hash = core::stableHash(replicaNames_.name(index));
+    replica.zone = listed.zone;
+    replica.state = listed.state;
+    replica.listed = true;
+    view.replicas.push_back(index);
+  }
+  refreshRemovalHint(view);
+}
+
+void RequestRouter::applyMembership(QJsonObject const& value) {
+  membershipIds_.clear();
+  membershipLinks_.clear();
+  for (QJsonValue const member : value.value("members").toArray()) {
+    membershipIds_.push_back(core::toStdString(member.toObject().value("id").toString()));
+    membershipLinks_.push_back(core::toStdString(member.toObject().value("link").toString()));
+  }
+}
+
 void RequestRouter::compactRoutes() {
   if (!routes_.needsCompaction()) return;
   std::set<NameIndex> inUse;
--- a/dataplane/src/dispatch.cpp
+++ b/dataplane/src/dispatch.cpp
@@ -17,7 +17,7 @@
   if (chosen < 0 && room && call.dispatched && !regimeOf(call).empty())
     chosen = chooseReplica(now, call, candidatesBeyondSubset(now, call.pool));
   if (chosen < 0) return false;
-  NameIndex const replica = static_cast<NameIndex>(chosen);
+  auto const replica = static_cast<NameIndex>(chosen);
   if (replicas_[replica].state == config::ReplicaState::warmingUp) {
     bool const taken = warmupLeases_.takeToken(now, replica, slowStartRate(call.pool));
     CORKWARD_INVARIANT(taken);
@@ -39,92 +39,117 @@
                               regimeOf(call).empty() ? "" : replicas_[replica].id, ownEvents(row.path)});
 }
 
+void RequestRouter::connectOrQueueFirst(RouterCommands& out, Tick now, CallId id) {
+  if (attemptConnect(out, now, id)) return;
+  Call const& call = calls_.at(id);
+  Route const& row = routes_[call.path];
+  queues_.at({call.pool, row.instance}).waiting[lane(row.path.requestClass)].push_front(id);
+}
+
 RouterCommands RequestRouter::onConnected(Tick now, CallId id) {
   RouterCommands out;
-  std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
-  if (it != calls_.end() && it->second.phase == Phase::dispatched && it->second.resumes > 0) {
-    if (servingLease(now) && usable(now, it->second.replica) && allowedByRegime(now, it->second) &&
-        spendQuota(now, it->second)) {
-      recordAudit(out, now, it->second, AuditOutcome::resumed);
-      out.calls.push_back(dispatch(now, id));
-    } else if (!routes_[it->second.path].path.stream || !resumeOnOtherReplica(out, now, id)) {
-      abortStream(out, now, id);
-    }
+  auto const it = calls_.find(id);
+  if (it == calls_.end()) return out;
+  Call& call = it->second;
+  if (call.phase == Phase::dispatched && call.resumes > 0) {
+    dispatchResume(out, now, id);
     return out;
   }
-  if (it == calls_.end() || it->second.phase != Phase::connecting) return out;
-  Call& call = it->second;
+  if (call.phase != Phase::connecting || !confirmRoute(out, now, id) || !confirmDispatch(out, now, id)) return out;
+  recordDispatch(now, call);
+  recordAudit(out, now, call, AuditOutcome::dispatched);
+  out.calls.push_back(dispatch(now, id));
+  return out;
+}
+
+void RequestRouter::dispatchResume(RouterCommands& out, Tick now, CallId id) {
+  Call& call = calls_.at(id);
+  if (servingLease(now) && usable(now, call.replica) && allowedByRegime(now, call) && spendQuota(now, call)) {
+    recordAudit(out, now, call, AuditOutcome::resumed);
+    out.calls.push_back(dispatch(now, id));
+  } else if (!routes_[call.path].path.stream || !resumeOnOtherReplica(out, now, id)) {
+    abortStream(out, now, id);
+  }
+}
+
+void RequestRouter::rejectConnected(RouterCommands& out, Tick now, CallId id, int status, std::string reason,
+                                    double retryAfter) {
+  out.calls.push_back(CloseUpstream{id});
+  reject(out, now, id, status, std::move(reason), true, retryAfter);
+}
+
+bool RequestRouter::confirmRoute(RouterCommands& out, Tick now, CallId id) {
+  Call& call = calls_.at(id);
   if (!servingLease(now)) {
-    out.calls.push_back(CloseUpstream{id});
-    reject(out, now, id, 503, "no serving lease", true, tuning_.defaultRetryAfter);
-    return out;
+    rejectConnected(out, now, id, 503, "no serving lease", tuning_.defaultRetryAfter);
+    return false;
   }
   NameIndex const path = call.pathRevision == routes_.revision() ? call.path : routes_.find(call.request);
   if (path == core::InternedNames::none) {
-    out.calls.push_back(CloseUpstream{id});
-    reject(out, now, id, 404, "the configuration has changed", true, 0);
-    return out;
-  }
-  if (!identifyTenant(call, routes_[path].path)) {
-    out.calls.push_back(CloseUpstream{id});
-    reject(out, now, id, 401, "the tenant's key was taken away", true, 0);
-    return out;
+    rejectConnected(out, now, id, 404, "the configuration has changed", 0);
+    return false;
   }
-  std::vector<Route::Backend> const& backends = routes_[path].backends;
-  bool const rebound = routes_[path].path.regime != routes_[call.path].path.regime;
-  if (rebound || std::none_of(backends.begin(), backends.end(),
-                              [&](Route::Backend const& backend) { return backend.pool == call.pool; })) {
-    out.calls.push_back(CloseUpstream{id});
-    call.phase = Phase::queued;
-    releaseSlot(out, now, call);
-    call.path = path;
-    call.pathRevision = routes_.revision();
-    call.pool = choosePool(now, routes_[path], id);
-    admit(out, now, id);
-    return out;
+  Route const& row = routes_[path];
+  if (!identifyTenant(call, row.path)) {
+    rejectConnected(out, now, id, 401, "the tenant's key was taken away", 0);
+    return false;
   }
-  std::string const shut = regimeRejection(now, regimeOf(call));
-  if (!shut.empty()) {
-    out.calls.push_back(CloseUpstream{id});
-    reject(out, now, id, 503, shut, true, tuning_.defaultRetryAfter);
-    return out;
+  bool const samePool = std::any_of(row.backends.begin(), row.backends.end(),
+                                    [&](Route::Backend const& backend) { return backend.pool == call.pool; });
+  if (samePool && row.path.regime == routes_[call.path].path.regime) return true;
+  out.calls.push_back(CloseUpstream{id});
+  call.phase = Phase::queued;
+  releaseSlot(out, now, call);
+  call.path = path;
+  call.pathRevision = routes_.revision();
+  call.pool = choosePool(now, row, id);
+  admit(out, now, id);
+  return false;
+}
+
+bool RequestRouter::confirmDispatch(RouterCommands& out, Tick now, CallId id) {
+  Call& call = calls_.at(id);
+  std::string const regimeProblem = regimeRejection(now, regimeOf(call));
+  if (!regimeProblem.empty()) {
+    rejectConnected(out, now, id, 503, regimeProblem, tuning_.defaultRetryAfter);
+    return false;
   }
   if (!usable(now, call.replica) || !allowedByRegime(now, call)) {
     out.calls.push_back(CloseUpstream{id});
     retry(out, now, id, "replica left before sending");
-    return out;
+    return false;
   }
   if (now >= call.deadline) {
-    out.calls.push_back(CloseUpstream{id});
-    reject(out, now, id, 503, "deadline passed", true, tuning_.defaultRetryAfter);
-    return out;
+    rejectConnected(out, now, id, 503, "deadline passed", tuning_.defaultRetryAfter);
+    return false;
   }
-  if (!spendQuota(now, call)) {
+  if (spendQuota(now, call)) return true;
+  if (call.outstanding) {
     out.calls.push_back(CloseUpstream{id});
-    bool const ran = call.outstanding;
-    reject(out, now, id, ran ? 502 : 429, ran ? "unknown, may have run; its tenant is beyond its limit" : overQuota,
-           !ran, ran ? 0 : tuning_.quotaRetryAfter);
-    return out;
+    reject(out, now, id, 502, "unknown, may have run; its tenant is beyond its limit", false, 0);
+  } else {
+    rejectConnected(out, now, id, 429, overQuota, tuning_.quotaRetryAfter);
   }
+  return false;
+}
+
+void RequestRouter::recordDispatch(Tick now, Call& call) {
   if (!call.reachedReplica && !call.dispatched) retryBudgets_.onFirstAttempt(now, call.pool);
   call.phase = Phase::dispatched;
   call.phaseSince = now;
   call.dispatchedAt = now;
   call.dispatched = true;
   if (!call.request.id.empty()) {
-    RequestIdRecord& seen = requestIds_.use(now, requestIdKey(call.request));
-    seen.mayHaveRun = true;
-    seen.reachedReplica = true;
+    RequestIdRecord& record = requestIds_.use(now, requestIdKey(call.request));
+    record.mayHaveRun = true;
+    record.reachedReplica = true;
   }
   if (call.prefix != 0) {
-    countMetric(now, prefixes_.lastReplica(call.prefix) == static_cast<std::int64_t>(call.replica) ? "prefix_kept"
-                                                                                                   : "prefix_moved");
+    bool const kept = prefixes_.lastReplica(call.prefix) == static_cast<std::int64_t>(call.replica);
+    countMetric(now, kept ? "prefix_kept" : "prefix_moved");
     prefixes_.recordServed(call.prefix, call.replica);
   }
   countMetric(now, "handed_over");
-  recordAudit(out, now, call, AuditOutcome::dispatched);
-  out.calls.push_back(dispatch(now, id));
-  return out;
 }
 
 void RequestRouter::checkDispatch(Tick now, Call const& call, Tick left) const {
@@ -220,9 +245,7 @@
     return;
   }
   countMetric(now, again ? "retried_dispatched" : "retried");
-  QueueKey const key{call.pool, routes_[call.path].instance};
-  if (attemptConnect(out, now, id)) return;
-  queues_.at(key).waiting[lane(routes_[call.path].path.requestClass)].push_front(id);
+  connectOrQueueFirst(out, now, id);
 }
 
 void RequestRouter::undoDispatch(RouterCommands& out, Tick now, CallId id) {
@@ -238,7 +261,7 @@
 
 RouterCommands RequestRouter::onConnectFailure(Tick now, CallId id) {
   RouterCommands out;
-  std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
+  auto const it = calls_.find(id);
   if (it == calls_.end()) return out;
   bool const resuming = it->second.phase == Phase::dispatched && it->second.resumes > 0;
   if (!resuming && it->second.phase == Phase::dispatched) undoDispatch(out, now, id);
@@ -260,7 +283,7 @@
 
 RouterCommands RequestRouter::onLocalConnectFailure(Tick now, CallId id) {
   RouterCommands out;
-  std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
+  auto const it = calls_.find(id);
   if (it == calls_.end()) return out;
   Call const& call = it->second;
   char const* const why = "this node is out of descriptors";
--- a/dataplane/src/failure_log.cpp
+++ b/dataplane/src/failure_log.cpp
@@ -44,9 +44,9 @@
 
 std::string FailureLog::metrics() const {
   std::string out = "# TYPE corkward_requests_failed_total counter\n";
-  for (std::map<std::pair<int, std::string>, Reason>::value_type const& r : reasons_)
-    out += "corkward_requests_failed_total{status=\"" + std::to_string(r.first.first) + "\",reason=\"" +
-           r.first.second + "\"} " + std::to_string(r.second.count) + "\n";
+  for (auto const& [key, reason] : reasons_)
+    out += "corkward_requests_failed_total{status=\"" + std::to_string(key.first) + "\",reason=\"" + key.second +
+           "\"} " + std::to_string(reason.count) + "\n";
   return out;
 }
 
--- a/dataplane/src/peers.cpp
+++ b/dataplane/src/peers.cpp
@@ -84,43 +84,56 @@
 
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::PeerHeartbeat const& m) {
   if (m.link != from) return;
-  for (transport::EndpointRemovalHint const& h : m.removalHints) applyRemovalHint(out, now, h);
-  if (!m.isReply) {
-    transport::PeerHeartbeat echo;
-    echo.sentAt = m.sentAt;
-    echo.isReply = true;
-    echo.hasSnapshot = snapshotApplied_;
-    echo.link = partialView_.self().link;
-    echo.digest = configuration_.digest();
-    if (!(m.digest == configuration_.digest())) echo.revisions = configuration_.revisions();
-    if (m.wantsAges && snapshotApplied_) {
-      echo.rosterRevision = roster_.revision();
-      echo.ages = servingLease_.encodeAges(now, tuning_.servingLeaseDuration, roster_);
-    }
-    echo.removalHints = removalHints();
-    out.sends.push_back(transport::Send{from, std::move(echo)});
-    if (m.wantsSnapshot && snapshotApplied_) {
-      transport::ConfigurationUpdate snapshot;
-      snapshot.isSnapshot = true;
-      snapshot.entries = configuration_.all();
-      out.sends.push_back(transport::Send{from, std::move(snapshot)});
-    }
-    return;
+  for (transport::EndpointRemovalHint const& hint : m.removalHints) applyRemovalHint(out, now, hint);
+  if (m.isReply)
+    onHeartbeatReply(out, now, from, m);
+  else
+    replyToHeartbeat(out, now, from, m);
+}
+
+void RequestRouter::replyToHeartbeat(RouterCommands& out, Tick now, std::string const& from,
+                                     transport::PeerHeartbeat const& heartbeat) {
+  transport::PeerHeartbeat reply;
+  reply.sentAt = heartbeat.sentAt;
+  reply.isReply = true;
+  reply.hasSnapshot = snapshotApplied_;
+  reply.link = partialView_.self().link;
+  reply.digest = configuration_.digest();
+  if (!(heartbeat.digest == configuration_.digest())) reply.revisions = configuration_.revisions();
+  if (heartbeat.wantsAges && snapshotApplied_) {
+    reply.rosterRevision = roster_.revision();
+    reply.ages = servingLease_.encodeAges(now, tuning_.servingLeaseDuration, roster_);
   }
+  reply.removalHints = removalHints();
+  out.sends.push_back(transport::Send{from, std::move(reply)});
+  if (!heartbeat.wantsSnapshot || !snapshotApplied_) return;
+  transport::ConfigurationUpdate snapshot;
+  snapshot.isSnapshot = true;
+  snapshot.entries = configuration_.all();
+  out.sends.push_back(transport::Send{from, std::move(snapshot)});
+}
+
+void RequestRouter::onHeartbeatReply(RouterCommands& out, Tick now, std::string const& from,
+                                     transport::PeerHeartbeat const& reply) {
   neighbourLinks_.onReply(from);
-  if (m.sentAt > now) return;
-  servingLease_.onHeartbeatReply(from, m, configuration_, roster_);
+  if (reply.sentAt > now) return;
+  servingLease_.onHeartbeatReply(from, reply, configuration_, roster_);
   adoptSnapshot(out, now, from);
-  if (!(transport::digestOf(m.revisions) == m.digest)) return;
-  for (transport::Revisions::value_type const& s : m.revisions) {
-    if (revisionOf(s.first) >= s.second) continue;
-    Tick& at = valueRequestedAt_[s.first];
-    if (at != 0 && now - at < tuning_.heartbeatInterval) continue;
-    at = now;
-    out.sends.push_back(transport::Send{from, transport::ValueRequest{s.first, false, "", 0}});
+  if (!(transport::digestOf(reply.revisions) == reply.digest)) return;
+  requestNewerValues(out, now, from, reply.revisions);
+  if (snapshotApplied_ && reply.hasSnapshot && reply.digest.count > 0 && !(reply.digest == configuration_.digest()))
+    sendMissing(out, from, reply.revisions);
+}
+
+void RequestRouter::requestNewerValues(RouterCommands& out, Tick now, std::string const& from,
+                                       transport::Revisions const& revisions) {
+  for (auto const& [key, revision] : revisions) {
+    if (revisionOf(key) >= revision) continue;
+    Tick& requestedAt = valueRequestedAt_[key];
+    if (requestedAt != 0 && now - requestedAt < tuning_.heartbeatInterval) continue;
+    requestedAt = now;
+    out.sends.push_back(transport::Send{from, transport::ValueRequest{key, false, "", 0}});
   }
-  if (snapshotApplied_ && m.hasSnapshot && m.digest.count > 0 && !(m.digest == configuration_.digest()))
-    sendMissing(out, from, m.revisions);
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/regimes.cpp
+++ b/dataplane/src/regimes.cpp
@@ -58,7 +58,7 @@
 }
 
 scaling::Candidates RequestRouter::candidatesOf(PoolView const& view, std::string const& regime) {
-  std::map<std::string, scaling::Candidates>::const_iterator const it = view.candidates.find(regime);
+  auto const it = view.candidates.find(regime);
   return it == view.candidates.end() ? scaling::Candidates() : it->second;
 }
 
@@ -69,8 +69,8 @@
   std::optional<double> const reserved = regimePolicy_.reservedFraction(replica);
   if (!reserved) return true;
   int others = replicas_[replica].inFlight;
-  for (std::map<QueueKey, AdmissionQueue>::value_type const& c : queues_)
-    if (!regimePolicy_.regimeOf(c.first.second).empty()) others -= c.second.scaler.inFlightAt(replica);
+  for (auto const& [key, queue] : queues_)
+    if (!regimePolicy_.regimeOf(key.second).empty()) others -= queue.scaler.inFlightAt(replica);
   double const limit = queues_.at({call.pool, routes_[call.path].instance}).scaler.limit();
   return others + 1 <= std::max(1.0, (1.0 - *reserved) * limit);
 }
@@ -97,57 +97,80 @@
   out.calls.push_back(std::move(r));
 }
 
+std::vector<CallId> RequestRouter::callsOfRegimes() const {
+  std::vector<CallId> ids;
+  for (auto const& [callId, call] : calls_)
+    if (call.phase != Phase::queryingRequestId && call.phase != Phase::awaitingQuota && !regimeOf(call).empty())
+      ids.push_back(callId);
+  std::sort(ids.begin(), ids.end());
+  return ids;
+}
+
 void RequestRouter::enforceRegimes(RouterCommands& out, Tick now) {
   if (!regimePolicy_.anyBound()) return;
   refreshCertified(now);
-  std::vector<CallId> ours;
-  for (std::unordered_map<CallId, Call>::value_type const& c : calls_)
-    if (c.second.phase != Phase::queryingRequestId && c.second.phase != Phase::awaitingQuota &&
-        !regimeOf(c.second).empty())
-      ours.push_back(c.first);
-  std::sort(ours.begin(), ours.end());
-  std::map<std::string, std::pair<std::string, std::string>> known;
-  for (CallId const id : ours) {
-    std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
+  std::map<std::string, RegimeStanding> standings;
+  for (CallId const id : callsOfRegimes()) {
+    auto const it = calls_.find(id);
     if (it == calls_.end()) continue;
-    Call& call = it->second;
-    std::string const regime = regimeOf(call);
-    std::map<std::string, std::pair<std::string, std::string>>::iterator why = known.find(regime);
-    if (why == known.end())
-      why = known.emplace(regime, std::pair(regimeUncertainty(now, regime), regimeRejection(now, regime))).first;
-    std::string const& shut = why->second.second;
-    bool const mayStay = regimePolicy_.mayUse(regime, call.replica);
-    if (call.phase == Phase::queued) {
-      std::vector<NameIndex> const& all = pools_[call.pool].replicas;
-      bool const any =
-          std::any_of(all.begin(), all.end(), [&](NameIndex const r) { return regimePolicy_.mayUse(regime, r); });
-      if (!shut.empty() || !any)
-        reject(out, now, id, 503, any ? shut : "no certified replica", true, tuning_.defaultRetryAfter);
-    } else if (call.phase == Phase::connecting) {
-      if (shut.empty() && mayStay) continue;
-      out.calls.push_back(CloseUpstream{id});
-      if (shut.empty())
-        retry(out, now, id, "the certificate ended before sending");
-      else
-        reject(out, now, id, 503, shut, true, tuning_.defaultRetryAfter);
-    } else if (!why->second.first.empty() || !mayStay) {
-      abandonForRegime(out, now, id, why->second.first.empty() ? "no certificate any more" : why->second.first);
-    } else if (call.phase == Phase::dispatched && call.resumes > 0 && call.dispatchedTo.back() != call.replica &&
-               now - call.phaseSince > tuning_.connectTimeout) {
-      out.calls.push_back(CloseUpstream{id});
-      RouterCommands const more = onConnectFailure(now, id);
-      out.calls.insert(out.calls.end(), more.calls.begin(), more.calls.end());
-      out.logEvents.insert(out.logEvents.end(), more.logEvents.begin(), more.logEvents.end());
+    std::string const regime = regimeOf(it->second);
+    auto standing = standings.find(regime);
+    if (standing == standings.end()) {
+      RegimeStanding const fresh{regimeUncertainty(now, regime), regimeRejection(now, regime)};
+      standing = standings.emplace(regime, fresh).first;
     }
+    enforceRegime(out, now, id, standing->second);
+  }
+}
+
+void RequestRouter::enforceRegime(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing) {
+  Call const& call = calls_.at(id);
+  bool const certified = regimePolicy_.mayUse(regimeOf(call), call.replica);
+  if (call.phase == Phase::queued) {
+    enforceWhileQueued(out, now, id, standing);
+  } else if (call.phase == Phase::connecting) {
+    enforceWhileConnecting(out, now, id, standing, certified);
+  } else if (!standing.uncertainty.empty() || !certified) {
+    abandonForRegime(out, now, id, standing.uncertainty.empty() ? "no certificate any more" : standing.uncertainty);
+  } else if (isResumeUnsent(call) && now - call.phaseSince > tuning_.connectTimeout) {
+    out.calls.push_back(CloseUpstream{id});
+    RouterCommands const more = onConnectFailure(now, id);
+    out.calls.insert(out.calls.end(), more.calls.begin(), more.calls.end());
+    out.logEvents.insert(out.logEvents.end(), more.logEvents.begin(), more.logEvents.end());
   }
 }
 
+void RequestRouter::enforceWhileQueued(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing) {
+  Call const& call = calls_.at(id);
+  std::string const& regime = regimeOf(call);
+  std::vector<NameIndex> const& replicas = pools_[call.pool].replicas;
+  bool const anyCertified = std::any_of(replicas.begin(), replicas.end(),
+                                        [&](NameIndex const replica) { return regimePolicy_.mayUse(regime, replica); });
+  if (standing.rejection.empty() && anyCertified) return;
+  std::string const reason = anyCertified ? standing.rejection : "no certified replica";
+  reject(out, now, id, 503, reason, true, tuning_.defaultRetryAfter);
+}
+
+void RequestRouter::enforceWhileConnecting(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing,
+                                           bool certified) {
+  if (standing.rejection.empty() && certified) return;
+  out.calls.push_back(CloseUpstream{id});
+  if (standing.rejection.empty())
+    retry(out, now, id, "the certificate ended before sending");
+  else
+    reject(out, now, id, 503, standing.rejection, true, tuning_.defaultRetryAfter);
+}
+
+bool RequestRouter::isResumeUnsent(Call const& call) {
+  return call.phase == Phase::dispatched && call.resumes > 0 && call.dispatchedTo.back() != call.replica;
+}
+
 void RequestRouter::abandonForRegime(RouterCommands& out, Tick now, CallId id, std::string const& why) {
   Call& call = calls_.at(id);
   Route const& row = routes_[call.path];
   countMetric(now, "regime_left", why);
   bool const open = regimeRejection(now, regimeOf(call)).empty() && row.path.idempotent && now < call.deadline;
-  if (call.phase == Phase::dispatched && call.resumes > 0 && call.dispatchedTo.back() != call.replica) {
+  if (isResumeUnsent(call)) {
     out.calls.push_back(CloseUpstream{id});
     if (!open || !row.path.stream || !resumeOnOtherReplica(out, now, id)) abortStream(out, now, id, why);
     return;
@@ -172,8 +195,7 @@
   call.mayHaveRun = true;
   call.phase = Phase::queued;
   releaseSlot(out, now, call);
-  if (!attemptConnect(out, now, id))
-    queues_.at({call.pool, row.instance}).waiting[lane(row.path.requestClass)].push_front(id);
+  connectOrQueueFirst(out, now, id);
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/replica_choice.cpp
+++ b/dataplane/src/replica_choice.cpp
@@ -31,7 +31,7 @@
     if (!replicas_[r].reliability.trusted() && usable(now, r)) worst.push_back(r);
   }
   if (worst.empty()) return;
-  std::size_t const serving = static_cast<std::size_t>(
+  auto const serving = static_cast<std::size_t>(
       std::count_if(all.begin(), all.end(), [&](NameIndex const r) { return usable(now, r); }));
   if (2 * worst.size() > serving) return;
   std::sort(worst.begin(), worst.end(), [&](NameIndex const a, NameIndex const b) {
@@ -162,8 +162,7 @@
   NameIndex const at = homeReplica(call);
   bool const apart = at != core::InternedNames::none && replicas_[at].isolated;
   std::unordered_map<NameIndex, double> heldUp;
-  for (std::unordered_map<CallId, Call>::value_type const& c : calls_) {
-    Call const& other = c.second;
+  for (auto const& [otherId, other] : calls_) {
     if (other.phase != Phase::dispatched || other.prefillTokens == 0) continue;
     double const late = static_cast<double>(now - other.dispatchedAt - tuning_.scalerParameters.firstByteSlack) *
                             tuning_.scalerParameters.prefillTokensPerMs -
--- a/dataplane/src/request_ids.cpp
+++ b/dataplane/src/request_ids.cpp
@@ -55,7 +55,7 @@
     known = true;
     reached = record->reachedReplica;
     if (record->mayHaveRun) clear = false;
-    std::unordered_map<CallId, Call>::const_iterator const c = calls_.find(record->activeCall);
+    auto const c = calls_.find(record->activeCall);
     if (record->activeCall != 0 && c != calls_.end()) {
       if (c->second.phase == Phase::queued || c->second.phase == Phase::queryingRequestId) {
         reached = reached || c->second.reachedReplica;
@@ -76,7 +76,7 @@
 }
 
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::RequestIdReply const& m) {
-  std::unordered_map<CallId, Call>::iterator const it = calls_.find(m.token);
+  auto const it = calls_.find(m.token);
   if (it == calls_.end() || it->second.phase != Phase::queryingRequestId || it->second.awaitedPeers.erase(from) == 0)
     return;
   Call& call = it->second;
@@ -101,7 +101,7 @@
 }
 
 void RequestRouter::removeCall(Tick now, CallId id) {
-  std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
+  auto const it = calls_.find(id);
   if (it == calls_.end()) return;
   if (!it->second.request.id.empty()) requestIds_.endCall(now, requestIdKey(it->second.request), id);
   returnQuota(now, it->second);
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -73,13 +73,7 @@
   RouterCommands out;
   recordLag(now);
   roster_.onTimer(now, tuning_.joinTimeout);
-  if (now >= nextLeaseRequestAt_) {
-    nextLeaseRequestAt_ =
-        now + (snapshotApplied_ ? tuning_.leaseRequestInterval
-                                : std::min(tuning_.leaseRequestInterval, tuning_.snapshotRequestInterval));
-    chooseControllers(now);
-    for (std::string const& link : controllerLinks_.chosen()) sendLeaseRequest(out, now, link);
-  }
+  requestLeases(out, now);
   sendHeartbeats(out, now);
   std::vector<transport::Send> sends = partialView_.clockEvent(now);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
@@ -92,81 +86,103 @@
     nextWarmupRequestAt_ = now + tuning_.warmupRequestInterval;
     updateWarmupLeases(out, now);
   }
-  std::vector<CallId> late;
-  for (std::unordered_map<CallId, Call>::value_type const& c : calls_) {
-    Call const& call = c.second;
-    if ((call.phase == Phase::queryingRequestId && now - call.phaseSince > tuning_.requestIdQueryTimeout) ||
-        (call.phase == Phase::connecting && now - call.phaseSince > tuning_.connectTimeout) ||
-        (call.phase == Phase::streaming && now - call.phaseSince > tuning_.streamIdleTimeout) ||
-        isPastDeadline(now, call) ||
-        (call.phase == Phase::queued &&
-         now - call.arrived > static_cast<Tick>(2 * tuning_.maxQueueTargets *
-                                                static_cast<double>(routes_[call.path].path.latencyTarget))) ||
-        (call.phase != Phase::streaming && now >= call.deadline))
-      late.push_back(c.first);
+  expireCalls(out, now);
+  evaluateQueues(out, now);
+  enforceRegimes(out, now);
+  return out;
+}
+
+void RequestRouter::requestLeases(RouterCommands& out, Tick now) {
+  if (now < nextLeaseRequestAt_) return;
+  Tick const interval = snapshotApplied_ ? tuning_.leaseRequestInterval
+                                         : std::min(tuning_.leaseRequestInterval, tuning_.snapshotRequestInterval);
+  nextLeaseRequestAt_ = now + interval;
+  chooseControllers(now);
+  for (std::string const& link : controllerLinks_.chosen()) sendLeaseRequest(out, now, link);
+}
+
+bool RequestRouter::isExpired(Tick now, Call const& call) const {
+  Tick const inPhase = now - call.phaseSince;
+  switch (call.phase) {
+    case Phase::queryingRequestId:
+      return inPhase > tuning_.requestIdQueryTimeout || now >= call.deadline;
+    case Phase::queued: {
+      auto const target = static_cast<double>(routes_[call.path].path.latencyTarget);
+      return now - call.arrived > static_cast<Tick>(2 * tuning_.maxQueueTargets * target) || now >= call.deadline;
+    }
+    case Phase::connecting:
+      return inPhase > tuning_.connectTimeout || now >= call.deadline;
+    case Phase::streaming:
+      return inPhase > tuning_.streamIdleTimeout || isPastDeadline(now, call);
+    case Phase::awaitingQuota:
+    case Phase::dispatched:
+      break;
   }
-  std::sort(late.begin(), late.end());
-  for (CallId const id : late) {
-    std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
-    if (it == calls_.end()) continue;
-    switch (it->second.phase) {
-      case Phase::queryingRequestId:
-        if (it->second.request.attempt == 0) {
-          decideRequestId(out, now, id, true);
-          break;
-        }
+  return now >= call.deadline;
+}
+
+void RequestRouter::expireCalls(RouterCommands& out, Tick now) {
+  std::vector<CallId> expired;
+  for (auto const& [callId, call] : calls_)
+    if (isExpired(now, call)) expired.push_back(callId);
+  std::sort(expired.begin(), expired.end());
+  for (CallId const id : expired)
+    if (calls_.count(id) > 0) expireCall(out, now, id);
+}
+
+void RequestRouter::expireCall(RouterCommands& out, Tick now, CallId id) {
+  Call& call = calls_.at(id);
+  switch (call.phase) {
+    case Phase::queryingRequestId:
+      if (call.request.attempt == 0)
+        decideRequestId(out, now, id, true);
+      else
         reject(out, now, id, 409, "another node cannot say whether an earlier attempt ran", false, 0);
-        break;
-      case Phase::awaitingQuota:
-        reject(out, now, id, 503, "deadline passed", true, tuning_.defaultRetryAfter);
-        break;
-      case Phase::queued: {
-        Route const& row = routes_[it->second.path];
-        reject(out, now, id, 503, "held too long", true,
-               retryAfter(queues_.at({it->second.pool, row.instance}), row.path.requestClass));
-        break;
-      }
-      case Phase::connecting: {
+      break;
+    case Phase::awaitingQuota:
+      reject(out, now, id, 503, "deadline passed", true, tuning_.defaultRetryAfter);
+      break;
+    case Phase::queued: {
+      Route const& row = routes_[call.path];
+      reject(out, now, id, 503, "held too long", true,
+             retryAfter(queues_.at({call.pool, row.instance}), row.path.requestClass));
+      break;
+    }
+    case Phase::connecting:
+      out.calls.push_back(CloseUpstream{id});
+      append(out, onConnectFailure(now, id));
+      break;
+    case Phase::dispatched:
+      if (isOverdue(call, now - call.phaseSince)) recordOutcome(out, now, call, true);
+      if (call.resumes > 0) {
+        abortStream(out, now, id);
+      } else {
         out.calls.push_back(CloseUpstream{id});
-        RouterCommands const more = onConnectFailure(now, id);
-        append(out, more);
-        break;
+        reject(out, now, id, 504, "unknown, may have run", false, 0);
       }
-      case Phase::dispatched: {
-        if (isOverdue(it->second, now - it->second.phaseSince)) recordOutcome(out, now, it->second, true);
-        if (it->second.resumes > 0) {
-          abortStream(out, now, id);
-        } else {
-          out.calls.push_back(CloseUpstream{id});
-          reject(out, now, id, 504, "unknown, may have run", false, 0);
-        }
-        break;
-      }
-      case Phase::streaming: {
-        if (isPastDeadline(now, it->second)) {
-          abortStream(out, now, id, "deadline passed");
-          break;
-        }
+      break;
+    case Phase::streaming:
+      if (isPastDeadline(now, call)) {
+        abortStream(out, now, id, "deadline passed");
+      } else {
         out.calls.push_back(CloseUpstream{id});
-        RouterCommands const more = onUpstreamFinished(now, id, UpstreamResult::connectionLost);
-        append(out, more);
-        break;
+        append(out, onUpstreamFinished(now, id, UpstreamResult::connectionLost));
       }
-    }
-  }
-  if (now >= nextEvaluationAt_) {
-    nextEvaluationAt_ = now + lookEvery;
-    refreshCandidates(out, now);
-    std::vector<QueueKey> const keys(activeQueues_.begin(), activeQueues_.end());
-    for (QueueKey const& k : keys) queues_.at(k).completions.closeWindow(now);
-    for (QueueKey const& k : keys) evaluateQueue(out, now, k);
-    std::erase_if(activeQueues_, [&](QueueKey const& k) {
-      AdmissionQueue const& c = queues_.at(k);
-      return c.queuedCount() == 0 && c.scaler.isAtRest();
-    });
+      break;
   }
-  enforceRegimes(out, now);
-  return out;
+}
+
+void RequestRouter::evaluateQueues(RouterCommands& out, Tick now) {
+  if (now < nextEvaluationAt_) return;
+  nextEvaluationAt_ = now + lookEvery;
+  refreshCandidates(out, now);
+  std::vector<QueueKey> const keys(activeQueues_.begin(), activeQueues_.end());
+  for (QueueKey const& key : keys) queues_.at(key).completions.closeWindow(now);
+  for (QueueKey const& key : keys) evaluateQueue(out, now, key);
+  std::erase_if(activeQueues_, [&](QueueKey const& key) {
+    AdmissionQueue const& queue = queues_.at(key);
+    return queue.queuedCount() == 0 && queue.scaler.isAtRest();
+  });
 }
 
 bool RequestRouter::isPastDeadline(Tick now, Call const& call) const {
@@ -194,15 +210,16 @@
   expireRequestIds(now);
   std::set<NameIndex> replicasUsed;
   std::set<NameIndex> instancesUsed = routes_.instances();
-  for (std::unordered_map<CallId, Call>::value_type const& c : calls_) {
-    replicasUsed.insert(c.second.replica);
-    instancesUsed.insert(routes_.empty() ? 0 : routes_[c.second.path].instance);
+  for (auto const& [callId, call] : calls_) {
+    replicasUsed.insert(call.replica);
+    instancesUsed.insert(routes_.empty() ? 0 : routes_[call.path].instance);
   }
-  std::erase_if(queues_, [&](std::map<QueueKey, AdmissionQueue>::value_type const& c) {
-    return instancesUsed.count(c.first.second) == 0 && c.second.scaler.inFlight() == 0 && c.second.queuedCount() == 0;
+  std::erase_if(queues_, [&](auto const& entry) {
+    auto const& [key, queue] = entry;
+    return instancesUsed.count(key.second) == 0 && queue.scaler.inFlight() == 0 && queue.queuedCount() == 0;
   });
   std::erase_if(activeQueues_, [&](QueueKey const& k) { return queues_.count(k) == 0; });
-  for (std::map<QueueKey, AdmissionQueue>::value_type const& c : queues_) instancesUsed.insert(c.first.second);
+  for (auto const& [key, queue] : queues_) instancesUsed.insert(key.second);
   for (NameIndex ix = 0; ix < instanceNames_.size(); ++ix)
     if (!instanceNames_.name(ix).empty() && instancesUsed.count(ix) == 0) {
       regimePolicy_.forget(ix);
@@ -210,7 +227,7 @@
     }
   for (NameIndex ix = 0; ix < replicas_.size(); ++ix) {
     if (replicaNames_.name(ix).empty() || replicas_[ix].listed || replicasUsed.count(ix) > 0) continue;
-    for (std::map<QueueKey, AdmissionQueue>::value_type& c : queues_) c.second.scaler.forget(ix);
+    for (auto& [key, queue] : queues_) queue.scaler.forget(ix);
     prefixes_.forget(ix);
     prefixCache_.forget(ix);
     warmupLeases_.forget(ix);
@@ -246,17 +263,16 @@
     for (transport::RequestIdHandover const& l : left) out.sends.push_back(transport::Send{link, l});
   releaseWarmupLeases(out, now);
   std::vector<CallId> waiting;
-  for (std::unordered_map<CallId, Call>::value_type const& c : calls_)
-    if (c.second.phase == Phase::queryingRequestId || c.second.phase == Phase::awaitingQuota)
-      waiting.push_back(c.first);
+  for (auto const& [callId, call] : calls_)
+    if (call.phase == Phase::queryingRequestId || call.phase == Phase::awaitingQuota) waiting.push_back(callId);
   for (CallId const id : waiting) reject(out, now, id, 503, "leaving", true, tuning_.defaultRetryAfter);
   return out;
 }
 
 std::string RequestRouter::metrics(Tick now) const {
   std::string out = "# TYPE corkward_nacelle_events_total counter\n";
-  for (std::map<std::string, std::uint64_t>::value_type const& c : journal_.counts())
-    out += "corkward_nacelle_events_total{event=\"" + c.first + "\"} " + std::to_string(c.second) + "\n";
+  for (auto const& [event, count] : journal_.counts())
+    out += "corkward_nacelle_events_total{event=\"" + event + "\"} " + std::to_string(count) + "\n";
   out += failures_.metrics();
   out += "# TYPE corkward_nacelle_standing gauge\ncorkward_nacelle_standing " +
          std::string(servingLease(now) ? "1" : "0") + "\n";
@@ -264,13 +280,13 @@
   out +=
       "# TYPE corkward_nacelle_part gauge\n# TYPE corkward_nacelle_cap gauge\n# TYPE corkward_nacelle_in_flight "
       "gauge\n# TYPE corkward_nacelle_held gauge\n";
-  for (std::map<QueueKey, AdmissionQueue>::value_type const& c : queues_) {
+  for (auto const& [key, queue] : queues_) {
     std::string const labels =
-        "{instance=\"" + instanceNames_.name(c.first.second) + "\",pool=\"" + poolNames_.name(c.first.first) + "\"} ";
-    out += "corkward_nacelle_part" + labels + std::to_string(c.second.scaler.subset().size()) + "\n";
-    out += "corkward_nacelle_cap" + labels + std::to_string(c.second.scaler.cap()) + "\n";
-    out += "corkward_nacelle_in_flight" + labels + std::to_string(c.second.scaler.inFlight()) + "\n";
-    out += "corkward_nacelle_held" + labels + std::to_string(c.second.queuedCount()) + "\n";
+        "{instance=\"" + instanceNames_.name(key.second) + "\",pool=\"" + poolNames_.name(key.first) + "\"} ";
+    out += "corkward_nacelle_part" + labels + std::to_string(queue.scaler.subset().size()) + "\n";
+    out += "corkward_nacelle_cap" + labels + std::to_string(queue.scaler.cap()) + "\n";
+    out += "corkward_nacelle_in_flight" + labels + std::to_string(queue.scaler.inFlight()) + "\n";
+    out += "corkward_nacelle_held" + labels + std::to_string(queue.queuedCount()) + "\n";
   }
   return out;
 }
--- a/dataplane/src/tenant_limits.cpp
+++ b/dataplane/src/tenant_limits.cpp
@@ -54,7 +54,7 @@
 
 void RequestRouter::applyQuotaDecisions(RouterCommands& out, Tick now, std::vector<QuotaDecision> const& decisions) {
   for (QuotaDecision const& decision : decisions) {
-    std::unordered_map<CallId, Call>::iterator const it = calls_.find(decision.call);
+    auto const it = calls_.find(decision.call);
     Call* const call = it == calls_.end() || it->second.phase != Phase::awaitingQuota ? nullptr : &it->second;
     if (call == nullptr) continue;
     if (decision.admission != Admission::granted) {
--- a/dataplane/src/upstream_events.cpp
+++ b/dataplane/src/upstream_events.cpp
@@ -7,7 +7,7 @@
 
 RouterCommands RequestRouter::onFirstByte(Tick now, CallId id, bool runKnown) {
   RouterCommands out;
-  std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
+  auto const it = calls_.find(id);
   if (it == calls_.end() || it->second.phase != Phase::dispatched) return out;
   Call& call = it->second;
   Route const& row = routes_[call.path];
@@ -27,7 +27,7 @@
 
 RouterCommands RequestRouter::onUpstreamError(Tick now, CallId id) {
   RouterCommands out;
-  std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
+  auto const it = calls_.find(id);
   if (it == calls_.end() || it->second.phase != Phase::dispatched) return out;
   Call& call = it->second;
   countMetric(now, "replica_failed");
@@ -39,7 +39,7 @@
     chosen = chooseReplica(now, call, candidatesBeyondSubset(now, call.pool));
   }
   if (chosen < 0) return out;
-  NameIndex const replica = static_cast<NameIndex>(chosen);
+  auto const replica = static_cast<NameIndex>(chosen);
   bool const cold = replicas_[replica].state == config::ReplicaState::warmingUp;
   if ((cold && !warmupLeases_.takeToken(now, replica, slowStartRate(call.pool))) ||
       !retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance))
@@ -53,101 +53,131 @@
 }
 
 RouterCommands RequestRouter::onProgress(Tick now, CallId id) {
-  std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
+  auto const it = calls_.find(id);
   if (it != calls_.end() && it->second.phase == Phase::streaming) it->second.phaseSince = now;
   return {};
 }
 
-RouterCommands RequestRouter::onUpstreamFinished(Tick now, CallId id, UpstreamResult end) {
-  RouterCommands out;
-  std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
-  if (it == calls_.end()) return out;
-  Call& call = it->second;
-  bool const streaming = call.phase == Phase::streaming;
-  CORKWARD_INVARIANT(call.phase == Phase::dispatched || streaming);
-  if (end == UpstreamResult::complete || end == UpstreamResult::connectionLost)
-    recordOutcome(out, now, call, end == UpstreamResult::connectionLost);
-  if (end == UpstreamResult::staleConnection) {
+UpstreamResult RequestRouter::recordUpstreamResult(RouterCommands& out, Tick now, Call& call, UpstreamResult result) {
+  if (result == UpstreamResult::complete || result == UpstreamResult::connectionLost)
+    recordOutcome(out, now, call, result == UpstreamResult::connectionLost);
+  if (result == UpstreamResult::staleConnection) {
     countMetric(now, "connection_forgotten");
-    end = UpstreamResult::connectionLost;
+    return UpstreamResult::connectionLost;
   }
-  if (end == UpstreamResult::notExecuted) {
+  if (result == UpstreamResult::notExecuted) {
     call.outstanding = false;
     if (call.quotaState == QuotaState::used) call.quotaState = QuotaState::taken;
+    recordAudit(out, now, call, AuditOutcome::notExecuted);
   }
-  if (end == UpstreamResult::complete) {
+  return result;
+}
+
+RouterCommands RequestRouter::onUpstreamFinished(Tick now, CallId id, UpstreamResult result) {
+  RouterCommands out;
+  auto const it = calls_.find(id);
+  if (it == calls_.end()) return out;
+  Call& call = it->second;
+  CORKWARD_INVARIANT(call.phase == Phase::dispatched || call.phase == Phase::streaming);
+  result = recordUpstreamResult(out, now, call, result);
+  config::Path const& path = routes_[call.path].path;
+  if (result == UpstreamResult::complete) {
     countMetric(now, "served");
-    serviceTimes_.record(routes_[call.path].path, now - call.arrived);
+    serviceTimes_.record(path, now - call.arrived);
     recordAudit(out, now, call, AuditOutcome::served);
     dropCall(out, now, id);
-    return out;
-  }
-  Replica const& r = replicas_[call.replica];
-  Route const& row = routes_[call.path];
-  bool const spent = call.resumes > 0 && !regimeOf(call).empty();
-  if (end == UpstreamResult::notExecuted) recordAudit(out, now, call, AuditOutcome::notExecuted);
-  if (row.path.stream || !row.path.host.empty()) {
-    bool const fromStart = !streaming && call.resumes == 0;
-    bool const once = !fromStart && !regimeOf(call).empty() && now < call.deadline;
-    bool const again =
-        (end == UpstreamResult::notExecuted || (end == UpstreamResult::connectionLost && row.path.idempotent)) &&
-        !spent && (once || mayRetry(now, call)) && servingLease(now) &&
-        retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance);
-    if (end == UpstreamResult::notExecuted) {
-      countMetric(now, "replica_not_run");
-      backOff(call.replica, std::max(replicas_[call.replica].backoffUntil, now + tuning_.overloadBackoff));
-    }
+  } else if (path.stream || !path.host.empty()) {
+    recoverStream(out, now, id, result);
+  } else if (result == UpstreamResult::notExecuted && isFirstRun(call)) {
+    retryNotExecuted(out, now, id);
+  } else if (takeResume(now, call, result)) {
+    resumeOnSameReplica(out, now, id);
+  } else {
+    failUpstream(out, now, id);
     refreshCandidates(out, now);
-    if (again && !fromStart) {
-      ++call.resumes;
-      countMetric(now, "resumed");
-      if (!resumeOnOtherReplica(out, now, id)) abortStream(out, now, id);
-    } else if (again) {
-      countMetric(now, "retried_dispatched");
-      call.mayHaveRun = call.mayHaveRun || (end == UpstreamResult::connectionLost && row.path.host.empty());
-      out.calls.push_back(CloseUpstream{id});
-      call.phase = Phase::queued;
-      releaseSlot(out, now, call);
-      if (!attemptConnect(out, now, id))
-        queues_.at({call.pool, row.instance}).waiting[lane(row.path.requestClass)].push_front(id);
-    } else if (fromStart && end == UpstreamResult::notExecuted) {
-      call.phase = Phase::connecting;
-      reject(out, now, id, 503, "replica said not run; no retry left", true, tuning_.defaultRetryAfter);
-    } else if (fromStart) {
-      reject(out, now, id, 502, "unknown, may have run", false, 0);
-    } else {
-      abortStream(out, now, id);
-    }
-    return out;
-  }
-  if (end == UpstreamResult::notExecuted && !streaming && call.resumes == 0) {
-    if (!call.request.id.empty()) requestIds_.setNotExecuted(requestIdKey(call.request));
-    countMetric(now, "replica_not_run");
-    backOff(call.replica, std::max(replicas_[call.replica].backoffUntil, now + tuning_.overloadBackoff));
-    call.phase = Phase::connecting;
-    retry(out, now, id, "replica said not run");
-    return out;
   }
-  bool const mayResume = end == UpstreamResult::connectionLost && call.runKnown && row.path.resumable &&
-                         call.resumes < tuning_.maxResumes && !spent && allowedByRegime(now, call) && r.listed &&
-                         servingLease(now) &&
-                         retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance);
-  if (mayResume) {
+  return out;
+}
+
+bool RequestRouter::isFirstRun(Call const& call) {
+  return call.phase == Phase::dispatched && call.resumes == 0;
+}
+
+bool RequestRouter::isResumeSpent(Call const& call) const {
+  return call.resumes > 0 && !regimeOf(call).empty();
+}
+
+void RequestRouter::failUpstream(RouterCommands& out, Tick now, CallId id) {
+  if (isFirstRun(calls_.at(id)))
+    reject(out, now, id, 502, "unknown, may have run", false, 0);
+  else
+    abortStream(out, now, id);
+}
+
+void RequestRouter::backOffOverloaded(Tick now, NameIndex replica) {
+  countMetric(now, "replica_not_run");
+  backOff(replica, std::max(replicas_[replica].backoffUntil, now + tuning_.overloadBackoff));
+}
+
+bool RequestRouter::takeStreamRetry(Tick now, Call const& call, UpstreamResult result) {
+  bool const idempotent = routes_[call.path].path.idempotent;
+  bool const repeatable =
+      result == UpstreamResult::notExecuted || (result == UpstreamResult::connectionLost && idempotent);
+  bool const resumable = !isFirstRun(call) && !regimeOf(call).empty() && now < call.deadline;
+  return repeatable && !isResumeSpent(call) && (resumable || mayRetry(now, call)) && servingLease(now) &&
+         retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance);
+}
+
+void RequestRouter::recoverStream(RouterCommands& out, Tick now, CallId id, UpstreamResult result) {
+  Call& call = calls_.at(id);
+  bool const firstRun = isFirstRun(call);
+  bool const again = takeStreamRetry(now, call, result);
+  if (result == UpstreamResult::notExecuted) backOffOverloaded(now, call.replica);
+  refreshCandidates(out, now);
+  if (again && !firstRun) {
     ++call.resumes;
-    call.phase = Phase::dispatched;
-    call.phaseSince = now;
     countMetric(now, "resumed");
-    out.calls.push_back(Connect{id, addressOf(call.replica), row.path.path, true, true,
-                                regimeOf(call).empty() ? "" : r.id, ownEvents(row.path)});
-    return out;
-  }
-  if (streaming || call.resumes > 0) {
-    abortStream(out, now, id);
+    if (!resumeOnOtherReplica(out, now, id)) abortStream(out, now, id);
+  } else if (again) {
+    bool const ownApi = routes_[call.path].path.host.empty();
+    countMetric(now, "retried_dispatched");
+    call.mayHaveRun = call.mayHaveRun || (result == UpstreamResult::connectionLost && ownApi);
+    out.calls.push_back(CloseUpstream{id});
+    call.phase = Phase::queued;
+    releaseSlot(out, now, call);
+    connectOrQueueFirst(out, now, id);
+  } else if (firstRun && result == UpstreamResult::notExecuted) {
+    call.phase = Phase::connecting;
+    reject(out, now, id, 503, "replica said not run; no retry left", true, tuning_.defaultRetryAfter);
   } else {
-    reject(out, now, id, 502, "unknown, may have run", false, 0);
+    failUpstream(out, now, id);
   }
-  refreshCandidates(out, now);
-  return out;
+}
+
+void RequestRouter::retryNotExecuted(RouterCommands& out, Tick now, CallId id) {
+  Call& call = calls_.at(id);
+  if (!call.request.id.empty()) requestIds_.setNotExecuted(requestIdKey(call.request));
+  backOffOverloaded(now, call.replica);
+  call.phase = Phase::connecting;
+  retry(out, now, id, "replica said not run");
+}
+
+bool RequestRouter::takeResume(Tick now, Call const& call, UpstreamResult result) {
+  return result == UpstreamResult::connectionLost && call.runKnown && routes_[call.path].path.resumable &&
+         call.resumes < tuning_.maxResumes && !isResumeSpent(call) && allowedByRegime(now, call) &&
+         replicas_[call.replica].listed && servingLease(now) &&
+         retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance);
+}
+
+void RequestRouter::resumeOnSameReplica(RouterCommands& out, Tick now, CallId id) {
+  Call& call = calls_.at(id);
+  ++call.resumes;
+  call.phase = Phase::dispatched;
+  call.phaseSince = now;
+  countMetric(now, "resumed");
+  config::Path const& path = routes_[call.path].path;
+  std::string const incarnation = regimeOf(call).empty() ? "" : replicas_[call.replica].id;
+  out.calls.push_back(Connect{id, addressOf(call.replica), path.path, true, true, incarnation, ownEvents(path)});
 }
 
 void RequestRouter::abortStream(RouterCommands& out, Tick now, CallId id, std::string const& why) {
@@ -161,7 +191,7 @@
 
 RouterCommands RequestRouter::onCallerDisconnected(Tick now, CallId id) {
   RouterCommands out;
-  std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
+  auto const it = calls_.find(id);
   if (it == calls_.end()) return out;
   countMetric(now, "caller_gone");
   recordFailure(out, now, it->second, 0, "the caller left");
