--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -12,8 +12,22 @@
 #include <corkward/config/config.h>
 #include <corkward/config/regimes.h>
 #include <corkward/core/journal.h>
+#include <corkward/dataplane/configuration_state.h>
+#include <corkward/dataplane/controller_links.h>
 #include <corkward/dataplane/failure_log.h>
+#include <corkward/dataplane/neighbour_links.h>
+#include <corkward/dataplane/regime_policy.h>
+#include <corkward/dataplane/request.h>
+#include <corkward/dataplane/request_id_table.h>
+#include <corkward/dataplane/route_table.h>
+#include <corkward/dataplane/router_commands.h>
+#include <corkward/dataplane/roster.h>
+#include <corkward/dataplane/router_tuning.h>
+#include <corkward/dataplane/serving_lease.h>
+#include <corkward/dataplane/service_times.h>
 #include <corkward/dataplane/tenants.h>
+#include <corkward/dataplane/wall_clock.h>
+#include <corkward/dataplane/warmup_leases.h>
 #include <corkward/scaling/scaling.h>
 #include <corkward/gossip/partial_view.h>
 #include <corkward/transport/message.h>
@@ -22,230 +36,6 @@
 
 using core::NameIndex;
 using core::Tick;
-using CallId = std::uint64_t;
-
-/// Starting values of the data plane.
-struct RouterTuning {
-  /// How long a confirmation of serving lease holds, counted from when it was asked for.
-  Tick servingLeaseDuration = 1500;
-  Tick leaseRequestInterval = 300;
-  /// How often control is asked while there is no whole snapshot yet, from the start on.
-  Tick snapshotRequestInterval = 50;
-  /// How often neighbours are contacted while control confirms, and while it does not.
-  Tick idleHeartbeatInterval = 1000;
-  Tick heartbeatInterval = 200;
-  /// How many of them.
-  std::size_t idleNeighbourCount = 2;
-  std::size_t neighbourCount = 6;
-  /// How long a neighbour is kept before another takes its place.
-  Tick neighbourRotationPeriod = 10000;
-  /// How long one that was silent is passed over, when there are others.
-  Tick unresponsivePeerTimeout = 10000;
-  /// Controllers that are asked for confirmations, and how many when some do not answer.
-  std::size_t controllerLinkCount = 2;
-  std::size_t maxControllerLinks = 4;
-  Tick requestIdQueryTimeout = 500;
-  /// How long ids are remembered.
-  Tick requestIdRetention = 600000;
-  /// How far back a router must remember to vouch for an id whose age is not said.
-  Tick minimumMemoryAge = 60000;
-  /// What is added to an age that is said: for the way, a slow head, and clocks whose rates differ.
-  Tick ageMargin = 15000;
-  /// How long after its start a router sends no clients here, and rejects ids of unsaid age when too few remember far
-  /// enough.
-  Tick startupGracePeriod = 3000;
-  /// How far a majority must remember when others do not answer.
-  Tick quorumMemoryWait = 10000;
-  /// How long a node that is new on the roster waits for the others to know of it, at the most.
-  Tick joinTimeout = 10000;
-  std::size_t maxRequestIds = 100000;
-  Tick connectTimeout = 700;
-  Tick connectFailureBackoff = 1500;
-  /// Rest of a replica that said "not run".
-  Tick overloadBackoff = 300;
-  Tick warmupRequestInterval = 400;
-  Tick warmupLeaseDuration = 1400;
-  double queuedPerCapacity = 4.0;
-  std::size_t minQueueLength = 8;
-  /// A request is held for this many of its aims at the most.
-  double maxQueueTargets = 2.0;
-  double nodeLimitPerReplica = 8.0;
-  /// Seconds after which a caller is asked to come back when nothing better is known.
-  double defaultRetryAfter = 1.0;
-  /// The same, when its tenant is beyond its limit.
-  double quotaRetryAfter = 1.0;
-  /// A router in an evacuated zone says that it is not ready, though it goes on serving.
-  bool evacuationFailsReady = true;
-  /// A draining node goes on taking requests for this long, until callers are sent elsewhere.
-  Tick drainAcceptPeriod = 0;
-  /// When its work in hand is cut, counted from the begin of the drain: a request that would take longer than is left
-  /// is turned away. 0: not told.
-  Tick drainTimeout = 0;
-  /// At the replica short prompts go ahead of long ones, whatever the path's own rank.
-  bool prioritizeByPromptSize = false;
-  std::int64_t shortPromptTokens = 4000;
-  std::int64_t longPromptTokens = 16000;
-  /// Repeats that all nodes together may spend beyond their share, in ten seconds.
-  double retryAllowance = scaling::RetryBudget::allowance;
-  int maxResumes = 2;
-  /// A stream in which nothing moves for this long is given up as broken.
-  Tick streamIdleTimeout = 10000;
-  /// A router whose roster is smaller than this cannot stand on its neighbours alone.
-  std::size_t minRosterSize = 3;
-  /// False: whoever has a whole snapshot serves on, without confirmations, roster or joining wait; for callers whose
-  /// own rules bound how old a configuration may be. The first snapshot of a life still comes from a controller that
-  /// was in contact with a majority after it was asked, or from neighbours once a majority of the roster was heard.
-  bool leaseRequired = true;
-  /// Records of regimes' work can be kept here; without them nothing of a regime is handed on.
-  bool auditRecordsAvailable = false;
-  /// A stream of the whole configuration's paths is cut this long after its deadline, which the replica's own end may
-  /// take to arrive.
-  Tick deadlineGracePeriod = 100;
-  /// What tenants may send beyond their limits.
-  quota::OverdraftAllowance overdraftAllowance;
-  scaling::ScalerParameters scalerParameters = scaling::defaultScalerParameters;
-};
-
-/// One part of a prompt, by a hash that is equal on every node, and its length in tokens.
-struct PromptSegment {
-  std::uint64_t hash = 0;
-  std::int64_t tokens = 0;
-};
-
-/// What the HTTP edge saw of a request's head and body.
-struct Request {
-  CallId call = 0;
-  std::string instance;
-  std::string path;
-  /// Host and path by which a path of the whole configuration is found, when no instance is named.
-  std::string host;
-  std::string target;
-  /// The prompt's parts in order, and the tokens asked for at the most.
-  std::vector<PromptSegment> segments;
-  std::int64_t tokensOut = 0;
-  /// Tokens of the prompt and asked for at the most, together, when the caller says how many.
-  std::optional<std::int64_t> tokens;
-  /// Key of the tenant that sends; empty: none was given.
-  std::string tenantKey;
-  std::string id;
-  /// Name of this attempt in logs, as the caller gave it; it decides nothing.
-  std::string attemptName;
-  /// Which attempt this is; 0: the caller does not number its attempts, so this may be any of them.
-  std::uint64_t attempt = 1;
-  /// The caller says that every earlier attempt was answered "not run".
-  bool earlierNotExecuted = false;
-  /// The caller says that one of those had reached a replica, which rejected it.
-  bool earlierReachedReplica = false;
-  /// Milliseconds since the caller's first attempt; below zero: not said.
-  Tick ageMs = -1;
-  std::string prefix;
-  /// Milliseconds the caller still waits; 0: the path's own deadline.
-  Tick deadline = 0;
-  /// Milliseconds from the request's first byte until it was whole, which the caller's time and the path's include.
-  Tick readDuration = 0;
-};
-
-/// How a relayed call ended.
-enum class UpstreamResult {
-  /// The replica's own end was seen.
-  complete,
-  /// The replica said itself that it did not run the request.
-  notExecuted,
-  /// The connection broke, or ended early, after a byte was handed over.
-  connectionLost,
-  /// As broken, but on a kept connection that was idle, before any word: the replica may have forgotten it.
-  staleConnection,
-  /// The replica answered an attempt to resume with anything but the same run at the same offset.
-  differentExecution
-};
-
-/// Command: open a connection to the replica, hand nothing over yet.
-struct Connect {
-  CallId call = 0;
-  std::string address;
-  std::string path;
-  bool resume = false;
-  /// The request may run once only: no connection may be used that the replica could be about to close.
-  bool fresh = true;
-  /// Not empty: a request of a regime. A connection of its own is opened, and it stands only once the replica has named
-  /// this life on it; another life, another answer or none counts as a rejected connection.
-  std::string incarnation = {};
-  /// The path's answer is a row of events with ids.
-  bool events = false;
-};
-/// Command: hand the request over on the connection that was opened.
-struct SendRequest {
-  CallId call = 0;
-  /// Name of the replica's life that the request is meant for; empty: any.
-  std::string expectedIncarnation = {};
-  /// Milliseconds that the caller still waits.
-  Tick remainingMs = 0;
-  int urgency = 5;
-  /// Not empty: a request of a regime. The Record of it stands before this, and it goes out at once when that is
-  /// written; else it ended as UpstreamResult::notExecuted.
-  std::string regime = {};
-  /// Tenant that the replica is told of in place of the caller's key; empty: one without a key. Not said: the
-  /// configuration knows no tenants.
-  std::optional<std::string> tenant = {};
-};
-/// Command: close the replica's connection, if there is one.
-struct CloseUpstream {
-  CallId call = 0;
-};
-/// Command: final answer to a caller that has had no byte yet.
-struct Reject {
-  CallId call = 0;
-  int status = 503;
-  std::string reason;
-  /// False: it may have run.
-  bool notExecuted = true;
-  /// Seconds after which to come back; 0: no use in coming back as it is.
-  double retryAfter = 0;
-  /// This attempt or an earlier one had reached a replica, which said "not run".
-  bool reachedReplica = false;
-};
-/// Command: cut the caller's connection, so that what it has cannot look complete.
-struct ResetDownstream {
-  CallId call = 0;
-};
-
-/// Command: answer to the platform's list given to this node.
-struct EndpointListResponse {
-  CallId call = 0;
-  int status = 200;
-  QJsonObject body;
-};
-
-/// What becomes of a regime's request.
-enum class AuditOutcome { dispatched, resumed, served, notExecuted, aborted, rejected };
-
-/// Command: write down for the audit report, before the commands after it, what becomes of a regime's request.
-struct WriteAuditRecord {
-  CallId call = 0;
-  AuditOutcome outcome = AuditOutcome::dispatched;
-  std::string regime;
-  std::string instance;
-  /// Where it runs or ran, and the certificate's name; empty for a rejection.
-  std::string pool = {};
-  std::string address = {};
-  std::string incarnation = {};
-  std::string zone = {};
-  std::string certificate = {};
-  /// Why it was rejected, resumed or broken off.
-  std::string reason = {};
-};
-
-using CallCommand =
-    std::variant<Connect, SendRequest, CloseUpstream, Reject, ResetDownstream, EndpointListResponse, WriteAuditRecord>;
-
-/// Commands of one event, in order.
-struct RouterCommands {
-  std::vector<transport::Send> sends;
-  std::vector<CallCommand> calls;
-  std::vector<core::LogEvent> logEvents;
-  /// Requests that were failed, as many as the limit of the log lets through.
-  std::vector<core::LogEvent> failures;
-};
 
 /// How much a plane holds, to show that what is gone is freed.
 struct RouterUsage {
@@ -271,19 +61,19 @@
 
   RouterCommands onRequest(Tick now, Request const& request);
   /// The connection stands and no byte was handed over yet: the last check before sending.
-  RouterCommands onConnected(Tick now, CallId call);
+  RouterCommands onConnected(Tick now, CallId id);
   /// No connection could be had, so nothing was handed over.
-  RouterCommands onConnectFailure(Tick now, CallId call);
+  RouterCommands onConnectFailure(Tick now, CallId id);
   /// This node could open no connection at all, for want of descriptors; the replica has no part in it.
-  RouterCommands onLocalConnectFailure(Tick now, CallId call);
-  RouterCommands onFirstByte(Tick now, CallId call, bool runKnown);
+  RouterCommands onLocalConnectFailure(Tick now, CallId id);
+  RouterCommands onFirstByte(Tick now, CallId id, bool runKnown);
   /// The replica answers with a failure of its own, of which nothing was passed on yet. When the commands say Connect,
   /// another replica is tried and the answer is forgotten; else it is passed on as it comes.
-  RouterCommands onUpstreamError(Tick now, CallId call);
+  RouterCommands onUpstreamError(Tick now, CallId id);
   /// The stream moves: words came, or the caller is the one that is slow. Told at most every second.
-  RouterCommands onProgress(Tick now, CallId call);
-  RouterCommands onUpstreamFinished(Tick now, CallId call, UpstreamResult end);
-  RouterCommands onCallerDisconnected(Tick now, CallId call);
+  RouterCommands onProgress(Tick now, CallId id);
+  RouterCommands onUpstreamFinished(Tick now, CallId id, UpstreamResult result);
+  RouterCommands onCallerDisconnected(Tick now, CallId id);
   /// The platform's list as told to this node: what it takes away is out of use at once, what it adds waits for
   /// control.
   RouterCommands onEndpointList(Tick now, CallId call, std::string const& pool, std::string const& body);
@@ -291,11 +81,10 @@
   void updateTuning(RouterTuning const& tuning, std::vector<std::string> seeds);
   /// No new work from here on; ids and duties go to the others.
   RouterCommands drain(Tick now);
-  /// Wall time at that tick, in milliseconds since 1970; told with each clock event. Within one life it never goes
-  /// back.
+  /// Tells the wall time at that tick, in milliseconds since 1970, with each timer event.
   void setWallTime(Tick now, std::int64_t wall);
   /// Wall time at a tick; nothing before it was told.
-  config::WallTime wallTimeAt(Tick now) const;
+  config::WallTime wallTimeAt(Tick now) const { return wallClock_.at(now); }
   /// Whether records can be written from here on.
   void setAuditAvailable(bool works) { tuning_.auditRecordsAvailable = works; }
   bool setAuditAvailable() const { return tuning_.auditRecordsAvailable; }
@@ -308,11 +97,11 @@
   std::size_t pendingCount() const { return calls_.size(); }
   std::string metrics(Tick now) const;
   QJsonObject state(Tick now) const;
-  std::uint64_t revisionOf(std::string const& key) const;
+  std::uint64_t revisionOf(std::string const& key) const { return configuration_.revisionOf(key); }
   /// Replicas held for a pool by each instance's part, and requests held there.
   std::vector<std::pair<std::size_t, std::size_t>> subsetSizes(std::string const& pool) const;
   /// Value in force for a key; empty when there is none.
-  QJsonObject configurationValue(std::string const& key) const;
+  QJsonObject configurationValue(std::string const& key) const { return configuration_.value(key); }
   /// Bounds of the callers' HTTP edge as the whole configuration says them.
   config::HttpLimits const& httpLimits() const { return httpLimits_; }
   core::Journal const& journal() const { return journal_; }
@@ -368,17 +157,6 @@
     Tick quotaTakenAt = 0;
     int urgency = 5;
   };
-  struct ConfigurationValue {
-    std::uint64_t revision = 0;
-    QJsonObject value;
-  };
-  struct Route {
-    config::Path path;
-    NameIndex pool = 0;
-    NameIndex instance = 0;
-    /// Pools that share the requests, with weights above 0.
-    std::vector<std::pair<NameIndex, std::uint32_t>> backends;
-  };
   struct Replica {
     NameIndex pool = 0;
     std::string address;
@@ -423,49 +201,10 @@
     scaling::CompletionRate completions;
     std::size_t queuedCount() const { return waiting[0].size() + waiting[1].size() + waiting[2].size(); }
   };
-  struct WarmupLease {
-    Tick until = -1;
-    Tick fullyGrantedUntil = 0;
-    Tick wantedSince = -1;
-    std::map<Tick, std::set<std::string>> grants;
-    scaling::SlowStartBucket bucket;
-  };
-  struct RequestIdRecord {
-    Tick lastSeenAt = 0;
-    bool mayHaveRun = false;
-    bool reachedReplica = false;
-    std::uint64_t claimedByAttempt = 0;
-    CallId activeCall = 0;
-    std::vector<std::string> claimants;
-  };
-  /// What the roster says, folded once when it comes.
-  struct RosterView {
-    std::uint64_t revision = 0;
-    std::vector<std::string> others;
-    /// All links with their zones, this node's own among them; ages go in this order.
-    std::map<std::string, std::string> zones;
-    std::size_t size = 0;
-    bool self = false;
-    /// Others may not know yet that this node serves; see standing.
-    bool joining = false;
-    Tick joinedAt = 0;
-  };
-  struct LeaseGrantRecord {
-    Tick grantedAt = -1;
-    transport::Digest digest;
-    transport::Revisions revisions;
-    Tick usefulAt = -1;
-  };
-  /// A process that is asked again and again.
-  struct PeerLink {
-    Tick openedAt = 0;
-    /// First question that has had no answer; below zero: none.
-    Tick firstUnansweredAt = -1;
-    /// Newest answer that was of use.
-    Tick lastUsefulAt = -1;
-    Tick timedOutAt = -1;
-    bool revisionsRequested = false;
-    Tick announcedAt = -1;
+  /// Why a regime's running requests must stop, and why none may start; empty: no reason.
+  struct RegimeStanding {
+    std::string uncertainty;
+    std::string rejection;
   };
   using QueueKey = std::pair<NameIndex, NameIndex>;
 
@@ -480,18 +219,44 @@
   std::vector<transport::EndpointRemovalHint> removalHints() const;
   bool usable(Tick now, NameIndex replica) const;
   double slowStartRate(NameIndex pool) const;
-  NameIndex findPath(Request const& request) const;
   NameIndex choosePool(Tick now, Route const& row, CallId id) const;
   NameIndex poolIndex(std::string const& name);
+  /// Drops the routes that are not needed any more, once they are many.
+  void compactRoutes();
+  /// Throws core::Error when the value is not valid.
+  void applyValue(Tick now, transport::CommittedEntry const& item);
+  void applyEndpointList(std::string const& poolName, config::EndpointList const& list);
+  void applyMembership(QJsonObject const& value);
   void applyFleetConfiguration(QJsonObject const& value);
-  void removeRoutes(std::string const& owner);
   void addRoute(std::string const& owner, std::string const& route, config::Path const& path,
                 std::string const& instance);
   SendRequest dispatch(Tick now, CallId id);
-  /// How long the path's requests take here of late: the longest, which each one that is served lets fade.
-  void recordServiceTime(Call const& call, Tick took);
-  /// A request of the path that comes now could be cut by the end of the drain. As long as few were served here, which
-  /// are the quickest, it may take as long as its path allows.
+  // Steps of onConnected.
+  void dispatchResume(RouterCommands& out, Tick now, CallId id);
+  void rejectConnected(RouterCommands& out, Tick now, CallId id, int status, std::string reason, double retryAfter);
+  /// The call's route is still in force; else it is rejected, or admitted anew by the route that is.
+  bool confirmRoute(RouterCommands& out, Tick now, CallId id);
+  /// The call may be sent to its replica now; else it is rejected or tried elsewhere.
+  bool confirmDispatch(RouterCommands& out, Tick now, CallId id);
+  void recordDispatch(Tick now, Call& call);
+  // Steps of onUpstreamFinished.
+  /// Notes the result for the replica, the quota and the audit; a stale connection counts as one that was lost.
+  UpstreamResult recordUpstreamResult(RouterCommands& out, Tick now, Call& call, UpstreamResult result);
+  /// The call was sent, no byte came back and it was not resumed.
+  static bool isFirstRun(Call const& call);
+  /// Calls of a regime are resumed once.
+  bool isResumeSpent(Call const& call) const;
+  /// Takes a retry from the budget for a call whose path may be retried from the start or resumed elsewhere.
+  bool takeStreamRetry(Tick now, Call const& call, UpstreamResult result);
+  void recoverStream(RouterCommands& out, Tick now, CallId id, UpstreamResult result);
+  void retryNotExecuted(RouterCommands& out, Tick now, CallId id);
+  /// Takes a retry from the budget for a call that may be resumed on its replica.
+  bool takeResume(Tick now, Call const& call, UpstreamResult result);
+  void resumeOnSameReplica(RouterCommands& out, Tick now, CallId id);
+  void failUpstream(RouterCommands& out, Tick now, CallId id);
+  /// The replica answered "not executed".
+  void backOffOverloaded(Tick now, NameIndex replica);
+  /// A request of the path that comes now could be cut by the end of the drain.
   bool outlastsDrain(Tick now, config::Path const& path) const;
   void checkDispatch(Tick now, Call const& call, Tick left) const;
   /// Notes a request that ends without its whole answer, for the log and the counters.
@@ -505,54 +270,58 @@
   bool isOverdue(Call const& call, Tick took) const;
   /// Undoes the last hand-over of a call whose connection could not be written to.
   void undoDispatch(RouterCommands& out, Tick now, CallId id);
+  // Steps of onTimer.
+  void requestLeases(RouterCommands& out, Tick now);
+  bool isExpired(Tick now, Call const& call) const;
+  void expireCalls(RouterCommands& out, Tick now);
+  void expireCall(RouterCommands& out, Tick now, CallId id);
+  void evaluateQueues(RouterCommands& out, Tick now);
   /// A stream that a path of the whole configuration bounds runs past its deadline.
   bool isPastDeadline(Tick now, Call const& call) const;
   void connectTo(RouterCommands& out, Tick now, CallId id, NameIndex replica);
   /// All serving replicas of the pool, whatever the part is.
   std::vector<scaling::Candidate> candidatesBeyondSubset(Tick now, NameIndex pool) const;
   bool resumeOnOtherReplica(RouterCommands& out, Tick now, CallId id);
-  std::int64_t chooseReplica(Tick now, Call const& call, std::vector<scaling::Candidate> const& choices) const;
+  std::int64_t chooseReplica(Tick now, Call const& call, std::vector<scaling::Candidate> const& all) const;
   NameIndex homeReplica(Call const& call) const;
   bool isHomeCandidate(NameIndex replica) const;
   /// The prompt cannot be read within its aim, and the pool has replicas that read such ones.
   bool needsIsolatedReplica(Call const& call) const;
   void isolateReplicas(PoolView const& view);
   bool isEvacuated(std::string const& zone) const;
-  bool hasAllRevisions(transport::Revisions const& revisions) const;
-  bool isUpToDate(transport::Digest const& digest, transport::Revisions const& revisions) const;
-  bool hasLeaseWithin(Tick now, Tick age) const;
   bool hasHeardMajority(Tick now) const;
-  void refreshServingLease();
-  void recordHeartbeat(std::string const& from, transport::PeerHeartbeat const& echo);
   void adoptSnapshot(RouterCommands& out, Tick now, std::string const& from);
-  std::string encodeAges(Tick now) const;
   void chooseControllers(Tick now);
   void sendLeaseRequest(RouterCommands& out, Tick now, std::string const& to);
-  std::vector<std::string> chooseNeighbours(Tick now, std::size_t wanted, Tick every);
+  NeighbourLinks::Peers neighbourCandidates(Tick now) const;
   void sendHeartbeats(RouterCommands& out, Tick now);
+  void replyToHeartbeat(RouterCommands& out, Tick now, std::string const& from,
+                        transport::PeerHeartbeat const& heartbeat);
+  void onHeartbeatReply(RouterCommands& out, Tick now, std::string const& from, transport::PeerHeartbeat const& reply);
+  void requestNewerValues(RouterCommands& out, Tick now, std::string const& from,
+                          transport::Revisions const& revisions);
   void sendMissing(RouterCommands& out, std::string const& to, transport::Revisions const& have) const;
-  std::vector<std::string> const& otherRouters() const { return roster_.others; }
-  std::size_t rosterSize() const { return roster_.size; }
+  std::vector<std::string> const& otherRouters() const { return roster_.others(); }
+  std::size_t rosterSize() const { return roster_.size(); }
   void loadRoster(Tick now, std::uint64_t revision, QJsonObject const& value);
-  void updateJoining(Tick now);
   bool remembersSince(Tick now, Tick age) const;
   void recordLag(Tick now);
   void queryPeers(RouterCommands& out, Tick now, CallId id);
   void decideRequestId(RouterCommands& out, Tick now, CallId id, bool over);
   std::vector<std::string> controllers(Tick now) const;
-  transport::Revisions revisions() const;
   AdmissionQueue& queueFor(RouterCommands& out, Tick now, QueueKey const& key);
   bool mayAttempt(Tick now, AdmissionQueue& c, QueueKey key, Call const& call) const;
   std::vector<scaling::Candidate> usableCandidates(Tick now, AdmissionQueue const& c, bool warmRoom) const;
   void admit(RouterCommands& out, Tick now, CallId id);
   bool attemptConnect(RouterCommands& out, Tick now, CallId id);
+  /// Connects at once, or puts the call first in its queue.
+  void connectOrQueueFirst(RouterCommands& out, Tick now, CallId id);
   void dispatchQueued(RouterCommands& out, Tick now, QueueKey key);
   void evaluateQueue(RouterCommands& out, Tick now, QueueKey key, CallId unplaced = 0);
   void releaseSlot(RouterCommands& out, Tick now, Call& call);
   void reject(RouterCommands& out, Tick now, CallId id, int status, std::string reason, bool notRun, double retryAfter);
   void removeCall(Tick now, CallId id);
   void dropCall(RouterCommands& out, Tick now, CallId id);
-  RequestIdRecord& requestIdRecord(Tick now, std::string const& key);
   std::string const& addressOf(NameIndex replica) const;
   void abortStream(RouterCommands& out, Tick now, CallId id, std::string const& why = "the connection broke");
   /// Finds the call's tenant by its key under the configuration in force; false: it needs one and has none.
@@ -569,28 +338,40 @@
   void updateTenants(RouterCommands& out, Tick now);
   /// A request that may be served goes on: its id is looked up, then it is admitted.
   void admitOrQueue(RouterCommands& out, Tick now, CallId id);
+  /// The call has its request id in hand from now on; else it was rejected.
+  bool claimRequestId(RouterCommands& out, Tick now, CallId id);
+  /// An earlier attempt with the id does not stand in the way; else the call was rejected.
+  bool mayReplaceEarlier(RouterCommands& out, Tick now, CallId id, RequestIdRecord const& earlier);
+  void admitLaterAttempt(RouterCommands& out, Tick now, CallId id);
   void dequeue(CallId id);
   void retry(RouterCommands& out, Tick now, CallId id, char const* why);
   double retryAfter(AdmissionQueue const& c, config::RequestClass cls) const;
   Tick expectedWait(AdmissionQueue const& c, config::RequestClass cls) const;
+  bool needsWarmupLease(Replica const& replica) const;
+  /// How long this router waits before it requests a lease that is free: the routers come in an order by hash.
+  Tick warmupRequestDelay(std::string const& replica) const;
   void updateWarmupLeases(RouterCommands& out, Tick now);
+  /// Ends the leases that are held, and names the controllers a successor for each.
+  void releaseWarmupLeases(RouterCommands& out, Tick now);
   std::string const& regimeOf(Call const& call) const;
-  std::string const& regimeOf(NameIndex instance) const;
   std::string regimeUncertainty(Tick now, std::string const& regime) const;
   std::string regimeRejection(Tick now, std::string const& regime) const;
   config::Certificate const* certificate(Tick now, std::string const& regime, NameIndex replica) const;
   bool allowedByRegime(Tick now, Call const& call) const;
   bool certifiedFor(Tick now, Call const& call, NameIndex replica) const;
   void refreshCertified(Tick now);
-  /// What work of each regime, and of none, may draw from of these.
-  std::map<std::string, scaling::Candidates> candidatesByRegime(std::vector<scaling::Candidate> const& all) const;
   static scaling::Candidates candidatesOf(PoolView const& view, std::string const& regime);
-  bool mayUseReplica(std::string const& regime, NameIndex replica) const;
   void recordAudit(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened, std::string reason = {});
+  /// Calls of regimes that are past admission, sorted.
+  std::vector<CallId> callsOfRegimes() const;
   void enforceRegimes(RouterCommands& out, Tick now);
+  void enforceRegime(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing);
+  void enforceWhileQueued(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing);
+  void enforceWhileConnecting(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing, bool certified);
+  /// The call is to be resumed on another replica and was not sent there yet.
+  static bool isResumeUnsent(Call const& call);
   void abandonForRegime(RouterCommands& out, Tick now, CallId id, std::string const& why);
-  bool holdsWarmupLease(Tick now, NameIndex replica) const;
-  void expireRequestIds(Tick now);
+  void expireRequestIds(Tick now) { requestIds_.expire(now, tuning_.requestIdRetention, tuning_.maxRequestIds); }
   void releaseRemoved(Tick now);
   void logEvent(RouterCommands& out, Tick now, core::EventName event, std::map<std::string, std::string> fields = {});
   void countMetric(Tick now, std::string const& what, std::string const& about = "");
@@ -614,67 +395,42 @@
   gossip::PartialView partialView_;
   core::Journal journal_;
   FailureLog failures_;
-  /// How long the requests of a path take here.
-  struct ServiceTime {
-    Tick longest = 0;
-    unsigned served = 0;
-  };
-  /// By instance and path.
-  std::map<std::pair<std::string, std::string>, ServiceTime> serviceTimes_;
+  ServiceTimes serviceTimes_;
   Tick startedAt_ = 0;
   bool draining_ = false;
   Tick drainedAt_ = 0;
   bool snapshotApplied_ = false;
-  std::map<std::string, ConfigurationValue> values_;
+  ConfigurationState configuration_;
   core::InternedNames instanceNames_;
   core::InternedNames poolNames_;
   core::InternedNames replicaNames_;
   std::vector<Replica> replicas_;
   std::vector<PoolView> pools_;
-  std::vector<Route> routes_;
-  std::unordered_map<std::string, NameIndex> routeIndex_;
-  std::map<std::string, std::vector<std::string>> ownedRoutes_;
+  RouteTable routes_;
   config::HttpLimits httpLimits_;
   Tenants tenants_;
   std::set<std::string> evacuated_;
-  /// Rises whenever paths change.
-  std::uint64_t configurationRevision_ = 1;
-  std::map<std::string, LeaseGrantRecord> leaseGrants_;
-  /// Echoes that name what is not known here yet.
-  std::map<std::string, transport::PeerHeartbeat> pendingHeartbeats_;
-  /// Newest tick at which that router had nothing in force that this one lacks now.
-  std::map<std::string, Tick> heardAt_;
-  /// Digest of the keys, and those it had before in this life, newest last.
-  transport::Digest digest_;
-  std::deque<transport::Digest> digestHistory_;
-  std::map<std::string, PeerLink> controllers_;
-  std::map<std::string, PeerLink> neighbours_;
-  std::map<std::string, Tick> unresponsiveSince_;
-  std::vector<std::string> controllerChoice_;
+  ServingLease servingLease_;
+  ControllerLinks controllerLinks_;
+  NeighbourLinks neighbourLinks_;
   std::map<std::string, Tick> valueRequestedAt_;
   /// A neighbour has sent a whole snapshot.
   bool snapshotSeen_ = false;
-  /// Control has vouched for this life's snapshot. Until then this node is none of the majority that it stands on: its
-  /// life before may have been counted for a change that it lacks now.
-  bool confirmedByControl_ = false;
   core::RandomGenerator rng_;
   std::map<QueueKey, AdmissionQueue> queues_;
   /// Credits that looks may change: all others are at rest.
   std::set<QueueKey> activeQueues_;
-  std::map<NameIndex, WarmupLease> warmupLeases_;
+  WarmupLeases warmupLeases_;
   scaling::PrefixCacheIndex prefixes_;
   scaling::PrefixCacheEstimate prefixCache_;
   scaling::RetryBudgets retryBudgets_;
   std::unordered_map<CallId, Call> calls_;
-  std::unordered_map<std::string, RequestIdRecord> requestIds_;
-  std::deque<std::pair<Tick, std::string>> requestIdOrder_;
-  /// Every id that was seen from then on is still remembered.
-  Tick memoryFrom_ = 0;
+  RequestIdTable requestIds_;
   Tick lastEvent_ = 0;
   /// Longest time without an event of late: what was read after it may be that much older than it says.
   Tick eventLag_ = 0;
   Tick eventLagAt_ = -1;
-  RosterView roster_;
+  Roster roster_;
   std::vector<std::string> membershipIds_;
   std::vector<std::string> membershipLinks_;
   Tick nextLeaseRequestAt_ = 0;
@@ -683,18 +439,8 @@
   Tick nextEvaluationAt_ = 0;
   Tick nextReleaseAt_ = 0;
   bool dispatching_ = false;
-  config::Regimes regimes_;
-  /// Some path has been bound to a regime in this life.
-  bool regimeBound_ = false;
-  /// What binds an instance, by the newest of its paths.
-  std::map<NameIndex, std::string> instanceRegimes_;
-  /// Replicas that have a certificate for a regime, and the share of their room that other work leaves free; as of
-  /// certifiedAt_.
-  std::map<std::string, std::set<NameIndex>> certified_;
-  std::map<NameIndex, double> reserved_;
-  Tick certifiedAt_ = -1;
-  /// Most that wall time was ahead of the tick.
-  std::optional<std::int64_t> wallAhead_;
+  RegimePolicy regimePolicy_;
+  WallClock wallClock_;
 };
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/admission_queues.cpp
+++ b/dataplane/src/admission_queues.cpp
@@ -8,9 +8,8 @@
 
 std::vector<std::pair<std::size_t, std::size_t>> RequestRouter::subsetSizes(std::string const& pool) const {
   std::vector<std::pair<std::size_t, std::size_t>> out;
-  for (std::map<QueueKey, AdmissionQueue>::value_type const& c : queues_)
-    if (poolNames_.name(c.first.first) == pool)
-      out.emplace_back(c.second.scaler.subset().size(), c.second.queuedCount());
+  for (auto const& [key, queue] : queues_)
+    if (poolNames_.name(key.first) == pool) out.emplace_back(queue.scaler.subset().size(), queue.queuedCount());
   return out;
 }
 
@@ -25,20 +24,17 @@
   for (NameIndex const ix : view.replicas) {
     Replica const& r = replicas_[ix];
     bool const cold = r.state == config::ReplicaState::warmingUp;
-    std::map<NameIndex, WarmupLease>::const_iterator const w = warmupLeases_.find(ix);
-    for (Tick const at :
-         {r.backoffUntil, cold && w != warmupLeases_.end() ? w->second.until : 0, r.reliability.restUntil()})
+    for (Tick const at : {r.backoffUntil, cold ? warmupLeases_.expiresAt(ix) : 0, r.reliability.restUntil()})
       if (at > now) view.changesAt = std::min(view.changesAt, at);
     if (usable(now, ix) && !(r.ejected && r.reliability.isResting(now)))
       all.push_back(scaling::Candidate{ix, cold, r.hash});
   }
-  std::map<std::string, scaling::Candidates> candidates = candidatesByRegime(all);
+  std::map<std::string, scaling::Candidates> candidates = regimePolicy_.candidatesByRegime(all);
   if (candidates == view.candidates && !view.bindingsChanged) return;
   view.candidates = std::move(candidates);
   view.bindingsChanged = false;
-  for (std::map<QueueKey, AdmissionQueue>::iterator c = queues_.lower_bound({pool, 0});
-       c != queues_.end() && c->first.first == pool; ++c) {
-    c->second.scaler.setCandidates(candidatesOf(view, regimeOf(c->first.second)));
+  for (auto c = queues_.lower_bound({pool, 0}); c != queues_.end() && c->first.first == pool; ++c) {
+    c->second.scaler.setCandidates(candidatesOf(view, regimePolicy_.regimeOf(c->first.second)));
     if (!c->second.scaler.isAtRest()) activate(now, c->first);
   }
 }
@@ -55,7 +51,7 @@
 }
 
 RequestRouter::AdmissionQueue& RequestRouter::queueFor(RouterCommands& out, Tick now, QueueKey const& key) {
-  std::map<QueueKey, AdmissionQueue>::iterator it = queues_.find(key);
+  auto it = queues_.find(key);
   if (it != queues_.end()) {
     activate(now, key);
     return it->second;
@@ -63,7 +59,7 @@
   refreshCandidates(out, now);
   scaling::Scaler scaler(seed_ ^ core::stableHash(partialView_.self().link + instanceNames_.name(key.second)),
                          tuning_.scalerParameters);
-  scaler.setCandidates(candidatesOf(pools_[key.first], regimeOf(key.second)));
+  scaler.setCandidates(candidatesOf(pools_[key.first], regimePolicy_.regimeOf(key.second)));
   it = queues_.emplace(key, AdmissionQueue{std::move(scaler), {}, 0, {}}).first;
   activeQueues_.insert(key);
   return it->second;
@@ -104,13 +100,12 @@
 bool RequestRouter::mayAttempt(Tick, AdmissionQueue& c, QueueKey key, Call const& call) const {
   bool const bulk = routes_[call.path].path.requestClass == config::RequestClass::bulk;
   if (!c.scaler.raiseLimitFor(bulk)) return false;
-  std::string const& regime = regimeOf(key.second);
+  std::string const& regime = regimePolicy_.regimeOf(key.second);
   std::size_t const replicas = regime.empty() ? pools_[key.first].replicas.size() : c.scaler.setCandidates();
   double const poolCap = tuning_.nodeLimitPerReplica * static_cast<double>(std::max<std::size_t>(replicas, 1));
   std::vector<std::pair<QueueKey, int>> active;
-  for (std::set<QueueKey>::const_iterator k = activeQueues_.lower_bound({key.first, 0});
-       k != activeQueues_.end() && k->first == key.first; ++k) {
-    if (regimeOf(k->second) != regime) continue;
+  for (auto k = activeQueues_.lower_bound({key.first, 0}); k != activeQueues_.end() && k->first == key.first; ++k) {
+    if (regimePolicy_.regimeOf(k->second) != regime) continue;
     AdmissionQueue const& o = queues_.at(*k);
     if (*k == key || o.scaler.inFlight() > 0 || o.queuedCount() > 0) active.emplace_back(*k, o.scaler.inFlight());
   }
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -3,45 +3,25 @@
 #include <algorithm>
 
 #include <corkward/core/json.h>
-#include <corkward/core/guarantees.h>
 
 #include "internal.h"
 
 namespace corkward::dataplane {
 
-std::uint64_t RequestRouter::revisionOf(std::string const& key) const {
-  std::map<std::string, ConfigurationValue>::const_iterator const it = values_.find(key);
-  return it == values_.end() ? 0 : it->second.revision;
-}
-
-QJsonObject RequestRouter::configurationValue(std::string const& key) const {
-  std::map<std::string, ConfigurationValue>::const_iterator const it = values_.find(key);
-  return it == values_.end() ? QJsonObject() : it->second.value;
-}
-
-transport::Revisions RequestRouter::revisions() const {
-  transport::Revisions out;
-  for (std::map<std::string, ConfigurationValue>::value_type const& k : values_) out[k.first] = k.second.revision;
-  return out;
-}
-
 void RequestRouter::applyEntries(RouterCommands& out, Tick now, std::vector<transport::CommittedEntry> const& items) {
   bool any = false;
   for (transport::CommittedEntry const& item : items) {
-    std::uint64_t const before = revisionOf(item.key);
-    if (item.revision <= before) continue;
+    if (item.revision <= revisionOf(item.key)) continue;
     applyEntry(out, now, item);
-    digest_.replace(item.key, before, revisionOf(item.key));
     any = true;
   }
   if (!any) return;
-  digestHistory_.push_back(digest_);
-  if (digestHistory_.size() > digestsKept) digestHistory_.pop_front();
-  refreshServingLease();
-  certifiedAt_ = -1;
+  configuration_.recordDigest();
+  servingLease_.refresh(configuration_, roster_);
+  regimePolicy_.invalidate();
   for (PoolView& view : pools_) {
     view.changed = true;
-    view.bindingsChanged = regimeBound_;
+    view.bindingsChanged = regimePolicy_.anyBound();
   }
   refreshCandidates(out, now);
   enforceRegimes(out, now);
@@ -53,28 +33,19 @@
   return pool;
 }
 
-void RequestRouter::removeRoutes(std::string const& owner) {
-  for (std::string const& route : ownedRoutes_[owner]) routeIndex_.erase(route);
-  ownedRoutes_[owner].clear();
-  ++configurationRevision_;
-}
-
 void RequestRouter::addRoute(std::string const& owner, std::string const& route, config::Path const& path,
                              std::string const& instance) {
   Route row{path, poolIndex(path.pool), instanceNames_.intern(instance), {}};
-  for (config::WeightedPool const& s : path.weightedPools)
-    if (s.weight > 0) row.backends.emplace_back(poolIndex(s.pool), s.weight);
-  if (row.backends.empty()) row.backends.emplace_back(row.pool, 1);
-  regimeBound_ = regimeBound_ || !path.regime.empty();
-  if (regimeBound_) instanceRegimes_[row.instance] = path.regime;
-  routeIndex_[route] = static_cast<NameIndex>(routes_.size());
-  ownedRoutes_[owner].push_back(route);
-  routes_.push_back(std::move(row));
+  for (config::WeightedPool const& weighted : path.weightedPools)
+    if (weighted.weight > 0) row.backends.push_back({poolIndex(weighted.pool), weighted.weight});
+  if (row.backends.empty()) row.backends.push_back({row.pool, 1});
+  regimePolicy_.bind(row.instance, path.regime);
+  routes_.add(owner, route, std::move(row));
 }
 
 void RequestRouter::applyFleetConfiguration(QJsonObject const& value) {
   config::FleetConfiguration const whole = config::readFleetConfiguration(value.value("spec").toObject());
-  removeRoutes(config::fleetConfigurationKey);
+  routes_.remove(config::fleetConfigurationKey);
   for (config::Path const& p : whole.paths)
     addRoute(config::fleetConfigurationKey, p.host + p.prefix, p, wholeInstance);
   for (PoolView& view : pools_) view.settings.reset();
@@ -84,77 +55,81 @@
 }
 
 void RequestRouter::applyEntry(RouterCommands& out, Tick now, transport::CommittedEntry const& item) {
-  std::size_t const colon = item.key.find(':');
-  std::string const kind = item.key.substr(0, colon);
-  std::string const name = colon == std::string::npos ? "" : item.key.substr(colon + 1);
   try {
-    if (kind == "family") {
-      std::vector<config::Path> const paths = config::renderPaths(name, item.value);
-      removeRoutes(item.key);
-      for (config::Path const& p : paths) addRoute(item.key, p.instance + "/" + p.path, p, p.instance);
-    } else if (item.key == config::regimesKey) {
-      regimes_ = config::readStoredRegimes(item.value);
-    } else if (item.key == config::fleetConfigurationKey) {
-      applyFleetConfiguration(item.value);
-    } else if (kind == "pool") {
-      config::EndpointList const list = config::readStoredEndpointList(item.value);
-      NameIndex const pool = poolIndex(name);
-      PoolView& view = pools_[pool];
-      for (NameIndex const r : view.replicas) replicas_[r].listed = false;
-      view.replicas.clear();
-      view.listGeneration = list.generation;
-      view.slowStartRate = list.slowStartRate;
-      for (config::Replica const& r : list.replicas) {
-        NameIndex const ix = replicaNames_.intern(name + "|" + config::incarnationName(r));
-        if (ix >= replicas_.size()) replicas_.resize(ix + 1);
-        Replica& mine = replicas_[ix];
-        mine.pool = pool;
-        mine.address = r.address;
-        mine.id = r.id;
-        mine.hash = core::stableHash(replicaNames_.name(ix));
-        mine.zone = r.zone;
-        mine.state = r.state;
-        mine.listed = true;
-        view.replicas.push_back(ix);
-      }
-      refreshRemovalHint(view);
-    } else if (kind == "zone") {
-      if (item.value.value("evacuated").toBool())
-        evacuated_.insert(name);
-      else
-        evacuated_.erase(name);
-    }
-    if (item.key == rosterKey) loadRoster(now, item.revision, item.value);
-    if (item.key == membershipKey) {
-      membershipIds_.clear();
-      membershipLinks_.clear();
-      for (QJsonValue const v : item.value.value("members").toArray()) {
-        membershipIds_.push_back(core::toStdString(v.toObject().value("id").toString()));
-        membershipLinks_.push_back(core::toStdString(v.toObject().value("link").toString()));
-      }
-    }
+    applyValue(now, item);
   } catch (core::Error const& e) {
     logEvent(out, now, "news-not-applied", {{"key", item.key}, {"error", e.what()}});
     return;
   }
-  CORKWARD_GUARANTEE(core::Guarantee::revisionsRise, item.revision > revisionOf(item.key),
-                     item.key + " falls to revision " + std::to_string(item.revision));
-  values_[item.key] = ConfigurationValue{item.revision, item.value};
+  configuration_.set(item);
   logEvent(out, now, "in-force", {{"key", item.key}, {"stamp", std::to_string(item.revision)}});
-  if (routes_.size() < 1024 || routes_.size() < 4 * routeIndex_.size()) return;
-  std::vector<bool> used(routes_.size(), false);
-  for (std::unordered_map<std::string, NameIndex>::value_type const& r : routeIndex_) used[r.second] = true;
-  for (std::unordered_map<CallId, Call>::value_type const& c : calls_) used[c.second.path] = true;
-  std::vector<NameIndex> moved(routes_.size(), 0);
-  std::vector<Route> kept;
-  for (std::size_t i = 0; i < routes_.size(); ++i) {
-    if (!used[i]) continue;
-    moved[i] = static_cast<NameIndex>(kept.size());
-    kept.push_back(std::move(routes_[i]));
+  compactRoutes();
+}
+
+void RequestRouter::applyValue(Tick now, transport::CommittedEntry const& item) {
+  std::size_t const colon = item.key.find(':');
+  std::string const kind = item.key.substr(0, colon);
+  std::string const name = colon == std::string::npos ? "" : item.key.substr(colon + 1);
+  if (kind == "family") {
+    std::vector<config::Path> const paths = config::renderPaths(name, item.value);
+    routes_.remove(item.key);
+    for (config::Path const& path : paths) addRoute(item.key, path.instance + "/" + path.path, path, path.instance);
+  } else if (item.key == config::regimesKey) {
+    regimePolicy_.declare(config::readStoredRegimes(item.value));
+  } else if (item.key == config::fleetConfigurationKey) {
+    applyFleetConfiguration(item.value);
+  } else if (kind == "pool") {
+    applyEndpointList(name, config::readStoredEndpointList(item.value));
+  } else if (kind == "zone") {
+    if (item.value.value("evacuated").toBool())
+      evacuated_.insert(name);
+    else
+      evacuated_.erase(name);
+  } else if (item.key == rosterKey) {
+    loadRoster(now, item.revision, item.value);
+  } else if (item.key == membershipKey) {
+    applyMembership(item.value);
+  }
+}
+
+void RequestRouter::applyEndpointList(std::string const& poolName, config::EndpointList const& list) {
+  NameIndex const pool = poolIndex(poolName);
+  PoolView& view = pools_[pool];
+  for (NameIndex const replica : view.replicas) replicas_[replica].listed = false;
+  view.replicas.clear();
+  view.listGeneration = list.generation;
+  view.slowStartRate = list.slowStartRate;
+  for (config::Replica const& listed : list.replicas) {
+    NameIndex const index = replicaNames_.intern(poolName + "|" + config::incarnationName(listed));
+    if (index >= replicas_.size()) replicas_.resize(index + 1);
+    Replica& replica = replicas_[index];
+    replica.pool = pool;
+    replica.address = listed.address;
+    replica.id = listed.id;
+    replica.hash = core::stableHash(replicaNames_.name(index));
+    replica.zone = listed.zone;
+    replica.state = listed.state;
+    replica.listed = true;
+    view.replicas.push_back(index);
+  }
+  refreshRemovalHint(view);
+}
+
+void RequestRouter::applyMembership(QJsonObject const& value) {
+  membershipIds_.clear();
+  membershipLinks_.clear();
+  for (QJsonValue const member : value.value("members").toArray()) {
+    membershipIds_.push_back(core::toStdString(member.toObject().value("id").toString()));
+    membershipLinks_.push_back(core::toStdString(member.toObject().value("link").toString()));
   }
-  routes_ = std::move(kept);
-  for (std::unordered_map<std::string, NameIndex>::value_type& r : routeIndex_) r.second = moved[r.second];
-  for (std::unordered_map<CallId, Call>::value_type& c : calls_) c.second.path = moved[c.second.path];
+}
+
+void RequestRouter::compactRoutes() {
+  if (!routes_.needsCompaction()) return;
+  std::set<NameIndex> inUse;
+  for (auto const& [id, call] : calls_) inUse.insert(call.path);
+  std::vector<NameIndex> const moved = routes_.compact(inUse);
+  for (auto& [id, call] : calls_) call.path = moved[call.path];
 }
 
 void RequestRouter::refreshRemovalHint(PoolView& view) {
@@ -169,7 +144,7 @@
 }
 
 bool RequestRouter::applyRemovalHint(RouterCommands& out, Tick now, transport::EndpointRemovalHint const& hint) {
-  if (values_.count("pool:" + hint.pool) == 0) return false;
+  if (!configuration_.has("pool:" + hint.pool)) return false;
   PoolView& view = pools_[poolNames_.intern(hint.pool)];
   if (hint.generation <= view.listGeneration || hint.generation <= view.hint.generation) return false;
   view.hint = hint;
@@ -196,10 +171,9 @@
     QJsonValue const v = core::parseJson(body);
     if (!v.isObject()) throw core::JsonError("must be an object");
     config::EndpointList const list = config::readEndpointList(v.toObject());
-    std::map<std::string, ConfigurationValue>::const_iterator const key = values_.find("pool:" + pool);
-    std::uint64_t const have = key == values_.end() ? 0 : pools_[poolNames_.intern(pool)].listGeneration;
-    std::uint64_t const newest =
-        key == values_.end() ? 0 : std::max(have, pools_[poolNames_.intern(pool)].hint.generation);
+    bool const known = configuration_.has("pool:" + pool);
+    std::uint64_t const have = known ? pools_[poolNames_.intern(pool)].listGeneration : 0;
+    std::uint64_t const newest = known ? std::max(have, pools_[poolNames_.intern(pool)].hint.generation) : 0;
     if (list.generation < newest) {
       answer.status = 409;
       answer.body = {{"error", "older generation"},
@@ -242,16 +216,17 @@
   if (m.isSnapshot && !snapshotApplied_ && (tuning_.leaseRequired || !m.entries.empty())) {
     if (!fromRouter) {
       snapshotApplied_ = true;
-      confirmedByControl_ = true;
+      servingLease_.onControllerSnapshot();
       logEvent(out, now, "whole-image", {{"from", from}});
     }
     snapshotSeen_ = true;
   }
   adoptSnapshot(out, now, from);
-  transport::ConfigurationAck ack{m.number, partialView_.self().link, partialView_.self().incarnation, {}, digest_};
+  transport::ConfigurationAck ack{
+      m.number, partialView_.self().link, partialView_.self().incarnation, {}, configuration_.digest()};
   if (!m.isSnapshot)
     for (transport::CommittedEntry const& i : m.entries) ack.revisions[i.key] = revisionOf(i.key);
-  std::set<std::string> to(controllerChoice_.begin(), controllerChoice_.end());
+  std::set<std::string> to(controllerLinks_.chosen().begin(), controllerLinks_.chosen().end());
   if (m.number > 0) to.insert(from);
   for (std::string const& s : to) out.sends.push_back(transport::Send{s, ack});
 }
@@ -268,26 +243,22 @@
   for (std::size_t i = others.size(); i > 1; --i) std::swap(others[i - 1], others[rng_.below(i)]);
   std::set<std::string> to(
       others.begin(), others.begin() + static_cast<std::ptrdiff_t>(std::min(others.size(), tuning_.neighbourCount)));
-  to.insert(controllerChoice_.begin(), controllerChoice_.end());
+  to.insert(controllerLinks_.chosen().begin(), controllerLinks_.chosen().end());
   for (std::string const& link : to) out.sends.push_back(transport::Send{link, m});
 }
 
 void RequestRouter::sendMissing(RouterCommands& out, std::string const& to, transport::Revisions const& have) const {
-  transport::ConfigurationUpdate news;
-  for (std::map<std::string, ConfigurationValue>::value_type const& k : values_) {
-    transport::Revisions::const_iterator const it = have.find(k.first);
-    if (it == have.end() || it->second < k.second.revision)
-      news.entries.push_back(transport::CommittedEntry{k.first, k.second.revision, k.second.value});
-  }
-  if (!news.entries.empty()) out.sends.push_back(transport::Send{to, std::move(news)});
+  transport::ConfigurationUpdate update;
+  update.entries = configuration_.missingFrom(have);
+  if (!update.entries.empty()) out.sends.push_back(transport::Send{to, std::move(update)});
 }
 
 void RequestRouter::on(RouterCommands& out, Tick, std::string const& from, transport::ValueRequest const& m) {
-  std::map<std::string, ConfigurationValue>::const_iterator const it = values_.find(m.key);
-  if (it == values_.end()) return;
-  transport::ConfigurationUpdate news;
-  news.entries.push_back(transport::CommittedEntry{it->first, it->second.revision, it->second.value});
-  out.sends.push_back(transport::Send{from, std::move(news)});
+  std::optional<transport::CommittedEntry> const entry = configuration_.entry(m.key);
+  if (!entry) return;
+  transport::ConfigurationUpdate update;
+  update.entries.push_back(*entry);
+  out.sends.push_back(transport::Send{from, std::move(update)});
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/regimes.cpp
+++ b/dataplane/src/regimes.cpp
@@ -1,6 +1,4 @@
 #include <algorithm>
-#include <functional>
-#include <iterator>
 
 #include "internal.h"
 
@@ -9,27 +7,22 @@
 namespace {
 
 std::string const unbound;
-constexpr Tick certificateRefreshInterval = 1000;
 
 }  // namespace
 
 std::string const& RequestRouter::regimeOf(Call const& call) const {
-  if (!regimeBound_ || call.pathRevision == 0) return unbound;
-  NameIndex const path = call.pathRevision == configurationRevision_ ? call.path : findPath(call.request);
+  if (!regimePolicy_.anyBound() || call.pathRevision == 0) return unbound;
+  NameIndex const path = call.pathRevision == routes_.revision() ? call.path : routes_.find(call.request);
   return routes_[path == core::InternedNames::none ? call.path : path].path.regime;
 }
 
-std::string const& RequestRouter::regimeOf(NameIndex instance) const {
-  std::map<NameIndex, std::string>::const_iterator const it = instanceRegimes_.find(instance);
-  return it == instanceRegimes_.end() ? unbound : it->second;
-}
-
 std::string RequestRouter::regimeUncertainty(Tick now, std::string const& regime) const {
   if (!tuning_.leaseRequired || !servingLease(now)) return "no serving lease";
   config::WallTime const wall = wallTimeAt(now);
   if (!wall) return "no wall time, so no certificate counts";
-  if (regimes_.regimes.count(regime) == 0) return "no regime " + regime + " is declared";
-  if (!config::routerMayForward(regimes_, regime, partialView_.self().link, partialView_.self().zone, wall))
+  if (regimePolicy_.declared().regimes.count(regime) == 0) return "no regime " + regime + " is declared";
+  if (!config::routerMayForward(regimePolicy_.declared(), regime, partialView_.self().link, partialView_.self().zone,
+                                wall))
     return "this node is not certified for regime " + regime;
   return "";
 }
@@ -44,7 +37,7 @@
 config::Certificate const* RequestRouter::certificate(Tick now, std::string const& regime, NameIndex replica) const {
   Replica const& r = replicas_[replica];
   if (!r.listed) return nullptr;
-  return config::findCertificate(regimes_, regime, poolNames_.name(r.pool),
+  return config::findCertificate(regimePolicy_.declared(), regime, poolNames_.name(r.pool),
                                  config::Replica{r.id, r.address, r.zone, r.state}, wallTimeAt(now));
 }
 
@@ -54,63 +47,32 @@
 }
 
 void RequestRouter::refreshCertified(Tick now) {
-  if (certifiedAt_ >= 0 && now - certifiedAt_ < certificateRefreshInterval) return;
-  certifiedAt_ = now;
-  std::map<std::string, std::set<NameIndex>> certified;
-  std::map<NameIndex, double> reserved;
-  for (std::map<std::string, config::Regime>::value_type const& regime : regimes_.regimes)
+  if (!regimePolicy_.isStale(now)) return;
+  CertifiedReplicas certified;
+  for (auto const& [name, regime] : regimePolicy_.declared().regimes)
     for (PoolView const& view : pools_)
-      for (NameIndex const r : view.replicas) {
-        if (certificate(now, regime.first, r) == nullptr) continue;
-        certified[regime.first].insert(r);
-        double& share = reserved.try_emplace(r, 0.0).first->second;
-        share = std::max(share, regime.second.reservedFraction);
-      }
-  if (certified == certified_ && reserved == reserved_) return;
-  certified_ = std::move(certified);
-  reserved_ = std::move(reserved);
+      for (NameIndex const replica : view.replicas)
+        if (certificate(now, name, replica) != nullptr) certified.add(name, replica, regime.reservedFraction);
+  if (!regimePolicy_.update(now, std::move(certified))) return;
   for (PoolView& view : pools_) view.changed = true;
 }
 
-std::map<std::string, scaling::Candidates> RequestRouter::candidatesByRegime(
-    std::vector<scaling::Candidate> const& all) const {
-  std::map<std::string, scaling::Candidates> out;
-  std::function<void(std::string const&)> const draw = [&](std::string const& regime) {
-    std::vector<scaling::Candidate> some;
-    std::copy_if(all.begin(), all.end(), std::back_inserter(some),
-                 [&](scaling::Candidate const& c) { return mayUseReplica(regime, c.replica); });
-    out[regime] = scaling::Candidates(std::move(some));
-  };
-  draw(unbound);
-  for (std::map<std::string, std::set<NameIndex>>::value_type const& regime : certified_) draw(regime.first);
-  return out;
-}
-
 scaling::Candidates RequestRouter::candidatesOf(PoolView const& view, std::string const& regime) {
-  std::map<std::string, scaling::Candidates>::const_iterator const it = view.candidates.find(regime);
+  auto const it = view.candidates.find(regime);
   return it == view.candidates.end() ? scaling::Candidates() : it->second;
 }
 
-bool RequestRouter::mayUseReplica(std::string const& regime, NameIndex replica) const {
-  if (regime.empty()) {
-    std::map<NameIndex, double>::const_iterator const share = reserved_.find(replica);
-    return share == reserved_.end() || share->second < 1;
-  }
-  std::map<std::string, std::set<NameIndex>>::const_iterator const it = certified_.find(regime);
-  return it != certified_.end() && it->second.count(replica) > 0;
-}
-
 bool RequestRouter::certifiedFor(Tick now, Call const& call, NameIndex replica) const {
   std::string const& regime = regimeOf(call);
-  if (!mayUseReplica(regime, replica)) return false;
+  if (!regimePolicy_.mayUse(regime, replica)) return false;
   if (!regime.empty()) return regimeRejection(now, regime).empty();
-  std::map<NameIndex, double>::const_iterator const share = reserved_.find(replica);
-  if (share == reserved_.end()) return true;
+  std::optional<double> const reserved = regimePolicy_.reservedFraction(replica);
+  if (!reserved) return true;
   int others = replicas_[replica].inFlight;
-  for (std::map<QueueKey, AdmissionQueue>::value_type const& c : queues_)
-    if (!regimeOf(c.first.second).empty()) others -= c.second.scaler.inFlightAt(replica);
+  for (auto const& [key, queue] : queues_)
+    if (!regimePolicy_.regimeOf(key.second).empty()) others -= queue.scaler.inFlightAt(replica);
   double const limit = queues_.at({call.pool, routes_[call.path].instance}).scaler.limit();
-  return others + 1 <= std::max(1.0, (1.0 - share->second) * limit);
+  return others + 1 <= std::max(1.0, (1.0 - *reserved) * limit);
 }
 
 void RequestRouter::recordAudit(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened,
@@ -135,56 +97,80 @@
   out.calls.push_back(std::move(r));
 }
 
+std::vector<CallId> RequestRouter::callsOfRegimes() const {
+  std::vector<CallId> ids;
+  for (auto const& [callId, call] : calls_)
+    if (call.phase != Phase::queryingRequestId && call.phase != Phase::awaitingQuota && !regimeOf(call).empty())
+      ids.push_back(callId);
+  std::sort(ids.begin(), ids.end());
+  return ids;
+}
+
 void RequestRouter::enforceRegimes(RouterCommands& out, Tick now) {
-  if (!regimeBound_) return;
+  if (!regimePolicy_.anyBound()) return;
   refreshCertified(now);
-  std::vector<CallId> ours;
-  for (std::unordered_map<CallId, Call>::value_type const& c : calls_)
-    if (c.second.phase != Phase::queryingRequestId && c.second.phase != Phase::awaitingQuota &&
-        !regimeOf(c.second).empty())
-      ours.push_back(c.first);
-  std::sort(ours.begin(), ours.end());
-  std::map<std::string, std::pair<std::string, std::string>> known;
-  for (CallId const id : ours) {
-    std::unordered_map<CallId, Call>::iterator const it = calls_.find(id);
+  std::map<std::string, RegimeStanding> standings;
+  for (CallId const id : callsOfRegimes()) {
+    auto const it = calls_.find(id);
     if (it == calls_.end()) continue;
-    Call& call = it->second;
-    std::string const regime = regimeOf(call);
-    std::map<std::string, std::pair<std::string, std::string>>::iterator why = known.find(regime);
-    if (why == known.end())
-      why = known.emplace(regime, std::pair(regimeUncertainty(now, regime), regimeRejection(now, regime))).first;
-    std::string const& shut = why->second.second;
-    bool const mayStay = mayUseReplica(regime, call.replica);
-    if (call.phase == Phase::queued) {
-      std::vector<NameIndex> const& all = pools_[call.pool].replicas;
-      bool const any = std::any_of(all.begin(), all.end(), [&](NameIndex const r) { return mayUseReplica(regime, r); });
-      if (!shut.empty() || !any)
-        reject(out, now, id, 503, any ? shut : "no certified replica", true, tuning_.defaultRetryAfter);
-    } else if (call.phase == Phase::connecting) {
-      if (shut.empty() && mayStay) continue;
-      out.calls.push_back(CloseUpstream{id});
-      if (shut.empty())
-        retry(out, now, id, "the certificate ended before sending");
-      else
-        reject(out, now, id, 503, shut, true, tuning_.defaultRetryAfter);
-    } else if (!why->second.first.empty() || !mayStay) {
-      abandonForRegime(out, now, id, why->second.first.empty() ? "no certificate any more" : why->second.first);
-    } else if (call.phase == Phase::dispatched && call.resumes > 0 && call.dispatchedTo.back() != call.replica &&
-               now - call.phaseSince > tuning_.connectTimeout) {
-      out.calls.push_back(CloseUpstream{id});
-      RouterCommands const more = onConnectFailure(now, id);
-      out.calls.insert(out.calls.end(), more.calls.begin(), more.calls.end());
-      out.logEvents.insert(out.logEvents.end(), more.logEvents.begin(), more.logEvents.end());
+    std::string const regime = regimeOf(it->second);
+    auto standing = standings.find(regime);
+    if (standing == standings.end()) {
+      RegimeStanding const fresh{regimeUncertainty(now, regime), regimeRejection(now, regime)};
+      standing = standings.emplace(regime, fresh).first;
     }
+    enforceRegime(out, now, id, standing->second);
   }
 }
 
+void RequestRouter::enforceRegime(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing) {
+  Call const& call = calls_.at(id);
+  bool const certified = regimePolicy_.mayUse(regimeOf(call), call.replica);
+  if (call.phase == Phase::queued) {
+    enforceWhileQueued(out, now, id, standing);
+  } else if (call.phase == Phase::connecting) {
+    enforceWhileConnecting(out, now, id, standing, certified);
+  } else if (!standing.uncertainty.empty() || !certified) {
+    abandonForRegime(out, now, id, standing.uncertainty.empty() ? "no certificate any more" : standing.uncertainty);
+  } else if (isResumeUnsent(call) && now - call.phaseSince > tuning_.connectTimeout) {
+    out.calls.push_back(CloseUpstream{id});
+    RouterCommands const more = onConnectFailure(now, id);
+    out.calls.insert(out.calls.end(), more.calls.begin(), more.calls.end());
+    out.logEvents.insert(out.logEvents.end(), more.logEvents.begin(), more.logEvents.end());
+  }
+}
+
+void RequestRouter::enforceWhileQueued(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing) {
+  Call const& call = calls_.at(id);
+  std::string const& regime = regimeOf(call);
+  std::vector<NameIndex> const& replicas = pools_[call.pool].replicas;
+  bool const anyCertified = std::any_of(replicas.begin(), replicas.end(),
+                                        [&](NameIndex const replica) { return regimePolicy_.mayUse(regime, replica); });
+  if (standing.rejection.empty() && anyCertified) return;
+  std::string const reason = anyCertified ? standing.rejection : "no certified replica";
+  reject(out, now, id, 503, reason, true, tuning_.defaultRetryAfter);
+}
+
+void RequestRouter::enforceWhileConnecting(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing,
+                                           bool certified) {
+  if (standing.rejection.empty() && certified) return;
+  out.calls.push_back(CloseUpstream{id});
+  if (standing.rejection.empty())
+    retry(out, now, id, "the certificate ended before sending");
+  else
+    reject(out, now, id, 503, standing.rejection, true, tuning_.defaultRetryAfter);
+}
+
+bool RequestRouter::isResumeUnsent(Call const& call) {
+  return call.phase == Phase::dispatched && call.resumes > 0 && call.dispatchedTo.back() != call.replica;
+}
+
 void RequestRouter::abandonForRegime(RouterCommands& out, Tick now, CallId id, std::string const& why) {
   Call& call = calls_.at(id);
   Route const& row = routes_[call.path];
   countMetric(now, "regime_left", why);
   bool const open = regimeRejection(now, regimeOf(call)).empty() && row.path.idempotent && now < call.deadline;
-  if (call.phase == Phase::dispatched && call.resumes > 0 && call.dispatchedTo.back() != call.replica) {
+  if (isResumeUnsent(call)) {
     out.calls.push_back(CloseUpstream{id});
     if (!open || !row.path.stream || !resumeOnOtherReplica(out, now, id)) abortStream(out, now, id, why);
     return;
@@ -209,8 +195,7 @@
   call.mayHaveRun = true;
   call.phase = Phase::queued;
   releaseSlot(out, now, call);
-  if (!attemptConnect(out, now, id))
-    queues_.at({call.pool, row.instance}).waiting[lane(row.path.requestClass)].push_front(id);
+  connectOrQueueFirst(out, now, id);
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/replica_choice.cpp
+++ b/dataplane/src/replica_choice.cpp
@@ -20,7 +20,7 @@
   if (!r.listed || r.unreachable || r.state == config::ReplicaState::draining || isEvacuated(r.zone) ||
       now < r.backoffUntil)
     return false;
-  return r.state == config::ReplicaState::serving || holdsWarmupLease(now, replica);
+  return r.state == config::ReplicaState::serving || warmupLeases_.holds(now, replica);
 }
 
 void RequestRouter::ejectOutliers(Tick now, NameIndex pool) {
@@ -31,7 +31,7 @@
     if (!replicas_[r].reliability.trusted() && usable(now, r)) worst.push_back(r);
   }
   if (worst.empty()) return;
-  std::size_t const serving = static_cast<std::size_t>(
+  auto const serving = static_cast<std::size_t>(
       std::count_if(all.begin(), all.end(), [&](NameIndex const r) { return usable(now, r); }));
   if (2 * worst.size() > serving) return;
   std::sort(worst.begin(), worst.end(), [&](NameIndex const a, NameIndex const b) {
@@ -76,10 +76,7 @@
   for (scaling::Candidate const& p : c.scaler.subset()) {
     if (!usable(now, p.replica)) continue;
     if (p.warmingUp) {
-      std::map<NameIndex, WarmupLease>::const_iterator const w = warmupLeases_.find(p.replica);
-      if (w == warmupLeases_.end() || now >= w->second.until ||
-          !w->second.bucket.hasToken(now, slowStartRate(replicas_[p.replica].pool)))
-        continue;
+      if (!warmupLeases_.hasToken(now, p.replica, slowStartRate(replicas_[p.replica].pool))) continue;
     } else if (!warmRoom) {
       continue;
     }
@@ -165,8 +162,7 @@
   NameIndex const at = homeReplica(call);
   bool const apart = at != core::InternedNames::none && replicas_[at].isolated;
   std::unordered_map<NameIndex, double> heldUp;
-  for (std::unordered_map<CallId, Call>::value_type const& c : calls_) {
-    Call const& other = c.second;
+  for (auto const& [otherId, other] : calls_) {
     if (other.phase != Phase::dispatched || other.prefillTokens == 0) continue;
     double const late = static_cast<double>(now - other.dispatchedAt - tuning_.scalerParameters.firstByteSlack) *
                             tuning_.scalerParameters.prefillTokensPerMs -
