--- a/testing/capacity/changes.cpp
+++ b/testing/capacity/changes.cpp
@@ -29,10 +29,10 @@
 void addTallies(ChangeCosts& costs, Fleet const& fleet) {
   for (bool const control : {false, true})
     for (Tally const& tally : fleet.tallies(control).all()) {
-      Tally& sum = costs.sums[control ? 1 : 0][tally.duty];
+      Tally& sum = costs.sums[control ? 1 : 0][tally.purpose];
       sum.sent += tally.sent;
       sum.sentBytes += tally.sentBytes;
-      sum.takenBytes += tally.takenBytes;
+      sum.receivedBytes += tally.receivedBytes;
       sum.handleUs += processorTime(tally);
     }
   costs.diskBytes += static_cast<double>(fleet.diskBytes());
@@ -68,7 +68,7 @@
     Tally const& sum = costs.sums[control ? 1 : 0][purpose];
     out.push_back({"change.sent." + purpose, role, "messages", counted, static_cast<double>(sum.sent) / n});
     out.push_back({"change.sent." + purpose, role, "bytes", counted, static_cast<double>(sum.sentBytes) / n});
-    out.push_back({"change.taken." + purpose, role, "bytes", counted, static_cast<double>(sum.takenBytes) / n});
+    out.push_back({"change.taken." + purpose, role, "bytes", counted, static_cast<double>(sum.receivedBytes) / n});
     out.push_back({"change.cpu." + purpose, role, "us", timed, sum.handleUs / n});
   }
 }
@@ -78,7 +78,7 @@
 Measurements measureChanges(Sizes const& sizes) {
   if (sizes.tenants == 0) throw SizesError("tenants: there is no tenant to change");
   Fleet fleet(sizes);
-  startAndSettle(fleet);
+  startAndStabilize(fleet);
   core::RandomGenerator rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xC4);
   ChangeCosts costs;
   for (int i = 0; i < changesTried; ++i) tryChange(costs, fleet, sizes, rng);
--- a/testing/capacity/fleet.cpp
+++ b/testing/capacity/fleet.cpp
@@ -12,7 +12,7 @@
 
 constexpr Tick nodeClockEvery = 20;
 constexpr Tick controlClockEvery = 25;
-constexpr Tick lookEvery = 10;
+constexpr Tick pollInterval = 10;
 constexpr Tick within = 1;
 constexpr Tick syncMs = 2;
 constexpr Tick answerLimit = 60000;
@@ -58,7 +58,7 @@
     byLink_[p.link] = processes_.size();
     processes_.push_back(std::move(p));
     dark_.push_back(false);
-    ways_.emplace_back();
+    linkLastUsed_.emplace_back();
   }
 }
 
@@ -71,7 +71,7 @@
   Process& p = processes_[ix];
   p.alive = true;
   dark_[ix] = false;
-  ++p.life;
+  ++p.incarnation;
   transport::Contact self;
   self.link = p.link;
   self.httpAddress = p.link.substr(0, p.link.find(':')) + ":7401";
@@ -99,7 +99,7 @@
   Event e;
   e.at = now_ + static_cast<Tick>(rng_.below(p.disk ? controlClockEvery : nodeClockEvery));
   e.to = ix;
-  e.life = p.life;
+  e.incarnation = p.incarnation;
   push(std::move(e));
 }
 
@@ -181,17 +181,17 @@
   return c.token;
 }
 
-std::optional<Answered> Fleet::answer(std::uint64_t token) const {
+std::optional<OperatorAnswer> Fleet::answer(std::uint64_t token) const {
   auto const it = answers_.find(token);
-  return it == answers_.end() ? std::nullopt : std::optional<Answered>(it->second);
+  return it == answers_.end() ? std::nullopt : std::optional<OperatorAnswer>(it->second);
 }
 
 std::uint64_t Fleet::change(std::size_t at, std::int64_t tenant) {
   std::string const path = "/v1/templates/" + familyOf(sizes_, tenant) + "/instances/" + instanceOf(sizes_, tenant);
-  std::map<std::string, consensus::CommittedValue> const& held = processes_[at].control->registers().committed();
-  auto const it = held.find("family:" + familyOf(sizes_, tenant));
+  std::map<std::string, consensus::CommittedValue> const& committed = processes_[at].control->registers().committed();
+  auto const it = committed.find("family:" + familyOf(sizes_, tenant));
   qint64 revision = 0;
-  if (it != held.end())
+  if (it != committed.end())
     revision = it->second.value.value("instances")
                    .toObject()
                    .value(core::toQString(instanceOf(sizes_, tenant)))
@@ -244,7 +244,7 @@
 bool Fleet::until(std::function<bool()> const& done, Tick limit) {
   for (Tick const end = now_ + limit; now_ < end;) {
     if (done()) return true;
-    run(lookEvery);
+    run(pollInterval);
   }
   return done();
 }
@@ -260,7 +260,7 @@
   diskBytes_ = 0;
 }
 
-std::uint64_t Fleet::disksHold() const {
+std::uint64_t Fleet::diskUsage() const {
   std::uint64_t sum = 0;
   for (Process const& p : processes_)
     if (p.disk)
@@ -268,21 +268,21 @@
   return sum;
 }
 
-void Fleet::dropUnderWay() {
+void Fleet::discardPendingEvents() {
   events_ = {};
 }
 
 void Fleet::act(Event& event) {
   Process const& p = processes_[event.to];
-  if (!p.alive || p.life != event.life) return;
-  switch (event.what) {
-    case What::clock:
+  if (!p.alive || p.incarnation != event.incarnation) return;
+  switch (event.kind) {
+    case EventKind::clock:
       clock(event.to);
       break;
-    case What::message:
+    case EventKind::message:
       deliver(event);
       break;
-    case What::written:
+    case EventKind::written:
       written(event);
       break;
   }
@@ -303,14 +303,14 @@
   Event e;
   e.at = now_ + (p.disk ? controlClockEvery : nodeClockEvery);
   e.to = ix;
-  e.life = p.life;
+  e.incarnation = p.incarnation;
   push(std::move(e));
 }
 
 void Fleet::deliver(Event& event) {
   Process& p = processes_[event.to];
-  auto const way = ways_[event.to].find(event.from);
-  if (way != ways_[event.to].end() && now_ - way->second < idleAfter) way->second = now_;
+  auto const lastUsed = linkLastUsed_[event.to].find(event.from);
+  if (lastUsed != linkLastUsed_[event.to].end() && now_ - lastUsed->second < idleAfter) lastUsed->second = now_;
   std::string const from = processes_[event.from].link;
   transport::Envelope envelope;
   double start = 0;
@@ -330,8 +330,8 @@
   if (counting_ && !event.bytes.empty()) {
     double const handled = threadUs();
     Tally& t = (p.control ? controlTallies_ : nodeTallies_).of(message);
-    ++t.taken;
-    t.takenBytes += event.bytes.size();
+    ++t.received;
+    t.receivedBytes += event.bytes.size();
     t.unpackUs += unpacked - start;
     t.handleUs += handled - unpacked;
   }
@@ -360,9 +360,9 @@
     Event e;
     p.diskFree = std::max(p.diskFree, now_) + syncMs;
     e.at = p.diskFree;
-    e.what = What::written;
+    e.kind = EventKind::written;
     e.to = ix;
-    e.life = p.life;
+    e.incarnation = p.incarnation;
     for (consensus::PersistCommand const& m : commands.persists) {
       e.records.push_back(storage::Record{m.key, m.payload});
       e.tickets.push_back(m.ticket);
@@ -370,7 +370,8 @@
     push(std::move(e));
   }
   for (transport::Send const& s : commands.sends) send(ix, s);
-  for (control::OperatorResponse const& a : commands.responses) answers_[a.token] = Answered{a.status, a.body, now_};
+  for (control::OperatorResponse const& a : commands.responses)
+    answers_[a.token] = OperatorAnswer{a.status, a.body, now_};
   for (std::string const& link : commands.probes) {
     auto const it = byLink_.find(link);
     if (it == byLink_.end() || processes_[it->second].alive || dark_[it->second]) continue;
@@ -383,17 +384,17 @@
   for (transport::Send const& s : commands.sends) send(ix, s);
 }
 
-std::size_t Fleet::waysHeld(bool control) const {
+std::size_t Fleet::openLinks(bool control) const {
   std::size_t out = 0;
   for (std::size_t i = 0; i < processes_.size(); ++i) {
     if (!processes_[i].alive || (processes_[i].disk != nullptr) != control) continue;
-    for (auto const& [peer, lastUsedAt] : ways_[i]) out += now_ - lastUsedAt < idleAfter ? 1 : 0;
+    for (auto const& [peer, lastUsedAt] : linkLastUsed_[i]) out += now_ - lastUsedAt < idleAfter ? 1 : 0;
   }
   return out;
 }
 
 Tick Fleet::delay(Process const& a, Process const& b) const {
-  return a.region == b.region ? within : within + sizes_.apart;
+  return a.region == b.region ? within : within + sizes_.interRegionDelay;
 }
 
 void Fleet::send(std::size_t from, transport::Send const& send) {
@@ -410,16 +411,16 @@
   }
   auto const it = byLink_.find(send.to);
   if (it == byLink_.end()) return;
-  auto const [lastUsed, opened] = ways_[from].try_emplace(it->second, now_);
+  auto const [lastUsed, opened] = linkLastUsed_[from].try_emplace(it->second, now_);
   if (opened || now_ - lastUsed->second >= idleAfter) ++dialled_[p.disk ? 1 : 0];
   lastUsed->second = now_;
   Process const& to = processes_[it->second];
   if (!to.alive || (regionsCut_ && to.region != p.region)) return;
   if (!counting_) e.message = std::make_shared<transport::Message const>(send.message);
   e.at = now_ + delay(p, to);
-  e.what = What::message;
+  e.kind = EventKind::message;
   e.to = it->second;
-  e.life = to.life;
+  e.incarnation = to.incarnation;
   e.from = from;
   push(std::move(e));
 }
--- a/testing/capacity/fleet.h
+++ b/testing/capacity/fleet.h
@@ -28,7 +28,7 @@
   int zone = 0;
   int region = 0;
   bool alive = false;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   std::unique_ptr<control::Controller> control;
   std::unique_ptr<dataplane::RequestRouter> data;
   std::unique_ptr<SimDisk> disk;
@@ -37,7 +37,7 @@
 };
 
 /// An operator's answer and when it came.
-struct Answered {
+struct OperatorAnswer {
   int status = 0;
   QJsonObject body;
   Tick at = 0;
@@ -72,7 +72,7 @@
   /// An operator's call at a control machine; the answer comes under the token.
   std::uint64_t call(std::size_t at, std::string const& method, std::string const& path, std::string const& body,
                      std::string const& ifMatch);
-  std::optional<Answered> answer(std::uint64_t token) const;
+  std::optional<OperatorAnswer> answer(std::uint64_t token) const;
   /// Changes one tenant's parameter; the answer comes under the token.
   std::uint64_t change(std::size_t at, std::int64_t tenant);
   /// Newest revision of a tenant's family that some control machine holds.
@@ -99,21 +99,21 @@
   std::uint64_t diskBytes() const { return diskBytes_; }
   /// Ways that the processes of a role hold as transport::Link does, all together, and how often one was dialled so
   /// far.
-  std::size_t waysHeld(bool control) const;
+  std::size_t openLinks(bool control) const;
   std::uint64_t dialled(bool control) const { return dialled_[control ? 1 : 0]; }
   /// What the simulated disks hold, which a real process would not hold in memory.
-  std::uint64_t disksHold() const;
+  std::uint64_t diskUsage() const;
   /// Lets go of what is under way.
-  void dropUnderWay();
+  void discardPendingEvents();
 
  private:
-  enum class What { clock, message, written };
+  enum class EventKind { clock, message, written };
   struct Event {
     Tick at = 0;
     std::uint64_t order = 0;
-    What what = What::clock;
+    EventKind kind = EventKind::clock;
     std::size_t to = 0;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::size_t from = 0;
     std::shared_ptr<transport::Message const> message;
     std::string bytes;
@@ -142,7 +142,7 @@
   std::vector<Process> processes_;
   std::vector<bool> dark_;
   std::unordered_map<std::string, std::size_t> byLink_;
-  std::map<std::uint64_t, Answered> answers_;
+  std::map<std::uint64_t, OperatorAnswer> answers_;
   bool regionsCut_ = false;
   bool counting_ = false;
   Tick countFrom_ = 0;
@@ -152,7 +152,7 @@
   double nodeClockUs_ = 0;
   std::uint64_t diskBytes_ = 0;
   /// When each process last sent to another or heard from it, for the ways that it dialled.
-  std::vector<std::unordered_map<std::size_t, Tick>> ways_;
+  std::vector<std::unordered_map<std::size_t, Tick>> linkLastUsed_;
   std::array<std::uint64_t, 2> dialled_{};
 };
 
--- a/testing/capacity/idle.cpp
+++ b/testing/capacity/idle.cpp
@@ -25,19 +25,19 @@
 void addTraffic(Tally& sum, Tally const& tally) {
   sum.sent += tally.sent;
   sum.sentBytes += tally.sentBytes;
-  sum.taken += tally.taken;
-  sum.takenBytes += tally.takenBytes;
+  sum.received += tally.received;
+  sum.receivedBytes += tally.receivedBytes;
 }
 
 /// Cost of one message of each kind.
 void addMessageCosts(Measurements& out, Tally const& tally, char const* role) {
   auto const sent = static_cast<double>(tally.sent);
-  auto const received = static_cast<double>(tally.taken);
+  auto const received = static_cast<double>(tally.received);
   if (tally.sent > 0) {
     out.push_back({"pack." + tally.kind, role, "us/message", timed, tally.packUs / sent});
     out.push_back({"size." + tally.kind, role, "bytes/message", counted, static_cast<double>(tally.sentBytes) / sent});
   }
-  if (tally.taken > 0) {
+  if (tally.received > 0) {
     out.push_back({"unpack." + tally.kind, role, "us/message", timed, tally.unpackUs / received});
     out.push_back({"handle." + tally.kind, role, "us/message", timed, tally.handleUs / received});
   }
@@ -49,8 +49,8 @@
   auto const rate = [&](std::uint64_t total) { return perSecond(static_cast<double>(total), ms, processes); };
   out.push_back({"sent." + purpose, role, "messages/s", counted, rate(sum.sent)});
   out.push_back({"sent." + purpose, role, "bytes/s", counted, rate(sum.sentBytes)});
-  out.push_back({"taken." + purpose, role, "messages/s", counted, rate(sum.taken)});
-  out.push_back({"taken." + purpose, role, "bytes/s", counted, rate(sum.takenBytes)});
+  out.push_back({"taken." + purpose, role, "messages/s", counted, rate(sum.received)});
+  out.push_back({"taken." + purpose, role, "bytes/s", counted, rate(sum.receivedBytes)});
 }
 
 /// Traffic and processor time of all processes of a role.
@@ -61,10 +61,10 @@
   Tally all;
   double processorUs = fleet.clockUs(control);
   for (Tally const& tally : fleet.tallies(control).all()) {
-    addTraffic(purposes[tally.duty], tally);
+    addTraffic(purposes[tally.purpose], tally);
     addTraffic(all, tally);
     processorUs += processorTime(tally);
-    purposes[tally.duty].handleUs += processorTime(tally);
+    purposes[tally.purpose].handleUs += processorTime(tally);
     addMessageCosts(out, tally, role);
   }
   purposes["all"] = all;
@@ -78,10 +78,10 @@
 
 /// Memory of the processes, found by ending the nodes first.
 void addMemory(Measurements& out, Fleet& fleet, Sizes const& sizes, std::uint64_t empty, std::uint64_t withControl) {
-  fleet.dropUnderWay();
-  auto const all = static_cast<double>(heapBytes() - empty - fleet.disksHold());
+  fleet.discardPendingEvents();
+  auto const all = static_cast<double>(heapBytes() - empty - fleet.diskUsage());
   for (std::size_t i = fleet.firstNode(); i < fleet.processes().size(); ++i) fleet.kill(i);
-  auto const control = static_cast<double>(heapBytes() - empty - fleet.disksHold());
+  auto const control = static_cast<double>(heapBytes() - empty - fleet.diskUsage());
   out.push_back({"state", "router", "bytes", heap, (all - control) / static_cast<double>(sizes.nodes)});
   out.push_back({"state", "controller", "bytes", heap, control / static_cast<double>(sizes.control)});
   out.push_back({"state.before_nodes", "controller", "bytes", heap,
@@ -95,9 +95,9 @@
   Fleet fleet(sizes);
   startControl(fleet);
   fleet.configure();
-  std::uint64_t const withControl = heapBytes() - fleet.disksHold();
+  std::uint64_t const withControl = heapBytes() - fleet.diskUsage();
   startNodes(fleet);
-  fleet.run(settleTime);
+  fleet.run(stabilizationTime);
   core::RandomGenerator rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xCA);
   Tick dueAt = fleet.now();
   fleet.count(true);
@@ -121,7 +121,7 @@
 
 Measurements measureLinks(Sizes const& sizes) {
   Fleet fleet(sizes);
-  startAndSettle(fleet);
+  startAndStabilize(fleet);
   fleet.run(2 * std::chrono::milliseconds(transport::Link::idleTimeout).count());
   std::array<std::uint64_t, 2> const before{fleet.dialled(false), fleet.dialled(true)};
   Tick const from = fleet.now();
@@ -129,7 +129,7 @@
   for (std::int64_t s = 0; s < sizes.seconds; ++s) {
     fleet.run(1000);
     for (bool const control : {false, true})
-      open[control ? 1 : 0] += static_cast<double>(fleet.waysHeld(control)) / static_cast<double>(sizes.seconds);
+      open[control ? 1 : 0] += static_cast<double>(fleet.openLinks(control)) / static_cast<double>(sizes.seconds);
   }
   Measurements out;
   for (bool const control : {false, true}) {
--- a/testing/capacity/measurements.cpp
+++ b/testing/capacity/measurements.cpp
@@ -34,11 +34,11 @@
   if (!fleet.startNodes()) throw SizesError("nodes: not all stand within the limit");
 }
 
-void startAndSettle(Fleet& fleet) {
+void startAndStabilize(Fleet& fleet) {
   startControl(fleet);
   fleet.configure();
   startNodes(fleet);
-  fleet.run(settleTime);
+  fleet.run(stabilizationTime);
 }
 
 }  // namespace corkward::testing::capacity
--- a/testing/capacity/measurements.h
+++ b/testing/capacity/measurements.h
@@ -27,7 +27,7 @@
 using Measurements = std::vector<Measurement>;
 
 /// Virtual time that a started fleet gets to come to rest, ms.
-inline constexpr Tick settleTime = 12000;
+inline constexpr Tick stabilizationTime = 12000;
 /// Longest virtual time that an experiment waits for what it measures, ms.
 inline constexpr Tick longestWait = 30000;
 
@@ -46,6 +46,6 @@
 /// Starts the nodes; throws SizesError when one doesn't serve in time.
 void startNodes(Fleet& fleet);
 /// Starts a whole fleet with its configuration and lets it come to rest.
-void startAndSettle(Fleet& fleet);
+void startAndStabilize(Fleet& fleet);
 
 }  // namespace corkward::testing::capacity
--- a/testing/capacity/outages.cpp
+++ b/testing/capacity/outages.cpp
@@ -12,7 +12,7 @@
 double sentBytes(Fleet const& fleet, bool control, std::vector<std::string> const& purposes) {
   double out = 0;
   for (Tally const& tally : fleet.tallies(control).all())
-    if (std::find(purposes.begin(), purposes.end(), tally.duty) != purposes.end())
+    if (std::find(purposes.begin(), purposes.end(), tally.purpose) != purposes.end())
       out += static_cast<double>(tally.sentBytes);
   return out;
 }
@@ -20,8 +20,8 @@
 double receivedBytes(Fleet const& fleet, bool control, std::vector<std::string> const& purposes) {
   double out = 0;
   for (Tally const& tally : fleet.tallies(control).all())
-    if (std::find(purposes.begin(), purposes.end(), tally.duty) != purposes.end())
-      out += static_cast<double>(tally.takenBytes);
+    if (std::find(purposes.begin(), purposes.end(), tally.purpose) != purposes.end())
+      out += static_cast<double>(tally.receivedBytes);
   return out;
 }
 
@@ -39,7 +39,7 @@
   Tick const from = fleet.now();
   startNodes(fleet);
   out.push_back({"start", "router", "ms", counted, static_cast<double>(fleet.now() - from)});
-  fleet.run(settleTime);
+  fleet.run(stabilizationTime);
 }
 
 void restartNode(Measurements& out, Fleet& fleet, Sizes const& sizes) {
@@ -52,7 +52,7 @@
   out.push_back({"restart.image", "controller", "bytes", counted,
                  sentBytes(fleet, true, {"news", "roster", "list"}) / static_cast<double>(sizes.control)});
   fleet.count(false);
-  fleet.run(settleTime);
+  fleet.run(stabilizationTime);
 }
 
 void joinSpare(Measurements& out, Fleet& fleet) {
@@ -60,7 +60,7 @@
   fleet.count(true);
   fleet.boot(fleet.spare());
   out.push_back({"join", "router", "ms", counted, untilServing(fleet, fleet.spare())});
-  fleet.run(settleTime);
+  fleet.run(stabilizationTime);
   for (bool const control : {false, true}) {
     auto const processes = static_cast<double>(fleet.alive(control));
     out.push_back({"join.sent", roleName(control), "bytes", counted, sentBytes(fleet, control, purposes) / processes});
@@ -115,7 +115,7 @@
   fleet.count(true);
   if (sizes.control > 1) restoreDisk(out, fleet);
   fleet.count(false);
-  fleet.run(settleTime);
+  fleet.run(stabilizationTime);
   recoverFromTotalOutage(out, fleet, sizes);
   return out;
 }
@@ -125,7 +125,7 @@
   if (sizes.tenants < 2 || sizes.control < 2)
     throw SizesError("tenants: two tenants and two control machines are needed");
   Fleet fleet(sizes);
-  startAndSettle(fleet);
+  startAndStabilize(fleet);
   fleet.cutRegions(true);
   Tick const from = fleet.now();
   std::map<int, std::uint64_t> tokens;
@@ -140,11 +140,11 @@
     std::string const name = "region" + std::to_string(region + 1);
     out.push_back({"split.members." + name, "controller", "machines", counted, static_cast<double>(members[region])});
     out.push_back({"split.standing." + name, "router", "share", counted, servingShare(fleet, region)});
-    bool const taken = fleet.answer(token) && fleet.answer(token)->status == 200;
+    bool const acknowledged = fleet.answer(token) && fleet.answer(token)->status == 200;
     out.push_back({"split.status." + name, "operator", "status", counted,
                    fleet.answer(token) ? static_cast<double>(fleet.answer(token)->status) : 0});
     out.push_back({"split.change." + name, "operator", "ms", counted,
-                   taken ? static_cast<double>(fleet.answer(token)->at - from) : -1});
+                   acknowledged ? static_cast<double>(fleet.answer(token)->at - from) : -1});
   }
   fleet.cutRegions(false);
   Tick const joined = fleet.now();
@@ -157,7 +157,7 @@
 Measurements measureZoneLoss(Sizes const& sizes) {
   if (sizes.zones < 2 || sizes.tenants == 0) throw SizesError("zones: at least two zones and a tenant are needed");
   Fleet fleet(sizes);
-  startAndSettle(fleet);
+  startAndStabilize(fleet);
   std::size_t first = 0;
   for (std::size_t i = 0; i < fleet.processes().size(); ++i) {
     if (fleet.processes()[i].zone == 0)
@@ -174,16 +174,16 @@
     least = std::min(least, servingShare(fleet, -1));
   }
   fleet.until([&] { return fleet.answer(token).has_value(); }, longestWait);
-  bool const taken = fleet.answer(token) && fleet.answer(token)->status == 200;
+  bool const acknowledged = fleet.answer(token) && fleet.answer(token)->status == 200;
   out.push_back({"zone.standing", "router", "least share of the rest", counted, least});
-  out.push_back(
-      {"zone.change", "operator", "ms", counted, taken ? static_cast<double>(fleet.answer(token)->at - from) : -1});
+  out.push_back({"zone.change", "operator", "ms", counted,
+                 acknowledged ? static_cast<double>(fleet.answer(token)->at - from) : -1});
   std::uint64_t const next = fleet.change(first, 0);
   Tick const again = fleet.now();
   fleet.until([&] { return fleet.answer(next).has_value(); }, longestWait);
-  bool const nextTaken = fleet.answer(next) && fleet.answer(next)->status == 200;
+  bool const nextAcknowledged = fleet.answer(next) && fleet.answer(next)->status == 200;
   out.push_back({"zone.next_change", "operator", "ms", counted,
-                 nextTaken ? static_cast<double>(fleet.answer(next)->at - again) : -1});
+                 nextAcknowledged ? static_cast<double>(fleet.answer(next)->at - again) : -1});
   return out;
 }
 
--- a/testing/capacity/requests.cpp
+++ b/testing/capacity/requests.cpp
@@ -179,7 +179,7 @@
   startControl(fleet);
   fleet.configure();
   fleet.run(2000);
-  growth.add("configured", "controller", static_cast<double>(sizes.control), fleet.disksHold());
+  growth.add("configured", "controller", static_cast<double>(sizes.control), fleet.diskUsage());
   startNodes(fleet);
   fleet.run(2000);
   growth.add("configured", "router", 1);
@@ -197,7 +197,7 @@
 Measurements measureRequestCost(Sizes const& sizes) {
   checkOneNodeWithTenants(sizes);
   Fleet fleet(sizes, unlimitedTuning());
-  startAndSettle(fleet);
+  startAndStabilize(fleet);
   Callers callers(fleet, sizes);
   for (std::int64_t i = 0; i < sizes.tenants; ++i) callers.end(callers.begin(i, "", ""));
   std::vector<dataplane::CallId> calls;
--- a/testing/capacity/rig.cpp
+++ b/testing/capacity/rig.cpp
@@ -31,7 +31,7 @@
   add("out", po::value(&options.file), "file for the CSV instead of standard output");
   add("help", "print this");
   Sizes const defaults;
-  for (SizeRow const& size : sizeTable)
+  for (SizeOption const& size : sizeTable)
     add(size.name, po::value(&options.sizes[size.name])->default_value(defaults.*(size.field)), size.what);
   return flags;
 }
--- a/testing/capacity/sizes.cpp
+++ b/testing/capacity/sizes.cpp
@@ -10,13 +10,13 @@
 namespace corkward::testing::capacity {
 
 void setSize(Sizes& sizes, std::string const& name, std::int64_t value) {
-  SizeRow const* const row =
-      std::find_if(std::begin(sizeTable), std::end(sizeTable), [&](SizeRow const& r) { return name == r.name; });
-  if (row == std::end(sizeTable)) throw SizesError("sweep: no such size: " + name);
-  if (value < row->least || value > row->most)
-    throw SizesError(name + ": must be " + std::to_string(row->least) + " to " + std::to_string(row->most) + ", not " +
-                     std::to_string(value));
-  sizes.*(row->field) = value;
+  SizeOption const* const size =
+      std::find_if(std::begin(sizeTable), std::end(sizeTable), [&](SizeOption const& r) { return name == r.name; });
+  if (size == std::end(sizeTable)) throw SizesError("sweep: no such size: " + name);
+  if (value < size->least || value > size->most)
+    throw SizesError(name + ": must be " + std::to_string(size->least) + " to " + std::to_string(size->most) +
+                     ", not " + std::to_string(value));
+  sizes.*(size->field) = value;
 }
 
 void checkSizes(Sizes const& sizes) {
--- a/testing/capacity/sizes.h
+++ b/testing/capacity/sizes.h
@@ -30,12 +30,12 @@
   std::int64_t prefixes = 0;
   std::int64_t calls = 0;
   std::int64_t changes = 0;
-  std::int64_t apart = 20;
+  std::int64_t interRegionDelay = 20;
   std::int64_t seconds = 3;
 };
 
 /// One argument: its name, its bounds and what it says.
-struct SizeRow {
+struct SizeOption {
   char const* name;
   std::int64_t Sizes::*field;
   std::int64_t least;
@@ -43,7 +43,7 @@
   char const* what;
 };
 
-inline constexpr SizeRow sizeTable[] = {
+inline constexpr SizeOption sizeTable[] = {
     {"seed", &Sizes::seed, 0, std::int64_t{1} << 52, "first of all random numbers"},
     {"nodes", &Sizes::nodes, 1, 2000, "router nodes"},
     {"control", &Sizes::control, 1, 9, "control machines"},
@@ -58,7 +58,7 @@
     {"prefixes", &Sizes::prefixes, 0, 2000000, "shared prefixes that one node sees"},
     {"calls", &Sizes::calls, 0, 100000, "calls in hand at one node"},
     {"changes", &Sizes::changes, 0, 8640000, "changes of the configuration a day"},
-    {"apart", &Sizes::apart, 0, 1000, "milliseconds from region to region, one way"},
+    {"apart", &Sizes::interRegionDelay, 0, 1000, "milliseconds from region to region, one way"},
     {"seconds", &Sizes::seconds, 1, 3600, "virtual seconds that are counted"}};
 
 /// Sets one size by its name; throws SizesError with the name and the reason.
--- a/testing/capacity/tally.cpp
+++ b/testing/capacity/tally.cpp
@@ -7,7 +7,7 @@
 
 namespace corkward::testing::capacity {
 
-std::string dutyOf(transport::Message const& message) {
+std::string purposeOf(transport::Message const& message) {
   std::string key;
   std::visit(
       [&](auto const& m) {
@@ -18,19 +18,19 @@
   if (key == "roster") return "roster";
   if (key.rfind("pool:", 0) == 0) return "list";
   std::string const kind = transport::kindName(message);
-  for (DutyRow const& r : dutyTable)
-    if (kind == r.kind) return r.duty;
+  for (MessagePurpose const& r : messagePurposes)
+    if (kind == r.kind) return r.purpose;
   return "other";
 }
 
 Tally& Tallies::of(transport::Message const& message) {
-  std::string const duty = dutyOf(message);
+  std::string const purpose = purposeOf(message);
   std::string const kind = transport::kindName(message);
   auto const it =
-      std::find_if(all_.begin(), all_.end(), [&](Tally const& t) { return t.kind == kind && t.duty == duty; });
+      std::find_if(all_.begin(), all_.end(), [&](Tally const& t) { return t.kind == kind && t.purpose == purpose; });
   if (it != all_.end()) return *it;
   Tally t;
-  t.duty = duty;
+  t.purpose = purpose;
   t.kind = kind;
   all_.push_back(t);
   return all_.back();
--- a/testing/common/body.cpp
+++ b/testing/common/body.cpp
@@ -4,14 +4,14 @@
 
 namespace corkward::testing {
 
-std::string word(std::string const& run, std::uint64_t n) {
+std::string tokenText(std::string const& run, std::uint64_t n) {
   return run + " " + std::to_string(n) + "\n";
 }
 
-std::string bodyOf(std::string const& run, std::uint64_t words) {
+std::string bodyOf(std::string const& run, std::uint64_t tokens) {
   std::string out;
-  for (std::uint64_t n = 0; n < words; ++n) out += word(run, n);
-  return out + run + " end " + std::to_string(words) + "\n";
+  for (std::uint64_t n = 0; n < tokens; ++n) out += tokenText(run, n);
+  return out + run + " end " + std::to_string(tokens) + "\n";
 }
 
 BodyVerdict checkBody(std::string const& body) {
@@ -41,8 +41,8 @@
       out.oneRun = false;
     }
   }
-  out.words = next;
-  out.whole = ended && out.oneRun && !body.empty() && body.back() == '\n';
+  out.tokens = next;
+  out.complete = ended && out.oneRun && !body.empty() && body.back() == '\n';
   return out;
 }
 
--- a/testing/common/body.h
+++ b/testing/common/body.h
@@ -6,17 +6,17 @@
 namespace corkward::testing {
 
 /// The n-th word of a run's body: it names the run and the place, so gaps, repeats and mixes show.
-std::string word(std::string const& run, std::uint64_t n);
+std::string tokenText(std::string const& run, std::uint64_t n);
 
 /// The whole body of a run of so many words.
-std::string bodyOf(std::string const& run, std::uint64_t words);
+std::string bodyOf(std::string const& run, std::uint64_t tokens);
 
 /// What a caller can tell of a body it was given.
 struct BodyVerdict {
-  bool whole = false;
+  bool complete = false;
   bool oneRun = true;
   std::string run;
-  std::uint64_t words = 0;
+  std::uint64_t tokens = 0;
 };
 
 /// Checks a body against what its run must have produced. The last word carries the count of words.
--- a/testing/explore/membership_model.cpp
+++ b/testing/explore/membership_model.cpp
@@ -24,23 +24,23 @@
 }  // namespace
 
 MembershipModel::MembershipModel(Rules rules, Bounds bounds)
-    : rules_(quick(std::move(rules))), bounds_(bounds), world_(rules_), start_(lagging(bounds.members)) {}
+    : rules_(quick(std::move(rules))), bounds_(bounds), cluster_(rules_), start_(lagging(bounds.members)) {}
 
 /// The last confirmed change is on the smallest majority that there is: the last members, the first of these the owner.
 State MembershipModel::lagging(int members) const {
-  State s = world_.founded(members, members < 5 ? 1 : 0);
+  State s = cluster_.founded(members, members < 5 ? 1 : 0);
   int const most = members / 2 + 1;
   s.cut = (1U << (members - most)) - 1U;
-  world_.handover(s, members - most);
-  world_.wave(s, 0);
-  world_.change(s, members - most);
-  world_.wave(s, 0);
+  cluster_.handover(s, members - most);
+  cluster_.wave(s, 0);
+  cluster_.change(s, members - most);
+  cluster_.wave(s, 0);
   s.cut = 0;
   s.net.clear();
   if (members < 5) return s;
-  world_.kill(s, members - 1);
-  world_.kill(s, members - 2);
-  world_.settle(s, rules_.tuning.replaceUnreachableAfter - 2 * step);
+  cluster_.kill(s, members - 1);
+  cluster_.kill(s, members - 2);
+  cluster_.runFor(s, rules_.tuning.replaceUnreachableAfter - 2 * step);
   return s;
 }
 
@@ -51,7 +51,7 @@
   if (s.spent.faults < bounds_.faults)
     for (Packet const& p : s.net) kinds.insert(static_cast<std::uint8_t>(p.message->index()));
   for (std::uint8_t const k : kinds) out.push_back(Action{Kind::lose, 0, k});
-  bool const mayLose = world_.openLosses(s) < (static_cast<int>(s.history->members.size()) - 1) / 2;
+  bool const mayLose = cluster_.openLosses(s) < (static_cast<int>(s.history->members.size()) - 1) / 2;
   for (std::uint8_t i = 0; i < s.machines.size(); ++i) {
     Machine const& m = *s.machines[i];
     bool const cut = (s.cut >> i & 1U) != 0;
@@ -75,7 +75,7 @@
   } catch (core::Error const& e) {
     next.broken = e.what();
   }
-  world_.checkRebuild(next);
+  cluster_.checkRebuild(next);
   return next;
 }
 
@@ -84,21 +84,21 @@
   unsigned const bit = 1U << action.machine;
   switch (action.kind) {
     case Kind::goOn:
-      if (!s.net.empty()) return world_.wave(s, 1);
-      for (int i = 0; i < static_cast<int>(s.machines.size()); ++i) world_.clock(s, i, step);
+      if (!s.net.empty()) return cluster_.wave(s, 1);
+      for (int i = 0; i < static_cast<int>(s.machines.size()); ++i) cluster_.clock(s, i, step);
       return;
     case Kind::longWait:
-      return world_.settle(s, rules_.tuning.replaceUnreachableAfter + rules_.tuning.ownerTimeout);
+      return cluster_.runFor(s, rules_.tuning.replaceUnreachableAfter + rules_.tuning.ownerTimeout);
     case Kind::kill:
       ++s.spent.faults;
-      return world_.kill(s, machine);
+      return cluster_.kill(s, machine);
     case Kind::back:
       ++s.spent.faults;
-      return world_.boot(s, machine);
+      return cluster_.boot(s, machine);
     case Kind::wipe:
       ++s.spent.faults;
-      world_.wipe(s, machine);
-      return world_.boot(s, machine);
+      cluster_.wipe(s, machine);
+      return cluster_.boot(s, machine);
     case Kind::cutOff:
       ++s.spent.faults;
       s.cut |= bit;
@@ -113,7 +113,7 @@
       return;
     case Kind::change:
       ++s.spent.calls;
-      return world_.change(s, machine);
+      return cluster_.change(s, machine);
   }
 }
 
--- a/testing/explore/membership_model.h
+++ b/testing/explore/membership_model.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bounds.h"
-#include "world.h"
+#include "model_cluster.h"
 
 namespace corkward::explore {
 
@@ -30,7 +30,7 @@
   std::vector<State> initial() const { return {start_}; }
   std::vector<Action> actions(State const& s) const;
   State apply(State const& s, Action const& action) const;
-  std::uint64_t digest(State const& s) const { return world_.digest(s); }
+  std::uint64_t digest(State const& s) const { return cluster_.digest(s); }
   std::string name(State const& s, Action const& action) const;
 
  private:
@@ -39,7 +39,7 @@
 
   Rules rules_;
   Bounds bounds_;
-  World world_;
+  ModelCluster cluster_;
   State start_;
 };
 
--- a/testing/explore/world.cpp
+++ b/testing/explore/model_cluster.cpp
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "model_cluster.h"
 
 #include <QJsonArray>
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 /// Longest chain of messages without a clock event before a run counts as endless.
 constexpr int mostHops = 200;
-constexpr Tick settleStep = 50;
+constexpr Tick timerStep = 50;
 
 std::uint64_t mix(std::uint64_t h, std::uint64_t v) {
   h ^= v + 0x9E3779B97F4A7C15ULL + (h << 6) + (h >> 2);
@@ -46,7 +46,7 @@
 void readDisk(Machine& m) {
   m.diskId.clear();
   m.diskVotes = false;
-  m.held = Held();
+  m.accepted = AcceptedState();
   m.diskDigest = 1;
   for (auto const& [key, record] : m.disk)
     m.diskDigest = mix(mix(m.diskDigest, core::stableHash(key)), core::stableHash(record));
@@ -61,10 +61,10 @@
   QJsonObject const v = core::parseJson(slot->second).toObject();
   if (core::toStdString(v.value("i").toString()) != m.diskId) return;
   QJsonObject const b = v.value("a").toObject();
-  m.held.ballot = transport::Ballot{static_cast<std::uint64_t>(b.value("n").toInteger()),
-                                    core::toStdString(b.value("m").toString())};
-  m.held.revision = static_cast<std::uint64_t>(v.value("s").toInteger());
-  m.held.marks = marksOf(v.value("v").toObject());
+  m.accepted.ballot = transport::Ballot{static_cast<std::uint64_t>(b.value("n").toInteger()),
+                                        core::toStdString(b.value("m").toString())};
+  m.accepted.revision = static_cast<std::uint64_t>(v.value("s").toInteger());
+  m.accepted.marks = marksOf(v.value("v").toObject());
 }
 
 std::string keyOf(transport::Message const& message) {
@@ -98,7 +98,7 @@
 }
 
 /// The founding ended as every search takes for granted: one change confirmed, the members known.
-bool ledgerStands(State const& s) {
+bool isFoundingComplete(State const& s) {
   return s.broken.empty() && s.history->confirmed.size() == 1 && !s.history->members.empty() && s.net.empty() &&
          s.machines[0]->member->owns(callersKey);
 }
@@ -115,27 +115,27 @@
          " -> " + linkOf(p.to);
 }
 
-Machine& World::edit(State& s, int machine) {
-  std::shared_ptr<Machine> const copy = std::make_shared<Machine>(*s.machines[static_cast<std::size_t>(machine)]);
-  copy->digest = 0;
-  s.machines[static_cast<std::size_t>(machine)] = copy;
-  return *copy;
+Machine& ModelCluster::edit(State& s, int machine) {
+  std::shared_ptr<Machine> const clone = std::make_shared<Machine>(*s.machines[static_cast<std::size_t>(machine)]);
+  clone->digest = 0;
+  s.machines[static_cast<std::size_t>(machine)] = clone;
+  return *clone;
 }
 
-History& World::editHistory(State& s) {
-  std::shared_ptr<History> const copy = std::make_shared<History>(*s.history);
-  copy->digest = 0;
-  s.history = copy;
-  return *copy;
+History& ModelCluster::editHistory(State& s) {
+  std::shared_ptr<History> const clone = std::make_shared<History>(*s.history);
+  clone->digest = 0;
+  s.history = clone;
+  return *clone;
 }
 
-int World::indexOf(State const& s, std::string const& link) const {
+int ModelCluster::indexOf(State const& s, std::string const& link) const {
   for (std::size_t i = 0; i < s.machines.size(); ++i)
     if (s.machines[i]->link == link) return static_cast<int>(i);
   return -1;
 }
 
-void World::start(State& s, int machine, std::vector<std::string> founders) const {
+void ModelCluster::start(State& s, int machine, std::vector<std::string> founders) const {
   Machine& m = edit(s, machine);
   bool const named = rules_.freshIds || m.boots == 0;
   if (named) ++m.boots;
@@ -146,17 +146,17 @@
   take(s, machine, m.member->restore(m.disk, false, m.now), Sync::atOnce);
 }
 
-void World::boot(State& s, int machine) const {
+void ModelCluster::boot(State& s, int machine) const {
   start(s, machine, {});
 }
 
-void World::kill(State& s, int machine) const {
+void ModelCluster::kill(State& s, int machine) const {
   Machine& m = edit(s, machine);
   m.member.reset();
   m.pending.clear();
 }
 
-void World::wipe(State& s, int machine) const {
+void ModelCluster::wipe(State& s, int machine) const {
   Machine& m = edit(s, machine);
   m.member.reset();
   m.pending.clear();
@@ -164,13 +164,13 @@
   readDisk(m);
 }
 
-void World::arrive(State& s, Packet const& p, Sync sync) const {
+void ModelCluster::arrive(State& s, Packet const& p, Sync sync) const {
   if (!s.machines[static_cast<std::size_t>(p.to)]->member) return;
   Machine& m = edit(s, p.to);
   take(s, p.to, m.member->onMessage(m.now, linkOf(p.from), *p.message), sync);
 }
 
-void World::clock(State& s, int machine, Tick by) const {
+void ModelCluster::clock(State& s, int machine, Tick by) const {
   Machine& m = edit(s, machine);
   m.now += by;
   if (!m.member) return;
@@ -182,12 +182,12 @@
   take(s, machine, m.member->onTimer(m.now), Sync::atOnce);
 }
 
-void World::handover(State& s, int machine) const {
+void ModelCluster::handover(State& s, int machine) const {
   Machine& m = edit(s, machine);
   take(s, machine, m.member->onMessage(m.now, m.link, transport::Handover{callersKey, {}}), Sync::atOnce);
 }
 
-void World::change(State& s, int machine) const {
+void ModelCluster::change(State& s, int machine) const {
   Machine& m = edit(s, machine);
   auto const it = m.member->committed().find(callersKey);
   std::uint64_t const base = it == m.member->committed().end() ? 0 : it->second.revision;
@@ -201,18 +201,18 @@
   take(s, machine, m.member->submit(m.now, callersKey, call), Sync::atOnce);
 }
 
-void World::read(State& s, int machine) const {
+void ModelCluster::read(State& s, int machine) const {
   Machine& m = edit(s, machine);
   History& history = editHistory(s);
   transport::OperatorCall call;
   call.token = ++history.tokens;
   call.method = "GET";
-  std::set<std::string>& want = history.questions[call.token];
+  std::set<std::string>& want = history.pendingReads[call.token];
   for (auto const& [mark, revision] : history.confirmed) want.insert(mark);
   take(s, machine, m.member->submit(m.now, callersKey, call), Sync::atOnce);
 }
 
-void World::sync(State& s, int machine, std::size_t records, bool tell) const {
+void ModelCluster::sync(State& s, int machine, std::size_t records, bool tell) const {
   Machine& m = edit(s, machine);
   std::vector<std::uint64_t> tickets;
   for (std::size_t i = 0; i < records && !m.pending.empty(); ++i) {
@@ -234,7 +234,7 @@
   take(s, machine, all, Sync::atOnce);
 }
 
-void World::take(State& s, int machine, consensus::RegisterCommands const& c, Sync sync) const {
+void ModelCluster::take(State& s, int machine, consensus::RegisterCommands const& c, Sync sync) const {
   for (core::LogEvent const& e : c.logEvents)
     if (e.event == consensus::events::messageRejected) s.broken = "two values under one revision reach a member";
   for (transport::Send const& send : c.sends) post(s, machine, send);
@@ -246,7 +246,7 @@
   if (sync == Sync::atOnce) this->sync(s, machine, m.pending.size(), true);
 }
 
-void World::post(State& s, int from, transport::Send const& send) const {
+void ModelCluster::post(State& s, int from, transport::Send const& send) const {
   int const to = indexOf(s, send.to);
   if (to < 0 || (rules_.dropMembership && keyOf(send.message) == consensus::membershipKey)) return;
   Packet p{from, to, nullptr, 0, -1, 0};
@@ -261,7 +261,7 @@
   s.net.push_back(std::move(p));
 }
 
-void World::onCommit(State& s, consensus::CommittedValue const& c) const {
+void ModelCluster::onCommit(State& s, consensus::CommittedValue const& c) const {
   std::string const text = core::jsonText(c.value);
   std::pair<std::string, std::uint64_t> const at(c.key, c.revision);
   auto const it = s.history->chosen.find(at);
@@ -280,12 +280,12 @@
   checkMarks(s);
 }
 
-void World::onDecided(State& s, consensus::CallCompleted const& d) const {
-  auto const question = s.history->questions.find(d.token);
-  if (question != s.history->questions.end()) {
-    if (d.status == 200 && !hasAll(marksOf(d.body), question->second))
+void ModelCluster::onDecided(State& s, consensus::CallCompleted const& d) const {
+  auto const pendingRead = s.history->pendingReads.find(d.token);
+  if (pendingRead != s.history->pendingReads.end()) {
+    if (d.status == 200 && !hasAll(marksOf(d.body), pendingRead->second))
       s.broken = "a read misses what was confirmed before the question began";
-    editHistory(s).questions.erase(d.token);
+    editHistory(s).pendingReads.erase(d.token);
     return;
   }
   if (d.status != 200) return;
@@ -296,25 +296,25 @@
   checkMarks(s);
 }
 
-void World::checkMarks(State& s) const {
+void ModelCluster::checkMarks(State& s) const {
   for (auto const& [revision, marks] : s.history->marks)
     for (auto const& [mark, confirmedAt] : s.history->confirmed)
       if (confirmedAt <= revision && marks.count(mark) == 0)
         s.broken = "confirmed " + mark + " is not in revision " + std::to_string(revision);
 }
 
-void World::checkRebuild(State& s) const {
+void ModelCluster::checkRebuild(State& s) const {
   if (!s.broken.empty()) return;
-  std::vector<Held const*> disks;
+  std::vector<AcceptedState const*> disks;
   for (std::shared_ptr<Machine const> const& m : s.machines)
     if (m->diskVotes && std::count(s.history->members.begin(), s.history->members.end(), m->diskId) > 0)
-      disks.push_back(&m->held);
+      disks.push_back(&m->accepted);
   std::set<std::string> want;
   for (auto const& [mark, revision] : s.history->confirmed) want.insert(mark);
   std::size_t const most = s.history->members.size() / 2 + 1;
   for (unsigned set = 0; set < 1U << disks.size(); ++set) {
     if (static_cast<std::size_t>(std::popcount(set)) != most) continue;
-    Held const* best = nullptr;
+    AcceptedState const* best = nullptr;
     for (std::size_t i = 0; i < disks.size(); ++i)
       if ((set >> i & 1U) != 0 && (best == nullptr || best->ballot < disks[i]->ballot ||
                                    (best->ballot == disks[i]->ballot && best->revision < disks[i]->revision)))
@@ -323,7 +323,7 @@
   }
 }
 
-int World::openLosses(State const& s) const {
+int ModelCluster::openLosses(State const& s) const {
   int open = 0;
   for (std::string const& id : s.history->members)
     open += std::none_of(s.machines.begin(), s.machines.end(), [&](std::shared_ptr<Machine const> const& m) {
@@ -332,7 +332,7 @@
   return open;
 }
 
-void World::wave(State& s, int hops) const {
+void ModelCluster::wave(State& s, int hops) const {
   for (int hop = 0; !s.net.empty() && (hops == 0 || hop < hops); ++hop) {
     CORKWARD_INVARIANT(hop < mostHops);
     std::vector<Packet> const now = std::move(s.net);
@@ -342,14 +342,14 @@
   }
 }
 
-void World::settle(State& s, Tick how) const {
-  for (Tick t = 0; t < how; t += settleStep) {
-    for (int i = 0; i < static_cast<int>(s.machines.size()); ++i) clock(s, i, settleStep);
+void ModelCluster::runFor(State& s, Tick how) const {
+  for (Tick t = 0; t < how; t += timerStep) {
+    for (int i = 0; i < static_cast<int>(s.machines.size()); ++i) clock(s, i, timerStep);
     wave(s, 0);
   }
 }
 
-State World::founded(int members, int spare) const {
+State ModelCluster::founded(int members, int spare) const {
   State s;
   s.history = std::make_shared<History const>();
   std::vector<std::string> founders;
@@ -362,22 +362,22 @@
   }
   for (int i = 0; i < members; ++i) start(s, i, founders);
   Tick const round = rules_.tuning.ownerTimeout + rules_.tuning.electionSpread;
-  settle(s, 4 * round);
+  runFor(s, 4 * round);
   handover(s, 0);
   wave(s, 0);
   change(s, 0);
   wave(s, 0);
-  settle(s, 2 * round);
+  runFor(s, 2 * round);
   if (s.history->members.empty()) {
     History& history = editHistory(s);
     history.newestMembership = 1;
     for (consensus::Member const& m : s.machines[0]->member->membership()) history.members.push_back(m.id);
   }
-  CORKWARD_INVARIANT(ledgerStands(s));
+  CORKWARD_INVARIANT(isFoundingComplete(s));
   return s;
 }
 
-std::uint64_t World::digest(Machine const& m) const {
+std::uint64_t ModelCluster::digest(Machine const& m) const {
   if (m.digest != 0) return m.digest;
   std::uint64_t d = mix(m.member ? m.member->fingerprint(m.now, rules_.cap) : 1, m.diskDigest);
   for (consensus::PersistCommand const& p : m.pending) d = mix(d, core::stableHash(p.payload));
@@ -385,19 +385,19 @@
   return m.digest;
 }
 
-std::uint64_t World::digest(History const& history) {
+std::uint64_t ModelCluster::digest(History const& history) {
   if (history.digest != 0) return history.digest;
   std::uint64_t h = 1;
   for (auto const& [slot, value] : history.chosen) h = mix(mix(h, slot.second), core::stableHash(slot.first + value));
   for (auto const& [mark, revision] : history.confirmed) h = mix(h, core::stableHash(mark));
-  for (auto const& [token, marks] : history.questions) h = mix(mix(h, token), marks.size());
+  for (auto const& [token, marks] : history.pendingReads) h = mix(mix(h, token), marks.size());
   for (auto const& [token, base] : history.baseOf) h = mix(mix(h, token), base);
   for (std::uint64_t const b : history.bases) h = mix(h, b);
   history.digest = h | 1U;
   return history.digest;
 }
 
-std::uint64_t World::digest(State const& s) const {
+std::uint64_t ModelCluster::digest(State const& s) const {
   std::uint64_t h = mix(static_cast<std::uint64_t>(s.cut), digest(*s.history));
   for (std::shared_ptr<Machine const> const& m : s.machines) h = mix(h, digest(*m));
   std::vector<std::uint64_t> net;
@@ -412,7 +412,7 @@
   return s.broken.empty() ? h : mix(h, core::stableHash(s.broken));
 }
 
-bool World::changes(Packet const& p, Machine const& receiver) const {
+bool ModelCluster::changes(Packet const& p, Machine const& receiver) const {
   if (!receiver.member) return false;
   consensus::ReplicatedRegisters trial = *receiver.member;
   consensus::RegisterCommands const c = trial.onMessage(receiver.now, linkOf(p.from), *p.message);
--- a/testing/explore/world.h
+++ b/testing/explore/model_cluster.h
@@ -31,7 +31,7 @@
 };
 
 /// What a disk holds of a key: the newest accepted, and the callers' marks in it.
-struct Held {
+struct AcceptedState {
   transport::Ballot ballot;
   std::uint64_t revision = 0;
   std::set<std::string> marks;
@@ -49,7 +49,7 @@
   std::string diskId;
   bool diskVotes = false;
   std::uint64_t diskCaughtUp = 0;
-  Held held;
+  AcceptedState accepted;
   std::uint64_t diskDigest = 0;
   /// 0: to be computed.
   mutable std::uint64_t digest = 0;
@@ -66,7 +66,7 @@
   std::map<std::string, std::uint64_t> confirmed;
   std::set<std::uint64_t> bases;
   /// Reads that wait for an answer, and the marks that were confirmed when each began.
-  std::map<std::uint64_t, std::set<std::string>> questions;
+  std::map<std::uint64_t, std::set<std::string>> pendingReads;
   std::map<std::uint64_t, std::uint64_t> baseOf;
   std::uint64_t tokens = 0;
   /// 0: to be computed.
@@ -110,9 +110,9 @@
 };
 
 /// Drives the real registers on machines with disks and a network, and holds what comes out against the invariants.
-class World {
+class ModelCluster {
  public:
-  explicit World(Rules rules) : rules_(std::move(rules)) {}
+  explicit ModelCluster(Rules rules) : rules_(std::move(rules)) {}
   Rules const& rules() const { return rules_; }
 
   /// Machines "a", "b", ... that founded a membership; the callers' key has one confirmed mark on all of them. The
@@ -134,7 +134,7 @@
   /// Delivers all that is under way, and what follows from it at most so many hops; without hops, until nothing is.
   void wave(State& s, int hops) const;
   /// Clock events and waves for so long.
-  void settle(State& s, Tick how) const;
+  void runFor(State& s, Tick how) const;
   /// Breaks the state when some majority of the newest membership cannot rebuild what was confirmed.
   void checkRebuild(State& s) const;
   std::uint64_t digest(State const& s) const;
--- a/testing/explore/registers_model.cpp
+++ b/testing/explore/registers_model.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 RegistersModel::RegistersModel(Rules rules, Bounds bounds)
-    : bounds_(bounds), world_(withoutMembership(std::move(rules))), start_(world_.founded(bounds.members, 0)) {}
+    : bounds_(bounds), cluster_(withoutMembership(std::move(rules))), start_(cluster_.founded(bounds.members, 0)) {}
 
 std::vector<RegistersModel::Action> RegistersModel::actions(State const& s) const {
   std::vector<Action> out;
@@ -47,10 +47,11 @@
   if (owns && s.spent.calls < bounds_.changes) out.push_back(Action{Kind::change, machine, 0, 0});
   if (owns && s.spent.reads < bounds_.reads) out.push_back(Action{Kind::read, machine, 0, 0});
   if (!owns && s.spent.elections < bounds_.elections) out.push_back(Action{Kind::election, machine, 0, 0});
-  bool const beats = owns || !m.member->isVoting();
-  if (beats && s.spent.clocks < bounds_.clocks) out.push_back(Action{Kind::clock, machine, 0, 0});
+  bool const needsTimer = owns || !m.member->isVoting();
+  if (needsTimer && s.spent.clocks < bounds_.clocks) out.push_back(Action{Kind::clock, machine, 0, 0});
   if (s.spent.faults >= bounds_.faults && m.pending.empty()) return;
-  for (std::uint8_t kept = 0; kept <= m.pending.size(); ++kept) out.push_back(Action{Kind::crash, machine, 0, kept});
+  for (std::uint8_t persistedRecords = 0; persistedRecords <= m.pending.size(); ++persistedRecords)
+    out.push_back(Action{Kind::crash, machine, 0, persistedRecords});
   if (s.spent.faults < bounds_.faults) out.push_back(Action{Kind::wipe, machine, 0, 0});
 }
 
@@ -61,7 +62,7 @@
   } catch (core::Error const& e) {
     next.broken = e.what();
   }
-  if (next.broken.empty()) world_.checkRebuild(next);
+  if (next.broken.empty()) cluster_.checkRebuild(next);
   if (next.broken.empty()) prune(next);
   return next;
 }
@@ -71,10 +72,10 @@
   if (action.kind != Kind::deliverTwice) s.net.erase(s.net.begin() + action.packet);
   if (action.kind != Kind::deliver) ++s.spent.faults;
   bool const slow = action.kind == Kind::deliverSlow || action.kind == Kind::deliverCrash;
-  world_.arrive(s, p, slow ? Sync::later : Sync::atOnce);
+  cluster_.arrive(s, p, slow ? Sync::later : Sync::atOnce);
   if (action.kind != Kind::deliverCrash) return;
-  world_.kill(s, p.to);
-  world_.boot(s, p.to);
+  cluster_.kill(s, p.to);
+  cluster_.boot(s, p.to);
 }
 
 void RegistersModel::act(State& s, Action const& action) const {
@@ -86,28 +87,28 @@
     case Kind::deliverCrash:
       return deliver(s, action);
     case Kind::sync:
-      return world_.sync(s, machine, s.machines[action.machine]->pending.size(), true);
+      return cluster_.sync(s, machine, s.machines[action.machine]->pending.size(), true);
     case Kind::crash:
       if (s.machines[action.machine]->pending.empty()) ++s.spent.faults;
-      world_.sync(s, machine, action.kept, false);
-      world_.kill(s, machine);
-      return world_.boot(s, machine);
+      cluster_.sync(s, machine, action.persistedRecords, false);
+      cluster_.kill(s, machine);
+      return cluster_.boot(s, machine);
     case Kind::wipe:
       ++s.spent.faults;
-      world_.wipe(s, machine);
-      return world_.boot(s, machine);
+      cluster_.wipe(s, machine);
+      return cluster_.boot(s, machine);
     case Kind::election:
       ++s.spent.elections;
-      return world_.handover(s, machine);
+      return cluster_.handover(s, machine);
     case Kind::change:
       ++s.spent.calls;
-      return world_.change(s, machine);
+      return cluster_.change(s, machine);
     case Kind::read:
       ++s.spent.reads;
-      return world_.read(s, machine);
+      return cluster_.read(s, machine);
     case Kind::clock:
       ++s.spent.clocks;
-      return world_.clock(s, machine, world_.rules().tuning.heartbeatEvery);
+      return cluster_.clock(s, machine, cluster_.rules().tuning.heartbeatEvery);
   }
 }
 
@@ -115,8 +116,8 @@
   std::erase_if(s.net, [&](Packet& p) {
     if (!endsForGood(*p.message)) return false;
     Machine const& m = *s.machines[static_cast<std::size_t>(p.to)];
-    std::uint64_t const digest = world_.digest(m);
-    if (p.usefulAt != digest && !world_.changes(p, m)) return true;
+    std::uint64_t const digest = cluster_.digest(m);
+    if (p.usefulAt != digest && !cluster_.changes(p, m)) return true;
     p.usefulAt = digest;
     return false;
   });
@@ -136,7 +137,7 @@
     case Kind::sync:
       return "sync what waits at" + at;
     case Kind::crash:
-      return "crash and restart" + at + ", " + std::to_string(action.kept) + " waiting records kept";
+      return "crash and restart" + at + ", " + std::to_string(action.persistedRecords) + " waiting records kept";
     case Kind::wipe:
       return "wipe the disk and restart" + at;
     case Kind::election:
--- a/testing/explore/registers_model.h
+++ b/testing/explore/registers_model.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bounds.h"
-#include "world.h"
+#include "model_cluster.h"
 
 namespace corkward::explore {
 
@@ -34,7 +34,7 @@
     std::uint8_t machine = 0;
     std::uint16_t packet = 0;
     /// Records that reach the disk before a crash.
-    std::uint8_t kept = 0;
+    std::uint8_t persistedRecords = 0;
   };
 
   RegistersModel(Rules rules, Bounds bounds);
@@ -42,7 +42,7 @@
   std::vector<State> initial() const { return {start_}; }
   std::vector<Action> actions(State const& s) const;
   State apply(State const& s, Action const& action) const;
-  std::uint64_t digest(State const& s) const { return world_.digest(s); }
+  std::uint64_t digest(State const& s) const { return cluster_.digest(s); }
   std::string name(State const& s, Action const& action) const;
 
  private:
@@ -53,7 +53,7 @@
   void prune(State& s) const;
 
   Bounds bounds_;
-  World world_;
+  ModelCluster cluster_;
   State start_;
 };
 
--- a/testing/explore/search.h
+++ b/testing/explore/search.h
@@ -85,12 +85,12 @@
   }
 
   void enter(typename Model::State&& state, std::uint32_t parent, typename Model::Action const& action) {
-    if (!seen_.insert(model_.digest(state)).second) return;
+    if (!visited_.insert(model_.digest(state)).second) return;
     nodes_.push_back(Node{parent, action});
     auto const node = static_cast<std::uint32_t>(nodes_.size() - 1);
     if (!state.broken.empty()) {
       out_.broken = state.broken;
-      tell(node);
+      replayTrace(node);
     }
     level_.push_back(Waiting{node, std::move(state)});
   }
@@ -99,7 +99,7 @@
   }
 
   /// Plays the trace to a node again, to name its actions.
-  void tell(std::uint32_t node) {
+  void replayTrace(std::uint32_t node) {
     std::vector<typename Model::Action> actions;
     std::uint32_t at = node;
     for (; nodes_[at].parent != none; at = nodes_[at].parent) actions.push_back(nodes_[at].action);
@@ -124,7 +124,7 @@
   Outcome out_;
   std::vector<Node> nodes_;
   std::vector<Waiting> level_;
-  std::unordered_set<std::uint64_t> seen_;
+  std::unordered_set<std::uint64_t> visited_;
   std::uint64_t checkAt_ = 0;
   std::chrono::steady_clock::time_point began_ = std::chrono::steady_clock::now();
 };
--- a/testing/fleet/chaos.cpp
+++ b/testing/fleet/chaos.cpp
@@ -11,22 +11,22 @@
 namespace corkward::testing {
 
 ChaosResult Chaos::run() {
-  tapAll();
+  startProxies();
   fleet_.startAll();
   fleet_.until("ready controllers", [&] {
     for (Node const& n : fleet_.controllers())
       if (fleet_.get(n.http, "/readyz").status != 200) return false;
     return true;
   });
-  giveList();
+  publishEndpointLists();
   fleet_.until("the lists", [&] { return listDone_; });
   fleet_.loadConfigurations();
   fleet_.untilReady(fleet_.routers().size());
   traffic_ = std::make_unique<Traffic>(fleet_, plan_.seed, plan_.scale);
   traffic_->startCalling();
   began_ = programs::now();
-  for (std::unique_ptr<Tap> const& t : replicaTaps_) t->harm(0.02);
-  for (std::unique_ptr<Tap> const& t : callerTaps_) t->harm(0.02);
+  for (std::unique_ptr<FaultProxy> const& t : replicaProxies_) t->harm(0.02);
+  for (std::unique_ptr<FaultProxy> const& t : callerProxies_) t->harm(0.02);
   for (int i = 0; i < plan_.events; ++i) {
     int const overlapping = 1 + static_cast<int>(rng_.below(static_cast<std::uint64_t>(plan_.overlap)));
     for (int k = 0; k < overlapping; ++k) injectFault();
@@ -60,23 +60,23 @@
   result_.timeline.push_back(std::to_string(began_ == 0 ? 0 : programs::now() - began_) + " " + what);
 }
 
-void Chaos::tapAll() {
+void Chaos::startProxies() {
   std::uint64_t seed = plan_.seed;
   for (Node& n : fleet_.replicas()) {
-    replicaTaps_.push_back(std::make_unique<Tap>(n.http, n.http.substr(0, n.http.rfind(':')), ++seed));
-    n.shown = replicaTaps_.back()->address();
+    replicaProxies_.push_back(std::make_unique<FaultProxy>(n.http, n.http.substr(0, n.http.rfind(':')), ++seed));
+    n.shown = replicaProxies_.back()->address();
   }
   for (Node& n : fleet_.routers()) {
-    callerTaps_.push_back(std::make_unique<Tap>(n.http, n.http.substr(0, n.http.rfind(':')), ++seed));
-    n.shown = callerTaps_.back()->address();
+    callerProxies_.push_back(std::make_unique<FaultProxy>(n.http, n.http.substr(0, n.http.rfind(':')), ++seed));
+    n.shown = callerProxies_.back()->address();
   }
-  fleet_.tapLinks([&](std::string const& listen) {
-    linkTaps_.push_back(std::make_unique<Tap>(listen, listen.substr(0, listen.rfind(':')), ++seed));
-    return linkTaps_.back()->address();
+  fleet_.proxyLinks([&](std::string const& listen) {
+    linkProxies_.push_back(std::make_unique<FaultProxy>(listen, listen.substr(0, listen.rfind(':')), ++seed));
+    return linkProxies_.back()->address();
   });
 }
 
-void Chaos::giveList() {
+void Chaos::publishEndpointLists() {
   ++generation_;
   listDone_ = false;
   std::shared_ptr<int> const left = std::make_shared<int>(2);
@@ -124,7 +124,7 @@
   states_[replica.name] = next;
   if (next == "leaving") leaving_.push_back(Ban{replica.name, now, -1});
   if (next == "cold") cold_.push_back(Ban{replica.name, now, -1});
-  giveList();
+  publishEndpointLists();
 }
 
 void Chaos::operatorTurn() {
@@ -194,8 +194,8 @@
 
 void Chaos::heal() {
   logEvent("heal");
-  for (std::vector<std::unique_ptr<Tap>>* const taps : {&replicaTaps_, &callerTaps_})
-    for (std::unique_ptr<Tap> const& t : *taps) t->harm(0);
+  for (std::vector<std::unique_ptr<FaultProxy>>* const proxies : {&replicaProxies_, &callerProxies_})
+    for (std::unique_ptr<FaultProxy> const& t : *proxies) t->harm(0);
   try {
     fleet_.until("what was begun to end", [&] { return frozen_.empty() && !replacing_ && !evacuating_ && !cutting_; });
   } catch (FleetError const& e) {
@@ -204,7 +204,7 @@
   for (std::vector<Node>* const group : {&fleet_.controllers(), &fleet_.routers(), &fleet_.replicas()})
     for (Node& n : *group)
       if (!n.process) fleet_.start(n);
-  for (std::unique_ptr<Tap> const& t : linkTaps_) {
+  for (std::unique_ptr<FaultProxy> const& t : linkProxies_) {
     t->cut(false);
     t->hold(false);
   }
--- a/testing/fleet/chaos_judge.cpp
+++ b/testing/fleet/chaos_checks.cpp
@@ -41,8 +41,8 @@
 
 void Chaos::checkResult() {
   result_.report = traffic_->report();
-  for (std::vector<std::unique_ptr<Tap>>* const proxies : {&replicaTaps_, &callerTaps_})
-    for (std::unique_ptr<Tap> const& proxy : *proxies) result_.harmed += proxy->harmed();
+  for (std::vector<std::unique_ptr<FaultProxy>>* const proxies : {&replicaProxies_, &callerProxies_})
+    for (std::unique_ptr<FaultProxy> const& proxy : *proxies) result_.harmed += proxy->harmed();
   Report const& report = result_.report;
   checkRuns();
   if (report.badBodies > 0) violation(std::to_string(report.badBodies) + " bodies looked whole or joined and were not");
@@ -131,11 +131,11 @@
 
 void Chaos::checkRepeats(std::vector<std::pair<Tick, std::string>> all) {
   std::sort(all.begin(), all.end());
-  std::set<std::string> seen;
+  std::set<std::string> firstSeen;
   std::vector<Tick> firsts;
   std::vector<Tick> repeats;
   for (std::pair<Tick, std::string> const& a : all)
-    (seen.insert(a.second).second ? firsts : repeats).push_back(a.first);
+    (firstSeen.insert(a.second).second ? firsts : repeats).push_back(a.first);
   result_.repeats = repeats.size();
   for (Tick const end : repeats) {
     auto const in = [end](std::vector<Tick> const& v) {
@@ -152,10 +152,10 @@
   std::map<std::string, int> accepted;
   qint64 newest = 0;
   for (Put const& p : puts_) {
-    bool const yes = p.status == 200 || p.status == 201 || p.pending;
-    if (yes && ++accepted[p.ifMatch] > 1)
+    bool const mayBeApplied = p.status == 200 || p.status == 201 || p.pending;
+    if (mayBeApplied && ++accepted[p.ifMatch] > 1)
       violation("two changes built on revision " + p.ifMatch + " were both accepted");
-    if (yes) newest = std::max(newest, p.revision);
+    if (mayBeApplied) newest = std::max(newest, p.revision);
   }
   Reply const now =
       fleet_.call(fleet_.firstController(), "GET", std::string("/v1/templates/") + fleet_.deployment().family);
@@ -163,15 +163,15 @@
   if (now.status != 200) violation("the configuration could not be read back: " + std::to_string(now.status));
   if (revision < newest)
     violation("an acknowledged change is lost: revision " + std::to_string(revision) + " of " + std::to_string(newest));
-  bool told = newest == 0 || revision == 1;
+  bool explained = newest == 0 || revision == 1;
   for (Put const& p : puts_) {
     bool const same = now.body.value("spec").toObject() == p.spec;
     bool const rejected = p.status >= 400 && p.status < 500;
     if (same && rejected) violation("a rejected change is what stands at the end: " + p.mark);
-    told = told ||
-           (same && !rejected && (revision > newest ? !(p.status >= 200 && p.status < 300) : p.revision == revision));
+    explained = explained || (same && !rejected &&
+                              (revision > newest ? !(p.status >= 200 && p.status < 300) : p.revision == revision));
   }
-  if (!told) violation("what stands at the end is no change that was acknowledged or left unknown");
+  if (!explained) violation("what stands at the end is no change that was acknowledged or left unknown");
 }
 
 }  // namespace corkward::testing
--- a/testing/fleet/chaos_failures.cpp
+++ b/testing/fleet/chaos_faults.cpp
@@ -167,15 +167,15 @@
 
 void Chaos::breakLink(int durationMs) {
   bool const cut = rng_.chance(0.5);
-  Tap* const proxy = linkTaps_[rng_.below(linkTaps_.size())].get();
+  FaultProxy* const proxy = linkProxies_[rng_.below(linkProxies_.size())].get();
   logEvent(std::string(cut ? "cut" : "hold") + " a link inwards");
   cut ? proxy->cut(true) : proxy->hold(true);
   QTimer::singleShot(1000 + durationMs, &fleet_, [proxy, cut] { cut ? proxy->cut(false) : proxy->hold(false); });
 }
 
-Tap& Chaos::tapOf(Node const& node) {
-  for (std::unique_ptr<Tap> const& tap : linkTaps_)
-    if (tap->address() == node.link) return *tap;
+FaultProxy& Chaos::proxyOf(Node const& node) {
+  for (std::unique_ptr<FaultProxy> const& proxy : linkProxies_)
+    if (proxy->address() == node.link) return *proxy;
   throw FleetError("no tap of " + node.name);
 }
 
@@ -183,10 +183,10 @@
   if (cutting_) return;
   cutting_ = true;
   logEvent("cut off " + node.name);
-  Tap* const own = &tapOf(node);
+  FaultProxy* const own = &proxyOf(node);
   own->cut(true);
-  for (std::unique_ptr<Tap> const& tap : linkTaps_)
-    if (tap.get() != own) tap->cutFrom({node.link});
+  for (std::unique_ptr<FaultProxy> const& proxy : linkProxies_)
+    if (proxy.get() != own) proxy->cutFrom({node.link});
   QTimer::singleShot(durationMs, &fleet_, [this, own] {
     own->cut(false);
     healPartitions();
@@ -202,12 +202,12 @@
   for (std::size_t i = 0; i < all.size(); ++i)
     halves[i < all.size() / 2 ? 0 : 1].insert(all[(begin + i) % all.size()].link);
   logEvent("split the controllers");
-  for (Node const& node : all) tapOf(node).cutFrom(halves[halves[0].count(node.link) > 0 ? 1 : 0]);
+  for (Node const& node : all) proxyOf(node).cutFrom(halves[halves[0].count(node.link) > 0 ? 1 : 0]);
   QTimer::singleShot(durationMs, &fleet_, [this] { healPartitions(); });
 }
 
 void Chaos::healPartitions() {
-  for (std::unique_ptr<Tap> const& tap : linkTaps_) tap->cutFrom({});
+  for (std::unique_ptr<FaultProxy> const& proxy : linkProxies_) proxy->cutFrom({});
   cutting_ = false;
 }
 
@@ -235,7 +235,7 @@
   frozen_.insert(node.name);
   QTimer::singleShot(durationMs, &fleet_, [this, &node] {
     frozen_.erase(node.name);
-    if (node.process) fleet_.wake(node);
+    if (node.process) fleet_.resume(node);
   });
 }
 
--- a/testing/fleet/chaos_run.h
+++ b/testing/fleet/chaos_run.h
@@ -10,7 +10,7 @@
 #include <QJsonObject>
 
 #include "chaos.h"
-#include "tap.h"
+#include "fault_proxy.h"
 
 namespace corkward::testing {
 
@@ -46,10 +46,10 @@
   void logEvent(std::string const& what);
   std::size_t served() { return traffic_->outcomes()["served"]; }
 
-  void tapAll();
+  void startProxies();
 
   // The platform: shows each list to a controller and two routers until it is acknowledged or overtaken.
-  void giveList();
+  void publishEndpointLists();
   void show(std::string const& pool, std::uint64_t generation, std::string const& body,
             std::shared_ptr<int> const& left);
   void setReplicaState(Node const& replica, std::string const& next);
@@ -85,7 +85,7 @@
   void crashReplica(Node& replica, int durationMs);
   /// Cuts or holds every connection to one link address for a while.
   void breakLink(int durationMs);
-  Tap& tapOf(Node const& node);
+  FaultProxy& proxyOf(Node const& node);
 
   /// Cuts the machine of a controller off from every other process of the fleet, both ways.
   void isolate(Node& node, int durationMs);
@@ -143,9 +143,9 @@
   ChaosPlan plan_;
   core::RandomGenerator rng_;
   Fleet fleet_;
-  std::vector<std::unique_ptr<Tap>> replicaTaps_;
-  std::vector<std::unique_ptr<Tap>> callerTaps_;
-  std::vector<std::unique_ptr<Tap>> linkTaps_;
+  std::vector<std::unique_ptr<FaultProxy>> replicaProxies_;
+  std::vector<std::unique_ptr<FaultProxy>> callerProxies_;
+  std::vector<std::unique_ptr<FaultProxy>> linkProxies_;
   std::unique_ptr<Traffic> traffic_;
   std::map<std::string, std::string> states_;
   std::set<std::string> frozen_;
--- a/testing/fleet/tap.cpp
+++ b/testing/fleet/fault_proxy.cpp
@@ -1,4 +1,4 @@
-#include "tap.h"
+#include "fault_proxy.h"
 
 #include <QHostAddress>
 #include <QRegularExpression>
@@ -10,10 +10,10 @@
 
 namespace corkward::testing {
 
-struct Tap::Pair {
+struct FaultProxy::Pair {
   QTcpSocket* a = nullptr;
   QTcpSocket* b = nullptr;
-  Way way = Way::pass;
+  ConnectionFault fault = ConnectionFault::pass;
   std::int64_t left = 0;
   bool stalled = false;
   QByteArray slow;
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-Tap::Tap(std::string const& target, std::string const& ip, std::uint64_t seed, int darkMs)
+FaultProxy::FaultProxy(std::string const& target, std::string const& ip, std::uint64_t seed, int darkMs)
     : target_(target), rng_(seed), darkMs_(darkMs) {
   server_.setListenBacklogSize(512);
   if (!server_.listen(QHostAddress(QString::fromStdString(ip)), 0)) throw http::HttpError("no free port at " + ip);
@@ -40,7 +40,7 @@
   QObject::connect(&server_, &QTcpServer::newConnection, this, [this] { accept(); });
 }
 
-Tap::~Tap() {
+FaultProxy::~FaultProxy() {
   std::map<Pair*, std::shared_ptr<Pair>> const all = std::move(pairs_);
   for (auto const& [key, pair] : all)
     for (QTcpSocket* const s : {pair->a, pair->b}) {
@@ -49,7 +49,7 @@
     }
 }
 
-void Tap::accept() {
+void FaultProxy::accept() {
   while (QTcpSocket* const caller = server_.nextPendingConnection()) {
     if (!cut_) {
       openPair(caller);
@@ -60,19 +60,19 @@
   }
 }
 
-void Tap::openPair(QTcpSocket* caller) {
+void FaultProxy::openPair(QTcpSocket* caller) {
   std::shared_ptr<Pair> const p = std::make_shared<Pair>();
   p->a = caller;
   p->b = new QTcpSocket(this);
   caller->setParent(this);
   if (rng_.chance(share_)) {
     ++harmed_;
-    p->way = static_cast<Way>(1 + rng_.below(6));
-    p->left = static_cast<std::int64_t>(rng_.below(p->way == Way::cutUp ? 300 : 1500));
+    p->fault = static_cast<ConnectionFault>(1 + rng_.below(6));
+    p->left = static_cast<std::int64_t>(rng_.below(p->fault == ConnectionFault::cutUp ? 300 : 1500));
   }
   pairs_[p.get()] = p;
   connectSignals(p);
-  if (p->way != Way::dark) {
+  if (p->fault != ConnectionFault::dark) {
     http::SocketAddress const target = http::parseSocketAddress(target_);
     p->b->connectToHost(QHostAddress(QString::fromStdString(target.host)), target.port);
     return;
@@ -84,7 +84,7 @@
   });
 }
 
-void Tap::connectSignals(std::shared_ptr<Pair> const& p) {
+void FaultProxy::connectSignals(std::shared_ptr<Pair> const& p) {
   std::weak_ptr<Pair> const weak = p;
   auto const whileOpen = [weak](auto action) {
     return [weak, action] {
@@ -105,14 +105,14 @@
                    }));
 }
 
-void Tap::targetClosed(std::shared_ptr<Pair> const& p) {
+void FaultProxy::targetClosed(std::shared_ptr<Pair> const& p) {
   p->bClosed = true;
   pass(p, false);
-  if (isOpen(p) && !p->stalled && !held_ && p->slow.isEmpty()) end(p, false);
+  if (isOpen(p) && !p->stalled && !paused_ && p->slow.isEmpty()) end(p, false);
 }
 
-void Tap::pass(std::shared_ptr<Pair> const& p, bool up) {
-  if (!isOpen(p) || held_ || p->way == Way::dark) return;
+void FaultProxy::pass(std::shared_ptr<Pair> const& p, bool up) {
+  if (!isOpen(p) || paused_ || p->fault == ConnectionFault::dark) return;
   bool const blocked = up ? p->b->state() != QAbstractSocket::ConnectedState : p->stalled;
   if (blocked) return;
   QByteArray const bytes = (up ? p->a : p->b)->readAll();
@@ -125,7 +125,7 @@
     end(p, true);
     return;
   }
-  if (p->way == Way::cutUp && p->left < bytes.size()) {
+  if (p->fault == ConnectionFault::cutUp && p->left < bytes.size()) {
     cutAt(p, *p->b, bytes);
     return;
   }
@@ -133,37 +133,37 @@
   p->b->write(bytes);
 }
 
-void Tap::passDown(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
+void FaultProxy::passDown(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
   bool const reached = p->left < bytes.size();
-  if (p->way == Way::cutDown && reached) {
+  if (p->fault == ConnectionFault::cutDown && reached) {
     cutAt(p, *p->a, bytes);
     return;
   }
-  if (p->way == Way::garbage) {
+  if (p->fault == ConnectionFault::garbage) {
     p->a->write(QByteArray("\x01\xff garbage \r\n\r\n", 15));
     p->a->flush();
     end(p, false);
     return;
   }
-  if (p->way == Way::stall && reached) {
+  if (p->fault == ConnectionFault::stall && reached) {
     stallAt(p, bytes);
     return;
   }
   p->left -= bytes.size();
-  if (p->way == Way::trickle)
+  if (p->fault == ConnectionFault::trickle)
     trickle(p, bytes);
   else
     p->a->write(bytes);
 }
 
-void Tap::cutAt(std::shared_ptr<Pair> const& p, QTcpSocket& to, QByteArray const& bytes) {
+void FaultProxy::cutAt(std::shared_ptr<Pair> const& p, QTcpSocket& to, QByteArray const& bytes) {
   to.write(bytes.left(p->left));
   to.flush();
   end(p, true);
 }
 
-void Tap::stallAt(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
-  p->way = Way::pass;
+void FaultProxy::stallAt(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
+  p->fault = ConnectionFault::pass;
   p->stalled = true;
   p->a->write(bytes.left(p->left));
   QByteArray const rest = bytes.mid(p->left);
@@ -172,7 +172,7 @@
                      [this, weak, rest] { resumeStalled(weak.lock(), rest); });
 }
 
-void Tap::resumeStalled(std::shared_ptr<Pair> const& p, QByteArray const& rest) {
+void FaultProxy::resumeStalled(std::shared_ptr<Pair> const& p, QByteArray const& rest) {
   if (!isOpen(p)) return;
   p->stalled = false;
   p->a->write(rest);
@@ -180,7 +180,7 @@
   if (p->bClosed && isOpen(p)) end(p, false);
 }
 
-void Tap::trickle(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
+void FaultProxy::trickle(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
   bool const idle = p->slow.isEmpty();
   p->slow += bytes;
   if (!idle) return;
@@ -195,13 +195,13 @@
   timer->start(4);
 }
 
-bool Tap::trickleStep(std::shared_ptr<Pair> const& p) {
+bool FaultProxy::trickleStep(std::shared_ptr<Pair> const& p) {
   p->a->write(p->slow.left(7));
   p->slow.remove(0, 7);
   return p->slow.isEmpty();
 }
 
-void Tap::end(std::shared_ptr<Pair> const& p, bool reset) {
+void FaultProxy::end(std::shared_ptr<Pair> const& p, bool reset) {
   if (pairs_.erase(p.get()) == 0) return;
   for (QTcpSocket* const s : {p->a, p->b}) {
     s->disconnect(this);
@@ -215,7 +215,7 @@
   }
 }
 
-void Tap::cut(bool on) {
+void FaultProxy::cut(bool on) {
   cut_ = on;
   if (!on) return;
   std::vector<std::shared_ptr<Pair>> all;
@@ -223,12 +223,12 @@
   for (std::shared_ptr<Pair> const& p : all) end(p, true);
 }
 
-bool Tap::cutSender(Pair& p, QByteArray const& bytes) const {
+bool FaultProxy::cutSender(Pair& p, QByteArray const& bytes) const {
   if (p.sender.empty()) p.sender = firstAddress(bytes);
   return cutSenders_.count(p.sender) > 0;
 }
 
-void Tap::cutFrom(std::set<std::string> senders) {
+void FaultProxy::cutFrom(std::set<std::string> senders) {
   cutSenders_ = std::move(senders);
   std::vector<std::shared_ptr<Pair>> cut;
   for (auto const& [key, pair] : pairs_)
@@ -236,8 +236,8 @@
   for (std::shared_ptr<Pair> const& p : cut) end(p, true);
 }
 
-void Tap::hold(bool on) {
-  held_ = on;
+void FaultProxy::hold(bool on) {
+  paused_ = on;
   if (on) return;
   std::vector<std::shared_ptr<Pair>> all;
   for (auto const& [key, pair] : pairs_) all.push_back(pair);
--- a/testing/fleet/tap.h
+++ b/testing/fleet/fault_proxy.h
@@ -16,17 +16,17 @@
 /// A relay between two processes that passes bytes on, and for a share of the connections does harm at a byte drawn
 /// from its seed: cuts, stalls, trickles, stays dark or answers garbage. It can also cut or hold every connection at
 /// once.
-class Tap : public QObject {
+class FaultProxy : public QObject {
  public:
   /// Time after which a connection that is kept dark is reset, as a caller or a network on the way gives it up.
   static constexpr int darkForMs = 15000;
 
-  Tap(std::string const& target, std::string const& ip, std::uint64_t seed, int darkMs = darkForMs);
-  Tap(Tap const&) = delete;
-  Tap& operator=(Tap const&) = delete;
-  Tap(Tap&&) = delete;
-  Tap& operator=(Tap&&) = delete;
-  ~Tap() override;
+  FaultProxy(std::string const& target, std::string const& ip, std::uint64_t seed, int darkMs = darkForMs);
+  FaultProxy(FaultProxy const&) = delete;
+  FaultProxy& operator=(FaultProxy const&) = delete;
+  FaultProxy(FaultProxy&&) = delete;
+  FaultProxy& operator=(FaultProxy&&) = delete;
+  ~FaultProxy() override;
   std::string const& address() const { return address_; }
   /// Share of new connections that harm is done to.
   void harm(double share) { share_ = share; }
@@ -42,7 +42,7 @@
   std::size_t dark() const { return dark_; }
 
  private:
-  enum class Way { pass, cutUp, cutDown, stall, trickle, dark, garbage };
+  enum class ConnectionFault { pass, cutUp, cutDown, stall, trickle, dark, garbage };
   struct Pair;
   void accept();
   /// Opens the connection onward to the target and draws the fault of this one.
@@ -70,7 +70,7 @@
   core::RandomGenerator rng_;
   double share_ = 0;
   bool cut_ = false;
-  bool held_ = false;
+  bool paused_ = false;
   std::size_t harmed_ = 0;
   std::size_t dark_ = 0;
   int darkMs_ = darkForMs;
--- a/testing/fleet/fleet.cpp
+++ b/testing/fleet/fleet.cpp
@@ -80,11 +80,11 @@
     }
 }
 
-void Fleet::tapLinks(std::function<std::string(std::string const& listen)> const& tap) {
+void Fleet::proxyLinks(std::function<std::string(std::string const& listen)> const& proxy) {
   for (std::vector<Node>* const group : {&controllers_, &routers_})
     for (Node& n : *group) {
       n.listen = n.link;
-      n.link = tap(n.listen);
+      n.link = proxy(n.listen);
     }
   writeSettings();
 }
@@ -119,8 +119,8 @@
     });
   QStringList flags = node.flags;
   if (regimes_ && !node.record.empty()) {
-    node.life = node.name + "-" + std::to_string(++lives_);
-    flags += {"--life", core::toQString(node.life)};
+    node.incarnation = node.name + "-" + std::to_string(++incarnations_);
+    flags += {"--life", core::toQString(node.incarnation)};
   }
   node.process->start(node.program, flags);
   if (!node.process->waitForStarted(10000)) throw FleetError("cannot start " + node.name);
@@ -142,7 +142,7 @@
 void Fleet::freeze(Node& node) {
   ::kill(static_cast<pid_t>(node.process->processId()), SIGSTOP);
 }
-void Fleet::wake(Node& node) {
+void Fleet::resume(Node& node) {
   ::kill(static_cast<pid_t>(node.process->processId()), SIGCONT);
 }
 
@@ -229,10 +229,11 @@
   });
 }
 
-Fleet::Tool Fleet::tool(std::string const& program, std::vector<std::string> const& words, std::string const& input) {
+Fleet::Tool Fleet::tool(std::string const& program, std::vector<std::string> const& arguments,
+                        std::string const& input) {
   QProcess process;
   QStringList flags;
-  for (std::string const& w : words) flags += core::toQString(w);
+  for (std::string const& w : arguments) flags += core::toQString(w);
   process.start(core::toQString(CORKWARD_BIN "/programs/" + program), flags);
   process.write(QByteArray::fromStdString(input));
   process.closeWriteChannel();
@@ -262,7 +263,7 @@
   return *found;
 }
 
-void Fleet::giveLists(std::map<std::string, std::string> const& states) {
+void Fleet::publishEndpointLists(std::map<std::string, std::string> const& states) {
   ++generation_;
   for (std::string const& pool : {std::string("model"), std::string(deployment_.otherPool)}) {
     QJsonArray list;
@@ -270,11 +271,11 @@
       if (r.pool != pool) continue;
       auto const it = states.find(r.name);
       if (it != states.end() && it->second == "gone") continue;
-      QJsonObject row{{"address", core::toQString(r.shown.empty() ? r.http : r.shown)},
-                      {"zone", core::toQString(r.zone)},
-                      {"state", core::toQString(it == states.end() ? "serving" : it->second)}};
-      if (!r.life.empty()) row.insert("id", core::toQString(r.life));
-      list.append(row);
+      QJsonObject listEntry{{"address", core::toQString(r.shown.empty() ? r.http : r.shown)},
+                            {"zone", core::toQString(r.zone)},
+                            {"state", core::toQString(it == states.end() ? "serving" : it->second)}};
+      if (!r.incarnation.empty()) listEntry.insert("id", core::toQString(r.incarnation));
+      list.append(listEntry);
     }
     std::string const body = core::jsonText(
         QJsonObject{{"generation", static_cast<qint64>(generation_)}, {"coldRate", 2}, {"replicas", list}});
--- a/testing/fleet/fleet.h
+++ b/testing/fleet/fleet.h
@@ -59,7 +59,7 @@
   std::string record;
   std::string data;
   /// Name of a replica's life, fresh at each start; empty: it has none.
-  std::string life;
+  std::string incarnation;
   QStringList flags;
   QString program;
   std::unique_ptr<QProcess> process;
@@ -85,7 +85,7 @@
   /// Starts it; with a limit above 0 no file that it writes can grow beyond so many bytes.
   void start(Node& node, std::uint64_t fileLimit = 0);
   /// Puts a tap before every link address. Before anything is started.
-  void tapLinks(std::function<std::string(std::string const& listen)> const& tap);
+  void proxyLinks(std::function<std::string(std::string const& listen)> const& proxy);
   /// Replicas have lives, which the platform's lists tell, and routers keep records of regimes' work. Before anything
   /// is started.
   void withRegimes();
@@ -93,7 +93,7 @@
   std::string auditFolder(Node const& router) const { return folder() + "/" + router.name + ".audit"; }
   void kill9(Node& node);
   void freeze(Node& node);
-  void wake(Node& node);
+  void resume(Node& node);
   /// SIGTERM, then waits for the end; returns the exit code.
   int stop(Node& node);
   void wipe(Node& node);
@@ -120,14 +120,14 @@
     std::string err;
   };
   /// Runs one of the project's programs to its end.
-  Tool tool(std::string const& program, std::vector<std::string> const& words, std::string const& input = "");
+  Tool tool(std::string const& program, std::vector<std::string> const& arguments, std::string const& input = "");
 
   /// A plain GET; status 0 when nobody answers.
   Reply get(std::string const& address, std::string const& path);
   void getAsync(std::string const& address, std::string const& path, std::function<void(Reply)> const& done);
 
   /// The platform gives both pools' lists; state by replica name, serving when not named.
-  void giveLists(std::map<std::string, std::string> const& states = {});
+  void publishEndpointLists(std::map<std::string, std::string> const& states = {});
   void loadConfigurations();
   void untilReady(std::size_t routers);
 
@@ -152,7 +152,7 @@
   std::string net_;
   bool closing_ = false;
   bool regimes_ = false;
-  int lives_ = 0;
+  int incarnations_ = 0;
   std::uint64_t generation_ = 0;
   std::uint64_t nextChange_ = 1;
   std::vector<Node> controllers_;
--- a/testing/fleet/main.cpp
+++ b/testing/fleet/main.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr int settleMs = 5000;
+constexpr int warmUpMs = 5000;
 
 /// What one process has used: processor time in microseconds, memory in bytes.
 struct Usage {
@@ -30,17 +30,17 @@
   std::ifstream stat(proc + "/stat");
   std::string text((std::istreambuf_iterator<char>(stat)), std::istreambuf_iterator<char>());
   std::istringstream fields(text.substr(std::min(text.size(), text.rfind(')') + 1)));
-  std::string word;
-  for (int i = 3; fields >> word; ++i)
-    if (i == 14 || i == 15) out.cpuUs += 1e6 * std::stod(word) / static_cast<double>(::sysconf(_SC_CLK_TCK));
+  std::string field;
+  for (int i = 3; fields >> field; ++i)
+    if (i == 14 || i == 15) out.cpuUs += 1e6 * std::stod(field) / static_cast<double>(::sysconf(_SC_CLK_TCK));
   std::ifstream status(proc + "/status");
   for (std::string line; std::getline(status, line);) {
     std::istringstream in(line);
     double value = 0;
-    in >> word >> value;
-    if (word == "VmRSS:") out.resident = 1024 * value;
-    if (word == "RssAnon:") out.own = 1024 * value;
-    if (word == "Threads:") out.threads = value;
+    in >> field >> value;
+    if (field == "VmRSS:") out.resident = 1024 * value;
+    if (field == "RssAnon:") out.own = 1024 * value;
+    if (field == "Threads:") out.threads = value;
   }
   return out;
 }
@@ -136,7 +136,7 @@
       if (fleet.get(node.http, "/readyz").status != 200) return false;
     return true;
   });
-  fleet.giveLists();
+  fleet.publishEndpointLists();
   fleet.loadConfigurations();
   fleet.untilReady(fleet.routers().size());
 }
@@ -168,7 +168,7 @@
 /// Does with the running fleet what the options ask for: measures usage, waits, or calls.
 void runOn(Fleet& fleet, Options const& options) {
   if (options.usage > 0) {
-    fleet.runFor(settleMs);
+    fleet.runFor(warmUpMs);
     printUsage(fleet, options.usage);
     return;
   }
--- a/testing/fleet/traffic.cpp
+++ b/testing/fleet/traffic.cpp
@@ -24,20 +24,20 @@
 Traffic::Traffic(Fleet& fleet, std::uint64_t seed, double scale) : fleet_(fleet), rng_(seed), scale_(scale) {
   for (Node const& n : fleet.routers()) ready_.insert(n.http);
   QObject::connect(&arrivals_, &QTimer::timeout, this, [this] { arrive(); });
-  QObject::connect(&looks_, &QTimer::timeout, this, [this] { look(); });
+  QObject::connect(&pollTimer_, &QTimer::timeout, this, [this] { pollReadiness(); });
 }
 
 void Traffic::startCalling() {
   last_ = programs::now();
   arrivals_.start(5);
-  looks_.start(200);
+  pollTimer_.start(200);
 }
 
 void Traffic::stopCalling() {
   arrivals_.stop();
 }
 
-void Traffic::look() {
+void Traffic::pollReadiness() {
   for (Node const& n : fleet_.routers()) {
     std::string const http = n.http;
     if (!n.process) {
@@ -148,7 +148,8 @@
 }
 
 void Traffic::received(Open& open, std::string const& bytes) {
-  if (open.head.status == 200 && open.record.firstWord < 0) open.record.firstWord = programs::now() - open.record.began;
+  if (open.head.status == 200 && open.record.firstByteAfter < 0)
+    open.record.firstByteAfter = programs::now() - open.record.began;
   open.got += bytes;
 }
 
@@ -176,7 +177,7 @@
   BodyVerdict const body = checkBody(open.got);
   if (!body.run.empty()) open.record.runs.push_back(body.run);
   if (complete)
-    finish(id, body.whole ? "served" : "bad-body");
+    finish(id, body.complete ? "served" : "bad-body");
   else
     finish(id, body.oneRun ? "broken" : "bad-body");
 }
@@ -240,7 +241,7 @@
     ++out.outcomes[r.outcome];
     if (r.outcome == "bad-body") ++out.badBodies;
     if (r.rejectedAsNotRun && runsOf.count(r.id) > 0) ++out.rejectedButRan;
-    if (r.firstWord >= 0) out.firstWords[r.cls].push_back(r.firstWord);
+    if (r.firstByteAfter >= 0) out.firstByteTimes[r.cls].push_back(r.firstByteAfter);
   }
   return out;
 }
@@ -252,7 +253,7 @@
   out << "run twice " << report.runTwice << ", bad bodies " << report.badBodies << ", rejected but ran "
       << report.rejectedButRan << ", runs at replicas " << report.replicaRuns << "\n";
   out << "prefix hits " << report.prefixHits << ", misses " << report.prefixMisses << "\n";
-  for (auto const& [requestClass, times] : report.firstWords) {
+  for (auto const& [requestClass, times] : report.firstByteTimes) {
     std::vector<core::Tick> t = times;
     std::sort(t.begin(), t.end());
     out << "first word, " << requestClass << ": median " << t[t.size() / 2] << " ms, 99% " << t[t.size() * 99 / 100]
--- a/testing/fleet/traffic.h
+++ b/testing/fleet/traffic.h
@@ -25,7 +25,7 @@
   /// Says attempts and ages; the others send the same id again and say no more.
   bool numbered = true;
   std::vector<std::string> runs;
-  core::Tick firstWord = -1;
+  core::Tick firstByteAfter = -1;
   core::Tick began = 0;
   bool rejectedAsNotRun = false;
 };
@@ -33,7 +33,7 @@
 /// Figures of one run, from the callers' and the replicas' own records.
 struct Report {
   std::map<std::string, std::size_t> outcomes;
-  std::map<std::string, std::vector<core::Tick>> firstWords;
+  std::map<std::string, std::vector<core::Tick>> firstByteTimes;
   std::size_t runTwice = 0;
   std::size_t badBodies = 0;
   std::size_t rejectedButRan = 0;
@@ -86,12 +86,12 @@
   /// The router has promised that the request was not run: waits and retries, or gives up.
   void rejected(std::string const& id);
   void finish(std::string const& id, std::string const& outcome);
-  void look();
+  void pollReadiness();
   Fleet& fleet_;
   core::RandomGenerator rng_;
   double scale_;
   QTimer arrivals_;
-  QTimer looks_;
+  QTimer pollTimer_;
   double due_ = 0;
   core::Tick last_ = 0;
   std::uint64_t next_ = 1;
--- a/testing/fuzz/caller.cpp
+++ b/testing/fuzz/caller.cpp
@@ -27,21 +27,21 @@
 /// How much longer than it has told a caller waits before it leaves.
 constexpr int patienceMs = 1200;
 
-std::string requestText(Seen const& seen) {
+std::string requestText(CallerObservation const& observation) {
   http::HeaderList fields = wire::callerFields();
   fields.emplace_back("host", wire::host);
-  fields.emplace_back(wire::attempt, seen.attempt);
-  fields.emplace_back(wire::timeLeft, std::to_string(seen.ask.toldMs));
-  fields.emplace_back(ownField, seen.attempt);
-  std::string out = "POST " + seen.target + " HTTP/1.1\r\n";
+  fields.emplace_back(wire::attempt, observation.attempt);
+  fields.emplace_back(wire::timeLeft, std::to_string(observation.request.callerTimeoutMs));
+  fields.emplace_back(ownField, observation.attempt);
+  std::string out = "POST " + observation.target + " HTTP/1.1\r\n";
   for (auto const& [name, value] : fields) out += name + ": " + value + "\r\n";
-  if (seen.ask.expectsContinue) out += "Expect: 100-continue\r\n";
-  if (!seen.ask.chunkedBody)
-    return out + "Content-Length: " + std::to_string(seen.body.size()) + "\r\n\r\n" + seen.body;
+  if (observation.request.expectsContinue) out += "Expect: 100-continue\r\n";
+  if (!observation.request.chunkedBody)
+    return out + "Content-Length: " + std::to_string(observation.body.size()) + "\r\n\r\n" + observation.body;
   out += "Transfer-Encoding: chunked\r\n\r\n";
-  std::size_t const each = std::max<std::size_t>(1, seen.body.size() / 3);
-  for (std::size_t at = 0; at < seen.body.size(); at += each) {
-    std::string const part = seen.body.substr(at, each);
+  std::size_t const each = std::max<std::size_t>(1, observation.body.size() / 3);
+  for (std::size_t at = 0; at < observation.body.size(); at += each) {
+    std::string const part = observation.body.substr(at, each);
     out += QByteArray::number(static_cast<qulonglong>(part.size()), 16).toStdString() + "\r\n" + part + "\r\n";
   }
   return out + "0\r\n\r\n";
@@ -68,14 +68,14 @@
   dropSocket();
 }
 
-void Caller::ask(std::size_t place) {
-  waiting_.push_back(place);
+void Caller::enqueue(std::size_t index) {
+  waiting_.push_back(index);
   turn();
 }
 
 void Caller::turn() {
   if (waiting_.empty()) return;
-  bool const pipelined = !open_.empty() && events_.seen(waiting_.front()).ask.manner == Manner::pipeline &&
+  bool const pipelined = !open_.empty() && events_.observation(waiting_.front()).request.manner == Manner::pipeline &&
                          socket_ != nullptr && socket_->state() == QAbstractSocket::ConnectedState &&
                          !lastOnConnection_ && toDrip_.empty();
   if (!open_.empty() && !pipelined) return;
@@ -84,9 +84,9 @@
     return;
   }
   if (socket_->state() != QAbstractSocket::ConnectedState) return;
-  std::size_t const place = waiting_.front();
+  std::size_t const index = waiting_.front();
   waiting_.pop_front();
-  start(place);
+  start(index);
   if (!waiting_.empty()) turn();
 }
 
@@ -111,15 +111,15 @@
   socket_->connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
 }
 
-void Caller::start(std::size_t place) {
-  Seen& seen = events_.seen(place);
+void Caller::start(std::size_t index) {
+  CallerObservation& observation = events_.observation(index);
   bool const first = open_.empty();
-  open_.push_back(place);
-  seen.began = true;
-  seen.startedAt = programs::now();
-  if (first) seen.freeAt = programs::now();
-  std::string const text = requestText(seen);
-  Manner const manner = seen.ask.manner;
+  open_.push_back(index);
+  observation.began = true;
+  observation.startedAt = programs::now();
+  if (first) observation.freeAt = programs::now();
+  std::string const text = requestText(observation);
+  Manner const manner = observation.request.manner;
   if (manner == Manner::slowRead) {
     socket_->setReadBufferSize(slowReadBytes);
     socket_->setSocketOption(QAbstractSocket::ReceiveBufferSizeSocketOption, smallWindow);
@@ -133,12 +133,12 @@
   }
   if (manner == Manner::leave || manner == Manner::leaveByReset || manner == Manner::leaveSending ||
       manner == Manner::halfClose)
-    leaves_->start(seen.ask.leaveMs);
-  if (first) limit_->start(seen.ask.toldMs + patienceMs);
+    leaves_->start(observation.request.leaveMs);
+  if (first) limit_->start(observation.request.callerTimeoutMs + patienceMs);
 }
 
 void Caller::drip() {
-  std::size_t const each = std::max<std::size_t>(1, events_.seen(open_.back()).body.size() / drips + 20);
+  std::size_t const each = std::max<std::size_t>(1, events_.observation(open_.back()).body.size() / drips + 20);
   socket_->write(toDrip_.data(), static_cast<qint64>(std::min(each, toDrip_.size())));
   toDrip_.erase(0, each);
   if (toDrip_.empty()) drips_->stop();
@@ -146,9 +146,9 @@
 
 void Caller::written() {
   if (socket_ == nullptr || socket_->bytesToWrite() > 0 || !toDrip_.empty()) return;
-  for (std::size_t const place : open_) {
-    Seen& seen = events_.seen(place);
-    if (seen.sentAt == 0) seen.sentAt = programs::now();
+  for (std::size_t const index : open_) {
+    CallerObservation& observation = events_.observation(index);
+    if (observation.sentAt == 0) observation.sentAt = programs::now();
   }
 }
 
@@ -161,11 +161,11 @@
 void Caller::parse() {
   while (!buffer_.isEmpty()) {
     if (open_.empty()) {
-      events_.unasked(buffer_.left(200).toStdString());
+      events_.unsolicited(buffer_.left(200).toStdString());
       buffer_.clear();
       return;
     }
-    Seen& seen = events_.seen(open_.front());
+    CallerObservation& observation = events_.observation(open_.front());
     if (!parser_) {
       parser_ = std::make_unique<Parser>();
       parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
@@ -181,16 +181,16 @@
         parser_.reset();
         continue;
       }
-      if (seen.headAt == 0) seen.headAt = programs::now();
-      seen.status = static_cast<int>(parser_->get().result_int());
+      if (observation.headAt == 0) observation.headAt = programs::now();
+      observation.status = static_cast<int>(parser_->get().result_int());
       lastOnConnection_ = !parser_->get().keep_alive();
-      seen.fields.clear();
+      observation.fields.clear();
       for (auto const& f : parser_->get())
-        seen.fields.emplace_back(std::string(f.name_string()), std::string(f.value()));
-      seen.got = parser_->get().body();
+        observation.fields.emplace_back(std::string(f.name_string()), std::string(f.value()));
+      observation.got = parser_->get().body();
     }
     if (ec && ec != beastHttp::error::need_more) {
-      events_.unasked("broken framing at " + seen.attempt + ": " + ec.message());
+      events_.unsolicited("broken framing at " + observation.attempt + ": " + ec.message());
       buffer_.clear();
       return;
     }
@@ -200,8 +200,8 @@
 }
 
 void Caller::answered() {
-  std::size_t const place = open_.front();
-  Manner const manner = events_.seen(place).ask.manner;
+  std::size_t const index = open_.front();
+  Manner const manner = events_.observation(index).request.manner;
   parser_.reset();
   open_.pop_front();
   if (open_.empty()) {
@@ -210,13 +210,13 @@
     leaves_->stop();
     limit_->stop();
   } else {
-    Seen& next = events_.seen(open_.front());
+    CallerObservation& next = events_.observation(open_.front());
     next.freeAt = programs::now();
-    limit_->start(next.ask.toldMs + patienceMs);
+    limit_->start(next.request.callerTimeoutMs + patienceMs);
   }
   bool const unsent = !toDrip_.empty();
   toDrip_.clear();
-  finish(place, true);
+  finish(index, true);
   if (lastOnConnection_ || unsent || manner == Manner::halfClose) {
     buffer_.clear();
     ended();
@@ -225,11 +225,11 @@
   }
 }
 
-void Caller::finish(std::size_t place, bool whole) {
-  Seen& seen = events_.seen(place);
-  seen.whole = whole;
-  seen.endedAt = programs::now();
-  events_.over(place);
+void Caller::finish(std::size_t index, bool complete) {
+  CallerObservation& observation = events_.observation(index);
+  observation.complete = complete;
+  observation.endedAt = programs::now();
+  events_.over(index);
 }
 
 void Caller::ended() {
@@ -245,10 +245,10 @@
   dropSocket();
   loseOpen();
   if (!connected && !waiting_.empty()) {
-    std::size_t const place = waiting_.front();
+    std::size_t const index = waiting_.front();
     waiting_.pop_front();
-    events_.seen(place).unsent = true;
-    finish(place, false);
+    events_.observation(index).unsent = true;
+    finish(index, false);
   }
   turn();
 }
@@ -256,20 +256,20 @@
 void Caller::loseOpen() {
   std::deque<std::size_t> const lost = std::move(open_);
   open_.clear();
-  for (std::size_t const place : lost) finish(place, false);
+  for (std::size_t const index : lost) finish(index, false);
 }
 
 void Caller::leave() {
   if (socket_ == nullptr || open_.empty()) return;
-  std::size_t const place = open_.back();
-  Seen& seen = events_.seen(place);
-  if (seen.ask.manner == Manner::halfClose) {
+  std::size_t const index = open_.back();
+  CallerObservation& observation = events_.observation(index);
+  if (observation.request.manner == Manner::halfClose) {
     ::shutdown(static_cast<int>(socket_->socketDescriptor()), SHUT_WR);
     return;
   }
-  bool const reset = seen.ask.manner == Manner::leaveByReset;
+  bool const reset = observation.request.manner == Manner::leaveByReset;
   core::Tick const now = programs::now();
-  for (std::size_t const p : open_) events_.seen(p).leftAt = now;
+  for (std::size_t const p : open_) events_.observation(p).leftAt = now;
   if (events_.staysOpen) {
     socket_->disconnect(this);
     socket_ = nullptr;
@@ -288,7 +288,7 @@
 void Caller::giveUp() {
   if (open_.empty()) return;
   core::Tick const now = programs::now();
-  for (std::size_t const p : open_) events_.seen(p).leftAt = now;
+  for (std::size_t const p : open_) events_.observation(p).leftAt = now;
   ended();
 }
 
--- a/testing/fuzz/caller.h
+++ b/testing/fuzz/caller.h
@@ -18,23 +18,23 @@
 class Caller : public QObject {
  public:
   struct Events {
-    std::function<Seen&(std::size_t)> seen;
+    std::function<CallerObservation&(std::size_t)> observation;
     /// The request with that place has come to its end.
     std::function<void(std::size_t)> over;
-    std::function<void(std::string)> unasked;
+    std::function<void(std::string)> unsolicited;
     /// Callers that leave only pretend to.
     bool staysOpen = false;
   };
   Caller(std::string address, Events events);
   ~Caller() override;
   /// Takes the request up now, or once those before it have ended.
-  void ask(std::size_t place);
+  void enqueue(std::size_t index);
 
  private:
   struct Open;
   void turn();
   void connectNow();
-  void start(std::size_t place);
+  void start(std::size_t index);
   void written();
   void drip();
   void readable();
@@ -45,7 +45,7 @@
   void leave();
   void giveUp();
   void dropSocket();
-  void finish(std::size_t place, bool whole);
+  void finish(std::size_t index, bool complete);
 
   std::string address_;
   Events events_;
--- a/testing/fuzz/main.cpp
+++ b/testing/fuzz/main.cpp
@@ -20,14 +20,14 @@
 constexpr std::size_t shownFindings = 60;
 
 void print(Report const& report) {
-  std::cout << report.scenes << " scenes, " << report.requests << " requests (" << report.served << " served, "
+  std::cout << report.scenarios << " scenes, " << report.requests << " requests (" << report.served << " served, "
             << report.cut << " cut), " << report.dispatches << " reached a replica\n";
   for (auto const& [fault, count] : report.faults) std::cout << "  " << fault << " " << count << "\n";
   std::cout << report.findings.size() << " violations\n";
   std::size_t shown = 0;
   for (Finding const& f : report.findings) {
     if (++shown > shownFindings) break;
-    std::cout << "scene " << f.scene << ": " << f.violation.oracle << ": " << f.violation.what << "\n";
+    std::cout << "scene " << f.scenario << ": " << f.violation.oracle << ": " << f.violation.what << "\n";
   }
 }
 
--- a/testing/fuzz/mutation.cpp
+++ b/testing/fuzz/mutation.cpp
@@ -14,7 +14,7 @@
       {"sendAgain", "once", Tampering::none, MappingFault::sendAgain},
       {"promiseAfterRun", "promise", Tampering::promiseAfterRun},
       {"ignoreLeaving", "gone", Tampering::ignoreLeaving},
-      {"moreTries", "tries", Tampering::moreTries},
+      {"moreTries", "tries", Tampering::extraAttempts},
       {"moreTime", "time-left", Tampering::none, MappingFault::moreTime},
       {"holdLonger", "held", Tampering::none, MappingFault::holdLonger},
       {"otherStatus", "status", Tampering::none, MappingFault::otherStatus},
--- a/testing/fuzz/mutation.h
+++ b/testing/fuzz/mutation.h
@@ -23,7 +23,7 @@
   /// The leaving of callers does not show.
   ignoreLeaving,
   /// Requests are sent to more replicas than is judged.
-  moreTries,
+  extraAttempts,
 };
 
 struct Mutation {
--- a/testing/fuzz/oracles.h
+++ b/testing/fuzz/oracles.h
@@ -17,12 +17,12 @@
 
 /// What the scene's routes allow.
 struct Terms {
-  int tries = 2;
+  int maxAttempts = 2;
   core::Tick deadlineMs = 1500;
 };
 
 /// @param lag how long the event loop stood still between two times, which is forgiven
-std::vector<Violation> judge(Record const& record, Terms const& terms,
-                             std::function<core::Tick(core::Tick, core::Tick)> const& lag);
+std::vector<Violation> checkRecord(Record const& record, Terms const& terms,
+                                   std::function<core::Tick(core::Tick, core::Tick)> const& lag);
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/plan.cpp
+++ b/testing/fuzz/plan.cpp
@@ -20,14 +20,14 @@
 constexpr std::array<char const*, 4> routeNames{"safe", "once", "row", "tell"};
 constexpr std::array<char const*, 3> framingNames{"length", "chunks", "till-end"};
 
-constexpr std::uint64_t mostAsks = 16;
+constexpr std::uint64_t maxRequests = 16;
 constexpr std::uint64_t lanes = 6;
 constexpr std::uint64_t startsWithinMs = 700;
 constexpr std::uint64_t longBody = 700000;
 constexpr std::uint64_t longAnswer = 600000;
 
-bool row(Route route) {
-  return route == Route::row || route == Route::tell;
+bool isEventStream(Route route) {
+  return route == Route::eventStream || route == Route::tell;
 }
 
 std::uint32_t sizeOf(core::RandomGenerator& rng, std::uint64_t longest) {
@@ -47,7 +47,7 @@
   Answer out;
   out.fault = rng.chance(0.35) ? Fault::well : static_cast<Fault>(rng.below(faults));
   out.framing = static_cast<Framing>(rng.below(3));
-  out.size = row(route) ? static_cast<std::uint32_t>(1 + rng.below(12)) : sizeOf(rng, longAnswer);
+  out.size = isEventStream(route) ? static_cast<std::uint32_t>(1 + rng.below(12)) : sizeOf(rng, longAnswer);
   out.at = static_cast<std::uint32_t>(rng.below(4) == 0 ? rng.below(2) * 1000 : rng.below(1001));
   out.pauseMs = rng.chance(0.5) ? 0 : static_cast<int>(rng.below(120));
   out.reset = rng.chance(0.5);
@@ -80,13 +80,13 @@
   return out;
 }
 
-Ask askFrom(QJsonObject const& from) {
-  Ask out;
+CallerRequest requestFromJson(QJsonObject const& from) {
+  CallerRequest out;
   out.route = static_cast<Route>(read(routeNames, from, "route"));
   out.body = static_cast<std::uint32_t>(from.value("body").toInt());
   out.chunkedBody = from.value("chunkedBody").toBool();
   out.expectsContinue = from.value("expectsContinue").toBool();
-  out.toldMs = from.value("toldMs").toInt(out.toldMs);
+  out.callerTimeoutMs = from.value("toldMs").toInt(out.callerTimeoutMs);
   out.lane = static_cast<std::size_t>(from.value("lane").toInt());
   out.startMs = from.value("startMs").toInt();
   out.manner = static_cast<Manner>(read(mannerNames, from, "manner"));
@@ -106,14 +106,14 @@
                      {"variant", static_cast<int>(answer.variant)}};
 }
 
-QJsonObject jsonOf(Ask const& ask) {
+QJsonObject jsonOf(CallerRequest const& request) {
   QJsonArray answers;
-  for (Answer const& a : ask.answers) answers.append(jsonOf(a));
-  return QJsonObject{{"route", name(ask.route)},       {"body", static_cast<int>(ask.body)},
-                     {"chunkedBody", ask.chunkedBody}, {"expectsContinue", ask.expectsContinue},
-                     {"toldMs", ask.toldMs},           {"lane", static_cast<int>(ask.lane)},
-                     {"startMs", ask.startMs},         {"manner", name(ask.manner)},
-                     {"leaveMs", ask.leaveMs},         {"answers", answers}};
+  for (Answer const& a : request.answers) answers.append(jsonOf(a));
+  return QJsonObject{{"route", name(request.route)},       {"body", static_cast<int>(request.body)},
+                     {"chunkedBody", request.chunkedBody}, {"expectsContinue", request.expectsContinue},
+                     {"toldMs", request.callerTimeoutMs},  {"lane", static_cast<int>(request.lane)},
+                     {"startMs", request.startMs},         {"manner", name(request.manner)},
+                     {"leaveMs", request.leaveMs},         {"answers", answers}};
 }
 
 }  // namespace
@@ -137,21 +137,21 @@
   out.seed = seed;
   out.name = std::to_string(seed);
   out.refused = rng.chance(0.2) ? 100 : 0;
-  std::uint64_t const count = 4 + rng.below(mostAsks - 3);
+  std::uint64_t const count = 4 + rng.below(maxRequests - 3);
   for (std::uint64_t i = 0; i < count; ++i) {
-    Ask ask;
-    ask.route = static_cast<Route>(rng.below(4));
-    ask.body = sizeOf(rng, longBody);
-    ask.chunkedBody = rng.chance(0.3);
-    ask.expectsContinue = rng.chance(0.1);
-    ask.toldMs = 300 + static_cast<int>(rng.below(1000));
-    ask.lane = static_cast<std::size_t>(rng.below(lanes));
-    ask.startMs = static_cast<int>(rng.below(startsWithinMs));
-    ask.manner = rng.chance(0.4) ? Manner::stay : static_cast<Manner>(rng.below(manners));
-    ask.leaveMs = static_cast<int>(rng.below(rng.chance(0.5) ? 20 : 400));
+    CallerRequest request;
+    request.route = static_cast<Route>(rng.below(4));
+    request.body = sizeOf(rng, longBody);
+    request.chunkedBody = rng.chance(0.3);
+    request.expectsContinue = rng.chance(0.1);
+    request.callerTimeoutMs = 300 + static_cast<int>(rng.below(1000));
+    request.lane = static_cast<std::size_t>(rng.below(lanes));
+    request.startMs = static_cast<int>(rng.below(startsWithinMs));
+    request.manner = rng.chance(0.4) ? Manner::stay : static_cast<Manner>(rng.below(manners));
+    request.leaveMs = static_cast<int>(rng.below(rng.chance(0.5) ? 20 : 400));
     std::uint64_t const answers = 1 + rng.below(3);
-    for (std::uint64_t a = 0; a < answers; ++a) ask.answers.push_back(answerOf(rng, ask.route));
-    out.asks.push_back(std::move(ask));
+    for (std::uint64_t a = 0; a < answers; ++a) request.answers.push_back(answerOf(rng, request.route));
+    out.requests.push_back(std::move(request));
   }
   return out;
 }
@@ -161,16 +161,16 @@
   out.name = name;
   out.seed = static_cast<std::uint64_t>(file.value("seed").toInt(1));
   out.refused = static_cast<std::uint32_t>(file.value("refused").toInt());
-  for (QJsonValue const a : file.value("asks").toArray()) out.asks.push_back(askFrom(a.toObject()));
-  if (out.asks.empty()) throw PlanError(name + ": asks: missing");
+  for (QJsonValue const a : file.value("asks").toArray()) out.requests.push_back(requestFromJson(a.toObject()));
+  if (out.requests.empty()) throw PlanError(name + ": asks: missing");
   return out;
 }
 
 QJsonObject jsonOf(Plan const& plan) {
-  QJsonArray asks;
-  for (Ask const& a : plan.asks) asks.append(jsonOf(a));
+  QJsonArray requests;
+  for (CallerRequest const& a : plan.requests) requests.append(jsonOf(a));
   return QJsonObject{
-      {"seed", static_cast<qint64>(plan.seed)}, {"refused", static_cast<int>(plan.refused)}, {"asks", asks}};
+      {"seed", static_cast<qint64>(plan.seed)}, {"refused", static_cast<int>(plan.refused)}, {"asks", requests}};
 }
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/plan.h
+++ b/testing/fuzz/plan.h
@@ -18,7 +18,7 @@
 };
 
 /// Routes of the scene: repeatable, unrepeatable, events that may be resumed, and events that may not.
-enum class Route { safe, once, row, tell };
+enum class Route { safe, once, eventStream, tell };
 
 /// How a replica misbehaves in one answer.
 enum class Fault {
@@ -72,13 +72,13 @@
 
 /// One request of a caller, and how the replicas answer it, one answer for each time that it reaches one; the last
 /// holds for all that come after.
-struct Ask {
+struct CallerRequest {
   Route route = Route::safe;
   std::uint32_t body = 0;
   bool chunkedBody = false;
   bool expectsContinue = false;
   /// What the caller tells as the time that it will wait.
-  int toldMs = 1000;
+  int callerTimeoutMs = 1000;
   /// Requests of one lane go one after the other on one connection while it lasts.
   std::size_t lane = 0;
   int startMs = 0;
@@ -93,7 +93,7 @@
   std::string name;
   /// In thousand: connections that a replica resets as they come.
   std::uint32_t refused = 0;
-  std::vector<Ask> asks;
+  std::vector<CallerRequest> requests;
 };
 
 Plan planOf(std::uint64_t seed);
--- a/testing/fuzz/record.h
+++ b/testing/fuzz/record.h
@@ -31,7 +31,7 @@
   std::string target;
   http::HeaderMap fields;
   std::string body;
-  bool bodyWhole = false;
+  bool bodyComplete = false;
   /// It counts as run: the replica did not say, truly, that it would not run it.
   bool ran = true;
   /// The replica reads slowly, so what reaches it was sent earlier.
@@ -40,12 +40,12 @@
   int status = 200;
   /// Body of the answer as its framing tells it, and whether the framing says that it is whole.
   std::string framed;
-  bool framedWhole = false;
+  bool framedComplete = false;
 };
 
 /// What a caller has sent and was given.
-struct Seen {
-  Ask ask;
+struct CallerObservation {
+  CallerRequest request;
   std::string attempt;
   std::string target;
   std::string body;
@@ -65,7 +65,7 @@
   int status = 0;
   http::HeaderList fields;
   std::string got;
-  bool whole = false;
+  bool complete = false;
   /// The connection could not be had, or had ended before the request went out on it.
   bool unsent = false;
 };
@@ -73,9 +73,9 @@
 /// Everything of one scene.
 struct Record {
   std::deque<Dispatch> dispatches;
-  std::deque<Seen> callers;
+  std::deque<CallerObservation> callers;
   /// Bytes that callers were given while no request of theirs was open.
-  std::vector<std::string> unasked;
+  std::vector<std::string> unsolicited;
   /// When the scene ended.
   core::Tick endedAt = 0;
 };
--- a/testing/fuzz/replica.cpp
+++ b/testing/fuzz/replica.cpp
@@ -36,11 +36,11 @@
   QByteArray buffer;
   std::unique_ptr<Parser> parser = {};
   bool headed = false;
-  bool bodyWhole = false;
+  bool bodyComplete = false;
   bool answered = false;
   bool over = false;
   std::size_t dispatch = 0;
-  Script script = {};
+  ScriptedExchange exchange = {};
   std::size_t step = 0;
 };
 
@@ -99,7 +99,7 @@
 void Replica::read(std::shared_ptr<Conn> const& conn) {
   if (conn->over || !conn->socket->isReadable()) return;
   conn->buffer += conn->socket->read(conn->slow->isActive() ? slowReadBytes : readBuffer);
-  while (!conn->over && !conn->buffer.isEmpty() && !conn->bodyWhole) {
+  while (!conn->over && !conn->buffer.isEmpty() && !conn->bodyComplete) {
     if (!conn->parser) {
       conn->parser = std::make_unique<Conn::Parser>();
       conn->parser->body_limit(longestBody);
@@ -118,9 +118,9 @@
     if (!conn->headed && conn->parser->is_header_done()) headed(conn);
     if (conn->over || !conn->headed) return;
     if (conn->parser->is_done()) {
-      conn->bodyWhole = true;
+      conn->bodyComplete = true;
       Dispatch& d = events_.dispatch(conn->dispatch);
-      d.bodyWhole = true;
+      d.bodyComplete = true;
       d.body = conn->parser->get().body();
       if (events_.alters && !d.body.empty()) d.body[d.body.size() / 2] ^= 1;
     } else if (ec == beastHttp::error::need_more) {
@@ -128,7 +128,7 @@
     }
   }
   if (conn->headed && !conn->over) play(conn);
-  if (conn->answered && conn->bodyWhole) next(conn);
+  if (conn->answered && conn->bodyComplete) next(conn);
 }
 
 void Replica::headed(std::shared_ptr<Conn> const& conn) {
@@ -142,22 +142,22 @@
   d.target = std::string(head.target());
   for (auto const& f : head) d.fields[http::toLower(std::string(f.name_string()))] = std::string(f.value());
   std::size_t const length = conn->parser->content_length() ? *conn->parser->content_length() : 0;
-  std::pair<std::size_t, Script> noted = events_.arrived(std::move(d), length);
+  std::pair<std::size_t, ScriptedExchange> noted = events_.arrived(std::move(d), length);
   conn->dispatch = noted.first;
-  conn->script = std::move(noted.second);
+  conn->exchange = std::move(noted.second);
   conn->step = 0;
-  if (conn->script.slowReading && length > 0) conn->slow->start(slowReadMs);
+  if (conn->exchange.slowReading && length > 0) conn->slow->start(slowReadMs);
 }
 
 void Replica::play(std::shared_ptr<Conn> const& conn) {
   while (!conn->over && !conn->answered && !conn->timer->isActive()) {
-    Step const& step = conn->script.steps[conn->step];
+    Step const& step = conn->exchange.steps[conn->step];
     switch (step.what) {
       case Step::What::awaitBody:
-        if (!conn->bodyWhole) return;
+        if (!conn->bodyComplete) return;
         break;
       case Step::What::awaitBytes:
-        if (!conn->bodyWhole && conn->parser->get().body().size() < step.count) return;
+        if (!conn->bodyComplete && conn->parser->get().body().size() < step.count) return;
         break;
       case Step::What::write:
         conn->socket->write(step.bytes.data(), static_cast<qint64>(step.bytes.size()));
@@ -185,14 +185,14 @@
     }
     ++conn->step;
   }
-  if (conn->answered && conn->bodyWhole) next(conn);
+  if (conn->answered && conn->bodyComplete) next(conn);
 }
 
 void Replica::next(std::shared_ptr<Conn> const& conn) {
-  if (conn->over || !conn->answered || !conn->bodyWhole) return;
+  if (conn->over || !conn->answered || !conn->bodyComplete) return;
   conn->parser.reset();
   conn->headed = false;
-  conn->bodyWhole = false;
+  conn->bodyComplete = false;
   conn->answered = false;
   conn->slow->stop();
   QMetaObject::invokeMethod(
--- a/testing/fuzz/replica.h
+++ b/testing/fuzz/replica.h
@@ -10,7 +10,7 @@
 #include <corkward/core/types.h>
 
 #include "record.h"
-#include "script.h"
+#include "scripted_exchange.h"
 
 namespace corkward::fuzz {
 
@@ -19,7 +19,7 @@
  public:
   struct Events {
     /// A head was read whole: notes the dispatch and gives its place in the record and its script.
-    std::function<std::pair<std::size_t, Script>(Dispatch, std::size_t bodyLength)> arrived;
+    std::function<std::pair<std::size_t, ScriptedExchange>(Dispatch, std::size_t bodyLength)> arrived;
     std::function<Dispatch&(std::size_t)> dispatch;
     /// Whether to reset the connection that has just come.
     std::function<bool()> refuses;
--- a/testing/fuzz/runner.cpp
+++ b/testing/fuzz/runner.cpp
@@ -19,38 +19,38 @@
     : next_(std::move(next)), mutation_(std::move(mutation)), atOnce_(atOnce) {}
 
 void Runner::fill() {
-  while (scenes_.size() < atOnce_) {
+  while (scenarios_.size() < atOnce_) {
     std::optional<Plan> plan = next_();
     if (!plan) return;
-    std::shared_ptr<Scene*> const place = std::make_shared<Scene*>(nullptr);
-    scenes_.push_back(std::make_unique<Scene>(std::move(*plan), mutation_, [this, place] {
+    std::shared_ptr<Scenario*> const index = std::make_shared<Scenario*>(nullptr);
+    scenarios_.push_back(std::make_unique<Scenario>(std::move(*plan), mutation_, [this, index] {
       QMetaObject::invokeMethod(
-          &loop_, [this, place] { ended(*place); }, Qt::QueuedConnection);
+          &loop_, [this, index] { ended(*index); }, Qt::QueuedConnection);
     }));
-    *place = scenes_.back().get();
+    *index = scenarios_.back().get();
   }
 }
 
-void Runner::ended(Scene* scene) {
-  Record const& record = scene->record();
-  ++report_.scenes;
+void Runner::ended(Scenario* scenario) {
+  Record const& record = scenario->record();
+  ++report_.scenarios;
   report_.dispatches += record.dispatches.size();
   for (Dispatch const& d : record.dispatches) ++report_.faults[name(d.fault)];
-  for (Seen const& s : record.callers) {
+  for (CallerObservation const& s : record.callers) {
     ++report_.requests;
     bool const success = s.status >= 200 && s.status < 300;
-    report_.served += s.whole && success ? 1 : 0;
-    report_.cut += !s.whole && success && s.leftAt == 0 ? 1 : 0;
+    report_.served += s.complete && success ? 1 : 0;
+    report_.cut += !s.complete && success && s.leftAt == 0 ? 1 : 0;
   }
-  for (Violation& v : scene->judged(lag_)) report_.findings.push_back(Finding{scene->plan().name, std::move(v)});
-  std::erase_if(scenes_, [scene](std::unique_ptr<Scene> const& s) { return s.get() == scene; });
+  for (Violation& v : scenario->check(lag_)) report_.findings.push_back(Finding{scenario->plan().name, std::move(v)});
+  std::erase_if(scenarios_, [scenario](std::unique_ptr<Scenario> const& s) { return s.get() == scenario; });
   fill();
-  if (scenes_.empty()) loop_.quit();
+  if (scenarios_.empty()) loop_.quit();
 }
 
 Report Runner::run() {
   fill();
-  if (!scenes_.empty()) loop_.exec();
+  if (!scenarios_.empty()) loop_.exec();
   return report_;
 }
 
--- a/testing/fuzz/runner.h
+++ b/testing/fuzz/runner.h
@@ -8,19 +8,19 @@
 #include <string>
 #include <vector>
 
-#include "scene.h"
+#include "scenario.h"
 
 namespace corkward::fuzz {
 
 /// A violation, and the scene that shows it.
 struct Finding {
-  std::string scene;
+  std::string scenario;
   Violation violation;
 };
 
 /// What was played and found.
 struct Report {
-  std::size_t scenes = 0;
+  std::size_t scenarios = 0;
   std::size_t requests = 0;
   std::size_t served = 0;
   std::size_t cut = 0;
@@ -39,13 +39,13 @@
 
  private:
   void fill();
-  void ended(Scene* scene);
+  void ended(Scenario* scenario);
   std::function<std::optional<Plan>()> next_;
   std::optional<Mutation> mutation_;
   std::size_t atOnce_;
   LagMeter lag_;
   QEventLoop loop_;
-  std::vector<std::unique_ptr<Scene>> scenes_;
+  std::vector<std::unique_ptr<Scenario>> scenarios_;
   Report report_;
 };
 
--- a/testing/fuzz/scene.cpp
+++ b/testing/fuzz/scenario.cpp
@@ -1,4 +1,4 @@
-#include "scene.h"
+#include "scenario.h"
 
 #include <QHostAddress>
 #include <QTcpServer>
@@ -19,13 +19,13 @@
 constexpr std::size_t replicaCount = 3;
 constexpr std::size_t laneCount = 8;
 constexpr int bootEveryMs = 5;
-constexpr int bootTries = 10;
-constexpr int settleMs = 620;
+constexpr int bootAttempts = 10;
+constexpr int lateAnswerWaitMs = 620;
 constexpr int limitMs = 40000;
-constexpr int beatMs = 5;
-constexpr core::Tick beatSlack = 2;
-constexpr std::size_t gapsKept = 4000;
-constexpr std::size_t comeBacks = 2;
+constexpr int intervalMs = 5;
+constexpr core::Tick timerTolerance = 2;
+constexpr std::size_t maxGaps = 4000;
+constexpr std::size_t maxRetries = 2;
 constexpr Terms terms{};
 
 std::string freeAddress() {
@@ -57,17 +57,17 @@
 
 LagMeter::LagMeter() : last_(programs::now()) {
   timer_.setTimerType(Qt::PreciseTimer);
-  QObject::connect(&timer_, &QTimer::timeout, this, [this] { beat(); });
-  timer_.start(beatMs);
+  QObject::connect(&timer_, &QTimer::timeout, this, [this] { onTimer(); });
+  timer_.start(intervalMs);
 }
 
-void LagMeter::beat() {
+void LagMeter::onTimer() {
   core::Tick const now = programs::now();
-  core::Tick const lost = now - last_ - beatMs;
+  core::Tick const lost = now - last_ - intervalMs;
   last_ = now;
-  if (lost < beatSlack) return;
+  if (lost < timerTolerance) return;
   gaps_.push_back(Gap{now, lost});
-  if (gaps_.size() > gapsKept) gaps_.pop_front();
+  if (gaps_.size() > maxGaps) gaps_.pop_front();
 }
 
 core::Tick LagMeter::between(core::Tick from, core::Tick to) const {
@@ -77,7 +77,7 @@
   return out;
 }
 
-Scene::Scene(Plan plan, std::optional<Mutation> mutation, std::function<void()> over)
+Scenario::Scenario(Plan plan, std::optional<Mutation> mutation, std::function<void()> over)
     : plan_(std::move(plan)),
       mutation_(std::move(mutation)),
       over_(std::move(over)),
@@ -94,8 +94,8 @@
   boot();
 }
 
-void Scene::boot() {
-  for (int left = bootTries; left > 0; --left) try {
+void Scenario::boot() {
+  for (int left = bootAttempts; left > 0; --left) try {
       listen();
       return;
     } catch (core::Error const&) {
@@ -106,7 +106,7 @@
     }
 }
 
-void Scene::listen() {
+void Scenario::listen() {
   programs::Settings settings;
   settings.link = freeAddress();
   settings.http = "127.0.0.1:0";
@@ -117,11 +117,12 @@
   for (std::unique_ptr<Replica> const& r : replicas_) addresses.push_back(r->address());
   std::vector<wire::Route> const routes{
       {"safe", false, true}, {"once", false, false}, {"row", true, true}, {"tell", true, false}};
-  transport::ConfigurationUpdate const news = wire::firstNews(
-      routes, addresses, tampers(Tampering::moreTries) ? terms.tries + 2 : terms.tries, terms.deadlineMs);
+  transport::ConfigurationUpdate const update =
+      wire::firstNews(routes, addresses, tampers(Tampering::extraAttempts) ? terms.maxAttempts + 2 : terms.maxAttempts,
+                      terms.deadlineMs);
   std::string const link = settings.link;
-  control_ = std::make_unique<transport::Link>(this, control, [this, news, link](transport::Envelope const&) {
-    if (!router_->ready()) control_->send(link, news);
+  control_ = std::make_unique<transport::Link>(this, control, [this, update, link](transport::Envelope const&) {
+    if (!router_->ready()) control_->send(link, update);
   });
   router_ = std::make_unique<programs::RouterDaemon>(settings, tuning(), mapping_, surface(plan_.seed));
   for (int const number : {SIGTERM, SIGINT}) ::signal(number, SIG_DFL);
@@ -133,104 +134,106 @@
   boot_.start(bootEveryMs);
   limit_.setSingleShot(true);
   QObject::connect(&limit_, &QTimer::timeout, this, [this] {
-    record_.unasked.push_back("the scene did not end");
+    record_.unsolicited.push_back("the scene did not end");
     finish();
   });
   limit_.start(limitMs);
 }
 
-void Scene::begin() {
+void Scenario::begin() {
   std::string const address = router_->server().address();
   for (std::size_t i = 0; i < laneCount; ++i) {
     Caller::Events e;
-    e.seen = [this](std::size_t at) -> Seen& { return record_.callers[at]; };
+    e.observation = [this](std::size_t at) -> CallerObservation& { return record_.callers[at]; };
     e.over = [this](std::size_t at) { ended(at); };
-    e.unasked = [this](std::string bytes) { record_.unasked.push_back(std::move(bytes)); };
+    e.unsolicited = [this](std::string bytes) { record_.unsolicited.push_back(std::move(bytes)); };
     e.staysOpen = tampers(Tampering::ignoreLeaving);
     lanes_.push_back(std::make_unique<Caller>(address, std::move(e)));
   }
-  toStart_ = plan_.asks.size();
-  for (std::size_t i = 0; i < plan_.asks.size(); ++i)
-    QTimer::singleShot(plan_.asks[i].startMs, this, [this, i] {
+  toStart_ = plan_.requests.size();
+  for (std::size_t i = 0; i < plan_.requests.size(); ++i)
+    QTimer::singleShot(plan_.requests[i].startMs, this, [this, i] {
       --toStart_;
-      ask(plan_.asks[i], "t" + std::to_string(i));
+      startRequest(plan_.requests[i], "t" + std::to_string(i));
     });
 }
 
-void Scene::ask(Ask const& ask, std::string const& attempt) {
-  Seen seen;
-  seen.ask = ask;
-  seen.attempt = attempt;
-  seen.target = std::string("/") + name(ask.route) + "/" + attempt + "?q=1";
-  seen.body = pattern("q" + attempt, ask.body);
-  seen.events = eventsOf(attempt, 0, ask.answers.front().size);
+void Scenario::startRequest(CallerRequest const& request, std::string const& attempt) {
+  CallerObservation observation;
+  observation.request = request;
+  observation.attempt = attempt;
+  observation.target = std::string("/") + name(request.route) + "/" + attempt + "?q=1";
+  observation.body = pattern("q" + attempt, request.body);
+  observation.events = eventsOf(attempt, 0, request.answers.front().size);
   ++open_;
-  record_.callers.push_back(std::move(seen));
-  lanes_[ask.lane % laneCount]->ask(record_.callers.size() - 1);
-}
-
-void Scene::ended(std::size_t place) {
-  Seen& seen = record_.callers[place];
-  if (tampers(Tampering::alterAnswer) && !seen.got.empty()) seen.got[seen.got.size() / 2] ^= 1;
-  if (tampers(Tampering::hideCut) && seen.status == 200) seen.whole = true;
-  if (tampers(Tampering::promiseAfterRun) && (seen.status == 502 || seen.status == 504)) seen.status = 503;
-  bool const served = seen.whole && seen.status >= 200 && seen.status < 300;
-  auto const before = static_cast<std::size_t>(std::count(seen.attempt.begin(), seen.attempt.end(), 'r'));
-  if (seen.ask.manner == Manner::again && !served && seen.leftAt == 0 && before < comeBacks) {
-    Ask const again = seen.ask;
-    ask(again, seen.attempt + "r");
+  record_.callers.push_back(std::move(observation));
+  lanes_[request.lane % laneCount]->enqueue(record_.callers.size() - 1);
+}
+
+void Scenario::ended(std::size_t index) {
+  CallerObservation& observation = record_.callers[index];
+  if (tampers(Tampering::alterAnswer) && !observation.got.empty()) observation.got[observation.got.size() / 2] ^= 1;
+  if (tampers(Tampering::hideCut) && observation.status == 200) observation.complete = true;
+  if (tampers(Tampering::promiseAfterRun) && (observation.status == 502 || observation.status == 504))
+    observation.status = 503;
+  bool const served = observation.complete && observation.status >= 200 && observation.status < 300;
+  auto const before = static_cast<std::size_t>(std::count(observation.attempt.begin(), observation.attempt.end(), 'r'));
+  if (observation.request.manner == Manner::again && !served && observation.leftAt == 0 && before < maxRetries) {
+    CallerRequest const again = observation.request;
+    startRequest(again, observation.attempt + "r");
   }
   --open_;
-  if (open_ == 0 && toStart_ == 0) QTimer::singleShot(settleMs, this, [this] { finish(); });
+  if (open_ == 0 && toStart_ == 0) QTimer::singleShot(lateAnswerWaitMs, this, [this] { finish(); });
 }
 
-Seen* Scene::callerOf(std::string const& attempt) {
-  auto const it =
-      std::find_if(record_.callers.begin(), record_.callers.end(), [&](Seen const& s) { return s.attempt == attempt; });
+CallerObservation* Scenario::callerOf(std::string const& attempt) {
+  auto const it = std::find_if(record_.callers.begin(), record_.callers.end(),
+                               [&](CallerObservation const& s) { return s.attempt == attempt; });
   return it == record_.callers.end() ? nullptr : &*it;
 }
 
-std::string Scene::otherThan(std::string const& attempt) {
+std::string Scenario::otherThan(std::string const& attempt) {
   std::vector<std::string> ended;
-  for (Seen const& s : record_.callers)
+  for (CallerObservation const& s : record_.callers)
     if (s.endedAt != 0 && s.attempt != attempt) ended.push_back(s.attempt);
   return ended.empty() ? "t-gone" : ended[rng_.below(ended.size())];
 }
 
-std::pair<std::size_t, Script> Scene::arrived(std::size_t replica, Dispatch dispatch, std::size_t bodyLength) {
-  std::size_t const place = record_.dispatches.size();
+std::pair<std::size_t, ScriptedExchange> Scenario::arrived(std::size_t replica, Dispatch dispatch,
+                                                           std::size_t bodyLength) {
+  std::size_t const index = record_.dispatches.size();
   dispatch.attempt = http::headerValue(dispatch.fields, wire::attempt);
-  dispatch.seal = "s" + std::to_string(replica) + "." + std::to_string(place);
-  Seen const* const caller = callerOf(dispatch.attempt);
+  dispatch.seal = "s" + std::to_string(replica) + "." + std::to_string(index);
+  CallerObservation const* const caller = callerOf(dispatch.attempt);
   Answer answer;
-  Asked asked;
-  asked.attempt = dispatch.attempt;
-  asked.seal = dispatch.seal;
-  asked.bodyLength = bodyLength;
-  asked.other = otherThan(asked.attempt);
+  ReceivedRequest received;
+  received.attempt = dispatch.attempt;
+  received.seal = dispatch.seal;
+  received.bodyLength = bodyLength;
+  received.other = otherThan(received.attempt);
   if (caller != nullptr) {
     std::size_t const before =
         static_cast<std::size_t>(std::count_if(record_.dispatches.begin(), record_.dispatches.end(),
                                                [&](Dispatch const& d) { return d.attempt == dispatch.attempt; }));
-    std::vector<Answer> const& answers = caller->ask.answers;
+    std::vector<Answer> const& answers = caller->request.answers;
     answer = answers[std::min(before, answers.size() - 1)];
-    asked.row = caller->ask.route == Route::row || caller->ask.route == Route::tell;
-    asked.events = answers.front().size;
-    asked.after = static_cast<std::size_t>(
+    received.isEventStream = caller->request.route == Route::eventStream || caller->request.route == Route::tell;
+    received.events = answers.front().size;
+    received.after = static_cast<std::size_t>(
         std::strtoull(http::headerValue(dispatch.fields, wire::lastEvent).c_str(), nullptr, 10));
   }
-  Script script = scriptOf(answer, asked);
+  ScriptedExchange exchange = scriptedExchangeOf(answer, received);
   dispatch.fault = answer.fault;
-  dispatch.ran = script.ran;
-  dispatch.slow = script.slowReading;
-  dispatch.status = script.status;
-  dispatch.framed = script.framed;
-  dispatch.framedWhole = script.framedWhole;
+  dispatch.ran = exchange.ran;
+  dispatch.slow = exchange.slowReading;
+  dispatch.status = exchange.status;
+  dispatch.framed = exchange.framed;
+  dispatch.framedComplete = exchange.framedComplete;
   record_.dispatches.push_back(std::move(dispatch));
-  return {place, std::move(script)};
+  return {index, std::move(exchange)};
 }
 
-void Scene::finish() {
+void Scenario::finish() {
   if (finished_ || (open_ > 0 && limit_.isActive())) return;
   finished_ = true;
   record_.endedAt = programs::now();
@@ -238,8 +241,8 @@
   over_();
 }
 
-std::vector<Violation> Scene::judged(LagMeter const& lag) const {
-  return judge(record_, terms, [&lag](core::Tick from, core::Tick to) { return lag.between(from, to); });
+std::vector<Violation> Scenario::check(LagMeter const& lag) const {
+  return checkRecord(record_, terms, [&lag](core::Tick from, core::Tick to) { return lag.between(from, to); });
 }
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/scene.h
+++ b/testing/fuzz/scenario.h
@@ -26,7 +26,7 @@
   core::Tick between(core::Tick from, core::Tick to) const;
 
  private:
-  void beat();
+  void onTimer();
   struct Gap {
     core::Tick at = 0;
     core::Tick lost = 0;
@@ -37,21 +37,21 @@
 };
 
 /// One plan played on a router daemon of its own, over loopback.
-class Scene : public QObject {
+class Scenario : public QObject {
  public:
-  Scene(Plan plan, std::optional<Mutation> mutation, std::function<void()> over);
+  Scenario(Plan plan, std::optional<Mutation> mutation, std::function<void()> over);
   Plan const& plan() const { return plan_; }
   Record const& record() const { return record_; }
-  std::vector<Violation> judged(LagMeter const& lag) const;
+  std::vector<Violation> check(LagMeter const& lag) const;
 
  private:
   void boot();
   void listen();
   void begin();
-  void ask(Ask const& ask, std::string const& attempt);
-  void ended(std::size_t place);
-  std::pair<std::size_t, Script> arrived(std::size_t replica, Dispatch dispatch, std::size_t bodyLength);
-  Seen* callerOf(std::string const& attempt);
+  void startRequest(CallerRequest const& request, std::string const& attempt);
+  void ended(std::size_t index);
+  std::pair<std::size_t, ScriptedExchange> arrived(std::size_t replica, Dispatch dispatch, std::size_t bodyLength);
+  CallerObservation* callerOf(std::string const& attempt);
   /// An attempt that has ended; a late answer of one that is still to come could not be told from its own.
   std::string otherThan(std::string const& attempt);
   void finish();
--- a/testing/fuzz/script.cpp
+++ b/testing/fuzz/scripted_exchange.cpp
@@ -1,4 +1,4 @@
-#include "script.h"
+#include "scripted_exchange.h"
 
 #include <algorithm>
 #include <array>
@@ -24,7 +24,7 @@
   /// Each with its chunk's framing.
   std::vector<std::string> parts;
   std::string last;
-  std::string whole() const {
+  std::string bytes() const {
     std::string out = head;
     for (std::string const& p : parts) out += p;
     return out + last;
@@ -48,22 +48,23 @@
 /// Writes scripts for one answer.
 class Writer {
  public:
-  Writer(Answer const& answer, Asked const& asked) : answer_(answer), asked_(asked) { contents(); }
+  Writer(Answer const& answer, ReceivedRequest const& request) : answer_(answer), request_(request) { contents(); }
 
-  Script run() {
+  ScriptedExchange run() {
     begin();
-    strike();
+    applyFault();
     return std::move(out_);
   }
 
  private:
   void contents() {
-    if (asked_.row) {
-      for (std::size_t i = asked_.after + 1; i <= asked_.events; ++i) pieces_.push_back(eventOf(asked_.attempt, i));
+    if (request_.isEventStream) {
+      for (std::size_t i = request_.after + 1; i <= request_.events; ++i)
+        bodyParts_.push_back(eventOf(request_.attempt, i));
     } else {
-      pieces_ = cut(pattern(asked_.attempt + "/" + asked_.seal, answer_.size), 1 + answer_.variant % 5);
+      bodyParts_ = cut(pattern(request_.attempt + "/" + request_.seal, answer_.size), 1 + answer_.variant % 5);
     }
-    for (std::string const& p : pieces_) out_.framed += p;
+    for (std::string const& p : bodyParts_) out_.framed += p;
   }
 
   std::string fields(std::string const& attempt, std::string const& seal) const {
@@ -72,27 +73,27 @@
     return text;
   }
 
-  Message message(int status, std::string const& head, std::vector<std::string> const& pieces, Framing framing,
-                  std::size_t told) const {
+  Message message(int status, std::string const& head, std::vector<std::string> const& bodyParts, Framing framing,
+                  std::size_t contentLength) const {
     Message m;
-    bool const events = asked_.row && status == 200;
+    bool const events = request_.isEventStream && status == 200;
     m.head = "HTTP/1.1 " + std::to_string(status) + " Some Words\r\n" + head +
              "Content-Type: " + (events ? "text/event-stream" : "text/plain") + crlf;
-    if (framing == Framing::length) m.head += "Content-Length: " + std::to_string(told) + crlf;
+    if (framing == Framing::length) m.head += "Content-Length: " + std::to_string(contentLength) + crlf;
     if (framing == Framing::chunks) m.head += "Transfer-Encoding: chunked\r\n";
     if (framing == Framing::tillEnd) m.head += "Connection: close\r\n";
     m.head += crlf;
-    for (std::string const& p : pieces) m.parts.push_back(framing == Framing::chunks ? chunk(p) : p);
+    for (std::string const& p : bodyParts) m.parts.push_back(framing == Framing::chunks ? chunk(p) : p);
     if (framing == Framing::chunks) m.last = "0\r\n\r\n";
     return m;
   }
 
-  Message own(int status = 200) const {
-    return message(status, fields(asked_.attempt, asked_.seal), pieces_, answer_.framing, out_.framed.size());
+  Message ownAnswer(int status = 200) const {
+    return message(status, fields(request_.attempt, request_.seal), bodyParts_, answer_.framing, out_.framed.size());
   }
 
-  Message small(int status, std::string const& head) {
-    std::string const body = pattern("says" + std::to_string(status) + "/" + asked_.attempt, 40);
+  Message smallAnswer(int status, std::string const& head) {
+    std::string const body = pattern("says" + std::to_string(status) + "/" + request_.attempt, 40);
     out_.framed = body;
     out_.status = status;
     return message(status, head, {body}, Framing::length, body.size());
@@ -106,11 +107,11 @@
   void hold() { out_.steps.push_back(Step{Step::What::hold}); }
 
   /// Writes a message part by part; one that ends with its connection ends it in order.
-  void say(Message const& m) {
+  void writeMessage(Message const& m) {
     std::string first = m.head;
     int const each = m.parts.empty() ? 0 : answer_.pauseMs / static_cast<int>(m.parts.size() + 1);
     if (each == 0) {
-      write(m.whole());
+      write(m.bytes());
     } else {
       write(m.head);
       for (std::string const& p : m.parts) {
@@ -127,7 +128,7 @@
     Fault const f = answer_.fault;
     if (f == Fault::early || f == Fault::notRunEarly) return;
     if (f == Fault::cutReading) {
-      out_.steps.push_back(Step{Step::What::awaitBytes, {}, 0, asked_.bodyLength * answer_.at / 1000});
+      out_.steps.push_back(Step{Step::What::awaitBytes, {}, 0, request_.bodyLength * answer_.at / 1000});
       return;
     }
     out_.steps.push_back(Step{Step::What::awaitBody});
@@ -135,15 +136,15 @@
   }
 
   /// Only what a length or chunks end has an end that something can come after.
-  void needEnd() {
+  void ensureDelimited() {
     if (answer_.framing == Framing::tillEnd) answer_.framing = Framing::length;
   }
 
-  void strike() {
+  void applyFault() {
     switch (answer_.fault) {
       case Fault::well:
       case Fault::early:
-        say(own());
+        writeMessage(ownAnswer());
         break;
       case Fault::interim:
         interim();
@@ -172,14 +173,14 @@
         end();
         break;
       case Fault::silence:
-        silence();
+        stopAnswering();
         break;
       case Fault::slowWrite:
         slowWrite();
         break;
       case Fault::slowRead:
         out_.slowReading = true;
-        say(own());
+        writeMessage(ownAnswer());
         break;
       case Fault::notRun:
       case Fault::notRunEarly:
@@ -187,24 +188,24 @@
         break;
       case Fault::falsePromise:
         answer_.framing = Framing::length;
-        say(small(503, fields(asked_.attempt, "")));
-        out_.framedWhole = false;
+        writeMessage(smallAnswer(503, fields(request_.attempt, "")));
+        out_.framedComplete = false;
         break;
       case Fault::failure:
         answer_.framing = Framing::length;
-        say(small(answer_.variant % 2 == 0 ? 500 : 504, fields(asked_.attempt, asked_.seal)));
+        writeMessage(smallAnswer(answer_.variant % 2 == 0 ? 500 : 504, fields(request_.attempt, request_.seal)));
         break;
       case Fault::unsealed:
-        say(message(200, fields(asked_.attempt, ""), pieces_, answer_.framing, out_.framed.size()));
-        out_.framedWhole = false;
+        writeMessage(message(200, fields(request_.attempt, ""), bodyParts_, answer_.framing, out_.framed.size()));
+        out_.framedComplete = false;
         break;
       case Fault::garbage:
         garbage();
         break;
       case Fault::encoded:
-        say(message(200, fields(asked_.attempt, asked_.seal) + "Content-Encoding: gzip\r\n", pieces_, answer_.framing,
-                    out_.framed.size()));
-        out_.framedWhole = false;
+        writeMessage(message(200, fields(request_.attempt, request_.seal) + "Content-Encoding: gzip\r\n", bodyParts_,
+                             answer_.framing, out_.framed.size()));
+        out_.framedComplete = false;
         break;
       case Fault::shortBody:
         shortBody();
@@ -216,10 +217,10 @@
     out_.steps.push_back(Step{Step::What::done});
   }
 
-  void broken() { out_.framedWhole = false; }
+  void broken() { out_.framedComplete = false; }
 
   std::string atFault() const {
-    std::string const all = own().whole();
+    std::string const all = ownAnswer().bytes();
     return all.substr(0, all.size() * answer_.at / 1000);
   }
 
@@ -232,33 +233,33 @@
       write(heads[(answer_.variant + i) % heads.size()]);
       pause(answer_.pauseMs / 4);
     }
-    say(own());
+    writeMessage(ownAnswer());
   }
 
   void surplus() {
-    needEnd();
+    ensureDelimited();
     std::string const more =
-        answer_.variant % 2 == 0 ? pattern("surplus/" + asked_.other, 1 + answer_.at) : otherAnswer();
+        answer_.variant % 2 == 0 ? pattern("surplus/" + request_.other, 1 + answer_.at) : otherAnswer();
     if (answer_.fault == Fault::surplus) {
-      write(own().whole() + more);
+      write(ownAnswer().bytes() + more);
       return;
     }
-    say(own());
+    writeMessage(ownAnswer());
     pause(1 + answer_.pauseMs);
     write(more);
   }
 
   std::string otherAnswer() const {
-    std::string const body = pattern(asked_.other + "/stale", 100 + answer_.at);
-    return message(200, fields(asked_.other, "stale-" + asked_.seal), {body}, Framing::length, body.size()).whole();
+    std::string const body = pattern(request_.other + "/stale", 100 + answer_.at);
+    return message(200, fields(request_.other, "stale-" + request_.seal), {body}, Framing::length, body.size()).bytes();
   }
 
   void twoAnswers() {
-    needEnd();
-    std::string const body = pattern(asked_.attempt + "/second", answer_.size);
+    ensureDelimited();
+    std::string const body = pattern(request_.attempt + "/second", answer_.size);
     std::string const second =
-        message(200, fields(asked_.attempt, "second-" + asked_.seal), {body}, Framing::length, body.size()).whole();
-    write(own().whole() + (answer_.variant % 2 == 0 ? second : ""));
+        message(200, fields(request_.attempt, "second-" + request_.seal), {body}, Framing::length, body.size()).bytes();
+    write(ownAnswer().bytes() + (answer_.variant % 2 == 0 ? second : ""));
     if (answer_.variant % 2 == 0) return;
     pause(1 + answer_.pauseMs);
     write(second);
@@ -269,7 +270,7 @@
     write(otherAnswer());
     if (answer_.variant % 2 == 0) return;
     pause(answer_.pauseMs);
-    say(own());
+    writeMessage(ownAnswer());
   }
 
   void badChunk() {
@@ -277,14 +278,14 @@
                                                     "5\r\nhelloXX", "5 5\r\nhello\r\n", "\r\n\r\n"};
     answer_.framing = Framing::chunks;
     broken();
-    Message m = own();
-    std::size_t const place = m.parts.empty() ? 0 : m.parts.size() * answer_.at / 1001;
-    m.parts.resize(place);
+    Message m = ownAnswer();
+    std::size_t const index = m.parts.empty() ? 0 : m.parts.size() * answer_.at / 1001;
+    m.parts.resize(index);
     out_.framed.clear();
-    for (std::size_t i = 0; i < place; ++i) out_.framed += pieces_[i];
+    for (std::size_t i = 0; i < index; ++i) out_.framed += bodyParts_[i];
     out_.framed += "hello";
     m.last = bad[answer_.variant % bad.size()];
-    write(m.whole());
+    write(m.bytes());
     if (answer_.variant % 3 == 0)
       hold();
     else
@@ -293,19 +294,19 @@
 
   /// The last event lacks its end, though the framing says that all is there.
   void truncated() {
-    if (pieces_.empty()) {
-      say(own());
+    if (bodyParts_.empty()) {
+      writeMessage(ownAnswer());
       return;
     }
-    std::string& last = pieces_.back();
+    std::string& last = bodyParts_.back();
     last.resize(last.size() * answer_.at / 1001);
-    if (last.empty()) pieces_.pop_back();
+    if (last.empty()) bodyParts_.pop_back();
     out_.framed.clear();
-    for (std::string const& p : pieces_) out_.framed += p;
-    say(own());
+    for (std::string const& p : bodyParts_) out_.framed += p;
+    writeMessage(ownAnswer());
   }
 
-  void silence() {
+  void stopAnswering() {
     write(atFault());
     if (answer_.at >= 1000 && answer_.framing != Framing::tillEnd) return;
     broken();
@@ -316,9 +317,9 @@
     std::string const bytes = atFault();
     bool const all = answer_.at >= 1000;
     if (answer_.framing == Framing::tillEnd && !answer_.reset && !all) {
-      std::size_t const head = own().head.size();
+      std::size_t const head = ownAnswer().head.size();
       out_.framed.resize(bytes.size() > head ? bytes.size() - head : 0);
-      out_.framedWhole = bytes.size() >= head;
+      out_.framedComplete = bytes.size() >= head;
     } else if (!all || (answer_.framing == Framing::tillEnd && answer_.reset)) {
       broken();
     }
@@ -327,7 +328,7 @@
   }
 
   void slowWrite() {
-    for (std::string const& p : cut(own().whole(), slowWriteParts)) {
+    for (std::string const& p : cut(ownAnswer().bytes(), slowWriteParts)) {
       write(p);
       pause(slowWriteMs);
     }
@@ -338,7 +339,8 @@
     static constexpr std::array<int, 3> statuses{503, 429, 421};
     out_.ran = false;
     answer_.framing = Framing::length;
-    say(small(statuses[answer_.variant % statuses.size()], fields(asked_.attempt, "") + wire::notRun + ": 1\r\n"));
+    writeMessage(smallAnswer(statuses[answer_.variant % statuses.size()],
+                             fields(request_.attempt, "") + wire::notRun + ": 1\r\n"));
   }
 
   void garbage() {
@@ -356,7 +358,8 @@
   /// Less comes than the length says.
   void shortBody() {
     broken();
-    write(message(200, fields(asked_.attempt, asked_.seal), pieces_, Framing::length, out_.framed.size() + 7).whole());
+    write(message(200, fields(request_.attempt, request_.seal), bodyParts_, Framing::length, out_.framed.size() + 7)
+              .bytes());
     if (answer_.variant % 2 == 0)
       hold();
     else
@@ -365,51 +368,51 @@
 
   /// Heads that contradict themselves, are too long or of another version.
   void oddHead() {
-    std::string const mine = fields(asked_.attempt, asked_.seal);
+    std::string const mine = fields(request_.attempt, request_.seal);
     std::string const length = std::to_string(out_.framed.size());
     switch (answer_.variant % 6) {
       case 0:
-        write(message(200, mine + "Content-Length: 3\r\n", pieces_, Framing::length, out_.framed.size()).whole());
+        write(message(200, mine + "Content-Length: 3\r\n", bodyParts_, Framing::length, out_.framed.size()).bytes());
         broken();
         break;
       case 1:
-        write(message(200, mine + "Content-Length: " + length + "\r\n", pieces_, Framing::chunks, 0).whole());
+        write(message(200, mine + "Content-Length: " + length + "\r\n", bodyParts_, Framing::chunks, 0).bytes());
         break;
       case 2:
-        write(message(200, mine + "X-Long: " + std::string(40000, 'x') + crlf, pieces_, Framing::length,
+        write(message(200, mine + "X-Long: " + std::string(40000, 'x') + crlf, bodyParts_, Framing::length,
                       out_.framed.size())
-                  .whole());
+                  .bytes());
         break;
       case 3: {
         answer_.framing = Framing::tillEnd;
-        std::string text = own().whole();
+        std::string text = ownAnswer().bytes();
         text.replace(0, 8, "HTTP/1.0");
         write(text);
         out_.steps.push_back(Step{Step::What::close});
         break;
       }
       case 4:
-        write(message(200, mine + "Content-Length: -1\r\n", pieces_, Framing::tillEnd, 0).whole());
+        write(message(200, mine + "Content-Length: -1\r\n", bodyParts_, Framing::tillEnd, 0).bytes());
         out_.steps.push_back(Step{Step::What::close});
         broken();
         break;
       default:
-        write(message(101, mine + "Upgrade: other\r\n", pieces_, Framing::tillEnd, 0).whole());
+        write(message(101, mine + "Upgrade: other\r\n", bodyParts_, Framing::tillEnd, 0).bytes());
         broken();
         break;
     }
   }
 
   Answer answer_;
-  Asked const& asked_;
-  std::vector<std::string> pieces_;
-  Script out_;
+  ReceivedRequest const& request_;
+  std::vector<std::string> bodyParts_;
+  ScriptedExchange out_;
 };
 
 }  // namespace
 
-Script scriptOf(Answer const& answer, Asked const& asked) {
-  return Writer(answer, asked).run();
+ScriptedExchange scriptedExchangeOf(Answer const& answer, ReceivedRequest const& request) {
+  return Writer(answer, request).run();
 }
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/script.h
+++ b/testing/fuzz/scripted_exchange.h
@@ -32,12 +32,12 @@
 };
 
 /// Who asks, and for what.
-struct Asked {
+struct ReceivedRequest {
   std::string attempt;
   std::string seal;
   /// Attempt whose answer may come in this one's place.
   std::string other;
-  bool row = false;
+  bool isEventStream = false;
   /// Events of the row, and the last that the caller has.
   std::size_t events = 0;
   std::size_t after = 0;
@@ -45,16 +45,16 @@
 };
 
 /// The steps, and what the answer comes to.
-struct Script {
+struct ScriptedExchange {
   std::vector<Step> steps;
   int status = 200;
   bool ran = true;
   bool slowReading = false;
   /// Body as the framing tells it, and whether it says that it is whole.
   std::string framed;
-  bool framedWhole = true;
+  bool framedComplete = true;
 };
 
-Script scriptOf(Answer const& answer, Asked const& asked);
+ScriptedExchange scriptedExchangeOf(Answer const& answer, ReceivedRequest const& request);
 
 }  // namespace corkward::fuzz
--- a/testing/golden/program.h
+++ b/testing/golden/program.h
@@ -23,11 +23,11 @@
 };
 
 /// Runs one of the built programs to its end, given its path below the build folder.
-inline ProgramRun runProgram(std::string const& program, QStringList const& words,
+inline ProgramRun runProgram(std::string const& program, QStringList const& arguments,
                              QProcessEnvironment const& environment = QProcessEnvironment::systemEnvironment()) {
   QProcess process;
   process.setProcessEnvironment(environment);
-  process.start(QString::fromStdString(std::string(CORKWARD_BIN) + "/" + program), words);
+  process.start(QString::fromStdString(std::string(CORKWARD_BIN) + "/" + program), arguments);
   process.closeWriteChannel();
   REQUIRE(process.waitForFinished(programLimitMs));
   REQUIRE(process.exitStatus() == QProcess::NormalExit);
@@ -64,10 +64,10 @@
   for (std::string const& line : recorded) {
     INFO(program << " " << line);
     std::size_t const space = line.find(' ');
-    QStringList words{QString::fromStdString(line.substr(0, space))};
-    if (space != std::string::npos) words << "1";
-    if (line != "--version") words << "--version";
-    ProgramRun const accepted = runProgram(program, words);
+    QStringList arguments{QString::fromStdString(line.substr(0, space))};
+    if (space != std::string::npos) arguments << "1";
+    if (line != "--version") arguments << "--version";
+    ProgramRun const accepted = runProgram(program, arguments);
     CHECK(accepted.err == "");
     CHECK(accepted.code == 0);
   }
--- a/testing/replica/main.cpp
+++ b/testing/replica/main.cpp
@@ -20,24 +20,24 @@
 /// down every run.
 class Replica : public QObject {
  public:
-  struct Ways {
+  struct Options {
     std::string http;
     std::string record;
     int slots = 4;
     int queue = 64;
     int firstMs = 40;
     int gapMs = 5;
-    int words = 5;
-    int longWords = 60;
+    int tokens = 5;
+    int longTokens = 60;
     int dropAfter = 0;
-    std::string life;
+    std::string incarnation;
   };
 
-  explicit Replica(Ways const& ways)
-      : ways_(ways),
+  explicit Replica(Options const& options)
+      : options_(options),
         name_(programs::randomId().substr(0, 8)),
-        record_(ways.record, std::ios::app),
-        server_(ways.http, http::ServerLimits{}, events()) {
+        record_(options.record, std::ios::app),
+        server_(options.http, http::ServerLimits{}, events()) {
     write("up", "", "", "");
   }
 
@@ -48,7 +48,7 @@
     std::string id;
     bool bulk = false;
     int firstMs = 0;
-    std::uint64_t words = 0;
+    std::uint64_t tokens = 0;
     std::uint64_t next = 0;
     std::string resumed;
     /// The answer is a row of events, whose ids go on from here.
@@ -58,8 +58,8 @@
 
   http::Server::Events events() {
     http::Server::Events e;
-    e.request = [this](http::Request r) { take(std::move(r)); };
-    e.disconnected = [this](std::uint64_t id) { gone(id); };
+    e.request = [this](http::Request r) { accept(std::move(r)); };
+    e.disconnected = [this](std::uint64_t id) { onDisconnected(id); };
     return e;
   }
 
@@ -68,23 +68,23 @@
             << " " << (more.empty() ? "-" : more) << std::endl;
   }
 
-  void take(http::Request r) {
+  void accept(http::Request r) {
     std::string const id = r.headers["corkward-request-id"];
     std::string const target = r.target;
     std::string const attempt = r.headers["corkward-attempt"];
     if (r.method == "GET" && target == "/corkward/life") {
-      write("asked", "", "", ways_.life);
-      if (ways_.life.empty())
+      write("asked", "", "", options_.incarnation);
+      if (options_.incarnation.empty())
         server_.respond(r.id, 404, {}, "");
       else
-        server_.respond(r.id, 200, {{"corkward-life", ways_.life}}, "");
+        server_.respond(r.id, 200, {{"corkward-life", options_.incarnation}}, "");
       return;
     }
     if (r.headers.count("corkward-run") > 0) {
       resume(r, id);
       return;
     }
-    if (static_cast<int>(running_.size() + queue_.size()) >= ways_.slots + ways_.queue) {
+    if (static_cast<int>(running_.size() + queue_.size()) >= options_.slots + options_.queue) {
       write("not-run", "", id, attempt);
       server_.respond(r.id, 503, {{"corkward-run", "none"}}, "");
       return;
@@ -94,10 +94,10 @@
     run.run = name_ + "-" + std::to_string(++count_);
     run.id = id;
     run.bulk = target.find("narrate") != std::string::npos || target.find("deck") != std::string::npos;
-    run.words = static_cast<std::uint64_t>(run.bulk ? ways_.longWords : ways_.words);
-    run.firstMs = ways_.firstMs;
+    run.tokens = static_cast<std::uint64_t>(run.bulk ? options_.longTokens : options_.tokens);
+    run.firstMs = options_.firstMs;
     run.events = target.find("tale") != std::string::npos;
-    if (run.events) run.words = static_cast<std::uint64_t>(ways_.longWords);
+    if (run.events) run.tokens = static_cast<std::uint64_t>(options_.longTokens);
     if (run.events && r.headers.count("last-event-id") > 0) run.next = std::stoull(r.headers.at("last-event-id"));
     std::string prefix;
     try {
@@ -134,11 +134,11 @@
   }
 
   void next() {
-    while (static_cast<int>(running_.size()) < ways_.slots && !queue_.empty()) {
+    while (static_cast<int>(running_.size()) < options_.slots && !queue_.empty()) {
       Run const run = queue_.front();
       queue_.pop_front();
       running_[run.call] = run;
-      known_[run.run] = run.words;
+      known_[run.run] = run.tokens;
       std::uint64_t const call = run.call;
       QTimer::singleShot(run.firstMs, this, [this, call] { step(call); });
     }
@@ -154,19 +154,19 @@
     }
     if (run.next == 0)
       server_.beginResponse(call, 200, {{"corkward-run", run.run}, {"content-type", "text/plain"}}, -1);
-    if (ways_.dropAfter > 0 && run.next == static_cast<std::uint64_t>(ways_.dropAfter)) {
+    if (options_.dropAfter > 0 && run.next == static_cast<std::uint64_t>(options_.dropAfter)) {
       write("dropped", run.run, run.id, "");
       running_.erase(it);
       server_.abort(call);
       next();
       return;
     }
-    if (run.next < run.words) {
-      server_.writeChunk(call, word(run.run, run.next++));
-      QTimer::singleShot(ways_.gapMs, this, [this, call] { step(call); });
+    if (run.next < run.tokens) {
+      server_.writeChunk(call, tokenText(run.run, run.next++));
+      QTimer::singleShot(options_.gapMs, this, [this, call] { step(call); });
       return;
     }
-    server_.writeChunk(call, run.run + " end " + std::to_string(run.words) + "\n");
+    server_.writeChunk(call, run.run + " end " + std::to_string(run.tokens) + "\n");
     server_.finishResponse(call);
     write("end", run.run, run.id, "");
     running_.erase(it);
@@ -178,10 +178,10 @@
     if (!run.begun)
       server_.beginResponse(call, 200, {{"corkward-run", run.run}, {"content-type", "text/event-stream"}}, -1);
     run.begun = true;
-    if (run.next < run.words) {
+    if (run.next < run.tokens) {
       std::string const number = std::to_string(++run.next);
       server_.writeChunk(call, "id: " + number + "\ndata: " + run.id + " " + number + "\n\n");
-      QTimer::singleShot(ways_.gapMs, this, [this, call] { step(call); });
+      QTimer::singleShot(options_.gapMs, this, [this, call] { step(call); });
       return;
     }
     server_.finishResponse(call);
@@ -190,7 +190,7 @@
     next();
   }
 
-  void gone(std::uint64_t id) {
+  void onDisconnected(std::uint64_t id) {
     auto const it = running_.find(id);
     if (it != running_.end()) {
       write("gone", it->second.run, it->second.id, "");
@@ -205,7 +205,7 @@
     next();
   }
 
-  Ways ways_;
+  Options options_;
   std::string name_;
   std::ofstream record_;
   std::uint64_t count_ = 0;
@@ -220,23 +220,23 @@
 
 int main(int argc, char** argv) {
   QCoreApplication app(argc, argv);
-  corkward::testing::Replica::Ways w;
+  corkward::testing::Replica::Options options;
   boost::program_options::options_description flags("standin-replica");
-  flags.add_options()("http", boost::program_options::value(&w.http)->required(), "own address")(
-      "record", boost::program_options::value(&w.record)->required(), "file that every run is written to")(
-      "slots", boost::program_options::value(&w.slots), "runs at a time")(
-      "queue", boost::program_options::value(&w.queue), "runs that wait")(
-      "first-ms", boost::program_options::value(&w.firstMs), "time to the first word")(
-      "gap-ms", boost::program_options::value(&w.gapMs), "time between words")(
-      "words", boost::program_options::value(&w.words), "words of a short run")(
-      "long-words", boost::program_options::value(&w.longWords), "words of a long run")(
-      "life", boost::program_options::value(&w.life), "name of this life, told to who asks for it")(
-      "drop-after", boost::program_options::value(&w.dropAfter), "cut every stream after so many words");
+  flags.add_options()("http", boost::program_options::value(&options.http)->required(), "own address")(
+      "record", boost::program_options::value(&options.record)->required(), "file that every run is written to")(
+      "slots", boost::program_options::value(&options.slots), "runs at a time")(
+      "queue", boost::program_options::value(&options.queue), "runs that wait")(
+      "first-ms", boost::program_options::value(&options.firstMs), "time to the first word")(
+      "gap-ms", boost::program_options::value(&options.gapMs), "time between words")(
+      "words", boost::program_options::value(&options.tokens), "words of a short run")(
+      "long-words", boost::program_options::value(&options.longTokens), "words of a long run")(
+      "life", boost::program_options::value(&options.incarnation), "name of this life, told to who asks for it")(
+      "drop-after", boost::program_options::value(&options.dropAfter), "cut every stream after so many words");
   try {
     boost::program_options::variables_map vm;
     boost::program_options::store(boost::program_options::parse_command_line(argc, argv, flags), vm);
     boost::program_options::notify(vm);
-    corkward::testing::Replica replica(w);
+    corkward::testing::Replica replica(options);
     return QCoreApplication::exec();
   } catch (std::exception const& e) {
     std::cerr << "standin-replica: " << e.what() << "\n";
--- a/testing/sim/callers.cpp
+++ b/testing/sim/callers.cpp
@@ -5,7 +5,7 @@
 
 namespace corkward::testing {
 
-void World::callerArrives() {
+void SimulatedCluster::callerArrives() {
   if (quiet_) return;
   double const gap = -std::log(1.0 - static_cast<double>(rng_.below(1000000)) / 1000000.0) * 1000.0 / demandNow_;
   after(std::max<Tick>(1, static_cast<Tick>(gap)), [this] { callerArrives(); });
@@ -40,7 +40,7 @@
   callerSends(id);
 }
 
-void World::callerSends(std::string const& id) {
+void SimulatedCluster::callerSends(std::string const& id) {
   auto const it = callers_.find(id);
   if (it == callers_.end()) return;
   Caller& c = it->second;
@@ -59,7 +59,7 @@
   }
   Node& n = *up[rng_.below(up.size())];
   c.node = n.link;
-  c.life = n.life;
+  c.incarnation = n.incarnation;
   c.call = nextCall_++;
   c.open = true;
   c.brokenOff = false;
@@ -76,18 +76,18 @@
   r.earlierNotExecuted = c.numbered && c.attempt > 1 && c.earlierNotRun;
   r.earlierReachedReplica = c.earlierReached;
   std::string const link = n.link;
-  std::uint64_t const life = n.life;
+  std::uint64_t const incarnation = n.incarnation;
   std::uint64_t const call = c.call;
-  after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, r] {
-    toNode(link, life, [this, link, r] {
+  after(1 + static_cast<Tick>(rng_.below(3)), [this, link, incarnation, r] {
+    toNode(link, incarnation, [this, link, r] {
       Node& k = *node(link);
       run(k, k.data->onRequest(local(k), r));
     });
   });
-  after(callerPatience, [this, id, call, link, life] {
+  after(callerPatience, [this, id, call, link, incarnation] {
     auto const k = callers_.find(id);
-    if (k == callers_.end() || !k->second.open || k->second.call != call || k->second.worded) return;
-    toNode(link, life, [this, link, call] {
+    if (k == callers_.end() || !k->second.open || k->second.call != call || k->second.firstTokenReceived) return;
+    toNode(link, incarnation, [this, link, call] {
       Node& m = *node(link);
       run(m, m.data->onCallerDisconnected(local(m), call));
     });
@@ -95,16 +95,16 @@
   });
 }
 
-bool World::again(Caller& c) {
+bool SimulatedCluster::again(Caller& c) {
   if (!plan_.fenced || !c.hard || c.attempt >= 12 || now_ > c.deadline) return false;
   c.open = false;
-  c.worded = false;
+  c.firstTokenReceived = false;
   c.earlierNotRun = false;
   after(20 + static_cast<Tick>(rng_.below(100)), [this, id = c.id] { callerSends(id); });
   return true;
 }
 
-void World::callerRejected(std::string const& id, dataplane::Reject const& d) {
+void SimulatedCluster::callerRejected(std::string const& id, dataplane::Reject const& d) {
   Caller& c = callers_.at(id);
   c.open = false;
   ++result_.counts["denied-" + std::to_string(d.status) + (d.status == 409 ? " " + d.reason : "")];
@@ -125,7 +125,7 @@
   after(wait, [this, id] { callerSends(id); });
 }
 
-void World::callerCut(std::string const& id) {
+void SimulatedCluster::callerCut(std::string const& id) {
   auto const it = callers_.find(id);
   if (it == callers_.end() || !it->second.open) return;
   Caller& c = it->second;
@@ -133,14 +133,14 @@
   c.earlierNotRun = false;
   if (c.status < 500 && !c.got.empty() && !oneBody(c))
     violation("a stream has a gap, a repeat or a join, and was cut: " + id);
-  if (!plan_.fenced || c.worded || c.attempt >= 4 || now_ > c.deadline) {
-    callerEnds(id, c.worded ? "broken" : "cut");
+  if (!plan_.fenced || c.firstTokenReceived || c.attempt >= 4 || now_ > c.deadline) {
+    callerEnds(id, c.firstTokenReceived ? "broken" : "cut");
     return;
   }
   after(50 + static_cast<Tick>(rng_.below(rng_.chance(0.3) ? 8000 : 400)), [this, id] { callerSends(id); });
 }
 
-void World::callerEnds(std::string const& id, std::string const& outcome) {
+void SimulatedCluster::callerEnds(std::string const& id, std::string const& outcome) {
   ++result_.counts[outcome];
   callers_.at(id).open = false;
   if (outcome == "served") servedSince_ = true;
--- a/testing/sim/certificates.cpp
+++ b/testing/sim/certificates.cpp
@@ -18,15 +18,15 @@
 
 }  // namespace
 
-std::string World::lifeOf(Replica const& r) const {
-  return r.address + "/" + std::to_string(r.life);
+std::string SimulatedCluster::incarnationName(Replica const& r) const {
+  return r.address + "/" + std::to_string(r.incarnation);
 }
 
-std::int64_t World::wall() const {
+std::int64_t SimulatedCluster::wall() const {
   return wallBegin + now_ + wallJump_;
 }
 
-QJsonObject World::certificateFor(std::string const& name, Tick lasts) const {
+QJsonObject SimulatedCluster::certificateFor(std::string const& name, Tick lasts) const {
   std::size_t const dash = name.rfind('-');
   QJsonObject out{{"regime", regime},
                   {"carrier", "nacelles"},
@@ -38,7 +38,7 @@
   return out;
 }
 
-std::vector<std::string> World::certificateNames() const {
+std::vector<std::string> SimulatedCluster::certificateNames() const {
   std::vector<std::string> out;
   for (char const* const pool : {"model", "other"})
     for (int z = 1; z < plan_.zones; ++z) out.push_back(std::string(pool) + "-z" + std::to_string(z));
@@ -46,7 +46,7 @@
   return out;
 }
 
-void World::declareRegime() {
+void SimulatedCluster::declareRegime() {
   QJsonObject all;
   for (std::string const& name : certificateNames()) all.insert(core::toQString(name), certificateFor(name, farAway));
   QJsonObject const spec{
@@ -63,7 +63,7 @@
          });
 }
 
-void World::declareRegulated() {
+void SimulatedCluster::declareRegulated() {
   change("family:desk/nord", "", "PUT", std::string(templatePath) + "/instances/nord",
          plan_.bound ? R"({"parameters":{"site":"s"},"regime":"health"})" : R"({"parameters":{"site":"s"}})", "0", "",
          [this](int status, QJsonObject const&) {
@@ -71,7 +71,7 @@
          });
 }
 
-void World::patchCertificates(std::vector<std::string> const& names, Tick lasts) {
+void SimulatedCluster::patchCertificates(std::vector<std::string> const& names, Tick lasts) {
   QJsonObject all;
   for (std::string const& name : names) {
     all.insert(core::toQString(name), certificateFor(name, lasts));
@@ -93,7 +93,7 @@
          });
 }
 
-void World::revoke(std::string const& name) {
+void SimulatedCluster::revoke(std::string const& name) {
   std::uint64_t const turn = ++certificateTurns_[name];
   change(config::regimesKey, "", "DELETE", std::string(page) + "/" + name, "", "", "",
          [this, name, turn](int status, QJsonObject const& answer) {
@@ -104,7 +104,7 @@
          });
 }
 
-void World::certificateTurn() {
+void SimulatedCluster::certificateTurn() {
   if (quiet_) return;
   after(700 + static_cast<Tick>(rng_.below(1500)), [this] { certificateTurn(); });
   std::vector<std::string> const names = certificateNames();
@@ -126,27 +126,29 @@
   }
 }
 
-void World::watchLives() {
-  after(1000, [this] { watchLives(); });
+void SimulatedCluster::watchIncarnations() {
+  after(1000, [this] { watchIncarnations(); });
   for (auto const& [address, replica] : replicas_) {
-    auto const it = shownLives_.find(address);
-    if (!replica.listed || (it != shownLives_.end() && it->second == lifeOf(replica))) continue;
+    auto const it = listedIncarnations_.find(address);
+    if (!replica.listed || (it != listedIncarnations_.end() && it->second == incarnationName(replica))) continue;
     platform();
     return;
   }
 }
 
-void World::checkRegime(Caller const& caller, Node const& from, Replica const& r, Forwarded const& forwarded) {
+void SimulatedCluster::checkRegime(Caller const& caller, Node const& from, Replica const& r,
+                                   Forwarded const& forwarded) {
   if (!plan_.regimes || !plan_.bound || caller.instance != regulated) return;
   ++result_.counts["regulated"];
   std::string const last = "z" + std::to_string(plan_.zones);
   if (r.zone == last) violation("a regulated request reached a replica that never had a certificate: " + r.address);
   if (plan_.certifiedRouters && from.zone == last)
     violation("a regulated request was handed on by a node that never had a certificate: " + from.link);
-  if (everListed_.count(lifeOf(r)) == 0)
-    violation("a regulated request reached a life that was never on the platform's list: " + lifeOf(r));
-  if (forwarded.recorded != lifeOf(r))
-    violation("a regulated request ran without a record: at " + lifeOf(r) + ", recorded for " + forwarded.recorded);
+  if (everListed_.count(incarnationName(r)) == 0)
+    violation("a regulated request reached a life that was never on the platform's list: " + incarnationName(r));
+  if (forwarded.recorded != incarnationName(r))
+    violation("a regulated request ran without a record: at " + incarnationName(r) + ", recorded for " +
+              forwarded.recorded);
   std::vector<std::string> needed{r.pool + "-" + r.zone};
   if (plan_.certifiedRouters) needed.push_back("nacelles-" + from.zone);
   for (std::string const& name : needed) {
--- a/testing/sim/peer_heartbeats.cpp
+++ b/testing/sim/contact_oracles.cpp
@@ -9,24 +9,24 @@
 
 namespace {
 
-constexpr Tick lookEvery = 50;
+constexpr Tick inspectionInterval = 50;
 
 }  // namespace
 
-bool World::running(Node const& n) const {
+bool SimulatedCluster::running(Node const& n) const {
   return n.alive && !n.frozen && n.step == 0 && !n.draining;
 }
 
-bool World::joined(std::string const& a, std::string const& b) const {
+bool SimulatedCluster::joined(std::string const& a, std::string const& b) const {
   if (a == b) return true;
   if (cuts_.count({a, b}) > 0 || cuts_.count({b, a}) > 0) return false;
   Node const* const x = node(a);
   Node const* const y = node(b);
-  bool const apart = x != nullptr && y != nullptr && x->zone != y->zone;
-  return !apart || (zoneCuts_.count(x->zone) == 0 && zoneCuts_.count(y->zone) == 0);
+  bool const differentZones = x != nullptr && y != nullptr && x->zone != y->zone;
+  return !differentZones || (zoneCuts_.count(x->zone) == 0 && zoneCuts_.count(y->zone) == 0);
 }
 
-std::set<std::string> World::settledCore() const {
+std::set<std::string> SimulatedCluster::stableCore() const {
   std::size_t disks = 0;
   std::set<std::string> out;
   for (auto const& [link, node] : nodes_) disks += node.disk ? 1 : 0;
@@ -40,12 +40,12 @@
   return out;
 }
 
-std::string World::coreState() const {
+std::string SimulatedCluster::coreState() const {
   std::string out;
   for (auto const& [link, node] : nodes_) {
     if (!node.disk) continue;
     bool const harmed = node.diskStalled || node.diskDelay != 2 || node.disk->full || node.disk->failing;
-    out += link + ":" + std::to_string(node.life) + (running(node) ? "+" : "-") + (harmed ? "!" : "");
+    out += link + ":" + std::to_string(node.incarnation) + (running(node) ? "+" : "-") + (harmed ? "!" : "");
     for (auto const& [address, machine] : nodes_)
       if (machine.disk) out += joined(link, address) ? "1" : "0";
     out += " ";
@@ -53,7 +53,7 @@
   return out;
 }
 
-bool World::calm() const {
+bool SimulatedCluster::calm() const {
   if (!cuts_.empty() || !zoneCuts_.empty() || loss_ > 0) return false;
   return std::all_of(nodes_.begin(), nodes_.end(), [](auto const& entry) {
     Node const& node = entry.second;
@@ -63,32 +63,32 @@
   });
 }
 
-bool World::inTouch(Node const& n) const {
-  return !settled_.empty() && now_ - coreChangedAt_ >= plan_.bounds.inTouch &&
-         now_ - n.troubledAt >= plan_.bounds.inTouch;
+bool SimulatedCluster::inContact(Node const& n) const {
+  return !stableCore_.empty() && now_ - coreChangedAt_ >= plan_.bounds.inContact &&
+         now_ - n.troubledAt >= plan_.bounds.inContact;
 }
 
-Tick World::boundFrom(Node const& n, Tick since) const {
+Tick SimulatedCluster::boundFrom(Node const& n, Tick since) const {
   if (plan_.fenced) return since;
-  if (!inTouch(n)) return -1;
-  return std::max({since, n.troubledAt + plan_.bounds.inTouch, coreChangedAt_ + plan_.bounds.inTouch}) +
+  if (!inContact(n)) return -1;
+  return std::max({since, n.troubledAt + plan_.bounds.inContact, coreChangedAt_ + plan_.bounds.inContact}) +
          plan_.bounds.applied;
 }
 
-void World::inspect() {
-  if (now_ > trafficFrom - 10000 + plan_.length + settleFor + 15000) return;
-  after(lookEvery, [this] { inspect(); });
+void SimulatedCluster::inspect() {
+  if (now_ > trafficFrom - 10000 + plan_.length + recoveryPeriod + 15000) return;
+  after(inspectionInterval, [this] { inspect(); });
   std::string const state = coreState();
   if (state != coreState_) coreChangedAt_ = now_;
   coreState_ = state;
-  settled_ = settledCore();
+  stableCore_ = stableCore();
   if (!calm()) troubledAt_ = now_;
   bool const bad = state.find('-') != std::string::npos || state.find('!') != std::string::npos ||
                    state.find('0') != std::string::npos;
   if (!calm() || bad || state.empty()) memberTroubledAt_ = now_;
   for (auto& n : nodes_) {
-    bool const path =
-        std::all_of(settled_.begin(), settled_.end(), [&](std::string const& link) { return joined(n.first, link); });
+    bool const path = std::all_of(stableCore_.begin(), stableCore_.end(),
+                                  [&](std::string const& link) { return joined(n.first, link); });
     if (!running(n.second) || !path || loss_ > 0) n.second.troubledAt = now_;
   }
   inspectRouters();
@@ -96,7 +96,7 @@
   inspectOrders();
 }
 
-void World::inspectBeginning(Node& n) {
+void SimulatedCluster::inspectBeginning(Node& n) {
   if (n.begun || !n.alive || !n.data || !n.data->servingLease(local(n))) return;
   n.begun = true;
   std::uint64_t const have = n.data->revisionOf(config::fleetConfigurationKey);
@@ -105,23 +105,23 @@
               ", confirmed before its start was " + std::to_string(n.confirmedBefore));
 }
 
-void World::inspectRouters() {
+void SimulatedCluster::inspectRouters() {
   for (auto& [link, node] : nodes_) {
     Node& k = node;
     if (!k.data || !k.alive || k.frozen) continue;
     std::uint64_t const have = k.data->revisionOf(config::fleetConfigurationKey);
-    if (!inTouch(k)) continue;
+    if (!inContact(k)) continue;
     for (Order const& o : orders_)
-      if (o.takenAt >= 0 && o.revision > have && now_ > o.takenAt + plan_.bounds.applied) {
+      if (o.acknowledgedAt >= 0 && o.revision > have && now_ > o.acknowledgedAt + plan_.bounds.applied) {
         violation("out of date though in touch: " + link + " has revision " + std::to_string(have) + ", " +
-                  std::to_string(o.revision) + " was confirmed " + std::to_string(now_ - o.takenAt) +
+                  std::to_string(o.revision) + " was confirmed " + std::to_string(now_ - o.acknowledgedAt) +
                   " ms ago; in trouble last " + std::to_string(now_ - k.troubledAt) + " ms ago");
         break;
       }
   }
 }
 
-void World::inspectMembers() {
+void SimulatedCluster::inspectMembers() {
   Tick const since = std::max(coreChangedAt_, memberTroubledAt_);
   if (now_ - since < plan_.bounds.catchUp) return;
   std::size_t disks = 0;
@@ -138,10 +138,10 @@
   }
 }
 
-void World::inspectOrders() {
-  Tick const settledFrom = std::max(coreChangedAt_, troubledAt_) + plan_.bounds.inTouch;
+void SimulatedCluster::inspectOrders() {
+  Tick const stableFrom = std::max(coreChangedAt_, troubledAt_) + plan_.bounds.inContact;
   for (Order& o : orders_) {
-    if (o.judgedLate || o.takenAt >= 0 || o.closed || o.sentAt < settledFrom || settled_.empty()) continue;
+    if (o.judgedLate || o.acknowledgedAt >= 0 || o.closed || o.sentAt < stableFrom || stableCore_.empty()) continue;
     if (now_ - o.sentAt <= plan_.bounds.acknowledged) continue;
     o.judgedLate = true;
     violation("no acknowledgement in " + std::to_string(now_ - o.sentAt) + " ms of a settled core: " + o.id);
--- a/testing/sim/control_faults.cpp
+++ b/testing/sim/control_faults.cpp
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-void World::causeOfControl(Fault f) {
+void SimulatedCluster::causeOfControl(Fault f) {
   switch (f) {
     case Fault::secondLoss:
       loseSecond();
       break;
     case Fault::replaceInTurn: {
-      if (!wholeCore() || repairing_ || replacedInTurn_ > 0) break;
+      if (!coreComplete() || repairing_ || replacedInTurn_ > 0) break;
       repairing_ = true;
       std::vector<std::string> old;
       for (auto const& [link, node] : nodes_)
@@ -38,24 +38,24 @@
           o.burstLeast + static_cast<int>(rng_.below(static_cast<std::uint64_t>(o.burstMost - o.burstLeast + 1)));
       break;
     }
-    case Fault::powerAtTaken:
+    case Fault::powerLossAtAcknowledgement:
       strike_ = Strike{true, false, false, rng_.chance(0.4)};
       break;
-    case Fault::powerAtTimed:
+    case Fault::powerLossAtTime:
       strike_ = Strike{true, true, rng_.chance(0.3), rng_.chance(0.4)};
       break;
-    case Fault::wipeAtTaken:
+    case Fault::wipeAtAcknowledgement:
       strike_ = Strike{true, false, true, rng_.chance(0.3)};
       break;
     case Fault::massPower:
       strike(Strike{true, false, false, true});
       break;
     default:
-      cutMember(f);
+      partitionMember(f);
   }
 }
 
-std::string World::oldestDisk(bool oldest) {
+std::string SimulatedCluster::oldestDisk(bool oldest) {
   std::vector<std::string> out;
   Tick since = -1;
   for (auto const& [link, node] : nodes_) {
@@ -68,29 +68,31 @@
   return out.empty() ? std::string() : out[rng_.below(out.size())];
 }
 
-std::vector<std::pair<std::string, std::string>> World::cutPairs(Fault f, std::vector<std::string> const& cut) {
-  bool const extras = f == Fault::cutMemberBoth || f == Fault::cutMemberSeeds || f == Fault::cutMemberLure;
-  bool const all = f == Fault::cutMemberAll || (extras && rng_.chance(0.5));
-  bool const near = f == Fault::cutMemberNear || (extras && !all && rng_.chance(0.5));
+std::vector<std::pair<std::string, std::string>> SimulatedCluster::cutPairs(Fault f,
+                                                                            std::vector<std::string> const& cut) {
+  bool const extras =
+      f == Fault::partitionMemberBoth || f == Fault::partitionMemberSeeds || f == Fault::partitionMemberLure;
+  bool const all = f == Fault::partitionMemberAll || (extras && rng_.chance(0.5));
+  bool const near = f == Fault::partitionMemberNear || (extras && !all && rng_.chance(0.5));
   bool const backwards = rng_.chance(0.5);
   std::vector<std::pair<std::string, std::string>> out;
   for (std::string const& c : cut)
     for (auto const& [address, machine] : nodes_) {
       if (std::find(cut.begin(), cut.end(), address) != cut.end()) continue;
       if (!machine.disk && !all && !(near && machine.zone != node(c)->zone)) continue;
-      if (f != Fault::cutMemberOneWay || !backwards) out.emplace_back(c, address);
-      if (f != Fault::cutMemberOneWay || backwards) out.emplace_back(address, c);
+      if (f != Fault::partitionMemberAsymmetric || !backwards) out.emplace_back(c, address);
+      if (f != Fault::partitionMemberAsymmetric || backwards) out.emplace_back(address, c);
     }
   return out;
 }
 
-void World::cutMember(Fault f) {
+void SimulatedCluster::partitionMember(Fault f) {
   if (coreCut_) return;
   std::vector<std::string> cut;
-  std::string const first = oldestDisk(f == Fault::cutMemberOldest);
+  std::string const first = oldestDisk(f == Fault::partitionMemberOldest);
   if (first.empty()) return;
   cut.push_back(first);
-  std::string const second = oldestDisk(f == Fault::cutMemberOldest);
+  std::string const second = oldestDisk(f == Fault::partitionMemberOldest);
   std::size_t disks = 0;
   for (auto const& [address, machine] : nodes_) disks += machine.disk ? 1 : 0;
   if (disks >= 5 && second != first && rng_.chance(0.5)) cut.push_back(second);
@@ -122,21 +124,21 @@
   cutExtras(f, cut, how);
 }
 
-void World::cutExtras(Fault f, std::vector<std::string> const& cut, Tick how) {
-  if (f == Fault::cutMemberSeeds) {
+void SimulatedCluster::cutExtras(Fault f, std::vector<std::string> const& cut, Tick how) {
+  if (f == Fault::partitionMemberSeeds) {
     newSeeds(cut);
     for (auto const& [address, machine] : nodes_)
       if (rng_.chance(0.3) && machine.data) restartLater(address, how / 3);
   }
-  if (f == Fault::cutMemberLure) after(how / 3, [this, cut] { lure(cut); });
-  if (f != Fault::cutMemberBoth) return;
+  if (f == Fault::partitionMemberLure) after(how / 3, [this, cut] { lure(cut); });
+  if (f != Fault::partitionMemberBoth) return;
   Tick t = how / 3;
   for (std::string const& link : cut) restartLater(link, t);
   for (auto const& [name, process] : nodes_)
     if (process.disk && std::find(cut.begin(), cut.end(), name) == cut.end()) restartLater(name, t += 1500);
 }
 
-void World::restartLater(std::string const& link, Tick delay) {
+void SimulatedCluster::restartLater(std::string const& link, Tick delay) {
   after(delay, [this, link] {
     Node* const n = node(link);
     if (n == nullptr || !n->alive) return;
@@ -148,7 +150,7 @@
   });
 }
 
-void World::newSeeds(std::vector<std::string> const& first) {
+void SimulatedCluster::newSeeds(std::vector<std::string> const& first) {
   std::vector<std::string> seeds = first;
   for (auto const& [link, node] : nodes_)
     if (node.disk && seeds.size() < 3 && std::find(seeds.begin(), seeds.end(), link) == seeds.end())
@@ -161,7 +163,7 @@
   }
 }
 
-void World::lure(std::vector<std::string> const& cut) {
+void SimulatedCluster::lure(std::vector<std::string> const& cut) {
   std::vector<std::string> models;
   for (auto const& [replicaAddress, modelReplica] : replicas_)
     if (modelReplica.up && modelReplica.listed && modelReplica.state == "serving" && modelReplica.pool == "model")
@@ -175,7 +177,7 @@
   after(9000, [this, address] { replaceReplica(address); });
 }
 
-void World::meetOrders(std::string const& link) {
+void SimulatedCluster::meetOrders(std::string const& link) {
   Node const* const n = node(link);
   if (n == nullptr || !n->alive || !n->control) return;
   ++result_.counts["meets"];
@@ -183,8 +185,8 @@
   if (rng_.chance(plan_.operators.race)) orderAnew(link);
 }
 
-void World::loseSecond() {
-  if (!wholeCore() || repairing_) return;
+void SimulatedCluster::loseSecond() {
+  if (!coreComplete() || repairing_) return;
   std::string const first = oldestDisk(rng_.chance(0.5));
   if (first.empty()) return;
   repairing_ = true;
@@ -213,21 +215,21 @@
   });
 }
 
-void World::replaceNext(std::vector<std::string> old) {
+void SimulatedCluster::replaceNext(std::vector<std::string> old) {
   if (old.empty()) {
     repairing_ = false;
     return;
   }
   Tick const wait = plan_.bounds.catchUp + static_cast<Tick>(rng_.below(500));
   std::string const link = old.back();
-  if (Node const* const n = node(link); n == nullptr || !wholeCore()) {
+  if (Node const* const n = node(link); n == nullptr || !coreComplete()) {
     repairing_ = false;
     return;
   }
   old.pop_back();
-  Node& gone = *node(link);
-  std::string const zone = gone.zone;
-  kill(gone, true);
+  Node& replaced = *node(link);
+  std::string const zone = replaced.zone;
+  kill(replaced, true);
   nodes_.erase(link);
   ++result_.counts["replaced-in-turn"];
   std::string const fresh = "r" + std::to_string(++replacedInTurn_);
@@ -244,11 +246,11 @@
   after(1000 + wait, [this, old] { replaceNext(old); });
 }
 
-void World::afterBurst() {
+void SimulatedCluster::afterBurst() {
   ++result_.counts["bursts-done"];
   std::string const link = oldestDisk(rng_.chance(0.5));
   if (link.empty()) return;
-  bool const wipe = wholeCore() && rng_.chance(0.6);
+  bool const wipe = coreComplete() && rng_.chance(0.6);
   Node& n = *node(link);
   kill(n, true);
   if (wipe) {
@@ -261,9 +263,9 @@
   });
 }
 
-void World::strike(Strike const& strike) {
+void SimulatedCluster::strike(Strike const& strike) {
   ++result_.counts["strikes"];
-  std::string const wiped = strike.wipe && wholeCore() ? oldestDisk(rng_.chance(0.5)) : std::string();
+  std::string const wiped = strike.wipe && coreComplete() ? oldestDisk(rng_.chance(0.5)) : std::string();
   bool const most = wiped.empty() || rng_.chance(0.5);
   for (auto& [address, machine] : nodes_) {
     bool const hit = machine.disk ? most || address == wiped : strike.everyone && rng_.chance(0.7);
--- a/testing/sim/disk.cpp
+++ b/testing/sim/disk.cpp
@@ -79,8 +79,8 @@
       ++lostNames_;
       continue;
     }
-    auto const gone = safe_.find(change.gone);
-    if (gone != safe_.end() && gone->second == change.file) safe_.erase(gone);
+    auto const removedName = safe_.find(change.removedName);
+    if (removedName != safe_.end() && removedName->second == change.file) safe_.erase(removedName);
     if (!change.fresh.empty()) safe_[change.fresh] = change.file;
   }
   loose_.clear();
--- a/testing/sim/disk.h
+++ b/testing/sim/disk.h
@@ -51,7 +51,7 @@
   using Names = std::map<std::string, std::shared_ptr<File>>;
   /// A change of the folder that is not synced yet; an empty name stands for none.
   struct NameChange {
-    std::string gone;
+    std::string removedName;
     std::string fresh;
     std::shared_ptr<File> file;
   };
--- a/testing/sim/faults.cpp
+++ b/testing/sim/faults.cpp
@@ -5,13 +5,13 @@
 
 namespace corkward::testing {
 
-int World::live(bool control) const {
+int SimulatedCluster::live(bool control) const {
   int n = 0;
   for (auto const& [link, node] : nodes_) n += node.alive && !node.frozen && (node.disk != nullptr) == control ? 1 : 0;
   return n;
 }
 
-bool World::wholeCore() const {
+bool SimulatedCluster::coreComplete() const {
   std::size_t disks = 0;
   for (auto const& [link, node] : nodes_) disks += node.disk ? 1 : 0;
   for (auto const& [address, machine] : nodes_)
@@ -21,19 +21,20 @@
   return true;
 }
 
-void World::cause(Fault f) {
-  for (FaultRow const& row : faultTable)
-    if (row.fault == f) result_.timeline.push_back(std::to_string(now_) + " " + row.name);
+void SimulatedCluster::cause(Fault f) {
+  for (FaultName const& entry : faultTable)
+    if (entry.fault == f) result_.timeline.push_back(std::to_string(now_) + " " + entry.name);
   ++result_.counts["faults"];
   if (f >= firstOfControl) {
     causeOfControl(f);
     return;
   }
   constexpr std::array<Fault, 19> hitsReturn{
-      Fault::killHerd,    Fault::killControl, Fault::freezeController, Fault::isolateMember,   Fault::splitCore,
-      Fault::cutCore,     Fault::cutZone,     Fault::oneWayCut,        Fault::diskSlow,        Fault::diskStall,
-      Fault::diskFull,    Fault::diskFail,    Fault::powerLoss,        Fault::diskDamage,      Fault::restartController,
-      Fault::longAbsence, Fault::zoneLoss,    Fault::slowController,   Fault::resetConnections};
+      Fault::killHerd,  Fault::killControl,    Fault::freezeController,  Fault::isolateMember,
+      Fault::splitCore, Fault::partitionCore,  Fault::partitionZone,     Fault::oneWayPartition,
+      Fault::diskSlow,  Fault::diskStall,      Fault::diskFull,          Fault::diskFail,
+      Fault::powerLoss, Fault::diskDamage,     Fault::restartController, Fault::longAbsence,
+      Fault::zoneLoss,  Fault::slowController, Fault::resetConnections};
   if (totalOutage_ && std::find(hitsReturn.begin(), hitsReturn.end(), f) != hitsReturn.end()) returnHit_ = true;
   std::vector<Node*> control;
   std::vector<Node*> data;
@@ -137,10 +138,10 @@
       cut(a, b, shortly + 1000);
       break;
     }
-    case Fault::cutCore:
+    case Fault::partitionCore:
       cut(controlLinks, dataLinks, shortly + 2000);
       break;
-    case Fault::cutZone: {
+    case Fault::partitionZone: {
       std::string const z = "z" + std::to_string(1 + rng_.below(static_cast<std::uint64_t>(plan_.zones)));
       zoneCuts_.insert(z);
       after(shortly + 1000, [this, z] { zoneCuts_.erase(z); });
@@ -150,7 +151,7 @@
       if (!data.empty())
         cut({data[rng_.below(data.size())]->link}, allLinks, shortly + (rng_.chance(0.4) ? 10000 : 1500));
       break;
-    case Fault::oneWayCut: {
+    case Fault::oneWayPartition: {
       std::string const a = allLinks[rng_.below(allLinks.size())];
       std::vector<std::pair<std::string, std::string>> pairs;
       for (std::string const& l : allLinks)
@@ -197,7 +198,7 @@
       }
       break;
     case Fault::diskDamage:
-      if (wholeCore()) {
+      if (coreComplete()) {
         Node& n = *control[rng_.below(control.size())];
         kill(n, false);
         n.disk->damage(rng_);
@@ -213,7 +214,7 @@
       break;
     case Fault::wipeSameAddress:
     case Fault::returnNewAddress: {
-      if (!wholeCore() || newAddresses_ >= 1) break;
+      if (!coreComplete() || newAddresses_ >= 1) break;
       Node& n = *control[rng_.below(control.size())];
       kill(n, true);
       if (f == Fault::wipeSameAddress) {
@@ -311,22 +312,24 @@
         if (n.frozen || n.draining) break;
         n.draining = true;
         std::string const link = n.link;
-        std::uint64_t const life = n.life;
+        std::uint64_t const incarnation = n.incarnation;
         if (plan_.mutation != Mutation::dropOnRestart) run(n, n.data->drain(local(n)));
-        std::shared_ptr<std::function<void()>> const look = std::make_shared<std::function<void()>>();
+        std::shared_ptr<std::function<void()>> const poll = std::make_shared<std::function<void()>>();
         Tick const until = now_ + 100000;
-        *look = [this, link, life, until, look] {
+        *poll = [this, link, incarnation, until, poll] {
           Node& k = *node(link);
-          if (!k.alive || k.life != life) return;
+          if (!k.alive || k.incarnation != incarnation) return;
           bool const wait = plan_.mutation != Mutation::dropOnRestart && (k.frozen || k.data->pendingCount() > 0);
           if (wait && now_ < until) {
-            after(50, *look);
+            after(50, *poll);
             return;
           }
           std::size_t hurt = 0;
           for (auto const& [id, caller] : callers_)
-            hurt +=
-                caller.open && caller.node == link && caller.life == life && caller.worded && !caller.brokenOff ? 1 : 0;
+            hurt += caller.open && caller.node == link && caller.incarnation == incarnation &&
+                            caller.firstTokenReceived && !caller.brokenOff
+                        ? 1
+                        : 0;
           if (hurt > 0)
             violation("a planned restart dropped " + std::to_string(hurt) + " requests in hand at " + link +
                       ", which still held " + std::to_string(k.data->pendingCount()) + ", " +
@@ -335,7 +338,7 @@
           kill(k, false);
           boot(k);
         };
-        after(400, *look);
+        after(400, *poll);
       }
       break;
     case Fault::restartController:
@@ -345,9 +348,9 @@
         // A member that drains may leave the set before its process ends.
         memberTroubledAt_ = now_;
         run(n, n.control->drain(local(n)));
-        after(500, [this, link = n.link, life = n.life] {
+        after(500, [this, link = n.link, incarnation = n.incarnation] {
           Node* const k = node(link);
-          if (k == nullptr || !k->alive || k->life != life) return;
+          if (k == nullptr || !k->alive || k->incarnation != incarnation) return;
           kill(*k, false);
           boot(*k);
         });
@@ -469,9 +472,9 @@
       if (all.empty()) break;
       Node& n = *all[rng_.below(all.size())];
       n.step = 2 + static_cast<Tick>(rng_.below(18));
-      after(shortly + 3000, [this, link = n.link, life = n.life] {
+      after(shortly + 3000, [this, link = n.link, incarnation = n.incarnation] {
         Node* const k = node(link);
-        if (k != nullptr && k->alive && k->life == life) unslow(*k);
+        if (k != nullptr && k->alive && k->incarnation == incarnation) unslow(*k);
       });
       break;
     }
@@ -522,7 +525,7 @@
   }
 }
 
-void World::heal() {
+void SimulatedCluster::heal() {
   cuts_.clear();
   zoneCuts_.clear();
   loss_ = 0;
--- a/testing/sim/internal.h
+++ b/testing/sim/internal.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace corkward::testing {
 
@@ -16,7 +16,7 @@
 inline constexpr std::int64_t wallBegin = 1800000000000;
 /// Most that a wall clock jumps back in a fleet with certificates.
 inline constexpr Tick mostBack = 50000;
-inline constexpr Tick settleFor = 25000;
+inline constexpr Tick recoveryPeriod = 25000;
 inline constexpr Tick trafficFrom = 17500;
 /// Idle connections to replicas: how long one is used, how long for what may run once, and from when on it may be
 /// forgotten.
--- a/testing/sim/outages.cpp
+++ b/testing/sim/mass_faults.cpp
@@ -5,7 +5,7 @@
 /// Failures of many at once: connections, zones, replicas that join in numbers.
 namespace corkward::testing {
 
-void World::resetLinks(Node& n) {
+void SimulatedCluster::resetLinks(Node& n) {
   for (auto const& [link, node] : nodes_)
     if (rng_.chance(0.5)) {
       ++resets_[{n.link, link}];
@@ -13,14 +13,14 @@
     }
 }
 
-void World::resetCallers(Node& n) {
+void SimulatedCluster::resetCallers(Node& n) {
   std::vector<std::pair<std::string, std::uint64_t>> hit;
   for (auto const& [id, caller] : callers_)
-    if (caller.open && caller.node == n.link && caller.life == n.life && rng_.chance(0.5))
+    if (caller.open && caller.node == n.link && caller.incarnation == n.incarnation && rng_.chance(0.5))
       hit.emplace_back(id, caller.call);
   for (std::pair<std::string, std::uint64_t> const& h : hit) {
     ++result_.counts["reset-callers"];
-    toNode(n.link, n.life, [this, link = n.link, call = h.second] {
+    toNode(n.link, n.incarnation, [this, link = n.link, call = h.second] {
       Node& k = *node(link);
       run(k, k.data->onCallerDisconnected(local(k), call));
     });
@@ -28,18 +28,19 @@
   }
 }
 
-void World::resetReplicas(Node& n) {
+void SimulatedCluster::resetReplicas(Node& n) {
   for (auto& [key, forwarded] : upstreams_) {
     if (key.first != n.link || forwarded.run.empty() || !rng_.chance(0.5)) continue;
     Replica* const to = replica(forwarded.address);
     if (to == nullptr || to->runs.count(forwarded.run) == 0 || !to->runs.at(forwarded.run).alive) continue;
     ++result_.counts["reset-streams"];
     to->runs.at(forwarded.run).alive = false;
-    wire(n.link, n.life, key.second, forwarded.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
+    wire(n.link, n.incarnation, key.second, forwarded.turn,
+         [](dataplane::ResponseStream& st) { return st.ended(false); });
   }
 }
 
-void World::scaleOut() {
+void SimulatedCluster::scaleOut() {
   if (scaledOut_ >= 2) return;
   ++scaledOut_;
   bool const cold = rng_.chance(0.5);
@@ -55,12 +56,12 @@
     replicas_[r.address] = r;
   }
   platform();
-  auto const become = [this, fresh](Tick when, std::string const& state, bool gone) {
-    after(when, [this, fresh, state, gone] {
+  auto const become = [this, fresh](Tick when, std::string const& state, bool departed) {
+    after(when, [this, fresh, state, departed] {
       for (std::string const& a : fresh) {
         Replica& r = replicas_.at(a);
-        if (gone) crash(r);
-        if (gone || !r.listed) r.listed = false;
+        if (departed) crash(r);
+        if (departed || !r.listed) r.listed = false;
         r.state = state;
         if (state != "cold") r.coldHits.clear();
       }
@@ -72,7 +73,7 @@
   become(29000, "leaving", true);
 }
 
-void World::loseZone(std::string const& zone, Tick how) {
+void SimulatedCluster::loseZone(std::string const& zone, Tick how) {
   ++result_.counts["lost-zones"];
   std::vector<std::string> hit;
   for (auto& [address, replica] : replicas_) {
--- a/testing/sim/network.cpp
+++ b/testing/sim/network.cpp
@@ -3,7 +3,7 @@
 /// The network between processes: what passes, how late, how often, and what mutations make of it.
 namespace corkward::testing {
 
-bool World::passes(std::string const& from, std::string const& to) {
+bool SimulatedCluster::passes(std::string const& from, std::string const& to) {
   if (cuts_.count({from, to}) > 0) return false;
   Node const* const a = node(from);
   Node const* const b = node(to);
@@ -13,7 +13,7 @@
   return !rng_.chance(loss_);
 }
 
-transport::Message World::mutated(transport::Message const& message) const {
+transport::Message SimulatedCluster::mutated(transport::Message const& message) const {
   if (plan_.mutation != Mutation::forgetHints && plan_.mutation != Mutation::youngAges) return message;
   transport::Message out = message;
   transport::PeerHeartbeat* const t = std::get_if<transport::PeerHeartbeat>(&out);
@@ -26,7 +26,7 @@
   return out;
 }
 
-void World::tally(std::string const& from, transport::Send const& s) {
+void SimulatedCluster::tally(std::string const& from, transport::Send const& s) {
   if (!plan_.traffic || now_ < trafficFrom || now_ >= trafficFrom - 10000 + plan_.length) return;
   std::pair<std::size_t, std::size_t>& t = result_.traffic[{
       node(from)->disk ? transport::controllerRole : transport::routerRole, transport::kindName(s.message)}];
@@ -34,7 +34,7 @@
   t.second += transport::pack(transport::Envelope{from, s.message}).size();
 }
 
-void World::send(std::string const& from, transport::Send const& s) {
+void SimulatedCluster::send(std::string const& from, transport::Send const& s) {
   ++result_.counts["messages"];
   tally(from, s);
   Node const* const to = node(s.to);
@@ -44,19 +44,19 @@
   if (plan_.mutation == Mutation::deafRouter && s.to == "n1" && now_ > trafficFrom &&
       std::holds_alternative<transport::ConfigurationUpdate>(s.message))
     return;
-  if (plan_.mutation == Mutation::lateCopies && now_ - to->bootedAt < 8000 && now_ > trafficFrom &&
+  if (plan_.mutation == Mutation::lateDuplicates && now_ - to->bootedAt < 8000 && now_ > trafficFrom &&
       std::holds_alternative<transport::SnapshotChunk>(s.message))
     return;
-  std::uint64_t const life = to->life;
-  int const copies = rng_.chance(duplication_) ? 2 : 1;
-  for (int i = 0; i < copies; ++i) {
+  std::uint64_t const incarnation = to->incarnation;
+  int const deliveries = rng_.chance(duplication_) ? 2 : 1;
+  for (int i = 0; i < deliveries; ++i) {
     Tick const delay =
         1 + static_cast<Tick>(rng_.below(4)) + (rng_.chance(0.02) ? static_cast<Tick>(rng_.below(60)) : 0);
     std::string const link = s.to;
     std::uint64_t const reset = plans(Fault::resetConnections) ? resets_[{from, link}] : 0;
-    after(delay, [this, from, link, life, reset, message = s.message] {
+    after(delay, [this, from, link, incarnation, reset, message = s.message] {
       if (plans(Fault::resetConnections) && resets_[{from, link}] != reset) return;
-      toNode(link, life, [this, from, link, message] {
+      toNode(link, incarnation, [this, from, link, message] {
         Node& n = *node(link);
         if (n.control)
           run(n, n.control->onMessage(local(n), from, message));
