--- a/testing/sim/orders.cpp
+++ b/testing/sim/operator_changes.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// An operator takes so long a silence for no answer, and gives an order up after so long in all.
-constexpr Tick silence = 1000;
+constexpr Tick answerTimeout = 1000;
 constexpr Tick orderPatience = 20000;
 /// Answers that are no clear ones: the order is sent again.
 bool unclear(int status) {
@@ -22,7 +22,7 @@
   return status == 200 || status == 201;
 }
 
-std::string wholeBody(std::uint64_t version) {
+std::string configurationBody(std::uint64_t version) {
   QJsonObject const body = core::parseJson(R"({"pools":[{"name":"wide","standing":"/health"}],"paths":[{"name":"p",
       "host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"wide"}]})")
                                .toObject();
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-std::string World::otherController(std::string const& link) {
+std::string SimulatedCluster::otherController(std::string const& link) {
   std::vector<std::string> up;
   for (auto const& [address, machine] : nodes_)
     if (machine.control && machine.alive && !machine.draining && address != link) up.push_back(address);
@@ -41,8 +41,8 @@
   return up[rng_.below(up.size())];
 }
 
-void World::ask(std::string const& link, transport::OperatorCall call, Tick limit,
-                std::function<void(int, QJsonObject const&)> then) {
+void SimulatedCluster::sendOperatorCall(std::string const& link, transport::OperatorCall call, Tick limit,
+                                        std::function<void(int, QJsonObject const&)> then) {
   Node const* const to = node(link);
   if (to == nullptr || !to->alive) {
     after(2, [then] { then(0, {}); });
@@ -52,19 +52,19 @@
   std::shared_ptr<bool> const done = std::make_shared<bool>(false);
   bool const late = plan_.mutation == Mutation::lateAnswers && call.method != "GET";
   answers_[{link, call.token}] = [this, done, then, late](int status, QJsonObject const& body) {
-    auto const told = [done, then, status, body] {
+    auto const deliver = [done, then, status, body] {
       if (*done) return;
       *done = true;
       then(status, body);
     };
     if (late)
-      after(5000, told);
+      after(5000, deliver);
     else
-      told();
+      deliver();
   };
-  std::uint64_t const life = to->life;
-  after(2, [this, link, life, call] {
-    toNode(link, life, [this, link, call] {
+  std::uint64_t const incarnation = to->incarnation;
+  after(2, [this, link, incarnation, call] {
+    toNode(link, incarnation, [this, link, call] {
       Node& n = *node(link);
       run(n, n.control->onOperatorCall(local(n), call));
     });
@@ -77,7 +77,7 @@
   after(20000, [this, link, token = call.token] { answers_.erase({link, token}); });
 }
 
-void World::ordersTurn() {
+void SimulatedCluster::ordersTurn() {
   if (quiet_) return;
   Tick const mean = burstLeft_ > 0 ? 1 : plan_.operators.every;
   after(1 + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(2 * mean))), [this] { ordersTurn(); });
@@ -90,20 +90,20 @@
   if (burstLeft_ > 0 && --burstLeft_ == 0) afterBurst();
 }
 
-void World::orderAnew(std::string const& link) {
+void SimulatedCluster::orderAnew(std::string const& link) {
   Order o;
   o.base = std::to_string(knownVersion_);
   nextVersion_ = std::max(nextVersion_, knownVersion_ + 1);
   o.version = nextVersion_;
   nextVersion_ += 1 + rng_.below(3);
   o.id = "order" + std::to_string(o.version);
-  o.body = wholeBody(o.version);
+  o.body = configurationBody(o.version);
   orders_.push_back(o);
   ++result_.counts["orders"];
   sendOrder(orders_.size() - 1, link.empty() ? someController() : link);
 }
 
-void World::sendOrder(std::size_t order, std::string const& link) {
+void SimulatedCluster::sendOrder(std::size_t order, std::string const& link) {
   Order& o = orders_[order];
   if (o.closed) return;
   if (o.sentAt < 0) {
@@ -119,22 +119,22 @@
     ++result_.counts["orders-given-up"];
     return;
   }
-  if (++o.copies > 1) ++result_.counts["order-resends"];
+  if (++o.sends > 1) ++result_.counts["order-resends"];
   transport::OperatorCall call;
   call.method = "PUT";
   call.path = config::fleetConfigurationPage;
   call.ifMatch = o.base;
   call.changeId = o.id;
-  if (plan_.mutation == Mutation::rebaseOrders && o.copies > 1) call.ifMatch = std::to_string(confirmedVersion_);
-  if (plan_.mutation == Mutation::refuseProper && o.copies == 1 && rng_.chance(0.2)) call.ifMatch = "999999";
-  call.body = o.copies > 1 ? resentBody(o) : o.body;
+  if (plan_.mutation == Mutation::rebaseOrders && o.sends > 1) call.ifMatch = std::to_string(confirmedVersion_);
+  if (plan_.mutation == Mutation::refuseProper && o.sends == 1 && rng_.chance(0.2)) call.ifMatch = "999999";
+  call.body = o.sends > 1 ? resentBody(o) : o.body;
   std::uint64_t const base = confirmedVersion_;
-  ask(link, call, silence, [this, order, link, base](int status, QJsonObject const& body) {
+  sendOperatorCall(link, call, answerTimeout, [this, order, link, base](int status, QJsonObject const& body) {
     orderAnswered(order, link, base, status, body);
   });
 }
 
-void World::orderAgain(std::size_t order, std::string const& link, Tick wait) {
+void SimulatedCluster::orderAgain(std::size_t order, std::string const& link, Tick wait) {
   after(wait, [this, order, link] {
     std::string const next = plan_.operators.hard && rng_.chance(0.5) ? link : otherController(link);
     if (orders_[order].closed) return;
@@ -145,14 +145,14 @@
   });
 }
 
-void World::orderAnswered(std::size_t order, std::string const& link, std::uint64_t baseAtSend, int status,
-                          QJsonObject const& body) {
+void SimulatedCluster::orderAnswered(std::size_t order, std::string const& link, std::uint64_t baseAtSend, int status,
+                                     QJsonObject const& body) {
   Order& o = orders_[order];
   ++result_.counts["order-" + std::to_string(status)];
   if (success(status)) {
-    bool const first = o.takenAt < 0;
+    bool const first = o.acknowledgedAt < 0;
     if (first) {
-      o.takenAt = now_;
+      o.acknowledgedAt = now_;
       o.revision = static_cast<std::uint64_t>(body.value("stamp").toInteger());
       result_.ackTimes.push_back(now_ - o.sentAt);
       ++result_.counts["orders-taken"];
@@ -165,9 +165,9 @@
       strike(due);
     }
     if (o.closed) return;
-    if (o.copies < 6 && rng_.chance(plan_.operators.ackLost)) {
+    if (o.sends < 6 && rng_.chance(plan_.operators.ackLost)) {
       ++result_.counts["acks-lost"];
-      orderAgain(order, link, plan_.operators.hard ? 20 : silence);
+      orderAgain(order, link, plan_.operators.hard ? 20 : answerTimeout);
       return;
     }
     o.closed = true;
@@ -187,11 +187,11 @@
   if (!o.closed) orderAgain(order, link, plan_.operators.hard ? 20 : 200);
 }
 
-void World::orderRefused(Order& order, std::string const& link, std::uint64_t baseAtSend, int status) {
+void SimulatedCluster::orderRefused(Order& order, std::string const& link, std::uint64_t baseAtSend, int status) {
   auto const ix = static_cast<std::size_t>(&order - orders_.data());
   bool const inFact = std::any_of(orderOf_.begin(), orderOf_.end(),
                                   [&](std::pair<std::uint64_t const, std::size_t> const& c) { return c.second == ix; });
-  if (order.takenAt >= 0 || inFact) {
+  if (order.acknowledgedAt >= 0 || inFact) {
     violation("a resend of what was taken was refused with " + std::to_string(status) + " by " + link + ": " +
               order.id + " on " + order.base + ", newest confirmed " + std::to_string(confirmedVersion_));
     return;
@@ -202,18 +202,18 @@
               order.base + ", which is the newest");
 }
 
-std::string World::resentBody(Order const& order) const {
+std::string SimulatedCluster::resentBody(Order const& order) const {
   if (plan_.mutation != Mutation::alteredResends) return order.body;
   return "{\"resent\":true," + order.body.substr(1);
 }
 
-void World::lateResend() {
-  std::vector<std::size_t> taken;
+void SimulatedCluster::lateResend() {
+  std::vector<std::size_t> acknowledged;
   for (std::size_t i = 0; i < orders_.size(); ++i)
-    if (orders_[i].closed && orders_[i].takenAt >= 0) taken.push_back(i);
+    if (orders_[i].closed && orders_[i].acknowledgedAt >= 0) acknowledged.push_back(i);
   std::string const link = someController();
-  if (taken.empty() || link.empty()) return;
-  std::size_t const ix = taken[rng_.below(taken.size())];
+  if (acknowledged.empty() || link.empty()) return;
+  std::size_t const ix = acknowledged[rng_.below(acknowledged.size())];
   Order const& o = orders_[ix];
   transport::OperatorCall call;
   call.method = "PUT";
@@ -222,19 +222,19 @@
   call.changeId = o.id;
   call.body = resentBody(o);
   ++result_.counts["late-resends"];
-  ask(link, call, silence, [this, ix, link](int status, QJsonObject const&) {
+  sendOperatorCall(link, call, answerTimeout, [this, ix, link](int status, QJsonObject const&) {
     if (!success(status) && !unclear(status)) orderRefused(orders_[ix], link, 0, status);
   });
 }
 
-void World::readsTurn() {
+void SimulatedCluster::readsTurn() {
   if (quiet_) return;
   after(100 + static_cast<Tick>(rng_.below(400)), [this] { readsTurn(); });
   std::string const link = someController();
   if (!link.empty()) readOnce(link);
 }
 
-void World::readOnce(std::string const& link) {
+void SimulatedCluster::readOnce(std::string const& link) {
   std::uint64_t const confirmed = confirmedVersion_;
   Node const& n = *node(link);
   ++result_.counts["reads"];
@@ -248,11 +248,13 @@
   transport::OperatorCall call;
   call.method = "GET";
   call.path = config::fleetConfigurationPage;
-  ask(link, call, 10000,
-      [this, link, confirmed](int status, QJsonObject const& body) { checkRead(link, confirmed, status, body); });
+  sendOperatorCall(link, call, 10000, [this, link, confirmed](int status, QJsonObject const& body) {
+    checkRead(link, confirmed, status, body);
+  });
 }
 
-void World::checkRead(std::string const& link, std::uint64_t confirmed, int status, QJsonObject const& body) {
+void SimulatedCluster::checkRead(std::string const& link, std::uint64_t confirmed, int status,
+                                 QJsonObject const& body) {
   if (unclear(status)) {
     ++result_.counts["reads-unclear"];
     return;
@@ -266,12 +268,13 @@
               std::to_string(confirmed));
 }
 
-void World::wholeCommitted(Node const& n) {
+void SimulatedCluster::onFleetConfigurationCommitted(Node const& n) {
   std::map<std::string, consensus::CommittedValue> const& have = n.control->registers().committed();
   auto const it = have.find(config::fleetConfigurationKey);
   if (it == have.end()) return;
-  if (!firstWhole_)
-    firstWhole_ = transport::CommittedEntry{config::fleetConfigurationKey, it->second.revision, it->second.value};
+  if (!firstFleetConfiguration_)
+    firstFleetConfiguration_ =
+        transport::CommittedEntry{config::fleetConfigurationKey, it->second.revision, it->second.value};
   std::uint64_t const revision = it->second.revision;
   std::uint64_t version =
       static_cast<std::uint64_t>(it->second.value.value("spec").toObject().value("version").toInteger());
@@ -288,10 +291,10 @@
     if (orders_[i].version == version) orderOf_[revision] = i;
 }
 
-void World::finalOrders() {
+void SimulatedCluster::finalOrders() {
   std::map<std::string, std::string> accepted;
   for (Order const& o : orders_) {
-    if (o.takenAt < 0) continue;
+    if (o.acknowledgedAt < 0) continue;
     std::string& before = accepted[o.base];
     if (!before.empty()) violation("two orders on version " + o.base + " were confirmed: " + before + " and " + o.id);
     before = o.id;
@@ -307,7 +310,7 @@
   transport::OperatorCall call;
   call.method = "GET";
   call.path = config::fleetConfigurationPage;
-  ask(link, call, 10000, [this](int status, QJsonObject const& body) {
+  sendOperatorCall(link, call, 10000, [this](int status, QJsonObject const& body) {
     auto const version = static_cast<std::uint64_t>(body.value("version").toInteger());
     if (!success(status) && confirmedVersion_ > 0)
       violation("the whole configuration could not be read back: " + std::to_string(status));
--- a/testing/sim/operators.cpp
+++ b/testing/sim/operators.cpp
@@ -7,7 +7,7 @@
 
 namespace corkward::testing {
 
-std::string World::someController() {
+std::string SimulatedCluster::someController() {
   for (std::string const& link : luredBy_)
     if (Node const* const n = node(link); n != nullptr && n->control && n->alive && !n->draining) return link;
   std::vector<std::string> up;
@@ -16,9 +16,9 @@
   return up.empty() ? "" : up[rng_.below(up.size())];
 }
 
-void World::change(std::string const& key, std::string const& what, std::string const& method, std::string const& path,
-                   std::string const& body, std::string const& ifMatch, std::string const& mark,
-                   std::function<void(int, QJsonObject const&)> then) {
+void SimulatedCluster::change(std::string const& key, std::string const& what, std::string const& method,
+                              std::string const& path, std::string const& body, std::string const& ifMatch,
+                              std::string const& mark, std::function<void(int, QJsonObject const&)> then) {
   std::string const link = someController();
   std::size_t const ix = changes_.size();
   Change c;
@@ -46,20 +46,20 @@
     QJsonObject const t = to.control->registers().committed().at(family).value.value("template").toObject();
     call.ifMatch = std::to_string(t.value("stamp").toInteger());
   }
-  std::uint64_t const life = to.life;
+  std::uint64_t const incarnation = to.incarnation;
   std::shared_ptr<bool> const answered = std::make_shared<bool>(false);
-  bool const isNews = method != "GET";
-  answers_[{link, call.token}] = [this, ix, answered, then, isNews](int status, QJsonObject const& answer) {
+  bool const isChange = method != "GET";
+  answers_[{link, call.token}] = [this, ix, answered, then, isChange](int status, QJsonObject const& answer) {
     *answered = true;
     Change& k = changes_[ix];
     if (plan_.mutation == Mutation::rejectAccepted && status == 200 && k.key == family) status = 412;
     k.status = status;
     k.answeredAt = now_;
     k.revision = static_cast<std::uint64_t>(answer.value("stamp").toInteger());
-    k.inForce = (status == 200 || status == 201) && (!plan_.fenced || answer.value("inForce").toBool());
+    k.rolledOut = (status == 200 || status == 201) && (!plan_.fenced || answer.value("inForce").toBool());
     k.pending = status == 504 && answer.value("pending").toBool();
     if (status >= 400 && !k.pending) k.revision = 0;
-    if (status >= 200 && status < 300 && isNews && !k.inForce)
+    if (status >= 200 && status < 300 && isChange && !k.rolledOut)
       violation("answered " + std::to_string(status) + " although not in force: " + k.id);
     bool const refused = status == 400 || status == 404 || status == 422;
     if (plan_.operators.proper && refused && k.key == family && k.mark.rfind("denied-", 0) != 0)
@@ -72,8 +72,8 @@
           std::max(result_.counts["evacuation-ack-most"], static_cast<std::size_t>(now_ - k.sentAt));
     if (then) then(status, answer);
   };
-  after(2, [this, link, life, call] {
-    toNode(link, life, [this, link, call] {
+  after(2, [this, link, incarnation, call] {
+    toNode(link, incarnation, [this, link, call] {
       Node& k = *node(link);
       run(k, k.control->onOperatorCall(local(k), call));
     });
@@ -87,7 +87,8 @@
   });
 }
 
-void World::putTemplate(std::string const& ifMatch, int extraPaths, std::function<void(int, QJsonObject const&)> then) {
+void SimulatedCluster::putTemplate(std::string const& ifMatch, int extraPaths,
+                                   std::function<void(int, QJsonObject const&)> then) {
   std::string const mark = "mark-" + std::to_string(nextChange_);
   QJsonArray paths;
   paths.append(QJsonObject{{"path", "narrate"}, {"pool", "model"}, {"class", "long"}});
@@ -115,7 +116,7 @@
          });
 }
 
-void World::operatorTurn() {
+void SimulatedCluster::operatorTurn() {
   if (quiet_) return;
   after(1500 + static_cast<Tick>(rng_.below(2500)), [this] { operatorTurn(); });
   if (operatorBusy_) return;
@@ -123,7 +124,7 @@
   putTemplate(lastRevision_, 0, [this](int, QJsonObject const&) { operatorBusy_ = false; });
 }
 
-void World::platform() {
+void SimulatedCluster::platform() {
   ++generation_;
   for (char const* const pool : {"model", "other"}) {
     QJsonArray list;
@@ -135,15 +136,15 @@
       else
         leaving.push_back(address);
       if (!replica.listed) continue;
-      QJsonObject row{{"address", core::toQString(address)},
-                      {"zone", core::toQString(replica.zone)},
-                      {"state", core::toQString(replica.state)}};
+      QJsonObject listEntry{{"address", core::toQString(address)},
+                            {"zone", core::toQString(replica.zone)},
+                            {"state", core::toQString(replica.state)}};
       if (plan_.regimes) {
-        row.insert("id", core::toQString(lifeOf(replica)));
-        shownLives_[address] = lifeOf(replica);
-        everListed_.insert(lifeOf(replica));
+        listEntry.insert("id", core::toQString(incarnationName(replica)));
+        listedIncarnations_[address] = incarnationName(replica);
+        everListed_.insert(incarnationName(replica));
       }
-      list.append(row);
+      list.append(listEntry);
     }
     showList(pool, generation_, leaving,
              core::jsonText(QJsonObject{
@@ -151,8 +152,8 @@
   }
 }
 
-void World::showList(std::string const& pool, std::uint64_t generation, std::vector<std::string> const& leaving,
-                     std::string const& body) {
+void SimulatedCluster::showList(std::string const& pool, std::uint64_t generation,
+                                std::vector<std::string> const& leaving, std::string const& body) {
   if (generation != generation_) return;
   std::shared_ptr<bool> const done = std::make_shared<bool>(false);
   auto const shown = [this, leaving, generation] {
@@ -171,8 +172,8 @@
     std::string const link = up[rng_.below(up.size())];
     shown();
     if (plan_.mutation == Mutation::forgetHints) continue;
-    after(2, [this, link, life = node(link)->life, pool, body] {
-      toNode(link, life, [this, link, pool, body] {
+    after(2, [this, link, incarnation = node(link)->incarnation, pool, body] {
+      toNode(link, incarnation, [this, link, pool, body] {
         Node& n = *node(link);
         run(n, n.data->onEndpointList(local(n), 0, pool, body));
       });
--- a/testing/sim/oracles.cpp
+++ b/testing/sim/oracles.cpp
@@ -8,7 +8,7 @@
 
 namespace corkward::testing {
 
-bool World::mostLiveSince(Tick since) const {
+bool SimulatedCluster::mostLiveSince(Tick since) const {
   std::size_t all = 0;
   std::size_t live = 0;
   for (auto const& [link, node] : nodes_) {
@@ -18,11 +18,12 @@
   return live >= all / 2 + 1;
 }
 
-void World::violation(std::string const& what) {
-  if (++seenKinds_[what.substr(0, 16)] <= 3) result_.violations.push_back("t=" + std::to_string(now_) + " " + what);
+void SimulatedCluster::violation(std::string const& what) {
+  if (++violationKinds_[what.substr(0, 16)] <= 3)
+    result_.violations.push_back("t=" + std::to_string(now_) + " " + what);
 }
 
-void World::watch() {
+void SimulatedCluster::watch() {
   after(200, [this] { watch(); });
   for (std::string const& broken : core::GuaranteeCounts::ofThread().takeNewViolations()) violation(broken);
   while (!firsts_.empty() && firsts_.front() <= now_ - 10000) firsts_.pop_front();
@@ -60,13 +61,13 @@
   }
 }
 
-void World::finalChecks() {
+void SimulatedCluster::finalChecks() {
   std::map<std::pair<std::string, std::string>, std::string> accepted;
   std::uint64_t newest = 0;
   Change const* last = nullptr;
   std::uint64_t newestCertificates = 0;
   for (Change const& c : changes_) {
-    if (c.key == config::regimesKey && c.revision > 0 && c.inForce)
+    if (c.key == config::regimesKey && c.revision > 0 && c.rolledOut)
       newestCertificates = std::max(newestCertificates, c.revision);
     if (c.key == config::regimesKey && c.ifMatch.empty()) continue;
     if ((c.key.rfind("family:", 0) != 0 && c.key != config::regimesKey) || c.revision == 0 ||
@@ -113,11 +114,11 @@
     }
   };
   if (newestCertificates > 0) {
-    transport::OperatorCall kept;
-    kept.token = nextCall_++;
-    kept.method = "GET";
-    kept.path = "/v1/certificates";
-    answers_[{link, kept.token}] = [this, newestCertificates](int status, QJsonObject const& body) {
+    transport::OperatorCall certificatesCall;
+    certificatesCall.token = nextCall_++;
+    certificatesCall.method = "GET";
+    certificatesCall.path = "/v1/certificates";
+    answers_[{link, certificatesCall.token}] = [this, newestCertificates](int status, QJsonObject const& body) {
       ++result_.counts["certificates-read"];
       if (status != 200 || static_cast<std::uint64_t>(body.value("stamp").toInteger()) < newestCertificates)
         violation("acknowledged certificates lost: status " + std::to_string(status) + ", revision " +
@@ -125,7 +126,7 @@
                   std::to_string(newestCertificates));
     };
     Node& at = *node(link);
-    run(at, at.control->onOperatorCall(local(at), kept));
+    run(at, at.control->onOperatorCall(local(at), certificatesCall));
   }
   transport::OperatorCall call;
   call.token = token;
--- a/testing/sim/plan.cpp
+++ b/testing/sim/plan.cpp
@@ -18,7 +18,7 @@
     p.others = 4;
     p.zones = 4;
   }
-  for (FaultRow const& f : faultTable)
+  for (FaultName const& f : faultTable)
     if (f.fault < Fault::growCore && rng.chance(0.35)) p.faults.push_back(f.fault);
   if (p.faults.empty()) p.faults.push_back(Fault::killHerd);
   p.every = 2500 + static_cast<Tick>(rng.below(6000));
@@ -26,7 +26,7 @@
   for (Fault const f : {Fault::growCore, Fault::longAbsence})
     if (rng.chance(0.35)) p.faults.push_back(f);
   if (rng.chance(0.5)) p.replaceDarkAfter = 3000;
-  for (FaultRow const& f : faultTable)
+  for (FaultName const& f : faultTable)
     if (grown && f.fault > Fault::longAbsence && f.fault < Fault::reuseAddress && rng.chance(0.35))
       p.faults.push_back(f.fault);
   return p;
@@ -48,20 +48,35 @@
 std::vector<Fault> faultsOf(Point point) {
   switch (point) {
     case Point::cuts:
-      return {Fault::cutMember,       Fault::cutMemberAll,  Fault::cutMemberNear,  Fault::cutMemberOldest,
-              Fault::cutMemberOneWay, Fault::cutMemberBoth, Fault::cutMemberSeeds, Fault::cutMemberLure,
-              Fault::killRouter,      Fault::evacuate,      Fault::rollReplicas};
+      return {Fault::partitionMember,
+              Fault::partitionMemberAll,
+              Fault::partitionMemberNear,
+              Fault::partitionMemberOldest,
+              Fault::partitionMemberAsymmetric,
+              Fault::partitionMemberBoth,
+              Fault::partitionMemberSeeds,
+              Fault::partitionMemberLure,
+              Fault::killRouter,
+              Fault::evacuate,
+              Fault::rollReplicas};
     case Point::resends:
-      return {Fault::powerAtTimed,      Fault::cutMemberAll, Fault::cutMemberOneWay,  Fault::isolateMember,
-              Fault::restartController, Fault::killControl,  Fault::freezeController, Fault::diskStall};
+      return {Fault::powerLossAtTime,  Fault::partitionMemberAll, Fault::partitionMemberAsymmetric,
+              Fault::isolateMember,    Fault::restartController,  Fault::killControl,
+              Fault::freezeController, Fault::diskStall};
     case Point::secondLoss:
-      return {Fault::secondLoss, Fault::replaceInTurn, Fault::wipeAtTaken, Fault::restartController,
+      return {Fault::secondLoss, Fault::replaceInTurn, Fault::wipeAtAcknowledgement, Fault::restartController,
               Fault::wipeSameAddress};
     case Point::manyChanges:
       return {Fault::manyChanges, Fault::restartController, Fault::wipeSameAddress, Fault::powerLoss};
     case Point::powerCuts:
-      return {Fault::powerAtTaken, Fault::powerAtTimed, Fault::wipeAtTaken, Fault::massPower,
-              Fault::diskFull,     Fault::diskFail,     Fault::powerLoss,   Fault::diskSlow};
+      return {Fault::powerLossAtAcknowledgement,
+              Fault::powerLossAtTime,
+              Fault::wipeAtAcknowledgement,
+              Fault::massPower,
+              Fault::diskFull,
+              Fault::diskFail,
+              Fault::powerLoss,
+              Fault::diskSlow};
   }
   return {};
 }
--- a/testing/sim/plan.h
+++ b/testing/sim/plan.h
@@ -24,10 +24,10 @@
   freezeController,
   isolateMember,
   splitCore,
-  cutCore,
-  cutZone,
+  partitionCore,
+  partitionZone,
   isolateRouter,
-  oneWayCut,
+  oneWayPartition,
   diskSlow,
   diskStall,
   diskFull,
@@ -66,101 +66,101 @@
   zoneLoss,
   shiftLengths,
   reuseAddress,
-  cutMember,
-  cutMemberAll,
-  cutMemberNear,
-  cutMemberOldest,
-  cutMemberOneWay,
-  cutMemberBoth,
-  cutMemberSeeds,
-  cutMemberLure,
+  partitionMember,
+  partitionMemberAll,
+  partitionMemberNear,
+  partitionMemberOldest,
+  partitionMemberAsymmetric,
+  partitionMemberBoth,
+  partitionMemberSeeds,
+  partitionMemberLure,
   secondLoss,
   replaceInTurn,
   manyChanges,
-  powerAtTaken,
-  powerAtTimed,
-  wipeAtTaken,
+  powerLossAtAcknowledgement,
+  powerLossAtTime,
+  wipeAtAcknowledgement,
   massPower
 };
 
 /// The first failure of those that belong to control's worst days.
-inline constexpr Fault firstOfControl = Fault::cutMember;
+inline constexpr Fault firstOfControl = Fault::partitionMember;
 
-struct FaultRow {
+struct FaultName {
   Fault fault;
   char const* name;
 };
 
-inline constexpr FaultRow faultTable[] = {{Fault::killRouter, "kill-router"},
-                                          {Fault::killHerd, "kill-herd"},
-                                          {Fault::killControl, "kill-control"},
-                                          {Fault::killAll, "kill-all"},
-                                          {Fault::freezeRouter, "freeze-router"},
-                                          {Fault::freezeController, "freeze-controller"},
-                                          {Fault::isolateMember, "isolate-member"},
-                                          {Fault::splitCore, "split-core"},
-                                          {Fault::cutCore, "cut-core"},
-                                          {Fault::cutZone, "cut-zone"},
-                                          {Fault::isolateRouter, "isolate-router"},
-                                          {Fault::oneWayCut, "one-way-cut"},
-                                          {Fault::diskSlow, "disk-slow"},
-                                          {Fault::diskStall, "disk-stall"},
-                                          {Fault::diskFull, "disk-full"},
-                                          {Fault::diskFail, "disk-fail"},
-                                          {Fault::diskDamage, "disk-damage"},
-                                          {Fault::powerLoss, "power-loss"},
-                                          {Fault::wipeSameAddress, "wipe-same-address"},
-                                          {Fault::returnNewAddress, "return-new-address"},
-                                          {Fault::replicaCrash, "replica-crash"},
-                                          {Fault::breakStreams, "break-streams"},
-                                          {Fault::breakMany, "break-many"},
-                                          {Fault::replicaDark, "replica-dark"},
-                                          {Fault::replicaVanish, "replica-vanish"},
-                                          {Fault::allSlow, "all-slow"},
-                                          {Fault::crowd, "crowd"},
-                                          {Fault::hardRetries, "hard-retries"},
-                                          {Fault::rollReplicas, "roll-replicas"},
-                                          {Fault::coldReplicas, "cold-replicas"},
-                                          {Fault::restartRouter, "restart-router"},
-                                          {Fault::restartController, "restart-controller"},
-                                          {Fault::changeStorm, "change-storm"},
-                                          {Fault::races, "races"},
-                                          {Fault::bigTemplate, "big-template"},
-                                          {Fault::evacuate, "evacuate"},
-                                          {Fault::wallClockJump, "wall-clock-jump"},
-                                          {Fault::lossyNetwork, "lossy-network"},
-                                          {Fault::growCore, "grow-core"},
-                                          {Fault::longAbsence, "long-absence"},
-                                          {Fault::greyReplicas, "grey-replicas"},
-                                          {Fault::flapReplicas, "flap-replicas"},
-                                          {Fault::resetConnections, "reset-connections"},
-                                          {Fault::forgetConnections, "forget-connections"},
-                                          {Fault::slowRouter, "slow-router"},
-                                          {Fault::slowController, "slow-controller"},
-                                          {Fault::scaleOut, "scale-out"},
-                                          {Fault::zoneLoss, "zone-loss"},
-                                          {Fault::shiftLengths, "shift-lengths"},
-                                          {Fault::reuseAddress, "reuse-address"},
-                                          {Fault::cutMember, "cut-member"},
-                                          {Fault::cutMemberAll, "cut-member-all"},
-                                          {Fault::cutMemberNear, "cut-member-near"},
-                                          {Fault::cutMemberOldest, "cut-member-oldest"},
-                                          {Fault::cutMemberOneWay, "cut-member-one-way"},
-                                          {Fault::cutMemberBoth, "cut-member-both"},
-                                          {Fault::cutMemberSeeds, "cut-member-seeds"},
-                                          {Fault::cutMemberLure, "cut-member-lure"},
-                                          {Fault::secondLoss, "second-loss"},
-                                          {Fault::replaceInTurn, "replace-in-turn"},
-                                          {Fault::manyChanges, "many-changes"},
-                                          {Fault::powerAtTaken, "power-at-taken"},
-                                          {Fault::powerAtTimed, "power-at-timed"},
-                                          {Fault::wipeAtTaken, "wipe-at-taken"},
-                                          {Fault::massPower, "mass-power"}};
+inline constexpr FaultName faultTable[] = {{Fault::killRouter, "kill-router"},
+                                           {Fault::killHerd, "kill-herd"},
+                                           {Fault::killControl, "kill-control"},
+                                           {Fault::killAll, "kill-all"},
+                                           {Fault::freezeRouter, "freeze-router"},
+                                           {Fault::freezeController, "freeze-controller"},
+                                           {Fault::isolateMember, "isolate-member"},
+                                           {Fault::splitCore, "split-core"},
+                                           {Fault::partitionCore, "cut-core"},
+                                           {Fault::partitionZone, "cut-zone"},
+                                           {Fault::isolateRouter, "isolate-router"},
+                                           {Fault::oneWayPartition, "one-way-cut"},
+                                           {Fault::diskSlow, "disk-slow"},
+                                           {Fault::diskStall, "disk-stall"},
+                                           {Fault::diskFull, "disk-full"},
+                                           {Fault::diskFail, "disk-fail"},
+                                           {Fault::diskDamage, "disk-damage"},
+                                           {Fault::powerLoss, "power-loss"},
+                                           {Fault::wipeSameAddress, "wipe-same-address"},
+                                           {Fault::returnNewAddress, "return-new-address"},
+                                           {Fault::replicaCrash, "replica-crash"},
+                                           {Fault::breakStreams, "break-streams"},
+                                           {Fault::breakMany, "break-many"},
+                                           {Fault::replicaDark, "replica-dark"},
+                                           {Fault::replicaVanish, "replica-vanish"},
+                                           {Fault::allSlow, "all-slow"},
+                                           {Fault::crowd, "crowd"},
+                                           {Fault::hardRetries, "hard-retries"},
+                                           {Fault::rollReplicas, "roll-replicas"},
+                                           {Fault::coldReplicas, "cold-replicas"},
+                                           {Fault::restartRouter, "restart-router"},
+                                           {Fault::restartController, "restart-controller"},
+                                           {Fault::changeStorm, "change-storm"},
+                                           {Fault::races, "races"},
+                                           {Fault::bigTemplate, "big-template"},
+                                           {Fault::evacuate, "evacuate"},
+                                           {Fault::wallClockJump, "wall-clock-jump"},
+                                           {Fault::lossyNetwork, "lossy-network"},
+                                           {Fault::growCore, "grow-core"},
+                                           {Fault::longAbsence, "long-absence"},
+                                           {Fault::greyReplicas, "grey-replicas"},
+                                           {Fault::flapReplicas, "flap-replicas"},
+                                           {Fault::resetConnections, "reset-connections"},
+                                           {Fault::forgetConnections, "forget-connections"},
+                                           {Fault::slowRouter, "slow-router"},
+                                           {Fault::slowController, "slow-controller"},
+                                           {Fault::scaleOut, "scale-out"},
+                                           {Fault::zoneLoss, "zone-loss"},
+                                           {Fault::shiftLengths, "shift-lengths"},
+                                           {Fault::reuseAddress, "reuse-address"},
+                                           {Fault::partitionMember, "cut-member"},
+                                           {Fault::partitionMemberAll, "cut-member-all"},
+                                           {Fault::partitionMemberNear, "cut-member-near"},
+                                           {Fault::partitionMemberOldest, "cut-member-oldest"},
+                                           {Fault::partitionMemberAsymmetric, "cut-member-one-way"},
+                                           {Fault::partitionMemberBoth, "cut-member-both"},
+                                           {Fault::partitionMemberSeeds, "cut-member-seeds"},
+                                           {Fault::partitionMemberLure, "cut-member-lure"},
+                                           {Fault::secondLoss, "second-loss"},
+                                           {Fault::replaceInTurn, "replace-in-turn"},
+                                           {Fault::manyChanges, "many-changes"},
+                                           {Fault::powerLossAtAcknowledgement, "power-at-taken"},
+                                           {Fault::powerLossAtTime, "power-at-timed"},
+                                           {Fault::wipeAtAcknowledgement, "wipe-at-taken"},
+                                           {Fault::massPower, "mass-power"}};
 
 /// Switches that break a rule on purpose, to show that its oracle can fail.
 enum class Mutation {
   none,
-  noFence,
+  noFencing,
   earlyAck,
   vouchTooSoon,
   sayNotRun,
@@ -177,11 +177,11 @@
   resumeGap,
   resumeRepeat,
   resumeOther,
-  cutLooksWhole,
+  truncationLooksComplete,
   foreignBody,
   neverGrow,
   blindTrust,
-  skipLife,
+  skipIncarnationCheck,
   ignoreExpiry,
   resumeAnywhere,
   resumeTwice,
@@ -193,7 +193,7 @@
   rebaseOrders,
   deafRouter,
   oldImage,
-  lateCopies,
+  lateDuplicates,
   lateAnswers,
   lyingNames
 };
@@ -223,7 +223,7 @@
 /// Bounds of the rules about control, in ms.
 struct Bounds {
   /// A machine without trouble for so long is in touch.
-  Tick inTouch = 3000;
+  Tick inContact = 3000;
   /// So long after its acknowledgement every router in touch has a change.
   Tick applied = 2000;
   /// A proper order is acknowledged in this time while the core is settled.
@@ -285,8 +285,8 @@
   std::vector<std::string> timeline;
   std::map<std::string, std::size_t> counts;
   /// From the caller's first attempt, and from the attempt that was served.
-  std::map<std::string, std::vector<Tick>> firstWords;
-  std::map<std::string, std::vector<Tick>> servedWords;
+  std::map<std::string, std::vector<Tick>> firstTokenTimes;
+  std::map<std::string, std::vector<Tick>> servedTokenTimes;
   std::vector<Tick> ackTimes;
   /// Messages and bytes sent while failures last and the first 10 s are over, by the sender's role and the kind.
   std::map<std::pair<std::string, std::string>, std::pair<std::size_t, std::size_t>> traffic;
@@ -304,16 +304,16 @@
 /// What control's worst days are of.
 enum class Point { cuts, resends, secondLoss, manyChanges, powerCuts };
 
-struct PointRow {
+struct PointName {
   Point point;
   char const* name;
 };
 
-inline constexpr PointRow pointTable[] = {{Point::cuts, "cuts"},
-                                          {Point::resends, "resends"},
-                                          {Point::secondLoss, "second-loss"},
-                                          {Point::manyChanges, "many-changes"},
-                                          {Point::powerCuts, "power-cuts"}};
+inline constexpr PointName pointTable[] = {{Point::cuts, "cuts"},
+                                           {Point::resends, "resends"},
+                                           {Point::secondLoss, "second-loss"},
+                                           {Point::manyChanges, "many-changes"},
+                                           {Point::powerCuts, "power-cuts"}};
 
 /// One of control's worst days: a small fleet, operators of the whole configuration and a random set of the point's
 /// failures. One in two is fenced.
--- a/testing/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -8,29 +8,30 @@
 
 namespace corkward::testing {
 
-World::Replica* World::replica(std::string const& address) {
+SimulatedCluster::Replica* SimulatedCluster::replica(std::string const& address) {
   auto const it = replicas_.find(address);
   return it == replicas_.end() ? nullptr : &it->second;
 }
 
-void World::nameLife(Node& n, dataplane::Connect const& m) {
+void SimulatedCluster::identifyIncarnation(Node& n, dataplane::Connect const& m) {
   std::string const link = n.link;
-  std::uint64_t const life = n.life;
+  std::uint64_t const incarnation = n.incarnation;
   std::uint64_t const turn = upstreams_.at({link, m.call}).turn;
-  after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, m, turn] {
+  after(1 + static_cast<Tick>(rng_.below(3)), [this, link, incarnation, m, turn] {
     auto const it = upstreams_.find({link, m.call});
     if (it == upstreams_.end() || it->second.turn != turn) return;
     Replica const* const to = replica(m.address);
     if (to == nullptr || to->dark) return;
-    it->second.process = to->life;
-    bool const named = to->up && (lifeOf(*to) == m.incarnation || plan_.mutation == Mutation::skipLife);
-    after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, m, turn, named] {
-      toNode(link, life, [this, link, m, turn, named] {
+    it->second.process = to->incarnation;
+    bool const named =
+        to->up && (incarnationName(*to) == m.incarnation || plan_.mutation == Mutation::skipIncarnationCheck);
+    after(1 + static_cast<Tick>(rng_.below(3)), [this, link, incarnation, m, turn, named] {
+      toNode(link, incarnation, [this, link, m, turn, named] {
         auto const still = upstreams_.find({link, m.call});
         if (still == upstreams_.end() || still->second.turn != turn) return;
         Node& k = *node(link);
         Replica const& other = *replica(m.address);
-        if (named && other.up && other.life == still->second.process) {
+        if (named && other.up && other.incarnation == still->second.process) {
           run(k, k.data->onConnected(local(k), m.call));
         } else {
           ++result_.counts["life-denied"];
@@ -41,13 +42,13 @@
   });
 }
 
-void World::connect(Node& n, dataplane::Connect m) {
+void SimulatedCluster::connect(Node& n, dataplane::Connect m) {
   abandon(n, m.call);
   if (plan_.mutation == Mutation::resumeAnywhere && m.resume && !m.incarnation.empty()) {
     auto it = replicas_.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(rng_.below(static_cast<std::uint64_t>(plan_.models))));
     m.address = it->first;
-    m.incarnation = lifeOf(it->second);
+    m.incarnation = incarnationName(it->second);
   }
   Forwarded& r = upstreams_[{n.link, m.call}];
   r.address = m.address;
@@ -58,29 +59,29 @@
   if (m.events && streams_.count({n.link, m.call}) == 0) streams_[{n.link, m.call}].asEvents("");
   streams_[{n.link, m.call}].connecting(m.resume);
   std::vector<Idle>& idle = idle_[{n.link, m.address}];
-  while (m.incarnation.empty() && !idle.empty() && !r.kept) {
+  while (m.incarnation.empty() && !idle.empty() && !r.reused) {
     Idle const last = idle.back();
     Tick const rest = now_ - last.since;
     if (m.fresh && rest >= freshIdleLimit) break;
     idle.pop_back();
-    r.kept = rest < idleLimit;
-    r.dead = r.kept && last.dead;
-    r.rested = r.kept && rest >= restedAfter;
+    r.reused = rest < idleLimit;
+    r.dead = r.reused && last.dead;
+    r.rested = r.reused && rest >= restedAfter;
   }
   std::string const link = n.link;
-  std::uint64_t const life = n.life;
+  std::uint64_t const incarnation = n.incarnation;
   Replica const* const to = replica(m.address);
   Node const& from = n;
   bool const reachable = to != nullptr && !to->dark &&
                          (from.zone == to->zone || (zoneCuts_.count(from.zone) == 0 && zoneCuts_.count(to->zone) == 0));
   if (!reachable) return;
   if (!m.incarnation.empty()) {
-    nameLife(n, m);
+    identifyIncarnation(n, m);
     return;
   }
   bool const up = to->up && !(to->grey > 0 && rng_.chance(to->grey / 4));
-  after(r.kept ? 0 : 1 + static_cast<Tick>(rng_.below(3)), [this, link, life, call = m.call, up, turn] {
-    toNode(link, life, [this, link, call, up, turn] {
+  after(r.reused ? 0 : 1 + static_cast<Tick>(rng_.below(3)), [this, link, incarnation, call = m.call, up, turn] {
+    toNode(link, incarnation, [this, link, call, up, turn] {
       auto const it = upstreams_.find({link, call});
       if (it == upstreams_.end() || it->second.turn != turn) return;
       Node& k = *node(link);
@@ -92,34 +93,34 @@
   });
 }
 
-void World::handOver(Node& n, std::uint64_t call) {
+void SimulatedCluster::handOver(Node& n, std::uint64_t call) {
   auto const it = upstreams_.find({n.link, call});
   if (it == upstreams_.end()) return;
   std::string const link = n.link;
-  std::uint64_t const life = n.life;
+  std::uint64_t const incarnation = n.incarnation;
   std::uint64_t const turn = it->second.turn;
   std::uint64_t const have = n.data->revisionOf(family);
   for (Change const& c : changes_)
-    if (c.key == family && c.inForce && c.answeredAt >= 0 && have < c.revision && boundFrom(n, c.answeredAt) >= 0 &&
+    if (c.key == family && c.rolledOut && c.answeredAt >= 0 && have < c.revision && boundFrom(n, c.answeredAt) >= 0 &&
         boundFrom(n, c.answeredAt) < now_)
       violation("older configuration served: " + link + " has " + std::to_string(have) + ", in force since " +
                 std::to_string(c.answeredAt) + " is " + std::to_string(c.revision));
   if (plan_.regimes && callers_.at(it->second.caller).instance == regulated) {
     std::uint64_t const certificates = n.data->revisionOf(config::regimesKey);
     for (Change const& c : changes_)
-      if (c.key == config::regimesKey && c.inForce && c.answeredAt >= 0 && c.answeredAt < now_ &&
+      if (c.key == config::regimesKey && c.rolledOut && c.answeredAt >= 0 && c.answeredAt < now_ &&
           certificates < c.revision)
         violation("older certificates in force: " + link + " has " + std::to_string(certificates) +
                   ", in force since " + std::to_string(c.answeredAt) + " is " + std::to_string(c.revision));
   }
   bool const named = !it->second.connect.incarnation.empty();
-  after(1 + static_cast<Tick>(rng_.below(3)), [this, link, life, call, turn, named] {
+  after(1 + static_cast<Tick>(rng_.below(3)), [this, link, incarnation, call, turn, named] {
     auto const r = upstreams_.find({link, call});
     if (r == upstreams_.end() || r->second.turn != turn) return;
     Replica* const to = replica(r->second.address);
-    if (to == nullptr || !to->up || r->second.dead || (named && to->life != r->second.process)) {
+    if (to == nullptr || !to->up || r->second.dead || (named && to->incarnation != r->second.process)) {
       if (r->second.dead) ++result_.counts["forgotten-connections"];
-      toNode(link, life, [this, link, call, turn] {
+      toNode(link, incarnation, [this, link, call, turn] {
         auto const still = upstreams_.find({link, call});
         if (still == upstreams_.end() || still->second.turn != turn) return;
         fed(*node(link), call, [](dataplane::ResponseStream& st) { return st.ended(false); });
@@ -127,21 +128,22 @@
       return;
     }
     Node* const k = node(link);
-    if (k != nullptr && !to->dark) reach(*k, life, call, *to, r->second.connect);
+    if (k != nullptr && !to->dark) reach(*k, incarnation, call, *to, r->second.connect);
   });
 }
 
-void World::reach(Node& n, std::uint64_t life, std::uint64_t call, Replica& r, dataplane::Connect const& m) {
+void SimulatedCluster::reach(Node& n, std::uint64_t incarnation, std::uint64_t call, Replica& r,
+                             dataplane::Connect const& m) {
   Forwarded& forwarded = upstreams_.at({n.link, call});
   std::string const id = forwarded.caller;
-  Caller const& asks = callers_.at(id);
-  checkRegime(asks, n, r, forwarded);
-  bool const tale = asks.path == "tale";
-  int const told = tale ? QString::fromStdString(streams_[{n.link, call}].resume().lastEvent).toInt() : 0;
+  Caller const& requester = callers_.at(id);
+  checkRegime(requester, n, r, forwarded);
+  bool const tale = requester.path == "tale";
+  int const lastEventId = tale ? QString::fromStdString(streams_[{n.link, call}].resume().lastEvent).toInt() : 0;
   if (tale && m.resume) {
     ++result_.counts["tales-resumed"];
     resumesOf_[{id, call}] += plan_.mutation == Mutation::resumeTwice ? 2 : 1;
-    if (plan_.regimes && plan_.bound && asks.instance == regulated && resumesOf_[{id, call}] > 1)
+    if (plan_.regimes && plan_.bound && requester.instance == regulated && resumesOf_[{id, call}] > 1)
       violation("resumed more than once: " + id);
   }
   Tick const leaving = r.shownLeaving < 0 ? -1 : boundFrom(n, r.shownLeaving);
@@ -155,7 +157,7 @@
               " ms after its evacuation was acknowledged");
   if (m.path.rfind("mark-", 0) == 0)
     for (Change const& c : changes_)
-      if (c.key == family && c.inForce && c.answeredAt >= 0 && boundFrom(n, c.answeredAt) >= 0 &&
+      if (c.key == family && c.rolledOut && c.answeredAt >= 0 && boundFrom(n, c.answeredAt) >= 0 &&
           now_ > boundFrom(n, c.answeredAt) + 2000 && !c.mark.empty() && c.revision > 0)
         for (Change const& o : changes_)
           if (o.mark == m.path && o.revision > 0 && o.revision < c.revision)
@@ -167,38 +169,41 @@
   if (plan_.mutation == Mutation::resendUnseen)
     for (int i = 0; i < 3; ++i) repeats_.push_back(now_);
   if (m.resume && !tale) {
-    dataplane::Resume const asked = streams_[{n.link, call}].resume();
-    std::string const wanted = asked.run;
-    auto const known = r.runs.find(wanted);
+    dataplane::Resume const resume = streams_[{n.link, call}].resume();
+    std::string const wantedRun = resume.run;
+    auto const known = r.runs.find(wantedRun);
     ++result_.counts[known != r.runs.end() ? "resumed" : "resume-denied"];
-    forwarded.run = wanted;
+    forwarded.run = wantedRun;
     if (known == r.runs.end()) {
-      wire(n.link, life, call, forwarded.turn, [](dataplane::ResponseStream& st) {
+      wire(n.link, incarnation, call, forwarded.turn, [](dataplane::ResponseStream& st) {
         return st.head(dataplane::ResponseHead{410, {}, 0});
       });
       return;
     }
     Run& again = known->second;
-    again.life = life;
+    again.incarnation = incarnation;
     again.alive = true;
     again.turn = forwarded.turn;
-    std::size_t from = std::min<std::size_t>(asked.offset, again.made.size());
-    dataplane::ResponseHead const head{.status = 206, .run = wanted, .offset = std::to_string(from)};
-    if (plan_.mutation == Mutation::resumeGap) from = std::min(from + word(wanted, 1).size(), again.made.size());
+    std::size_t from = std::min<std::size_t>(resume.offset, again.made.size());
+    dataplane::ResponseHead const head{.status = 206, .run = wantedRun, .offset = std::to_string(from)};
+    if (plan_.mutation == Mutation::resumeGap)
+      from = std::min(from + tokenText(wantedRun, 1).size(), again.made.size());
     if (plan_.mutation == Mutation::resumeRepeat)
-      from = from > word(wanted, 1).size() ? from - word(wanted, 1).size() : 0;
+      from = from > tokenText(wantedRun, 1).size() ? from - tokenText(wantedRun, 1).size() : 0;
     std::string bytes = again.made.substr(from);
-    if (plan_.mutation == Mutation::resumeOther) bytes = word(r.address + "#other", 0) + bytes;
+    if (plan_.mutation == Mutation::resumeOther) bytes = tokenText(r.address + "#other", 0) + bytes;
     bool const done = again.done;
-    wire(n.link, life, call, forwarded.turn, [head](dataplane::ResponseStream& st) { return st.head(head); });
+    wire(n.link, incarnation, call, forwarded.turn, [head](dataplane::ResponseStream& st) { return st.head(head); });
     if (!bytes.empty())
-      wire(n.link, life, call, forwarded.turn, [bytes](dataplane::ResponseStream& st) { return st.piece(bytes); });
-    if (done) wire(n.link, life, call, forwarded.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
+      wire(n.link, incarnation, call, forwarded.turn,
+           [bytes](dataplane::ResponseStream& st) { return st.piece(bytes); });
+    if (done)
+      wire(n.link, incarnation, call, forwarded.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
     return;
   }
   countGrey(r);
   if (r.queue.size() > 40) {
-    wire(n.link, life, call, forwarded.turn, [](dataplane::ResponseStream& st) {
+    wire(n.link, incarnation, call, forwarded.turn, [](dataplane::ResponseStream& st) {
       return st.head(dataplane::ResponseHead{.status = 503, .length = 0, .notExecuted = true});
     });
     return;
@@ -209,10 +214,10 @@
   run.id = id;
   run.call = call;
   run.node = n.link;
-  run.life = life;
+  run.incarnation = incarnation;
   run.turn = forwarded.turn;
   run.events = tale;
-  run.from = told + (plan_.mutation == Mutation::eventGap && told > 0 ? 1 : 0);
+  run.from = lastEventId + (plan_.mutation == Mutation::eventGap && lastEventId > 0 ? 1 : 0);
   if (caller != callers_.end()) {
     run.attempt = caller->second.attempt;
     run.bulk = caller->second.cls == "long";
@@ -249,34 +254,34 @@
   serveNext(r);
 }
 
-bool World::plans(Fault f) const {
+bool SimulatedCluster::plans(Fault f) const {
   return std::find(plan_.faults.begin(), plan_.faults.end(), f) != plan_.faults.end();
 }
 
-World::Grey World::greyFate(Replica const& r) {
+SimulatedCluster::Grey SimulatedCluster::greyFate(Replica const& r) {
   if (r.grey <= 0 || !rng_.chance(r.grey)) return Grey::none;
   constexpr std::array<Grey, 4> fates{Grey::dropped, Grey::failed, Grey::cut, Grey::late};
   ++result_.counts["grey-fates"];
   return fates[rng_.below(fates.size())];
 }
 
-void World::greyRun(Replica& r, Run& run) {
+void SimulatedCluster::greyRun(Replica& r, Run& run) {
   run.made = run.run + " failed\n";
   run.done = true;
   Run const b = run;
   if (b.grey == Grey::dropped) {
     r.runs.erase(b.run);
-    wire(b.node, b.life, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
+    wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
     return;
   }
-  wire(b.node, b.life, b.call, b.turn, [b](dataplane::ResponseStream& st) {
+  wire(b.node, b.incarnation, b.call, b.turn, [b](dataplane::ResponseStream& st) {
     return st.head(dataplane::ResponseHead{.status = 500, .failed = true, .run = b.run});
   });
-  wire(b.node, b.life, b.call, b.turn, [b](dataplane::ResponseStream& st) { return st.piece(b.made); });
-  wire(b.node, b.life, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
+  wire(b.node, b.incarnation, b.call, b.turn, [b](dataplane::ResponseStream& st) { return st.piece(b.made); });
+  wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
 }
 
-void World::countGrey(Replica const& r) {
+void SimulatedCluster::countGrey(Replica const& r) {
   if (r.pool != "model") return;
   double usable = 0;
   double grey = 0;
@@ -291,7 +296,7 @@
   if (r.grey > 0 && now_ - r.greySince > greyNoticed) ++greyHits_;
 }
 
-void World::serveNext(Replica& r) {
+void SimulatedCluster::serveNext(Replica& r) {
   while (r.running < slots && !r.queue.empty()) {
     std::string const name = r.queue.front();
     r.queue.pop_front();
@@ -299,7 +304,7 @@
     if (it == r.runs.end() || !it->second.alive) continue;
     ++r.running;
     std::string const address = r.address;
-    std::uint64_t const life = r.life;
+    std::uint64_t const incarnation = r.incarnation;
     Run const run = it->second;
     double const slow = r.slow * (r.state == "cold" ? 4.0 : 1.0) * (run.grey == Grey::late ? 12.0 : 1.0);
     Tick const read = r.pool == "other"                ? 10
@@ -314,23 +319,25 @@
                                                                    : run.shape == Shape::longAnswer ? 6000
                                                                    : run.bulk ? 2000 + rng_.below(3000)
                                                                               : 100 + rng_.below(200)));
-    int const words = r.pool == "other" ? 1 : run.bulk ? 8 : 3;
-    for (int k = 0; k <= words; ++k)
-      after(first + rest * k / words, [this, address, life, name, k, words] { emit(address, life, name, k, words); });
+    int const tokens = r.pool == "other" ? 1 : run.bulk ? 8 : 3;
+    for (int k = 0; k <= tokens; ++k)
+      after(first + rest * k / tokens,
+            [this, address, incarnation, name, k, tokens] { emit(address, incarnation, name, k, tokens); });
   }
 }
 
-void World::emit(std::string const& address, std::uint64_t life, std::string const& name, int k, int words) {
+void SimulatedCluster::emit(std::string const& address, std::uint64_t incarnation, std::string const& name, int k,
+                            int tokens) {
   Replica& r = replicas_.at(address);
-  if (r.life != life || !r.up) return;
+  if (r.incarnation != incarnation || !r.up) return;
   Run& run = r.runs.at(name);
   std::string bytes =
-      k < words ? word(name, static_cast<std::uint64_t>(k)) : name + " end " + std::to_string(words) + "\n";
+      k < tokens ? tokenText(name, static_cast<std::uint64_t>(k)) : name + " end " + std::to_string(tokens) + "\n";
   if (run.events)
     bytes =
-        k < run.from ? "" : "id: " + std::to_string(k + 1) + "\ndata: " + run.id + (k < words ? "" : " end") + "\n\n";
+        k < run.from ? "" : "id: " + std::to_string(k + 1) + "\ndata: " + run.id + (k < tokens ? "" : " end") + "\n\n";
   run.made += bytes;
-  run.done = k == words;
+  run.done = k == tokens;
   Run const now = run;
   if (run.done) {
     --r.running;
@@ -338,50 +345,54 @@
   }
   if (r.dark || !now.alive) return;
   if (k == 0)
-    wire(now.node, now.life, now.call, now.turn, [name, events = now.events](dataplane::ResponseStream& st) {
+    wire(now.node, now.incarnation, now.call, now.turn, [name, events = now.events](dataplane::ResponseStream& st) {
       return st.head(dataplane::ResponseHead{.status = 200, .run = name, .events = events});
     });
   if (!bytes.empty())
-    wire(now.node, now.life, now.call, now.turn, [bytes](dataplane::ResponseStream& st) { return st.piece(bytes); });
-  if (now.grey == Grey::cut && k == 1 && k < words) {
+    wire(now.node, now.incarnation, now.call, now.turn,
+         [bytes](dataplane::ResponseStream& st) { return st.piece(bytes); });
+  if (now.grey == Grey::cut && k == 1 && k < tokens) {
     r.runs.at(name).alive = false;
-    wire(now.node, now.life, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
+    wire(now.node, now.incarnation, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
     return;
   }
-  if (k == words)
-    wire(now.node, now.life, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
+  if (k == tokens)
+    wire(now.node, now.incarnation, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
 }
 
-void World::wire(std::string const& link, std::uint64_t life, std::uint64_t call, std::uint64_t turn, Fed event) {
+void SimulatedCluster::wire(std::string const& link, std::uint64_t incarnation, std::uint64_t call, std::uint64_t turn,
+                            Fed event) {
   auto const it = upstreams_.find({link, call});
   if (it == upstreams_.end() || it->second.turn != turn) return;
-  it->second.underWay.push_back(std::move(event));
-  if (it->second.underWay.size() == 1) after(2, [this, link, life, call, turn] { arrive(link, life, call, turn); });
+  it->second.inFlight.push_back(std::move(event));
+  if (it->second.inFlight.size() == 1)
+    after(2, [this, link, incarnation, call, turn] { arrive(link, incarnation, call, turn); });
 }
 
-void World::arrive(std::string const& link, std::uint64_t life, std::uint64_t call, std::uint64_t turn) {
+void SimulatedCluster::arrive(std::string const& link, std::uint64_t incarnation, std::uint64_t call,
+                              std::uint64_t turn) {
   auto const it = upstreams_.find({link, call});
-  if (it == upstreams_.end() || it->second.turn != turn || it->second.underWay.empty()) return;
+  if (it == upstreams_.end() || it->second.turn != turn || it->second.inFlight.empty()) return;
   Replica const* const r = replica(it->second.address);
   Node const* const n = node(link);
   bool const cut = n != nullptr && r != nullptr && n->zone != r->zone &&
                    (zoneCuts_.count(n->zone) > 0 || zoneCuts_.count(r->zone) > 0);
   if (cut) {
     ++result_.counts["late-bytes"];
-    after(100, [this, link, life, call, turn] { arrive(link, life, call, turn); });
+    after(100, [this, link, incarnation, call, turn] { arrive(link, incarnation, call, turn); });
     return;
   }
-  std::deque<Fed> const events = std::move(it->second.underWay);
-  it->second.underWay.clear();
+  std::deque<Fed> const events = std::move(it->second.inFlight);
+  it->second.inFlight.clear();
   for (Fed const& event : events)
-    toNode(link, life, [this, link, call, turn, event] {
+    toNode(link, incarnation, [this, link, call, turn, event] {
       auto const still = upstreams_.find({link, call});
       if (still == upstreams_.end() || still->second.turn != turn) return;
       fed(*node(link), call, event);
     });
 }
 
-void World::fed(Node& n, std::uint64_t call, Fed const& event) {
+void SimulatedCluster::fed(Node& n, std::uint64_t call, Fed const& event) {
   auto const it = upstreams_.find({n.link, call});
   if (it == upstreams_.end()) return;
   std::string const id = it->second.caller;
@@ -391,7 +402,7 @@
     steps.ended = dataplane::UpstreamResult::staleConnection;
   if (plans(Fault::forgetConnections) && steps.ended == dataplane::UpstreamResult::complete)
     idle_[{n.link, it->second.address}].push_back(Idle{now_});
-  if (plan_.mutation == Mutation::cutLooksWhole && steps.ended &&
+  if (plan_.mutation == Mutation::truncationLooksComplete && steps.ended &&
       *steps.ended == dataplane::UpstreamResult::connectionLost && streams_[key].begun()) {
     steps.ended = dataplane::UpstreamResult::complete;
     steps.finish = true;
@@ -405,13 +416,13 @@
   }
   if (hears) c->second.got += steps.chunk;
   if (steps.firstByte) {
-    if (hears && !c->second.worded) {
-      c->second.worded = true;
+    if (hears && !c->second.firstTokenReceived) {
+      c->second.firstTokenReceived = true;
     }
     if (hears && !c->second.counted && c->second.began >= 7500 + plan_.skip) {
       c->second.counted = true;
-      result_.firstWords[c->second.cls].push_back(now_ - c->second.began);
-      result_.servedWords[c->second.cls].push_back(now_ - c->second.attemptAt);
+      result_.firstTokenTimes[c->second.cls].push_back(now_ - c->second.began);
+      result_.servedTokenTimes[c->second.cls].push_back(now_ - c->second.attemptAt);
     }
     run(n, n.data->onFirstByte(local(n), call, *steps.firstByte));
   } else if (!steps.chunk.empty()) {
@@ -444,7 +455,7 @@
       }
       BodyVerdict const v = checkBody(c->second.got);
       if (!v.oneRun) violation("a stream has a gap, a repeat or a join: " + id + " of " + v.run);
-      if (v.oneRun && !v.whole) violation("a cut body looks whole: " + id + " of " + v.run);
+      if (v.oneRun && !v.complete) violation("a cut body looks whole: " + id + " of " + v.run);
       std::vector<std::string> const& runs = runsOf_[id];
       if (std::find(runs.begin(), runs.end(), v.run) == runs.end())
         violation("a body of somebody else: " + id + " got " + v.run);
@@ -454,7 +465,7 @@
   if (steps.ended) run(n, n.data->onUpstreamFinished(local(n), call, *steps.ended));
 }
 
-void World::abandon(Node& n, std::uint64_t call) {
+void SimulatedCluster::abandon(Node& n, std::uint64_t call) {
   auto const it = upstreams_.find({n.link, call});
   if (it == upstreams_.end()) return;
   Replica* const r = replica(it->second.address);
@@ -462,9 +473,9 @@
   upstreams_.erase(it);
 }
 
-void World::crash(Replica& r) {
+void SimulatedCluster::crash(Replica& r) {
   r.up = false;
-  ++r.life;
+  ++r.incarnation;
   r.running = 0;
   r.queue.clear();
   r.prefixes.clear();
@@ -478,20 +489,21 @@
   r.runs.clear();
   for (Run const& run : hit)
     after(1 + static_cast<Tick>(rng_.below(5)), [this, run] {
-      wire(run.node, run.life, run.call, run.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
+      wire(run.node, run.incarnation, run.call, run.turn,
+           [](dataplane::ResponseStream& st) { return st.ended(false); });
     });
 }
 
-void World::breakStreams(Replica& r) {
+void SimulatedCluster::breakStreams(Replica& r) {
   for (auto& [name, execution] : r.runs) {
     if (!execution.alive) continue;
     execution.alive = false;
     Run const& b = execution;
-    wire(b.node, b.life, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
+    wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
   }
 }
 
-bool World::oneBody(Caller const& caller) const {
+bool SimulatedCluster::oneBody(Caller const& caller) const {
   if (caller.path != "tale") return checkBody(caller.got).oneRun;
   std::string expected;
   for (int k = 1; expected.size() < caller.got.size(); ++k) {
@@ -503,7 +515,7 @@
   return expected == caller.got;
 }
 
-void World::replaceReplica(std::string const& address) {
+void SimulatedCluster::replaceReplica(std::string const& address) {
   Replica& r = replicas_.at(address);
   if (r.shownLeaving < 0) {
     after(1000, [this, address] { replaceReplica(address); });
--- a/testing/sim/world.cpp
+++ b/testing/sim/simulated_cluster.cpp
@@ -9,7 +9,7 @@
 
 namespace corkward::testing {
 
-World::World(Plan plan) : plan_(std::move(plan)), rng_(plan_.seed), demandNow_(plan_.demand) {
+SimulatedCluster::SimulatedCluster(Plan plan) : plan_(std::move(plan)), rng_(plan_.seed), demandNow_(plan_.demand) {
   for (int i = 1; i <= plan_.controllers; ++i) {
     Node n;
     n.link = "s" + std::to_string(i);
@@ -35,29 +35,29 @@
   }
 }
 
-World::~World() = default;
+SimulatedCluster::~SimulatedCluster() = default;
 
-void World::at(Tick when, std::function<void()> act) {
+void SimulatedCluster::at(Tick when, std::function<void()> act) {
   events_.push(Event{when, order_++, std::move(act)});
 }
 
-Tick World::local(Node const& n) const {
+Tick SimulatedCluster::local(Node const& n) const {
   return n.offset + static_cast<Tick>(static_cast<double>(now_) * n.rate);
 }
 
-World::Node* World::node(std::string const& link) {
+SimulatedCluster::Node* SimulatedCluster::node(std::string const& link) {
   auto const it = nodes_.find(link);
   return it == nodes_.end() ? nullptr : &it->second;
 }
 
-World::Node const* World::node(std::string const& link) const {
+SimulatedCluster::Node const* SimulatedCluster::node(std::string const& link) const {
   auto const it = nodes_.find(link);
   return it == nodes_.end() ? nullptr : &it->second;
 }
 
-void World::toNode(std::string const& link, std::uint64_t life, std::function<void()> act) {
+void SimulatedCluster::toNode(std::string const& link, std::uint64_t incarnation, std::function<void()> act) {
   Node* const n = node(link);
-  if (n == nullptr || !n->alive || n->life != life) return;
+  if (n == nullptr || !n->alive || n->incarnation != incarnation) return;
   if (!n->frozen && n->step == 0) {
     act();
     return;
@@ -66,37 +66,37 @@
   if (!n->frozen) turn(*n);
 }
 
-void World::turn(Node& n) {
+void SimulatedCluster::turn(Node& n) {
   if (n.turning || n.inbox.empty()) return;
   n.turning = true;
   std::string const link = n.link;
-  std::uint64_t const life = n.life;
-  after(n.step, [this, link, life] {
+  std::uint64_t const incarnation = n.incarnation;
+  after(n.step, [this, link, incarnation] {
     Node* const k = node(link);
-    if (k == nullptr || !k->alive || k->life != life) return;
+    if (k == nullptr || !k->alive || k->incarnation != incarnation) return;
     k->turning = false;
     if (k->frozen || k->inbox.empty()) return;
     std::function<void()> const act = std::move(k->inbox.front());
     k->inbox.pop_front();
     ++result_.counts["slowed-events"];
     act();
-    if (k->alive && k->life == life) turn(*k);
+    if (k->alive && k->incarnation == incarnation) turn(*k);
   });
 }
 
-void World::unslow(Node& n) {
+void SimulatedCluster::unslow(Node& n) {
   n.step = 0;
   if (n.frozen) return;
   std::deque<std::function<void()>> const inbox = std::move(n.inbox);
   n.inbox.clear();
-  std::uint64_t const life = n.life;
+  std::uint64_t const incarnation = n.incarnation;
   for (std::function<void()> const& act : inbox)
-    if (n.alive && n.life == life) act();
+    if (n.alive && n.incarnation == incarnation) act();
 }
 
-dataplane::RouterTuning World::routerTuning() const {
+dataplane::RouterTuning SimulatedCluster::routerTuning() const {
   dataplane::RouterTuning t;
-  if (plan_.mutation == Mutation::noFence || plan_.mutation == Mutation::forgetLeaving)
+  if (plan_.mutation == Mutation::noFencing || plan_.mutation == Mutation::forgetLeaving)
     t.servingLeaseDuration = 1000000000;
   if (plan_.mutation == Mutation::vouchTooSoon) t.ageMargin = -1000000000;
   if (plan_.mutation == Mutation::warmForever) t.warmupLeaseDuration = 1000000000;
@@ -118,7 +118,7 @@
   return t;
 }
 
-void World::boot(Node& n) {
+void SimulatedCluster::boot(Node& n) {
   n.alive = true;
   n.frozen = false;
   n.dark = false;
@@ -126,7 +126,7 @@
   n.turning = false;
   n.clockWaits = false;
   n.draining = false;
-  ++n.life;
+  ++n.incarnation;
   n.bootedAt = now_;
   n.inbox.clear();
   n.writes.clear();
@@ -173,31 +173,31 @@
     self.role = transport::routerRole;
     n.data = std::make_unique<dataplane::RequestRouter>(self, seeds, rng_.next(), routerTuning());
     run(n, n.data->started(local(n)));
-    if (plan_.mutation == Mutation::oldImage && firstWhole_)
-      run(n, n.data->onMessage(local(n), "s1", transport::ConfigurationUpdate{1, true, {*firstWhole_}}));
+    if (plan_.mutation == Mutation::oldImage && firstFleetConfiguration_)
+      run(n, n.data->onMessage(local(n), "s1", transport::ConfigurationUpdate{1, true, {*firstFleetConfiguration_}}));
   }
   std::string const link = n.link;
-  std::uint64_t const life = n.life;
-  after(static_cast<Tick>(rng_.below(clockEvery)), [this, link, life] { clock(link, life); });
+  std::uint64_t const incarnation = n.incarnation;
+  after(static_cast<Tick>(rng_.below(clockEvery)), [this, link, incarnation] { clock(link, incarnation); });
 }
 
-void World::clock(std::string const& link, std::uint64_t life) {
+void SimulatedCluster::clock(std::string const& link, std::uint64_t incarnation) {
   Node* const n = node(link);
-  if (n == nullptr || !n->alive || n->life != life) return;
+  if (n == nullptr || !n->alive || n->incarnation != incarnation) return;
   if (!n->frozen && n->step == 0) {
     tick(*n);
   } else if (!n->frozen && !n->clockWaits) {
     n->clockWaits = true;
-    toNode(link, life, [this, link] {
+    toNode(link, incarnation, [this, link] {
       Node& k = *node(link);
       k.clockWaits = false;
       tick(k);
     });
   }
-  after(clockEvery, [this, link, life] { clock(link, life); });
+  after(clockEvery, [this, link, incarnation] { clock(link, incarnation); });
 }
 
-void World::tick(Node& n) {
+void SimulatedCluster::tick(Node& n) {
   if (n.control) {
     n.control->setWallTime(wall());
     run(n, n.control->onTimer(local(n)));
@@ -207,7 +207,7 @@
   }
 }
 
-void World::kill(Node& n, bool power) {
+void SimulatedCluster::kill(Node& n, bool power) {
   if (!n.alive) return;
   n.alive = false;
   n.frozen = false;
@@ -236,38 +236,39 @@
   }
   n.data.reset();
   std::erase_if(idle_, [&](auto const& entry) { return entry.first.first == n.link; });
-  std::vector<std::pair<std::string, std::uint64_t>> gone;
+  std::vector<std::pair<std::string, std::uint64_t>> closedUpstreams;
   for (auto const& [key, forwarded] : upstreams_)
-    if (key.first == n.link) gone.push_back(key);
-  for (std::pair<std::string, std::uint64_t> const& g : gone) {
+    if (key.first == n.link) closedUpstreams.push_back(key);
+  for (std::pair<std::string, std::uint64_t> const& g : closedUpstreams) {
     abandon(n, g.second);
     streams_.erase(g);
   }
   std::vector<std::string> cut;
   for (auto const& [callerId, openCaller] : callers_)
-    if (openCaller.open && openCaller.node == n.link && openCaller.life == n.life) cut.push_back(callerId);
+    if (openCaller.open && openCaller.node == n.link && openCaller.incarnation == n.incarnation)
+      cut.push_back(callerId);
   for (std::string const& id : cut) after(1 + static_cast<Tick>(rng_.below(20)), [this, id] { callerCut(id); });
 }
 
-void World::freeze(Node& n, Tick how) {
+void SimulatedCluster::freeze(Node& n, Tick how) {
   if (!n.alive || n.frozen) return;
   n.frozen = true;
   std::string const link = n.link;
-  std::uint64_t const life = n.life;
-  after(how, [this, link, life] {
+  std::uint64_t const incarnation = n.incarnation;
+  after(how, [this, link, incarnation] {
     Node* const m = node(link);
-    if (m == nullptr || !m->alive || m->life != life || !m->frozen) return;
+    if (m == nullptr || !m->alive || m->incarnation != incarnation || !m->frozen) return;
     m->frozen = false;
     std::deque<std::function<void()>> inbox = std::move(m->inbox);
     m->inbox.clear();
     for (std::function<void()> const& act : inbox)
-      if (m->alive && m->life == life) act();
+      if (m->alive && m->incarnation == incarnation) act();
   });
 }
 
-void World::run(Node& n, control::ControllerCommands&& c) {
+void SimulatedCluster::run(Node& n, control::ControllerCommands&& c) {
   std::string const link = n.link;
-  std::uint64_t const life = n.life;
+  std::uint64_t const incarnation = n.incarnation;
   if (!c.persists.empty()) {
     std::pair<std::vector<storage::Record>, std::vector<std::uint64_t>> write;
     for (consensus::PersistCommand const& p : c.persists) {
@@ -286,7 +287,7 @@
   for (core::LogEvent const& logEvent : c.logEvents)
     if (plan_.operators.any && logEvent.event == "committed" &&
         logEvent.fields.at("key") == config::fleetConfigurationKey)
-      wholeCommitted(n);
+      onFleetConfigurationCommitted(n);
   for (transport::Send const& s : c.sends) send(link, s);
   for (control::OperatorResponse const& a : c.responses) {
     auto const it = answers_.find({link, a.token});
@@ -299,9 +300,9 @@
     Node const* const target = node(p);
     bool const refused = target == nullptr || (!target->alive && !target->dark);
     if (!passes(link, p) || !passes(p, link)) continue;
-    after(2, [this, link, life, p, refused] {
+    after(2, [this, link, incarnation, p, refused] {
       if (refused)
-        toNode(link, life, [this, link, p] {
+        toNode(link, incarnation, [this, link, p] {
           Node& m = *node(link);
           run(m, m.control->onProbeResult(local(m), p, true));
         });
@@ -309,14 +310,14 @@
   }
 }
 
-void World::disk(Node& n) {
+void SimulatedCluster::disk(Node& n) {
   if (n.writing || n.writes.empty() || n.diskStalled) return;
   n.writing = true;
   std::string const link = n.link;
-  std::uint64_t const life = n.life;
-  after(n.diskDelay + static_cast<Tick>(rng_.below(3)), [this, link, life] {
+  std::uint64_t const incarnation = n.incarnation;
+  after(n.diskDelay + static_cast<Tick>(rng_.below(3)), [this, link, incarnation] {
     Node* const m = node(link);
-    if (m == nullptr || !m->alive || m->life != life) return;
+    if (m == nullptr || !m->alive || m->incarnation != incarnation) return;
     m->writing = false;
     if (m->diskStalled || m->writes.empty()) return;
     std::pair<std::vector<storage::Record>, std::vector<std::uint64_t>> const write = std::move(m->writes.front());
@@ -327,7 +328,7 @@
     } catch (storage::StorageError const&) {
       ok = false;
     }
-    toNode(link, life, [this, link, write, ok] {
+    toNode(link, incarnation, [this, link, write, ok] {
       for (std::uint64_t const t : write.second) {
         Node& k = *node(link);
         run(k, k.control->onPersisted(local(k), t, ok));
@@ -337,7 +338,7 @@
   });
 }
 
-void World::run(Node& n, dataplane::RouterCommands&& c) {
+void SimulatedCluster::run(Node& n, dataplane::RouterCommands&& c) {
   if (plan_.operators.any) inspectBeginning(n);
   for (transport::Send const& s : c.sends) send(n.link, s);
   for (dataplane::CallCommand const& v : c.calls) {
@@ -383,13 +384,13 @@
   }
 }
 
-Result World::run() {
+Result SimulatedCluster::run() {
   core::GuaranteeCounts::ofThread().takeNewViolations();
   for (auto& [link, node] : nodes_) boot(node);
   at(3500, [this] { platform(); });
   if (plan_.regimes)
     at(4000, [this] {
-      watchLives();
+      watchIncarnations();
       declareRegime();
     });
   at(5000, [this] {
@@ -429,10 +430,10 @@
     hardShare_ = 0;
   });
   at(begin + plan_.length + 15000, [this] { heal(); });
-  at(begin + plan_.length + settleFor, [this] { quiet_ = true; });
-  at(begin + plan_.length + settleFor + 16000, [this] { finalChecks(); });
-  if (plan_.operators.any) at(begin + plan_.length + settleFor + 16500, [this] { finalOrders(); });
-  Tick const end = begin + plan_.length + settleFor + 30000;
+  at(begin + plan_.length + recoveryPeriod, [this] { quiet_ = true; });
+  at(begin + plan_.length + recoveryPeriod + 16000, [this] { finalChecks(); });
+  if (plan_.operators.any) at(begin + plan_.length + recoveryPeriod + 16500, [this] { finalOrders(); });
+  Tick const end = begin + plan_.length + recoveryPeriod + 30000;
   while (!events_.empty() && events_.top().at <= end) {
     Event const e = events_.top();
     events_.pop();
--- a/testing/sim/world.h
+++ b/testing/sim/simulated_cluster.h
@@ -22,10 +22,10 @@
 namespace corkward::testing {
 
 /// A whole fleet, its network, disks, callers, replicas, operators and platform, from one seed.
-class World {
+class SimulatedCluster {
  public:
-  explicit World(Plan plan);
-  ~World();
+  explicit SimulatedCluster(Plan plan);
+  ~SimulatedCluster();
   Result run();
 
  private:
@@ -41,7 +41,7 @@
     bool turning = false;
     bool clockWaits = false;
     bool draining = false;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     Tick bootedAt = 0;
     Tick offset = 0;
     double rate = 1.0;
@@ -71,7 +71,7 @@
     std::uint64_t attempt = 0;
     std::uint64_t call = 0;
     std::string node;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     bool alive = true;
     bool done = false;
     bool bulk = false;
@@ -98,7 +98,7 @@
     /// Share of the requests that it fails, and since when.
     double grey = 0;
     Tick greySince = 0;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     Tick shownLeaving = -1;
     std::vector<Tick> coldHits;
     std::map<std::string, Run> runs;
@@ -114,7 +114,7 @@
     std::string prefix;
     std::uint64_t attempt = 0;
     std::string node;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t call = 0;
     bool resumable = false;
     bool earlierNotRun = true;
@@ -127,7 +127,7 @@
     Tick began = 0;
     Tick attemptAt = 0;
     Tick deadline = 0;
-    bool worded = false;
+    bool firstTokenReceived = false;
     /// Its node has broken its answer off; that is under way.
     bool brokenOff = false;
     bool counted = false;
@@ -143,7 +143,7 @@
     dataplane::Connect connect;
     std::uint64_t turn = 0;
     /// On a kept connection, which the replica has forgotten, and which was idle for long.
-    bool kept = false;
+    bool reused = false;
     bool dead = false;
     bool rested = false;
     /// Life of the process at the other end, where it was asked for.
@@ -151,7 +151,7 @@
     /// Life that was written down for the next hand-over.
     std::string recorded;
     /// What the replica sent and the node has not had yet, in order.
-    std::deque<Fed> underWay;
+    std::deque<Fed> inFlight;
   };
   struct Event {
     Tick at;
@@ -167,7 +167,7 @@
     std::string what;
     int status = 0;
     std::uint64_t revision = 0;
-    bool inForce = false;
+    bool rolledOut = false;
     bool pending = false;
     Tick sentAt = 0;
     Tick answeredAt = -1;
@@ -181,9 +181,9 @@
     std::uint64_t version = 0;
     Tick sentAt = -1;
     /// First success that a controller answered, whether the operator got it or not.
-    Tick takenAt = -1;
+    Tick acknowledgedAt = -1;
     std::uint64_t revision = 0;
-    int copies = 0;
+    int sends = 0;
     bool closed = false;
     bool judgedLate = false;
   };
@@ -202,7 +202,7 @@
   Node const* node(std::string const& link) const;
   /// Whether a majority of the routers has run without a break since before that time.
   bool mostLiveSince(Tick since) const;
-  void toNode(std::string const& link, std::uint64_t life, std::function<void()> act);
+  void toNode(std::string const& link, std::uint64_t incarnation, std::function<void()> act);
   dataplane::RouterTuning routerTuning() const;
   void boot(Node& n);
   void kill(Node& n, bool power);
@@ -211,7 +211,7 @@
   void turn(Node& n);
   void unslow(Node& n);
   void tick(Node& n);
-  void clock(std::string const& link, std::uint64_t life);
+  void clock(std::string const& link, std::uint64_t incarnation);
   void send(std::string const& from, transport::Send const& s);
   void tally(std::string const& from, transport::Send const& s);
   bool passes(std::string const& from, std::string const& to);
@@ -221,13 +221,13 @@
   void connect(Node& n, dataplane::Connect m);
   void handOver(Node& n, std::uint64_t call);
   void abandon(Node& n, std::uint64_t call);
-  void reach(Node& n, std::uint64_t life, std::uint64_t call, Replica& r, dataplane::Connect const& m);
+  void reach(Node& n, std::uint64_t incarnation, std::uint64_t call, Replica& r, dataplane::Connect const& m);
   void serveNext(Replica& r);
-  void emit(std::string const& address, std::uint64_t life, std::string const& name, int k, int words);
+  void emit(std::string const& address, std::uint64_t incarnation, std::string const& name, int k, int tokens);
   /// An event of a replica's connection on its way to the node: in order, late across a cut, never for a closed
   /// connection.
-  void wire(std::string const& link, std::uint64_t life, std::uint64_t call, std::uint64_t turn, Fed event);
-  void arrive(std::string const& link, std::uint64_t life, std::uint64_t call, std::uint64_t turn);
+  void wire(std::string const& link, std::uint64_t incarnation, std::uint64_t call, std::uint64_t turn, Fed event);
+  void arrive(std::string const& link, std::uint64_t incarnation, std::uint64_t call, std::uint64_t turn);
   void fed(Node& n, std::uint64_t call, Fed const& event);
   void breakStreams(Replica& r);
   /// How a request fares at a replica that is grey.
@@ -252,7 +252,7 @@
   void callerEnds(std::string const& id, std::string const& outcome);
   void operatorTurn();
   /// Name of a replica's life on the platform's list.
-  std::string lifeOf(Replica const& r) const;
+  std::string incarnationName(Replica const& r) const;
   /// Wall time as machines are told it.
   std::int64_t wall() const;
   std::vector<std::string> certificateNames() const;
@@ -262,11 +262,11 @@
   void patchCertificates(std::vector<std::string> const& names, Tick lasts);
   void revoke(std::string const& name);
   void certificateTurn();
-  void watchLives();
+  void watchIncarnations();
   /// A request of that instance has reached the replica: may it?
   void checkRegime(Caller const& caller, Node const& from, Replica const& r, Forwarded const& forwarded);
   /// Opens a connection that stands once the replica has named its life.
-  void nameLife(Node& n, dataplane::Connect const& m);
+  void identifyIncarnation(Node& n, dataplane::Connect const& m);
   /// Whether what the caller has so far is one run's, or one row of events, from the first on without gap or repeat.
   bool oneBody(Caller const& caller) const;
   void change(std::string const& key, std::string const& what, std::string const& method, std::string const& path,
@@ -280,7 +280,7 @@
   /// The message as the plan's mutation leaves it.
   transport::Message mutated(transport::Message const& message) const;
   void cause(Fault f);
-  // Operators of the whole configuration: orders.cpp.
+  // Operators of the fleet configuration: operator_changes.cpp.
   void ordersTurn();
   void orderAnew(std::string const& link);
   void sendOrder(std::size_t order, std::string const& link);
@@ -294,20 +294,20 @@
   void readsTurn();
   void readOnce(std::string const& link);
   void checkRead(std::string const& link, std::uint64_t confirmed, int status, QJsonObject const& body);
-  void wholeCommitted(Node const& n);
+  void onFleetConfigurationCommitted(Node const& n);
   void finalOrders();
   std::string otherController(std::string const& link);
   /// Sends a call of an operator to a controller and hands on its answer, status 0 for none after so long.
-  void ask(std::string const& link, transport::OperatorCall call, Tick limit,
-           std::function<void(int, QJsonObject const&)> then);
-  // Machines in touch, and what holds for them: touch.cpp.
+  void sendOperatorCall(std::string const& link, transport::OperatorCall call, Tick limit,
+                        std::function<void(int, QJsonObject const&)> then);
+  // Machines in contact, and what holds for them: contact_oracles.cpp.
   void inspect();
   bool running(Node const& n) const;
   bool joined(std::string const& a, std::string const& b) const;
-  std::set<std::string> settledCore() const;
+  std::set<std::string> stableCore() const;
   std::string coreState() const;
   bool calm() const;
-  bool inTouch(Node const& n) const;
+  bool inContact(Node const& n) const;
   void inspectRouters();
   /// A router serves from here on: not with less than was confirmed before it started.
   void inspectBeginning(Node& n);
@@ -318,7 +318,7 @@
   Tick boundFrom(Node const& n, Tick since) const;
   // Failures of control: control_faults.cpp.
   void causeOfControl(Fault f);
-  void cutMember(Fault f);
+  void partitionMember(Fault f);
   std::vector<std::pair<std::string, std::string>> cutPairs(Fault f, std::vector<std::string> const& cut);
   void cutExtras(Fault f, std::vector<std::string> const& cut, Tick how);
   void lure(std::vector<std::string> const& cut);
@@ -338,7 +338,7 @@
   std::string someController();
   int live(bool control) const;
   /// Every disk is up, votes, and knows a membership of all of them: one may be lost.
-  bool wholeCore() const;
+  bool coreComplete() const;
 
   Plan plan_;
   core::RandomGenerator rng_;
@@ -393,7 +393,7 @@
   int newAddresses_ = 0;
   int grown_ = 0;
   bool totalOutage_ = false;
-  std::map<std::string, int> seenKinds_;
+  std::map<std::string, int> violationKinds_;
   std::vector<std::string> seeds_{"s1", "s2", "s3"};
   std::vector<Order> orders_;
   std::uint64_t nextVersion_ = 1;
@@ -416,14 +416,14 @@
   Tick coreChangedAt_ = 0;
   Tick troubledAt_ = 0;
   Tick memberTroubledAt_ = 0;
-  std::set<std::string> settled_;
-  std::optional<transport::CommittedEntry> firstWhole_;
+  std::set<std::string> stableCore_;
+  std::optional<transport::CommittedEntry> firstFleetConfiguration_;
   std::string certificateRevision_ = "0";
   /// Changes of each certificate, as they were sent.
   std::map<std::string, std::uint64_t> certificateTurns_;
   /// Certificates that are out of force for certain, since when.
   std::map<std::string, Tick> outSince_;
-  std::map<std::string, std::string> shownLives_;
+  std::map<std::string, std::string> listedIncarnations_;
   std::set<std::string> everListed_;
   std::map<std::pair<std::string, std::uint64_t>, int> resumesOf_;
   Result result_;
--- a/testing/sim/sweep.cpp
+++ b/testing/sim/sweep.cpp
@@ -6,7 +6,7 @@
 #include <mutex>
 #include <thread>
 
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace corkward::testing {
 
@@ -31,7 +31,7 @@
   bool withRegimes = false;
   bool unbound = false;
   std::string point;
-  std::string fence;
+  std::string fencing;
   bool looseNames = false;
   bool proper = false;
   Operators operators;
@@ -57,8 +57,8 @@
       "unbound", po::bool_switch(&unbound), "the same, but the tenant is of no regime")(
       "point", po::value(&point),
       "one of control's worst days: cuts, resends, second-loss, many-changes or power-cuts")(
-      "fence", po::value(&fence), "on or off, whatever the seed says")("orders", po::bool_switch(&operators.any),
-                                                                       "operators of the whole configuration")(
+      "fence", po::value(&fencing), "on or off, whatever the seed says")("orders", po::bool_switch(&operators.any),
+                                                                         "operators of the whole configuration")(
       "ack-lost", po::value(&operators.ackLost), "share of their acknowledgements that are lost")(
       "race", po::value(&operators.race), "share of their orders that are two on one version")(
       "meet", po::bool_switch(&operators.meet), "they send to machines that are cut off and as they return")(
@@ -80,28 +80,28 @@
     return 0;
   }
   if (vm.count("list") > 0) {
-    for (FaultRow const& f : faultTable) std::cout << f.name << "\n";
+    for (FaultName const& f : faultTable) std::cout << f.name << "\n";
     return 0;
   }
   if (!deployment.empty() && deployment != "harmattan" && deployment != "lernkarten") {
     std::cerr << "corkward-sweep: no such deployment: " << deployment << "\n";
     return 2;
   }
-  PointRow const* worst = nullptr;
-  for (PointRow const& row : pointTable)
-    if (point == row.name) worst = &row;
+  PointName const* worst = nullptr;
+  for (PointName const& entry : pointTable)
+    if (point == entry.name) worst = &entry;
   if (!point.empty() && worst == nullptr) {
     std::cerr << "corkward-sweep: no such point: " << point << "\n";
     return 2;
   }
-  if (!fence.empty() && fence != "on" && fence != "off") {
+  if (!fencing.empty() && fencing != "on" && fencing != "off") {
     std::cerr << "corkward-sweep: --fence: must be on or off\n";
     return 2;
   }
   std::vector<Fault> faults;
   for (std::string const& n : names) {
     bool found = false;
-    for (FaultRow const& f : faultTable)
+    for (FaultName const& f : faultTable)
       if (n == f.name) {
         faults.push_back(f.fault);
         found = true;
@@ -139,7 +139,7 @@
         if (operators.any) plan.operators = operators;
         if (operators.burstMost != Operators{}.burstMost) plan.operators.burstMost = operators.burstMost;
         plan.operators.proper = proper;
-        if (!fence.empty()) plan.fenced = fence == "on";
+        if (!fencing.empty()) plan.fenced = fencing == "on";
         plan.looseNames = plan.looseNames || looseNames;
         plan.regimes = withRegimes;
         plan.bound = !unbound;
@@ -156,7 +156,7 @@
         std::vector<std::string> violations;
         Result result;
         try {
-          result = World(plan).run();
+          result = SimulatedCluster(plan).run();
           violations = result.violations;
         } catch (std::exception const& e) {
           violations.push_back(std::string("thrown: ") + e.what());
@@ -165,7 +165,7 @@
         if (!violations.empty()) {
           ++bad;
           std::cout << "seed " << seed << ":";
-          for (FaultRow const& f : faultTable)
+          for (FaultName const& f : faultTable)
             if (std::find(plan.faults.begin(), plan.faults.end(), f.fault) != plan.faults.end())
               std::cout << " " << f.name;
           std::cout << "\n";
@@ -184,13 +184,13 @@
         if (counts) {
           std::cout << "seed " << seed;
           for (auto const& [counter, value] : result.counts) std::cout << " " << counter << "=" << value;
-          for (auto const& [requestClass, times] : result.firstWords) {
+          for (auto const& [requestClass, times] : result.firstTokenTimes) {
             std::vector<Tick> t = times;
             std::sort(t.begin(), t.end());
             std::cout << " " << requestClass << "-median=" << t[t.size() / 2] << " " << requestClass
                       << "-99=" << t[t.size() * 99 / 100];
           }
-          for (auto const& [requestClass, times] : result.servedWords) {
+          for (auto const& [requestClass, times] : result.servedTokenTimes) {
             std::vector<Tick> t = times;
             std::sort(t.begin(), t.end());
             std::cout << " " << requestClass << "-served-median=" << t[t.size() / 2] << " " << requestClass
--- a/testing/test/capacity_test.cpp
+++ b/testing/test/capacity_test.cpp
@@ -19,9 +19,9 @@
   std::string errors;
 };
 
-Outcome rig(std::vector<std::string> const& words) {
+Outcome rig(std::vector<std::string> const& arguments) {
   std::vector<char const*> argv{"corkward-capacity"};
-  for (std::string const& w : words) argv.push_back(w.c_str());
+  for (std::string const& w : arguments) argv.push_back(w.c_str());
   std::ostringstream out;
   std::ostringstream errors;
   Outcome o;
@@ -45,18 +45,18 @@
   return s;
 }
 
-double valueOf(capacity::Measurements const& rows, std::string const& measure, std::string const& role,
+double valueOf(capacity::Measurements const& measurements, std::string const& measure, std::string const& role,
                std::string const& unit) {
-  auto const it = std::find_if(rows.begin(), rows.end(), [&](capacity::Measurement const& r) {
+  auto const it = std::find_if(measurements.begin(), measurements.end(), [&](capacity::Measurement const& r) {
     return r.measure == measure && r.role == role && r.unit == unit;
   });
-  REQUIRE(it != rows.end());
+  REQUIRE(it != measurements.end());
   return it->value;
 }
 
-std::string followsFromTheSeed(capacity::Measurements const& rows) {
+std::string followsFromTheSeed(capacity::Measurements const& measurements) {
   std::ostringstream out;
-  for (capacity::Measurement const& r : rows)
+  for (capacity::Measurement const& r : measurements)
     if (r.kind == "counted") out << r.measure << "," << r.role << "," << r.unit << "," << r.value << "\n";
   return out.str();
 }
@@ -65,7 +65,7 @@
 
 TEST_CASE("a bad argument ends with its name, the reason and 2") {
   struct Bad {
-    std::vector<std::string> words;
+    std::vector<std::string> arguments;
     char const* name;
   };
   std::vector<Bad> bad{{{}, "part"},
@@ -86,12 +86,12 @@
                        {{"--part", "split", "--regions", "1"}, "regions"},
                        {{"--part", "state", "--nodes", "2"}, "nodes"},
                        {{"--part", "rest", "--out", "/nonexistent/file"}, "out"}};
-  for (capacity::SizeRow const& r : capacity::sizeTable) {
+  for (capacity::SizeOption const& r : capacity::sizeTable) {
     bad.push_back({{"--part", "rest", std::string("--") + r.name, std::to_string(r.least - 1)}, r.name});
     bad.push_back({{"--part", "rest", std::string("--") + r.name, std::to_string(r.most + 1)}, r.name});
   }
   for (Bad const& b : bad) {
-    Outcome const o = rig(b.words);
+    Outcome const o = rig(b.arguments);
     INFO(o.errors);
     CHECK(o.code == 2);
     CHECK(o.errors.find(b.name) != std::string::npos);
@@ -123,48 +123,48 @@
 TEST_CASE("what all send is what all take, and the duties add up") {
   capacity::Sizes sizes = small();
   sizes.changes = 86400;
-  sizes.apart = 0;
+  sizes.interRegionDelay = 0;
   sizes.seconds = 5;
-  capacity::Measurements const rows = capacity::findExperiment("rest")->run(sizes);
+  capacity::Measurements const measurements = capacity::findExperiment("rest")->run(sizes);
   double sent = 0;
-  double taken = 0;
+  double received = 0;
   for (char const* const role : {"router", "controller"}) {
     auto const n = static_cast<double>(role == std::string("router") ? sizes.nodes : sizes.control);
-    double const all = valueOf(rows, "sent.all", role, "bytes/s");
-    double duties = 0;
-    for (capacity::Measurement const& r : rows)
+    double const all = valueOf(measurements, "sent.all", role, "bytes/s");
+    double purposeSum = 0;
+    for (capacity::Measurement const& r : measurements)
       if (r.role == role && r.unit == "bytes/s" && r.measure.rfind("sent.", 0) == 0 && r.measure != "sent.all")
-        duties += r.value;
-    CHECK(duties == Approx(all));
+        purposeSum += r.value;
+    CHECK(purposeSum == Approx(all));
     sent += n * all;
-    taken += n * valueOf(rows, "taken.all", role, "bytes/s");
+    received += n * valueOf(measurements, "taken.all", role, "bytes/s");
   }
   CHECK(sent > 0);
-  CHECK(taken == Approx(sent).epsilon(0.02));
-  CHECK(valueOf(rows, "disk", "controller", "bytes/s") > 0);
-  CHECK(valueOf(rows, "sent.news", "controller", "bytes/s") > 0);
+  CHECK(received == Approx(sent).epsilon(0.02));
+  CHECK(valueOf(measurements, "disk", "controller", "bytes/s") > 0);
+  CHECK(valueOf(measurements, "sent.news", "controller", "bytes/s") > 0);
 }
 
 TEST_CASE("the links that a node holds stop growing with the fleet") {
   capacity::Sizes sizes = small();
   sizes.regions = 1;
   sizes.seconds = 30;
-  std::map<std::int64_t, double> held;
+  std::map<std::int64_t, double> openLinks;
   for (std::int64_t const nodes : {16, 64, 128}) {
     sizes.nodes = nodes;
-    held[nodes] = valueOf(capacity::findExperiment("links")->run(sizes), "links.held", "router", "links");
+    openLinks[nodes] = valueOf(capacity::findExperiment("links")->run(sizes), "links.held", "router", "links");
   }
-  CAPTURE(held[16], held[64], held[128]);
-  CHECK(held[16] < 18);
-  CHECK(held[64] < 64);
-  CHECK(held[128] < 1.2 * held[64]);
+  CAPTURE(openLinks[16], openLinks[64], openLinks[128]);
+  CHECK(openLinks[16] < 18);
+  CHECK(openLinks[64] < 64);
+  CHECK(openLinks[128] < 1.2 * openLinks[64]);
 }
 
 TEST_CASE("every change that is answered is in force at every node") {
-  capacity::Measurements const rows = capacity::findExperiment("change")->run(small());
-  CHECK(valueOf(rows, "answered", "operator", "share") == 1);
-  CHECK(valueOf(rows, "in_force.most", "operator", "ms") > 0);
-  CHECK(valueOf(rows, "everywhere.most", "router", "ms") > 0);
+  capacity::Measurements const measurements = capacity::findExperiment("change")->run(small());
+  CHECK(valueOf(measurements, "answered", "operator", "share") == 1);
+  CHECK(valueOf(measurements, "in_force.most", "operator", "ms") > 0);
+  CHECK(valueOf(measurements, "everywhere.most", "router", "ms") > 0);
 }
 
 TEST_CASE("a hollow fleet goes by what passes between its processes") {
@@ -188,26 +188,26 @@
 }
 
 TEST_CASE("messages count for the duty they are for") {
-  CHECK(capacity::dutyOf(transport::GossipShuffle{}) == "shuffles");
-  CHECK(capacity::dutyOf(transport::Heartbeat{}) == "beats");
-  CHECK(capacity::dutyOf(transport::RouterStatusReport{}) == "holdings");
+  CHECK(capacity::purposeOf(transport::GossipShuffle{}) == "shuffles");
+  CHECK(capacity::purposeOf(transport::Heartbeat{}) == "beats");
+  CHECK(capacity::purposeOf(transport::RouterStatusReport{}) == "holdings");
   transport::ConfigurationUpdate news;
-  CHECK(capacity::dutyOf(news) == "news");
+  CHECK(capacity::purposeOf(news) == "news");
   news.entries.push_back(transport::CommittedEntry{"family:desk", 1, {}});
-  CHECK(capacity::dutyOf(news) == "news");
+  CHECK(capacity::purposeOf(news) == "news");
   news.entries.front().key = "roster";
-  CHECK(capacity::dutyOf(news) == "roster");
+  CHECK(capacity::purposeOf(news) == "roster");
   news.entries.front().key = "pool:model1";
-  CHECK(capacity::dutyOf(news) == "list");
+  CHECK(capacity::purposeOf(news) == "list");
 }
 
 TEST_CASE("the heap's bytes grow by what is held, and go back") {
   std::uint64_t const before = capacity::heapBytes();
-  std::vector<std::string> held(100, std::string(10000, 'x'));
+  std::vector<std::string> openLinks(100, std::string(10000, 'x'));
   std::uint64_t const with = capacity::heapBytes();
   CHECK(with - before >= 1000000);
   CHECK(with - before < 1100000);
-  held = {};
+  openLinks = {};
   CHECK(capacity::heapBytes() < before + 10000);
 }
 
@@ -218,11 +218,11 @@
   sizes.calls = 200;
   sizes.sessions = 300;
   sizes.prefixes = 400;
-  capacity::Measurements const rows = capacity::findExperiment("state")->run(sizes);
-  CHECK(valueOf(rows, "held.ids", "router", "ids") == 300);
-  CHECK(valueOf(rows, "held.credits", "router", "credits") == 4);
-  CHECK(valueOf(rows, "held.prefixes", "router", "prefixes") == 400);
-  CHECK(valueOf(rows, "calls", "router", "bytes") > 200 * 100);
+  capacity::Measurements const measurements = capacity::findExperiment("state")->run(sizes);
+  CHECK(valueOf(measurements, "held.ids", "router", "ids") == 300);
+  CHECK(valueOf(measurements, "held.credits", "router", "credits") == 4);
+  CHECK(valueOf(measurements, "held.prefixes", "router", "prefixes") == 400);
+  CHECK(valueOf(measurements, "calls", "router", "bytes") > 200 * 100);
   sizes.calls = 5;
   capacity::Measurements const costs = capacity::findExperiment("cost")->run(sizes);
   CHECK(valueOf(costs, "in_hand", "router", "calls") == 5);
--- a/testing/test/tap_test.cpp
+++ b/testing/test/fault_proxy_test.cpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "tap.h"
+#include "fault_proxy.h"
 
 namespace testing = corkward::testing;
 
@@ -31,11 +31,11 @@
 TEST_CASE("a connection that the relay keeps dark ends after a time", "[tap]") {
   application();
   // Takes connections and never answers, and nothing is sent, so that only the relay can end them.
-  QTcpServer silent;
-  REQUIRE(silent.listen(QHostAddress::LocalHost));
-  testing::Tap tap("127.0.0.1:" + std::to_string(silent.serverPort()), "127.0.0.1", 3, darkMs);
-  tap.harm(1.0);
-  std::string const port = tap.address().substr(tap.address().rfind(':') + 1);
+  QTcpServer unresponsive;
+  REQUIRE(unresponsive.listen(QHostAddress::LocalHost));
+  testing::FaultProxy proxy("127.0.0.1:" + std::to_string(unresponsive.serverPort()), "127.0.0.1", 3, darkMs);
+  proxy.harm(1.0);
+  std::string const port = proxy.address().substr(proxy.address().rfind(':') + 1);
   std::vector<std::unique_ptr<QTcpSocket>> callers;
   for (std::size_t i = 0; i < connections; ++i) {
     callers.push_back(std::make_unique<QTcpSocket>());
@@ -49,9 +49,9 @@
   };
   QElapsedTimer clock;
   clock.start();
-  while ((tap.harmed() < connections || ended() < tap.dark()) && clock.elapsed() < limitMs)
+  while ((proxy.harmed() < connections || ended() < proxy.dark()) && clock.elapsed() < limitMs)
     QCoreApplication::processEvents(QEventLoop::AllEvents | QEventLoop::WaitForMoreEvents, 20);
-  CHECK(tap.harmed() == connections);
-  CHECK(tap.dark() > 0);
-  CHECK(ended() == tap.dark());
+  CHECK(proxy.harmed() == connections);
+  CHECK(proxy.dark() > 0);
+  CHECK(ended() == proxy.dark());
 }
--- a/testing/test/fleet_test.cpp
+++ b/testing/test/fleet_test.cpp
@@ -44,7 +44,7 @@
       if (fleet.get(n.http, "/readyz").status != 200) return false;
     return true;
   });
-  fleet.giveLists();
+  fleet.publishEndpointLists();
   fleet.loadConfigurations();
   fleet.untilReady(fleet.routers().size());
 }
@@ -55,7 +55,7 @@
 };
 
 /// Sends bytes as they are and waits for the end of the connection or for the words.
-Raw raw(testing::Fleet& fleet, std::string const& address, std::string const& bytes, std::string const& words) {
+Raw raw(testing::Fleet& fleet, std::string const& address, std::string const& bytes, std::string const& expectedText) {
   http::SocketAddress const at = http::parseSocketAddress(address);
   QTcpSocket socket;
   Raw out;
@@ -65,7 +65,7 @@
   fleet.until("an answer to raw bytes", [&] {
     out.got += socket.readAll().toStdString();
     out.closed = socket.state() != QAbstractSocket::ConnectedState;
-    return out.closed || (!words.empty() && out.got.find(words) != std::string::npos);
+    return out.closed || (!expectedText.empty() && out.got.find(expectedText) != std::string::npos);
   });
   return out;
 }
@@ -75,11 +75,11 @@
          "\r\n\r\n" + body;
 }
 
-std::size_t linesWith(std::string const& file, std::string const& word) {
+std::size_t linesWith(std::string const& file, std::string const& text) {
   QFile f(core::toQString(file));
   if (!f.open(QIODevice::ReadOnly)) return 0;
   std::size_t n = 0;
-  for (QByteArray const& line : f.readAll().split('\n')) n += line.contains(core::toQString(word).toUtf8()) ? 1 : 0;
+  for (QByteArray const& line : f.readAll().split('\n')) n += line.contains(core::toQString(text).toUtf8()) ? 1 : 0;
   return n;
 }
 
@@ -210,10 +210,10 @@
         post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\nCorkward-Attempt: 2\r\n", "{}"), "outcome");
     CHECK(again.got.find(" 409 ") != std::string::npos);
     CHECK(again.got.find("\"unknown\"") != std::string::npos);
-    Raw const elsewhere = raw(
+    Raw const otherRequest = raw(
         fleet, fleet.routers()[1].http,
         post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\nCorkward-Attempt: 2\r\n", "{}"), "outcome");
-    CHECK(elsewhere.got.find(" 409 ") != std::string::npos);
+    CHECK(otherRequest.got.find(" 409 ") != std::string::npos);
     CHECK(runsOf(fleet, "broken1") == lines);
   }
   SECTION("a resumable stream goes on with the same run at the same place") {
@@ -228,7 +228,7 @@
       at = line + 2 + size + 2;
     }
     testing::BodyVerdict const v = testing::checkBody(body);
-    CHECK(v.whole);
+    CHECK(v.complete);
     CHECK(v.oneRun);
     std::size_t resumes = 0;
     for (testing::Node const& n : fleet.replicas()) resumes += linesWith(n.record, " resume ");
@@ -279,13 +279,13 @@
   testing::Traffic traffic(fleet, 5, 2.0);
   traffic.startCalling();
   std::string const t = "/v1/templates/fault-desk/instances/nord";
-  auto const patch = [&](int aim) {
+  auto const patch = [&](int target) {
     fleet.until("a change", [&] {
       testing::Reply const now = fleet.call(fleet.firstController(), "GET", t);
       if (now.status != 200) return false;
-      testing::Reply const r =
-          fleet.call(fleet.firstController(), "PATCH", t, R"({"parameters":{"pitch-aim":)" + std::to_string(aim) + "}}",
-                     std::to_string(now.body.value("stamp").toInteger()));
+      testing::Reply const r = fleet.call(fleet.firstController(), "PATCH", t,
+                                          R"({"parameters":{"pitch-aim":)" + std::to_string(target) + "}}",
+                                          std::to_string(now.body.value("stamp").toInteger()));
       return r.status == 200;
     });
   };
@@ -296,7 +296,7 @@
   fleet.untilReady(3);
   fleet.freeze(fleet.routers()[1]);
   patch(703);
-  fleet.wake(fleet.routers()[1]);
+  fleet.resume(fleet.routers()[1]);
   fleet.untilReady(3);
   CHECK(fleet.stop(fleet.routers()[2]) == 0);
   fleet.start(fleet.routers()[2]);
@@ -372,7 +372,7 @@
     testing::Traffic traffic(fleet, 11, 1.0);
     traffic.startCalling();
     fleet.until("traffic", [&] { return traffic.outcomes()["served"] > 200; });
-    fleet.giveLists({{"model1", "leaving"}, {"model2", "cold"}});
+    fleet.publishEndpointLists({{"model1", "leaving"}, {"model2", "cold"}});
     std::size_t const model1 = linesWith(fleet.replicas()[0].record, " run ");
     CHECK(fleet.change("PUT", "/v1/evacuations/z2").status == 200);
     std::vector<std::size_t> z2;
@@ -397,13 +397,13 @@
   application();
   testing::Fleet fleet(named("small"));
   std::string const conf = fleet.folder() + "/x.conf";
-  struct Row {
+  struct Case {
     std::vector<std::string> flags;
     char const* name;
   };
   std::vector<std::string> const good{"--link", "127.0.0.1:1", "--http", "127.0.0.1:2",
                                       "--zone", "z1",          "--seed", "127.0.0.1:3"};
-  std::vector<Row> const rows{
+  std::vector<Case> const cases{
       {{}, "link: missing"},
       {{"--link", "x"}, "link: must be ip:port"},
       {{"--nonsense", "1"}, "nonsense"},
@@ -412,7 +412,7 @@
        "zone: not a valid name"},
       {{"--link", "127.0.0.1:1", "--http", "127.0.0.1:2", "--zone", "z"}, "seed: missing"},
       {{"--settings", "/nowhere"}, "settings: cannot be read"}};
-  for (Row const& r : rows) {
+  for (Case const& r : cases) {
     testing::Fleet::Tool const t = fleet.tool("corkward-router", r.flags);
     CHECK(t.code == 2);
     CHECK(t.err.find(r.name) != std::string::npos);
@@ -440,13 +440,13 @@
     subs.push_back("--controller");
     subs.push_back(n.http);
   }
-  auto const run = [&](std::string const& program, std::vector<std::string> words, std::string const& input) {
-    words.insert(words.end(), subs.begin(), subs.end());
-    if (program != "corkward") return fleet.tool(program, words, input);
-    words.insert(words.end(), {"--wait", "60"});
+  auto const run = [&](std::string const& program, std::vector<std::string> expectedText, std::string const& input) {
+    expectedText.insert(expectedText.end(), subs.begin(), subs.end());
+    if (program != "corkward") return fleet.tool(program, expectedText, input);
+    expectedText.insert(expectedText.end(), {"--wait", "60"});
     testing::Fleet::Tool out;
     fleet.until("an answer other than to come back", [&] {
-      out = fleet.tool(program, words, input);
+      out = fleet.tool(program, expectedText, input);
       return out.code != comeBack && out.code != nobody;
     });
     return out;
@@ -468,13 +468,13 @@
   testing::Fleet::Tool const asJson = run("corkward", {"template-get", "neu", "--json"}, "");
   CHECK(core::parseJson(asJson.out).toObject().value("stamp").toInteger() == 1);
 
-  std::string const whole = CORKWARD_SOURCE "/examples/configuration.json";
+  std::string const complete = CORKWARD_SOURCE "/examples/configuration.json";
   CHECK(run("corkward", {"fleet-configuration-get"}, "").code == 3);
-  CHECK(run("corkward", {"fleet-configuration-put", whole, "--revision", "0", "--dry-run"}, "").code == 0);
+  CHECK(run("corkward", {"fleet-configuration-put", complete, "--revision", "0", "--dry-run"}, "").code == 0);
   CHECK(run("corkward", {"fleet-configuration-get"}, "").code == 3);
-  CHECK(run("corkward", {"fleet-configuration-put", whole}, "").code == 3);
-  CHECK(run("corkward", {"fleet-configuration-put", whole, "--revision", "0"}, "").code == 0);
-  CHECK(run("corkward", {"fleet-configuration-put", whole, "--revision", "4"}, "").out.find("replayed") !=
+  CHECK(run("corkward", {"fleet-configuration-put", complete}, "").code == 3);
+  CHECK(run("corkward", {"fleet-configuration-put", complete, "--revision", "0"}, "").code == 0);
+  CHECK(run("corkward", {"fleet-configuration-put", complete, "--revision", "4"}, "").out.find("replayed") !=
         std::string::npos);
   CHECK(run("corkward", {"fleet-configuration-patch", "-", "--revision", "0"}, R"({"version":9})").code == 4);
   CHECK(run("corkward", {"fleet-configuration-patch", "-", "--revision", "7"},
--- a/testing/test/fuzz_test.cpp
+++ b/testing/test/fuzz_test.cpp
@@ -55,7 +55,7 @@
 std::string textOf(Report const& report) {
   std::string out;
   for (Finding const& f : report.findings)
-    out += "scene " + f.scene + ": " + f.violation.oracle + ": " + f.violation.what + "\n";
+    out += "scene " + f.scenario + ": " + f.violation.oracle + ": " + f.violation.what + "\n";
   return out;
 }
 
--- a/testing/test/regimes_test.cpp
+++ b/testing/test/regimes_test.cpp
@@ -67,7 +67,7 @@
   void lists() {
     fleet.until("the lists to be acknowledged", [&] {
       try {
-        fleet.giveLists();
+        fleet.publishEndpointLists();
         return true;
       } catch (testing::FleetError const&) {
         return false;
@@ -115,17 +115,17 @@
   std::vector<Line> out;
   std::string text;
   while (std::getline(in, text)) {
-    std::istringstream words(text);
+    std::istringstream arguments(text);
     Line line;
     std::string run;
-    words >> line.tick >> line.what >> run >> line.id;
+    arguments >> line.tick >> line.what >> run >> line.id;
     if (line.id != "-") out.push_back(line);
   }
   return out;
 }
 
 /// Whether somebody asked for its life.
-bool asked(std::string const& file) {
+bool wasQueried(std::string const& file) {
   std::ifstream in(file);
   std::string const all((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
   return all.find(" asked ") != std::string::npos;
@@ -144,7 +144,7 @@
   std::string got;
   int status = 0;
   bool over = false;
-  bool whole = false;
+  bool complete = false;
 
   void begin(std::string const& node, std::string const& id) {
     http::UpstreamConnection::Events e;
@@ -157,7 +157,7 @@
     e.head = [this](http::ReplicaHead const& head) { status = head.status; };
     e.chunk = [this](std::string bytes) { got += bytes; };
     e.ended = [this](bool end) {
-      whole = end;
+      complete = end;
       over = true;
     };
     forwarder = std::make_unique<http::UpstreamConnection>(node, std::move(e), nullptr);
@@ -217,7 +217,7 @@
   imposter.program = lost.program;
   imposter.flags = {"--http", core::toQString(lost.http), "--record", core::toQString(imposter.record)};
   fleet.start(imposter);
-  fleet.until("a regulated request to be meant for the address", [&] { return asked(imposter.record); });
+  fleet.until("a regulated request to be meant for the address", [&] { return wasQueried(imposter.record); });
   fleet.runFor(1000);
   fleet.kill9(imposter);
   fleet.start(lost);
@@ -229,11 +229,11 @@
 
   std::set<std::string> const ids = regulatedIds(traffic);
   std::size_t ran = 0;
-  std::size_t elsewhere = 0;
+  std::size_t uncertified = 0;
   for (testing::Node const& r : fleet.replicas())
     for (Line const& l : recordOf(r.record)) {
       if (ids.count(l.id) == 0) {
-        elsewhere += ward.certified(r) ? 0 : 1;
+        uncertified += ward.certified(r) ? 0 : 1;
         continue;
       }
       ran += l.what == "run" ? 1 : 0;
@@ -243,25 +243,25 @@
     }
   for (Line const& l : recordOf(imposter.record)) CHECK(ids.count(l.id) == 0);
   CHECK(ran > 50);
-  CHECK(elsewhere > 50);
+  CHECK(uncertified > 50);
   testing::Report const report = traffic.report();
   CHECK(report.runTwice == 0);
   CHECK(report.badBodies == 0);
   CHECK(report.rejectedButRan == 0);
 
-  std::vector<std::string> words{"regime", "report", "--json"};
+  std::vector<std::string> arguments{"regime", "report", "--json"};
   for (testing::Node& n : fleet.routers()) {
     QJsonObject const head = fleet.get(n.http, "/v1/state").body.value("audit").toObject();
-    words.push_back("--head");
-    words.push_back(n.link + "=" + std::to_string(head.value("n").toInteger()) + ":" +
-                    core::toStdString(head.value("hash").toString()));
+    arguments.push_back("--head");
+    arguments.push_back(n.link + "=" + std::to_string(head.value("n").toInteger()) + ":" +
+                        core::toStdString(head.value("hash").toString()));
     CHECK(fleet.stop(n) == 0);
   }
-  for (testing::Node const& n : fleet.routers()) words.push_back(fleet.auditFolder(n));
-  testing::Fleet::Tool const told = fleet.tool("corkward", words);
-  INFO(told.out << told.err);
-  CHECK(told.code == 0);
-  QJsonObject const out = core::parseJson(told.out).toObject();
+  for (testing::Node const& n : fleet.routers()) arguments.push_back(fleet.auditFolder(n));
+  testing::Fleet::Tool const auditReport = fleet.tool("corkward", arguments);
+  INFO(auditReport.out << auditReport.err);
+  CHECK(auditReport.code == 0);
+  QJsonObject const out = core::parseJson(auditReport.out).toObject();
   std::size_t handed = 0;
   std::size_t rejected = 0;
   for (QJsonValue const s : out.value("regimes").toObject().value("health").toArray())
@@ -280,7 +280,7 @@
   file.seek(70);
   file.write("x");
   file.close();
-  CHECK(fleet.tool("corkward", words).code == 1);
+  CHECK(fleet.tool("corkward", arguments).code == 1);
 }
 
 TEST_CASE("a row of events of a regime goes on once, at its place, at another certified replica, else ends broken",
@@ -302,7 +302,7 @@
       for (Line const& l : recordOf(r->record))
         if (l.id == id && r->process) fleet.kill9(*r);
     fleet.until("the end", [&] { return tale.over; });
-    CHECK(tale.whole == (round == 0));
+    CHECK(tale.complete == (round == 0));
     if (round == 0) CHECK(tale.got == taleOf(id, 60));
     CHECK(taleOf(id, 60).rfind(tale.got, 0) == 0);
   }
--- a/testing/test/sim_test.cpp
+++ b/testing/test/sim_test.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <iostream>
 
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace testing = corkward::testing;
 using testing::Fault;
@@ -12,7 +12,7 @@
 namespace {
 
 testing::Result clean(testing::Plan const& plan) {
-  testing::Result result = testing::World(plan).run();
+  testing::Result result = testing::SimulatedCluster(plan).run();
   for (std::string const& v : result.violations) std::cerr << "seed " << plan.seed << ": " << v << "\n";
   CHECK(result.violations.empty());
   CHECK(result.counts.at("served") > 500);
@@ -21,7 +21,7 @@
 
 /// One of control's worst days: no rule broken, orders taken and requests served.
 testing::Result worst(testing::Plan const& plan) {
-  testing::Result result = testing::World(plan).run();
+  testing::Result result = testing::SimulatedCluster(plan).run();
   for (std::string const& v : result.violations) std::cerr << "seed " << plan.seed << ": " << v << "\n";
   CHECK(result.violations.empty());
   CHECK(result.counts["served"] > 100);
@@ -51,7 +51,7 @@
   }
 }
 
-struct Kept {
+struct RegressionCase {
   std::uint64_t seed;
   std::vector<Fault> faults;
 };
@@ -59,9 +59,9 @@
 }  // namespace
 
 TEST_CASE("control is killed, cut, split and frozen", "[control]") {
-  for (Fault const f :
-       {Fault::killControl, Fault::killAll, Fault::freezeController, Fault::isolateMember, Fault::splitCore,
-        Fault::cutCore, Fault::restartController, Fault::wipeSameAddress, Fault::returnNewAddress, Fault::powerLoss})
+  for (Fault const f : {Fault::killControl, Fault::killAll, Fault::freezeController, Fault::isolateMember,
+                        Fault::splitCore, Fault::partitionCore, Fault::restartController, Fault::wipeSameAddress,
+                        Fault::returnNewAddress, Fault::powerLoss})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {f}));
 }
 
@@ -90,8 +90,9 @@
 }
 
 TEST_CASE("routers are killed, cut, frozen and restarted", "[routers]") {
-  for (Fault const f : {Fault::killRouter, Fault::killHerd, Fault::freezeRouter, Fault::cutZone, Fault::isolateRouter,
-                        Fault::oneWayCut, Fault::lossyNetwork, Fault::restartRouter, Fault::wallClockJump})
+  for (Fault const f :
+       {Fault::killRouter, Fault::killHerd, Fault::freezeRouter, Fault::partitionZone, Fault::isolateRouter,
+        Fault::oneWayPartition, Fault::lossyNetwork, Fault::restartRouter, Fault::wallClockJump})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) clean(testing::only(seed, {f}));
 }
 
@@ -124,8 +125,8 @@
 }
 
 TEST_CASE("replicas are replaced while control is killed, cut, split or stalled", "[leaving]") {
-  for (Fault const f : {Fault::killControl, Fault::cutCore, Fault::splitCore, Fault::isolateMember, Fault::diskStall,
-                        Fault::killHerd, Fault::freezeRouter, Fault::isolateRouter, Fault::killAll})
+  for (Fault const f : {Fault::killControl, Fault::partitionCore, Fault::splitCore, Fault::isolateMember,
+                        Fault::diskStall, Fault::killHerd, Fault::freezeRouter, Fault::isolateRouter, Fault::killAll})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
       testing::Plan plan = testing::only(seed, {f, Fault::rollReplicas, Fault::killRouter});
       plan.every = 2500;
@@ -157,10 +158,10 @@
 
 TEST_CASE("larger fleets stand without control on what neighbours pass on, and break no rule", "[sizes]") {
   for (int const routers : {12, 24, 48, 96}) {
-    testing::Plan cut = testing::only(1, {Fault::cutCore, Fault::killControl});
+    testing::Plan cut = testing::only(1, {Fault::partitionCore, Fault::killControl});
     cut.routers = routers;
     cut.every = 4000;
-    testing::Result const result = testing::World(cut).run();
+    testing::Result const result = testing::SimulatedCluster(cut).run();
     for (std::string const& v : result.violations) std::cerr << routers << " routers: " << v << "\n";
     CHECK(result.violations.empty());
     CHECK(static_cast<double>(result.counts.at("standing-held")) >=
@@ -175,8 +176,8 @@
   std::map<std::string, std::size_t> counts;
   for (std::vector<Fault> const& faults :
        std::vector<std::vector<Fault>>{{Fault::killControl, Fault::powerLoss},
-                                       {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayCut},
-                                       {Fault::splitCore, Fault::cutCore, Fault::isolateMember},
+                                       {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayPartition},
+                                       {Fault::splitCore, Fault::partitionCore, Fault::isolateMember},
                                        {Fault::wipeSameAddress, Fault::returnNewAddress},
                                        {Fault::rollReplicas, Fault::replicaCrash, Fault::breakStreams},
                                        {Fault::evacuate, Fault::coldReplicas},
@@ -294,7 +295,7 @@
 }
 
 TEST_CASE("every oracle of control's worst days can fail", "[control-mutation]") {
-  struct Row {
+  struct Case {
     Mutation mutation;
     testing::Point point;
     std::vector<Fault> faults;
@@ -302,8 +303,8 @@
     bool fenced = true;
   };
   using testing::Point;
-  std::vector<Row> const rows{
-      {Mutation::staleRead, Point::cuts, {Fault::cutMemberAll}, "a read at"},
+  std::vector<Case> const cases{
+      {Mutation::staleRead, Point::cuts, {Fault::partitionMemberAll}, "a read at"},
       {Mutation::staleRead, Point::powerCuts, {Fault::massPower}, "a read was refused"},
       {Mutation::refuseProper, Point::cuts, {Fault::crowd}, "a proper order was refused"},
       {Mutation::alteredResends, Point::resends, {Fault::isolateMember}, "a resend of what was taken"},
@@ -314,90 +315,92 @@
       {Mutation::lyingNames, Point::powerCuts, {Fault::massPower}, "acknowledged order lost"},
       {Mutation::deafRouter, Point::cuts, {Fault::crowd}, "out of date though in touch", false},
       {Mutation::oldImage, Point::cuts, {Fault::killRouter}, "a router began with an old configuration", false},
-      {Mutation::lateCopies, Point::secondLoss, {Fault::wipeSameAddress}, "does not vote in time"},
+      {Mutation::lateDuplicates, Point::secondLoss, {Fault::wipeSameAddress}, "does not vote in time"},
       {Mutation::lateAnswers, Point::cuts, {Fault::crowd}, "no acknowledgement in"}};
-  for (Row const& row : rows) {
+  for (Case const& testCase : cases) {
     bool found = false;
     for (std::uint64_t seed = 1; seed <= 16 && !found; ++seed) {
-      testing::Plan plan = testing::worstDay(seed, row.point);
-      plan.faults = row.faults;
-      plan.fenced = row.fenced;
-      plan.mutation = row.mutation;
+      testing::Plan plan = testing::worstDay(seed, testCase.point);
+      plan.faults = testCase.faults;
+      plan.fenced = testCase.fenced;
+      plan.mutation = testCase.mutation;
       plan.operators.race = 0.5;
-      for (std::string const& v : testing::World(plan).run().violations)
-        found = found || v.find(row.says) != std::string::npos;
+      for (std::string const& v : testing::SimulatedCluster(plan).run().violations)
+        found = found || v.find(testCase.says) != std::string::npos;
     }
-    INFO(row.says << " under mutation " << static_cast<int>(row.mutation));
+    INFO(testCase.says << " under mutation " << static_cast<int>(testCase.mutation));
     CHECK(found);
   }
 }
 
 TEST_CASE("every oracle of regimes can fail", "[mutation]") {
-  struct Row {
+  struct Case {
     Mutation mutation;
     std::vector<Fault> faults;
     char const* says;
   };
-  std::vector<Row> const rows{
-      {Mutation::noFence, {Fault::isolateRouter, Fault::freezeRouter}, "older certificates in force"},
-      {Mutation::noFence, {Fault::isolateRouter, Fault::freezeRouter}, "was out of force"},
+  std::vector<Case> const cases{
+      {Mutation::noFencing, {Fault::isolateRouter, Fault::freezeRouter}, "older certificates in force"},
+      {Mutation::noFencing, {Fault::isolateRouter, Fault::freezeRouter}, "was out of force"},
       {Mutation::earlyAck,
-       {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayCut},
+       {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayPartition},
        "older certificates in force"},
       {Mutation::ignoreExpiry, {Fault::crowd}, "was out of force"},
-      {Mutation::skipLife, {Fault::reuseAddress}, "never had a certificate"},
-      {Mutation::skipLife, {Fault::reuseAddress}, "never on the platform's list"},
+      {Mutation::skipIncarnationCheck, {Fault::reuseAddress}, "never had a certificate"},
+      {Mutation::skipIncarnationCheck, {Fault::reuseAddress}, "never on the platform's list"},
       {Mutation::resumeAnywhere, {Fault::breakStreams}, "never had a certificate"},
       {Mutation::resumeTwice, {Fault::breakStreams}, "resumed more than once"},
       {Mutation::eventGap, {Fault::breakStreams}, "a row of events has a gap"},
-      {Mutation::cutLooksWhole, {Fault::breakStreams}, "a cut row of events looks whole"},
+      {Mutation::truncationLooksComplete, {Fault::breakStreams}, "a cut row of events looks whole"},
       {Mutation::unrecorded, {Fault::crowd}, "without a record"}};
-  for (Row const& row : rows) {
+  for (Case const& testCase : cases) {
     bool found = false;
     for (std::uint64_t seed = 1; seed <= 24 && !found; ++seed) {
-      testing::Plan plan = testing::only(seed, row.faults);
+      testing::Plan plan = testing::only(seed, testCase.faults);
       plan.regimes = true;
-      plan.mutation = row.mutation;
+      plan.mutation = testCase.mutation;
       plan.every = 2000;
       plan.demand = 80;
-      for (std::string const& v : testing::World(plan).run().violations)
-        found = found || v.find(row.says) != std::string::npos;
+      for (std::string const& v : testing::SimulatedCluster(plan).run().violations)
+        found = found || v.find(testCase.says) != std::string::npos;
     }
-    INFO(row.says << " under mutation " << static_cast<int>(row.mutation));
+    INFO(testCase.says << " under mutation " << static_cast<int>(testCase.mutation));
     CHECK(found);
   }
 }
 
 TEST_CASE("seeds that once failed", "[kept]") {
-  for (Kept const& k : std::vector<Kept>{{2, {Fault::splitCore}},
-                                         {8, {Fault::splitCore}},
-                                         {3, {Fault::cutZone}},
-                                         {5, {Fault::cutZone}},
-                                         {6, {Fault::killHerd}}})
+  for (RegressionCase const& k : std::vector<RegressionCase>{{2, {Fault::splitCore}},
+                                                             {8, {Fault::splitCore}},
+                                                             {3, {Fault::partitionZone}},
+                                                             {5, {Fault::partitionZone}},
+                                                             {6, {Fault::killHerd}}})
     clean(testing::only(k.seed, k.faults));
   for (std::uint64_t const seed : {89, 107, 126, 1534}) clean(testing::chaos(seed, false));
   for (std::uint64_t const seed : {541, 913}) clean(testing::chaos(seed));
 }
 
 TEST_CASE("every oracle can fail", "[mutation]") {
-  struct Row {
+  struct Case {
     Mutation mutation;
     std::vector<Fault> faults;
     char const* says;
     corkward::core::Tick every = 3000;
     double demand = 40;
   };
-  std::vector<Row> const rows{
-      {Mutation::noFence, {Fault::isolateRouter, Fault::freezeRouter}, "older configuration served"},
-      {Mutation::earlyAck, {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayCut}, "older configuration served"},
+  std::vector<Case> const cases{
+      {Mutation::noFencing, {Fault::isolateRouter, Fault::freezeRouter}, "older configuration served"},
+      {Mutation::earlyAck,
+       {Fault::isolateRouter, Fault::freezeRouter, Fault::oneWayPartition},
+       "older configuration served"},
       {Mutation::forgetLeaving, {Fault::isolateRouter, Fault::rollReplicas}, "after it was shown leaving", 1200, 80},
       {Mutation::forgetLeaving, {Fault::isolateRouter, Fault::evacuate}, "after its evacuation was acknowledged"},
-      {Mutation::youngAges, {Fault::cutZone}, "older configuration served"},
+      {Mutation::youngAges, {Fault::partitionZone}, "older configuration served"},
       {Mutation::forgetHints, {Fault::killControl, Fault::rollReplicas}, "after it was shown leaving", 1200, 80},
       {Mutation::resumeGap, {Fault::breakStreams}, "a gap, a repeat or a join", 1500, 80},
       {Mutation::resumeRepeat, {Fault::breakStreams}, "a gap, a repeat or a join", 1500, 80},
       {Mutation::resumeOther, {Fault::breakStreams}, "a gap, a repeat or a join", 1500, 80},
-      {Mutation::cutLooksWhole, {Fault::breakStreams}, "a cut body looks whole"},
+      {Mutation::truncationLooksComplete, {Fault::breakStreams}, "a cut body looks whole"},
       {Mutation::foreignBody, {Fault::crowd}, "a body of somebody else"},
       {Mutation::vouchTooSoon, {Fault::killRouter}, "run twice"},
       {Mutation::sayNotRun, {Fault::replicaCrash}, "rejected as not run, but ran"},
@@ -410,22 +413,22 @@
       {Mutation::noReturn, {Fault::killAll}, "service was not back"},
       {Mutation::neverGrow, {Fault::growCore}, "disks vote after all was healed"},
       {Mutation::blindTrust, {Fault::greyReplicas}, "grey replicas went on drawing work"}};
-  for (Row const& row : rows) {
+  for (Case const& testCase : cases) {
     bool found = false;
     for (std::uint64_t seed = 1; seed <= 24 && !found; ++seed) {
-      testing::Plan plan = testing::only(seed, row.faults);
-      plan.mutation = row.mutation;
-      plan.every = row.every;
-      plan.demand = row.demand;
+      testing::Plan plan = testing::only(seed, testCase.faults);
+      plan.mutation = testCase.mutation;
+      plan.every = testCase.every;
+      plan.demand = testCase.demand;
       std::vector<std::string> violations;
       try {
-        violations = testing::World(plan).run().violations;
+        violations = testing::SimulatedCluster(plan).run().violations;
       } catch (corkward::core::InvariantError const& e) {
         violations.push_back(e.what());
       }
-      for (std::string const& v : violations) found = found || v.find(row.says) != std::string::npos;
+      for (std::string const& v : violations) found = found || v.find(testCase.says) != std::string::npos;
     }
-    INFO(row.says);
+    INFO(testCase.says);
     CHECK(found);
   }
 }
