--- a/dataplane/src/admission_queues.cpp
+++ b/dataplane/src/admission_queues.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 #include <limits>
 
+#include "events.h"
 #include "internal.h"
 
 namespace corkward::dataplane {
@@ -90,7 +91,7 @@
     for (CallId const id : lane) held += calls_.at(id).pendingEcho ? 0 : 1;
   int const step = c.scaler.evaluate(now, held, wanted);
   if (step == 0) return;
-  logEvent(out, now, step > 0 ? "widened" : "gave-back",
+  logEvent(out, now, step > 0 ? events::subsetGrown : events::subsetShrunk,
            {{"instance", instanceNames_.name(key.second)},
             {"pool", poolNames_.name(key.first)},
             {"part", std::to_string(c.scaler.subset().size())}});
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -4,6 +4,7 @@
 
 #include <corkward/core/json.h>
 
+#include "events.h"
 #include "internal.h"
 
 namespace corkward::dataplane {
@@ -58,11 +59,11 @@
   try {
     applyValue(now, item);
   } catch (core::Error const& e) {
-    logEvent(out, now, "news-not-applied", {{"key", item.key}, {"error", e.what()}});
+    logEvent(out, now, events::entryRejected, {{"key", item.key}, {"error", e.what()}});
     return;
   }
   configuration_.set(item);
-  logEvent(out, now, "in-force", {{"key", item.key}, {"stamp", std::to_string(item.revision)}});
+  logEvent(out, now, events::entryApplied, {{"key", item.key}, {"revision", std::to_string(item.revision)}});
   compactRoutes();
 }
 
@@ -150,7 +151,8 @@
   view.hint = hint;
   refreshRemovalHint(view);
   view.changed = true;
-  logEvent(out, now, "leaving-hint", {{"pool", hint.pool}, {"generation", std::to_string(hint.generation)}});
+  logEvent(out, now, events::endpointRemovalHint,
+           {{"pool", hint.pool}, {"generation", std::to_string(hint.generation)}});
   refreshCandidates(out, now);
   enforceRegimes(out, now);
   return true;
@@ -217,7 +219,7 @@
     if (!fromRouter) {
       snapshotApplied_ = true;
       servingLease_.onControllerSnapshot();
-      logEvent(out, now, "whole-image", {{"from", from}});
+      logEvent(out, now, events::snapshotApplied, {{"from", from}});
     }
     snapshotSeen_ = true;
   }
@@ -234,7 +236,7 @@
 void RequestRouter::adoptSnapshot(RouterCommands& out, Tick now, std::string const& from) {
   if (snapshotApplied_ || !snapshotSeen_ || !hasHeardMajority(now)) return;
   snapshotApplied_ = true;
-  logEvent(out, now, "whole-image", {{"from", "neighbours"}, {"last", from}});
+  logEvent(out, now, events::snapshotApplied, {{"from", "neighbours"}, {"last", from}});
 }
 
 void RequestRouter::on(RouterCommands& out, Tick now, std::string const&, transport::EndpointRemovalHint const& m) {
--- a/dataplane/src/dispatch.cpp
+++ b/dataplane/src/dispatch.cpp
@@ -3,6 +3,7 @@
 
 #include <corkward/core/guarantees.h>
 
+#include "events.h"
 #include "internal.h"
 
 namespace corkward::dataplane {
@@ -274,7 +275,7 @@
     return out;
   }
   backOff(it->second.replica, now + tuning_.connectFailureBackoff);
-  logEvent(out, now, "replica-cooled",
+  logEvent(out, now, events::replicaBackoff,
            {{"replica", replicaNames_.name(it->second.replica)}, {"why", "connect rejected"}});
   retry(out, now, id, "replica refused the connection");
   refreshCandidates(out, now);
--- a/dataplane/src/failure_log.cpp
+++ b/dataplane/src/failure_log.cpp
@@ -1,5 +1,7 @@
 #include <corkward/dataplane/failure_log.h>
 
+#include "events.h"
+
 namespace corkward::dataplane {
 
 namespace {
@@ -8,7 +10,7 @@
 constexpr core::Tick secondMs = 1000;
 
 core::LogEvent lineOf(Failure const& failure, std::uint64_t unlogged) {
-  core::LogEvent line{"request-failed",
+  core::LogEvent line{events::requestFailed,
                       {{"reason", failure.reason},
                        {"phase", failure.phase},
                        {"status", std::to_string(failure.status)},
--- a/dataplane/src/replica_choice.cpp
+++ b/dataplane/src/replica_choice.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 #include <functional>
 
+#include "events.h"
 #include "internal.h"
 
 namespace corkward::dataplane {
@@ -49,11 +50,11 @@
   bool const before = r.reliability.trusted();
   bool const rests = r.reliability.recordOutcome(now, bad, tuning_.scalerParameters);
   if (rests)
-    logEvent(out, now, "replica-distrusted",
+    logEvent(out, now, events::replicaDistrusted,
              {{"replica", replicaNames_.name(call.replica)},
               {"rate", std::to_string(r.reliability.failureRate(now, tuning_.scalerParameters))}});
   if (!before && r.reliability.trusted())
-    logEvent(out, now, "replica-trusted", {{"replica", replicaNames_.name(call.replica)}});
+    logEvent(out, now, events::replicaTrusted, {{"replica", replicaNames_.name(call.replica)}});
   if (!before || rests) pools_[r.pool].changed = true;
   if (rests || before != r.reliability.trusted()) ejectOutliers(now, r.pool);
 }
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -2,6 +2,7 @@
 
 #include <corkward/core/json.h>
 
+#include "events.h"
 #include "internal.h"
 
 namespace corkward::dataplane {
@@ -42,7 +43,7 @@
   servingLease_.start(now);
   requestIds_.start(now);
   lastEvent_ = now;
-  logEvent(out, now, "started", {{"link", partialView_.self().link}});
+  logEvent(out, now, events::started, {{"link", partialView_.self().link}});
   return out;
 }
 
@@ -251,7 +252,7 @@
   draining_ = true;
   drainedAt_ = now;
   partialView_.setDraining();
-  logEvent(out, now, "draining", {{"in-hand", std::to_string(calls_.size())}});
+  logEvent(out, now, events::draining, {{"pending", std::to_string(calls_.size())}});
   std::vector<std::string> const& others = otherRouters();
   std::vector<transport::RequestIdHandover> left(1, transport::RequestIdHandover{processName_, false, {}});
   for (std::string const& id : requestIds_.executableIds()) {
--- a/dataplane/src/warmup_requests.cpp
+++ b/dataplane/src/warmup_requests.cpp
@@ -1,6 +1,7 @@
 // When this router requests warm-up leases from the controllers, and what their answers change.
 #include <algorithm>
 
+#include "events.h"
 #include "internal.h"
 
 namespace corkward::dataplane {
@@ -59,7 +60,7 @@
       !warmupLeases_.grant(now, replica, m.requestSentAt, m.member, membershipIds_, tuning_.warmupLeaseDuration))
     return;
   pools_[replicas_[replica].pool].changed = true;
-  logEvent(out, now, "warming-duty", {{"replica", m.replica}, {"epoch", std::to_string(m.term)}});
+  logEvent(out, now, events::warmupLeaseGranted, {{"replica", m.replica}, {"lease-term", std::to_string(m.term)}});
   refreshCandidates(out, now);
 }
 
