--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -37,12 +37,12 @@
 using core::NameIndex;
 using core::Tick;
 
-/// How much a plane holds, to show that what is gone is freed.
+/// How much the router holds, to show that what is not needed any more is freed.
 struct RouterUsage {
   std::size_t replicas = 0;
   std::size_t instances = 0;
   std::size_t queues = 0;
-  /// Credits that are looked at.
+  /// Queues that are evaluated.
   std::size_t activeQueues = 0;
   std::size_t contacts = 0;
   std::size_t ids = 0;
@@ -70,7 +70,7 @@
   /// The replica answers with a failure of its own, of which nothing was passed on yet. When the commands say Connect,
   /// another replica is tried and the answer is forgotten; else it is passed on as it comes.
   RouterCommands onUpstreamError(Tick now, CallId id);
-  /// The stream moves: words came, or the caller is the one that is slow. Told at most every second.
+  /// The stream moves: bytes came, or the caller is the one that is slow. Called at most every second.
   RouterCommands onProgress(Tick now, CallId id);
   RouterCommands onUpstreamFinished(Tick now, CallId id, UpstreamResult result);
   RouterCommands onCallerDisconnected(Tick now, CallId id);
@@ -219,7 +219,7 @@
   std::vector<transport::EndpointRemovalHint> removalHints() const;
   bool usable(Tick now, NameIndex replica) const;
   double slowStartRate(NameIndex pool) const;
-  NameIndex choosePool(Tick now, Route const& row, CallId id) const;
+  NameIndex choosePool(Tick now, Route const& route, CallId id) const;
   NameIndex poolIndex(std::string const& name);
   /// Drops the routes that are not needed any more, once they are many.
   void compactRoutes();
@@ -228,7 +228,7 @@
   void applyEndpointList(std::string const& poolName, config::EndpointList const& list);
   void applyMembership(QJsonObject const& value);
   void applyFleetConfiguration(QJsonObject const& value);
-  void addRoute(std::string const& owner, std::string const& route, config::Path const& path,
+  void addRoute(std::string const& owner, std::string const& key, config::Path const& path,
                 std::string const& instance);
   SendRequest dispatch(Tick now, CallId id);
   // Steps of onConnected.
@@ -311,7 +311,7 @@
   std::vector<std::string> controllers(Tick now) const;
   AdmissionQueue& queueFor(RouterCommands& out, Tick now, QueueKey const& key);
   bool mayAttempt(Tick now, AdmissionQueue& c, QueueKey key, Call const& call) const;
-  std::vector<scaling::Candidate> usableCandidates(Tick now, AdmissionQueue const& c, bool warmRoom) const;
+  std::vector<scaling::Candidate> usableCandidates(Tick now, AdmissionQueue const& c, bool hasRoom) const;
   void admit(RouterCommands& out, Tick now, CallId id);
   bool attemptConnect(RouterCommands& out, Tick now, CallId id);
   /// Connects at once, or puts the call first in its queue.
@@ -414,11 +414,11 @@
   ControllerLinks controllerLinks_;
   NeighbourLinks neighbourLinks_;
   std::map<std::string, Tick> valueRequestedAt_;
-  /// A neighbour has sent a whole snapshot.
+  /// A whole snapshot has arrived, which a neighbour may have sent.
   bool snapshotSeen_ = false;
   core::RandomGenerator rng_;
   std::map<QueueKey, AdmissionQueue> queues_;
-  /// Credits that looks may change: all others are at rest.
+  /// Queues that an evaluation may change: all others are at rest.
   std::set<QueueKey> activeQueues_;
   WarmupLeases warmupLeases_;
   scaling::PrefixCacheIndex prefixes_;
--- a/dataplane/src/admission.cpp
+++ b/dataplane/src/admission.cpp
@@ -16,12 +16,12 @@
 
 }  // namespace
 
-NameIndex RequestRouter::choosePool(Tick now, Route const& row, CallId id) const {
+NameIndex RequestRouter::choosePool(Tick now, Route const& route, CallId id) const {
   std::uint64_t sum = 0;
-  for (Route::Backend const& backend : row.backends) sum += backend.weight;
+  for (Route::Backend const& backend : route.backends) sum += backend.weight;
   std::uint64_t at = core::RandomGenerator(seed_ ^ id).below(sum);
-  NameIndex chosen = row.pool;
-  for (Route::Backend const& backend : row.backends) {
+  NameIndex chosen = route.pool;
+  for (Route::Backend const& backend : route.backends) {
     chosen = backend.pool;
     if (at < backend.weight) break;
     at -= backend.weight;
@@ -29,10 +29,10 @@
   std::function<bool(NameIndex)> const serves = [&](NameIndex pool) {
     std::vector<NameIndex> const& all = pools_[pool].replicas;
     return std::any_of(all.begin(), all.end(),
-                       [&](NameIndex const r) { return usable(now, r) && regimePolicy_.mayUse(row.path.regime, r); });
+                       [&](NameIndex const r) { return usable(now, r) && regimePolicy_.mayUse(route.path.regime, r); });
   };
-  if (row.backends.size() < 2 || serves(chosen)) return chosen;
-  for (Route::Backend const& backend : row.backends)
+  if (route.backends.size() < 2 || serves(chosen)) return chosen;
+  for (Route::Backend const& backend : route.backends)
     if (serves(backend.pool)) return backend.pool;
   return chosen;
 }
@@ -76,23 +76,23 @@
     reject(out, now, id, 404, "no such path", true, 0);
     return out;
   }
-  Route const& row = routes_[path];
+  Route const& route = routes_[path];
   Call& mine = calls_[id];
-  if (!identifyTenant(mine, row.path)) {
+  if (!identifyTenant(mine, route.path)) {
     reject(out, now, id, 401, "no tenant has this key", true, 0);
     return out;
   }
-  if (outlastsDrain(now, row.path)) {
+  if (outlastsDrain(now, route.path)) {
     reject(out, now, id, 503, "leaving before it could end", true, tuning_.defaultRetryAfter);
     return out;
   }
-  mine.pool = choosePool(now, row, id);
-  mine.deadline = now + (request.deadline > 0 ? std::min(request.deadline, row.path.deadline) : row.path.deadline) -
+  mine.pool = choosePool(now, route, id);
+  mine.deadline = now + (request.deadline > 0 ? std::min(request.deadline, route.path.deadline) : route.path.deadline) -
                   request.readDuration;
   mine.prefix = request.prefix.empty() ? 0 : core::stableHash(request.instance + "|" + request.prefix);
   mine.pendingEcho = request.attempt > 1;
   mine.reachedReplica =
-      request.earlierReachedReplica || (request.attempt > 1 && !request.earlierNotExecuted && row.path.resumable);
+      request.earlierReachedReplica || (request.attempt > 1 && !request.earlierNotExecuted && route.path.resumable);
   Admission const admission = admitByQuota(out, now, mine);
   if (admission == Admission::pending)
     mine.phase = Phase::awaitingQuota;
@@ -171,13 +171,13 @@
 
 void RequestRouter::admit(RouterCommands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
-  std::string const shut = regimeRejection(now, regimeOf(call));
-  if (!shut.empty()) {
-    reject(out, now, id, 503, shut, true, tuning_.defaultRetryAfter);
+  std::string const regimeProblem = regimeRejection(now, regimeOf(call));
+  if (!regimeProblem.empty()) {
+    reject(out, now, id, 503, regimeProblem, true, tuning_.defaultRetryAfter);
     return;
   }
-  Route const& row = routes_[call.path];
-  QueueKey const key{call.pool, row.instance};
+  Route const& route = routes_[call.path];
+  QueueKey const key{call.pool, route.instance};
   bool const fresh = queues_.count(key) == 0;
   AdmissionQueue& c = queueFor(out, now, key);
   if (fresh && call.request.segments.size() > 1) c.scaler.beginWith(homeReplica(call));
@@ -196,8 +196,8 @@
   std::size_t const bound =
       std::max(tuning_.minQueueLength, static_cast<std::size_t>(tuning_.queuedPerCapacity * c.scaler.cap()));
   bool const none = c.scaler.subset().empty();
-  Tick const wait = expectedWait(c, row.path.requestClass);
-  bool const late = wait > static_cast<Tick>(tuning_.maxQueueTargets * static_cast<double>(row.path.latencyTarget)) ||
+  Tick const wait = expectedWait(c, route.path.requestClass);
+  bool const late = wait > static_cast<Tick>(tuning_.maxQueueTargets * static_cast<double>(route.path.latencyTarget)) ||
                     now + wait > call.deadline;
   bool const slow = c.scaler.areAllSlow() && ahead >= static_cast<std::size_t>(std::max(1.0, c.scaler.cap()));
   if (none || ahead >= bound || late || slow) {
@@ -205,10 +205,10 @@
            none   ? "no replica"
            : slow ? "all replicas slow"
                   : "too much held",
-           true, retryAfter(c, row.path.requestClass));
+           true, retryAfter(c, route.path.requestClass));
     return;
   }
-  c.waiting[lane(row.path.requestClass)].push_back(id);
+  c.waiting[lane(route.path.requestClass)].push_back(id);
   evaluateQueue(out, now, key);
   dispatchQueued(out, now, key);
 }
@@ -256,9 +256,9 @@
 }
 
 void RequestRouter::dropCall(RouterCommands& out, Tick now, CallId id) {
-  Call gone = calls_.at(id);
+  Call ended = calls_.at(id);
   removeCall(now, id);
-  releaseSlot(out, now, gone);
+  releaseSlot(out, now, ended);
 }
 
 void RequestRouter::reject(RouterCommands& out, Tick now, CallId id, int status, std::string reason, bool notRun,
--- a/dataplane/src/admission_queues.cpp
+++ b/dataplane/src/admission_queues.cpp
@@ -1,4 +1,4 @@
-// What an instance may send to a pool: its part of the replicas, its cap, and the requests that wait for it.
+// What an instance may send to a pool: its subset of the replicas, its limit, and the requests that are queued.
 #include <algorithm>
 #include <limits>
 
@@ -142,10 +142,10 @@
   finishPrefill(call);
   if (!call.holdsSlot) return;
   call.holdsSlot = false;
-  Route const& row = routes_[call.path];
-  QueueKey const key{call.pool, row.instance};
+  Route const& route = routes_[call.path];
+  QueueKey const key{call.pool, route.instance};
   AdmissionQueue& c = queues_.at(key);
-  c.scaler.onEnded(call.replica, row.path.requestClass == config::RequestClass::bulk);
+  c.scaler.onEnded(call.replica, route.path.requestClass == config::RequestClass::bulk);
   --replicas_[call.replica].inFlight;
   c.completions.onCompleted();
   evaluateQueue(out, now, key);
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -1,4 +1,5 @@
-// What is in force here: news from control and neighbours, the platform's lists, and hints of what leaves them.
+// The configuration in force: updates from controllers and neighbours, the platform's endpoint lists, and hints of
+// what leaves them.
 #include <QJsonArray>
 #include <algorithm>
 
@@ -33,25 +34,25 @@
   return pool;
 }
 
-void RequestRouter::addRoute(std::string const& owner, std::string const& route, config::Path const& path,
+void RequestRouter::addRoute(std::string const& owner, std::string const& key, config::Path const& path,
                              std::string const& instance) {
-  Route row{path, poolIndex(path.pool), instanceNames_.intern(instance), {}};
+  Route route{path, poolIndex(path.pool), instanceNames_.intern(instance), {}};
   for (config::WeightedPool const& weighted : path.weightedPools)
-    if (weighted.weight > 0) row.backends.push_back({poolIndex(weighted.pool), weighted.weight});
-  if (row.backends.empty()) row.backends.push_back({row.pool, 1});
-  regimePolicy_.bind(row.instance, path.regime);
-  routes_.add(owner, route, std::move(row));
+    if (weighted.weight > 0) route.backends.push_back({poolIndex(weighted.pool), weighted.weight});
+  if (route.backends.empty()) route.backends.push_back({route.pool, 1});
+  regimePolicy_.bind(route.instance, path.regime);
+  routes_.add(owner, key, std::move(route));
 }
 
 void RequestRouter::applyFleetConfiguration(QJsonObject const& value) {
-  config::FleetConfiguration const whole = config::readFleetConfiguration(value.value("spec").toObject());
+  config::FleetConfiguration const fleet = config::readFleetConfiguration(value.value("spec").toObject());
   routes_.remove(config::fleetConfigurationKey);
-  for (config::Path const& p : whole.paths)
-    addRoute(config::fleetConfigurationKey, p.host + p.prefix, p, wholeInstance);
+  for (config::Path const& p : fleet.paths)
+    addRoute(config::fleetConfigurationKey, p.host + p.prefix, p, fleetInstance);
   for (PoolView& view : pools_) view.settings.reset();
-  for (config::PoolSettings const& t : whole.pools) pools_[poolIndex(t.name)].settings = t;
-  httpLimits_ = whole.http;
-  tenants_.configure(whole.tenants);
+  for (config::PoolSettings const& t : fleet.pools) pools_[poolIndex(t.name)].settings = t;
+  httpLimits_ = fleet.http;
+  tenants_.configure(fleet.tenants);
 }
 
 void RequestRouter::applyEntry(RouterCommands& out, Tick now, transport::CommittedEntry const& item) {
--- a/dataplane/src/dispatch.cpp
+++ b/dataplane/src/dispatch.cpp
@@ -9,12 +9,12 @@
 
 bool RequestRouter::attemptConnect(RouterCommands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
-  Route const& row = routes_[call.path];
-  QueueKey const key{call.pool, row.instance};
+  Route const& route = routes_[call.path];
+  QueueKey const key{call.pool, route.instance};
   AdmissionQueue& c = queues_.at(key);
-  bool const room = mayAttempt(now, c, key, call);
-  std::int64_t chosen = chooseReplica(now, call, usableCandidates(now, c, room));
-  if (chosen < 0 && room && call.dispatched && !regimeOf(call).empty())
+  bool const hasRoom = mayAttempt(now, c, key, call);
+  std::int64_t chosen = chooseReplica(now, call, usableCandidates(now, c, hasRoom));
+  if (chosen < 0 && hasRoom && call.dispatched && !regimeOf(call).empty())
     chosen = chooseReplica(now, call, candidatesBeyondSubset(now, call.pool));
   if (chosen < 0) return false;
   auto const replica = static_cast<NameIndex>(chosen);
@@ -28,22 +28,22 @@
 
 void RequestRouter::connectTo(RouterCommands& out, Tick now, CallId id, NameIndex replica) {
   Call& call = calls_.at(id);
-  Route const& row = routes_[call.path];
+  Route const& route = routes_[call.path];
   call.phase = Phase::connecting;
   call.phaseSince = now;
   call.replica = replica;
   call.holdsSlot = true;
-  queues_.at({call.pool, row.instance}).scaler.onSent(replica, row.path.requestClass == config::RequestClass::bulk);
+  queues_.at({call.pool, route.instance}).scaler.onSent(replica, route.path.requestClass == config::RequestClass::bulk);
   ++replicas_[replica].inFlight;
-  out.calls.push_back(Connect{id, addressOf(replica), row.path.path, false, !row.path.idempotent,
-                              regimeOf(call).empty() ? "" : replicas_[replica].id, ownEvents(row.path)});
+  out.calls.push_back(Connect{id, addressOf(replica), route.path.path, false, !route.path.idempotent,
+                              regimeOf(call).empty() ? "" : replicas_[replica].id, ownEvents(route.path)});
 }
 
 void RequestRouter::connectOrQueueFirst(RouterCommands& out, Tick now, CallId id) {
   if (attemptConnect(out, now, id)) return;
   Call const& call = calls_.at(id);
-  Route const& row = routes_[call.path];
-  queues_.at({call.pool, row.instance}).waiting[lane(row.path.requestClass)].push_front(id);
+  Route const& route = routes_[call.path];
+  queues_.at({call.pool, route.instance}).waiting[lane(route.path.requestClass)].push_front(id);
 }
 
 RouterCommands RequestRouter::onConnected(Tick now, CallId id) {
@@ -89,20 +89,20 @@
     rejectConnected(out, now, id, 404, "the configuration has changed", 0);
     return false;
   }
-  Route const& row = routes_[path];
-  if (!identifyTenant(call, row.path)) {
+  Route const& route = routes_[path];
+  if (!identifyTenant(call, route.path)) {
     rejectConnected(out, now, id, 401, "the tenant's key was taken away", 0);
     return false;
   }
-  bool const samePool = std::any_of(row.backends.begin(), row.backends.end(),
+  bool const samePool = std::any_of(route.backends.begin(), route.backends.end(),
                                     [&](Route::Backend const& backend) { return backend.pool == call.pool; });
-  if (samePool && row.path.regime == routes_[call.path].path.regime) return true;
+  if (samePool && route.path.regime == routes_[call.path].path.regime) return true;
   out.calls.push_back(CloseUpstream{id});
   call.phase = Phase::queued;
   releaseSlot(out, now, call);
   call.path = path;
   call.pathRevision = routes_.revision();
-  call.pool = choosePool(now, row, id);
+  call.pool = choosePool(now, route, id);
   admit(out, now, id);
   return false;
 }
@@ -153,15 +153,15 @@
 }
 
 void RequestRouter::checkDispatch(Tick now, Call const& call, Tick left) const {
-  Route const& row = routes_[call.path];
+  Route const& route = routes_[call.path];
   std::string const& trace = call.request.attemptName;
-  bool const mayRepeat = row.path.idempotent || row.path.resumable || call.resumes > 0;
+  bool const mayRepeat = route.path.idempotent || route.path.resumable || call.resumes > 0;
   CORKWARD_GUARANTEE(core::Guarantee::runsOnce, mayRepeat || !call.outstanding, trace + " is handed over once more");
-  bool const bounded = !row.path.host.empty() && regimeOf(call).empty();
+  bool const bounded = !route.path.host.empty() && regimeOf(call).empty();
   bool const samePath = call.pathRevision == routes_.revision();
   CORKWARD_GUARANTEE(
       core::Guarantee::withinAttempts,
-      !bounded || !samePath || static_cast<int>(call.dispatchedTo.size()) < std::max(row.path.maxAttempts, 1),
+      !bounded || !samePath || static_cast<int>(call.dispatchedTo.size()) < std::max(route.path.maxAttempts, 1),
       trace + " is handed to replica " + std::to_string(call.dispatchedTo.size() + 1));
   CORKWARD_GUARANTEE(core::Guarantee::allowedReplica,
                      usable(now, call.replica) && replicas_[call.replica].pool == call.pool,
@@ -210,8 +210,8 @@
 bool RequestRouter::resumeOnOtherReplica(RouterCommands& out, Tick now, CallId id) {
   Call& call = calls_.at(id);
   releaseSlot(out, now, call);
-  Route const& row = routes_[call.path];
-  AdmissionQueue& c = queues_.at({call.pool, row.instance});
+  Route const& route = routes_[call.path];
+  AdmissionQueue& c = queues_.at({call.pool, route.instance});
   std::int64_t chosen = chooseReplica(now, call, usableCandidates(now, c, true));
   if (chosen < 0 && !regimeOf(call).empty()) chosen = chooseReplica(now, call, candidatesBeyondSubset(now, call.pool));
   if (chosen < 0 || !servingLease(now)) return false;
@@ -219,13 +219,13 @@
   if (replicas_[call.replica].state == config::ReplicaState::warmingUp &&
       !warmupLeases_.takeToken(now, call.replica, slowStartRate(call.pool)))
     return false;
-  c.scaler.onSent(call.replica, row.path.requestClass == config::RequestClass::bulk);
+  c.scaler.onSent(call.replica, route.path.requestClass == config::RequestClass::bulk);
   ++replicas_[call.replica].inFlight;
   call.holdsSlot = true;
   call.phase = Phase::dispatched;
   call.phaseSince = now;
-  out.calls.push_back(Connect{id, addressOf(call.replica), row.path.path, true, false,
-                              regimeOf(call).empty() ? "" : replicas_[call.replica].id, ownEvents(row.path)});
+  out.calls.push_back(Connect{id, addressOf(call.replica), route.path.path, true, false,
+                              regimeOf(call).empty() ? "" : replicas_[call.replica].id, ownEvents(route.path)});
   return true;
 }
 
--- a/dataplane/src/internal.h
+++ b/dataplane/src/internal.h
@@ -6,13 +6,13 @@
 
 inline constexpr char const* rosterKey = "roster";
 inline constexpr char const* membershipKey = "cohort";
-/// Instance whose credits the paths of the whole configuration share.
-inline constexpr char const* wholeInstance = "*";
+/// Instance whose admission queues the paths of the fleet configuration share.
+inline constexpr char const* fleetInstance = "*";
 /// Why a request is turned away whose amount was taken too long ago and is not there any more.
 inline constexpr char const* overQuota = "the tenant is beyond its limit: held too long";
-inline constexpr Tick lookEvery = 100;
-inline constexpr Tick freeEvery = 10000;
-inline constexpr std::size_t leftAtOnce = 5000;
+inline constexpr Tick queueEvaluationInterval = 100;
+inline constexpr Tick releaseInterval = 10000;
+inline constexpr std::size_t maxHandoverIds = 5000;
 /// What stands for "not known" among the ages of a PeerHeartbeat.
 inline constexpr int unknownAge = 255;
 
--- a/dataplane/src/neighbour_links.cpp
+++ b/dataplane/src/neighbour_links.cpp
@@ -17,6 +17,7 @@
     addOneOf(others, now, 3 * near < count, peers, tuning, random);
   }
   std::vector<std::string> chosen;
+  chosen.reserve(links_.size());
   for (auto const& [name, link] : links_) chosen.push_back(name);
   return chosen;
 }
--- a/dataplane/src/peers.cpp
+++ b/dataplane/src/peers.cpp
@@ -1,4 +1,4 @@
-// Who is asked and touched: the roster, the controllers that are held, and the neighbours among the routers.
+// The roster, the choice of controllers and neighbours, and the heartbeats.
 #include <QJsonArray>
 #include <algorithm>
 
@@ -32,6 +32,7 @@
   std::vector<std::string> known = controllers(now);
   if (known.empty()) known = partialView_.seeds();
   std::vector<ControllerLinks::Candidate> candidates;
+  candidates.reserve(known.size());
   for (std::string const& link : known)
     candidates.push_back({link, zones[link] == self.zone, core::stableHash(link + self.link)});
   controllerLinks_.choose(now, candidates, tuning_);
@@ -63,22 +64,22 @@
   Tick const every = lacking ? tuning_.heartbeatInterval : tuning_.idleHeartbeatInterval;
   if (now - lastHeartbeatAt_ < every) return;
   lastHeartbeatAt_ = now;
-  transport::PeerHeartbeat touch;
-  touch.sentAt = now;
-  touch.hasSnapshot = snapshotApplied_;
-  touch.link = partialView_.self().link;
-  touch.digest = configuration_.digest();
-  touch.wantsAges = lacking;
-  touch.removalHints = removalHints();
-  bool const wantWhole = !snapshotApplied_ && !snapshotSeen_ && now - startedAt_ > 2000;
+  transport::PeerHeartbeat heartbeat;
+  heartbeat.sentAt = now;
+  heartbeat.hasSnapshot = snapshotApplied_;
+  heartbeat.link = partialView_.self().link;
+  heartbeat.digest = configuration_.digest();
+  heartbeat.wantsAges = lacking;
+  heartbeat.removalHints = removalHints();
+  bool const wantSnapshot = !snapshotApplied_ && !snapshotSeen_ && now - startedAt_ > 2000;
   std::vector<std::string> const to =
       neighbourLinks_.choose(now, lacking ? tuning_.neighbourCount : tuning_.idleNeighbourCount, every,
                              neighbourCandidates(now), tuning_, rng_);
-  std::size_t const asked = wantWhole && !to.empty() ? rng_.below(to.size()) : to.size();
+  std::size_t const asked = wantSnapshot && !to.empty() ? rng_.below(to.size()) : to.size();
   for (std::size_t i = 0; i < to.size(); ++i) {
     neighbourLinks_.onHeartbeatSent(now, to[i]);
-    touch.wantsSnapshot = i == asked;
-    out.sends.push_back(transport::Send{to[i], touch});
+    heartbeat.wantsSnapshot = i == asked;
+    out.sends.push_back(transport::Send{to[i], heartbeat});
   }
 }
 
--- a/dataplane/src/regimes.cpp
+++ b/dataplane/src/regimes.cpp
@@ -167,16 +167,16 @@
 
 void RequestRouter::abandonForRegime(RouterCommands& out, Tick now, CallId id, std::string const& why) {
   Call& call = calls_.at(id);
-  Route const& row = routes_[call.path];
+  Route const& route = routes_[call.path];
   countMetric(now, "regime_left", why);
-  bool const open = regimeRejection(now, regimeOf(call)).empty() && row.path.idempotent && now < call.deadline;
+  bool const open = regimeRejection(now, regimeOf(call)).empty() && route.path.idempotent && now < call.deadline;
   if (isResumeUnsent(call)) {
     out.calls.push_back(CloseUpstream{id});
-    if (!open || !row.path.stream || !resumeOnOtherReplica(out, now, id)) abortStream(out, now, id, why);
+    if (!open || !route.path.stream || !resumeOnOtherReplica(out, now, id)) abortStream(out, now, id, why);
     return;
   }
   if (call.phase == Phase::streaming || call.resumes > 0) {
-    bool const again = open && row.path.stream && call.runKnown && call.resumes == 0 &&
+    bool const again = open && route.path.stream && call.runKnown && call.resumes == 0 &&
                        retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance);
     if (again) {
       ++call.resumes;
--- a/dataplane/src/replica_choice.cpp
+++ b/dataplane/src/replica_choice.cpp
@@ -59,10 +59,10 @@
 }
 
 bool RequestRouter::isOverdue(Call const& call, Tick took) const {
-  Route const& row = routes_[call.path];
-  double const usual = queues_.at({call.pool, row.instance}).scaler.firstByteMean();
+  Route const& route = routes_[call.path];
+  double const usual = queues_.at({call.pool, route.instance}).scaler.firstByteMean();
   return static_cast<double>(took) >
-         tuning_.scalerParameters.lateTargets * std::max(static_cast<double>(row.path.latencyTarget), usual);
+         tuning_.scalerParameters.lateTargets * std::max(static_cast<double>(route.path.latencyTarget), usual);
 }
 
 void RequestRouter::backOff(NameIndex replica, Tick until) {
@@ -70,14 +70,13 @@
   pools_[replicas_[replica].pool].changed = true;
 }
 
-std::vector<scaling::Candidate> RequestRouter::usableCandidates(Tick now, AdmissionQueue const& c,
-                                                                bool warmRoom) const {
+std::vector<scaling::Candidate> RequestRouter::usableCandidates(Tick now, AdmissionQueue const& c, bool hasRoom) const {
   std::vector<scaling::Candidate> out;
   for (scaling::Candidate const& p : c.scaler.subset()) {
     if (!usable(now, p.replica)) continue;
     if (p.warmingUp) {
       if (!warmupLeases_.hasToken(now, p.replica, slowStartRate(replicas_[p.replica].pool))) continue;
-    } else if (!warmRoom) {
+    } else if (!hasRoom) {
       continue;
     }
     out.push_back(p);
@@ -111,13 +110,13 @@
 }
 
 NameIndex RequestRouter::homeReplica(Call const& call) const {
-  bool const apart = needsIsolatedReplica(call);
+  bool const isolated = needsIsolatedReplica(call);
   std::uint64_t const shared = call.request.segments[call.request.segments.size() - 2].hash;
   NameIndex best = core::InternedNames::none;
   std::uint64_t bestOrder = 0;
   for (NameIndex const r : pools_[call.pool].replicas) {
     Replica const& replica = replicas_[r];
-    if (!isHomeCandidate(r) || replica.isolated != apart) continue;
+    if (!isHomeCandidate(r) || replica.isolated != isolated) continue;
     std::uint64_t const order = core::RandomGenerator(shared ^ replica.hash).next();
     if (best != core::InternedNames::none && order >= bestOrder) continue;
     best = r;
@@ -160,14 +159,14 @@
     return scaling::chooseReplica(scaler, choices, call.prefix == 0 ? seed_ ^ call.request.call : call.prefix, last);
   }
   NameIndex const at = homeReplica(call);
-  bool const apart = at != core::InternedNames::none && replicas_[at].isolated;
-  std::unordered_map<NameIndex, double> heldUp;
+  bool const isolated = at != core::InternedNames::none && replicas_[at].isolated;
+  std::unordered_map<NameIndex, double> overdueTokens;
   for (auto const& [otherId, other] : calls_) {
     if (other.phase != Phase::dispatched || other.prefillTokens == 0) continue;
     double const late = static_cast<double>(now - other.dispatchedAt - tuning_.scalerParameters.firstByteSlack) *
                             tuning_.scalerParameters.prefillTokensPerMs -
                         static_cast<double>(other.prefillTokens);
-    double& worst = heldUp[other.replica];
+    double& worst = overdueTokens[other.replica];
     worst = std::max(worst, late);
   }
   std::int64_t best = -1;
@@ -175,10 +174,10 @@
   std::uint64_t bestOrder = 0;
   for (scaling::Candidate const& c : choices) {
     double const cost =
-        scaler.inFlightAt(c.replica) * tuning_.scalerParameters.inFlightTokens + heldUp[c.replica] +
+        scaler.inFlightAt(c.replica) * tuning_.scalerParameters.inFlightTokens + overdueTokens[c.replica] +
         tuning_.scalerParameters.uncachedTokenWeight * static_cast<double>(uncachedPrefillTokens(call, c.replica, at)) +
         static_cast<double>(replicas_[c.replica].prefillTokens) +
-        (replicas_[c.replica].isolated != apart ? tuning_.scalerParameters.wrongGroupPenalty : 0.0);
+        (replicas_[c.replica].isolated != isolated ? tuning_.scalerParameters.wrongGroupPenalty : 0.0);
     std::uint64_t const order =
         core::RandomGenerator(call.request.segments[call.request.segments.size() - 2].hash ^ replicas_[c.replica].hash)
             .next();
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -79,7 +79,7 @@
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
   updateTenants(out, now);
   if (now >= nextReleaseAt_) {
-    nextReleaseAt_ = now + freeEvery;
+    nextReleaseAt_ = now + releaseInterval;
     releaseRemoved(now);
   }
   if (now >= nextWarmupRequestAt_) {
@@ -143,9 +143,9 @@
       reject(out, now, id, 503, "deadline passed", true, tuning_.defaultRetryAfter);
       break;
     case Phase::queued: {
-      Route const& row = routes_[call.path];
+      Route const& route = routes_[call.path];
       reject(out, now, id, 503, "held too long", true,
-             retryAfter(queues_.at({call.pool, row.instance}), row.path.requestClass));
+             retryAfter(queues_.at({call.pool, route.instance}), route.path.requestClass));
       break;
     }
     case Phase::connecting:
@@ -174,7 +174,7 @@
 
 void RequestRouter::evaluateQueues(RouterCommands& out, Tick now) {
   if (now < nextEvaluationAt_) return;
-  nextEvaluationAt_ = now + lookEvery;
+  nextEvaluationAt_ = now + queueEvaluationInterval;
   refreshCandidates(out, now);
   std::vector<QueueKey> const keys(activeQueues_.begin(), activeQueues_.end());
   for (QueueKey const& key : keys) queues_.at(key).completions.closeWindow(now);
@@ -255,7 +255,7 @@
   std::vector<std::string> const& others = otherRouters();
   std::vector<transport::RequestIdHandover> left(1, transport::RequestIdHandover{processName_, false, {}});
   for (std::string const& id : requestIds_.executableIds()) {
-    if (left.back().ids.size() >= leftAtOnce) left.push_back(transport::RequestIdHandover{processName_, false, {}});
+    if (left.back().ids.size() >= maxHandoverIds) left.push_back(transport::RequestIdHandover{processName_, false, {}});
     left.back().ids.push_back(id);
   }
   left.back().last = true;
--- a/dataplane/src/tenants.cpp
+++ b/dataplane/src/tenants.cpp
@@ -19,9 +19,9 @@
 constexpr Tick scarceFor = 30;
 constexpr Tick nobodyFor = 150;
 /// A request is sent on to another lender so often.
-constexpr int mostAsks = 3;
+constexpr int maxQueries = 3;
 /// Gates of tenants that send nothing are freed once so many are kept.
-constexpr std::size_t gatesKept = 4096;
+constexpr std::size_t maxLimiters = 4096;
 
 }  // namespace
 
@@ -99,10 +99,10 @@
 
 void Tenants::detectTimeouts(Tick now) {
   for (auto& entry : coordinators_) {
-    CoordinatorLink& lender = entry.second;
-    if (lender.firstUnansweredAt < 0 || now - lender.firstUnansweredAt <= answerWithin) continue;
-    lender.timedOutAt = now;
-    lender.firstUnansweredAt = -1;
+    CoordinatorLink& coordinator = entry.second;
+    if (coordinator.firstUnansweredAt < 0 || now - coordinator.firstUnansweredAt <= answerWithin) continue;
+    coordinator.timedOutAt = now;
+    coordinator.firstUnansweredAt = -1;
     std::erase_if(announcedOwners_, [&](auto const& told) { return told.second == entry.first; });
   }
 }
@@ -125,23 +125,23 @@
   return best;
 }
 
-void Tenants::send(Tick now, std::string const& lender, std::vector<quota::TenantUsage> uses,
+void Tenants::send(Tick now, std::string const& coordinator, std::vector<quota::TenantUsage> uses,
                    std::vector<Waiting> waiting, std::vector<transport::Send>& out) {
-  CoordinatorLink& known = coordinators_[lender];
+  CoordinatorLink& known = coordinators_[coordinator];
   if (known.firstUnansweredAt < 0) known.firstUnansweredAt = now;
   std::uint64_t const number = nextReport_++;
-  pendingReports_[number] = PendingReport{now, lender, std::move(waiting)};
-  out.push_back(transport::Send{lender, quota::UsageReport{link_, incarnation_, number, std::move(uses)}});
+  pendingReports_[number] = PendingReport{now, coordinator, std::move(waiting)};
+  out.push_back(transport::Send{coordinator, quota::UsageReport{link_, incarnation_, number, std::move(uses)}});
 }
 
 bool Tenants::requestAmount(Tick now, Waiting waiting, std::vector<transport::Send>& out) {
   Limited* const limit = limited(waiting.tenant);
-  std::string const lender = coordinatorOf(now, quota::partitionOf(waiting.tenant));
-  if (limit == nullptr || lender.empty() || waiting.queries >= mostAsks) return false;
+  std::string const coordinator = coordinatorOf(now, quota::partitionOf(waiting.tenant));
+  if (limit == nullptr || coordinator.empty() || waiting.queries >= maxQueries) return false;
   ++waiting.queries;
   quota::TenantUsage use = limit->limiter.takeReport(now, limit->limit, overdraftAllowance_, waiting.amount);
   use.tenant = waiting.tenant;
-  send(now, lender, {std::move(use)}, {std::move(waiting)}, out);
+  send(now, coordinator, {std::move(use)}, {std::move(waiting)}, out);
   return true;
 }
 
@@ -149,13 +149,13 @@
   std::map<std::string, std::vector<quota::TenantUsage>> uses;
   for (auto& [name, limit] : limiters_) {
     if (!limit.limiter.reportDue(now)) continue;
-    std::string const lender = coordinatorOf(now, quota::partitionOf(name));
-    if (lender.empty()) continue;
+    std::string const coordinator = coordinatorOf(now, quota::partitionOf(name));
+    if (coordinator.empty()) continue;
     quota::TenantUsage use = limit.limiter.takeReport(now, limit.limit, overdraftAllowance_, 0);
     use.tenant = name;
-    uses[lender].push_back(std::move(use));
+    uses[coordinator].push_back(std::move(use));
   }
-  for (auto& [lender, some] : uses) send(now, lender, std::move(some), {}, out);
+  for (auto& [coordinator, some] : uses) send(now, coordinator, std::move(some), {}, out);
 }
 
 std::vector<QuotaDecision> Tenants::onTimer(Tick now, std::vector<transport::Send>& out) {
@@ -172,7 +172,7 @@
   reportAt_ = now + reportEvery;
   detectTimeouts(now);
   sendReports(now, out);
-  if (limiters_.size() > gatesKept)
+  if (limiters_.size() > maxLimiters)
     for (auto& [name, limit] : limiters_)
       if (limit.limiter.idle(now)) limit.limiter = quota::QuotaLimiter();
   return decisions;
@@ -193,28 +193,28 @@
       ownerlessUntil_[elsewhere.partition] = now + nobodyFor;
     }
   }
-  for (quota::QuotaGrant const& loan : message.grants) {
-    std::uint64_t const part = quota::partitionOf(loan.tenant);
-    Limited* const limit = limited(loan.tenant);
+  for (quota::QuotaGrant const& grant : message.grants) {
+    std::uint64_t const part = quota::partitionOf(grant.tenant);
+    Limited* const limit = limited(grant.tenant);
     if (limit == nullptr || message.reportNumber < countsFrom_[part]) continue;
     announcedOwners_[part] = from;
-    limit->limiter.onGrant(now, limit->limit, overdraftAllowance_, asked.at, loan);
+    limit->limiter.onGrant(now, limit->limit, overdraftAllowance_, asked.at, grant);
   }
   for (Waiting const& waiting : asked.waiting) {
     Limited* const limit = limited(waiting.tenant);
-    bool const lent = std::any_of(message.grants.begin(), message.grants.end(),
-                                  [&](quota::QuotaGrant const& loan) { return loan.tenant == waiting.tenant; });
+    bool const granted = std::any_of(message.grants.begin(), message.grants.end(),
+                                     [&](quota::QuotaGrant const& grant) { return grant.tenant == waiting.tenant; });
     if (limit == nullptr || limit->limiter.tryAcquire(now, limit->limit, overdraftAllowance_, waiting.amount)) {
       decisions.push_back({waiting.call, Admission::granted, asked.at});
-    } else if (lent) {
+    } else if (granted) {
       limit->depletedUntil = now + scarceFor;
       decisions.push_back({waiting.call, Admission::rejectedByCoordinator, now});
     } else if (!requestAmount(now, waiting, out)) {
       decisions.push_back(decideWithoutCoordinator(now, waiting));
     }
   }
-  for (quota::QuotaGrant const& loan : message.grants)
-    if (Limited* const limit = limited(loan.tenant)) limit->limiter.trim(now, limit->limit, overdraftAllowance_);
+  for (quota::QuotaGrant const& grant : message.grants)
+    if (Limited* const limit = limited(grant.tenant)) limit->limiter.trim(now, limit->limit, overdraftAllowance_);
   return decisions;
 }
 
--- a/dataplane/src/upstream_events.cpp
+++ b/dataplane/src/upstream_events.cpp
@@ -1,4 +1,4 @@
-// How a request that was handed over goes on: its first word, its failure, its end, its caller leaving.
+// What happens to a request after its dispatch: first byte, failure, end, and the caller that disconnects.
 #include <algorithm>
 
 #include "internal.h"
@@ -10,7 +10,7 @@
   auto const it = calls_.find(id);
   if (it == calls_.end() || it->second.phase != Phase::dispatched) return out;
   Call& call = it->second;
-  Route const& row = routes_[call.path];
+  Route const& route = routes_[call.path];
   bool const first = !call.runKnown && call.resumes == 0;
   finishPrefill(call);
   call.phase = Phase::streaming;
@@ -18,8 +18,8 @@
   call.runKnown = runKnown;
   if (!first) return out;
   if (isOverdue(call, now - call.dispatchedAt)) recordOutcome(out, now, call, true);
-  QueueKey const key{call.pool, row.instance};
-  queues_.at(key).scaler.onFirstByte(now, call.replica, now - call.dispatchedAt, row.path.latencyTarget);
+  QueueKey const key{call.pool, route.instance};
+  queues_.at(key).scaler.onFirstByte(now, call.replica, now - call.dispatchedAt, route.path.latencyTarget);
   countMetric(now, "first_words");
   dispatchQueued(out, now, key);
   return out;
@@ -32,9 +32,9 @@
   Call& call = it->second;
   countMetric(now, "replica_failed");
   recordOutcome(out, now, call, true);
-  Route const& row = routes_[call.path];
-  if (call.resumes > 0 || !row.path.idempotent || !mayRetry(now, call) || !servingLease(now)) return out;
-  std::int64_t chosen = chooseReplica(now, call, usableCandidates(now, queues_.at({call.pool, row.instance}), true));
+  Route const& route = routes_[call.path];
+  if (call.resumes > 0 || !route.path.idempotent || !mayRetry(now, call) || !servingLease(now)) return out;
+  std::int64_t chosen = chooseReplica(now, call, usableCandidates(now, queues_.at({call.pool, route.instance}), true));
   if (chosen < 0) {
     chosen = chooseReplica(now, call, candidatesBeyondSubset(now, call.pool));
   }
@@ -45,7 +45,7 @@
       !retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance))
     return out;
   countMetric(now, "retried_dispatched");
-  call.mayHaveRun = row.path.host.empty();
+  call.mayHaveRun = route.path.host.empty();
   out.calls.push_back(CloseUpstream{id});
   releaseSlot(out, now, call);
   connectTo(out, now, id, replica);
--- a/dataplane/test/golden_pages_test.cpp
+++ b/dataplane/test/golden_pages_test.cpp
@@ -81,7 +81,7 @@
 constexpr char const* smallTenant = R"(,"tenants":[{"name":"t","keys":["k"],"rate":1,"burst":1}])";
 constexpr char const* limitedTenant = R"(,"tenants":[{"name":"t","keys":["k"],"rate":100,"burst":100,"urgency":2}])";
 
-QJsonObject whole(int version, std::string const& more = "") {
+QJsonObject fleetConfiguration(int version, std::string const& more = "") {
   return QJsonObject{{"spec", json(R"({"version":)" + std::to_string(version) + "," + wholePaths + more + "}")}};
 }
 
@@ -130,10 +130,10 @@
     text += "\n# " + title + "\n";
     reducer.started(0);
     if (!told) return;
-    transport::ConfigurationUpdate news;
-    news.number = 1;
-    news.isSnapshot = true;
-    news.entries = {
+    transport::ConfigurationUpdate update;
+    update.number = 1;
+    update.isSnapshot = true;
+    update.entries = {
         {"cohort", 1, json(R"({"members":[{"id":"m1","link":"s1"}]})")},
         {"roster", 1,
          json(
@@ -142,8 +142,8 @@
         {"family:desk", 1, json(desk)},
         {"family:law", 1, json(law)},
         {"certificates", 1, certificates({"z1", "z2"})},
-        {config::fleetConfigurationKey, 1, whole(1)}};
-    reducer.onMessage(now, "s1", news);
+        {config::fleetConfigurationKey, 1, fleetConfiguration(1)}};
+    reducer.onMessage(now, "s1", update);
     reducer.setWallTime(now, wall0);
     confirm();
   }
@@ -177,7 +177,7 @@
     text += "> " + words + "\n";
     show(commands);
   }
-  void news(std::string const& key, QJsonObject const& value) {
+  void configure(std::string const& key, QJsonObject const& value) {
     transport::ConfigurationUpdate n;
     n.entries = {{key, ++revision, value}};
     step("news of " + key, reducer.onMessage(now, "s1", n));
@@ -211,7 +211,7 @@
     return r;
   }
   /// Sends the request and gives its number.
-  std::uint64_t ask(dataplane::Request const& r) {
+  std::uint64_t sendRequest(dataplane::Request const& r) {
     step("request " + std::to_string(r.call) + " " +
              (r.instance.empty() ? r.host + r.target : r.instance + "/" + r.path),
          reducer.onRequest(now, r));
@@ -220,7 +220,7 @@
   void connected(std::uint64_t call) { step("connected", reducer.onConnected(now, call)); }
   /// The request is handed to a replica.
   std::uint64_t handed(dataplane::Request const& r) {
-    std::uint64_t const call = ask(r);
+    std::uint64_t const call = sendRequest(r);
     connected(call);
     return call;
   }
@@ -239,7 +239,7 @@
   void broken(std::uint64_t call) { ended(call, dataplane::UpstreamResult::connectionLost, "broken"); }
   void refused(std::uint64_t call) { step("connection refused", reducer.onConnectFailure(now, call)); }
   /// The lender answers the newest report: so much is lent to the request that waits.
-  void lend(std::uint64_t amount, std::uint64_t share = quota::fractionUnits) {
+  void grantQuota(std::uint64_t amount, std::uint64_t share = quota::fractionUnits) {
     REQUIRE_FALSE(reports.empty());
     auto const [to, report] = reports.back();
     step("lent " + std::to_string(amount),
@@ -260,34 +260,34 @@
   {
     Router r(text, "nothing is known", {}, false);
     r.state();
-    r.ask(r.own("a"));
+    r.sendRequest(r.own("a"));
     r.pass(400, false);
     r.metrics();
   }
   {
     Router r(text, "no such path");
-    r.ask(r.own("nowhere"));
-    r.ask(r.own("a", "", 1, "desk.west"));
-    r.ask(r.hosted("nowhere"));
+    r.sendRequest(r.own("nowhere"));
+    r.sendRequest(r.own("a", "", 1, "desk.west"));
+    r.sendRequest(r.hosted("nowhere"));
   }
   {
     Router r(text, "the confirmation grows old");
-    std::uint64_t const call = r.ask(r.own("a"));
+    std::uint64_t const call = r.sendRequest(r.own("a"));
     r.now += 1501;
     r.connected(call);
-    r.ask(r.own("a"));
+    r.sendRequest(r.own("a"));
     r.state();
   }
   {
     Router r(text, "no replica");
-    r.news("pool:model", json(noReplicas));
-    r.ask(r.own("a"));
-    r.ask(r.hosted("once"));
+    r.configure("pool:model", json(noReplicas));
+    r.sendRequest(r.own("a"));
+    r.sendRequest(r.hosted("once"));
   }
   {
     Router r(text, "more than can be held");
     std::string const before = text;
-    for (int i = 0; i < 60; ++i) r.ask(r.own("a"));
+    for (int i = 0; i < 60; ++i) r.sendRequest(r.own("a"));
     std::size_t const at = text.rfind("reject ");
     std::string const last = at == std::string::npos ? "no rejection\n" : text.substr(at, text.find('\n', at) + 1 - at);
     text = before + "last of 60: " + last;
@@ -301,16 +301,16 @@
       tuning.drainTimeout = 7000;
       return tuning;
     }());
-    r.ask(r.own("a", "waits", 0));
+    r.sendRequest(r.own("a", "waits", 0));
     r.step("drain", r.reducer.drain(r.now));
     r.state();
-    r.ask(r.own("e"));
+    r.sendRequest(r.own("e"));
     r.now += 2400;
     r.confirm();
-    r.ask(r.own("a"));
+    r.sendRequest(r.own("a"));
     r.now += 200;
     r.confirm();
-    r.ask(r.own("a"));
+    r.sendRequest(r.own("a"));
     r.metrics();
   }
   check("rejections_before.txt", text);
@@ -320,42 +320,42 @@
   std::string text;
   {
     Router r(text, "the configuration changes before the hand-over");
-    std::uint64_t const own = r.ask(r.own("a"));
-    std::uint64_t const hosted = r.ask(r.hosted("once"));
-    r.news("family:desk",
-           json(R"({"template":{"stamp":2,"spec":{"paths":[{"path":"b","pool":"model","class":"short"}]}}})"));
-    r.news(config::fleetConfigurationKey,
-           QJsonObject{{"spec", json(R"({"version":2,"paths":[],"pools":[{"name":"model"}]})")}});
+    std::uint64_t const own = r.sendRequest(r.own("a"));
+    std::uint64_t const hosted = r.sendRequest(r.hosted("once"));
+    r.configure("family:desk",
+                json(R"({"template":{"stamp":2,"spec":{"paths":[{"path":"b","pool":"model","class":"short"}]}}})"));
+    r.configure(config::fleetConfigurationKey,
+                QJsonObject{{"spec", json(R"({"version":2,"paths":[],"pools":[{"name":"model"}]})")}});
     r.connected(own);
     r.connected(hosted);
   }
   {
     Router r(text, "connections are refused");
-    std::uint64_t const call = r.ask(r.own("a"));
+    std::uint64_t const call = r.sendRequest(r.own("a"));
     r.refused(call);
     r.refused(call);
     r.refused(call);
     r.refused(call);
     r.pass(11000);
-    std::uint64_t const late = r.ask(r.hosted("once"));
+    std::uint64_t const late = r.sendRequest(r.hosted("once"));
     r.now += 3001;
     r.confirm();
     r.refused(late);
   }
   {
     Router r(text, "no descriptors");
-    r.step("no descriptors", r.reducer.onLocalConnectFailure(r.now, r.ask(r.own("a"))));
+    r.step("no descriptors", r.reducer.onLocalConnectFailure(r.now, r.sendRequest(r.own("a"))));
     std::uint64_t const resumed = r.streaming(r.own("r"));
     r.broken(resumed);
     r.step("no descriptors", r.reducer.onLocalConnectFailure(r.now, resumed));
   }
   {
     Router r(text, "the deadline passes");
-    std::uint64_t const call = r.ask(r.hosted("once"));
+    std::uint64_t const call = r.sendRequest(r.hosted("once"));
     r.now += 600;
     dataplane::Request brief = r.hosted("once");
     brief.deadline = 100;
-    std::uint64_t const late = r.ask(brief);
+    std::uint64_t const late = r.sendRequest(brief);
     r.now += 100;
     r.connected(late);
     r.connected(call);
@@ -365,7 +365,7 @@
     Router r(text, "a silent replica");
     std::uint64_t const own = r.handed(r.own("a"));
     std::uint64_t const again = r.handed(r.hosted("again"));
-    std::uint64_t const connecting = r.ask(r.own("r"));
+    std::uint64_t const connecting = r.sendRequest(r.own("r"));
     r.pass(60000);
     r.whole_(own);
     r.whole_(again);
@@ -469,12 +469,12 @@
     r.notRun(refuses);
     r.pass(400);
     r.refused(refuses);
-    r.news("pool:model", json(noReplicas));
+    r.configure("pool:model", json(noReplicas));
     r.connected(leaves);
   }
   {
     Router r(text, "all replicas are slow");
-    r.news("pool:model", json(oneReplica));
+    r.configure("pool:model", json(oneReplica));
     std::string const before = text;
     for (int round = 0; round < 20; ++round) {
       std::uint64_t const call = r.handed(r.own("a"));
@@ -484,7 +484,7 @@
       r.whole_(call);
     }
     text = before;
-    for (int i = 0; i < 3; ++i) r.ask(r.own("e"));
+    for (int i = 0; i < 3; ++i) r.sendRequest(r.own("e"));
   }
   check("answers.txt", text);
 }
@@ -500,19 +500,19 @@
   {
     Router r(text, "attempts that are numbered");
     std::uint64_t const first = r.handed(r.own("a", "x"));
-    r.ask(r.own("a", "x", 2));
+    r.sendRequest(r.own("a", "x", 2));
     r.broken(first);
-    r.ask(r.own("a", "x", 2));
+    r.sendRequest(r.own("a", "x", 2));
     dataplane::Request later = r.own("a", "", 2);
     later.earlierNotExecuted = false;
-    r.ask(later);
+    r.sendRequest(later);
     later = r.own("a", "y", 2);
     later.earlierNotExecuted = false;
-    r.ask(later);
+    r.sendRequest(later);
     later = r.own("a", "y", 3);
     later.earlierNotExecuted = false;
     later.ageMs = 90000;
-    r.ask(later);
+    r.sendRequest(later);
   }
   {
     Router r(text, "a later attempt asks the other nodes");
@@ -520,23 +520,23 @@
     dataplane::Request later = r.own("a", "y", 2);
     later.earlierNotExecuted = false;
     later.ageMs = 5000;
-    r.ask(later);
+    r.sendRequest(later);
     echo(r, later.call, "n2", false);
     later = r.own("a", "z", 2);
     later.earlierNotExecuted = false;
     later.ageMs = 5000;
-    r.ask(later);
+    r.sendRequest(later);
     r.pass(600);
     later = r.own("a", "w", 2);
     later.earlierNotExecuted = false;
     later.ageMs = 5000;
-    r.ask(later);
+    r.sendRequest(later);
     echo(r, later.call, "n2", true);
     echo(r, later.call, "n3", true);
   }
   {
     Router r(text, "an attempt went to another node");
-    std::uint64_t const call = r.ask(r.own("a", "x"));
+    std::uint64_t const call = r.sendRequest(r.own("a", "x"));
     r.step("another node asks",
            r.reducer.onMessage(r.now, "n2", transport::RequestIdQuery{9, "desk.nord|x", 3, 0, "n2#1"}));
     r.whole_(r.handed(r.own("a", "x", 2)));
@@ -544,25 +544,25 @@
   }
   {
     Router r(text, "an earlier attempt is in hand");
-    r.ask(r.own("a", "x"));
-    r.ask(r.own("a", "x", 2));
+    r.sendRequest(r.own("a", "x"));
+    r.sendRequest(r.own("a", "x", 2));
   }
   {
     Router r(text, "a held one is replaced");
-    for (int i = 0; i < 3; ++i) r.ask(r.own("e", "fill" + std::to_string(i)));
-    r.ask(r.own("e", "held"));
-    r.ask(r.own("e", "held", 2));
+    for (int i = 0; i < 3; ++i) r.sendRequest(r.own("e", "fill" + std::to_string(i)));
+    r.sendRequest(r.own("e", "held"));
+    r.sendRequest(r.own("e", "held", 2));
     r.step("another node asks",
            r.reducer.onMessage(r.now, "n2", transport::RequestIdQuery{9, "desk.nord|held", 3, 0, "n2#1"}));
   }
   {
     Router r(text, "ids without numbers");
-    std::uint64_t const ran = r.ask(r.own("a", "x", 0));
+    std::uint64_t const ran = r.sendRequest(r.own("a", "x", 0));
     echo(r, ran, "n2", false);
-    std::uint64_t const claimed = r.ask(r.own("a", "y", 0));
+    std::uint64_t const claimed = r.sendRequest(r.own("a", "y", 0));
     echo(r, claimed, "n2", true, true, {"n3"});
     r.pass(600);
-    r.ask(r.own("a", "z", 0));
+    r.sendRequest(r.own("a", "z", 0));
     r.pass(600);
   }
   {
@@ -571,7 +571,7 @@
     for (int i = 0; i < 12; ++i) {
       dataplane::Request again = r.own("r", "e" + std::to_string(i), 2);
       again.earlierNotExecuted = false;
-      r.ask(again);
+      r.sendRequest(again);
     }
     std::size_t const at = text.rfind("reject ");
     std::string const last = at == std::string::npos ? "no rejection\n" : text.substr(at, text.find('\n', at) + 1 - at);
@@ -584,49 +584,49 @@
   std::string text;
   {
     Router r(text, "keys");
-    r.news(config::fleetConfigurationKey, whole(2, limitedTenant));
+    r.configure(config::fleetConfigurationKey, fleetConfiguration(2, limitedTenant));
     r.pass(100);
-    r.ask(r.hosted("once"));
-    r.ask(r.hosted("once", "other"));
+    r.sendRequest(r.hosted("once"));
+    r.sendRequest(r.hosted("once", "other"));
     r.whole_(r.handed(r.hosted("open")));
-    std::uint64_t const call = r.ask(r.hosted("once", "k"));
-    r.lend(1);
-    r.news(config::fleetConfigurationKey, whole(3, R"(,"tenants":[{"name":"u","keys":["l"]}])"));
+    std::uint64_t const call = r.sendRequest(r.hosted("once", "k"));
+    r.grantQuota(1);
+    r.configure(config::fleetConfigurationKey, fleetConfiguration(3, R"(,"tenants":[{"name":"u","keys":["l"]}])"));
     r.connected(call);
   }
   {
     Router r(text, "limits: lent, nothing left, no share, no lender");
-    r.news(config::fleetConfigurationKey, whole(2, limitedTenant));
+    r.configure(config::fleetConfigurationKey, fleetConfiguration(2, limitedTenant));
     r.pass(100);
-    std::uint64_t const granted = r.ask(r.hosted("once", "k"));
-    r.lend(1);
+    std::uint64_t const granted = r.sendRequest(r.hosted("once", "k"));
+    r.grantQuota(1);
     r.connected(granted);
     r.whole_(granted);
-    r.ask(r.hosted("once", "k"));
-    r.lend(0);
+    r.sendRequest(r.hosted("once", "k"));
+    r.grantQuota(0);
     r.now += 3000;
     r.confirm();
-    r.ask(r.hosted("once", "k"));
-    r.lend(0, 0);
+    r.sendRequest(r.hosted("once", "k"));
+    r.grantQuota(0, 0);
     for (int i = 0; i < 3; ++i) {
       r.now += 200;
       r.confirm();
-      r.ask(r.hosted("once", "k"));
+      r.sendRequest(r.hosted("once", "k"));
     }
     r.pass(4000);
     r.metrics();
   }
   {
     Router r(text, "limits: taken too long ago");
-    r.news(config::fleetConfigurationKey, whole(2, limitedTenant));
+    r.configure(config::fleetConfigurationKey, fleetConfiguration(2, limitedTenant));
     r.pass(100);
-    std::uint64_t const call = r.ask(r.hosted("once", "k"));
-    r.lend(1);
+    std::uint64_t const call = r.sendRequest(r.hosted("once", "k"));
+    r.grantQuota(1);
     r.now += 600;
     r.confirm();
     r.connected(call);
-    std::uint64_t const again = r.ask(r.hosted("again", "k"));
-    r.lend(1);
+    std::uint64_t const again = r.sendRequest(r.hosted("again", "k"));
+    r.grantQuota(1);
     r.connected(again);
     r.broken(again);
     r.now += 100;
@@ -634,28 +634,28 @@
   }
   {
     Router r(text, "limits: a second run beyond them");
-    r.news(config::fleetConfigurationKey, whole(2, smallTenant));
+    r.configure(config::fleetConfigurationKey, fleetConfiguration(2, smallTenant));
     r.pass(100);
-    std::uint64_t const call = r.ask(r.hosted("again", "k"));
-    r.lend(1);
+    std::uint64_t const call = r.sendRequest(r.hosted("again", "k"));
+    r.grantQuota(1);
     r.connected(call);
     r.step("failed", r.reducer.onUpstreamError(r.now, call));
     r.connected(call);
   }
   {
     Router r(text, "limits: nobody lends");
-    r.news(config::fleetConfigurationKey, whole(2, smallTenant));
+    r.configure(config::fleetConfigurationKey, fleetConfiguration(2, smallTenant));
     r.pass(100);
-    for (int i = 0; i < 4; ++i) r.ask(r.hosted("once", "k"));
+    for (int i = 0; i < 4; ++i) r.sendRequest(r.hosted("once", "k"));
     r.pass(1000);
   }
   {
     Router r(text, "limits: the deadline passes while the amount is asked for");
-    r.news(config::fleetConfigurationKey, whole(2, limitedTenant));
+    r.configure(config::fleetConfigurationKey, fleetConfiguration(2, limitedTenant));
     r.pass(100);
     dataplane::Request brief = r.hosted("once", "k");
     brief.deadline = 20;
-    r.ask(brief);
+    r.sendRequest(brief);
     r.pass(2000);
   }
   check("rejections_by_tenant.txt", text);
@@ -673,43 +673,43 @@
     dataplane::RouterTuning tuning = recording();
     tuning.auditRecordsAvailable = false;
     Router r(text, "no records", tuning);
-    r.ask(bound(r));
+    r.sendRequest(bound(r));
   }
   {
     dataplane::RouterTuning tuning = recording();
     tuning.leaseRequired = false;
     Router r(text, "no fence", tuning);
-    r.ask(bound(r));
+    r.sendRequest(bound(r));
   }
   {
     Router r(text, "no certificates are known");
-    r.news("certificates", {});
-    r.ask(bound(r));
+    r.configure("certificates", {});
+    r.sendRequest(bound(r));
   }
   {
     Router r(text, "the router is not certified");
-    r.news("certificates", certificates({"z1"}, "certified"));
-    r.ask(bound(r));
+    r.configure("certificates", certificates({"z1"}, "certified"));
+    r.sendRequest(bound(r));
   }
   {
     Router r(text, "no replica is certified");
-    r.news("certificates", certificates({"z9"}));
-    r.ask(bound(r));
+    r.configure("certificates", certificates({"z9"}));
+    r.sendRequest(bound(r));
   }
   {
     Router r(text, "what is held loses the last certified replica");
     std::string const before = text;
-    for (int i = 0; i < 12; ++i) r.ask(bound(r, "e"));
+    for (int i = 0; i < 12; ++i) r.sendRequest(bound(r, "e"));
     text = before;
-    r.news("certificates", certificates({"z9"}));
+    r.configure("certificates", certificates({"z9"}));
     r.pass(40);
   }
   {
     Router r(text, "the certificate ends before the hand-over");
-    r.ask(bound(r));
-    r.news("certificates", certificates({"z9"}));
+    r.sendRequest(bound(r));
+    r.configure("certificates", certificates({"z9"}));
     r.pass(1000);
-    std::uint64_t const call = r.ask(bound(r));
+    std::uint64_t const call = r.sendRequest(bound(r));
     r.connected(call);
   }
   {
@@ -719,7 +719,7 @@
     std::uint64_t const call = r.handed(bound(r));
     r.notRun(call);
     r.pass(400);
-    r.news("certificates", certificates({"z9"}));
+    r.configure("certificates", certificates({"z9"}));
   }
   {
     Router r(text, "the caller of a regime's request goes away");
@@ -727,7 +727,7 @@
   }
   {
     Router r(text, "records end before the hand-over");
-    std::uint64_t const call = r.ask(bound(r));
+    std::uint64_t const call = r.sendRequest(bound(r));
     r.reducer.setAuditAvailable(false);
     r.connected(call);
   }
@@ -736,8 +736,8 @@
     r.streaming(bound(r, "f"));
     r.handed(bound(r, "a"));
     r.streaming(bound(r, "e"));
-    r.news("certificates", certificates({"z9"}));
-    r.news("certificates", {});
+    r.configure("certificates", certificates({"z9"}));
+    r.configure("certificates", {});
     r.metrics();
   }
   {
@@ -748,17 +748,17 @@
   }
   {
     Router r(text, "no wall time", recording(), false);
-    transport::ConfigurationUpdate news;
-    news.number = 1;
-    news.isSnapshot = true;
-    news.entries = {{"cohort", 1, json(R"({"members":[{"id":"m1","link":"s1"}]})")},
-                    {"roster", 1, json(R"({"nodes":[{"link":"n1"}],"previous":[{"link":"n1"}]})")},
-                    {"pool:model", 1, json(threeReplicas)},
-                    {"family:law", 1, json(law)},
-                    {"certificates", 1, certificates({"z1", "z2"})}};
-    r.reducer.onMessage(r.now, "s1", news);
+    transport::ConfigurationUpdate update;
+    update.number = 1;
+    update.isSnapshot = true;
+    update.entries = {{"cohort", 1, json(R"({"members":[{"id":"m1","link":"s1"}]})")},
+                      {"roster", 1, json(R"({"nodes":[{"link":"n1"}],"previous":[{"link":"n1"}]})")},
+                      {"pool:model", 1, json(threeReplicas)},
+                      {"family:law", 1, json(law)},
+                      {"certificates", 1, certificates({"z1", "z2"})}};
+    r.reducer.onMessage(r.now, "s1", update);
     r.confirm();
-    r.ask(bound(r));
+    r.sendRequest(bound(r));
   }
   check("rejections_by_regime.txt", text);
 }
@@ -778,20 +778,20 @@
   r.step("list of another pool",
          r.reducer.onEndpointList(r.now, r.next++, "other", R"({"generation":1,"replicas":[]})"));
   Router used(text, "in use");
-  used.news(
+  used.configure(
       "pool:model",
       json(
           R"({"generation":3,"coldRate":2,"replicas":[{"id":"L1","address":"10.0.0.1:80","zone":"z1","state":"serving"},{"id":"L4","address":"10.0.0.4:80","zone":"z1","state":"cold"}]})"));
-  used.news("zone:z2", QJsonObject{{"evacuated", true}});
-  used.news("pool:model", json("{}"));
+  used.configure("zone:z2", QJsonObject{{"evacuated", true}});
+  used.configure("pool:model", json("{}"));
   dataplane::Request prefixed = used.own("a", "p1");
   prefixed.prefix = "p";
   used.whole_(used.handed(prefixed));
   prefixed = used.own("a", "p2");
   prefixed.prefix = "p";
   used.streaming(prefixed);
-  used.ask(used.hosted("once"));
-  used.ask(used.own("nowhere"));
+  used.sendRequest(used.hosted("once"));
+  used.sendRequest(used.own("nowhere"));
   used.state();
   used.metrics();
   check("state_and_metrics.txt", text);
--- a/dataplane/test/grey_test.cpp
+++ b/dataplane/test/grey_test.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-enum class Fate { whole, broken, failed, rejected, slow, forgotten };
+enum class Fate { complete, broken, failed, rejected, slow, forgotten };
 
 std::string addressOf(int replica) {
   return "10.0.0." + std::to_string(replica) + ":80";
@@ -70,17 +70,17 @@
       {"name":"o","host":"h","prefix":"/once/","kind":"once","deadlineMs":3000,"aimMs":200,"pool":"model"},
       {"name":"r","host":"h","prefix":"/again/","kind":"repeatable","deadlineMs":3000,"aimMs":200,"tries":2,"pool":"model"}]})")
                                  .toObject();
-    transport::ConfigurationUpdate news;
-    news.number = 1;
-    news.isSnapshot = true;
-    news.entries = {{config::fleetConfigurationKey, 1, QJsonObject{{"spec", spec}}},
-                    {"pool:model", 1, QJsonObject{{"generation", 1}, {"replicas", list}}}};
-    run(reducer.onMessage(now, "s1", news));
+    transport::ConfigurationUpdate update;
+    update.number = 1;
+    update.isSnapshot = true;
+    update.entries = {{config::fleetConfigurationKey, 1, QJsonObject{{"spec", spec}}},
+                      {"pool:model", 1, QJsonObject{{"generation", 1}, {"replicas", list}}}};
+    run(reducer.onMessage(now, "s1", update));
   }
 
   void after(core::Tick wait, std::function<void()> what) { due.emplace(now + wait, std::move(what)); }
 
-  std::uint64_t ask() {
+  std::uint64_t sendRequest() {
     dataplane::Request r;
     r.call = next++;
     r.host = "h";
@@ -141,7 +141,7 @@
         what();
       }
       if (now % 20 == 0) run(reducer.onTimer(now));
-      if (every > 0 && now % every == 0) ask();
+      if (every > 0 && now % every == 0) sendRequest();
     }
   }
   int total() const {
@@ -162,7 +162,9 @@
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
       CAPTURE(static_cast<int>(how), seed);
       Load load(10, seed);
-      load.fate = [&](std::string const& a) { return a == addressOf(3) && load.rng.chance(0.3) ? how : Fate::whole; };
+      load.fate = [&](std::string const& a) {
+        return a == addressOf(3) && load.rng.chance(0.3) ? how : Fate::complete;
+      };
       load.go(20000, 5);
       load.reached.clear();
       load.go(60000, 5);
@@ -173,10 +175,10 @@
 
 TEST_CASE("a replica that is well again is trusted again") {
   Load load(10, 3);
-  bool ill = true;
-  load.fate = [&](std::string const& a) { return ill && a == addressOf(3) ? Fate::broken : Fate::whole; };
+  bool failing = true;
+  load.fate = [&](std::string const& a) { return failing && a == addressOf(3) ? Fate::broken : Fate::complete; };
   load.go(20000, 5);
-  ill = false;
+  failing = false;
   load.go(20000, 5);
   load.reached.clear();
   load.go(20000, 5);
@@ -188,7 +190,7 @@
   int requests = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Load load(10, seed);
-    load.fate = [&](std::string const&) { return load.rng.chance(0.02) ? Fate::broken : Fate::whole; };
+    load.fate = [&](std::string const&) { return load.rng.chance(0.02) ? Fate::broken : Fate::complete; };
     load.go(100000, 5);
     distrusts += load.distrusts;
     requests += load.total();
@@ -201,7 +203,7 @@
 TEST_CASE("a replica that goes down and up by turns is tried less and less often") {
   Load load(10, 5);
   load.fate = [&](std::string const& a) {
-    return a == addressOf(3) && (load.now / 700) % 2 == 0 ? Fate::rejected : Fate::whole;
+    return a == addressOf(3) && (load.now / 700) % 2 == 0 ? Fate::rejected : Fate::complete;
   };
   load.go(30000, 5);
   load.reached.clear();
@@ -214,7 +216,7 @@
 
 TEST_CASE("when all replicas fail alike, all are used") {
   Load load(9, 6);
-  load.fate = [&](std::string const&) { return load.rng.chance(0.7) ? Fate::broken : Fate::whole; };
+  load.fate = [&](std::string const&) { return load.rng.chance(0.7) ? Fate::broken : Fate::complete; };
   load.go(10000, 5);
   load.reached.clear();
   load.go(20000, 5);
@@ -226,8 +228,8 @@
 
 TEST_CASE("at most a third of a pool's replicas are left out at once") {
   Load load(10, 7);
-  std::set<std::string> const ill{addressOf(1), addressOf(2), addressOf(3), addressOf(4), addressOf(5)};
-  load.fate = [&](std::string const& a) { return ill.count(a) > 0 ? Fate::broken : Fate::whole; };
+  std::set<std::string> const failing{addressOf(1), addressOf(2), addressOf(3), addressOf(4), addressOf(5)};
+  load.fate = [&](std::string const& a) { return failing.count(a) > 0 ? Fate::broken : Fate::complete; };
   load.go(20000, 5);
   int used = 0;
   for (int i = 0; i < 40; ++i) {
@@ -239,7 +241,7 @@
   CHECK(used <= 10);
   for (int replicas = 1; replicas <= 2; ++replicas) {
     Load few(replicas, 8);
-    few.fate = [&](std::string const& a) { return a == addressOf(1) ? Fate::broken : Fate::whole; };
+    few.fate = [&](std::string const& a) { return a == addressOf(1) ? Fate::broken : Fate::complete; };
     few.go(20000, 5);
     few.reached.clear();
     few.go(2000, 5);
@@ -250,17 +252,17 @@
 TEST_CASE("a replica that is left out is replaced in the part, which neither widens nor is given back") {
   dataplane::RouterTuning tuning = Load::tuning(3);
   Load load(10, 9, tuning);
-  load.fate = [&](std::string const&) { return Fate::whole; };
+  load.fate = [&](std::string const&) { return Fate::complete; };
   load.go(1000, 40);
   REQUIRE(load.reducer.subsetSizes("model").at(0).first == 3);
-  std::string const ill = load.reached.begin()->first;
-  load.fate = [&](std::string const& a) { return a == ill ? Fate::broken : Fate::whole; };
+  std::string const failing = load.reached.begin()->first;
+  load.fate = [&](std::string const& a) { return a == failing ? Fate::broken : Fate::complete; };
   load.go(3000, 40);
   CHECK(load.distrusts == 1);
   CHECK(load.reducer.subsetSizes("model").at(0).first == 3);
   load.reached.clear();
   load.go(5000, 40);
-  CHECK(load.reached.count(ill) == 0);
+  CHECK(load.reached.count(failing) == 0);
   CHECK(load.reached.size() == 3);
 }
 
@@ -275,7 +277,7 @@
 TEST_CASE("a kept connection that was forgotten says nothing of its replica") {
   Load load(10, 11);
   load.fate = [&](std::string const& a) {
-    return a == addressOf(3) && load.rng.chance(0.5) ? Fate::forgotten : Fate::whole;
+    return a == addressOf(3) && load.rng.chance(0.5) ? Fate::forgotten : Fate::complete;
   };
   load.path = "/again/";
   load.go(20000, 5);
@@ -285,30 +287,30 @@
 
 TEST_CASE("a repeatable request that a replica failed at is tried elsewhere, and the last failure is passed on") {
   Load load(4, 12);
-  bool allIll = false;
+  bool allFailing = false;
   std::set<std::string> first;
   load.fate = [&](std::string const& a) {
     if (first.empty()) first.insert(a);
-    return allIll || first.count(a) > 0 ? Fate::failed : Fate::whole;
+    return allFailing || first.count(a) > 0 ? Fate::failed : Fate::complete;
   };
   SECTION("elsewhere") {
     load.path = "/again/";
-    load.ask();
+    load.sendRequest();
     load.go(200, 0);
     CHECK(load.passedOn == 0);
     CHECK(load.total() == 2);
     CHECK(load.reached.size() == 2);
   }
   SECTION("no try left") {
-    allIll = true;
+    allFailing = true;
     load.path = "/again/";
-    load.ask();
+    load.sendRequest();
     load.go(200, 0);
     CHECK(load.passedOn == 1);
     CHECK(load.total() == 2);
   }
   SECTION("a request that may run once") {
-    load.ask();
+    load.sendRequest();
     load.go(200, 0);
     CHECK(load.passedOn == 1);
     CHECK(load.total() == 1);
@@ -323,10 +325,10 @@
   std::set<std::string> first;
   load.fate = [&](std::string const& a) {
     if (first.empty()) first.insert(a);
-    return first.count(a) > 0 ? Fate::failed : Fate::whole;
+    return first.count(a) > 0 ? Fate::failed : Fate::complete;
   };
   load.path = "/again/";
-  load.ask();
+  load.sendRequest();
   load.go(200, 0);
   CHECK(load.passedOn == 0);
   CHECK(load.reached.size() == 2);
--- a/dataplane/test/limited_fleet.h
+++ b/dataplane/test/limited_fleet.h
@@ -69,7 +69,7 @@
     tenant_.ratePerSecond = limit.perSecond;
     tenant_.burst = limit.burst;
     for (std::string const& link : members_)
-      if (nodes_.at(link).lender) configure(nodes_.at(link));
+      if (nodes_.at(link).coordinator) configure(nodes_.at(link));
     for (std::string const& link : routerLinks_) nodes_.at(link).tenants->configure({tenant_});
   }
   /// Puts nodes on the other side of a cut; heal takes all cuts away, and what was held up arrives.
@@ -88,10 +88,11 @@
   std::vector<std::string> const& members() const { return members_; }
   std::vector<std::string> const& routers() const { return routerLinks_; }
   /// Who lends the tenant's part; empty: nobody.
-  std::vector<std::string> lenders() const {
+  std::vector<std::string> coordinators() const {
     std::vector<std::string> out;
     for (std::string const& link : members_)
-      if (nodes_.at(link).lender->ownsPartition(now_, quota::partitionOf("t"), standing(link))) out.push_back(link);
+      if (nodes_.at(link).coordinator->ownsPartition(now_, quota::partitionOf("t"), membership(link)))
+        out.push_back(link);
     return out;
   }
   /// Most that was handed over within a window, and what the operators allow.
@@ -103,7 +104,7 @@
     most_ = 0;
   }
   Tick now() const { return now_; }
-  double asked = 0;
+  double requested = 0;
   double served = 0;
   std::size_t requests = 0;
   std::size_t refused = 0;
@@ -114,12 +115,12 @@
   /// Milliseconds after which a message to a node behind a cut, or to a frozen one, is tried again.
   static constexpr Tick heldUpFor = 20;
   struct Node {
-    std::unique_ptr<quota::QuotaCoordinator> lender;
+    std::unique_ptr<quota::QuotaCoordinator> coordinator;
     std::unique_ptr<Tenants> tenants;
     Tick startedAt = 0;
     Tick frozenUntil = 0;
     int side = 0;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
   };
   struct Packet {
     std::string from;
@@ -138,24 +139,24 @@
 
   void startController(std::string const& link) {
     Node& node = nodes_[link];
-    node.life = ++lives_;
+    node.incarnation = ++incarnations_;
     node.startedAt = now_;
-    node.lender = std::make_unique<quota::QuotaCoordinator>(link, node.life, plan_.slack);
+    node.coordinator = std::make_unique<quota::QuotaCoordinator>(link, node.incarnation, plan_.slack);
     configure(node);
   }
   void startRouter(std::string const& link) {
     Node& node = nodes_[link];
-    node.life = ++lives_;
+    node.incarnation = ++incarnations_;
     node.startedAt = now_;
-    node.tenants = std::make_unique<Tenants>(link, node.life, rng_.next(), plan_.slack);
+    node.tenants = std::make_unique<Tenants>(link, node.incarnation, rng_.next(), plan_.slack);
     node.tenants->configure({tenant_});
     node.tenants->setMembers(members_, plan_.routers);
     std::erase_if(waiting_, [&](auto const& request) { return request.second.router == link; });
   }
-  void configure(Node& node) { node.lender->configure(now_, {{"t", plan_.limit}}); }
+  void configure(Node& node) { node.coordinator->configure(now_, {{"t", plan_.limit}}); }
   bool reach(std::string const& a, std::string const& b) const { return nodes_.at(a).side == nodes_.at(b).side; }
   bool awake(std::string const& link) const { return now_ >= nodes_.at(link).frozenUntil; }
-  quota::MembershipView standing(std::string const& link, bool toAsk = false) const {
+  quota::MembershipView membership(std::string const& link, bool toAsk = false) const {
     quota::MembershipView out;
     Node const& node = nodes_.at(link);
     out.members = members_;
@@ -197,8 +198,9 @@
     std::visit(
         [&](auto const& m) {
           std::vector<transport::Send> out;
-          if constexpr (requires { node.lender->onMessage(now_, packet.from, m, quota::MembershipView{}); }) {
-            if (node.lender) send(packet.to, node.lender->onMessage(now_, packet.from, m, standing(packet.to)));
+          if constexpr (requires { node.coordinator->onMessage(now_, packet.from, m, quota::MembershipView{}); }) {
+            if (node.coordinator)
+              send(packet.to, node.coordinator->onMessage(now_, packet.from, m, membership(packet.to)));
           } else if constexpr (requires { node.tenants->onMessage(now_, packet.from, m, out); }) {
             if (!node.tenants) return;
             decide(packet.to, node.tenants->onMessage(now_, packet.from, m, out));
@@ -254,7 +256,7 @@
       std::string const& router = routerLinks_[rng_.below(plan_.used)];
       if (!awake(router)) continue;
       double const amount = plan_.size * (0.2 + 1.6 * static_cast<double>(rng_.below(1000)) / 1000.0);
-      asked += amount;
+      requested += amount;
       ++requests;
       std::vector<transport::Send> out;
       std::uint64_t const call = ++calls_;
@@ -272,7 +274,7 @@
     handOver();
     for (auto& [link, node] : nodes_) {
       if (!awake(link) || now_ % 5 != 0) continue;
-      if (node.lender) send(link, node.lender->clockEvent(now_, standing(link, true)));
+      if (node.coordinator) send(link, node.coordinator->clockEvent(now_, membership(link, true)));
       if (!node.tenants) continue;
       std::vector<transport::Send> out;
       decide(link, node.tenants->onTimer(now_, out));
@@ -294,7 +296,7 @@
   std::deque<Run> run_;
   double sum_ = 0;
   double most_ = 0;
-  std::uint64_t lives_ = 0;
+  std::uint64_t incarnations_ = 0;
   std::uint64_t calls_ = 0;
   Tick now_ = 0;
 };
--- a/dataplane/test/limits_test.cpp
+++ b/dataplane/test/limits_test.cpp
@@ -138,8 +138,8 @@
     fleet.play(settled);
     fleet.setDemand(crowd);
     fleet.play(1000);
-    REQUIRE(fleet.lenders().size() == 1);
-    fleet.cut(fleet.lenders().front(), 1);
+    REQUIRE(fleet.coordinators().size() == 1);
+    fleet.cut(fleet.coordinators().front(), 1);
     for (std::size_t i = 0; i < 8; ++i) fleet.cut(fleet.routers()[i], 1);
     fleet.play(9000);
     return fleet.mostInWindow() / fleet.allowed();
@@ -153,11 +153,11 @@
   fleet.play(settled);
   for (std::size_t i = 0; i < 5; ++i) fleet.cut(fleet.routers()[i], 1);
   double before = fleet.served;
-  double askedBefore = fleet.asked;
+  double requestedBefore = fleet.requested;
   fleet.play(8000);
   // Those that are cut off have a quarter of their capacity for the first 1.5 s, then 0.6 of the limit for a demand of
   // 0.7.
-  CHECK((fleet.served - before) / (fleet.asked - askedBefore) > 0.8);
+  CHECK((fleet.served - before) / (fleet.requested - requestedBefore) > 0.8);
   fleet.play(4000);
   for (std::size_t i = 5; i < fleet.routers().size(); ++i) fleet.freeze(fleet.routers()[i], 60000);
   before = fleet.served;
@@ -170,16 +170,16 @@
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     LimitedFleet fleet({}, seed);
     fleet.play(settled);
-    REQUIRE(fleet.lenders().size() == 1);
-    std::string const killed = fleet.lenders().front();
+    REQUIRE(fleet.coordinators().size() == 1);
+    std::string const killed = fleet.coordinators().front();
     fleet.freeze(killed, 60000);
     double const before = fleet.served;
-    double const askedBefore = fleet.asked;
+    double const requestedBefore = fleet.requested;
     fleet.play(3000);
-    REQUIRE(fleet.lenders().size() == 1);
-    CHECK(fleet.lenders().front() != killed);
+    REQUIRE(fleet.coordinators().size() == 1);
+    CHECK(fleet.coordinators().front() != killed);
     fleet.play(5000);
-    CHECK((fleet.served - before) / (fleet.asked - askedBefore) > 0.75);
+    CHECK((fleet.served - before) / (fleet.requested - requestedBefore) > 0.75);
     CHECK(fleet.mostInWindow() <= fleet.allowed());
   }
 }
--- a/dataplane/test/prompt_test.cpp
+++ b/dataplane/test/prompt_test.cpp
@@ -44,12 +44,12 @@
         core::parseJson(R"({"version":1,"pools":[{"name":"model","slots":24,"tokens":400000}],"paths":[
       {"name":"s","host":"h","prefix":"/p/","kind":"stream","deadlineMs":12000,"aimMs":600,"pool":"model","affine":true}]})")
             .toObject();
-    transport::ConfigurationUpdate news;
-    news.number = 1;
-    news.isSnapshot = true;
-    news.entries = {{config::fleetConfigurationKey, 1, QJsonObject{{"spec", spec}}},
-                    {"pool:model", 1, QJsonObject{{"generation", 1}, {"replicas", list}}}};
-    reducer.onMessage(now, "s1", news);
+    transport::ConfigurationUpdate update;
+    update.number = 1;
+    update.isSnapshot = true;
+    update.entries = {{config::fleetConfigurationKey, 1, QJsonObject{{"spec", spec}}},
+                      {"pool:model", 1, QJsonObject{{"generation", 1}, {"replicas", list}}}};
+    reducer.onMessage(now, "s1", update);
   }
 
   static transport::Contact self(std::uint64_t seed) {
@@ -70,7 +70,7 @@
   }
 
   /// Address that a prompt of these parts is sent to; it stays in flight there.
-  std::string ask(std::uint64_t shared, std::int64_t sharedTokens, std::int64_t own) {
+  std::string sendRequest(std::uint64_t shared, std::int64_t sharedTokens, std::int64_t own) {
     dataplane::Request r;
     r.call = next++;
     r.host = "h";
@@ -95,7 +95,7 @@
     std::set<std::string> at;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
       Node node(60, seed);
-      at.insert(node.ask(shared, 5000, 1000));
+      at.insert(node.sendRequest(shared, 5000, 1000));
     }
     CHECK(at.size() == 1);
   }
@@ -108,7 +108,7 @@
     Node node(60, seed);
     for (std::uint64_t shared = 10; shared < 410; ++shared) {
       bool const tooLong = shared % 40 == 0;
-      (tooLong ? apart : others).insert(node.ask(shared, 500, tooLong ? 40000 : 2000));
+      (tooLong ? apart : others).insert(node.sendRequest(shared, 500, tooLong ? 40000 : 2000));
       node.now += 20;
       node.reducer.onTimer(node.now);
       node.end();
@@ -123,10 +123,10 @@
   Node few(9, 1);
   std::set<std::string> at;
   for (std::uint64_t shared = 10; shared < 210; ++shared) {
-    at.insert(few.ask(shared, 500, 40000));
+    at.insert(few.sendRequest(shared, 500, 40000));
     few.end();
   }
   CHECK(at.size() == 9);
   Node one(1, 1);
-  CHECK(one.ask(10, 500, 40000) == "10.0.0.1:80");
+  CHECK(one.sendRequest(10, 500, 40000) == "10.0.0.1:80");
 }
--- a/dataplane/test/regimes_test.cpp
+++ b/dataplane/test/regimes_test.cpp
@@ -90,17 +90,17 @@
   }
   explicit Rig(dataplane::RouterTuning const& tuning = kept(), bool told = true) : reducer(self(), {"s1"}, 7, tuning) {
     reducer.started(0);
-    transport::ConfigurationUpdate news;
-    news.number = 1;
-    news.isSnapshot = true;
-    news.entries = {
+    transport::ConfigurationUpdate update;
+    update.number = 1;
+    update.isSnapshot = true;
+    update.entries = {
         {"cohort", 1, core::parseJson(R"({"members":[{"id":"m1","link":"s1"}]})").toObject()},
         {"roster", 1, core::parseJson(R"({"nodes":[{"link":"n1"}],"previous":[{"link":"n1"}]})").toObject()},
         {"pool:model", 1, list(1, lives())},
         {"family:law", 1, family("health")},
         {"family:desk", 1, family("")},
         {"certificates", 1, certificates({{"z1", wall0 + 1000000}, {"z2", wall0 + 1000000}})}};
-    reducer.onMessage(now, "s1", news);
+    reducer.onMessage(now, "s1", update);
     if (told) reducer.setWallTime(now, wall0);
     confirm();
   }
@@ -110,12 +110,12 @@
     c.hasQuorum = true;
     reducer.onMessage(now, "s1", c);
   }
-  dataplane::RouterCommands news(char const* key, QJsonObject const& value) {
+  dataplane::RouterCommands configure(char const* key, QJsonObject const& value) {
     transport::ConfigurationUpdate n;
     n.entries = {{key, ++revision, value}};
     return last = reducer.onMessage(now, "s1", n);
   }
-  dataplane::RouterCommands ask(char const* instance = "law.nord", char const* path = "a") {
+  dataplane::RouterCommands sendRequest(char const* instance = "law.nord", char const* path = "a") {
     dataplane::Request r;
     r.call = next++;
     r.instance = instance;
@@ -127,7 +127,7 @@
   /// A request of that path that streams from some certified replica; the address.
   std::string streaming(std::uint64_t& call, char const* path = "e") {
     call = next;
-    std::string const address = find<dataplane::Connect>(ask("law.nord", path)).address;
+    std::string const address = find<dataplane::Connect>(sendRequest("law.nord", path)).address;
     find<dataplane::SendRequest>(connected(call));
     reducer.onFirstByte(now, call, true);
     return address;
@@ -171,7 +171,7 @@
   Rig rig;
   int connects = 0;
   for (int i = 0; i < 60; ++i) {
-    dataplane::RouterCommands const c = rig.ask();
+    dataplane::RouterCommands const c = rig.sendRequest();
     if (Rig::count<dataplane::Connect>(c) == 0) continue;
     ++connects;
     dataplane::Connect const to = Rig::find<dataplane::Connect>(c);
@@ -190,7 +190,7 @@
   CHECK(rig.reducer.pendingCount() > static_cast<std::size_t>(connects));
   for (dataplane::CallCommand const& v : rig.pass(20000).calls)
     if (dataplane::Connect const* const m = std::get_if<dataplane::Connect>(&v)) CHECK(certifiedAddress(m->address));
-  dataplane::Connect const free = Rig::find<dataplane::Connect>(rig.ask("desk.nord"));
+  dataplane::Connect const free = Rig::find<dataplane::Connect>(rig.sendRequest("desk.nord"));
   CHECK(free.incarnation.empty());
   CHECK(Rig::find<dataplane::SendRequest>(rig.connected(free.call)).regime.empty());
   CHECK(Rig::count<dataplane::WriteAuditRecord>(rig.last) == 0);
@@ -209,24 +209,24 @@
     SECTION("no wall time was told") {}
     SECTION("no certificates are known") {
       rig.reducer.setWallTime(rig.now, wall0);
-      rig.news("certificates", QJsonObject{});
+      rig.configure("certificates", QJsonObject{});
     }
     SECTION("its own certificate is missing") {
       rig.reducer.setWallTime(rig.now, wall0);
-      rig.news("certificates", certificates({{"z1", wall0 + 1000000}}, "certified"));
+      rig.configure("certificates", certificates({{"z1", wall0 + 1000000}}, "certified"));
     }
     SECTION("the list tells no lives") {
       rig.reducer.setWallTime(rig.now, wall0);
-      rig.news(
+      rig.configure(
           "pool:model",
           core::parseJson(R"({"generation":2,"replicas":[{"address":"10.0.0.1:80","zone":"z1","state":"serving"}]})")
               .toObject());
     }
   }
-  rig.ask();
+  rig.sendRequest();
   CHECK(rig.rejectedNotRun());
   CHECK(Rig::find<dataplane::WriteAuditRecord>(rig.last).outcome == AuditOutcome::rejected);
-  CHECK(Rig::count<dataplane::Connect>(rig.ask("desk.nord")) == 1);
+  CHECK(Rig::count<dataplane::Connect>(rig.sendRequest("desk.nord")) == 1);
 }
 
 TEST_CASE("a certified router hands on, one whose certificate ends does not") {
@@ -240,10 +240,10 @@
                                  {"link", "n1"},
                                  {"until", core::toQString(timeText(wall0 + 200000))}});
   spec.insert("certificates", all);
-  rig.news("certificates", QJsonObject{{"spec", spec}});
-  CHECK(Rig::count<dataplane::Connect>(rig.ask()) == 1);
+  rig.configure("certificates", QJsonObject{{"spec", spec}});
+  CHECK(Rig::count<dataplane::Connect>(rig.sendRequest()) == 1);
   rig.reducer.setWallTime(rig.now, wall0 + 150000);
-  rig.ask();
+  rig.sendRequest();
   CHECK(rig.rejectedNotRun());
   rig.connected(1);
   CHECK(rig.rejectedNotRun());
@@ -251,7 +251,7 @@
 
 TEST_CASE("the certificate is looked up again when the connection stands") {
   Rig rig;
-  std::string const address = Rig::find<dataplane::Connect>(rig.ask()).address;
+  std::string const address = Rig::find<dataplane::Connect>(rig.sendRequest()).address;
   SECTION("it ends by the clock") {
     rig.reducer.setWallTime(rig.now, wall0 + 950000);
     rig.connected(1);
@@ -260,7 +260,7 @@
     CHECK(rig.rejectedNotRun());
   }
   SECTION("it is revoked: the other certified one is asked") {
-    rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
+    rig.configure("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
     CHECK(Rig::count<dataplane::CloseUpstream>(rig.last) == 1);
     dataplane::Connect const other = Rig::find<dataplane::Connect>(rig.last);
     CHECK(certifiedAddress(other.address));
@@ -283,7 +283,7 @@
         l.id = "L9";
         l.zone = "z3";
       }
-    rig.news("pool:model", list(2, lives));
+    rig.configure("pool:model", list(2, lives));
     CHECK(Rig::count<dataplane::SendRequest>(rig.last) == 0);
     CHECK(Rig::find<dataplane::Connect>(rig.last).address != address);
   }
@@ -292,9 +292,9 @@
 TEST_CASE("a tenant that is bound to a regime while its request waits or connects is bound from then on") {
   Rig rig;
   std::vector<Life> only{{"10.0.0.3:80", "L3", "z3"}};
-  rig.news("pool:model", list(2, only));
-  CHECK(Rig::find<dataplane::Connect>(rig.ask("desk.nord")).address == "10.0.0.3:80");
-  rig.news("family:desk", family("health"));
+  rig.configure("pool:model", list(2, only));
+  CHECK(Rig::find<dataplane::Connect>(rig.sendRequest("desk.nord")).address == "10.0.0.3:80");
+  rig.configure("family:desk", family("health"));
   CHECK(Rig::count<dataplane::CloseUpstream>(rig.last) == 1);
   rig.connected(1);
   CHECK(Rig::count<dataplane::SendRequest>(rig.last) == 0);
@@ -304,7 +304,7 @@
   Rig rig;
   std::uint64_t call = 0;
   std::string const address = rig.streaming(call);
-  rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
+  rig.configure("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
   dataplane::Connect const next = Rig::find<dataplane::Connect>(rig.last);
   CHECK(next.resume);
   CHECK(certifiedAddress(next.address));
@@ -329,7 +329,7 @@
     CHECK(next.address != address);
     CHECK(certifiedAddress(next.address));
     SECTION("its certificate goes away before the connection stands") {
-      rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z1" : "z2", wall0 + 1000000}}));
+      rig.configure("certificates", certificates({{address == "10.0.0.1:80" ? "z1" : "z2", wall0 + 1000000}}));
       CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
       rig.connected(call);
       CHECK(Rig::count<dataplane::SendRequest>(rig.last) == 0);
@@ -342,7 +342,7 @@
   SECTION("no other is certified") {
     std::vector<Life> lives = Rig::lives();
     std::erase_if(lives, [&](Life const& l) { return certifiedAddress(l.address) && l.address != address; });
-    rig.news("pool:model", list(2, lives));
+    rig.configure("pool:model", list(2, lives));
     rig.last = rig.reducer.onUpstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
     CHECK(Rig::count<dataplane::Connect>(rig.last) == 0);
     CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
@@ -358,7 +358,7 @@
     rig.last = rig.reducer.onTimer(rig.now);
   }
   SECTION("the regime is gone") {
-    rig.news("certificates", QJsonObject{});
+    rig.configure("certificates", QJsonObject{});
   }
   SECTION("all certificates have ended") {
     rig.reducer.setWallTime(rig.now, wall0 + 950000);
@@ -374,9 +374,9 @@
   std::uint64_t call = 0;
   std::string const address = rig.streaming(call, "f");
   std::uint64_t const silent = rig.next;
-  dataplane::Connect const to = Rig::find<dataplane::Connect>(rig.ask("law.nord", "a"));
+  dataplane::Connect const to = Rig::find<dataplane::Connect>(rig.sendRequest("law.nord", "a"));
   rig.connected(silent);
-  rig.news("certificates", certificates({}));
+  rig.configure("certificates", certificates({}));
   CHECK(Rig::count<dataplane::Connect>(rig.last) == 0);
   CHECK(Rig::count<dataplane::ResetDownstream>(rig.last) == 1);
   CHECK(Rig::find<dataplane::Reject>(rig.last).status == 502);
@@ -386,10 +386,10 @@
 TEST_CASE("what is held is rejected at once when no certified replica is left") {
   Rig rig;
   std::size_t connects = 0;
-  for (int i = 0; i < 12; ++i) connects += Rig::count<dataplane::Connect>(rig.ask("law.nord", "e"));
+  for (int i = 0; i < 12; ++i) connects += Rig::count<dataplane::Connect>(rig.sendRequest("law.nord", "e"));
   std::size_t const inHand = rig.reducer.pendingCount();
   REQUIRE(inHand > connects);
-  rig.news("certificates", certificates({{"z3", wall0 - 1}}));
+  rig.configure("certificates", certificates({{"z3", wall0 - 1}}));
   std::size_t const atOnce = Rig::count<dataplane::Reject>(rig.last);
   CHECK(atOnce >= inHand - connects);
   CHECK(atOnce + Rig::count<dataplane::Reject>(rig.pass(20)) == inHand);
@@ -400,16 +400,16 @@
   for (bool const left : {true, false}) {
     Rig rig;
     std::uint64_t const call = rig.next;
-    std::string const address = Rig::find<dataplane::Connect>(rig.ask("law.nord", "e")).address;
+    std::string const address = Rig::find<dataplane::Connect>(rig.sendRequest("law.nord", "e")).address;
     rig.connected(call);
     if (left)
-      rig.news("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
+      rig.configure("certificates", certificates({{address == "10.0.0.1:80" ? "z2" : "z1", wall0 + 1000000}}));
     else
       rig.last = rig.reducer.onUpstreamFinished(rig.now, call, dataplane::UpstreamResult::connectionLost);
     dataplane::Connect const other = Rig::find<dataplane::Connect>(rig.last);
     CHECK_FALSE(other.resume);
     CHECK(other.address != address);
-    rig.news("certificates", certificates({}));
+    rig.configure("certificates", certificates({}));
     if (Rig::count<dataplane::Reject>(rig.last) == 0) rig.pass(20);
     CHECK(Rig::find<dataplane::Reject>(rig.last).status == 503);
     CHECK_FALSE(Rig::find<dataplane::Reject>(rig.last).notExecuted);
@@ -420,7 +420,7 @@
   Rig rig;
   rig.reducer.setWallTime(rig.now, wall0 + 950000);
   rig.reducer.setWallTime(rig.now, wall0);
-  rig.ask();
+  rig.sendRequest();
   CHECK(rig.rejectedNotRun());
 }
 
@@ -444,12 +444,12 @@
   for (double const reserve : {0.0, 0.5, 1.0}) {
     CAPTURE(reserve);
     Rig rig;
-    rig.news("pool:model", list(2, {{"10.0.0.1:80", "L1", "z1"}}));
-    rig.news("certificates", certificates({{"z1", wall0 + 1000000}}, "any", reserve));
+    rig.configure("pool:model", list(2, {{"10.0.0.1:80", "L1", "z1"}}));
+    rig.configure("certificates", certificates({{"z1", wall0 + 1000000}}, "any", reserve));
     int free = 0;
-    for (int i = 0; i < 8; ++i) free += static_cast<int>(Rig::count<dataplane::Connect>(rig.ask("desk.nord")));
+    for (int i = 0; i < 8; ++i) free += static_cast<int>(Rig::count<dataplane::Connect>(rig.sendRequest("desk.nord")));
     CHECK(free == (reserve == 0.0 ? 4 : reserve == 0.5 ? 2 : 0));
-    CHECK(Rig::count<dataplane::Connect>(rig.ask()) == 1);
+    CHECK(Rig::count<dataplane::Connect>(rig.sendRequest()) == 1);
   }
 }
 
@@ -457,10 +457,10 @@
   dataplane::RouterTuning tuning = Rig::kept();
   tuning.nodeLimitPerReplica = 1.0;
   Rig rig(tuning);
-  for (int i = 0; i < 40; ++i) rig.ask("desk.nord");
+  for (int i = 0; i < 40; ++i) rig.sendRequest("desk.nord");
   rig.pass(400);
-  CHECK(Rig::count<dataplane::Connect>(rig.ask()) == 1);
-  rig.ask();
+  CHECK(Rig::count<dataplane::Connect>(rig.sendRequest()) == 1);
+  rig.sendRequest();
   CHECK(Rig::count<dataplane::Reject>(rig.last) == 0);
   CHECK(Rig::count<dataplane::Connect>(rig.last) == 1);
 }
--- a/dataplane/test/request_router_test.cpp
+++ b/dataplane/test/request_router_test.cpp
@@ -35,18 +35,18 @@
   explicit Rig(dataplane::RouterTuning tuning = {}, std::uint64_t rosterRevision = 1)
       : reducer(self(), {"s1"}, 7, tuning) {
     reducer.started(0);
-    transport::ConfigurationUpdate news;
-    news.number = 1;
-    news.isSnapshot = true;
-    news.entries = {{"cohort", 1, core::parseJson(R"({"members":[{"id":"m1","link":"s1"}]})").toObject()},
-                    {"roster", rosterRevision, roster(rosterRevision == 1)},
-                    {"pool:model", 1, pool(1, "serving")},
-                    {"family:desk", 1,
-                     core::parseJson(R"({"template":{"stamp":1,"spec":{"paths":[
+    transport::ConfigurationUpdate update;
+    update.number = 1;
+    update.isSnapshot = true;
+    update.entries = {{"cohort", 1, core::parseJson(R"({"members":[{"id":"m1","link":"s1"}]})").toObject()},
+                      {"roster", rosterRevision, roster(rosterRevision == 1)},
+                      {"pool:model", 1, pool(1, "serving")},
+                      {"family:desk", 1,
+                       core::parseJson(R"({"template":{"stamp":1,"spec":{"paths":[
                      {"path":"a","pool":"model","class":"short"},{"path":"r","pool":"model","class":"short","resumable":true}]}},
                      "instances":{"nord":{"stamp":1,"spec":{}},"sued":{"stamp":1,"spec":{}}}})")
-                         .toObject()}};
-    reducer.onMessage(now, "s1", news);
+                           .toObject()}};
+    reducer.onMessage(now, "s1", update);
     confirm();
   }
   static QJsonObject roster(bool before) {
@@ -74,8 +74,8 @@
     c.hasQuorum = true;
     reducer.onMessage(now, "s1", c);
   }
-  dataplane::RouterCommands ask(std::string const& id, std::uint64_t attempt = 1,
-                                std::string const& instance = "desk.nord", std::string const& path = "a") {
+  dataplane::RouterCommands sendRequest(std::string const& id, std::uint64_t attempt = 1,
+                                        std::string const& instance = "desk.nord", std::string const& path = "a") {
     dataplane::Request r;
     r.call = next++;
     r.instance = instance;
@@ -125,7 +125,7 @@
   };
   // Requests of the path take 5 s; those of the other one have not been seen.
   for (int i = 0; i < 16; ++i) {
-    rig.ask("long-" + std::to_string(i), 1, "desk.nord", "a");
+    rig.sendRequest("long-" + std::to_string(i), 1, "desk.nord", "a");
     dataplane::CallId const served = rig.next - 1;
     rig.reducer.onConnected(rig.now, served);
     rig.reducer.onFirstByte(rig.now, served, true);
@@ -136,19 +136,19 @@
   rig.reducer.drain(rig.now);
   rig.now += 500;
   rig.confirm();
-  CHECK(status(rig.ask("fits", 1, "desk.nord", "a")) == 0);
+  CHECK(status(rig.sendRequest("fits", 1, "desk.nord", "a")) == 0);
   rig.now += 1000;
   rig.confirm();
-  dataplane::RouterCommands const refused = rig.ask("too-long", 1, "desk.nord", "a");
+  dataplane::RouterCommands const refused = rig.sendRequest("too-long", 1, "desk.nord", "a");
   CHECK(status(refused) == 503);
   REQUIRE(refused.failures.size() == 1);
   CHECK(refused.failures[0].fields.at("reason") == "leaving before it could end");
-  CHECK(status(rig.ask("unknown", 1, "desk.nord", "r")) == 503);
+  CHECK(status(rig.sendRequest("unknown", 1, "desk.nord", "r")) == 503);
 }
 
 TEST_CASE("a node without descriptors turns the caller away at once and holds nothing against the replica") {
   Rig rig;
-  dataplane::RouterCommands const asked = rig.ask("r1");
+  dataplane::RouterCommands const asked = rig.sendRequest("r1");
   dataplane::CallId const call = rig.next - 1;
   std::function<std::string(dataplane::RouterCommands const&)> const address =
       [](dataplane::RouterCommands const& commands) {
@@ -173,7 +173,7 @@
 
 TEST_CASE("a router whose confirmation has grown old hands nothing over, even on an open connection") {
   Rig rig;
-  dataplane::RouterCommands const c = rig.ask("x");
+  dataplane::RouterCommands const c = rig.sendRequest("x");
   REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
   rig.now += 1501;
   dataplane::RouterCommands const late = rig.reducer.onConnected(rig.now, 1);
@@ -181,7 +181,7 @@
   REQUIRE(Rig::find<dataplane::Reject>(late) != nullptr);
   CHECK(Rig::find<dataplane::Reject>(late)->notExecuted);
   CHECK(Rig::find<dataplane::Reject>(late)->retryAfter > 0);
-  CHECK(Rig::find<dataplane::Reject>(rig.ask("y")) != nullptr);
+  CHECK(Rig::find<dataplane::Reject>(rig.sendRequest("y")) != nullptr);
 }
 
 TEST_CASE("a confirmation that knows more than this router does not count") {
@@ -195,20 +195,20 @@
   rig.reducer.onMessage(rig.now, "s1", c);
   rig.now += 600;
   CHECK_FALSE(rig.reducer.servingLease(rig.now));
-  transport::ConfigurationUpdate news;
-  news.number = 2;
-  news.entries = {{"family:desk", 2, rig.reducer.configurationValue("family:desk")}};
-  rig.reducer.onMessage(rig.now, "s1", news);
+  transport::ConfigurationUpdate update;
+  update.number = 2;
+  update.entries = {{"family:desk", 2, rig.reducer.configurationValue("family:desk")}};
+  rig.reducer.onMessage(rig.now, "s1", update);
   CHECK(rig.reducer.servingLease(rig.now));
 }
 
 TEST_CASE("a router that is not on its roster does not serve: nobody would ask it about earlier attempts") {
   Rig rig;
   REQUIRE(rig.reducer.servingLease(rig.now));
-  transport::ConfigurationUpdate news;
-  news.entries = {
+  transport::ConfigurationUpdate update;
+  update.entries = {
       {"roster", 2, core::parseJson(R"({"nodes":[{"link":"n2"},{"link":"n3"},{"link":"n4"}]})").toObject()}};
-  rig.reducer.onMessage(rig.now, "s1", news);
+  rig.reducer.onMessage(rig.now, "s1", update);
   rig.confirm();
   CHECK_FALSE(rig.reducer.servingLease(rig.now));
 }
@@ -237,19 +237,19 @@
   rig.now += 60000;
   CHECK(rig.reducer.servingLease(rig.now));
   CHECK(rig.reducer.ready(rig.now));
-  transport::ConfigurationUpdate news;
-  news.entries = {{"roster", 2, core::parseJson(R"({"nodes":[{"link":"n2"},{"link":"n3"}]})").toObject()}};
-  rig.reducer.onMessage(rig.now, "s1", news);
+  transport::ConfigurationUpdate update;
+  update.entries = {{"roster", 2, core::parseJson(R"({"nodes":[{"link":"n2"},{"link":"n3"}]})").toObject()}};
+  rig.reducer.onMessage(rig.now, "s1", update);
   CHECK(rig.reducer.ready(rig.now));
-  dataplane::RouterCommands const c = rig.ask("x");
+  dataplane::RouterCommands const c = rig.sendRequest("x");
   REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
   CHECK(Rig::find<dataplane::SendRequest>(rig.reducer.onConnected(rig.now, 1)) != nullptr);
   dataplane::RouterCommands const clock = rig.reducer.onTimer(rig.now);
   CHECK(std::any_of(clock.sends.begin(), clock.sends.end(), [](transport::Send const& s) {
     return std::holds_alternative<transport::ServingLeaseRequest>(s.message);
   }));
-  news.entries = {{"zone:z1", 1, QJsonObject{{"evacuated", true}}}};
-  rig.reducer.onMessage(rig.now, "s1", news);
+  update.entries = {{"zone:z1", 1, QJsonObject{{"evacuated", true}}}};
+  rig.reducer.onMessage(rig.now, "s1", update);
   CHECK(rig.reducer.servingLease(rig.now));
   CHECK_FALSE(rig.reducer.ready(rig.now));
   tuning.evacuationFailsReady = false;
@@ -263,13 +263,13 @@
   dataplane::RequestRouter reducer(Rig::self(), {"s1"}, 7, tuning);
   reducer.started(0);
   CHECK_FALSE(reducer.servingLease(100));
-  transport::ConfigurationUpdate news;
-  news.number = 1;
-  news.isSnapshot = true;
-  reducer.onMessage(100, "s1", news);
+  transport::ConfigurationUpdate update;
+  update.number = 1;
+  update.isSnapshot = true;
+  reducer.onMessage(100, "s1", update);
   CHECK_FALSE(reducer.servingLease(100));
-  news.entries = {{"pool:model", 1, Rig::pool(1, "serving")}};
-  reducer.onMessage(100, "s1", news);
+  update.entries = {{"pool:model", 1, Rig::pool(1, "serving")}};
+  reducer.onMessage(100, "s1", update);
   CHECK_FALSE(reducer.servingLease(100));
   CHECK_FALSE(reducer.ready(100));
   dataplane::Request early;
@@ -281,25 +281,25 @@
   CHECK(Rig::find<dataplane::Reject>(rejected)->status == 503);
   CHECK(Rig::find<dataplane::Reject>(rejected)->notExecuted);
   Rig const donor;
-  news.isSnapshot = false;
-  news.entries = {{"family:desk", 1, donor.reducer.configurationValue("family:desk")}};
-  reducer.onMessage(110, "s1", news);
+  update.isSnapshot = false;
+  update.entries = {{"family:desk", 1, donor.reducer.configurationValue("family:desk")}};
+  reducer.onMessage(110, "s1", update);
   CHECK(reducer.ready(110));
   dataplane::RequestRouter other(Rig::self(), {"s1"}, 7, tuning);
   other.started(0);
-  news.number = 0;
-  news.isSnapshot = true;
-  news.entries = {
+  update.number = 0;
+  update.isSnapshot = true;
+  update.entries = {
       {"pool:model", 1, Rig::pool(1, "serving")},
       {"family:desk", 1, donor.reducer.configurationValue("family:desk")},
       {"roster", 2, core::parseJson(R"({"nodes":[{"link":"n1"},{"link":"n2"},{"link":"n3"}]})").toObject()}};
-  other.onMessage(100, "n2", news);
+  other.onMessage(100, "n2", update);
   CHECK_FALSE(other.ready(100));
   transport::PeerHeartbeat echo;
   echo.sentAt = 110;
   echo.isReply = true;
   echo.hasSnapshot = true;
-  for (transport::CommittedEntry const& item : news.entries) echo.digest.replace(item.key, 0, item.revision);
+  for (transport::CommittedEntry const& item : update.entries) echo.digest.replace(item.key, 0, item.revision);
   for (char const* const link : {"n2", "n3"}) {
     CHECK_FALSE(other.ready(120));
     echo.link = link;
@@ -310,13 +310,13 @@
 
 TEST_CASE("older news never undoes newer") {
   Rig rig;
-  transport::ConfigurationUpdate news;
-  news.entries = {{"zone:z2", 5, core::parseJson(R"({"evacuated":true})").toObject()}};
-  rig.reducer.onMessage(rig.now, "s1", news);
-  news.entries = {{"zone:z2", 4, core::parseJson(R"({"evacuated":false})").toObject()}};
-  rig.reducer.onMessage(rig.now, "s1", news);
+  transport::ConfigurationUpdate update;
+  update.entries = {{"zone:z2", 5, core::parseJson(R"({"evacuated":true})").toObject()}};
+  rig.reducer.onMessage(rig.now, "s1", update);
+  update.entries = {{"zone:z2", 4, core::parseJson(R"({"evacuated":false})").toObject()}};
+  rig.reducer.onMessage(rig.now, "s1", update);
   for (int i = 0; i < 3; ++i) {
-    dataplane::RouterCommands const c = rig.ask("x" + std::to_string(i));
+    dataplane::RouterCommands const c = rig.sendRequest("x" + std::to_string(i));
     REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
     CHECK(Rig::find<dataplane::Connect>(c)->address == "10.0.0.1:80");
   }
@@ -324,7 +324,7 @@
 
 TEST_CASE("a replica that is shown leaving between connect and hand-over is not reached") {
   Rig rig;
-  dataplane::RouterCommands const c = rig.ask("x");
+  dataplane::RouterCommands const c = rig.sendRequest("x");
   REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
   std::string const address = Rig::find<dataplane::Connect>(c)->address;
   rig.reducer.onMessage(rig.now, "s1", Rig::without(2, address));
@@ -339,7 +339,7 @@
   std::function<std::set<std::string>()> const used = [&] {
     std::set<std::string> out;
     for (int i = 0; i < 40; ++i) {
-      dataplane::RouterCommands const c = rig.ask("u" + std::to_string(rig.next));
+      dataplane::RouterCommands const c = rig.sendRequest("u" + std::to_string(rig.next));
       if (dataplane::Connect const* const m = Rig::find<dataplane::Connect>(c)) out.insert(m->address);
       rig.reducer.onCallerDisconnected(rig.now, rig.next - 1);
     }
@@ -368,12 +368,12 @@
   CHECK(tell(core::jsonText(QJsonObject{{"generation", 2}, {"replicas", rest}})).status == 409);
   CHECK(tell("{").status == 400);
   CHECK(tell(R"({"generation":-4,"replicas":[]})").status == 422);
-  transport::ConfigurationUpdate news;
-  news.entries = {{"pool:model", 2, Rig::pool(2, "serving")}};
-  rig.reducer.onMessage(rig.now, "s1", news);
+  transport::ConfigurationUpdate update;
+  update.entries = {{"pool:model", 2, Rig::pool(2, "serving")}};
+  rig.reducer.onMessage(rig.now, "s1", update);
   CHECK(used().count(address) == 0);
-  news.entries = {{"pool:model", 3, Rig::pool(3, "serving")}};
-  rig.reducer.onMessage(rig.now, "s1", news);
+  update.entries = {{"pool:model", 3, Rig::pool(3, "serving")}};
+  rig.reducer.onMessage(rig.now, "s1", update);
   CHECK(tell(core::jsonText(Rig::pool(3, "serving"))).status == 200);
   rig.reducer.onMessage(rig.now, "s1", transport::EndpointRemovalHint{"model", 3, {}, {}});
   CHECK_FALSE(used().empty());
@@ -383,14 +383,14 @@
 
 TEST_CASE("an outcome that was lost is unknown, and its id does not run again") {
   Rig rig;
-  rig.ask("x");
+  rig.sendRequest("x");
   REQUIRE(Rig::find<dataplane::SendRequest>(rig.reducer.onConnected(rig.now, 1)) != nullptr);
   dataplane::RouterCommands const lost =
       rig.reducer.onUpstreamFinished(rig.now, 1, dataplane::UpstreamResult::connectionLost);
   REQUIRE(Rig::find<dataplane::Reject>(lost) != nullptr);
   CHECK_FALSE(Rig::find<dataplane::Reject>(lost)->notExecuted);
   CHECK(Rig::find<dataplane::Reject>(lost)->status == 502);
-  CHECK(Rig::find<dataplane::Reject>(rig.ask("x", 2))->status == 409);
+  CHECK(Rig::find<dataplane::Reject>(rig.sendRequest("x", 2))->status == 409);
 }
 
 namespace {
@@ -421,15 +421,15 @@
 
 TEST_CASE("an id without attempt numbers runs only when a majority says that it did not run before") {
   Rig rig;
-  dataplane::RouterCommands const asked = rig.ask("x", 0);
+  dataplane::RouterCommands const asked = rig.sendRequest("x", 0);
   CHECK(asked.calls.empty());
   CHECK(Rig::find<dataplane::Connect>(echo(rig, asked, "n2", true)) != nullptr);
-  dataplane::RouterCommands const again = rig.ask("y", 0);
+  dataplane::RouterCommands const again = rig.sendRequest("y", 0);
   dataplane::RouterCommands const rejected = echo(rig, again, "n2", false);
   REQUIRE(Rig::find<dataplane::Reject>(rejected) != nullptr);
   CHECK_FALSE(Rig::find<dataplane::Reject>(rejected)->notExecuted);
   SECTION("one that another node had asked for waits for that node's word") {
-    dataplane::RouterCommands const third = rig.ask("z", 0);
+    dataplane::RouterCommands const third = rig.sendRequest("z", 0);
     CHECK(echo(rig, third, "n2", true, true, {"n3"}).calls.empty());
     rig.now += 600;
     dataplane::RouterCommands const late = rig.reducer.onTimer(rig.now);
@@ -437,7 +437,7 @@
     CHECK(Rig::find<dataplane::Reject>(late)->status == 409);
   }
   SECTION("and runs when that node says that it did not run there") {
-    dataplane::RouterCommands const third = rig.ask("z", 0);
+    dataplane::RouterCommands const third = rig.sendRequest("z", 0);
     CHECK(echo(rig, third, "n2", true, true, {"n3"}).calls.empty());
     CHECK(Rig::find<dataplane::Connect>(echo(rig, third, "n3", true, true)) != nullptr);
   }
@@ -472,7 +472,7 @@
   tuning.maxRequestIds = 50;
   Rig rig(tuning);
   for (int i = 0; i < 60; ++i) {
-    rig.ask("i" + std::to_string(i));
+    rig.sendRequest("i" + std::to_string(i));
     rig.reducer.onCallerDisconnected(rig.now, rig.next - 1);
   }
   rig.now += 1000;
@@ -521,9 +521,9 @@
   newer["zone:z2"] = 1;
   CHECK_FALSE(counts(transport::digestOf(newer), {}));
   CHECK_FALSE(counts(transport::digestOf(newer), first));
-  transport::ConfigurationUpdate news;
-  news.entries = {{"zone:z2", 1, QJsonObject{{"evacuated", true}}}, {"zone:z3", 1, QJsonObject{{"evacuated", true}}}};
-  rig.reducer.onMessage(rig.now, "s1", news);
+  transport::ConfigurationUpdate update;
+  update.entries = {{"zone:z2", 1, QJsonObject{{"evacuated", true}}}, {"zone:z3", 1, QJsonObject{{"evacuated", true}}}};
+  rig.reducer.onMessage(rig.now, "s1", update);
   CHECK(counts(transport::digestOf(first), {}));
   CHECK_FALSE(counts(transport::digestOf(newer), {}));
   CHECK(counts(transport::digestOf(newer), newer));
@@ -533,9 +533,9 @@
   Rig rig;
   QJsonArray nodes;
   for (char const* link : {"n1", "n2", "n3", "n4", "n5"}) nodes.append(QJsonObject{{"link", link}, {"zone", "z1"}});
-  transport::ConfigurationUpdate news;
-  news.entries = {{"roster", 2, QJsonObject{{"nodes", nodes}, {"previous", nodes}}}};
-  rig.reducer.onMessage(rig.now, "s1", news);
+  transport::ConfigurationUpdate update;
+  update.entries = {{"roster", 2, QJsonObject{{"nodes", nodes}, {"previous", nodes}}}};
+  rig.reducer.onMessage(rig.now, "s1", update);
   rig.now += 2000;
   REQUIRE_FALSE(rig.reducer.servingLease(rig.now));
   transport::PeerHeartbeat t;
@@ -549,17 +549,17 @@
   t.ages = {'\x00', '\x00', '\x28', '\xff', '\x50'};
   rig.reducer.onMessage(rig.now + 5, "n2", t);
   CHECK_FALSE(rig.reducer.servingLease(rig.now + 5));
-  news.entries = {{"zone:z2", 1, QJsonObject{{"evacuated", false}}}};
-  rig.reducer.onMessage(rig.now + 10, "s1", news);
+  update.entries = {{"zone:z2", 1, QJsonObject{{"evacuated", false}}}};
+  rig.reducer.onMessage(rig.now + 10, "s1", update);
   CHECK(rig.reducer.servingLease(rig.now + 10));
   CHECK(rig.reducer.servingLease(rig.now + 1500 - 400));
   CHECK(rig.reducer.servingLease(rig.now + 1500 - 800));
   CHECK_FALSE(rig.reducer.servingLease(rig.now + 1500 - 399));
-  transport::PeerHeartbeat ask;
-  ask.sentAt = 7;
-  ask.link = "n3";
-  ask.wantsAges = true;
-  dataplane::RouterCommands const c = rig.reducer.onMessage(rig.now + 100, "n3", ask);
+  transport::PeerHeartbeat message;
+  message.sentAt = 7;
+  message.link = "n3";
+  message.wantsAges = true;
+  dataplane::RouterCommands const c = rig.reducer.onMessage(rig.now + 100, "n3", message);
   transport::PeerHeartbeat const* const echo = std::get_if<transport::PeerHeartbeat>(&c.sends.at(0).message);
   REQUIRE(echo != nullptr);
   CHECK(echo->sentAt == 7);
@@ -574,10 +574,10 @@
   reducer.started(1000);
   QJsonArray nodes;
   for (char const* link : {"n1", "n2", "n3", "n4", "n5"}) nodes.append(QJsonObject{{"link", link}});
-  transport::ConfigurationUpdate news;
-  news.isSnapshot = true;
-  news.entries = {{"roster", 2, QJsonObject{{"nodes", nodes}, {"previous", nodes}}}};
-  reducer.onMessage(5000, "n2", news);
+  transport::ConfigurationUpdate update;
+  update.isSnapshot = true;
+  update.entries = {{"roster", 2, QJsonObject{{"nodes", nodes}, {"previous", nodes}}}};
+  reducer.onMessage(5000, "n2", update);
   transport::PeerHeartbeat t;
   t.sentAt = 5000;
   t.isReply = true;
@@ -655,18 +655,18 @@
     std::size_t n = 0;
     for (core::Tick t = from; t < to; t += 20)
       for (transport::Send const& s : reducer.onTimer(t).sends) {
-        transport::ServingLeaseRequest const* const ask = std::get_if<transport::ServingLeaseRequest>(&s.message);
-        if (ask != nullptr) n += s.to == "s1" || s.to == "s2" ? 1 : 0;
+        transport::ServingLeaseRequest const* const message = std::get_if<transport::ServingLeaseRequest>(&s.message);
+        if (message != nullptr) n += s.to == "s1" || s.to == "s2" ? 1 : 0;
       }
     return n;
   };
   CHECK(asks(0, 20) == 2);
   CHECK(asks(20, 300) >= 8);
-  transport::ConfigurationUpdate news;
-  news.number = 1;
-  news.isSnapshot = true;
-  news.entries = {{"pool:model", 1, Rig::pool(1, "serving")}};
-  reducer.onMessage(300, "s1", news);
+  transport::ConfigurationUpdate update;
+  update.number = 1;
+  update.isSnapshot = true;
+  update.entries = {{"pool:model", 1, Rig::pool(1, "serving")}};
+  reducer.onMessage(300, "s1", update);
   asks(300, 400);
   CHECK(asks(400, 1400) <= 4);
 }
@@ -695,13 +695,13 @@
 
 TEST_CASE("a held request gives way to its own echo, and echoes do not widen the part") {
   Rig rig;
-  for (int i = 0; i < 200; ++i) rig.ask("fill" + std::to_string(i));
+  for (int i = 0; i < 200; ++i) rig.sendRequest("fill" + std::to_string(i));
   std::size_t const part = rig.reducer.subsetSizes("model").front().first;
   std::size_t const held = rig.reducer.subsetSizes("model").front().second;
   REQUIRE(held > 0);
-  rig.ask("echo");
+  rig.sendRequest("echo");
   std::size_t const before = rig.reducer.subsetSizes("model").front().second;
-  for (std::uint64_t a = 2; a < 30; ++a) rig.ask("echo", a);
+  for (std::uint64_t a = 2; a < 30; ++a) rig.sendRequest("echo", a);
   CHECK(rig.reducer.subsetSizes("model").front().second <= before);
   CHECK(rig.reducer.subsetSizes("model").front().first == part);
 }
@@ -723,12 +723,12 @@
       Rig const donor;
       dataplane::RequestRouter reducer(self, {"s1"}, 7, unfenced);
       reducer.started(0);
-      transport::ConfigurationUpdate news;
-      news.number = 1;
-      news.isSnapshot = true;
-      news.entries = {{"pool:model", 1, Rig::pool(1, "serving")},
-                      {"family:desk", 1, donor.reducer.configurationValue("family:desk")}};
-      reducer.onMessage(0, "s1", news);
+      transport::ConfigurationUpdate update;
+      update.number = 1;
+      update.isSnapshot = true;
+      update.entries = {{"pool:model", 1, Rig::pool(1, "serving")},
+                        {"family:desk", 1, donor.reducer.configurationValue("family:desk")}};
+      reducer.onMessage(0, "s1", update);
       went.emplace_back();
       for (std::uint64_t i = 0; i < 3; ++i) {
         dataplane::Request r;
@@ -748,14 +748,14 @@
 
 TEST_CASE("one tenant's crowd leaves room for another") {
   Rig rig;
-  for (int i = 0; i < 300; ++i) rig.ask("crowd" + std::to_string(i));
-  dataplane::RouterCommands const c = rig.ask("other", 1, "desk.sued");
+  for (int i = 0; i < 300; ++i) rig.sendRequest("crowd" + std::to_string(i));
+  dataplane::RouterCommands const c = rig.sendRequest("other", 1, "desk.sued");
   CHECK(Rig::find<dataplane::Connect>(c) != nullptr);
 }
 
 TEST_CASE("a stream in which nothing moves is given up as broken") {
   Rig rig;
-  rig.ask("x");
+  rig.sendRequest("x");
   rig.reducer.onConnected(rig.now, 1);
   rig.reducer.onFirstByte(rig.now, 1, true);
   rig.now += 9000;
@@ -832,7 +832,7 @@
       rig.reducer.onMessage(
           rig.now, from,
           transport::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<transport::Message>)));
-      if (i % 5 == 0) rig.ask("f" + std::to_string(i), rng.below(3));
+      if (i % 5 == 0) rig.sendRequest("f" + std::to_string(i), rng.below(3));
       if (i % 7 == 0) rig.reducer.onConnected(rig.now, rng.below(rig.next));
       if (i % 9 == 0) rig.reducer.onTimer(rig.now);
     }
@@ -850,7 +850,7 @@
   Rig rig;
   for (std::uint64_t g = 2; g < 400; ++g) {
     std::string const n = std::to_string(g);
-    transport::ConfigurationUpdate news;
+    transport::ConfigurationUpdate update;
     QJsonObject pool = core::parseJson(R"({"generation":)" + n + R"(,"replicas":[{"address":"10.1.0.1:)" + n +
                                        R"(","zone":"z1","state":"serving"}]})")
                            .toObject();
@@ -859,19 +859,19 @@
             R"({"template":{"stamp":1,"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]}},"instances":{"i)" +
             n + R"(":{"stamp":1,"spec":{}}}})")
             .toObject();
-    news.entries = {{"pool:model", g, pool}, {"family:desk", g, family}};
-    rig.reducer.onMessage(rig.now, "s1", news);
+    update.entries = {{"pool:model", g, pool}, {"family:desk", g, family}};
+    rig.reducer.onMessage(rig.now, "s1", update);
     rig.confirm();
-    dataplane::RouterCommands const c = rig.ask("q" + n, 1, "desk.i" + n);
+    dataplane::RouterCommands const c = rig.sendRequest("q" + n, 1, "desk.i" + n);
     REQUIRE(Rig::find<dataplane::Connect>(c) != nullptr);
     rig.reducer.onConnected(rig.now, rig.next - 1);
     rig.reducer.onFirstByte(rig.now, rig.next - 1, true);
     rig.reducer.onUpstreamFinished(rig.now, rig.next - 1, dataplane::UpstreamResult::complete);
-    transport::PeerHeartbeat touch;
-    touch.isReply = touch.hasSnapshot = true;
-    touch.link = "node" + n;
-    touch.sentAt = rig.now;
-    rig.reducer.onMessage(rig.now, touch.link, touch);
+    transport::PeerHeartbeat heartbeat;
+    heartbeat.isReply = heartbeat.hasSnapshot = true;
+    heartbeat.link = "node" + n;
+    heartbeat.sentAt = rig.now;
+    rig.reducer.onMessage(rig.now, heartbeat.link, heartbeat);
     rig.now += 1000;
     rig.reducer.onTimer(rig.now);
   }
@@ -934,19 +934,19 @@
     QJsonArray out;
     for (int const r : replicas)
       out.append(QJsonObject{{"address", core::toQString(address(r))}, {"zone", "z1"}, {"state", "serving"}});
-    transport::ConfigurationUpdate news;
-    news.number = ++revision;
-    news.isSnapshot = revision == 1;
-    if (news.isSnapshot)
-      news.entries = {
+    transport::ConfigurationUpdate update;
+    update.number = ++revision;
+    update.isSnapshot = revision == 1;
+    if (update.isSnapshot)
+      update.entries = {
           {"family:desk", 1,
            core::parseJson(
                R"({"template":{"stamp":1,"spec":{"paths":[{"path":"a","pool":"model","class":"short","aimMs":8000}]}},
                        "instances":{"nord":{"stamp":1,"spec":{}},"sued":{"stamp":1,"spec":{}},"west":{"stamp":1,"spec":{}}}})")
                .toObject()}};
-    news.entries.push_back(
+    update.entries.push_back(
         {"pool:model", revision, QJsonObject{{"generation", static_cast<qint64>(revision)}, {"replicas", out}}});
-    reducer.onMessage(now, "s1", news);
+    reducer.onMessage(now, "s1", update);
     lookAtCandidates();
   }
   void lookAtCandidates() {
@@ -965,7 +965,7 @@
     lookAtCandidates();
     return it->second;
   }
-  void ask(std::string const& tenant, std::uint64_t call) {
+  void sendRequest(std::string const& tenant, std::uint64_t call) {
     dataplane::Request r;
     r.call = call;
     r.instance = "desk." + tenant;
@@ -1020,7 +1020,7 @@
     char const* const tenants[] = {"nord", "sued", "west"};
     for (std::size_t t = 0; t < 3; ++t) {
       bool const busy = tick / 400 % 4 == static_cast<int>(t);
-      if (busy && twins.inHand.size() < 12 && rng.chance(0.6)) twins.ask(tenants[t], next++);
+      if (busy && twins.inHand.size() < 12 && rng.chance(0.6)) twins.sendRequest(tenants[t], next++);
     }
     while (!twins.inHand.empty() && rng.chance(0.4)) twins.endOldest();
     if (rng.chance(0.005)) {
@@ -1058,17 +1058,17 @@
       return true;
     });
     for (transport::Send const& s : rig.reducer.onTimer(rig.now).sends) {
-      if (transport::ServingLeaseRequest const* const ask = std::get_if<transport::ServingLeaseRequest>(&s.message);
-          ask != nullptr && rig.now < silentFrom) {
+      if (transport::ServingLeaseRequest const* const message = std::get_if<transport::ServingLeaseRequest>(&s.message);
+          message != nullptr && rig.now < silentFrom) {
         transport::ServingLeaseGrant c;
-        c.requestSentAt = ask->sentAt;
+        c.requestSentAt = message->sentAt;
         c.hasQuorum = true;
         c.quorumAge = 190;
-        c.digest = ask->digest;
+        c.digest = message->digest;
         under.emplace_back(rig.now + 40, c);
       }
-      transport::PeerHeartbeat const* const touch = std::get_if<transport::PeerHeartbeat>(&s.message);
-      if (touch == nullptr || !touch->wantsAges) continue;
+      transport::PeerHeartbeat const* const heartbeat = std::get_if<transport::PeerHeartbeat>(&s.message);
+      if (heartbeat == nullptr || !heartbeat->wantsAges) continue;
       wanted += rig.now < silentFrom ? 1 : 0;
       if (rig.now >= silentFrom && firstWanted < 0) firstWanted = rig.now;
     }
--- a/dataplane/test/roster_test.cpp
+++ b/dataplane/test/roster_test.cpp
@@ -9,6 +9,7 @@
 
 std::vector<transport::Contact> contactsOf(std::vector<std::string> const& links) {
   std::vector<transport::Contact> contacts;
+  contacts.reserve(links.size());
   for (std::string const& link : links) {
     transport::Contact contact;
     contact.link = link;
--- a/dataplane/test/serving_lease_test.cpp
+++ b/dataplane/test/serving_lease_test.cpp
@@ -11,6 +11,7 @@
 
 Roster rosterOf(std::vector<std::string> const& links) {
   std::vector<transport::Contact> contacts;
+  contacts.reserve(links.size());
   for (std::string const& link : links) {
     transport::Contact contact;
     contact.link = link;
