--- a/testing/capacity/measurements.h
+++ b/testing/capacity/measurements.h
@@ -45,7 +45,7 @@
 void startControl(Fleet& fleet);
 /// Starts the nodes; throws SizesError when one doesn't serve in time.
 void startNodes(Fleet& fleet);
-/// Starts a whole fleet with its configuration and lets it come to rest.
+/// Starts the complete fleet with its configuration and lets it come to rest.
 void startAndStabilize(Fleet& fleet);
 
 }  // namespace corkward::testing::capacity
--- a/testing/common/body.h
+++ b/testing/common/body.h
@@ -8,7 +8,7 @@
 /// The n-th word of a run's body: it names the run and the place, so gaps, repeats and mixes show.
 std::string tokenText(std::string const& run, std::uint64_t n);
 
-/// The whole body of a run of so many words.
+/// The complete body of a run of so many tokens.
 std::string bodyOf(std::string const& run, std::uint64_t tokens);
 
 /// What a caller can tell of a body it was given.
@@ -19,7 +19,7 @@
   std::uint64_t tokens = 0;
 };
 
-/// Checks a body against what its run must have produced. The last word carries the count of words.
+/// Checks a body against what its run must have produced. The last token carries the count of tokens.
 BodyVerdict checkBody(std::string const& body);
 
 }  // namespace corkward::testing
--- a/testing/explore/model_cluster.h
+++ b/testing/explore/model_cluster.h
@@ -17,7 +17,7 @@
 /// The one key that callers change.
 inline constexpr char const* callersKey = "k";
 
-/// A message under way. Ticks that it carries are told apart by how long ago they were on their machine's clock.
+/// A message in flight. Ticks that it carries are told apart by how long ago they were on their machine's clock.
 struct Packet {
   int from = 0;
   int to = 0;
@@ -55,7 +55,7 @@
   mutable std::uint64_t digest = 0;
 };
 
-/// What callers asked and were told, and what was chosen: history that the invariants are held against.
+/// Calls of the callers and their answers, and what was chosen: history that the invariants are held against.
 struct History {
   std::map<std::pair<std::string, std::uint64_t>, std::string> chosen;
   /// Revision -> marks in the value that was chosen for the callers' key.
--- a/testing/fleet/chaos.h
+++ b/testing/fleet/chaos.h
@@ -18,7 +18,7 @@
   /// stopped.
   int overlap = 1;
   double scale = 1.0;
-  /// Also judge what depends on the machine's speed: 3 s, 5 s, 2 s, 12 s, cold bounds.
+  /// Also check what depends on the machine's speed: 3 s, 5 s, 2 s, 12 s, cold bounds.
   bool timed = true;
   /// End with a kill of every process.
   bool outage = true;
@@ -26,7 +26,7 @@
   bool loud = false;
 };
 
-/// What callers, replicas, operators and the platform recorded, judged by the never-rules.
+/// What callers, replicas, operators and the platform recorded, checked against the never-rules.
 struct ChaosResult {
   std::vector<std::string> violations;
   std::vector<std::string> timeline;
--- a/testing/fleet/chaos_run.h
+++ b/testing/fleet/chaos_run.h
@@ -117,7 +117,7 @@
   /// Checks that a request reached the replica at a time at which it might be used.
   void checkArrival(Node const& replica, Arrival const& arrival);
 
-  /// What the processes themselves say of broken guarantees and invariants, in their whole logs.
+  /// What the processes themselves say of broken guarantees and invariants, in their complete logs.
   void checkGuarantees();
   void checkRuns();
   void checkRepeatedRun(std::string const& id, std::vector<std::pair<Tick, std::string>> const& runs);
--- a/testing/fleet/fleet.h
+++ b/testing/fleet/fleet.h
@@ -50,15 +50,15 @@
   std::string name;
   std::string link;
   std::string http;
-  /// Where others find it, when that is not its own address: at a tap.
+  /// Where others find it, when that is not its own address: at a fault proxy.
   std::string shown;
-  /// Own address for links, when `link` is a tap's.
+  /// Own address for links, when `link` is a fault proxy's.
   std::string listen;
   std::string zone;
   std::string pool;
   std::string record;
   std::string data;
-  /// Name of a replica's life, fresh at each start; empty: it has none.
+  /// Incarnation of a replica, fresh at each start; empty: it has none.
   std::string incarnation;
   QStringList flags;
   QString program;
@@ -84,10 +84,10 @@
   void startAll();
   /// Starts it; with a limit above 0 no file that it writes can grow beyond so many bytes.
   void start(Node& node, std::uint64_t fileLimit = 0);
-  /// Puts a tap before every link address. Before anything is started.
+  /// Puts a fault proxy before every link address. Call it before anything is started.
   void proxyLinks(std::function<std::string(std::string const& listen)> const& proxy);
-  /// Replicas have lives, which the platform's lists tell, and routers keep records of regimes' work. Before anything
-  /// is started.
+  /// Replicas have incarnations, which the platform's lists name, and routers keep records of regimes' work. Before
+  /// anything is started.
   void withRegimes();
   /// Folder of a router's records.
   std::string auditFolder(Node const& router) const { return folder() + "/" + router.name + ".audit"; }
--- a/testing/fleet/traffic.h
+++ b/testing/fleet/traffic.h
@@ -43,7 +43,7 @@
   std::size_t requests = 0;
 };
 
-/// Callers with the deployment's mix: each goes to nodes that say they are ready, and comes back when told to.
+/// Callers with the deployment's mix: each calls nodes that report ready, and retries when the answer says so.
 class Traffic : public QObject {
  public:
   Traffic(Fleet& fleet, std::uint64_t seed, double scale);
--- a/testing/fuzz/caller.cpp
+++ b/testing/fuzz/caller.cpp
@@ -24,7 +24,7 @@
 constexpr int slowReadMs = 2;
 constexpr qint64 slowReadBytes = 6000;
 constexpr int smallWindow = 4096;
-/// How much longer than it has told a caller waits before it leaves.
+/// How much longer than its stated time-out a caller waits before it disconnects, in ms.
 constexpr int patienceMs = 1200;
 
 std::string requestText(CallerObservation const& observation) {
--- a/testing/fuzz/caller.h
+++ b/testing/fuzz/caller.h
@@ -54,7 +54,7 @@
   QTimer* drips_;
   QTimer* leaves_;
   QTimer* limit_;
-  /// Waiting, and sent without their whole answer.
+  /// Waiting, and sent without their complete answer.
   std::deque<std::size_t> waiting_;
   std::deque<std::size_t> open_;
   std::string toDrip_;
--- a/testing/fuzz/mutation.h
+++ b/testing/fuzz/mutation.h
@@ -6,7 +6,7 @@
 
 #include "wire.h"
 
-/// Faults put into a scene on purpose, one for each oracle at least: the oracle must find it.
+/// Faults put into a scenario on purpose, one for each oracle at least: the oracle must find it.
 namespace corkward::fuzz {
 
 /// Faults that strike at callers and replicas; those of the mapping are MappingFault.
@@ -14,15 +14,15 @@
   none,
   /// A byte of the callers' answers is altered.
   alterAnswer,
-  /// An answer that was cut is taken for a whole one.
+  /// An answer that was cut is taken for a complete one.
   hideCut,
   /// A byte of the requests is altered on its way to the replica.
   alterRequest,
-  /// A lost outcome is told as a promise that nothing ran.
+  /// A lost outcome is reported as not run.
   promiseAfterRun,
   /// The leaving of callers does not show.
   ignoreLeaving,
-  /// Requests are sent to more replicas than is judged.
+  /// Requests are sent to more replicas than is checked.
   extraAttempts,
 };
 
--- a/testing/fuzz/oracles.cpp
+++ b/testing/fuzz/oracles.cpp
@@ -51,7 +51,7 @@
          std::to_string(at) + ": " + got.substr(at, shownBytes);
 }
 
-/// Judges one scene.
+/// Checks the record of one scenario.
 class RecordChecker {
  public:
   RecordChecker(Record const& record, Terms const& terms, std::function<core::Tick(core::Tick, core::Tick)> const& lag)
--- a/testing/fuzz/oracles.h
+++ b/testing/fuzz/oracles.h
@@ -6,7 +6,7 @@
 
 #include "record.h"
 
-/// What must hold of every scene, judged from outside alone.
+/// What must hold of every scenario, checked from outside alone.
 namespace corkward::fuzz {
 
 struct Violation {
@@ -15,7 +15,7 @@
   std::string what;
 };
 
-/// What the scene's routes allow.
+/// What the scenario's routes allow.
 struct Terms {
   int maxAttempts = 2;
   core::Tick deadlineMs = 1500;
--- a/testing/fuzz/plan.h
+++ b/testing/fuzz/plan.h
@@ -7,7 +7,7 @@
 
 #include <corkward/core/error.h>
 
-/// What callers and replicas of one scene do, made from a seed or read from a corpus file. A plan holds all choices;
+/// What callers and replicas of one scenario do, made from a seed or read from a corpus file. A plan holds all choices;
 /// playing it makes none, so that a seed always plays the same plan.
 namespace corkward::fuzz {
 
@@ -17,7 +17,7 @@
   using core::Error::Error;
 };
 
-/// Routes of the scene: repeatable, unrepeatable, events that may be resumed, and events that may not.
+/// Routes of the scenario: idempotent, not idempotent, events that may be resumed, and events that may not.
 enum class Route { safe, once, eventStream, tell };
 
 /// How a replica misbehaves in one answer.
@@ -48,7 +48,7 @@
 };
 constexpr int faults = 23;
 
-/// How the end of an answer's body is told.
+/// How the end of an answer's body is framed.
 enum class Framing { length, chunks, tillEnd };
 
 /// One answer of a replica.
@@ -87,7 +87,7 @@
   std::vector<Answer> answers;
 };
 
-/// A scene.
+/// A scenario.
 struct Plan {
   std::uint64_t seed = 0;
   std::string name;
--- a/testing/fuzz/record.h
+++ b/testing/fuzz/record.h
@@ -12,10 +12,10 @@
 
 #include "plan.h"
 
-/// What is seen of a scene from outside of the router: what reached replicas, and what callers were given.
+/// What is observed of a scenario from outside of the router: what reached replicas, and what callers were given.
 namespace corkward::fuzz {
 
-/// A request that reached a replica: its head was read there whole.
+/// A request that reached a replica: its complete head was read there.
 struct Dispatch {
   std::string attempt;
   std::string seal;
@@ -38,7 +38,7 @@
   bool slow = false;
   Fault fault = Fault::well;
   int status = 200;
-  /// Body of the answer as its framing tells it, and whether the framing says that it is whole.
+  /// Body of the answer as framed, and whether the framing says that it is complete.
   std::string framed;
   bool framedComplete = false;
 };
@@ -70,13 +70,13 @@
   bool unsent = false;
 };
 
-/// Everything of one scene.
+/// Everything observed of one scenario.
 struct Record {
   std::deque<Dispatch> dispatches;
   std::deque<CallerObservation> callers;
   /// Bytes that callers were given while no request of theirs was open.
   std::vector<std::string> unsolicited;
-  /// When the scene ended.
+  /// When the scenario ended.
   core::Tick endedAt = 0;
 };
 
--- a/testing/fuzz/replica.h
+++ b/testing/fuzz/replica.h
@@ -14,11 +14,11 @@
 
 namespace corkward::fuzz {
 
-/// A replica on loopback that plays scripts; requests are read by Boost.Beast.
+/// A replica on loopback that plays scripted exchanges; requests are read by Boost.Beast.
 class Replica : public QObject {
  public:
   struct Events {
-    /// A head was read whole: notes the dispatch and gives its place in the record and its script.
+    /// A complete head was read: records the dispatch and gives its index in the record and its scripted exchange.
     std::function<std::pair<std::size_t, ScriptedExchange>(Dispatch, std::size_t bodyLength)> arrived;
     std::function<Dispatch&(std::size_t)> dispatch;
     /// Whether to reset the connection that has just come.
--- a/testing/fuzz/runner.h
+++ b/testing/fuzz/runner.h
@@ -12,7 +12,7 @@
 
 namespace corkward::fuzz {
 
-/// A violation, and the scene that shows it.
+/// A violation, and the scenario that shows it.
 struct Finding {
   std::string scenario;
   Violation violation;
@@ -30,7 +30,7 @@
   std::vector<Finding> findings;
 };
 
-/// Plays scenes, several at once in one event loop, until there is none left.
+/// Plays scenarios, several at once in one event loop, until there is none left.
 class Runner {
  public:
   /// @param next the next plan; none: all are played
--- a/testing/fuzz/scenario.h
+++ b/testing/fuzz/scenario.h
@@ -52,7 +52,7 @@
   void ended(std::size_t index);
   std::pair<std::size_t, ScriptedExchange> arrived(std::size_t replica, Dispatch dispatch, std::size_t bodyLength);
   CallerObservation* callerOf(std::string const& attempt);
-  /// An attempt that has ended; a late answer of one that is still to come could not be told from its own.
+  /// An attempt that has ended; a late answer of one that is still to come could not be distinguished from its own.
   std::string otherThan(std::string const& attempt);
   void finish();
   bool tampers(Tampering tampering) const { return mutation_ && mutation_->tampering == tampering; }
--- a/testing/fuzz/scripted_exchange.cpp
+++ b/testing/fuzz/scripted_exchange.cpp
@@ -45,7 +45,7 @@
   return out;
 }
 
-/// Writes scripts for one answer.
+/// Writes the scripted exchange of one answer.
 class Writer {
  public:
   Writer(Answer const& answer, ReceivedRequest const& request) : answer_(answer), request_(request) { contents(); }
--- a/testing/fuzz/scripted_exchange.h
+++ b/testing/fuzz/scripted_exchange.h
@@ -11,9 +11,9 @@
 /// One step of a replica.
 struct Step {
   enum class What {
-    /// Waits until the request was read whole.
+    /// Waits until the complete request was read.
     awaitBody,
-    /// Waits until so many bytes of the request's body were read, or it is whole.
+    /// Waits until so many bytes of the request's body were read, or it is complete.
     awaitBytes,
     write,
     pause,
@@ -50,7 +50,7 @@
   int status = 200;
   bool ran = true;
   bool slowReading = false;
-  /// Body as the framing tells it, and whether it says that it is whole.
+  /// Body as framed, and whether the framing says that it is complete.
   std::string framed;
   bool framedComplete = true;
 };
--- a/testing/sim/certificates.cpp
+++ b/testing/sim/certificates.cpp
@@ -12,7 +12,7 @@
 
 constexpr char const* page = "/v1/certificates";
 constexpr Tick farAway = 86400000;
-/// What a clock that is told the time all along, or was frozen, may be behind; and one that jumps.
+/// What a clock that is synchronized all along, or was frozen, may be behind; and one that jumps.
 constexpr Tick clocksDiffer = 1000;
 constexpr char const* ofRouters = "nacelles-z";
 
--- a/testing/sim/internal.h
+++ b/testing/sim/internal.h
@@ -23,7 +23,7 @@
 inline constexpr Tick idleLimit = 1000;
 inline constexpr Tick freshIdleLimit = 250;
 inline constexpr Tick restedAfter = 500;
-/// From so long after its start on a grey replica is judged, and the share of its fair part that it may draw then.
+/// From so long after its start on a grey replica is checked, and the share of its fair part that it may draw then.
 inline constexpr Tick greyNoticed = 8000;
 inline constexpr double greyShare = 0.6;
 
--- a/testing/sim/operator_changes.cpp
+++ b/testing/sim/operator_changes.cpp
@@ -5,7 +5,8 @@
 
 #include "internal.h"
 
-/// Operators of the whole configuration: orders, resends to other machines, races and reads, and what they may be told.
+/// Operators of the fleet configuration: changes, retries at other machines, races and reads, and the answers they may
+/// get.
 namespace corkward::testing {
 
 namespace {
--- a/testing/sim/plan.h
+++ b/testing/sim/plan.h
@@ -198,10 +198,10 @@
   lyingNames
 };
 
-/// How operators of the whole configuration behave. They send one order after the other, each on the version that they
+/// How operators of the fleet configuration behave. They send one order after the other, each on the version that they
 /// know; what gets no clear answer within a second is sent again unchanged to another machine.
 struct Operators {
-  /// False: there are none, and none of the rules about them is judged.
+  /// False: there are none, and none of the rules about them is checked.
   bool any = false;
   /// Mean time between orders.
   Tick every = 1200;
@@ -236,7 +236,7 @@
 struct Plan {
   std::uint64_t seed = 1;
   int controllers = 3;
-  /// The first so many controllers found the membership at their first start; nobody is told of founders later.
+  /// The first so many controllers found the membership at their first start; nobody learns of founders later.
   int founders = 3;
   /// See consensus::Tuning.
   Tick replaceDarkAfter = 20000;
@@ -315,7 +315,7 @@
                                            {Point::manyChanges, "many-changes"},
                                            {Point::powerCuts, "power-cuts"}};
 
-/// One of control's worst days: a small fleet, operators of the whole configuration and a random set of the point's
+/// One of control's worst days: a small fleet, operators of the fleet configuration and a random set of the point's
 /// failures. One in two is fenced.
 Plan worstDay(std::uint64_t seed, Point point);
 
--- a/testing/sim/simulated_cluster.h
+++ b/testing/sim/simulated_cluster.h
@@ -21,7 +21,7 @@
 
 namespace corkward::testing {
 
-/// A whole fleet, its network, disks, callers, replicas, operators and platform, from one seed.
+/// A complete fleet, its network, disks, callers, replicas, operators and platform, from one seed.
 class SimulatedCluster {
  public:
   explicit SimulatedCluster(Plan plan);
@@ -56,10 +56,10 @@
     bool diskStalled = false;
     /// Since when its disk holds what it holds.
     Tick diskSince = 0;
-    /// Newest whole configuration that was confirmed before it started, and whether it has served since.
+    /// Newest fleet configuration that was confirmed before it started, and whether it has served since.
     std::uint64_t confirmedBefore = 0;
     bool begun = false;
-    /// Last moment at which it was not whole, running and joined to the core.
+    /// Last moment at which it was not healthy, running and joined to the core.
     Tick troubledAt = 0;
   };
   enum class Shape { usual, longPrompt, longAnswer };
@@ -78,7 +78,7 @@
     bool hit = false;
     Shape shape = Shape::usual;
     Grey grey = Grey::none;
-    /// Connection that it is told down.
+    /// Connection over which it is answered.
     std::uint64_t turn = 0;
     /// What the replica has made so far.
     std::string made;
@@ -173,7 +173,7 @@
     Tick answeredAt = -1;
   };
 
-  /// One order of the operators of the whole configuration.
+  /// One change that an operator makes to the fleet configuration.
   struct Order {
     std::string id;
     std::string base;
@@ -233,7 +233,7 @@
   /// How a request fares at a replica that is grey.
   Grey greyFate(Replica const& r);
   void greyRun(Replica& r, Run& run);
-  /// Counts the hand-over for the judge of grey replicas.
+  /// Counts the hand-over for the check of grey replicas.
   void countGrey(Replica const& r);
   void resetCallers(Node& n);
   void resetReplicas(Node& n);
@@ -245,15 +245,15 @@
   Replica* replica(std::string const& address);
   void callerArrives();
   void callerSends(std::string const& id);
-  /// A caller that retries hard comes back although it was not told to.
+  /// A caller that retries hard comes back although no answer asked for it.
   bool again(Caller& c);
   void callerRejected(std::string const& id, dataplane::Reject const& d);
   void callerCut(std::string const& id);
   void callerEnds(std::string const& id, std::string const& outcome);
   void operatorTurn();
-  /// Name of a replica's life on the platform's list.
+  /// Name of a replica's incarnation on the platform's list.
   std::string incarnationName(Replica const& r) const;
-  /// Wall time as machines are told it.
+  /// Wall time as machines read it.
   std::int64_t wall() const;
   std::vector<std::string> certificateNames() const;
   QJsonObject certificateFor(std::string const& name, Tick lasts) const;
@@ -265,7 +265,7 @@
   void watchIncarnations();
   /// A request of that instance has reached the replica: may it?
   void checkRegime(Caller const& caller, Node const& from, Replica const& r, Forwarded const& forwarded);
-  /// Opens a connection that stands once the replica has named its life.
+  /// Opens a connection that stands once the replica has named its incarnation.
   void identifyIncarnation(Node& n, dataplane::Connect const& m);
   /// Whether what the caller has so far is one run's, or one row of events, from the first on without gap or repeat.
   bool oneBody(Caller const& caller) const;
@@ -398,10 +398,10 @@
   std::vector<Order> orders_;
   std::uint64_t nextVersion_ = 1;
   std::uint64_t knownVersion_ = 0;
-  /// Newest whole configuration that an operator was told of, and its revision.
+  /// Newest fleet configuration that an operator was notified of, and its revision.
   std::uint64_t confirmedVersion_ = 0;
   std::uint64_t confirmedRevision_ = 0;
-  /// Version and order of each revision of the whole configuration that was committed anywhere.
+  /// Version and order of each revision of the fleet configuration that was committed anywhere.
   std::map<std::uint64_t, std::uint64_t> committedVersions_;
   std::map<std::uint64_t, std::size_t> orderOf_;
   int burstLeft_ = 0;
--- a/testing/test/regimes_test.cpp
+++ b/testing/test/regimes_test.cpp
@@ -124,7 +124,7 @@
   return out;
 }
 
-/// Whether somebody asked for its life.
+/// Whether somebody asked for its incarnation.
 bool wasQueried(std::string const& file) {
   std::ifstream in(file);
   std::string const all((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
