--- a/alerting/src/rules.cpp
+++ b/alerting/src/rules.cpp
@@ -15,22 +15,22 @@
 constexpr std::size_t maxDurationDigits = 6;
 
 /// Place of a node in the file, as the beginning of a message.
-std::string place(YAML::Node const& node) {
+std::string positionOf(YAML::Node const& node) {
   return "line " + std::to_string(node.Mark().line + 1) + ", column " + std::to_string(node.Mark().column + 1) + ": ";
 }
 
 void checkKeys(YAML::Node const& node, std::set<std::string> const& allowed) {
-  if (!node.IsMap()) throw ParseError(place(node) + "must be a mapping");
+  if (!node.IsMap()) throw ParseError(positionOf(node) + "must be a mapping");
   for (auto const& entry : node) {
     auto const key = entry.first.as<std::string>();
-    if (allowed.count(key) == 0) throw ParseError(place(entry.first) + "unknown field " + key);
+    if (allowed.count(key) == 0) throw ParseError(positionOf(entry.first) + "unknown field " + key);
   }
 }
 
 std::string requiredText(YAML::Node const& node, char const* key) {
   YAML::Node const value = node[key];
-  if (!value) throw ParseError(place(node) + key + " is missing");
-  if (!value.IsScalar() || value.Scalar().empty()) throw ParseError(place(value) + key + " must be a text");
+  if (!value) throw ParseError(positionOf(node) + key + " is missing");
+  if (!value.IsScalar() || value.Scalar().empty()) throw ParseError(positionOf(value) + key + " must be a text");
   return value.Scalar();
 }
 
@@ -42,7 +42,8 @@
          std::isdigit(static_cast<unsigned char>(text[digits])) != 0)
     ++digits;
   std::string const unit = text.substr(digits);
-  if (digits == 0 || (unit != "s" && unit != "m")) throw ParseError(place(node) + "for must be a number of s or m");
+  if (digits == 0 || (unit != "s" && unit != "m"))
+    throw ParseError(positionOf(node) + "for must be a number of s or m");
   return std::stoll(text.substr(0, digits)) * (unit == "m" ? millisPerMinute : millisPerSecond);
 }
 
@@ -50,19 +51,19 @@
   try {
     return readExpression(requiredText(rule, "expr"));
   } catch (ParseError const& error) {
-    throw ParseError(rule["expr"] ? place(rule["expr"]) + error.what() : error.what());
+    throw ParseError(rule["expr"] ? positionOf(rule["expr"]) + error.what() : error.what());
   }
 }
 
 /// Reads the annotations, which name the runbook and its parameters.
 void readAnnotations(YAML::Node const& node, Rule& rule) {
   YAML::Node const annotations = node["annotations"];
-  if (!annotations) throw ParseError(place(node) + "annotations is missing: it names the runbook");
+  if (!annotations) throw ParseError(positionOf(node) + "annotations is missing: it names the runbook");
   checkKeys(annotations, {"runbook", "parameters", "summary"});
   rule.runbook = requiredText(annotations, "runbook");
   YAML::Node const parameters = annotations["parameters"];
   if (!parameters) return;
-  if (!parameters.IsMap()) throw ParseError(place(parameters) + "parameters must be a mapping");
+  if (!parameters.IsMap()) throw ParseError(positionOf(parameters) + "parameters must be a mapping");
   for (auto const& entry : parameters) rule.parameters[entry.first.as<std::string>()] = entry.second.as<std::string>();
 }
 
@@ -72,7 +73,7 @@
   Rule rule;
   rule.alert = requiredText(node, "alert");
   if (!names.insert(rule.alert).second)
-    throw ParseError(place(node["alert"]) + "alert " + rule.alert + " stands twice");
+    throw ParseError(positionOf(node["alert"]) + "alert " + rule.alert + " stands twice");
   rule.expression = readRuleExpression(node);
   if (node["for"]) rule.pendingFor = readDuration(node["for"]);
   readAnnotations(node, rule);
@@ -82,13 +83,13 @@
 std::vector<Rule> readGroups(YAML::Node const& root) {
   checkKeys(root, {"groups"});
   YAML::Node const groups = root["groups"];
-  if (!groups || !groups.IsSequence()) throw ParseError(place(root) + "groups must be a list");
+  if (!groups || !groups.IsSequence()) throw ParseError(positionOf(root) + "groups must be a list");
   std::vector<Rule> out;
   std::set<std::string> names;
   for (YAML::Node const& group : groups) {
     checkKeys(group, {"name", "rules"});
     requiredText(group, "name");
-    if (!group["rules"] || !group["rules"].IsSequence()) throw ParseError(place(group) + "rules must be a list");
+    if (!group["rules"] || !group["rules"].IsSequence()) throw ParseError(positionOf(group) + "rules must be a list");
     for (YAML::Node const& rule : group["rules"]) out.push_back(readRule(rule, names));
   }
   return out;
--- a/audit/include/corkward/audit/audit_log.h
+++ b/audit/include/corkward/audit/audit_log.h
@@ -29,7 +29,7 @@
   auto operator<=>(RecordCategory const&) const = default;
 };
 
-/// The newest record of a trail: a trail that was cut short since does not hold it.
+/// The newest record of an audit log: one that was truncated since does not contain it.
 struct AuditHead {
   std::uint64_t number = 0;
   std::string hash;
@@ -43,7 +43,7 @@
   std::size_t maxSegments = 64;
 };
 
-/// Writes the audit trail of one node: records in lines, each with the SHA-256 of its text, which holds the hash of the
+/// Writes the audit log of one node: records in lines, each with the SHA-256 of its text, which holds the hash of the
 /// record before. Writing may throw write-ahead log::Error.
 class AuditLog {
  public:
@@ -56,7 +56,7 @@
   void onTimer(std::int64_t wall);
   /// Writes a record that says no more than that it could be written.
   void probeDisk(std::int64_t wall);
-  /// Writes all counts; nothing is missing from this life.
+  /// Writes all counts; nothing is missing from this incarnation.
   void close(std::int64_t wall);
   AuditHead const& head() const { return head_; }
   /// File with records that were not synced yet, to be synced where it holds nothing up; empty: none.
@@ -89,12 +89,12 @@
   std::string reason;
 };
 
-/// A trail as it was read from its folder.
+/// An audit log as it was read from its folder.
 struct AuditLogView {
   std::string node;
   std::vector<QJsonObject> records;
   std::vector<IntegrityFault> faults;
-  /// The newest line is not whole: the node was writing, or lost its power.
+  /// The newest line is incomplete: the node was writing, or lost its power.
   bool tornTail = false;
   /// Number of the first record that is kept; those before were dropped by the bound.
   std::uint64_t firstNumber = 0;
@@ -103,10 +103,10 @@
   std::map<std::uint64_t, std::string> hashes;
 };
 
-/// Reads a trail and checks that each record is as it was written and follows the one before.
+/// Reads an audit log and checks that each record is as it was written and follows the one before.
 AuditLogView readAuditLog(storage::Directory& folder);
 
-/// What ran where, what was rejected and what resumed, by regime and span of time, from the trails of all nodes.
+/// What ran where, what was rejected and what resumed, by regime and span of time, from the audit logs of all nodes.
 struct ReportQuery {
   /// Empty: all.
   std::string regime;
@@ -114,11 +114,11 @@
   std::int64_t from = 0;
   std::int64_t until = 0;
   std::int64_t span = 3600000;
-  /// Heads that were noted elsewhere, by node: each must be in its trail.
+  /// Heads that were noted elsewhere, by node: each must be in its log.
   std::vector<std::pair<std::string, AuditHead>> heads;
 };
 /// {"regimes": {name: [{"span", "counts": [{"what", "instance", ..., "count"}]}]}, "nodes": [{"node", "first", "head",
-/// "lives": [...], "faults": [...]}], "whole"}; a life that has no end says that its counts are the least.
-QJsonObject auditReport(std::vector<AuditLogView> const& trails, ReportQuery const& ask);
+/// "lives": [...], "faults": [...]}], "whole"}; an incarnation that has no end says that its counts are the least.
+QJsonObject auditReport(std::vector<AuditLogView> const& logs, ReportQuery const& query);
 
 }  // namespace corkward::audit
--- a/audit/src/report.cpp
+++ b/audit/src/report.cpp
@@ -27,40 +27,51 @@
   return QDateTime::fromString(record.value(QLatin1String(field)).toString(), Qt::ISODateWithMs).toMSecsSinceEpoch();
 }
 
-QJsonObject nodeReport(AuditLogView const& t, ReportQuery const& ask, bool& whole) {
-  QJsonArray lives;
-  QJsonObject life;
-  for (QJsonObject const& r : t.records) {
-    QString const what = r.value("what").toString();
+/// One object for each run of the node, with its span; the counts of a run that was not closed are the least.
+QJsonArray incarnationsOf(AuditLogView const& log) {
+  QJsonArray incarnations;
+  QJsonObject incarnation;
+  for (QJsonObject const& record : log.records) {
+    QString const what = record.value("what").toString();
     if (what == "opened") {
-      if (!life.isEmpty()) lives.append(life);
-      life = QJsonObject{{"from", r.value("at")}, {"countsAreLeast", true}};
+      if (!incarnation.isEmpty()) incarnations.append(incarnation);
+      incarnation = QJsonObject{{"from", record.value("at")}, {"countsAreLeast", true}};
     }
-    if (life.isEmpty()) life = QJsonObject{{"countsAreLeast", true}};
-    life.insert("until", r.value("at"));
-    if (what == "closed") life.insert("countsAreLeast", false);
+    if (incarnation.isEmpty()) incarnation = QJsonObject{{"countsAreLeast", true}};
+    incarnation.insert("until", record.value("at"));
+    if (what == "closed") incarnation.insert("countsAreLeast", false);
   }
-  if (!life.isEmpty()) lives.append(life);
+  if (!incarnation.isEmpty()) incarnations.append(incarnation);
+  return incarnations;
+}
+
+/// What is wrong with the log itself, and the heads noted elsewhere that it doesn't have.
+QJsonArray faultsOf(AuditLogView const& log, ReportQuery const& query) {
   QJsonArray faults;
-  for (IntegrityFault const& f : t.faults)
-    faults.append(QJsonObject{{"file", core::toQString(f.file)},
-                              {"line", static_cast<qint64>(f.line)},
-                              {"reason", core::toQString(f.reason)}});
-  for (auto const& [node, head] : ask.heads) {
-    if (node != t.node || head.number < t.firstNumber) continue;
-    auto const it = t.hashes.find(head.number);
-    if (it != t.hashes.end() && it->second == head.hash) continue;
+  for (IntegrityFault const& fault : log.faults)
+    faults.append(QJsonObject{{"file", core::toQString(fault.file)},
+                              {"line", static_cast<qint64>(fault.line)},
+                              {"reason", core::toQString(fault.reason)}});
+  for (auto const& [node, head] : query.heads) {
+    if (node != log.node || head.number < log.firstNumber) continue;
+    auto const it = log.hashes.find(head.number);
+    if (it != log.hashes.end() && it->second == head.hash) continue;
     faults.append(QJsonObject{{"reason", core::toQString("record " + std::to_string(head.number) +
                                                          " that was noted elsewhere is not in the trail")}});
   }
-  whole = whole && faults.isEmpty();
+  return faults;
+}
+
+QJsonObject nodeReport(AuditLogView const& log, ReportQuery const& query, bool& complete) {
+  QJsonArray const faults = faultsOf(log, query);
+  complete = complete && faults.isEmpty();
   return QJsonObject{
-      {"node", core::toQString(t.node)},
-      {"first", static_cast<qint64>(t.firstNumber)},
+      {"node", core::toQString(log.node)},
+      {"first", static_cast<qint64>(log.firstNumber)},
       {"faults", faults},
-      {"lives", lives},
-      {"tornEnd", t.tornTail},
-      {"head", QJsonObject{{"n", static_cast<qint64>(t.head.number)}, {"hash", core::toQString(t.head.hash)}}}};
+      {"lives", incarnationsOf(log)},
+      {"tornEnd", log.tornTail},
+      {"head", QJsonObject{{"n", static_cast<qint64>(log.head.number)}, {"hash", core::toQString(log.head.hash)}}}};
 }
 
 }  // namespace
@@ -113,26 +124,27 @@
   return out;
 }
 
-QJsonObject auditReport(std::vector<AuditLogView> const& trails, ReportQuery const& ask) {
+QJsonObject auditReport(std::vector<AuditLogView> const& logs, ReportQuery const& query) {
   std::map<std::string, std::map<std::int64_t, std::map<RecordCategory, std::uint64_t>>> sums;
-  bool whole = true;
+  bool complete = true;
   QJsonArray nodes;
-  for (AuditLogView const& t : trails) {
-    nodes.append(nodeReport(t, ask, whole));
+  for (AuditLogView const& t : logs) {
+    nodes.append(nodeReport(t, query, complete));
     for (QJsonObject const& r : t.records) {
       if (!r.contains("count")) continue;
       RecordCategory const kind = readCategory(r);
       std::int64_t const span = wallOf(r, "span");
-      if ((!ask.regime.empty() && kind.regime != ask.regime) || span < ask.from || (ask.until > 0 && span >= ask.until))
+      if ((!query.regime.empty() && kind.regime != query.regime) || span < query.from ||
+          (query.until > 0 && span >= query.until))
         continue;
-      sums[kind.regime][span - span % ask.span][kind] += static_cast<std::uint64_t>(r.value("count").toInteger());
+      sums[kind.regime][span - span % query.span][kind] += static_cast<std::uint64_t>(r.value("count").toInteger());
     }
   }
-  for (auto const& [node, head] : ask.heads) {
+  for (auto const& [node, head] : query.heads) {
     bool const known =
-        std::any_of(trails.begin(), trails.end(), [&name = node](AuditLogView const& t) { return t.node == name; });
+        std::any_of(logs.begin(), logs.end(), [&name = node](AuditLogView const& t) { return t.node == name; });
     if (known) continue;
-    whole = false;
+    complete = false;
     nodes.append(QJsonObject{{"node", core::toQString(node)},
                              {"faults", QJsonArray{QJsonObject{{"reason", "no trail of this node was given"}}}}});
   }
@@ -151,7 +163,7 @@
     }
     regimes.insert(core::toQString(regime), spans);
   }
-  return QJsonObject{{"regimes", regimes}, {"nodes", nodes}, {"whole", whole}};
+  return QJsonObject{{"regimes", regimes}, {"nodes", nodes}, {"whole", complete}};
 }
 
 }  // namespace corkward::audit
--- a/audit/test/audit_log_test.cpp
+++ b/audit/test/audit_log_test.cpp
@@ -59,36 +59,36 @@
   std::map<std::string, qint64> out;
   for (QJsonValue const s : report.value("regimes").toObject().value(regime).toArray())
     for (QJsonValue const c : s.toObject().value("counts").toArray()) {
-      QJsonObject const row = c.toObject();
-      out[core::toStdString(row.value("what").toString() + " " + row.value("life").toString())] +=
-          row.value("count").toInteger();
+      QJsonObject const record = c.toObject();
+      out[core::toStdString(record.value("what").toString() + " " + record.value("life").toString())] +=
+          record.value("count").toInteger();
     }
   return out;
 }
 
-QJsonObject reportOf(MemoryFolder& folder, audit::ReportQuery const& ask = {}) {
-  return audit::auditReport({audit::readAuditLog(folder)}, ask);
+QJsonObject reportOf(MemoryFolder& folder, audit::ReportQuery const& query = {}) {
+  return audit::auditReport({audit::readAuditLog(folder)}, query);
 }
 
 }  // namespace
 
 TEST_CASE("the first of a kind is written before anything else happens, the others when the minute ends") {
   MemoryFolder folder;
-  audit::AuditLog trail(folder, "n1", noon);
-  trail.countOutcome(handed("r1"), noon + 10);
+  audit::AuditLog log(folder, "n1", noon);
+  log.countOutcome(handed("r1"), noon + 10);
   CHECK(countsOf(reportOf(folder), "health")["handed-over r1"] == 1);
-  for (int i = 0; i < 5; ++i) trail.countOutcome(handed("r1"), noon + 20 + i);
-  trail.countOutcome(handed("r2"), noon + 30);
+  for (int i = 0; i < 5; ++i) log.countOutcome(handed("r1"), noon + 20 + i);
+  log.countOutcome(handed("r2"), noon + 30);
   CHECK(countsOf(reportOf(folder), "health") ==
         std::map<std::string, qint64>{{"handed-over r1", 1}, {"handed-over r2", 1}});
-  trail.onTimer(noon + audit::countPeriodMs);
+  log.onTimer(noon + audit::countPeriodMs);
   CHECK(countsOf(reportOf(folder), "health") ==
         std::map<std::string, qint64>{{"handed-over r1", 6}, {"handed-over r2", 1}});
-  trail.countOutcome(handed("r1"), noon + audit::countPeriodMs + 1);
+  log.countOutcome(handed("r1"), noon + audit::countPeriodMs + 1);
   CHECK(countsOf(reportOf(folder), "health")["handed-over r1"] == 7);
-  trail.countOutcome(rejected(), noon + audit::countPeriodMs + 2);
-  trail.countOutcome(rejected(), noon + audit::countPeriodMs + 2);
-  trail.close(noon + audit::countPeriodMs + 3);
+  log.countOutcome(rejected(), noon + audit::countPeriodMs + 2);
+  log.countOutcome(rejected(), noon + audit::countPeriodMs + 2);
+  log.close(noon + audit::countPeriodMs + 3);
   CHECK(countsOf(reportOf(folder), "health")["denied "] == 2);
   CHECK(reportOf(folder).value("whole").toBool());
 }
@@ -96,14 +96,14 @@
 TEST_CASE("a trail goes on after a restart, and says which counts are the least") {
   MemoryFolder folder;
   {
-    audit::AuditLog trail(folder, "n1", noon);
-    trail.countOutcome(handed("r1"), noon);
-    trail.countOutcome(handed("r1"), noon);
+    audit::AuditLog log(folder, "n1", noon);
+    log.countOutcome(handed("r1"), noon);
+    log.countOutcome(handed("r1"), noon);
   }
   {
-    audit::AuditLog trail(folder, "n1", noon + 1000);
-    trail.countOutcome(handed("r1"), noon + 1000);
-    trail.close(noon + 2000);
+    audit::AuditLog log(folder, "n1", noon + 1000);
+    log.countOutcome(handed("r1"), noon + 1000);
+    log.close(noon + 2000);
   }
   QJsonObject const out = reportOf(folder);
   CHECK(out.value("whole").toBool());
@@ -115,14 +115,14 @@
 }
 
 TEST_CASE("a torn last line is cut off, whatever its length") {
-  MemoryFolder whole;
+  MemoryFolder intact;
   {
-    audit::AuditLog trail(whole, "n1", noon);
-    trail.countOutcome(handed("r1"), noon);
-    trail.countOutcome(handed("r2"), noon);
+    audit::AuditLog log(intact, "n1", noon);
+    log.countOutcome(handed("r1"), noon);
+    log.countOutcome(handed("r2"), noon);
   }
-  std::string const file = whole.files.begin()->first;
-  std::string const text = whole.files.begin()->second;
+  std::string const file = intact.files.begin()->first;
+  std::string const text = intact.files.begin()->second;
   std::size_t const lastLine = text.rfind('\n', text.size() - 2) + 1;
   for (std::size_t cut = lastLine; cut < text.size(); ++cut) {
     MemoryFolder folder;
@@ -130,7 +130,7 @@
     QJsonObject const before = reportOf(folder);
     CHECK(before.value("whole").toBool());
     CHECK(before.value("nodes").toArray().at(0).toObject().value("tornEnd").toBool() == (cut > lastLine));
-    audit::AuditLog trail(folder, "n1", noon + 1);
+    audit::AuditLog log(folder, "n1", noon + 1);
     QJsonObject const out = reportOf(folder);
     CHECK(out.value("whole").toBool());
     CHECK(countsOf(out, "health") == std::map<std::string, qint64>{{"handed-over r1", 1}});
@@ -139,18 +139,18 @@
 
 TEST_CASE("whatever is changed, moved or taken out shows") {
   MemoryFolder folder;
-  audit::AuditLog trail(folder, "n1", noon, audit::RetentionLimits{1200, 100});
-  for (int i = 0; i < 30; ++i) trail.countOutcome(handed("r" + std::to_string(i)), noon + i);
-  audit::AuditHead const head = trail.head();
+  audit::AuditLog log(folder, "n1", noon, audit::RetentionLimits{1200, 100});
+  for (int i = 0; i < 30; ++i) log.countOutcome(handed("r" + std::to_string(i)), noon + i);
+  audit::AuditHead const head = log.head();
   REQUIRE(folder.files.size() > 5);
   REQUIRE(reportOf(folder).value("whole").toBool());
-  std::function<bool(std::function<void(std::map<std::string, std::string>&)> const&, audit::ReportQuery const&)> const
-      shows = [&](std::function<void(std::map<std::string, std::string>&)> const& harm, audit::ReportQuery const& ask) {
-        MemoryFolder harmed;
-        harmed.files = folder.files;
-        harm(harmed.files);
-        return !reportOf(harmed, ask).value("whole").toBool();
-      };
+  auto const shows = [&](std::function<void(std::map<std::string, std::string>&)> const& harm,
+                         audit::ReportQuery const& query) {
+    MemoryFolder harmed;
+    harmed.files = folder.files;
+    harm(harmed.files);
+    return !reportOf(harmed, query).value("whole").toBool();
+  };
   std::string const middle = std::next(folder.files.begin(), 2)->first;
   std::string const last = folder.files.rbegin()->first;
   CHECK(shows([&](std::map<std::string, std::string>& f) { f.erase(middle); }, {}));
@@ -166,51 +166,49 @@
           text[veryEnd ? 0 : at] ^= static_cast<char>(1U << rng.below(7));
         },
         {}));
-  audit::ReportQuery ask;
-  ask.heads = {{"n1", head}};
-  CHECK_FALSE(shows([](std::map<std::string, std::string>&) {}, ask));
-  std::function<void(std::map<std::string, std::string>&)> const cutShort = [&](std::map<std::string, std::string>& f) {
-    f.erase(last);
-  };
+  audit::ReportQuery query;
+  query.heads = {{"n1", head}};
+  CHECK_FALSE(shows([](std::map<std::string, std::string>&) {}, query));
+  auto const cutShort = [&](std::map<std::string, std::string>& f) { f.erase(last); };
   CHECK_FALSE(shows(cutShort, {}));
-  CHECK(shows(cutShort, ask));
-  ask.heads = {{"n2", head}};
-  CHECK(shows([](std::map<std::string, std::string>&) {}, ask));
+  CHECK(shows(cutShort, query));
+  query.heads = {{"n2", head}};
+  CHECK(shows([](std::map<std::string, std::string>&) {}, query));
 }
 
 TEST_CASE("a restart hides no harm: only a line that was torn at the very end is cut off") {
   MemoryFolder folder;
   {
-    audit::AuditLog trail(folder, "n1", noon);
-    for (int i = 0; i < 5; ++i) trail.countOutcome(handed("r" + std::to_string(i)), noon);
+    audit::AuditLog log(folder, "n1", noon);
+    for (int i = 0; i < 5; ++i) log.countOutcome(handed("r" + std::to_string(i)), noon);
   }
   std::string& text = folder.files.begin()->second;
   text[text.size() - 10] ^= 1;
   {
-    audit::AuditLog trail(folder, "n1", noon + 1);
-    trail.countOutcome(handed("r9"), noon + 1);
+    audit::AuditLog log(folder, "n1", noon + 1);
+    log.countOutcome(handed("r9"), noon + 1);
   }
   CHECK_FALSE(reportOf(folder).value("whole").toBool());
   CHECK(countsOf(reportOf(folder), "health")["handed-over r9"] == 1);
   MemoryFolder lost;
   lost.files["audit-000000000001"] = "harm\n";
-  audit::AuditLog trail(lost, "n1", noon);
-  trail.countOutcome(handed("r1"), noon);
+  audit::AuditLog log(lost, "n1", noon);
+  log.countOutcome(handed("r1"), noon);
   CHECK_FALSE(reportOf(lost).value("whole").toBool());
 }
 
 TEST_CASE("a record that was made up does not fit its neighbours, even with a proper hash of its own") {
   MemoryFolder folder;
   {
-    audit::AuditLog trail(folder, "n1", noon);
-    trail.countOutcome(handed("r1"), noon);
-    trail.countOutcome(handed("r2"), noon);
+    audit::AuditLog log(folder, "n1", noon);
+    log.countOutcome(handed("r1"), noon);
+    log.countOutcome(handed("r2"), noon);
   }
   MemoryFolder other;
   {
-    audit::AuditLog trail(other, "n1", noon + 5);
-    trail.countOutcome(handed("good"), noon);
-    trail.countOutcome(handed("r2"), noon);
+    audit::AuditLog log(other, "n1", noon + 5);
+    log.countOutcome(handed("good"), noon);
+    log.countOutcome(handed("r2"), noon);
   }
   std::string& text = folder.files.begin()->second;
   std::string const& foreign = other.files.begin()->second;
@@ -223,8 +221,8 @@
 
 TEST_CASE("the trail stays within its bound and names what was dropped") {
   MemoryFolder folder;
-  audit::AuditLog trail(folder, "n1", noon, audit::RetentionLimits{2000, 4});
-  for (int i = 0; i < 500; ++i) trail.countOutcome(handed("r" + std::to_string(i)), noon);
+  audit::AuditLog log(folder, "n1", noon, audit::RetentionLimits{2000, 4});
+  for (int i = 0; i < 500; ++i) log.countOutcome(handed("r" + std::to_string(i)), noon);
   std::size_t bytes = 0;
   for (auto const& [name, content] : folder.files) bytes += content.size();
   CHECK(folder.files.size() == 4);
@@ -238,11 +236,11 @@
 
 TEST_CASE("a disk that does not write is told at once, and nothing is counted as written") {
   MemoryFolder folder;
-  audit::AuditLog trail(folder, "n1", noon);
+  audit::AuditLog log(folder, "n1", noon);
   folder.full = true;
-  CHECK_THROWS_AS(trail.countOutcome(handed("r1"), noon), storage::StorageError);
+  CHECK_THROWS_AS(log.countOutcome(handed("r1"), noon), storage::StorageError);
   folder.full = false;
-  trail.countOutcome(handed("r1"), noon);
+  log.countOutcome(handed("r1"), noon);
   QJsonObject const out = reportOf(folder);
   CHECK(out.value("whole").toBool());
   CHECK(countsOf(out, "health")["handed-over r1"] == 1);
@@ -258,18 +256,18 @@
   audit::RecordCategory other = handed("r9");
   other.regime = "export";
   b.countOutcome(other, noon + 3600000);
-  audit::ReportQuery ask;
-  ask.regime = "health";
-  QJsonObject out = audit::auditReport({audit::readAuditLog(one), audit::readAuditLog(two)}, ask);
+  audit::ReportQuery query;
+  query.regime = "health";
+  QJsonObject out = audit::auditReport({audit::readAuditLog(one), audit::readAuditLog(two)}, query);
   CHECK(out.value("regimes").toObject().keys() == QStringList{"health"});
   QJsonArray const spans = out.value("regimes").toObject().value("health").toArray();
   REQUIRE(spans.size() == 2);
   CHECK(spans.at(0).toObject().value("span").toString() == "2026-06-01T12:00:00.000Z");
-  ask.from = noon + 3600000;
-  out = audit::auditReport({audit::readAuditLog(one), audit::readAuditLog(two)}, ask);
+  query.from = noon + 3600000;
+  out = audit::auditReport({audit::readAuditLog(one), audit::readAuditLog(two)}, query);
   CHECK(out.value("regimes").toObject().value("health").toArray().size() == 1);
-  ask.until = noon + 3600000;
-  CHECK(audit::auditReport({audit::readAuditLog(one), audit::readAuditLog(two)}, ask)
+  query.until = noon + 3600000;
+  CHECK(audit::auditReport({audit::readAuditLog(one), audit::readAuditLog(two)}, query)
             .value("regimes")
             .toObject()
             .isEmpty());
--- a/audit/test/golden_test.cpp
+++ b/audit/test/golden_test.cpp
@@ -34,24 +34,24 @@
 }
 
 /// Counts each kind once and the n-th one n times more, over two spans.
-void countAll(audit::AuditLog& trail, std::int64_t wall) {
+void countAll(audit::AuditLog& log, std::int64_t wall) {
   std::vector<audit::RecordCategory> const all = kinds();
-  for (audit::RecordCategory const& kind : all) trail.countOutcome(kind, wall);
+  for (audit::RecordCategory const& kind : all) log.countOutcome(kind, wall);
   for (std::size_t i = 0; i < all.size(); ++i)
-    for (std::size_t n = 0; n < i; ++n) trail.countOutcome(all[i], wall + 100);
-  trail.onTimer(wall + audit::countPeriodMs - 1);
-  trail.onTimer(wall + audit::countPeriodMs);
-  trail.countOutcome(all.front(), wall + audit::countPeriodMs + 5);
-  trail.countOutcome(all.front(), wall + audit::countPeriodMs + 6);
+    for (std::size_t n = 0; n < i; ++n) log.countOutcome(all[i], wall + 100);
+  log.onTimer(wall + audit::countPeriodMs - 1);
+  log.onTimer(wall + audit::countPeriodMs);
+  log.countOutcome(all.front(), wall + audit::countPeriodMs + 5);
+  log.countOutcome(all.front(), wall + audit::countPeriodMs + 6);
 }
 
 /// One file with all records that there are.
 golden::Files oneFile() {
   golden::NotingFolder folder;
-  audit::AuditLog trail(folder, "n1", noon);
-  trail.probeDisk(noon + 1);
-  countAll(trail, noon + 2);
-  trail.close(noon + 2 * audit::countPeriodMs);
+  audit::AuditLog log(folder, "n1", noon);
+  log.probeDisk(noon + 1);
+  countAll(log, noon + 2);
+  log.close(noon + 2 * audit::countPeriodMs);
   return golden::filesOf(folder);
 }
 
@@ -59,18 +59,18 @@
 golden::Files boundedFiles() {
   golden::NotingFolder folder;
   {
-    audit::AuditLog trail(folder, "n2", noon, smallFiles);
-    countAll(trail, noon + 10);
+    audit::AuditLog log(folder, "n2", noon, smallFiles);
+    countAll(log, noon + 10);
   }
   {
-    audit::AuditLog trail(folder, "n2", noon + 10 * audit::countPeriodMs, smallFiles);
-    trail.countOutcome(kinds().at(1), noon + 10 * audit::countPeriodMs + 1);
-    trail.countOutcome(kinds().at(1), noon + 10 * audit::countPeriodMs + 2);
-    trail.close(noon + 10 * audit::countPeriodMs + 3);
+    audit::AuditLog log(folder, "n2", noon + 10 * audit::countPeriodMs, smallFiles);
+    log.countOutcome(kinds().at(1), noon + 10 * audit::countPeriodMs + 1);
+    log.countOutcome(kinds().at(1), noon + 10 * audit::countPeriodMs + 2);
+    log.close(noon + 10 * audit::countPeriodMs + 3);
   }
-  audit::AuditLog trail(folder, "n2", noon + 70 * audit::countPeriodMs, smallFiles);
-  trail.countOutcome(kinds().at(3), noon + 70 * audit::countPeriodMs + 1);
-  trail.countOutcome(kinds().at(3), noon + 70 * audit::countPeriodMs + 2);
+  audit::AuditLog log(folder, "n2", noon + 70 * audit::countPeriodMs, smallFiles);
+  log.countOutcome(kinds().at(3), noon + 70 * audit::countPeriodMs + 1);
+  log.countOutcome(kinds().at(3), noon + 70 * audit::countPeriodMs + 2);
   return golden::filesOf(folder);
 }
 
@@ -143,13 +143,13 @@
   };
 }
 
-struct TamperedCopy {
+struct TamperedLog {
   char const* name;
   Tampering tamper;
 };
 
 /// What someone might do to the files of the recorded trail in bounded files.
-std::vector<TamperedCopy> tamperedCopies() {
+std::vector<TamperedLog> tamperedLogs() {
   using Lines = std::vector<std::string>;
   return {
       {"a count is changed",
@@ -198,11 +198,11 @@
 TEST_CASE("golden: a recorded trail is gone on with alike") {
   for (Scenario const& scenario : scenarios) DYNAMIC_SECTION(scenario.name) {
       golden::NotingFolder folder(golden::readFiles(folderName(scenario.name)));
-      audit::AuditLog trail(folder, "n1", noon + 90 * audit::countPeriodMs, smallFiles);
-      countAll(trail, noon + 90 * audit::countPeriodMs + 1);
-      std::string text = "not synced " + trail.takeUnsynced() + "\n";
-      trail.close(noon + 92 * audit::countPeriodMs);
-      text += "head " + std::to_string(trail.head().number) + " " + trail.head().hash + "\n";
+      audit::AuditLog log(folder, "n1", noon + 90 * audit::countPeriodMs, smallFiles);
+      countAll(log, noon + 90 * audit::countPeriodMs + 1);
+      std::string text = "not synced " + log.takeUnsynced() + "\n";
+      log.close(noon + 92 * audit::countPeriodMs);
+      text += "head " + std::to_string(log.head().number) + " " + log.head().hash + "\n";
       text += "changes\n" + folder.changes + "folder\n";
       text += golden::filesText(golden::filesOf(folder), golden::Form::text);
       golden::check(std::string("audit/test/golden/") + scenario.name + ".continued.txt", text);
@@ -210,13 +210,13 @@
 }
 
 TEST_CASE("golden: the report of recorded trails is the same") {
-  std::vector<audit::AuditLogView> const trails{recorded("one-file"), recorded("bounded-files")};
-  audit::AuditHead const& head = trails[1].head;
-  struct Row {
+  std::vector<audit::AuditLogView> const logs{recorded("one-file"), recorded("bounded-files")};
+  audit::AuditHead const& head = logs[1].head;
+  struct ReportCase {
     char const* name;
-    audit::ReportQuery ask;
+    audit::ReportQuery query;
   };
-  std::vector<Row> const rows{
+  std::vector<ReportCase> const cases{
       {"all", {}},
       {"one-regime", {"export", 0, 0, 3600000, {}}},
       {"part-of-time", {"", noon + audit::countPeriodMs, noon + 70 * audit::countPeriodMs, 3600000, {}}},
@@ -224,9 +224,9 @@
       {"heads-noted", {"none", 0, 0, 3600000, {{"n2", head}, {"n2", {1, "dropped since"}}}}},
       {"heads-missing",
        {"none", 0, 0, 3600000, {{"n2", {head.number, "other"}}, {"n2", {head.number + 1, head.hash}}, {"n3", head}}}}};
-  for (Row const& row : rows) DYNAMIC_SECTION(row.name) {
-      golden::check(std::string("audit/test/golden/report.") + row.name + ".txt",
-                    reportText(audit::auditReport(trails, row.ask)));
+  for (ReportCase const& reportCase : cases) DYNAMIC_SECTION(reportCase.name) {
+      golden::check(std::string("audit/test/golden/report.") + reportCase.name + ".txt",
+                    reportText(audit::auditReport(logs, reportCase.query)));
     }
   DYNAMIC_SECTION("torn end") {
     golden::check("audit/test/golden/report.torn-end.txt", reportText(audit::auditReport({recorded("torn-end")}, {})));
@@ -235,14 +235,14 @@
 
 TEST_CASE("golden: what is found in a tampered copy of a recorded trail is the same") {
   golden::Files const files = golden::readFiles(folderName("bounded-files"));
-  audit::ReportQuery ask;
-  ask.regime = "none";
-  ask.heads = {{"n2", viewOf(files).head}};
+  audit::ReportQuery query;
+  query.regime = "none";
+  query.heads = {{"n2", viewOf(files).head}};
   std::string text;
-  for (TamperedCopy const& copy : tamperedCopies()) {
+  for (TamperedLog const& tampering : tamperedLogs()) {
     golden::Files tampered = files;
-    copy.tamper(tampered);
-    text += std::string(copy.name) + "\n" + core::jsonText(audit::auditReport({viewOf(tampered)}, ask)) + "\n";
+    tampering.tamper(tampered);
+    text += std::string(tampering.name) + "\n" + core::jsonText(audit::auditReport({viewOf(tampered)}, query)) + "\n";
   }
   golden::check("audit/test/golden/tampered.txt", text);
 }
--- a/config/include/corkward/config/regimes.h
+++ b/config/include/corkward/config/regimes.h
@@ -37,9 +37,9 @@
 
 /// What a regime demands.
 struct Regime {
-  /// Only certified routers hand its requests on.
+  /// Only certified routers may forward its requests.
   bool requiresCertifiedRouters = true;
-  /// Share of a certified replica's room that work of no regime leaves free; 1: it never goes there.
+  /// Fraction of a certified replica's capacity that work of no regime leaves free; 1: it never goes there.
   double reservedFraction = 0.5;
 };
 
@@ -62,13 +62,13 @@
 /// The same from a value as it is kept; none when there is no such value.
 Regimes readStoredRegimes(QJsonObject const& value);
 
-/// Whether it counts at that moment.
-bool isInForce(Certificate const& certificate, WallTime now);
+/// Whether it is valid at that moment, with clockMarginMs to spare on both sides; never without a time.
+bool isValidAt(Certificate const& certificate, WallTime now);
 /// The certificate under which this replica may have requests of the regime now; null: none, or in doubt. A replica
-/// whose life is not told has none.
+/// whose incarnation is unknown has none.
 Certificate const* findCertificate(Regimes const& regimes, std::string const& regime, std::string const& pool,
                                    Replica const& replica, WallTime now);
-/// Whether this router may hand requests of the regime on now.
+/// Whether this router may forward requests of the regime now.
 bool routerMayForward(Regimes const& regimes, std::string const& regime, std::string const& link,
                       std::string const& zone, WallTime now);
 
--- a/config/src/fleet_configuration.cpp
+++ b/config/src/fleet_configuration.cpp
@@ -13,30 +13,30 @@
 
 using core::toStdString;
 
-constexpr core::Tick never = std::numeric_limits<core::Tick>::max();
+constexpr core::Tick unbounded = std::numeric_limits<core::Tick>::max();
 /// Largest number of milliseconds, bytes, tokens or requests that a configuration may say.
-constexpr qint64 mostNumber = qint64{1} << 40;
-constexpr qint64 mostCount = qint64{1} << 30;
-constexpr qint64 mostVersion = qint64{1} << 53;
-constexpr std::size_t maxPlace = 1024;
+constexpr qint64 maxNumber = qint64{1} << 40;
+constexpr qint64 maxCount = qint64{1} << 30;
+constexpr qint64 maxVersion = qint64{1} << 53;
+constexpr std::size_t maxAddressBytes = 1024;
 
-/// A path is of the first class whose row holds for it.
+/// A path is of the first class whose rule holds for it.
 struct ClassRule {
   RequestClass cls;
-  core::Tick aimAtMost;
-  core::Tick deadlineAtLeast;
+  core::Tick maxLatencyTarget;
+  core::Tick minDeadline;
 };
 
 constexpr ClassRule classRules[] = {
-    {RequestClass::urgent, 400, 0}, {RequestClass::bulk, never, 10000}, {RequestClass::quick, never, 0}};
+    {RequestClass::urgent, 400, 0}, {RequestClass::bulk, unbounded, 10000}, {RequestClass::quick, unbounded, 0}};
 
-struct KindRow {
+struct KindRule {
   char const* name;
   bool repeatable;
   bool stream;
 };
 
-constexpr KindRow kindTable[] = {{"once", false, false}, {"repeatable", true, false}, {"stream", false, true}};
+constexpr KindRule kindRules[] = {{"once", false, false}, {"repeatable", true, false}, {"stream", false, true}};
 
 QJsonArray listAt(QJsonObject const& o, char const* name, std::string const& at, std::size_t most) {
   QJsonValue const v = o.value(QLatin1String(name));
@@ -53,7 +53,7 @@
   return v.toObject();
 }
 
-void objectIfSaid(QJsonObject const& o, char const* name, std::string const& at) {
+void optionalObject(QJsonObject const& o, char const* name, std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
   if (!v.isUndefined() && !v.isObject()) throw ConfigError(at + "/" + name, "must be an object");
 }
@@ -75,7 +75,7 @@
   return v.toInteger();
 }
 
-qint64 neededInteger(QJsonObject const& o, char const* name, qint64 least, qint64 most, std::string const& at) {
+qint64 requiredInteger(QJsonObject const& o, char const* name, qint64 least, qint64 most, std::string const& at) {
   if (!o.contains(QLatin1String(name))) throw ConfigError(at + "/" + name, "missing");
   return integer(o, name, least, most, 0, at);
 }
@@ -94,83 +94,83 @@
   return name;
 }
 
-std::vector<WeightedPool> readShares(QJsonObject const& row, PoolNames const& pools, std::string const& at) {
-  if (row.contains("pool")) {
-    if (row.contains("shares")) throw ConfigError(at + "/shares", "stands beside pool");
-    return {WeightedPool{knownPool(row, pools, at), 1}};
+std::vector<WeightedPool> readShares(QJsonObject const& object, PoolNames const& pools, std::string const& at) {
+  if (object.contains("pool")) {
+    if (object.contains("shares")) throw ConfigError(at + "/shares", "stands beside pool");
+    return {WeightedPool{knownPool(object, pools, at), 1}};
   }
-  QJsonValue const v = row.value("shares");
+  QJsonValue const v = object.value("shares");
   if (!v.isArray())
     throw ConfigError(at + (v.isUndefined() ? "/pool" : "/shares"),
                       v.isUndefined() ? "missing, and no shares" : "must be a list");
   std::vector<WeightedPool> out;
   QJsonArray const list = v.toArray();
   for (qsizetype i = 0; i < list.size(); ++i) {
-    std::string const place = at + "/shares/" + std::to_string(i);
-    QJsonObject const one = itemAt(list, i, place);
-    onlyFields(one, {"pool", "share"}, place);
-    WeightedPool const share{knownPool(one, pools, place),
-                             static_cast<std::uint32_t>(neededInteger(one, "share", 0, mostCount, place))};
+    std::string const pointer = at + "/shares/" + std::to_string(i);
+    QJsonObject const one = itemAt(list, i, pointer);
+    onlyFields(one, {"pool", "share"}, pointer);
+    WeightedPool const share{knownPool(one, pools, pointer),
+                             static_cast<std::uint32_t>(requiredInteger(one, "share", 0, maxCount, pointer))};
     if (share.weight > 0) out.push_back(share);
   }
   if (out.empty()) throw ConfigError(at + "/shares", "the weights sum to 0");
   return out;
 }
 
-PoolSettings readPoolTerms(QJsonObject const& row, std::string const& at) {
-  onlyFields(row, {"name", "standing", "connections", "coldRate", "coldMs", "slots", "tokens", "extra"}, at);
+PoolSettings readPool(QJsonObject const& object, std::string const& at) {
+  onlyFields(object, {"name", "standing", "connections", "coldRate", "coldMs", "slots", "tokens", "extra"}, at);
   PoolSettings out;
-  out.name = text(row, "name", maxTextBytes, at);
-  if (row.contains("standing") && text(row, "standing", maxPlace, at).front() != '/')
+  out.name = text(object, "name", maxTextBytes, at);
+  if (object.contains("standing") && text(object, "standing", maxAddressBytes, at).front() != '/')
     throw ConfigError(at + "/standing", "must begin with /");
-  out.maxConnections = static_cast<int>(integer(row, "connections", 0, mostCount, 0, at));
-  QJsonValue const rate = row.value("coldRate");
+  out.maxConnections = static_cast<int>(integer(object, "connections", 0, maxCount, 0, at));
+  QJsonValue const rate = object.value("coldRate");
   out.slowStartRate = rate.toDouble(rate.isUndefined() ? 0 : -1);
-  if (!(out.slowStartRate >= 0 && out.slowStartRate <= static_cast<double>(mostCount)))
-    throw ConfigError(at + "/coldRate", "must be a number, 0 to " + std::to_string(mostCount));
-  out.slowStartDuration = integer(row, "coldMs", 0, mostNumber, 0, at);
-  out.concurrentRequests = static_cast<int>(integer(row, "slots", 0, mostCount, 0, at));
-  out.prefixCacheTokens = integer(row, "tokens", 0, mostNumber, 0, at);
-  objectIfSaid(row, "extra", at);
+  if (!(out.slowStartRate >= 0 && out.slowStartRate <= static_cast<double>(maxCount)))
+    throw ConfigError(at + "/coldRate", "must be a number, 0 to " + std::to_string(maxCount));
+  out.slowStartDuration = integer(object, "coldMs", 0, maxNumber, 0, at);
+  out.concurrentRequests = static_cast<int>(integer(object, "slots", 0, maxCount, 0, at));
+  out.prefixCacheTokens = integer(object, "tokens", 0, maxNumber, 0, at);
+  optionalObject(object, "extra", at);
   return out;
 }
 
-Path readPath(QJsonObject const& row, PoolNames const& pools, std::string const& at) {
-  onlyFields(row,
+Path readPath(QJsonObject const& object, PoolNames const& pools, std::string const& at) {
+  onlyFields(object,
              {"name", "host", "prefix", "kind", "deadlineMs", "aimMs", "gapAimMs", "urgency", "tries", "resumable",
               "affine", "pool", "shares", "open", "extra"},
              at);
   Path out;
-  out.instance = text(row, "name", maxTextBytes, at);
-  out.host = text(row, "host", maxPlace, at);
-  out.prefix = text(row, "prefix", maxPlace, at);
+  out.instance = text(object, "name", maxTextBytes, at);
+  out.host = text(object, "host", maxAddressBytes, at);
+  out.prefix = text(object, "prefix", maxAddressBytes, at);
   if (out.prefix.front() != '/' || out.prefix.back() != '/')
     throw ConfigError(at + "/prefix", "must begin and end with /");
-  QString const kind = row.value("kind").toString();
-  KindRow const* const found = std::find_if(std::begin(kindTable), std::end(kindTable),
-                                            [&](KindRow const& k) { return kind == QLatin1String(k.name); });
-  if (found == std::end(kindTable)) throw ConfigError(at + "/kind", "must be once, repeatable or stream");
-  out.deadline = neededInteger(row, "deadlineMs", 1, mostNumber, at);
-  out.latencyTarget = integer(row, "aimMs", 0, mostNumber, 0, at);
-  core::Tick const aim = out.latencyTarget > 0 ? out.latencyTarget : never;
+  QString const kind = object.value("kind").toString();
+  KindRule const* const found = std::find_if(std::begin(kindRules), std::end(kindRules),
+                                             [&](KindRule const& k) { return kind == QLatin1String(k.name); });
+  if (found == std::end(kindRules)) throw ConfigError(at + "/kind", "must be once, repeatable or stream");
+  out.deadline = requiredInteger(object, "deadlineMs", 1, maxNumber, at);
+  out.latencyTarget = integer(object, "aimMs", 0, maxNumber, 0, at);
+  core::Tick const target = out.latencyTarget > 0 ? out.latencyTarget : unbounded;
   out.requestClass = std::find_if(std::begin(classRules), std::end(classRules), [&](ClassRule const& r) {
-                       return aim <= r.aimAtMost && out.deadline >= r.deadlineAtLeast;
+                       return target <= r.maxLatencyTarget && out.deadline >= r.minDeadline;
                      })->cls;
   if (out.latencyTarget == 0)
     out.latencyTarget = std::find_if(std::begin(requestClassDefaults), std::end(requestClassDefaults),
                                      [&](RequestClassDefaults const& c) { return c.requestClass == out.requestClass; })
                             ->latencyTarget;
-  out.eventGapTarget = integer(row, "gapAimMs", 0, mostNumber, 0, at);
-  out.urgency = static_cast<int>(integer(row, "urgency", 0, 9, 5, at));
-  out.maxAttempts = static_cast<int>(integer(row, "tries", 1, mostCount, 1, at));
+  out.eventGapTarget = integer(object, "gapAimMs", 0, maxNumber, 0, at);
+  out.urgency = static_cast<int>(integer(object, "urgency", 0, 9, 5, at));
+  out.maxAttempts = static_cast<int>(integer(object, "tries", 1, maxCount, 1, at));
   out.stream = found->stream;
-  out.resumable = flag(row, "resumable", at) && out.stream;
+  out.resumable = flag(object, "resumable", at) && out.stream;
   out.idempotent = found->repeatable || out.resumable;
-  flag(row, "affine", at);
-  out.isPublic = flag(row, "open", at);
-  out.weightedPools = readShares(row, pools, at);
+  flag(object, "affine", at);
+  out.isPublic = flag(object, "open", at);
+  out.weightedPools = readShares(object, pools, at);
   out.pool = out.weightedPools.front().pool;
-  objectIfSaid(row, "extra", at);
+  optionalObject(object, "extra", at);
   return out;
 }
 
@@ -178,39 +178,39 @@
   QJsonValue const v = o.value(QLatin1String(name));
   if (v.isUndefined() || v.isNull()) return 0;
   double const out = v.toDouble(-1);
-  if (!(out >= 0 && out <= static_cast<double>(mostNumber)))
-    throw ConfigError(at + "/" + name, "must be a number, 0 to " + std::to_string(mostNumber));
+  if (!(out >= 0 && out <= static_cast<double>(maxNumber)))
+    throw ConfigError(at + "/" + name, "must be a number, 0 to " + std::to_string(maxNumber));
   return out;
 }
 
-std::vector<std::string> readKeys(QJsonObject const& row, std::string const& at) {
+std::vector<std::string> readKeys(QJsonObject const& object, std::string const& at) {
   std::vector<std::string> out;
-  QJsonArray const list = row.contains("keys") ? listAt(row, "keys", at, maxTenantKeys) : QJsonArray();
+  QJsonArray const list = object.contains("keys") ? listAt(object, "keys", at, maxTenantKeys) : QJsonArray();
   for (qsizetype i = 0; i < list.size(); ++i) {
     std::string key = toStdString(list.at(i).toString());
-    if (key.empty() || key.size() > maxPlace)
+    if (key.empty() || key.size() > maxAddressBytes)
       throw ConfigError(at + "/keys/" + std::to_string(i),
-                        "must be a text of 1 to " + std::to_string(maxPlace) + " bytes");
+                        "must be a text of 1 to " + std::to_string(maxAddressBytes) + " bytes");
     out.push_back(std::move(key));
   }
   return out;
 }
 
-Tenant readTenant(QJsonObject const& row, std::string const& at) {
-  onlyFields(row, {"name", "keys", "urgency", "rate", "burst", "unit", "plainTokens", "extra"}, at);
+Tenant readTenant(QJsonObject const& object, std::string const& at) {
+  onlyFields(object, {"name", "keys", "urgency", "rate", "burst", "unit", "plainTokens", "extra"}, at);
   Tenant out;
-  out.name = text(row, "name", maxTextBytes, at);
-  out.keys = readKeys(row, at);
-  if (!row.value("urgency").isUndefined() && !row.value("urgency").isNull())
-    out.urgency = static_cast<int>(integer(row, "urgency", 0, 9, 5, at));
-  out.ratePerSecond = amount(row, "rate", at);
-  out.burst = amount(row, "burst", at);
-  QJsonValue const unit = row.value("unit");
+  out.name = text(object, "name", maxTextBytes, at);
+  out.keys = readKeys(object, at);
+  if (!object.value("urgency").isUndefined() && !object.value("urgency").isNull())
+    out.urgency = static_cast<int>(integer(object, "urgency", 0, 9, 5, at));
+  out.ratePerSecond = amount(object, "rate", at);
+  out.burst = amount(object, "burst", at);
+  QJsonValue const unit = object.value("unit");
   if (!unit.isUndefined() && unit.toString() != "tokens" && unit.toString() != "requests")
     throw ConfigError(at + "/unit", "must be tokens or requests");
   out.inTokens = unit.toString() == "tokens";
-  out.defaultTokens = integer(row, "plainTokens", 0, mostNumber, 0, at);
-  objectIfSaid(row, "extra", at);
+  out.defaultTokens = integer(object, "plainTokens", 0, maxNumber, 0, at);
+  optionalObject(object, "extra", at);
   return out;
 }
 
@@ -220,10 +220,10 @@
   if (!spec.contains("tenants")) return out;
   std::unordered_set<std::string> names;
   std::unordered_set<std::string> keys;
-  QJsonArray const rows = listAt(spec, "tenants", "", maxTenants);
-  for (qsizetype i = 0; i < rows.size(); ++i) {
+  QJsonArray const tenants = listAt(spec, "tenants", "", maxTenants);
+  for (qsizetype i = 0; i < tenants.size(); ++i) {
     std::string const at = "/tenants/" + std::to_string(i);
-    out.push_back(readTenant(itemAt(rows, i, at), at));
+    out.push_back(readTenant(itemAt(tenants, i, at), at));
     if (!names.insert(out.back().name).second) throw ConfigError(at + "/name", "stands twice");
     for (std::string const& key : out.back().keys)
       if (!keys.insert(key).second) throw ConfigError(at + "/keys", "a key stands twice");
@@ -234,13 +234,13 @@
 HttpLimits readHttp(QJsonValue const& v) {
   if (v.isUndefined()) return {};
   if (!v.isObject()) throw ConfigError("/door", "must be an object");
-  QJsonObject const row = v.toObject();
-  onlyFields(row, {"headBytes", "bodyBytes", "headMs", "idleMs"}, "/door");
+  QJsonObject const object = v.toObject();
+  onlyFields(object, {"headBytes", "bodyBytes", "headMs", "idleMs"}, "/door");
   HttpLimits out;
-  out.headerByteLimit = static_cast<std::uint32_t>(integer(row, "headBytes", 0, mostCount, 0, "/door"));
-  out.bodyByteLimit = static_cast<std::uint64_t>(integer(row, "bodyBytes", 0, mostNumber, 0, "/door"));
-  out.headerTimeout = integer(row, "headMs", 0, mostNumber, 0, "/door");
-  out.idleTimeout = integer(row, "idleMs", 0, mostNumber, 0, "/door");
+  out.headerByteLimit = static_cast<std::uint32_t>(integer(object, "headBytes", 0, maxCount, 0, "/door"));
+  out.bodyByteLimit = static_cast<std::uint64_t>(integer(object, "bodyBytes", 0, maxNumber, 0, "/door"));
+  out.headerTimeout = integer(object, "headMs", 0, maxNumber, 0, "/door");
+  out.idleTimeout = integer(object, "idleMs", 0, maxNumber, 0, "/door");
   return out;
 }
 
@@ -255,19 +255,19 @@
     if (!fresh.emplace(name, items.at(i)).second) throw ConfigError(at + "/name", "stands twice");
     order.push_back(name);
   }
-  std::unordered_set<std::string> gone;
+  std::unordered_set<std::string> dropped;
   QJsonArray const names = drop.contains(QLatin1String(list)) ? listAt(drop, list, "/drop", maxPaths) : QJsonArray();
   for (qsizetype i = 0; i < names.size(); ++i) {
     std::string const at = std::string("/drop/") + list + "/" + std::to_string(i);
     if (!names.at(i).isString()) throw ConfigError(at, "must be a name");
     std::string const name = toStdString(names.at(i).toString());
     if (fresh.count(name) > 0) throw ConfigError(at, "is set in the same change");
-    gone.insert(name);
+    dropped.insert(name);
   }
   QJsonArray out;
   for (QJsonValue const item : current) {
     std::string const name = toStdString(item.toObject().value("name").toString());
-    if (gone.count(name) > 0) continue;
+    if (dropped.count(name) > 0) continue;
     auto const it = fresh.find(name);
     out.append(it == fresh.end() ? item : it->second);
     if (it != fresh.end()) fresh.erase(it);
@@ -284,29 +284,29 @@
 FleetConfiguration readFleetConfiguration(QJsonObject const& spec) {
   onlyFields(spec, {"version", "paths", "pools", "tenants", "door", "extra"}, "");
   FleetConfiguration out;
-  out.version = static_cast<std::uint64_t>(neededInteger(spec, "version", 1, mostVersion, ""));
+  out.version = static_cast<std::uint64_t>(requiredInteger(spec, "version", 1, maxVersion, ""));
   PoolNames pools;
-  QJsonArray const poolRows = listAt(spec, "pools", "", maxPools);
-  for (qsizetype i = 0; i < poolRows.size(); ++i) {
+  QJsonArray const poolValues = listAt(spec, "pools", "", maxPools);
+  for (qsizetype i = 0; i < poolValues.size(); ++i) {
     std::string const at = "/pools/" + std::to_string(i);
-    out.pools.push_back(readPoolTerms(itemAt(poolRows, i, at), at));
+    out.pools.push_back(readPool(itemAt(poolValues, i, at), at));
     if (!pools.insert(out.pools.back().name).second) throw ConfigError(at + "/name", "stands twice");
   }
   std::unordered_set<std::string> names;
-  std::set<std::pair<std::string, std::string>> places;
-  QJsonArray const pathRows = listAt(spec, "paths", "", maxPaths);
-  out.paths.reserve(static_cast<std::size_t>(pathRows.size()));
-  for (qsizetype i = 0; i < pathRows.size(); ++i) {
+  std::set<std::pair<std::string, std::string>> routes;
+  QJsonArray const pathValues = listAt(spec, "paths", "", maxPaths);
+  out.paths.reserve(static_cast<std::size_t>(pathValues.size()));
+  for (qsizetype i = 0; i < pathValues.size(); ++i) {
     std::string const at = "/paths/" + std::to_string(i);
-    out.paths.push_back(readPath(itemAt(pathRows, i, at), pools, at));
+    out.paths.push_back(readPath(itemAt(pathValues, i, at), pools, at));
     Path const& p = out.paths.back();
     if (!names.insert(p.instance).second) throw ConfigError(at + "/name", "stands twice");
-    if (!places.emplace(p.host, p.prefix).second)
+    if (!routes.emplace(p.host, p.prefix).second)
       throw ConfigError(at + "/prefix", "another path has the same host and prefix");
   }
   out.tenants = readTenants(spec);
   out.http = readHttp(spec.value("door"));
-  objectIfSaid(spec, "extra", "");
+  optionalObject(spec, "extra", "");
   return out;
 }
 
@@ -314,7 +314,7 @@
   onlyFields(patch, {"version", "set", "drop", "door", "extra"}, "");
   if (!patch.contains("version")) throw ConfigError("/version", "missing");
   for (char const* part : {"set", "drop"}) {
-    objectIfSaid(patch, part, "");
+    optionalObject(patch, part, "");
     onlyFields(patch.value(QLatin1String(part)).toObject(), {"paths", "pools", "tenants"}, std::string("/") + part);
   }
   QJsonObject const set = patch.value("set").toObject();
--- a/config/src/regimes.cpp
+++ b/config/src/regimes.cpp
@@ -57,26 +57,26 @@
   return part.value(name).toObject();
 }
 
-Regime readRegime(QJsonObject const& row, std::string const& at) {
-  onlyFields(row, {"nacelles", "reserve", "note"}, at);
-  noteAt(row, at);
+Regime readRegime(QJsonObject const& object, std::string const& at) {
+  onlyFields(object, {"nacelles", "reserve", "note"}, at);
+  noteAt(object, at);
   Regime out;
-  QString const routers = row.value("nacelles").toString();
+  QString const routers = object.value("nacelles").toString();
   if (routers != QLatin1String("certified") && routers != QLatin1String("any"))
     throw ConfigError(at + "/nacelles", "must be certified or any");
   out.requiresCertifiedRouters = routers == QLatin1String("certified");
-  if (row.contains("reserve")) {
-    out.reservedFraction = row.value("reserve").toDouble(-1);
+  if (object.contains("reserve")) {
+    out.reservedFraction = object.value("reserve").toDouble(-1);
     if (!(out.reservedFraction >= 0 && out.reservedFraction <= 1))
       throw ConfigError(at + "/reserve", "must be a number from 0 to 1");
   }
   return out;
 }
 
-Certificate readCertificate(std::string const& name, QJsonObject const& row, std::string const& at) {
+Certificate readCertificate(std::string const& name, QJsonObject const& object, std::string const& at) {
   Certificate out;
   out.name = name;
-  QString const carrier = row.value("carrier").toString();
+  QString const carrier = object.value("carrier").toString();
   if (carrier == QLatin1String("replicas"))
     out.subject = CertificateSubject::replicas;
   else if (carrier == QLatin1String("nacelles"))
@@ -85,26 +85,27 @@
     throw ConfigError(at + "/carrier", "must be replicas or routers");
   bool const replicas = out.subject == CertificateSubject::replicas;
   if (replicas)
-    onlyFields(row, {"regime", "carrier", "pool", "zone", "address", "life", "from", "until", "note"}, at);
+    onlyFields(object, {"regime", "carrier", "pool", "zone", "address", "life", "from", "until", "note"}, at);
   else
-    onlyFields(row, {"regime", "carrier", "zone", "link", "from", "until", "note"}, at);
-  noteAt(row, at);
-  out.regime = nameAt(row, "regime", at);
-  out.zone = toStdString(row.value("zone").toString());
-  if (!isValidLabel(out.zone)) throw ConfigError(at + "/zone", row.contains("zone") ? "not a valid name" : "missing");
+    onlyFields(object, {"regime", "carrier", "zone", "link", "from", "until", "note"}, at);
+  noteAt(object, at);
+  out.regime = nameAt(object, "regime", at);
+  out.zone = toStdString(object.value("zone").toString());
+  if (!isValidLabel(out.zone))
+    throw ConfigError(at + "/zone", object.contains("zone") ? "not a valid name" : "missing");
   if (replicas) {
-    out.pool = textAt(row, "pool", at);
+    out.pool = textAt(object, "pool", at);
     if (out.pool.empty()) throw ConfigError(at + "/pool", "missing");
-    out.address = textAt(row, "address", at);
-    out.incarnation = textAt(row, "life", at);
+    out.address = textAt(object, "address", at);
+    out.incarnation = textAt(object, "life", at);
     if (out.address.empty() && !out.incarnation.empty()) throw ConfigError(at + "/address", "missing beside life");
     if (!out.address.empty() && out.incarnation.empty())
       throw ConfigError(at + "/life", "missing beside address: an address alone carries no certificate");
   } else {
-    out.link = textAt(row, "link", at);
+    out.link = textAt(object, "link", at);
   }
-  out.from = row.contains("from") ? timeAt(row, "from", at) : 0;
-  out.until = timeAt(row, "until", at);
+  out.from = object.contains("from") ? timeAt(object, "from", at) : 0;
+  out.until = timeAt(object, "until", at);
   if (out.until - out.from <= 2 * clockMarginMs)
     throw ConfigError(at + "/until",
                       "must be more than " + std::to_string(2 * clockMarginMs / 1000) + " s after the beginning");
@@ -136,7 +137,7 @@
   return value.contains("spec") ? readRegimes(value.value("spec").toObject()) : Regimes{};
 }
 
-bool isInForce(Certificate const& certificate, WallTime now) {
+bool isValidAt(Certificate const& certificate, WallTime now) {
   return now && (certificate.from == 0 || *now >= certificate.from + clockMarginMs) &&
          *now < certificate.until - clockMarginMs;
 }
@@ -144,11 +145,13 @@
 Certificate const* findCertificate(Regimes const& regimes, std::string const& regime, std::string const& pool,
                                    Replica const& replica, WallTime now) {
   if (replica.id.empty() || regimes.regimes.count(regime) == 0) return nullptr;
-  for (auto const& [id, c] : regimes.certificates) {
-    if (c.subject != CertificateSubject::replicas || c.regime != regime || c.pool != pool || c.zone != replica.zone ||
-        !isInForce(c, now))
+  for (auto const& [name, certificate] : regimes.certificates) {
+    if (certificate.subject != CertificateSubject::replicas || certificate.regime != regime ||
+        certificate.pool != pool || certificate.zone != replica.zone || !isValidAt(certificate, now))
       continue;
-    if (c.incarnation.empty() || (c.incarnation == replica.id && c.address == replica.address)) return &c;
+    if (certificate.incarnation.empty() ||
+        (certificate.incarnation == replica.id && certificate.address == replica.address))
+      return &certificate;
   }
   return nullptr;
 }
@@ -159,9 +162,10 @@
   if (it == regimes.regimes.end() || !now) return false;
   if (!it->second.requiresCertifiedRouters) return true;
   return std::any_of(regimes.certificates.begin(), regimes.certificates.end(), [&](auto const& entry) {
-    Certificate const& c = entry.second;
-    return c.subject == CertificateSubject::routers && c.regime == regime && c.zone == zone &&
-           (c.link.empty() || c.link == link) && isInForce(c, now);
+    Certificate const& certificate = entry.second;
+    return certificate.subject == CertificateSubject::routers && certificate.regime == regime &&
+           certificate.zone == zone && (certificate.link.empty() || certificate.link == link) &&
+           isValidAt(certificate, now);
   });
 }
 
@@ -171,10 +175,10 @@
   if (it == regimes.regimes.end()) return RegimeFault{"/regimes/" + regime, "no regime named " + regime};
   bool replicas = false;
   bool routers = !it->second.requiresCertifiedRouters;
-  for (auto const& [id, c] : regimes.certificates) {
-    if (c.regime != regime || (now && *now >= c.until - clockMarginMs)) continue;
-    replicas = replicas || (c.subject == CertificateSubject::replicas && c.pool == pool);
-    routers = routers || c.subject == CertificateSubject::routers;
+  for (auto const& [name, certificate] : regimes.certificates) {
+    if (certificate.regime != regime || (now && *now >= certificate.until - clockMarginMs)) continue;
+    replicas = replicas || (certificate.subject == CertificateSubject::replicas && certificate.pool == pool);
+    routers = routers || certificate.subject == CertificateSubject::routers;
   }
   if (!replicas)
     return RegimeFault{"/certificates",
@@ -184,10 +188,10 @@
 }
 
 std::vector<RegimeRequirement> regimeRequirements(std::vector<Path> const& paths) {
-  std::set<std::tuple<std::string, std::string, std::string>> seen;
+  std::set<std::tuple<std::string, std::string, std::string>> reported;
   std::vector<RegimeRequirement> out;
   for (Path const& p : paths)
-    if (!p.regime.empty() && seen.emplace(p.instance, p.regime, p.pool).second)
+    if (!p.regime.empty() && reported.emplace(p.instance, p.regime, p.pool).second)
       out.push_back(RegimeRequirement{p.instance, p.regime, p.pool});
   return out;
 }
--- a/config/test/fleet_configuration_test.cpp
+++ b/config/test/fleet_configuration_test.cpp
@@ -132,12 +132,10 @@
     char const* pointer;
   };
   std::string const at = R"("name":"p","host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"a")";
-  std::function<std::string(std::string const&)> const rowsOf = [](std::string const& rows) {
+  auto const rowsOf = [](std::string const& rows) {
     return R"({"version":1,"pools":[{"name":"a"}],"paths":[)" + rows + "]}";
   };
-  std::function<std::string(std::string const&)> const poolsOf = [](std::string const& rows) {
-    return R"({"version":1,"paths":[],"pools":[)" + rows + "]}";
-  };
+  auto const poolsOf = [](std::string const& rows) { return R"({"version":1,"paths":[],"pools":[)" + rows + "]}"; };
   Row const rows[] = {
       {"{}", "/version"},
       {R"({"version":0,"paths":[],"pools":[]})", "/version"},
@@ -253,8 +251,7 @@
   config::EndpointList const p = config::readEndpointList(object(
       R"({"generation":1,"replicas":[{"id":"i-7f","address":"127.0.0.1:80","zone":"z","state":"cold"},{"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
   CHECK((p.replicas.at(0).id == "i-7f" && p.replicas.at(1).id.empty()));
-  std::function<std::string(std::string const&, std::string const&)> const fault =
-      [](std::string const& one, std::string const& two) -> std::string {
+  auto const fault = [](std::string const& one, std::string const& two) -> std::string {
     try {
       config::readEndpointList(object(R"({"generation":1,"replicas":[{"id":)" + one +
                                       R"(,"address":"127.0.0.1:80","zone":"z","state":"cold"},{"id":)" + two +
@@ -272,7 +269,7 @@
 }
 
 TEST_CASE("tenants that are not valid are rejected with their place") {
-  std::function<std::string(std::string const&)> const fault = [](std::string const& tenants) {
+  auto const fault = [](std::string const& tenants) {
     return faultOf(R"({"version":1,"paths":[],"pools":[],"tenants":)" + tenants + "}");
   };
   CHECK(fault(R"([{"name":"a","keys":["k"]},{"name":"b"}])").empty());
--- a/config/test/golden_test.cpp
+++ b/config/test/golden_test.cpp
@@ -157,7 +157,7 @@
   for (config::WallTime const& now : times) {
     text += "at " + (now ? std::to_string(*now) : std::string("no time")) + "\n";
     for (auto const& [name, certificate] : regimes.certificates)
-      text += "  counts " + name + ": " + std::to_string(config::isInForce(certificate, now)) + "\n";
+      text += "  counts " + name + ": " + std::to_string(config::isValidAt(certificate, now)) + "\n";
     text += certifiedText(regimes, now) + faultsText(regimes, now);
   }
   golden::check(forms::folder + "certificates-in-force.txt", text);
--- a/config/test/regimes_test.cpp
+++ b/config/test/regimes_test.cpp
@@ -37,11 +37,10 @@
 TEST_CASE("a replica is certified by its pool, zone and life, never by its address alone") {
   config::Regimes const r = config::readRegimes(object(good));
   config::WallTime const now = at("2026-03-01T00:00:00Z");
-  std::function<std::string(char const*, char const*, config::Replica const&, config::WallTime)> const under =
-      [&](char const* regime, char const* pool, config::Replica const& one, config::WallTime wall) {
-        config::Certificate const* const c = config::findCertificate(r, regime, pool, one, wall);
-        return c == nullptr ? std::string() : c->name;
-      };
+  auto const under = [&](char const* regime, char const* pool, config::Replica const& one, config::WallTime wall) {
+    config::Certificate const* const c = config::findCertificate(r, regime, pool, one, wall);
+    return c == nullptr ? std::string() : c->name;
+  };
   CHECK(under("health", "model", replica("10.0.0.5:80", "r1", "z1"), now) == "h-z1");
   CHECK(under("health", "model", replica("10.0.0.1:80", "r7", "z2"), now) == "h-one");
   CHECK(under("health", "model", replica("10.0.0.1:80", "r8", "z2"), now).empty());
@@ -58,12 +57,12 @@
 TEST_CASE("a certificate counts from a margin after its beginning to a margin before its end") {
   config::Regimes const r = config::readRegimes(object(good));
   config::Certificate const& c = r.certificates.at("h-z1");
-  CHECK_FALSE(config::isInForce(c, at("2026-01-01T00:00:59Z")));
-  CHECK(config::isInForce(c, at("2026-01-01T00:01:00Z")));
-  CHECK(config::isInForce(c, at("2026-12-31T23:58:59Z")));
-  CHECK_FALSE(config::isInForce(c, at("2026-12-31T23:59:00Z")));
-  CHECK_FALSE(config::isInForce(c, std::nullopt));
-  CHECK(config::isInForce(r.certificates.at("h-one"), 0));
+  CHECK_FALSE(config::isValidAt(c, at("2026-01-01T00:00:59Z")));
+  CHECK(config::isValidAt(c, at("2026-01-01T00:01:00Z")));
+  CHECK(config::isValidAt(c, at("2026-12-31T23:58:59Z")));
+  CHECK_FALSE(config::isValidAt(c, at("2026-12-31T23:59:00Z")));
+  CHECK_FALSE(config::isValidAt(c, std::nullopt));
+  CHECK(config::isValidAt(r.certificates.at("h-one"), 0));
 }
 
 TEST_CASE("a router is certified by its zone, or by link and zone, where the regime asks for it") {
--- a/consensus/src/failure_detector.cpp
+++ b/consensus/src/failure_detector.cpp
@@ -88,7 +88,7 @@
   return peer != nullptr && peer->draining;
 }
 
-Tick FailureDetector::silentFor(std::string const& memberId, std::string const& selfId, Tick now) const {
+Tick FailureDetector::timeSinceHeard(std::string const& memberId, std::string const& selfId, Tick now) const {
   PeerState const* const peer = find(memberId);
   return memberId == selfId || peer == nullptr ? 0 : now - std::max(peer->lastHeardAt, wokeAt_);
 }
--- a/consensus/src/failure_detector.h
+++ b/consensus/src/failure_detector.h
@@ -66,7 +66,7 @@
   /// The peer reported that it drains.
   bool isDraining(std::string const& memberId) const;
   /// Milliseconds since the peer was heard, less the time in which this machine slept; 0 for `selfId`.
-  Tick silentFor(std::string const& memberId, std::string const& selfId, Tick now) const;
+  Tick timeSinceHeard(std::string const& memberId, std::string const& selfId, Tick now) const;
   /// Live members that don't drain, without `selfId`: they can take over keys, and have state to copy.
   std::vector<Member> availablePeers(Membership const& membership, std::string const& selfId, Tick now) const;
   /// Each of the other members has reported which keys it owns.
--- a/consensus/src/membership_manager.cpp
+++ b/consensus/src/membership_manager.cpp
@@ -75,8 +75,8 @@
   return !context.selfIsMember() || !context.detector.hasQuorum();
 }
 
-Tick MembershipManager::silentFor(EventContext const& context, Member const& member) {
-  return context.detector.silentFor(member.id, context.local.id(), context.now);
+Tick MembershipManager::timeSinceHeard(EventContext const& context, Member const& member) {
+  return context.detector.timeSinceHeard(member.id, context.local.id(), context.now);
 }
 
 void MembershipManager::proposeNextChange(EventContext& context) {
@@ -106,7 +106,7 @@
     std::uint64_t const revision = isSelf ? context.catchUp.caughtUpRevision() : peer.caughtUpRevision;
     if ((isSelf || peer.voting) && (revision == current_.revision || unchecked))
       caughtUp.insert(member.id);
-    else if (silentFor(context, member) < context.tuning.ownerTimeout)
+    else if (timeSinceHeard(context, member) < context.tuning.ownerTimeout)
       return std::nullopt;
   }
   return caughtUp;
@@ -148,7 +148,7 @@
         std::find_if(current_.members.begin(), current_.members.end(),
                      [&, &link = candidate.link](Member const& member) { return member.link == link; });
     bool const returns = sameLink != current_.members.end();
-    if (returns && silentFor(context, *sameLink) <= context.tuning.ownerTimeout) continue;
+    if (returns && timeSinceHeard(context, *sameLink) <= context.tuning.ownerTimeout) continue;
     // A machine that returns with an empty disk replaces its former self, before any other machine is added.
     if (returns) return Addition{Member{memberId, candidate.link}, &*sameLink};
     if (!addition) addition = Addition{Member{memberId, candidate.link}, replaceable};
@@ -162,7 +162,8 @@
   Change change{{}, core::LogEvent{events::memberRemoved, {{"old", removed.id}, {"link", removed.link}}}};
   for (auto const& member : current_.members) {
     if (member.id == removed.id) continue;
-    if (caughtUp.count(member.id) == 0 || silentFor(context, member) > context.tuning.ownerTimeout) return std::nullopt;
+    if (caughtUp.count(member.id) == 0 || timeSinceHeard(context, member) > context.tuning.ownerTimeout)
+      return std::nullopt;
     change.members.push_back(member);
   }
   return change;
@@ -171,9 +172,9 @@
 Member const* MembershipManager::longestUnreachable(EventContext const& context) const {
   Member const* longest = nullptr;
   for (auto const& member : current_.members) {
-    Tick const silent = silentFor(context, member);
-    if (silent > context.tuning.replaceUnreachableAfter &&
-        (longest == nullptr || silentFor(context, *longest) < silent))
+    Tick const unheardFor = timeSinceHeard(context, member);
+    if (unheardFor > context.tuning.replaceUnreachableAfter &&
+        (longest == nullptr || timeSinceHeard(context, *longest) < unheardFor))
       longest = &member;
   }
   return longest;
@@ -184,7 +185,7 @@
     if (member.id == context.local.id() || !context.detector.isDraining(member.id)) continue;
     PeerState const& peer = *context.detector.find(member.id);
     bool const ownsNothing = peer.ownedKeysKnown && peer.ownedKeys.empty();
-    if (ownsNothing || silentFor(context, member) > context.tuning.ownerTimeout) return &member;
+    if (ownsNothing || timeSinceHeard(context, member) > context.tuning.ownerTimeout) return &member;
   }
   return nullptr;
 }
--- a/consensus/src/membership_manager.h
+++ b/consensus/src/membership_manager.h
@@ -76,7 +76,7 @@
   Member const* longestUnreachable(EventContext const& context) const;
   /// Another member that drains and owns no key any more; nullptr: none.
   Member const* drainedMember(EventContext const& context) const;
-  static Tick silentFor(EventContext const& context, Member const& member);
+  static Tick timeSinceHeard(EventContext const& context, Member const& member);
 
   /// Invariant: its revision never falls, and it is empty only while the revision is 0.
   Membership current_;
--- a/consensus/src/owner_monitor.h
+++ b/consensus/src/owner_monitor.h
@@ -20,7 +20,7 @@
   /// The owner had this member accept a value.
   void ownerAccepted(std::string const& memberId, Tick now);
   /// A candidate prepares a ballot: some member claims the key.
-  void candidateSeen() { unclaimed_ = false; }
+  void candidateHeard() { unclaimed_ = false; }
   /// Gives the owner or candidate a full timeout from now on.
   void restartTimeout(Tick now) { lastHeardAt_ = now; }
   /// This member starts an election.
--- a/consensus/src/register.cpp
+++ b/consensus/src/register.cpp
@@ -83,7 +83,7 @@
 void Register::onPrepare(EventContext& context, std::string const& from, transport::Prepare const& prepare,
                          bool fromOldMembership) {
   observeBallot(prepare.ballot);
-  ownerMonitor_.candidateSeen();
+  ownerMonitor_.candidateHeard();
   if (isRejected(context, prepare.ballot, fromOldMembership)) {
     context.send(from,
                  transport::Promise{key_, prepare.ballot, context.local.id(), false, acceptor_.promised(), {}, 0, {}});
--- a/consensus/test/cluster.h
+++ b/consensus/test/cluster.h
@@ -32,7 +32,7 @@
     bool frozen = false;
     Tick diskDelay = 2;
     int boots = 0;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
   };
 
   explicit Cluster(std::uint64_t seed, ConsensusTuning tuning = {}, std::vector<std::string> seeds = {"a", "b", "c"})
@@ -47,11 +47,11 @@
     m.writing = false;
     m.writes.clear();
     m.inbox.clear();
-    ++m.life;
+    ++m.incarnation;
     m.member = std::make_unique<ReplicatedRegisters>(Member{link + "#" + std::to_string(++m.boots), link},
                                                      std::move(founders), validator, rng.next(), tuning_);
     take(m, m.member->restore(m.disk, false, now));
-    clock(link, m.life);
+    clock(link, m.incarnation);
   }
 
   /// Ends the process; of the writes under way a random part has reached the disk.
@@ -61,7 +61,7 @@
     std::size_t keep = m.writes.empty() ? 0 : rng.below(m.writes.front().size() + 1);
     for (std::size_t i = 0; i < keep; ++i) m.disk[m.writes.front()[i].key] = m.writes.front()[i].payload;
     m.member.reset();
-    ++m.life;
+    ++m.incarnation;
   }
 
   /// Takes the machine away for good.
@@ -151,7 +151,7 @@
   int statusOf(std::uint64_t token) const { return answers.count(token) > 0 ? answers.at(token) : 0; }
   /// Keys of which some majority of the newest membership's disks lacks a mark that was acknowledged.
   std::vector<std::string> lostAcknowledged() {
-    std::vector<Held> disks;
+    std::vector<DiskState> disks;
     if (newest[membershipKey] == 0) return {};
     QJsonObject const membership = core::parseJson(committed_[{membershipKey, newest[membershipKey]}]).toObject();
     for (Member const& c : membersFromJson(membership))
@@ -159,18 +159,18 @@
         if (machine.disk.count("meta") == 0) continue;
         QJsonObject const meta = core::parseJson(machine.disk.at("meta")).toObject();
         if (core::toStdString(meta.value("id").toString()) == c.id && meta.value("voting").toBool())
-          disks.push_back(Held{c.id, &machine.disk, {}, false});
+          disks.push_back(DiskState{c.id, &machine.disk, {}, false});
       }
     std::size_t const most = membersFromJson(membership).size() / 2 + 1;
     std::vector<std::string> out;
     for (auto const& [key, values] : acknowledged) {
-      for (Held& d : disks) d.read(key, values);
+      for (DiskState& d : disks) d.read(key, values);
       for (unsigned set = 0; set < 1U << disks.size(); ++set) {
         if (static_cast<std::size_t>(std::popcount(set)) != most) continue;
-        Held const* best = nullptr;
+        DiskState const* best = nullptr;
         for (std::size_t i = 0; i < disks.size(); ++i)
           if ((set >> i & 1U) != 0 && (best == nullptr || best->at < disks[i].at)) best = &disks[i];
-        if (best->whole) continue;
+        if (best->complete) continue;
         out.push_back(key);
         break;
       }
@@ -201,14 +201,14 @@
   };
 
   /// What one member's disk holds of a key: the newest accepted, and whether all acknowledged marks stand in it.
-  struct Held {
+  struct DiskState {
     std::string id;
     std::map<std::string, std::string> const* disk;
     std::pair<Ballot, std::uint64_t> at;
-    bool whole = false;
+    bool complete = false;
     void read(std::string const& key, std::set<std::string> const& want) {
       at = {};
-      whole = false;
+      complete = false;
       auto const it = disk->find("slot:" + key);
       if (it == disk->end()) return;
       QJsonObject const o = core::parseJson(it->second).toObject();
@@ -219,7 +219,7 @@
       std::set<std::string> have;
       for (QJsonValue const v : o.value("v").toObject().value("marks").toArray())
         have.insert(core::toStdString(v.toString()));
-      whole = std::includes(have.begin(), have.end(), want.begin(), want.end());
+      complete = std::includes(have.begin(), have.end(), want.begin(), want.end());
     }
   };
   void hand(std::string const& link, std::string const& key, transport::OperatorCall const& c) {
@@ -248,26 +248,26 @@
     now = std::max(now, e.at);
     e.act();
   }
-  void to(std::string const& link, std::uint64_t life, std::function<void()> act) {
-    if (!lives(link, life)) return;
+  void to(std::string const& link, std::uint64_t incarnation, std::function<void()> act) {
+    if (!isRunning(link, incarnation)) return;
     Machine& m = machines.at(link);
     if (m.frozen)
-      m.inbox.push_back([this, link, life, act] { to(link, life, act); });
+      m.inbox.push_back([this, link, incarnation, act] { to(link, incarnation, act); });
     else
       act();
   }
-  bool lives(std::string const& link, std::uint64_t life) const {
+  bool isRunning(std::string const& link, std::uint64_t incarnation) const {
     auto const it = machines.find(link);
-    return it != machines.end() && it->second.life == life && it->second.member;
+    return it != machines.end() && it->second.incarnation == incarnation && it->second.member;
   }
-  void clock(std::string const& link, std::uint64_t life) {
-    if (!lives(link, life)) return;
+  void clock(std::string const& link, std::uint64_t incarnation) {
+    if (!isRunning(link, incarnation)) return;
     Machine& m = machines.at(link);
     if (!m.frozen) {
       if (m.member->discovering()) m.member->setDiscoveryPeers(seeds_);
       take(m, m.member->onTimer(now));
     }
-    after(25, [this, link, life] { clock(link, life); });
+    after(25, [this, link, incarnation] { clock(link, incarnation); });
   }
   void take(Machine& m, RegisterCommands&& c) {
     if (!c.persists.empty()) m.writes.push_back(c.persists);
@@ -285,8 +285,8 @@
       if (d.status == 200 && d.revision > 0) acknowledged[d.key].insert("m" + std::to_string(d.token));
     }
     for (std::pair<std::string, transport::OperatorCall> const& r : c.rerouted)
-      after(1, [this, link = m.link, life = m.life, r] {
-        to(link, life, [this, link, r] { hand(link, r.first, r.second); });
+      after(1, [this, link = m.link, incarnation = m.incarnation, r] {
+        to(link, incarnation, [this, link, r] { hand(link, r.first, r.second); });
       });
     for (core::LogEvent const& n : c.logEvents)
       if (n.event == events::messageRejected) violations.push_back("message rejected at " + m.link);
@@ -295,8 +295,8 @@
       auto const it = machines.find(s.to);
       if (it == machines.end() || !it->second.member || cuts.count({m.link, s.to}) > 0 || rng.chance(loss)) continue;
       after(1 + static_cast<Tick>(rng.below(4)),
-            [this, from = m.link, link = s.to, life = it->second.life, message = s.message] {
-              to(link, life,
+            [this, from = m.link, link = s.to, incarnation = it->second.incarnation, message = s.message] {
+              to(link, incarnation,
                  [this, from, link, message] { take(machines.at(link), at(link).onMessage(now, from, message)); });
             });
     }
@@ -304,14 +304,14 @@
   void write(Machine& m) {
     if (m.writing || m.writes.empty()) return;
     m.writing = true;
-    after(m.diskDelay + static_cast<Tick>(rng.below(3)), [this, link = m.link, life = m.life] {
-      if (!lives(link, life)) return;
+    after(m.diskDelay + static_cast<Tick>(rng.below(3)), [this, link = m.link, incarnation = m.incarnation] {
+      if (!isRunning(link, incarnation)) return;
       Machine& k = machines.at(link);
       std::vector<PersistCommand> const done = k.writes.front();
       k.writes.pop_front();
       k.writing = false;
       for (PersistCommand const& p : done) k.disk[p.key] = p.payload;
-      to(link, life, [this, link, done] {
+      to(link, incarnation, [this, link, done] {
         for (PersistCommand const& p : done) take(machines.at(link), at(link).onPersisted(now, p.ticket, true));
       });
       write(k);
--- a/consensus/test/failure_detector_test.cpp
+++ b/consensus/test/failure_detector_test.cpp
@@ -44,7 +44,7 @@
   detector.recordHeartbeat(heartbeatOf("b"), 1500);
   CHECK(detector.isAlive("b", 2499));
   CHECK_FALSE(detector.isAlive("b", 2500));
-  CHECK(detector.silentFor("b", "a", 2500) == 1000);
+  CHECK(detector.timeSinceHeard("b", "a", 2500) == 1000);
 }
 
 TEST_CASE("silence of peers does not count while this machine slept") {
@@ -52,7 +52,7 @@
   detector.recordHeartbeat(heartbeatOf("b"), 1500);
   detector.onTimer(1500);
   detector.onTimer(9000);
-  CHECK(detector.silentFor("b", "a", 9100) == 100);
+  CHECK(detector.timeSinceHeard("b", "a", 9100) == 100);
 }
 
 TEST_CASE("a quorum needs this member's vote or those of a majority of others") {
@@ -107,5 +107,5 @@
   detector.setMembers({2, {{"a", "linkA"}, {"d", "linkD"}}}, 2000);
   CHECK(detector.find("b") == nullptr);
   REQUIRE(detector.find("d") != nullptr);
-  CHECK(detector.silentFor("d", "a", 2300) == 300);
+  CHECK(detector.timeSinceHeard("d", "a", 2300) == 300);
 }
--- a/consensus/test/golden_test.cpp
+++ b/consensus/test/golden_test.cpp
@@ -84,8 +84,8 @@
 
   void step() {
     now_ += stepLength;
-    std::deque<std::function<void()>> const due = std::move(underWay_);
-    underWay_.clear();
+    std::deque<std::function<void()>> const due = std::move(inFlight_);
+    inFlight_.clear();
     for (auto const& act : due) act();
     if (now_ % clockEvery != 0) return;
     for (auto const& [link, member] : members_) {
@@ -141,7 +141,7 @@
              std::function<consensus::RegisterCommands(consensus::ReplicatedRegisters&)> event) {
     auto const running = members_.find(link);
     if (running == members_.end()) return;
-    underWay_.push_back([this, link, process = running->second.get(), event = std::move(event)] {
+    inFlight_.push_back([this, link, process = running->second.get(), event = std::move(event)] {
       auto const still = members_.find(link);
       if (still != members_.end() && still->second.get() == process) take(link, event(*process));
     });
@@ -150,7 +150,7 @@
   Tick now_ = 1000;
   std::uint64_t tokens_ = 0;
   std::map<std::string, std::unique_ptr<consensus::ReplicatedRegisters>> members_;
-  std::deque<std::function<void()>> underWay_;
+  std::deque<std::function<void()>> inFlight_;
   std::ostringstream log_;
 };
 
--- a/consensus/test/linearizability_test.cpp
+++ b/consensus/test/linearizability_test.cpp
@@ -56,30 +56,30 @@
   // heartbeat.
   Cluster cluster(1, shortTimeouts());
   bootstrap(cluster, threeLinks);
-  std::string const asked = cluster.at("a").ownerLink("k", cluster.now);
-  REQUIRE_FALSE(asked.empty());
+  std::string const ownerLink = cluster.at("a").ownerLink("k", cluster.now);
+  REQUIRE_FALSE(ownerLink.empty());
   Tick const now = cluster.now + 1000;
-  std::string const other = asked == "b" ? "c" : "b";
-  consensus::ReplicatedRegisters& member = cluster.at(asked);
+  std::string const other = ownerLink == "b" ? "c" : "b";
+  consensus::ReplicatedRegisters& member = cluster.at(ownerLink);
   std::vector<transport::Message> echoes;
   for (transport::Send const& s : member.onTimer(now).sends)
     if (std::holds_alternative<transport::Heartbeat>(s.message) && s.to == other)
-      for (transport::Send const& e : cluster.at(other).onMessage(now, asked, s.message).sends)
-        if (e.to == asked) echoes.push_back(e.message);
+      for (transport::Send const& e : cluster.at(other).onMessage(now, ownerLink, s.message).sends)
+        if (e.to == ownerLink) echoes.push_back(e.message);
   REQUIRE(echoes.size() == 1);
-  transport::OperatorCall question;
-  question.token = 77;
-  question.method = "GET";
+  transport::OperatorCall read;
+  read.token = 77;
+  read.method = "GET";
   // The cluster's validator takes every call for a change; a read is one that changes nothing.
-  Cluster::readOnly = question.token;
-  std::vector<consensus::CallCompleted> decided = member.submit(now, "k", question).completedCalls;
+  Cluster::readOnly = read.token;
+  std::vector<consensus::CallCompleted> decided = member.submit(now, "k", read).completedCalls;
   for (consensus::CallCompleted const& d : member.onMessage(now, other, echoes.front()).completedCalls)
     decided.push_back(d);
   CHECK(decided.empty());
   std::vector<transport::Send> const later = member.onTimer(now + 1).sends;
   for (transport::Send const& s : later)
     if (std::holds_alternative<transport::Heartbeat>(s.message) && s.to == other)
-      for (transport::Send const& e : cluster.at(other).onMessage(now + 1, asked, s.message).sends)
+      for (transport::Send const& e : cluster.at(other).onMessage(now + 1, ownerLink, s.message).sends)
         for (consensus::CallCompleted const& d : member.onMessage(now + 1, other, e.message).completedCalls)
           decided.push_back(d);
   Cluster::readOnly = 0;
@@ -99,8 +99,8 @@
   CHECK(counts.takeNewViolations().empty());
   again.entry.value.insert("other", true);
   member.onMessage(cluster.now, "b", again);
-  std::vector<std::string> const told = counts.takeNewViolations();
-  REQUIRE(told.size() == 1);
-  CHECK_THAT(told.front(), Catch::Contains("one-value-per-revision"));
+  std::vector<std::string> const violations = counts.takeNewViolations();
+  REQUIRE(violations.size() == 1);
+  CHECK_THAT(violations.front(), Catch::Contains("one-value-per-revision"));
   CHECK(member.committed().at("k").value == before.value);
 }
--- a/consensus/test/membership_test.cpp
+++ b/consensus/test/membership_test.cpp
@@ -101,9 +101,9 @@
       CHECK(cluster.until([&] { return cluster.size("a") == 3; }, 6000) >= 0);
       CHECK(acknowledges(cluster, "a", "k", 3000));
       bool oldIdReplied = false;
-      bool learned = false;
+      bool updateReceived = false;
       cluster.watch = [&](std::string const& from, transport::Send const& s) {
-        if (from != "d" || !learned) return;
+        if (from != "d" || !updateReceived) return;
         if (transport::Promise const* const p = std::get_if<transport::Promise>(&s.message))
           oldIdReplied = oldIdReplied || p->member == old;
         if (transport::Accepted const* const p = std::get_if<transport::Accepted>(&s.message))
@@ -116,7 +116,7 @@
       else
         cluster.cutOff("d", false);
       CHECK(cluster.until([&] { return !cluster.at("d").isVoting(); }, 1000) >= 0);
-      learned = true;
+      updateReceived = true;
       if (restarted) {
         cluster.run(40);
         cluster.kill("d");
--- a/consensus/test/random_faults_test.cpp
+++ b/consensus/test/random_faults_test.cpp
@@ -46,7 +46,7 @@
     if (!cluster.lostAcknowledged().empty()) break;
     std::string const v = up[cluster.rng.below(up.size())];
     Tick const back = cluster.now + 100 + static_cast<Tick>(cluster.rng.below(cluster.rng.chance(0.5) ? 800 : 6000));
-    bool const whole = cluster.isStable();
+    bool const stable = cluster.isStable();
     switch (cluster.rng.below(9)) {
       case 0:
       case 1:
@@ -80,13 +80,13 @@
                              [&cluster, l] { cluster.boot(l); });
         break;
       case 7:
-        if (!whole) break;
+        if (!stable) break;
         cluster.kill(v);
         cluster.machines.at(v).disk.clear();
         later.emplace_back(back, [&cluster, v] { cluster.boot(v); });
         break;
       case 8:
-        if (!whole || cluster.machines.size() >= 8) break;
+        if (!stable || cluster.machines.size() >= 8) break;
         cluster.boot("x" + std::to_string(next++));
         break;
     }
--- a/consensus/test/replacement_test.cpp
+++ b/consensus/test/replacement_test.cpp
@@ -154,11 +154,11 @@
   std::size_t most = 0;
   int parts = 0;
   cluster.watch = [&](std::string const&, transport::Send const& s) {
-    transport::SnapshotChunk const* const copy = std::get_if<transport::SnapshotChunk>(&s.message);
-    if (copy == nullptr) return;
-    parts += copy->hasMore ? 1 : 0;
+    transport::SnapshotChunk const* const chunk = std::get_if<transport::SnapshotChunk>(&s.message);
+    if (chunk == nullptr) return;
+    parts += chunk->hasMore ? 1 : 0;
     std::size_t bytes = 0;
-    for (transport::RecordSlot const& slot : copy->slots) bytes += core::jsonText(slot.value).size();
+    for (transport::RecordSlot const& slot : chunk->slots) bytes += core::jsonText(slot.value).size();
     most = std::max(most, bytes);
   };
   cluster.kill("c");
@@ -214,8 +214,8 @@
     }
     std::size_t bytes = 0;
     cluster.watch = [&](std::string const&, transport::Send const& s) {
-      if (transport::SnapshotChunk const* const copy = std::get_if<transport::SnapshotChunk>(&s.message))
-        for (transport::RecordSlot const& slot : copy->slots) bytes += core::jsonText(slot.value).size();
+      if (transport::SnapshotChunk const* const chunk = std::get_if<transport::SnapshotChunk>(&s.message))
+        for (transport::RecordSlot const& slot : chunk->slots) bytes += core::jsonText(slot.value).size();
     };
     cluster.boot("d");
     Tick const joined = cluster.until([&] { return cluster.votes("d"); }, catchUp);
--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -26,7 +26,7 @@
 
 class Controller {
  public:
-  Controller(transport::Contact self, std::string memberId, std::vector<std::string> seeds,
+  Controller(transport::Contact const& self, std::string memberId, std::vector<std::string> seeds,
              std::vector<std::string> founders, std::uint64_t seed, ControllerTuning tuning = {});
 
   /// The first event: what the write-ahead log gave back. Damaged: nothing of it counts.
--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Controller::Controller(transport::Contact self, std::string memberId, std::vector<std::string> seeds,
+Controller::Controller(transport::Contact const& self, std::string memberId, std::vector<std::string> seeds,
                        std::vector<std::string> founders, std::uint64_t seed, ControllerTuning tuning)
     : tuning_(tuning),
       partialView_(self, std::move(seeds), seed ^ gossipStream),
--- a/control/test/controller_test.cpp
+++ b/control/test/controller_test.cpp
@@ -20,19 +20,19 @@
   rig.run(3000);
   rig.reducer.onPersisted(rig.now, 1, false);
   REQUIRE_FALSE(rig.reducer.ready(rig.now));
-  transport::ServingLeaseRequest ask;
-  ask.sentAt = rig.now;
-  ask.sender = Rig::contact("b", transport::routerRole);
-  ask.wantsSnapshot = true;
-  std::function<bool(control::ControllerCommands const&)> const whole = [](control::ControllerCommands const& c) {
+  transport::ServingLeaseRequest request;
+  request.sentAt = rig.now;
+  request.sender = Rig::contact("b", transport::routerRole);
+  request.wantsSnapshot = true;
+  auto const sendsSnapshot = [](control::ControllerCommands const& c) {
     return std::any_of(c.sends.begin(), c.sends.end(), [](transport::Send const& s) {
       transport::ConfigurationUpdate const* const update = std::get_if<transport::ConfigurationUpdate>(&s.message);
       return s.to == "b" && update != nullptr && update->isSnapshot && !update->entries.empty();
     });
   };
-  CHECK_FALSE(whole(rig.reducer.onMessage(rig.now, "b", ask)));
-  ask.acceptsUnconfirmedSnapshot = true;
-  CHECK_FALSE(whole(rig.reducer.onMessage(rig.now, "b", ask)));
+  CHECK_FALSE(sendsSnapshot(rig.reducer.onMessage(rig.now, "b", request)));
+  request.acceptsUnconfirmedSnapshot = true;
+  CHECK_FALSE(sendsSnapshot(rig.reducer.onMessage(rig.now, "b", request)));
 }
 
 TEST_CASE("a change is answered when all routers have it, or a majority has it and the others are fenced") {
@@ -71,9 +71,9 @@
   rig.run(700);
   CHECK(rig.statusOf(again) == 200);
   CHECK(rig.answers.at(again).body.value("replayed").toBool());
-  std::uint64_t const look = rig.call("GET", "/v1/evacuations/z1");
+  std::uint64_t const readToken = rig.call("GET", "/v1/evacuations/z1");
   rig.run(200);
-  CHECK_FALSE(rig.answers.at(look).body.value("evacuated").toBool(true));
+  CHECK_FALSE(rig.answers.at(readToken).body.value("evacuated").toBool(true));
   std::uint64_t const other = rig.call("DELETE", "/v1/evacuations/z1", "", "", "c" + std::to_string(first));
   rig.run(200);
   CHECK(rig.statusOf(other) == 409);
@@ -106,16 +106,16 @@
   Rig rig;
   rig.alive = {"a", "b", "c"};
   rig.run(6000);
-  std::function<transport::RouterStatusReport()> const told = [&] {
-    transport::RouterStatusReport question;
-    question.incompleteRollouts = {transport::RolloutProgress{"zone:z2", 1, {}}};
-    for (transport::Send const& s : rig.reducer.onMessage(rig.now, "s1", question).sends)
+  auto const statusReport = [&] {
+    transport::RouterStatusReport report;
+    report.incompleteRollouts = {transport::RolloutProgress{"zone:z2", 1, {}}};
+    for (transport::Send const& s : rig.reducer.onMessage(rig.now, "s1", report).sends)
       if (transport::RouterStatusReport const* const h = std::get_if<transport::RouterStatusReport>(&s.message))
         return *h;
     return transport::RouterStatusReport{};
   };
   std::size_t const c = 2;
-  REQUIRE(told().upToDate.test(c));
+  REQUIRE(statusReport().upToDate.test(c));
   rig.alive = {"a", "b"};
   rig.run(11000);
   transport::ConfigurationAck late;
@@ -125,12 +125,12 @@
   rig.apply(rig.reducer.onMessage(rig.now, "c", late));
   rig.call("PUT", "/v1/evacuations/z2");
   rig.run(600);
-  transport::ServingLeaseRequest ask;
-  ask.sentAt = rig.now;
-  ask.sender = Rig::contact("c", transport::routerRole);
-  ask.digest = late.digest;
-  rig.apply(rig.reducer.onMessage(rig.now, "c", ask));
-  transport::RouterStatusReport const answer = told();
+  transport::ServingLeaseRequest request;
+  request.sentAt = rig.now;
+  request.sender = Rig::contact("c", transport::routerRole);
+  request.digest = late.digest;
+  rig.apply(rig.reducer.onMessage(rig.now, "c", request));
+  transport::RouterStatusReport const answer = statusReport();
   CHECK(answer.upToDate.test(0));
   CHECK_FALSE(answer.upToDate.test(c));
   REQUIRE(answer.rolloutProgress.size() == 1);
@@ -161,7 +161,7 @@
 TEST_CASE("a singleton role has one holder, who may name its successor, under a rising term") {
   Rig rig;
   rig.run(16000);
-  std::function<QJsonObject(char const*, char const*)> const put = [&](char const* method, char const* body) {
+  auto const put = [&](char const* method, char const* body) {
     return rig.answers.at(rig.call(method, "/v1/duties/watch", body)).body;
   };
   CHECK(put("PUT", R"({"holder":"a"})").value("granted").toBool());
@@ -222,9 +222,9 @@
   rig.run(1000);
   CHECK(rig.have["a"].count("pool:" + pool) == 1);
   CHECK(rig.have["a"].count("pool:lm") == 1);
-  std::uint64_t const look = rig.call("GET", "/v1/platform/pools/" + corkward::config::percentEncodeLabel(pool));
+  std::uint64_t const readToken = rig.call("GET", "/v1/platform/pools/" + corkward::config::percentEncodeLabel(pool));
   rig.run(300);
-  REQUIRE(rig.statusOf(look) == 200);
-  QJsonObject const row = rig.answers.at(look).body.value("replicas").toArray().at(0).toObject();
-  CHECK(row.value("zone").toString() == "ZH.a_1 b");
+  REQUIRE(rig.statusOf(readToken) == 200);
+  QJsonObject const listedReplica = rig.answers.at(readToken).body.value("replicas").toArray().at(0).toObject();
+  CHECK(listedReplica.value("zone").toString() == "ZH.a_1 b");
 }
--- a/control/test/cut_test.cpp
+++ b/control/test/cut_test.cpp
@@ -104,13 +104,13 @@
     apply(at, members.at(at).reducer->onOperatorCall(now, c));
     return c.token;
   }
-  void ask(std::string const& at, std::uint64_t incarnation) {
-    transport::ServingLeaseRequest ask;
-    ask.sentAt = now;
-    ask.sender = Rig::contact("router", transport::routerRole);
-    ask.sender.incarnation = incarnation;
-    ask.wantsSnapshot = true;
-    apply(at, members.at(at).reducer->onMessage(now, "router", ask));
+  void requestLease(std::string const& at, std::uint64_t incarnation) {
+    transport::ServingLeaseRequest request;
+    request.sentAt = now;
+    request.sender = Rig::contact("router", transport::routerRole);
+    request.sender.incarnation = incarnation;
+    request.wantsSnapshot = true;
+    apply(at, members.at(at).reducer->onMessage(now, "router", request));
   }
   int statusOf(std::uint64_t call) const { return answers.count(call) > 0 ? answers.at(call).status : 0; }
 };
@@ -140,13 +140,13 @@
     REQUIRE((fleet.statusOf(base) == 200 || fleet.statusOf(base) == 201));
     fleet.cutOff = "s1";
     fleet.run(since);
-    core::Tick const askedAt = fleet.now;
-    std::vector<std::uint64_t> const questions = askAll(fleet, "s1");
+    core::Tick const sentAt = fleet.now;
+    std::vector<std::uint64_t> const reads = askAll(fleet, "s1");
     fleet.run(callerWaits);
-    for (std::uint64_t const question : questions) {
-      INFO("question " << question << ", " << since << " ms after the cut, answered " << fleet.statusOf(question));
-      CHECK((fleet.statusOf(question) == 503 || fleet.statusOf(question) == 504));
-      CHECK(fleet.answeredAt[question] - askedAt < callerWaits);
+    for (std::uint64_t const read : reads) {
+      INFO("question " << read << ", " << since << " ms after the cut, answered " << fleet.statusOf(read));
+      CHECK((fleet.statusOf(read) == 503 || fleet.statusOf(read) == 504));
+      CHECK(fleet.answeredAt[read] - sentAt < callerWaits);
     }
   }
 }
@@ -180,8 +180,8 @@
   fleet.run(2000);
   fleet.cutOff = "s1";
   fleet.run(200);
-  for (core::Tick asked = 0; asked < 20000; asked += 50) {
-    fleet.ask("s1", 1);
+  for (core::Tick since = 0; since < 20000; since += 50) {
+    fleet.requestLease("s1", 1);
     fleet.run(50);
   }
   CHECK(fleet.snapshots["router"] == 0);
@@ -196,12 +196,12 @@
   fleet.run(2000);
   fleet.cutOff = "s1";
   fleet.run(30);
-  fleet.ask("s1", 1);
+  fleet.requestLease("s1", 1);
   fleet.run(100);
   REQUIRE(fleet.snapshots["router"] == 0);
   fleet.cutOff.clear();
   fleet.run(1);
-  fleet.ask("s1", 2);
+  fleet.requestLease("s1", 2);
   CHECK(fleet.snapshots["router"] == 0);
   fleet.run(callerWaits);
   CHECK(fleet.snapshots["router"] == 1);
@@ -216,14 +216,13 @@
 std::map<std::string, config::EndpointList> listsOf(bool come, bool leaves) {
   std::map<std::string, config::EndpointList> out;
   for (int i = 0; i < poolCount; ++i) {
-    std::function<config::Replica(std::string const&, config::ReplicaState)> const replica =
-        [](std::string const& address, config::ReplicaState state) {
-          config::Replica r;
-          r.address = address;
-          r.zone = "z1";
-          r.state = state;
-          return r;
-        };
+    auto const replica = [](std::string const& address, config::ReplicaState state) {
+      config::Replica r;
+      r.address = address;
+      r.zone = "z1";
+      r.state = state;
+      return r;
+    };
     config::EndpointList& pool = out["p" + std::to_string(i)];
     pool.replicas = {replica("10.0.0.1:80", config::ReplicaState::serving),
                      replica("10.0.0.2:80", leaves ? config::ReplicaState::draining : config::ReplicaState::serving)};
@@ -245,7 +244,7 @@
 /// Lists without the leaving replica that replaced one in which it leaves, after a controller was partitioned.
 std::vector<std::string> listsThatCameBack(char const* cutOff, core::Tick leavesAfter) {
   ThreeControllers fleet;
-  fleet.ask("s1", 1);
+  fleet.requestLease("s1", 1);
   readLists(fleet, 4 * readEvery, listsOf(false, false));
   fleet.cutOff = cutOff;
   readLists(fleet, leavesAfter, listsOf(true, false));
@@ -262,7 +261,7 @@
         back.push_back(item.key + " under revision " + std::to_string(item.revision));
     }
   };
-  for (char const* const controller : {"s1", "s2", "s3"}) fleet.ask(controller, 2);
+  for (char const* const controller : {"s1", "s2", "s3"}) fleet.requestLease(controller, 2);
   fleet.cutOff.clear();
   readLists(fleet, 8 * readEvery, listsOf(true, true));
   CHECK(left.size() == poolCount);
@@ -286,8 +285,9 @@
   std::string const desk = R"({"paths":[{"path":"a","pool":"big","class":"short"}]})";
   for (int change = 0; change < 2; ++change) {
     std::string const version = std::to_string(change + 1);
-    std::string const whole = R"({"version":)" + version + R"(,"paths":[],"pools":[{"name":"big"}]})";
-    std::uint64_t const first = fleet.call("s1", "PUT", config::fleetConfigurationPage, whole, std::to_string(change));
+    std::string const configuration = R"({"version":)" + version + R"(,"paths":[],"pools":[{"name":"big"}]})";
+    std::uint64_t const first =
+        fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, std::to_string(change));
     fleet.run(2000);
     REQUIRE(fleet.statusOf(first) < 300);
   }
--- a/control/test/fleet_configuration_test.cpp
+++ b/control/test/fleet_configuration_test.cpp
@@ -17,7 +17,7 @@
 using control::Membership;
 using control::page;
 using control::patchOf;
-using control::pathRow;
+using control::pathSpec;
 using control::Rig;
 using control::spec;
 
@@ -73,24 +73,24 @@
   CHECK(d.patch(patchOf(20, {"c"}), "2") == 412);
   CHECK(d.call("DELETE", "", "9") == 405);
   CHECK(d.version() == 9);
-  QJsonObject const kept = d.rig.reducer.registers().committed().at(config::fleetConfigurationKey).value;
-  CHECK(kept.keys() == QStringList{"changes", "spec", "taken"});
-  std::uint64_t const asked = d.rig.call("GET", "/v1/changes/second");
-  CHECK((d.rig.statusOf(asked) == 200 && d.rig.answers[asked].body.value("version").toInteger() == 9));
+  QJsonObject const stored = d.rig.reducer.registers().committed().at(config::fleetConfigurationKey).value;
+  CHECK(stored.keys() == QStringList{"changes", "spec", "taken"});
+  std::uint64_t const statusToken = d.rig.call("GET", "/v1/changes/second");
+  CHECK((d.rig.statusOf(statusToken) == 200 && d.rig.answers[statusToken].body.value("version").toInteger() == 9));
 }
 
 TEST_CASE("an invalid change of the fleet configuration changes nothing") {
   OperatorClient d;
   REQUIRE(d.put(spec(5), "0") == 201);
-  struct Row {
+  struct RejectedChange {
     char const* method;
     std::string body;
     int status;
     char const* pointer;
   };
   QJsonObject unknownPool = spec(6);
-  unknownPool.insert("paths", QJsonArray{pathRow("a", "nowhere")});
-  Row const rows[] = {
+  unknownPool.insert("paths", QJsonArray{pathSpec("a", "nowhere")});
+  RejectedChange const cases[] = {
       {"PUT", "", 400, "/"},
       {"PUT", "{", 400, "/"},
       {"PUT", "[]", 400, "/"},
@@ -115,7 +115,7 @@
        R"({"version":6,"set":{"paths":[{"name":"b","host":"h","prefix":"/a/","kind":"once","deadlineMs":1,"pool":"big"}]}})",
        422, "/paths/1/prefix"},
       {"PATCH", R"({"version":6,"door":7})", 422, "/door"}};
-  for (Row const& r : rows) {
+  for (RejectedChange const& r : cases) {
     INFO(r.method << " " << r.body);
     CHECK(d.call(r.method, r.body, "5") == r.status);
     CHECK(core::toStdString(d.last.body.value("pointer").toString()) == r.pointer);
@@ -188,22 +188,22 @@
   CHECK(d.call("PUT", std::string(control::maxFleetConfigurationBytes + 1, ' '), "5") == 413);
   std::vector<int> statuses;
   for (int i = 0; i < 4; ++i) {
-    QJsonObject row = pathRow("p" + std::to_string(i));
-    row.insert("extra", QJsonObject{{"text", QString(2 << 20, 'x')}});
-    statuses.push_back(d.patch(QJsonObject{{"version", 6 + i}, {"set", QJsonObject{{"paths", QJsonArray{row}}}}},
+    QJsonObject path = pathSpec("p" + std::to_string(i));
+    path.insert("extra", QJsonObject{{"text", QString(2 << 20, 'x')}});
+    statuses.push_back(d.patch(QJsonObject{{"version", 6 + i}, {"set", QJsonObject{{"paths", QJsonArray{path}}}}},
                                std::to_string(5 + i)));
   }
   CHECK(statuses == std::vector<int>{200, 200, 413, 412});
-  QJsonObject row = pathRow("p0");
-  row.insert("extra", QJsonObject{{"text", QString(2 << 20, 'y')}});
-  CHECK(d.patch(QJsonObject{{"version", 8}, {"set", QJsonObject{{"paths", QJsonArray{row}}}}}, "7") == 200);
+  QJsonObject path = pathSpec("p0");
+  path.insert("extra", QJsonObject{{"text", QString(2 << 20, 'y')}});
+  CHECK(d.patch(QJsonObject{{"version", 8}, {"set", QJsonObject{{"paths", QJsonArray{path}}}}}, "7") == 200);
   CHECK(d.version() == 8);
 }
 
 TEST_CASE("a family may name pools of the committed fleet configuration") {
   OperatorClient d;
   constexpr char const* body = R"({"paths":[{"path":"a","pool":"big","class":"short"}]})";
-  std::function<int(char const*, char const*)> const put = [&](char const* path, char const* text) {
+  auto const put = [&](char const* path, char const* text) {
     std::uint64_t const t = d.rig.call("PUT", path, text, "0");
     d.rig.run(700);
     return d.rig.statusOf(t);
@@ -224,14 +224,14 @@
   OperatorClient d;
   REQUIRE(d.put(spec(5, names), "0") == 201);
   CHECK(d.patch(QJsonObject{{"version", 6},
-                            {"set", QJsonObject{{"paths", QJsonArray{pathRow("new")}}}},
+                            {"set", QJsonObject{{"paths", QJsonArray{pathSpec("new")}}}},
                             {"drop", QJsonObject{{"paths", QJsonArray{"p7"}}}}},
                 "5") == 200);
   REQUIRE(d.call("GET") == 200);
-  QJsonArray const rows = d.last.body.value("spec").toObject().value("paths").toArray();
-  REQUIRE(rows.size() == 2000);
-  CHECK(rows.at(7).toObject().value("name") == "p8");
-  CHECK(rows.last().toObject().value("name") == "new");
+  QJsonArray const cases = d.last.body.value("spec").toObject().value("paths").toArray();
+  REQUIRE(cases.size() == 2000);
+  CHECK(cases.at(7).toObject().value("name") == "p8");
+  CHECK(cases.last().toObject().value("name") == "new");
 }
 
 TEST_CASE("without waiting for rollouts a change is answered as soon as it is on a majority of the disks") {
@@ -245,11 +245,11 @@
     rig.deaf = {"a", "b", "c"};
     std::uint64_t const t = rig.call("PUT", page, core::jsonText(spec(5)), "0", "one");
     CHECK(rig.statusOf(t) == (await ? 0 : 201));
-    std::uint64_t const asked = rig.call("GET", "/v1/changes/one");
-    CHECK(rig.statusOf(asked) == (await ? 504 : 200));
+    std::uint64_t const statusToken = rig.call("GET", "/v1/changes/one");
+    CHECK(rig.statusOf(statusToken) == (await ? 504 : 200));
     if (await) continue;
     CHECK_FALSE(rig.answers[t].body.contains("inForce"));
-    CHECK_FALSE(rig.answers[asked].body.contains("inForce"));
+    CHECK_FALSE(rig.answers[statusToken].body.contains("inForce"));
     std::uint64_t const again = rig.call("PUT", page, core::jsonText(spec(5)), "0", "one");
     rig.run(200);
     CHECK(rig.statusOf(again) == 201);
@@ -259,7 +259,7 @@
 
 TEST_CASE("under random load and failures the fleet configuration's version rises by accepted changes alone") {
   std::size_t most = 0;
-  std::size_t taken = 0;
+  std::size_t accepted = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     INFO("seed " << seed);
     Membership c(seed);
@@ -272,11 +272,11 @@
     }
     c.calm = true;
     for (core::Tick const until = c.now + 15000; c.now < until;) c.step();
-    for (auto const& [link, member] : c.members) CHECK(member.seen == c.chain.rbegin()->first);
+    for (auto const& [link, member] : c.members) CHECK(member.lastSeenRevision == c.chain.rbegin()->first);
     c.checkInvariants();
     most = std::max(most, c.chain.size());
-    for (auto const& [token, change] : c.changes) taken += change.status == 200 || change.status == 201 ? 1 : 0;
+    for (auto const& [token, change] : c.changes) accepted += change.status == 200 || change.status == 201 ? 1 : 0;
   }
   CHECK(most > 20);
-  CHECK(taken > 200);
+  CHECK(accepted > 200);
 }
--- a/control/test/golden_pages_test.cpp
+++ b/control/test/golden_pages_test.cpp
@@ -45,7 +45,7 @@
   return body.size() <= longestShown ? body : "(" + std::to_string(body.size()) + " bytes)";
 }
 
-std::string asked(transport::OperatorCall const& call) {
+std::string callText(transport::OperatorCall const& call) {
   std::string out = "> " + call.method + " " + call.path;
   if (call.dryRun) out += " dryRun";
   if (!call.ifMatch.empty()) out += " if-match=" + call.ifMatch;
@@ -54,7 +54,7 @@
   return out + "\n";
 }
 
-std::string answered(int status, QJsonObject const& body) {
+std::string answerText(int status, QJsonObject const& body) {
   return std::to_string(status) + " " + core::jsonText(body) + "\n";
 }
 
@@ -64,10 +64,10 @@
   std::string text;
 
   explicit Pages(control::ControllerTuning const& tuning = {}) : rig(tuning) {}
-  void title(std::string const& words) { text += "\n# " + words + "\n"; }
+  void title(std::string const& heading) { text += "\n# " + heading + "\n"; }
   /// A call that is waited for.
-  void ask(std::string const& method, std::string const& path, std::string const& body = "",
-           std::string const& ifMatch = "", std::string const& changeId = "", bool dryRun = false) {
+  void request(std::string const& method, std::string const& path, std::string const& body = "",
+               std::string const& ifMatch = "", std::string const& changeId = "", bool dryRun = false) {
     transport::OperatorCall call = callOf(method, path, body, ifMatch, changeId);
     call.dryRun = dryRun;
     rig.apply(rig.reducer.onOperatorCall(rig.now, call));
@@ -87,11 +87,11 @@
   void wait(transport::OperatorCall const& call) {
     for (core::Tick const until = rig.now + patience; rig.answers.count(call.token) == 0 && rig.now < until;)
       rig.run(25);
-    text += asked(call);
+    text += callText(call);
     if (rig.answers.count(call.token) == 0)
       text += "no answer\n";
     else
-      text += answered(rig.answers.at(call.token).status, rig.answers.at(call.token).body);
+      text += answerText(rig.answers.at(call.token).status, rig.answers.at(call.token).body);
   }
   void check(std::string const& name) const { golden::check(file(name), text); }
 };
@@ -100,7 +100,7 @@
 std::string const nord = "/v1/templates/desk/instances/nord";
 std::string const deskSpec =
     R"({"note":"n","parameters":{"aim":{"type":"integer","default":800,"min":100,"max":5000},"site":{"type":"string"}},"paths":[{"path":"a","pool":"model","class":"short","aimMs":"${aim}"},{"path":"d/${site}","pool":"model","class":"long","resumable":true}]})";
-std::string const wholeSpec =
+std::string const fullSpec =
     R"({"version":5,"paths":[{"name":"a","host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"big"}],"pools":[{"name":"big"}],"tenants":[{"name":"t","keys":["k"],"rate":100,"burst":200,"unit":"tokens"}],"extra":{"by":"one"}})";
 std::string const poolSpec =
     R"({"generation":1,"coldRate":2,"replicas":[{"id":"r1","address":"10.0.0.1:80","zone":"z1","state":"serving"},{"id":"r2","address":"10.0.0.2:80","zone":"z2","state":"cold"},{"id":"r3","address":"10.0.0.3:80","zone":"z2","state":"leaving"}]})";
@@ -120,32 +120,32 @@
 TEST_CASE("golden: pages of templates, instances and changes") {
   Pages p;
   p.title("nothing so far");
-  p.ask("GET", "/v1/templates");
-  p.ask("GET", desk);
-  p.ask("GET", nord);
-  p.ask("GET", "/v1/changes/never");
-  p.ask("PUT", nord, "{}", "0");
-  p.ask("PATCH", desk, "{}", "0");
-  p.ask("DELETE", desk, "", "0");
+  p.request("GET", "/v1/templates");
+  p.request("GET", desk);
+  p.request("GET", nord);
+  p.request("GET", "/v1/changes/never");
+  p.request("PUT", nord, "{}", "0");
+  p.request("PATCH", desk, "{}", "0");
+  p.request("DELETE", desk, "", "0");
   p.title("made");
-  p.ask("PUT", desk, deskSpec, "");
-  p.ask("PUT", desk, deskSpec, "0", "", true);
-  p.ask("PUT", desk, deskSpec, "0", "made");
-  p.ask("PUT", desk, deskSpec, "0", "made");
-  p.ask("PUT", desk, deskSpec, "1", "made");
-  p.ask("PUT", desk, deskSpec, "0");
-  p.ask("GET", desk);
-  p.ask("GET", "/v1/templates");
+  p.request("PUT", desk, deskSpec, "");
+  p.request("PUT", desk, deskSpec, "0", "", true);
+  p.request("PUT", desk, deskSpec, "0", "made");
+  p.request("PUT", desk, deskSpec, "0", "made");
+  p.request("PUT", desk, deskSpec, "1", "made");
+  p.request("PUT", desk, deskSpec, "0");
+  p.request("GET", desk);
+  p.request("GET", "/v1/templates");
   p.title("instances");
-  p.ask("PUT", nord, R"({"parameters":{"site":"north"}})", "0");
-  p.ask("PUT", "/v1/platform/pools/model", poolSpec);
-  p.ask("PUT", nord, R"({"parameters":{"site":"north"}})", "0", "", true);
-  p.ask("PUT", nord, R"({"parameters":{"site":"north"},"note":"first"})", "0");
-  p.ask("PATCH", nord, R"({"parameters":{"aim":900}})", "\"2\"");
-  p.ask("PATCH", nord, R"({"parameters":{"aim":900}})", "2");
-  p.ask("GET", nord);
-  p.ask("GET", desk);
-  p.ask("DELETE", desk, "", "1");
+  p.request("PUT", nord, R"({"parameters":{"site":"north"}})", "0");
+  p.request("PUT", "/v1/platform/pools/model", poolSpec);
+  p.request("PUT", nord, R"({"parameters":{"site":"north"}})", "0", "", true);
+  p.request("PUT", nord, R"({"parameters":{"site":"north"},"note":"first"})", "0");
+  p.request("PATCH", nord, R"({"parameters":{"aim":900}})", "\"2\"");
+  p.request("PATCH", nord, R"({"parameters":{"aim":900}})", "2");
+  p.request("GET", nord);
+  p.request("GET", desk);
+  p.request("DELETE", desk, "", "1");
   p.title("refused");
   for (char const* const body :
        {"",
@@ -183,17 +183,17 @@
         R"({"parameters":{"a":{"type":"integer","max":5,"default":9}},"paths":[]})",
         R"({"parameters":{"a":{"type":"string","choices":["x"],"default":"y"}},"paths":[]})",
         R"({"parameters":{"a":{"type":"string","default":1}},"paths":[]})"})
-    p.ask("PUT", desk, body, "1", "", true);
+    p.request("PUT", desk, body, "1", "", true);
   for (char const* const body :
        {"", "7", R"({"surprise":1})", R"({"parameters":1})", "{}", R"({"parameters":{"site":1}})",
         R"({"parameters":{"site":"n","other":1}})", R"({"parameters":{"site":"n","aim":1}})",
         R"({"parameters":{"site":"n","aim":99999}})", R"({"parameters":{"site":".."}})",
         R"({"parameters":{"site":"n"},"regime":"health"})", R"({"parameters":{"site":"n"},"regime":""})"})
-    p.ask("PUT", "/v1/templates/desk/instances/sued", body, "0", "", true);
+    p.request("PUT", "/v1/templates/desk/instances/sued", body, "0", "", true);
   std::string const plain = "/v1/templates/plain";
-  p.ask("PUT", plain, R"({"paths":[{"path":"a","pool":"model","class":"short"}]})", "0");
-  p.ask("PUT", plain + "/instances/one", "{}", "0");
-  for (std::string const& row : std::vector<std::string>{
+  p.request("PUT", plain, R"({"paths":[{"path":"a","pool":"model","class":"short"}]})", "0");
+  p.request("PUT", plain + "/instances/one", "{}", "0");
+  for (std::string const& pathSpec : std::vector<std::string>{
            R"({"path":"a","pool":"model","class":"big"})", R"({"path":"/a","pool":"model","class":"short"})",
            R"({"path":"a","pool":"model","class":"short","aimMs":1})",
            R"({"path":"a","pool":"model","class":"short","deadlineMs":600001})",
@@ -204,24 +204,24 @@
            R"({"path":"${b","pool":"model","class":"short"})", R"({"path":"${b}","pool":"model","class":"short"})",
            R"({"path":"x${b}","pool":"model","class":"short"})",
            R"({"path":"a","pool":"model","class":"short","surprise":1})"})
-    p.ask("PUT", plain, R"({"paths":[)" + row + "]}", "1", "", true);
+    p.request("PUT", plain, R"({"paths":[)" + pathSpec + "]}", "1", "", true);
   std::string parameters;
   for (int i = 0; i < 65; ++i)
     parameters += std::string(i == 0 ? "" : ",") + "\"p" + std::to_string(i) + R"(":{"type":"string"})";
-  p.ask("PUT", plain, R"({"parameters":{)" + parameters + R"(},"paths":[]})", "1", "", true);
-  p.ask("PUT", desk, std::string(control::maxCallBodyBytes + 1, ' '), "1");
-  p.ask("POST", desk, deskSpec, "1");
-  p.ask("PUT", "/v1/templates/Desk", deskSpec, "0");
-  p.ask("PUT", "/v1/templates/desk/instance/nord", "{}", "0");
+  p.request("PUT", plain, R"({"parameters":{)" + parameters + R"(},"paths":[]})", "1", "", true);
+  p.request("PUT", desk, std::string(control::maxCallBodyBytes + 1, ' '), "1");
+  p.request("POST", desk, deskSpec, "1");
+  p.request("PUT", "/v1/templates/Desk", deskSpec, "0");
+  p.request("PUT", "/v1/templates/desk/instance/nord", "{}", "0");
   p.title("taken away");
-  p.ask("DELETE", nord, "", "3", "gone");
-  p.ask("DELETE", nord, "", "3", "gone");
-  p.ask("GET", nord);
-  p.ask("DELETE", desk, "", "1");
-  p.ask("GET", "/v1/templates");
+  p.request("DELETE", nord, "", "3", "gone");
+  p.request("DELETE", nord, "", "3", "gone");
+  p.request("GET", nord);
+  p.request("DELETE", desk, "", "1");
+  p.request("GET", "/v1/templates");
   p.title("changes");
-  p.ask("GET", "/v1/changes/made");
-  p.ask("GET", "/v1/changes/gone");
+  p.request("GET", "/v1/changes/made");
+  p.request("GET", "/v1/changes/gone");
   p.check("pages_templates.txt");
 }
 
@@ -229,31 +229,31 @@
   Pages p;
   std::string const page = config::fleetConfigurationPage;
   p.title("nothing so far");
-  p.ask("GET", page);
-  p.ask("PATCH", page, R"({"version":6})", "0");
-  p.ask("PUT", page, wholeSpec, "");
-  p.ask("PUT", page, wholeSpec, "1");
-  p.ask("PUT", page, wholeSpec, "0", "", true);
+  p.request("GET", page);
+  p.request("PATCH", page, R"({"version":6})", "0");
+  p.request("PUT", page, fullSpec, "");
+  p.request("PUT", page, fullSpec, "1");
+  p.request("PUT", page, fullSpec, "0", "", true);
   p.title("put and patched");
-  p.ask("PUT", page, wholeSpec, "0", "first");
-  p.ask("GET", page);
-  p.ask("PUT", page, wholeSpec, "0", "first");
-  p.ask("PUT", page, wholeSpec, "0", "again");
-  p.ask("PATCH", page, R"({"version":9,"set":{"pools":[{"name":"small","coldRate":0.5}]},"extra":{"by":"two"}})",
-        "\"5\"", "second");
-  p.ask("PATCH", page, R"({"version":9,"set":{"pools":[{"name":"small","coldRate":0.5}]},"extra":{"by":"two"}})", "5",
-        "second-again");
-  p.ask("PATCH", page, R"({"version":10,"drop":{"pools":["small"]}})", "9", "", true);
-  p.ask("GET", page);
-  p.ask("GET", "/v1/changes/second");
-  p.ask("GET", "/v1/changes/first");
+  p.request("PUT", page, fullSpec, "0", "first");
+  p.request("GET", page);
+  p.request("PUT", page, fullSpec, "0", "first");
+  p.request("PUT", page, fullSpec, "0", "again");
+  p.request("PATCH", page, R"({"version":9,"set":{"pools":[{"name":"small","coldRate":0.5}]},"extra":{"by":"two"}})",
+            "\"5\"", "second");
+  p.request("PATCH", page, R"({"version":9,"set":{"pools":[{"name":"small","coldRate":0.5}]},"extra":{"by":"two"}})",
+            "5", "second-again");
+  p.request("PATCH", page, R"({"version":10,"drop":{"pools":["small"]}})", "9", "", true);
+  p.request("GET", page);
+  p.request("GET", "/v1/changes/second");
+  p.request("GET", "/v1/changes/first");
   p.title("refused");
-  p.ask("PUT", page, wholeSpec, "5", "first");
-  p.ask("PUT", page, R"({"version":20,"paths":[],"pools":[]})", "5");
-  p.ask("PATCH", page, R"({"version":20})", "5");
-  p.ask("DELETE", page, "", "9");
-  p.ask("POST", page, "{}", "9");
-  p.ask("PUT", page, std::string(control::maxFleetConfigurationBytes + 1, ' '), "9");
+  p.request("PUT", page, fullSpec, "5", "first");
+  p.request("PUT", page, R"({"version":20,"paths":[],"pools":[]})", "5");
+  p.request("PATCH", page, R"({"version":20})", "5");
+  p.request("DELETE", page, "", "9");
+  p.request("POST", page, "{}", "9");
+  p.request("PUT", page, std::string(control::maxFleetConfigurationBytes + 1, ' '), "9");
   std::string const start = R"({"version":10,"pools":[{"name":"big"}],"paths":[)";
   std::string const good = R"({"name":"a","host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"big")";
   for (
@@ -307,7 +307,7 @@
           start + R"({"name":"b","host":"h","prefix":"/a/","kind":"once","deadlineMs":1,"shares":1}]})",
           start +
               R"({"name":"b","host":"h","prefix":"/a/","kind":"once","deadlineMs":1,"shares":[{"pool":"big","share":0}]}]})"})
-    p.ask("PUT", page, body, "9", "", true);
+    p.request("PUT", page, body, "9", "", true);
   for (char const* const body :
        {"7", "{}", R"({"version":9})", R"({"version":10,"surprise":1})", R"({"version":10,"set":7})",
         R"({"version":10,"set":{"surprise":[]}})", R"({"version":10,"set":{"pools":[7]}})",
@@ -315,35 +315,35 @@
         R"({"version":10,"drop":{"pools":[7]}})", R"({"version":10,"drop":{"pools":["big"]}})",
         R"({"version":10,"drop":{"pools":["small"]},"set":{"pools":[{"name":"small"}]}})",
         R"({"version":10,"door":7})"})
-    p.ask("PATCH", page, body, "9", "", true);
+    p.request("PATCH", page, body, "9", "", true);
   p.check("pages_configuration.txt");
 }
 
 TEST_CASE("golden: pages of certificates") {
   Pages p;
   p.rig.reducer.setWallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
-  p.ask("PUT", "/v1/platform/pools/model", poolSpec);
+  p.request("PUT", "/v1/platform/pools/model", poolSpec);
   p.title("nothing so far");
-  p.ask("GET", certificatesPage);
-  p.ask("GET", certificatesPage + "/c1");
-  p.ask("PATCH", certificatesPage, "{}", "0");
-  p.ask("DELETE", certificatesPage + "/c1");
-  p.ask("PUT", certificatesPage, certificates(""), "");
+  p.request("GET", certificatesPage);
+  p.request("GET", certificatesPage + "/c1");
+  p.request("PATCH", certificatesPage, "{}", "0");
+  p.request("DELETE", certificatesPage + "/c1");
+  p.request("PUT", certificatesPage, certificates(""), "");
   p.title("declared");
-  p.ask("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1")), "0", "", true);
-  p.ask("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1")), "0", "first");
-  p.ask("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1")), "0", "first");
-  p.ask("PUT", certificatesPage, certificates(""), "0", "racing");
-  p.ask("PATCH", certificatesPage, R"({"certificates":{"c2":)" + certificate("z2") + "}}", "1");
-  p.ask("GET", certificatesPage);
-  p.ask("GET", certificatesPage + "/c2");
-  p.ask("GET", certificatesPage + "/c3");
+  p.request("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1")), "0", "", true);
+  p.request("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1")), "0", "first");
+  p.request("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1")), "0", "first");
+  p.request("PUT", certificatesPage, certificates(""), "0", "racing");
+  p.request("PATCH", certificatesPage, R"({"certificates":{"c2":)" + certificate("z2") + "}}", "1");
+  p.request("GET", certificatesPage);
+  p.request("GET", certificatesPage + "/c2");
+  p.request("GET", certificatesPage + "/c3");
   p.title("refused");
-  p.ask("DELETE", certificatesPage, "", "2");
-  p.ask("PUT", certificatesPage + "/c1", "{}", "2");
-  p.ask("PATCH", certificatesPage + "/c1", "{}", "2");
-  p.ask("DELETE", certificatesPage + "/c1", "", "1");
-  p.ask("DELETE", certificatesPage + "/c3");
+  p.request("DELETE", certificatesPage, "", "2");
+  p.request("PUT", certificatesPage + "/c1", "{}", "2");
+  p.request("PATCH", certificatesPage + "/c1", "{}", "2");
+  p.request("DELETE", certificatesPage + "/c1", "", "1");
+  p.request("DELETE", certificatesPage + "/c3");
   for (
       std::string const& body : std::vector<std::string>{
           "",
@@ -376,23 +376,23 @@
           certificates(R"("c":)" + certificate("z1", "tomorrow")),
           certificates(
               R"("c":{"regime":"health","carrier":"replicas","pool":"model","zone":"z1","from":"2030-01-01T00:00:00Z","until":"2030-01-01T00:00:01Z"})")})
-    p.ask("PUT", certificatesPage, body, "2", "", true);
+    p.request("PUT", certificatesPage, body, "2", "", true);
   p.title("needed by tenants");
   std::string const law = "/v1/templates/law";
   std::string const bound = R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})";
-  p.ask("PUT", law, bound, "0");
-  p.ask("PUT", law + "/instances/nord", R"({"regime":"export"})", "0");
-  p.ask("PUT", law + "/instances/nord", "{}", "0");
-  p.ask("PUT", certificatesPage, certificates(""), "2");
-  p.ask("PUT", certificatesPage, certificates(R"("c9":)" + certificate("z9")), "2");
-  p.ask("PUT", certificatesPage, certificates(R"("c9":)" + certificate("z1", "2026-01-01T00:00:00Z")), "2");
-  p.ask("PUT", certificatesPage,
-        R"({"regimes":{"health":{"nacelles":"certified"}},"certificates":{"c1":)" + certificate("z1") + "}}", "2");
-  p.ask("DELETE", certificatesPage + "/c2", "", "", "gone");
-  p.ask("DELETE", certificatesPage + "/c1");
-  p.ask("DELETE", certificatesPage + "/c2", "", "", "gone");
-  p.ask("PUT", law + "/instances/sued", "{}", "0");
-  p.ask("GET", certificatesPage);
+  p.request("PUT", law, bound, "0");
+  p.request("PUT", law + "/instances/nord", R"({"regime":"export"})", "0");
+  p.request("PUT", law + "/instances/nord", "{}", "0");
+  p.request("PUT", certificatesPage, certificates(""), "2");
+  p.request("PUT", certificatesPage, certificates(R"("c9":)" + certificate("z9")), "2");
+  p.request("PUT", certificatesPage, certificates(R"("c9":)" + certificate("z1", "2026-01-01T00:00:00Z")), "2");
+  p.request("PUT", certificatesPage,
+            R"({"regimes":{"health":{"nacelles":"certified"}},"certificates":{"c1":)" + certificate("z1") + "}}", "2");
+  p.request("DELETE", certificatesPage + "/c2", "", "", "gone");
+  p.request("DELETE", certificatesPage + "/c1");
+  p.request("DELETE", certificatesPage + "/c2", "", "", "gone");
+  p.request("PUT", law + "/instances/sued", "{}", "0");
+  p.request("GET", certificatesPage);
   p.check("pages_certificates.txt");
 }
 
@@ -400,16 +400,16 @@
   Pages p;
   p.title("pools");
   std::string const pool = "/v1/platform/pools/model";
-  p.ask("GET", pool);
-  p.ask("PUT", pool, poolSpec, "", "", true);
-  p.ask("PUT", pool, poolSpec);
-  p.ask("PUT", pool, poolSpec);
-  p.ask("GET", pool);
-  p.ask("PUT", pool, R"({"generation":2,"replicas":[]})", "7");
-  p.ask("PUT", pool, R"({"generation":2,"replicas":[]})", "1");
-  p.ask("PUT", pool, R"({"generation":1,"replicas":[]})");
-  p.ask("PUT", "/v1/platform/pools/LM%20Pool%2F1.x", R"({"generation":1,"replicas":[]})");
-  p.ask("GET", "/v1/platform/pools/LM%20Pool%2F1.x");
+  p.request("GET", pool);
+  p.request("PUT", pool, poolSpec, "", "", true);
+  p.request("PUT", pool, poolSpec);
+  p.request("PUT", pool, poolSpec);
+  p.request("GET", pool);
+  p.request("PUT", pool, R"({"generation":2,"replicas":[]})", "7");
+  p.request("PUT", pool, R"({"generation":2,"replicas":[]})", "1");
+  p.request("PUT", pool, R"({"generation":1,"replicas":[]})");
+  p.request("PUT", "/v1/platform/pools/LM%20Pool%2F1.x", R"({"generation":1,"replicas":[]})");
+  p.request("GET", "/v1/platform/pools/LM%20Pool%2F1.x");
   for (
       char const* const body :
       {"", "[]", "{}", R"({"generation":0})", R"({"generation":9})", R"({"generation":9,"replicas":[7]})",
@@ -420,46 +420,46 @@
        R"({"generation":9,"replicas":[{"address":"10.0.0.1:80","zone":"z1","state":"dead"}]})",
        R"({"generation":9,"replicas":[{"address":"10.0.0.1:80","zone":"z1","state":"cold"},{"address":"10.0.0.1:80","zone":"z1","state":"cold"}]})",
        R"({"generation":9,"replicas":[{"id":"r","address":"10.0.0.1:80","zone":"z1","state":"cold"},{"id":"r","address":"10.0.0.2:80","zone":"z1","state":"cold"}]})"})
-    p.ask("PUT", pool, body, "", "", true);
+    p.request("PUT", pool, body, "", "", true);
   std::string replicas = "7";
   for (int i = 0; i < 4096; ++i) replicas += ",7";
-  p.ask("PUT", pool, R"({"generation":9,"replicas":[)" + replicas + "]}", "", "", true);
-  p.ask("DELETE", pool);
-  p.ask("PATCH", pool, "{}");
+  p.request("PUT", pool, R"({"generation":9,"replicas":[)" + replicas + "]}", "", "", true);
+  p.request("DELETE", pool);
+  p.request("PATCH", pool, "{}");
 
   p.title("evacuations");
   std::string const zone = "/v1/evacuations/z1";
-  p.ask("GET", zone);
-  p.ask("DELETE", zone);
-  p.ask("PUT", zone, "", "", "", true);
-  p.ask("PUT", zone, "", "", "away");
-  p.ask("PUT", zone, "", "", "away");
-  p.ask("PUT", zone);
-  p.ask("GET", zone);
-  p.ask("DELETE", zone);
-  p.ask("DELETE", zone, "", "", "away");
-  p.ask("PATCH", zone, "{}");
-  p.ask("PUT", "/v1/evacuations/ZH%20a");
-  p.ask("GET", "/v1/changes/away");
+  p.request("GET", zone);
+  p.request("DELETE", zone);
+  p.request("PUT", zone, "", "", "", true);
+  p.request("PUT", zone, "", "", "away");
+  p.request("PUT", zone, "", "", "away");
+  p.request("PUT", zone);
+  p.request("GET", zone);
+  p.request("DELETE", zone);
+  p.request("DELETE", zone, "", "", "away");
+  p.request("PATCH", zone, "{}");
+  p.request("PUT", "/v1/evacuations/ZH%20a");
+  p.request("GET", "/v1/changes/away");
 
   p.title("alerts");
   std::string const alert = "/v1/alerts/noisy";
-  p.ask("GET", alert);
-  p.ask("PUT", alert, R"({"state":"claimed","by":"a"})");
-  p.ask("PUT", alert, R"({"state":"claimed","by":"a"})", "0", "", true);
-  p.ask("PUT", alert, R"({"state":"claimed","by":"a"})", "0", "claim");
-  p.ask("PUT", alert, R"({"state":"claimed","by":"a"})", "0", "claim");
-  p.ask("PUT", alert, R"({"state":"done","by":"a"})", "0", "claim");
-  p.ask("PUT", alert, R"({"state":"claimed","by":"b"})", "0");
-  p.ask("GET", alert);
+  p.request("GET", alert);
+  p.request("PUT", alert, R"({"state":"claimed","by":"a"})");
+  p.request("PUT", alert, R"({"state":"claimed","by":"a"})", "0", "", true);
+  p.request("PUT", alert, R"({"state":"claimed","by":"a"})", "0", "claim");
+  p.request("PUT", alert, R"({"state":"claimed","by":"a"})", "0", "claim");
+  p.request("PUT", alert, R"({"state":"done","by":"a"})", "0", "claim");
+  p.request("PUT", alert, R"({"state":"claimed","by":"b"})", "0");
+  p.request("GET", alert);
   for (char const* const body :
        {"", "[]", R"({"state":"lost","by":"a"})", R"({"state":"done"})", R"({"state":"done","by":"a","surprise":1})"})
-    p.ask("PUT", alert, body, "1", "", true);
-  p.ask("PUT", alert, R"({"state":"done","by":"a"})", "\"1\"");
-  p.ask("PUT", alert, R"({"state":"clear","by":"a"})", "2");
-  p.ask("GET", alert);
-  p.ask("DELETE", alert, "", "3");
-  p.ask("PATCH", alert, "{}", "3");
+    p.request("PUT", alert, body, "1", "", true);
+  p.request("PUT", alert, R"({"state":"done","by":"a"})", "\"1\"");
+  p.request("PUT", alert, R"({"state":"clear","by":"a"})", "2");
+  p.request("GET", alert);
+  p.request("DELETE", alert, "", "3");
+  p.request("PATCH", alert, "{}", "3");
   p.check("pages_lists.txt");
 }
 
@@ -467,64 +467,64 @@
   Pages p;
   std::string const watch = "/v1/duties/watch";
   p.title("too early to know who has it");
-  p.ask("PUT", watch, R"({"holder":"a"})");
+  p.request("PUT", watch, R"({"holder":"a"})");
   p.rig.run(16000);
   p.title("granted, waited for, handed on");
-  p.ask("PUT", watch, R"({"holder":"a"})");
-  p.ask("PUT", watch, R"({"holder":"b"})");
-  p.ask("PUT", watch, R"({"holder":"c"})");
-  p.ask("PUT", watch, R"({"holder":"a"})");
-  p.ask("DELETE", watch, R"({"holder":"b"})");
-  p.ask("DELETE", watch, R"({"holder":"a","successor":"c"})");
-  p.ask("PUT", watch, R"({"holder":"b"})");
-  p.ask("PUT", watch, R"({"holder":"c"})");
-  p.ask("DELETE", watch, R"({"holder":"c"})");
-  p.ask("PUT", watch, R"({"holder":"b"})");
+  p.request("PUT", watch, R"({"holder":"a"})");
+  p.request("PUT", watch, R"({"holder":"b"})");
+  p.request("PUT", watch, R"({"holder":"c"})");
+  p.request("PUT", watch, R"({"holder":"a"})");
+  p.request("DELETE", watch, R"({"holder":"b"})");
+  p.request("DELETE", watch, R"({"holder":"a","successor":"c"})");
+  p.request("PUT", watch, R"({"holder":"b"})");
+  p.request("PUT", watch, R"({"holder":"c"})");
+  p.request("DELETE", watch, R"({"holder":"c"})");
+  p.request("PUT", watch, R"({"holder":"b"})");
   p.title("refused");
-  p.ask("GET", watch);
-  p.ask("PUT", watch, "{");
-  p.ask("PUT", watch, "{}");
-  p.ask("PUT", watch, R"({"holder":")" + std::string(65, 'x') + R"("})");
-  p.ask("PUT", "/v1/duties/Watch", R"({"holder":"a"})");
+  p.request("GET", watch);
+  p.request("PUT", watch, "{");
+  p.request("PUT", watch, "{}");
+  p.request("PUT", watch, R"({"holder":")" + std::string(65, 'x') + R"("})");
+  p.request("PUT", "/v1/duties/Watch", R"({"holder":"a"})");
   for (int i = 0; i < 4096; ++i) p.rig.call("PUT", "/v1/duties/d" + std::to_string(i), R"({"holder":"a"})");
-  p.ask("PUT", "/v1/duties/last", R"({"holder":"a"})");
-  p.ask("PUT", watch, R"({"holder":"b"})");
+  p.request("PUT", "/v1/duties/last", R"({"holder":"a"})");
+  p.request("PUT", watch, R"({"holder":"b"})");
   p.check("pages_duties.txt");
 }
 
 TEST_CASE("golden: the fleet, its roster, and changes whose rollout is incomplete") {
   Pages p;
   p.title("a controller alone");
-  p.ask("GET", "/v1/fleet");
+  p.request("GET", "/v1/fleet");
   p.title("three routers");
   p.rig.alive = {"a", "b", "c"};
   p.rig.run(6000);
-  p.ask("GET", "/v1/fleet");
-  p.ask("PUT", "/v1/platform/pools/model", poolSpec);
-  p.ask("PUT", config::fleetConfigurationPage, wholeSpec, "0");
+  p.request("GET", "/v1/fleet");
+  p.request("PUT", "/v1/platform/pools/model", poolSpec);
+  p.request("PUT", config::fleetConfigurationPage, fullSpec, "0");
   p.title("one router is deaf: a majority has it and the rest is fenced");
   p.rig.deaf = {"c"};
-  p.ask("PUT", "/v1/evacuations/z1");
+  p.request("PUT", "/v1/evacuations/z1");
   p.title("two routers are deaf: pending");
   p.rig.deaf = {"b", "c"};
-  p.ask("PUT", "/v1/evacuations/z2", "", "", "late");
-  p.ask("GET", "/v1/changes/late");
-  p.ask("GET", "/v1/fleet");
+  p.request("PUT", "/v1/evacuations/z2", "", "", "late");
+  p.request("GET", "/v1/changes/late");
+  p.request("GET", "/v1/fleet");
   p.title("in force after all");
   p.rig.deaf = {};
   p.rig.run(700);
-  p.ask("GET", "/v1/changes/late");
+  p.request("GET", "/v1/changes/late");
   p.title("nodes that are gone");
-  p.ask("DELETE", "/v1/nodes/nobody");
+  p.request("DELETE", "/v1/nodes/nobody");
   p.rig.alive = {"a", "b", "d"};
   p.rig.run(6000);
-  p.ask("DELETE", "/v1/nodes/c", "", "", "", true);
-  p.ask("DELETE", "/v1/nodes/c", "", "", "struck");
-  p.ask("DELETE", "/v1/nodes/c");
-  p.ask("GET", "/v1/nodes/c");
-  p.ask("GET", "/v1/roster/nodes");
+  p.request("DELETE", "/v1/nodes/c", "", "", "", true);
+  p.request("DELETE", "/v1/nodes/c", "", "", "struck");
+  p.request("DELETE", "/v1/nodes/c");
+  p.request("GET", "/v1/nodes/c");
+  p.request("GET", "/v1/roster/nodes");
   p.rig.run(6000);
-  p.ask("GET", "/v1/fleet");
+  p.request("GET", "/v1/fleet");
   p.check("pages_fleet.txt");
 }
 
@@ -532,11 +532,11 @@
   control::ControllerTuning tuning;
   tuning.awaitRollout = false;
   Pages p(tuning);
-  p.ask("PUT", config::fleetConfigurationPage, wholeSpec, "0", "first");
-  p.ask("PUT", config::fleetConfigurationPage, wholeSpec, "0", "first");
-  p.ask("PUT", "/v1/evacuations/z1");
-  p.ask("GET", "/v1/changes/first");
-  p.ask("GET", config::fleetConfigurationPage);
+  p.request("PUT", config::fleetConfigurationPage, fullSpec, "0", "first");
+  p.request("PUT", config::fleetConfigurationPage, fullSpec, "0", "first");
+  p.request("PUT", "/v1/evacuations/z1");
+  p.request("GET", "/v1/changes/first");
+  p.request("GET", config::fleetConfigurationPage);
   p.check("pages_at_once.txt");
 }
 
@@ -564,10 +564,10 @@
                                  "/v1/roster",
                                  "/v1/roster/x",
                                  "/v1/configurations"})
-    for (char const* const method : {"GET", "PUT"}) p.ask(method, path);
-  p.ask("PUT", "/v1/fleet", "{}");
-  p.ask("PUT", "/v1/templates", "{}");
-  p.ask("PUT", "/v1/changes/x", "{}");
+    for (char const* const method : {"GET", "PUT"}) p.request(method, path);
+  p.request("PUT", "/v1/fleet", "{}");
+  p.request("PUT", "/v1/templates", "{}");
+  p.request("PUT", "/v1/changes/x", "{}");
   p.check("pages_not_found.txt");
 }
 
@@ -597,7 +597,7 @@
                                                              {"PUT", "/v1/duties/watch"}};
 
 /// A controller whose disk is silent: what it writes is never confirmed.
-struct Silent {
+struct UnreachablePeers {
   control::Controller& reducer;
   core::Tick& now;
   std::map<std::uint64_t, control::OperatorResponse> answers;
@@ -608,10 +608,10 @@
   void run(core::Tick span) {
     for (core::Tick const until = now + span; now < until; now += 25) apply(reducer.onTimer(now));
   }
-  std::string told(transport::OperatorCall const& call) const {
+  std::string answersTo(transport::OperatorCall const& call) const {
     auto const answer = answers.find(call.token);
-    return asked(call) +
-           (answer == answers.end() ? "no answer\n" : answered(answer->second.status, answer->second.body));
+    return callText(call) +
+           (answer == answers.end() ? "no answer\n" : answerText(answer->second.status, answer->second.body));
   }
 };
 
@@ -621,8 +621,8 @@
   Pages p;
   p.rig.run(16000);
   p.rig.apply(p.rig.reducer.drain(p.rig.now));
-  for (auto const& [method, path] : kinds) p.ask(method, path, holder, "0");
-  p.ask("GET", "/v1/fleet");
+  for (auto const& [method, path] : kinds) p.request(method, path, holder, "0");
+  p.request("GET", "/v1/fleet");
   p.check("pages_leaving.txt");
 }
 
@@ -631,21 +631,21 @@
   Pages calls;
   control::Controller reducer(Rig::contact("s1", transport::controllerRole), "m1", {}, {"s1", "s2", "s3"}, 3);
   core::Tick now = 1000;
-  Silent alone{reducer, now, {}};
+  UnreachablePeers alone{reducer, now, {}};
   alone.apply(reducer.restore({}, false, now));
   alone.run(1000);
   for (auto const& [method, path] : kinds) {
     transport::OperatorCall const call = calls.callOf(method, path, holder, "0");
     alone.apply(reducer.onOperatorCall(now, call));
     alone.run(1000);
-    text += alone.told(call);
+    text += alone.answersTo(call);
   }
   text += "\n# too many questions\n";
   for (int i = 0; i < 4096; ++i) alone.apply(reducer.onOperatorCall(now, calls.callOf("GET", "/v1/templates")));
   for (char const* const path : {"/v1/templates", "/v1/changes/x", "/v1/fleet"}) {
     transport::OperatorCall const call = calls.callOf("GET", path);
     alone.apply(reducer.onOperatorCall(now, call));
-    text += alone.told(call);
+    text += alone.answersTo(call);
   }
   golden::check(file("pages_out_of_contact.txt"), text);
 }
@@ -654,14 +654,14 @@
   std::string text;
   Pages p;
   p.rig.run(3000);
-  Silent silent{p.rig.reducer, p.rig.now, {}};
+  UnreachablePeers unreachable{p.rig.reducer, p.rig.now, {}};
   std::vector<transport::OperatorCall> calls;
   for (auto const& [method, path] : kinds) {
     calls.push_back(p.callOf(method, path, holder, "0"));
-    silent.apply(p.rig.reducer.onOperatorCall(p.rig.now, calls.back()));
+    unreachable.apply(p.rig.reducer.onOperatorCall(p.rig.now, calls.back()));
   }
-  silent.run(patience);
-  for (transport::OperatorCall const& call : calls) text += silent.told(call);
+  unreachable.run(patience);
+  for (transport::OperatorCall const& call : calls) text += unreachable.answersTo(call);
   golden::check(file("pages_disk_silent.txt"), text);
 }
 
@@ -669,13 +669,13 @@
   std::string text;
   Pages p;
   p.rig.run(3000);
-  Silent full{p.rig.reducer, p.rig.now, {}};
+  UnreachablePeers full{p.rig.reducer, p.rig.now, {}};
   for (int i = 0; i < 4096; ++i)
     full.apply(p.rig.reducer.onOperatorCall(p.rig.now, p.callOf("PUT", "/v1/evacuations/y" + std::to_string(i))));
   for (auto const& [method, path] : kinds) {
     transport::OperatorCall const call = p.callOf(method, path, holder, "0");
     full.apply(p.rig.reducer.onOperatorCall(p.rig.now, call));
-    text += full.told(call);
+    text += full.answersTo(call);
   }
   golden::check(file("pages_full.txt"), text);
 }
@@ -726,8 +726,8 @@
       for (auto const& [link, reducer] : members) apply(link, reducer->onTimer(now));
     }
   }
-  std::string ask(std::string const& at, std::string const& method, std::string const& path,
-                  std::string const& body = "", std::string const& ifMatch = "") {
+  std::string request(std::string const& at, std::string const& method, std::string const& path,
+                      std::string const& body = "", std::string const& ifMatch = "") {
     transport::OperatorCall call;
     call.token = token++;
     call.method = method;
@@ -738,7 +738,7 @@
     apply(at, members.at(at)->onOperatorCall(now, call));
     for (core::Tick const until = now + patience; answers.count(call.token) == 0 && now < until;) run(25);
     REQUIRE(answers.count(call.token) == 1);
-    return at + asked(call) + answered(answers.at(call.token).status, answers.at(call.token).body);
+    return at + callText(call) + answerText(answers.at(call.token).status, answers.at(call.token).body);
   }
 };
 
@@ -748,79 +748,80 @@
   Three fleet;
   std::string text;
   for (char const* const link : {"s1", "s2", "s3"}) {
-    text += fleet.ask(link, "PUT", "/v1/evacuations/z1");
-    text += fleet.ask(link, "GET", "/v1/evacuations/z1");
-    text += fleet.ask(link, "GET", config::fleetConfigurationPage);
-    text += fleet.ask(link, "GET", "/v1/fleet");
+    text += fleet.request(link, "PUT", "/v1/evacuations/z1");
+    text += fleet.request(link, "GET", "/v1/evacuations/z1");
+    text += fleet.request(link, "GET", config::fleetConfigurationPage);
+    text += fleet.request(link, "GET", "/v1/fleet");
   }
   fleet.loseAnswers = true;
   text += "\n# answers of the owner are lost\n";
   for (char const* const link : {"s1", "s2", "s3"}) {
-    text += fleet.ask(link, "DELETE", "/v1/evacuations/z1");
-    text += fleet.ask(link, "GET", "/v1/evacuations/z1");
+    text += fleet.request(link, "DELETE", "/v1/evacuations/z1");
+    text += fleet.request(link, "GET", "/v1/evacuations/z1");
   }
   golden::check(file("pages_relayed.txt"), text);
 }
 
 TEST_CASE("golden: rejections that only a key's own history or size brings") {
   std::string text;
-  auto const ask = [&text](std::string const& method, std::string const& path, std::string const& key,
-                           std::uint64_t revision, QJsonObject const& value, std::string const& body,
-                           std::string const& ifMatch, bool poolUnconfirmed = false) {
+  auto const request = [&text](std::string const& method, std::string const& path, std::string const& key,
+                               std::uint64_t revision, QJsonObject const& value, std::string const& body,
+                               std::string const& ifMatch, bool poolUnconfirmed = false) {
     transport::OperatorCall call;
     call.method = method;
     call.path = path;
     call.body = body;
     call.ifMatch = ifMatch;
     call.changeId = "c";
-    control::ClusterView around;
-    around.poolKnown = [](std::string const&) { return false; };
-    around.poolUnconfirmed = [poolUnconfirmed](std::string const&) { return poolUnconfirmed; };
-    around.regimeFault = [](config::Regimes const&, std::string const&, std::string const&) {
+    control::ClusterView clusterView;
+    clusterView.poolKnown = [](std::string const&) { return false; };
+    clusterView.poolUnconfirmed = [poolUnconfirmed](std::string const&) { return poolUnconfirmed; };
+    clusterView.regimeFault = [](config::Regimes const&, std::string const&, std::string const&) {
       return std::optional<config::RegimeFault>();
     };
-    around.regimes = [] { return config::Regimes{}; };
-    around.regimeUses = [] { return std::vector<config::RegimeRequirement>(); };
-    auto const verdict = control::validateCall(key, revision, value, call, around);
-    text += asked(call) + answered(verdict.status, verdict.body);
+    clusterView.regimes = [] { return config::Regimes{}; };
+    clusterView.regimeUses = [] { return std::vector<config::RegimeRequirement>(); };
+    auto const verdict = control::validateCall(key, revision, value, call, clusterView);
+    text += callText(call) + answerText(verdict.status, verdict.body);
   };
   QJsonObject const family{{"template", QJsonObject{{"stamp", 1}, {"spec", core::parseJson(deskSpec).toObject()}}}};
   std::string const north = R"({"parameters":{"site":"north"}})";
-  ask("PUT", nord, "family:desk", 1, family, north, "0", false);
-  ask("PUT", nord, "family:desk", 1, family, north, "0", true);
+  request("PUT", nord, "family:desk", 1, family, north, "0", false);
+  request("PUT", nord, "family:desk", 1, family, north, "0", true);
 
   control::ChangeHistory history({}, 0);
   for (std::uint64_t base = 0; base < 3 * 1024; ++base)
     history.append(control::contentDigest({}, {}, std::to_string(base)), base);
   QJsonObject old = family;
   old.insert(control::ChangeHistory::storedField, history.json());
-  ask("PUT", desk, "family:desk", 3072, old, deskSpec, "7");
-  QJsonObject whole{{"spec", QJsonObject{{"version", 3072}, {"paths", QJsonArray{}}, {"pools", QJsonArray{}}}}};
-  whole.insert(control::ChangeHistory::storedField, history.json());
-  ask("PUT", config::fleetConfigurationPage, config::fleetConfigurationKey, 3072, whole, wholeSpec, "7");
-  ask("DELETE", config::fleetConfigurationPage, config::fleetConfigurationKey, 3072, whole, "", "3072");
-  ask("DELETE", "/v1/alerts/a", "alert:a", 1, {}, "", "1");
-  ask("GET", "/v1/x/y", "other", 1, {}, "", "");
-
-  ask("PUT", "/v1/evacuations/z1", "zone:z1", 5, {}, "", "4");
-  ask("ROSTER", "/v1/roster/nodes", "roster", 5, {}, R"({"nodes":[]})", "4");
+  request("PUT", desk, "family:desk", 3072, old, deskSpec, "7");
+  QJsonObject fullConfiguration{
+      {"spec", QJsonObject{{"version", 3072}, {"paths", QJsonArray{}}, {"pools", QJsonArray{}}}}};
+  fullConfiguration.insert(control::ChangeHistory::storedField, history.json());
+  request("PUT", config::fleetConfigurationPage, config::fleetConfigurationKey, 3072, fullConfiguration, fullSpec, "7");
+  request("DELETE", config::fleetConfigurationPage, config::fleetConfigurationKey, 3072, fullConfiguration, "", "3072");
+  request("DELETE", "/v1/alerts/a", "alert:a", 1, {}, "", "1");
+  request("GET", "/v1/x/y", "other", 1, {}, "", "");
+
+  request("PUT", "/v1/evacuations/z1", "zone:z1", 5, {}, "", "4");
+  request("ROSTER", "/v1/roster/nodes", "roster", 5, {}, R"({"nodes":[]})", "4");
 
   QJsonObject spec = core::parseJson(R"({"paths":[{"path":"a","pool":"p","class":"short"}]})").toObject();
   spec.insert("note", QString(8 << 20, 'n'));
   QJsonObject const full{{"template", QJsonObject{{"stamp", 1}, {"spec", spec}}}};
-  ask("PATCH", desk, "family:desk", 1, full, "{}", "1");
+  request("PATCH", desk, "family:desk", 1, full, "{}", "1");
 
   QJsonObject const big{{"version", 1},
                         {"paths", QJsonArray{}},
                         {"pools", QJsonArray{}},
                         {"extra", QJsonObject{{"n", QString(8 << 20, 'n')}}}};
   QJsonObject const bytes{{"spec", big}, {"changes", QJsonArray{QJsonObject{{"id", "o"}, {"bytes", 8 << 20}}}}};
-  ask("PATCH", config::fleetConfigurationPage, config::fleetConfigurationKey, 1, bytes, R"({"version":2})", "1");
+  request("PATCH", config::fleetConfigurationPage, config::fleetConfigurationKey, 1, bytes, R"({"version":2})", "1");
 
   QJsonObject const noted{
       {"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", "any"}, {"note", QString(2 << 20, 'n')}}}}},
       {"certificates", QJsonObject{}}};
-  ask("PATCH", certificatesPage, config::regimesKey, 1, QJsonObject{{"spec", noted}}, "{}", "1");
+  request("PATCH", certificatesPage, config::regimesKey, 1, QJsonObject{{"spec", noted}}, "{}", "1");
   golden::check(file("refusals.txt"), text);
 }
 
@@ -831,13 +832,13 @@
   p.rig.reducer.setWallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
   p.rig.alive = {"a", "b", "c"};
   p.rig.run(6000);
-  p.ask("PUT", "/v1/platform/pools/model", poolSpec);
-  p.ask("PUT", config::fleetConfigurationPage, wholeSpec, "0");
-  p.ask("PUT", config::fleetConfigurationPage, wholeSpec, "7");
-  p.ask("GET", config::fleetConfigurationPage);
-  p.ask("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1", "2026-06-01T01:00:00Z")), "0");
-  p.ask("PUT", "/v1/platform/pools/model", R"({"generation":2,"replicas":[]})");
-  p.ask("PUT", "/v1/platform/pools/model", "{");
+  p.request("PUT", "/v1/platform/pools/model", poolSpec);
+  p.request("PUT", config::fleetConfigurationPage, fullSpec, "0");
+  p.request("PUT", config::fleetConfigurationPage, fullSpec, "7");
+  p.request("GET", config::fleetConfigurationPage);
+  p.request("PUT", certificatesPage, certificates(R"("c1":)" + certificate("z1", "2026-06-01T01:00:00Z")), "0");
+  p.request("PUT", "/v1/platform/pools/model", R"({"generation":2,"replicas":[]})");
+  p.request("PUT", "/v1/platform/pools/model", "{");
   config::EndpointList list;
   config::Replica replica;
   replica.id = "i-1";
@@ -847,7 +848,7 @@
   p.rig.apply(p.rig.reducer.updateEndpointLists(p.rig.now, {{"model", list}}));
   p.rig.run(700);
   p.rig.deaf = {"b", "c"};
-  p.ask("PUT", "/v1/evacuations/z2");
+  p.request("PUT", "/v1/evacuations/z2");
   p.rig.call("PUT", "/v1/evacuations/z3");
   text += "# with routers, certificates and a call in hand\n" + p.rig.reducer.metrics(p.rig.now);
   p.rig.apply(p.rig.reducer.drain(p.rig.now));
--- a/control/test/golden_test.cpp
+++ b/control/test/golden_test.cpp
@@ -58,7 +58,7 @@
 constexpr char const* templateSpec =
     R"({"note":"ü","regime":"health","parameters":{"farm":{"type":"string","choices":["nord-7","sued-1"]},"aim":{"type":"integer","default":500,"min":50,"max":900},"on":{"type":"boolean","default":true}},
   "paths":[{"path":"narrate/${farm}","pool":"model","class":"long","events":true,"resumable":true},{"path":"pitch","pool":"model","class":"short","aimMs":"${aim}","deadlineMs":9000},{"path":"ack","pool":"model","class":"urgent"}]})";
-constexpr char const* wholeSpec =
+constexpr char const* fullSpec =
     R"({"version":5,"extra":{"by":"ü","list":[1,2.5,null,true,{"a":"b"}]},"door":{"headBytes":16384,"bodyBytes":4194304,"headMs":3000,"idleMs":15000},
   "pools":[{"name":"big","standing":"/health","connections":650,"coldRate":2.5,"coldMs":3000,"slots":128,"tokens":729140,"extra":{"weights":[1]}},{"name":"small"}],
   "paths":[{"name":"Path 1/ü","host":"a.example","prefix":"/x/","kind":"stream","deadlineMs":15000,"aimMs":800,"gapAimMs":400,"urgency":0,"tries":2,"resumable":true,"affine":true,"open":true,"shares":[{"pool":"big","share":90},{"pool":"small","share":10}],"extra":{"a":1}},
@@ -86,7 +86,7 @@
     {"DELETE", templatePage + "/instances/sued", "3", "f6", ""},
     {"PUT", "/v1/templates/empty", "0", "f7", R"({"paths":[{"path":"a","pool":"model","class":"short"}]})", 201},
     {"DELETE", "/v1/templates/empty", "1", "f8", ""},
-    {"PUT", config::fleetConfigurationPage, "0", "w1", wholeSpec, 201},
+    {"PUT", config::fleetConfigurationPage, "0", "w1", fullSpec, 201},
     {"PATCH", config::fleetConfigurationPage, "5", "w2", wholePatch},
     {"PUT", "/v1/evacuations/z1", "", "z1", ""},
     {"DELETE", "/v1/evacuations/z1", "", "z2", ""},
@@ -160,12 +160,12 @@
   }
   /// A router that sends one request and is not heard again.
   void meetRouter(std::string const& link) {
-    transport::ServingLeaseRequest ask;
-    ask.sentAt = rig.now;
-    ask.sender = Rig::contact(link, transport::routerRole);
-    ask.sender.httpAddress = "127.0.0.1:8004";
-    ask.sender.zone = "Zone ü/1";
-    rig.apply(rig.reducer.onMessage(rig.now, link, ask));
+    transport::ServingLeaseRequest request;
+    request.sentAt = rig.now;
+    request.sender = Rig::contact(link, transport::routerRole);
+    request.sender.httpAddress = "127.0.0.1:8004";
+    request.sender.zone = "Zone ü/1";
+    rig.apply(rig.reducer.onMessage(rig.now, link, request));
     run(6000);
   }
   /// The controller reads the platform's list of one pool itself.
@@ -286,7 +286,7 @@
 TEST_CASE("a controller restored from recorded records knows a recorded change by its content") {
   Recorder restored(recordedDisk());
   control::OperatorResponse const answer =
-      restored.call(Change{"PUT", config::fleetConfigurationPage, "0", "another-id", wholeSpec});
+      restored.call(Change{"PUT", config::fleetConfigurationPage, "0", "another-id", fullSpec});
   CHECK(answer.status == 200);
   CHECK(answer.body.value("replayed").toBool());
   CHECK(answer.body.value("stamp").toInteger() == 1);
--- a/control/test/operators.h
+++ b/control/test/operators.h
@@ -22,7 +22,7 @@
 /// Page of the fleet configuration.
 inline constexpr char const* page = config::fleetConfigurationPage;
 
-inline QJsonObject pathRow(std::string const& name, std::string const& pool = "big") {
+inline QJsonObject pathSpec(std::string const& name, std::string const& pool = "big") {
   return QJsonObject{{"name", core::toQString(name)},
                      {"host", "h"},
                      {"prefix", core::toQString("/" + name + "/")},
@@ -32,18 +32,19 @@
 }
 
 inline QJsonObject spec(qint64 version, std::vector<std::string> const& paths = {"a"}, QString const& by = "") {
-  QJsonArray rows;
-  for (std::string const& p : paths) rows.append(pathRow(p));
+  QJsonArray pathSpecs;
+  for (std::string const& p : paths) pathSpecs.append(pathSpec(p));
   return QJsonObject{{"version", version},
-                     {"paths", rows},
+                     {"paths", pathSpecs},
                      {"pools", QJsonArray{QJsonObject{{"name", "big"}}}},
                      {"extra", QJsonObject{{"by", by}}}};
 }
 
 inline QJsonObject patchOf(qint64 version, std::vector<std::string> const& paths, QString const& by = "") {
-  QJsonArray rows;
-  for (std::string const& p : paths) rows.append(pathRow(p));
-  return QJsonObject{{"version", version}, {"set", QJsonObject{{"paths", rows}}}, {"extra", QJsonObject{{"by", by}}}};
+  QJsonArray pathSpecs;
+  for (std::string const& p : paths) pathSpecs.append(pathSpec(p));
+  return QJsonObject{
+      {"version", version}, {"set", QJsonObject{{"paths", pathSpecs}}}, {"extra", QJsonObject{{"by", by}}}};
 }
 
 /// Three members with links that lose, duplicate and delay, slow disks, and processes that are killed.
@@ -52,7 +53,7 @@
     std::unique_ptr<Controller> reducer;
     std::map<std::string, std::string> disk;
     std::uint64_t incarnation = 0;
-    std::uint64_t seen = 0;
+    std::uint64_t lastSeenRevision = 0;
   };
   struct Event {
     std::string to;
@@ -87,7 +88,7 @@
   void start(std::string const& link) {
     Member& m = members[link];
     ++m.incarnation;
-    m.seen = 0;
+    m.lastSeenRevision = 0;
     ControllerTuning tuning;
     tuning.awaitRollout = false;
     m.reducer = std::make_unique<Controller>(Rig::contact(link, transport::controllerRole),
@@ -129,7 +130,10 @@
     }
     for (transport::Send const& s : c.sends) {
       if (members.count(s.to) == 0) continue;
-      for (int copies = !calm && rng.chance(0.05) ? 0 : !calm && rng.chance(0.03) ? 2 : 1; copies > 0; --copies) {
+      for (int deliveries = !calm && rng.chance(0.05)   ? 0
+                            : !calm && rng.chance(0.03) ? 2
+                                                        : 1;
+           deliveries > 0; --deliveries) {
         transport::Message const message = s.message;
         events.emplace(now + 1 + static_cast<core::Tick>(rng.below(20)),
                        Event{s.to, 0, [this, link, message](Controller& reducer) {
@@ -140,11 +144,11 @@
     for (OperatorResponse const& a : c.responses) answered(a);
     std::map<std::string, consensus::CommittedValue> const& all = m.reducer->registers().committed();
     auto const it = all.find(config::fleetConfigurationKey);
-    if (it == all.end() || it->second.revision == m.seen) return;
-    CHECK(it->second.revision > m.seen);
-    m.seen = it->second.revision;
+    if (it == all.end() || it->second.revision == m.lastSeenRevision) return;
+    CHECK(it->second.revision > m.lastSeenRevision);
+    m.lastSeenRevision = it->second.revision;
     QJsonObject const kept = it->second.value.value("spec").toObject();
-    QJsonObject const known = chain.try_emplace(m.seen, kept).first->second;
+    QJsonObject const known = chain.try_emplace(m.lastSeenRevision, kept).first->second;
     CHECK(kept == known);
   }
   void answered(OperatorResponse const& a) {
@@ -225,10 +229,10 @@
   void checkInvariants() {
     QJsonObject before;
     std::uint64_t revision = 0;
-    std::map<std::string, std::string> takenOn;
-    std::set<std::string> inForce;
-    for (auto const& [acknowledgedRevision, configuration] : chain) {
-      CHECK(acknowledgedRevision == ++revision);
+    std::map<std::string, std::string> acceptedOn;
+    std::set<std::string> committedChanges;
+    for (auto const& [committedRevision, configuration] : chain) {
+      CHECK(committedRevision == ++revision);
       Change const& c = changes.at(by(configuration));
       qint64 const version = configuration.value("version").toInteger();
       CHECK(version > before.value("version").toInteger());
@@ -236,15 +240,15 @@
       CHECK(c.call.ifMatch == std::to_string(before.value("version").toInteger()));
       QJsonObject const said = core::parseJson(c.call.body).toObject();
       CHECK(configuration == (c.call.method == "PUT" ? said : config::patchFleetConfiguration(before, said)));
-      CHECK(inForce.insert(c.id).second);
+      CHECK(committedChanges.insert(c.id).second);
       before = configuration;
     }
     for (auto const& [token, change] : changes) {
       if (change.status == 200 || change.status == 201) {
-        CHECK(inForce.count(token) == 1);
-        CHECK(takenOn.emplace(change.call.ifMatch, token).second);
+        CHECK(committedChanges.count(token) == 1);
+        CHECK(acceptedOn.emplace(change.call.ifMatch, token).second);
       }
-      if (change.status == 412 || change.status == 422) CHECK(inForce.count(token) == 0);
+      if (change.status == 412 || change.status == 422) CHECK(committedChanges.count(token) == 0);
     }
   }
 };
--- a/control/test/resend_test.cpp
+++ b/control/test/resend_test.cpp
@@ -104,14 +104,16 @@
 
 TEST_CASE("a key's history stays within 36 KiB on disk and is not sent to routers") {
   Register r;
-  auto const kept = [&r](char const* part) { return core::jsonText(QJsonObject{{part, r.value.value(part)}}).size(); };
+  auto const storedBytes = [&r](char const* part) {
+    return core::jsonText(QJsonObject{{part, r.value.value(part)}}).size();
+  };
   std::size_t most = 0;
   for (qint64 base = 0; base < 5000; ++base) {
     REQUIRE(acknowledged(r.call(orderOn(base)).status));
-    most = std::max(most, kept(control::ChangeHistory::storedField));
+    most = std::max(most, storedBytes(control::ChangeHistory::storedField));
     if (base + 1 != 100 && base + 1 != 1000 && base + 1 != 5000) continue;
-    WARN(base + 1 << " changes: digests " << kept(control::ChangeHistory::storedField) << " B, ids " << kept("changes")
-                  << " B, configuration " << kept("spec") << " B");
+    WARN(base + 1 << " changes: digests " << storedBytes(control::ChangeHistory::storedField) << " B, ids "
+                  << storedBytes("changes") << " B, configuration " << storedBytes("spec") << " B");
   }
   WARN("most digests " << most << " B");
   CHECK(most < (36U << 10));
@@ -166,9 +168,9 @@
     std::string const key = control::targetOf(target)->key;
     std::uint64_t revision = 0;
     QJsonObject value;
-    control::ClusterView around{[](std::string const&) { return true; }};
-    around.regimes = [] { return config::Regimes{}; };
-    around.regimeUses = [] { return std::vector<config::RegimeRequirement>{}; };
+    control::ClusterView clusterView{[](std::string const&) { return true; }};
+    clusterView.regimes = [] { return config::Regimes{}; };
+    clusterView.regimeUses = [] { return std::vector<config::RegimeRequirement>{}; };
     auto const call = [&](std::uint64_t base, std::string const& by) {
       transport::OperatorCall c;
       c.method = "PUT";
@@ -177,7 +179,7 @@
       c.changeId = by + std::to_string(base);
       c.body = family ? R"({"paths":[{"path":"a","pool":"big","class":"short"}],"note":")" + c.changeId + "\"}"
                       : R"({"regimes":{"h)" + c.changeId + R"(":{"nacelles":"any"}},"certificates":{}})";
-      consensus::Verdict const v = control::validateCall(key, revision, value, c, around);
+      consensus::Verdict const v = control::validateCall(key, revision, value, c, clusterView);
       if (v.change) value = v.value;
       revision += v.change ? 1 : 0;
       return v;
--- a/control/test/rig.h
+++ b/control/test/rig.h
@@ -66,12 +66,12 @@
       apply(reducer.onTimer(now));
       if (now % 300 != 0) continue;
       for (std::string const& n : alive) {
-        transport::ServingLeaseRequest ask;
-        ask.sentAt = now;
-        ask.sender = contact(n, transport::routerRole);
-        ask.digest = transport::digestOf(have[n]);
-        if (revisionsWanted.count(n) > 0) ask.revisions = have[n];
-        apply(reducer.onMessage(now, n, ask));
+        transport::ServingLeaseRequest request;
+        request.sentAt = now;
+        request.sender = contact(n, transport::routerRole);
+        request.digest = transport::digestOf(have[n]);
+        if (revisionsWanted.count(n) > 0) request.revisions = have[n];
+        apply(reducer.onMessage(now, n, request));
       }
     }
   }
--- a/core/src/guarantees.cpp
+++ b/core/src/guarantees.cpp
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-char const* nameOf(Guarantee guarantee) {
-  return names.at(static_cast<std::size_t>(guarantee));
+char const* nameOf(Guarantee promise) {
+  return names.at(static_cast<std::size_t>(promise));
 }
 
 GuaranteeCounts& GuaranteeCounts::ofThread() {
@@ -33,12 +33,12 @@
   return counts;
 }
 
-void GuaranteeCounts::recordViolation(Guarantee guarantee, std::string const& detail) {
-  auto const index = static_cast<std::size_t>(guarantee);
+void GuaranteeCounts::recordViolation(Guarantee promise, std::string const& detail) {
+  auto const index = static_cast<std::size_t>(promise);
   ++counts_.at(index);
   if (counts_.at(index) == reported_.at(index) + 1) details_.at(index) = detail;
   if (counts_.at(index) <= loggedOfEach)
-    writeError(LogEvent{"promise-broken", {{"promise", nameOf(guarantee)}, {"detail", detail}}});
+    writeError(LogEvent{"promise-broken", {{"promise", nameOf(promise)}, {"detail", detail}}});
 }
 
 std::uint64_t GuaranteeCounts::total() const {
--- a/core/test/core_test.cpp
+++ b/core/test/core_test.cpp
@@ -12,19 +12,19 @@
 namespace core = corkward::core;
 
 TEST_CASE("merge patch follows RFC 7396") {
-  struct Row {
+  struct MergeCase {
     char const* target;
     char const* patch;
     char const* want;
   };
-  constexpr Row rows[] = {{R"({"a":"b"})", R"({"a":"c"})", R"({"a":"c"})"},
-                          {R"({"a":"b"})", R"({"a":null})", R"({})"},
-                          {R"({"a":{"b":"c"}})", R"({"a":{"b":"d","c":null}})", R"({"a":{"b":"d"}})"},
-                          {R"({"a":[{"b":"c"}]})", R"({"a":[1]})", R"({"a":[1]})"},
-                          {R"({"e":null})", R"({"a":1})", R"({"a":1,"e":null})"},
-                          {R"([1,2])", R"({"a":"b","c":null})", R"({"a":"b"})"},
-                          {R"({})", R"({"a":{"bb":{"ccc":null}}})", R"({"a":{"bb":{}}})"}};
-  for (Row const& r : rows)
+  constexpr MergeCase cases[] = {{R"({"a":"b"})", R"({"a":"c"})", R"({"a":"c"})"},
+                                 {R"({"a":"b"})", R"({"a":null})", R"({})"},
+                                 {R"({"a":{"b":"c"}})", R"({"a":{"b":"d","c":null}})", R"({"a":{"b":"d"}})"},
+                                 {R"({"a":[{"b":"c"}]})", R"({"a":[1]})", R"({"a":[1]})"},
+                                 {R"({"e":null})", R"({"a":1})", R"({"a":1,"e":null})"},
+                                 {R"([1,2])", R"({"a":"b","c":null})", R"({"a":"b"})"},
+                                 {R"({})", R"({"a":{"bb":{"ccc":null}}})", R"({"a":{"bb":{}}})"}};
+  for (MergeCase const& r : cases)
     CHECK(core::jsonText(core::mergePatch(core::parseJson(r.target), core::parseJson(r.patch))) == r.want);
 }
 
@@ -37,17 +37,17 @@
 }
 
 TEST_CASE("JSON is read as it was written") {
-  struct Row {
+  struct MergeCase {
     char const* text;
     char const* want;
   };
-  constexpr Row rows[] = {
+  constexpr MergeCase cases[] = {
       {"7", "7"},
       {" \"x\" ", "\"x\""},
       {"null", "null"},
       {"[9223372036854775807,-9223372036854775808]", "[9223372036854775807,-9223372036854775808]"},
       {R"({"b":[{},[],true,null,0.5],"a":"\u00e9\n"})", R"({"a":"é\n","b":[{},[],true,null,0.5]})"}};
-  for (Row const& r : rows) CHECK(core::jsonText(core::parseJson(r.text)) == r.want);
+  for (MergeCase const& r : cases) CHECK(core::jsonText(core::parseJson(r.text)) == r.want);
   CHECK(core::parseJson("[3.0]").toArray().first().toInteger() == 3);
   CHECK(core::parseJson("[1e2]").toArray().first().toInteger() == 100);
   for (char const* text : {R"({"a":1,"\u0061":2})", R"([{"x":{"a":1,"b":2,"a":3}}])", "[18446744073709551615]", "1 2",
@@ -74,7 +74,7 @@
   core::GuaranteeCounts& counts = core::GuaranteeCounts::ofThread();
   std::uint64_t const before = counts.count(core::Guarantee::runsOnce);
   int made = 0;
-  std::function<std::string()> const detail = [&] {
+  auto const detail = [&] {
     ++made;
     return "request r" + std::to_string(made);
   };
@@ -85,8 +85,8 @@
   CHECK(counts.count(core::Guarantee::runsOnce) == before + 2);
   CHECK(core::guaranteeMetrics().find("{promise=\"runs-once\"} " + std::to_string(before + 2)) != std::string::npos);
   CHECK(core::guaranteeMetrics().find("{promise=\"events-in-order\"}") != std::string::npos);
-  std::vector<std::string> const told = counts.takeNewViolations();
-  REQUIRE(told.size() == 1);
-  CHECK(told[0] == "promise runs-once broken 2 times, first: request r1");
+  std::vector<std::string> const violations = counts.takeNewViolations();
+  REQUIRE(violations.size() == 1);
+  CHECK(violations[0] == "promise runs-once broken 2 times, first: request r1");
   CHECK(counts.takeNewViolations().empty());
 }
--- a/gossip/include/corkward/gossip/partial_view.h
+++ b/gossip/include/corkward/gossip/partial_view.h
@@ -51,18 +51,18 @@
   std::size_t size() const { return view_.size(); }
 
  private:
-  struct Seen {
+  struct KnownContact {
     transport::Contact contact;
     Tick lastSeenAt = 0;
   };
   void merge(Tick now, transport::Contact const& contact);
   transport::GossipShuffle sample(Tick now, bool reply, bool brief);
   /// Place on the roster of a contact that differs from what is said there by incarnation and age alone; -1: none.
-  std::ptrdiff_t place(transport::Contact const& contact) const;
+  std::ptrdiff_t rosterPosition(transport::Contact const& contact) const;
   transport::Contact self_;
   std::vector<std::string> seeds_;
   core::RandomGenerator rng_;
-  std::map<std::string, Seen> view_;
+  std::map<std::string, KnownContact> view_;
   Tick shuffleAt_ = 0;
   std::uint64_t rosterRevision_ = 0;
   /// In the order of their links.
--- a/gossip/src/partial_view.cpp
+++ b/gossip/src/partial_view.cpp
@@ -36,13 +36,13 @@
     if (contact.incarnation > self_.incarnation) self_.incarnation = contact.incarnation + 1;
     return;
   }
-  Seen& seen = view_[contact.link];
+  KnownContact& known = view_[contact.link];
   Tick const at = now - contact.age;
-  if (contact.incarnation < seen.contact.incarnation ||
-      (contact.incarnation == seen.contact.incarnation && at <= seen.lastSeenAt && seen.lastSeenAt != 0))
+  if (contact.incarnation < known.contact.incarnation ||
+      (contact.incarnation == known.contact.incarnation && at <= known.lastSeenAt && known.lastSeenAt != 0))
     return;
-  seen.contact = contact;
-  seen.lastSeenAt = at;
+  known.contact = contact;
+  known.lastSeenAt = at;
   if (view_.size() <= viewBound) return;
   auto const oldest = std::min_element(view_.begin(), view_.end(), [](auto const& a, auto const& b) {
     return a.second.lastSeenAt < b.second.lastSeenAt;
@@ -58,7 +58,7 @@
   alike_ = false;
 }
 
-std::ptrdiff_t PartialView::place(transport::Contact const& contact) const {
+std::ptrdiff_t PartialView::rosterPosition(transport::Contact const& contact) const {
   auto const it = std::lower_bound(roster_.begin(), roster_.end(), contact.link,
                                    [](transport::Contact const& c, std::string const& link) { return c.link < link; });
   bool const same = it != roster_.end() && it->link == contact.link && it->httpAddress == contact.httpAddress &&
@@ -68,9 +68,9 @@
 
 transport::GossipShuffle PartialView::sample(Tick now, bool reply, bool brief) {
   std::vector<transport::Contact> out;
-  for (auto const& [link, seen] : view_) {
-    out.push_back(seen.contact);
-    out.back().age = now - seen.lastSeenAt;
+  for (auto const& [link, known] : view_) {
+    out.push_back(known.contact);
+    out.back().age = now - known.lastSeenAt;
   }
   for (std::size_t i = out.size(); i > 1; --i) std::swap(out[i - 1], out[rng_.below(i)]);
   if (out.size() > sampleSize) out.resize(sampleSize);
@@ -78,7 +78,7 @@
   shuffle.reply = reply;
   shuffle.rosterRevision = rosterRevision_;
   for (transport::Contact& c : out) {
-    std::ptrdiff_t const at = brief ? place(c) : -1;
+    std::ptrdiff_t const at = brief ? rosterPosition(c) : -1;
     if (at < 0)
       shuffle.contacts.push_back(std::move(c));
     else
@@ -123,7 +123,7 @@
   for (auto it = view_.begin(); it != view_.end();)
     it = now - it->second.lastSeenAt > dropAfter ? view_.erase(it) : std::next(it);
   std::vector<std::string> targets;
-  for (auto const& [link, seen] : view_) targets.push_back(link);
+  for (auto const& [link, known] : view_) targets.push_back(link);
   if (!targets.empty()) {
     std::string const to = targets[rng_.below(targets.size())];
     out.push_back(transport::Send{to, sample(now, true, alike_)});
@@ -137,10 +137,10 @@
 
 std::vector<transport::Contact> PartialView::ofRole(std::string const& role, Tick now) const {
   std::vector<transport::Contact> out;
-  for (auto const& [link, seen] : view_) {
-    if (seen.contact.role != role) continue;
-    out.push_back(seen.contact);
-    out.back().age = now - seen.lastSeenAt;
+  for (auto const& [link, known] : view_) {
+    if (known.contact.role != role) continue;
+    out.push_back(known.contact);
+    out.back().age = now - known.lastSeenAt;
   }
   return out;
 }
--- a/gossip/test/partial_view_test.cpp
+++ b/gossip/test/partial_view_test.cpp
@@ -38,7 +38,7 @@
   std::map<std::string, gossip::PartialView> all;
   core::Tick now = 0;
   std::uint64_t known = 0;
-  std::uint64_t whole = 0;
+  std::uint64_t fullContacts = 0;
 
   void add(transport::Contact const& c, std::uint64_t seed) {
     all.emplace(c.link, gossip::PartialView(c, {node(1)}, seed));
@@ -48,7 +48,7 @@
       transport::Message const m = s.message;
       transport::GossipShuffle const& shuffle = std::get<transport::GossipShuffle>(m);
       known += shuffle.knownContacts.size() / 3;
-      whole += shuffle.contacts.size() - 1;
+      fullContacts += shuffle.contacts.size() - 1;
       auto const to = all.find(s.to);
       if (to != all.end()) deliver(s.to, to->second.arrived(now, from, shuffle));
     }
@@ -68,10 +68,10 @@
   gossip::PartialView stranger(contact(node(3)), {}, 5);
   transport::Contact draining = contact(node(5));
   draining.draining = true;
-  transport::Contact elsewhere = contact(node(6));
-  elsewhere.zone = "z2";
+  transport::Contact otherZone = contact(node(6));
+  otherZone.zone = "z2";
   for (transport::Contact const& c :
-       {contact(node(4)), draining, elsewhere, contact("10.0.9.1:7000", transport::controllerRole)})
+       {contact(node(4)), draining, otherZone, contact("10.0.9.1:7000", transport::controllerRole)})
     sender.heard(1000, c);
   for (gossip::PartialView* const l : {&sender, &receiver}) l->setRoster(7, roster(8));
   stranger.setRoster(6, roster(7));
@@ -127,7 +127,7 @@
     f.add(contact("10.0.9.1:7000", transport::controllerRole), 99);
     f.run(20000);
     CHECK(f.known == 0);
-    f.whole = 0;
+    f.fullContacts = 0;
   }
   for (auto& [link, view] : fleets[1].all) view.setRoster(1, roster(30));
   int turn = 0;
@@ -146,7 +146,7 @@
         }
     }
   }
-  CHECK(fleets[1].known > 10 * fleets[1].whole);
+  CHECK(fleets[1].known > 10 * fleets[1].fullContacts);
   CHECK(fleets[2].known > 0);
   CHECK(ages[2] * 10 < ages[0] * 12);
 }
--- a/http/src/upstream_connection.cpp
+++ b/http/src/upstream_connection.cpp
@@ -29,7 +29,7 @@
 constexpr char const* incarnationHeader = "corkward-life";
 /// Longest request body after which a connection is kept. A replica may respond before it has read a long body, and
 /// what is sent next on that connection would wait unread behind the rest of it, in buffers that no one here sees.
-constexpr std::size_t maxKeptRequestBytes = 64U << 10;
+constexpr std::size_t maxStoredRequestBytes = 64U << 10;
 
 /// The connection stands and nothing waits on it, not even its end.
 bool isQuiet(QTcpSocket const& socket) {
@@ -231,7 +231,7 @@
   RequestFraming const framing{address_, body.size(), state_->poolKeepsConnections()};
   state_->parser.begin(request.method == core::name(core::HttpMethod::head));
   state_->phase = State::Phase::sent;
-  state_->hadLongBody = body.size() > maxKeptRequestBytes;
+  state_->hadLongBody = body.size() > maxStoredRequestBytes;
   write(*socket_, requestHead(request, framing));
   if (!body.empty()) write(*socket_, body);
 }
--- a/http/test/response_guarantees_test.cpp
+++ b/http/test/response_guarantees_test.cpp
@@ -54,10 +54,10 @@
 }
 
 TEST_CASE("a second head for one request resets the connection, and violates a guarantee") {
-  bool const whole = GENERATE(true, false);
-  Exchange exchange([whole](http::Server& server, std::uint64_t id) {
+  bool const complete = GENERATE(true, false);
+  Exchange exchange([complete](http::Server& server, std::uint64_t id) {
     server.beginResponse(id, 200, {}, 10);
-    if (whole)
+    if (complete)
       server.respond(id, 503, {}, "late");
     else
       server.beginResponse(id, 200, {}, 10);
--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -122,8 +122,9 @@
 };
 
 /// One request through the pool, up to its end.
-struct Ask {
-  Ask(http::UpstreamPool& upstreams, std::string const& address, bool fresh = false, std::string method = "POST") {
+struct PoolRequest {
+  PoolRequest(http::UpstreamPool& upstreams, std::string const& address, bool fresh = false,
+              std::string method = "POST") {
     http::UpstreamConnection::Events e;
     e.connected = [this, method] {
       got.connected = true;
@@ -136,8 +137,8 @@
       if (releaseAtHead) upstream->release();
     };
     e.chunk = [this](std::string bytes) { got.body += bytes; };
-    e.ended = [this](bool whole) {
-      got.ended = whole ? 1 : 0;
+    e.ended = [this](bool complete) {
+      got.ended = complete ? 1 : 0;
       got.forgotten = upstream->isStale();
       ++got.ends;
     };
@@ -156,9 +157,9 @@
 };
 
 struct Rig {
-  explicit Rig(std::vector<Script::Line> lines, http::KeepAlivePolicy kept = {2, 5000, 0})
-      : replica(std::move(lines)), upstreams(kept, [this] { return now; }) {}
-  Got ask(bool fresh = false) { return Ask(upstreams, replica.address(), fresh).wait(); }
+  explicit Rig(std::vector<Script::Line> lines, http::KeepAlivePolicy policy = {2, 5000, 0})
+      : replica(std::move(lines)), upstreams(policy, [this] { return now; }) {}
+  Got request(bool fresh = false) { return PoolRequest(upstreams, replica.address(), fresh).wait(); }
   core::Tick now = 1000;
   Script replica;
   http::UpstreamPool upstreams;
@@ -170,7 +171,7 @@
   application();
   Rig rig({});
   for (int i = 0; i < 20; ++i) {
-    Got const got = rig.ask();
+    Got const got = rig.request();
     REQUIRE(got.ended == 1);
     REQUIRE(got.body == "ok");
     REQUIRE(rig.upstreams.idleCount() == 1);
@@ -183,20 +184,20 @@
 TEST_CASE("no connection is kept unless the policy says so") {
   application();
   Rig rig({}, http::KeepAlivePolicy{});
-  rig.ask();
-  rig.ask();
+  rig.request();
+  rig.request();
   CHECK(rig.upstreams.idleCount() == 0);
   CHECK(rig.replica.connections == 2);
 }
 
 TEST_CASE("a connection is not kept after a response that closes it, is incomplete, or has bytes after it") {
   application();
-  struct Row {
+  struct PoolCase {
     char const* bytes;
     int ended;
-    bool kept;
+    bool keepsAlive;
   };
-  constexpr Row rows[] = {
+  constexpr PoolCase cases[] = {
       {good, 1, true},
       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 1, true},
       {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: "
@@ -220,14 +221,14 @@
       {"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", 0, false},
       {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", 0, false},
       {"nonsense\r\n\r\n", 0, false}};
-  for (Row const& r : rows) {
+  for (PoolCase const& r : cases) {
     INFO(r.bytes);
     Rig rig({{r.bytes, false}});
-    Got const got = rig.ask();
+    Got const got = rig.request();
     CHECK(got.ended == r.ended);
-    CHECK(rig.upstreams.idleCount() == (r.kept ? 1 : 0));
-    CHECK(rig.ask().body == "ok");
-    CHECK(rig.replica.connections == (r.kept ? 1 : 2));
+    CHECK(rig.upstreams.idleCount() == (r.keepsAlive ? 1 : 0));
+    CHECK(rig.request().body == "ok");
+    CHECK(rig.replica.connections == (r.keepsAlive ? 1 : 2));
   }
 }
 
@@ -238,7 +239,7 @@
                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n");
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     Rig rig({{bytes.substr(0, cut), true}});
-    Got const got = rig.ask();
+    Got const got = rig.request();
     REQUIRE(got.ends == 1);
     REQUIRE(got.ended == (cut == bytes.size() ? 1 : 0));
     REQUIRE(std::string("hello").rfind(got.body, 0) == 0);
@@ -247,29 +248,29 @@
 
 TEST_CASE("only a reused connection that was long idle and brings nothing is stale") {
   application();
-  struct Row {
+  struct PoolCase {
     std::string bytes;
     core::Tick idle;
     bool forgotten;
   };
-  for (Row const& r :
-       {Row{"", 600, true}, Row{"", 10, false}, Row{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", 600, false}}) {
+  for (PoolCase const& r : {PoolCase{"", 600, true}, PoolCase{"", 10, false},
+                            PoolCase{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", 600, false}}) {
     Rig rig({{good, false}, {r.bytes, true}, {"", true}});
-    rig.ask();
+    rig.request();
     REQUIRE(rig.upstreams.idleCount() == 1);
     rig.now += r.idle;
-    Got const got = rig.ask();
+    Got const got = rig.request();
     CHECK(got.ended == 0);
     CHECK(got.forgotten == r.forgotten);
     CHECK(rig.replica.connections == 1);
-    CHECK_FALSE(rig.ask().forgotten);
+    CHECK_FALSE(rig.request().forgotten);
   }
 }
 
 TEST_CASE("an idle connection that ends or brings bytes is closed") {
   application();
   Rig rig({});
-  rig.ask();
+  rig.request();
   REQUIRE(rig.upstreams.idleCount() == 1);
   SECTION("closed") {
     rig.replica.last->disconnectFromHost();
@@ -281,16 +282,16 @@
     rig.replica.last->write(good);
   }
   REQUIRE(until([&] { return rig.upstreams.idleCount() == 0; }));
-  CHECK(rig.ask().ended == 1);
+  CHECK(rig.request().ended == 1);
   CHECK(rig.replica.connections == 2);
 }
 
 TEST_CASE("a reused connection that ends or brings bytes before it is used is replaced by a new one") {
   application();
   Rig rig({});
-  rig.ask();
+  rig.request();
   QTcpSocket* const old = rig.replica.last;
-  Ask again(rig.upstreams, rig.replica.address());
+  PoolRequest again(rig.upstreams, rig.replica.address());
   CHECK_FALSE(again.got.connected);
   SECTION("closed") {
     old->disconnectFromHost();
@@ -310,8 +311,8 @@
 TEST_CASE("a request on a reused connection that ends at that moment fails and is not sent again") {
   application();
   Rig rig({{good, false}, {"", true}});
-  rig.ask();
-  Ask other(rig.upstreams, rig.replica.address());
+  rig.request();
+  PoolRequest other(rig.upstreams, rig.replica.address());
   Got const got = other.wait();
   CHECK(got.connected);
   CHECK_FALSE(got.rejected);
@@ -324,12 +325,12 @@
 TEST_CASE("an error at an address closes all idle connections to it") {
   application();
   Rig rig({{good, false}, {good, false}, {"nonsense\r\n\r\n", false}});
-  Ask one(rig.upstreams, rig.replica.address());
-  Ask two(rig.upstreams, rig.replica.address());
+  PoolRequest one(rig.upstreams, rig.replica.address());
+  PoolRequest two(rig.upstreams, rig.replica.address());
   one.wait();
   two.wait();
   REQUIRE(rig.upstreams.idleCount() == 2);
-  CHECK(rig.ask().ended == 0);
+  CHECK(rig.request().ended == 0);
   CHECK(rig.upstreams.idleCount() == 0);
 }
 
@@ -337,23 +338,28 @@
     "an idle connection is used up to the policy's time-out, half of the replica's, and the one for single "
     "executions") {
   application();
-  struct Row {
+  struct PoolCase {
     char const* bytes;
     core::Tick freshLimit;
     bool fresh;
     core::Tick age;
     bool reused;
   };
-  constexpr char const* told = "HTTP/1.1 200 OK\r\nKeep-Alive: max=9, timeout=4\r\nContent-Length: 2\r\n\r\nok";
-  constexpr Row rows[] = {{good, 0, false, 4999, true},  {good, 0, false, 5000, false}, {told, 0, false, 1999, true},
-                          {told, 0, false, 2000, false}, {good, 0, true, 0, false},     {good, 50, true, 49, true},
-                          {good, 50, true, 50, false}};
-  for (Row const& r : rows) {
+  constexpr char const* withKeepAlive =
+      "HTTP/1.1 200 OK\r\nKeep-Alive: max=9, timeout=4\r\nContent-Length: 2\r\n\r\nok";
+  constexpr PoolCase cases[] = {{good, 0, false, 4999, true},
+                                {good, 0, false, 5000, false},
+                                {withKeepAlive, 0, false, 1999, true},
+                                {withKeepAlive, 0, false, 2000, false},
+                                {good, 0, true, 0, false},
+                                {good, 50, true, 49, true},
+                                {good, 50, true, 50, false}};
+  for (PoolCase const& r : cases) {
     INFO(r.age << " " << r.freshLimit << " " << r.fresh);
     Rig rig({{r.bytes, false}}, http::KeepAlivePolicy{2, 5000, r.freshLimit});
-    rig.ask();
+    rig.request();
     rig.now += r.age;
-    CHECK(rig.ask(r.fresh).ended == 1);
+    CHECK(rig.request(r.fresh).ended == 1);
     CHECK(rig.replica.connections == (r.reused ? 1 : 2));
   }
 }
@@ -361,9 +367,9 @@
 TEST_CASE("at most the policy's number of idle connections to a replica is kept") {
   application();
   Rig rig({});
-  Ask one(rig.upstreams, rig.replica.address());
-  Ask two(rig.upstreams, rig.replica.address());
-  Ask three(rig.upstreams, rig.replica.address());
+  PoolRequest one(rig.upstreams, rig.replica.address());
+  PoolRequest two(rig.upstreams, rig.replica.address());
+  PoolRequest three(rig.upstreams, rig.replica.address());
   one.wait();
   two.wait();
   three.wait();
@@ -378,37 +384,37 @@
   bool const stop = GENERATE(true, false);
   std::string const bytes =
       GENERATE(std::string(good), "HTTP/1.1 503 Full\r\nContent-Length: 100000\r\n\r\n" + std::string(100000, 'x'));
-  bool const kept = !stop && bytes == good;
+  bool const keepsAlive = !stop && bytes == good;
   Rig rig({{bytes, false}});
   {
-    Ask unwanted(rig.upstreams, rig.replica.address());
+    PoolRequest unwanted(rig.upstreams, rig.replica.address());
     unwanted.stopAtHead = stop;
     unwanted.releaseAtHead = !stop;
     unwanted.wait();
-    REQUIRE(until([&] { return kept ? rig.upstreams.idleCount() == 1 : rig.replica.closed == 1; }));
+    REQUIRE(until([&] { return keepsAlive ? rig.upstreams.idleCount() == 1 : rig.replica.closed == 1; }));
     CHECK(unwanted.got.body.empty());
     CHECK(unwanted.got.ends == 0);
   }
-  CHECK(rig.ask().body == "ok");
-  CHECK(rig.replica.connections == (kept ? 1 : 2));
+  CHECK(rig.request().body == "ok");
+  CHECK(rig.replica.connections == (keepsAlive ? 1 : 2));
 }
 
 TEST_CASE("a response to HEAD has no body, whatever its length says") {
   application();
   Rig rig({{"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n", false}});
-  Ask ask(rig.upstreams, rig.replica.address(), false, "HEAD");
-  CHECK(ask.wait().ended == 1);
+  PoolRequest request(rig.upstreams, rig.replica.address(), false, "HEAD");
+  CHECK(request.wait().ended == 1);
   CHECK(rig.upstreams.idleCount() == 1);
 }
 
 TEST_CASE("no event comes from within a call, and a refused connection is reported once") {
   application();
   http::UpstreamPool upstreams({2, 5000, 0}, [] { return 1; });
-  Ask ask(upstreams, "127.0.0.1:1");
-  CHECK_FALSE(ask.got.rejected);
-  ask.wait();
-  CHECK(ask.got.rejected);
-  CHECK_FALSE(ask.got.connected);
+  PoolRequest request(upstreams, "127.0.0.1:1");
+  CHECK_FALSE(request.got.rejected);
+  request.wait();
+  CHECK(request.got.rejected);
+  CHECK_FALSE(request.got.connected);
 }
 
 TEST_CASE(
@@ -419,14 +425,14 @@
   std::string const body = GENERATE("", "h", "hello");
   bool const inOrder = GENERATE(true, false);
   Rig rig({{head + body, false}}, {2, 5000, 0, true});
-  Ask ask(rig.upstreams, rig.replica.address());
-  REQUIRE(until([&] { return ask.got.status == 200 && ask.got.body == body; }));
-  CHECK(ask.got.ends == 0);
+  PoolRequest request(rig.upstreams, rig.replica.address());
+  REQUIRE(until([&] { return request.got.status == 200 && request.got.body == body; }));
+  CHECK(request.got.ends == 0);
   if (inOrder)
     rig.replica.last->disconnectFromHost();
   else
     rig.replica.resetLast();
-  Got const got = ask.wait();
+  Got const got = request.wait();
   CHECK(got.ended == (inOrder ? 1 : 0));
   CHECK(got.ends == 1);
   CHECK(got.body == body);
@@ -438,14 +444,14 @@
   bool const inOrder = GENERATE(true, false);
   std::string const body(3 << 20, 'b');
   Rig rig({{"HTTP/1.1 200 OK\r\n\r\n" + body, inOrder}}, {2, 5000, 0, true});
-  Ask ask(rig.upstreams, rig.replica.address());
-  REQUIRE(until([&] { return ask.got.status == 200; }));
-  ask.upstream->setPaused(true);
+  PoolRequest request(rig.upstreams, rig.replica.address());
+  REQUIRE(until([&] { return request.got.status == 200; }));
+  request.upstream->setPaused(true);
   if (!inOrder) rig.replica.resetLast();
   int const closedBefore = rig.replica.closed;
   REQUIRE(until([&] { return inOrder || rig.replica.closed >= closedBefore; }));
-  ask.upstream->setPaused(false);
-  Got const got = ask.wait();
+  request.upstream->setPaused(false);
+  Got const got = request.wait();
   CHECK(got.ended == (inOrder ? 1 : 0));
   CHECK(got.ends == 1);
   CHECK((got.body.size() == body.size()) == inOrder);
@@ -487,7 +493,7 @@
   int answered = 0;
 
   /// @param releases the answer is told by its head alone, and its connection released
-  void ask(std::string const& text, bool releases) {
+  void request(std::string const& text, bool releases) {
     std::shared_ptr<http::UpstreamConnection*> const upstream = std::make_shared<http::UpstreamConnection*>(nullptr);
     http::UpstreamConnection::Events e;
     e.connected = [upstream, text] { (*upstream)->send({"POST", "/x"}, text); };
@@ -497,7 +503,7 @@
       ++answered;
       (*upstream)->release();
     };
-    e.ended = [this](bool whole) { answered += whole ? 1 : 100; };
+    e.ended = [this](bool complete) { answered += complete ? 1 : 100; };
     *upstream = upstreams.acquire(replica.address(), false, std::move(e), &owner);
   }
 };
@@ -510,10 +516,10 @@
   std::string const body(fits ? 2000 : beyondAllBuffers, 'b');
   LateCalls calls;
   LateReader& replica = calls.replica;
-  calls.ask(body, released);
+  calls.request(body, released);
   REQUIRE(until([&] { return calls.answered == 1; }));
   replica.readOn();
-  calls.ask("next", false);
+  calls.request("next", false);
   REQUIRE(until([&] { return calls.answered == 2; }));
   std::string const& first = replica.got[0];
   std::size_t const from = first.find("\r\n\r\n") + 4;
@@ -533,9 +539,9 @@
   application();
   constexpr std::size_t longButBuffered = 70000;
   LateCalls calls;
-  calls.ask(std::string(longButBuffered, 'b'), false);
+  calls.request(std::string(longButBuffered, 'b'), false);
   REQUIRE(until([&] { return calls.answered == 1; }));
-  calls.ask("next", false);
+  calls.request("next", false);
   CHECK(until([&] { return calls.answered == 2; }));
   CHECK(calls.replica.got.size() == 2);
 }
@@ -543,9 +549,9 @@
 TEST_CASE("random and damaged responses come to an end, and none with damaged framing is complete") {
   application();
   core::RandomGenerator rng(3);
-  std::string const whole = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
+  std::string const complete = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
   for (int round = 0; round < 300; ++round) {
-    std::string bytes = whole;
+    std::string bytes = complete;
     if (round % 2 == 0) {
       bytes.assign(rng.below(2000), '\0');
       for (char& c : bytes) c = static_cast<char>(rng.next());
@@ -553,7 +559,7 @@
       bytes[rng.below(bytes.size())] = static_cast<char>(rng.next());
     }
     Rig rig({{bytes, true}});
-    Got const got = rig.ask();
+    Got const got = rig.request();
     REQUIRE(got.ends == 1);
     REQUIRE(rig.upstreams.idleCount() == 0);
     if (round % 2 == 0) REQUIRE(got.ended == 0);
--- a/scaling/include/corkward/scaling/scaler.h
+++ b/scaling/include/corkward/scaling/scaler.h
@@ -16,21 +16,21 @@
   /// The seed orders this node's preference among replicas; nodes choose apart.
   explicit Scaler(std::uint64_t seed, ScalerParameters const& f = defaultScalerParameters);
 
-  /// New candidates. Those of the part that are gone leave at once and are replaced one for one; neither counts as a
-  /// step.
+  /// New candidates. Members of the subset that are no longer candidates leave at once and are replaced one for one;
+  /// neither counts as a step.
   void setCandidates(Candidates all);
-  /// Before anything was sent: the part begins with this replica, if it is a candidate.
+  /// Before anything was sent: the subset begins with this replica, if it is a candidate.
   void beginWith(NameIndex wanted);
-  /// One look at the demand; held counts no echoes. Takes at most one step and returns +1, -1 or 0. A widening takes
-  /// the wanted candidate, if that is outside the part, else the next in this node's order.
-  int evaluate(Tick now, std::size_t held, std::int64_t wanted = -1);
-  /// True when looks with nothing held change nothing until a request is sent or candidates change.
+  /// Evaluates the demand; `queued` counts no hedged requests. Takes at most one step and returns +1, -1 or 0. Growing
+  /// takes the wanted candidate, if that is outside the subset, else the next in this node's order.
+  int evaluate(Tick now, std::size_t queued, std::int64_t wanted = -1);
+  /// True when evaluating with an empty queue changes nothing until a request is sent or candidates change.
   bool isAtRest() const;
 
   double cap() const;
-  /// Room under the cap for one more request of the kind.
+  /// Capacity under the cap for one more request of the kind.
   bool hasCapacity(bool bulk) const;
-  /// The same; while answers are steady the limit is raised so that there is room.
+  /// The same; while responses are steady the limit is raised so that there is capacity.
   bool raiseLimitFor(bool bulk);
   std::vector<Candidate> const& subset() const { return subset_; }
   /// How many it may draw from.
@@ -39,23 +39,23 @@
   int inFlight() const { return inFlight_; }
   int inFlightAt(NameIndex replica) const;
   double limit() const { return limit_; }
-  /// True when the replica's mean first word is past the aim it was last measured against.
+  /// True when the replica's mean time to the first byte exceeds the latency target it was last measured against.
   bool isSlow(NameIndex replica) const;
   ScalerParameters const& parameters() const { return parameters_; }
-  /// True when all of the part is slow and the last widening did not help.
+  /// True when the whole subset is slow and growing it last did not help.
   bool areAllSlow() const { return allSlow_; }
   double firstByteMean() const { return meanFirstByte_; }
 
   /// Forgets a replica that is gone for good and has nothing in flight.
   void forget(NameIndex replica) { times_.erase(replica); }
   void onSent(NameIndex replica, bool bulk);
-  /// First word after so many milliseconds, against the class's aim.
-  void onFirstByte(Tick now, NameIndex replica, Tick took, Tick aim);
+  /// The first byte came after `took` milliseconds, against the class's latency target in milliseconds.
+  void onFirstByte(Tick now, NameIndex replica, Tick took, Tick latencyTarget);
   void onEnded(NameIndex replica, bool bulk);
 
  private:
-  double excessDemand(std::size_t held) const;
-  /// Takes the first candidates of this node's order until the part has so many.
+  double excessDemand(std::size_t queued) const;
+  /// Takes the first candidates of this node's order until the subset has so many.
   void growSubset(std::size_t size);
   std::uint64_t subsetOrder(Candidate const& c) const;
 
--- a/scaling/src/retry_budget.cpp
+++ b/scaling/src/retry_budget.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Pools beyond which those that ask for nothing are forgotten.
-constexpr std::size_t poolsKept = 32;
+constexpr std::size_t maxPools = 32;
 
 }  // namespace
 
@@ -45,7 +45,7 @@
 }
 
 RetryBudget& RetryBudgets::at(Tick now, NameIndex pool) {
-  if (pools_.size() > poolsKept && pools_.count(pool) == 0)
+  if (pools_.size() > maxPools && pools_.count(pool) == 0)
     for (auto it = pools_.begin(); it != pools_.end();) it = it->second.isIdle(now) ? pools_.erase(it) : std::next(it);
   return pools_[pool];
 }
--- a/scaling/src/scaler.cpp
+++ b/scaling/src/scaler.cpp
@@ -33,11 +33,11 @@
 void Scaler::setCandidates(Candidates all) {
   all_ = std::move(all);
   std::size_t const want = std::max<std::size_t>(subset_.size(), parameters_.initialSubset);
-  std::vector<Candidate> kept;
+  std::vector<Candidate> remaining;
   for (Candidate const& p : subset_)
-    if (Candidate const* const c = all_.find(p.replica); c != nullptr) kept.push_back(*c);
-  bool const lost = kept.size() < subset_.size();
-  subset_ = std::move(kept);
+    if (Candidate const* const c = all_.find(p.replica); c != nullptr) remaining.push_back(*c);
+  bool const lost = remaining.size() < subset_.size();
+  subset_ = std::move(remaining);
   growSubset(want);
   if (lost) calmSince_ = -1;
 }
@@ -82,8 +82,8 @@
          it->second.meanFirstByte > static_cast<double>(it->second.latencyTarget);
 }
 
-double Scaler::excessDemand(std::size_t held) const {
-  return std::max(0.0, inFlight_ - parameters_.calmFraction * cap()) + static_cast<double>(held);
+double Scaler::excessDemand(std::size_t queued) const {
+  return std::max(0.0, inFlight_ - parameters_.calmFraction * cap()) + static_cast<double>(queued);
 }
 
 void Scaler::beginWith(NameIndex wanted) {
@@ -91,10 +91,10 @@
   if (first != nullptr && inFlight_ == 0 && subset_.size() == 1) subset_.front() = *first;
 }
 
-int Scaler::evaluate(Tick now, std::size_t held, std::int64_t wanted) {
+int Scaler::evaluate(Tick now, std::size_t queued, std::int64_t wanted) {
   if (parameters_.limitDecay < 1.0 && inFlight_ < parameters_.usedFraction * cap())
     limit_ = std::max(parameters_.minLimit, limit_ * parameters_.limitDecay);
-  double const buffered = excessDemand(held);
+  double const buffered = excessDemand(queued);
   std::size_t const x = subset_.size();
   if (buffered >= parameters_.width * static_cast<double>(std::max<std::size_t>(x, 1)) && x < all_.size() &&
       !allSlow_) {
@@ -116,7 +116,7 @@
       std::count_if(subset_.begin(), subset_.end(), [](Candidate const& c) { return !c.warmingUp; });
   bool const coldThere = warm < static_cast<std::ptrdiff_t>(x);
   double const fewer = static_cast<double>(coldThere ? warm : warm - 1) * limit_;
-  bool const calm = held == 0 && (inFlight_ == 0 || inFlight_ < parameters_.calmFraction * fewer);
+  bool const calm = queued == 0 && (inFlight_ == 0 || inFlight_ < parameters_.calmFraction * fewer);
   if (!calm) {
     calmSince_ = -1;
     return 0;
@@ -139,20 +139,20 @@
   if (bulk) ++bulkInFlight_;
 }
 
-void Scaler::onFirstByte(Tick now, NameIndex replica, Tick took, Tick aim) {
+void Scaler::onFirstByte(Tick now, NameIndex replica, Tick took, Tick latencyTarget) {
   Times& t = times_[replica];
   t.meanFirstByte = t.answers == 0
                         ? static_cast<double>(took)
                         : t.meanFirstByte + parameters_.meanWeight * (static_cast<double>(took) - t.meanFirstByte);
-  t.latencyTarget = aim;
+  t.latencyTarget = latencyTarget;
   ++t.answers;
   meanFirstByte_ = meanFirstByte_ == 0
                        ? static_cast<double>(took)
                        : meanFirstByte_ + parameters_.meanWeight * (static_cast<double>(took) - meanFirstByte_);
   ++answersSinceWidening_;
-  strain_ +=
-      parameters_.meanWeight * (static_cast<double>(took) / static_cast<double>(std::max<Tick>(aim, 1)) - strain_);
-  if (took > aim) {
+  strain_ += parameters_.meanWeight *
+             (static_cast<double>(took) / static_cast<double>(std::max<Tick>(latencyTarget, 1)) - strain_);
+  if (took > latencyTarget) {
     if (now - limitCutAt_ >= parameters_.limitCutInterval) {
       limit_ = std::max(parameters_.minLimit, limit_ * parameters_.limitCutFactor);
       limitCutAt_ = now;
