--- a/scaling/test/scaling_test.cpp
+++ b/scaling/test/scaling_test.cpp
@@ -80,13 +80,13 @@
   scaling::Scaler s(7);
   s.setCandidates(warm(4));
   s.evaluate(0, 2);
-  core::NameIndex const gone = s.subset().front().replica;
+  core::NameIndex const removed = s.subset().front().replica;
   std::vector<scaling::Candidate> rest;
   for (scaling::Candidate const& c : warm(4))
-    if (c.replica != gone) rest.push_back(c);
+    if (c.replica != removed) rest.push_back(c);
   s.setCandidates(rest);
   CHECK(s.subset().size() == 2);
-  for (scaling::Candidate const& c : s.subset()) CHECK(c.replica != gone);
+  for (scaling::Candidate const& c : s.subset()) CHECK(c.replica != removed);
   s.setCandidates({});
   CHECK(s.subset().empty());
   CHECK(s.cap() == 0);
@@ -201,10 +201,10 @@
 
 TEST_CASE("a cold bucket never passes its rate and starts empty") {
   scaling::SlowStartBucket b(1000);
-  int taken = 0;
-  for (core::Tick now = 1000; now <= 11000; now += 7) taken += b.takeToken(now, 2.0) ? 1 : 0;
-  CHECK(taken <= 20);
-  CHECK(taken >= 18);
+  int granted = 0;
+  for (core::Tick now = 1000; now <= 11000; now += 7) granted += b.takeToken(now, 2.0) ? 1 : 0;
+  CHECK(granted <= 20);
+  CHECK(granted >= 18);
   CHECK_FALSE(scaling::SlowStartBucket(0).hasToken(400, 2.0));
 }
 
@@ -240,9 +240,9 @@
       if (busy && rng.chance(0.4)) {
         if (asleep) rateSkipped.catchUp(now);
         asleep = false;
-        bool const room = looked.raiseLimitFor(false);
-        REQUIRE(skipped.raiseLimitFor(false) == room);
-        if (room && !looked.subset().empty()) {
+        bool const hasCapacity = looked.raiseLimitFor(false);
+        REQUIRE(skipped.raiseLimitFor(false) == hasCapacity);
+        if (hasCapacity && !looked.subset().empty()) {
           core::NameIndex const r = looked.subset()[rng.below(looked.subset().size())].replica;
           looked.onSent(r, false);
           skipped.onSent(r, false);
--- a/storage/include/corkward/storage/write_ahead_log.h
+++ b/storage/include/corkward/storage/write_ahead_log.h
@@ -32,7 +32,7 @@
   virtual void syncDirectory() = 0;
 
  protected:
-  // Only whole implementations are copied or moved, never a Directory on its own.
+  // Only complete implementations are copied or moved, never a Directory by itself.
   Directory(Directory const&) = default;
   Directory& operator=(Directory const&) = default;
   Directory(Directory&&) = default;
--- a/storage/src/write_ahead_log.cpp
+++ b/storage/src/write_ahead_log.cpp
@@ -40,7 +40,7 @@
   return n;
 }
 
-/// Reads framed records; returns how many bytes were whole and sound.
+/// Reads framed records; returns how many bytes were complete and intact.
 std::size_t readAll(std::string_view bytes, std::map<std::string, std::string>& slots) {
   std::size_t at = 0;
   while (bytes.size() - at >= headBytes) {
@@ -56,8 +56,8 @@
   return at;
 }
 
-/// True when whole records stand behind the bad place: then the damage is not the tear of a last write.
-bool wholeBehind(std::string_view bytes, std::size_t bad) {
+/// True when complete records follow the damaged offset: then the damage is not a torn last write.
+bool hasCompleteRecordAfter(std::string_view bytes, std::size_t bad) {
   std::map<std::string, std::string> behind;
   for (std::size_t at = bad + 1; at + headBytes < bytes.size(); ++at)
     if (readAll(bytes.substr(at), behind) > 0) return true;
@@ -100,6 +100,7 @@
 
 void quarantine(Directory& folder, std::string const& label) {
   constexpr char const* prefix = "damaged-";
+  std::string const newPrefix = prefix + label + "-";
   std::vector<std::pair<std::uint64_t, std::string>> files;
   for (std::string const& name : folder.list()) {
     std::uint64_t n = 0;
@@ -111,7 +112,7 @@
   // From the oldest on, a snapshot before its segment: what is left after each step still lacks or shows the damage.
   std::sort(files.begin(), files.end());
   for (auto const& [number, name] : files) {
-    folder.rename(name, prefix + label + "-" + name);
+    folder.rename(name, newPrefix + name);
     folder.syncDirectory();
   }
 }
@@ -169,7 +170,7 @@
     std::string const bytes = folder_.read(name);
     std::size_t const good = readAll(bytes, slots_);
     bool const torn = good != bytes.size();
-    if (torn && (n != segments.back() || wholeBehind(bytes, good))) {
+    if (torn && (n != segments.back() || hasCompleteRecordAfter(bytes, good))) {
       out.damaged = true;
       out.damage = name + " at byte " + std::to_string(good);
     } else if (torn) {
--- a/storage/test/crash_directory.h
+++ b/storage/test/crash_directory.h
@@ -105,8 +105,8 @@
   /// Every folder in which the disk may come back after a loss of power.
   std::vector<CrashFolder> powerLosses() const {
     std::vector<CrashFolder> out;
-    for (unsigned kept = 0; kept < 1U << entries_.size(); ++kept)
-      for (std::size_t part = 0; part <= 2; ++part) out.push_back(powerLoss(kept, part));
+    for (unsigned survivingEntries = 0; survivingEntries < 1U << entries_.size(); ++survivingEntries)
+      for (std::size_t part = 0; part <= 2; ++part) out.push_back(powerLoss(survivingEntries, part));
     return out;
   }
 
@@ -139,11 +139,11 @@
     if (left > 0) --left;
     ++done;
   }
-  CrashFolder powerLoss(unsigned kept, std::size_t part) const {
+  CrashFolder powerLoss(unsigned survivingEntries, std::size_t part) const {
     CrashFolder out;
     Names names = durable_;
     for (std::size_t i = 0; i < entries_.size(); ++i) {
-      if ((kept >> i & 1U) == 0) continue;
+      if ((survivingEntries >> i & 1U) == 0) continue;
       if (!entries_[i].from.empty()) names.erase(entries_[i].from);
       if (!entries_[i].to.empty()) names[entries_[i].to] = entries_[i].inode;
     }
--- a/storage/test/crash_test.cpp
+++ b/storage/test/crash_test.cpp
@@ -57,37 +57,37 @@
 }
 
 /// Lives of a process, each stopped before every operation in turn and begun again from every state that this leaves.
-void everyCrash(CrashFolder const& start, Owed const& owed, int first, int lives, std::set<std::string>& seen) {
-  if (!seen.insert(std::to_string(lives) + start.text() + text(owed)).second) return;
-  if (lives == 0) {
+void everyCrash(CrashFolder const& start, Owed const& owed, int first, int restarts, std::set<std::string>& visited) {
+  if (!visited.insert(std::to_string(restarts) + start.text() + text(owed)).second) return;
+  if (restarts == 0) {
     CrashFolder folder = start;
     Owed left = owed;
     take(left, storage::WriteAheadLog(folder, segmentBytes).recover());
     return;
   }
-  int const count = lives == 1 ? 2 : 7;
-  CrashFolder whole = start;
-  live(whole, owed, first, count);
-  for (int stop = 0; stop <= whole.done; ++stop) {
+  int const count = restarts == 1 ? 2 : 7;
+  CrashFolder uninterrupted = start;
+  live(uninterrupted, owed, first, count);
+  for (int stop = 0; stop <= uninterrupted.done; ++stop) {
     CrashFolder folder = start;
     folder.left = stop;
     Owed const left = live(folder, owed, first, count);
-    for (CrashFolder const& end : ends(folder)) everyCrash(end, left, first + count, lives - 1, seen);
+    for (CrashFolder const& end : ends(folder)) everyCrash(end, left, first + count, restarts - 1, visited);
   }
 }
 
 }  // namespace
 
 TEST_CASE("a process stopped before any operation, three times, loses nothing that it wrote or answered from") {
-  std::set<std::string> seen;
-  everyCrash(CrashFolder(), Owed(), 1, 3, seen);
-  CHECK(seen.size() > 1000);
+  std::set<std::string> visited;
+  everyCrash(CrashFolder(), Owed(), 1, 3, visited);
+  CHECK(visited.size() > 1000);
 }
 
 TEST_CASE("a disk that is full at any operation, and then loses power, keeps what was written") {
-  CrashFolder whole;
-  live(whole, Owed(), 1, 9);
-  for (int when = 0; when <= whole.done; ++when) {
+  CrashFolder uninterrupted;
+  live(uninterrupted, Owed(), 1, 9);
+  for (int when = 0; when <= uninterrupted.done; ++when) {
     CrashFolder folder;
     folder.left = when;
     Owed owed = live(folder, Owed(), 1, 9);
@@ -134,17 +134,17 @@
     damaged = damaged.powerLosses().back();
     damaged.flip(inSnapshot ? "image-" : "segment-");
     REQUIRE(storage::WriteAheadLog(damaged, segmentBytes).recover().damaged);
-    CrashFolder whole = damaged;
-    storage::quarantine(whole, "x");
-    CHECK(storage::WriteAheadLog(whole, segmentBytes).recover().slots.empty());
-    for (int stop = 0; stop < whole.done - damaged.done; ++stop) {
+    CrashFolder uninterrupted = damaged;
+    storage::quarantine(uninterrupted, "x");
+    CHECK(storage::WriteAheadLog(uninterrupted, segmentBytes).recover().slots.empty());
+    for (int stop = 0; stop < uninterrupted.done - damaged.done; ++stop) {
       CrashFolder folder = damaged;
       folder.left = stop;
       CHECK_THROWS_AS(storage::quarantine(folder, "x"), storage::Crash);
       for (CrashFolder const& end : ends(folder)) {
         CrashFolder again = end;
         storage::RecoveredState const got = storage::WriteAheadLog(again, segmentBytes).recover();
-        INFO("stopped before " << stop << " of " << whole.done - damaged.done << ": " << again.text());
+        INFO("stopped before " << stop << " of " << uninterrupted.done - damaged.done << ": " << again.text());
         CHECK((got.damaged || got.slots.empty()));
       }
     }
--- a/storage/test/golden_test.cpp
+++ b/storage/test/golden_test.cpp
@@ -253,8 +253,8 @@
 }
 
 TEST_CASE("golden: a folder on the disk has the same files") {
-  TemporaryFolder const place;
-  std::unique_ptr<storage::Directory> const folder = storage::openDirectory(place.path());
+  TemporaryFolder const temporary;
+  std::unique_ptr<storage::Directory> const folder = storage::openDirectory(temporary.path());
   storage::WriteAheadLog log(*folder, smallSegment);
   log.recover();
   writeBatches(log, 0, 14);
--- a/storage/test/write_ahead_log_test.cpp
+++ b/storage/test/write_ahead_log_test.cpp
@@ -106,7 +106,7 @@
     core::RandomGenerator rng(seed);
     LossyFolder folder;
     std::map<std::string, std::string> sure;
-    for (int life = 0; life < 5; ++life) {
+    for (int restart = 0; restart < 5; ++restart) {
       storage::WriteAheadLog log(folder, 600);
       storage::RecoveredState const got = log.recover();
       REQUIRE_FALSE(got.damaged);
--- a/transport/include/corkward/transport/values.h
+++ b/transport/include/corkward/transport/values.h
@@ -43,9 +43,10 @@
 /// One bit for each place of an agreed list, eight to a byte.
 class BitSet {
  public:
-  void set(std::size_t place);
-  bool test(std::size_t place) const {
-    return place / 8 < bytes_.size() && (static_cast<unsigned char>(bytes_[place / 8]) >> (place % 8) & 1U) != 0;
+  void set(std::size_t position);
+  bool test(std::size_t position) const {
+    return position / 8 < bytes_.size() &&
+           (static_cast<unsigned char>(bytes_[position / 8]) >> (position % 8) & 1U) != 0;
   }
   template <class F>
   void each(F& f) {
--- a/transport/src/connection_health.cpp
+++ b/transport/src/connection_health.cpp
@@ -5,7 +5,7 @@
 namespace corkward::transport {
 
 bool expectsReply(Message const& message) {
-  if (PeerHeartbeat const* const touch = std::get_if<PeerHeartbeat>(&message)) return !touch->isReply;
+  if (PeerHeartbeat const* const heartbeat = std::get_if<PeerHeartbeat>(&message)) return !heartbeat->isReply;
   if (GossipShuffle const* const shuffle = std::get_if<GossipShuffle>(&message)) return shuffle->reply;
   return std::holds_alternative<ServingLeaseRequest>(message) || std::holds_alternative<Heartbeat>(message);
 }
--- a/transport/src/link.cpp
+++ b/transport/src/link.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t maxFrame = 16U << 20;
-constexpr int queued = 256;
-constexpr std::chrono::seconds sweepEvery{5};
+constexpr std::size_t maxFrameBytes = 16U << 20;
+constexpr int sendQueueLength = 256;
+constexpr std::chrono::seconds idleSweepPeriod{5};
 
 void check(int rv, char const* what) {
   if (rv != 0) throw TransportError(std::string(what) + ": " + nng_strerror(rv));
@@ -46,7 +46,7 @@
   nng_socket s;
   check(nng_pull0_open(&s), "nng pull socket");
   pull_ = s.id;
-  nng_socket_set_size(s, NNG_OPT_RECVMAXSZ, maxFrame);
+  nng_socket_set_size(s, NNG_OPT_RECVMAXSZ, maxFrameBytes);
   nng_socket_set_ms(s, NNG_OPT_RECVTIMEO, 200);
   nng_listener l;
   check(nng_listener_create(&l, s, ("tcp://" + address).c_str()), "link address");
@@ -99,7 +99,7 @@
   connection.health.dialled(clockNow());
   nng_pipe_notify(s, NNG_PIPE_EV_ADD_POST, count, &connection.connects);
   nng_pipe_notify(s, NNG_PIPE_EV_REM_POST, count, &connection.disconnects);
-  nng_socket_set_int(s, NNG_OPT_SENDBUF, queued);
+  nng_socket_set_int(s, NNG_OPT_SENDBUF, sendQueueLength);
   nng_socket_set_ms(s, NNG_OPT_RECONNMINT, 50);
   nng_socket_set_ms(s, NNG_OPT_RECONNMAXT, 500);
   if (nng_dial(s, ("tcp://" + to).c_str(), nullptr, NNG_FLAG_NONBLOCK) == 0) return true;
@@ -126,15 +126,15 @@
 void Link::closeIdle(std::chrono::milliseconds idle) {
   lastIdleSweep_ = Clock::now();
   for (auto it = connections_.begin(); it != connections_.end();) {
-    bool const gone = lastIdleSweep_ - it->second.used >= idle;
-    if (gone) nng_close(socketOf(it->second.socket));
-    it = gone ? connections_.erase(it) : std::next(it);
+    bool const isIdle = lastIdleSweep_ - it->second.used >= idle;
+    if (isIdle) nng_close(socketOf(it->second.socket));
+    it = isIdle ? connections_.erase(it) : std::next(it);
   }
 }
 
 void Link::send(std::string const& to, Message const& message) {
   Clock::time_point const now = Clock::now();
-  if (now - lastIdleSweep_ > sweepEvery) closeIdle(idleTimeout);
+  if (now - lastIdleSweep_ > idleSweepPeriod) closeIdle(idleTimeout);
   auto const it = connections_.try_emplace(to).first;
   if (it->second.socket == 0 && !dial(to, it->second)) {
     connections_.erase(it);
--- a/transport/src/message.cpp
+++ b/transport/src/message.cpp
@@ -174,7 +174,7 @@
 }  // namespace
 
 void Digest::replace(std::string const& key, std::uint64_t before, std::uint64_t after) {
-  std::function<std::uint64_t(std::uint64_t)> const part = [&](std::uint64_t revision) {
+  auto const part = [&](std::uint64_t revision) {
     return revision == 0 ? 0 : core::stableHash(key + "=" + std::to_string(revision));
   };
   sum += part(after) - part(before);
@@ -187,9 +187,9 @@
   return out;
 }
 
-void BitSet::set(std::size_t place) {
-  if (bytes_.size() <= place / 8) bytes_.resize(place / 8 + 1, '\0');
-  bytes_[place / 8] = static_cast<char>(static_cast<unsigned char>(bytes_[place / 8]) | 1U << (place % 8));
+void BitSet::set(std::size_t position) {
+  if (bytes_.size() <= position / 8) bytes_.resize(position / 8 + 1, '\0');
+  bytes_[position / 8] = static_cast<char>(static_cast<unsigned char>(bytes_[position / 8]) | 1U << (position % 8));
 }
 
 char const* kindName(Message const& message) {
--- a/transport/test/connection_health_test.cpp
+++ b/transport/test/connection_health_test.cpp
@@ -15,82 +15,82 @@
 constexpr core::Tick limit = ConnectionHealth::responseTimeout;
 
 /// A connection that was dialled at 0 and had its answer at 10.
-ConnectionHealth soundWay() {
-  ConnectionHealth way;
-  way.dialled(0);
-  way.sent(5, true, smallMessage);
-  REQUIRE_FALSE(way.staleOnReceive(10, true, 1, run, peerPipe));
-  return way;
+ConnectionHealth healthyConnection() {
+  ConnectionHealth connection;
+  connection.dialled(0);
+  connection.sent(5, true, smallMessage);
+  REQUIRE_FALSE(connection.staleOnReceive(10, true, 1, run, peerPipe));
+  return connection;
 }
 
 }  // namespace
 
 TEST_CASE("a dial that hangs is made anew by itself, whether or not its peer is heard") {
-  ConnectionHealth way;
-  way.dialled(0);
-  CHECK_FALSE(way.staleOnSend(limit, false));
-  CHECK(way.staleOnSend(limit + 1, false));
-  way.dialled(limit + 1);
-  CHECK_FALSE(way.staleOnSend(2 * limit, false));
-  CHECK(way.staleOnSend(2 * limit + 2, false));
+  ConnectionHealth connection;
+  connection.dialled(0);
+  CHECK_FALSE(connection.staleOnSend(limit, false));
+  CHECK(connection.staleOnSend(limit + 1, false));
+  connection.dialled(limit + 1);
+  CHECK_FALSE(connection.staleOnSend(2 * limit, false));
+  CHECK(connection.staleOnSend(2 * limit + 2, false));
 }
 
 TEST_CASE("after a cut of any length each side dials at least once a second, so none waits for an old timer") {
   for (core::Tick const cut : {5000, 17000, 20000, 600000}) {
-    ConnectionHealth way = soundWay();
+    ConnectionHealth connection = healthyConnection();
     core::Tick dialledAt = 0;
     for (core::Tick now = 500; now < cut; now += 500) {
-      if (way.staleOnSend(now, dialledAt == 0)) {
-        way.dialled(now);
+      if (connection.staleOnSend(now, dialledAt == 0)) {
+        connection.dialled(now);
         dialledAt = now;
       }
-      way.sent(now, true, smallMessage);
+      connection.sent(now, true, smallMessage);
     }
     CHECK(dialledAt > cut - limit - 1000);
   }
 }
 
 TEST_CASE("a connection that owes an answer is made anew, and one that owes none is kept") {
-  ConnectionHealth way = soundWay();
-  way.sent(100, false, smallMessage);
-  CHECK_FALSE(way.staleOnSend(100000, true));
-  way.sent(100000, true, smallMessage);
-  CHECK_FALSE(way.staleOnSend(100000 + limit, true));
-  CHECK(way.staleOnSend(100000 + limit + 1, true));
+  ConnectionHealth connection = healthyConnection();
+  connection.sent(100, false, smallMessage);
+  CHECK_FALSE(connection.staleOnSend(100000, true));
+  connection.sent(100000, true, smallMessage);
+  CHECK_FALSE(connection.staleOnSend(100000 + limit, true));
+  CHECK(connection.staleOnSend(100000 + limit + 1, true));
 }
 
 TEST_CASE("a connection that owed an answer too long is made anew when its peer is heard again") {
-  ConnectionHealth way = soundWay();
-  way.sent(100, true, smallMessage);
-  CHECK(way.staleOnReceive(18000, true, 1, run, peerPipe));
+  ConnectionHealth connection = healthyConnection();
+  connection.sent(100, true, smallMessage);
+  CHECK(connection.staleOnReceive(18000, true, 1, run, peerPipe));
 }
 
 TEST_CASE("a peer that dialled anew is answered over a new dial, and that does not go back and forth") {
-  ConnectionHealth way = soundWay();
-  ConnectionHealth peer = soundWay();
-  CHECK(way.staleOnReceive(18000, true, 1, run, otherPipe));
-  way.dialled(18000);
+  ConnectionHealth connection = healthyConnection();
+  ConnectionHealth peer = healthyConnection();
+  CHECK(connection.staleOnReceive(18000, true, 1, run, otherPipe));
+  connection.dialled(18000);
   peer.dialled(17900);
   CHECK_FALSE(peer.staleOnReceive(18010, true, 1, run, otherPipe));
-  CHECK_FALSE(way.staleOnReceive(18020, true, 1, run, otherPipe));
+  CHECK_FALSE(connection.staleOnReceive(18020, true, 1, run, otherPipe));
 }
 
 TEST_CASE("a long message has time to pass before its connection is given up") {
-  ConnectionHealth way = soundWay();
+  ConnectionHealth connection = healthyConnection();
   std::size_t const bytes = 4U << 20;
-  way.sent(100, true, bytes);
+  connection.sent(100, true, bytes);
   core::Tick const passes = static_cast<core::Tick>(bytes / ConnectionHealth::slowestBytesPerMs);
-  CHECK_FALSE(way.staleOnSend(100 + limit + passes, true));
-  CHECK(way.staleOnSend(102 + limit + passes, true));
+  CHECK_FALSE(connection.staleOnSend(100 + limit + passes, true));
+  CHECK(connection.staleOnSend(102 + limit + passes, true));
 }
 
 TEST_CASE("only messages that are answered at once make a connection owe an answer") {
   CHECK(transport::expectsReply(transport::ServingLeaseRequest{}));
   CHECK(transport::expectsReply(transport::Heartbeat{}));
-  transport::PeerHeartbeat touch;
-  CHECK(transport::expectsReply(touch));
-  touch.isReply = true;
-  CHECK_FALSE(transport::expectsReply(touch));
+  transport::PeerHeartbeat heartbeat;
+  CHECK(transport::expectsReply(heartbeat));
+  heartbeat.isReply = true;
+  CHECK_FALSE(transport::expectsReply(heartbeat));
   transport::GossipShuffle shuffle;
   CHECK_FALSE(transport::expectsReply(shuffle));
   shuffle.reply = true;
--- a/transport/test/golden_test.cpp
+++ b/transport/test/golden_test.cpp
@@ -141,11 +141,11 @@
 std::vector<RecordedMessage> recordedMessages() {
   std::vector<RecordedMessage> messages;
   for (std::string const& line : golden::lines(golden::read(recordedFile))) {
-    std::istringstream words(line);
+    std::istringstream lineText(line);
     std::string kind;
     std::string what;
     std::string hex;
-    words >> kind >> what >> hex;
+    lineText >> kind >> what >> hex;
     if (what == "filled" || what == "empty") messages.push_back(RecordedMessage{std::stoul(kind), bytesOf(hex)});
   }
   return messages;
--- a/transport/test/transport_test.cpp
+++ b/transport/test/transport_test.cpp
@@ -50,7 +50,7 @@
 TEST_CASE("random bytes never pass for an envelope and never crash the reader") {
   core::RandomGenerator rng(42);
   std::string const good = transport::pack(transport::Envelope{"a", transport::RequestIdQuery{1, "id", 2, 0, ""}});
-  int thrown = 0;
+  int rejected = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string bytes = good;
     if (round % 2 == 0) {
@@ -62,10 +62,10 @@
     try {
       transport::unpack(bytes);
     } catch (transport::TransportError const&) {
-      ++thrown;
+      ++rejected;
     }
   }
-  CHECK(thrown > 10000);
+  CHECK(rejected > 10000);
 }
 
 TEST_CASE("links carry messages both ways over nng on ephemeral ports") {
@@ -139,13 +139,13 @@
   QObject owner;
   BlackHole hole;
   std::uint64_t got = 0;
-  transport::RequestIdQuery const ask{1, "x", 2, 0, ""};
+  transport::RequestIdQuery const request{1, "x", 2, 0, ""};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
-  a.send(hole.address(), ask);
+  a.send(hole.address(), request);
   CHECK(a.connectionCount() == 1);
   transport::Link early(
       &owner, hole.address(), [](transport::Envelope) {}, "127.0.0.1:0");
-  waitFor([&] { return a.redials() > 0; }, [&] { early.send(a.address(), ask); });
+  waitFor([&] { return a.redials() > 0; }, [&] { early.send(a.address(), request); });
   hole.end();
   std::unique_ptr<transport::Link> b;
   waitFor([&] { return got > 0; },
@@ -156,8 +156,8 @@
             } catch (transport::TransportError const&) {
               return;
             }
-            b->send(a.address(), ask);
-            a.send(b->address(), ask);
+            b->send(a.address(), request);
+            a.send(b->address(), request);
           });
   a.closeIdle(std::chrono::hours(1));
   CHECK(a.connectionCount() == 1);
@@ -170,23 +170,23 @@
   QCoreApplication app(argc, nullptr);
   QObject owner;
   std::uint64_t got = 0;
-  transport::RequestIdQuery const ask{1, "x", 2, 0, ""};
+  transport::RequestIdQuery const request{1, "x", 2, 0, ""};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
   transport::Link former(&owner, "127.0.0.1:0", [&](transport::Envelope) { ++got; });
   waitFor([&] { return got > 20; },
           [&] {
-            a.send(former.address(), ask);
-            former.send(a.address(), ask);
+            a.send(former.address(), request);
+            former.send(a.address(), request);
           });
   CHECK(a.redials() == 0);
   transport::Link latter(
       &owner, former.address(), [](transport::Envelope) {}, "127.0.0.1:0");
-  waitFor([&] { return a.redials() > 0; }, [&] { latter.send(a.address(), ask); });
+  waitFor([&] { return a.redials() > 0; }, [&] { latter.send(a.address(), request); });
   std::uint64_t const before = got;
   waitFor([&] { return got > before + 50; },
           [&] {
-            a.send(former.address(), ask);
-            latter.send(a.address(), ask);
+            a.send(former.address(), request);
+            latter.send(a.address(), request);
           });
   CHECK(a.redials() == 1);
 }
@@ -231,9 +231,9 @@
   QCoreApplication app(argc, nullptr);
   QObject owner;
   BlackHole const hole;
-  transport::ServingLeaseRequest const ask{};
+  transport::ServingLeaseRequest const request{};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
-  waitFor([&] { return a.redials() >= 2; }, [&] { a.send(hole.address(), ask); });
+  waitFor([&] { return a.redials() >= 2; }, [&] { a.send(hole.address(), request); });
 }
 
 TEST_CASE("a connection on which a cut left its messages waiting is replaced, and the next one carries them") {
@@ -241,13 +241,13 @@
   QCoreApplication app(argc, nullptr);
   QObject owner;
   int got = 0;
-  transport::ServingLeaseRequest const ask{};
+  transport::ServingLeaseRequest const request{};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
   transport::Link b(&owner, "127.0.0.1:0", [&](transport::Envelope) { ++got; });
   CutPath path(b.address());
-  waitFor([&] { return got > 0; }, [&] { a.send(path.address(), ask); });
+  waitFor([&] { return got > 0; }, [&] { a.send(path.address(), request); });
   path.cut();
   int const before = got;
-  waitFor([&] { return got > before; }, [&] { a.send(path.address(), ask); });
+  waitFor([&] { return got > before; }, [&] { a.send(path.address(), request); });
   CHECK(a.redials() == 1);
 }
