--- a/core/src/guarantees.cpp
+++ b/core/src/guarantees.cpp
@@ -26,8 +26,8 @@
 
 }  // namespace
 
-char const* nameOf(Guarantee promise) {
-  return names.at(static_cast<std::size_t>(promise));
+char const* nameOf(Guarantee guarantee) {
+  return names.at(static_cast<std::size_t>(guarantee));
 }
 
 GuaranteeCounts& GuaranteeCounts::ofThread() {
@@ -35,8 +35,8 @@
   return counts;
 }
 
-void GuaranteeCounts::recordViolation(Guarantee promise, std::string const& detail) {
-  auto const index = static_cast<std::size_t>(promise);
+void GuaranteeCounts::recordViolation(Guarantee guarantee, std::string const& detail) {
+  auto const index = static_cast<std::size_t>(guarantee);
   ++counts_.at(index);
   if (counts_.at(index) == reported_.at(index) + 1) details_.at(index) = detail;
   if (counts_.at(index) <= loggedOfEach)
