--- a/programs/cli/commands.cpp
+++ b/programs/cli/commands.cpp
@@ -156,13 +156,13 @@
   return name;
 }
 
-CommandRequest requestOf(std::vector<std::string> const& words) {
-  if (words.empty()) throw UsageError("no command; see --help");
-  Command const& command = commandNamed(words[0]);
+CommandRequest requestOf(std::vector<std::string> const& commandLine) {
+  if (commandLine.empty()) throw UsageError("no command; see --help");
+  Command const& command = commandNamed(commandLine[0]);
   std::size_t const wanted = argumentCount(command);
-  bool const complete = words.size() == wanted + 1 && command.request != nullptr;
-  if (!complete) throw UsageError(words[0] + " wants: " + (wanted == 0 ? "nothing more" : command.arguments));
-  return command.request({words.begin() + 1, words.end()});
+  bool const complete = commandLine.size() == wanted + 1 && command.request != nullptr;
+  if (!complete) throw UsageError(commandLine[0] + " wants: " + (wanted == 0 ? "nothing more" : command.arguments));
+  return command.request({commandLine.begin() + 1, commandLine.end()});
 }
 
 }  // namespace corkward::programs
--- a/programs/cli/commands.h
+++ b/programs/cli/commands.h
@@ -32,6 +32,6 @@
 std::string currentCommandName(std::string const& name);
 
 /// The request of a command line's words: a command and its arguments. Throws UsageError.
-CommandRequest requestOf(std::vector<std::string> const& words);
+CommandRequest requestOf(std::vector<std::string> const& commandLine);
 
 }  // namespace corkward::programs
--- a/programs/cli/main.cpp
+++ b/programs/cli/main.cpp
@@ -44,7 +44,7 @@
   bool json = false;
   ReportOptions report;
   /// The command and its arguments.
-  std::vector<std::string> words;
+  std::vector<std::string> commandLine;
 };
 
 /// Values of the options' former names.
@@ -129,7 +129,7 @@
   visible.add(reportOptions(options.report));
   visible.add_options()("help", "print this and exit")("version", "print the version and exit");
   po::options_description hidden = formerOptions(former);
-  hidden.add_options()("word", po::value(&options.words));
+  hidden.add_options()("word", po::value(&options.commandLine));
   po::options_description all;
   all.add(visible).add(hidden);
   po::positional_options_description positional;
@@ -186,11 +186,11 @@
 }
 
 ExitCode runApply(Options const& options) {
-  std::vector<std::string> const& words = options.words;
-  if (words.size() != 2) throw UsageError(words[0] + " wants: DIR");
+  std::vector<std::string> const& commandLine = options.commandLine;
+  if (commandLine.size() != 2) throw UsageError(commandLine[0] + " wants: DIR");
   ApplyOptions apply;
-  apply.directory = words[1];
-  apply.apply = words[0] == "apply";
+  apply.directory = commandLine[1];
+  apply.apply = commandLine[0] == "apply";
   apply.dryRun = options.dryRun;
   apply.prune = options.prune;
   apply.json = options.json;
@@ -200,20 +200,20 @@
 }
 
 ExitCode runReport(Options const& options) {
-  std::vector<std::string> const& words = options.words;
-  if (words.size() < 3 || words[1] != "report") throw UsageError("regime wants: report FOLDER...");
+  std::vector<std::string> const& commandLine = options.commandLine;
+  if (commandLine.size() < 3 || commandLine[1] != "report") throw UsageError("regime wants: report FOLDER...");
   ReportOptions report = options.report;
-  report.directories.assign(words.begin() + 2, words.end());
+  report.directories.assign(commandLine.begin() + 2, commandLine.end());
   report.json = options.json;
   return reportRegimes(report);
 }
 
 ExitCode runCommand(Options const& options) {
-  std::string const command = options.words.empty() ? "" : options.words[0];
+  std::string const command = options.commandLine.empty() ? "" : options.commandLine[0];
   if (command == "diff" || command == "apply") return runApply(options);
   if (command == "regime") return runReport(options);
   if (options.prune) throw UsageError("prune: goes with diff and apply alone");
-  return send(requestOf(options.words), options);
+  return send(requestOf(options.commandLine), options);
 }
 
 int runCommandLine(int argc, char** argv) {
--- a/programs/runbook/alert_watcher.cpp
+++ b/programs/runbook/alert_watcher.cpp
@@ -71,22 +71,22 @@
 }
 
 void AlertWatcher::renewRole() {
-  if (heldRole_) role_.renew();
+  if (holdsRole_) role_.renew();
 }
 
 void AlertWatcher::updateRole() {
-  bool const heldBefore = std::exchange(heldRole_, role_.renew());
-  if (heldRole_ != heldBefore)
-    std::cout << "duty=" << roleName << " held=" << (heldRole_ ? "yes" : "no") << " epoch=" << role_.term()
+  bool const heldRoleBefore = std::exchange(holdsRole_, role_.renew());
+  if (holdsRole_ != heldRoleBefore)
+    std::cout << "duty=" << roleName << " held=" << (holdsRole_ ? "yes" : "no") << " epoch=" << role_.term()
               << std::endl;
   // Another process may have changed the states while it held the role.
-  if (heldRole_ && !heldBefore) knownStates_.clear();
+  if (holdsRole_ && !heldRoleBefore) knownStates_.clear();
 }
 
 void AlertWatcher::evaluate(std::vector<std::string> const& targets) {
   std::vector<alerting::Rule> const firingRules = evaluator_.evaluate(now(), scrapeMetrics(targets));
   updateRole();
-  if (!heldRole_) return;
+  if (!holdsRole_) return;
   for (alerting::Rule const& rule : rules_) {
     bool const firing = std::any_of(firingRules.begin(), firingRules.end(),
                                     [&](alerting::Rule const& other) { return other.alert == rule.alert; });
@@ -131,7 +131,7 @@
   std::cout << "alert=" << rule.alert << " runbook=" << rule.runbook << " claim=" << claim << std::endl;
   executor_.execute(runbooks_.at(rule.alert), "alert-" + pathName(rule.alert) + "-" + std::to_string(claim));
   ++executedCount_;
-  bool const written = role_.isHeld() && writeState(rule, AlertState::done, claim);
+  bool const written = role_.holdsRole() && writeState(rule, AlertState::done, claim);
   if (written) knownStates_[rule.alert] = textOf(AlertState::done);
 }
 
--- a/programs/runbook/alert_watcher.h
+++ b/programs/runbook/alert_watcher.h
@@ -54,7 +54,7 @@
   std::string id_;
   SingletonRoleClient role_;
   /// Whether the role was held at the last evaluation.
-  bool heldRole_ = false;
+  bool holdsRole_ = false;
   int executedCount_ = 0;
   /// By the name of the alert.
   std::map<std::string, runbook::Runbook> runbooks_;
--- a/programs/runbook/runbook_executor.cpp
+++ b/programs/runbook/runbook_executor.cpp
@@ -128,15 +128,16 @@
 StepOutcome RunbookExecutor::waitForPage(runbook::Step const& step) {
   if (options_.dryRun) return {true, "would wait"};
   core::Tick const deadline = deadlineOf(step);
-  std::string lastSeen = "nothing";
+  std::string lastObserved = "nothing";
   for (;;) {
     OperatorReply const page = call({HttpMethod::get, step.arguments.at("page")});
     if (page.is(core::HttpStatus::ok)) {
       runbook::ConditionOutcome const outcome = runbook::evaluate(*step.condition, page.body);
       if (outcome.met) return {true, "as expected"};
-      lastSeen = outcome.seen.substr(0, maxShownValue);
+      lastObserved = outcome.seen.substr(0, maxShownValue);
     }
-    if (now() >= deadline) return {false, "not in " + std::to_string(step.limitSeconds) + " s; last seen " + lastSeen};
+    if (now() >= deadline)
+      return {false, "not in " + std::to_string(step.limitSeconds) + " s; last seen " + lastObserved};
     pause(pollIntervalMs);
   }
 }
--- a/programs/runbook/singleton_role_client.cpp
+++ b/programs/runbook/singleton_role_client.cpp
@@ -56,7 +56,7 @@
   return !members.empty() && votes >= members.size() / 2 + 1;
 }
 
-bool SingletonRoleClient::isHeld() const {
+bool SingletonRoleClient::holdsRole() const {
   return now() < expiresAt_;
 }
 
@@ -74,11 +74,11 @@
     expiresAt_ = requestedAt + leaseDuration;
     term_ = votes.term;
   }
-  return isHeld();
+  return holdsRole();
 }
 
 void SingletonRoleClient::release() {
-  if (!isHeld()) return;
+  if (!holdsRole()) return;
   expiresAt_ = 0;
   std::string const successor = contenders_.empty() ? "" : *contenders_.begin();
   for (std::string const& controller : controllers_) call(controller, core::HttpMethod::del, successor);
--- a/programs/runbook/singleton_role_client.h
+++ b/programs/runbook/singleton_role_client.h
@@ -23,7 +23,7 @@
   /// Requests the lease, or its extension.
   /// @return whether this process holds it
   bool renew();
-  bool isHeld() const;
+  bool holdsRole() const;
   /// Term of the lease that was granted last.
   std::uint64_t term() const { return term_; }
   /// Hands the lease to one of the contenders.
--- a/programs/test/commands_test.cpp
+++ b/programs/test/commands_test.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-using Words = std::vector<std::string>;
+using CommandLine = std::vector<std::string>;
 
 /// The request as text, or the error.
-std::string requestText(Words const& words) {
+std::string requestText(CommandLine const& commandLine) {
   try {
-    programs::CommandRequest const request = programs::requestOf(words);
+    programs::CommandRequest const request = programs::requestOf(commandLine);
     return std::string(core::name(request.method)) + " " + request.path + " " + request.bodyFile;
   } catch (programs::UsageError const& error) {
     return std::string("error: ") + error.what();
@@ -27,17 +27,17 @@
 }
 
 /// A command line with so many arguments.
-Words wordsWith(std::string const& command, std::size_t arguments) {
-  Words words{command};
-  for (std::size_t i = 0; i < arguments; ++i) words.push_back("argument-" + std::to_string(i));
-  return words;
+CommandLine commandLineWith(std::string const& command, std::size_t arguments) {
+  CommandLine commandLine{command};
+  for (std::size_t i = 0; i < arguments; ++i) commandLine.push_back("argument-" + std::to_string(i));
+  return commandLine;
 }
 
 }  // namespace
 
 TEST_CASE("commands send their requests") {
   struct Case {
-    Words words;
+    CommandLine commandLine;
     char const* request;
   };
   std::vector<Case> const cases{{{"templates"}, "GET /v1/templates "},
@@ -64,7 +64,7 @@
                                 {{"change", "id"}, "GET /v1/changes/id "},
                                 {{"node-remove", "10.0.0.1:7720"}, "DELETE /v1/nodes/10.0.0.1:7720 "},
                                 {{"fleet"}, "GET /v1/fleet "}};
-  for (auto const& [words, request] : cases) CHECK(requestText(words) == request);
+  for (auto const& [commandLine, request] : cases) CHECK(requestText(commandLine) == request);
 }
 
 TEST_CASE("former names of commands send the same requests as today's, and reject the same arguments") {
@@ -72,8 +72,8 @@
     INFO(former);
     CHECK(programs::currentCommandName(former) == current);
     for (std::size_t const arguments : {0, 1}) {
-      std::string const formerRequest = requestText(wordsWith(former, arguments));
-      std::string const currentRequest = requestText(wordsWith(current, arguments));
+      std::string const formerRequest = requestText(commandLineWith(former, arguments));
+      std::string const currentRequest = requestText(commandLineWith(current, arguments));
       bool const bothRejected = formerRequest.rfind("error", 0) == 0 && currentRequest.rfind("error", 0) == 0;
       CHECK((bothRejected || formerRequest == currentRequest));
     }
--- a/programs/test/golden_requests_test.cpp
+++ b/programs/test/golden_requests_test.cpp
@@ -112,15 +112,15 @@
  public:
   Controller& controller() { return controller_; }
 
-  void run(std::string const& program, std::vector<std::string> const& words, bool showOutput = false) {
+  void run(std::string const& program, std::vector<std::string> const& commandLine, bool showOutput = false) {
     text_ += "$ " + program;
     QStringList flags;
-    for (std::string word : words) {
-      text_ += " " + word;
-      word = std::regex_replace(word, std::regex("^ADDRESS"), controller_.address());
-      word = std::regex_replace(word, std::regex("^GOLDEN"), golden::path("programs/test/golden"));
-      word = std::regex_replace(word, std::regex("SCRATCH"), scratch());
-      flags << QString::fromStdString(word);
+    for (std::string argument : commandLine) {
+      text_ += " " + argument;
+      argument = std::regex_replace(argument, std::regex("^ADDRESS"), controller_.address());
+      argument = std::regex_replace(argument, std::regex("^GOLDEN"), golden::path("programs/test/golden"));
+      argument = std::regex_replace(argument, std::regex("SCRATCH"), scratch());
+      flags << QString::fromStdString(argument);
     }
     QProcess process;
     QEventLoop loop;
@@ -136,9 +136,9 @@
     for (std::string const& line : golden::lines(process.readAllStandardOutput().toStdString()))
       text_ += "  < " + withoutNames(line) + "\n";
   }
-  void corkward(std::vector<std::string> words, bool showOutput = false) {
-    words.insert(words.begin(), {"--substation", "ADDRESS"});
-    run("corkward", words, showOutput);
+  void corkward(std::vector<std::string> commandLine, bool showOutput = false) {
+    commandLine.insert(commandLine.begin(), {"--substation", "ADDRESS"});
+    run("corkward", commandLine, showOutput);
   }
   std::string scratch() const { return scratch_.path().toStdString(); }
   std::string const& text() const { return text_; }
@@ -162,21 +162,22 @@
   Session session;
   std::string const file = "GOLDEN/spec.json";
   std::vector<std::string> const change{"--stamp", "6", "--change-id", "change-1"};
-  auto const changes = [&](std::vector<std::string> words) {
-    words.insert(words.begin(), change.begin(), change.end());
-    session.corkward(words);
+  auto const changes = [&](std::vector<std::string> commandLine) {
+    commandLine.insert(commandLine.begin(), change.begin(), change.end());
+    session.corkward(commandLine);
   };
-  for (std::vector<std::string> const& words : std::vector<std::vector<std::string>>{{"template-get", "desk"},
-                                                                                     {"templates"},
-                                                                                     {"instance-get", "desk", "nord"},
-                                                                                     {"blueprint-get"},
-                                                                                     {"certificates-get"},
-                                                                                     {"evacuation", "north west/1"},
-                                                                                     {"pool-get", "model a/b"},
-                                                                                     {"change", "change-1"},
-                                                                                     {"fleet"}})
-    session.corkward(words);
-  for (std::vector<std::string> const& words :
+  for (std::vector<std::string> const& commandLine :
+       std::vector<std::vector<std::string>>{{"template-get", "desk"},
+                                             {"templates"},
+                                             {"instance-get", "desk", "nord"},
+                                             {"blueprint-get"},
+                                             {"certificates-get"},
+                                             {"evacuation", "north west/1"},
+                                             {"pool-get", "model a/b"},
+                                             {"change", "change-1"},
+                                             {"fleet"}})
+    session.corkward(commandLine);
+  for (std::vector<std::string> const& commandLine :
        std::vector<std::vector<std::string>>{{"template-put", "desk", file},
                                              {"template-patch", "desk", file},
                                              {"template-delete", "desk"},
@@ -192,7 +193,7 @@
                                              {"lift", "north west/1"},
                                              {"pool-put", "model a/b", file},
                                              {"node-gone", "10.4.0.7:7721"}})
-    changes(words);
+    changes(commandLine);
   golden::check("programs/test/golden/requests_commands.txt", session.text());
 }
 
@@ -259,13 +260,13 @@
   Session session;
   {
     std::unique_ptr<storage::Directory> const disk = storage::openDirectory(session.scratch() + "/audit");
-    audit::AuditLog trail(*disk, "10.4.0.7:7721", 1780000000000);
-    trail.countOutcome(
+    audit::AuditLog log(*disk, "10.4.0.7:7721", 1780000000000);
+    log.countOutcome(
         audit::RecordCategory{"handed-over", "health", "desk.nord", "model", "10.0.0.1:80", "r1", "z1", "c1", {}},
         1780000000000);
-    trail.countOutcome(audit::RecordCategory{"denied", "health", "desk.nord", "", "", "", "", "", "no certificate"},
-                       1780000004000);
-    trail.close(1780000010000);
+    log.countOutcome(audit::RecordCategory{"denied", "health", "desk.nord", "", "", "", "", "", "no certificate"},
+                     1780000004000);
+    log.close(1780000010000);
   }
   session.run("corkward", {"--json", "regime", "report", "SCRATCH/audit"}, true);
   session.run("corkward",
@@ -282,7 +283,7 @@
 TEST_CASE("the steps of a runbook send the recorded requests", "[golden]") {
   Session session;
   session.controller().answers("GET /v1/templates", {{200, R"({"templates":["desk"]})"}});
-  std::vector<std::string> words{
+  std::vector<std::string> commandLine{
       "--substation",       "ADDRESS", "--set", "zone=north west", "--set", "file=SCRATCH/saved", "--yes",
       "GOLDEN/runbook.json"};
   session.controller().otherwise({404, R"({"stamp":7})"});
@@ -292,10 +293,10 @@
         "GET /v1/templates/desk/instances/nord", "PUT /v1/templates/desk/instances/nord",
         "PATCH /v1/templates/desk/instances/nord"})
     session.controller().answers(path, {{}});
-  session.run("corkward-runbook", words);
-  words.insert(words.begin(), "--dry-run");
-  session.run("corkward-runbook", words);
-  words.insert(words.begin(), "--check");
-  session.run("corkward-runbook", words);
+  session.run("corkward-runbook", commandLine);
+  commandLine.insert(commandLine.begin(), "--dry-run");
+  session.run("corkward-runbook", commandLine);
+  commandLine.insert(commandLine.begin(), "--check");
+  session.run("corkward-runbook", commandLine);
   golden::check("programs/test/golden/requests_runbook.txt", session.text());
 }
--- a/programs/test/golden_settings_test.cpp
+++ b/programs/test/golden_settings_test.cpp
@@ -36,9 +36,9 @@
 }
 
 /// What the words of a command line are read as: the settings, or the text of the error.
-std::string parsedForm(programs::Role role, std::vector<std::string> const& words) {
+std::string parsedForm(programs::Role role, std::vector<std::string> const& commandLine) {
   std::vector<char const*> argv{"program"};
-  for (std::string const& word : words) argv.push_back(word.c_str());
+  for (std::string const& argument : commandLine) argv.push_back(argument.c_str());
   try {
     auto const settings = programs::readSettings(static_cast<int>(argv.size()), argv.data(), role);
     return settings ? canonical(*settings) : "  nothing to start\n";
@@ -51,17 +51,18 @@
 class Readings {
  public:
   Readings(programs::Role role, std::string const& file) : role_(role), file_(golden::path(folder + file)) {}
-  void add(std::vector<std::string> words) {
-    for (std::string const& word : words) text_ += (text_.empty() || text_.back() == '\n' ? "" : " ") + word;
-    text_ += words.empty() ? "(no words)\n" : "\n";
-    for (std::string& word : words)
-      if (word == "FILE") word = file_;
-    text_ += parsedForm(role_, words);
+  void add(std::vector<std::string> commandLine) {
+    for (std::string const& argument : commandLine)
+      text_ += (text_.empty() || text_.back() == '\n' ? "" : " ") + argument;
+    text_ += commandLine.empty() ? "(no words)\n" : "\n";
+    for (std::string& argument : commandLine)
+      if (argument == "FILE") argument = file_;
+    text_ += parsedForm(role_, commandLine);
   }
   /// The words behind those that suffice.
-  void addTo(std::vector<std::string> words, std::vector<std::string> const& more) {
-    words.insert(words.end(), more.begin(), more.end());
-    add(std::move(words));
+  void addTo(std::vector<std::string> commandLine, std::vector<std::string> const& more) {
+    commandLine.insert(commandLine.end(), more.begin(), more.end());
+    add(std::move(commandLine));
   }
   std::string const& text() const { return text_; }
 
@@ -84,10 +85,10 @@
   readings.add(least);
   readings.add({});
   for (std::size_t without = 0; without < least.size(); without += 2) {
-    std::vector<std::string> words = least;
-    words.erase(words.begin() + static_cast<std::ptrdiff_t>(without),
-                words.begin() + static_cast<std::ptrdiff_t>(without) + 2);
-    readings.add(words);
+    std::vector<std::string> commandLine = least;
+    commandLine.erase(commandLine.begin() + static_cast<std::ptrdiff_t>(without),
+                      commandLine.begin() + static_cast<std::ptrdiff_t>(without) + 2);
+    readings.add(commandLine);
   }
   std::vector<std::vector<std::string>> const more{{"--drain-limit", "1"},     {"--drain-limit", "0"},
                                                    {"--drain-limit", "3601"},  {"--drain-limit", "soon"},
@@ -98,7 +99,7 @@
                                                    {"--not-a-setting", "1"},   {"word"},
                                                    {"--founder", "10.4.0.7"},  {"--audit-megabytes", "1"},
                                                    {"--audit-megabytes", "2"}};
-  for (std::vector<std::string> const& words : more) readings.addTo(least, words);
+  for (std::vector<std::string> const& commandLine : more) readings.addTo(least, commandLine);
 }
 
 }  // namespace
@@ -141,9 +142,9 @@
     for (std::string const& line : golden::lines(golden::runProgram("programs/corkward", {"--help"}).out)) {
       if (line == "Commands") inCommands = true;
       if (line.empty() && !commands.empty()) inCommands = false;
-      std::istringstream words(line);
+      std::istringstream lineText(line);
       std::string command;
-      if (inCommands && line.rfind("  ", 0) == 0 && line.rfind("  FILE ", 0) != 0 && words >> command)
+      if (inCommands && line.rfind("  ", 0) == 0 && line.rfind("  FILE ", 0) != 0 && lineText >> command)
         commands.insert(command);
     }
     std::string text;
