--- a/dataplane/include/corkward/dataplane/tenants.h
+++ b/dataplane/include/corkward/dataplane/tenants.h
@@ -94,12 +94,12 @@
   double randomFraction();
   void detectTimeouts(Tick now);
   bool isUnresponsive(Tick now, std::string const& link) const;
-  /// Whom to ask for a part; empty: nobody answers.
-  std::string coordinatorOf(Tick now, std::uint64_t part) const;
+  /// Whom to ask for a partition; empty: nobody answers.
+  std::string coordinatorOf(Tick now, std::uint64_t partition) const;
   /// Sends a report of one tenant with the amount that a request waits for. False: there is nobody to ask.
   bool requestAmount(Tick now, Waiting waiting, std::vector<transport::Send>& out);
-  void send(Tick now, std::string const& lender, std::vector<quota::TenantUsage> uses, std::vector<Waiting> waiting,
-            std::vector<transport::Send>& out);
+  void send(Tick now, std::string const& coordinator, std::vector<quota::TenantUsage> uses,
+            std::vector<Waiting> waiting, std::vector<transport::Send>& out);
   /// Decides on a request for which no amount came.
   QuotaDecision decideWithoutCoordinator(Tick now, Waiting const& waiting);
   void sendReports(Tick now, std::vector<transport::Send>& out);
--- a/dataplane/src/tenants.cpp
+++ b/dataplane/src/tenants.cpp
@@ -112,15 +112,15 @@
   return it != coordinators_.end() && it->second.timedOutAt >= 0 && now - it->second.timedOutAt < passOverFor;
 }
 
-std::string Tenants::coordinatorOf(Tick now, std::uint64_t part) const {
-  auto const nobody = ownerlessUntil_.find(part);
+std::string Tenants::coordinatorOf(Tick now, std::uint64_t partition) const {
+  auto const nobody = ownerlessUntil_.find(partition);
   if (nobody != ownerlessUntil_.end() && now < nobody->second) return {};
-  auto const told = announcedOwners_.find(part);
-  if (told != announcedOwners_.end() && !isUnresponsive(now, told->second)) return told->second;
+  auto const announced = announcedOwners_.find(partition);
+  if (announced != announcedOwners_.end() && !isUnresponsive(now, announced->second)) return announced->second;
   std::string best;
   for (std::string const& link : controllers_) {
     if (isUnresponsive(now, link)) continue;
-    if (best.empty() || quota::ownerRank(part, link) < quota::ownerRank(part, best)) best = link;
+    if (best.empty() || quota::ownerRank(partition, link) < quota::ownerRank(partition, best)) best = link;
   }
   return best;
 }
