--- a/alerting/include/corkward/alerting/rules.h
+++ b/alerting/include/corkward/alerting/rules.h
@@ -14,7 +14,7 @@
   std::string alert;
   Expression expression;
   /// Milliseconds for which the expression must be true before the alert fires.
-  core::Tick pendingFor = 0;
+  core::Milliseconds pendingFor = 0;
   /// File name of the runbook.
   std::string runbook;
   /// Values of the runbook's parameters.
@@ -32,14 +32,14 @@
   /// Evaluates all rules for the newest samples.
   /// @param now monotonic milliseconds
   /// @return the rules that fire
-  std::vector<Rule> evaluate(core::Tick now, std::vector<Sample> const& samples);
+  std::vector<Rule> evaluate(core::Milliseconds now, std::vector<Sample> const& samples);
   /// Whether the alert's expression was true at the last evaluation, for however long.
   bool isPendingOrFiring(std::string const& alert) const;
 
  private:
   std::vector<Rule> rules_;
   /// Since when the expressions of alerts have been true without a break.
-  std::map<std::string, core::Tick> trueSince_;
+  std::map<std::string, core::Milliseconds> trueSince_;
 };
 
 }  // namespace corkward::alerting
--- a/alerting/src/rules.cpp
+++ b/alerting/src/rules.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr core::Tick millisPerSecond = 1000;
-constexpr core::Tick millisPerMinute = 60000;
+constexpr core::Milliseconds millisPerSecond = 1000;
+constexpr core::Milliseconds millisPerMinute = 60000;
 constexpr std::size_t maxDurationDigits = 6;
 
 /// Place of a node in the file, as the beginning of a message.
@@ -35,7 +35,7 @@
 }
 
 /// Milliseconds of a duration in seconds (s) or minutes (m).
-core::Tick readDuration(YAML::Node const& node) {
+core::Milliseconds readDuration(YAML::Node const& node) {
   std::string const text = node.IsScalar() ? node.Scalar() : "";
   std::size_t digits = 0;
   while (digits < text.size() && digits < maxDurationDigits &&
@@ -109,14 +109,14 @@
   return trueSince_.count(alert) > 0;
 }
 
-std::vector<Rule> RuleEvaluator::evaluate(core::Tick now, std::vector<Sample> const& samples) {
+std::vector<Rule> RuleEvaluator::evaluate(core::Milliseconds now, std::vector<Sample> const& samples) {
   std::vector<Rule> firing;
   for (Rule const& rule : rules_) {
     if (!isTrue(rule.expression, samples)) {
       trueSince_.erase(rule.alert);
       continue;
     }
-    core::Tick const since = trueSince_.try_emplace(rule.alert, now).first->second;
+    core::Milliseconds const since = trueSince_.try_emplace(rule.alert, now).first->second;
     if (now - since >= rule.pendingFor) firing.push_back(rule);
   }
   return firing;
--- a/alerting/test/golden_test.cpp
+++ b/alerting/test/golden_test.cpp
@@ -125,7 +125,7 @@
   alerting::RuleEvaluator evaluator(alerting::readRules(documents("rules.input.txt").at(1)));
   std::string text;
   struct Evaluation {
-    corkward::core::Tick now;
+    corkward::core::Milliseconds now;
     char const* page;
   };
   constexpr char const* dark = "corkward_up{zone=\"z2\",node=\"a\"} 0\nx 1\nx{n=\"2\"} 1\n";
--- a/config/include/corkward/config/config.h
+++ b/config/include/corkward/config/config.h
@@ -32,8 +32,8 @@
 struct RequestClassDefaults {
   std::string_view name;
   RequestClass requestClass;
-  core::Tick latencyTarget;
-  core::Tick deadline;
+  core::Milliseconds latencyTarget;
+  core::Milliseconds deadline;
 };
 
 inline constexpr RequestClassDefaults requestClassDefaults[] = {{"urgent", RequestClass::urgent, 300, 3000},
@@ -59,10 +59,10 @@
   /// Pools that share the requests; never empty, the first one is `pool`.
   std::vector<WeightedPool> weightedPools;
   RequestClass requestClass = RequestClass::quick;
-  core::Tick latencyTarget = 0;
-  core::Tick deadline = 0;
+  core::Milliseconds latencyTarget = 0;
+  core::Milliseconds deadline = 0;
   /// Longest pause between two events that is still in time; 0: not said.
-  core::Tick eventGapTarget = 0;
+  core::Milliseconds eventGapTarget = 0;
   /// A broken stream may go on elsewhere after its last whole event.
   bool resumable = false;
   /// A request may run more than once.
@@ -101,7 +101,7 @@
   int maxConnections = 0;
   /// Requests a second that a cold replica bears, and how long it stays cold after its start.
   double slowStartRate = 0;
-  core::Tick slowStartDuration = 0;
+  core::Milliseconds slowStartDuration = 0;
   /// Requests that one replica runs at once, and tokens that its memory keeps; 0: not said.
   int concurrentRequests = 0;
   std::int64_t prefixCacheTokens = 0;
@@ -111,8 +111,8 @@
 struct HttpLimits {
   std::uint32_t headerByteLimit = 0;
   std::uint64_t bodyByteLimit = 0;
-  core::Tick headerTimeout = 0;
-  core::Tick idleTimeout = 0;
+  core::Milliseconds headerTimeout = 0;
+  core::Milliseconds idleTimeout = 0;
   bool operator==(HttpLimits const&) const = default;
 };
 
--- a/config/src/config.cpp
+++ b/config/src/config.cpp
@@ -94,8 +94,8 @@
   return true;
 }
 
-core::Tick milliseconds(QJsonObject const& pathSpec, char const* name, core::Tick otherwise,
-                        QJsonObject const& parameters, std::string const& at) {
+core::Milliseconds milliseconds(QJsonObject const& pathSpec, char const* name, core::Milliseconds otherwise,
+                                QJsonObject const& parameters, std::string const& at) {
   QJsonValue const raw = pathSpec.value(QLatin1String(name));
   if (raw.isUndefined()) return otherwise;
   QJsonValue const v = fill(raw, parameters, at + "/" + name);
--- a/config/src/fleet_configuration.cpp
+++ b/config/src/fleet_configuration.cpp
@@ -13,7 +13,7 @@
 
 using core::toStdString;
 
-constexpr core::Tick unbounded = std::numeric_limits<core::Tick>::max();
+constexpr core::Milliseconds unbounded = std::numeric_limits<core::Milliseconds>::max();
 /// Largest number of milliseconds, bytes, tokens or requests that a configuration may say.
 constexpr qint64 maxNumber = qint64{1} << 40;
 constexpr qint64 maxCount = qint64{1} << 30;
@@ -23,8 +23,8 @@
 /// A path is of the first class whose rule holds for it.
 struct ClassRule {
   RequestClass cls;
-  core::Tick maxLatencyTarget;
-  core::Tick minDeadline;
+  core::Milliseconds maxLatencyTarget;
+  core::Milliseconds minDeadline;
 };
 
 constexpr ClassRule classRules[] = {
@@ -152,7 +152,7 @@
   if (found == std::end(kindRules)) throw ConfigError(at + "/kind", "must be once, repeatable or stream");
   out.deadline = requiredInteger(object, "deadlineMs", 1, maxNumber, at);
   out.latencyTarget = integer(object, "aimMs", 0, maxNumber, 0, at);
-  core::Tick const target = out.latencyTarget > 0 ? out.latencyTarget : unbounded;
+  core::Milliseconds const target = out.latencyTarget > 0 ? out.latencyTarget : unbounded;
   out.requestClass = std::find_if(std::begin(classRules), std::end(classRules), [&](ClassRule const& r) {
                        return target <= r.maxLatencyTarget && out.deadline >= r.minDeadline;
                      })->cls;
--- a/consensus/include/corkward/consensus/replicated_registers.h
+++ b/consensus/include/corkward/consensus/replicated_registers.h
@@ -36,22 +36,22 @@
 
   /// Loads the records that the write-ahead log returned. When the log is damaged, none of them counts, and this
   /// machine joins as a new member.
-  RegisterCommands restore(std::map<std::string, std::string> const& records, bool damaged, Tick now);
+  RegisterCommands restore(std::map<std::string, std::string> const& records, bool damaged, Milliseconds now);
 
   /// Handles a message from the link address `from`. Messages of other packages are ignored.
-  RegisterCommands onMessage(Tick now, std::string const& from, transport::Message const& message);
-  RegisterCommands onTimer(Tick now);
+  RegisterCommands onMessage(Milliseconds now, std::string const& from, transport::Message const& message);
+  RegisterCommands onTimer(Milliseconds now);
   /// A write and its sync are complete; not succeeded: this member's disk is out of use from now on.
-  RegisterCommands onPersisted(Tick now, std::uint64_t ticket, bool succeeded);
+  RegisterCommands onPersisted(Milliseconds now, std::uint64_t ticket, bool succeeded);
   /// Queues a call on a key; the outcome comes as CallCompleted. Rejected at once when this member can't vote.
-  RegisterCommands submit(Tick now, std::string const& key, transport::OperatorCall const& call);
+  RegisterCommands submit(Milliseconds now, std::string const& key, transport::OperatorCall const& call);
   /// This member drains: it hands every owned key over to another member, now and whenever a proposal completes, starts
   /// no election while another member can, and is removed from a membership of even size.
-  RegisterCommands startHandover(Tick now);
+  RegisterCommands startHandover(Milliseconds now);
 
   /// After startHandover: this member owns nothing, the membership is of odd size, and every live member has on its
   /// disk all that this one knows as committed, so that nothing is lost with it.
-  bool handoverComplete(Tick now) const;
+  bool handoverComplete(Milliseconds now) const;
   /// True while this machine is no member or has no contact with a majority: it then sends heartbeats to the discovery
   /// peers to learn of a membership.
   bool discovering() const;
@@ -59,17 +59,17 @@
   void setDiscoveryPeers(std::vector<std::string> links);
 
   /// Link of the member that owns the key, empty when none is known to be alive.
-  std::string ownerLink(std::string const& key, Tick now) const;
+  std::string ownerLink(std::string const& key, Milliseconds now) const;
   bool owns(std::string const& key) const;
   std::size_t ownedCount() const;
   /// Links of the members that vote and were heard within the owner timeout, this one included if it votes.
-  std::vector<std::string> aliveLinks(Tick now) const;
+  std::vector<std::string> aliveLinks(Milliseconds now) const;
   /// Committed values that this member knows, by key.
   std::map<std::string, CommittedValue> const& committed() const;
   /// A member has accepted a value of the key, which this one need not know as committed, as after a restart of all.
   bool mayHaveAcceptedValue(std::string const& key) const;
   /// Milliseconds since the last contact with a majority whose accepted changes this member knows; -1: none yet.
-  Tick quorumContactAge(Tick now) const;
+  Milliseconds quorumContactAge(Milliseconds now) const;
   bool isVoting() const;
   bool isDiskHealthy() const;
   /// True until this machine has adopted a membership that contains it.
@@ -78,12 +78,12 @@
   Member const& self() const;
   /// For the explorer: hash of the state that decides what happens next, equal for states that differ only in how long
   /// ago everything was. Spans over `cap` milliseconds count as `cap`.
-  std::uint64_t fingerprint(Tick now, Tick cap) const;
+  std::uint64_t fingerprint(Milliseconds now, Milliseconds cap) const;
 
  private:
   /// Runs the action with the context of one event, and returns the commands that it causes.
   template <class Action>
-  RegisterCommands handle(Tick now, Action const& action);
+  RegisterCommands handle(Milliseconds now, Action const& action);
 
   std::unique_ptr<Replica> replica_;
 };
--- a/consensus/include/corkward/consensus/types.h
+++ b/consensus/include/corkward/consensus/types.h
@@ -15,7 +15,7 @@
 
 namespace corkward::consensus {
 
-using core::Tick;
+using core::Milliseconds;
 using transport::Ballot;
 
 /// An error of the control state.
@@ -29,25 +29,25 @@
 
 /// Timeouts (milliseconds) and limits. The daemon's settings may change them.
 struct ConsensusTuning {
-  Tick heartbeatEvery = 150;
+  Milliseconds heartbeatEvery = 150;
   /// A peer that was silent for longer counts as unreachable, and an owner as lost.
-  Tick ownerTimeout = 1000;
+  Milliseconds ownerTimeout = 1000;
   /// Upper bound of the random delay before an election, so that few members start one at the same time.
-  Tick electionSpread = 500;
+  Milliseconds electionSpread = 500;
   /// After a restart, with a majority voting and no owner announced: wait before an election, and its random spread.
-  Tick restartPause = 150;
-  Tick restartSpread = 250;
-  Tick resendEvery = 200;
-  Tick callTimeout = 4000;
+  Milliseconds restartPause = 150;
+  Milliseconds restartSpread = 250;
+  Milliseconds resendEvery = 200;
+  Milliseconds callTimeout = 4000;
   /// A member that was unreachable for so long may be replaced, or removed when three or more are left.
-  Tick replaceUnreachableAfter = 20000;
+  Milliseconds replaceUnreachableAfter = 20000;
   std::size_t maxMembers = 9;
   /// A write that takes longer counts as a stalled disk.
-  Tick stallAfter = 800;
+  Milliseconds stallAfter = 800;
   /// A snapshot chunk has values of about so many bytes, or one value that is larger.
   std::size_t snapshotChunkBytes = 1U << 20;
   /// Longest wait before a member whose disk lacks chosen values requests them again.
-  Tick maxCatchUpBackoff = 4000;
+  Milliseconds maxCatchUpBackoff = 4000;
   /// For the explorer: what a test build may turn off. Nothing is off in a daemon.
   MechanismSwitches switches;
 };
--- a/consensus/src/call_queue.cpp
+++ b/consensus/src/call_queue.cpp
@@ -4,7 +4,7 @@
 
 namespace corkward::consensus {
 
-void CallQueue::push(transport::OperatorCall call, Tick now) {
+void CallQueue::push(transport::OperatorCall call, Milliseconds now) {
   queued_.push_back(QueuedCall{std::move(call), now});
 }
 
@@ -15,7 +15,7 @@
   return call;
 }
 
-std::vector<transport::OperatorCall> CallQueue::takeExpired(Tick timeout, Tick now) {
+std::vector<transport::OperatorCall> CallQueue::takeExpired(Milliseconds timeout, Milliseconds now) {
   std::vector<transport::OperatorCall> expired;
   while (!queued_.empty() && now - queued_.front().submittedAt > timeout) expired.push_back(*pop());
   return expired;
--- a/consensus/src/call_queue.h
+++ b/consensus/src/call_queue.h
@@ -14,11 +14,11 @@
 /// Calls in order of arrival, with the time of their submission.
 class CallQueue {
  public:
-  void push(transport::OperatorCall call, Tick now);
+  void push(transport::OperatorCall call, Milliseconds now);
   /// The oldest call, which is removed; nothing when the queue is empty.
   std::optional<transport::OperatorCall> pop();
   /// Calls that have waited for longer than the timeout, which are removed.
-  std::vector<transport::OperatorCall> takeExpired(Tick timeout, Tick now);
+  std::vector<transport::OperatorCall> takeExpired(Milliseconds timeout, Milliseconds now);
   /// All calls, which are removed.
   std::vector<transport::OperatorCall> takeAll();
 
@@ -28,7 +28,7 @@
  private:
   struct QueuedCall {
     transport::OperatorCall call;
-    Tick submittedAt = 0;
+    Milliseconds submittedAt = 0;
   };
 
   std::deque<QueuedCall> queued_;
--- a/consensus/src/catch_up.h
+++ b/consensus/src/catch_up.h
@@ -61,15 +61,15 @@
   /// Ids of the members whose whole snapshot was merged since restart().
   std::set<std::string> copiedFrom_;
   /// When snapshots were requested last; -1: not since restart() or since the last whole snapshot.
-  Tick requestedAt_ = -1;
+  Milliseconds requestedAt_ = -1;
   /// Numbers of this process's first and newest request, 0 before the first. A late reply to a request of an earlier
   /// process, which may have lost what it reported to have, must not count; so the first is random.
   std::uint64_t firstRequest_ = 0;
   std::uint64_t lastRequest_ = 0;
   /// Since when chosen values are missing on this disk, or when they were requested last; -1: none are missing.
-  Tick missingSince_ = -1;
+  Milliseconds missingSince_ = -1;
   /// Wait until missing values are requested.
-  Tick backoff_ = 0;
+  Milliseconds backoff_ = 0;
   /// Counts requests for missing values, so that they go to the members in turn.
   std::size_t missingRequests_ = 0;
 };
--- a/consensus/src/context.cpp
+++ b/consensus/src/context.cpp
@@ -6,7 +6,7 @@
 
 namespace corkward::consensus {
 
-EventContext::EventContext(Replica& replica, Tick time)
+EventContext::EventContext(Replica& replica, Milliseconds time)
     : now(time),
       tuning(replica.tuning),
       validator(replica.validator),
--- a/consensus/src/context.h
+++ b/consensus/src/context.h
@@ -24,7 +24,7 @@
 /// its state; the others use its public functions.
 class EventContext {
  public:
-  EventContext(Replica& replica, Tick time);
+  EventContext(Replica& replica, Milliseconds time);
 
   /// Sends a message. One to this member itself is handled at once, before the function returns.
   void send(std::string const& to, transport::Message message);
@@ -43,7 +43,7 @@
   /// Other live members that don't drain.
   std::vector<Member> availablePeers() const;
 
-  Tick const now;
+  Milliseconds const now;
   RegisterCommands commands;
   ConsensusTuning const& tuning;
   Validator const& validator;
--- a/consensus/src/failure_detector.cpp
+++ b/consensus/src/failure_detector.cpp
@@ -7,17 +7,17 @@
 
 namespace corkward::consensus {
 
-void FailureDetector::start(Tick now) {
+void FailureDetector::start(Milliseconds now) {
   lastTimerAt_ = now;
   wokeAt_ = now;
 }
 
-void FailureDetector::onTimer(Tick now) {
+void FailureDetector::onTimer(Milliseconds now) {
   if (now - lastTimerAt_ > ownerTimeout_) wokeAt_ = now;
   lastTimerAt_ = now;
 }
 
-void FailureDetector::setMembers(Membership const& membership, Tick now) {
+void FailureDetector::setMembers(Membership const& membership, Milliseconds now) {
   std::erase_if(peers_, [&](auto const& peer) { return !membership.contains(peer.first); });
   for (auto const& member : membership.members) {
     PeerState& peer = peers_[member.id];
@@ -25,7 +25,7 @@
   }
 }
 
-void FailureDetector::recordHeartbeat(transport::Heartbeat const& heartbeat, Tick now) {
+void FailureDetector::recordHeartbeat(transport::Heartbeat const& heartbeat, Milliseconds now) {
   PeerState& peer = peers_[heartbeat.member];
   peer.lastHeardAt = now;
   peer.voting = heartbeat.voting;
@@ -37,7 +37,7 @@
   if (!peer.ownedKeysKnown) peer.ownedKeys.clear();
 }
 
-void FailureDetector::recordReply(transport::HeartbeatReply const& reply, Learner const& learner, Tick now) {
+void FailureDetector::recordReply(transport::HeartbeatReply const& reply, Learner const& learner, Milliseconds now) {
   PeerState& peer = peers_[reply.member];
   peer.lastHeardAt = now;
   if (!reply.voting) return;
@@ -62,7 +62,8 @@
   peer.confirmedHeartbeatAt = peer.repliedHeartbeatAt;
 }
 
-void FailureDetector::updateQuorum(Membership const& membership, std::string const& selfId, bool selfVotes, Tick now) {
+void FailureDetector::updateQuorum(Membership const& membership, std::string const& selfId, bool selfVotes,
+                                   Milliseconds now) {
   std::set<std::string> alive;
   if (selfVotes) alive.insert(selfId);
   for (auto const& [memberId, peer] : peers_)
@@ -78,7 +79,7 @@
   return found == peers_.end() ? nullptr : &found->second;
 }
 
-bool FailureDetector::isAlive(std::string const& memberId, Tick now) const {
+bool FailureDetector::isAlive(std::string const& memberId, Milliseconds now) const {
   PeerState const* const peer = find(memberId);
   return peer != nullptr && peer->voting && now - peer->lastHeardAt < ownerTimeout_;
 }
@@ -88,13 +89,14 @@
   return peer != nullptr && peer->draining;
 }
 
-Tick FailureDetector::timeSinceHeard(std::string const& memberId, std::string const& selfId, Tick now) const {
+Milliseconds FailureDetector::timeSinceHeard(std::string const& memberId, std::string const& selfId,
+                                             Milliseconds now) const {
   PeerState const* const peer = find(memberId);
   return memberId == selfId || peer == nullptr ? 0 : now - std::max(peer->lastHeardAt, wokeAt_);
 }
 
 std::vector<Member> FailureDetector::availablePeers(Membership const& membership, std::string const& selfId,
-                                                    Tick now) const {
+                                                    Milliseconds now) const {
   std::vector<Member> available;
   for (auto const& member : membership.members)
     if (member.id != selfId && isAlive(member.id, now) && !isDraining(member.id)) available.push_back(member);
@@ -122,9 +124,9 @@
   return newest;
 }
 
-Tick FailureDetector::quorumContactAt(Membership const& membership, std::string const& selfId,
-                                      Tick selfConfirmedUntil) const {
-  std::vector<Tick> contacts{selfConfirmedUntil};
+Milliseconds FailureDetector::quorumContactAt(Membership const& membership, std::string const& selfId,
+                                              Milliseconds selfConfirmedUntil) const {
+  std::vector<Milliseconds> contacts{selfConfirmedUntil};
   for (auto const& member : membership.members) {
     if (member.id == selfId) continue;
     PeerState const* const peer = find(member.id);
--- a/consensus/src/fingerprint.cpp
+++ b/consensus/src/fingerprint.cpp
@@ -41,7 +41,7 @@
   for (auto const& name : names) add(name);
 }
 
-void Fingerprint::addTime(Tick time) {
+void Fingerprint::addTime(Milliseconds time) {
   add(static_cast<std::uint64_t>(std::clamp(now_ - time, -cap_, cap_) + cap_));
 }
 
--- a/consensus/src/fingerprint.h
+++ b/consensus/src/fingerprint.h
@@ -15,7 +15,7 @@
 class Fingerprint {
  public:
   /// @param cap spans of time over so many milliseconds count as equal
-  Fingerprint(Tick now, Tick cap) : now_(now), cap_(cap) {}
+  Fingerprint(Milliseconds now, Milliseconds cap) : now_(now), cap_(cap) {}
 
   void add(std::uint64_t value);
   void addFlag(bool flag) { add(flag ? 1U : 0U); }
@@ -26,14 +26,14 @@
   void add(transport::Revisions const& revisions);
   void add(std::set<std::string> const& names);
   /// Adds a point in time, as the span since then or until then.
-  void addTime(Tick time);
+  void addTime(Milliseconds time);
   std::uint64_t value() const { return hash_; }
-  Tick now() const { return now_; }
+  Milliseconds now() const { return now_; }
 
  private:
   std::uint64_t hash_ = 0x243F6A8885A308D3ULL;
-  Tick now_;
-  Tick cap_;
+  Milliseconds now_;
+  Milliseconds cap_;
 };
 
 }  // namespace corkward::consensus
--- a/consensus/src/handover.cpp
+++ b/consensus/src/handover.cpp
@@ -20,7 +20,7 @@
   }
 }
 
-bool isHandoverComplete(Replica const& replica, Tick now) {
+bool isHandoverComplete(Replica const& replica, Milliseconds now) {
   Membership const& membership = replica.membership.current();
   if (!replica.isMember() || replica.local.hasNoState()) return true;
   if (replica.registers.ownedCount() > 0 || membership.members.size() % 2 == 0) return false;
--- a/consensus/src/handover.h
+++ b/consensus/src/handover.h
@@ -12,6 +12,6 @@
 /// Hands every owned key without a proposal over to the other available members in turn, if there are any.
 void handOverOwnedKeys(EventContext& context);
 /// Whether nothing is lost when this member ends now; see ReplicatedRegisters::handoverComplete.
-bool isHandoverComplete(Replica const& replica, Tick now);
+bool isHandoverComplete(Replica const& replica, Milliseconds now);
 
 }  // namespace corkward::consensus
--- a/consensus/src/heartbeats.cpp
+++ b/consensus/src/heartbeats.cpp
@@ -55,7 +55,7 @@
   if (context.local.hasDurableId()) sendAll(context);
 }
 
-void Heartbeats::readStarted(Tick now) {
+void Heartbeats::readStarted(Milliseconds now) {
   newestReadAt_ = now;
   nextAt_ = std::min(nextAt_, now + 1);
 }
--- a/consensus/src/heartbeats.h
+++ b/consensus/src/heartbeats.h
@@ -20,11 +20,11 @@
   void onReply(EventContext& context, transport::HeartbeatReply const& reply);
 
   /// Sends the next heartbeats with the first timer event at or after the time.
-  void scheduleAt(Tick time) { nextAt_ = time; }
+  void scheduleAt(Milliseconds time) { nextAt_ = time; }
   /// Heartbeats go out with the next timer event.
   void scheduleNow() { scheduleAt(0); }
   /// A read waits for confirmation: it needs replies to heartbeats that are sent after `now`.
-  void readStarted(Tick now);
+  void readStarted(Milliseconds now);
   void addTo(Fingerprint& fingerprint) const;
 
  private:
@@ -34,10 +34,10 @@
   void updateAnnouncedKeys(transport::Heartbeat& heartbeat);
   static transport::HeartbeatReply replyTo(EventContext& context, transport::Heartbeat const& heartbeat);
 
-  Tick nextAt_ = 0;
+  Milliseconds nextAt_ = 0;
   /// When a read was started last. Replies to heartbeats of that millisecond don't confirm it, since those may have
   /// been sent before it: the next heartbeats follow a millisecond later.
-  Tick newestReadAt_ = -1;
+  Milliseconds newestReadAt_ = -1;
   /// Digest of the owned keys in the last heartbeats.
   transport::Digest announcedKeys_;
   /// How many more heartbeats list the owned keys in full.
--- a/consensus/src/learner.cpp
+++ b/consensus/src/learner.cpp
@@ -39,7 +39,7 @@
   context.detector.onCommitted(*this);
 }
 
-void Learner::noteAccepted(std::string const& key, std::uint64_t revision, Tick now) {
+void Learner::noteAccepted(std::string const& key, std::uint64_t revision, Milliseconds now) {
   if (revision > revisionOf(key))
     unconfirmedSince_.emplace(key, now);
   else
@@ -60,8 +60,8 @@
   return std::find(digestHistory_.begin(), digestHistory_.end(), digest) != digestHistory_.end();
 }
 
-Tick Learner::confirmedUntil(Tick now) const {
-  Tick earliest = now;
+Milliseconds Learner::confirmedUntil(Milliseconds now) const {
+  Milliseconds earliest = now;
   for (auto const& [key, since] : unconfirmedSince_) earliest = std::min(earliest, since);
   return earliest;
 }
--- a/consensus/src/learner.h
+++ b/consensus/src/learner.h
@@ -21,7 +21,7 @@
   /// rejected.
   void learn(EventContext& context, transport::CommittedEntry const& entry);
   /// This member's acceptor has the value of this revision.
-  void noteAccepted(std::string const& key, std::uint64_t revision, Tick now);
+  void noteAccepted(std::string const& key, std::uint64_t revision, Milliseconds now);
   /// This member was removed: what it had accepted does not count any more.
   void forgetAccepted() { unconfirmedSince_.clear(); }
 
@@ -37,7 +37,7 @@
   bool hasHadDigest(transport::Digest const& digest) const;
   /// Earliest time from which on this member has an accepted value that it doesn't know to be committed; `now` when it
   /// has none.
-  Tick confirmedUntil(Tick now) const;
+  Milliseconds confirmedUntil(Milliseconds now) const;
   void addTo(Fingerprint& fingerprint) const;
 
  private:
@@ -48,7 +48,7 @@
   /// Last values of digest_, newest last.
   std::deque<transport::Digest> digestHistory_;
   /// Keys whose accepted revision is newer than the committed one, and since when.
-  std::map<std::string, Tick> unconfirmedSince_;
+  std::map<std::string, Milliseconds> unconfirmedSince_;
 };
 
 /// Logs that a message contradicts what this member knows, and counts the broken guarantee of one value per revision.
--- a/consensus/src/linearizable_reads.cpp
+++ b/consensus/src/linearizable_reads.cpp
@@ -6,8 +6,8 @@
 
 namespace corkward::consensus {
 
-void LinearizableReads::confirm(std::string const& key, std::string const& memberId, Tick heartbeatSentAt,
-                                Membership const& membership, Tick timeout, Tick now,
+void LinearizableReads::confirm(std::string const& key, std::string const& memberId, Milliseconds heartbeatSentAt,
+                                Membership const& membership, Milliseconds timeout, Milliseconds now,
                                 std::vector<CallCompleted>& completed) {
   std::vector<PendingRead> waiting;
   for (auto& read : pending_) {
--- a/consensus/src/linearizable_reads.h
+++ b/consensus/src/linearizable_reads.h
@@ -16,7 +16,7 @@
 /// A read that the owner has evaluated and not yet answered.
 struct PendingRead {
   std::uint64_t token = 0;
-  Tick startedAt = 0;
+  Milliseconds startedAt = 0;
   int status = 0;
   QJsonObject body;
   /// Ids of the members that confirmed the ownership after the read began, the owner included.
@@ -30,8 +30,9 @@
   void add(PendingRead read) { pending_.push_back(std::move(read)); }
   /// The member has confirmed the ownership by its reply to a heartbeat of `heartbeatSentAt`. Appends the answers of
   /// reads that a majority has confirmed, and of those that have timed out.
-  void confirm(std::string const& key, std::string const& memberId, Tick heartbeatSentAt, Membership const& membership,
-               Tick timeout, Tick now, std::vector<CallCompleted>& completed);
+  void confirm(std::string const& key, std::string const& memberId, Milliseconds heartbeatSentAt,
+               Membership const& membership, Milliseconds timeout, Milliseconds now,
+               std::vector<CallCompleted>& completed);
   /// Ownership was lost: appends a failure for every pending read.
   void abort(std::string const& key, std::vector<CallCompleted>& completed);
 
--- a/consensus/src/membership_manager.cpp
+++ b/consensus/src/membership_manager.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// A founder bootstraps while it has heard the others within so many heartbeats.
-constexpr Tick bootstrapHeartbeats = 3;
+constexpr Milliseconds bootstrapHeartbeats = 3;
 /// A silent member is removed only from a larger membership: of three, the other two remain a majority.
 constexpr std::size_t smallestRedundantMembership = 3;
 
@@ -54,14 +54,15 @@
 std::optional<Member> MembershipManager::readyFounder(EventContext const& context, std::string const& link) const {
   std::optional<Member> founder;
   if (link == context.local.link()) founder = context.local.self();
-  Tick const window = bootstrapHeartbeats * context.tuning.heartbeatEvery;
+  Milliseconds const window = bootstrapHeartbeats * context.tuning.heartbeatEvery;
   for (auto const& [memberId, candidate] : candidates_)
     if (candidate.link == link && candidate.hasNoState && context.now - candidate.lastHeardAt < window)
       founder = Member{memberId, link};
   return founder;
 }
 
-void MembershipManager::noteCandidate(std::string const& memberId, std::string const& link, bool hasNoState, Tick now) {
+void MembershipManager::noteCandidate(std::string const& memberId, std::string const& link, bool hasNoState,
+                                      Milliseconds now) {
   candidates_[memberId] = Candidate{link, now, hasNoState};
 }
 
@@ -75,7 +76,7 @@
   return !context.selfIsMember() || !context.detector.hasQuorum();
 }
 
-Tick MembershipManager::timeSinceHeard(EventContext const& context, Member const& member) {
+Milliseconds MembershipManager::timeSinceHeard(EventContext const& context, Member const& member) {
   return context.detector.timeSinceHeard(member.id, context.local.id(), context.now);
 }
 
@@ -172,7 +173,7 @@
 Member const* MembershipManager::longestUnreachable(EventContext const& context) const {
   Member const* longest = nullptr;
   for (auto const& member : current_.members) {
-    Tick const unheardFor = timeSinceHeard(context, member);
+    Milliseconds const unheardFor = timeSinceHeard(context, member);
     if (unheardFor > context.tuning.replaceUnreachableAfter &&
         (longest == nullptr || timeSinceHeard(context, *longest) < unheardFor))
       longest = &member;
--- a/consensus/src/membership_manager.h
+++ b/consensus/src/membership_manager.h
@@ -32,7 +32,7 @@
   void proposeNextChange(EventContext& context);
 
   /// A machine that is no member has sent a heartbeat.
-  void noteCandidate(std::string const& memberId, std::string const& link, bool hasNoState, Tick now);
+  void noteCandidate(std::string const& memberId, std::string const& link, bool hasNoState, Milliseconds now);
   /// Forgets candidates that were silent for longer than the owner timeout.
   void expireCandidates(EventContext const& context);
   /// The founder at the link reports that it has no disk: it takes no part in the bootstrap.
@@ -49,7 +49,7 @@
   /// A machine that is no member and was heard of late.
   struct Candidate {
     std::string link;
-    Tick lastHeardAt = 0;
+    Milliseconds lastHeardAt = 0;
     /// It has no state, so it may become a member.
     bool hasNoState = false;
   };
@@ -76,7 +76,7 @@
   Member const* longestUnreachable(EventContext const& context) const;
   /// Another member that drains and owns no key any more; nullptr: none.
   Member const* drainedMember(EventContext const& context) const;
-  static Tick timeSinceHeard(EventContext const& context, Member const& member);
+  static Milliseconds timeSinceHeard(EventContext const& context, Member const& member);
 
   /// Invariant: its revision never falls, and it is empty only while the revision is 0.
   Membership current_;
--- a/consensus/src/owner_monitor.cpp
+++ b/consensus/src/owner_monitor.cpp
@@ -2,17 +2,17 @@
 
 namespace corkward::consensus {
 
-void OwnerMonitor::startUnclaimed(Tick now) {
+void OwnerMonitor::startUnclaimed(Milliseconds now) {
   lastHeardAt_ = now;
   unclaimed_ = true;
 }
 
-void OwnerMonitor::ownerAnnounced(std::string const& memberId, Tick now) {
+void OwnerMonitor::ownerAnnounced(std::string const& memberId, Milliseconds now) {
   ownerAccepted(memberId, now);
   electionAt_ = 0;
 }
 
-void OwnerMonitor::ownerAccepted(std::string const& memberId, Tick now) {
+void OwnerMonitor::ownerAccepted(std::string const& memberId, Milliseconds now) {
   unclaimed_ = false;
   lastHeardAt_ = now;
   owner_ = memberId;
@@ -23,12 +23,12 @@
   unclaimed_ = false;
 }
 
-void OwnerMonitor::steppedDown(Tick now) {
+void OwnerMonitor::steppedDown(Milliseconds now) {
   lastHeardAt_ = now;
   electionAt_ = 0;
 }
 
-std::optional<Tick> OwnerMonitor::electionAt() const {
+std::optional<Milliseconds> OwnerMonitor::electionAt() const {
   if (electionAt_ == 0) return std::nullopt;
   return electionAt_;
 }
--- a/consensus/src/owner_monitor.h
+++ b/consensus/src/owner_monitor.h
@@ -14,27 +14,27 @@
 class OwnerMonitor {
  public:
   /// The disk has a value of the key, and nobody has claimed it since the start.
-  void startUnclaimed(Tick now);
+  void startUnclaimed(Milliseconds now);
   /// A heartbeat of the owner names the key.
-  void ownerAnnounced(std::string const& memberId, Tick now);
+  void ownerAnnounced(std::string const& memberId, Milliseconds now);
   /// The owner had this member accept a value.
-  void ownerAccepted(std::string const& memberId, Tick now);
+  void ownerAccepted(std::string const& memberId, Milliseconds now);
   /// A candidate prepares a ballot: some member claims the key.
   void candidateHeard() { unclaimed_ = false; }
   /// Gives the owner or candidate a full timeout from now on.
-  void restartTimeout(Tick now) { lastHeardAt_ = now; }
+  void restartTimeout(Milliseconds now) { lastHeardAt_ = now; }
   /// This member starts an election.
   void electionStarted();
   void setOwner(std::string const& memberId) { owner_ = memberId; }
   /// This member gave up the key.
-  void steppedDown(Tick now);
+  void steppedDown(Milliseconds now);
 
-  void scheduleElection(Tick at) { electionAt_ = at; }
+  void scheduleElection(Milliseconds at) { electionAt_ = at; }
   /// Time of the scheduled election, if there is one.
-  std::optional<Tick> electionAt() const;
+  std::optional<Milliseconds> electionAt() const;
   /// No member has claimed the key since this one started.
   bool isUnclaimed() const { return unclaimed_; }
-  bool timedOut(Tick now, Tick timeout) const { return now - lastHeardAt_ > timeout; }
+  bool timedOut(Milliseconds now, Milliseconds timeout) const { return now - lastHeardAt_ > timeout; }
   /// Id of the last known owner, which may be silent by now; empty: none.
   std::string const& owner() const { return owner_; }
   void addTo(Fingerprint& fingerprint) const;
@@ -42,9 +42,9 @@
  private:
   std::string owner_;
   /// When the owner, or a candidate that was promised, was heard last; at first when this member started.
-  Tick lastHeardAt_ = 0;
+  Milliseconds lastHeardAt_ = 0;
   /// 0: none is scheduled.
-  Tick electionAt_ = 0;
+  Milliseconds electionAt_ = 0;
   bool unclaimed_ = false;
 };
 
--- a/consensus/src/persistence.cpp
+++ b/consensus/src/persistence.cpp
@@ -7,7 +7,7 @@
 
 namespace corkward::consensus {
 
-std::uint64_t Persistence::write(EventContext& context, records::Record record, Tick since) {
+std::uint64_t Persistence::write(EventContext& context, records::Record record, Milliseconds since) {
   std::uint64_t const ticket = nextTicket_++;
   context.commands.persists.push_back(PersistCommand{ticket, std::move(record.key), std::move(record.payload)});
   pendingSince_[ticket] = since;
--- a/consensus/src/persistence.h
+++ b/consensus/src/persistence.h
@@ -43,14 +43,14 @@
   void addTo(Fingerprint& fingerprint) const;
 
  private:
-  std::uint64_t write(EventContext& context, records::Record record, Tick since);
+  std::uint64_t write(EventContext& context, records::Record record, Milliseconds since);
 
   /// Tickets start at 1; 0 stands for no write.
   std::uint64_t nextTicket_ = 1;
   /// Messages by the ticket of the acceptor write that they wait for. Has an entry for each such write that is pending.
   std::map<std::uint64_t, std::vector<transport::Send>> deferred_;
   /// Pending writes of all kinds, with the time from which a stall counts. Tickets rise, so the first is the oldest.
-  std::map<std::uint64_t, Tick> pendingSince_;
+  std::map<std::uint64_t, Milliseconds> pendingSince_;
   /// Never reset: only a restart uses the disk again.
   bool failed_ = false;
   bool stalled_ = false;
--- a/consensus/src/proposer.cpp
+++ b/consensus/src/proposer.cpp
@@ -11,7 +11,7 @@
   highestBallotNumber_ = std::max(highestBallotNumber_, number);
 }
 
-void Proposer::startElection(Ballot const& promised, std::string const& memberId, Tick now) {
+void Proposer::startElection(Ballot const& promised, std::string const& memberId, Milliseconds now) {
   role_ = Role::preparing;
   roleSince_ = now;
   prepareSentAt_ = now;
@@ -32,7 +32,7 @@
   return promisedBy.count(selfId) > 0 && membership.hasMajority(promisedBy);
 }
 
-std::optional<transport::Promise> Proposer::becomeOwner(Tick now) {
+std::optional<transport::Promise> Proposer::becomeOwner(Milliseconds now) {
   role_ = Role::owner;
   roleSince_ = now;
   transport::Promise const* newest = nullptr;
@@ -45,7 +45,7 @@
   return *newest;
 }
 
-void Proposer::propose(Proposal proposal, Tick now) {
+void Proposer::propose(Proposal proposal, Milliseconds now) {
   CORKWARD_INVARIANT(!proposal_);
   proposal.startedAt = now;
   proposal_ = std::move(proposal);
--- a/consensus/src/proposer.h
+++ b/consensus/src/proposer.h
@@ -23,8 +23,8 @@
   /// Answer to the call once the value is chosen.
   int status = 200;
   QJsonObject body;
-  Tick startedAt = 0;
-  Tick sentAt = 0;
+  Milliseconds startedAt = 0;
+  Milliseconds sentAt = 0;
   /// Ids of the members that accepted it; with syncBeforeAnswer each has it on its disk.
   std::set<std::string> acceptedBy;
   /// The members that the value names, when the key is the membership key; else empty.
@@ -45,15 +45,15 @@
   /// Notes a ballot number, so that the next election uses a higher one.
   void observeBallot(std::uint64_t number);
   /// Phase 1a: begins to prepare a ballot higher than all that were seen or promised.
-  void startElection(Ballot const& promised, std::string const& memberId, Tick now);
+  void startElection(Ballot const& promised, std::string const& memberId, Milliseconds now);
   /// Whether the reply belongs to the ballot that is being prepared.
   bool awaitsPromise(transport::Promise const& promise) const;
   /// Phase 1b arrived. Returns true when a majority, this member included, has promised.
   bool recordPromise(transport::Promise const& promise, std::string const& selfId, Membership const& membership);
   /// Ends phase 1. Returns the newest value that the promising members have accepted: it must be proposed first.
-  std::optional<transport::Promise> becomeOwner(Tick now);
+  std::optional<transport::Promise> becomeOwner(Milliseconds now);
   /// Phase 2a: starts a proposal. The proposer must own the key and have no other proposal.
-  void propose(Proposal proposal, Tick now);
+  void propose(Proposal proposal, Milliseconds now);
   /// Whether the reply belongs to the current proposal.
   bool awaitsAccepted(transport::Accepted const& accepted) const;
   /// Phase 2b arrived. Returns true when the value is chosen: a majority of the members, and with `jointQuorum` also
@@ -66,8 +66,8 @@
 
   /// Forgets the call that waits for the proposal, once its caller was answered; the proposal goes on.
   void detachCall() { proposal_->token = 0; }
-  void markPrepareSent(Tick now) { prepareSentAt_ = now; }
-  void markAcceptSent(Tick now) { proposal_->sentAt = now; }
+  void markPrepareSent(Milliseconds now) { prepareSentAt_ = now; }
+  void markAcceptSent(Milliseconds now) { proposal_->sentAt = now; }
 
   Role role() const { return role_; }
   bool isIdle() const { return role_ == Role::idle; }
@@ -76,8 +76,8 @@
   Ballot const& ballot() const { return ballot_; }
   std::optional<Proposal> const& proposal() const { return proposal_; }
   std::map<std::string, transport::Promise> const& promises() const { return promises_; }
-  Tick prepareSentAt() const { return prepareSentAt_; }
-  Tick roleSince() const { return roleSince_; }
+  Milliseconds prepareSentAt() const { return prepareSentAt_; }
+  Milliseconds roleSince() const { return roleSince_; }
   void addTo(Fingerprint& fingerprint) const;
 
  private:
@@ -86,8 +86,8 @@
   Ballot ballot_;
   /// Invariant: at least as high as the number of every ballot that this member has seen of the key.
   std::uint64_t highestBallotNumber_ = 0;
-  Tick prepareSentAt_ = 0;
-  Tick roleSince_ = 0;
+  Milliseconds prepareSentAt_ = 0;
+  Milliseconds roleSince_ = 0;
   /// Promises of ballot_, by member id. Complete before the role becomes owner; empty when idle.
   std::map<std::string, transport::Promise> promises_;
   /// Invariant: set only while the role is owner; one at a time, so that revisions are chosen in order.
--- a/consensus/src/register.cpp
+++ b/consensus/src/register.cpp
@@ -135,7 +135,7 @@
   reads_.abort(key_, context.commands.completedCalls);
 }
 
-bool Register::observeOwner(Ballot const& claimed, Tick now) {
+bool Register::observeOwner(Ballot const& claimed, Milliseconds now) {
   observeBallot(claimed);
   if (claimed < acceptor_.promised()) return false;
   ownerMonitor_.ownerAnnounced(claimed.member, now);
@@ -257,7 +257,7 @@
   context.heartbeats.readStarted(context.now);
 }
 
-void Register::confirmReads(EventContext& context, std::string const& memberId, Tick heartbeatSentAt) {
+void Register::confirmReads(EventContext& context, std::string const& memberId, Milliseconds heartbeatSentAt) {
   if (!proposer_.isOwner()) return;
   reads_.confirm(key_, memberId, heartbeatSentAt, context.currentMembership(), context.tuning.callTimeout, context.now,
                  context.commands.completedCalls);
@@ -275,7 +275,7 @@
 }
 
 void Register::expireCalls(EventContext& context) {
-  Tick const timeout = context.tuning.callTimeout;
+  Milliseconds const timeout = context.tuning.callTimeout;
   for (auto const& call : queuedCalls_.takeExpired(timeout, context.now))
     context.complete(failedCall(call.token, key_, CallFailure::noQuorum));
   rerouteCalls(context);
@@ -292,7 +292,8 @@
   for (auto const& call : queuedCalls_.takeAll()) context.commands.rerouted.emplace_back(key_, call);
 }
 
-std::string Register::ownerLink(Membership const& membership, Member const& self, Tick ownerTimeout, Tick now) const {
+std::string Register::ownerLink(Membership const& membership, Member const& self, Milliseconds ownerTimeout,
+                                Milliseconds now) const {
   if (proposer_.isOwner()) return self.link;
   std::string const& owner = ownerMonitor_.owner();
   if (owner.empty() || owner == self.id || ownerMonitor_.timedOut(now, ownerTimeout)) return "";
@@ -302,7 +303,7 @@
 }
 
 void Register::resend(EventContext& context) {
-  Tick const interval = context.tuning.resendEvery;
+  Milliseconds const interval = context.tuning.resendEvery;
   if (proposer_.isOwner() && proposer_.proposal() && context.now - proposer_.proposal()->sentAt >= interval)
     sendAccept(context);
   if (!proposer_.isPreparing()) return;
@@ -317,8 +318,8 @@
   }
 }
 
-Tick Register::randomTimeAfter(EventContext& context, Tick spread) const {
-  return context.now + static_cast<Tick>(context.random.below(static_cast<std::uint64_t>(spread)));
+Milliseconds Register::randomTimeAfter(EventContext& context, Milliseconds spread) const {
+  return context.now + static_cast<Milliseconds>(context.random.below(static_cast<std::uint64_t>(spread)));
 }
 
 void Register::electIfUnowned(EventContext& context) {
@@ -330,7 +331,7 @@
       pauseOver || (unclaimed && context.detector.allOwnedKeysKnown(context.currentMembership(), context.local.id()));
   bool const preferred = ownersKnown && isPreferredCandidate(context);
   if (!pauseOver && !preferred && !ownerMonitor_.timedOut(context.now, context.tuning.ownerTimeout)) return;
-  std::optional<Tick> const scheduled = ownerMonitor_.electionAt();
+  std::optional<Milliseconds> const scheduled = ownerMonitor_.electionAt();
   if (preferred || (scheduled && context.now >= *scheduled))
     startElection(context);
   else if (!scheduled)
--- a/consensus/src/register.h
+++ b/consensus/src/register.h
@@ -53,14 +53,15 @@
   void onTimer(EventContext& context);
   void observeBallot(Ballot const& ballot) { proposer_.observeBallot(ballot.number); }
   /// A heartbeat claims the key for its sender. Returns false when this member has promised a higher ballot.
-  bool observeOwner(Ballot const& claimed, Tick now);
+  bool observeOwner(Ballot const& claimed, Milliseconds now);
   /// A member has promised a higher ballot than this owner's.
   void onHigherBallot(EventContext& context, std::uint64_t ballotNumber);
   /// See LinearizableReads::confirm; does nothing unless this member owns the key.
-  void confirmReads(EventContext& context, std::string const& memberId, Tick heartbeatSentAt);
+  void confirmReads(EventContext& context, std::string const& memberId, Milliseconds heartbeatSentAt);
 
   /// Link of the member that owns the key, empty when none is known to be alive.
-  std::string ownerLink(Membership const& membership, Member const& self, Tick ownerTimeout, Tick now) const;
+  std::string ownerLink(Membership const& membership, Member const& self, Milliseconds ownerTimeout,
+                        Milliseconds now) const;
   Acceptor const& acceptor() const { return acceptor_; }
   Proposer const& proposer() const { return proposer_; }
   bool hasQueuedCalls() const { return !queuedCalls_.empty(); }
@@ -86,7 +87,7 @@
   void electIfUnowned(EventContext& context);
   /// No other live member comes before this one in the key's own order of members.
   bool isPreferredCandidate(EventContext const& context) const;
-  Tick randomTimeAfter(EventContext& context, Tick spread) const;
+  Milliseconds randomTimeAfter(EventContext& context, Milliseconds spread) const;
   /// Requests the committed value from the other members when some member has accepted a newer one.
   void requestNewerValue(EventContext& context);
 
@@ -101,7 +102,7 @@
   /// Invariant: empty unless this member owns the key.
   LinearizableReads reads_;
   /// When the committed value was requested last.
-  Tick valueRequestedAt_ = 0;
+  Milliseconds valueRequestedAt_ = 0;
 };
 
 }  // namespace corkward::consensus
--- a/consensus/src/register_table.cpp
+++ b/consensus/src/register_table.cpp
@@ -42,7 +42,7 @@
   registers_.clear();
 }
 
-void RegisterTable::confirmReads(EventContext& context, std::string const& memberId, Tick heartbeatSentAt,
+void RegisterTable::confirmReads(EventContext& context, std::string const& memberId, Milliseconds heartbeatSentAt,
                                  transport::Revisions const& higherBallots) {
   for (auto& [key, keyRegister] : registers_)
     if (higherBallots.count(key) == 0) keyRegister.confirmReads(context, memberId, heartbeatSentAt);
--- a/consensus/src/register_table.h
+++ b/consensus/src/register_table.h
@@ -31,7 +31,7 @@
   void resetAfterRemoval(EventContext& context);
   /// A member has replied to a heartbeat of `heartbeatSentAt`. It confirms the ownership of all keys but those for
   /// which it has promised a higher ballot.
-  void confirmReads(EventContext& context, std::string const& memberId, Tick heartbeatSentAt,
+  void confirmReads(EventContext& context, std::string const& memberId, Milliseconds heartbeatSentAt,
                     transport::Revisions const& higherBallots);
   /// Oldest membership revision from which ballots on the key are allowed. Members compare it in phases 1 and 2, so
   /// that no majority of an older membership can choose a value beside the present one.
--- a/consensus/src/replicated_registers.cpp
+++ b/consensus/src/replicated_registers.cpp
@@ -26,34 +26,36 @@
 ReplicatedRegisters::~ReplicatedRegisters() = default;
 
 template <class Action>
-RegisterCommands ReplicatedRegisters::handle(Tick now, Action const& action) {
+RegisterCommands ReplicatedRegisters::handle(Milliseconds now, Action const& action) {
   EventContext context(*replica_, now);
   action(context);
   return std::move(context.commands);
 }
 
 RegisterCommands ReplicatedRegisters::restore(std::map<std::string, std::string> const& records, bool damaged,
-                                              Tick now) {
+                                              Milliseconds now) {
   return handle(now, [&](EventContext& context) { replica_->restore(context, records, damaged); });
 }
 
-RegisterCommands ReplicatedRegisters::onMessage(Tick now, std::string const& from, transport::Message const& message) {
+RegisterCommands ReplicatedRegisters::onMessage(Milliseconds now, std::string const& from,
+                                                transport::Message const& message) {
   return handle(now, [&](EventContext& context) { replica_->onMessage(context, from, message); });
 }
 
-RegisterCommands ReplicatedRegisters::onTimer(Tick now) {
+RegisterCommands ReplicatedRegisters::onTimer(Milliseconds now) {
   return handle(now, [&](EventContext& context) { replica_->onTimer(context); });
 }
 
-RegisterCommands ReplicatedRegisters::onPersisted(Tick now, std::uint64_t ticket, bool succeeded) {
+RegisterCommands ReplicatedRegisters::onPersisted(Milliseconds now, std::uint64_t ticket, bool succeeded) {
   return handle(now, [&](EventContext& context) { replica_->onPersisted(context, ticket, succeeded); });
 }
 
-RegisterCommands ReplicatedRegisters::submit(Tick now, std::string const& key, transport::OperatorCall const& call) {
+RegisterCommands ReplicatedRegisters::submit(Milliseconds now, std::string const& key,
+                                             transport::OperatorCall const& call) {
   return handle(now, [&](EventContext& context) { replica_->submit(context, key, call); });
 }
 
-RegisterCommands ReplicatedRegisters::startHandover(Tick now) {
+RegisterCommands ReplicatedRegisters::startHandover(Milliseconds now) {
   return handle(now, [&](EventContext& context) {
     replica_->local.startDraining();
     replica_->heartbeats.scheduleAt(now);
@@ -61,7 +63,7 @@
   });
 }
 
-bool ReplicatedRegisters::handoverComplete(Tick now) const {
+bool ReplicatedRegisters::handoverComplete(Milliseconds now) const {
   return isHandoverComplete(*replica_, now);
 }
 
@@ -73,7 +75,7 @@
   replica_->membership.setDiscoveryPeers(std::move(links));
 }
 
-std::string ReplicatedRegisters::ownerLink(std::string const& key, Tick now) const {
+std::string ReplicatedRegisters::ownerLink(std::string const& key, Milliseconds now) const {
   Register const* const keyRegister = replica_->registers.find(key);
   if (keyRegister == nullptr) return "";
   return keyRegister->ownerLink(replica_->membership.current(), self(), replica_->tuning.ownerTimeout, now);
@@ -88,7 +90,7 @@
   return replica_->registers.ownedCount();
 }
 
-std::vector<std::string> ReplicatedRegisters::aliveLinks(Tick now) const {
+std::vector<std::string> ReplicatedRegisters::aliveLinks(Milliseconds now) const {
   std::vector<std::string> links;
   for (auto const& member : membership())
     if (member.id == self().id ? isVoting() : replica_->detector.isAlive(member.id, now)) links.push_back(member.link);
@@ -105,10 +107,10 @@
          replica_->detector.mayHaveAcceptedValue(key);
 }
 
-Tick ReplicatedRegisters::quorumContactAge(Tick now) const {
+Milliseconds ReplicatedRegisters::quorumContactAge(Milliseconds now) const {
   if (!isVoting() || replica_->persistence.isStalled() || !replica_->isMember()) return -1;
-  Tick const contactAt = replica_->detector.quorumContactAt(replica_->membership.current(), self().id,
-                                                            replica_->learner.confirmedUntil(now));
+  Milliseconds const contactAt = replica_->detector.quorumContactAt(replica_->membership.current(), self().id,
+                                                                    replica_->learner.confirmedUntil(now));
   return contactAt < 0 ? -1 : now - contactAt;
 }
 
@@ -132,7 +134,7 @@
   return replica_->local.self();
 }
 
-std::uint64_t ReplicatedRegisters::fingerprint(Tick now, Tick cap) const {
+std::uint64_t ReplicatedRegisters::fingerprint(Milliseconds now, Milliseconds cap) const {
   Fingerprint fingerprint(now, cap);
   replica_->local.addTo(fingerprint);
   replica_->membership.addTo(fingerprint);
--- a/consensus/test/bootstrap_test.cpp
+++ b/consensus/test/bootstrap_test.cpp
@@ -11,7 +11,7 @@
 using consensus::Cluster;
 using consensus::shortTimeouts;
 using consensus::threeLinks;
-using core::Tick;
+using core::Milliseconds;
 
 TEST_CASE("one, two or three founders bootstrap a cluster; an empty disk without founders never does") {
   for (std::size_t n = 1; n <= 3; ++n) {
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE("a founder that restarts without its list of founders during the bootstrap does not block it") {
-  for (Tick when = 0; when < 500; when += 7)
+  for (Milliseconds when = 0; when < 500; when += 7)
     for (std::string const& victim : threeLinks) {
       Cluster cluster(static_cast<std::uint64_t>(when) * 3 + 1, shortTimeouts());
       for (std::string const& l : threeLinks) cluster.boot(l, threeLinks);
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE("founders that are all killed during the bootstrap complete it after their restart") {
-  for (Tick when = 10; when < 500; when += 7) {
+  for (Milliseconds when = 10; when < 500; when += 7) {
     Cluster cluster(static_cast<std::uint64_t>(when), shortTimeouts());
     for (std::string const& l : threeLinks) cluster.boot(l, threeLinks);
     cluster.run(when);
@@ -87,7 +87,7 @@
   consensus::ReplicatedRegisters m(consensus::Member{"x", "a"}, {"a"}, {}, 1);
   consensus::RegisterCommands const c = m.restore({}, true, 1000);
   for (consensus::PersistCommand const& p : c.persists) m.onPersisted(1000, p.ticket, true);
-  for (core::Tick t = 1000; t < 20000; t += 25) m.onTimer(t);
+  for (core::Milliseconds t = 1000; t < 20000; t += 25) m.onTimer(t);
   CHECK_FALSE(m.isVoting());
   CHECK(m.hasNoState());
 }
--- a/consensus/test/cluster.h
+++ b/consensus/test/cluster.h
@@ -30,7 +30,7 @@
     std::deque<std::function<void()>> inbox;
     bool writing = false;
     bool frozen = false;
-    Tick diskDelay = 2;
+    Milliseconds diskDelay = 2;
     int boots = 0;
     std::uint64_t incarnation = 0;
   };
@@ -96,14 +96,14 @@
         cuts.erase(p);
   }
 
-  void run(Tick how) {
-    Tick const until = now + how;
+  void run(Milliseconds how) {
+    Milliseconds const until = now + how;
     while (!events_.empty() && events_.top().at <= until) step();
     now = until;
   }
   /// Runs until the condition holds; how long that took, -1 when it does not within the limit.
-  Tick until(std::function<bool()> const& holds, Tick limit) {
-    Tick const since = now;
+  Milliseconds until(std::function<bool()> const& holds, Milliseconds limit) {
+    Milliseconds const since = now;
     while (!holds()) {
       if (events_.empty() || events_.top().at > since + limit) return -1;
       step();
@@ -181,7 +181,7 @@
   /// Token of a call that changes nothing; 0: none.
   static inline std::uint64_t readOnly = 0;
 
-  Tick now = 1000;
+  Milliseconds now = 1000;
   core::RandomGenerator rng;
   std::map<std::string, Machine> machines;
   std::set<std::pair<std::string, std::string>> cuts;
@@ -194,7 +194,7 @@
 
  private:
   struct Event {
-    Tick at;
+    Milliseconds at;
     std::uint64_t order;
     std::function<void()> act;
     bool operator<(Event const& o) const { return at != o.at ? at > o.at : order > o.order; }
@@ -241,7 +241,9 @@
       if (c.id == m.member->self().id) return true;
     return false;
   }
-  void after(Tick delay, std::function<void()> act) { events_.push(Event{now + delay, order_++, std::move(act)}); }
+  void after(Milliseconds delay, std::function<void()> act) {
+    events_.push(Event{now + delay, order_++, std::move(act)});
+  }
   void step() {
     Event const e = events_.top();
     events_.pop();
@@ -294,7 +296,7 @@
       if (watch) watch(m.link, s);
       auto const it = machines.find(s.to);
       if (it == machines.end() || !it->second.member || cuts.count({m.link, s.to}) > 0 || rng.chance(loss)) continue;
-      after(1 + static_cast<Tick>(rng.below(4)),
+      after(1 + static_cast<Milliseconds>(rng.below(4)),
             [this, from = m.link, link = s.to, incarnation = it->second.incarnation, message = s.message] {
               to(link, incarnation,
                  [this, from, link, message] { take(machines.at(link), at(link).onMessage(now, from, message)); });
@@ -304,7 +306,7 @@
   void write(Machine& m) {
     if (m.writing || m.writes.empty()) return;
     m.writing = true;
-    after(m.diskDelay + static_cast<Tick>(rng.below(3)), [this, link = m.link, incarnation = m.incarnation] {
+    after(m.diskDelay + static_cast<Milliseconds>(rng.below(3)), [this, link = m.link, incarnation = m.incarnation] {
       if (!isRunning(link, incarnation)) return;
       Machine& k = machines.at(link);
       std::vector<PersistCommand> const done = k.writes.front();
--- a/consensus/test/cluster_steps.h
+++ b/consensus/test/cluster_steps.h
@@ -31,8 +31,8 @@
   CHECK(cluster.lostAcknowledged() == std::vector<std::string>{});
 }
 
-inline bool acknowledges(Cluster& cluster, std::string const& link, std::string const& key, Tick limit) {
-  Tick const until = cluster.now + limit;
+inline bool acknowledges(Cluster& cluster, std::string const& link, std::string const& key, Milliseconds limit) {
+  Milliseconds const until = cluster.now + limit;
   while (cluster.now < until) {
     std::uint64_t const token = cluster.call(link, key);
     if (cluster.until([&] { return cluster.statusOf(token) != 0; }, until - cluster.now) < 0) return false;
--- a/consensus/test/failure_detector_test.cpp
+++ b/consensus/test/failure_detector_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr corkward::core::Tick ownerTimeout = 1000;
+constexpr corkward::core::Milliseconds ownerTimeout = 1000;
 consensus::Membership const threeMembers{1, {{"a", "linkA"}, {"b", "linkB"}, {"c", "linkC"}}};
 
 consensus::FailureDetector detectorOfA() {
@@ -25,7 +25,7 @@
   return heartbeat;
 }
 
-transport::HeartbeatReply replyOf(std::string const& memberId, corkward::core::Tick heartbeatSentAt,
+transport::HeartbeatReply replyOf(std::string const& memberId, corkward::core::Milliseconds heartbeatSentAt,
                                   transport::Revisions const& accepted) {
   transport::HeartbeatReply reply;
   reply.requestSentAt = heartbeatSentAt;
--- a/consensus/test/golden_test.cpp
+++ b/consensus/test/golden_test.cpp
@@ -17,7 +17,7 @@
 namespace core = corkward::core;
 namespace golden = corkward::golden;
 namespace transport = corkward::transport;
-using core::Tick;
+using core::Milliseconds;
 
 namespace {
 
@@ -93,11 +93,11 @@
       take(link, member->onTimer(now_));
     }
   }
-  void run(Tick duration) {
-    for (Tick const until = now_ + duration; now_ < until;) step();
+  void run(Milliseconds duration) {
+    for (Milliseconds const until = now_ + duration; now_ < until;) step();
   }
   void runUntil(std::function<bool()> const& holds) {
-    for (Tick const limit = now_ + 20000; !holds() && now_ < limit;) step();
+    for (Milliseconds const limit = now_ + 20000; !holds() && now_ < limit;) step();
     REQUIRE(holds());
   }
 
@@ -121,8 +121,8 @@
   std::map<std::string, Disk> disks;
 
  private:
-  static constexpr Tick stepLength = 5;
-  static constexpr Tick clockEvery = 25;
+  static constexpr Milliseconds stepLength = 5;
+  static constexpr Milliseconds clockEvery = 25;
 
   void take(std::string const& link, consensus::RegisterCommands const& commands) {
     for (consensus::PersistCommand const& persist : commands.persists) {
@@ -147,7 +147,7 @@
     });
   }
 
-  Tick now_ = 1000;
+  Milliseconds now_ = 1000;
   std::uint64_t tokens_ = 0;
   std::map<std::string, std::unique_ptr<consensus::ReplicatedRegisters>> members_;
   std::deque<std::function<void()>> inFlight_;
--- a/consensus/test/linearizability_test.cpp
+++ b/consensus/test/linearizability_test.cpp
@@ -11,7 +11,7 @@
 using consensus::Cluster;
 using consensus::shortTimeouts;
 using consensus::threeLinks;
-using core::Tick;
+using core::Milliseconds;
 
 TEST_CASE("an accepted value that is not known as committed limits the member's quorum contact") {
   Cluster cluster(1, shortTimeouts());
@@ -27,7 +27,7 @@
   };
   REQUIRE(cluster.until([&] { return accepted; }, 1000) >= 0);
   cluster.cut(owner, other, true);
-  Tick const since = cluster.now;
+  Milliseconds const since = cluster.now;
   cluster.run(700);
   CHECK(cluster.at(other).quorumContactAge(cluster.now) >= cluster.now - since);
 }
@@ -58,7 +58,7 @@
   bootstrap(cluster, threeLinks);
   std::string const ownerLink = cluster.at("a").ownerLink("k", cluster.now);
   REQUIRE_FALSE(ownerLink.empty());
-  Tick const now = cluster.now + 1000;
+  Milliseconds const now = cluster.now + 1000;
   std::string const other = ownerLink == "b" ? "c" : "b";
   consensus::ReplicatedRegisters& member = cluster.at(ownerLink);
   std::vector<transport::Message> echoes;
--- a/consensus/test/linearizable_reads_test.cpp
+++ b/consensus/test/linearizable_reads_test.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr corkward::core::Tick timeout = 4000;
+constexpr corkward::core::Milliseconds timeout = 4000;
 consensus::Membership const threeMembers{1, {{"a", "linkA"}, {"b", "linkB"}, {"c", "linkC"}}};
 
-consensus::LinearizableReads readStartedAt(corkward::core::Tick time) {
+consensus::LinearizableReads readStartedAt(corkward::core::Milliseconds time) {
   consensus::LinearizableReads reads;
   reads.add(consensus::PendingRead{7, time, 200, QJsonObject{{"x", 1}}, {"a"}});
   return reads;
--- a/consensus/test/membership_test.cpp
+++ b/consensus/test/membership_test.cpp
@@ -11,7 +11,7 @@
 using consensus::Cluster;
 using consensus::shortTimeouts;
 using consensus::threeLinks;
-using core::Tick;
+using core::Milliseconds;
 
 TEST_CASE("new machines that know only the discovery peers join one by one and vote soon") {
   Cluster four(1, shortTimeouts());
@@ -58,7 +58,7 @@
   cluster.machines.at("b").disk.clear();
   cluster.run(300);
   cluster.boot("b");
-  Tick const took = cluster.until([&] { return cluster.isStable(); }, 2500);
+  Milliseconds const took = cluster.until([&] { return cluster.isStable(); }, 2500);
   CHECK(took > 0);
   CHECK(cluster.size("a") == 3);
   cluster.remove("c");
--- a/consensus/test/random_faults_test.cpp
+++ b/consensus/test/random_faults_test.cpp
@@ -8,7 +8,7 @@
 using consensus::checkConsistent;
 using consensus::Cluster;
 using consensus::threeLinks;
-using core::Tick;
+using core::Milliseconds;
 
 namespace {
 
@@ -23,9 +23,9 @@
   for (std::size_t i = 0; i < seed % 4; ++i) links.push_back(std::string(1, static_cast<char>('d' + i)));
   bootstrap(cluster, links);
   int next = 0;
-  std::vector<std::pair<Tick, std::function<void()>>> later;
-  Tick const end = cluster.now + 40000;
-  Tick fault = cluster.now + 500;
+  std::vector<std::pair<Milliseconds, std::function<void()>>> later;
+  Milliseconds const end = cluster.now + 40000;
+  Milliseconds fault = cluster.now + 500;
   while (cluster.now < end) {
     cluster.run(60);
     for (std::size_t i = 0; i < later.size();) {
@@ -42,10 +42,11 @@
       if (machine.member && !machine.frozen) up.push_back(link);
     if (!up.empty()) cluster.call(up[cluster.rng.below(up.size())], "k" + std::to_string(cluster.rng.below(3)));
     if (cluster.now < fault || up.empty()) continue;
-    fault = cluster.now + 100 + static_cast<Tick>(cluster.rng.below(1500));
+    fault = cluster.now + 100 + static_cast<Milliseconds>(cluster.rng.below(1500));
     if (!cluster.lostAcknowledged().empty()) break;
     std::string const v = up[cluster.rng.below(up.size())];
-    Tick const back = cluster.now + 100 + static_cast<Tick>(cluster.rng.below(cluster.rng.chance(0.5) ? 800 : 6000));
+    Milliseconds const back =
+        cluster.now + 100 + static_cast<Milliseconds>(cluster.rng.below(cluster.rng.chance(0.5) ? 800 : 6000));
     bool const stable = cluster.isStable();
     switch (cluster.rng.below(9)) {
       case 0:
@@ -76,7 +77,7 @@
       case 6:
         for (std::string const& l : up) cluster.kill(l);
         for (std::string const& l : up)
-          later.emplace_back(cluster.now + static_cast<Tick>(cluster.rng.below(1000)),
+          later.emplace_back(cluster.now + static_cast<Milliseconds>(cluster.rng.below(1000)),
                              [&cluster, l] { cluster.boot(l); });
         break;
       case 7:
--- a/consensus/test/recovery_test.cpp
+++ b/consensus/test/recovery_test.cpp
@@ -10,7 +10,7 @@
 using consensus::Cluster;
 using consensus::shortTimeouts;
 using consensus::threeLinks;
-using core::Tick;
+using core::Milliseconds;
 
 TEST_CASE("records of an earlier identity are ignored under the next one") {
   Cluster cluster(7, shortTimeouts());
@@ -22,7 +22,7 @@
   CHECK(m.self().id == "fresh");
   CHECK(m.hasNoState());
   CHECK(m.membership().empty());
-  for (core::Tick t = 1000; t < 20000; t += 25) m.onTimer(t);
+  for (core::Milliseconds t = 1000; t < 20000; t += 25) m.onTimer(t);
   CHECK_FALSE(m.isVoting());
 }
 
@@ -40,10 +40,10 @@
     }
     for (std::string const& l : links) cluster.kill(l);
     for (std::string const& l : links) {
-      cluster.run(static_cast<Tick>(cluster.rng.below(400)));
+      cluster.run(static_cast<Milliseconds>(cluster.rng.below(400)));
       cluster.boot(l);
     }
-    Tick const took = cluster.until(
+    Milliseconds const took = cluster.until(
         [&] {
           for (std::string const& l : links)
             for (std::string const& k : keys)
@@ -70,7 +70,7 @@
     cluster.run(500);
     for (std::string const& l : threeLinks) cluster.kill(l);
     for (std::string const& l : threeLinks) cluster.boot(l);
-    Tick const took = cluster.until(
+    Milliseconds const took = cluster.until(
         [&] {
           for (std::string const& l : threeLinks)
             for (std::string const& k : keys)
--- a/consensus/test/replacement_test.cpp
+++ b/consensus/test/replacement_test.cpp
@@ -11,16 +11,16 @@
 using consensus::Cluster;
 using consensus::shortTimeouts;
 using consensus::threeLinks;
-using core::Tick;
+using core::Milliseconds;
 
 namespace {
 
 /// Time that a replacement has before the next loss may come.
-constexpr Tick catchUp = 4000;
+constexpr Milliseconds catchUp = 4000;
 /// Longest time that a draining member may stay.
-constexpr Tick gracePeriod = 7000;
+constexpr Milliseconds gracePeriod = 7000;
 /// Shortest time that a draining member stays.
-constexpr Tick minimumDrain = 1000;
+constexpr Milliseconds minimumDrain = 1000;
 
 void bootstrapAll(Cluster& cluster, std::vector<std::string> const& links) {
   for (std::string const& l : links) cluster.boot(l, threeLinks);
@@ -28,8 +28,8 @@
 }
 
 /// Drains a member, and ends it when its handover is complete, or after the grace period.
-Tick drain(Cluster& cluster, std::string const& link, bool removeMachine) {
-  Tick const since = cluster.now;
+Milliseconds drain(Cluster& cluster, std::string const& link, bool removeMachine) {
+  Milliseconds const since = cluster.now;
   cluster.handOver(link);
   cluster.run(minimumDrain);
   cluster.until([&] { return cluster.at(link).handoverComplete(cluster.now); }, gracePeriod - minimumDrain);
@@ -67,7 +67,7 @@
               cluster.run(1000);
             }
             cluster.boot("x");
-            Tick const joinedAt = cluster.now;
+            Milliseconds const joinedAt = cluster.now;
             if (planned) {
               cluster.run(1000);
               CHECK(drain(cluster, leaving, true) < 2000);
@@ -165,7 +165,7 @@
   cluster.machines.at("c").disk.clear();
   cluster.run(1200);
   cluster.boot("c");
-  Tick const since = cluster.now;
+  Milliseconds const since = cluster.now;
   while (cluster.now - since < catchUp && !cluster.isStable()) {
     cluster.call("a", "k" + std::to_string(cluster.rng.below(40)));
     cluster.run(20);
@@ -218,11 +218,12 @@
         for (transport::RecordSlot const& slot : chunk->slots) bytes += core::jsonText(slot.value).size();
     };
     cluster.boot("d");
-    Tick const joined = cluster.until([&] { return cluster.votes("d"); }, catchUp);
+    Milliseconds const joined = cluster.until([&] { return cluster.votes("d"); }, catchUp);
     cluster.run(1000 - joined);
-    Tick const since = cluster.now;
+    Milliseconds const since = cluster.now;
     cluster.handOver("a");
-    Tick const handed = cluster.until([&] { return cluster.at("a").handoverComplete(cluster.now); }, gracePeriod);
+    Milliseconds const handed =
+        cluster.until([&] { return cluster.at("a").handoverComplete(cluster.now); }, gracePeriod);
     std::cout << changes << " changes: votes after " << joined << " ms, replaced " << handed
               << " ms after the old one began to drain, " << bytes << " bytes copied" << std::endl;
     CHECK(joined >= 0);
--- a/control/include/corkward/control/committed_values.h
+++ b/control/include/corkward/control/committed_values.h
@@ -12,7 +12,7 @@
 
 namespace corkward::control {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// Committed values by key.
 using CommittedValues = std::map<std::string, consensus::CommittedValue>;
@@ -31,10 +31,10 @@
 
 /// When the newest contact with a majority of the disks began whose accepted changes are committed here; nothing: there
 /// was none yet.
-using QuorumContact = std::optional<Tick>;
+using QuorumContact = std::optional<Milliseconds>;
 
 /// True when what is committed here is no older than that moment.
-inline bool confirmedSince(QuorumContact const& contact, Tick moment) {
+inline bool confirmedSince(QuorumContact const& contact, Milliseconds moment) {
   return contact && *contact >= moment;
 }
 
--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -30,99 +30,107 @@
              std::vector<std::string> founders, std::uint64_t seed, ControllerTuning tuning = {});
 
   /// The first event: what the write-ahead log gave back. Damaged: nothing of it counts.
-  ControllerCommands restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now);
-  ControllerCommands onMessage(Tick now, std::string const& from, transport::Message const& message);
-  ControllerCommands onTimer(Tick now);
+  ControllerCommands restore(std::map<std::string, std::string> const& slots, bool damaged, Milliseconds now);
+  ControllerCommands onMessage(Milliseconds now, std::string const& from, transport::Message const& message);
+  ControllerCommands onTimer(Milliseconds now);
   /// A write and its sync are done; see consensus::ReplicatedRegisters::onPersisted.
-  ControllerCommands onPersisted(Tick now, std::uint64_t ticket, bool ok);
+  ControllerCommands onPersisted(Milliseconds now, std::uint64_t ticket, bool ok);
   /// A call at this process's HTTP edge; the response comes with the call's token, now or with a later event.
-  ControllerCommands onOperatorCall(Tick now, transport::OperatorCall const& call);
+  ControllerCommands onOperatorCall(Milliseconds now, transport::OperatorCall const& call);
   /// Result of a probe of a link address.
-  ControllerCommands onProbeResult(Tick now, std::string const& link, bool refused);
+  ControllerCommands onProbeResult(Milliseconds now, std::string const& link, bool refused);
   /// The platform's endpoint lists as they were just read, by pool. Lists that differ from the committed ones are
   /// proposed; the replicas that they remove are announced at once.
-  ControllerCommands updateEndpointLists(Tick now, std::map<std::string, config::EndpointList> const& lists);
+  ControllerCommands updateEndpointLists(Milliseconds now, std::map<std::string, config::EndpointList> const& lists);
   /// True while this controller is the one that reads the platform's lists: it owns the roster's key.
-  bool isEndpointListReader(Tick now) const;
+  bool isEndpointListReader(Milliseconds now) const;
   /// Wall time in milliseconds since 1970, by which certificates are checked when they are declared; unknown: only
   /// their names are.
   void setWallTime(std::int64_t wallTime) { clusterView_.setWallTime(wallTime); }
   void setSeeds(std::vector<std::string> seeds) { partialView_.setSeeds(std::move(seeds)); }
   /// Hands every owned key to a named successor and accepts no calls from here on.
-  ControllerCommands drain(Tick now);
+  ControllerCommands drain(Milliseconds now);
   /// After drain: the other members have all that this one has; see consensus::ReplicatedRegisters::handoverComplete.
-  bool handoverComplete(Tick now) const { return registers_.handoverComplete(now); }
+  bool handoverComplete(Milliseconds now) const { return registers_.handoverComplete(now); }
 
   /// True while this controller had contact with a majority of the disks within a serving lease, and does not drain.
-  bool ready(Tick now) const;
+  bool ready(Milliseconds now) const;
   /// The fleet's page.
-  QJsonObject fleet(Tick now) const;
+  QJsonObject fleet(Milliseconds now) const;
   /// Counters folded from the journal and gauges, in Prometheus' text form.
-  std::string metrics(Tick now) const;
+  std::string metrics(Milliseconds now) const;
   consensus::ReplicatedRegisters const& registers() const { return registers_; }
   /// Calls that have no reply yet.
   std::size_t pendingCount() const { return calls_.size() + rollouts_.pendingReplies().size() + reads_.size(); }
 
  private:
   // Registers and what they commit (controller.cpp).
-  void apply(ControllerCommands& out, Tick now, consensus::RegisterCommands&& commands);
-  void onCommitted(Tick now, consensus::CommittedValue const& committed);
+  void apply(ControllerCommands& out, Milliseconds now, consensus::RegisterCommands&& commands);
+  void onCommitted(Milliseconds now, consensus::CommittedValue const& committed);
   CommittedValues const& values() const { return registers_.committed(); }
-  QuorumContact quorumContact(Tick now) const;
-  RolloutInputs rolloutInputs(Tick now) const { return {now, quorumContact(now), roster_, routers_}; }
+  QuorumContact quorumContact(Milliseconds now) const;
+  RolloutInputs rolloutInputs(Milliseconds now) const { return {now, quorumContact(now), roster_, routers_}; }
 
   // Operators' calls (operator_calls.cpp).
-  void startRead(ControllerCommands& out, Tick now, transport::OperatorCall const& call);
-  OperatorResponse respondToRole(Tick now, transport::OperatorCall const& call, std::string const& role);
-  std::optional<OperatorResponse> rejectCall(Tick now, transport::OperatorCall const& call,
+  void startRead(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call);
+  OperatorResponse respondToRole(Milliseconds now, transport::OperatorCall const& call, std::string const& role);
+  std::optional<OperatorResponse> rejectCall(Milliseconds now, transport::OperatorCall const& call,
                                              std::optional<Target> const& target) const;
-  void startCall(ControllerCommands& out, Tick now, transport::OperatorCall const& call, Target const& target);
-  void announceList(ControllerCommands& out, Tick now, transport::OperatorCall const& call, std::string const& pool);
-  void route(ControllerCommands& out, Tick now, std::uint64_t id);
-  void onCallCompleted(ControllerCommands& out, Tick now, consensus::CallCompleted const& completed);
-  void finish(ControllerCommands& out, Tick now, std::uint64_t id, core::HttpStatus status, QJsonObject const& body);
-  void finish(ControllerCommands& out, Tick now, std::uint64_t id, int status, QJsonObject body);
-  core::LogEvent callLogEvent(Tick now, PendingCall const& call, int status, QJsonObject const& body) const;
-  void finishWithoutOutcome(ControllerCommands& out, Tick now, std::uint64_t id, char const* reason);
-  void resumeCalls(ControllerCommands& out, Tick now);
-  std::vector<std::uint64_t> callsToRoute(Tick now) const;
-  void completeReads(ControllerCommands& out, Tick now);
-  void rejectCallsWithoutQuorum(ControllerCommands& out, Tick now);
-  void completeRolloutReplies(ControllerCommands& out, Tick now);
+  void startCall(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call, Target const& target);
+  void announceList(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call,
+                    std::string const& pool);
+  void route(ControllerCommands& out, Milliseconds now, std::uint64_t id);
+  void onCallCompleted(ControllerCommands& out, Milliseconds now, consensus::CallCompleted const& completed);
+  void finish(ControllerCommands& out, Milliseconds now, std::uint64_t id, core::HttpStatus status,
+              QJsonObject const& body);
+  void finish(ControllerCommands& out, Milliseconds now, std::uint64_t id, int status, QJsonObject body);
+  core::LogEvent callLogEvent(Milliseconds now, PendingCall const& call, int status, QJsonObject const& body) const;
+  void finishWithoutOutcome(ControllerCommands& out, Milliseconds now, std::uint64_t id, char const* reason);
+  void resumeCalls(ControllerCommands& out, Milliseconds now);
+  std::vector<std::uint64_t> callsToRoute(Milliseconds now) const;
+  void completeReads(ControllerCommands& out, Milliseconds now);
+  void rejectCallsWithoutQuorum(ControllerCommands& out, Milliseconds now);
+  void completeRolloutReplies(ControllerCommands& out, Milliseconds now);
 
   // Routers and their configuration (configuration_push.cpp).
-  void pushConfiguration(ControllerCommands& out, Tick now, std::string const& link);
-  void pushConfigurationToAll(ControllerCommands& out, Tick now);
+  void pushConfiguration(ControllerCommands& out, Milliseconds now, std::string const& link);
+  void pushConfigurationToAll(ControllerCommands& out, Milliseconds now);
   bool updateKnownRevisions(RouterRegistry::Router& router, transport::ServingLeaseRequest const& request);
-  transport::ServingLeaseGrant servingLeaseGrant(Tick now, transport::ServingLeaseRequest const& request,
+  transport::ServingLeaseGrant servingLeaseGrant(Milliseconds now, transport::ServingLeaseRequest const& request,
                                                  bool revisionsKnown);
   void recordUpToDate(std::string const& link, RouterRegistry::Router& router);
-  void recordReport(Tick now, transport::RouterStatusReport const& report);
-  void broadcastRouterStatus(ControllerCommands& out, Tick now);
-  void startProbes(ControllerCommands& out, Tick now);
+  void recordReport(Milliseconds now, transport::RouterStatusReport const& report);
+  void broadcastRouterStatus(ControllerCommands& out, Milliseconds now);
+  void startProbes(ControllerCommands& out, Milliseconds now);
 
   // The roster, leases and endpoint lists (roster_proposal.cpp, warmup_leases.cpp, endpoint_list_updates.cpp).
-  void reconcileRoster(ControllerCommands& out, Tick now);
-  bool isRosterProposer(Tick now) const;
-  bool isRosterRolledOut(Tick now) const;
-  void proposeRoster(ControllerCommands& out, Tick now, RosterValue const& next);
-  bool mayGrantLeases(Tick now, Tick duration) const;
-  void proposeEndpointList(ControllerCommands& out, Tick now, std::string const& pool,
+  void reconcileRoster(ControllerCommands& out, Milliseconds now);
+  bool isRosterProposer(Milliseconds now) const;
+  bool isRosterRolledOut(Milliseconds now) const;
+  void proposeRoster(ControllerCommands& out, Milliseconds now, RosterValue const& next);
+  bool mayGrantLeases(Milliseconds now, Milliseconds duration) const;
+  void proposeEndpointList(ControllerCommands& out, Milliseconds now, std::string const& pool,
                            config::EndpointList const& list);
 
   // Messages that are not the registers' own.
-  void on(ControllerCommands& out, Tick now, std::string const& from, transport::GossipShuffle const& shuffle);
-  void on(ControllerCommands& out, Tick now, std::string const& from, transport::OperatorCall const& call);
-  void on(ControllerCommands& out, Tick now, std::string const& from, transport::OperatorCallReply const& reply);
-  void on(ControllerCommands& out, Tick now, std::string const& from, transport::ConfigurationAck const& ack);
-  void on(ControllerCommands& out, Tick now, std::string const& from, transport::RouterStatusReport const& report);
-  void on(ControllerCommands& out, Tick now, std::string const& from, transport::ServingLeaseRequest const& request);
-  void on(ControllerCommands& out, Tick now, std::string const& from, transport::WarmupLeaseRequest const& request);
-  void on(ControllerCommands& out, Tick now, std::string const& from, transport::EndpointRemovalHint const& hint);
-  void on(ControllerCommands& out, Tick now, std::string const& from, quota::UsageReport const& report);
-  void on(ControllerCommands& out, Tick now, std::string const& from, quota::AllocationReport const& report);
-  void on(ControllerCommands& out, Tick now, std::string const& from, quota::PartitionLeaseRequest const& request);
-  void on(ControllerCommands& out, Tick now, std::string const& from, quota::PartitionLeaseReply const& reply);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from, transport::GossipShuffle const& shuffle);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from, transport::OperatorCall const& call);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from,
+          transport::OperatorCallReply const& reply);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from, transport::ConfigurationAck const& ack);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from,
+          transport::RouterStatusReport const& report);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from,
+          transport::ServingLeaseRequest const& request);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from,
+          transport::WarmupLeaseRequest const& request);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from,
+          transport::EndpointRemovalHint const& hint);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from, quota::UsageReport const& report);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from, quota::AllocationReport const& report);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from,
+          quota::PartitionLeaseRequest const& request);
+  void on(ControllerCommands& out, Milliseconds now, std::string const& from, quota::PartitionLeaseReply const& reply);
 
   ControllerTuning tuning_;
   gossip::PartialView partialView_;
@@ -141,8 +149,8 @@
   LeaseTable leases_;
   GuaranteeChecks guarantees_;
   /// When this process started, and when it last had no vote; -1: it has always had one.
-  Tick startedAt_ = 0;
-  Tick lastWithoutVoteAt_ = -1;
+  Milliseconds startedAt_ = 0;
+  Milliseconds lastWithoutVoteAt_ = -1;
   bool draining_ = false;
 };
 
--- a/control/include/corkward/control/controller_directory.h
+++ b/control/include/corkward/control/controller_directory.h
@@ -9,7 +9,7 @@
 
 namespace corkward::control {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// Role of a controller directory among the contacts; bytes on the wire.
 inline constexpr char const* directoryRole = "guide";
@@ -21,17 +21,17 @@
  public:
   ControllerDirectory(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed);
 
-  std::vector<transport::Send> arrived(Tick now, std::string const& from, transport::Message const& message);
-  std::vector<transport::Send> clockEvent(Tick now);
+  std::vector<transport::Send> arrived(Milliseconds now, std::string const& from, transport::Message const& message);
+  std::vector<transport::Send> clockEvent(Milliseconds now);
   /// Links of the controllers that were heard lately; when none was, of all that are known.
-  std::vector<std::string> controllers(Tick now) const;
+  std::vector<std::string> controllers(Milliseconds now) const;
   void setSeeds(std::vector<std::string> seeds) { partialView_.setSeeds(std::move(seeds)); }
 
  private:
   gossip::PartialView partialView_;
   /// All controllers that were ever known, and when each was last heard first-hand; -1: not yet.
-  std::map<std::string, Tick> lastHeardAt_;
-  Tick nextQueryAt_ = 0;
+  std::map<std::string, Milliseconds> lastHeardAt_;
+  Milliseconds nextQueryAt_ = 0;
 };
 
 }  // namespace corkward::control
--- a/control/include/corkward/control/controller_tuning.h
+++ b/control/include/corkward/control/controller_tuning.h
@@ -5,45 +5,45 @@
 
 namespace corkward::control {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// Starting values of the control plane; times in milliseconds.
 struct ControllerTuning {
   consensus::ConsensusTuning registers;
   /// A router without a serving lease this fresh rejects new work; see dataplane::Tuning::confirmFor.
-  Tick servingLeaseDuration = 1500;
+  Milliseconds servingLeaseDuration = 1500;
   /// What clocks may differ by over one lease.
-  Tick servingLeaseMargin = 200;
+  Milliseconds servingLeaseMargin = 200;
   /// A change whose rollout is not complete by then is answered as pending.
-  Tick rolloutTimeout = 4000;
+  Milliseconds rolloutTimeout = 4000;
   /// A call that its key's owner has not answered by then is answered as unknown.
-  Tick forwardTimeout = 9000;
+  Milliseconds forwardTimeout = 9000;
   /// A read is answered after this long at the latest when no contact with a majority began since it arrived: callers
   /// go on to another machine after a second.
-  Tick quorumConfirmationTimeout = 800;
+  Milliseconds quorumConfirmationTimeout = 800;
   /// A forwarded call is sent again after this long; its change id keeps it from being applied twice.
-  Tick resendEvery = 1500;
+  Milliseconds resendEvery = 1500;
   /// A configuration update that is not acknowledged is sent again after this long.
-  Tick repushEvery = 300;
+  Milliseconds repushEvery = 300;
   /// A router of the roster that is not heard for this long is removed from it.
-  Tick removeSilentRouterAfter = 60000;
+  Milliseconds removeSilentRouterAfter = 60000;
   /// After this long nothing is stored of a silent router that is not on the roster.
-  Tick forgetAfter = 600000;
-  Tick warmupLeaseDuration = 1500;
+  Milliseconds forgetAfter = 600000;
+  Milliseconds warmupLeaseDuration = 1500;
   /// Lease of a singleton role of the operators' programs, such as the alert watch.
-  Tick singletonLeaseDuration = 15000;
+  Milliseconds singletonLeaseDuration = 15000;
   /// A router that an incomplete rollout waits for is probed after so long a silence.
-  Tick probeAfter = 400;
+  Milliseconds probeAfter = 400;
   /// False: a change is answered as soon as it is on a majority of the disks.
   bool awaitRollout = true;
   /// How often controllers report the routers' status to each other: ordinarily, while a rollout is incomplete, and
   /// while the newest incomplete rollout is younger than rolloutStartPeriod.
-  Tick statusReportEvery = 500;
-  Tick statusReportDuringRollout = 100;
-  Tick statusReportAtRolloutStart = 20;
-  Tick rolloutStartPeriod = 400;
+  Milliseconds statusReportEvery = 500;
+  Milliseconds statusReportDuringRollout = 100;
+  Milliseconds statusReportAtRolloutStart = 20;
+  Milliseconds rolloutStartPeriod = 400;
   /// A router that has sent no request here for this long is not reported as served from here.
-  Tick routerSessionTimeout = 2000;
+  Milliseconds routerSessionTimeout = 2000;
   /// What tenants may send beyond their limits.
   quota::OverdraftAllowance quotaAllowance;
 };
--- a/control/include/corkward/control/linearizable_reads.h
+++ b/control/include/corkward/control/linearizable_reads.h
@@ -14,7 +14,7 @@
  public:
   struct Read {
     transport::OperatorCall call;
-    Tick since = 0;
+    Milliseconds since = 0;
   };
   /// A read that is to be answered now.
   struct Completed {
@@ -24,19 +24,19 @@
   };
 
   /// @param timeout how long a read waits for its confirmation, in milliseconds
-  explicit LinearizableReads(Tick timeout) : timeout_(timeout) {}
+  explicit LinearizableReads(Milliseconds timeout) : timeout_(timeout) {}
 
   bool isFull() const { return reads_.size() >= maxReads; }
   std::size_t size() const { return reads_.size(); }
-  void add(Tick now, transport::OperatorCall const& call) { reads_.push_back(Read{call, now}); }
+  void add(Milliseconds now, transport::OperatorCall const& call) { reads_.push_back(Read{call, now}); }
   /// Takes out the reads that are confirmed or have waited too long, in the order of their arrival.
   /// @param draining none can be confirmed any more
-  std::vector<Completed> takeCompleted(Tick now, QuorumContact const& quorumContact, bool draining);
+  std::vector<Completed> takeCompleted(Milliseconds now, QuorumContact const& quorumContact, bool draining);
 
   static constexpr std::size_t maxReads = 4096;
 
  private:
-  Tick timeout_;
+  Milliseconds timeout_;
   std::vector<Read> reads_;
 };
 
--- a/control/include/corkward/control/pending_calls.h
+++ b/control/include/corkward/control/pending_calls.h
@@ -12,7 +12,7 @@
 
 namespace corkward::control {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// A call that has no reply yet.
 struct PendingCall {
@@ -23,9 +23,9 @@
   std::string key;
   /// Its token is the call's id here, by which replies and outcomes come back.
   transport::OperatorCall call;
-  Tick since = 0;
+  Milliseconds since = 0;
   /// When it was last sent to the key's owner.
-  Tick sentAt = 0;
+  Milliseconds sentAt = 0;
   /// It waits for a reply of the key's owner.
   bool forwarded = false;
   /// Revision that a read of the page would have shown when the call arrived, by what was committed here; 0: none.
@@ -51,7 +51,7 @@
   std::optional<PendingCall> remove(std::uint64_t id);
 
   /// Calls that have been waiting for longer than this.
-  std::vector<std::uint64_t> olderThan(Tick now, Tick age) const;
+  std::vector<std::uint64_t> olderThan(Milliseconds now, Milliseconds age) const;
 
   static constexpr std::size_t maxCalls = 4096;
 
--- a/control/include/corkward/control/quota_coordination.h
+++ b/control/include/corkward/control/quota_coordination.h
@@ -20,8 +20,8 @@
     consensus::ReplicatedRegisters const& registers;
     Roster const& roster;
     /// When this process started.
-    Tick startedAt = 0;
-    Tick servingLeaseDuration = 0;
+    Milliseconds startedAt = 0;
+    Milliseconds servingLeaseDuration = 0;
     bool draining = false;
   };
 
@@ -29,28 +29,28 @@
       : coordinator_(std::move(link), incarnation, allowance) {}
 
   /// Takes the tenants' limits from a newly committed configuration.
-  void configure(Tick now, config::FleetConfiguration const& configuration);
+  void configure(Milliseconds now, config::FleetConfiguration const& configuration);
   /// Brings the membership view up to date and lets the coordinator act.
-  std::vector<transport::Send> onTimer(Tick now, ClusterStatus const& status);
+  std::vector<transport::Send> onTimer(Milliseconds now, ClusterStatus const& status);
   /// A message of the quota protocol.
   template <class Message>
-  std::vector<transport::Send> onMessage(Tick now, std::string const& from, Message const& message) {
+  std::vector<transport::Send> onMessage(Milliseconds now, std::string const& from, Message const& message) {
     return sendsOf(coordinator_.onMessage(now, from, message, view_));
   }
   /// Partitions of the limits that this controller coordinates.
-  std::size_t ownedPartitionCount(Tick now) const { return coordinator_.ownedPartitionCount(now, view_); }
+  std::size_t ownedPartitionCount(Milliseconds now) const { return coordinator_.ownedPartitionCount(now, view_); }
 
  private:
   static std::vector<transport::Send> sendsOf(std::vector<quota::Send>&& sends);
-  void refreshMembers(Tick now, consensus::ReplicatedRegisters const& registers);
+  void refreshMembers(Milliseconds now, consensus::ReplicatedRegisters const& registers);
   void refreshRouters(Roster const& roster);
-  void refreshPermissions(Tick now, ClusterStatus const& status);
+  void refreshPermissions(Milliseconds now, ClusterStatus const& status);
 
   quota::QuotaCoordinator coordinator_;
   /// As of the last timer event.
   quota::MembershipView view_;
   /// Since when the members are those of the view.
-  Tick membersSince_ = 0;
+  Milliseconds membersSince_ = 0;
   /// Revision of the roster whose routers the view has.
   std::uint64_t rosterRevision_ = 0;
 };
--- a/control/include/corkward/control/rollout_tracker.h
+++ b/control/include/corkward/control/rollout_tracker.h
@@ -29,16 +29,16 @@
   std::uint64_t call = 0;
   std::string key;
   std::uint64_t revision = 0;
-  Tick since = 0;
+  Milliseconds since = 0;
   /// When a majority was first seen to have the revision; -1: not yet.
-  Tick majorityAt = -1;
+  Milliseconds majorityAt = -1;
   int status = 0;
   QJsonObject body = {};
 };
 
 /// The inputs by which the tracker evaluates rollouts.
 struct RolloutInputs {
-  Tick now = 0;
+  Milliseconds now = 0;
   QuorumContact quorumContact;
   Roster const& roster;
   RouterRegistry const& routers;
@@ -50,9 +50,9 @@
   struct Rollout {
     std::uint64_t revision = 0;
     /// When it was committed here.
-    Tick since = 0;
+    Milliseconds since = 0;
     /// When a majority was first seen to have it; -1: not yet.
-    Tick majorityAt = -1;
+    Milliseconds majorityAt = -1;
     bool complete = false;
     /// Newest revision that each router is known to have; dropped when the rollout is complete, but for the roster's.
     transport::Revisions acknowledged = {};
@@ -67,12 +67,13 @@
   std::vector<PendingRolloutReply> const& pendingReplies() const { return pendingReplies_; }
 
   /// A revision of the key was committed.
-  void start(Tick now, std::string const& key, std::uint64_t revision);
+  void start(Milliseconds now, std::string const& key, std::uint64_t revision);
   void recordAcknowledged(std::string const& link, std::string const& key, std::uint64_t revision);
   /// The router has the newest revision of all keys whose rollout is incomplete.
   void recordIncompleteAcknowledged(std::string const& link);
 
-  RolloutState stateOf(RolloutInputs const& inputs, std::string const& key, std::uint64_t revision, Tick since) const;
+  RolloutState stateOf(RolloutInputs const& inputs, std::string const& key, std::uint64_t revision,
+                       Milliseconds since) const;
   /// True when the key's newest revision is known to have reached the routers, or those that lack it are fenced.
   bool isComplete(RolloutInputs const& inputs, std::string const& key) const;
   /// Judges the incomplete rollouts anew.
@@ -97,10 +98,10 @@
     std::size_t onRoster = 0;
   };
   Progress progressOf(RolloutInputs const& inputs, std::set<std::string> const& links, Rollout const& rollout,
-                      std::uint64_t revision, Tick since) const;
+                      std::uint64_t revision, Milliseconds since) const;
   bool mayStillServe(RolloutInputs const& inputs, Progress const& previousNodes) const;
   /// True when the serving leases of routers that lack the revision have run out.
-  bool isFenced(Tick now, Tick majorityAt) const;
+  bool isFenced(Milliseconds now, Milliseconds majorityAt) const;
   /// Marks the reply with its outcome when it is due.
   bool isDue(RolloutInputs const& inputs, PendingRolloutReply& reply) const;
 
--- a/control/include/corkward/control/roster.h
+++ b/control/include/corkward/control/roster.h
@@ -12,7 +12,7 @@
 
 namespace corkward::control {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// One router as the roster names it.
 struct RosterNode {
@@ -38,12 +38,12 @@
 class Roster {
  public:
   /// Takes a newly committed value.
-  void load(Tick now, std::uint64_t revision, QJsonObject const& value);
+  void load(Milliseconds now, std::uint64_t revision, QJsonObject const& value);
 
   /// 0: no roster is committed.
   std::uint64_t revision() const { return revision_; }
   /// When the revision was committed here.
-  Tick committedAt() const { return committedAt_; }
+  Milliseconds committedAt() const { return committedAt_; }
   RosterValue const& value() const { return value_; }
   /// Links of the nodes.
   std::set<std::string> const& nodes() const { return nodes_; }
@@ -57,7 +57,7 @@
   std::set<std::string> nodes_;
   std::vector<std::string> bitPositions_;
   std::uint64_t revision_ = 0;
-  Tick committedAt_ = 0;
+  Milliseconds committedAt_ = 0;
 };
 
 }  // namespace corkward::control
--- a/control/include/corkward/control/roster_reconciler.h
+++ b/control/include/corkward/control/roster_reconciler.h
@@ -15,23 +15,23 @@
   explicit RosterReconciler(ControllerTuning const& tuning) : removeSilentAfter_(tuning.removeSilentRouterAfter) {}
 
   /// @param now when this process started: silence is counted from there on
-  void start(Tick now) { startedAt_ = now; }
+  void start(Milliseconds now) { startedAt_ = now; }
   /// True when the time has come and no proposal from here is pending.
-  bool isDue(Tick now) const { return now >= nextAt_ && !proposalPending_; }
-  void scheduleNext(Tick now);
+  bool isDue(Milliseconds now) const { return now >= nextAt_ && !proposalPending_; }
+  void scheduleNext(Milliseconds now);
   /// The roster with routers that are newly heard and without those that are silent; nothing: it is to stay.
-  std::optional<RosterValue> nextRoster(Tick now, Roster const& roster, RouterRegistry const& routers,
+  std::optional<RosterValue> nextRoster(Milliseconds now, Roster const& roster, RouterRegistry const& routers,
                                         gossip::PartialView const& partialView) const;
   void proposalStarted() { proposalPending_ = true; }
   void proposalEnded() { proposalPending_ = false; }
 
  private:
-  bool isSilent(Tick now, std::string const& link, RouterRegistry const& routers,
+  bool isSilent(Milliseconds now, std::string const& link, RouterRegistry const& routers,
                 gossip::PartialView const& partialView) const;
 
-  Tick removeSilentAfter_;
-  Tick startedAt_ = 0;
-  Tick nextAt_ = 0;
+  Milliseconds removeSilentAfter_;
+  Milliseconds startedAt_ = 0;
+  Milliseconds nextAt_ = 0;
   /// A call with a proposal from here has not been answered.
   bool proposalPending_ = false;
 };
--- a/control/include/corkward/control/router_registry.h
+++ b/control/include/corkward/control/router_registry.h
@@ -20,14 +20,14 @@
   /// A revision of a key that was sent and is not acknowledged.
   struct PushInFlight {
     std::uint64_t revision = 0;
-    Tick sentAt = 0;
+    Milliseconds sentAt = 0;
   };
   struct Router {
     transport::Contact contact;
     /// Last sign of it, here or at another controller; -1: none.
-    Tick lastHeardAt = -1;
+    Milliseconds lastHeardAt = -1;
     /// Last ServingLeaseRequest here; -1: it has no session here.
-    Tick lastRequestAt = -1;
+    Milliseconds lastRequestAt = -1;
     /// missingRevisions names all that it lacks.
     bool revisionsKnown = false;
     /// Keys that it is not known to have as committed, with the newest revision that it is known to have of each.
@@ -37,10 +37,10 @@
     /// Number of the newest configuration update sent to it.
     std::uint64_t updateNumber = 0;
     /// When a probe found that nothing listens at its link; -1: no probe did since it was last heard.
-    Tick unreachableAt = -1;
-    Tick probedAt = -1;
+    Milliseconds unreachableAt = -1;
+    Milliseconds probedAt = -1;
     /// Since when it wants a snapshot; -1: it does not.
-    Tick snapshotRequestedAt = -1;
+    Milliseconds snapshotRequestedAt = -1;
 
     bool hasSession() const { return lastRequestAt >= 0; }
     bool isUpToDate() const { return revisionsKnown && missingRevisions.empty(); }
@@ -61,13 +61,13 @@
   void recordCommitted(std::string const& key, std::uint64_t previousRevision, std::uint64_t revision);
 
   /// First-hand sign of a router. Null when it comes from an incarnation older than the newest one known.
-  Router* recordHeard(Tick now, std::string const& link, std::uint64_t incarnation);
+  Router* recordHeard(Milliseconds now, std::string const& link, std::uint64_t incarnation);
   /// A router's request for a serving lease.
-  void recordRequest(Tick now, transport::ServingLeaseRequest const& request);
+  void recordRequest(Milliseconds now, transport::ServingLeaseRequest const& request);
   /// Another controller serves this router.
-  void recordReported(Tick now, transport::Contact const& contact);
+  void recordReported(Milliseconds now, transport::Contact const& contact);
   /// The roster's router is served by another controller.
-  void recordHeardElsewhere(Tick now, std::string const& link) { routers_[link].lastHeardAt = now; }
+  void recordHeardElsewhere(Milliseconds now, std::string const& link) { routers_[link].lastHeardAt = now; }
   /// What a router acknowledges of one key.
   static void recordAcknowledged(Router& router, std::string const& key, std::uint64_t revision,
                                  std::uint64_t committed);
@@ -79,19 +79,19 @@
 
   /// The next update for a router: a snapshot when it wants one and a majority has confirmed what is committed here
   /// since, else what it lacks and is not in flight. Nothing: there is none. Ends the session of a silent router.
-  std::optional<transport::ConfigurationUpdate> nextUpdate(Tick now, std::string const& link,
+  std::optional<transport::ConfigurationUpdate> nextUpdate(Milliseconds now, std::string const& link,
                                                            CommittedValues const& values,
                                                            QuorumContact const& quorumContact);
 
   /// True when a silent router is to be probed now; counts as probed then.
-  bool startProbe(Tick now, std::string const& link);
-  void recordProbeResult(Tick now, std::string const& link, bool refused);
+  bool startProbe(Milliseconds now, std::string const& link);
+  void recordProbeResult(Milliseconds now, std::string const& link, bool refused);
 
   /// Drops routers that have been silent for long and are not on the roster.
-  void forgetSilent(Tick now, std::set<std::string> const& rosterNodes);
+  void forgetSilent(Milliseconds now, std::set<std::string> const& rosterNodes);
 
  private:
-  bool isInFlight(Tick now, Router const& router, std::string const& key, std::uint64_t committed) const;
+  bool isInFlight(Milliseconds now, Router const& router, std::string const& key, std::uint64_t committed) const;
 
   ControllerTuning tuning_;
   std::map<std::string, Router> routers_;
--- a/control/include/corkward/control/router_status_reporter.h
+++ b/control/include/corkward/control/router_status_reporter.h
@@ -13,22 +13,23 @@
   explicit RouterStatusReporter(ControllerTuning const& tuning) : tuning_(tuning) {}
 
   /// The next report is due at once.
-  void reportSoon(Tick now) { nextReportAt_ = now; }
+  void reportSoon(Milliseconds now) { nextReportAt_ = now; }
   /// The report that goes to all members now, with queries for the incomplete rollouts; nothing: none is due.
-  std::optional<transport::RouterStatusReport> dueReport(Tick now, Roster const& roster, RouterRegistry const& routers,
-                                                         RolloutTracker const& rollouts);
+  std::optional<transport::RouterStatusReport> dueReport(Milliseconds now, Roster const& roster,
+                                                         RouterRegistry const& routers, RolloutTracker const& rollouts);
   /// Reply to a member's report that queries the progress of rollouts.
-  transport::RouterStatusReport replyTo(Tick now, transport::RouterStatusReport const& report, Roster const& roster,
-                                        RouterRegistry const& routers, CommittedValues const& values) const;
+  transport::RouterStatusReport replyTo(Milliseconds now, transport::RouterStatusReport const& report,
+                                        Roster const& roster, RouterRegistry const& routers,
+                                        CommittedValues const& values) const;
 
  private:
-  transport::RouterStatusReport status(Tick now, Roster const& roster, RouterRegistry const& routers) const;
+  transport::RouterStatusReport status(Milliseconds now, Roster const& roster, RouterRegistry const& routers) const;
   /// Pause until the next report.
   /// @param newestSince start of the newest incomplete rollout; nothing: there is none
-  Tick pauseAfter(Tick now, std::optional<Tick> newestSince) const;
+  Milliseconds pauseAfter(Milliseconds now, std::optional<Milliseconds> newestSince) const;
 
   ControllerTuning tuning_;
-  Tick nextReportAt_ = 0;
+  Milliseconds nextReportAt_ = 0;
 };
 
 }  // namespace corkward::control
--- a/control/src/configuration_push.cpp
+++ b/control/src/configuration_push.cpp
@@ -9,14 +9,14 @@
 
 namespace corkward::control {
 
-void Controller::pushConfiguration(ControllerCommands& out, Tick now, std::string const& link) {
+void Controller::pushConfiguration(ControllerCommands& out, Milliseconds now, std::string const& link) {
   std::optional<transport::ConfigurationUpdate> update = routers_.nextUpdate(now, link, values(), quorumContact(now));
   if (!update) return;
   journal_.append(now, events::configurationPushed, link);
   out.sends.push_back(transport::Send{link, *std::move(update)});
 }
 
-void Controller::pushConfigurationToAll(ControllerCommands& out, Tick now) {
+void Controller::pushConfigurationToAll(ControllerCommands& out, Milliseconds now) {
   for (auto const& [link, router] : routers_.all()) pushConfiguration(out, now, link);
 }
 
@@ -26,7 +26,7 @@
   router.markUpToDate();
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from,
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
                     transport::ConfigurationAck const& ack) {
   if (ack.link.empty() || ack.link != from) return;
   RouterRegistry::Router* const router = routers_.recordHeard(now, from, ack.incarnation);
@@ -42,7 +42,7 @@
   completeRolloutReplies(out, now);
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from,
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
                     transport::ServingLeaseRequest const& request) {
   if (request.sender.link.empty() || request.sender.link != from) return;
   appendSends(out, partialView_.heard(now, request.sender));
@@ -68,13 +68,14 @@
   return true;
 }
 
-transport::ServingLeaseGrant Controller::servingLeaseGrant(Tick now, transport::ServingLeaseRequest const& request,
+transport::ServingLeaseGrant Controller::servingLeaseGrant(Milliseconds now,
+                                                           transport::ServingLeaseRequest const& request,
                                                            bool revisionsKnown) {
-  Tick const quorumAge = registers_.quorumContactAge(now);
+  Milliseconds const quorumAge = registers_.quorumContactAge(now);
   transport::ServingLeaseGrant grant;
   grant.requestSentAt = request.sentAt;
   grant.hasQuorum = quorumAge >= 0 && quorumAge <= tuning_.servingLeaseDuration;
-  grant.quorumAge = std::max<Tick>(quorumAge, 0);
+  grant.quorumAge = std::max<Milliseconds>(quorumAge, 0);
   grant.digest = routers_.committedDigest();
   if (request.digest != grant.digest)
     for (auto const& [key, committed] : values()) grant.revisions[key] = committed.revision;
@@ -86,7 +87,7 @@
   return grant;
 }
 
-void Controller::broadcastRouterStatus(ControllerCommands& out, Tick now) {
+void Controller::broadcastRouterStatus(ControllerCommands& out, Milliseconds now) {
   std::optional<transport::RouterStatusReport> const report =
       statusReporter_.dueReport(now, roster_, routers_, rollouts_);
   if (!report) return;
@@ -94,7 +95,7 @@
     if (member.link != registers_.self().link) out.sends.push_back(transport::Send{member.link, *report});
 }
 
-void Controller::recordReport(Tick now, transport::RouterStatusReport const& report) {
+void Controller::recordReport(Milliseconds now, transport::RouterStatusReport const& report) {
   bool const isSameState = report.committedDigest == routers_.committedDigest();
   for (std::size_t position = 0; position < roster_.bitPositions().size(); ++position) {
     std::string const& link = roster_.bitPositions()[position];
@@ -105,7 +106,7 @@
   }
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from,
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
                     transport::RouterStatusReport const& report) {
   std::vector<consensus::Member> const& members = registers_.membership();
   bool const isFromMember =
@@ -122,7 +123,7 @@
   out.sends.push_back(transport::Send{from, statusReporter_.replyTo(now, report, roster_, routers_, values())});
 }
 
-void Controller::startProbes(ControllerCommands& out, Tick now) {
+void Controller::startProbes(ControllerCommands& out, Milliseconds now) {
   if (rollouts_.pendingReplies().empty()) return;
   for (std::string const& link : roster_.nodes())
     if (rollouts_.awaitsRouter(link) && routers_.startProbe(now, link)) out.probes.push_back(link);
--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -41,7 +41,8 @@
       rosterReconciler_(tuning),
       quotas_(partialView_.self().link, partialView_.self().incarnation, tuning.quotaAllowance) {}
 
-ControllerCommands Controller::restore(std::map<std::string, std::string> const& slots, bool damaged, Tick now) {
+ControllerCommands Controller::restore(std::map<std::string, std::string> const& slots, bool damaged,
+                                       Milliseconds now) {
   ControllerCommands out;
   startedAt_ = now;
   rosterReconciler_.start(now);
@@ -49,7 +50,7 @@
   return out;
 }
 
-ControllerCommands Controller::onMessage(Tick now, std::string const& from, transport::Message const& message) {
+ControllerCommands Controller::onMessage(Milliseconds now, std::string const& from, transport::Message const& message) {
   ControllerCommands out;
   std::visit(
       [&](auto const& kind) {
@@ -63,7 +64,7 @@
   return out;
 }
 
-ControllerCommands Controller::onTimer(Tick now) {
+ControllerCommands Controller::onTimer(Milliseconds now) {
   ControllerCommands out;
   if (registers_.discovering()) {
     std::vector<std::string> links = partialView_.seeds();
@@ -84,13 +85,13 @@
   return out;
 }
 
-ControllerCommands Controller::onPersisted(Tick now, std::uint64_t ticket, bool ok) {
+ControllerCommands Controller::onPersisted(Milliseconds now, std::uint64_t ticket, bool ok) {
   ControllerCommands out;
   apply(out, now, registers_.onPersisted(now, ticket, ok));
   return out;
 }
 
-ControllerCommands Controller::onProbeResult(Tick now, std::string const& link, bool refused) {
+ControllerCommands Controller::onProbeResult(Milliseconds now, std::string const& link, bool refused) {
   ControllerCommands out;
   if (routers_.find(link) == nullptr) return out;
   routers_.recordProbeResult(now, link, refused);
@@ -98,7 +99,7 @@
   return out;
 }
 
-ControllerCommands Controller::drain(Tick now) {
+ControllerCommands Controller::drain(Milliseconds now) {
   ControllerCommands out;
   draining_ = true;
   partialView_.setDraining();
@@ -106,7 +107,7 @@
   return out;
 }
 
-void Controller::apply(ControllerCommands& out, Tick now, consensus::RegisterCommands&& commands) {
+void Controller::apply(ControllerCommands& out, Milliseconds now, consensus::RegisterCommands&& commands) {
   appendSends(out, std::move(commands.sends));
   std::move(commands.persists.begin(), commands.persists.end(), std::back_inserter(out.persists));
   for (core::LogEvent& event : commands.logEvents) {
@@ -125,7 +126,7 @@
   if (!commands.commits.empty()) pushConfigurationToAll(out, now);
 }
 
-void Controller::onCommitted(Tick now, consensus::CommittedValue const& committed) {
+void Controller::onCommitted(Milliseconds now, consensus::CommittedValue const& committed) {
   RolloutTracker::Rollout const* const previous = rollouts_.find(committed.key);
   std::uint64_t const previousRevision = previous == nullptr ? 0 : previous->revision;
   guarantees_.checkCommitted(committed, previous == nullptr ? std::optional<std::uint64_t>() : previousRevision);
@@ -144,45 +145,47 @@
   routers_.recordCommitted(committed.key, previousRevision, committed.revision);
 }
 
-QuorumContact Controller::quorumContact(Tick now) const {
-  Tick const age = registers_.quorumContactAge(now);
+QuorumContact Controller::quorumContact(Milliseconds now) const {
+  Milliseconds const age = registers_.quorumContactAge(now);
   if (age < 0) return std::nullopt;
   return now - age;
 }
 
-bool Controller::ready(Tick now) const {
+bool Controller::ready(Milliseconds now) const {
   QuorumContact const contact = quorumContact(now);
   return !draining_ && confirmedSince(contact, now - tuning_.servingLeaseDuration);
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from,
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
                     transport::GossipShuffle const& shuffle) {
   appendSends(out, partialView_.arrived(now, from, shuffle));
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::UsageReport const& report) {
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
+                    quota::UsageReport const& report) {
   appendSends(out, quotas_.onMessage(now, from, report));
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from, quota::AllocationReport const& report) {
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
+                    quota::AllocationReport const& report) {
   appendSends(out, quotas_.onMessage(now, from, report));
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from,
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
                     quota::PartitionLeaseRequest const& request) {
   appendSends(out, quotas_.onMessage(now, from, request));
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from,
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
                     quota::PartitionLeaseReply const& reply) {
   appendSends(out, quotas_.onMessage(now, from, reply));
 }
 
-QJsonObject Controller::fleet(Tick now) const {
+QJsonObject Controller::fleet(Milliseconds now) const {
   return fleetPage(now, registers_, roster_, routers_, rollouts_, ready(now));
 }
 
-std::string Controller::metrics(Tick now) const {
+std::string Controller::metrics(Milliseconds now) const {
   ControllerGauges gauges;
   gauges.ready = ready(now);
   gauges.quorumContactAge = registers_.quorumContactAge(now);
--- a/control/src/controller_directory.cpp
+++ b/control/src/controller_directory.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr Tick queryEvery = 500;
+constexpr Milliseconds queryEvery = 500;
 /// A controller that was heard within this time counts as one that answers.
-constexpr Tick heardLately = 1600;
+constexpr Milliseconds heardLately = 1600;
 
 }  // namespace
 
 ControllerDirectory::ControllerDirectory(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed)
     : partialView_(std::move(self), std::move(seeds), seed) {}
 
-std::vector<transport::Send> ControllerDirectory::arrived(Tick now, std::string const& from,
+std::vector<transport::Send> ControllerDirectory::arrived(Milliseconds now, std::string const& from,
                                                           transport::Message const& message) {
   auto const known = lastHeardAt_.find(from);
   if (known != lastHeardAt_.end()) known->second = now;
@@ -30,7 +30,7 @@
   return {transport::Send{from, transport::NotAVotingMember{}}};
 }
 
-std::vector<transport::Send> ControllerDirectory::clockEvent(Tick now) {
+std::vector<transport::Send> ControllerDirectory::clockEvent(Milliseconds now) {
   for (transport::Contact const& contact : partialView_.ofRole(transport::controllerRole, now))
     lastHeardAt_.try_emplace(contact.link, -1);
   if (now < nextQueryAt_) return {};
@@ -45,7 +45,7 @@
   return sends;
 }
 
-std::vector<std::string> ControllerDirectory::controllers(Tick now) const {
+std::vector<std::string> ControllerDirectory::controllers(Milliseconds now) const {
   std::vector<std::string> known;
   std::vector<std::string> answering;
   for (auto const& [link, heardAt] : lastHeardAt_) {
--- a/control/src/endpoint_list_updates.cpp
+++ b/control/src/endpoint_list_updates.cpp
@@ -6,7 +6,8 @@
 
 namespace corkward::control {
 
-ControllerCommands Controller::updateEndpointLists(Tick now, std::map<std::string, config::EndpointList> const& lists) {
+ControllerCommands Controller::updateEndpointLists(Milliseconds now,
+                                                   std::map<std::string, config::EndpointList> const& lists) {
   ControllerCommands out;
   for (auto& [pool, list] : EndpointLists::withVanishedPools(lists, values())) {
     if (endpointLists_.isCommitted(pool, list, values())) continue;
@@ -18,7 +19,7 @@
   return out;
 }
 
-void Controller::proposeEndpointList(ControllerCommands& out, Tick now, std::string const& pool,
+void Controller::proposeEndpointList(ControllerCommands& out, Milliseconds now, std::string const& pool,
                                      config::EndpointList const& list) {
   std::optional<std::uint64_t> const earlier = endpointLists_.proposalOf(pool);
   bool const isPending = earlier && calls_.find(*earlier) != nullptr;
@@ -32,14 +33,15 @@
   route(out, now, id);
 }
 
-bool Controller::isEndpointListReader(Tick now) const {
+bool Controller::isEndpointListReader(Milliseconds now) const {
   if (draining_ || registers_.membership().empty()) return false;
   std::string const owner = registers_.ownerLink(rosterKey, now);
   bool const isFirstMember = registers_.membership().front().id == registers_.self().id;
   return owner.empty() ? isFirstMember : owner == registers_.self().link;
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const&, transport::EndpointRemovalHint const& hint) {
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const&,
+                    transport::EndpointRemovalHint const& hint) {
   if (!endpointLists_.addHint(hint, values())) return;
   journal_.append(now, events::removalHintAccepted, hint.pool);
   for (auto const& [link, router] : routers_.all())
--- a/control/src/lease_table.cpp
+++ b/control/src/lease_table.cpp
@@ -2,7 +2,7 @@
 
 namespace corkward::control {
 
-std::optional<LeaseTable::Grant> LeaseTable::acquire(Tick now, Claim const& claim) {
+std::optional<LeaseTable::Grant> LeaseTable::acquire(Milliseconds now, Claim const& claim) {
   if (isFull(claim.name)) return std::nullopt;
   Lease& lease = leases_[claim.name];
   bool const isNamed = lease.holder == claim.holder;
@@ -19,7 +19,7 @@
   return Grant{granted, lease.holder, lease.term};
 }
 
-void LeaseTable::release(Tick now, Claim const& claim, std::string const& successor) {
+void LeaseTable::release(Milliseconds now, Claim const& claim, std::string const& successor) {
   auto const it = leases_.find(claim.name);
   if (it == leases_.end()) return;
   Lease& lease = it->second;
@@ -29,16 +29,16 @@
   lease.expiresAt = successor.empty() ? now : now + claim.duration;
 }
 
-void LeaseTable::addContender(Tick now, Claim const& claim) {
+void LeaseTable::addContender(Milliseconds now, Claim const& claim) {
   auto const it = leases_.find(claim.name);
   if (it != leases_.end()) it->second.contenders[claim.holder] = now;
 }
 
-std::vector<std::string> LeaseTable::contenders(Tick now, Claim const& claim) {
+std::vector<std::string> LeaseTable::contenders(Milliseconds now, Claim const& claim) {
   std::vector<std::string> names;
   auto const it = leases_.find(claim.name);
   if (it == leases_.end()) return names;
-  std::map<std::string, Tick>& contenders = it->second.contenders;
+  std::map<std::string, Milliseconds>& contenders = it->second.contenders;
   std::erase_if(contenders, [&](auto const& contender) { return now - contender.second > claim.duration; });
   for (auto const& [name, askedAt] : contenders) names.push_back(name);
   return names;
--- a/control/src/linearizable_reads.cpp
+++ b/control/src/linearizable_reads.cpp
@@ -4,7 +4,8 @@
 
 namespace corkward::control {
 
-std::vector<LinearizableReads::Completed> LinearizableReads::takeCompleted(Tick now, QuorumContact const& quorumContact,
+std::vector<LinearizableReads::Completed> LinearizableReads::takeCompleted(Milliseconds now,
+                                                                           QuorumContact const& quorumContact,
                                                                            bool draining) {
   std::vector<Completed> completed;
   std::vector<Read> waiting;
--- a/control/src/operator_calls.cpp
+++ b/control/src/operator_calls.cpp
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-ControllerCommands Controller::onOperatorCall(Tick now, transport::OperatorCall const& call) {
+ControllerCommands Controller::onOperatorCall(Milliseconds now, transport::OperatorCall const& call) {
   ControllerCommands out;
   if (methodOf(call.method) == CallMethod::get && call.path == paths::fleet) {
     out.responses.push_back(respond(call.token, HttpStatus::ok, fleet(now)));
@@ -74,7 +74,7 @@
   return out;
 }
 
-void Controller::startRead(ControllerCommands& out, Tick now, transport::OperatorCall const& call) {
+void Controller::startRead(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call) {
   if (reads_.isFull())
     out.responses.push_back(notAccepted(call.token, tooManyCalls));
   else
@@ -82,14 +82,15 @@
   completeReads(out, now);
 }
 
-OperatorResponse Controller::respondToRole(Tick now, transport::OperatorCall const& call, std::string const& role) {
-  Tick const duration = tuning_.singletonLeaseDuration;
+OperatorResponse Controller::respondToRole(Milliseconds now, transport::OperatorCall const& call,
+                                           std::string const& role) {
+  Milliseconds const duration = tuning_.singletonLeaseDuration;
   SingletonRoleContext const context{mayGrantLeases(now, duration), duration, registers_.self().id,
                                      registers_.membership(), revisionOf(values(), consensus::membershipKey)};
   return singletonRoleEndpoint(now, leases_, role, call, context);
 }
 
-std::optional<OperatorResponse> Controller::rejectCall(Tick now, transport::OperatorCall const& call,
+std::optional<OperatorResponse> Controller::rejectCall(Milliseconds now, transport::OperatorCall const& call,
                                                        std::optional<Target> const& target) const {
   CallMethod const method = methodOf(call.method);
   if (!target || !hasPage(*target, method))
@@ -103,7 +104,7 @@
   return std::nullopt;
 }
 
-void Controller::startCall(ControllerCommands& out, Tick now, transport::OperatorCall const& call,
+void Controller::startCall(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call,
                            Target const& target) {
   PendingCall pending;
   pending.token = call.token;
@@ -118,7 +119,7 @@
   route(out, now, id);
 }
 
-void Controller::announceList(ControllerCommands& out, Tick now, transport::OperatorCall const& call,
+void Controller::announceList(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call,
                               std::string const& pool) {
   try {
     config::EndpointList const list = config::readEndpointList(core::parseJson(call.body).toObject());
@@ -128,7 +129,7 @@
   }
 }
 
-void Controller::route(ControllerCommands& out, Tick now, std::uint64_t id) {
+void Controller::route(ControllerCommands& out, Milliseconds now, std::uint64_t id) {
   PendingCall* const pending = calls_.find(id);
   if (pending == nullptr) return;
   std::string const owner = registers_.ownerLink(pending->key, now);
@@ -146,7 +147,8 @@
   apply(out, now, registers_.submit(now, pending->key, pending->call));
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from, transport::OperatorCall const& call) {
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
+                    transport::OperatorCall const& call) {
   std::optional<Target> const target = targetOf(call.path);
   if (!target || draining_ || calls_.isFull()) {
     int const status = core::code(HttpStatus::misdirectedRequest);
@@ -163,7 +165,8 @@
   route(out, now, calls_.add(std::move(pending)));
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const&, transport::OperatorCallReply const& reply) {
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const&,
+                    transport::OperatorCallReply const& reply) {
   PendingCall* const pending = calls_.find(reply.token);
   if (pending == nullptr || !pending->forwarded) return;
   if (reply.status == core::code(HttpStatus::misdirectedRequest)) {
@@ -173,7 +176,7 @@
   finish(out, now, reply.token, reply.status, reply.body);
 }
 
-void Controller::onCallCompleted(ControllerCommands& out, Tick now, consensus::CallCompleted const& completed) {
+void Controller::onCallCompleted(ControllerCommands& out, Milliseconds now, consensus::CallCompleted const& completed) {
   PendingCall const* const pending = calls_.find(completed.token);
   if (pending == nullptr) return;
   guarantees_.checkConfirmed(completed, pending->call);
@@ -196,7 +199,8 @@
   completeRolloutReplies(out, now);
 }
 
-core::LogEvent Controller::callLogEvent(Tick now, PendingCall const& call, int status, QJsonObject const& body) const {
+core::LogEvent Controller::callLogEvent(Milliseconds now, PendingCall const& call, int status,
+                                        QJsonObject const& body) const {
   core::LogEvent event{isChange(call.call.method) ? events::changeCompleted : events::readFailed,
                        {{"path", call.call.path},
                         {"status", std::to_string(status)},
@@ -210,12 +214,12 @@
   return event;
 }
 
-void Controller::finish(ControllerCommands& out, Tick now, std::uint64_t id, HttpStatus status,
+void Controller::finish(ControllerCommands& out, Milliseconds now, std::uint64_t id, HttpStatus status,
                         QJsonObject const& body) {
   finish(out, now, id, core::code(status), body);
 }
 
-void Controller::finish(ControllerCommands& out, Tick now, std::uint64_t id, int status, QJsonObject body) {
+void Controller::finish(ControllerCommands& out, Milliseconds now, std::uint64_t id, int status, QJsonObject body) {
   std::optional<PendingCall> const call = calls_.remove(id);
   if (!call) return;
   guarantees_.checkServed(*call, status, body);
@@ -232,7 +236,7 @@
     out.responses.push_back(OperatorResponse{call->token, status, body});
 }
 
-void Controller::completeReads(ControllerCommands& out, Tick now) {
+void Controller::completeReads(ControllerCommands& out, Milliseconds now) {
   for (auto const& [call, confirmed] : reads_.takeCompleted(now, quorumContact(now), draining_)) {
     if (!confirmed)
       out.responses.push_back(rejectWithoutQuorum(call.token));
@@ -244,12 +248,12 @@
   }
 }
 
-void Controller::completeRolloutReplies(ControllerCommands& out, Tick now) {
+void Controller::completeRolloutReplies(ControllerCommands& out, Milliseconds now) {
   for (PendingRolloutReply const& reply : rollouts_.takeDueReplies(rolloutInputs(now)))
     finish(out, now, reply.call, reply.status, reply.body);
 }
 
-void Controller::resumeCalls(ControllerCommands& out, Tick now) {
+void Controller::resumeCalls(ControllerCommands& out, Milliseconds now) {
   std::vector<std::uint64_t> const expired = calls_.olderThan(now, tuning_.forwardTimeout);
   std::vector<std::uint64_t> const toRoute = callsToRoute(now);
   completeReads(out, now);
@@ -259,7 +263,7 @@
     finishWithoutOutcome(out, now, id, "the key's owner did not answer in time; ask by the change id");
 }
 
-std::vector<std::uint64_t> Controller::callsToRoute(Tick now) const {
+std::vector<std::uint64_t> Controller::callsToRoute(Milliseconds now) const {
   std::vector<std::uint64_t> ids;
   for (auto const& [id, call] : calls_.all()) {
     bool const isExpired = now - call.since > tuning_.forwardTimeout;
@@ -275,7 +279,7 @@
   return ids;
 }
 
-void Controller::rejectCallsWithoutQuorum(ControllerCommands& out, Tick now) {
+void Controller::rejectCallsWithoutQuorum(ControllerCommands& out, Milliseconds now) {
   QuorumContact const contact = draining_ ? QuorumContact() : quorumContact(now);
   std::vector<std::uint64_t> unconfirmed;
   for (auto const& [id, call] : calls_.all()) {
@@ -290,7 +294,7 @@
   }
 }
 
-void Controller::finishWithoutOutcome(ControllerCommands& out, Tick now, std::uint64_t id, char const* reason) {
+void Controller::finishWithoutOutcome(ControllerCommands& out, Milliseconds now, std::uint64_t id, char const* reason) {
   PendingCall const* const call = calls_.find(id);
   if (call == nullptr) return;
   // A change may be committed yet, hence no status that means a rejection.
--- a/control/src/pending_calls.cpp
+++ b/control/src/pending_calls.cpp
@@ -38,7 +38,7 @@
   return call;
 }
 
-std::vector<std::uint64_t> PendingCalls::olderThan(Tick now, Tick age) const {
+std::vector<std::uint64_t> PendingCalls::olderThan(Milliseconds now, Milliseconds age) const {
   std::vector<std::uint64_t> ids;
   for (auto const& [id, call] : calls_)
     if (now - call.since > age) ids.push_back(id);
--- a/control/src/quota_coordination.cpp
+++ b/control/src/quota_coordination.cpp
@@ -11,14 +11,14 @@
   return out;
 }
 
-void QuotaCoordination::configure(Tick now, config::FleetConfiguration const& configuration) {
+void QuotaCoordination::configure(Milliseconds now, config::FleetConfiguration const& configuration) {
   std::map<std::string, quota::Limit> limits;
   for (config::Tenant const& tenant : configuration.tenants)
     if (tenant.ratePerSecond > 0) limits[tenant.name] = quota::Limit{tenant.ratePerSecond, tenant.burst};
   coordinator_.configure(now, std::move(limits));
 }
 
-void QuotaCoordination::refreshMembers(Tick now, consensus::ReplicatedRegisters const& registers) {
+void QuotaCoordination::refreshMembers(Milliseconds now, consensus::ReplicatedRegisters const& registers) {
   std::vector<std::string> links;
   for (consensus::Member const& member : registers.membership()) links.push_back(member.link);
   if (links == view_.members) return;
@@ -34,11 +34,11 @@
   view_.routers.insert(roster.departed().begin(), roster.departed().end());
 }
 
-void QuotaCoordination::refreshPermissions(Tick now, ClusterStatus const& status) {
+void QuotaCoordination::refreshPermissions(Milliseconds now, ClusterStatus const& status) {
   // Contact with a majority also implies that no newer membership was accepted here without being known as chosen: a
   // member that may have been removed is not renewed by one that took part in its removal.
-  Tick const wait = quota::grantDelayAfterStart;
-  Tick const contactAge = status.registers.quorumContactAge(now);
+  Milliseconds const wait = quota::grantDelayAfterStart;
+  Milliseconds const contactAge = status.registers.quorumContactAge(now);
   bool const hasContact = contactAge >= 0 && contactAge <= status.servingLeaseDuration;
   bool const mayRenew = hasContact && now - status.startedAt > wait;
   bool const mayGrant = mayRenew && now - membersSince_ > wait;
@@ -50,7 +50,7 @@
   view_.draining = status.draining;
 }
 
-std::vector<transport::Send> QuotaCoordination::onTimer(Tick now, ClusterStatus const& status) {
+std::vector<transport::Send> QuotaCoordination::onTimer(Milliseconds now, ClusterStatus const& status) {
   refreshMembers(now, status.registers);
   refreshRouters(status.roster);
   refreshPermissions(now, status);
--- a/control/src/rollout_tracker.cpp
+++ b/control/src/rollout_tracker.cpp
@@ -15,7 +15,7 @@
 
 /// Serving leases after which the routers of the previous roster no longer serve by it, once a majority of them knows
 /// the newest one.
-constexpr Tick previousRosterLeases = 4;
+constexpr Milliseconds previousRosterLeases = 4;
 
 bool isMajority(std::size_t part, std::size_t all) {
   return part >= all / 2 + 1;
@@ -42,7 +42,7 @@
   return it == rollouts_.end() ? nullptr : &it->second;
 }
 
-void RolloutTracker::start(Tick now, std::string const& key, std::uint64_t revision) {
+void RolloutTracker::start(Milliseconds now, std::string const& key, std::uint64_t revision) {
   Rollout& rollout = rollouts_[key];
   rollout.revision = revision;
   rollout.since = now;
@@ -65,7 +65,8 @@
 }
 
 RolloutTracker::Progress RolloutTracker::progressOf(RolloutInputs const& inputs, std::set<std::string> const& links,
-                                                    Rollout const& rollout, std::uint64_t revision, Tick since) const {
+                                                    Rollout const& rollout, std::uint64_t revision,
+                                                    Milliseconds since) const {
   Rollout const* const rosterRollout = find(rosterKey);
   Progress progress;
   for (std::string const& link : links) {
@@ -83,13 +84,13 @@
 
 bool RolloutTracker::mayStillServe(RolloutInputs const& inputs, Progress const& previousNodes) const {
   if (previousNodes.routers == 0) return false;
-  Tick const age = inputs.now - inputs.roster.committedAt();
+  Milliseconds const age = inputs.now - inputs.roster.committedAt();
   return age < previousRosterLeases * tuning_.servingLeaseDuration ||
          !isMajority(previousNodes.onRoster, previousNodes.routers);
 }
 
 RolloutState RolloutTracker::stateOf(RolloutInputs const& inputs, std::string const& key, std::uint64_t revision,
-                                     Tick since) const {
+                                     Milliseconds since) const {
   Rollout const* const rollout = find(key);
   if (rollout == nullptr) return RolloutState::incomplete;
   if (rollout->complete && rollout->revision >= revision) return RolloutState::complete;
@@ -102,7 +103,7 @@
   return previousLacksIt ? RolloutState::incomplete : RolloutState::majority;
 }
 
-bool RolloutTracker::isFenced(Tick now, Tick majorityAt) const {
+bool RolloutTracker::isFenced(Milliseconds now, Milliseconds majorityAt) const {
   return majorityAt >= 0 && now - majorityAt > tuning_.servingLeaseDuration + tuning_.servingLeaseMargin;
 }
 
--- a/control/src/roster.cpp
+++ b/control/src/roster.cpp
@@ -53,7 +53,7 @@
   return QJsonObject{{fields::nodes, nodeList}, {fields::departed, departedList}};
 }
 
-void Roster::load(Tick now, std::uint64_t revision, QJsonObject const& value) {
+void Roster::load(Milliseconds now, std::uint64_t revision, QJsonObject const& value) {
   value_ = RosterValue::parse(value);
   revision_ = revision;
   committedAt_ = now;
--- a/control/src/roster_proposal.cpp
+++ b/control/src/roster_proposal.cpp
@@ -9,7 +9,7 @@
 
 namespace corkward::control {
 
-void Controller::reconcileRoster(ControllerCommands& out, Tick now) {
+void Controller::reconcileRoster(ControllerCommands& out, Milliseconds now) {
   if (draining_ || !rosterReconciler_.isDue(now) || !ready(now)) return;
   rosterReconciler_.scheduleNext(now);
   routers_.forgetSilent(now, roster_.nodes());
@@ -18,21 +18,21 @@
   if (next) proposeRoster(out, now, *next);
 }
 
-bool Controller::isRosterProposer(Tick now) const {
+bool Controller::isRosterProposer(Milliseconds now) const {
   std::string const owner = registers_.ownerLink(rosterKey, now);
   if (!owner.empty()) return owner == registers_.self().link;
   // A key that never had a value has no owner: the first member begins.
   return roster_.revision() == 0 && registers_.membership().front().id == registers_.self().id;
 }
 
-bool Controller::isRosterRolledOut(Tick now) const {
+bool Controller::isRosterRolledOut(Milliseconds now) const {
   if (roster_.revision() == 0) return true;
   bool const isFenced = now - roster_.committedAt() > tuning_.servingLeaseDuration + tuning_.servingLeaseMargin;
   return isFenced && rollouts_.stateOf(rolloutInputs(now), rosterKey, roster_.revision(), roster_.committedAt()) !=
                          RolloutState::incomplete;
 }
 
-void Controller::proposeRoster(ControllerCommands& out, Tick now, RosterValue const& next) {
+void Controller::proposeRoster(ControllerCommands& out, Milliseconds now, RosterValue const& next) {
   PendingCall pending;
   pending.key = rosterKey;
   pending.call.method = rosterMethod;
--- a/control/src/roster_reconciler.cpp
+++ b/control/src/roster_reconciler.cpp
@@ -6,31 +6,32 @@
 
 namespace {
 
-constexpr Tick reconcileEvery = 300;
+constexpr Milliseconds reconcileEvery = 300;
 /// A router joins the roster when it was heard within this time.
-constexpr Tick heardLately = 2000;
+constexpr Milliseconds heardLately = 2000;
 
-bool isJoining(Tick now, RouterRegistry::Router const& router) {
+bool isJoining(Milliseconds now, RouterRegistry::Router const& router) {
   bool const isHeard = router.lastHeardAt >= 0 && now - router.lastHeardAt <= heardLately;
   return isHeard && router.contact.role == transport::routerRole && !router.contact.draining;
 }
 
 }  // namespace
 
-void RosterReconciler::scheduleNext(Tick now) {
+void RosterReconciler::scheduleNext(Milliseconds now) {
   nextAt_ = now + reconcileEvery;
 }
 
-bool RosterReconciler::isSilent(Tick now, std::string const& link, RouterRegistry const& routers,
+bool RosterReconciler::isSilent(Milliseconds now, std::string const& link, RouterRegistry const& routers,
                                 gossip::PartialView const& partialView) const {
   RouterRegistry::Router const* const router = routers.find(link);
   bool const neverHeard = router == nullptr || router->lastHeardAt < 0;
-  Tick const silence = now - (neverHeard ? startedAt_ : router->lastHeardAt);
-  Tick const gossipAge = partialView.age(link, now);
+  Milliseconds const silence = now - (neverHeard ? startedAt_ : router->lastHeardAt);
+  Milliseconds const gossipAge = partialView.age(link, now);
   return silence > removeSilentAfter_ && (gossipAge < 0 || gossipAge > removeSilentAfter_);
 }
 
-std::optional<RosterValue> RosterReconciler::nextRoster(Tick now, Roster const& roster, RouterRegistry const& routers,
+std::optional<RosterValue> RosterReconciler::nextRoster(Milliseconds now, Roster const& roster,
+                                                        RouterRegistry const& routers,
                                                         gossip::PartialView const& partialView) const {
   std::map<std::string, RosterNode> nodes;
   for (RosterNode const& node : roster.value().nodes) nodes[node.link] = node;
--- a/control/src/router_registry.cpp
+++ b/control/src/router_registry.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// A router whose last request is older has no session here any more.
-constexpr Tick sessionEndsAfter = 10000;
+constexpr Milliseconds sessionEndsAfter = 10000;
 
 }  // namespace
 
@@ -37,7 +37,8 @@
     if (router.hasSession()) router.missingRevisions.try_emplace(key, router.revisionsKnown ? previousRevision : 0);
 }
 
-RouterRegistry::Router* RouterRegistry::recordHeard(Tick now, std::string const& link, std::uint64_t incarnation) {
+RouterRegistry::Router* RouterRegistry::recordHeard(Milliseconds now, std::string const& link,
+                                                    std::uint64_t incarnation) {
   Router& router = routers_[link];
   if (incarnation < router.contact.incarnation) return nullptr;
   if (incarnation > router.contact.incarnation) {
@@ -50,7 +51,7 @@
   return &router;
 }
 
-void RouterRegistry::recordRequest(Tick now, transport::ServingLeaseRequest const& request) {
+void RouterRegistry::recordRequest(Milliseconds now, transport::ServingLeaseRequest const& request) {
   Router& router = routers_[request.sender.link];
   router.contact = request.sender;
   router.lastRequestAt = now;
@@ -60,7 +61,7 @@
     router.snapshotRequestedAt = now;
 }
 
-void RouterRegistry::recordReported(Tick now, transport::Contact const& contact) {
+void RouterRegistry::recordReported(Milliseconds now, transport::Contact const& contact) {
   Router& router = routers_[contact.link];
   if (router.hasSession() || contact.incarnation < router.contact.incarnation) return;
   router.contact = contact;
@@ -96,13 +97,14 @@
   return expected == digest;
 }
 
-bool RouterRegistry::isInFlight(Tick now, Router const& router, std::string const& key, std::uint64_t committed) const {
+bool RouterRegistry::isInFlight(Milliseconds now, Router const& router, std::string const& key,
+                                std::uint64_t committed) const {
   auto const push = router.pushesInFlight.find(key);
   if (push == router.pushesInFlight.end()) return false;
   return push->second.revision >= committed && now - push->second.sentAt < tuning_.repushEvery;
 }
 
-std::optional<transport::ConfigurationUpdate> RouterRegistry::nextUpdate(Tick now, std::string const& link,
+std::optional<transport::ConfigurationUpdate> RouterRegistry::nextUpdate(Milliseconds now, std::string const& link,
                                                                          CommittedValues const& values,
                                                                          QuorumContact const& quorumContact) {
   Router& router = routers_[link];
@@ -133,7 +135,7 @@
   return update;
 }
 
-bool RouterRegistry::startProbe(Tick now, std::string const& link) {
+bool RouterRegistry::startProbe(Milliseconds now, std::string const& link) {
   Router& router = routers_[link];
   bool const isHeard = router.lastHeardAt >= 0 && now - router.lastHeardAt < tuning_.probeAfter;
   if (isHeard || now - router.probedAt < tuning_.probeAfter) return false;
@@ -141,12 +143,12 @@
   return true;
 }
 
-void RouterRegistry::recordProbeResult(Tick now, std::string const& link, bool refused) {
+void RouterRegistry::recordProbeResult(Milliseconds now, std::string const& link, bool refused) {
   auto const it = routers_.find(link);
   if (it != routers_.end()) it->second.unreachableAt = refused ? now : -1;
 }
 
-void RouterRegistry::forgetSilent(Tick now, std::set<std::string> const& rosterNodes) {
+void RouterRegistry::forgetSilent(Milliseconds now, std::set<std::string> const& rosterNodes) {
   std::erase_if(routers_, [&](auto const& entry) {
     auto const& [link, router] = entry;
     bool const isSilent = router.lastHeardAt >= 0 && now - router.lastHeardAt > tuning_.forgetAfter;
--- a/control/src/router_status_reporter.cpp
+++ b/control/src/router_status_reporter.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-transport::RouterStatusReport RouterStatusReporter::status(Tick now, Roster const& roster,
+transport::RouterStatusReport RouterStatusReporter::status(Milliseconds now, Roster const& roster,
                                                            RouterRegistry const& routers) const {
   auto const requestedLately = [&](RouterRegistry::Router const& router) {
     return router.hasSession() && now - router.lastRequestAt <= tuning_.routerSessionTimeout;
@@ -46,19 +46,19 @@
   return report;
 }
 
-Tick RouterStatusReporter::pauseAfter(Tick now, std::optional<Tick> newestSince) const {
+Milliseconds RouterStatusReporter::pauseAfter(Milliseconds now, std::optional<Milliseconds> newestSince) const {
   if (!newestSince) return tuning_.statusReportEvery;
   bool const isYoung = now - *newestSince < tuning_.rolloutStartPeriod;
   return isYoung ? tuning_.statusReportAtRolloutStart : tuning_.statusReportDuringRollout;
 }
 
-std::optional<transport::RouterStatusReport> RouterStatusReporter::dueReport(Tick now, Roster const& roster,
+std::optional<transport::RouterStatusReport> RouterStatusReporter::dueReport(Milliseconds now, Roster const& roster,
                                                                              RouterRegistry const& routers,
                                                                              RolloutTracker const& rollouts) {
   if (now < nextReportAt_) return std::nullopt;
   transport::RouterStatusReport report = status(now, roster, routers);
-  std::optional<Tick> newestSince;
-  auto const addQuery = [&](std::string const& key, std::uint64_t revision, Tick since) {
+  std::optional<Milliseconds> newestSince;
+  auto const addQuery = [&](std::string const& key, std::uint64_t revision, Milliseconds since) {
     newestSince = std::max(newestSince.value_or(since), since);
     if (report.incompleteRollouts.size() < maxRollouts)
       report.incompleteRollouts.push_back(transport::RolloutProgress{key, revision, {}});
@@ -72,7 +72,8 @@
   return report;
 }
 
-transport::RouterStatusReport RouterStatusReporter::replyTo(Tick now, transport::RouterStatusReport const& report,
+transport::RouterStatusReport RouterStatusReporter::replyTo(Milliseconds now,
+                                                            transport::RouterStatusReport const& report,
                                                             Roster const& roster, RouterRegistry const& routers,
                                                             CommittedValues const& values) const {
   transport::RouterStatusReport reply = status(now, roster, routers);
--- a/control/src/singleton_roles.cpp
+++ b/control/src/singleton_roles.cpp
@@ -72,7 +72,7 @@
                      {"cohortStamp", static_cast<qint64>(context.membershipRevision)}};
 }
 
-OperatorResponse takeRole(Tick now, LeaseTable& leases, LeaseTable::Claim const& claim, std::uint64_t token,
+OperatorResponse takeRole(Milliseconds now, LeaseTable& leases, LeaseTable::Claim const& claim, std::uint64_t token,
                           SingletonRoleContext const& context) {
   std::optional<LeaseTable::Grant> const grant =
       context.mayGrant ? leases.acquire(now, claim) : std::optional<LeaseTable::Grant>();
@@ -90,7 +90,7 @@
   return name;
 }
 
-OperatorResponse singletonRoleEndpoint(Tick now, LeaseTable& leases, std::string const& role,
+OperatorResponse singletonRoleEndpoint(Milliseconds now, LeaseTable& leases, std::string const& role,
                                        transport::OperatorCall const& call, SingletonRoleContext const& context) {
   std::string const leaseName = leaseNamePrefix + role;
   if (leases.isFull(leaseName)) return tooManyRoles(call.token);
--- a/control/src/singleton_roles.h
+++ b/control/src/singleton_roles.h
@@ -17,7 +17,7 @@
 struct SingletonRoleContext {
   /// This member is in contact with a majority, and has been up for long enough to know of each lease that it granted.
   bool mayGrant = false;
-  Tick leaseDuration = 0;
+  Milliseconds leaseDuration = 0;
   std::string memberId;
   std::vector<consensus::Member> const& membership;
   std::uint64_t membershipRevision = 0;
@@ -27,7 +27,7 @@
 std::optional<std::string> singletonRoleOf(std::string const& path);
 
 /// PUT takes or renews the role's lease, DELETE gives it up and may name a successor.
-OperatorResponse singletonRoleEndpoint(Tick now, LeaseTable& leases, std::string const& role,
+OperatorResponse singletonRoleEndpoint(Milliseconds now, LeaseTable& leases, std::string const& role,
                                        transport::OperatorCall const& call, SingletonRoleContext const& context);
 
 }  // namespace corkward::control
--- a/control/src/status_pages.cpp
+++ b/control/src/status_pages.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-QJsonObject routerJson(Tick now, std::string const& link, RouterRegistry const& routers,
+QJsonObject routerJson(Milliseconds now, std::string const& link, RouterRegistry const& routers,
                        RolloutTracker const& rollouts) {
   RouterRegistry::Router const* const router = routers.find(link);
   bool const isHeard = router != nullptr && router->lastHeardAt >= 0;
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-QJsonObject fleetPage(Tick now, consensus::ReplicatedRegisters const& registers, Roster const& roster,
+QJsonObject fleetPage(Milliseconds now, consensus::ReplicatedRegisters const& registers, Roster const& roster,
                       RouterRegistry const& routers, RolloutTracker const& rollouts, bool ready) {
   QJsonArray members;
   for (consensus::Member const& member : registers.membership())
--- a/control/src/status_pages.h
+++ b/control/src/status_pages.h
@@ -13,7 +13,7 @@
 
 /// The fleet as this controller sees it; whether or not it is current, it shows the age of the last contact with a
 /// majority.
-QJsonObject fleetPage(Tick now, consensus::ReplicatedRegisters const& registers, Roster const& roster,
+QJsonObject fleetPage(Milliseconds now, consensus::ReplicatedRegisters const& registers, Roster const& roster,
                       RouterRegistry const& routers, RolloutTracker const& rollouts, bool ready);
 
 /// Names of all templates.
@@ -28,7 +28,7 @@
 struct ControllerGauges {
   bool ready = false;
   /// -1: no contact with a majority so far.
-  Tick quorumContactAge = -1;
+  Milliseconds quorumContactAge = -1;
   std::size_t ownedKeys = 0;
   std::size_t ownedQuotaPartitions = 0;
   std::size_t pendingCalls = 0;
--- a/control/src/warmup_leases.cpp
+++ b/control/src/warmup_leases.cpp
@@ -6,18 +6,18 @@
 namespace {
 
 /// What a lease of an earlier run, or of an earlier membership, may outlast its duration by.
-constexpr Tick grantMargin = 500;
+constexpr Milliseconds grantMargin = 500;
 
 }  // namespace
 
-bool Controller::mayGrantLeases(Tick now, Tick duration) const {
+bool Controller::mayGrantLeases(Milliseconds now, Milliseconds duration) const {
   if (!ready(now) || now - startedAt_ < duration + grantMargin) return false;
   bool const votedLongEnough =
       lastWithoutVoteAt_ < 0 || now - lastWithoutVoteAt_ >= duration + tuning_.servingLeaseDuration + grantMargin;
   return votedLongEnough;
 }
 
-void Controller::on(ControllerCommands& out, Tick now, std::string const& from,
+void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
                     transport::WarmupLeaseRequest const& request) {
   LeaseTable::Claim const claim{request.replica, request.link, request.incarnation, tuning_.warmupLeaseDuration};
   if (request.release) {
--- a/control/test/controller_test.cpp
+++ b/control/test/controller_test.cpp
@@ -192,7 +192,7 @@
     rig.alive = {"a", "b", "c"};
     rig.run(3000);
     for (int i = 0; i < 400; ++i) {
-      rig.now += static_cast<core::Tick>(rng.below(40));
+      rig.now += static_cast<core::Milliseconds>(rng.below(40));
       rig.apply(rig.reducer.onMessage(
           rig.now, names[rng.below(names.size())],
           transport::randomMessage(rng, names, rig.now, rng.below(std::variant_size_v<transport::Message>))));
--- a/control/test/cut_test.cpp
+++ b/control/test/cut_test.cpp
@@ -19,22 +19,22 @@
 
 namespace {
 
-constexpr core::Tick messageDelay = 2;
-constexpr core::Tick diskDelay = 2;
-constexpr core::Tick clockEvery = 25;
+constexpr core::Milliseconds messageDelay = 2;
+constexpr core::Milliseconds diskDelay = 2;
+constexpr core::Milliseconds clockEvery = 25;
 /// After this long a caller turns to another machine.
-constexpr core::Tick callerWaits = 1000;
+constexpr core::Milliseconds callerWaits = 1000;
 
 /// Three controllers on disks that answer, one of which can be partitioned from the others.
 struct ThreeControllers {
   struct Member {
     std::unique_ptr<control::Controller> reducer;
   };
-  core::Tick now = 1000;
+  core::Milliseconds now = 1000;
   std::map<std::string, Member> members;
-  std::multimap<core::Tick, std::function<void()>> events;
+  std::multimap<core::Milliseconds, std::function<void()>> events;
   std::map<std::uint64_t, control::OperatorResponse> answers;
-  std::map<std::uint64_t, core::Tick> answeredAt;
+  std::map<std::uint64_t, core::Milliseconds> answeredAt;
   std::string cutOff;
   /// First snapshots sent to each router.
   std::map<std::string, int> snapshots;
@@ -81,8 +81,8 @@
     events.emplace(now + messageDelay,
                    [this, from, s] { apply(s.to, members.at(s.to).reducer->onMessage(now, from, s.message)); });
   }
-  void run(core::Tick span) {
-    for (core::Tick const until = now + span; now < until; ++now) {
+  void run(core::Milliseconds span) {
+    for (core::Milliseconds const until = now + span; now < until; ++now) {
       while (!events.empty() && events.begin()->first <= now) {
         std::function<void()> const event = std::move(events.begin()->second);
         events.erase(events.begin());
@@ -133,14 +133,14 @@
 }  // namespace
 
 TEST_CASE("a partitioned controller answers within a second, serves nothing and rejects nothing") {
-  for (core::Tick const since : {0, 5, 150, 700, 1300, 1600, 5000, 20000}) {
+  for (core::Milliseconds const since : {0, 5, 150, 700, 1300, 1600, 5000, 20000}) {
     ThreeControllers fleet;
     std::uint64_t const base = fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
     fleet.run(2000);
     REQUIRE((fleet.statusOf(base) == 200 || fleet.statusOf(base) == 201));
     fleet.cutOff = "s1";
     fleet.run(since);
-    core::Tick const sentAt = fleet.now;
+    core::Milliseconds const sentAt = fleet.now;
     std::vector<std::uint64_t> const reads = askAll(fleet, "s1");
     fleet.run(callerWaits);
     for (std::uint64_t const read : reads) {
@@ -180,7 +180,7 @@
   fleet.run(2000);
   fleet.cutOff = "s1";
   fleet.run(200);
-  for (core::Tick since = 0; since < 20000; since += 50) {
+  for (core::Milliseconds since = 0; since < 20000; since += 50) {
     fleet.requestLease("s1", 1);
     fleet.run(50);
   }
@@ -210,7 +210,7 @@
 namespace {
 
 constexpr int poolCount = 12;
-constexpr core::Tick readEvery = 500;
+constexpr core::Milliseconds readEvery = 500;
 
 /// The platform's lists: of each pool the replica that is always there, one that comes, and one that leaves.
 std::map<std::string, config::EndpointList> listsOf(bool come, bool leaves) {
@@ -232,8 +232,9 @@
 }
 
 /// Each controller that is the endpoint list reader gets the platform's lists.
-void readLists(ThreeControllers& fleet, core::Tick span, std::map<std::string, config::EndpointList> const& lists) {
-  for (core::Tick const until = fleet.now + span; fleet.now < until;) {
+void readLists(ThreeControllers& fleet, core::Milliseconds span,
+               std::map<std::string, config::EndpointList> const& lists) {
+  for (core::Milliseconds const until = fleet.now + span; fleet.now < until;) {
     for (std::map<std::string, ThreeControllers::Member>::value_type& m : fleet.members)
       if (m.second.reducer->isEndpointListReader(fleet.now))
         fleet.apply(m.first, m.second.reducer->updateEndpointLists(fleet.now, lists));
@@ -242,7 +243,7 @@
 }
 
 /// Lists without the leaving replica that replaced one in which it leaves, after a controller was partitioned.
-std::vector<std::string> listsThatCameBack(char const* cutOff, core::Tick leavesAfter) {
+std::vector<std::string> listsThatCameBack(char const* cutOff, core::Milliseconds leavesAfter) {
   ThreeControllers fleet;
   fleet.requestLease("s1", 1);
   readLists(fleet, 4 * readEvery, listsOf(false, false));
@@ -272,7 +273,7 @@
 
 TEST_CASE("after a partition no endpoint list of the partitioned controller replaces a newer one") {
   // How long after the cut the replica leaves decides how old the call is that the controller then has in hand.
-  for (core::Tick leavesAfter = 8000; leavesAfter <= 12000; leavesAfter += readEvery)
+  for (core::Milliseconds leavesAfter = 8000; leavesAfter <= 12000; leavesAfter += readEvery)
     for (char const* const cutOff : {"s1", "s2", "s3"}) {
       INFO("cut off: " << cutOff << ", the replica leaves after " << leavesAfter << " ms");
       CHECK(listsThatCameBack(cutOff, leavesAfter) == std::vector<std::string>());
--- a/control/test/fleet_configuration_test.cpp
+++ b/control/test/fleet_configuration_test.cpp
@@ -271,7 +271,7 @@
         c.start(std::next(c.members.begin(), static_cast<std::ptrdiff_t>(c.rng.below(3)))->first);
     }
     c.calm = true;
-    for (core::Tick const until = c.now + 15000; c.now < until;) c.step();
+    for (core::Milliseconds const until = c.now + 15000; c.now < until;) c.step();
     for (auto const& [link, member] : c.members) CHECK(member.lastSeenRevision == c.chain.rbegin()->first);
     c.checkInvariants();
     most = std::max(most, c.chain.size());
--- a/control/test/golden_pages_test.cpp
+++ b/control/test/golden_pages_test.cpp
@@ -35,7 +35,7 @@
 /// Longest body that is written out; of a longer one only the size is.
 constexpr std::size_t longestShown = 600;
 /// A call that has no answer after this long is written down as unanswered.
-constexpr core::Tick patience = 12000;
+constexpr core::Milliseconds patience = 12000;
 
 std::string file(std::string const& name) {
   return "control/test/golden/" + name;
@@ -85,7 +85,7 @@
     return call;
   }
   void wait(transport::OperatorCall const& call) {
-    for (core::Tick const until = rig.now + patience; rig.answers.count(call.token) == 0 && rig.now < until;)
+    for (core::Milliseconds const until = rig.now + patience; rig.answers.count(call.token) == 0 && rig.now < until;)
       rig.run(25);
     text += callText(call);
     if (rig.answers.count(call.token) == 0)
@@ -599,14 +599,14 @@
 /// A controller whose disk is silent: what it writes is never confirmed.
 struct UnreachablePeers {
   control::Controller& reducer;
-  core::Tick& now;
+  core::Milliseconds& now;
   std::map<std::uint64_t, control::OperatorResponse> answers;
 
   void apply(control::ControllerCommands const& commands) {
     for (control::OperatorResponse const& a : commands.responses) answers[a.token] = a;
   }
-  void run(core::Tick span) {
-    for (core::Tick const until = now + span; now < until; now += 25) apply(reducer.onTimer(now));
+  void run(core::Milliseconds span) {
+    for (core::Milliseconds const until = now + span; now < until; now += 25) apply(reducer.onTimer(now));
   }
   std::string answersTo(transport::OperatorCall const& call) const {
     auto const answer = answers.find(call.token);
@@ -630,7 +630,7 @@
   std::string text;
   Pages calls;
   control::Controller reducer(Rig::contact("s1", transport::controllerRole), "m1", {}, {"s1", "s2", "s3"}, 3);
-  core::Tick now = 1000;
+  core::Milliseconds now = 1000;
   UnreachablePeers alone{reducer, now, {}};
   alone.apply(reducer.restore({}, false, now));
   alone.run(1000);
@@ -682,12 +682,12 @@
 
 namespace {
 
-/// Three controllers whose messages and disks take two ticks; answers that one sends another for its caller are lost
-/// when told so.
+/// Three controllers whose messages and disks take two milliseconds; answers that one sends another for its caller are
+/// lost when told so.
 struct Three {
-  core::Tick now = 1000;
+  core::Milliseconds now = 1000;
   std::map<std::string, std::unique_ptr<control::Controller>> members;
-  std::multimap<core::Tick, std::function<void()>> events;
+  std::multimap<core::Milliseconds, std::function<void()>> events;
   std::map<std::uint64_t, control::OperatorResponse> answers;
   bool loseAnswers = false;
   std::uint64_t token = 1;
@@ -715,8 +715,8 @@
     }
     for (control::OperatorResponse const& a : commands.responses) answers[a.token] = a;
   }
-  void run(core::Tick span) {
-    for (core::Tick const until = now + span; now < until; ++now) {
+  void run(core::Milliseconds span) {
+    for (core::Milliseconds const until = now + span; now < until; ++now) {
       while (!events.empty() && events.begin()->first <= now) {
         std::function<void()> const event = std::move(events.begin()->second);
         events.erase(events.begin());
@@ -736,7 +736,7 @@
     call.ifMatch = ifMatch;
     call.changeId = "c" + std::to_string(call.token);
     apply(at, members.at(at)->onOperatorCall(now, call));
-    for (core::Tick const until = now + patience; answers.count(call.token) == 0 && now < until;) run(25);
+    for (core::Milliseconds const until = now + patience; answers.count(call.token) == 0 && now < until;) run(25);
     REQUIRE(answers.count(call.token) == 1);
     return at + callText(call) + answerText(answers.at(call.token).status, answers.at(call.token).body);
   }
@@ -856,7 +856,7 @@
   text += "# leaving\n" + p.rig.reducer.metrics(p.rig.now);
   control::Controller alone(Rig::contact("s1", transport::controllerRole), "m1", {}, {"s1", "s2", "s3"}, 3);
   alone.restore({}, true, 1000);
-  for (core::Tick now = 1000; now < 4000; now += 25) alone.onTimer(now);
+  for (core::Milliseconds now = 1000; now < 4000; now += 25) alone.onTimer(now);
   text += "# out of contact, after a damaged disk\n" + alone.metrics(4000);
   golden::check(file("metrics.txt"), text);
 }
--- a/control/test/golden_test.cpp
+++ b/control/test/golden_test.cpp
@@ -146,8 +146,8 @@
     run(6000);
   }
 
-  void run(core::Tick duration) {
-    for (core::Tick const until = rig.now + duration; rig.now < until;) {
+  void run(core::Milliseconds duration) {
+    for (core::Milliseconds const until = rig.now + duration; rig.now < until;) {
       rig.run(25);
       noteCommits();
     }
--- a/control/test/operators.h
+++ b/control/test/operators.h
@@ -71,9 +71,9 @@
   };
 
   core::RandomGenerator rng;
-  core::Tick now = 1000;
+  core::Milliseconds now = 1000;
   std::map<std::string, Member> members;
-  std::multimap<core::Tick, Event> events;
+  std::multimap<core::Milliseconds, Event> events;
   std::map<std::string, Change> changes;
   std::map<std::uint64_t, std::string> byToken;
   std::map<std::uint64_t, qint64> reads;
@@ -101,8 +101,8 @@
     members[link].disk.clear();
     start(link);
   }
-  void run(core::Tick how) {
-    for (core::Tick const until = now + how; now < until;) step();
+  void run(core::Milliseconds how) {
+    for (core::Milliseconds const until = now + how; now < until;) step();
   }
   /// Resends every acknowledged change, each to a random member, and returns their number.
   std::size_t resendAcknowledged() {
@@ -116,17 +116,18 @@
     }
     return sent;
   }
-  void later(core::Tick how, std::string const& to, std::function<ControllerCommands(Controller&)> run) {
+  void later(core::Milliseconds how, std::string const& to, std::function<ControllerCommands(Controller&)> run) {
     events.emplace(now + how, Event{to, members[to].incarnation, std::move(run)});
   }
   void apply(std::string const& link, ControllerCommands&& c) {
     Member& m = members[link];
     for (consensus::PersistCommand const& p : c.persists) {
       std::uint64_t const incarnation = m.incarnation;
-      later(1 + static_cast<core::Tick>(rng.below(15)), link, [this, link, incarnation, p](Controller& reducer) {
-        members[link].disk[p.key] = p.payload;
-        return reducer.onPersisted(now, p.ticket, true);
-      });
+      later(1 + static_cast<core::Milliseconds>(rng.below(15)), link,
+            [this, link, incarnation, p](Controller& reducer) {
+              members[link].disk[p.key] = p.payload;
+              return reducer.onPersisted(now, p.ticket, true);
+            });
     }
     for (transport::Send const& s : c.sends) {
       if (members.count(s.to) == 0) continue;
@@ -135,7 +136,7 @@
                                                         : 1;
            deliveries > 0; --deliveries) {
         transport::Message const message = s.message;
-        events.emplace(now + 1 + static_cast<core::Tick>(rng.below(20)),
+        events.emplace(now + 1 + static_cast<core::Milliseconds>(rng.below(20)),
                        Event{s.to, 0, [this, link, message](Controller& reducer) {
                                return reducer.onMessage(now, link, message);
                              }});
--- a/control/test/rig.h
+++ b/control/test/rig.h
@@ -12,7 +12,7 @@
 /// A membership of one whose disk answers at once, with routers that send requests and acknowledge updates.
 struct Rig {
   Controller reducer;
-  core::Tick now = 1000;
+  core::Milliseconds now = 1000;
   std::map<std::uint64_t, OperatorResponse> answers;
   std::set<std::string> alive;
   std::set<std::string> deaf;
@@ -61,8 +61,8 @@
       apply(reducer.onPersisted(now, p.ticket, true));
     }
   }
-  void run(core::Tick how) {
-    for (core::Tick const until = now + how; now < until; now += 25) {
+  void run(core::Milliseconds how) {
+    for (core::Milliseconds const until = now + how; now < until; now += 25) {
       apply(reducer.onTimer(now));
       if (now % 300 != 0) continue;
       for (std::string const& n : alive) {
@@ -88,7 +88,7 @@
     return c.token;
   }
   int statusOf(std::uint64_t token) const { return answers.count(token) > 0 ? answers.at(token).status : 0; }
-  int evacuate(char const* zone, core::Tick wait) {
+  int evacuate(char const* zone, core::Milliseconds wait) {
     std::uint64_t const t = call("PUT", std::string("/v1/evacuations/") + zone);
     run(wait);
     return statusOf(t);
--- a/control/test/rollout_tracker_test.cpp
+++ b/control/test/rollout_tracker_test.cpp
@@ -5,13 +5,13 @@
 #include <corkward/control/rollout_tracker.h>
 
 namespace control = corkward::control;
+using control::Milliseconds;
 using control::RolloutInputs;
 using control::RolloutState;
 using control::RolloutTracker;
 using control::Roster;
 using control::rosterOf;
 using control::RouterRegistry;
-using control::Tick;
 
 namespace {
 
@@ -21,9 +21,11 @@
 struct Fixture {
   Fixture() { tracker.start(1000, key, 1); }
 
-  RolloutInputs inputs(Tick now, control::QuorumContact contact) const { return {now, contact, roster, routers}; }
-  RolloutInputs inputs(Tick now) const { return inputs(now, now); }
-  RolloutState state(Tick now) const { return tracker.stateOf(inputs(now), key, 1, 1000); }
+  RolloutInputs inputs(Milliseconds now, control::QuorumContact contact) const {
+    return {now, contact, roster, routers};
+  }
+  RolloutInputs inputs(Milliseconds now) const { return inputs(now, now); }
+  RolloutState state(Milliseconds now) const { return tracker.stateOf(inputs(now), key, 1, 1000); }
 
   control::ControllerTuning tuning;
   Roster roster = rosterOf(0, 1, {"a", "b", "c"});
@@ -76,7 +78,7 @@
   fixture.tracker.recordAcknowledged("a", key, 1);
   fixture.tracker.recordAcknowledged("b", key, 1);
   CHECK(fixture.state(1100) == RolloutState::incomplete);
-  Tick const later = 900 + 4 * fixture.tuning.servingLeaseDuration;
+  Milliseconds const later = 900 + 4 * fixture.tuning.servingLeaseDuration;
   CHECK(fixture.state(later) == RolloutState::incomplete);
   for (char const* const link : {"d", "e"}) fixture.tracker.recordAcknowledged(link, "roster", 2);
   CHECK(fixture.state(later - 1) == RolloutState::incomplete);
@@ -89,7 +91,7 @@
   fixture.tracker.recordAcknowledged("b", key, 1);
   fixture.tracker.updateRollouts(fixture.inputs(1100));
   CHECK(fixture.tracker.find(key)->majorityAt == 1100);
-  Tick const fenced = 1100 + fixture.tuning.servingLeaseDuration + fixture.tuning.servingLeaseMargin;
+  Milliseconds const fenced = 1100 + fixture.tuning.servingLeaseDuration + fixture.tuning.servingLeaseMargin;
   fixture.tracker.updateRollouts(fixture.inputs(fenced));
   CHECK(fixture.tracker.incomplete().count(key) == 1);
   CHECK(fixture.tracker.missingAt("c") == 1);
@@ -118,7 +120,7 @@
   CHECK(fixture.tracker.takeDueReplies(fixture.inputs(1100)).empty());
   fixture.tracker.recordAcknowledged("a", key, 1);
   CHECK_FALSE(fixture.tracker.awaitsRouter("a"));
-  Tick const timeout = 1000 + fixture.tuning.rolloutTimeout;
+  Milliseconds const timeout = 1000 + fixture.tuning.rolloutTimeout;
   CHECK(fixture.tracker.takeDueReplies(fixture.inputs(timeout)).empty());
   std::vector<control::PendingRolloutReply> const late = fixture.tracker.takeDueReplies(fixture.inputs(timeout + 1));
   REQUIRE(late.size() == 1);
--- a/control/test/roster_reconciler_test.cpp
+++ b/control/test/roster_reconciler_test.cpp
@@ -7,16 +7,16 @@
 namespace control = corkward::control;
 namespace gossip = corkward::gossip;
 using control::addRouter;
+using control::Milliseconds;
 using control::Roster;
 using control::rosterOf;
 using control::RosterReconciler;
 using control::RouterRegistry;
-using control::Tick;
 
 namespace {
 
 struct Fixture {
-  std::optional<control::RosterValue> next(Tick now) const {
+  std::optional<control::RosterValue> next(Milliseconds now) const {
     return reconciler.nextRoster(now, roster, routers, partialView);
   }
 
@@ -63,7 +63,7 @@
 TEST_CASE("a router that is silent for long leaves the roster, counted from this process's start") {
   Fixture fixture;
   fixture.reconciler.start(1000);
-  Tick const limit = fixture.tuning.removeSilentRouterAfter;
+  Milliseconds const limit = fixture.tuning.removeSilentRouterAfter;
   addRouter(fixture.routers, 2000, "a");
   CHECK_FALSE(fixture.next(1000 + limit));
   std::optional<control::RosterValue> const next = fixture.next(1001 + limit);
--- a/control/test/router_fixture.h
+++ b/control/test/router_fixture.h
@@ -26,7 +26,7 @@
 }
 
 /// A router that has a session and is up to date.
-inline RouterRegistry::Router& addRouter(RouterRegistry& routers, Tick now, std::string const& link) {
+inline RouterRegistry::Router& addRouter(RouterRegistry& routers, Milliseconds now, std::string const& link) {
   RouterRegistry::Router& router = *routers.recordHeard(now, link, 1);
   routers.recordRequest(now, leaseRequest(link));
   router.markUpToDate();
@@ -39,7 +39,7 @@
   return nodes;
 }
 
-inline Roster rosterOf(Tick now, std::uint64_t revision, std::vector<std::string> const& nodes,
+inline Roster rosterOf(Milliseconds now, std::uint64_t revision, std::vector<std::string> const& nodes,
                        std::vector<std::string> const& previousNodes = {}) {
   Roster roster;
   roster.load(now, revision, QJsonObject{{"nodes", nodesJson(nodes)}, {"previous", nodesJson(previousNodes)}});
--- a/control/test/router_registry_test.cpp
+++ b/control/test/router_registry_test.cpp
@@ -95,7 +95,7 @@
   CHECK(routers.find("a")->unreachableAt == 2000);
   routers.recordHeard(2100, "a", 1);
   CHECK(routers.find("a")->unreachableAt == -1);
-  control::Tick const later = 2101 + tuning.forgetAfter;
+  control::Milliseconds const later = 2101 + tuning.forgetAfter;
   routers.forgetSilent(later, {"a"});
   CHECK(routers.find("a") != nullptr);
   routers.forgetSilent(later, {});
--- a/control/test/router_status_reporter_test.cpp
+++ b/control/test/router_status_reporter_test.cpp
@@ -7,15 +7,15 @@
 namespace control = corkward::control;
 namespace transport = corkward::transport;
 using control::addRouter;
+using control::Milliseconds;
 using control::Roster;
 using control::rosterOf;
 using control::RouterRegistry;
-using control::Tick;
 
 namespace {
 
 struct Fixture {
-  std::optional<transport::RouterStatusReport> due(Tick now) {
+  std::optional<transport::RouterStatusReport> due(Milliseconds now) {
     return reporter.dueReport(now, roster, routers, rollouts);
   }
 
--- a/control/test/singleton_roles_test.cpp
+++ b/control/test/singleton_roles_test.cpp
@@ -12,7 +12,7 @@
 
 /// One member that may grant leases of 1000 ms.
 struct Fixture {
-  control::OperatorResponse call(control::Tick now, std::string const& method, std::string const& body) {
+  control::OperatorResponse call(control::Milliseconds now, std::string const& method, std::string const& body) {
     transport::OperatorCall call;
     call.token = 5;
     call.method = method;
--- a/core/include/corkward/core/journal.h
+++ b/core/include/corkward/core/journal.h
@@ -13,7 +13,7 @@
 /// One event as the journal keeps it.
 struct Entry {
   std::uint64_t number = 0;
-  Tick at = 0;
+  Milliseconds at = 0;
   std::string what;
   std::string about;
 };
@@ -23,7 +23,7 @@
  public:
   explicit Journal(std::size_t bound = 4096) : bound_(bound) {}
   /// Appends one event; the oldest goes when the bound is reached.
-  void append(Tick at, std::string what, std::string about);
+  void append(Milliseconds at, std::string what, std::string about);
   /// Folds the kept entries into a view, oldest first.
   template <class View, class Fold>
   View fold(View view, Fold fold) const {
--- a/core/include/corkward/core/types.h
+++ b/core/include/corkward/core/types.h
@@ -10,8 +10,9 @@
 
 namespace corkward::core {
 
-/// Milliseconds on a monotonic clock that goes on counting while the machine is suspended.
-using Tick = std::int64_t;
+/// A time on the boot clock, or a duration, in milliseconds. The boot clock is monotonic and goes on counting while the
+/// machine is suspended.
+using Milliseconds = std::int64_t;
 
 /// Dense index of a name, given out at the HTTP edge.
 using NameIndex = std::uint32_t;
--- a/core/src/core.cpp
+++ b/core/src/core.cpp
@@ -55,7 +55,7 @@
   throw InvariantError(std::string("broken invariant: ") + what + " at " + file + ":" + std::to_string(line));
 }
 
-void Journal::append(Tick at, std::string what, std::string about) {
+void Journal::append(Milliseconds at, std::string what, std::string about) {
   ++counts_[what];
   entries_.push_back(Entry{++next_, at, std::move(what), std::move(about)});
   if (entries_.size() > bound_) entries_.pop_front();
--- a/dataplane/include/corkward/dataplane/controller_links.h
+++ b/dataplane/include/corkward/dataplane/controller_links.h
@@ -24,40 +24,40 @@
   };
 
   /// Chooses whom to ask from now on. One that did not answer in time is passed over for a while.
-  void choose(Tick now, std::vector<Candidate> const& known, RouterTuning const& tuning);
+  void choose(Milliseconds now, std::vector<Candidate> const& known, RouterTuning const& tuning);
   std::vector<std::string> const& chosen() const { return chosen_; }
   /// The controller is asked now. True when the request must list this router's revisions.
-  bool onRequest(Tick now, std::string const& link);
+  bool onRequest(Milliseconds now, std::string const& link);
   /// The controller granted a lease as one that has a quorum.
-  void onUsefulReply(Tick now, std::string const& link);
+  void onUsefulReply(Milliseconds now, std::string const& link);
   /// The controller says whether it wants this router's revisions. True when it must be asked again with them now,
   /// since they were not sent within the interval (milliseconds).
-  bool onRevisionsWanted(Tick now, std::string const& link, bool wanted, Tick interval);
+  bool onRevisionsWanted(Milliseconds now, std::string const& link, bool wanted, Milliseconds interval);
 
-  /// Forgets links that were neither used nor of use since that tick.
-  void forgetBefore(Tick oldest);
+  /// Forgets links that were neither used nor of use since that time.
+  void forgetBefore(Milliseconds oldest);
   std::size_t size() const { return links_.size(); }
 
  private:
   struct Link {
     /// Newest request.
-    Tick requestedAt = 0;
+    Milliseconds requestedAt = 0;
     /// First request that has had no answer; below zero: none.
-    Tick firstUnansweredAt = -1;
+    Milliseconds firstUnansweredAt = -1;
     /// Newest answer that was of use; below zero: none.
-    Tick lastUsefulAt = -1;
+    Milliseconds lastUsefulAt = -1;
     /// When it last did not answer in time; below zero: never.
-    Tick timedOutAt = -1;
+    Milliseconds timedOutAt = -1;
     /// The next request lists the revisions.
     bool revisionsWanted = false;
     /// Newest request that listed them; below zero: none.
-    Tick revisionsSentAt = -1;
+    Milliseconds revisionsSentAt = -1;
   };
   /// Order in which controllers are asked: those that timed out last, by when; then those of other zones.
-  using Rank = std::tuple<Tick, bool, std::uint64_t>;
+  using Rank = std::tuple<Milliseconds, bool, std::uint64_t>;
 
-  void noteTimeouts(Tick now, Tick patience);
-  std::map<Rank, std::string> rank(Tick now, std::vector<Candidate> const& known, Tick timeout);
+  void noteTimeouts(Milliseconds now, Milliseconds patience);
+  std::map<Rank, std::string> rank(Milliseconds now, std::vector<Candidate> const& known, Milliseconds timeout);
 
   std::map<std::string, Link> links_;
   /// Each has a link; in the order of their ranks.
--- a/dataplane/include/corkward/dataplane/failure_log.h
+++ b/dataplane/include/corkward/dataplane/failure_log.h
@@ -23,7 +23,7 @@
   /// What it was doing: asking, held, connecting, handed, streaming.
   std::string phase;
   /// Milliseconds since it was read.
-  core::Tick took = 0;
+  core::Milliseconds took = 0;
   /// Hand-overs, those that were answered "not run" included.
   std::size_t handOvers = 0;
   /// Revision of the configuration that it was served under.
@@ -35,14 +35,14 @@
 class FailureLog {
  public:
   /// Line for the log, or nothing when this second has had its share of the reason.
-  std::optional<core::LogEvent> note(core::Tick now, Failure const& failure);
+  std::optional<core::LogEvent> note(core::Milliseconds now, Failure const& failure);
   /// Failed requests by status and reason since the start.
   std::string metrics() const;
 
  private:
   struct Reason {
     std::uint64_t count = 0;
-    core::Tick second = -1;
+    core::Milliseconds second = -1;
     std::uint64_t logged = 0;
     /// Failures that the log did not show since its last line of this reason.
     std::uint64_t unlogged = 0;
--- a/dataplane/include/corkward/dataplane/regime_policy.h
+++ b/dataplane/include/corkward/dataplane/regime_policy.h
@@ -12,8 +12,8 @@
 
 namespace corkward::dataplane {
 
+using core::Milliseconds;
 using core::NameIndex;
-using core::Tick;
 
 /// Replicas that have a certificate for a regime.
 struct CertifiedReplicas {
@@ -41,9 +41,9 @@
   /// The certified replicas must be looked up again, since regimes, replicas or the wall clock changed.
   void invalidate() { certifiedAt_ = -1; }
   /// The certified replicas were looked up too long ago: certificates begin and end with time alone.
-  bool isStale(Tick now) const;
+  bool isStale(Milliseconds now) const;
   /// Takes the certified replicas as of now. True when they differ from those before.
-  bool update(Tick now, CertifiedReplicas certified);
+  bool update(Milliseconds now, CertifiedReplicas certified);
 
   bool mayUse(std::string const& regime, NameIndex replica) const;
   /// Part of the replica's room that work of no regime leaves free; nothing: it has no certificate.
@@ -62,7 +62,7 @@
   /// As of certifiedAt_.
   CertifiedReplicas certified_;
   /// Below zero: they must be looked up again.
-  Tick certifiedAt_ = -1;
+  Milliseconds certifiedAt_ = -1;
 };
 
 }  // namespace corkward::dataplane
--- a/dataplane/include/corkward/dataplane/request.h
+++ b/dataplane/include/corkward/dataplane/request.h
@@ -9,7 +9,7 @@
 
 namespace corkward::dataplane {
 
-using core::Tick;
+using core::Milliseconds;
 /// Names a call for as long as its HTTP edge holds it.
 using CallId = std::uint64_t;
 
@@ -44,12 +44,12 @@
   /// The caller says that one of those had reached a replica, which rejected it.
   bool earlierReachedReplica = false;
   /// Milliseconds since the caller's first attempt; below zero: not said.
-  Tick ageMs = -1;
+  Milliseconds ageMs = -1;
   std::string prefix;
   /// Milliseconds the caller still waits; 0: the path's own deadline.
-  Tick deadline = 0;
+  Milliseconds deadline = 0;
   /// Milliseconds from the request's first byte until it was whole, which the caller's time and the path's include.
-  Tick readDuration = 0;
+  Milliseconds readDuration = 0;
 };
 
 /// How a relayed call ended.
--- a/dataplane/include/corkward/dataplane/request_id_table.h
+++ b/dataplane/include/corkward/dataplane/request_id_table.h
@@ -15,8 +15,8 @@
 
 /// What this router remembers of one request id.
 struct RequestIdRecord {
-  /// Newest tick at which the id was used; 0: never yet.
-  Tick lastSeenAt = 0;
+  /// Newest time at which the id was used; 0: never yet.
+  Milliseconds lastSeenAt = 0;
   /// An attempt was sent to a replica and not answered "not executed".
   bool mayHaveRun = false;
   /// An attempt was sent to a replica, whatever it answered.
@@ -36,24 +36,24 @@
 class RequestIdTable {
  public:
   /// Nothing that came before is remembered.
-  void start(Tick now) { memoryFrom_ = now; }
+  void start(Milliseconds now) { memoryFrom_ = now; }
   /// Every id that was used from then on is still remembered.
-  bool remembersSince(Tick since) const { return memoryFrom_ <= since; }
+  bool remembersSince(Milliseconds since) const { return memoryFrom_ <= since; }
   /// How far back the memory reaches, in milliseconds.
-  Tick memorySpan(Tick now) const { return now - memoryFrom_; }
+  Milliseconds memorySpan(Milliseconds now) const { return now - memoryFrom_; }
 
   /// Record of an id that is used now; made when there is none.
-  RequestIdRecord& use(Tick now, std::string const& key);
+  RequestIdRecord& use(Milliseconds now, std::string const& key);
   /// Nothing when the id is not remembered.
   RequestIdRecord const* find(std::string const& key) const;
   /// The replica that had the id's request did not run it.
   void setNotExecuted(std::string const& key) { records_[key].mayHaveRun = false; }
   /// The call that may have the id in hand ended.
-  void endCall(Tick now, std::string const& key, CallId call);
+  void endCall(Milliseconds now, std::string const& key, CallId call);
   /// A process that drains is no claimant any more of ids that did not run.
   void removeClaimant(std::string const& processName);
   /// Forgets what was not used within the retention time, and the oldest beyond the maximum.
-  void expire(Tick now, Tick retention, std::size_t maxRecords);
+  void expire(Milliseconds now, Milliseconds retention, std::size_t maxRecords);
 
   /// Ids that may have run or are in hand.
   std::vector<std::string> executableIds() const;
@@ -61,10 +61,10 @@
 
  private:
   std::unordered_map<std::string, RequestIdRecord> records_;
-  /// Records by the tick at which they were made or last looked at for expiry, oldest first.
-  std::deque<std::pair<Tick, std::string>> order_;
+  /// Records by the time at which they were made or last looked at for expiry, oldest first.
+  std::deque<std::pair<Milliseconds, std::string>> order_;
   /// Not older than the last use of any id that was forgotten.
-  Tick memoryFrom_ = 0;
+  Milliseconds memoryFrom_ = 0;
 };
 
 }  // namespace corkward::dataplane
--- a/dataplane/include/corkward/dataplane/roster.h
+++ b/dataplane/include/corkward/dataplane/roster.h
@@ -11,7 +11,7 @@
 
 namespace corkward::dataplane {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// The routers of the fleet as the newest roster names them, and whether this one has joined them.
 class Roster {
@@ -20,9 +20,9 @@
 
   /// Takes a newer roster. A router that is neither on it for some time already nor on the one before it is joining:
   /// the others may not know yet that it serves.
-  void load(Tick now, std::uint64_t revision, std::vector<transport::Contact> const& contacts, bool onPrevious);
+  void load(Milliseconds now, std::uint64_t revision, std::vector<transport::Contact> const& contacts, bool onPrevious);
   /// Ends the joining after this time, in milliseconds.
-  void onTimer(Tick now, Tick joinTimeout);
+  void onTimer(Milliseconds now, Milliseconds joinTimeout);
   /// All routers have the roster of that revision; 0: of none.
   void onEveryoneHas(std::uint64_t revision);
 
@@ -46,7 +46,7 @@
   bool includesSelf_ = false;
   bool joining_ = false;
   /// When the newest roster was loaded.
-  Tick loadedAt_ = 0;
+  Milliseconds loadedAt_ = 0;
 };
 
 }  // namespace corkward::dataplane
--- a/dataplane/include/corkward/dataplane/router_commands.h
+++ b/dataplane/include/corkward/dataplane/router_commands.h
@@ -33,7 +33,7 @@
   /// Incarnation of the replica that the request is meant for; empty: any.
   std::string expectedIncarnation = {};
   /// Milliseconds that the caller still waits.
-  Tick remainingMs = 0;
+  Milliseconds remainingMs = 0;
   int urgency = 5;
   /// Not empty: a request of a regime. Its WriteAuditRecord precedes this command, and the request is sent at once when
   /// the record is written; else it ended as UpstreamResult::notExecuted.
--- a/dataplane/include/corkward/dataplane/router_tuning.h
+++ b/dataplane/include/corkward/dataplane/router_tuning.h
@@ -9,49 +9,49 @@
 
 namespace corkward::dataplane {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// Settings of the data plane; times are in milliseconds.
 struct RouterTuning {
   /// How long a serving lease lasts, counted from when it was requested.
-  Tick servingLeaseDuration = 1500;
-  Tick leaseRequestInterval = 300;
+  Milliseconds servingLeaseDuration = 1500;
+  Milliseconds leaseRequestInterval = 300;
   /// How often controllers are asked while no whole snapshot is applied yet.
-  Tick snapshotRequestInterval = 50;
+  Milliseconds snapshotRequestInterval = 50;
   /// How often heartbeats are sent while a controller grants the lease, and while none does.
-  Tick idleHeartbeatInterval = 1000;
-  Tick heartbeatInterval = 200;
+  Milliseconds idleHeartbeatInterval = 1000;
+  Milliseconds heartbeatInterval = 200;
   /// How many neighbours are contacted in either state.
   std::size_t idleNeighbourCount = 2;
   std::size_t neighbourCount = 6;
   /// How long a neighbour is kept before another takes its place.
-  Tick neighbourRotationPeriod = 10000;
+  Milliseconds neighbourRotationPeriod = 10000;
   /// How long an unresponsive peer is passed over while there are others.
-  Tick unresponsivePeerTimeout = 10000;
+  Milliseconds unresponsivePeerTimeout = 10000;
   /// Controllers that are asked for leases, and how many at the most when some do not answer.
   std::size_t controllerLinkCount = 2;
   std::size_t maxControllerLinks = 4;
-  Tick requestIdQueryTimeout = 500;
+  Milliseconds requestIdQueryTimeout = 500;
   /// How long ids are remembered.
-  Tick requestIdRetention = 600000;
+  Milliseconds requestIdRetention = 600000;
   /// How far back a router must remember to vouch for an id whose age is not said.
-  Tick minimumMemoryAge = 60000;
+  Milliseconds minimumMemoryAge = 60000;
   /// What is added to an age that is said: for the way, a slow head, and clocks whose rates differ.
-  Tick ageMargin = 15000;
+  Milliseconds ageMargin = 15000;
   /// How long after its start a router sends no clients here, and rejects ids of unsaid age when too few remember far
   /// enough.
-  Tick startupGracePeriod = 3000;
+  Milliseconds startupGracePeriod = 3000;
   /// How far a majority must remember when others do not answer.
-  Tick quorumMemoryWait = 10000;
+  Milliseconds quorumMemoryWait = 10000;
   /// How long a node that is new on the roster waits for the others to know of it, at the most.
-  Tick joinTimeout = 10000;
+  Milliseconds joinTimeout = 10000;
   std::size_t maxRequestIds = 100000;
-  Tick connectTimeout = 700;
-  Tick connectFailureBackoff = 1500;
+  Milliseconds connectTimeout = 700;
+  Milliseconds connectFailureBackoff = 1500;
   /// How long a replica that answered "not executed" is left alone.
-  Tick overloadBackoff = 300;
-  Tick warmupRequestInterval = 400;
-  Tick warmupLeaseDuration = 1400;
+  Milliseconds overloadBackoff = 300;
+  Milliseconds warmupRequestInterval = 400;
+  Milliseconds warmupLeaseDuration = 1400;
   double queuedPerCapacity = 4.0;
   std::size_t minQueueLength = 8;
   /// A request is queued for this many of its latency targets at the most.
@@ -64,10 +64,10 @@
   /// A router in an evacuated zone says that it is not ready, though it goes on serving.
   bool evacuationFailsReady = true;
   /// A draining node goes on taking requests for this long, until callers are sent elsewhere.
-  Tick drainAcceptPeriod = 0;
+  Milliseconds drainAcceptPeriod = 0;
   /// When its work in hand is cut, counted from the begin of the drain: a request that would take longer than is left
   /// is turned away. 0: not told.
-  Tick drainTimeout = 0;
+  Milliseconds drainTimeout = 0;
   /// At the replica short prompts go ahead of long ones, whatever the path's own rank.
   bool prioritizeByPromptSize = false;
   std::int64_t shortPromptTokens = 4000;
@@ -76,7 +76,7 @@
   double retryAllowance = scaling::RetryBudget::allowance;
   int maxResumes = 2;
   /// A stream in which nothing moves for this long is given up as broken.
-  Tick streamIdleTimeout = 10000;
+  Milliseconds streamIdleTimeout = 10000;
   /// A router whose roster is smaller than this cannot stand on its neighbours alone.
   std::size_t minRosterSize = 3;
   /// False: whoever has a whole snapshot serves on, without confirmations, roster or joining wait; for callers whose
@@ -87,7 +87,7 @@
   bool auditRecordsAvailable = false;
   /// A stream of the whole configuration's paths is cut this long after its deadline, which the replica's own end may
   /// take to arrive.
-  Tick deadlineGracePeriod = 100;
+  Milliseconds deadlineGracePeriod = 100;
   /// What tenants may send beyond their limits.
   quota::OverdraftAllowance overdraftAllowance;
   scaling::ScalerParameters scalerParameters = scaling::defaultScalerParameters;
--- a/dataplane/include/corkward/dataplane/tenants.h
+++ b/dataplane/include/corkward/dataplane/tenants.h
@@ -17,7 +17,7 @@
 
 namespace corkward::dataplane {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// What a tenant's limit says of a request. Refused by the share that routers may admit of its requests, by a lender
 /// that has too little left, or because no lender answers and this router has too little.
@@ -28,7 +28,7 @@
   std::uint64_t call = 0;
   Admission admission = Admission::granted;
   /// When the amount was taken, at the earliest; see quota::handOverWithin.
-  Tick amountTakenAt = 0;
+  Milliseconds amountTakenAt = 0;
 };
 
 /// The tenants of the whole configuration, the gates of their limits, and the reports to the controllers that lend.
@@ -49,60 +49,60 @@
   /// What a request counts as against its tenant's limit; tokens: what it says that it has, if it says so.
   static double amountOf(config::Tenant const& tenant, std::optional<std::int64_t> tokens);
   /// Takes the amount out of the tenant's limit, or asks its lender for it.
-  Admission admit(Tick now, std::uint64_t call, config::Tenant const& tenant, double amount,
+  Admission admit(Milliseconds now, std::uint64_t call, config::Tenant const& tenant, double amount,
                   std::vector<transport::Send>& out);
   /// Takes the amount at once or not at all: for a further run of a request, or one that waited too long.
-  bool takeAmount(Tick now, std::string const& tenant, double amount);
+  bool takeAmount(Milliseconds now, std::string const& tenant, double amount);
   /// An amount that was taken is not used.
-  void returnAmount(Tick now, std::string const& tenant, double amount);
+  void returnAmount(Milliseconds now, std::string const& tenant, double amount);
 
-  std::vector<QuotaDecision> onMessage(Tick now, std::string const& from, quota::QuotaGrants const& message,
+  std::vector<QuotaDecision> onMessage(Milliseconds now, std::string const& from, quota::QuotaGrants const& message,
                                        std::vector<transport::Send>& out);
   /// A new lender asks which loans of its parts are held here.
-  transport::Send onMessage(Tick now, std::string const& from, quota::AllocationQuery const& message);
+  transport::Send onMessage(Milliseconds now, std::string const& from, quota::AllocationQuery const& message);
   /// Reports that are due, and requests that have waited long enough.
-  std::vector<QuotaDecision> onTimer(Tick now, std::vector<transport::Send>& out);
+  std::vector<QuotaDecision> onTimer(Milliseconds now, std::vector<transport::Send>& out);
 
  private:
   struct Limited {
     quota::QuotaLimiter limiter;
     quota::Limit limit;
     /// The lender had too little for the last request that asked; others are not asked for until then.
-    Tick depletedUntil = 0;
+    Milliseconds depletedUntil = 0;
   };
   struct Waiting {
     std::uint64_t call = 0;
     std::string tenant;
     double amount = 0;
-    Tick since = 0;
+    Milliseconds since = 0;
     int queries = 0;
   };
   /// A report whose answer is still to come.
   struct PendingReport {
-    Tick at = 0;
+    Milliseconds at = 0;
     std::string coordinator;
     std::vector<Waiting> waiting;
   };
   /// What is known of a controller as a lender.
   struct CoordinatorLink {
     /// First report that has had no answer; below 0: none.
-    Tick firstUnansweredAt = -1;
+    Milliseconds firstUnansweredAt = -1;
     /// When it was last found silent; below 0: never.
-    Tick timedOutAt = -1;
+    Milliseconds timedOutAt = -1;
   };
   Limited* limited(std::string const& tenant);
   double randomFraction();
-  void detectTimeouts(Tick now);
-  bool isUnresponsive(Tick now, std::string const& link) const;
+  void detectTimeouts(Milliseconds now);
+  bool isUnresponsive(Milliseconds now, std::string const& link) const;
   /// Whom to ask for a partition; empty: nobody answers.
-  std::string coordinatorOf(Tick now, std::uint64_t partition) const;
+  std::string coordinatorOf(Milliseconds now, std::uint64_t partition) const;
   /// Sends a report of one tenant with the amount that a request waits for. False: there is nobody to ask.
-  bool requestAmount(Tick now, Waiting waiting, std::vector<transport::Send>& out);
-  void send(Tick now, std::string const& coordinator, std::vector<quota::TenantUsage> uses,
+  bool requestAmount(Milliseconds now, Waiting waiting, std::vector<transport::Send>& out);
+  void send(Milliseconds now, std::string const& coordinator, std::vector<quota::TenantUsage> uses,
             std::vector<Waiting> waiting, std::vector<transport::Send>& out);
   /// Decides on a request for which no amount came.
-  QuotaDecision decideWithoutCoordinator(Tick now, Waiting const& waiting);
-  void sendReports(Tick now, std::vector<transport::Send>& out);
+  QuotaDecision decideWithoutCoordinator(Milliseconds now, Waiting const& waiting);
+  void sendReports(Milliseconds now, std::vector<transport::Send>& out);
 
   std::string link_;
   std::uint64_t incarnation_;
@@ -117,12 +117,12 @@
   /// Who was said to lend a part; empty: nobody.
   std::map<std::uint64_t, std::string> announcedOwners_;
   /// Nobody lends these parts; that is asked again then.
-  std::map<std::uint64_t, Tick> ownerlessUntil_;
+  std::map<std::uint64_t, Milliseconds> ownerlessUntil_;
   std::map<std::uint64_t, PendingReport> pendingReports_;
   std::uint64_t nextReport_ = 1;
   /// First report of each part whose answer counts, since a new lender was told of the loans before it.
   std::map<std::uint64_t, std::uint64_t> countsFrom_;
-  Tick reportAt_ = 0;
+  Milliseconds reportAt_ = 0;
 };
 
 }  // namespace corkward::dataplane
--- a/dataplane/include/corkward/dataplane/wall_clock.h
+++ b/dataplane/include/corkward/dataplane/wall_clock.h
@@ -8,18 +8,19 @@
 
 namespace corkward::dataplane {
 
-using core::Tick;
+using core::Milliseconds;
 
-/// Wall time (milliseconds since 1970) at each tick, which never goes back.
+/// Wall time (milliseconds since 1970) at each time on the boot clock, which never goes back.
 class WallClock {
  public:
-  /// Tells the wall time at a tick. True when it is the first one, or more than a second ahead of what was expected.
-  bool set(Tick now, std::int64_t wall);
+  /// Tells the wall time at a time on the boot clock. True when it is the first one, or more than a second ahead of
+  /// what was expected.
+  bool set(Milliseconds now, std::int64_t wall);
   /// Nothing before it was told.
-  config::WallTime at(Tick now) const;
+  config::WallTime at(Milliseconds now) const;
 
  private:
-  /// Most that wall time was ahead of the tick; never falls.
+  /// Most that wall time was ahead of the boot clock; never falls.
   std::optional<std::int64_t> offset_;
 };
 
