--- a/dataplane/src/admission.cpp
+++ b/dataplane/src/admission.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-NameIndex RequestRouter::choosePool(Tick now, Route const& route, CallId id) const {
+NameIndex RequestRouter::choosePool(Milliseconds now, Route const& route, CallId id) const {
   std::uint64_t sum = 0;
   for (Route::Backend const& backend : route.backends) sum += backend.weight;
   std::uint64_t at = core::RandomGenerator(seed_ ^ id).below(sum);
@@ -48,7 +48,7 @@
   return true;
 }
 
-RouterCommands RequestRouter::onRequest(Tick now, Request const& request) {
+RouterCommands RequestRouter::onRequest(Milliseconds now, Request const& request) {
   RouterCommands out;
   recordLag(now);
   countMetric(now, "requests");
@@ -103,7 +103,7 @@
   return out;
 }
 
-void RequestRouter::admitOrQueue(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::admitOrQueue(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   Request const& request = call.request;
   call.phase = Phase::queryingRequestId;
@@ -118,7 +118,7 @@
   }
 }
 
-bool RequestRouter::claimRequestId(RouterCommands& out, Tick now, CallId id) {
+bool RequestRouter::claimRequestId(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   expireRequestIds(now);
   std::string const key = requestIdKey(call.request);
@@ -128,7 +128,8 @@
   return true;
 }
 
-bool RequestRouter::mayReplaceEarlier(RouterCommands& out, Tick now, CallId id, RequestIdRecord const& earlier) {
+bool RequestRouter::mayReplaceEarlier(RouterCommands& out, Milliseconds now, CallId id,
+                                      RequestIdRecord const& earlier) {
   Call& call = calls_.at(id);
   std::uint64_t const attempt = call.request.attempt;
   bool const resumable = routes_[call.path].path.resumable;
@@ -155,7 +156,7 @@
   return true;
 }
 
-void RequestRouter::admitLaterAttempt(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::admitLaterAttempt(RouterCommands& out, Milliseconds now, CallId id) {
   Request const& request = calls_.at(id).request;
   if (request.id.empty()) {
     reject(out, now, id, 409, "a later attempt without an id cannot be told from the first", false, 0);
@@ -169,7 +170,7 @@
   }
 }
 
-void RequestRouter::admit(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::admit(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   std::string const regimeProblem = regimeRejection(now, regimeOf(call));
   if (!regimeProblem.empty()) {
@@ -196,9 +197,10 @@
   std::size_t const bound =
       std::max(tuning_.minQueueLength, static_cast<std::size_t>(tuning_.queuedPerCapacity * c.scaler.cap()));
   bool const none = c.scaler.subset().empty();
-  Tick const wait = expectedWait(c, route.path.requestClass);
-  bool const late = wait > static_cast<Tick>(tuning_.maxQueueTargets * static_cast<double>(route.path.latencyTarget)) ||
-                    now + wait > call.deadline;
+  Milliseconds const wait = expectedWait(c, route.path.requestClass);
+  bool const late =
+      wait > static_cast<Milliseconds>(tuning_.maxQueueTargets * static_cast<double>(route.path.latencyTarget)) ||
+      now + wait > call.deadline;
   bool const slow = c.scaler.areAllSlow() && ahead >= static_cast<std::size_t>(std::max(1.0, c.scaler.cap()));
   if (none || ahead >= bound || late || slow) {
     reject(out, now, id, 503,
@@ -239,7 +241,7 @@
   return "unknown";
 }
 
-void RequestRouter::recordFailure(RouterCommands& out, Tick now, Call const& call, int status,
+void RequestRouter::recordFailure(RouterCommands& out, Milliseconds now, Call const& call, int status,
                                   std::string const& reason) {
   bool const placed = call.phase != Phase::queryingRequestId && call.phase != Phase::queued;
   Failure failure;
@@ -255,14 +257,14 @@
   if (std::optional<core::LogEvent> line = failures_.note(now, failure)) out.failures.push_back(std::move(*line));
 }
 
-void RequestRouter::dropCall(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::dropCall(RouterCommands& out, Milliseconds now, CallId id) {
   Call ended = calls_.at(id);
   removeCall(now, id);
   releaseSlot(out, now, ended);
 }
 
-void RequestRouter::reject(RouterCommands& out, Tick now, CallId id, int status, std::string reason, bool notRun,
-                           double retryAfter) {
+void RequestRouter::reject(RouterCommands& out, Milliseconds now, CallId id, int status, std::string reason,
+                           bool notRun, double retryAfter) {
   Call& call = calls_.at(id);
   CORKWARD_INVARIANT(call.phase != Phase::streaming);
   CORKWARD_INVARIANT(!notRun || call.phase != Phase::dispatched);
--- a/dataplane/src/admission_queues.cpp
+++ b/dataplane/src/admission_queues.cpp
@@ -14,18 +14,18 @@
   return out;
 }
 
-void RequestRouter::refreshPool(Tick now, NameIndex pool) {
+void RequestRouter::refreshPool(Milliseconds now, NameIndex pool) {
   PoolView& view = pools_[pool];
   if (!view.changed && now < view.changesAt) return;
   view.changed = false;
-  view.changesAt = std::numeric_limits<Tick>::max();
+  view.changesAt = std::numeric_limits<Milliseconds>::max();
   ejectOutliers(now, pool);
   isolateReplicas(view);
   std::vector<scaling::Candidate> all;
   for (NameIndex const ix : view.replicas) {
     Replica const& r = replicas_[ix];
     bool const cold = r.state == config::ReplicaState::warmingUp;
-    for (Tick const at : {r.backoffUntil, cold ? warmupLeases_.expiresAt(ix) : 0, r.reliability.restUntil()})
+    for (Milliseconds const at : {r.backoffUntil, cold ? warmupLeases_.expiresAt(ix) : 0, r.reliability.restUntil()})
       if (at > now) view.changesAt = std::min(view.changesAt, at);
     if (usable(now, ix) && !(r.ejected && r.reliability.isResting(now)))
       all.push_back(scaling::Candidate{ix, cold, r.hash});
@@ -40,18 +40,18 @@
   }
 }
 
-void RequestRouter::refreshCandidates(RouterCommands& out, Tick now) {
+void RequestRouter::refreshCandidates(RouterCommands& out, Milliseconds now) {
   refreshCertified(now);
   for (NameIndex pool = 0; pool < pools_.size(); ++pool) refreshPool(now, pool);
   std::vector<QueueKey> const keys(activeQueues_.begin(), activeQueues_.end());
   for (QueueKey const& k : keys) dispatchQueued(out, now, k);
 }
 
-void RequestRouter::activate(Tick now, QueueKey const& key) {
+void RequestRouter::activate(Milliseconds now, QueueKey const& key) {
   if (activeQueues_.insert(key).second) queues_.at(key).completions.catchUp(now);
 }
 
-RequestRouter::AdmissionQueue& RequestRouter::queueFor(RouterCommands& out, Tick now, QueueKey const& key) {
+RequestRouter::AdmissionQueue& RequestRouter::queueFor(RouterCommands& out, Milliseconds now, QueueKey const& key) {
   auto it = queues_.find(key);
   if (it != queues_.end()) {
     activate(now, key);
@@ -66,19 +66,19 @@
   return it->second;
 }
 
-Tick RequestRouter::expectedWait(AdmissionQueue const& c, config::RequestClass cls) const {
+Milliseconds RequestRouter::expectedWait(AdmissionQueue const& c, config::RequestClass cls) const {
   std::size_t ahead = 0;
   for (std::size_t l = 0; l <= lane(cls); ++l) ahead += c.waiting[l].size();
   if (ahead == 0) return 0;
   double const rate = std::max(c.completions.perSecond(), 0.2);
-  return static_cast<Tick>(1000.0 * static_cast<double>(ahead) / rate);
+  return static_cast<Milliseconds>(1000.0 * static_cast<double>(ahead) / rate);
 }
 
 double RequestRouter::retryAfter(AdmissionQueue const& c, config::RequestClass cls) const {
   return std::clamp(static_cast<double>(expectedWait(c, cls)) / 1000.0, tuning_.defaultRetryAfter, 30.0);
 }
 
-void RequestRouter::evaluateQueue(RouterCommands& out, Tick now, QueueKey key, CallId unplaced) {
+void RequestRouter::evaluateQueue(RouterCommands& out, Milliseconds now, QueueKey key, CallId unplaced) {
   AdmissionQueue& c = queues_.at(key);
   std::size_t held = 0;
   std::int64_t wanted = -1;
@@ -98,7 +98,7 @@
   if (step > 0) dispatchQueued(out, now, key);
 }
 
-bool RequestRouter::mayAttempt(Tick, AdmissionQueue& c, QueueKey key, Call const& call) const {
+bool RequestRouter::mayAttempt(Milliseconds, AdmissionQueue& c, QueueKey key, Call const& call) const {
   bool const bulk = routes_[call.path].path.requestClass == config::RequestClass::bulk;
   if (!c.scaler.raiseLimitFor(bulk)) return false;
   std::string const& regime = regimePolicy_.regimeOf(key.second);
@@ -117,7 +117,7 @@
   return taken < poolCap;
 }
 
-void RequestRouter::dispatchQueued(RouterCommands& out, Tick now, QueueKey key) {
+void RequestRouter::dispatchQueued(RouterCommands& out, Milliseconds now, QueueKey key) {
   if (dispatching_) return;
   dispatching_ = true;
   AdmissionQueue& c = queues_.at(key);
@@ -139,7 +139,7 @@
   dispatching_ = false;
 }
 
-void RequestRouter::releaseSlot(RouterCommands& out, Tick now, Call& call) {
+void RequestRouter::releaseSlot(RouterCommands& out, Milliseconds now, Call& call) {
   finishPrefill(call);
   if (!call.holdsSlot) return;
   call.holdsSlot = false;
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -10,7 +10,8 @@
 
 namespace corkward::dataplane {
 
-void RequestRouter::applyEntries(RouterCommands& out, Tick now, std::vector<transport::CommittedEntry> const& items) {
+void RequestRouter::applyEntries(RouterCommands& out, Milliseconds now,
+                                 std::vector<transport::CommittedEntry> const& items) {
   bool any = false;
   for (transport::CommittedEntry const& item : items) {
     if (item.revision <= revisionOf(item.key)) continue;
@@ -56,7 +57,7 @@
   tenants_.configure(fleet.tenants);
 }
 
-void RequestRouter::applyEntry(RouterCommands& out, Tick now, transport::CommittedEntry const& item) {
+void RequestRouter::applyEntry(RouterCommands& out, Milliseconds now, transport::CommittedEntry const& item) {
   try {
     applyValue(now, item);
   } catch (core::Error const& e) {
@@ -68,7 +69,7 @@
   compactRoutes();
 }
 
-void RequestRouter::applyValue(Tick now, transport::CommittedEntry const& item) {
+void RequestRouter::applyValue(Milliseconds now, transport::CommittedEntry const& item) {
   std::size_t const colon = item.key.find(':');
   std::string const kind = item.key.substr(0, colon);
   std::string const name = colon == std::string::npos ? "" : item.key.substr(colon + 1);
@@ -145,7 +146,8 @@
   }
 }
 
-bool RequestRouter::applyRemovalHint(RouterCommands& out, Tick now, transport::EndpointRemovalHint const& hint) {
+bool RequestRouter::applyRemovalHint(RouterCommands& out, Milliseconds now,
+                                     transport::EndpointRemovalHint const& hint) {
   if (!configuration_.has("pool:" + hint.pool)) return false;
   PoolView& view = pools_[poolNames_.intern(hint.pool)];
   if (hint.generation <= view.listGeneration || hint.generation <= view.hint.generation) return false;
@@ -166,7 +168,8 @@
   return out;
 }
 
-RouterCommands RequestRouter::onEndpointList(Tick now, CallId call, std::string const& pool, std::string const& body) {
+RouterCommands RequestRouter::onEndpointList(Milliseconds now, CallId call, std::string const& pool,
+                                             std::string const& body) {
   RouterCommands out;
   EndpointListResponse answer;
   answer.call = call;
@@ -212,7 +215,7 @@
   return out;
 }
 
-void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from,
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
                        transport::ConfigurationUpdate const& m) {
   bool const fromRouter = m.isSnapshot && m.number == 0;
   applyEntries(out, now, m.entries);
@@ -234,13 +237,14 @@
   for (std::string const& s : to) out.sends.push_back(transport::Send{s, ack});
 }
 
-void RequestRouter::adoptSnapshot(RouterCommands& out, Tick now, std::string const& from) {
+void RequestRouter::adoptSnapshot(RouterCommands& out, Milliseconds now, std::string const& from) {
   if (snapshotApplied_ || !snapshotSeen_ || !hasHeardMajority(now)) return;
   snapshotApplied_ = true;
   logEvent(out, now, events::snapshotApplied, {{"from", "neighbours"}, {"last", from}});
 }
 
-void RequestRouter::on(RouterCommands& out, Tick now, std::string const&, transport::EndpointRemovalHint const& m) {
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const&,
+                       transport::EndpointRemovalHint const& m) {
   if (!applyRemovalHint(out, now, m)) return;
   std::vector<std::string> others = otherRouters();
   for (std::size_t i = others.size(); i > 1; --i) std::swap(others[i - 1], others[rng_.below(i)]);
@@ -256,7 +260,7 @@
   if (!update.entries.empty()) out.sends.push_back(transport::Send{to, std::move(update)});
 }
 
-void RequestRouter::on(RouterCommands& out, Tick, std::string const& from, transport::ValueRequest const& m) {
+void RequestRouter::on(RouterCommands& out, Milliseconds, std::string const& from, transport::ValueRequest const& m) {
   std::optional<transport::CommittedEntry> const entry = configuration_.entry(m.key);
   if (!entry) return;
   transport::ConfigurationUpdate update;
--- a/dataplane/src/controller_links.cpp
+++ b/dataplane/src/controller_links.cpp
@@ -4,8 +4,8 @@
 
 namespace corkward::dataplane {
 
-void ControllerLinks::choose(Tick now, std::vector<Candidate> const& known, RouterTuning const& tuning) {
-  Tick const patience = 2 * tuning.leaseRequestInterval + tuning.leaseRequestInterval / 2;
+void ControllerLinks::choose(Milliseconds now, std::vector<Candidate> const& known, RouterTuning const& tuning) {
+  Milliseconds const patience = 2 * tuning.leaseRequestInterval + tuning.leaseRequestInterval / 2;
   noteTimeouts(now, patience);
   std::map<Rank, std::string> const ranked = rank(now, known, tuning.unresponsivePeerTimeout);
   chosen_.clear();
@@ -18,7 +18,7 @@
   }
 }
 
-void ControllerLinks::noteTimeouts(Tick now, Tick patience) {
+void ControllerLinks::noteTimeouts(Milliseconds now, Milliseconds patience) {
   for (std::string const& name : chosen_) {
     Link& link = links_[name];
     if (link.firstUnansweredAt < 0 || now - link.firstUnansweredAt <= patience) continue;
@@ -27,8 +27,9 @@
   }
 }
 
-std::map<ControllerLinks::Rank, std::string> ControllerLinks::rank(Tick now, std::vector<Candidate> const& known,
-                                                                   Tick timeout) {
+std::map<ControllerLinks::Rank, std::string> ControllerLinks::rank(Milliseconds now,
+                                                                   std::vector<Candidate> const& known,
+                                                                   Milliseconds timeout) {
   std::map<Rank, std::string> ranked;
   for (Candidate const& candidate : known) {
     Link const& link = links_[candidate.link];
@@ -38,7 +39,7 @@
   return ranked;
 }
 
-bool ControllerLinks::onRequest(Tick now, std::string const& link) {
+bool ControllerLinks::onRequest(Milliseconds now, std::string const& link) {
   Link& asked = links_[link];
   asked.requestedAt = now;
   if (asked.firstUnansweredAt < 0) asked.firstUnansweredAt = now;
@@ -48,21 +49,21 @@
   return true;
 }
 
-void ControllerLinks::onUsefulReply(Tick now, std::string const& link) {
+void ControllerLinks::onUsefulReply(Milliseconds now, std::string const& link) {
   auto const found = links_.find(link);
   if (found == links_.end()) return;
   found->second.firstUnansweredAt = -1;
   found->second.lastUsefulAt = now;
 }
 
-bool ControllerLinks::onRevisionsWanted(Tick now, std::string const& link, bool wanted, Tick interval) {
+bool ControllerLinks::onRevisionsWanted(Milliseconds now, std::string const& link, bool wanted, Milliseconds interval) {
   auto const found = links_.find(link);
   if (found == links_.end()) return false;
   found->second.revisionsWanted = wanted;
   return wanted && now - found->second.revisionsSentAt >= interval;
 }
 
-void ControllerLinks::forgetBefore(Tick oldest) {
+void ControllerLinks::forgetBefore(Milliseconds oldest) {
   std::erase_if(links_, [&](auto const& entry) {
     return std::max(entry.second.requestedAt, entry.second.lastUsefulAt) < oldest;
   });
--- a/dataplane/src/dispatch.cpp
+++ b/dataplane/src/dispatch.cpp
@@ -8,7 +8,7 @@
 
 namespace corkward::dataplane {
 
-bool RequestRouter::attemptConnect(RouterCommands& out, Tick now, CallId id) {
+bool RequestRouter::attemptConnect(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   Route const& route = routes_[call.path];
   QueueKey const key{call.pool, route.instance};
@@ -27,7 +27,7 @@
   return true;
 }
 
-void RequestRouter::connectTo(RouterCommands& out, Tick now, CallId id, NameIndex replica) {
+void RequestRouter::connectTo(RouterCommands& out, Milliseconds now, CallId id, NameIndex replica) {
   Call& call = calls_.at(id);
   Route const& route = routes_[call.path];
   call.phase = Phase::connecting;
@@ -40,14 +40,14 @@
                               regimeOf(call).empty() ? "" : replicas_[replica].id, ownEvents(route.path)});
 }
 
-void RequestRouter::connectOrQueueFirst(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::connectOrQueueFirst(RouterCommands& out, Milliseconds now, CallId id) {
   if (attemptConnect(out, now, id)) return;
   Call const& call = calls_.at(id);
   Route const& route = routes_[call.path];
   queues_.at({call.pool, route.instance}).waiting[lane(route.path.requestClass)].push_front(id);
 }
 
-RouterCommands RequestRouter::onConnected(Tick now, CallId id) {
+RouterCommands RequestRouter::onConnected(Milliseconds now, CallId id) {
   RouterCommands out;
   auto const it = calls_.find(id);
   if (it == calls_.end()) return out;
@@ -63,7 +63,7 @@
   return out;
 }
 
-void RequestRouter::dispatchResume(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::dispatchResume(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   if (servingLease(now) && usable(now, call.replica) && allowedByRegime(now, call) && spendQuota(now, call)) {
     recordAudit(out, now, call, AuditOutcome::resumed);
@@ -73,13 +73,13 @@
   }
 }
 
-void RequestRouter::rejectConnected(RouterCommands& out, Tick now, CallId id, int status, std::string reason,
+void RequestRouter::rejectConnected(RouterCommands& out, Milliseconds now, CallId id, int status, std::string reason,
                                     double retryAfter) {
   out.calls.push_back(CloseUpstream{id});
   reject(out, now, id, status, std::move(reason), true, retryAfter);
 }
 
-bool RequestRouter::confirmRoute(RouterCommands& out, Tick now, CallId id) {
+bool RequestRouter::confirmRoute(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   if (!servingLease(now)) {
     rejectConnected(out, now, id, 503, "no serving lease", tuning_.defaultRetryAfter);
@@ -108,7 +108,7 @@
   return false;
 }
 
-bool RequestRouter::confirmDispatch(RouterCommands& out, Tick now, CallId id) {
+bool RequestRouter::confirmDispatch(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   std::string const regimeProblem = regimeRejection(now, regimeOf(call));
   if (!regimeProblem.empty()) {
@@ -134,7 +134,7 @@
   return false;
 }
 
-void RequestRouter::recordDispatch(Tick now, Call& call) {
+void RequestRouter::recordDispatch(Milliseconds now, Call& call) {
   if (!call.reachedReplica && !call.dispatched) retryBudgets_.onFirstAttempt(now, call.pool);
   call.phase = Phase::dispatched;
   call.phaseSince = now;
@@ -153,7 +153,7 @@
   countMetric(now, "handed_over");
 }
 
-void RequestRouter::checkDispatch(Tick now, Call const& call, Tick left) const {
+void RequestRouter::checkDispatch(Milliseconds now, Call const& call, Milliseconds left) const {
   Route const& route = routes_[call.path];
   std::string const& trace = call.request.attemptName;
   bool const mayRepeat = route.path.idempotent || route.path.resumable || call.resumes > 0;
@@ -167,15 +167,15 @@
   CORKWARD_GUARANTEE(core::Guarantee::allowedReplica,
                      usable(now, call.replica) && replicas_[call.replica].pool == call.pool,
                      trace + " goes to " + replicaNames_.name(call.replica));
-  Tick const waited = now - call.arrived + call.request.readDuration;
+  Milliseconds const waited = now - call.arrived + call.request.readDuration;
   CORKWARD_GUARANTEE(core::Guarantee::timeLeft,
-                     call.request.deadline <= 0 || left <= std::max<Tick>(call.request.deadline - waited, 1),
+                     call.request.deadline <= 0 || left <= std::max<Milliseconds>(call.request.deadline - waited, 1),
                      trace + " goes on with " + std::to_string(left) + " ms");
 }
 
-SendRequest RequestRouter::dispatch(Tick now, CallId id) {
+SendRequest RequestRouter::dispatch(Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
-  Tick const left = std::max<Tick>(call.deadline - now, 1);
+  Milliseconds const left = std::max<Milliseconds>(call.deadline - now, 1);
   checkDispatch(now, call, left);
   call.outstanding = true;
   call.dispatchedTo.push_back(call.replica);
@@ -203,12 +203,12 @@
                      tells ? std::optional<std::string>(call.tenant) : std::nullopt};
 }
 
-bool RequestRouter::mayRetry(Tick now, Call const& call) const {
+bool RequestRouter::mayRetry(Milliseconds now, Call const& call) const {
   config::Path const& path = routes_[call.path].path;
   return static_cast<int>(call.dispatchedTo.size()) < std::max(path.maxAttempts, 1) && now < call.deadline;
 }
 
-bool RequestRouter::resumeOnOtherReplica(RouterCommands& out, Tick now, CallId id) {
+bool RequestRouter::resumeOnOtherReplica(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   releaseSlot(out, now, call);
   Route const& route = routes_[call.path];
@@ -230,7 +230,7 @@
   return true;
 }
 
-void RequestRouter::retry(RouterCommands& out, Tick now, CallId id, char const* why) {
+void RequestRouter::retry(RouterCommands& out, Milliseconds now, CallId id, char const* why) {
   Call& call = calls_.at(id);
   bool const again = call.dispatched;
   CORKWARD_INVARIANT(call.phase == Phase::connecting);
@@ -249,7 +249,7 @@
   connectOrQueueFirst(out, now, id);
 }
 
-void RequestRouter::undoDispatch(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::undoDispatch(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   call.dispatchedTo.pop_back();
   call.outstanding = false;
@@ -260,7 +260,7 @@
   recordAudit(out, now, call, AuditOutcome::notExecuted);
 }
 
-RouterCommands RequestRouter::onConnectFailure(Tick now, CallId id) {
+RouterCommands RequestRouter::onConnectFailure(Milliseconds now, CallId id) {
   RouterCommands out;
   auto const it = calls_.find(id);
   if (it == calls_.end()) return out;
@@ -282,7 +282,7 @@
   return out;
 }
 
-RouterCommands RequestRouter::onLocalConnectFailure(Tick now, CallId id) {
+RouterCommands RequestRouter::onLocalConnectFailure(Milliseconds now, CallId id) {
   RouterCommands out;
   auto const it = calls_.find(id);
   if (it == calls_.end()) return out;
--- a/dataplane/src/failure_log.cpp
+++ b/dataplane/src/failure_log.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint64_t loggedInOneSecond = 3;
-constexpr core::Tick secondMs = 1000;
+constexpr core::Milliseconds secondMs = 1000;
 
 core::LogEvent lineOf(Failure const& failure, std::uint64_t unlogged) {
   core::LogEvent line{events::requestFailed,
@@ -26,10 +26,10 @@
 
 }  // namespace
 
-std::optional<core::LogEvent> FailureLog::note(core::Tick now, Failure const& failure) {
+std::optional<core::LogEvent> FailureLog::note(core::Milliseconds now, Failure const& failure) {
   Reason& reason = reasons_[{failure.status, failure.reason}];
   ++reason.count;
-  core::Tick const second = now / secondMs;
+  core::Milliseconds const second = now / secondMs;
   if (reason.second != second) {
     reason.second = second;
     reason.logged = 0;
--- a/dataplane/src/internal.h
+++ b/dataplane/src/internal.h
@@ -10,8 +10,8 @@
 inline constexpr char const* fleetInstance = "*";
 /// Why a request is turned away whose amount was taken too long ago and is not there any more.
 inline constexpr char const* overQuota = "the tenant is beyond its limit: held too long";
-inline constexpr Tick queueEvaluationInterval = 100;
-inline constexpr Tick releaseInterval = 10000;
+inline constexpr Milliseconds queueEvaluationInterval = 100;
+inline constexpr Milliseconds releaseInterval = 10000;
 inline constexpr std::size_t maxHandoverIds = 5000;
 /// What stands for "not known" among the ages of a PeerHeartbeat.
 inline constexpr int unknownAge = 255;
--- a/dataplane/src/neighbour_links.cpp
+++ b/dataplane/src/neighbour_links.cpp
@@ -5,8 +5,9 @@
 
 namespace corkward::dataplane {
 
-std::vector<std::string> NeighbourLinks::choose(Tick now, std::size_t count, Tick interval, Peers const& peers,
-                                                RouterTuning const& tuning, core::RandomGenerator& random) {
+std::vector<std::string> NeighbourLinks::choose(Milliseconds now, std::size_t count, Milliseconds interval,
+                                                Peers const& peers, RouterTuning const& tuning,
+                                                core::RandomGenerator& random) {
   dropStale(now, interval, peers, tuning);
   std::vector<std::string> others = shuffledOthers(now, peers, tuning, random);
   while (links_.size() > count)
@@ -22,7 +23,8 @@
   return chosen;
 }
 
-void NeighbourLinks::dropStale(Tick now, Tick interval, Peers const& peers, RouterTuning const& tuning) {
+void NeighbourLinks::dropStale(Milliseconds now, Milliseconds interval, Peers const& peers,
+                               RouterTuning const& tuning) {
   std::erase_if(links_, [&](auto const& entry) {
     auto const& [name, link] = entry;
     bool const silent = link.firstUnansweredAt >= 0 && now - link.firstUnansweredAt > interval + interval / 2;
@@ -32,7 +34,8 @@
   });
 }
 
-std::vector<std::string> NeighbourLinks::shuffledOthers(Tick now, Peers const& peers, RouterTuning const& tuning,
+std::vector<std::string> NeighbourLinks::shuffledOthers(Milliseconds now, Peers const& peers,
+                                                        RouterTuning const& tuning,
                                                         core::RandomGenerator& random) const {
   std::vector<std::string> others;
   for (std::string const& name : peers.links)
@@ -44,23 +47,23 @@
   return others;
 }
 
-void NeighbourLinks::addOneOf(std::vector<std::string>& others, Tick now, bool sameZone, Peers const& peers,
+void NeighbourLinks::addOneOf(std::vector<std::string>& others, Milliseconds now, bool sameZone, Peers const& peers,
                               RouterTuning const& tuning, core::RandomGenerator& random) {
   auto next = std::find_if(others.begin(), others.end(), [&](std::string const& name) {
     return (peers.sameZone.count(name) > 0) == sameZone && !isUnresponsive(now, name, tuning.unresponsivePeerTimeout);
   });
   if (next == others.end()) next = others.begin();
   auto const head = random.below(static_cast<std::uint64_t>(tuning.neighbourRotationPeriod / 2));
-  links_[*next].openedAt = now - static_cast<Tick>(head);
+  links_[*next].openedAt = now - static_cast<Milliseconds>(head);
   others.erase(next);
 }
 
-bool NeighbourLinks::isUnresponsive(Tick now, std::string const& link, Tick timeout) const {
+bool NeighbourLinks::isUnresponsive(Milliseconds now, std::string const& link, Milliseconds timeout) const {
   auto const since = unresponsiveSince_.find(link);
   return since != unresponsiveSince_.end() && now - since->second < timeout;
 }
 
-void NeighbourLinks::onHeartbeatSent(Tick now, std::string const& link) {
+void NeighbourLinks::onHeartbeatSent(Milliseconds now, std::string const& link) {
   Link& neighbour = links_[link];
   if (neighbour.firstUnansweredAt < 0) neighbour.firstUnansweredAt = now;
 }
@@ -70,7 +73,7 @@
   if (neighbour != links_.end()) neighbour->second.firstUnansweredAt = -1;
 }
 
-void NeighbourLinks::forgetBefore(Tick oldest) {
+void NeighbourLinks::forgetBefore(Milliseconds oldest) {
   std::erase_if(unresponsiveSince_, [&](auto const& entry) { return entry.second < oldest; });
 }
 
--- a/dataplane/src/peers.cpp
+++ b/dataplane/src/peers.cpp
@@ -8,7 +8,7 @@
 
 namespace corkward::dataplane {
 
-void RequestRouter::loadRoster(Tick now, std::uint64_t revision, QJsonObject const& value) {
+void RequestRouter::loadRoster(Milliseconds now, std::uint64_t revision, QJsonObject const& value) {
   std::vector<transport::Contact> const contacts = gossip::rosterContacts(value);
   bool onPrevious = false;
   for (QJsonValue const v : value.value("previous").toArray())
@@ -17,14 +17,14 @@
   roster_.load(now, revision, contacts, onPrevious);
 }
 
-std::vector<std::string> RequestRouter::controllers(Tick now) const {
+std::vector<std::string> RequestRouter::controllers(Milliseconds now) const {
   std::set<std::string> out;
   out.insert(membershipLinks_.begin(), membershipLinks_.end());
   for (transport::Contact const& c : partialView_.ofRole(transport::controllerRole, now)) out.insert(c.link);
   return std::vector<std::string>(out.begin(), out.end());
 }
 
-void RequestRouter::chooseControllers(Tick now) {
+void RequestRouter::chooseControllers(Milliseconds now) {
   transport::Contact const& self = partialView_.self();
   std::map<std::string, std::string> zones;
   for (transport::Contact const& contact : partialView_.ofRole(transport::controllerRole, now))
@@ -38,14 +38,14 @@
   controllerLinks_.choose(now, candidates, tuning_);
 }
 
-void RequestRouter::sendLeaseRequest(RouterCommands& out, Tick now, std::string const& to) {
+void RequestRouter::sendLeaseRequest(RouterCommands& out, Milliseconds now, std::string const& to) {
   transport::ServingLeaseRequest request{now,   partialView_.self(),     !snapshotApplied_,
                                          false, configuration_.digest(), {}};
   if (controllerLinks_.onRequest(now, to)) request.revisions = configuration_.revisions();
   out.sends.push_back(transport::Send{to, std::move(request)});
 }
 
-NeighbourLinks::Peers RequestRouter::neighbourCandidates(Tick now) const {
+NeighbourLinks::Peers RequestRouter::neighbourCandidates(Milliseconds now) const {
   NeighbourLinks::Peers peers;
   peers.links = otherRouters();
   if (peers.links.empty() || !snapshotApplied_)
@@ -58,10 +58,10 @@
   return peers;
 }
 
-void RequestRouter::sendHeartbeats(RouterCommands& out, Tick now) {
+void RequestRouter::sendHeartbeats(RouterCommands& out, Milliseconds now) {
   bool const lacking =
       tuning_.leaseRequired ? !servingLease_.isGrantedWithin(now, 2 * tuning_.leaseRequestInterval) : !snapshotApplied_;
-  Tick const every = lacking ? tuning_.heartbeatInterval : tuning_.idleHeartbeatInterval;
+  Milliseconds const every = lacking ? tuning_.heartbeatInterval : tuning_.idleHeartbeatInterval;
   if (now - lastHeartbeatAt_ < every) return;
   lastHeartbeatAt_ = now;
   transport::PeerHeartbeat heartbeat;
@@ -83,7 +83,8 @@
   }
 }
 
-void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::PeerHeartbeat const& m) {
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
+                       transport::PeerHeartbeat const& m) {
   if (m.link != from) return;
   for (transport::EndpointRemovalHint const& hint : m.removalHints) applyRemovalHint(out, now, hint);
   if (m.isReply)
@@ -92,7 +93,7 @@
     replyToHeartbeat(out, now, from, m);
 }
 
-void RequestRouter::replyToHeartbeat(RouterCommands& out, Tick now, std::string const& from,
+void RequestRouter::replyToHeartbeat(RouterCommands& out, Milliseconds now, std::string const& from,
                                      transport::PeerHeartbeat const& heartbeat) {
   transport::PeerHeartbeat reply;
   reply.sentAt = heartbeat.sentAt;
@@ -114,7 +115,7 @@
   out.sends.push_back(transport::Send{from, std::move(snapshot)});
 }
 
-void RequestRouter::onHeartbeatReply(RouterCommands& out, Tick now, std::string const& from,
+void RequestRouter::onHeartbeatReply(RouterCommands& out, Milliseconds now, std::string const& from,
                                      transport::PeerHeartbeat const& reply) {
   neighbourLinks_.onReply(from);
   if (reply.sentAt > now) return;
@@ -126,11 +127,11 @@
     sendMissing(out, from, reply.revisions);
 }
 
-void RequestRouter::requestNewerValues(RouterCommands& out, Tick now, std::string const& from,
+void RequestRouter::requestNewerValues(RouterCommands& out, Milliseconds now, std::string const& from,
                                        transport::Revisions const& revisions) {
   for (auto const& [key, revision] : revisions) {
     if (revisionOf(key) >= revision) continue;
-    Tick& requestedAt = valueRequestedAt_[key];
+    Milliseconds& requestedAt = valueRequestedAt_[key];
     if (requestedAt != 0 && now - requestedAt < tuning_.heartbeatInterval) continue;
     requestedAt = now;
     out.sends.push_back(transport::Send{from, transport::ValueRequest{key, false, "", 0}});
--- a/dataplane/src/readiness.cpp
+++ b/dataplane/src/readiness.cpp
@@ -3,12 +3,12 @@
 
 namespace corkward::dataplane {
 
-bool RequestRouter::hasHeardMajority(Tick now) const {
+bool RequestRouter::hasHeardMajority(Milliseconds now) const {
   return rosterSize() >= tuning_.minRosterSize &&
          servingLease_.hasHeardMajority(now, tuning_.servingLeaseDuration, roster_);
 }
 
-bool RequestRouter::servingLease(Tick now) const {
+bool RequestRouter::servingLease(Milliseconds now) const {
   if (!tuning_.leaseRequired) return snapshotApplied_ && !routes_.empty();
   if (!snapshotApplied_ || !roster_.hasJoined()) return false;
   return servingLease_.isGrantedWithin(now, tuning_.servingLeaseDuration) || hasHeardMajority(now);
@@ -18,13 +18,14 @@
   return evacuated_.count(zone) > 0;
 }
 
-bool RequestRouter::ready(Tick now) const {
+bool RequestRouter::ready(Milliseconds now) const {
   bool const young = tuning_.leaseRequired && now - startedAt_ < tuning_.startupGracePeriod;
   return !draining_ && !young && servingLease(now) &&
          !(tuning_.evacuationFailsReady && isEvacuated(partialView_.self().zone)) && !routes_.empty();
 }
 
-void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::ServingLeaseGrant const& m) {
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
+                       transport::ServingLeaseGrant const& m) {
   for (transport::EndpointRemovalHint const& h : m.removalHints) applyRemovalHint(out, now, h);
   if (m.hasQuorum) controllerLinks_.onUsefulReply(now, from);
   if (controllerLinks_.onRevisionsWanted(now, from, m.wantsRevisions, tuning_.leaseRequestInterval / 3))
--- a/dataplane/src/regime_policy.cpp
+++ b/dataplane/src/regime_policy.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 std::string const unbound;
-constexpr Tick certificateRefreshInterval = 1000;
+constexpr Milliseconds certificateRefreshInterval = 1000;
 
 }  // namespace
 
@@ -28,11 +28,11 @@
   return binding == bindings_.end() ? unbound : binding->second;
 }
 
-bool RegimePolicy::isStale(Tick now) const {
+bool RegimePolicy::isStale(Milliseconds now) const {
   return certifiedAt_ < 0 || now - certifiedAt_ >= certificateRefreshInterval;
 }
 
-bool RegimePolicy::update(Tick now, CertifiedReplicas certified) {
+bool RegimePolicy::update(Milliseconds now, CertifiedReplicas certified) {
   certifiedAt_ = now;
   if (certified == certified_) return false;
   certified_ = std::move(certified);
--- a/dataplane/src/regimes.cpp
+++ b/dataplane/src/regimes.cpp
@@ -16,7 +16,7 @@
   return routes_[path == core::InternedNames::none ? call.path : path].path.regime;
 }
 
-std::string RequestRouter::regimeUncertainty(Tick now, std::string const& regime) const {
+std::string RequestRouter::regimeUncertainty(Milliseconds now, std::string const& regime) const {
   if (!tuning_.leaseRequired || !servingLease(now)) return "no serving lease";
   config::WallTime const wall = wallTimeAt(now);
   if (!wall) return "no wall time, so no certificate counts";
@@ -27,26 +27,27 @@
   return "";
 }
 
-std::string RequestRouter::regimeRejection(Tick now, std::string const& regime) const {
+std::string RequestRouter::regimeRejection(Milliseconds now, std::string const& regime) const {
   if (regime.empty()) return "";
   std::string why = regimeUncertainty(now, regime);
   if (why.empty() && !tuning_.auditRecordsAvailable) why = "no records of regimes can be kept";
   return why;
 }
 
-config::Certificate const* RequestRouter::certificate(Tick now, std::string const& regime, NameIndex replica) const {
+config::Certificate const* RequestRouter::certificate(Milliseconds now, std::string const& regime,
+                                                      NameIndex replica) const {
   Replica const& r = replicas_[replica];
   if (!r.listed) return nullptr;
   return config::findCertificate(regimePolicy_.declared(), regime, poolNames_.name(r.pool),
                                  config::Replica{r.id, r.address, r.zone, r.state}, wallTimeAt(now));
 }
 
-bool RequestRouter::allowedByRegime(Tick now, Call const& call) const {
+bool RequestRouter::allowedByRegime(Milliseconds now, Call const& call) const {
   std::string const& regime = regimeOf(call);
   return regime.empty() || (regimeRejection(now, regime).empty() && certificate(now, regime, call.replica) != nullptr);
 }
 
-void RequestRouter::refreshCertified(Tick now) {
+void RequestRouter::refreshCertified(Milliseconds now) {
   if (!regimePolicy_.isStale(now)) return;
   CertifiedReplicas certified;
   for (auto const& [name, regime] : regimePolicy_.declared().regimes)
@@ -62,7 +63,7 @@
   return it == view.candidates.end() ? scaling::Candidates() : it->second;
 }
 
-bool RequestRouter::certifiedFor(Tick now, Call const& call, NameIndex replica) const {
+bool RequestRouter::certifiedFor(Milliseconds now, Call const& call, NameIndex replica) const {
   std::string const& regime = regimeOf(call);
   if (!regimePolicy_.mayUse(regime, replica)) return false;
   if (!regime.empty()) return regimeRejection(now, regime).empty();
@@ -75,7 +76,7 @@
   return others + 1 <= std::max(1.0, (1.0 - *reserved) * limit);
 }
 
-void RequestRouter::recordAudit(RouterCommands& out, Tick now, Call const& call, AuditOutcome happened,
+void RequestRouter::recordAudit(RouterCommands& out, Milliseconds now, Call const& call, AuditOutcome happened,
                                 std::string reason) {
   std::string const& regime = regimeOf(call);
   if (regime.empty()) return;
@@ -106,7 +107,7 @@
   return ids;
 }
 
-void RequestRouter::enforceRegimes(RouterCommands& out, Tick now) {
+void RequestRouter::enforceRegimes(RouterCommands& out, Milliseconds now) {
   if (!regimePolicy_.anyBound()) return;
   refreshCertified(now);
   std::map<std::string, RegimeStanding> standings;
@@ -123,7 +124,7 @@
   }
 }
 
-void RequestRouter::enforceRegime(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing) {
+void RequestRouter::enforceRegime(RouterCommands& out, Milliseconds now, CallId id, RegimeStanding const& standing) {
   Call const& call = calls_.at(id);
   bool const certified = regimePolicy_.mayUse(regimeOf(call), call.replica);
   if (call.phase == Phase::queued) {
@@ -140,7 +141,8 @@
   }
 }
 
-void RequestRouter::enforceWhileQueued(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing) {
+void RequestRouter::enforceWhileQueued(RouterCommands& out, Milliseconds now, CallId id,
+                                       RegimeStanding const& standing) {
   Call const& call = calls_.at(id);
   std::string const& regime = regimeOf(call);
   std::vector<NameIndex> const& replicas = pools_[call.pool].replicas;
@@ -151,8 +153,8 @@
   reject(out, now, id, 503, reason, true, tuning_.defaultRetryAfter);
 }
 
-void RequestRouter::enforceWhileConnecting(RouterCommands& out, Tick now, CallId id, RegimeStanding const& standing,
-                                           bool certified) {
+void RequestRouter::enforceWhileConnecting(RouterCommands& out, Milliseconds now, CallId id,
+                                           RegimeStanding const& standing, bool certified) {
   if (standing.rejection.empty() && certified) return;
   out.calls.push_back(CloseUpstream{id});
   if (standing.rejection.empty())
@@ -165,7 +167,7 @@
   return call.phase == Phase::dispatched && call.resumes > 0 && call.dispatchedTo.back() != call.replica;
 }
 
-void RequestRouter::abandonForRegime(RouterCommands& out, Tick now, CallId id, std::string const& why) {
+void RequestRouter::abandonForRegime(RouterCommands& out, Milliseconds now, CallId id, std::string const& why) {
   Call& call = calls_.at(id);
   Route const& route = routes_[call.path];
   countMetric(now, "regime_left", why);
--- a/dataplane/src/replica_choice.cpp
+++ b/dataplane/src/replica_choice.cpp
@@ -16,7 +16,7 @@
   return view.settings ? view.settings->slowStartRate : view.slowStartRate;
 }
 
-bool RequestRouter::usable(Tick now, NameIndex replica) const {
+bool RequestRouter::usable(Milliseconds now, NameIndex replica) const {
   Replica const& r = replicas_[replica];
   if (!r.listed || r.unreachable || r.state == config::ReplicaState::draining || isEvacuated(r.zone) ||
       now < r.backoffUntil)
@@ -24,7 +24,7 @@
   return r.state == config::ReplicaState::serving || warmupLeases_.holds(now, replica);
 }
 
-void RequestRouter::ejectOutliers(Tick now, NameIndex pool) {
+void RequestRouter::ejectOutliers(Milliseconds now, NameIndex pool) {
   std::vector<NameIndex> const& all = pools_[pool].replicas;
   std::vector<NameIndex> worst;
   for (NameIndex const r : all) {
@@ -43,7 +43,7 @@
   for (NameIndex const r : worst) replicas_[r].ejected = true;
 }
 
-void RequestRouter::recordOutcome(RouterCommands& out, Tick now, Call& call, bool bad) {
+void RequestRouter::recordOutcome(RouterCommands& out, Milliseconds now, Call& call, bool bad) {
   if (call.outcomeRecorded) return;
   call.outcomeRecorded = true;
   Replica& r = replicas_[call.replica];
@@ -59,19 +59,20 @@
   if (rests || before != r.reliability.trusted()) ejectOutliers(now, r.pool);
 }
 
-bool RequestRouter::isOverdue(Call const& call, Tick took) const {
+bool RequestRouter::isOverdue(Call const& call, Milliseconds took) const {
   Route const& route = routes_[call.path];
   double const usual = queues_.at({call.pool, route.instance}).scaler.firstByteMean();
   return static_cast<double>(took) >
          tuning_.scalerParameters.lateTargets * std::max(static_cast<double>(route.path.latencyTarget), usual);
 }
 
-void RequestRouter::backOff(NameIndex replica, Tick until) {
+void RequestRouter::backOff(NameIndex replica, Milliseconds until) {
   replicas_[replica].backoffUntil = until;
   pools_[replicas_[replica].pool].changed = true;
 }
 
-std::vector<scaling::Candidate> RequestRouter::usableCandidates(Tick now, AdmissionQueue const& c, bool hasRoom) const {
+std::vector<scaling::Candidate> RequestRouter::usableCandidates(Milliseconds now, AdmissionQueue const& c,
+                                                                bool hasRoom) const {
   std::vector<scaling::Candidate> out;
   for (scaling::Candidate const& p : c.scaler.subset()) {
     if (!usable(now, p.replica)) continue;
@@ -142,7 +143,7 @@
   call.prefillTokens = 0;
 }
 
-std::int64_t RequestRouter::chooseReplica(Tick now, Call const& call,
+std::int64_t RequestRouter::chooseReplica(Milliseconds now, Call const& call,
                                           std::vector<scaling::Candidate> const& all) const {
   scaling::Scaler const& scaler = queues_.at({call.pool, routes_[call.path].instance}).scaler;
   std::vector<scaling::Candidate> choices;
@@ -190,7 +191,7 @@
   return best;
 }
 
-std::vector<scaling::Candidate> RequestRouter::candidatesBeyondSubset(Tick now, NameIndex pool) const {
+std::vector<scaling::Candidate> RequestRouter::candidatesBeyondSubset(Milliseconds now, NameIndex pool) const {
   std::vector<scaling::Candidate> out;
   for (NameIndex const r : pools_[pool].replicas)
     if (usable(now, r) && replicas_[r].state == config::ReplicaState::serving)
--- a/dataplane/src/request_id_table.cpp
+++ b/dataplane/src/request_id_table.cpp
@@ -8,7 +8,7 @@
   return request.instance + "|" + request.id;
 }
 
-RequestIdRecord& RequestIdTable::use(Tick now, std::string const& key) {
+RequestIdRecord& RequestIdTable::use(Milliseconds now, std::string const& key) {
   RequestIdRecord& record = records_[key];
   if (record.lastSeenAt == 0) order_.emplace_back(now, key);
   record.lastSeenAt = now;
@@ -20,7 +20,7 @@
   return record == records_.end() ? nullptr : &record->second;
 }
 
-void RequestIdTable::endCall(Tick now, std::string const& key, CallId call) {
+void RequestIdTable::endCall(Milliseconds now, std::string const& key, CallId call) {
   auto const record = records_.find(key);
   if (record == records_.end() || record->second.activeCall != call) return;
   record->second.activeCall = 0;
@@ -32,13 +32,13 @@
     if (!record.mayHaveRun) std::erase(record.claimants, processName);
 }
 
-void RequestIdTable::expire(Tick now, Tick retention, std::size_t maxRecords) {
+void RequestIdTable::expire(Milliseconds now, Milliseconds retention, std::size_t maxRecords) {
   while (!order_.empty() && (now - order_.front().first > retention || records_.size() > maxRecords)) {
     std::string const key = std::move(order_.front().second);
     order_.pop_front();
     auto const record = records_.find(key);
     if (record == records_.end()) continue;
-    Tick const lastSeenAt = record->second.lastSeenAt;
+    Milliseconds const lastSeenAt = record->second.lastSeenAt;
     if (now - lastSeenAt <= retention && records_.size() <= maxRecords) {
       order_.emplace_back(lastSeenAt, key);
     } else {
--- a/dataplane/src/request_ids.cpp
+++ b/dataplane/src/request_ids.cpp
@@ -4,33 +4,33 @@
 
 namespace corkward::dataplane {
 
-bool RequestRouter::remembersSince(Tick now, Tick age) const {
-  Tick const lag = eventLagAt_ >= 0 && now - eventLagAt_ < 2000 ? eventLag_ : 0;
+bool RequestRouter::remembersSince(Milliseconds now, Milliseconds age) const {
+  Milliseconds const lag = eventLagAt_ >= 0 && now - eventLagAt_ < 2000 ? eventLag_ : 0;
   return requestIds_.remembersSince(now - (age + lag + tuning_.ageMargin + age / 8));
 }
 
-void RequestRouter::queryPeers(RouterCommands& out, Tick, CallId id) {
+void RequestRouter::queryPeers(RouterCommands& out, Milliseconds, CallId id) {
   Call& call = calls_.at(id);
   call.phase = Phase::queryingRequestId;
   for (std::string const& link : otherRouters()) {
     call.awaitedPeers.insert(link);
     out.sends.push_back(
         transport::Send{link, transport::RequestIdQuery{id, requestIdKey(call.request), call.request.attempt,
-                                                        std::max<Tick>(call.request.ageMs, 0), processName_}});
+                                                        std::max<Milliseconds>(call.request.ageMs, 0), processName_}});
   }
 }
 
-void RequestRouter::decideRequestId(RouterCommands& out, Tick now, CallId id, bool over) {
+void RequestRouter::decideRequestId(RouterCommands& out, Milliseconds now, CallId id, bool over) {
   Call& call = calls_.at(id);
   bool const resumable = routes_[call.path].path.resumable;
   bool const open = std::any_of(call.earlierClaimants.begin(), call.earlierClaimants.end(), [&](std::string const& c) {
     return c != processName_ && call.clearedByPeers.count(c) == 0;
   });
-  std::vector<Tick> memories = call.peerMemoryStarts;
+  std::vector<Milliseconds> memories = call.peerMemoryStarts;
   memories.push_back(requestIds_.memorySpan(now));
   std::sort(memories.rbegin(), memories.rend());
   std::size_t const need = majorityOf(rosterSize());
-  Tick const memory = memories.size() < need ? -1 : memories[need - 1];
+  Milliseconds const memory = memories.size() < need ? -1 : memories[need - 1];
   if (call.executedElsewhere && !resumable) {
     reject(out, now, id, 409, "an earlier attempt may have run on another node", false, 0);
   } else if (!call.executedElsewhere && !open && memory >= tuning_.minimumMemoryAge) {
@@ -46,7 +46,8 @@
   }
 }
 
-void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::RequestIdQuery const& m) {
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
+                       transport::RequestIdQuery const& m) {
   bool clear = m.attempt == 0 || remembersSince(now, m.age);
   bool known = false;
   bool reached = false;
@@ -75,7 +76,8 @@
                                                                       requestIds_.memorySpan(now), claimants}});
 }
 
-void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::RequestIdReply const& m) {
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
+                       transport::RequestIdReply const& m) {
   auto const it = calls_.find(m.token);
   if (it == calls_.end() || it->second.phase != Phase::queryingRequestId || it->second.awaitedPeers.erase(from) == 0)
     return;
@@ -95,12 +97,12 @@
   }
 }
 
-void RequestRouter::on(RouterCommands&, Tick now, std::string const&, transport::RequestIdHandover const& m) {
+void RequestRouter::on(RouterCommands&, Milliseconds now, std::string const&, transport::RequestIdHandover const& m) {
   for (std::string const& id : m.ids) requestIds_.use(now, id).mayHaveRun = true;
   if (m.last) requestIds_.removeClaimant(m.processRun);
 }
 
-void RequestRouter::removeCall(Tick now, CallId id) {
+void RequestRouter::removeCall(Milliseconds now, CallId id) {
   auto const it = calls_.find(id);
   if (it == calls_.end()) return;
   if (!it->second.request.id.empty()) requestIds_.endCall(now, requestIdKey(it->second.request), id);
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -27,17 +27,17 @@
       rng_(seed ^ 0x3b),
       roster_(partialView_.self().link) {}
 
-void RequestRouter::countMetric(Tick now, std::string const& what, std::string const& about) {
+void RequestRouter::countMetric(Milliseconds now, std::string const& what, std::string const& about) {
   journal_.append(now, what, about);
 }
 
-void RequestRouter::logEvent(RouterCommands& out, Tick now, core::EventName event,
+void RequestRouter::logEvent(RouterCommands& out, Milliseconds now, core::EventName event,
                              std::map<std::string, std::string> fields) {
   countMetric(now, std::string(event.metricLabel()), fields.empty() ? "" : fields.begin()->second);
   out.logEvents.push_back(core::LogEvent{event, std::move(fields)});
 }
 
-RouterCommands RequestRouter::started(Tick now) {
+RouterCommands RequestRouter::started(Milliseconds now) {
   RouterCommands out;
   startedAt_ = now;
   servingLease_.start(now);
@@ -47,7 +47,7 @@
   return out;
 }
 
-RouterCommands RequestRouter::onMessage(Tick now, std::string const& from, transport::Message const& message) {
+RouterCommands RequestRouter::onMessage(Milliseconds now, std::string const& from, transport::Message const& message) {
   RouterCommands out;
   std::visit(
       [&](auto const& m) {
@@ -57,12 +57,13 @@
   return out;
 }
 
-void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, transport::GossipShuffle const& m) {
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
+                       transport::GossipShuffle const& m) {
   std::vector<transport::Send> sends = partialView_.arrived(now, from, m);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
 }
 
-void RequestRouter::recordLag(Tick now) {
+void RequestRouter::recordLag(Milliseconds now) {
   if (now - lastEvent_ > 300) {
     eventLag_ = now - lastEvent_;
     eventLagAt_ = now;
@@ -70,7 +71,7 @@
   lastEvent_ = now;
 }
 
-RouterCommands RequestRouter::onTimer(Tick now) {
+RouterCommands RequestRouter::onTimer(Milliseconds now) {
   RouterCommands out;
   recordLag(now);
   roster_.onTimer(now, tuning_.joinTimeout);
@@ -93,23 +94,25 @@
   return out;
 }
 
-void RequestRouter::requestLeases(RouterCommands& out, Tick now) {
+void RequestRouter::requestLeases(RouterCommands& out, Milliseconds now) {
   if (now < nextLeaseRequestAt_) return;
-  Tick const interval = snapshotApplied_ ? tuning_.leaseRequestInterval
-                                         : std::min(tuning_.leaseRequestInterval, tuning_.snapshotRequestInterval);
+  Milliseconds const interval = snapshotApplied_
+                                    ? tuning_.leaseRequestInterval
+                                    : std::min(tuning_.leaseRequestInterval, tuning_.snapshotRequestInterval);
   nextLeaseRequestAt_ = now + interval;
   chooseControllers(now);
   for (std::string const& link : controllerLinks_.chosen()) sendLeaseRequest(out, now, link);
 }
 
-bool RequestRouter::isExpired(Tick now, Call const& call) const {
-  Tick const inPhase = now - call.phaseSince;
+bool RequestRouter::isExpired(Milliseconds now, Call const& call) const {
+  Milliseconds const inPhase = now - call.phaseSince;
   switch (call.phase) {
     case Phase::queryingRequestId:
       return inPhase > tuning_.requestIdQueryTimeout || now >= call.deadline;
     case Phase::queued: {
       auto const target = static_cast<double>(routes_[call.path].path.latencyTarget);
-      return now - call.arrived > static_cast<Tick>(2 * tuning_.maxQueueTargets * target) || now >= call.deadline;
+      return now - call.arrived > static_cast<Milliseconds>(2 * tuning_.maxQueueTargets * target) ||
+             now >= call.deadline;
     }
     case Phase::connecting:
       return inPhase > tuning_.connectTimeout || now >= call.deadline;
@@ -122,7 +125,7 @@
   return now >= call.deadline;
 }
 
-void RequestRouter::expireCalls(RouterCommands& out, Tick now) {
+void RequestRouter::expireCalls(RouterCommands& out, Milliseconds now) {
   std::vector<CallId> expired;
   for (auto const& [callId, call] : calls_)
     if (isExpired(now, call)) expired.push_back(callId);
@@ -131,7 +134,7 @@
     if (calls_.count(id) > 0) expireCall(out, now, id);
 }
 
-void RequestRouter::expireCall(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::expireCall(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   switch (call.phase) {
     case Phase::queryingRequestId:
@@ -173,7 +176,7 @@
   }
 }
 
-void RequestRouter::evaluateQueues(RouterCommands& out, Tick now) {
+void RequestRouter::evaluateQueues(RouterCommands& out, Milliseconds now) {
   if (now < nextEvaluationAt_) return;
   nextEvaluationAt_ = now + queueEvaluationInterval;
   refreshCandidates(out, now);
@@ -186,7 +189,7 @@
   });
 }
 
-bool RequestRouter::isPastDeadline(Tick now, Call const& call) const {
+bool RequestRouter::isPastDeadline(Milliseconds now, Call const& call) const {
   return call.phase == Phase::streaming && !routes_[call.path].path.host.empty() &&
          now >= call.deadline + tuning_.deadlineGracePeriod;
 }
@@ -202,8 +205,8 @@
                      calls_.size()};
 }
 
-void RequestRouter::releaseRemoved(Tick now) {
-  Tick const oldest = now - tuning_.minimumMemoryAge;
+void RequestRouter::releaseRemoved(Milliseconds now) {
+  Milliseconds const oldest = now - tuning_.minimumMemoryAge;
   servingLease_.forgetBefore(oldest);
   controllerLinks_.forgetBefore(oldest);
   neighbourLinks_.forgetBefore(oldest);
@@ -242,11 +245,11 @@
   partialView_.setSeeds(std::move(seeds));
 }
 
-void RequestRouter::setWallTime(Tick now, std::int64_t wall) {
+void RequestRouter::setWallTime(Milliseconds now, std::int64_t wall) {
   if (wallClock_.set(now, wall)) regimePolicy_.invalidate();
 }
 
-RouterCommands RequestRouter::drain(Tick now) {
+RouterCommands RequestRouter::drain(Milliseconds now) {
   RouterCommands out;
   if (draining_) return out;
   draining_ = true;
@@ -270,7 +273,7 @@
   return out;
 }
 
-std::string RequestRouter::metrics(Tick now) const {
+std::string RequestRouter::metrics(Milliseconds now) const {
   std::string out = "# TYPE corkward_nacelle_events_total counter\n";
   for (auto const& [event, count] : journal_.counts())
     out += "corkward_nacelle_events_total{event=\"" + event + "\"} " + std::to_string(count) + "\n";
@@ -292,7 +295,7 @@
   return out;
 }
 
-QJsonObject RequestRouter::state(Tick now) const {
+QJsonObject RequestRouter::state(Milliseconds now) const {
   QJsonObject revisionsOut;
   for (auto const& [key, revision] : configuration_.revisions())
     revisionsOut.insert(core::toQString(key), static_cast<qint64>(revision));
--- a/dataplane/src/roster.cpp
+++ b/dataplane/src/roster.cpp
@@ -2,7 +2,8 @@
 
 namespace corkward::dataplane {
 
-void Roster::load(Tick now, std::uint64_t revision, std::vector<transport::Contact> const& contacts, bool onPrevious) {
+void Roster::load(Milliseconds now, std::uint64_t revision, std::vector<transport::Contact> const& contacts,
+                  bool onPrevious) {
   joining_ = !hasJoined() && !onPrevious;
   revision_ = revision;
   size_ = contacts.size();
@@ -19,7 +20,7 @@
   }
 }
 
-void Roster::onTimer(Tick now, Tick joinTimeout) {
+void Roster::onTimer(Milliseconds now, Milliseconds joinTimeout) {
   if (joining_ && includesSelf_ && now - loadedAt_ >= joinTimeout) joining_ = false;
 }
 
--- a/dataplane/src/serving_lease.cpp
+++ b/dataplane/src/serving_lease.cpp
@@ -6,7 +6,7 @@
 
 namespace corkward::dataplane {
 
-void ServingLease::onGrant(std::string const& controller, Tick grantedAt, transport::Digest const& digest,
+void ServingLease::onGrant(std::string const& controller, Milliseconds grantedAt, transport::Digest const& digest,
                            transport::Revisions const& revisions) {
   Grant& grant = grants_[controller];
   if (grantedAt > grant.grantedAt) grant = Grant{grantedAt, digest, revisions, grant.usefulAt};
@@ -34,8 +34,8 @@
   });
 }
 
-void ServingLease::recordHeard(std::string const& link, Tick at) {
-  Tick& newest = heardAt_.try_emplace(link, at).first->second;
+void ServingLease::recordHeard(std::string const& link, Milliseconds at) {
+  Milliseconds& newest = heardAt_.try_emplace(link, at).first->second;
   newest = std::max(newest, at);
 }
 
@@ -50,14 +50,14 @@
   }
 }
 
-bool ServingLease::isGrantedWithin(Tick now, Tick age) const {
+bool ServingLease::isGrantedWithin(Milliseconds now, Milliseconds age) const {
   return std::any_of(grants_.begin(), grants_.end(), [&](auto const& entry) {
-    Tick const usefulAt = entry.second.usefulAt;
+    Milliseconds const usefulAt = entry.second.usefulAt;
     return usefulAt >= 0 && now - usefulAt <= age;
   });
 }
 
-bool ServingLease::hasHeardMajority(Tick now, Tick age, Roster const& roster) const {
+bool ServingLease::hasHeardMajority(Milliseconds now, Milliseconds age, Roster const& roster) const {
   std::size_t heard = confirmedByController_ ? 1 : 0;
   for (std::string const& link : roster.others()) {
     auto const newest = heardAt_.find(link);
@@ -66,19 +66,19 @@
   return heard >= majorityOf(roster.size());
 }
 
-std::string ServingLease::encodeAges(Tick now, Tick maxAge, Roster const& roster) const {
+std::string ServingLease::encodeAges(Milliseconds now, Milliseconds maxAge, Roster const& roster) const {
   std::string ages;
   for (auto const& [link, zone] : roster.zones()) {
     auto const newest = heardAt_.find(link);
-    Tick age = newest == heardAt_.end() ? maxAge + 1 : now - newest->second;
+    Milliseconds age = newest == heardAt_.end() ? maxAge + 1 : now - newest->second;
     if (link == roster.self()) age = 0;
-    Tick const units = (age + transport::ageUnit - 1) / transport::ageUnit;
+    Milliseconds const units = (age + transport::ageUnit - 1) / transport::ageUnit;
     ages += static_cast<char>(age > maxAge || units >= unknownAge ? unknownAge : units);
   }
   return ages;
 }
 
-void ServingLease::forgetBefore(Tick oldest) {
+void ServingLease::forgetBefore(Milliseconds oldest) {
   std::erase_if(grants_, [&](auto const& entry) { return entry.second.grantedAt < oldest; });
   std::erase_if(pendingReplies_, [&](auto const& entry) { return entry.second.sentAt < oldest; });
   std::erase_if(heardAt_, [&](auto const& entry) { return entry.second < oldest; });
--- a/dataplane/src/tenant_limits.cpp
+++ b/dataplane/src/tenant_limits.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Admission RequestRouter::admitByQuota(RouterCommands& out, Tick now, Call& call) {
+Admission RequestRouter::admitByQuota(RouterCommands& out, Milliseconds now, Call& call) {
   config::Tenant const* const tenant = call.tenant.empty() ? nullptr : tenants_.byKey(call.request.tenantKey);
   if (tenant == nullptr) return Admission::granted;
   call.amount = Tenants::amountOf(*tenant, call.request.tokens);
@@ -35,7 +35,7 @@
   return admission;
 }
 
-bool RequestRouter::spendQuota(Tick now, Call& call) {
+bool RequestRouter::spendQuota(Milliseconds now, Call& call) {
   if (call.tenant.empty()) return true;
   if (call.quotaState == QuotaState::taken && now - call.quotaTakenAt > quota::maxDispatchDelay) returnQuota(now, call);
   if (call.quotaState != QuotaState::taken && !tenants_.takeAmount(now, call.tenant, call.amount)) return false;
@@ -43,16 +43,17 @@
   return true;
 }
 
-void RequestRouter::rejectOverQuota(RouterCommands& out, Tick now, CallId id, Admission admission) {
+void RequestRouter::rejectOverQuota(RouterCommands& out, Milliseconds now, CallId id, Admission admission) {
   reject(out, now, id, 429, reasonOf(admission), true, tuning_.quotaRetryAfter);
 }
 
-void RequestRouter::returnQuota(Tick now, Call& call) {
+void RequestRouter::returnQuota(Milliseconds now, Call& call) {
   if (call.quotaState == QuotaState::taken) tenants_.returnAmount(now, call.tenant, call.amount);
   call.quotaState = QuotaState::none;
 }
 
-void RequestRouter::applyQuotaDecisions(RouterCommands& out, Tick now, std::vector<QuotaDecision> const& decisions) {
+void RequestRouter::applyQuotaDecisions(RouterCommands& out, Milliseconds now,
+                                        std::vector<QuotaDecision> const& decisions) {
   for (QuotaDecision const& decision : decisions) {
     auto const it = calls_.find(decision.call);
     Call* const call = it == calls_.end() || it->second.phase != Phase::awaitingQuota ? nullptr : &it->second;
@@ -67,16 +68,17 @@
   }
 }
 
-void RequestRouter::updateTenants(RouterCommands& out, Tick now) {
+void RequestRouter::updateTenants(RouterCommands& out, Milliseconds now) {
   tenants_.setMembers(membershipLinks_, rosterSize());
   applyQuotaDecisions(out, now, tenants_.onTimer(now, out.sends));
 }
 
-void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, quota::QuotaGrants const& m) {
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from, quota::QuotaGrants const& m) {
   applyQuotaDecisions(out, now, tenants_.onMessage(now, from, m, out.sends));
 }
 
-void RequestRouter::on(RouterCommands& out, Tick now, std::string const& from, quota::AllocationQuery const& m) {
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
+                       quota::AllocationQuery const& m) {
   out.sends.push_back(tenants_.onMessage(now, from, m));
 }
 
--- a/dataplane/src/tenants.cpp
+++ b/dataplane/src/tenants.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 /// Milliseconds between looks for reports that are due.
-constexpr Tick reportEvery = 50;
+constexpr Milliseconds reportEvery = 50;
 /// A report without an answer for this long shows that its lender is silent, which is passed over for that long then.
-constexpr Tick answerWithin = 400;
-constexpr Tick passOverFor = 2000;
+constexpr Milliseconds answerWithin = 400;
+constexpr Milliseconds passOverFor = 2000;
 /// Milliseconds that a request waits for its amount. Amounts that come later are void, see
 /// quota::QuotaLimiter::onGrant.
-constexpr Tick waitAtMost = quota::maxDispatchDelay / 2;
+constexpr Milliseconds waitAtMost = quota::maxDispatchDelay / 2;
 /// Milliseconds for which no amount is asked for after a lender had too little, or nobody lent.
-constexpr Tick scarceFor = 30;
-constexpr Tick nobodyFor = 150;
+constexpr Milliseconds scarceFor = 30;
+constexpr Milliseconds nobodyFor = 150;
 /// A request is sent on to another lender so often.
 constexpr int maxQueries = 3;
 /// Gates of tenants that send nothing are freed once so many are kept.
@@ -66,7 +66,7 @@
   return static_cast<double>(rng_.next() >> 11) * 0x1.0p-53;
 }
 
-Admission Tenants::admit(Tick now, std::uint64_t call, config::Tenant const& tenant, double amount,
+Admission Tenants::admit(Milliseconds now, std::uint64_t call, config::Tenant const& tenant, double amount,
                          std::vector<transport::Send>& out) {
   Limited* const limit = limited(tenant.name);
   if (limit == nullptr) return Admission::granted;
@@ -78,17 +78,17 @@
   return decideWithoutCoordinator(now, waiting).admission;
 }
 
-bool Tenants::takeAmount(Tick now, std::string const& tenant, double amount) {
+bool Tenants::takeAmount(Milliseconds now, std::string const& tenant, double amount) {
   Limited* const limit = limited(tenant);
   return limit == nullptr || limit->limiter.tryAcquire(now, limit->limit, overdraftAllowance_, amount);
 }
 
-void Tenants::returnAmount(Tick now, std::string const& tenant, double amount) {
+void Tenants::returnAmount(Milliseconds now, std::string const& tenant, double amount) {
   Limited* const limit = limited(tenant);
   if (limit != nullptr) limit->limiter.refund(now, limit->limit, overdraftAllowance_, amount);
 }
 
-QuotaDecision Tenants::decideWithoutCoordinator(Tick now, Waiting const& waiting) {
+QuotaDecision Tenants::decideWithoutCoordinator(Milliseconds now, Waiting const& waiting) {
   Limited* const limit = limited(waiting.tenant);
   bool const granted = limit == nullptr ||
                        limit->limiter.tryAcquire(now, limit->limit, overdraftAllowance_, waiting.amount) ||
@@ -97,7 +97,7 @@
   return {waiting.call, granted ? Admission::granted : Admission::rejectedWithoutCoordinator, now};
 }
 
-void Tenants::detectTimeouts(Tick now) {
+void Tenants::detectTimeouts(Milliseconds now) {
   for (auto& entry : coordinators_) {
     CoordinatorLink& coordinator = entry.second;
     if (coordinator.firstUnansweredAt < 0 || now - coordinator.firstUnansweredAt <= answerWithin) continue;
@@ -107,12 +107,12 @@
   }
 }
 
-bool Tenants::isUnresponsive(Tick now, std::string const& link) const {
+bool Tenants::isUnresponsive(Milliseconds now, std::string const& link) const {
   auto const it = coordinators_.find(link);
   return it != coordinators_.end() && it->second.timedOutAt >= 0 && now - it->second.timedOutAt < passOverFor;
 }
 
-std::string Tenants::coordinatorOf(Tick now, std::uint64_t partition) const {
+std::string Tenants::coordinatorOf(Milliseconds now, std::uint64_t partition) const {
   auto const nobody = ownerlessUntil_.find(partition);
   if (nobody != ownerlessUntil_.end() && now < nobody->second) return {};
   auto const announced = announcedOwners_.find(partition);
@@ -125,7 +125,7 @@
   return best;
 }
 
-void Tenants::send(Tick now, std::string const& coordinator, std::vector<quota::TenantUsage> uses,
+void Tenants::send(Milliseconds now, std::string const& coordinator, std::vector<quota::TenantUsage> uses,
                    std::vector<Waiting> waiting, std::vector<transport::Send>& out) {
   CoordinatorLink& known = coordinators_[coordinator];
   if (known.firstUnansweredAt < 0) known.firstUnansweredAt = now;
@@ -134,7 +134,7 @@
   out.push_back(transport::Send{coordinator, quota::UsageReport{link_, incarnation_, number, std::move(uses)}});
 }
 
-bool Tenants::requestAmount(Tick now, Waiting waiting, std::vector<transport::Send>& out) {
+bool Tenants::requestAmount(Milliseconds now, Waiting waiting, std::vector<transport::Send>& out) {
   Limited* const limit = limited(waiting.tenant);
   std::string const coordinator = coordinatorOf(now, quota::partitionOf(waiting.tenant));
   if (limit == nullptr || coordinator.empty() || waiting.queries >= maxQueries) return false;
@@ -145,7 +145,7 @@
   return true;
 }
 
-void Tenants::sendReports(Tick now, std::vector<transport::Send>& out) {
+void Tenants::sendReports(Milliseconds now, std::vector<transport::Send>& out) {
   std::map<std::string, std::vector<quota::TenantUsage>> uses;
   for (auto& [name, limit] : limiters_) {
     if (!limit.limiter.reportDue(now)) continue;
@@ -158,7 +158,7 @@
   for (auto& [coordinator, some] : uses) send(now, coordinator, std::move(some), {}, out);
 }
 
-std::vector<QuotaDecision> Tenants::onTimer(Tick now, std::vector<transport::Send>& out) {
+std::vector<QuotaDecision> Tenants::onTimer(Milliseconds now, std::vector<transport::Send>& out) {
   std::vector<QuotaDecision> decisions;
   for (auto& [number, asked] : pendingReports_) {
     std::erase_if(asked.waiting, [&](Waiting const& waiting) {
@@ -178,8 +178,8 @@
   return decisions;
 }
 
-std::vector<QuotaDecision> Tenants::onMessage(Tick now, std::string const& from, quota::QuotaGrants const& message,
-                                              std::vector<transport::Send>& out) {
+std::vector<QuotaDecision> Tenants::onMessage(Milliseconds now, std::string const& from,
+                                              quota::QuotaGrants const& message, std::vector<transport::Send>& out) {
   std::vector<QuotaDecision> decisions;
   auto const at = pendingReports_.find(message.reportNumber);
   if (at == pendingReports_.end() || at->second.coordinator != from) return decisions;
@@ -218,7 +218,7 @@
   return decisions;
 }
 
-transport::Send Tenants::onMessage(Tick now, std::string const& from, quota::AllocationQuery const& message) {
+transport::Send Tenants::onMessage(Milliseconds now, std::string const& from, quota::AllocationQuery const& message) {
   quota::AllocationReport claims;
   claims.link = link_;
   claims.incarnation = incarnation_;
--- a/dataplane/src/upstream_events.cpp
+++ b/dataplane/src/upstream_events.cpp
@@ -5,7 +5,7 @@
 
 namespace corkward::dataplane {
 
-RouterCommands RequestRouter::onFirstByte(Tick now, CallId id, bool runKnown) {
+RouterCommands RequestRouter::onFirstByte(Milliseconds now, CallId id, bool runKnown) {
   RouterCommands out;
   auto const it = calls_.find(id);
   if (it == calls_.end() || it->second.phase != Phase::dispatched) return out;
@@ -25,7 +25,7 @@
   return out;
 }
 
-RouterCommands RequestRouter::onUpstreamError(Tick now, CallId id) {
+RouterCommands RequestRouter::onUpstreamError(Milliseconds now, CallId id) {
   RouterCommands out;
   auto const it = calls_.find(id);
   if (it == calls_.end() || it->second.phase != Phase::dispatched) return out;
@@ -52,13 +52,14 @@
   return out;
 }
 
-RouterCommands RequestRouter::onProgress(Tick now, CallId id) {
+RouterCommands RequestRouter::onProgress(Milliseconds now, CallId id) {
   auto const it = calls_.find(id);
   if (it != calls_.end() && it->second.phase == Phase::streaming) it->second.phaseSince = now;
   return {};
 }
 
-UpstreamResult RequestRouter::recordUpstreamResult(RouterCommands& out, Tick now, Call& call, UpstreamResult result) {
+UpstreamResult RequestRouter::recordUpstreamResult(RouterCommands& out, Milliseconds now, Call& call,
+                                                   UpstreamResult result) {
   if (result == UpstreamResult::complete || result == UpstreamResult::connectionLost)
     recordOutcome(out, now, call, result == UpstreamResult::connectionLost);
   if (result == UpstreamResult::staleConnection) {
@@ -73,7 +74,7 @@
   return result;
 }
 
-RouterCommands RequestRouter::onUpstreamFinished(Tick now, CallId id, UpstreamResult result) {
+RouterCommands RequestRouter::onUpstreamFinished(Milliseconds now, CallId id, UpstreamResult result) {
   RouterCommands out;
   auto const it = calls_.find(id);
   if (it == calls_.end()) return out;
@@ -107,19 +108,19 @@
   return call.resumes > 0 && !regimeOf(call).empty();
 }
 
-void RequestRouter::failUpstream(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::failUpstream(RouterCommands& out, Milliseconds now, CallId id) {
   if (isFirstRun(calls_.at(id)))
     reject(out, now, id, 502, "unknown, may have run", false, 0);
   else
     abortStream(out, now, id);
 }
 
-void RequestRouter::backOffOverloaded(Tick now, NameIndex replica) {
+void RequestRouter::backOffOverloaded(Milliseconds now, NameIndex replica) {
   countMetric(now, "replica_not_run");
   backOff(replica, std::max(replicas_[replica].backoffUntil, now + tuning_.overloadBackoff));
 }
 
-bool RequestRouter::takeStreamRetry(Tick now, Call const& call, UpstreamResult result) {
+bool RequestRouter::takeStreamRetry(Milliseconds now, Call const& call, UpstreamResult result) {
   bool const idempotent = routes_[call.path].path.idempotent;
   bool const repeatable =
       result == UpstreamResult::notExecuted || (result == UpstreamResult::connectionLost && idempotent);
@@ -128,7 +129,7 @@
          retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance);
 }
 
-void RequestRouter::recoverStream(RouterCommands& out, Tick now, CallId id, UpstreamResult result) {
+void RequestRouter::recoverStream(RouterCommands& out, Milliseconds now, CallId id, UpstreamResult result) {
   Call& call = calls_.at(id);
   bool const firstRun = isFirstRun(call);
   bool const again = takeStreamRetry(now, call, result);
@@ -154,7 +155,7 @@
   }
 }
 
-void RequestRouter::retryNotExecuted(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::retryNotExecuted(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   if (!call.request.id.empty()) requestIds_.setNotExecuted(requestIdKey(call.request));
   backOffOverloaded(now, call.replica);
@@ -162,14 +163,14 @@
   retry(out, now, id, "replica said not run");
 }
 
-bool RequestRouter::takeResume(Tick now, Call const& call, UpstreamResult result) {
+bool RequestRouter::takeResume(Milliseconds now, Call const& call, UpstreamResult result) {
   return result == UpstreamResult::connectionLost && call.runKnown && routes_[call.path].path.resumable &&
          call.resumes < tuning_.maxResumes && !isResumeSpent(call) && allowedByRegime(now, call) &&
          replicas_[call.replica].listed && servingLease(now) &&
          retryBudgets_.takeRetry(now, call.pool, rosterSize(), tuning_.retryAllowance);
 }
 
-void RequestRouter::resumeOnSameReplica(RouterCommands& out, Tick now, CallId id) {
+void RequestRouter::resumeOnSameReplica(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
   ++call.resumes;
   call.phase = Phase::dispatched;
@@ -180,7 +181,7 @@
   out.calls.push_back(Connect{id, addressOf(call.replica), path.path, true, true, incarnation, ownEvents(path)});
 }
 
-void RequestRouter::abortStream(RouterCommands& out, Tick now, CallId id, std::string const& why) {
+void RequestRouter::abortStream(RouterCommands& out, Milliseconds now, CallId id, std::string const& why) {
   countMetric(now, "broken");
   recordFailure(out, now, calls_.at(id), 0, why);
   recordAudit(out, now, calls_.at(id), AuditOutcome::aborted, why);
@@ -189,7 +190,7 @@
   dropCall(out, now, id);
 }
 
-RouterCommands RequestRouter::onCallerDisconnected(Tick now, CallId id) {
+RouterCommands RequestRouter::onCallerDisconnected(Milliseconds now, CallId id) {
   RouterCommands out;
   auto const it = calls_.find(id);
   if (it == calls_.end()) return out;
@@ -203,7 +204,7 @@
   return out;
 }
 
-bool RequestRouter::outlastsDrain(Tick now, config::Path const& path) const {
+bool RequestRouter::outlastsDrain(Milliseconds now, config::Path const& path) const {
   if (!draining_ || tuning_.drainTimeout <= 0) return false;
   return now + serviceTimes_.expected(path) > drainedAt_ + tuning_.drainTimeout;
 }
--- a/dataplane/src/wall_clock.cpp
+++ b/dataplane/src/wall_clock.cpp
@@ -10,14 +10,14 @@
 
 }  // namespace
 
-bool WallClock::set(Tick now, std::int64_t wall) {
+bool WallClock::set(Milliseconds now, std::int64_t wall) {
   std::int64_t const offset = wall - now;
   bool const jumped = !offset_ || offset > *offset_ + maxDriftMs;
   offset_ = std::max(offset_.value_or(offset), offset);
   return jumped;
 }
 
-config::WallTime WallClock::at(Tick now) const {
+config::WallTime WallClock::at(Milliseconds now) const {
   return offset_ ? config::WallTime(now + *offset_) : std::nullopt;
 }
 
--- a/dataplane/src/warmup_leases.cpp
+++ b/dataplane/src/warmup_leases.cpp
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-bool WarmupLeases::holds(Tick now, NameIndex replica) const {
+bool WarmupLeases::holds(Milliseconds now, NameIndex replica) const {
   return now < expiresAt(replica);
 }
 
-Tick WarmupLeases::expiresAt(NameIndex replica) const {
+Milliseconds WarmupLeases::expiresAt(NameIndex replica) const {
   auto const lease = leases_.find(replica);
   return lease == leases_.end() ? -1 : lease->second.until;
 }
 
-bool WarmupLeases::withdraw(Tick now, NameIndex replica) {
+bool WarmupLeases::withdraw(Milliseconds now, NameIndex replica) {
   Lease& lease = leases_[replica];
   bool const held = now < lease.until;
   lease.until = -1;
@@ -30,29 +30,29 @@
   return held;
 }
 
-bool WarmupLeases::shouldRequest(Tick now, NameIndex replica, Tick delay) {
+bool WarmupLeases::shouldRequest(Milliseconds now, NameIndex replica, Milliseconds delay) {
   Lease& lease = leases_[replica];
   if (lease.wantedSince < 0) lease.wantedSince = now;
   bool const held = now < lease.until;
-  Tick const freeSince = std::max(lease.wantedSince, lease.heldElsewhereUntil);
+  Milliseconds const freeSince = std::max(lease.wantedSince, lease.heldElsewhereUntil);
   if (!held && now - freeSince < delay) return false;
   if (lease.grants.size() > maxOpenRequests) lease.grants.erase(lease.grants.begin());
   return true;
 }
 
-void WarmupLeases::deny(NameIndex replica, Tick until) {
+void WarmupLeases::deny(NameIndex replica, Milliseconds until) {
   Lease& lease = leases_[replica];
   lease.heldElsewhereUntil = std::max(lease.heldElsewhereUntil, until);
 }
 
-bool WarmupLeases::grant(Tick now, NameIndex replica, Tick requestSentAt, std::string const& member,
-                         std::vector<std::string> const& members, Tick duration) {
+bool WarmupLeases::grant(Milliseconds now, NameIndex replica, Milliseconds requestSentAt, std::string const& member,
+                         std::vector<std::string> const& members, Milliseconds duration) {
   Lease& lease = leases_[replica];
   std::set<std::string>& granted = lease.grants[requestSentAt];
   granted.insert(member);
   auto const count = static_cast<std::size_t>(
       std::count_if(members.begin(), members.end(), [&](std::string const& id) { return granted.count(id) > 0; }));
-  Tick const until = requestSentAt + duration;
+  Milliseconds const until = requestSentAt + duration;
   if (count < majorityOf(members.size()) || until <= lease.until) return false;
   bool const acquired = now >= lease.until;
   lease.until = until;
@@ -60,16 +60,16 @@
   return acquired;
 }
 
-bool WarmupLeases::hasToken(Tick now, NameIndex replica, double rate) const {
+bool WarmupLeases::hasToken(Milliseconds now, NameIndex replica, double rate) const {
   auto const lease = leases_.find(replica);
   return lease != leases_.end() && now < lease->second.until && lease->second.bucket.hasToken(now, rate);
 }
 
-bool WarmupLeases::takeToken(Tick now, NameIndex replica, double rate) {
+bool WarmupLeases::takeToken(Milliseconds now, NameIndex replica, double rate) {
   return leases_.at(replica).bucket.takeToken(now, rate);
 }
 
-std::vector<NameIndex> WarmupLeases::releaseAll(Tick now) {
+std::vector<NameIndex> WarmupLeases::releaseAll(Milliseconds now) {
   std::vector<NameIndex> released;
   for (auto& [replica, lease] : leases_) {
     if (now >= lease.until) continue;
--- a/dataplane/src/warmup_requests.cpp
+++ b/dataplane/src/warmup_requests.cpp
@@ -11,14 +11,14 @@
          !isEvacuated(replica.zone);
 }
 
-Tick RequestRouter::warmupRequestDelay(std::string const& replica) const {
+Milliseconds RequestRouter::warmupRequestDelay(std::string const& replica) const {
   std::uint64_t const own = core::stableHash(replica + partialView_.self().link);
   auto const rank = std::count_if(otherRouters().begin(), otherRouters().end(),
                                   [&](std::string const& link) { return core::stableHash(replica + link) < own; });
   return rank * 2 * tuning_.warmupRequestInterval;
 }
 
-void RequestRouter::updateWarmupLeases(RouterCommands& out, Tick now) {
+void RequestRouter::updateWarmupLeases(RouterCommands& out, Milliseconds now) {
   std::vector<std::string> const targets = controllers(now);
   for (PoolView& view : pools_) {
     for (NameIndex const replica : view.replicas) {
@@ -37,7 +37,7 @@
   }
 }
 
-void RequestRouter::releaseWarmupLeases(RouterCommands& out, Tick now) {
+void RequestRouter::releaseWarmupLeases(RouterCommands& out, Milliseconds now) {
   std::vector<std::string> const& others = otherRouters();
   for (NameIndex const replica : warmupLeases_.releaseAll(now)) {
     pools_[replicas_[replica].pool].changed = true;
@@ -49,7 +49,8 @@
   }
 }
 
-void RequestRouter::on(RouterCommands& out, Tick now, std::string const&, transport::WarmupLeaseGrant const& m) {
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const&,
+                       transport::WarmupLeaseGrant const& m) {
   NameIndex const replica = replicaNames_.find(m.replica);
   if (replica >= replicas_.size() || m.requestSentAt > now) return;
   if (!m.granted) {
--- a/dataplane/test/golden_pages_test.cpp
+++ b/dataplane/test/golden_pages_test.cpp
@@ -106,7 +106,7 @@
 /// One router, what is told to it, and what its callers get.
 struct Router {
   dataplane::RequestRouter reducer;
-  core::Tick now = 100000;
+  core::Milliseconds now = 100000;
   std::uint64_t next = 1;
   std::uint64_t revision = 1;
   std::string& text;
@@ -183,9 +183,9 @@
     step("news of " + key, reducer.onMessage(now, "s1", n));
   }
   /// Time passes with a clock event every 20 ms; nothing confirms when told so.
-  void pass(core::Tick span, bool confirmed = true) {
+  void pass(core::Milliseconds span, bool confirmed = true) {
     text += "> " + std::to_string(span) + " ms pass" + (confirmed ? "" : " unconfirmed") + "\n";
-    for (core::Tick const end = now + span; now < end;) {
+    for (core::Milliseconds const end = now + span; now < end;) {
       now += 20;
       if (confirmed) confirm();
       show(reducer.onTimer(now));
--- a/dataplane/test/grey_test.cpp
+++ b/dataplane/test/grey_test.cpp
@@ -28,10 +28,10 @@
 struct Load {
   dataplane::RequestRouter reducer;
   core::RandomGenerator rng;
-  core::Tick now = 100000;
+  core::Milliseconds now = 100000;
   std::uint64_t next = 1;
   std::function<Fate(std::string const&)> fate;
-  std::multimap<core::Tick, std::function<void()>> due;
+  std::multimap<core::Milliseconds, std::function<void()>> due;
   std::map<std::uint64_t, std::string> at;
   std::map<std::string, int> reached;
   std::map<std::string, int> connects;
@@ -78,7 +78,7 @@
     run(reducer.onMessage(now, "s1", update));
   }
 
-  void after(core::Tick wait, std::function<void()> what) { due.emplace(now + wait, std::move(what)); }
+  void after(core::Milliseconds wait, std::function<void()> what) { due.emplace(now + wait, std::move(what)); }
 
   std::uint64_t sendRequest() {
     dataplane::Request r;
@@ -104,7 +104,7 @@
     std::string const address = at.at(m.call);
     ++reached[address];
     Fate const f = fate(address);
-    core::Tick const took = f == Fate::slow ? 1500 : 20;
+    core::Milliseconds const took = f == Fate::slow ? 1500 : 20;
     after(took, [this, f, address, call = m.call] {
       if (f == Fate::broken || f == Fate::forgotten) {
         run(reducer.onUpstreamFinished(now, call,
@@ -132,8 +132,8 @@
   void act(dataplane::WriteAuditRecord const&) {}
 
   /// Time goes on up to then, with a request each so many milliseconds.
-  void go(core::Tick duration, core::Tick every) {
-    core::Tick const end = now + duration;
+  void go(core::Milliseconds duration, core::Milliseconds every) {
+    core::Milliseconds const end = now + duration;
     for (; now < end; ++now) {
       while (!due.empty() && due.begin()->first <= now) {
         std::function<void()> const what = std::move(due.begin()->second);
--- a/dataplane/test/limited_fleet.h
+++ b/dataplane/test/limited_fleet.h
@@ -28,9 +28,9 @@
   /// Routers that the tenant's clients use.
   std::size_t used = 16;
   /// Milliseconds from taking an amount until the hand-over, at the most.
-  Tick held = 20;
+  Milliseconds held = 20;
   /// Above 0: whatever waits is handed over at once, each time so many milliseconds have passed.
-  Tick together = 0;
+  Milliseconds together = 0;
 };
 
 /// A safeguard that a test turns off, to see that the oracle finds what it is for.
@@ -60,8 +60,8 @@
   }
 
   /// Plays so many milliseconds on.
-  void play(Tick time) {
-    for (Tick const end = now_ + time; now_ < end; ++now_) step();
+  void play(Milliseconds time) {
+    for (Milliseconds const end = now_ + time; now_ < end; ++now_) step();
   }
   void setDemand(double perSecond) { plan_.demand = perSecond; }
   void setLimit(quota::Limit const& limit) {
@@ -77,7 +77,7 @@
   void heal() {
     for (auto& [link, node] : nodes_) node.side = 0;
   }
-  void freeze(std::string const& link, Tick time) { nodes_.at(link).frozenUntil = now_ + time; }
+  void freeze(std::string const& link, Milliseconds time) { nodes_.at(link).frozenUntil = now_ + time; }
   /// The process is killed and starts again, without what it knew.
   void restart(std::string const& link) {
     if (link[0] == 'c')
@@ -103,22 +103,22 @@
     sum_ = 0;
     most_ = 0;
   }
-  Tick now() const { return now_; }
+  Milliseconds now() const { return now_; }
   double requested = 0;
   double served = 0;
   std::size_t requests = 0;
   std::size_t refused = 0;
   /// Longest wait for a decision, in milliseconds.
-  Tick longestWait = 0;
+  Milliseconds longestWait = 0;
 
  private:
   /// Milliseconds after which a message to a node behind a cut, or to a frozen one, is tried again.
-  static constexpr Tick heldUpFor = 20;
+  static constexpr Milliseconds heldUpFor = 20;
   struct Node {
     std::unique_ptr<quota::QuotaCoordinator> coordinator;
     std::unique_ptr<Tenants> tenants;
-    Tick startedAt = 0;
-    Tick frozenUntil = 0;
+    Milliseconds startedAt = 0;
+    Milliseconds frozenUntil = 0;
     int side = 0;
     std::uint64_t incarnation = 0;
   };
@@ -130,10 +130,10 @@
   struct Request {
     std::string router;
     double amount = 0;
-    Tick came = 0;
+    Milliseconds came = 0;
   };
   struct Run {
-    Tick at = 0;
+    Milliseconds at = 0;
     double amount = 0;
   };
 
@@ -176,7 +176,7 @@
     for (transport::Send& s : sends) push(from, s.to, std::move(s.message));
   }
   void push(std::string const& from, std::string const& to, transport::Message message) {
-    enqueue(now_ + 1 + static_cast<Tick>(rng_.below(4)), {from, to, std::move(message)});
+    enqueue(now_ + 1 + static_cast<Milliseconds>(rng_.below(4)), {from, to, std::move(message)});
   }
   void deliver() {
     while (!network_.empty() && network_.begin()->first <= now_) {
@@ -188,8 +188,8 @@
         enqueue(now_ + heldUpFor, std::move(packet));
     }
   }
-  void enqueue(Tick at, Packet packet) {
-    Tick& last = lastArrival_[{packet.from, packet.to}];
+  void enqueue(Milliseconds at, Packet packet) {
+    Milliseconds& last = lastArrival_[{packet.from, packet.to}];
     last = std::max(last, at);
     network_.emplace(last, std::move(packet));
   }
@@ -222,13 +222,13 @@
       conclude(router, request, decision.admission, decision.amountTakenAt);
     }
   }
-  void conclude(std::string const& router, Request const& request, Admission admission, Tick takenAt) {
+  void conclude(std::string const& router, Request const& request, Admission admission, Milliseconds takenAt) {
     if (admission != Admission::granted) {
       ++refused;
       return;
     }
-    Tick const soon = now_ + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(plan_.held) + 1));
-    Tick const at = plan_.together > 0 ? (now_ / plan_.together + 1) * plan_.together : soon;
+    Milliseconds const soon = now_ + static_cast<Milliseconds>(rng_.below(static_cast<std::uint64_t>(plan_.held) + 1));
+    Milliseconds const at = plan_.together > 0 ? (now_ / plan_.together + 1) * plan_.together : soon;
     if (at - takenAt > quota::maxDispatchDelay && without_ != Without::handOverLimit) {
       nodes_.at(router).tenants->returnAmount(now_, "t", request.amount);
       ++refused;
@@ -289,16 +289,16 @@
   std::vector<std::string> members_;
   std::vector<std::string> routerLinks_;
   std::map<std::string, Node> nodes_;
-  std::multimap<Tick, Packet> network_;
-  std::map<std::pair<std::string, std::string>, Tick> lastArrival_;
+  std::multimap<Milliseconds, Packet> network_;
+  std::map<std::pair<std::string, std::string>, Milliseconds> lastArrival_;
   std::map<std::uint64_t, Request> waiting_;
-  std::multimap<Tick, Run> handOvers_;
+  std::multimap<Milliseconds, Run> handOvers_;
   std::deque<Run> run_;
   double sum_ = 0;
   double most_ = 0;
   std::uint64_t incarnations_ = 0;
   std::uint64_t calls_ = 0;
-  Tick now_ = 0;
+  Milliseconds now_ = 0;
 };
 
 }  // namespace corkward::dataplane::test
--- a/dataplane/test/limits_test.cpp
+++ b/dataplane/test/limits_test.cpp
@@ -6,14 +6,14 @@
 
 namespace core = corkward::core;
 namespace quota = corkward::quota;
-using core::Tick;
+using core::Milliseconds;
 using corkward::dataplane::test::FleetPlan;
 using corkward::dataplane::test::LimitedFleet;
 using corkward::dataplane::test::Without;
 
 namespace {
 
-constexpr Tick settled = 14000;
+constexpr Milliseconds settled = 14000;
 constexpr double crowd = 80000;
 
 /// One random trouble of the kinds that a day may bring.
@@ -39,11 +39,11 @@
       break;
     case 3:
       for (std::string const& link : some(routers, 1 + rng.below(6)))
-        fleet.freeze(link, 500 + static_cast<Tick>(rng.below(8000)));
+        fleet.freeze(link, 500 + static_cast<Milliseconds>(rng.below(8000)));
       break;
     case 4:
       for (std::string const& link : some(members, 1 + rng.below(2)))
-        fleet.freeze(link, 500 + static_cast<Tick>(rng.below(4000)));
+        fleet.freeze(link, 500 + static_cast<Milliseconds>(rng.below(4000)));
       break;
     case 5:
       for (std::string const& link : some(members, 1 + rng.below(members.size()))) fleet.restart(link);
@@ -68,11 +68,11 @@
   plan.together = seed % 3 == 0 ? 7000 : 0;
   double const usual = plan.demand;
   LimitedFleet fleet(plan, seed, without);
-  fleet.play(5000 + static_cast<Tick>(rng.below(10000)));
+  fleet.play(5000 + static_cast<Milliseconds>(rng.below(10000)));
   for (int i = 0; i < 10; ++i) {
     fleet.setDemand(rng.chance(0.6) ? usual * 10 : usual);
     trouble(fleet, rng);
-    fleet.play(200 + static_cast<Tick>(rng.below(6000)));
+    fleet.play(200 + static_cast<Milliseconds>(rng.below(6000)));
     if (rng.chance(0.5)) fleet.heal();
   }
   fleet.heal();
--- a/dataplane/test/neighbour_links_test.cpp
+++ b/dataplane/test/neighbour_links_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr core::Tick interval = 200;
+constexpr core::Milliseconds interval = 200;
 RouterTuning const tuning;
 
 NeighbourLinks::Peers tenPeers() {
--- a/dataplane/test/prompt_test.cpp
+++ b/dataplane/test/prompt_test.cpp
@@ -17,7 +17,7 @@
 /// One node of its own seed before a pool that keeps parts of prompts.
 struct Node {
   dataplane::RequestRouter reducer;
-  core::Tick now = 100000;
+  core::Milliseconds now = 100000;
   std::uint64_t next = 1;
   std::uint64_t open = 1;
 
--- a/dataplane/test/regimes_test.cpp
+++ b/dataplane/test/regimes_test.cpp
@@ -63,7 +63,7 @@
 /// One router with a bound tenant (law) and a free one (desk); zones z1 and z2 of three are certified.
 struct Rig {
   dataplane::RequestRouter reducer;
-  core::Tick now = 100000;
+  core::Milliseconds now = 100000;
   std::uint64_t next = 1;
   std::uint64_t revision = 1;
   dataplane::RouterCommands last;
@@ -132,9 +132,9 @@
     reducer.onFirstByte(now, call, true);
     return address;
   }
-  dataplane::RouterCommands pass(core::Tick span) {
+  dataplane::RouterCommands pass(core::Milliseconds span) {
     dataplane::RouterCommands all;
-    for (core::Tick const end = now + span; now < end;) {
+    for (core::Milliseconds const end = now + span; now < end;) {
       now += 20;
       confirm();
       dataplane::RouterCommands const c = reducer.onTimer(now);
--- a/dataplane/test/request_router_test.cpp
+++ b/dataplane/test/request_router_test.cpp
@@ -21,7 +21,7 @@
 /// One router with a confirmed snapshot, three replicas of one pool and two instances.
 struct Rig {
   dataplane::RequestRouter reducer;
-  core::Tick now = 100000;
+  core::Milliseconds now = 100000;
   std::uint64_t next = 1;
 
   static transport::Contact self() {
@@ -406,7 +406,7 @@
   return {};
 }
 
-dataplane::Request later(Rig& rig, std::uint64_t attempt, core::Tick age) {
+dataplane::Request later(Rig& rig, std::uint64_t attempt, core::Milliseconds age) {
   dataplane::Request r;
   r.call = rig.next++;
   r.instance = "desk.nord";
@@ -621,7 +621,7 @@
   }
   reducer.onMessage(0, "s1", shuffle);
   std::set<std::string> dead;
-  std::function<std::set<std::string>(core::Tick)> const round = [&](core::Tick now) {
+  std::function<std::set<std::string>(core::Milliseconds)> const round = [&](core::Milliseconds now) {
     std::set<std::string> asked;
     for (transport::Send const& s : reducer.onTimer(now).sends) {
       if (!std::holds_alternative<transport::ServingLeaseRequest>(s.message)) continue;
@@ -634,7 +634,7 @@
     }
     return asked;
   };
-  core::Tick now = 1000;
+  core::Milliseconds now = 1000;
   round(now);
   std::set<std::string> const before = round(now += 300);
   CHECK(before.size() == 2);
@@ -651,9 +651,10 @@
   tuning.leaseRequestInterval = 500;
   dataplane::RequestRouter reducer(Rig::self(), {"s1", "s2"}, 7, tuning);
   reducer.started(0);
-  std::function<std::size_t(core::Tick, core::Tick)> const asks = [&](core::Tick from, core::Tick to) {
+  std::function<std::size_t(core::Milliseconds, core::Milliseconds)> const asks = [&](core::Milliseconds from,
+                                                                                      core::Milliseconds to) {
     std::size_t n = 0;
-    for (core::Tick t = from; t < to; t += 20)
+    for (core::Milliseconds t = from; t < to; t += 20)
       for (transport::Send const& s : reducer.onTimer(t).sends) {
         transport::ServingLeaseRequest const* const message = std::get_if<transport::ServingLeaseRequest>(&s.message);
         if (message != nullptr) n += s.to == "s1" || s.to == "s2" ? 1 : 0;
@@ -827,7 +828,7 @@
   for (int round = 0; round < 40; ++round) {
     Rig rig;
     for (int i = 0; i < 500; ++i) {
-      rig.now += static_cast<core::Tick>(rng.below(60));
+      rig.now += static_cast<core::Milliseconds>(rng.below(60));
       std::string const from = names[rng.below(names.size())];
       rig.reducer.onMessage(
           rig.now, from,
@@ -904,14 +905,14 @@
   static constexpr std::uint64_t seed = 7;
   dataplane::RouterTuning tuning;
   dataplane::RequestRouter reducer;
-  core::Tick now = 100000;
+  core::Milliseconds now = 100000;
   std::uint64_t revision = 0;
   std::set<int> replicas;
   std::map<std::string, corkward::scaling::Scaler> scalers;
   struct Call {
     std::string tenant;
     core::NameIndex replica = 0;
-    core::Tick dispatchedAt = 0;
+    core::Milliseconds dispatchedAt = 0;
   };
   std::map<std::uint64_t, Call> inHand;
 
@@ -1047,12 +1048,12 @@
 
 TEST_CASE("answers as old as a heartbeat and a far way make no node ask its neighbours for ages, silence soon does") {
   Rig rig;
-  std::vector<std::pair<core::Tick, transport::ServingLeaseGrant>> under;
+  std::vector<std::pair<core::Milliseconds, transport::ServingLeaseGrant>> under;
   std::size_t wanted = 0;
-  core::Tick firstWanted = -1;
-  core::Tick const silentFrom = rig.now + 20000;
-  for (core::Tick const until = silentFrom + 2000; rig.now < until; rig.now += 20) {
-    std::erase_if(under, [&](std::pair<core::Tick, transport::ServingLeaseGrant> const& u) {
+  core::Milliseconds firstWanted = -1;
+  core::Milliseconds const silentFrom = rig.now + 20000;
+  for (core::Milliseconds const until = silentFrom + 2000; rig.now < until; rig.now += 20) {
+    std::erase_if(under, [&](std::pair<core::Milliseconds, transport::ServingLeaseGrant> const& u) {
       if (u.first > rig.now) return false;
       rig.reducer.onMessage(rig.now, "s1", u.second);
       return true;
--- a/dataplane/test/service_times_test.cpp
+++ b/dataplane/test/service_times_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-config::Path pathWithDeadline(corkward::core::Tick deadline) {
+config::Path pathWithDeadline(corkward::core::Milliseconds deadline) {
   config::Path path;
   path.instance = "a";
   path.path = "p";
--- a/dataplane/test/serving_lease_test.cpp
+++ b/dataplane/test/serving_lease_test.cpp
@@ -29,7 +29,7 @@
   return configuration;
 }
 
-transport::PeerHeartbeat replyWith(corkward::core::Tick sentAt, ConfigurationState const& configuration) {
+transport::PeerHeartbeat replyWith(corkward::core::Milliseconds sentAt, ConfigurationState const& configuration) {
   transport::PeerHeartbeat reply;
   reply.sentAt = sentAt;
   reply.hasSnapshot = true;
--- a/dataplane/test/tenants_test.cpp
+++ b/dataplane/test/tenants_test.cpp
@@ -37,7 +37,7 @@
 };
 
 /// Sends one request of the tenant, for which nothing was lent, and returns what is asked of whom.
-Asked askedFor(dataplane::Tenants& tenants, core::Tick now, config::Tenant const& of, std::uint64_t call = 1) {
+Asked askedFor(dataplane::Tenants& tenants, core::Milliseconds now, config::Tenant const& of, std::uint64_t call = 1) {
   std::vector<transport::Send> sends;
   REQUIRE(tenants.admit(now, call, of, 5, sends) == dataplane::Admission::pending);
   REQUIRE(sends.size() == 1);
--- a/dataplane/test/warmup_leases_test.cpp
+++ b/dataplane/test/warmup_leases_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 std::vector<std::string> const members{"a", "b", "c"};
-constexpr corkward::core::Tick duration = 1000;
+constexpr corkward::core::Milliseconds duration = 1000;
 
 }  // namespace
 
--- a/gossip/include/corkward/gossip/partial_view.h
+++ b/gossip/include/corkward/gossip/partial_view.h
@@ -9,15 +9,15 @@
 
 namespace corkward::gossip {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// Starting values of the membership.
 /// How often contacts are shuffled while few are known, and then.
-inline constexpr Tick shuffleAtFirst = 400;
-inline constexpr Tick shuffleEvery = 1200;
+inline constexpr Milliseconds shuffleAtFirst = 400;
+inline constexpr Milliseconds shuffleEvery = 1200;
 inline constexpr std::size_t fewContacts = 6;
-inline constexpr Tick suspectAfter = 7500;
-inline constexpr Tick dropAfter = 120000;
+inline constexpr Milliseconds suspectAfter = 7500;
+inline constexpr Milliseconds dropAfter = 120000;
 inline constexpr std::size_t viewBound = 48;
 inline constexpr std::size_t sampleSize = 8;
 
@@ -31,10 +31,11 @@
  public:
   PartialView(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed);
 
-  std::vector<transport::Send> arrived(Tick now, std::string const& from, transport::GossipShuffle const& shuffle);
-  std::vector<transport::Send> clockEvent(Tick now);
+  std::vector<transport::Send> arrived(Milliseconds now, std::string const& from,
+                                       transport::GossipShuffle const& shuffle);
+  std::vector<transport::Send> clockEvent(Milliseconds now);
   /// First-hand word of a process. Returns a correction for it when we know a newer incarnation at its address.
-  std::vector<transport::Send> heard(Tick now, transport::Contact const& contact);
+  std::vector<transport::Send> heard(Milliseconds now, transport::Contact const& contact);
 
   transport::Contact const& self() const { return self_; }
   void setSeeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
@@ -44,26 +45,26 @@
   void setRoster(std::uint64_t revision, std::vector<transport::Contact> nodes);
   void setDraining() { self_.draining = true; }
   /// Contacts of a role, ages as of now.
-  std::vector<transport::Contact> ofRole(std::string const& role, Tick now) const;
-  ServingLease servingLease(std::string const& link, Tick now) const;
+  std::vector<transport::Contact> ofRole(std::string const& role, Milliseconds now) const;
+  ServingLease servingLease(std::string const& link, Milliseconds now) const;
   /// Age of the last word of it, first- or second-hand; -1 when it is not in the view.
-  Tick age(std::string const& link, Tick now) const;
+  Milliseconds age(std::string const& link, Milliseconds now) const;
   std::size_t size() const { return view_.size(); }
 
  private:
   struct KnownContact {
     transport::Contact contact;
-    Tick lastSeenAt = 0;
+    Milliseconds lastSeenAt = 0;
   };
-  void merge(Tick now, transport::Contact const& contact);
-  transport::GossipShuffle sample(Tick now, bool reply, bool brief);
+  void merge(Milliseconds now, transport::Contact const& contact);
+  transport::GossipShuffle sample(Milliseconds now, bool reply, bool brief);
   /// Place on the roster of a contact that differs from what is said there by incarnation and age alone; -1: none.
   std::ptrdiff_t rosterPosition(transport::Contact const& contact) const;
   transport::Contact self_;
   std::vector<std::string> seeds_;
   core::RandomGenerator rng_;
   std::map<std::string, KnownContact> view_;
-  Tick shuffleAt_ = 0;
+  Milliseconds shuffleAt_ = 0;
   std::uint64_t rosterRevision_ = 0;
   /// In the order of their links.
   std::vector<transport::Contact> roster_;
--- a/gossip/src/partial_view.cpp
+++ b/gossip/src/partial_view.cpp
@@ -30,14 +30,14 @@
 PartialView::PartialView(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed)
     : self_(std::move(self)), seeds_(std::move(seeds)), rng_(seed) {}
 
-void PartialView::merge(Tick now, transport::Contact const& contact) {
+void PartialView::merge(Milliseconds now, transport::Contact const& contact) {
   if (contact.link.empty() || contact.age < 0 || contact.age > dropAfter || contact.incarnation > mostInc) return;
   if (contact.link == self_.link) {
     if (contact.incarnation > self_.incarnation) self_.incarnation = contact.incarnation + 1;
     return;
   }
   KnownContact& known = view_[contact.link];
-  Tick const at = now - contact.age;
+  Milliseconds const at = now - contact.age;
   if (contact.incarnation < known.contact.incarnation ||
       (contact.incarnation == known.contact.incarnation && at <= known.lastSeenAt && known.lastSeenAt != 0))
     return;
@@ -66,7 +66,7 @@
   return same ? it - roster_.begin() : -1;
 }
 
-transport::GossipShuffle PartialView::sample(Tick now, bool reply, bool brief) {
+transport::GossipShuffle PartialView::sample(Milliseconds now, bool reply, bool brief) {
   std::vector<transport::Contact> out;
   for (auto const& [link, known] : view_) {
     out.push_back(known.contact);
@@ -89,7 +89,7 @@
   return shuffle;
 }
 
-std::vector<transport::Send> PartialView::arrived(Tick now, std::string const& from,
+std::vector<transport::Send> PartialView::arrived(Milliseconds now, std::string const& from,
                                                   transport::GossipShuffle const& shuffle) {
   alike_ = rosterRevision_ > 0 && shuffle.rosterRevision == rosterRevision_;
   for (transport::Contact const& c : shuffle.contacts) merge(now, c);
@@ -105,7 +105,7 @@
   return out;
 }
 
-std::vector<transport::Send> PartialView::heard(Tick now, transport::Contact const& contact) {
+std::vector<transport::Send> PartialView::heard(Milliseconds now, transport::Contact const& contact) {
   auto const it = view_.find(contact.link);
   std::vector<transport::Send> out;
   if (it != view_.end() && it->second.contact.incarnation > contact.incarnation)
@@ -116,7 +116,7 @@
   return out;
 }
 
-std::vector<transport::Send> PartialView::clockEvent(Tick now) {
+std::vector<transport::Send> PartialView::clockEvent(Milliseconds now) {
   std::vector<transport::Send> out;
   if (now < shuffleAt_) return out;
   shuffleAt_ = now + (view_.size() < fewContacts ? shuffleAtFirst : shuffleEvery);
@@ -135,7 +135,7 @@
   return out;
 }
 
-std::vector<transport::Contact> PartialView::ofRole(std::string const& role, Tick now) const {
+std::vector<transport::Contact> PartialView::ofRole(std::string const& role, Milliseconds now) const {
   std::vector<transport::Contact> out;
   for (auto const& [link, known] : view_) {
     if (known.contact.role != role) continue;
@@ -145,13 +145,13 @@
   return out;
 }
 
-Tick PartialView::age(std::string const& link, Tick now) const {
+Milliseconds PartialView::age(std::string const& link, Milliseconds now) const {
   auto const it = view_.find(link);
   return it == view_.end() ? -1 : now - it->second.lastSeenAt;
 }
 
-ServingLease PartialView::servingLease(std::string const& link, Tick now) const {
-  Tick const a = age(link, now);
+ServingLease PartialView::servingLease(std::string const& link, Milliseconds now) const {
+  Milliseconds const a = age(link, now);
   if (a < 0) return ServingLease::unknown;
   return a > suspectAfter ? ServingLease::suspected : ServingLease::alive;
 }
--- a/gossip/test/partial_view_test.cpp
+++ b/gossip/test/partial_view_test.cpp
@@ -36,7 +36,7 @@
 /// Fleets that shuffle on one clock; messages arrive at once.
 struct Fleet {
   std::map<std::string, gossip::PartialView> all;
-  core::Tick now = 0;
+  core::Milliseconds now = 0;
   std::uint64_t known = 0;
   std::uint64_t fullContacts = 0;
 
@@ -53,8 +53,8 @@
       if (to != all.end()) deliver(s.to, to->second.arrived(now, from, shuffle));
     }
   }
-  void run(core::Tick time) {
-    for (core::Tick const until = now + time; now < until; now += 100)
+  void run(core::Milliseconds time) {
+    for (core::Milliseconds const until = now + time; now < until; now += 100)
       for (auto& [link, view] : all) deliver(link, view.clockEvent(now));
   }
 };
@@ -132,14 +132,14 @@
   for (auto& [link, view] : fleets[1].all) view.setRoster(1, roster(30));
   int turn = 0;
   for (auto& [link, view] : fleets[2].all) view.setRoster(++turn % 2 == 0 ? 2 : 3, roster(29));
-  std::vector<core::Tick> ages(3, 0);
+  std::vector<core::Milliseconds> ages(3, 0);
   for (int second = 0; second < 60; ++second) {
     for (std::size_t f = 0; f < fleets.size(); ++f) {
       fleets[f].run(1000);
       for (auto const& [link, view] : fleets[f].all)
         for (int n = 1; n <= 30; ++n) {
           if (link == node(n)) continue;
-          core::Tick const age = view.age(node(n), fleets[f].now);
+          core::Milliseconds const age = view.age(node(n), fleets[f].now);
           REQUIRE(age >= 0);
           ages[f] += age;
           if (f == 1) REQUIRE(age == fleets[0].all.at(link).age(node(n), fleets[0].now));
--- a/http/include/corkward/http/server.h
+++ b/http/include/corkward/http/server.h
@@ -25,7 +25,7 @@
   HeaderMap headers;
   std::string body;
   /// Milliseconds from its first byte that was read until all of it was there.
-  core::Tick readDuration = 0;
+  core::Milliseconds readDuration = 0;
 };
 
 /// Limits of a server, and how it signs its responses.
--- a/http/include/corkward/http/upstream_pool.h
+++ b/http/include/corkward/http/upstream_pool.h
@@ -18,9 +18,9 @@
   /// Idle connections kept for one replica at most; 0: each request has a connection of its own.
   std::size_t maxIdlePerReplica = 0;
   /// An idle connection is used for less than this, or than half of the replica's Keep-Alive time-out.
-  core::Tick idleTimeout = 5000;
+  core::Milliseconds idleTimeout = 5000;
   /// The same for a request that may be executed once only; 0: it has a new connection.
-  core::Tick freshIdleTimeout = 0;
+  core::Milliseconds freshIdleTimeout = 0;
   /// A response without an announced end is complete when the replica closes its connection in order. False: it always
   /// counts as cut, since a replica's process that dies closes its connections in order as well.
   bool closeCompletesResponse = false;
@@ -32,7 +32,7 @@
 class UpstreamPool : public QObject {
  public:
   /// @param now monotonic milliseconds
-  UpstreamPool(KeepAlivePolicy policy, std::function<core::Tick()> now, QObject* parent = nullptr);
+  UpstreamPool(KeepAlivePolicy policy, std::function<core::Milliseconds()> now, QObject* parent = nullptr);
   ~UpstreamPool() override;
   UpstreamPool(UpstreamPool const&) = delete;
   UpstreamPool& operator=(UpstreamPool const&) = delete;
@@ -56,14 +56,14 @@
   friend class UpstreamConnection;
   struct IdleConnection {
     QTcpSocket* socket = nullptr;
-    core::Tick since = 0;
+    core::Milliseconds since = 0;
     /// Milliseconds for which it may be reused, by its replica's word and the policy of that time.
-    core::Tick timeout = 0;
+    core::Milliseconds timeout = 0;
   };
   void countOpened() { ++openedCount_; }
   void countReused() { ++reusedCount_; }
   /// Takes a connection back.
-  void put(std::string const& address, QTcpSocket* socket, core::Tick keepAliveTimeout);
+  void put(std::string const& address, QTcpSocket* socket, core::Milliseconds keepAliveTimeout);
   /// The youngest idle connection that may be used; its socket is null when there is none.
   UpstreamConnection::ReusedSocket take(std::string const& address, bool fresh);
   /// Closes an idle connection on which something arrived.
@@ -71,7 +71,7 @@
   void closeExpired();
 
   KeepAlivePolicy policy_;
-  std::function<core::Tick()> now_;
+  std::function<core::Milliseconds()> now_;
   /// By the replica's address, the oldest first.
   std::unordered_map<std::string, std::vector<IdleConnection>> idle_;
   /// Over all addresses.
--- a/http/src/mapping.cpp
+++ b/http/src/mapping.cpp
@@ -45,7 +45,7 @@
 constexpr std::uint64_t maxAgeMs = 99999999999;
 constexpr std::size_t maxDigits = 12;
 /// Age of a request whose caller names none.
-constexpr core::Tick unknownAge = -1;
+constexpr core::Milliseconds unknownAge = -1;
 
 /// A number in plain digits, up to a bound; nothing for any other text.
 std::optional<std::uint64_t> parseNumber(std::string const& text, std::uint64_t max) {
@@ -101,7 +101,8 @@
   out.attempt = attempt.empty() ? 0 : parseNumber(attempt, maxAttempt).value_or(0);
   if (!attempt.empty() && out.attempt == 0) return rangeReason(attemptHeader, 1, maxAttempt);
   std::string const deadline = headerValue(headers, deadlineHeader);
-  out.deadline = deadline.empty() ? 0 : static_cast<core::Tick>(parseNumber(deadline, maxDeadlineMs).value_or(0));
+  out.deadline =
+      deadline.empty() ? 0 : static_cast<core::Milliseconds>(parseNumber(deadline, maxDeadlineMs).value_or(0));
   if (!deadline.empty() && out.deadline == 0) return rangeReason(deadlineHeader, 1, maxDeadlineMs);
   std::string const earlier = headerValue(headers, earlierHeader);
   if (!earlier.empty() && earlier != notExecutedValue && earlier != notExecutedReachedValue)
@@ -111,7 +112,7 @@
   std::string const age = headerValue(headers, ageHeader);
   std::optional<std::uint64_t> const ageMs = parseNumber(age, maxAgeMs);
   if (!age.empty() && !ageMs) return rangeReason(ageHeader, 0, maxAgeMs);
-  out.ageMs = ageMs ? static_cast<core::Tick>(*ageMs) : unknownAge;
+  out.ageMs = ageMs ? static_cast<core::Milliseconds>(*ageMs) : unknownAge;
   return std::nullopt;
 }
 
--- a/http/src/response_parser.cpp
+++ b/http/src/response_parser.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t bodyStepBytes = 32768;
 /// Version of HTTP/1.1 as Beast writes it.
 constexpr unsigned http11 = 11;
-constexpr core::Tick millisPerSecond = 1000;
+constexpr core::Milliseconds millisPerSecond = 1000;
 
 bool isSuccess(int status) {
   return status >= 200 && status < 300;
@@ -111,13 +111,13 @@
   return parser_->get().version() == http11 && parser_->keep_alive();
 }
 
-core::Tick ResponseParser::keepAliveTimeout() const {
+core::Milliseconds ResponseParser::keepAliveTimeout() const {
   std::string parameters = ";" + header("keep-alive");
   std::replace(parameters.begin(), parameters.end(), ',', ';');
   for (auto const& [name, value] : beast::http::param_list(parameters)) {
     if (toLower(std::string(name)) != "timeout") continue;
     bool isNumber = false;
-    core::Tick const seconds = QString::fromStdString(std::string(value)).toInt(&isNumber);
+    core::Milliseconds const seconds = QString::fromStdString(std::string(value)).toInt(&isNumber);
     return isNumber && seconds >= 0 ? seconds * millisPerSecond : 0;
   }
   return noTimeout;
--- a/http/src/response_parser.h
+++ b/http/src/response_parser.h
@@ -28,7 +28,7 @@
   };
 
   /// Keep-alive time-out of a response that announces none.
-  static constexpr core::Tick noTimeout = std::numeric_limits<core::Tick>::max();
+  static constexpr core::Milliseconds noTimeout = std::numeric_limits<core::Milliseconds>::max();
 
   /// Starts with the response to a request.
   /// @param toHead the request was HEAD
@@ -48,7 +48,7 @@
   /// The replica keeps the connection open after the response.
   bool keepsConnection() const;
   /// Milliseconds that the replica keeps an idle connection, by its Keep-Alive header.
-  core::Tick keepAliveTimeout() const;
+  core::Milliseconds keepAliveTimeout() const;
   /// Announced length of the body; nothing when none is announced.
   std::optional<std::uint64_t> contentLength() const;
   /// Value of a header; empty: none.
--- a/http/src/upstream_connection.cpp
+++ b/http/src/upstream_connection.cpp
@@ -59,7 +59,7 @@
   ResponseParser parser;
   CloseObserver closeObserver;
   /// Milliseconds that the replica keeps the connection idle.
-  core::Tick keepAliveTimeout = ResponseParser::noTimeout;
+  core::Milliseconds keepAliveTimeout = ResponseParser::noTimeout;
   /// Incarnation that the replica must name; empty: any.
   std::string incarnation;
   /// The socket is an idle one of the pool.
--- a/http/src/upstream_pool.cpp
+++ b/http/src/upstream_pool.cpp
@@ -10,7 +10,7 @@
 
 constexpr int expiryIntervalMs = 500;
 /// Idle milliseconds after which the replica may have closed the connection unseen.
-constexpr core::Tick restedAfter = 500;
+constexpr core::Milliseconds restedAfter = 500;
 
 void closeSocket(QTcpSocket* socket) {
   socket->disconnect();
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-UpstreamPool::UpstreamPool(KeepAlivePolicy policy, std::function<core::Tick()> now, QObject* parent)
+UpstreamPool::UpstreamPool(KeepAlivePolicy policy, std::function<core::Milliseconds()> now, QObject* parent)
     : QObject(parent), policy_(policy), now_(std::move(now)) {
   QObject::connect(&expiryTimer_, &QTimer::timeout, this, [this] { closeExpired(); });
 }
@@ -39,12 +39,12 @@
 UpstreamConnection::ReusedSocket UpstreamPool::take(std::string const& address, bool fresh) {
   auto const found = idle_.find(address);
   if (found == idle_.end()) return {};
-  core::Tick const now = now_();
+  core::Milliseconds const now = now_();
   std::vector<IdleConnection>& connections = found->second;
   UpstreamConnection::ReusedSocket out;
   while (!connections.empty() && out.socket == nullptr) {
     IdleConnection const youngest = connections.back();
-    core::Tick const idleFor = now - youngest.since;
+    core::Milliseconds const idleFor = now - youngest.since;
     if (fresh && idleFor >= std::min(policy_.freshIdleTimeout, youngest.timeout)) break;
     connections.pop_back();
     --idleCount_;
@@ -62,9 +62,9 @@
   return out;
 }
 
-void UpstreamPool::put(std::string const& address, QTcpSocket* socket, core::Tick keepAliveTimeout) {
+void UpstreamPool::put(std::string const& address, QTcpSocket* socket, core::Milliseconds keepAliveTimeout) {
   socket->setParent(this);
-  core::Tick const timeout = std::min(policy_.idleTimeout, keepAliveTimeout / 2);
+  core::Milliseconds const timeout = std::min(policy_.idleTimeout, keepAliveTimeout / 2);
   if (timeout <= 0) {
     closeSocket(socket);
     return;
@@ -108,7 +108,7 @@
 }
 
 void UpstreamPool::closeExpired() {
-  core::Tick const now = now_();
+  core::Milliseconds const now = now_();
   for (auto entry = idle_.begin(); entry != idle_.end();) {
     idleCount_ -= std::erase_if(entry->second, [&](IdleConnection const& connection) {
       bool const expired = now - connection.since >= std::min(policy_.idleTimeout, connection.timeout);
--- a/http/test/golden_exchange.h
+++ b/http/test/golden_exchange.h
@@ -17,7 +17,7 @@
 namespace corkward::http::test {
 
 /// Milliseconds that a request took to be read, as the tests say it.
-constexpr core::Tick saidReadFor = 7;
+constexpr core::Milliseconds saidReadFor = 7;
 
 /// A server on the loopback, and one caller at a time.
 class Exchange {
--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -160,7 +160,7 @@
   explicit Rig(std::vector<Script::Line> lines, http::KeepAlivePolicy policy = {2, 5000, 0})
       : replica(std::move(lines)), upstreams(policy, [this] { return now; }) {}
   Got request(bool fresh = false) { return PoolRequest(upstreams, replica.address(), fresh).wait(); }
-  core::Tick now = 1000;
+  core::Milliseconds now = 1000;
   Script replica;
   http::UpstreamPool upstreams;
 };
@@ -250,7 +250,7 @@
   application();
   struct PoolCase {
     std::string bytes;
-    core::Tick idle;
+    core::Milliseconds idle;
     bool forgotten;
   };
   for (PoolCase const& r : {PoolCase{"", 600, true}, PoolCase{"", 10, false},
@@ -340,9 +340,9 @@
   application();
   struct PoolCase {
     char const* bytes;
-    core::Tick freshLimit;
+    core::Milliseconds freshLimit;
     bool fresh;
-    core::Tick age;
+    core::Milliseconds age;
     bool reused;
   };
   constexpr char const* withKeepAlive =
@@ -487,7 +487,7 @@
 /// Requests to a late reader over one pool.
 struct LateCalls {
   LateReader replica;
-  http::UpstreamPool upstreams{{2, 5000, 0}, [] { return core::Tick{1000}; }};
+  http::UpstreamPool upstreams{{2, 5000, 0}, [] { return core::Milliseconds{1000}; }};
   QObject owner;
   /// Whole answers; a hundred for each that was cut.
   int answered = 0;
--- a/programs/common/clock.cpp
+++ b/programs/common/clock.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr core::Tick millisPerSecond = 1000;
-constexpr core::Tick nanosPerMilli = 1000000;
+constexpr core::Milliseconds millisPerSecond = 1000;
+constexpr core::Milliseconds nanosPerMilli = 1000000;
 
 }  // namespace
 
-core::Tick now() {
+core::Milliseconds now() {
   timespec time{};
   ::clock_gettime(CLOCK_BOOTTIME, &time);
-  return static_cast<core::Tick>(time.tv_sec) * millisPerSecond + time.tv_nsec / nanosPerMilli;
+  return static_cast<core::Milliseconds>(time.tv_sec) * millisPerSecond + time.tv_nsec / nanosPerMilli;
 }
 
 std::int64_t wallClock() {
--- a/programs/common/clock.h
+++ b/programs/common/clock.h
@@ -8,7 +8,7 @@
 namespace corkward::programs {
 
 /// Milliseconds of the boot clock: monotonic, and it goes on while the machine is suspended.
-core::Tick now();
+core::Milliseconds now();
 
 /// Milliseconds since 1970-01-01 UTC, by the machine's wall clock.
 std::int64_t wallClock();
--- a/programs/common/graceful_shutdown.cpp
+++ b/programs/common/graceful_shutdown.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// Callers that were sent here just before the signal still arrive for this long, in milliseconds.
-constexpr core::Tick lateCallerPeriod = 1000;
+constexpr core::Milliseconds lateCallerPeriod = 1000;
 
 }  // namespace
 
--- a/programs/common/graceful_shutdown.h
+++ b/programs/common/graceful_shutdown.h
@@ -13,7 +13,8 @@
  public:
   /// @param limit milliseconds after which the process ends with requests still pending
   /// @param minimum milliseconds for which new callers are still served, though nothing is pending
-  explicit GracefulShutdown(core::Tick limit, core::Tick minimum = 0) : limit_(limit), minimum_(minimum) {}
+  explicit GracefulShutdown(core::Milliseconds limit, core::Milliseconds minimum = 0)
+      : limit_(limit), minimum_(minimum) {}
   /// Starts the shutdown. False when it had been started before.
   bool begin();
   /// Ends the event loop when the shutdown is complete or out of time; called on every timer event.
@@ -21,11 +22,11 @@
   void poll(http::Server& server, std::size_t pending);
 
  private:
-  core::Tick limit_;
-  core::Tick minimum_;
+  core::Milliseconds limit_;
+  core::Milliseconds minimum_;
   /// Boot clock; 0 until the shutdown begins.
-  core::Tick deadline_ = 0;
-  core::Tick earliest_ = 0;
+  core::Milliseconds deadline_ = 0;
+  core::Milliseconds earliest_ = 0;
 };
 
 }  // namespace corkward::programs
--- a/programs/common/operator_client.cpp
+++ b/programs/common/operator_client.cpp
@@ -78,7 +78,7 @@
 
 OperatorReply waitForRollout(std::vector<std::string> const& controllers, OperatorCall const& call, OperatorReply first,
                              int timeoutSeconds, int waitSeconds) {
-  core::Tick const deadline = now() + waitSeconds * core::Tick{millisPerSecond};
+  core::Milliseconds const deadline = now() + waitSeconds * core::Milliseconds{millisPerSecond};
   OperatorReply reply = std::move(first);
   while (reply.mayRetry() && now() < deadline) {
     pause(retryIntervalMs);
--- a/programs/common/settings.cpp
+++ b/programs/common/settings.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t maxFounders = 9;
 constexpr int defaultDrainSeconds = 60;
 constexpr int maxDrainSeconds = 3600;
-constexpr core::Tick millisPerSecond = 1000;
+constexpr core::Milliseconds millisPerSecond = 1000;
 constexpr int minAuditMegabytes = 2;
 constexpr int maxAuditMegabytes = 65536;
 constexpr int maxPort = 65535;
@@ -56,7 +56,7 @@
   if (::access(path.c_str(), W_OK | X_OK) != 0) throw SettingsError(name + ": cannot be written: " + path);
 }
 
-core::Tick drainLimitOf(int seconds) {
+core::Milliseconds drainLimitOf(int seconds) {
   if (seconds < 1 || seconds > maxDrainSeconds) throw SettingsError("drain-limit: must be 1 to 3600");
   return millisPerSecond * seconds;
 }
--- a/programs/common/settings.h
+++ b/programs/common/settings.h
@@ -35,7 +35,7 @@
   std::string logFile;
   core::LogLevel logLevel = core::LogLevel::info;
   /// Milliseconds that pending work may take after SIGTERM.
-  core::Tick drainLimitMs = 60000;
+  core::Milliseconds drainLimitMs = 60000;
 };
 
 /// A setting that is unknown, missing or out of its range; the message begins with its name.
--- a/programs/router/audit_recorder.cpp
+++ b/programs/router/audit_recorder.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr core::Tick syncInterval = 1000;
-constexpr core::Tick checkpointInterval = 60000;
+constexpr core::Milliseconds syncInterval = 1000;
+constexpr core::Milliseconds checkpointInterval = 60000;
 
 /// The outcome as audit records on disk name it; the texts are those of earlier releases.
 char const* outcomeText(dataplane::AuditOutcome outcome) {
--- a/programs/router/audit_recorder.h
+++ b/programs/router/audit_recorder.h
@@ -56,8 +56,8 @@
   bool available_ = false;
   /// A sync is under way on the worker.
   bool syncing_ = false;
-  core::Tick nextSyncAt_ = 0;
-  core::Tick nextCheckpointAt_ = 0;
+  core::Milliseconds nextSyncAt_ = 0;
+  core::Milliseconds nextCheckpointAt_ = 0;
   /// The last member: it ends before what its jobs use.
   std::optional<core::WorkerPool> worker_;
 };
--- a/programs/router/request_relay.cpp
+++ b/programs/router/request_relay.cpp
@@ -14,9 +14,9 @@
 /// Reading goes on below this.
 constexpr std::int64_t callerBufferResume = callerBufferLimit / 2;
 /// Least milliseconds between two reports of progress, and between two checks for stalled callers.
-constexpr core::Tick progressInterval = 1000;
+constexpr core::Milliseconds progressInterval = 1000;
 /// A caller that reads nothing for this long is disconnected.
-constexpr core::Tick callerStallTimeout = 60000;
+constexpr core::Milliseconds callerStallTimeout = 60000;
 
 }  // namespace
 
--- a/programs/router/request_relay.h
+++ b/programs/router/request_relay.h
@@ -79,9 +79,9 @@
     /// Some connection was opened before.
     bool everConnected = false;
     /// When progress was reported last, by the boot clock.
-    core::Tick progressAt = 0;
+    core::Milliseconds progressAt = 0;
     /// Since when the replica is not read, as the caller is slow; 0: it is read.
-    core::Tick pausedSince = 0;
+    core::Milliseconds pausedSince = 0;
     /// The audit record of what the request is about to do could not be written.
     bool unrecorded = false;
   };
@@ -107,7 +107,7 @@
   Events events_;
   /// By the id of the caller's request.
   std::unordered_map<std::uint64_t, ActiveRequest> requests_;
-  core::Tick nextStallCheckAt_ = 0;
+  core::Milliseconds nextStallCheckAt_ = 0;
 };
 
 }  // namespace corkward::programs
--- a/programs/runbook/runbook_executor.cpp
+++ b/programs/runbook/runbook_executor.cpp
@@ -17,11 +17,11 @@
 
 constexpr int pollIntervalMs = 250;
 constexpr int callTimeoutSeconds = 15;
-constexpr core::Tick millisPerSecond = 1000;
+constexpr core::Milliseconds millisPerSecond = 1000;
 /// Bytes of a page's value that an account repeats.
 constexpr std::size_t maxShownValue = 200;
 
-core::Tick deadlineOf(runbook::Step const& step) {
+core::Milliseconds deadlineOf(runbook::Step const& step) {
   return now() + step.limitSeconds * millisPerSecond;
 }
 
@@ -113,7 +113,7 @@
 }
 
 StepOutcome RunbookExecutor::change(OperatorCall const& operatorCall, runbook::Step const& step) {
-  core::Tick const deadline = deadlineOf(step);
+  core::Milliseconds const deadline = deadlineOf(step);
   for (;;) {
     OperatorReply const reply = call(operatorCall);
     if (reply.accepted()) return {true, "stamp " + reply.revision};
@@ -127,7 +127,7 @@
 
 StepOutcome RunbookExecutor::waitForPage(runbook::Step const& step) {
   if (options_.dryRun) return {true, "would wait"};
-  core::Tick const deadline = deadlineOf(step);
+  core::Milliseconds const deadline = deadlineOf(step);
   std::string lastObserved = "nothing";
   for (;;) {
     OperatorReply const page = call({HttpMethod::get, step.arguments.at("page")});
--- a/programs/runbook/singleton_role_client.cpp
+++ b/programs/runbook/singleton_role_client.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// Milliseconds; shorter than the controllers' own count by more than clocks may differ.
-constexpr core::Tick leaseDuration = 12000;
+constexpr core::Milliseconds leaseDuration = 12000;
 constexpr int requestTimeoutSeconds = 1;
 
 std::set<std::string> textsOf(QJsonValue const& list) {
@@ -61,7 +61,7 @@
 }
 
 bool SingletonRoleClient::renew() {
-  core::Tick const requestedAt = now();
+  core::Milliseconds const requestedAt = now();
   Votes votes;
   contenders_.clear();
   for (std::string const& controller : controllers_) {
--- a/programs/runbook/singleton_role_client.h
+++ b/programs/runbook/singleton_role_client.h
@@ -48,7 +48,7 @@
   std::string role_;
   std::string holder_;
   /// End of the lease by the boot clock; 0: not held.
-  core::Tick expiresAt_ = 0;
+  core::Milliseconds expiresAt_ = 0;
   std::uint64_t term_ = 0;
   /// Others that requested the role, by the newest answers.
   std::set<std::string> contenders_;
--- a/quota/include/corkward/quota/decaying_maximum.h
+++ b/quota/include/corkward/quota/decaying_maximum.h
@@ -6,21 +6,21 @@
 
 namespace corkward::quota {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// A maximum that halves with time until a larger amount is recorded.
 class DecayingMaximum {
  public:
   /// @param halfLife milliseconds
-  explicit DecayingMaximum(Tick halfLife) : halfLife_(halfLife) {}
-  void record(Tick now, double amount);
-  double value(Tick now) const;
+  explicit DecayingMaximum(Milliseconds halfLife) : halfLife_(halfLife) {}
+  void record(Milliseconds now, double amount);
+  double value(Milliseconds now) const;
 
  private:
-  Tick halfLife_;
+  Milliseconds halfLife_;
   /// The maximum as of `recordedAt_`.
   double maximum_ = 0;
-  Tick recordedAt_ = 0;
+  Milliseconds recordedAt_ = 0;
 };
 
 }  // namespace corkward::quota
--- a/quota/include/corkward/quota/demand_estimator.h
+++ b/quota/include/corkward/quota/demand_estimator.h
@@ -6,22 +6,22 @@
 
 namespace corkward::quota {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// Sums up amounts whose weight decays exponentially, and reads the sum as a rate.
 class DemandEstimator {
  public:
   /// @param timeConstant milliseconds after which an amount's weight has decayed to 1/e
-  explicit DemandEstimator(Tick timeConstant) : timeConstant_(timeConstant) {}
-  void add(Tick now, double amount);
-  double perSecond(Tick now) const;
+  explicit DemandEstimator(Milliseconds timeConstant) : timeConstant_(timeConstant) {}
+  void add(Milliseconds now, double amount);
+  double perSecond(Milliseconds now) const;
 
  private:
-  double decayedSum(Tick now) const;
+  double decayedSum(Milliseconds now) const;
 
-  Tick timeConstant_;
+  Milliseconds timeConstant_;
   /// When `sum_` was last brought up to date.
-  Tick updatedAt_ = 0;
+  Milliseconds updatedAt_ = 0;
   /// Decayed sum as of `updatedAt_`.
   double sum_ = 0;
 };
--- a/quota/include/corkward/quota/grant_table.h
+++ b/quota/include/corkward/quota/grant_table.h
@@ -32,24 +32,25 @@
  public:
   /// @param term the owner's term
   /// @param unreportedUntil until then allocations of earlier owners may be valid that this one does not know of
-  GrantTable(Tick now, std::uint64_t term, Limit const& limit, OverdraftAllowance const& allowance,
-             Tick unreportedUntil);
+  GrantTable(Milliseconds now, std::uint64_t term, Limit const& limit, OverdraftAllowance const& allowance,
+             Milliseconds unreportedUntil);
 
-  void setLimit(Tick now, Limit const& limit, OverdraftAllowance const& allowance);
+  void setLimit(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance);
   /// A router reports the allocation that an earlier owner has granted it.
-  void restoreAllocation(Tick now, std::string const& router, std::uint64_t incarnation, TenantUsage const& usage);
+  void restoreAllocation(Milliseconds now, std::string const& router, std::uint64_t incarnation,
+                         TenantUsage const& usage);
   /// At most this many routers may hold allocations that this table does not know of.
-  void limitUnreported(Tick now, std::size_t routers);
+  void limitUnreported(Milliseconds now, std::size_t routers);
   /// Records a router's report and replies to it.
-  QuotaGrant onReport(Tick now, std::string const& router, std::uint64_t incarnation, TenantUsage const& usage,
+  QuotaGrant onReport(Milliseconds now, std::string const& router, std::uint64_t incarnation, TenantUsage const& usage,
                       GrantScope scope);
 
   /// Amount that the owner may grant at once.
-  double availableAmount(Tick now) const;
+  double availableAmount(Milliseconds now) const;
   /// Fraction that is allocated to routers, or may be.
-  double allocatedFraction(Tick now) const;
+  double allocatedFraction(Milliseconds now) const;
   /// Demand of all routers that have reported lately, as an amount per second.
-  double demandPerSecond(Tick now) const;
+  double demandPerSecond(Milliseconds now) const;
 
  private:
   /// One router's allocation and its last report.
@@ -59,38 +60,38 @@
     std::uint64_t grantNumber = 0;
     /// Fraction in the newest grant, and until when the router may spend it.
     double grantedFraction = 0;
-    Tick expiresAt = 0;
+    Milliseconds expiresAt = 0;
     /// Greatest fraction that the router may hold; at least `grantedFraction`.
     double reservedFraction = 0;
     /// When the newest grant was sent.
-    Tick grantSentAt = 0;
+    Milliseconds grantSentAt = 0;
     /// Until when the refill of the reserved fraction goes to the owner.
-    Tick ownerRefillUntil = 0;
+    Milliseconds ownerRefillUntil = 0;
     double demandPerSecond = 0;
     double remainingAmount = 0;
-    Tick reportedAt = 0;
+    Milliseconds reportedAt = 0;
   };
   /// Adds the refill since the last update and removes expired allocations.
-  void update(Tick now);
+  void update(Milliseconds now);
   /// Fraction that earlier owners' unreported allocations may have.
-  double unreportedFraction(Tick now) const;
+  double unreportedFraction(Milliseconds now) const;
   /// Fraction that the owner keeps for itself.
-  double ownerFraction(Tick now) const;
+  double ownerFraction(Milliseconds now) const;
   /// Greatest amount that the owner may store.
-  double ownerCapacity(Tick now) const;
+  double ownerCapacity(Milliseconds now) const;
   /// Amount that has been refilled to the owner since the last update.
-  double refilledAmount(Tick now) const;
+  double refilledAmount(Milliseconds now) const;
   /// Greatest fraction to allocate: the owner's rest must suffice for the largest amounts requested of late.
-  double allocatableFraction(Tick now) const;
-  double targetFraction(Tick now, std::string const& router) const;
+  double allocatableFraction(Milliseconds now) const;
+  double targetFraction(Milliseconds now, std::string const& router) const;
   /// Fraction of the tenant's requests that routers may try to admit.
-  double admissionShare(Tick now) const;
+  double admissionShare(Milliseconds now) const;
   RouterAllocation& allocationOf(std::string const& router, std::uint64_t incarnation);
-  void recordUsage(Tick now, RouterAllocation& allocation, TenantUsage const& usage);
-  void grantAmount(Tick now, TenantUsage const& usage, QuotaGrant& grant);
-  void grantFraction(Tick now, RouterAllocation& allocation, double fraction, QuotaGrant& grant);
+  void recordUsage(Milliseconds now, RouterAllocation& allocation, TenantUsage const& usage);
+  void grantAmount(Milliseconds now, TenantUsage const& usage, QuotaGrant& grant);
+  void grantFraction(Milliseconds now, RouterAllocation& allocation, double fraction, QuotaGrant& grant);
   /// Fills the router's reserve up, while enough is available.
-  void topUp(Tick now, RouterAllocation const& allocation, QuotaGrant& grant);
+  void topUp(Milliseconds now, RouterAllocation const& allocation, QuotaGrant& grant);
 
   std::uint64_t term_;
   Limit limit_;
@@ -98,11 +99,11 @@
   std::map<std::string, RouterAllocation> allocations_;
   /// Amount that the owner had at `updatedAt_`; at most ownerCapacity.
   double availableAmount_ = 0;
-  Tick updatedAt_ = 0;
+  Milliseconds updatedAt_ = 0;
   DecayingMaximum largestRequestedAmount_;
   /// Only shrinks; counts until `unreportedUntil_`.
   double unreportedFraction_ = 0;
-  Tick unreportedUntil_ = 0;
+  Milliseconds unreportedUntil_ = 0;
   std::uint64_t nextGrantNumber_ = 1;
 };
 
--- a/quota/include/corkward/quota/limit.h
+++ b/quota/include/corkward/quota/limit.h
@@ -32,7 +32,7 @@
 
 namespace corkward::quota {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// A tenant's token bucket. Amounts are requests or tokens, as the tenant's limit is measured.
 struct Limit {
@@ -46,7 +46,7 @@
 /// What operators allow beyond the bucket in each window. Zeros: nothing.
 struct OverdraftAllowance {
   /// Length of the window, in milliseconds.
-  Tick window = 8000;
+  Milliseconds window = 8000;
   /// As a fraction of what the bucket admits in a window.
   double overrunFraction = 0;
   /// As an amount.
@@ -55,12 +55,12 @@
 
 /// Milliseconds from taking an amount out of a counter until the request is dispatched to a replica. An amount that
 /// waited longer is returned and has to be taken again.
-inline constexpr Tick maxDispatchDelay = 500;
+inline constexpr Milliseconds maxDispatchDelay = 500;
 /// Milliseconds for which a router may spend an allocation, from when it sent the report that the grant answers.
-inline constexpr Tick allocationDuration = 10000;
+inline constexpr Milliseconds allocationDuration = 10000;
 /// Milliseconds after its newest grant arrived from which the refill of a router's allocation is the router's; until
 /// then it is the owner's, which counts the same time from when it sent that grant.
-inline constexpr Tick refillTransferDelay = 1500;
+inline constexpr Milliseconds refillTransferDelay = 1500;
 /// Fraction of its allocation's capacity that a router may store before refillTransferDelay has passed; the rest is
 /// the owner's until then.
 inline constexpr double connectedReserveFraction = 0.25;
--- a/quota/include/corkward/quota/messages.h
+++ b/quota/include/corkward/quota/messages.h
@@ -177,7 +177,7 @@
 /// A controller requests leases on partitions from each member, or renews or releases those that it has.
 struct PartitionLeaseRequest {
   /// Moment on the sender's clock, in milliseconds; leases count from it.
-  core::Tick sentAt = 0;
+  core::Milliseconds sentAt = 0;
   std::string link;
   std::uint64_t incarnation = 0;
   /// The sender gives these leases up.
@@ -213,7 +213,7 @@
 /// One member's reply to a PartitionLeaseRequest.
 struct PartitionLeaseReply {
   /// PartitionLeaseRequest::sentAt of the request.
-  core::Tick requestSentAt = 0;
+  core::Milliseconds requestSentAt = 0;
   std::vector<PartitionLeaseDecision> decisions;
   template <class F>
   void each(F& f) {
--- a/quota/include/corkward/quota/owned_partition.h
+++ b/quota/include/corkward/quota/owned_partition.h
@@ -17,31 +17,32 @@
 /// One partition during one term of its owner.
 class OwnedPartition {
  public:
-  OwnedPartition(Tick now, std::uint64_t term);
+  OwnedPartition(Milliseconds now, std::uint64_t term);
 
   std::uint64_t term() const { return term_; }
   /// Applies changed limits; tables of tenants without a limit are removed.
-  void configure(Tick now, std::map<std::string, Limit> const& limits, OverdraftAllowance const& allowance);
+  void configure(Milliseconds now, std::map<std::string, Limit> const& limits, OverdraftAllowance const& allowance);
   /// The grant table of a tenant, made on first use.
-  GrantTable& grantTable(Tick now, std::string const& tenant, Limit const& limit, OverdraftAllowance const& allowance);
+  GrantTable& grantTable(Milliseconds now, std::string const& tenant, Limit const& limit,
+                         OverdraftAllowance const& allowance);
 
   /// Starts the recovery once the roster is known to be current: all its routers are to report what they hold. Ends it
   /// when all earlier allocations have expired.
   /// @param quorumContactSince when the newest contact with a majority of the members began; below 0: there is none
-  void advanceRecovery(Tick now, Tick quorumContactSince, std::set<std::string> const& routers);
+  void advanceRecovery(Milliseconds now, Milliseconds quorumContactSince, std::set<std::string> const& routers);
   bool isRecoveryStarted() const { return recoveryStarted_; }
   /// Routers that have not reported yet.
   std::set<std::string> const& unreportedRouters() const { return unreportedRouters_; }
   /// A router has reported all its allocations of this partition.
-  void onRouterReported(Tick now, std::string const& router);
+  void onRouterReported(Milliseconds now, std::string const& router);
 
  private:
-  void limitUnreported(Tick now);
+  void limitUnreported(Milliseconds now);
 
   std::uint64_t term_;
-  Tick since_;
+  Milliseconds since_;
   /// By then all allocations of earlier owners have expired.
-  Tick recoveryEndsAt_;
+  Milliseconds recoveryEndsAt_;
   bool recoveryStarted_ = false;
   /// Empty until the recovery starts.
   std::set<std::string> unreportedRouters_;
--- a/quota/include/corkward/quota/partition_lease_grants.h
+++ b/quota/include/corkward/quota/partition_lease_grants.h
@@ -16,10 +16,10 @@
 namespace corkward::quota {
 
 /// Milliseconds for which a member's grant is valid.
-inline constexpr Tick partitionLeaseDuration = 800;
+inline constexpr Milliseconds partitionLeaseDuration = 800;
 /// Milliseconds for which a member grants no new lease after it has started, joined or seen a new membership: by then
 /// whatever it may have granted before has expired.
-inline constexpr Tick grantDelayAfterStart = partitionLeaseDuration + 200;
+inline constexpr Milliseconds grantDelayAfterStart = partitionLeaseDuration + 200;
 
 /// What a member may grant at present.
 enum class GrantPermission {
@@ -35,9 +35,9 @@
 class PartitionLeaseGrants {
  public:
   /// Decides on each partition of a request, or takes back the sender's grants when it releases them.
-  PartitionLeaseReply onRequest(Tick now, PartitionLeaseRequest const& request, GrantPermission permission);
+  PartitionLeaseReply onRequest(Milliseconds now, PartitionLeaseRequest const& request, GrantPermission permission);
   /// Who holds the lease on a partition by this member's own grant; empty: nobody.
-  std::string holder(Tick now, std::uint64_t partition) const;
+  std::string holder(Milliseconds now, std::uint64_t partition) const;
   /// Term of the newest grant; 0: none was granted.
   std::uint64_t term(std::uint64_t partition) const;
 
@@ -46,9 +46,9 @@
     std::string holder;
     std::uint64_t incarnation = 0;
     std::uint64_t term = 0;
-    Tick expiresAt = -1;
+    Milliseconds expiresAt = -1;
   };
-  PartitionLeaseDecision decide(Tick now, PartitionLeaseRequest const& request, PartitionTerm const& requested,
+  PartitionLeaseDecision decide(Milliseconds now, PartitionLeaseRequest const& request, PartitionTerm const& requested,
                                 GrantPermission permission);
 
   /// The newest grant of each partition. Its term only rises.
--- a/quota/include/corkward/quota/quota_coordinator.h
+++ b/quota/include/corkward/quota/quota_coordinator.h
@@ -34,7 +34,7 @@
   /// Routers of the roster that is committed here, and earlier ones that may still serve.
   std::set<std::string> routers;
   /// When the newest contact with a majority of the members began; below 0: there is none.
-  Tick quorumContactSince = -1;
+  Milliseconds quorumContactSince = -1;
   /// The process shuts down: it contends for no lease and releases those it has.
   bool draining = false;
 };
@@ -46,41 +46,41 @@
   QuotaCoordinator(std::string link, std::uint64_t incarnation, OverdraftAllowance const& allowance);
 
   /// The limits of the active configuration, by tenant; tenants without a limit are left out.
-  void configure(Tick now, std::map<std::string, Limit> limits);
-  std::vector<Send> clockEvent(Tick now, MembershipView const& view);
-  std::vector<Send> onMessage(Tick now, std::string const& from, UsageReport const& message,
+  void configure(Milliseconds now, std::map<std::string, Limit> limits);
+  std::vector<Send> clockEvent(Milliseconds now, MembershipView const& view);
+  std::vector<Send> onMessage(Milliseconds now, std::string const& from, UsageReport const& message,
                               MembershipView const& view);
-  std::vector<Send> onMessage(Tick now, std::string const& from, PartitionLeaseRequest const& message,
+  std::vector<Send> onMessage(Milliseconds now, std::string const& from, PartitionLeaseRequest const& message,
                               MembershipView const& view);
-  std::vector<Send> onMessage(Tick now, std::string const& from, PartitionLeaseReply const& message,
+  std::vector<Send> onMessage(Milliseconds now, std::string const& from, PartitionLeaseReply const& message,
                               MembershipView const& view);
-  std::vector<Send> onMessage(Tick now, std::string const& from, AllocationReport const& message,
+  std::vector<Send> onMessage(Milliseconds now, std::string const& from, AllocationReport const& message,
                               MembershipView const& view);
 
-  bool ownsPartition(Tick now, std::uint64_t partition, MembershipView const& view) const;
-  std::size_t ownedPartitionCount(Tick now, MembershipView const& view) const;
+  bool ownsPartition(Milliseconds now, std::uint64_t partition, MembershipView const& view) const;
+  std::size_t ownedPartitionCount(Milliseconds now, MembershipView const& view) const;
 
  private:
   /// The owner of a partition as another member has named it.
   struct AnnouncedOwner {
     std::string link;
-    Tick validUntil = 0;
+    Milliseconds validUntil = 0;
   };
   /// Owner of a partition as far as this controller knows; empty: none.
-  std::string ownerOf(Tick now, std::uint64_t partition, MembershipView const& view) const;
+  std::string ownerOf(Milliseconds now, std::uint64_t partition, MembershipView const& view) const;
   /// No other live member comes before this one as owner of the partition.
   bool isPreferredOwner(std::uint64_t partition, std::vector<std::string> const& aliveMembers) const;
-  bool mayContend(Tick now, std::uint64_t partition, MembershipView const& view) const;
+  bool mayContend(Milliseconds now, std::uint64_t partition, MembershipView const& view) const;
   /// Starts or stops to contend for each partition that is not owned here.
-  void updateContention(Tick now, MembershipView const& view);
+  void updateContention(Milliseconds now, MembershipView const& view);
   /// Drops partitions whose lease has expired and takes over those whose lease was acquired.
-  void updateOwnedPartitions(Tick now, MembershipView const& view);
-  PartitionLeaseRequest leaseRequest(Tick now) const;
-  void requestLeases(std::vector<Send>& out, Tick now, MembershipView const& view);
-  void releaseLeases(std::vector<Send>& out, Tick now, MembershipView const& view);
+  void updateOwnedPartitions(Milliseconds now, MembershipView const& view);
+  PartitionLeaseRequest leaseRequest(Milliseconds now) const;
+  void requestLeases(std::vector<Send>& out, Milliseconds now, MembershipView const& view);
+  void releaseLeases(std::vector<Send>& out, Milliseconds now, MembershipView const& view);
   /// Queries routers that have not reported their allocations of partitions that are owned here.
-  void queryAllocations(std::vector<Send>& out, Tick now, MembershipView const& view);
-  GrantTable& grantTable(Tick now, OwnedPartition& partition, std::string const& tenant);
+  void queryAllocations(std::vector<Send>& out, Milliseconds now, MembershipView const& view);
+  GrantTable& grantTable(Milliseconds now, OwnedPartition& partition, std::string const& tenant);
 
   std::string link_;
   std::uint64_t incarnation_;
@@ -94,9 +94,9 @@
   std::map<std::uint64_t, OwnedPartition> ownedPartitions_;
   std::map<std::uint64_t, AnnouncedOwner> announcedOwners_;
   /// Until when this controller does not contend for a partition again.
-  std::map<std::uint64_t, Tick> backoffUntil_;
-  Tick nextLeaseRequestAt_ = 0;
-  Tick nextAllocationQueryAt_ = 0;
+  std::map<std::uint64_t, Milliseconds> backoffUntil_;
+  Milliseconds nextLeaseRequestAt_ = 0;
+  Milliseconds nextAllocationQueryAt_ = 0;
 };
 
 }  // namespace corkward::quota
--- a/quota/src/decaying_maximum.cpp
+++ b/quota/src/decaying_maximum.cpp
@@ -5,12 +5,12 @@
 
 namespace corkward::quota {
 
-void DecayingMaximum::record(Tick now, double amount) {
+void DecayingMaximum::record(Milliseconds now, double amount) {
   maximum_ = std::max(value(now), amount);
   recordedAt_ = now;
 }
 
-double DecayingMaximum::value(Tick now) const {
+double DecayingMaximum::value(Milliseconds now) const {
   return maximum_ * std::exp2(-static_cast<double>(now - recordedAt_) / static_cast<double>(halfLife_));
 }
 
--- a/quota/src/demand_estimator.cpp
+++ b/quota/src/demand_estimator.cpp
@@ -4,16 +4,16 @@
 
 namespace corkward::quota {
 
-double DemandEstimator::decayedSum(Tick now) const {
+double DemandEstimator::decayedSum(Milliseconds now) const {
   return sum_ * std::exp(-static_cast<double>(now - updatedAt_) / static_cast<double>(timeConstant_));
 }
 
-void DemandEstimator::add(Tick now, double amount) {
+void DemandEstimator::add(Milliseconds now, double amount) {
   sum_ = decayedSum(now) + amount;
   updatedAt_ = now;
 }
 
-double DemandEstimator::perSecond(Tick now) const {
+double DemandEstimator::perSecond(Milliseconds now) const {
   return 1000.0 * decayedSum(now) / static_cast<double>(timeConstant_);
 }
 
--- a/quota/src/grant_table.cpp
+++ b/quota/src/grant_table.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 /// Milliseconds after which a router's last report no longer counts as demand.
-constexpr Tick reportValidity = 2000;
+constexpr Milliseconds reportValidity = 2000;
 /// A router's fraction is changed when it is off by more than this part of itself: the difference to a smaller one is
 /// refilled to nobody until the router has confirmed it.
 constexpr double fractionHysteresis = 0.25;
 /// The owner keeps a capacity of this many of the largest requested amounts.
 constexpr double largestRequestsReserve = 2.0;
 /// Milliseconds after which the largest requested amount counts half.
-constexpr Tick largestRequestHalfLife = 20000;
+constexpr Milliseconds largestRequestHalfLife = 20000;
 /// Below this part of the capacity, routers may admit only a fraction of the requests.
 constexpr double scarcityThreshold = 0.5;
 /// Part of the capacity that is spared for large requests, which need more at once than is refilled for them.
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-GrantTable::GrantTable(Tick now, std::uint64_t term, Limit const& limit, OverdraftAllowance const& allowance,
-                       Tick unreportedUntil)
+GrantTable::GrantTable(Milliseconds now, std::uint64_t term, Limit const& limit, OverdraftAllowance const& allowance,
+                       Milliseconds unreportedUntil)
     : term_(term),
       limit_(limit),
       allowance_(allowance),
@@ -38,22 +38,22 @@
       unreportedFraction_(maxAllocatedFraction),
       unreportedUntil_(unreportedUntil) {}
 
-double GrantTable::unreportedFraction(Tick now) const {
+double GrantTable::unreportedFraction(Milliseconds now) const {
   return now < unreportedUntil_ ? unreportedFraction_ : 0.0;
 }
 
-double GrantTable::allocatedFraction(Tick now) const {
+double GrantTable::allocatedFraction(Milliseconds now) const {
   double sum = unreportedFraction(now);
   for (auto const& [router, allocation] : allocations_)
     if (now < allocation.expiresAt) sum += allocation.reservedFraction;
   return sum;
 }
 
-double GrantTable::ownerFraction(Tick now) const {
+double GrantTable::ownerFraction(Milliseconds now) const {
   return std::max(0.0, 1.0 - unallocatedFraction - allocatedFraction(now));
 }
 
-double GrantTable::ownerCapacity(Tick now) const {
+double GrantTable::ownerCapacity(Milliseconds now) const {
   double fraction = ownerFraction(now);
   for (auto const& [router, allocation] : allocations_)
     if (now < allocation.expiresAt && now < allocation.ownerRefillUntil)
@@ -61,33 +61,33 @@
   return fraction * totalCapacity(limit_, allowance_);
 }
 
-double GrantTable::refilledAmount(Tick now) const {
+double GrantTable::refilledAmount(Milliseconds now) const {
   double fractionTime = ownerFraction(now) * static_cast<double>(now - updatedAt_);
   for (auto const& [router, allocation] : allocations_) {
-    Tick const end = std::min({now, allocation.ownerRefillUntil, allocation.expiresAt});
+    Milliseconds const end = std::min({now, allocation.ownerRefillUntil, allocation.expiresAt});
     if (end > updatedAt_) fractionTime += allocation.reservedFraction * static_cast<double>(end - updatedAt_);
   }
   return limit_.perSecond * fractionTime / 1000.0;
 }
 
-double GrantTable::availableAmount(Tick now) const {
+double GrantTable::availableAmount(Milliseconds now) const {
   return std::min(availableAmount_ + refilledAmount(now), ownerCapacity(now));
 }
 
-void GrantTable::update(Tick now) {
+void GrantTable::update(Milliseconds now) {
   availableAmount_ = availableAmount(now);
   updatedAt_ = now;
   std::erase_if(allocations_, [&](auto const& entry) { return now >= entry.second.expiresAt; });
 }
 
-void GrantTable::setLimit(Tick now, Limit const& limit, OverdraftAllowance const& allowance) {
+void GrantTable::setLimit(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance) {
   update(now);
   limit_ = limit;
   allowance_ = allowance;
   availableAmount_ = availableAmount(now);
 }
 
-void GrantTable::limitUnreported(Tick now, std::size_t routers) {
+void GrantTable::limitUnreported(Milliseconds now, std::size_t routers) {
   update(now);
   unreportedFraction_ = std::min(unreportedFraction_, maxFractionPerRouter * static_cast<double>(routers));
 }
@@ -105,33 +105,34 @@
   return allocation;
 }
 
-void GrantTable::restoreAllocation(Tick now, std::string const& router, std::uint64_t incarnation,
+void GrantTable::restoreAllocation(Milliseconds now, std::string const& router, std::uint64_t incarnation,
                                    TenantUsage const& usage) {
   if (usage.allocatedFraction == 0 || usage.allocationRemainingMs == 0) return;
   update(now);
   RouterAllocation& allocation = allocationOf(router, incarnation);
   if (allocation.grantNumber != 0) return;
-  Tick const expiresAt = now + std::min<Tick>(static_cast<Tick>(usage.allocationRemainingMs), allocationDuration);
+  Milliseconds const expiresAt =
+      now + std::min<Milliseconds>(static_cast<Milliseconds>(usage.allocationRemainingMs), allocationDuration);
   double const reported = fractionFromWire(usage.allocatedFraction);
   unreportedFraction_ = std::max(0.0, unreportedFraction_ - std::max(0.0, reported - allocation.reservedFraction));
   allocation.reservedFraction = std::max(allocation.reservedFraction, reported);
   allocation.expiresAt = std::max(allocation.expiresAt, expiresAt);
 }
 
-double GrantTable::demandPerSecond(Tick now) const {
+double GrantTable::demandPerSecond(Milliseconds now) const {
   double sum = 0;
   for (auto const& [router, allocation] : allocations_)
     if (now - allocation.reportedAt <= reportValidity) sum += allocation.demandPerSecond;
   return sum;
 }
 
-double GrantTable::allocatableFraction(Tick now) const {
+double GrantTable::allocatableFraction(Milliseconds now) const {
   double const neededFraction =
       largestRequestsReserve * largestRequestedAmount_.value(now) / totalCapacity(limit_, allowance_);
   return std::clamp(1.0 - unallocatedFraction - neededFraction, 0.0, maxAllocatedFraction);
 }
 
-double GrantTable::targetFraction(Tick now, std::string const& router) const {
+double GrantTable::targetFraction(Milliseconds now, std::string const& router) const {
   RouterAllocation const& allocation = allocations_.at(router);
   double const totalDemand = demandPerSecond(now);
   if (totalDemand <= 0 || allocation.demandPerSecond <= 0) return 0;
@@ -145,7 +146,7 @@
   return withinHysteresis && granted <= free ? granted : target;
 }
 
-double GrantTable::admissionShare(Tick now) const {
+double GrantTable::admissionShare(Milliseconds now) const {
   double available = availableAmount(now);
   for (auto const& [router, allocation] : allocations_)
     if (now - allocation.reportedAt <= reportValidity) available += allocation.remainingAmount;
@@ -158,7 +159,7 @@
   return std::clamp(admitted / demand, 0.0, 1.0);
 }
 
-void GrantTable::topUp(Tick now, RouterAllocation const& allocation, QuotaGrant& grant) {
+void GrantTable::topUp(Milliseconds now, RouterAllocation const& allocation, QuotaGrant& grant) {
   if (availableAmount_ < scarcityThreshold * ownerCapacity(now)) return;
   double const missing = connectedReserveFraction * allocation.grantedFraction * totalCapacity(limit_, allowance_) -
                          allocation.remainingAmount;
@@ -167,7 +168,7 @@
   availableAmount_ -= missing;
 }
 
-void GrantTable::grantAmount(Tick now, TenantUsage const& usage, QuotaGrant& grant) {
+void GrantTable::grantAmount(Milliseconds now, TenantUsage const& usage, QuotaGrant& grant) {
   auto const requested = static_cast<double>(usage.requestedAmount);
   largestRequestedAmount_.record(now, requested);
   if (requested > availableAmount_) return;
@@ -175,7 +176,7 @@
   grant.grantedAmount = usage.requestedAmount;
 }
 
-void GrantTable::grantFraction(Tick now, RouterAllocation& allocation, double fraction, QuotaGrant& grant) {
+void GrantTable::grantFraction(Milliseconds now, RouterAllocation& allocation, double fraction, QuotaGrant& grant) {
   if (allocation.reservedFraction == 0) allocation.ownerRefillUntil = now + refillTransferDelay;
   allocation.grantedFraction = fraction;
   allocation.reservedFraction = std::max(allocation.reservedFraction, fraction);
@@ -187,7 +188,7 @@
   topUp(now, allocation, grant);
 }
 
-void GrantTable::recordUsage(Tick now, RouterAllocation& allocation, TenantUsage const& usage) {
+void GrantTable::recordUsage(Milliseconds now, RouterAllocation& allocation, TenantUsage const& usage) {
   bool const confirmsNewestGrant =
       usage.ownerTerm == term_ && usage.grantNumber == allocation.grantNumber && allocation.grantNumber != 0;
   if (confirmsNewestGrant) {
@@ -201,7 +202,7 @@
     availableAmount_ = std::min(availableAmount_ + static_cast<double>(usage.returnedAmount), ownerCapacity(now));
 }
 
-QuotaGrant GrantTable::onReport(Tick now, std::string const& router, std::uint64_t incarnation,
+QuotaGrant GrantTable::onReport(Milliseconds now, std::string const& router, std::uint64_t incarnation,
                                 TenantUsage const& usage, GrantScope scope) {
   restoreAllocation(now, router, incarnation, usage);
   update(now);
--- a/quota/src/limit.cpp
+++ b/quota/src/limit.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-double seconds(Tick milliseconds) {
+double seconds(Milliseconds milliseconds) {
   return static_cast<double>(milliseconds) / 1000.0;
 }
 
--- a/quota/src/owned_partition.cpp
+++ b/quota/src/owned_partition.cpp
@@ -4,16 +4,16 @@
 
 namespace corkward::quota {
 
-OwnedPartition::OwnedPartition(Tick now, std::uint64_t term)
+OwnedPartition::OwnedPartition(Milliseconds now, std::uint64_t term)
     : term_(term), since_(now), recoveryEndsAt_(now + allocationDuration) {}
 
-void OwnedPartition::configure(Tick now, std::map<std::string, Limit> const& limits,
+void OwnedPartition::configure(Milliseconds now, std::map<std::string, Limit> const& limits,
                                OverdraftAllowance const& allowance) {
   std::erase_if(grantTables_, [&](auto const& entry) { return !limits.contains(entry.first); });
   for (auto& [tenant, table] : grantTables_) table.setLimit(now, limits.at(tenant), allowance);
 }
 
-GrantTable& OwnedPartition::grantTable(Tick now, std::string const& tenant, Limit const& limit,
+GrantTable& OwnedPartition::grantTable(Milliseconds now, std::string const& tenant, Limit const& limit,
                                        OverdraftAllowance const& allowance) {
   auto const found = grantTables_.find(tenant);
   if (found != grantTables_.end()) return found->second;
@@ -22,7 +22,8 @@
   return grantTables_.emplace(tenant, std::move(table)).first->second;
 }
 
-void OwnedPartition::advanceRecovery(Tick now, Tick quorumContactSince, std::set<std::string> const& routers) {
+void OwnedPartition::advanceRecovery(Milliseconds now, Milliseconds quorumContactSince,
+                                     std::set<std::string> const& routers) {
   if (now >= recoveryEndsAt_) unreportedRouters_.clear();
   if (recoveryStarted_ || quorumContactSince <= since_) return;
   recoveryStarted_ = true;
@@ -30,12 +31,12 @@
   limitUnreported(now);
 }
 
-void OwnedPartition::onRouterReported(Tick now, std::string const& router) {
+void OwnedPartition::onRouterReported(Milliseconds now, std::string const& router) {
   unreportedRouters_.erase(router);
   limitUnreported(now);
 }
 
-void OwnedPartition::limitUnreported(Tick now) {
+void OwnedPartition::limitUnreported(Milliseconds now) {
   for (auto& [tenant, table] : grantTables_) table.limitUnreported(now, unreportedRouters_.size());
 }
 
--- a/quota/src/partition_lease_grants.cpp
+++ b/quota/src/partition_lease_grants.cpp
@@ -2,7 +2,7 @@
 
 namespace corkward::quota {
 
-PartitionLeaseDecision PartitionLeaseGrants::decide(Tick now, PartitionLeaseRequest const& request,
+PartitionLeaseDecision PartitionLeaseGrants::decide(Milliseconds now, PartitionLeaseRequest const& request,
                                                     PartitionTerm const& requested, GrantPermission permission) {
   Grant& grant = grants_[requested.partition];
   bool const sameLease =
@@ -19,7 +19,7 @@
   return {requested.partition, grant.term, granted, now < grant.expiresAt ? grant.holder : ""};
 }
 
-PartitionLeaseReply PartitionLeaseGrants::onRequest(Tick now, PartitionLeaseRequest const& request,
+PartitionLeaseReply PartitionLeaseGrants::onRequest(Milliseconds now, PartitionLeaseRequest const& request,
                                                     GrantPermission permission) {
   PartitionLeaseReply reply;
   reply.requestSentAt = request.sentAt;
@@ -28,7 +28,7 @@
   return reply;
 }
 
-std::string PartitionLeaseGrants::holder(Tick now, std::uint64_t partition) const {
+std::string PartitionLeaseGrants::holder(Milliseconds now, std::uint64_t partition) const {
   auto const found = grants_.find(partition);
   if (found == grants_.end() || now >= found->second.expiresAt) return "";
   return found->second.holder;
--- a/quota/src/partition_leases.cpp
+++ b/quota/src/partition_leases.cpp
@@ -4,7 +4,7 @@
 
 namespace corkward::quota {
 
-void PartitionLeases::contend(Tick now, std::uint64_t partition, std::uint64_t minTerm) {
+void PartitionLeases::contend(Milliseconds now, std::uint64_t partition, std::uint64_t minTerm) {
   auto const [found, isNew] = candidacies_.try_emplace(partition);
   Candidacy& candidacy = found->second;
   if (isNew) candidacy.since = now;
@@ -14,7 +14,7 @@
   candidacy.grantRequestedAt.clear();
 }
 
-Tick PartitionLeases::contendingSince(std::uint64_t partition) const {
+Milliseconds PartitionLeases::contendingSince(std::uint64_t partition) const {
   auto const found = candidacies_.find(partition);
   return found == candidacies_.end() ? -1 : found->second.since;
 }
@@ -31,24 +31,24 @@
     if (found == candidacies_.end()) continue;
     Candidacy& candidacy = found->second;
     if (decision.granted && decision.term == candidacy.term) {
-      Tick& requestedAt = candidacy.grantRequestedAt[member];
+      Milliseconds& requestedAt = candidacy.grantRequestedAt[member];
       requestedAt = std::max(requestedAt, reply.requestSentAt);
     }
     if (!decision.granted && decision.term >= candidacy.term) candidacy.superseded = true;
   }
 }
 
-Tick PartitionLeases::validUntil(std::uint64_t partition, std::vector<std::string> const& members) const {
+Milliseconds PartitionLeases::validUntil(std::uint64_t partition, std::vector<std::string> const& members) const {
   auto const found = candidacies_.find(partition);
   if (found == candidacies_.end() || members.empty()) return 0;
-  std::map<std::string, Tick> const& grants = found->second.grantRequestedAt;
-  std::vector<Tick> requestedAt;
+  std::map<std::string, Milliseconds> const& grants = found->second.grantRequestedAt;
+  std::vector<Milliseconds> requestedAt;
   for (std::string const& member : members) {
     auto const grant = grants.find(member);
     requestedAt.push_back(grant == grants.end() ? -partitionLeaseDuration : grant->second);
   }
   std::sort(requestedAt.rbegin(), requestedAt.rend());
-  Tick const majorityRequestedAt = requestedAt[members.size() / 2];
+  Milliseconds const majorityRequestedAt = requestedAt[members.size() / 2];
   return majorityRequestedAt + partitionLeaseDuration;
 }
 
--- a/quota/src/quota_coordinator.cpp
+++ b/quota/src/quota_coordinator.cpp
@@ -8,37 +8,37 @@
 namespace {
 
 /// Milliseconds between requests for leases, to acquire and to renew them.
-constexpr Tick leaseRequestInterval = 200;
+constexpr Milliseconds leaseRequestInterval = 200;
 /// Milliseconds between queries to routers that have not reported their allocations.
-constexpr Tick allocationQueryInterval = 200;
+constexpr Milliseconds allocationQueryInterval = 200;
 /// Milliseconds after which a controller stops to contend for a partition.
-constexpr Tick contentionTimeout = partitionLeaseDuration;
+constexpr Milliseconds contentionTimeout = partitionLeaseDuration;
 /// Milliseconds for which it leaves the partition to others then: at least the minimum, and up to the spread more by a
 /// hash of its address, so that two controllers that split the members' grants don't do so again.
-constexpr Tick minContentionBackoff = partitionLeaseDuration;
-constexpr Tick contentionBackoffSpread = 1000;
+constexpr Milliseconds minContentionBackoff = partitionLeaseDuration;
+constexpr Milliseconds contentionBackoffSpread = 1000;
 
 }  // namespace
 
 QuotaCoordinator::QuotaCoordinator(std::string link, std::uint64_t incarnation, OverdraftAllowance const& allowance)
     : link_(std::move(link)), incarnation_(incarnation), allowance_(allowance) {}
 
-void QuotaCoordinator::configure(Tick now, std::map<std::string, Limit> limits) {
+void QuotaCoordinator::configure(Milliseconds now, std::map<std::string, Limit> limits) {
   limits_ = std::move(limits);
   for (auto& [number, partition] : ownedPartitions_) partition.configure(now, limits_, allowance_);
 }
 
-bool QuotaCoordinator::ownsPartition(Tick now, std::uint64_t partition, MembershipView const& view) const {
+bool QuotaCoordinator::ownsPartition(Milliseconds now, std::uint64_t partition, MembershipView const& view) const {
   return ownedPartitions_.contains(partition) && now < leases_.validUntil(partition, view.members);
 }
 
-std::size_t QuotaCoordinator::ownedPartitionCount(Tick now, MembershipView const& view) const {
+std::size_t QuotaCoordinator::ownedPartitionCount(Milliseconds now, MembershipView const& view) const {
   auto const owned = std::count_if(ownedPartitions_.begin(), ownedPartitions_.end(),
                                    [&](auto const& entry) { return ownsPartition(now, entry.first, view); });
   return static_cast<std::size_t>(owned);
 }
 
-std::string QuotaCoordinator::ownerOf(Tick now, std::uint64_t partition, MembershipView const& view) const {
+std::string QuotaCoordinator::ownerOf(Milliseconds now, std::uint64_t partition, MembershipView const& view) const {
   if (ownsPartition(now, partition, view)) return link_;
   std::string grantedTo = grants_.holder(now, partition);
   if (!grantedTo.empty() && grantedTo != link_) return grantedTo;
@@ -53,23 +53,23 @@
   });
 }
 
-bool QuotaCoordinator::mayContend(Tick now, std::uint64_t partition, MembershipView const& view) const {
+bool QuotaCoordinator::mayContend(Milliseconds now, std::uint64_t partition, MembershipView const& view) const {
   if (view.grantPermission != GrantPermission::all || view.draining || limits_.empty()) return false;
   auto const backoff = backoffUntil_.find(partition);
   if (backoff != backoffUntil_.end() && now < backoff->second) return false;
   return ownerOf(now, partition, view).empty() && isPreferredOwner(partition, view.aliveMembers);
 }
 
-void QuotaCoordinator::updateContention(Tick now, MembershipView const& view) {
+void QuotaCoordinator::updateContention(Milliseconds now, MembershipView const& view) {
   for (std::uint64_t partition = 0; partition < partitionCount; ++partition) {
     if (ownsPartition(now, partition, view)) continue;
-    Tick const since = leases_.contendingSince(partition);
+    Milliseconds const since = leases_.contendingSince(partition);
     bool const timedOut = since >= 0 && now - since > contentionTimeout;
     if (!mayContend(now, partition, view)) {
       leases_.abandon(partition);
     } else if (timedOut) {
       leases_.abandon(partition);
-      Tick const spread = static_cast<Tick>(core::stableHash(link_) % contentionBackoffSpread);
+      Milliseconds const spread = static_cast<Milliseconds>(core::stableHash(link_) % contentionBackoffSpread);
       backoffUntil_[partition] = now + minContentionBackoff + spread;
     } else {
       leases_.contend(now, partition, incarnation_);
@@ -77,7 +77,7 @@
   }
 }
 
-void QuotaCoordinator::updateOwnedPartitions(Tick now, MembershipView const& view) {
+void QuotaCoordinator::updateOwnedPartitions(Milliseconds now, MembershipView const& view) {
   std::erase_if(ownedPartitions_, [&](auto const& entry) {
     std::uint64_t const partition = entry.first;
     if (now < leases_.validUntil(partition, view.members)) return false;
@@ -89,7 +89,7 @@
       ownedPartitions_.try_emplace(partition, OwnedPartition(now, term));
 }
 
-PartitionLeaseRequest QuotaCoordinator::leaseRequest(Tick now) const {
+PartitionLeaseRequest QuotaCoordinator::leaseRequest(Milliseconds now) const {
   PartitionLeaseRequest request;
   request.sentAt = now;
   request.link = link_;
@@ -98,7 +98,7 @@
   return request;
 }
 
-void QuotaCoordinator::requestLeases(std::vector<Send>& out, Tick now, MembershipView const& view) {
+void QuotaCoordinator::requestLeases(std::vector<Send>& out, Milliseconds now, MembershipView const& view) {
   PartitionLeaseRequest const request = leaseRequest(now);
   if (request.terms.empty()) return;
   for (std::string const& member : view.members) {
@@ -109,7 +109,7 @@
   }
 }
 
-void QuotaCoordinator::releaseLeases(std::vector<Send>& out, Tick now, MembershipView const& view) {
+void QuotaCoordinator::releaseLeases(std::vector<Send>& out, Milliseconds now, MembershipView const& view) {
   PartitionLeaseRequest request = leaseRequest(now);
   if (request.terms.empty()) return;
   request.release = true;
@@ -120,7 +120,7 @@
     if (member != link_) out.push_back({member, request});
 }
 
-void QuotaCoordinator::queryAllocations(std::vector<Send>& out, Tick now, MembershipView const& view) {
+void QuotaCoordinator::queryAllocations(std::vector<Send>& out, Milliseconds now, MembershipView const& view) {
   std::map<std::string, AllocationQuery> queries;
   for (auto& [number, partition] : ownedPartitions_) {
     partition.advanceRecovery(now, view.quorumContactSince, view.routers);
@@ -130,7 +130,7 @@
   for (auto& [router, query] : queries) out.push_back({router, std::move(query)});
 }
 
-std::vector<Send> QuotaCoordinator::clockEvent(Tick now, MembershipView const& view) {
+std::vector<Send> QuotaCoordinator::clockEvent(Milliseconds now, MembershipView const& view) {
   std::vector<Send> out;
   if (view.draining) {
     releaseLeases(out, now, view);
@@ -149,11 +149,11 @@
   return out;
 }
 
-GrantTable& QuotaCoordinator::grantTable(Tick now, OwnedPartition& partition, std::string const& tenant) {
+GrantTable& QuotaCoordinator::grantTable(Milliseconds now, OwnedPartition& partition, std::string const& tenant) {
   return partition.grantTable(now, tenant, limits_.at(tenant), allowance_);
 }
 
-std::vector<Send> QuotaCoordinator::onMessage(Tick now, std::string const& from, UsageReport const& message,
+std::vector<Send> QuotaCoordinator::onMessage(Milliseconds now, std::string const& from, UsageReport const& message,
                                               MembershipView const& view) {
   if (message.link != from) return {};
   GrantScope const scope = view.routers.contains(from) ? GrantScope::allocation : GrantScope::amountsOnly;
@@ -178,15 +178,15 @@
   return {Send{from, std::move(reply)}};
 }
 
-std::vector<Send> QuotaCoordinator::onMessage(Tick now, std::string const& from, PartitionLeaseRequest const& message,
-                                              MembershipView const& view) {
+std::vector<Send> QuotaCoordinator::onMessage(Milliseconds now, std::string const& from,
+                                              PartitionLeaseRequest const& message, MembershipView const& view) {
   bool const fromMember = std::find(view.members.begin(), view.members.end(), from) != view.members.end();
   if (message.link != from || !fromMember) return {};
   return {Send{from, grants_.onRequest(now, message, view.grantPermission)}};
 }
 
-std::vector<Send> QuotaCoordinator::onMessage(Tick now, std::string const& from, PartitionLeaseReply const& message,
-                                              MembershipView const& view) {
+std::vector<Send> QuotaCoordinator::onMessage(Milliseconds now, std::string const& from,
+                                              PartitionLeaseReply const& message, MembershipView const& view) {
   leases_.onReply(from, message);
   for (PartitionLeaseDecision const& decision : message.decisions)
     if (!decision.granted && !decision.holder.empty() && decision.holder != link_)
@@ -195,8 +195,8 @@
   return {};
 }
 
-std::vector<Send> QuotaCoordinator::onMessage(Tick now, std::string const& from, AllocationReport const& message,
-                                              MembershipView const&) {
+std::vector<Send> QuotaCoordinator::onMessage(Milliseconds now, std::string const& from,
+                                              AllocationReport const& message, MembershipView const&) {
   if (message.link != from) return {};
   for (auto const& [number, term] : message.terms) {
     auto const found = ownedPartitions_.find(number);
--- a/quota/src/quota_limiter.cpp
+++ b/quota/src/quota_limiter.cpp
@@ -8,58 +8,59 @@
 namespace {
 
 /// Milliseconds over which a tenant's demand is averaged.
-constexpr Tick demandTimeConstant = 3000;
+constexpr Milliseconds demandTimeConstant = 3000;
 /// Milliseconds after which an admission share no longer applies.
-constexpr Tick admissionShareValidity = 1500;
+constexpr Milliseconds admissionShareValidity = 1500;
 /// Milliseconds between reports of an allocation that no request uses.
-constexpr Tick idleRenewalInterval = 600;
+constexpr Milliseconds idleRenewalInterval = 600;
 /// Part of its capacity that a router keeps while the tenant's demand exceeds its limit; others need the rest.
 constexpr double capacityWhenScarce = 0.5;
 /// Milliseconds without a request after which a limiter may be removed.
-constexpr Tick idleTimeout = 60000;
+constexpr Milliseconds idleTimeout = 60000;
 
 }  // namespace
 
 QuotaLimiter::QuotaLimiter() : demand_(demandTimeConstant) {}
 
-bool QuotaLimiter::onRequest(Tick now, double amount, double draw) {
+bool QuotaLimiter::onRequest(Milliseconds now, double amount, double draw) {
   demand_.add(now, amount);
   lastRequestAt_ = now;
   hasUnreportedChange_ = true;
   return now - admissionShareAt_ > admissionShareValidity || draw < admissionShare_;
 }
 
-bool QuotaLimiter::refillsOwner(Tick now) const {
+bool QuotaLimiter::refillsOwner(Milliseconds now) const {
   return now < grantedAt_ + refillTransferDelay;
 }
 
-double QuotaLimiter::maxAmount(Tick now, Limit const& limit, OverdraftAllowance const& allowance) const {
+double QuotaLimiter::maxAmount(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance) const {
   if (now >= expiresAt_) return 0;
   return (refillsOwner(now) ? connectedReserveFraction : 1.0) * allocatedFraction_ * totalCapacity(limit, allowance);
 }
 
-double QuotaLimiter::remainingAmount(Tick now, Limit const& limit, OverdraftAllowance const& allowance) const {
+double QuotaLimiter::remainingAmount(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance) const {
   if (now >= expiresAt_) return 0;
-  Tick const refillFrom = std::max(updatedAt_, grantedAt_ + refillTransferDelay);
+  Milliseconds const refillFrom = std::max(updatedAt_, grantedAt_ + refillTransferDelay);
   if (now <= refillFrom) return remainingAmount_;
   double const refill = allocatedFraction_ * limit.perSecond * static_cast<double>(now - refillFrom) / 1000.0;
   return std::min(remainingAmount_ + refill, std::max(remainingAmount_, maxAmount(now, limit, allowance)));
 }
 
-void QuotaLimiter::update(Tick now, Limit const& limit, OverdraftAllowance const& allowance) {
+void QuotaLimiter::update(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance) {
   remainingAmount_ = remainingAmount(now, limit, allowance);
   updatedAt_ = now;
   if (now >= expiresAt_) allocatedFraction_ = 0;
 }
 
-bool QuotaLimiter::tryAcquire(Tick now, Limit const& limit, OverdraftAllowance const& allowance, double amount) {
+bool QuotaLimiter::tryAcquire(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance,
+                              double amount) {
   update(now, limit, allowance);
   if (remainingAmount_ < amount) return false;
   remainingAmount_ -= amount;
   return true;
 }
 
-bool QuotaLimiter::tryAcquireUnallocated(Tick now, Limit const& limit, OverdraftAllowance const& allowance,
+bool QuotaLimiter::tryAcquireUnallocated(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance,
                                          double amount, UnallocatedShare sharing, double draw) {
   double const fraction = unallocatedFraction / static_cast<double>(std::max<std::size_t>(sharing.routers, 1));
   double const capacity = fraction * totalCapacity(limit, allowance);
@@ -72,14 +73,14 @@
   return acquired;
 }
 
-void QuotaLimiter::refund(Tick now, Limit const& limit, OverdraftAllowance const& allowance, double amount) {
+void QuotaLimiter::refund(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance, double amount) {
   update(now, limit, allowance);
   if (now >= expiresAt_) return;
   remainingAmount_ += amount;
   trim(now, limit, allowance);
 }
 
-void QuotaLimiter::trim(Tick now, Limit const& limit, OverdraftAllowance const& allowance) {
+void QuotaLimiter::trim(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance) {
   update(now, limit, allowance);
   if (returnExcess(maxAmount(now, limit, allowance))) hasUnreportedChange_ = true;
 }
@@ -91,7 +92,7 @@
   return true;
 }
 
-void QuotaLimiter::applyAllocation(Tick now, Tick reportSentAt, QuotaGrant const& grant) {
+void QuotaLimiter::applyAllocation(Milliseconds now, Milliseconds reportSentAt, QuotaGrant const& grant) {
   allocatedFraction_ = fractionFromWire(grant.allocatedFraction);
   expiresAt_ = reportSentAt + allocationDuration;
   ownerTerm_ = grant.ownerTerm;
@@ -99,8 +100,8 @@
   grantedAt_ = now;
 }
 
-void QuotaLimiter::onGrant(Tick now, Limit const& limit, OverdraftAllowance const& allowance, Tick reportSentAt,
-                           QuotaGrant const& grant) {
+void QuotaLimiter::onGrant(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance,
+                           Milliseconds reportSentAt, QuotaGrant const& grant) {
   update(now, limit, allowance);
   if (grant.grantNumber != 0) applyAllocation(now, reportSentAt, grant);
   admissionShare_ = fractionFromWire(grant.admissionShare);
@@ -108,7 +109,8 @@
   if (now - reportSentAt <= maxDispatchDelay / 2) remainingAmount_ += static_cast<double>(grant.grantedAmount);
 }
 
-TenantUsage QuotaLimiter::currentUsage(Tick now, Limit const& limit, OverdraftAllowance const& allowance) const {
+TenantUsage QuotaLimiter::currentUsage(Milliseconds now, Limit const& limit,
+                                       OverdraftAllowance const& allowance) const {
   TenantUsage usage;
   usage.demandPerSecond = static_cast<std::uint64_t>(demand_.perSecond(now));
   usage.remainingAmount = static_cast<std::uint64_t>(remainingAmount(now, limit, allowance));
@@ -121,7 +123,7 @@
   return usage;
 }
 
-TenantUsage QuotaLimiter::takeReport(Tick now, Limit const& limit, OverdraftAllowance const& allowance,
+TenantUsage QuotaLimiter::takeReport(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance,
                                      double requestedAmount) {
   update(now, limit, allowance);
   returnExcess((admissionShare_ < 1.0 ? capacityWhenScarce : 1.0) * maxAmount(now, limit, allowance));
@@ -137,13 +139,13 @@
   return usage;
 }
 
-bool QuotaLimiter::reportDue(Tick now) const {
-  Tick const sinceRenewal = now - renewalRequestedAt_;
+bool QuotaLimiter::reportDue(Milliseconds now) const {
+  Milliseconds const sinceRenewal = now - renewalRequestedAt_;
   if (sinceRenewal < reportEvery) return false;
   return hasUnreportedChange_ || (hasAllocation(now) && sinceRenewal >= idleRenewalInterval);
 }
 
-bool QuotaLimiter::idle(Tick now) const {
+bool QuotaLimiter::idle(Milliseconds now) const {
   return now - lastRequestAt_ > idleTimeout && now >= expiresAt_;
 }
 
--- a/quota/test/demand_estimator_test.cpp
+++ b/quota/test/demand_estimator_test.cpp
@@ -8,7 +8,7 @@
 
 TEST_CASE("a steady demand is estimated at its rate, and decays to 1/e within the time constant") {
   quota::DemandEstimator demand(3000);
-  for (corkward::core::Tick now = 0; now <= 60000; now += 10) demand.add(now, 5);
+  for (corkward::core::Milliseconds now = 0; now <= 60000; now += 10) demand.add(now, 5);
   CHECK(demand.perSecond(60000) == Approx(500).epsilon(0.01));
   CHECK(demand.perSecond(63000) == Approx(demand.perSecond(60000) / std::exp(1.0)));
 }
--- a/quota/test/grant_table_test.cpp
+++ b/quota/test/grant_table_test.cpp
@@ -6,7 +6,7 @@
 #include "quota_fixtures.h"
 
 namespace quota = corkward::quota;
-using corkward::core::Tick;
+using corkward::core::Milliseconds;
 using quota::GrantScope;
 using quota::test::allowance;
 using quota::test::fractionOf;
@@ -16,7 +16,7 @@
 
 TEST_CASE("fractions follow the demand and stay within the bounds of all routers and of each") {
   quota::GrantTable table = recoveredTable();
-  for (Tick now = 1000; now < 8000; now += 200)
+  for (Milliseconds now = 1000; now < 8000; now += 200)
     for (int i = 0; i < 12; ++i) {
       quota::QuotaGrant const grant =
           table.onReport(now, "r" + std::to_string(i), 1, usage(i == 0 ? 5000 : 100), GrantScope::allocation);
@@ -95,10 +95,10 @@
 }
 
 TEST_CASE("the refill of a fraction goes to the owner or to the router, never to both") {
-  for (Tick connectedFor = 0; connectedFor < 3000; connectedFor += 100) {
+  for (Milliseconds connectedFor = 0; connectedFor < 3000; connectedFor += 100) {
     quota::GrantTable table = recoveredTable();
     quota::QuotaLimiter limiter;
-    Tick now = 1000;
+    Milliseconds now = 1000;
     for (; now < 4000; now += 200) {
       limiter.onRequest(now, 100, 0);
       quota::TenantUsage report = limiter.takeReport(now, limit, allowance, 0);
@@ -109,7 +109,7 @@
       limiter.onGrant(now + 4, limit, allowance, now, grant);
     }
     double spent = 0;
-    Tick const disconnectedAt = now;
+    Milliseconds const disconnectedAt = now;
     quota::TenantUsage allAvailable = usage(0);
     allAvailable.wantsRenewal = false;
     for (; now < disconnectedAt + 9000; now += 50) {
--- a/quota/test/partition_lease_grants_test.cpp
+++ b/quota/test/partition_lease_grants_test.cpp
@@ -3,13 +3,13 @@
 #include <corkward/quota/partition_lease_grants.h>
 
 namespace quota = corkward::quota;
-using corkward::core::Tick;
+using corkward::core::Milliseconds;
 using quota::GrantPermission;
 using quota::partitionLeaseDuration;
 
 namespace {
 
-quota::PartitionLeaseRequest request(std::string const& link, std::uint64_t term, Tick sentAt,
+quota::PartitionLeaseRequest request(std::string const& link, std::uint64_t term, Milliseconds sentAt,
                                      std::uint64_t incarnation = 1) {
   return {sentAt, link, incarnation, false, {{3, term}}};
 }
@@ -28,8 +28,8 @@
   CHECK_FALSE(granted(rejected));
   CHECK(rejected.decisions[0].holder == "c1");
   CHECK(rejected.decisions[0].term == 5);
-  Tick const renewed = 1000 + partitionLeaseDuration - 100;
-  Tick const expired = renewed + partitionLeaseDuration;
+  Milliseconds const renewed = 1000 + partitionLeaseDuration - 100;
+  Milliseconds const expired = renewed + partitionLeaseDuration;
   CHECK(granted(grants.onRequest(renewed, request("c1", 5, renewed - 10), GrantPermission::all)));
   CHECK_FALSE(granted(grants.onRequest(expired - 1, request("c2", 6, 0), GrantPermission::all)));
   CHECK_FALSE(granted(grants.onRequest(expired, request("c2", 5, 0), GrantPermission::all)));
--- a/quota/test/partition_leases_test.cpp
+++ b/quota/test/partition_leases_test.cpp
@@ -3,14 +3,14 @@
 #include <corkward/quota/partition_leases.h>
 
 namespace quota = corkward::quota;
-using corkward::core::Tick;
+using corkward::core::Milliseconds;
 
 TEST_CASE("a lease counts from when it was requested from a majority of the members") {
   std::vector<std::string> const members{"c1", "c2", "c3", "c4", "c5"};
   quota::PartitionLeases leases;
   leases.contend(1000, 3, 9);
   CHECK(leases.term(3) == 9);
-  auto const grant = [&](std::string const& member, Tick requestSentAt) {
+  auto const grant = [&](std::string const& member, Milliseconds requestSentAt) {
     leases.onReply(member, {requestSentAt, {{3, 9, true, "c1"}}});
   };
   grant("c1", 1000);
--- a/quota/test/quota_limiter_test.cpp
+++ b/quota/test/quota_limiter_test.cpp
@@ -5,7 +5,7 @@
 #include "quota_fixtures.h"
 
 namespace quota = corkward::quota;
-using corkward::core::Tick;
+using corkward::core::Milliseconds;
 using quota::test::allowance;
 using quota::test::limit;
 
@@ -45,7 +45,7 @@
   corkward::core::RandomGenerator random(5);
   for (int router = 0; router < 100; ++router) {
     quota::QuotaLimiter limiter;
-    for (Tick now = 0; now < 100000; now += 500) {
+    for (Milliseconds now = 0; now < 100000; now += 500) {
       double const draw = static_cast<double>(random.below(1000000)) / 1000000.0;
       if (limiter.tryAcquireUnallocated(now, limit, allowance, 10, {100}, draw)) admitted += 10;
     }
--- a/scaling/include/corkward/scaling/completion_rate.h
+++ b/scaling/include/corkward/scaling/completion_rate.h
@@ -9,16 +9,16 @@
 /// How many requests end in a second: a running mean over windows of a second, closed by looks.
 class CompletionRate {
  public:
-  static constexpr Tick window = 1000;
+  static constexpr Milliseconds window = 1000;
   void onCompleted() { ++completed_; }
-  void closeWindow(Tick now);
+  void closeWindow(Milliseconds now);
   /// Makes up for the looks that were left out, as if there had been one at the end of each window before now.
-  void catchUp(Tick now);
+  void catchUp(Milliseconds now);
   double perSecond() const { return perSecond_; }
 
  private:
   double perSecond_ = 0;
-  Tick windowStart_ = 0;
+  Milliseconds windowStart_ = 0;
   int completed_ = 0;
 };
 
--- a/scaling/include/corkward/scaling/reliability.h
+++ b/scaling/include/corkward/scaling/reliability.h
@@ -10,21 +10,21 @@
 class Reliability {
  public:
   /// Takes one outcome in. True when the replica has to rest from now on.
-  bool recordOutcome(Tick now, bool failed, ScalerParameters const& f = defaultScalerParameters);
+  bool recordOutcome(Milliseconds now, bool failed, ScalerParameters const& f = defaultScalerParameters);
   bool trusted() const { return trusted_; }
   /// Not trusted, and not to be probed yet.
-  bool isResting(Tick now) const { return !trusted_ && now < restUntil_; }
-  Tick restUntil() const { return restUntil_; }
+  bool isResting(Milliseconds now) const { return !trusted_ && now < restUntil_; }
+  Milliseconds restUntil() const { return restUntil_; }
   /// Share of failures of late, newer outcomes weighing more.
-  double failureRate(Tick now, ScalerParameters const& f = defaultScalerParameters) const;
+  double failureRate(Milliseconds now, ScalerParameters const& f = defaultScalerParameters) const;
 
  private:
   double failureRate_ = 0;
   double failures_ = 0;
-  Tick at_ = 0;
+  Milliseconds at_ = 0;
   bool trusted_ = true;
-  Tick restUntil_ = 0;
-  Tick restDuration_ = 0;
+  Milliseconds restUntil_ = 0;
+  Milliseconds restDuration_ = 0;
   int successes_ = 0;
 };
 
--- a/scaling/include/corkward/scaling/retry_budget.h
+++ b/scaling/include/corkward/scaling/retry_budget.h
@@ -14,37 +14,37 @@
 /// A first attempt earns its share only for a short while, so that retries cannot outlive a crowd that is gone.
 class RetryBudget {
  public:
-  static constexpr Tick window = 10000;
-  static constexpr Tick earningWindow = 1000;
+  static constexpr Milliseconds window = 10000;
+  static constexpr Milliseconds earningWindow = 1000;
   static constexpr double retryFraction = 0.2;
   static constexpr double allowance = 10.0;
-  void onFirstAttempt(Tick now);
+  void onFirstAttempt(Milliseconds now);
   /// True, and counted, when one more retry is within the budget.
-  bool takeRetry(Tick now, std::size_t nodes, double ofAll = allowance);
+  bool takeRetry(Milliseconds now, std::size_t nodes, double ofAll = allowance);
   /// The same, not counted.
-  bool mayRetry(Tick now, std::size_t nodes, double ofAll = allowance);
+  bool mayRetry(Milliseconds now, std::size_t nodes, double ofAll = allowance);
   /// True while nothing in it counts any more.
-  bool isIdle(Tick now);
+  bool isIdle(Milliseconds now);
 
  private:
-  void expire(Tick now);
+  void expire(Milliseconds now);
   double earned_ = 0;
-  std::deque<Tick> firstAttempts_;
+  std::deque<Milliseconds> firstAttempts_;
   /// Retries that were paid out of the allowance.
-  std::deque<Tick> retries_;
+  std::deque<Milliseconds> retries_;
 };
 
 /// Own retries at each pool and over all: one more has to be within both, so that no pool's requests pay for repeats at
 /// another.
 class RetryBudgets {
  public:
-  void onFirstAttempt(Tick now, NameIndex pool);
-  bool takeRetry(Tick now, NameIndex pool, std::size_t nodes, double ofAll = RetryBudget::allowance);
+  void onFirstAttempt(Milliseconds now, NameIndex pool);
+  bool takeRetry(Milliseconds now, NameIndex pool, std::size_t nodes, double ofAll = RetryBudget::allowance);
   /// Pools that are remembered.
   std::size_t size() const { return pools_.size(); }
 
  private:
-  RetryBudget& at(Tick now, NameIndex pool);
+  RetryBudget& at(Milliseconds now, NameIndex pool);
   RetryBudget all_;
   std::map<NameIndex, RetryBudget> pools_;
 };
--- a/scaling/include/corkward/scaling/scaler.h
+++ b/scaling/include/corkward/scaling/scaler.h
@@ -23,7 +23,7 @@
   void beginWith(NameIndex wanted);
   /// Evaluates the demand; `queued` counts no hedged requests. Takes at most one step and returns +1, -1 or 0. Growing
   /// takes the wanted candidate, if that is outside the subset, else the next in this node's order.
-  int evaluate(Tick now, std::size_t queued, std::int64_t wanted = -1);
+  int evaluate(Milliseconds now, std::size_t queued, std::int64_t wanted = -1);
   /// True when evaluating with an empty queue changes nothing until a request is sent or candidates change.
   bool isAtRest() const;
 
@@ -50,7 +50,7 @@
   void forget(NameIndex replica) { times_.erase(replica); }
   void onSent(NameIndex replica, bool bulk);
   /// The first byte came after `took` milliseconds, against the class's latency target in milliseconds.
-  void onFirstByte(Tick now, NameIndex replica, Tick took, Tick latencyTarget);
+  void onFirstByte(Milliseconds now, NameIndex replica, Milliseconds took, Milliseconds latencyTarget);
   void onEnded(NameIndex replica, bool bulk);
 
  private:
@@ -61,7 +61,7 @@
 
   struct Times {
     double meanFirstByte = 0;
-    Tick latencyTarget = 0;
+    Milliseconds latencyTarget = 0;
     int answers = 0;
   };
   std::uint64_t seed_;
@@ -73,8 +73,8 @@
   int inFlight_ = 0;
   int bulkInFlight_ = 0;
   double limit_;
-  Tick limitCutAt_ = 0;
-  Tick calmSince_ = -1;
+  Milliseconds limitCutAt_ = 0;
+  Milliseconds calmSince_ = -1;
   double meanFirstByte_ = 0;
   /// Running mean of answer times as shares of their aims.
   double strain_ = 0;
--- a/scaling/include/corkward/scaling/scaler_parameters.h
+++ b/scaling/include/corkward/scaling/scaler_parameters.h
@@ -8,8 +8,8 @@
 
 namespace corkward::scaling {
 
+using core::Milliseconds;
 using core::NameIndex;
-using core::Tick;
 
 /// The design's figures; starting values, all in one table.
 struct ScalerParameters {
@@ -18,7 +18,7 @@
   /// Own in-flight requests past this share of the cap count as buffered; under it, for one replica fewer, is calm.
   double calmFraction = 0.7;
   /// How long the calm must last before one replica is given back (never under 5 s).
-  Tick cooldown = 5000;
+  Milliseconds cooldown = 5000;
   /// Replicas that a part begins with.
   std::size_t initialSubset = 1;
   double initialLimit = 4.0;
@@ -26,7 +26,7 @@
   double maxLimit = 24.0;
   /// The limit falls to this share when answer times pass the aim, at most once per cutEvery.
   double limitCutFactor = 0.8;
-  Tick limitCutInterval = 500;
+  Milliseconds limitCutInterval = 500;
   /// While answers take less than this share of their aims, the limit is raised for a request that finds no room.
   double steady = 0.0;
   /// The limit falls to this share with each look at which less than `used` of the cap is in use; below 1 a widening
@@ -40,7 +40,7 @@
   /// Tokens that a replica is taken to read in a millisecond, and how long a first word may take beyond that. What an
   /// own request has waited longer counts as work that its replica is held up by.
   double prefillTokensPerMs = 100.0;
-  Tick firstByteSlack = 60;
+  Milliseconds firstByteSlack = 60;
   /// A prompt of more own tokens for each millisecond of its aim cannot be read within it. This share of a pool's
   /// replicas, rounded down and the same on all nodes, reads those, so that they hold up nothing else.
   double targetTokensPerMs = 50.0;
@@ -60,13 +60,13 @@
   int minAnswers = 4;
   /// Weight of one outcome in a replica's error rate, and the time after which rate and failures of late count half.
   double failureMeanWeight = 0.2;
-  Tick failureHalfLife = 30000;
+  Milliseconds failureHalfLife = 30000;
   /// A replica loses its trust at this error rate, with at least so many failures of late.
   double maxFailureRate = 0.4;
   double minFailures = 2.5;
   /// First and longest rest of a replica that is not trusted, and the successes in a row that give trust back.
-  Tick initialRest = 1000;
-  Tick maxRest = 8000;
+  Milliseconds initialRest = 1000;
+  Milliseconds maxRest = 8000;
   int probesToTrust = 5;
   /// A first word, or a silence, over this many aims and this many of the usual first words is a failure.
   double lateTargets = 3.0;
--- a/scaling/include/corkward/scaling/slow_start_bucket.h
+++ b/scaling/include/corkward/scaling/slow_start_bucket.h
@@ -9,13 +9,13 @@
 /// Token bucket of a cold replica: holds at most one token and starts empty, so no burst passes the rate.
 class SlowStartBucket {
  public:
-  explicit SlowStartBucket(Tick now = 0) : at_(now) {}
-  bool takeToken(Tick now, double rate);
-  bool hasToken(Tick now, double rate) const;
+  explicit SlowStartBucket(Milliseconds now = 0) : at_(now) {}
+  bool takeToken(Milliseconds now, double rate);
+  bool hasToken(Milliseconds now, double rate) const;
 
  private:
   double tokens_ = 0;
-  Tick at_;
+  Milliseconds at_;
 };
 
 }  // namespace corkward::scaling
--- a/scaling/src/reliability.cpp
+++ b/scaling/src/reliability.cpp
@@ -5,11 +5,11 @@
 
 namespace corkward::scaling {
 
-double Reliability::failureRate(Tick now, ScalerParameters const& f) const {
+double Reliability::failureRate(Milliseconds now, ScalerParameters const& f) const {
   return failureRate_ * std::exp2(-static_cast<double>(now - at_) / static_cast<double>(f.failureHalfLife));
 }
 
-bool Reliability::recordOutcome(Tick now, bool failed, ScalerParameters const& f) {
+bool Reliability::recordOutcome(Milliseconds now, bool failed, ScalerParameters const& f) {
   double const aged = std::exp2(-static_cast<double>(now - at_) / static_cast<double>(f.failureHalfLife));
   failureRate_ = failureRate_ * aged + f.failureMeanWeight * ((failed ? 1.0 : 0.0) - failureRate_ * aged);
   failures_ = failures_ * aged + (failed ? 1.0 : 0.0);
--- a/scaling/src/scaler.cpp
+++ b/scaling/src/scaler.cpp
@@ -91,7 +91,7 @@
   if (first != nullptr && inFlight_ == 0 && subset_.size() == 1) subset_.front() = *first;
 }
 
-int Scaler::evaluate(Tick now, std::size_t queued, std::int64_t wanted) {
+int Scaler::evaluate(Milliseconds now, std::size_t queued, std::int64_t wanted) {
   if (parameters_.limitDecay < 1.0 && inFlight_ < parameters_.usedFraction * cap())
     limit_ = std::max(parameters_.minLimit, limit_ * parameters_.limitDecay);
   double const buffered = excessDemand(queued);
@@ -139,7 +139,7 @@
   if (bulk) ++bulkInFlight_;
 }
 
-void Scaler::onFirstByte(Tick now, NameIndex replica, Tick took, Tick latencyTarget) {
+void Scaler::onFirstByte(Milliseconds now, NameIndex replica, Milliseconds took, Milliseconds latencyTarget) {
   Times& t = times_[replica];
   t.meanFirstByte = t.answers == 0
                         ? static_cast<double>(took)
@@ -151,7 +151,7 @@
                        : meanFirstByte_ + parameters_.meanWeight * (static_cast<double>(took) - meanFirstByte_);
   ++answersSinceWidening_;
   strain_ += parameters_.meanWeight *
-             (static_cast<double>(took) / static_cast<double>(std::max<Tick>(latencyTarget, 1)) - strain_);
+             (static_cast<double>(took) / static_cast<double>(std::max<Milliseconds>(latencyTarget, 1)) - strain_);
   if (took > latencyTarget) {
     if (now - limitCutAt_ >= parameters_.limitCutInterval) {
       limit_ = std::max(parameters_.minLimit, limit_ * parameters_.limitCutFactor);
--- a/scaling/src/slow_start_bucket.cpp
+++ b/scaling/src/slow_start_bucket.cpp
@@ -4,11 +4,11 @@
 
 namespace corkward::scaling {
 
-bool SlowStartBucket::hasToken(Tick now, double rate) const {
+bool SlowStartBucket::hasToken(Milliseconds now, double rate) const {
   return std::min(1.0, tokens_ + rate * static_cast<double>(now - at_) / 1000.0) >= 1.0;
 }
 
-bool SlowStartBucket::takeToken(Tick now, double rate) {
+bool SlowStartBucket::takeToken(Milliseconds now, double rate) {
   tokens_ = std::min(1.0, tokens_ + rate * static_cast<double>(now - at_) / 1000.0);
   at_ = now;
   if (tokens_ < 1.0) return false;
