--- a/scaling/test/scaling_test.cpp
+++ b/scaling/test/scaling_test.cpp
@@ -96,7 +96,7 @@
 TEST_CASE("when all are slow and a widening did not help, no more are taken and the cap falls") {
   scaling::Scaler s(3);
   s.setCandidates(warm(9));
-  core::Tick now = 0;
+  core::Milliseconds now = 0;
   double const before = s.limit();
   for (int i = 0; i < 400; ++i) {
     now += 100;
@@ -145,9 +145,9 @@
   for (std::uint64_t seed = 1; seed < 40; ++seed) {
     core::RandomGenerator rng(seed);
     scaling::RetryBudget b;
-    std::vector<core::Tick> firsts;
-    std::vector<core::Tick> retries;
-    for (core::Tick now = 0; now < 60000; now += static_cast<core::Tick>(rng.below(60))) {
+    std::vector<core::Milliseconds> firsts;
+    std::vector<core::Milliseconds> retries;
+    for (core::Milliseconds now = 0; now < 60000; now += static_cast<core::Milliseconds>(rng.below(60))) {
       if (rng.chance(0.5)) {
         b.onFirstAttempt(now);
         firsts.push_back(now);
@@ -155,11 +155,11 @@
       if (b.takeRetry(now, 5)) retries.push_back(now);
     }
     REQUIRE_FALSE(retries.empty());
-    for (core::Tick const end : retries) {
+    for (core::Milliseconds const end : retries) {
       std::size_t f = 0;
       std::size_t r = 0;
-      for (core::Tick const t : firsts) f += t > end - 10000 && t <= end ? 1 : 0;
-      for (core::Tick const t : retries) r += t > end - 10000 && t <= end ? 1 : 0;
+      for (core::Milliseconds const t : firsts) f += t > end - 10000 && t <= end ? 1 : 0;
+      for (core::Milliseconds const t : retries) r += t > end - 10000 && t <= end ? 1 : 0;
       REQUIRE(static_cast<double>(r) <= 0.2 * static_cast<double>(f) + 2.0 + 0.2 * 40);
     }
   }
@@ -169,9 +169,9 @@
   constexpr core::NameIndex large = 0;
   constexpr core::NameIndex small = 1;
   scaling::RetryBudgets b;
-  std::vector<core::Tick> firsts;
-  std::vector<core::Tick> retries;
-  for (core::Tick now = 0; now < 30000; ++now) {
+  std::vector<core::Milliseconds> firsts;
+  std::vector<core::Milliseconds> retries;
+  for (core::Milliseconds now = 0; now < 30000; ++now) {
     b.onFirstAttempt(now, large);
     if (now % 50 == 0) {
       b.onFirstAttempt(now, small);
@@ -179,11 +179,11 @@
     }
     if (now % 10 == 0 && b.takeRetry(now, small, 5)) retries.push_back(now);
   }
-  for (core::Tick const end : retries) {
+  for (core::Milliseconds const end : retries) {
     std::size_t f = 0;
     std::size_t r = 0;
-    for (core::Tick const t : firsts) f += t > end - 10000 && t <= end ? 1 : 0;
-    for (core::Tick const t : retries) r += t > end - 10000 && t <= end ? 1 : 0;
+    for (core::Milliseconds const t : firsts) f += t > end - 10000 && t <= end ? 1 : 0;
+    for (core::Milliseconds const t : retries) r += t > end - 10000 && t <= end ? 1 : 0;
     REQUIRE(static_cast<double>(r) <= 0.2 * static_cast<double>(f) + 2.0 + 0.2 * 20);
   }
   CHECK(retries.size() > 100);
@@ -193,16 +193,16 @@
 
 TEST_CASE("retries do not outlive a crowd that is gone") {
   scaling::RetryBudget b;
-  for (core::Tick now = 0; now < 2000; ++now) b.onFirstAttempt(now);
+  for (core::Milliseconds now = 0; now < 2000; ++now) b.onFirstAttempt(now);
   int retries = 0;
-  for (core::Tick now = 5000; now < 12000; now += 10) retries += b.takeRetry(now, 5) ? 1 : 0;
+  for (core::Milliseconds now = 5000; now < 12000; now += 10) retries += b.takeRetry(now, 5) ? 1 : 0;
   CHECK(retries <= 4);
 }
 
 TEST_CASE("a cold bucket never passes its rate and starts empty") {
   scaling::SlowStartBucket b(1000);
   int granted = 0;
-  for (core::Tick now = 1000; now <= 11000; now += 7) granted += b.takeToken(now, 2.0) ? 1 : 0;
+  for (core::Milliseconds now = 1000; now <= 11000; now += 7) granted += b.takeToken(now, 2.0) ? 1 : 0;
   CHECK(granted <= 20);
   CHECK(granted >= 18);
   CHECK_FALSE(scaling::SlowStartBucket(0).hasToken(400, 2.0));
@@ -235,7 +235,7 @@
     skipped.setCandidates(all);
     bool asleep = false;
     std::vector<core::NameIndex> sent;
-    for (core::Tick now = 100; now < 240000; now += 50) {
+    for (core::Milliseconds now = 100; now < 240000; now += 50) {
       bool const busy = now / 20000 % 3 == 0;
       if (busy && rng.chance(0.4)) {
         if (asleep) rateSkipped.catchUp(now);
@@ -250,7 +250,7 @@
         }
       }
       if (!sent.empty() && rng.chance(0.3)) {
-        core::Tick const took = static_cast<core::Tick>(rng.below(900));
+        core::Milliseconds const took = static_cast<core::Milliseconds>(rng.below(900));
         looked.onFirstByte(now, sent.back(), took, 600);
         skipped.onFirstByte(now, sent.back(), took, 600);
         looked.onEnded(sent.back(), false);
--- a/testing/capacity/changes.cpp
+++ b/testing/capacity/changes.cpp
@@ -44,7 +44,7 @@
   std::uint64_t const before = fleet.revisionOfTenant(tenant);
   std::string const key = "family:" + Fleet::familyOf(sizes, tenant);
   fleet.count(true);
-  Tick const from = fleet.now();
+  Milliseconds const from = fleet.now();
   std::uint64_t const token = fleet.change(rng.below(static_cast<std::uint64_t>(sizes.control)), tenant);
   auto const isApplied = [&](Process const& p) { return !p.data || p.data->revisionOf(key) > before; };
   bool const applied = fleet.until(
--- a/testing/capacity/fleet.cpp
+++ b/testing/capacity/fleet.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Tick nodeClockEvery = 20;
-constexpr Tick controlClockEvery = 25;
-constexpr Tick pollInterval = 10;
-constexpr Tick within = 1;
-constexpr Tick syncMs = 2;
-constexpr Tick answerLimit = 60000;
-constexpr Tick idleAfter = std::chrono::milliseconds(transport::Link::idleTimeout).count();
+constexpr Milliseconds nodeClockEvery = 20;
+constexpr Milliseconds controlClockEvery = 25;
+constexpr Milliseconds pollInterval = 10;
+constexpr Milliseconds within = 1;
+constexpr Milliseconds syncMs = 2;
+constexpr Milliseconds answerLimit = 60000;
+constexpr Milliseconds idleAfter = std::chrono::milliseconds(transport::Link::idleTimeout).count();
 
 std::string address(int net, std::size_t ix, int port) {
   return "10." + std::to_string(net) + "." + std::to_string(ix / 250) + "." + std::to_string(ix % 250 + 1) + ":" +
@@ -97,7 +97,7 @@
     take(ix, p.data->started(now_));
   }
   Event e;
-  e.at = now_ + static_cast<Tick>(rng_.below(p.disk ? controlClockEvery : nodeClockEvery));
+  e.at = now_ + static_cast<Milliseconds>(rng_.below(p.disk ? controlClockEvery : nodeClockEvery));
   e.to = ix;
   e.incarnation = p.incarnation;
   push(std::move(e));
@@ -230,8 +230,8 @@
   }));
 }
 
-void Fleet::run(Tick how) {
-  Tick const end = now_ + how;
+void Fleet::run(Milliseconds how) {
+  Milliseconds const end = now_ + how;
   while (!events_.empty() && events_.top().at <= end) {
     Event e = std::move(const_cast<Event&>(events_.top()));
     events_.pop();
@@ -241,8 +241,8 @@
   now_ = end;
 }
 
-bool Fleet::until(std::function<bool()> const& done, Tick limit) {
-  for (Tick const end = now_ + limit; now_ < end;) {
+bool Fleet::until(std::function<bool()> const& done, Milliseconds limit) {
+  for (Milliseconds const end = now_ + limit; now_ < end;) {
     if (done()) return true;
     run(pollInterval);
   }
@@ -393,7 +393,7 @@
   return out;
 }
 
-Tick Fleet::delay(Process const& a, Process const& b) const {
+Milliseconds Fleet::delay(Process const& a, Process const& b) const {
   return a.region == b.region ? within : within + sizes_.interRegionDelay;
 }
 
--- a/testing/capacity/fleet.h
+++ b/testing/capacity/fleet.h
@@ -20,7 +20,7 @@
 
 namespace corkward::testing::capacity {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// One hollow process: the reducer of a daemon without its sockets, HTTP edges and threads.
 struct Process {
@@ -33,14 +33,14 @@
   std::unique_ptr<dataplane::RequestRouter> data;
   std::unique_ptr<SimDisk> disk;
   std::unique_ptr<storage::WriteAheadLog> writeAheadLog;
-  Tick diskFree = 0;
+  Milliseconds diskFree = 0;
 };
 
 /// An operator's answer and when it came.
 struct OperatorAnswer {
   int status = 0;
   QJsonObject body;
-  Tick at = 0;
+  Milliseconds at = 0;
 };
 
 /// Many hollow processes in one, with a network and disks of their own, driven by virtual time from one seed. It runs
@@ -64,10 +64,10 @@
   void cutRegions(bool cut) { regionsCut_ = cut; }
 
   /// Runs for so many milliseconds.
-  void run(Tick how);
+  void run(Milliseconds how);
   /// Runs until it is true; false when it is not within the limit.
-  bool until(std::function<bool()> const& done, Tick limit);
-  Tick now() const { return now_; }
+  bool until(std::function<bool()> const& done, Milliseconds limit);
+  Milliseconds now() const { return now_; }
 
   /// An operator's call at a control machine; the answer comes under the token.
   std::uint64_t call(std::size_t at, std::string const& method, std::string const& path, std::string const& body,
@@ -94,7 +94,7 @@
   Tallies const& tallies(bool control) const { return control ? controlTallies_ : nodeTallies_; }
   /// Processor time of clock events since the count began, microseconds.
   double clockUs(bool control) const { return control ? controlClockUs_ : nodeClockUs_; }
-  Tick counted() const { return now_ - countFrom_; }
+  Milliseconds counted() const { return now_ - countFrom_; }
   /// Bytes and records that went to the disks since the count began.
   std::uint64_t diskBytes() const { return diskBytes_; }
   /// Ways that the processes of a role hold as transport::Link does, all together, and how often one was dialled so
@@ -109,7 +109,7 @@
  private:
   enum class EventKind { clock, message, written };
   struct Event {
-    Tick at = 0;
+    Milliseconds at = 0;
     std::uint64_t order = 0;
     EventKind kind = EventKind::clock;
     std::size_t to = 0;
@@ -129,12 +129,12 @@
   void take(std::size_t ix, control::ControllerCommands&& commands);
   void take(std::size_t ix, dataplane::RouterCommands&& commands);
   void send(std::size_t from, transport::Send const& send);
-  Tick delay(Process const& a, Process const& b) const;
+  Milliseconds delay(Process const& a, Process const& b) const;
 
   Sizes sizes_;
   dataplane::RouterTuning tuning_;
   core::RandomGenerator rng_;
-  Tick now_ = 0;
+  Milliseconds now_ = 0;
   std::uint64_t order_ = 0;
   std::uint64_t nextToken_ = 1;
   std::uint64_t nextNote_ = 1;
@@ -145,14 +145,14 @@
   std::map<std::uint64_t, OperatorAnswer> answers_;
   bool regionsCut_ = false;
   bool counting_ = false;
-  Tick countFrom_ = 0;
+  Milliseconds countFrom_ = 0;
   Tallies controlTallies_;
   Tallies nodeTallies_;
   double controlClockUs_ = 0;
   double nodeClockUs_ = 0;
   std::uint64_t diskBytes_ = 0;
   /// When each process last sent to another or heard from it, for the ways that it dialled.
-  std::vector<std::unordered_map<std::size_t, Tick>> linkLastUsed_;
+  std::vector<std::unordered_map<std::size_t, Milliseconds>> linkLastUsed_;
   std::array<std::uint64_t, 2> dialled_{};
 };
 
--- a/testing/capacity/idle.cpp
+++ b/testing/capacity/idle.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Tick dayMs = 86400000;
+constexpr Milliseconds dayMs = 86400000;
 
 /// Sends the changes that are due in the next second.
-void sendDueChanges(Fleet& fleet, Sizes const& sizes, core::RandomGenerator& rng, Tick& dueAt) {
+void sendDueChanges(Fleet& fleet, Sizes const& sizes, core::RandomGenerator& rng, Milliseconds& dueAt) {
   if (sizes.changes == 0) return;
-  Tick const interval = std::max<Tick>(dayMs / sizes.changes, 1);
-  for (Tick const end = fleet.now() + 1000; dueAt < end; dueAt += interval) {
+  Milliseconds const interval = std::max<Milliseconds>(dayMs / sizes.changes, 1);
+  for (Milliseconds const end = fleet.now() + 1000; dueAt < end; dueAt += interval) {
     auto const tenant = static_cast<std::int64_t>(rng.below(static_cast<std::uint64_t>(sizes.tenants)));
     fleet.change(rng.below(static_cast<std::uint64_t>(sizes.control)), tenant);
   }
@@ -44,7 +44,7 @@
 }
 
 /// Rates of messages and bytes that the processes of a role send and receive for one purpose.
-void addTrafficRates(Measurements& out, std::string const& purpose, Tally const& sum, char const* role, Tick ms,
+void addTrafficRates(Measurements& out, std::string const& purpose, Tally const& sum, char const* role, Milliseconds ms,
                      std::size_t processes) {
   auto const rate = [&](std::uint64_t total) { return perSecond(static_cast<double>(total), ms, processes); };
   out.push_back({"sent." + purpose, role, "messages/s", counted, rate(sum.sent)});
@@ -54,7 +54,7 @@
 }
 
 /// Traffic and processor time of all processes of a role.
-void addRole(Measurements& out, Fleet& fleet, bool control, Tick ms) {
+void addRole(Measurements& out, Fleet& fleet, bool control, Milliseconds ms) {
   char const* const role = roleName(control);
   std::size_t const processes = fleet.alive(control);
   std::map<std::string, Tally> purposes;
@@ -99,14 +99,14 @@
   startNodes(fleet);
   fleet.run(stabilizationTime);
   core::RandomGenerator rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xCA);
-  Tick dueAt = fleet.now();
+  Milliseconds dueAt = fleet.now();
   fleet.count(true);
   for (std::int64_t s = 0; s < sizes.seconds; ++s) {
     sendDueChanges(fleet, sizes, rng, dueAt);
     fleet.run(1000);
   }
   Measurements out;
-  Tick const ms = fleet.counted();
+  Milliseconds const ms = fleet.counted();
   for (bool const control : {false, true}) addRole(out, fleet, control, ms);
   out.push_back({"disk", "controller", "bytes/s", counted,
                  perSecond(static_cast<double>(fleet.diskBytes()), ms, fleet.alive(true))});
@@ -124,7 +124,7 @@
   startAndStabilize(fleet);
   fleet.run(2 * std::chrono::milliseconds(transport::Link::idleTimeout).count());
   std::array<std::uint64_t, 2> const before{fleet.dialled(false), fleet.dialled(true)};
-  Tick const from = fleet.now();
+  Milliseconds const from = fleet.now();
   std::array<double, 2> open{};
   for (std::int64_t s = 0; s < sizes.seconds; ++s) {
     fleet.run(1000);
--- a/testing/capacity/measurements.cpp
+++ b/testing/capacity/measurements.cpp
@@ -8,7 +8,7 @@
   return control ? "controller" : "router";
 }
 
-double perSecond(double value, Tick ms, std::size_t processes) {
+double perSecond(double value, Milliseconds ms, std::size_t processes) {
   return value * 1000.0 / static_cast<double>(ms) / static_cast<double>(std::max<std::size_t>(processes, 1));
 }
 
@@ -18,7 +18,7 @@
   return values[values.size() / 2];
 }
 
-double elapsed(Fleet const& fleet, bool succeeded, Tick from) {
+double elapsed(Fleet const& fleet, bool succeeded, Milliseconds from) {
   return succeeded ? static_cast<double>(fleet.now() - from) : -1;
 }
 
--- a/testing/capacity/measurements.h
+++ b/testing/capacity/measurements.h
@@ -27,17 +27,17 @@
 using Measurements = std::vector<Measurement>;
 
 /// Virtual time that a started fleet gets to come to rest, ms.
-inline constexpr Tick stabilizationTime = 12000;
+inline constexpr Milliseconds stabilizationTime = 12000;
 /// Longest virtual time that an experiment waits for what it measures, ms.
-inline constexpr Tick longestWait = 30000;
+inline constexpr Milliseconds longestWait = 30000;
 
 /// Role of a process as the figures name it.
 char const* roleName(bool control);
 /// A total over `ms` milliseconds as a rate per second and process.
-double perSecond(double value, Tick ms, std::size_t processes);
+double perSecond(double value, Milliseconds ms, std::size_t processes);
 double median(std::vector<double> values);
 /// Milliseconds since `from` when it succeeded, else -1.
-double elapsed(Fleet const& fleet, bool succeeded, Tick from);
+double elapsed(Fleet const& fleet, bool succeeded, Milliseconds from);
 /// Processor time of all messages of a tally, microseconds.
 double processorTime(Tally const& tally);
 
--- a/testing/capacity/outages.cpp
+++ b/testing/capacity/outages.cpp
@@ -27,7 +27,7 @@
 
 /// Waits until a node serves; milliseconds since now, or -1.
 double untilServing(Fleet& fleet, std::size_t node) {
-  Tick const from = fleet.now();
+  Milliseconds const from = fleet.now();
   bool const serves = fleet.until([&] { return fleet.processes()[node].data->servingLease(fleet.now()); }, longestWait);
   return elapsed(fleet, serves, from);
 }
@@ -36,7 +36,7 @@
   startControl(fleet);
   out.push_back({"found", "controller", "ms", counted, static_cast<double>(fleet.now())});
   fleet.configure();
-  Tick const from = fleet.now();
+  Milliseconds const from = fleet.now();
   startNodes(fleet);
   out.push_back({"start", "router", "ms", counted, static_cast<double>(fleet.now() - from)});
   fleet.run(stabilizationTime);
@@ -76,7 +76,7 @@
   fleet.wipe(last);
   fleet.run(1000);
   fleet.boot(last);
-  Tick const from = fleet.now();
+  Milliseconds const from = fleet.now();
   bool const voting = fleet.until([&] { return fleet.processes()[last].control->registers().isVoting(); }, longestWait);
   out.push_back({"copy", "controller", "ms", counted, elapsed(fleet, voting, from)});
   out.push_back({"copy", "controller", "bytes in all", counted, sentBytes(fleet, true, {"copy"})});
@@ -85,7 +85,7 @@
 void recoverFromTotalOutage(Measurements& out, Fleet& fleet, Sizes const& sizes) {
   for (std::size_t i = 0; i < fleet.processes().size(); ++i) fleet.kill(i);
   fleet.run(1000);
-  Tick const from = fleet.now();
+  Milliseconds const from = fleet.now();
   fleet.count(true);
   for (std::size_t i = 0; i < fleet.processes().size(); ++i) fleet.boot(i);
   bool const recovered =
@@ -127,7 +127,7 @@
   Fleet fleet(sizes);
   startAndStabilize(fleet);
   fleet.cutRegions(true);
-  Tick const from = fleet.now();
+  Milliseconds const from = fleet.now();
   std::map<int, std::uint64_t> tokens;
   std::map<int, std::size_t> members;
   for (std::size_t i = 0; i < fleet.firstNode(); ++i) {
@@ -147,7 +147,7 @@
                    acknowledged ? static_cast<double>(fleet.answer(token)->at - from) : -1});
   }
   fleet.cutRegions(false);
-  Tick const joined = fleet.now();
+  Milliseconds const joined = fleet.now();
   bool const ok =
       fleet.until([&] { return fleet.servingLease() == static_cast<std::size_t>(sizes.nodes); }, longestWait);
   out.push_back({"split.back", "router", "ms", counted, elapsed(fleet, ok, joined)});
@@ -167,7 +167,7 @@
   }
   Measurements out;
   double least = 1;
-  Tick const from = fleet.now();
+  Milliseconds const from = fleet.now();
   std::uint64_t const token = fleet.change(first, 0);
   for (int i = 0; i < 100; ++i) {
     fleet.run(50);
@@ -179,7 +179,7 @@
   out.push_back({"zone.change", "operator", "ms", counted,
                  acknowledged ? static_cast<double>(fleet.answer(token)->at - from) : -1});
   std::uint64_t const next = fleet.change(first, 0);
-  Tick const again = fleet.now();
+  Milliseconds const again = fleet.now();
   fleet.until([&] { return fleet.answer(next).has_value(); }, longestWait);
   bool const nextAcknowledged = fleet.answer(next) && fleet.answer(next)->status == 200;
   out.push_back({"zone.next_change", "operator", "ms", counted,
--- a/testing/explore/membership_model.cpp
+++ b/testing/explore/membership_model.cpp
@@ -19,7 +19,7 @@
   return rules;
 }
 
-constexpr Tick step = 50;
+constexpr Milliseconds step = 50;
 
 }  // namespace
 
--- a/testing/explore/model_cluster.cpp
+++ b/testing/explore/model_cluster.cpp
@@ -13,7 +13,7 @@
 
 /// Longest chain of messages without a clock event before a run counts as endless.
 constexpr int mostHops = 200;
-constexpr Tick timerStep = 50;
+constexpr Milliseconds timerStep = 50;
 
 std::uint64_t mix(std::uint64_t h, std::uint64_t v) {
   h ^= v + 0x9E3779B97F4A7C15ULL + (h << 6) + (h >> 2);
@@ -80,8 +80,8 @@
       message);
 }
 
-/// Takes the tick out of a message, so that messages that differ by it alone hash alike.
-transport::Message untimed(transport::Message const& message, Tick& tick) {
+/// Takes the time out of a message, so that messages that differ by it alone hash alike.
+transport::Message untimed(transport::Message const& message, Milliseconds& tick) {
   transport::Message out = message;
   std::visit(
       [&](auto& m) {
@@ -170,7 +170,7 @@
   take(s, p.to, m.member->onMessage(m.now, linkOf(p.from), *p.message), sync);
 }
 
-void ModelCluster::clock(State& s, int machine, Tick by) const {
+void ModelCluster::clock(State& s, int machine, Milliseconds by) const {
   Machine& m = edit(s, machine);
   m.now += by;
   if (!m.member) return;
@@ -342,8 +342,8 @@
   }
 }
 
-void ModelCluster::runFor(State& s, Tick how) const {
-  for (Tick t = 0; t < how; t += timerStep) {
+void ModelCluster::runFor(State& s, Milliseconds how) const {
+  for (Milliseconds t = 0; t < how; t += timerStep) {
     for (int i = 0; i < static_cast<int>(s.machines.size()); ++i) clock(s, i, timerStep);
     wave(s, 0);
   }
@@ -361,7 +361,7 @@
     s.machines.push_back(m);
   }
   for (int i = 0; i < members; ++i) start(s, i, founders);
-  Tick const round = rules_.tuning.ownerTimeout + rules_.tuning.electionSpread;
+  Milliseconds const round = rules_.tuning.ownerTimeout + rules_.tuning.electionSpread;
   runFor(s, 4 * round);
   handover(s, 0);
   wave(s, 0);
@@ -402,7 +402,7 @@
   for (std::shared_ptr<Machine const> const& m : s.machines) h = mix(h, digest(*m));
   std::vector<std::uint64_t> net;
   for (Packet const& p : s.net) {
-    Tick const age = p.clock < 0 ? 0 : s.machines[static_cast<std::size_t>(p.clock)]->now - p.tick;
+    Milliseconds const age = p.clock < 0 ? 0 : s.machines[static_cast<std::size_t>(p.clock)]->now - p.tick;
     net.push_back(mix(p.hash, static_cast<std::uint64_t>(std::min(age, rules_.cap))));
   }
   std::sort(net.begin(), net.end());
--- a/testing/explore/model_cluster.h
+++ b/testing/explore/model_cluster.h
@@ -12,20 +12,20 @@
 
 namespace corkward::explore {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// The one key that callers change.
 inline constexpr char const* callersKey = "k";
 
-/// A message in flight. Ticks that it carries are told apart by how long ago they were on their machine's clock.
+/// A message in flight. Times that it carries are told apart by how long ago they were on their machine's clock.
 struct Packet {
   int from = 0;
   int to = 0;
   std::shared_ptr<transport::Message const> message;
   std::uint64_t hash = 0;
-  /// Machine whose clock the tick was read from; -1: no tick.
+  /// Machine whose clock the time was read from; -1: no time.
   int clock = -1;
-  Tick tick = 0;
+  Milliseconds tick = 0;
   /// Digest of the receiver for which the message was last found to change something.
   std::uint64_t usefulAt = 0;
 };
@@ -43,7 +43,7 @@
   std::optional<consensus::ReplicatedRegisters> member;
   std::map<std::string, std::string> disk;
   std::deque<consensus::PersistCommand> pending;
-  Tick now = 0;
+  Milliseconds now = 0;
   int boots = 0;
   /// What the disk says: the member's id, whether it votes, and under which membership it has caught up.
   std::string diskId;
@@ -106,7 +106,7 @@
   /// Messages on the membership's own register are lost.
   bool dropMembership = false;
   /// Spans of time over this are not told apart, ms.
-  Tick cap = 100000;
+  Milliseconds cap = 100000;
 };
 
 /// Drives the real registers on machines with disks and a network, and holds what comes out against the invariants.
@@ -124,7 +124,7 @@
   /// The disk is lost and replaced by an empty one.
   void wipe(State& s, int machine) const;
   void arrive(State& s, Packet const& p, Sync sync) const;
-  void clock(State& s, int machine, Tick by) const;
+  void clock(State& s, int machine, Milliseconds by) const;
   void handover(State& s, int machine) const;
   /// A caller's change on the base that the machine holds to be committed.
   void change(State& s, int machine) const;
@@ -134,7 +134,7 @@
   /// Delivers all that is under way, and what follows from it at most so many hops; without hops, until nothing is.
   void wave(State& s, int hops) const;
   /// Clock events and waves for so long.
-  void runFor(State& s, Tick how) const;
+  void runFor(State& s, Milliseconds how) const;
   /// Breaks the state when some majority of the newest membership cannot rebuild what was confirmed.
   void checkRebuild(State& s) const;
   std::uint64_t digest(State const& s) const;
--- a/testing/fleet/chaos.cpp
+++ b/testing/fleet/chaos.cpp
@@ -117,7 +117,7 @@
 }
 
 void Chaos::setReplicaState(Node const& replica, std::string const& next) {
-  Tick const now = programs::now();
+  Milliseconds const now = programs::now();
   for (std::vector<Ban>* const bans : {&leaving_, &cold_})
     for (Ban& ban : *bans)
       if (ban.name == replica.name && ban.until < 0) ban.until = now;
@@ -231,7 +231,7 @@
   logEvent("kill everything");
   for (std::vector<Node>* const group : {&fleet_.routers(), &fleet_.controllers(), &fleet_.replicas()})
     for (Node& n : *group) fleet_.kill9(n);
-  Tick const start = programs::now();
+  Milliseconds const start = programs::now();
   outageAt_ = start - began_;
   std::size_t const before = served();
   fleet_.startAll();
--- a/testing/fleet/chaos.h
+++ b/testing/fleet/chaos.h
@@ -34,7 +34,7 @@
   std::size_t harmed = 0;
   std::size_t repeats = 0;
   std::size_t changes = 0;
-  core::Tick back = -1;
+  core::Milliseconds back = -1;
 };
 
 ChaosResult chaos(ChaosPlan const& plan);
--- a/testing/fleet/chaos_checks.cpp
+++ b/testing/fleet/chaos_checks.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 /// Time within which no router uses a replica that is shown leaving, in ms.
-constexpr Tick leavingAppliedMs = 3000;
+constexpr Milliseconds leavingAppliedMs = 3000;
 /// Time within which an acknowledged evacuation of a zone is applied, in ms.
-constexpr Tick evacuationAppliedMs = 5000;
+constexpr Milliseconds evacuationAppliedMs = 5000;
 /// Time within which an acknowledged configuration change is applied, in ms.
-constexpr Tick changeAppliedMs = 2000;
+constexpr Milliseconds changeAppliedMs = 2000;
 
 }  // namespace
 
@@ -48,7 +48,7 @@
   if (report.badBodies > 0) violation(std::to_string(report.badBodies) + " bodies looked whole or joined and were not");
   if (report.rejectedButRan > 0)
     violation(std::to_string(report.rejectedButRan) + " requests were rejected as not run and ran");
-  std::vector<std::pair<Tick, std::string>> all;
+  std::vector<std::pair<Milliseconds, std::string>> all;
   for (Node const& node : fleet_.replicas())
     for (Arrival const& arrival : arrivalsAt(node)) {
       if (arrival.id != "-") all.emplace_back(arrival.at, arrival.id);
@@ -89,7 +89,7 @@
 }
 
 void Chaos::checkRuns() {
-  std::map<std::string, std::vector<std::pair<Tick, std::string>>> executions;
+  std::map<std::string, std::vector<std::pair<Milliseconds, std::string>>> executions;
   for (Node const& node : fleet_.replicas())
     for (Arrival const& arrival : arrivalsAt(node))
       if (arrival.what == "run" && arrival.id != "-")
@@ -98,12 +98,12 @@
     if (runs.size() > 1) checkRepeatedRun(id, runs);
 }
 
-void Chaos::checkRepeatedRun(std::string const& id, std::vector<std::pair<Tick, std::string>> const& runs) {
+void Chaos::checkRepeatedRun(std::string const& id, std::vector<std::pair<Milliseconds, std::string>> const& runs) {
   std::vector<CallerRecord> const& records = traffic_->records();
   auto const caller =
       std::find_if(records.begin(), records.end(), [&](CallerRecord const& record) { return record.id == id; });
   bool const numbered = caller != records.end() && caller->numbered;
-  Tick const first = std::min_element(runs.begin(), runs.end())->first;
+  Milliseconds const first = std::min_element(runs.begin(), runs.end())->first;
   if (!numbered && outageAt_ >= 0 && first < outageAt_) return;
   std::string text = "request " + id + " ran twice:";
   for (auto const& [at, run] : runs) text += " " + run + " at " + std::to_string(at);
@@ -120,7 +120,7 @@
   if (!plan_.timed) return;
   for (Ban const& b : cold_) {
     if (b.name != n.name) continue;
-    std::vector<Tick> hits;
+    std::vector<Milliseconds> hits;
     for (Arrival const& a : arrivalsAt(n))
       if (a.at >= b.from && (b.until < 0 || a.at < b.until)) hits.push_back(a.at);
     for (std::size_t i = 0; i + 7 < hits.size(); ++i)
@@ -129,16 +129,16 @@
   }
 }
 
-void Chaos::checkRepeats(std::vector<std::pair<Tick, std::string>> all) {
+void Chaos::checkRepeats(std::vector<std::pair<Milliseconds, std::string>> all) {
   std::sort(all.begin(), all.end());
   std::set<std::string> firstSeen;
-  std::vector<Tick> firsts;
-  std::vector<Tick> repeats;
-  for (std::pair<Tick, std::string> const& a : all)
+  std::vector<Milliseconds> firsts;
+  std::vector<Milliseconds> repeats;
+  for (std::pair<Milliseconds, std::string> const& a : all)
     (firstSeen.insert(a.second).second ? firsts : repeats).push_back(a.first);
   result_.repeats = repeats.size();
-  for (Tick const end : repeats) {
-    auto const in = [end](std::vector<Tick> const& v) {
+  for (Milliseconds const end : repeats) {
+    auto const in = [end](std::vector<Milliseconds> const& v) {
       return static_cast<std::size_t>(std::upper_bound(v.begin(), v.end(), end) -
                                       std::lower_bound(v.begin(), v.end(), end - 10000));
     };
--- a/testing/fleet/chaos_run.h
+++ b/testing/fleet/chaos_run.h
@@ -14,10 +14,10 @@
 
 namespace corkward::testing {
 
-using core::Tick;
+using core::Milliseconds;
 
 struct Arrival {
-  Tick at = 0;
+  Milliseconds at = 0;
   std::string what;
   std::string run;
   std::string id;
@@ -27,10 +27,10 @@
 /// A span in which a replica or a zone was not to be reached; open while `until` is below zero.
 struct Ban {
   std::string name;
-  Tick from = 0;
-  Tick until = -1;
+  Milliseconds from = 0;
+  Milliseconds until = -1;
 
-  bool holdsAt(Tick time) const { return until < 0 || time < until; }
+  bool holdsAt(Milliseconds time) const { return until < 0 || time < until; }
 };
 
 /// One run: a deployment of real processes behind relays, the failures that are begun, and what is checked at the end.
@@ -120,12 +120,12 @@
   /// What the processes themselves say of broken guarantees and invariants, in their complete logs.
   void checkGuarantees();
   void checkRuns();
-  void checkRepeatedRun(std::string const& id, std::vector<std::pair<Tick, std::string>> const& runs);
+  void checkRepeatedRun(std::string const& id, std::vector<std::pair<Milliseconds, std::string>> const& runs);
 
   /// Revision under which the path is known to have been accepted.
   qint64 revisionOf(std::string const& mark) const;
   void checkCold(Node const& n);
-  void checkRepeats(std::vector<std::pair<Tick, std::string>> all);
+  void checkRepeats(std::vector<std::pair<Milliseconds, std::string>> all);
   void checkChanges();
 
   struct Put {
@@ -134,7 +134,7 @@
     std::string ifMatch;
     int status = 0;
     qint64 revision = 0;
-    Tick answeredAt = -1;
+    Milliseconds answeredAt = -1;
     bool pending = false;
 
     bool acknowledged() const { return status == 200 || status == 201; }
@@ -154,9 +154,9 @@
   std::vector<Ban> zones_;
   std::vector<Put> puts_;
   std::uint64_t generation_ = 0;
-  Tick began_ = 0;
+  Milliseconds began_ = 0;
   /// Nobody remembers ids from before a total outage; see "Not yet proved" in docs/failures.md.
-  Tick outageAt_ = -1;
+  Milliseconds outageAt_ = -1;
   int marks_ = 0;
   bool listDone_ = false;
   bool putting_ = false;
--- a/testing/fleet/traffic.cpp
+++ b/testing/fleet/traffic.cpp
@@ -14,7 +14,7 @@
 
 constexpr int maxAttempts = 4;
 /// Time that a caller waits for its answer in all, in ms.
-constexpr core::Tick callerLimit = 20000;
+constexpr core::Milliseconds callerLimit = 20000;
 /// Delay before the next attempt while no node is ready, and after a lost connection, in ms.
 constexpr int noNodeDelayMs = 200;
 constexpr int retryDelayMs = 100;
@@ -54,7 +54,7 @@
 }
 
 void Traffic::arrive() {
-  core::Tick const t = programs::now();
+  core::Milliseconds const t = programs::now();
   double const streams = fleet_.deployment().streams * scale_;
   double const quick = fleet_.deployment().quick * scale_;
   due_ += (streams + quick) * static_cast<double>(t - last_) / 1000.0;
@@ -254,7 +254,7 @@
       << report.rejectedButRan << ", runs at replicas " << report.replicaRuns << "\n";
   out << "prefix hits " << report.prefixHits << ", misses " << report.prefixMisses << "\n";
   for (auto const& [requestClass, times] : report.firstByteTimes) {
-    std::vector<core::Tick> t = times;
+    std::vector<core::Milliseconds> t = times;
     std::sort(t.begin(), t.end());
     out << "first word, " << requestClass << ": median " << t[t.size() / 2] << " ms, 99% " << t[t.size() * 99 / 100]
         << " ms (" << t.size() << ")\n";
--- a/testing/fleet/traffic.h
+++ b/testing/fleet/traffic.h
@@ -25,15 +25,15 @@
   /// Says attempts and ages; the others send the same id again and say no more.
   bool numbered = true;
   std::vector<std::string> runs;
-  core::Tick firstByteAfter = -1;
-  core::Tick began = 0;
+  core::Milliseconds firstByteAfter = -1;
+  core::Milliseconds began = 0;
   bool rejectedAsNotRun = false;
 };
 
 /// Figures of one run, from the callers' and the replicas' own records.
 struct Report {
   std::map<std::string, std::size_t> outcomes;
-  std::map<std::string, std::vector<core::Tick>> firstByteTimes;
+  std::map<std::string, std::vector<core::Milliseconds>> firstByteTimes;
   std::size_t runTwice = 0;
   std::size_t badBodies = 0;
   std::size_t rejectedButRan = 0;
@@ -68,7 +68,7 @@
     std::string body;
     bool earlierNotRun = true;
     bool earlierReached = false;
-    core::Tick deadline = 0;
+    core::Milliseconds deadline = 0;
     http::UpstreamConnection* forwarder = nullptr;
     http::ReplicaHead head;
     std::string got;
@@ -93,7 +93,7 @@
   QTimer arrivals_;
   QTimer pollTimer_;
   double due_ = 0;
-  core::Tick last_ = 0;
+  core::Milliseconds last_ = 0;
   std::uint64_t next_ = 1;
   std::set<std::string> ready_;
   std::map<std::string, Open> open_;
--- a/testing/fuzz/caller.cpp
+++ b/testing/fuzz/caller.cpp
@@ -268,7 +268,7 @@
     return;
   }
   bool const reset = observation.request.manner == Manner::leaveByReset;
-  core::Tick const now = programs::now();
+  core::Milliseconds const now = programs::now();
   for (std::size_t const p : open_) events_.observation(p).leftAt = now;
   if (events_.staysOpen) {
     socket_->disconnect(this);
@@ -287,7 +287,7 @@
 
 void Caller::giveUp() {
   if (open_.empty()) return;
-  core::Tick const now = programs::now();
+  core::Milliseconds const now = programs::now();
   for (std::size_t const p : open_) events_.observation(p).leftAt = now;
   ended();
 }
--- a/testing/fuzz/oracles.cpp
+++ b/testing/fuzz/oracles.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr core::Tick disconnectGraceMs = 500;
-constexpr core::Tick timeSlackMs = 100;
-constexpr core::Tick answerGraceMs = 250;
+constexpr core::Milliseconds disconnectGraceMs = 500;
+constexpr core::Milliseconds timeSlackMs = 100;
+constexpr core::Milliseconds answerGraceMs = 250;
 constexpr std::array<int, 4> notRunStatuses{408, 421, 429, 503};
 
 constexpr std::size_t shownBytes = 60;
@@ -54,7 +54,8 @@
 /// Checks the record of one scenario.
 class RecordChecker {
  public:
-  RecordChecker(Record const& record, Terms const& terms, std::function<core::Tick(core::Tick, core::Tick)> const& lag)
+  RecordChecker(Record const& record, Terms const& terms,
+                std::function<core::Milliseconds(core::Milliseconds, core::Milliseconds)> const& lag)
       : record_(record), terms_(terms), lag_(lag) {
     for (Dispatch const& d : record.dispatches) {
       byAttempt_[d.attempt].push_back(&d);
@@ -150,23 +151,24 @@
       broken("as-sent", about(observation) + " has another body: " + shown(d.body, observation.body));
     checkTimeLeft(observation, d);
     if (observation.leftAt == 0) return;
-    core::Tick const last = d.slow ? d.at : std::max(d.at, d.lastByteAt);
+    core::Milliseconds const last = d.slow ? d.at : std::max(d.at, d.lastByteAt);
     if (last > observation.leftAt + disconnectGraceMs + lag_(observation.leftAt, last))
       broken("gone", about(observation) + " reached a replica " + std::to_string(last - observation.leftAt) +
                          " ms after its caller left");
     if (d.slow || d.answeredAt != 0 || !d.bodyComplete) return;
-    core::Tick const closed = d.closedAt == 0 ? record_.endedAt : d.closedAt;
+    core::Milliseconds const closed = d.closedAt == 0 ? record_.endedAt : d.closedAt;
     if (closed > observation.leftAt + disconnectGraceMs + lag_(observation.leftAt, closed))
       broken("gone", about(observation) + " was worked on after its caller left: " + name(d.fault));
   }
 
   void checkTimeLeft(CallerObservation const& observation, Dispatch const& d) {
     if (observation.freeAt == 0) return;
-    core::Tick const since = std::max(observation.startedAt, observation.freeAt);
-    core::Tick const sentTimeLeft = std::strtoll(http::headerValue(d.fields, wire::timeLeft).c_str(), nullptr, 10);
-    core::Tick const bound =
-        std::min<core::Tick>(observation.request.callerTimeoutMs, terms_.deadlineMs) - (d.at - since);
-    if (sentTimeLeft > std::max<core::Tick>(bound, 1) + timeSlackMs + lag_(since, d.at))
+    core::Milliseconds const since = std::max(observation.startedAt, observation.freeAt);
+    core::Milliseconds const sentTimeLeft =
+        std::strtoll(http::headerValue(d.fields, wire::timeLeft).c_str(), nullptr, 10);
+    core::Milliseconds const bound =
+        std::min<core::Milliseconds>(observation.request.callerTimeoutMs, terms_.deadlineMs) - (d.at - since);
+    if (sentTimeLeft > std::max<core::Milliseconds>(bound, 1) + timeSlackMs + lag_(since, d.at))
       broken("time-left",
              about(observation) + " was sent with " + std::to_string(sentTimeLeft) + " ms of " + std::to_string(bound));
   }
@@ -175,10 +177,10 @@
     if (observation.sentAt == 0 || observation.request.manner == Manner::slowRead ||
         observation.request.manner == Manner::halfClose)
       return;
-    core::Tick const since = std::max(observation.sentAt, observation.freeAt);
-    core::Tick const bound =
-        since + std::min<core::Tick>(observation.request.callerTimeoutMs, terms_.deadlineMs) + answerGraceMs;
-    core::Tick const sentTimeLeft = observation.headAt != 0 ? observation.headAt : observation.endedAt;
+    core::Milliseconds const since = std::max(observation.sentAt, observation.freeAt);
+    core::Milliseconds const bound =
+        since + std::min<core::Milliseconds>(observation.request.callerTimeoutMs, terms_.deadlineMs) + answerGraceMs;
+    core::Milliseconds const sentTimeLeft = observation.headAt != 0 ? observation.headAt : observation.endedAt;
     if (observation.freeAt != 0 && sentTimeLeft > bound + lag_(since, sentTimeLeft))
       broken("held", about(observation) + " was held " + std::to_string(sentTimeLeft - bound + answerGraceMs) +
                          " ms past its time");
@@ -186,7 +188,7 @@
 
   Record const& record_;
   Terms const& terms_;
-  std::function<core::Tick(core::Tick, core::Tick)> const& lag_;
+  std::function<core::Milliseconds(core::Milliseconds, core::Milliseconds)> const& lag_;
   std::map<std::string, std::vector<Dispatch const*>> byAttempt_;
   std::map<std::string, Dispatch const*> bySeal_;
   std::vector<Violation> out_;
@@ -194,8 +196,9 @@
 
 }  // namespace
 
-std::vector<Violation> checkRecord(Record const& record, Terms const& terms,
-                                   std::function<core::Tick(core::Tick, core::Tick)> const& lag) {
+std::vector<Violation> checkRecord(
+    Record const& record, Terms const& terms,
+    std::function<core::Milliseconds(core::Milliseconds, core::Milliseconds)> const& lag) {
   return RecordChecker(record, terms, lag).run();
 }
 
--- a/testing/fuzz/oracles.h
+++ b/testing/fuzz/oracles.h
@@ -18,11 +18,12 @@
 /// What the scenario's routes allow.
 struct Terms {
   int maxAttempts = 2;
-  core::Tick deadlineMs = 1500;
+  core::Milliseconds deadlineMs = 1500;
 };
 
 /// @param lag how long the event loop stood still between two times, which is forgiven
-std::vector<Violation> checkRecord(Record const& record, Terms const& terms,
-                                   std::function<core::Tick(core::Tick, core::Tick)> const& lag);
+std::vector<Violation> checkRecord(
+    Record const& record, Terms const& terms,
+    std::function<core::Milliseconds(core::Milliseconds, core::Milliseconds)> const& lag);
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/record.h
+++ b/testing/fuzz/record.h
@@ -21,12 +21,12 @@
   std::string seal;
   std::size_t replica = 0;
   /// When its head had come, and the last of its bytes so far; monotonic milliseconds.
-  core::Tick at = 0;
-  core::Tick lastByteAt = 0;
+  core::Milliseconds at = 0;
+  core::Milliseconds lastByteAt = 0;
   /// When its connection ended; 0: not yet.
-  core::Tick closedAt = 0;
+  core::Milliseconds closedAt = 0;
   /// When the replica had written all that it had to say; 0: not yet.
-  core::Tick answeredAt = 0;
+  core::Milliseconds answeredAt = 0;
   std::string method;
   std::string target;
   http::HeaderMap fields;
@@ -53,15 +53,15 @@
   std::string events;
   bool began = false;
   /// When its first byte was sent.
-  core::Tick startedAt = 0;
+  core::Milliseconds startedAt = 0;
   /// When all of it had been handed to the system; 0: not yet.
-  core::Tick sentAt = 0;
+  core::Milliseconds sentAt = 0;
   /// When the connection was free of earlier requests.
-  core::Tick freeAt = 0;
-  core::Tick headAt = 0;
-  core::Tick endedAt = 0;
+  core::Milliseconds freeAt = 0;
+  core::Milliseconds headAt = 0;
+  core::Milliseconds endedAt = 0;
   /// When the caller left, if it did before the end; 0: it stayed.
-  core::Tick leftAt = 0;
+  core::Milliseconds leftAt = 0;
   int status = 0;
   http::HeaderList fields;
   std::string got;
@@ -77,7 +77,7 @@
   /// Bytes that callers were given while no request of theirs was open.
   std::vector<std::string> unsolicited;
   /// When the scenario ended.
-  core::Tick endedAt = 0;
+  core::Milliseconds endedAt = 0;
 };
 
 /// A field of the callers' own that means nothing to the router.
--- a/testing/fuzz/scenario.cpp
+++ b/testing/fuzz/scenario.cpp
@@ -23,7 +23,7 @@
 constexpr int lateAnswerWaitMs = 620;
 constexpr int limitMs = 40000;
 constexpr int intervalMs = 5;
-constexpr core::Tick timerTolerance = 2;
+constexpr core::Milliseconds timerTolerance = 2;
 constexpr std::size_t maxGaps = 4000;
 constexpr std::size_t maxRetries = 2;
 constexpr Terms terms{};
@@ -62,16 +62,16 @@
 }
 
 void LagMeter::onTimer() {
-  core::Tick const now = programs::now();
-  core::Tick const lost = now - last_ - intervalMs;
+  core::Milliseconds const now = programs::now();
+  core::Milliseconds const lost = now - last_ - intervalMs;
   last_ = now;
   if (lost < timerTolerance) return;
   gaps_.push_back(Gap{now, lost});
   if (gaps_.size() > maxGaps) gaps_.pop_front();
 }
 
-core::Tick LagMeter::between(core::Tick from, core::Tick to) const {
-  core::Tick out = 0;
+core::Milliseconds LagMeter::between(core::Milliseconds from, core::Milliseconds to) const {
+  core::Milliseconds out = 0;
   for (Gap const& g : gaps_)
     if (g.at >= from && g.at - g.lost <= to) out += g.lost;
   return out;
@@ -242,7 +242,8 @@
 }
 
 std::vector<Violation> Scenario::check(LagMeter const& lag) const {
-  return checkRecord(record_, terms, [&lag](core::Tick from, core::Tick to) { return lag.between(from, to); });
+  return checkRecord(record_, terms,
+                     [&lag](core::Milliseconds from, core::Milliseconds to) { return lag.between(from, to); });
 }
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/scenario.h
+++ b/testing/fuzz/scenario.h
@@ -23,16 +23,16 @@
  public:
   LagMeter();
   /// What was lost between the two times.
-  core::Tick between(core::Tick from, core::Tick to) const;
+  core::Milliseconds between(core::Milliseconds from, core::Milliseconds to) const;
 
  private:
   void onTimer();
   struct Gap {
-    core::Tick at = 0;
-    core::Tick lost = 0;
+    core::Milliseconds at = 0;
+    core::Milliseconds lost = 0;
   };
   std::deque<Gap> gaps_;
-  core::Tick last_ = 0;
+  core::Milliseconds last_ = 0;
   QTimer timer_;
 };
 
--- a/testing/sim/callers.cpp
+++ b/testing/sim/callers.cpp
@@ -8,7 +8,7 @@
 void SimulatedCluster::callerArrives() {
   if (quiet_) return;
   double const gap = -std::log(1.0 - static_cast<double>(rng_.below(1000000)) / 1000000.0) * 1000.0 / demandNow_;
-  after(std::max<Tick>(1, static_cast<Tick>(gap)), [this] { callerArrives(); });
+  after(std::max<Milliseconds>(1, static_cast<Milliseconds>(gap)), [this] { callerArrives(); });
   Caller c;
   c.id = "c" + std::to_string(nextCaller_++);
   std::uint64_t const kind = rng_.below(100);
@@ -78,7 +78,7 @@
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
   std::uint64_t const call = c.call;
-  after(1 + static_cast<Tick>(rng_.below(3)), [this, link, incarnation, r] {
+  after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, r] {
     toNode(link, incarnation, [this, link, r] {
       Node& k = *node(link);
       run(k, k.data->onRequest(local(k), r));
@@ -100,7 +100,7 @@
   c.open = false;
   c.firstTokenReceived = false;
   c.earlierNotRun = false;
-  after(20 + static_cast<Tick>(rng_.below(100)), [this, id = c.id] { callerSends(id); });
+  after(20 + static_cast<Milliseconds>(rng_.below(100)), [this, id = c.id] { callerSends(id); });
   return true;
 }
 
@@ -120,8 +120,8 @@
     callerEnds(id, d.notExecuted ? "denied" : "unknown");
     return;
   }
-  Tick const wait =
-      c.hard ? static_cast<Tick>(20 + rng_.below(100)) : d.retryAfter * 1000 + static_cast<Tick>(rng_.below(500));
+  Milliseconds const wait = c.hard ? static_cast<Milliseconds>(20 + rng_.below(100))
+                                   : d.retryAfter * 1000 + static_cast<Milliseconds>(rng_.below(500));
   after(wait, [this, id] { callerSends(id); });
 }
 
@@ -137,7 +137,7 @@
     callerEnds(id, c.firstTokenReceived ? "broken" : "cut");
     return;
   }
-  after(50 + static_cast<Tick>(rng_.below(rng_.chance(0.3) ? 8000 : 400)), [this, id] { callerSends(id); });
+  after(50 + static_cast<Milliseconds>(rng_.below(rng_.chance(0.3) ? 8000 : 400)), [this, id] { callerSends(id); });
 }
 
 void SimulatedCluster::callerEnds(std::string const& id, std::string const& outcome) {
--- a/testing/sim/certificates.cpp
+++ b/testing/sim/certificates.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr char const* page = "/v1/certificates";
-constexpr Tick farAway = 86400000;
+constexpr Milliseconds farAway = 86400000;
 /// What a clock that is synchronized all along, or was frozen, may be behind; and one that jumps.
-constexpr Tick clocksDiffer = 1000;
+constexpr Milliseconds clocksDiffer = 1000;
 constexpr char const* ofRouters = "nacelles-z";
 
 }  // namespace
@@ -26,7 +26,7 @@
   return wallBegin + now_ + wallJump_;
 }
 
-QJsonObject SimulatedCluster::certificateFor(std::string const& name, Tick lasts) const {
+QJsonObject SimulatedCluster::certificateFor(std::string const& name, Milliseconds lasts) const {
   std::size_t const dash = name.rfind('-');
   QJsonObject out{{"regime", regime},
                   {"carrier", "nacelles"},
@@ -71,7 +71,7 @@
          });
 }
 
-void SimulatedCluster::patchCertificates(std::vector<std::string> const& names, Tick lasts) {
+void SimulatedCluster::patchCertificates(std::vector<std::string> const& names, Milliseconds lasts) {
   QJsonObject all;
   for (std::string const& name : names) {
     all.insert(core::toQString(name), certificateFor(name, lasts));
@@ -80,7 +80,7 @@
   }
   std::map<std::string, std::uint64_t> const turns = certificateTurns_;
   bool const jumps = std::find(plan_.faults.begin(), plan_.faults.end(), Fault::wallClockJump) != plan_.faults.end();
-  Tick const until = now_ + lasts - config::clockMarginMs + clocksDiffer + (jumps ? mostBack : 0);
+  Milliseconds const until = now_ + lasts - config::clockMarginMs + clocksDiffer + (jumps ? mostBack : 0);
   std::string const body = core::jsonText(QJsonObject{{"certificates", all}});
   change(config::regimesKey, "", "PATCH", page, body, certificateRevision_, "",
          [this, names, turns, until](int status, QJsonObject const& answer) {
@@ -106,7 +106,7 @@
 
 void SimulatedCluster::certificateTurn() {
   if (quiet_) return;
-  after(700 + static_cast<Tick>(rng_.below(1500)), [this] { certificateTurn(); });
+  after(700 + static_cast<Milliseconds>(rng_.below(1500)), [this] { certificateTurn(); });
   std::vector<std::string> const names = certificateNames();
   std::string const one = names[rng_.below(names.size())];
   switch (rng_.below(5)) {
@@ -122,7 +122,7 @@
       patchCertificates({names[rng_.below(names.size())]}, farAway);
       break;
     default:
-      patchCertificates({one}, config::clockMarginMs + 1000 + static_cast<Tick>(rng_.below(6000)));
+      patchCertificates({one}, config::clockMarginMs + 1000 + static_cast<Milliseconds>(rng_.below(6000)));
   }
 }
 
--- a/testing/sim/contact_oracles.cpp
+++ b/testing/sim/contact_oracles.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Tick inspectionInterval = 50;
+constexpr Milliseconds inspectionInterval = 50;
 
 }  // namespace
 
@@ -68,7 +68,7 @@
          now_ - n.troubledAt >= plan_.bounds.inContact;
 }
 
-Tick SimulatedCluster::boundFrom(Node const& n, Tick since) const {
+Milliseconds SimulatedCluster::boundFrom(Node const& n, Milliseconds since) const {
   if (plan_.fenced) return since;
   if (!inContact(n)) return -1;
   return std::max({since, n.troubledAt + plan_.bounds.inContact, coreChangedAt_ + plan_.bounds.inContact}) +
@@ -122,7 +122,7 @@
 }
 
 void SimulatedCluster::inspectMembers() {
-  Tick const since = std::max(coreChangedAt_, memberTroubledAt_);
+  Milliseconds const since = std::max(coreChangedAt_, memberTroubledAt_);
   if (now_ - since < plan_.bounds.catchUp) return;
   std::size_t disks = 0;
   for (auto const& [link, node] : nodes_) disks += node.disk ? 1 : 0;
@@ -139,7 +139,7 @@
 }
 
 void SimulatedCluster::inspectOrders() {
-  Tick const stableFrom = std::max(coreChangedAt_, troubledAt_) + plan_.bounds.inContact;
+  Milliseconds const stableFrom = std::max(coreChangedAt_, troubledAt_) + plan_.bounds.inContact;
   for (Order& o : orders_) {
     if (o.judgedLate || o.acknowledgedAt >= 0 || o.closed || o.sentAt < stableFrom || stableCore_.empty()) continue;
     if (now_ - o.sentAt <= plan_.bounds.acknowledged) continue;
--- a/testing/sim/control_faults.cpp
+++ b/testing/sim/control_faults.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// Settings files name the new seeds so long after the machines are there.
-constexpr Tick seedLag = 3000;
+constexpr Milliseconds seedLag = 3000;
 /// How long a cut of a member lasts.
-constexpr Tick shortestCut = 2000;
+constexpr Milliseconds shortestCut = 2000;
 constexpr std::uint64_t cutSpread = 19000;
 
 }  // namespace
@@ -57,7 +57,7 @@
 
 std::string SimulatedCluster::oldestDisk(bool oldest) {
   std::vector<std::string> out;
-  Tick since = -1;
+  Milliseconds since = -1;
   for (auto const& [link, node] : nodes_) {
     if (!node.disk || !node.alive) continue;
     if (oldest && !out.empty() && node.diskSince > since) continue;
@@ -98,7 +98,7 @@
   if (disks >= 5 && second != first && rng_.chance(0.5)) cut.push_back(second);
   coreCut_ = true;
   ++result_.counts["core-cuts"];
-  Tick const how = shortestCut + static_cast<Tick>(rng_.below(cutSpread));
+  Milliseconds const how = shortestCut + static_cast<Milliseconds>(rng_.below(cutSpread));
   std::vector<std::pair<std::string, std::string>> const pairs = cutPairs(f, cut);
   for (std::pair<std::string, std::string> const& p : pairs) cuts_.insert(p);
   after(how, [this, pairs] {
@@ -124,7 +124,7 @@
   cutExtras(f, cut, how);
 }
 
-void SimulatedCluster::cutExtras(Fault f, std::vector<std::string> const& cut, Tick how) {
+void SimulatedCluster::cutExtras(Fault f, std::vector<std::string> const& cut, Milliseconds how) {
   if (f == Fault::partitionMemberSeeds) {
     newSeeds(cut);
     for (auto const& [address, machine] : nodes_)
@@ -132,13 +132,13 @@
   }
   if (f == Fault::partitionMemberLure) after(how / 3, [this, cut] { lure(cut); });
   if (f != Fault::partitionMemberBoth) return;
-  Tick t = how / 3;
+  Milliseconds t = how / 3;
   for (std::string const& link : cut) restartLater(link, t);
   for (auto const& [name, process] : nodes_)
     if (process.disk && std::find(cut.begin(), cut.end(), name) == cut.end()) restartLater(name, t += 1500);
 }
 
-void SimulatedCluster::restartLater(std::string const& link, Tick delay) {
+void SimulatedCluster::restartLater(std::string const& link, Milliseconds delay) {
   after(delay, [this, link] {
     Node* const n = node(link);
     if (n == nullptr || !n->alive) return;
@@ -194,11 +194,11 @@
   kill(n, true);
   n.disk->wipe();
   n.diskSince = now_;
-  Tick const back = 500 + static_cast<Tick>(rng_.below(1000));
+  Milliseconds const back = 500 + static_cast<Milliseconds>(rng_.below(1000));
   after(back, [this, first] {
     if (Node* const k = node(first); k != nullptr && !k->alive) boot(*k);
   });
-  Tick const due = back + plan_.bounds.catchUp + 1 + static_cast<Tick>(rng_.below(300));
+  Milliseconds const due = back + plan_.bounds.catchUp + 1 + static_cast<Milliseconds>(rng_.below(300));
   after(due, [this, first, booted = now_ + back] {
     repairing_ = false;
     std::string const second = oldestDisk(rng_.chance(0.5));
@@ -220,7 +220,7 @@
     repairing_ = false;
     return;
   }
-  Tick const wait = plan_.bounds.catchUp + static_cast<Tick>(rng_.below(500));
+  Milliseconds const wait = plan_.bounds.catchUp + static_cast<Milliseconds>(rng_.below(500));
   std::string const link = old.back();
   if (Node const* const n = node(link); n == nullptr || !coreComplete()) {
     repairing_ = false;
@@ -275,7 +275,7 @@
       machine.disk->wipe();
       machine.diskSince = now_;
     }
-    after(500 + static_cast<Tick>(rng_.below(1000)), [this, link = address] {
+    after(500 + static_cast<Milliseconds>(rng_.below(1000)), [this, link = address] {
       if (Node* const k = node(link); k != nullptr && !k->alive) boot(*k);
     });
   }
--- a/testing/sim/faults.cpp
+++ b/testing/sim/faults.cpp
@@ -45,15 +45,15 @@
     if (modelReplica.up && !modelReplica.dark && modelReplica.listed && modelReplica.state == "serving" &&
         modelReplica.pool == "model")
       models.push_back(&modelReplica);
-  Tick const shortly = 500 + static_cast<Tick>(rng_.below(6000));
-  auto const bootLater = [this](Node& n, Tick delay) {
+  Milliseconds const shortly = 500 + static_cast<Milliseconds>(rng_.below(6000));
+  auto const bootLater = [this](Node& n, Milliseconds delay) {
     std::string const link = n.link;
     after(delay, [this, link] {
       Node* const k = node(link);
       if (k != nullptr && !k->alive) boot(*k);
     });
   };
-  auto const cut = [this](std::vector<std::string> const& a, std::vector<std::string> const& b, Tick how) {
+  auto const cut = [this](std::vector<std::string> const& a, std::vector<std::string> const& b, Milliseconds how) {
     std::vector<std::pair<std::string, std::string>> pairs;
     for (std::string const& x : a)
       for (std::string const& y : b)
@@ -85,12 +85,12 @@
       for (Node* const n : data)
         if (rng_.chance(0.6)) {
           kill(*n, false);
-          bootLater(*n, shortly + static_cast<Tick>(rng_.below(2000)));
+          bootLater(*n, shortly + static_cast<Milliseconds>(rng_.below(2000)));
         }
       for (Node* const n : control)
         if (rng_.chance(0.4)) {
           kill(*n, rng_.chance(0.5));
-          bootLater(*n, shortly + static_cast<Tick>(rng_.below(2000)));
+          bootLater(*n, shortly + static_cast<Milliseconds>(rng_.below(2000)));
         }
       break;
     case Fault::killControl:
@@ -102,7 +102,7 @@
     case Fault::killAll: {
       if (totalOutage_) break;
       totalOutage_ = true;
-      Tick const back = 1500;
+      Milliseconds const back = 1500;
       for (auto& [name, process] : nodes_) {
         kill(process, true);
         if (plan_.mutation == Mutation::noReturn && process.disk) continue;
@@ -123,10 +123,11 @@
       break;
     }
     case Fault::freezeRouter:
-      if (!data.empty()) freeze(*data[rng_.below(data.size())], 1000 + static_cast<Tick>(rng_.below(9000)));
+      if (!data.empty()) freeze(*data[rng_.below(data.size())], 1000 + static_cast<Milliseconds>(rng_.below(9000)));
       break;
     case Fault::freezeController:
-      if (!control.empty()) freeze(*control[rng_.below(control.size())], 500 + static_cast<Tick>(rng_.below(8000)));
+      if (!control.empty())
+        freeze(*control[rng_.below(control.size())], 500 + static_cast<Milliseconds>(rng_.below(8000)));
       break;
     case Fault::isolateMember:
       if (!control.empty()) cut({control[rng_.below(control.size())]->link}, allLinks, shortly + 1000);
@@ -165,7 +166,7 @@
     case Fault::diskSlow:
       if (!control.empty()) {
         Node& n = *control[rng_.below(control.size())];
-        n.diskDelay = 200 + static_cast<Tick>(rng_.below(900));
+        n.diskDelay = 200 + static_cast<Milliseconds>(rng_.below(900));
         after(shortly, [this, link = n.link] {
           if (Node* const k = node(link)) k->diskDelay = 2;
         });
@@ -244,7 +245,7 @@
       }
       break;
     case Fault::breakStreams:
-      for (Tick t = 0; t < shortly; t += 200)
+      for (Milliseconds t = 0; t < shortly; t += 200)
         after(t, [this] {
           for (auto& [key, target] : replicas_)
             if (target.pool == "model" && rng_.chance(0.7)) breakStreams(target);
@@ -254,7 +255,8 @@
       for (Replica* const r : models)
         if (rng_.chance(0.6)) {
           crash(*r);
-          after(300 + static_cast<Tick>(rng_.below(1500)), [this, a = r->address] { replicas_.at(a).up = true; });
+          after(300 + static_cast<Milliseconds>(rng_.below(1500)),
+                [this, a = r->address] { replicas_.at(a).up = true; });
         }
       break;
     case Fault::replicaDark:
@@ -315,7 +317,7 @@
         std::uint64_t const incarnation = n.incarnation;
         if (plan_.mutation != Mutation::dropOnRestart) run(n, n.data->drain(local(n)));
         std::shared_ptr<std::function<void()>> const poll = std::make_shared<std::function<void()>>();
-        Tick const until = now_ + 100000;
+        Milliseconds const until = now_ + 100000;
         *poll = [this, link, incarnation, until, poll] {
           Node& k = *node(link);
           if (!k.alive || k.incarnation != incarnation) return;
@@ -358,7 +360,7 @@
       break;
     case Fault::changeStorm:
       for (int i = 0; i < 20; ++i)
-        after(static_cast<Tick>(rng_.below(1500)), [this, i] {
+        after(static_cast<Milliseconds>(rng_.below(1500)), [this, i] {
           change("family:storm" + std::to_string(i % 3), "", "PUT", "/v1/templates/storm" + std::to_string(i % 3),
                  R"({"paths":[{"path":"x","pool":"model","class":"short"}]})",
                  i < 3 ? "0" : std::to_string(1 + rng_.below(8)), "");
@@ -393,7 +395,7 @@
       break;
     }
     case Fault::wallClockJump:
-      wallJump_ = static_cast<Tick>(rng_.below(2000000)) - 1000000;
+      wallJump_ = static_cast<Milliseconds>(rng_.below(2000000)) - 1000000;
       if (plan_.regimes) wallJump_ = std::max(wallJump_, -mostBack);
       break;
     case Fault::growCore:
@@ -409,7 +411,7 @@
     case Fault::longAbsence:
       if (!control.empty()) {
         Node& n = *control[rng_.below(control.size())];
-        Tick const how = plan_.replaceDarkAfter + 500 + static_cast<Tick>(rng_.below(6000));
+        Milliseconds const how = plan_.replaceDarkAfter + 500 + static_cast<Milliseconds>(rng_.below(6000));
         switch (rng_.below(3)) {
           case 0:
             freeze(n, how);
@@ -426,7 +428,7 @@
     case Fault::greyReplicas:
       if (models.size() > 2) {
         std::size_t const count = 1 + rng_.below(models.size() / 3);
-        Tick const how = 12000 + static_cast<Tick>(rng_.below(12000));
+        Milliseconds const how = 12000 + static_cast<Milliseconds>(rng_.below(12000));
         for (std::size_t i = 0; i < count; ++i) {
           Replica& r = *models[rng_.below(models.size())];
           if (r.grey > 0) continue;
@@ -439,17 +441,17 @@
     case Fault::flapReplicas:
       for (std::size_t i = 0; i < 3 && models.size() > 4; ++i) {
         std::string const a = models[rng_.below(models.size())]->address;
-        Tick t = 0;
+        Milliseconds t = 0;
         while (t < shortly + 4000) {
           after(t, [this, a] { crash(replicas_.at(a)); });
-          t += 200 + static_cast<Tick>(rng_.below(1500));
+          t += 200 + static_cast<Milliseconds>(rng_.below(1500));
           after(t, [this, a] { replicas_.at(a).up = true; });
-          t += 200 + static_cast<Tick>(rng_.below(1500));
+          t += 200 + static_cast<Milliseconds>(rng_.below(1500));
         }
       }
       break;
     case Fault::resetConnections:
-      for (Tick t = 0; t < shortly; t += 300)
+      for (Milliseconds t = 0; t < shortly; t += 300)
         after(t, [this] {
           for (auto& [name, process] : nodes_) {
             if (!process.alive || !rng_.chance(0.2)) continue;
@@ -460,7 +462,7 @@
         });
       break;
     case Fault::forgetConnections:
-      for (Tick t = 0; t < shortly + 4000; t += 100)
+      for (Milliseconds t = 0; t < shortly + 4000; t += 100)
         after(t, [this] {
           for (auto& [key, idle] : idle_)
             for (Idle& c : idle) c.dead = c.dead || rng_.chance(0.3);
@@ -471,7 +473,7 @@
       std::vector<Node*> const& all = f == Fault::slowRouter ? data : control;
       if (all.empty()) break;
       Node& n = *all[rng_.below(all.size())];
-      n.step = 2 + static_cast<Tick>(rng_.below(18));
+      n.step = 2 + static_cast<Milliseconds>(rng_.below(18));
       after(shortly + 3000, [this, link = n.link, incarnation = n.incarnation] {
         Node* const k = node(link);
         if (k != nullptr && k->alive && k->incarnation == incarnation) unslow(*k);
@@ -486,7 +488,7 @@
       break;
     case Fault::shiftLengths:
       demandNow_ = plan_.demand * 3;
-      for (Tick t = 0; t < shortly + 4000; t += 1500)
+      for (Milliseconds t = 0; t < shortly + 4000; t += 1500)
         after(t, [this] { shape_ = shape_ == Shape::longPrompt ? Shape::longAnswer : Shape::longPrompt; });
       after(shortly + 4000, [this] {
         shape_ = Shape::usual;
--- a/testing/sim/mass_faults.cpp
+++ b/testing/sim/mass_faults.cpp
@@ -56,7 +56,7 @@
     replicas_[r.address] = r;
   }
   platform();
-  auto const become = [this, fresh](Tick when, std::string const& state, bool departed) {
+  auto const become = [this, fresh](Milliseconds when, std::string const& state, bool departed) {
     after(when, [this, fresh, state, departed] {
       for (std::string const& a : fresh) {
         Replica& r = replicas_.at(a);
@@ -73,7 +73,7 @@
   become(29000, "leaving", true);
 }
 
-void SimulatedCluster::loseZone(std::string const& zone, Tick how) {
+void SimulatedCluster::loseZone(std::string const& zone, Milliseconds how) {
   ++result_.counts["lost-zones"];
   std::vector<std::string> hit;
   for (auto& [address, replica] : replicas_) {
--- a/testing/sim/operator_changes.cpp
+++ b/testing/sim/operator_changes.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 /// An operator takes so long a silence for no answer, and gives an order up after so long in all.
-constexpr Tick answerTimeout = 1000;
-constexpr Tick orderPatience = 20000;
+constexpr Milliseconds answerTimeout = 1000;
+constexpr Milliseconds orderPatience = 20000;
 /// Answers that are no clear ones: the order is sent again.
 bool unclear(int status) {
   return status == 0 || status == 307 || status == 408 || status == 421 || status == 429 || status >= 500;
@@ -42,7 +42,7 @@
   return up[rng_.below(up.size())];
 }
 
-void SimulatedCluster::sendOperatorCall(std::string const& link, transport::OperatorCall call, Tick limit,
+void SimulatedCluster::sendOperatorCall(std::string const& link, transport::OperatorCall call, Milliseconds limit,
                                         std::function<void(int, QJsonObject const&)> then) {
   Node const* const to = node(link);
   if (to == nullptr || !to->alive) {
@@ -80,8 +80,8 @@
 
 void SimulatedCluster::ordersTurn() {
   if (quiet_) return;
-  Tick const mean = burstLeft_ > 0 ? 1 : plan_.operators.every;
-  after(1 + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(2 * mean))), [this] { ordersTurn(); });
+  Milliseconds const mean = burstLeft_ > 0 ? 1 : plan_.operators.every;
+  after(1 + static_cast<Milliseconds>(rng_.below(static_cast<std::uint64_t>(2 * mean))), [this] { ordersTurn(); });
   if (rng_.chance(0.1)) lateResend();
   std::size_t const open =
       static_cast<std::size_t>(std::count_if(orders_.begin(), orders_.end(), [](Order const& o) { return !o.closed; }));
@@ -112,7 +112,7 @@
     if (strike_.set && strike_.timed) {
       Strike const due = strike_;
       strike_ = {};
-      after(5 + static_cast<Tick>(rng_.below(396)), [this, due] { strike(due); });
+      after(5 + static_cast<Milliseconds>(rng_.below(396)), [this, due] { strike(due); });
     }
   }
   if (now_ - o.sentAt > orderPatience) {
@@ -135,7 +135,7 @@
   });
 }
 
-void SimulatedCluster::orderAgain(std::size_t order, std::string const& link, Tick wait) {
+void SimulatedCluster::orderAgain(std::size_t order, std::string const& link, Milliseconds wait) {
   after(wait, [this, order, link] {
     std::string const next = plan_.operators.hard && rng_.chance(0.5) ? link : otherController(link);
     if (orders_[order].closed) return;
@@ -230,7 +230,7 @@
 
 void SimulatedCluster::readsTurn() {
   if (quiet_) return;
-  after(100 + static_cast<Tick>(rng_.below(400)), [this] { readsTurn(); });
+  after(100 + static_cast<Milliseconds>(rng_.below(400)), [this] { readsTurn(); });
   std::string const link = someController();
   if (!link.empty()) readOnce(link);
 }
--- a/testing/sim/operators.cpp
+++ b/testing/sim/operators.cpp
@@ -118,7 +118,7 @@
 
 void SimulatedCluster::operatorTurn() {
   if (quiet_) return;
-  after(1500 + static_cast<Tick>(rng_.below(2500)), [this] { operatorTurn(); });
+  after(1500 + static_cast<Milliseconds>(rng_.below(2500)), [this] { operatorTurn(); });
   if (operatorBusy_) return;
   operatorBusy_ = true;
   putTemplate(lastRevision_, 0, [this](int, QJsonObject const&) { operatorBusy_ = false; });
--- a/testing/sim/oracles.cpp
+++ b/testing/sim/oracles.cpp
@@ -8,7 +8,7 @@
 
 namespace corkward::testing {
 
-bool SimulatedCluster::mostLiveSince(Tick since) const {
+bool SimulatedCluster::mostLiveSince(Milliseconds since) const {
   std::size_t all = 0;
   std::size_t live = 0;
   for (auto const& [link, node] : nodes_) {
@@ -33,8 +33,8 @@
               std::to_string(firsts_.size()) + " in 10 s");
   for (auto const& r : replicas_) {
     if (r.second.state != "cold") continue;
-    auto const n = static_cast<std::size_t>(
-        std::count_if(r.second.coldHits.begin(), r.second.coldHits.end(), [&](Tick t) { return t > now_ - 3000; }));
+    auto const n = static_cast<std::size_t>(std::count_if(r.second.coldHits.begin(), r.second.coldHits.end(),
+                                                          [&](Milliseconds t) { return t > now_ - 3000; }));
     if (static_cast<double>(n) > 3.0 * coldRate + 1.0)
       violation("cold replica " + r.first + " had " + std::to_string(n) + " requests in 3 s");
   }
--- a/testing/sim/plan.cpp
+++ b/testing/sim/plan.cpp
@@ -21,7 +21,7 @@
   for (FaultName const& f : faultTable)
     if (f.fault < Fault::growCore && rng.chance(0.35)) p.faults.push_back(f.fault);
   if (p.faults.empty()) p.faults.push_back(Fault::killHerd);
-  p.every = 2500 + static_cast<Tick>(rng.below(6000));
+  p.every = 2500 + static_cast<Milliseconds>(rng.below(6000));
   if (rng.chance(0.4)) p.clockSpread = 0.045;
   for (Fault const f : {Fault::growCore, Fault::longAbsence})
     if (rng.chance(0.35)) p.faults.push_back(f);
@@ -94,7 +94,7 @@
   p.others = 3;
   p.demand = 10;
   p.length = 40000;
-  p.every = 5000 + static_cast<Tick>(rng.below(5000));
+  p.every = 5000 + static_cast<Milliseconds>(rng.below(5000));
   p.replaceDarkAfter = 3000;
   p.fenced = rng.chance(0.5);
   p.looseNames = point == Point::powerCuts || rng.chance(0.3);
--- a/testing/sim/plan.h
+++ b/testing/sim/plan.h
@@ -12,7 +12,7 @@
 /// What a simulated run is of: its sizes, its failures, the rules that it breaks on purpose, and what it showed.
 namespace corkward::testing {
 
-using core::Tick;
+using core::Milliseconds;
 
 /// Failures of the brief that a run may cause.
 enum class Fault {
@@ -204,7 +204,7 @@
   /// False: there are none, and none of the rules about them is checked.
   bool any = false;
   /// Mean time between orders.
-  Tick every = 1200;
+  Milliseconds every = 1200;
   /// Share of the acknowledgements that are lost on their way back.
   double ackLost = 0;
   /// Two orders at once on the same version, this share of the time.
@@ -223,13 +223,13 @@
 /// Bounds of the rules about control, in ms.
 struct Bounds {
   /// A machine without trouble for so long is in touch.
-  Tick inContact = 3000;
+  Milliseconds inContact = 3000;
   /// So long after its acknowledgement every router in touch has a change.
-  Tick applied = 2000;
+  Milliseconds applied = 2000;
   /// A proper order is acknowledged in this time while the core is settled.
-  Tick acknowledged = 4000;
+  Milliseconds acknowledged = 4000;
   /// So long after a return or a repair every disk votes.
-  Tick catchUp = 4000;
+  Milliseconds catchUp = 4000;
 };
 
 /// Sizes and failures of one run; everything else follows from the seed.
@@ -239,7 +239,7 @@
   /// The first so many controllers found the membership at their first start; nobody learns of founders later.
   int founders = 3;
   /// See consensus::Tuning.
-  Tick replaceDarkAfter = 20000;
+  Milliseconds replaceDarkAfter = 20000;
   int routers = 8;
   int models = 9;
   int others = 3;
@@ -247,10 +247,10 @@
   double demand = 40;
   /// Times the demand between a third and two thirds of the run.
   double surge = 1.0;
-  Tick length = 60000;
+  Milliseconds length = 60000;
   std::vector<Fault> faults;
   /// Mean time between failures.
-  Tick every = 6000;
+  Milliseconds every = 6000;
   Mutation mutation = Mutation::none;
   /// Whole pool, fewest in flight: the plain variant for comparisons.
   bool plain = false;
@@ -259,7 +259,7 @@
   /// How far a clock's rate may be from the true one; two clocks differ by up to twice as much.
   double clockSpread = 0.002;
   /// First words count only for callers that began so long after the first one.
-  Tick skip = 0;
+  Milliseconds skip = 0;
   /// The tenant nord is of a regime; operators declare, revoke and exchange certificates all the time. The last zone
   /// has none, ever.
   bool regimes = false;
@@ -285,9 +285,9 @@
   std::vector<std::string> timeline;
   std::map<std::string, std::size_t> counts;
   /// From the caller's first attempt, and from the attempt that was served.
-  std::map<std::string, std::vector<Tick>> firstTokenTimes;
-  std::map<std::string, std::vector<Tick>> servedTokenTimes;
-  std::vector<Tick> ackTimes;
+  std::map<std::string, std::vector<Milliseconds>> firstTokenTimes;
+  std::map<std::string, std::vector<Milliseconds>> servedTokenTimes;
+  std::vector<Milliseconds> ackTimes;
   /// Messages and bytes sent while failures last and the first 10 s are over, by the sender's role and the kind.
   std::map<std::pair<std::string, std::string>, std::pair<std::size_t, std::size_t>> traffic;
   double partSum = 0;
--- a/testing/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -17,7 +17,7 @@
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
   std::uint64_t const turn = upstreams_.at({link, m.call}).turn;
-  after(1 + static_cast<Tick>(rng_.below(3)), [this, link, incarnation, m, turn] {
+  after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, m, turn] {
     auto const it = upstreams_.find({link, m.call});
     if (it == upstreams_.end() || it->second.turn != turn) return;
     Replica const* const to = replica(m.address);
@@ -25,7 +25,7 @@
     it->second.process = to->incarnation;
     bool const named =
         to->up && (incarnationName(*to) == m.incarnation || plan_.mutation == Mutation::skipIncarnationCheck);
-    after(1 + static_cast<Tick>(rng_.below(3)), [this, link, incarnation, m, turn, named] {
+    after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, m, turn, named] {
       toNode(link, incarnation, [this, link, m, turn, named] {
         auto const still = upstreams_.find({link, m.call});
         if (still == upstreams_.end() || still->second.turn != turn) return;
@@ -61,7 +61,7 @@
   std::vector<Idle>& idle = idle_[{n.link, m.address}];
   while (m.incarnation.empty() && !idle.empty() && !r.reused) {
     Idle const last = idle.back();
-    Tick const rest = now_ - last.since;
+    Milliseconds const rest = now_ - last.since;
     if (m.fresh && rest >= freshIdleLimit) break;
     idle.pop_back();
     r.reused = rest < idleLimit;
@@ -80,17 +80,18 @@
     return;
   }
   bool const up = to->up && !(to->grey > 0 && rng_.chance(to->grey / 4));
-  after(r.reused ? 0 : 1 + static_cast<Tick>(rng_.below(3)), [this, link, incarnation, call = m.call, up, turn] {
-    toNode(link, incarnation, [this, link, call, up, turn] {
-      auto const it = upstreams_.find({link, call});
-      if (it == upstreams_.end() || it->second.turn != turn) return;
-      Node& k = *node(link);
-      if (up)
-        run(k, k.data->onConnected(local(k), call));
-      else
-        run(k, k.data->onConnectFailure(local(k), call));
-    });
-  });
+  after(r.reused ? 0 : 1 + static_cast<Milliseconds>(rng_.below(3)),
+        [this, link, incarnation, call = m.call, up, turn] {
+          toNode(link, incarnation, [this, link, call, up, turn] {
+            auto const it = upstreams_.find({link, call});
+            if (it == upstreams_.end() || it->second.turn != turn) return;
+            Node& k = *node(link);
+            if (up)
+              run(k, k.data->onConnected(local(k), call));
+            else
+              run(k, k.data->onConnectFailure(local(k), call));
+          });
+        });
 }
 
 void SimulatedCluster::handOver(Node& n, std::uint64_t call) {
@@ -114,7 +115,7 @@
                   ", in force since " + std::to_string(c.answeredAt) + " is " + std::to_string(c.revision));
   }
   bool const named = !it->second.connect.incarnation.empty();
-  after(1 + static_cast<Tick>(rng_.below(3)), [this, link, incarnation, call, turn, named] {
+  after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, call, turn, named] {
     auto const r = upstreams_.find({link, call});
     if (r == upstreams_.end() || r->second.turn != turn) return;
     Replica* const to = replica(r->second.address);
@@ -146,12 +147,12 @@
     if (plan_.regimes && plan_.bound && requester.instance == regulated && resumesOf_[{id, call}] > 1)
       violation("resumed more than once: " + id);
   }
-  Tick const leaving = r.shownLeaving < 0 ? -1 : boundFrom(n, r.shownLeaving);
+  Milliseconds const leaving = r.shownLeaving < 0 ? -1 : boundFrom(n, r.shownLeaving);
   if (leaving >= 0 && now_ > leaving + 3000)
     violation("replica " + r.address + " reached " + std::to_string(now_ - r.shownLeaving) +
               " ms after it was shown leaving");
   auto const zone = zoneShown_.find(r.zone);
-  Tick const evacuated = zone == zoneShown_.end() ? -1 : boundFrom(n, zone->second.first);
+  Milliseconds const evacuated = zone == zoneShown_.end() ? -1 : boundFrom(n, zone->second.first);
   if (zone != zoneShown_.end() && zone->second.second && evacuated >= 0 && now_ > evacuated + 5000)
     violation("zone " + r.zone + " reached " + std::to_string(now_ - zone->second.first) +
               " ms after its evacuation was acknowledged");
@@ -307,18 +308,19 @@
     std::uint64_t const incarnation = r.incarnation;
     Run const run = it->second;
     double const slow = r.slow * (r.state == "cold" ? 4.0 : 1.0) * (run.grey == Grey::late ? 12.0 : 1.0);
-    Tick const read = r.pool == "other"                ? 10
-                      : run.shape == Shape::longPrompt ? 1500
-                      : run.hit                        ? 40
-                      : run.shape == Shape::longAnswer ? 100
-                      : run.bulk                       ? 600
-                                                       : 200;
-    auto const first = static_cast<Tick>(slow * static_cast<double>(read + static_cast<Tick>(rng_.below(40))));
-    auto const rest = static_cast<Tick>(slow * static_cast<double>(r.pool == "other"                ? 5
-                                                                   : run.shape == Shape::longPrompt ? 100
-                                                                   : run.shape == Shape::longAnswer ? 6000
-                                                                   : run.bulk ? 2000 + rng_.below(3000)
-                                                                              : 100 + rng_.below(200)));
+    Milliseconds const read = r.pool == "other"                ? 10
+                              : run.shape == Shape::longPrompt ? 1500
+                              : run.hit                        ? 40
+                              : run.shape == Shape::longAnswer ? 100
+                              : run.bulk                       ? 600
+                                                               : 200;
+    auto const first =
+        static_cast<Milliseconds>(slow * static_cast<double>(read + static_cast<Milliseconds>(rng_.below(40))));
+    auto const rest = static_cast<Milliseconds>(slow * static_cast<double>(r.pool == "other"                ? 5
+                                                                           : run.shape == Shape::longPrompt ? 100
+                                                                           : run.shape == Shape::longAnswer ? 6000
+                                                                           : run.bulk ? 2000 + rng_.below(3000)
+                                                                                      : 100 + rng_.below(200)));
     int const tokens = r.pool == "other" ? 1 : run.bulk ? 8 : 3;
     for (int k = 0; k <= tokens; ++k)
       after(first + rest * k / tokens,
@@ -488,7 +490,7 @@
   }();
   r.runs.clear();
   for (Run const& run : hit)
-    after(1 + static_cast<Tick>(rng_.below(5)), [this, run] {
+    after(1 + static_cast<Milliseconds>(rng_.below(5)), [this, run] {
       wire(run.node, run.incarnation, run.call, run.turn,
            [](dataplane::ResponseStream& st) { return st.ended(false); });
     });
--- a/testing/sim/simulated_cluster.cpp
+++ b/testing/sim/simulated_cluster.cpp
@@ -37,12 +37,12 @@
 
 SimulatedCluster::~SimulatedCluster() = default;
 
-void SimulatedCluster::at(Tick when, std::function<void()> act) {
+void SimulatedCluster::at(Milliseconds when, std::function<void()> act) {
   events_.push(Event{when, order_++, std::move(act)});
 }
 
-Tick SimulatedCluster::local(Node const& n) const {
-  return n.offset + static_cast<Tick>(static_cast<double>(now_) * n.rate);
+Milliseconds SimulatedCluster::local(Node const& n) const {
+  return n.offset + static_cast<Milliseconds>(static_cast<double>(now_) * n.rate);
 }
 
 SimulatedCluster::Node* SimulatedCluster::node(std::string const& link) {
@@ -131,13 +131,13 @@
   n.inbox.clear();
   n.writes.clear();
   n.writing = false;
-  n.offset = static_cast<Tick>(rng_.below(1000000));
+  n.offset = static_cast<Milliseconds>(rng_.below(1000000));
   n.rate = 1.0 + plan_.clockSpread * (static_cast<double>(rng_.below(400)) - 200.0) / 200.0;
   transport::Contact self;
   self.link = n.link;
   self.httpAddress = n.link + "-http";
   self.zone = n.zone;
-  self.incarnation = static_cast<std::uint64_t>(std::max<Tick>(1, 1000000 + now_ + wallJump_));
+  self.incarnation = static_cast<std::uint64_t>(std::max<Milliseconds>(1, 1000000 + now_ + wallJump_));
   std::vector<std::string> const& seeds = seeds_;
   n.confirmedBefore = confirmedRevision_;
   n.begun = false;
@@ -178,7 +178,7 @@
   }
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
-  after(static_cast<Tick>(rng_.below(clockEvery)), [this, link, incarnation] { clock(link, incarnation); });
+  after(static_cast<Milliseconds>(rng_.below(clockEvery)), [this, link, incarnation] { clock(link, incarnation); });
 }
 
 void SimulatedCluster::clock(std::string const& link, std::uint64_t incarnation) {
@@ -247,10 +247,10 @@
   for (auto const& [callerId, openCaller] : callers_)
     if (openCaller.open && openCaller.node == n.link && openCaller.incarnation == n.incarnation)
       cut.push_back(callerId);
-  for (std::string const& id : cut) after(1 + static_cast<Tick>(rng_.below(20)), [this, id] { callerCut(id); });
+  for (std::string const& id : cut) after(1 + static_cast<Milliseconds>(rng_.below(20)), [this, id] { callerCut(id); });
 }
 
-void SimulatedCluster::freeze(Node& n, Tick how) {
+void SimulatedCluster::freeze(Node& n, Milliseconds how) {
   if (!n.alive || n.frozen) return;
   n.frozen = true;
   std::string const link = n.link;
@@ -315,7 +315,7 @@
   n.writing = true;
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
-  after(n.diskDelay + static_cast<Tick>(rng_.below(3)), [this, link, incarnation] {
+  after(n.diskDelay + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation] {
     Node* const m = node(link);
     if (m == nullptr || !m->alive || m->incarnation != incarnation) return;
     m->writing = false;
@@ -402,7 +402,7 @@
                  R"({"parameters":{"site":"s"}})", "0", "");
     });
   });
-  Tick const begin = trafficFrom - 10000;
+  Milliseconds const begin = trafficFrom - 10000;
   at(begin, [this] {
     callerArrives();
     operatorTurn();
@@ -414,8 +414,8 @@
     }
   });
   if (!plan_.faults.empty())
-    for (Tick t = begin + 2000; t < begin + plan_.length;
-         t += 1 + static_cast<Tick>(rng_.below(static_cast<std::uint64_t>(2 * plan_.every)))) {
+    for (Milliseconds t = begin + 2000; t < begin + plan_.length;
+         t += 1 + static_cast<Milliseconds>(rng_.below(static_cast<std::uint64_t>(2 * plan_.every)))) {
       Fault const f = plan_.faults[rng_.below(plan_.faults.size())];
       at(t, [this, f] { cause(f); });
     }
@@ -433,7 +433,7 @@
   at(begin + plan_.length + recoveryPeriod, [this] { quiet_ = true; });
   at(begin + plan_.length + recoveryPeriod + 16000, [this] { finalChecks(); });
   if (plan_.operators.any) at(begin + plan_.length + recoveryPeriod + 16500, [this] { finalOrders(); });
-  Tick const end = begin + plan_.length + recoveryPeriod + 30000;
+  Milliseconds const end = begin + plan_.length + recoveryPeriod + 30000;
   while (!events_.empty() && events_.top().at <= end) {
     Event const e = events_.top();
     events_.pop();
--- a/testing/sim/simulated_cluster.h
+++ b/testing/sim/simulated_cluster.h
@@ -37,13 +37,13 @@
     /// Without power: it does not even refuse.
     bool dark = false;
     /// What each event takes on a slow machine; events wait for one another.
-    Tick step = 0;
+    Milliseconds step = 0;
     bool turning = false;
     bool clockWaits = false;
     bool draining = false;
     std::uint64_t incarnation = 0;
-    Tick bootedAt = 0;
-    Tick offset = 0;
+    Milliseconds bootedAt = 0;
+    Milliseconds offset = 0;
     double rate = 1.0;
     std::deque<std::function<void()>> inbox;
     std::unique_ptr<control::Controller> control;
@@ -52,15 +52,15 @@
     std::unique_ptr<storage::WriteAheadLog> writeAheadLog;
     std::deque<std::pair<std::vector<storage::Record>, std::vector<std::uint64_t>>> writes;
     bool writing = false;
-    Tick diskDelay = 2;
+    Milliseconds diskDelay = 2;
     bool diskStalled = false;
     /// Since when its disk holds what it holds.
-    Tick diskSince = 0;
+    Milliseconds diskSince = 0;
     /// Newest fleet configuration that was confirmed before it started, and whether it has served since.
     std::uint64_t confirmedBefore = 0;
     bool begun = false;
     /// Last moment at which it was not healthy, running and joined to the core.
-    Tick troubledAt = 0;
+    Milliseconds troubledAt = 0;
   };
   enum class Shape { usual, longPrompt, longAnswer };
   /// What a grey replica does with a request.
@@ -97,10 +97,10 @@
     double slow = 1.0;
     /// Share of the requests that it fails, and since when.
     double grey = 0;
-    Tick greySince = 0;
+    Milliseconds greySince = 0;
     std::uint64_t incarnation = 0;
-    Tick shownLeaving = -1;
-    std::vector<Tick> coldHits;
+    Milliseconds shownLeaving = -1;
+    std::vector<Milliseconds> coldHits;
     std::map<std::string, Run> runs;
     std::deque<std::string> queue;
     int running = 0;
@@ -121,12 +121,12 @@
     bool earlierReached = false;
     /// Says attempt numbers and ages; the others send the same id again and say no more.
     bool numbered = true;
-    Tick ranAt = 0;
+    Milliseconds ranAt = 0;
     bool hard = false;
     bool open = false;
-    Tick began = 0;
-    Tick attemptAt = 0;
-    Tick deadline = 0;
+    Milliseconds began = 0;
+    Milliseconds attemptAt = 0;
+    Milliseconds deadline = 0;
     bool firstTokenReceived = false;
     /// Its node has broken its answer off; that is under way.
     bool brokenOff = false;
@@ -154,7 +154,7 @@
     std::deque<Fed> inFlight;
   };
   struct Event {
-    Tick at;
+    Milliseconds at;
     std::uint64_t order;
     std::function<void()> act;
     bool operator<(Event const& o) const { return at != o.at ? at > o.at : order > o.order; }
@@ -169,8 +169,8 @@
     std::uint64_t revision = 0;
     bool rolledOut = false;
     bool pending = false;
-    Tick sentAt = 0;
-    Tick answeredAt = -1;
+    Milliseconds sentAt = 0;
+    Milliseconds answeredAt = -1;
   };
 
   /// One change that an operator makes to the fleet configuration.
@@ -179,9 +179,9 @@
     std::string base;
     std::string body;
     std::uint64_t version = 0;
-    Tick sentAt = -1;
+    Milliseconds sentAt = -1;
     /// First success that a controller answered, whether the operator got it or not.
-    Tick acknowledgedAt = -1;
+    Milliseconds acknowledgedAt = -1;
     std::uint64_t revision = 0;
     int sends = 0;
     bool closed = false;
@@ -195,18 +195,18 @@
     bool everyone = false;
   };
 
-  void at(Tick when, std::function<void()> act);
-  void after(Tick delay, std::function<void()> act) { at(now_ + delay, std::move(act)); }
-  Tick local(Node const& n) const;
+  void at(Milliseconds when, std::function<void()> act);
+  void after(Milliseconds delay, std::function<void()> act) { at(now_ + delay, std::move(act)); }
+  Milliseconds local(Node const& n) const;
   Node* node(std::string const& link);
   Node const* node(std::string const& link) const;
   /// Whether a majority of the routers has run without a break since before that time.
-  bool mostLiveSince(Tick since) const;
+  bool mostLiveSince(Milliseconds since) const;
   void toNode(std::string const& link, std::uint64_t incarnation, std::function<void()> act);
   dataplane::RouterTuning routerTuning() const;
   void boot(Node& n);
   void kill(Node& n, bool power);
-  void freeze(Node& n, Tick how);
+  void freeze(Node& n, Milliseconds how);
   /// A slow machine takes what waits for it, one event after the other.
   void turn(Node& n);
   void unslow(Node& n);
@@ -239,7 +239,7 @@
   void resetReplicas(Node& n);
   void resetLinks(Node& n);
   void scaleOut();
-  void loseZone(std::string const& zone, Tick how);
+  void loseZone(std::string const& zone, Milliseconds how);
   bool plans(Fault f) const;
   void crash(Replica& r);
   Replica* replica(std::string const& address);
@@ -256,10 +256,10 @@
   /// Wall time as machines read it.
   std::int64_t wall() const;
   std::vector<std::string> certificateNames() const;
-  QJsonObject certificateFor(std::string const& name, Tick lasts) const;
+  QJsonObject certificateFor(std::string const& name, Milliseconds lasts) const;
   void declareRegime();
   void declareRegulated();
-  void patchCertificates(std::vector<std::string> const& names, Tick lasts);
+  void patchCertificates(std::vector<std::string> const& names, Milliseconds lasts);
   void revoke(std::string const& name);
   void certificateTurn();
   void watchIncarnations();
@@ -287,7 +287,7 @@
   void orderAnswered(std::size_t order, std::string const& link, std::uint64_t baseAtSend, int status,
                      QJsonObject const& body);
   void orderRefused(Order& order, std::string const& link, std::uint64_t baseAtSend, int status);
-  void orderAgain(std::size_t order, std::string const& link, Tick wait);
+  void orderAgain(std::size_t order, std::string const& link, Milliseconds wait);
   void lateResend();
   /// Body of an order that is sent again: as it was, but for a mutation.
   std::string resentBody(Order const& order) const;
@@ -298,7 +298,7 @@
   void finalOrders();
   std::string otherController(std::string const& link);
   /// Sends a call of an operator to a controller and hands on its answer, status 0 for none after so long.
-  void sendOperatorCall(std::string const& link, transport::OperatorCall call, Tick limit,
+  void sendOperatorCall(std::string const& link, transport::OperatorCall call, Milliseconds limit,
                         std::function<void(int, QJsonObject const&)> then);
   // Machines in contact, and what holds for them: contact_oracles.cpp.
   void inspect();
@@ -315,15 +315,15 @@
   void inspectOrders();
   /// Since when a rule with a bound holds for the machine: the moment itself where the fleet is fenced, else not before
   /// the machine was in touch. Less than zero: it does not hold.
-  Tick boundFrom(Node const& n, Tick since) const;
+  Milliseconds boundFrom(Node const& n, Milliseconds since) const;
   // Failures of control: control_faults.cpp.
   void causeOfControl(Fault f);
   void partitionMember(Fault f);
   std::vector<std::pair<std::string, std::string>> cutPairs(Fault f, std::vector<std::string> const& cut);
-  void cutExtras(Fault f, std::vector<std::string> const& cut, Tick how);
+  void cutExtras(Fault f, std::vector<std::string> const& cut, Milliseconds how);
   void lure(std::vector<std::string> const& cut);
   void newSeeds(std::vector<std::string> const& first);
-  void restartLater(std::string const& link, Tick delay);
+  void restartLater(std::string const& link, Milliseconds delay);
   void meetOrders(std::string const& link);
   void loseSecond();
   void replaceNext(std::vector<std::string> old);
@@ -342,7 +342,7 @@
 
   Plan plan_;
   core::RandomGenerator rng_;
-  Tick now_ = 0;
+  Milliseconds now_ = 0;
   std::uint64_t order_ = 0;
   std::priority_queue<Event> events_;
   std::map<std::string, Node> nodes_;
@@ -352,14 +352,14 @@
   /// How often the link between two was reset; what was under way before is lost.
   std::map<std::pair<std::string, std::string>, std::uint64_t> resets_;
   struct Idle {
-    Tick since = 0;
+    Milliseconds since = 0;
     bool dead = false;
   };
   /// Kept connections by node and replica, when the plan has replicas that forget them.
   std::map<std::pair<std::string, std::string>, std::vector<Idle>> idle_;
   double loss_ = 0;
   double duplication_ = 0;
-  Tick wallJump_ = 0;
+  Milliseconds wallJump_ = 0;
   std::map<std::pair<std::string, std::uint64_t>, Forwarded> upstreams_;
   std::map<std::pair<std::string, std::uint64_t>, dataplane::ResponseStream> streams_;
   std::map<std::string, Caller> callers_;
@@ -378,15 +378,15 @@
   double greyHits_ = 0;
   bool quiet_ = false;
   std::vector<Change> changes_;
-  std::map<std::string, std::pair<Tick, bool>> zoneShown_;
+  std::map<std::string, std::pair<Milliseconds, bool>> zoneShown_;
   std::map<std::pair<std::string, std::uint64_t>, std::function<void(int, QJsonObject const&)>> answers_;
   std::string lastRevision_;
   std::string lastMark_;
   std::map<std::string, std::vector<std::string>> runsOf_;
   std::set<std::pair<std::string, std::uint64_t>> rejectedNotRun_;
   std::set<std::pair<std::string, std::uint64_t>> ranAttempts_;
-  std::deque<Tick> firsts_;
-  std::deque<Tick> repeats_;
+  std::deque<Milliseconds> firsts_;
+  std::deque<Milliseconds> repeats_;
   std::map<std::string, int> handOvers_;
   bool returnHit_ = false;
   bool servedSince_ = true;
@@ -413,16 +413,16 @@
   std::vector<std::string> luredBy_;
   std::string coreState_;
   /// When anything last happened to the core, and when any link or disk was last in trouble.
-  Tick coreChangedAt_ = 0;
-  Tick troubledAt_ = 0;
-  Tick memberTroubledAt_ = 0;
+  Milliseconds coreChangedAt_ = 0;
+  Milliseconds troubledAt_ = 0;
+  Milliseconds memberTroubledAt_ = 0;
   std::set<std::string> stableCore_;
   std::optional<transport::CommittedEntry> firstFleetConfiguration_;
   std::string certificateRevision_ = "0";
   /// Changes of each certificate, as they were sent.
   std::map<std::string, std::uint64_t> certificateTurns_;
   /// Certificates that are out of force for certain, since when.
-  std::map<std::string, Tick> outSince_;
+  std::map<std::string, Milliseconds> outSince_;
   std::map<std::string, std::string> listedIncarnations_;
   std::set<std::string> everListed_;
   std::map<std::pair<std::string, std::uint64_t>, int> resumesOf_;
--- a/testing/sim/sweep.cpp
+++ b/testing/sim/sweep.cpp
@@ -19,11 +19,11 @@
   std::vector<std::string> names;
   bool counts = false;
   int prefixes = 40;
-  Tick skip = 0;
+  Milliseconds skip = 0;
   double demand = 0;
   double surge = 1.0;
   int minutes = 0;
-  Tick every = 0;
+  Milliseconds every = 0;
   std::string deployment;
   bool plain = false;
   int routers = 0;
@@ -185,20 +185,20 @@
           std::cout << "seed " << seed;
           for (auto const& [counter, value] : result.counts) std::cout << " " << counter << "=" << value;
           for (auto const& [requestClass, times] : result.firstTokenTimes) {
-            std::vector<Tick> t = times;
+            std::vector<Milliseconds> t = times;
             std::sort(t.begin(), t.end());
             std::cout << " " << requestClass << "-median=" << t[t.size() / 2] << " " << requestClass
                       << "-99=" << t[t.size() * 99 / 100];
           }
           for (auto const& [requestClass, times] : result.servedTokenTimes) {
-            std::vector<Tick> t = times;
+            std::vector<Milliseconds> t = times;
             std::sort(t.begin(), t.end());
             std::cout << " " << requestClass << "-served-median=" << t[t.size() / 2] << " " << requestClass
                       << "-served-99=" << t[t.size() * 99 / 100];
           }
           if (result.partSamples > 0)
             std::cout << " part-mean=" << result.partSum / static_cast<double>(result.partSamples);
-          std::vector<Tick> a = result.ackTimes;
+          std::vector<Milliseconds> a = result.ackTimes;
           std::sort(a.begin(), a.end());
           if (!a.empty()) std::cout << " ack-median=" << a[a.size() / 2] << " ack-most=" << a.back();
           std::cout << "\n";
--- a/testing/test/regimes_test.cpp
+++ b/testing/test/regimes_test.cpp
@@ -104,7 +104,7 @@
 };
 
 struct Line {
-  core::Tick tick = 0;
+  core::Milliseconds tick = 0;
   std::string what;
   std::string id;
 };
@@ -191,9 +191,9 @@
   fleet.runFor(4000);
 
   ward.change("DELETE", std::string(page) + "/model-z1", "", "");
-  core::Tick const revokedFrom = programs::now();
+  core::Milliseconds const revokedFrom = programs::now();
   fleet.runFor(1500);
-  core::Tick const revokedUntil = programs::now();
+  core::Milliseconds const revokedUntil = programs::now();
   testing::Reply const left = ward.read(page);
   std::string const revision = std::to_string(left.body.value("stamp").toInteger());
   std::string const again =
--- a/testing/test/sim_test.cpp
+++ b/testing/test/sim_test.cpp
@@ -385,7 +385,7 @@
     Mutation mutation;
     std::vector<Fault> faults;
     char const* says;
-    corkward::core::Tick every = 3000;
+    corkward::core::Milliseconds every = 3000;
     double demand = 40;
   };
   std::vector<Case> const cases{
--- a/transport/include/corkward/transport/configuration_messages.h
+++ b/transport/include/corkward/transport/configuration_messages.h
@@ -85,7 +85,7 @@
 
 /// A router asks a controller for a confirmation of its serving lease.
 struct ServingLeaseRequest {
-  core::Tick sentAt = 0;
+  core::Milliseconds sentAt = 0;
   Contact sender;
   bool wantsSnapshot = false;
   /// Always false: a first snapshot is confirmed by a majority whatever the asker says. Kept on the wire for processes
@@ -125,9 +125,9 @@
 /// Reply to a ServingLeaseRequest: whether the controller is in touch with a majority, how old that contact is, and
 /// what is known.
 struct ServingLeaseGrant {
-  core::Tick requestSentAt = 0;
+  core::Milliseconds requestSentAt = 0;
   bool hasQuorum = false;
-  core::Tick quorumAge = 0;
+  core::Milliseconds quorumAge = 0;
   /// What the controller knows to be on a majority of the disks: all that the router must know for this to count.
   Digest digest;
   /// The same in full, when the asker's digest is another.
@@ -152,7 +152,7 @@
 
 /// Contact between routers, with what each has in force.
 struct PeerHeartbeat {
-  core::Tick sentAt = 0;
+  core::Milliseconds sentAt = 0;
   bool isReply = false;
   bool wantsSnapshot = false;
   bool hasSnapshot = false;
@@ -185,6 +185,6 @@
 };
 
 /// Milliseconds that one unit of a PeerHeartbeat's ages stands for.
-inline constexpr core::Tick ageUnit = 10;
+inline constexpr core::Milliseconds ageUnit = 10;
 
 }  // namespace corkward::transport
--- a/transport/include/corkward/transport/consensus_messages.h
+++ b/transport/include/corkward/transport/consensus_messages.h
@@ -112,7 +112,7 @@
 
 /// Standing of one membership member, sent to the others.
 struct Heartbeat {
-  core::Tick sentAt = 0;
+  core::Milliseconds sentAt = 0;
   std::string member;
   bool hasNoState = false;
   bool voting = false;
@@ -154,7 +154,7 @@
 
 /// Answer to a Heartbeat: what the member has accepted, so that the asker can confirm its keys and learn what it lacks.
 struct HeartbeatReply {
-  core::Tick requestSentAt = 0;
+  core::Milliseconds requestSentAt = 0;
   std::string member;
   bool voting = false;
   /// Newest revisions this member has accepted, committed or not.
--- a/transport/include/corkward/transport/request_id_messages.h
+++ b/transport/include/corkward/transport/request_id_messages.h
@@ -17,7 +17,7 @@
   /// 0: the caller does not number its attempts.
   std::uint64_t attempt = 0;
   /// Milliseconds since the caller's first attempt, when attempts are numbered.
-  core::Tick age = 0;
+  core::Milliseconds age = 0;
   /// Name of this run of the asking process, never used again.
   std::string processRun;
   template <class F>
@@ -42,7 +42,7 @@
   /// It had reached a replica from here, which may have rejected it.
   bool reachedReplica = false;
   /// How far back this node remembers.
-  core::Tick memorySpan = 0;
+  core::Milliseconds memorySpan = 0;
   /// Who has asked for the id before, by the names of their runs.
   std::vector<std::string> claimedBy;
   template <class F>
--- a/transport/include/corkward/transport/warmup_messages.h
+++ b/transport/include/corkward/transport/warmup_messages.h
@@ -11,7 +11,7 @@
 
 /// Asks for, or gives back, the warming duty of a cold replica.
 struct WarmupLeaseRequest {
-  core::Tick sentAt = 0;
+  core::Milliseconds sentAt = 0;
   std::string replica;
   std::string link;
   std::uint64_t incarnation = 0;
@@ -30,7 +30,7 @@
 
 /// One member's reply to a WarmupLeaseRequest.
 struct WarmupLeaseGrant {
-  core::Tick requestSentAt = 0;
+  core::Milliseconds requestSentAt = 0;
   std::string replica;
   std::string member;
   bool granted = false;
--- a/transport/src/connection_health.cpp
+++ b/transport/src/connection_health.cpp
@@ -10,28 +10,28 @@
   return std::holds_alternative<ServingLeaseRequest>(message) || std::holds_alternative<Heartbeat>(message);
 }
 
-void ConnectionHealth::dialled(core::Tick now) {
+void ConnectionHealth::dialled(core::Milliseconds now) {
   dialledAt_ = now;
   unansweredSince_ = -1;
   unansweredBytes_ = 0;
   connectsThen_ = 0;
 }
 
-void ConnectionHealth::sent(core::Tick now, bool expectsAnswer, std::size_t bytes) {
+void ConnectionHealth::sent(core::Milliseconds now, bool expectsAnswer, std::size_t bytes) {
   unansweredBytes_ += bytes;
   if (expectsAnswer && unansweredSince_ < 0) unansweredSince_ = now;
 }
 
-bool ConnectionHealth::responseOverdue(core::Tick now) const {
-  auto const forBytes = static_cast<core::Tick>(unansweredBytes_ / slowestBytesPerMs);
+bool ConnectionHealth::responseOverdue(core::Milliseconds now) const {
+  auto const forBytes = static_cast<core::Milliseconds>(unansweredBytes_ / slowestBytesPerMs);
   return unansweredSince_ >= 0 && now - unansweredSince_ > responseTimeout + forBytes;
 }
 
-bool ConnectionHealth::staleOnSend(core::Tick now, bool connected) const {
+bool ConnectionHealth::staleOnSend(core::Milliseconds now, bool connected) const {
   return connected ? responseOverdue(now) : now - dialledAt_ > responseTimeout;
 }
 
-bool ConnectionHealth::staleOnReceive(core::Tick now, bool connected, int connects, std::uint64_t run,
+bool ConnectionHealth::staleOnReceive(core::Milliseconds now, bool connected, int connects, std::uint64_t run,
                                       std::uint32_t pipe) {
   bool const otherRun = run_ != 0 && run_ != run && connects == connectsThen_;
   bool const peerDialledAnew = pipe_ != 0 && pipe_ != pipe && run_ == run && now - dialledAt_ > responseTimeout;
--- a/transport/src/link.cpp
+++ b/transport/src/link.cpp
@@ -27,7 +27,7 @@
   return s;
 }
 
-core::Tick clockNow() {
+core::Milliseconds clockNow() {
   std::chrono::steady_clock::duration const since = std::chrono::steady_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
 }
--- a/transport/test/connection_health_test.cpp
+++ b/transport/test/connection_health_test.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t peerPipe = 3;
 constexpr std::uint32_t otherPipe = 4;
 constexpr std::size_t smallMessage = 200;
-constexpr core::Tick limit = ConnectionHealth::responseTimeout;
+constexpr core::Milliseconds limit = ConnectionHealth::responseTimeout;
 
 /// A connection that was dialled at 0 and had its answer at 10.
 ConnectionHealth healthyConnection() {
@@ -36,10 +36,10 @@
 }
 
 TEST_CASE("after a cut of any length each side dials at least once a second, so none waits for an old timer") {
-  for (core::Tick const cut : {5000, 17000, 20000, 600000}) {
+  for (core::Milliseconds const cut : {5000, 17000, 20000, 600000}) {
     ConnectionHealth connection = healthyConnection();
-    core::Tick dialledAt = 0;
-    for (core::Tick now = 500; now < cut; now += 500) {
+    core::Milliseconds dialledAt = 0;
+    for (core::Milliseconds now = 500; now < cut; now += 500) {
       if (connection.staleOnSend(now, dialledAt == 0)) {
         connection.dialled(now);
         dialledAt = now;
@@ -79,7 +79,7 @@
   ConnectionHealth connection = healthyConnection();
   std::size_t const bytes = 4U << 20;
   connection.sent(100, true, bytes);
-  core::Tick const passes = static_cast<core::Tick>(bytes / ConnectionHealth::slowestBytesPerMs);
+  core::Milliseconds const passes = static_cast<core::Milliseconds>(bytes / ConnectionHealth::slowestBytesPerMs);
   CHECK_FALSE(connection.staleOnSend(100 + limit + passes, true));
   CHECK(connection.staleOnSend(102 + limit + passes, true));
 }
--- a/transport/test/fill.h
+++ b/transport/test/fill.h
@@ -9,7 +9,7 @@
 struct Filler {
   core::RandomGenerator& rng;
   std::vector<std::string> const& names;
-  core::Tick now;
+  core::Milliseconds now;
 
   template <class T>
   void operator()(char const*, T& v) {
@@ -60,7 +60,7 @@
 
 /// A random message of a random kind.
 template <std::size_t I = 0>
-Message randomMessage(core::RandomGenerator& rng, std::vector<std::string> const& names, core::Tick now,
+Message randomMessage(core::RandomGenerator& rng, std::vector<std::string> const& names, core::Milliseconds now,
                       std::size_t kind) {
   if constexpr (I < std::variant_size_v<Message>) {
     if (kind != I) return randomMessage<I + 1>(rng, names, now, kind);
