--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -87,7 +87,7 @@
   config::WallTime wallTimeAt(Milliseconds now) const { return wallClock_.at(now); }
   /// Whether records can be written from here on.
   void setAuditAvailable(bool works) { tuning_.auditRecordsAvailable = works; }
-  bool setAuditAvailable() const { return tuning_.auditRecordsAvailable; }
+  bool auditAvailable() const { return tuning_.auditRecordsAvailable; }
 
   /// Whether clients should be sent here.
   bool ready(Milliseconds now) const;
--- a/dataplane/src/admission_queues.cpp
+++ b/dataplane/src/admission_queues.cpp
@@ -102,7 +102,7 @@
   bool const bulk = routes_[call.path].path.requestClass == config::RequestClass::bulk;
   if (!c.scaler.raiseLimitFor(bulk)) return false;
   std::string const& regime = regimePolicy_.regimeOf(key.second);
-  std::size_t const replicas = regime.empty() ? pools_[key.first].replicas.size() : c.scaler.setCandidates();
+  std::size_t const replicas = regime.empty() ? pools_[key.first].replicas.size() : c.scaler.candidateCount();
   double const poolCap = tuning_.nodeLimitPerReplica * static_cast<double>(std::max<std::size_t>(replicas, 1));
   std::vector<std::pair<QueueKey, int>> active;
   for (auto k = activeQueues_.lower_bound({key.first, 0}); k != activeQueues_.end() && k->first == key.first; ++k) {
--- a/programs/router/router_daemon.cpp
+++ b/programs/router/router_daemon.cpp
@@ -128,7 +128,7 @@
 }
 
 void RouterDaemon::retune(dataplane::RouterTuning const& tuning, std::vector<std::string> const& seeds) {
-  bool const recording = reducer_.setAuditAvailable();
+  bool const recording = reducer_.auditAvailable();
   reducer_.updateTuning(tuning, seeds);
   reducer_.setAuditAvailable(recording);
 }
--- a/scaling/include/corkward/scaling/scaler.h
+++ b/scaling/include/corkward/scaling/scaler.h
@@ -34,7 +34,7 @@
   bool raiseLimitFor(bool bulk);
   std::vector<Candidate> const& subset() const { return subset_; }
   /// How many it may draw from.
-  std::size_t setCandidates() const { return all_.size(); }
+  std::size_t candidateCount() const { return all_.size(); }
   bool has(NameIndex replica) const;
   int inFlight() const { return inFlight_; }
   int inFlightAt(NameIndex replica) const;
