--- a/consensus/include/corkward/consensus/mechanism_switches.h
+++ b/consensus/include/corkward/consensus/mechanism_switches.h
@@ -4,27 +4,29 @@
 
 namespace corkward::consensus {
 
-/// A safety mechanism of the registers that a test build may turn off, to check that the explorer finds its absence.
+/// A safety mechanism of the registers. A test build can turn one off to check that the explorer, which searches the
+/// reachable states for violations, detects that the mechanism is missing.
 enum class Mechanism : std::uint8_t {
   /// A member rejects ballots lower than the one it promised.
   promiseCheck,
-  /// A new owner first proposes the newest value that a majority has accepted.
+  /// A new owner first proposes the newest value that the promising majority reports as accepted.
   newestAccepted,
-  /// A member replies only after its record is synced.
-  syncBeforeAnswer,
-  /// A read is answered only after a majority has confirmed the owner since the read began.
+  /// A member sends a promise or an acceptance only after its acceptor record is synced to disk.
+  syncBeforeReply,
+  /// An owner answers a read only after a majority has confirmed its ownership since the read began.
   readConfirmation,
-  /// The next membership change waits until a majority has caught up under the present one.
+  /// The next membership change waits until a majority has caught up under the current membership.
   catchUpFirst,
-  /// A new member votes only after it has copied the state of a majority.
+  /// A new member votes only after it has copied snapshots from a majority of the other members.
   catchUpBeforeVote,
-  /// A membership change needs majorities of the old and of the new membership.
+  /// A membership change is chosen only when a majority of the old membership and one of the new membership accept it.
   jointQuorum,
-  /// Ballots from an older membership are rejected.
+  /// Members reject prepare and accept requests that were sent under an older membership.
   membershipGuard,
 };
 
-/// Mechanisms that are off. Only builds with tests can turn one off: elsewhere all are on at compile time.
+/// The mechanisms that are turned off. Only builds with CORKWARD_TESTS can turn one off; in other builds all mechanisms
+/// are always on, which is known at compile time.
 class MechanismSwitches {
  public:
 #ifdef CORKWARD_TESTS
--- a/consensus/include/corkward/consensus/replicated_registers.h
+++ b/consensus/include/corkward/consensus/replicated_registers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Replicated registers: one value for each key, agreed on by the members (Lamport, "Paxos Made Simple", 2001).
+/// Replicated registers: the members agree on one value for each key (Lamport, "Paxos Made Simple", 2001).
 
 #include <cstdint>
 #include <map>
@@ -16,16 +16,17 @@
 class EventContext;
 struct Replica;
 
-/// One member as a pure reducer. Each key is a Paxos register of its own with one owner (the distinguished proposer); a
-/// change is synced on a majority before it is acknowledged. The class dispatches events to the parts of the member
-/// and joins the commands that these cause.
+/// One member of the cluster as a deterministic state machine: each public event function updates the state and returns
+/// the commands to execute, and performs no I/O itself. Each key is a separate Paxos register with one owner (the
+/// distinguished proposer). A change is synced on a majority of the disks before it is acknowledged.
 class ReplicatedRegisters {
  public:
-  /// @param self id and link address. The id must never have been used before. A disk that has an id keeps that one,
-  ///     and a member that was removed derives its next id from this one.
-  /// @param founders link addresses of the first members, this member's own among them if it may bootstrap a cluster.
-  ///     They count at the first start of an empty disk, which records them until the cluster is bootstrapped. A
-  ///     founder that reports to have no disk does not count.
+  /// @param self id and link address. The id must never have been used before. If the disk already records an id, that
+  ///     recorded id is used instead. After a removal this member derives its next id from `self.id`.
+  /// @param founders link addresses of the first members, which include this member's own address if it may bootstrap a
+  ///     cluster. They are recorded when the disk is empty, so that a restart does not interrupt the bootstrap, and are
+  ///     ignored if the disk has a record without founders. A founder that reports that it has no disk is left out of
+  ///     the first membership.
   ReplicatedRegisters(Member self, std::vector<std::string> founders, Validator validator, std::uint64_t seed,
                       ConsensusTuning tuning = {});
   ReplicatedRegisters(ReplicatedRegisters const& other);
@@ -34,54 +35,61 @@
   ReplicatedRegisters& operator=(ReplicatedRegisters&& other) noexcept;
   ~ReplicatedRegisters();
 
-  /// Loads the records that the write-ahead log returned. When the log is damaged, none of them counts, and this
+  /// Loads the records that were read from the write-ahead log. If the log is damaged, all records are ignored and this
   /// machine joins as a new member.
   RegisterCommands restore(std::map<std::string, std::string> const& records, bool damaged, Milliseconds now);
 
-  /// Handles a message from the link address `from`. Messages of other packages are ignored.
+  /// Handles a message from the link address `from`. Ignores message types that belong to other packages.
   RegisterCommands onMessage(Milliseconds now, std::string const& from, transport::Message const& message);
   RegisterCommands onTimer(Milliseconds now);
-  /// A write and its sync are complete; not succeeded: this member's disk is out of use from now on.
+  /// Reports that the write of the PersistCommand with this ticket has ended. If it did not succeed, this member stops
+  /// using its disk and no longer votes.
   RegisterCommands onPersisted(Milliseconds now, std::uint64_t ticket, bool succeeded);
-  /// Queues a call on a key; the outcome comes as CallCompleted. Rejected at once when this member can't vote.
+  /// Queues a call on a key. The outcome is reported as CallCompleted, at once with an error if this member cannot
+  /// vote.
   RegisterCommands submit(Milliseconds now, std::string const& key, transport::OperatorCall const& call);
-  /// This member drains: it hands every owned key over to another member, now and whenever a proposal completes, starts
-  /// no election while another member can, and is removed from a membership of even size.
+  /// Starts draining this member. It hands each owned key over to another member as soon as the key has no proposal in
+  /// progress, starts no election while another member is available, and is removed if the membership has an even size.
   RegisterCommands startHandover(Milliseconds now);
 
-  /// After startHandover: this member owns nothing, the membership is of odd size, and every live member has on its
-  /// disk all that this one knows as committed, so that nothing is lost with it.
+  /// Returns true once this draining member can end without loss: it owns no key, the membership has an odd size, and
+  /// every other live member that is not draining has accepted all values that this member knows as committed. Also
+  /// true if this machine is not a member.
   bool handoverComplete(Milliseconds now) const;
-  /// True while this machine is no member or has no contact with a majority: it then sends heartbeats to the discovery
-  /// peers to learn of a membership.
+  /// Returns true while this machine is not a member or has no contact with a majority. It then also sends heartbeats
+  /// to the discovery peers, whose replies contain the membership.
   bool discovering() const;
   /// Link addresses to contact while discovering.
   void setDiscoveryPeers(std::vector<std::string> links);
 
-  /// Link of the member that owns the key, empty when none is known to be alive.
+  /// Returns the link address of the member that owns the key, or an empty string if no live owner is known.
   std::string ownerLink(std::string const& key, Milliseconds now) const;
   bool owns(std::string const& key) const;
   std::size_t ownedCount() const;
-  /// Links of the members that vote and were heard within the owner timeout, this one included if it votes.
+  /// Returns the link addresses of the voting members with a contact within the owner timeout, including this member if
+  /// it votes.
   std::vector<std::string> aliveLinks(Milliseconds now) const;
-  /// Committed values that this member knows, by key.
+  /// The committed values that this member knows, by key.
   std::map<std::string, CommittedValue> const& committed() const;
-  /// A member has accepted a value of the key, which this one need not know as committed, as after a restart of all.
+  /// Returns true if this member knows that some member has accepted a value of the key, even if it is not known to be
+  /// committed, as after a restart of all members.
   bool mayHaveAcceptedValue(std::string const& key) const;
-  /// Milliseconds since the last contact with a majority whose accepted changes this member knows; -1: none yet.
+  /// Returns the milliseconds since the last contact with a majority whose accepted changes this member knows as
+  /// committed, or -1 if there was no such contact or this member cannot vote.
   Milliseconds quorumContactAge(Milliseconds now) const;
   bool isVoting() const;
   bool isDiskHealthy() const;
-  /// True until this machine has adopted a membership that contains it.
+  /// Returns true until this machine has adopted a membership that contains it.
   bool hasNoState() const;
   std::vector<Member> const& membership() const;
   Member const& self() const;
-  /// For the explorer: hash of the state that decides what happens next, equal for states that differ only in how long
-  /// ago everything was. Spans over `cap` milliseconds count as `cap`.
+  /// Returns a hash of the state that determines future behaviour. The explorer uses it to recognise visited states.
+  /// Points in time are hashed relative to `now`, so states that differ only by a time shift have equal hashes.
+  /// Durations longer than `cap` milliseconds are hashed as `cap`.
   std::uint64_t fingerprint(Milliseconds now, Milliseconds cap) const;
 
  private:
-  /// Runs the action with the context of one event, and returns the commands that it causes.
+  /// Runs the action with the context of one event and returns the commands that the action issues.
   template <class Action>
   RegisterCommands handle(Milliseconds now, Action const& action);
 
--- a/consensus/include/corkward/consensus/types.h
+++ b/consensus/include/corkward/consensus/types.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Types of the consensus package's interface: tuning, members, the validator, and the commands that events cause.
+/// Types of the consensus package's interface: tuning, members, the validator, and the commands that events return.
 
 #include <QJsonObject>
 #include <cstdint>
@@ -18,111 +18,114 @@
 using core::Milliseconds;
 using transport::Ballot;
 
-/// An error of the control state.
+/// An error of the replicated control state.
 class ConsensusError : public core::Error {
  public:
   using core::Error::Error;
 };
 
-/// Key under which the membership itself is replicated. Its text stands in messages and records, so it stays.
+/// Key of the register that holds the membership itself. Messages and records contain this text, so it must not change.
 inline constexpr char const* membershipKey = "cohort";
 
-/// Timeouts (milliseconds) and limits. The daemon's settings may change them.
+/// Timeouts (milliseconds) and limits. The daemon's settings can override them.
 struct ConsensusTuning {
   Milliseconds heartbeatEvery = 150;
-  /// A peer that was silent for longer counts as unreachable, and an owner as lost.
+  /// A peer without contact for longer than this counts as unreachable. If the peer is an owner, other members start
+  /// elections for its keys.
   Milliseconds ownerTimeout = 1000;
-  /// Upper bound of the random delay before an election, so that few members start one at the same time.
+  /// Upper bound of the random delay before an election. The delay makes simultaneous elections rare.
   Milliseconds electionSpread = 500;
-  /// After a restart, with a majority voting and no owner announced: wait before an election, and its random spread.
+  /// Wait before an election for a key that no member has claimed since the restart, counted from the time when a
+  /// majority is alive, and upper bound of the random delay that is added to it.
   Milliseconds restartPause = 150;
   Milliseconds restartSpread = 250;
   Milliseconds resendEvery = 200;
   Milliseconds callTimeout = 4000;
-  /// A member that was unreachable for so long may be replaced, or removed when three or more are left.
+  /// A member that was unreachable for longer than this may be replaced, or removed if at least three members remain.
   Milliseconds replaceUnreachableAfter = 20000;
   std::size_t maxMembers = 9;
-  /// A write that takes longer counts as a stalled disk.
+  /// The disk counts as stalled while its oldest write has been pending for longer than this.
   Milliseconds stallAfter = 800;
-  /// A snapshot chunk has values of about so many bytes, or one value that is larger.
+  /// A snapshot chunk ends with the value at which the sum of its values reaches this size.
   std::size_t snapshotChunkBytes = 1U << 20;
-  /// Longest wait before a member whose disk lacks chosen values requests them again.
+  /// Maximum backoff between the requests of a member whose disk lacks chosen values.
   Milliseconds maxCatchUpBackoff = 4000;
-  /// For the explorer: what a test build may turn off. Nothing is off in a daemon.
+  /// Mechanisms that the explorer has turned off in a test build. In a daemon all mechanisms are on.
   MechanismSwitches switches;
 };
 
 /// One member: a machine with a disk.
 struct Member {
-  /// Never reused: a machine that was removed, or lost its disk, joins under a new id.
+  /// Never reused. A machine that was removed or lost its disk joins again under a new id.
   std::string id;
   /// Address on which the member receives messages.
   std::string link;
 };
 
-/// The members that vote, and the revision of the membership key that says so.
+/// A list of members, and the revision of the membership key under which this list was chosen.
 struct Membership {
-  /// 0 while no membership is known.
+  /// The revision, or 0 while no membership is known.
   std::uint64_t revision = 0;
   std::vector<Member> members = {};
 
   bool contains(std::string const& memberId) const;
-  /// Whether more than half of the members are among the ids; false for an empty membership.
+  /// Returns true if more than half of the members are among the ids. Returns false for an empty membership.
   bool hasMajority(std::set<std::string> const& memberIds) const;
 };
 
-/// Members that a value of the membership key lists. Malformed entries become members with empty fields.
+/// Returns the members that a value of the membership key lists. Malformed entries become members with empty fields.
 std::vector<Member> membersFromJson(QJsonObject const& membershipValue);
-/// Value of the membership key that lists the members; membersFromJson is its inverse.
+/// Returns the value of the membership key that lists the members. membersFromJson is the inverse function.
 QJsonObject membersToJson(std::vector<Member> const& members);
 
-/// What the validator decides on a call.
+/// The validator's decision on a call: whether it changes the key's value, and the response.
 struct Verdict {
-  /// False: the call reads, and its answer waits until the owner's ownership is confirmed.
+  /// False for a read, whose response is sent only after a majority has confirmed the ownership of the key.
   bool change = false;
-  /// The key's next value, if the call changes it.
+  /// The key's next value if `change` is true.
   QJsonObject value;
-  /// HTTP status and body of the answer.
+  /// HTTP status and body of the response.
   int status = 200;
   QJsonObject body;
 };
 
-/// Decides on a call, given the key's current value (revision 0: none yet). Pure.
+/// Decides on a call, given the key's current revision and value. The revision is 0 if the key has no value yet. Must
+/// be a pure function.
 using Validator = std::function<Verdict(std::string const& key, std::uint64_t revision, QJsonObject const& value,
                                         transport::OperatorCall const& call)>;
 
-/// Command: write the record and sync it, then report the ticket.
+/// Command to write the record, sync it, and then call ReplicatedRegisters::onPersisted with the ticket.
 struct PersistCommand {
   std::uint64_t ticket = 0;
   std::string key;
   std::string payload;
 };
 
-/// A value that a majority of the members has accepted on disk.
+/// A value that a majority of the members has accepted and synced to disk.
 struct CommittedValue {
   std::string key;
   std::uint64_t revision = 0;
   QJsonObject value;
 };
 
-/// Outcome of a call that was submitted to this member.
+/// The outcome of a call that was submitted to this member.
 struct CallCompleted {
   std::uint64_t token = 0;
   std::string key;
-  /// Revision that the call's change was committed under; 0 when it changed nothing.
+  /// The revision under which the call's change was committed, or 0 if the call changed nothing.
   std::uint64_t revision = 0;
-  /// HTTP status and body of the answer.
+  /// HTTP status and body of the response.
   int status = 0;
   QJsonObject body;
 };
 
-/// Commands that one event caused.
+/// Commands that the handling of one event returns.
 struct RegisterCommands {
   std::vector<transport::Send> sends;
   std::vector<PersistCommand> persists;
   std::vector<CommittedValue> commits;
   std::vector<CallCompleted> completedCalls;
-  /// Calls that were never proposed here and belong to the key's new owner.
+  /// Calls, by key, that were not proposed by this member and must be forwarded to the key's owner.
   std::vector<std::pair<std::string, transport::OperatorCall>> rerouted;
   std::vector<core::LogEvent> logEvents;
 };
--- a/consensus/src/call_queue.h
+++ b/consensus/src/call_queue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Calls on one key that this member has not evaluated yet.
+/// The queue of the calls on one key that the validator has not evaluated yet.
 
 #include <deque>
 #include <optional>
@@ -11,15 +11,15 @@
 
 namespace corkward::consensus {
 
-/// Calls in order of arrival, with the time of their submission.
+/// Holds calls in order of arrival, with the time of their submission.
 class CallQueue {
  public:
   void push(transport::OperatorCall call, Milliseconds now);
-  /// The oldest call, which is removed; nothing when the queue is empty.
+  /// Removes and returns the oldest call. Returns std::nullopt if the queue is empty.
   std::optional<transport::OperatorCall> pop();
-  /// Calls that have waited for longer than the timeout, which are removed.
+  /// Removes and returns the calls that have waited for longer than the timeout.
   std::vector<transport::OperatorCall> takeExpired(Milliseconds timeout, Milliseconds now);
-  /// All calls, which are removed.
+  /// Removes and returns all calls.
   std::vector<transport::OperatorCall> takeAll();
 
   bool empty() const { return queued_.empty(); }
--- a/consensus/src/catch_up.cpp
+++ b/consensus/src/catch_up.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The first request's number is drawn below this one.
+/// Exclusive upper bound of the random part of the first request's number.
 constexpr std::uint64_t requestNumberSpace = std::uint64_t{1} << 48;
 
 }  // namespace
@@ -37,7 +37,7 @@
     return;
   }
   if (isPersisting() || context.persistence.hasFailed() || !context.selfIsMember()) return;
-  // A member that does not vote yet counts for nothing in the majority.
+  // A voting member counts itself in the majority. A member that does not vote yet needs a majority of the others.
   std::size_t const size = context.currentMembership().members.size();
   std::size_t const needed = (size + (context.local.mayVote() ? 0 : 1)) / 2;
   if (copiedFrom_.size() >= (context.tuning.switches.off(Mechanism::catchUpBeforeVote) ? 0 : needed))
@@ -62,16 +62,16 @@
 }
 
 void CatchUp::requestSnapshots(EventContext& context) {
-  bool const again = requestedAt_ >= 0;
-  if (again && context.now - requestedAt_ <= context.tuning.resendEvery) return;
+  bool const isRepeated = requestedAt_ >= 0;
+  if (isRepeated && context.now - requestedAt_ <= context.tuning.resendEvery) return;
   requestedAt_ = context.now;
   transport::ValueRequest const request = nextRequest(context, "");
   for (auto const& member : context.currentMembership().members) {
     if (member.id == context.local.id() || copiedFrom_.count(member.id) > 0) continue;
-    // The first request goes to one voting member, repeated ones to all that are missing.
-    if (!again && !context.detector.find(member.id)->voting) continue;
+    // The first request goes to one voting member. Repeated requests go to all members whose snapshot is missing.
+    if (!isRepeated && !context.detector.find(member.id)->voting) continue;
     context.sendToPeer(member.link, request);
-    if (!again) return;
+    if (!isRepeated) return;
   }
 }
 
@@ -132,9 +132,9 @@
   for (auto it = context.registers.after(request.key); it != context.registers.end(); ++it) {
     auto const& [key, keyRegister] = *it;
     Acceptor const& acceptor = keyRegister.acceptor();
-    transport::RecordSlot const& theirs = known[key];
-    bool const newer = theirs.promised < acceptor.promised() ||
-                       AcceptedPosition{theirs.acceptedBallot, theirs.revision} < acceptor.position();
+    transport::RecordSlot const& requesterSlot = known[key];
+    bool const newer = requesterSlot.promised < acceptor.promised() ||
+                       AcceptedPosition{requesterSlot.acceptedBallot, requesterSlot.revision} < acceptor.position();
     if (!newer) continue;
     if (request.requestNumber > 0 && bytes >= context.tuning.snapshotChunkBytes) {
       chunk.hasMore = true;
@@ -148,7 +148,7 @@
 }
 
 bool CatchUp::isExpected(EventContext const& context, transport::SnapshotChunk const& chunk) const {
-  // Releases that don't number requests send 0.
+  // Releases that do not number their requests send 0.
   bool const requested = chunk.requestNumber == 0 || (firstRequest_ > 0 && firstRequest_ <= chunk.requestNumber &&
                                                       chunk.requestNumber <= lastRequest_);
   Membership const& membership = context.currentMembership();
--- a/consensus/src/catch_up.h
+++ b/consensus/src/catch_up.h
@@ -1,10 +1,12 @@
 #pragma once
 
-/// Catching up, on the side of the member that lacks state and on that of the one that has it.
+/// Catch-up: how a member requests snapshots of missing state, and how other members serve these requests.
 ///
-/// After each membership change a member copies what it lacks from others, until a majority of the membership, itself
-/// included, has sent its snapshot. Then its disk has every value that was chosen before; it reports that in its
-/// heartbeats. A new member votes only from then on.
+/// After each membership change a member requests the registers that it lacks from other members. A member that votes
+/// has caught up once the members that sent a complete snapshot form a majority together with it. A member that does not
+/// vote yet has caught up once a majority of the other members sent one. Its disk then has every value that was chosen
+/// before the change, and its heartbeats report the membership's revision as caught up. A new member votes only after
+/// its first catch-up.
 
 #include <cstdint>
 #include <set>
@@ -18,59 +20,63 @@
 
 class EventContext;
 
-/// Snapshots that this member requests and sends.
+/// Requests snapshots from other members and answers their requests.
 class CatchUp {
  public:
-  /// The disk has a record that this member caught up under the membership of that revision.
+  /// Sets the membership revision under which this member last caught up, as recorded on the disk.
   void restore(std::uint64_t caughtUpRevision) { caughtUpRevision_ = caughtUpRevision; }
-  /// A membership was adopted: this member has to catch up under it.
+  /// Starts the catch-up under a newly adopted membership.
   void restart();
   void resetAfterRemoval();
 
-  /// Requests snapshots, or records that this member has caught up, as far as that is due.
+  /// Sends the requests that are due, or starts to record that this member has caught up.
   void advance(EventContext& context);
-  /// This member has all that was chosen: it writes that down, and votes once that is synced.
+  /// Records that this member has every value chosen before the membership change. The member votes once the record is
+  /// synced.
   void complete(EventContext& context);
   void onPersisted(EventContext& context, std::uint64_t ticket);
   void onValueRequest(EventContext& context, std::string const& from, transport::ValueRequest const& request);
   void onSnapshotChunk(EventContext& context, std::string const& from, transport::SnapshotChunk const& chunk);
 
-  /// Revision of the membership under which this member caught up last; 0: none.
+  /// The revision of the membership under which this member last caught up, or 0 if it never did.
   std::uint64_t caughtUpRevision() const { return caughtUpRevision_; }
-  /// The record that this member has caught up is being written.
+  /// Returns true while the record that this member has caught up is being written.
   bool isPersisting() const { return pendingTicket_ != 0; }
   void addTo(Fingerprint& fingerprint) const;
 
  private:
   bool hasCaughtUp(EventContext const& context) const;
   void requestSnapshots(EventContext& context);
-  /// Requests chosen values that this member's disk lacks from one other member, with exponential backoff.
+  /// Requests the committed values that this member's disk lacks from one other member, with exponential backoff.
   void requestMissingValues(EventContext& context);
-  /// A request, under the next number, for the registers with keys after `afterKey`.
+  /// Returns a request with the next request number for the registers with keys greater than `afterKey`.
   transport::ValueRequest nextRequest(EventContext& context, std::string const& afterKey);
-  /// The newer registers of this member, up to the size of one chunk.
+  /// Returns the registers in which this member is ahead of the requester, up to the size of one chunk.
   static transport::SnapshotChunk snapshotFor(EventContext const& context, transport::ValueRequest const& request);
-  /// Whether the chunk answers a request of this process, under the present membership.
+  /// Returns true if the chunk belongs to a request of this process and was sent under the current membership.
   bool isExpected(EventContext const& context, transport::SnapshotChunk const& chunk) const;
 
   std::uint64_t caughtUpRevision_ = 0;
-  /// Ticket of the record that this member has caught up, and the membership's revision in it; 0: none is being
-  /// written.
+  /// Ticket of the pending record that this member has caught up, and the membership revision in that record. The
+  /// ticket is 0 if no such record is being written.
   std::uint64_t pendingTicket_ = 0;
   std::uint64_t pendingRevision_ = 0;
-  /// Ids of the members whose whole snapshot was merged since restart().
+  /// Ids of the members whose complete snapshot was merged since restart().
   std::set<std::string> copiedFrom_;
-  /// When snapshots were requested last; -1: not since restart() or since the last whole snapshot.
+  /// Time of the last request for snapshots, or -1 if none was sent since restart() or since the last complete
+  /// snapshot.
   Milliseconds requestedAt_ = -1;
-  /// Numbers of this process's first and newest request, 0 before the first. A late reply to a request of an earlier
-  /// process, which may have lost what it reported to have, must not count; so the first is random.
+  /// Numbers of this process's first and latest request, or 0 before the first one. The first number is random, so that
+  /// a late reply to a request of an earlier process on this machine is not mistaken for a reply to this process. That
+  /// reply leaves out registers that the earlier process reported as known, which this process may lack.
   std::uint64_t firstRequest_ = 0;
   std::uint64_t lastRequest_ = 0;
-  /// Since when chosen values are missing on this disk, or when they were requested last; -1: none are missing.
+  /// When committed values were first found missing on this disk, or when they were last requested. It is -1 if no
+  /// value is missing.
   Milliseconds missingSince_ = -1;
-  /// Wait until missing values are requested.
+  /// Time to wait before the next request for missing values.
   Milliseconds backoff_ = 0;
-  /// Counts requests for missing values, so that they go to the members in turn.
+  /// Number of requests for missing values. It selects the members round robin.
   std::size_t missingRequests_ = 0;
 };
 
--- a/consensus/src/context.h
+++ b/consensus/src/context.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What the handling of one event works with.
+/// The context of one event, which is passed to all functions that handle the event.
 
 #include <map>
 #include <string>
@@ -20,27 +20,27 @@
 
 struct Replica;
 
-/// One event: its time, the commands it has caused so far, and the parts of the member that handle it. Each part owns
-/// its state; the others use its public functions.
+/// One event: its time, the commands that were issued so far, and the components of the member. Each component owns its
+/// state, and the other components use its public functions.
 class EventContext {
  public:
   EventContext(Replica& replica, Milliseconds time);
 
-  /// Sends a message. One to this member itself is handled at once, before the function returns.
+  /// Sends a message. A message to this member itself is handled before the function returns.
   void send(std::string const& to, transport::Message message);
-  /// Sends a message that is never for this member.
+  /// Sends a message to another machine. The address must not be this member's own.
   void sendToPeer(std::string const& to, transport::Message message);
   void log(core::EventName event, std::map<std::string, std::string> fields);
   void complete(CallCompleted call) { commands.completedCalls.push_back(std::move(call)); }
 
-  /// This member votes: it has caught up, was not removed, and its disk has not failed.
+  /// Returns true if this member votes: it has caught up, was not removed, and its disk has not failed.
   bool isVoting() const;
-  /// It votes, and its disk isn't stalled.
+  /// Returns true if this member votes and its disk is not stalled.
   bool canVoteNow() const;
   Membership const& currentMembership() const { return membership.current(); }
-  /// Whether this machine is a member of the adopted membership.
+  /// Returns true if this machine belongs to the adopted membership.
   bool selfIsMember() const { return currentMembership().contains(local.id()); }
-  /// Other live members that don't drain.
+  /// Returns the other live members that are not draining.
   std::vector<Member> availablePeers() const;
 
   Milliseconds const now;
--- a/consensus/src/failure_detector.cpp
+++ b/consensus/src/failure_detector.cpp
@@ -9,11 +9,11 @@
 
 void FailureDetector::start(Milliseconds now) {
   lastTimerAt_ = now;
-  wokeAt_ = now;
+  resumedAt_ = now;
 }
 
 void FailureDetector::onTimer(Milliseconds now) {
-  if (now - lastTimerAt_ > ownerTimeout_) wokeAt_ = now;
+  if (now - lastTimerAt_ > ownerTimeout_) resumedAt_ = now;
   lastTimerAt_ = now;
 }
 
@@ -21,13 +21,13 @@
   std::erase_if(peers_, [&](auto const& peer) { return !membership.contains(peer.first); });
   for (auto const& member : membership.members) {
     PeerState& peer = peers_[member.id];
-    if (peer.lastHeardAt == 0) peer.lastHeardAt = now;
+    if (peer.lastContactAt == 0) peer.lastContactAt = now;
   }
 }
 
 void FailureDetector::recordHeartbeat(transport::Heartbeat const& heartbeat, Milliseconds now) {
   PeerState& peer = peers_[heartbeat.member];
-  peer.lastHeardAt = now;
+  peer.lastContactAt = now;
   peer.voting = heartbeat.voting;
   peer.draining = heartbeat.draining;
   peer.membershipRevision = heartbeat.membershipRevision;
@@ -39,12 +39,12 @@
 
 void FailureDetector::recordReply(transport::HeartbeatReply const& reply, Learner const& learner, Milliseconds now) {
   PeerState& peer = peers_[reply.member];
-  peer.lastHeardAt = now;
+  peer.lastContactAt = now;
   if (!reply.voting) return;
   peer.acceptedDigest = reply.acceptedDigest;
   bool const allKnown = learner.hasHadDigest(reply.acceptedDigest);
-  bool const listed = transport::digestOf(reply.accepted) == reply.acceptedDigest;
-  if (reply.requestSentAt <= peer.repliedHeartbeatAt || (!allKnown && !listed)) return;
+  bool const isListed = transport::digestOf(reply.accepted) == reply.acceptedDigest;
+  if (reply.requestSentAt <= peer.repliedHeartbeatAt || (!allKnown && !isListed)) return;
   peer.repliedHeartbeatAt = reply.requestSentAt;
   peer.acceptedRevisions = allKnown ? transport::Revisions() : reply.accepted;
   refreshContact(peer, learner);
@@ -81,7 +81,7 @@
 
 bool FailureDetector::isAlive(std::string const& memberId, Milliseconds now) const {
   PeerState const* const peer = find(memberId);
-  return peer != nullptr && peer->voting && now - peer->lastHeardAt < ownerTimeout_;
+  return peer != nullptr && peer->voting && now - peer->lastContactAt < ownerTimeout_;
 }
 
 bool FailureDetector::isDraining(std::string const& memberId) const {
@@ -89,10 +89,10 @@
   return peer != nullptr && peer->draining;
 }
 
-Milliseconds FailureDetector::timeSinceHeard(std::string const& memberId, std::string const& selfId,
-                                             Milliseconds now) const {
+Milliseconds FailureDetector::timeSinceContact(std::string const& memberId, std::string const& selfId,
+                                               Milliseconds now) const {
   PeerState const* const peer = find(memberId);
-  return memberId == selfId || peer == nullptr ? 0 : now - std::max(peer->lastHeardAt, wokeAt_);
+  return memberId == selfId || peer == nullptr ? 0 : now - std::max(peer->lastContactAt, resumedAt_);
 }
 
 std::vector<Member> FailureDetector::availablePeers(Membership const& membership, std::string const& selfId,
@@ -139,10 +139,10 @@
 void FailureDetector::addTo(Fingerprint& fingerprint) const {
   fingerprint.addFlag(hasQuorum());
   fingerprint.addTime(quorumSince_);
-  fingerprint.addTime(wokeAt_);
+  fingerprint.addTime(resumedAt_);
   for (auto const& [memberId, peer] : peers_) {
     fingerprint.add(memberId);
-    fingerprint.addTime(peer.lastHeardAt);
+    fingerprint.addTime(peer.lastContactAt);
     fingerprint.addTime(peer.repliedHeartbeatAt);
     fingerprint.addTime(peer.confirmedHeartbeatAt);
     fingerprint.add(peer.acceptedRevisions);
--- a/consensus/src/failure_detector.h
+++ b/consensus/src/failure_detector.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Failure detector: what the other members last reported, who counts as alive, and contact with a majority.
+/// Failure detector: the last reported state of the other members, which of them are alive, and whether a majority is
+/// in contact.
 
 #include <map>
 #include <string>
@@ -13,73 +14,77 @@
 
 class Learner;
 
-/// What another member last reported.
+/// The last reported state of another member.
 struct PeerState {
-  /// When its last heartbeat or reply arrived; at first when it became a member.
-  Milliseconds lastHeardAt = 0;
+  /// When its last heartbeat or reply arrived. Before the first one, the time when it became a member.
+  Milliseconds lastContactAt = 0;
   bool voting = false;
-  /// It drains, and has not come back since.
+  /// True if its last heartbeat reports that it is draining.
   bool draining = false;
-  /// Revision of the membership that it goes by.
+  /// Revision of the membership that it has adopted.
   std::uint64_t membershipRevision = 0;
-  /// Revision of the membership under which it caught up last.
+  /// Revision of the membership under which it last caught up.
   std::uint64_t caughtUpRevision = 0;
-  /// Keys that it owns, with its ballot numbers.
+  /// The keys that it owns, with their ballot numbers.
   transport::Revisions ownedKeys;
-  /// ownedKeys are what its last heartbeat means.
+  /// True if ownedKeys matches the digest in its last heartbeat. Not every heartbeat lists the keys.
   bool ownedKeysKnown = false;
-  /// Digest of what it has accepted.
+  /// Digest of its accepted revisions.
   transport::Digest acceptedDigest;
-  /// Sending time of this member's newest heartbeat that it replied to; -1: none.
+  /// Sending time of the latest heartbeat of this member that the peer has replied to, or -1 if there was no reply.
   Milliseconds repliedHeartbeatAt = -1;
-  /// Revisions that it had accepted then; empty when the digest shows that all of them are known here.
+  /// The accepted revisions in that reply. Empty if the digest shows that this member knows all of them as committed.
   transport::Revisions acceptedRevisions;
-  /// As repliedHeartbeatAt, of the newest reply all of whose accepted revisions are known as committed here.
+  /// Like repliedHeartbeatAt, but for the latest reply of which this member knows all accepted revisions as committed.
   Milliseconds confirmedHeartbeatAt = -1;
 };
 
-/// Liveness of the members, this one included.
+/// Tracks the liveness of the members, including this one.
 class FailureDetector {
  public:
   FailureDetector(Milliseconds ownerTimeout) : ownerTimeout_(ownerTimeout) {}
 
-  /// The process starts.
+  /// Starts the detector at the start of the process.
   void start(Milliseconds now);
-  /// Time has passed. After a pause longer than the owner timeout (this machine slept) silence counts from now on.
+  /// Records the time. If the last timer event is longer ago than the owner timeout, this machine was suspended, and
+  /// time without contact is counted only from now on.
   void onTimer(Milliseconds now);
-  /// Sets the members whose state is kept.
+  /// Sets the members whose state is tracked.
   void setMembers(Membership const& membership, Milliseconds now);
-  /// A member's heartbeat arrived.
+  /// Records the heartbeat of a member.
   void recordHeartbeat(transport::Heartbeat const& heartbeat, Milliseconds now);
-  /// A member replied to a heartbeat of this one.
+  /// Records a member's reply to a heartbeat of this member.
   void recordReply(transport::HeartbeatReply const& reply, Learner const& learner, Milliseconds now);
-  /// More is committed now: replies that reported it as accepted count as contact.
+  /// Updates the contacts after a commit. Replies that reported the committed value as accepted may now count as
+  /// contact.
   void onCommitted(Learner const& learner);
-  /// Notes since when this member and its live peers are a majority.
+  /// Updates the time since when the live peers, with this member if it votes, have been a majority.
   void updateQuorum(Membership const& membership, std::string const& selfId, bool selfVotes, Milliseconds now);
 
-  /// nullptr for what is no member.
+  /// Returns nullptr if the id is not that of a member.
   PeerState const* find(std::string const& memberId) const;
   std::map<std::string, PeerState> const& peers() const { return peers_; }
-  /// The peer votes and was heard within the owner timeout.
+  /// Returns true if the peer votes and its last contact is within the owner timeout.
   bool isAlive(std::string const& memberId, Milliseconds now) const;
-  /// The peer reported that it drains.
+  /// Returns true if the peer's last heartbeat reports that it is draining.
   bool isDraining(std::string const& memberId) const;
-  /// Milliseconds since the peer was heard, less the time in which this machine slept; 0 for `selfId`.
-  Milliseconds timeSinceHeard(std::string const& memberId, std::string const& selfId, Milliseconds now) const;
-  /// Live members that don't drain, without `selfId`: they can take over keys, and have state to copy.
+  /// Returns the milliseconds since the last contact with the peer, not counting time before this machine last started
+  /// or was resumed. Returns 0 for `selfId`.
+  Milliseconds timeSinceContact(std::string const& memberId, std::string const& selfId, Milliseconds now) const;
+  /// Returns the live members other than `selfId` that are not draining. They can take over keys and send snapshots.
   std::vector<Member> availablePeers(Membership const& membership, std::string const& selfId, Milliseconds now) const;
-  /// Each of the other members has reported which keys it owns.
+  /// Returns true if each of the other members has reported which keys it owns.
   bool allOwnedKeysKnown(Membership const& membership, std::string const& selfId) const;
-  /// Some peer has reported an accepted value of the key that was not known as committed here.
+  /// Returns true if some peer has reported an accepted value of the key that this member did not know as committed.
   bool mayHaveAcceptedValue(std::string const& key) const;
-  /// Newest revision of the key that a peer has reported as accepted; 0: none.
+  /// Returns the highest revision of the key that a peer has reported as accepted, or 0 if there is none.
   std::uint64_t newestAcceptedRevision(std::string const& key) const;
-  /// When a majority was in contact last, given until when this member's own accepted values were committed; -1: never.
+  /// Returns the time of the last contact with a majority, or -1 if there was none.
+  /// @param selfConfirmedUntil time of this member's own contact, see Learner::confirmedUntil
   Milliseconds quorumContactAt(Membership const& membership, std::string const& selfId,
                                Milliseconds selfConfirmedUntil) const;
   bool hasQuorum() const { return quorumSince_ >= 0; }
-  /// A majority has been alive for so long.
+  /// Returns true if a majority has been alive for at least this duration.
   bool hasQuorumFor(Milliseconds duration, Milliseconds now) const {
     return hasQuorum() && now - quorumSince_ >= duration;
   }
@@ -92,11 +97,11 @@
 
   Milliseconds ownerTimeout_;
   Milliseconds lastTimerAt_ = 0;
-  /// When this machine started or woke up last: silence of peers before does not count.
-  Milliseconds wokeAt_ = 0;
-  /// Since when a majority has been alive; -1: it is not.
+  /// When this machine last started or was resumed. Time without contact before that does not count.
+  Milliseconds resumedAt_ = 0;
+  /// Since when a majority has been alive, or -1 if no majority is alive.
   Milliseconds quorumSince_ = -1;
-  /// Invariant: one entry for each member of the adopted membership, this member's own unused.
+  /// Invariant: one entry for each member of the adopted membership. The entry of this member itself is unused.
   std::map<std::string, PeerState> peers_;
 };
 
--- a/consensus/src/fingerprint.h
+++ b/consensus/src/fingerprint.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Hash of a member's state, by which the explorer recognises states that it has visited.
+/// Hash of a member's state. The explorer uses it to recognise states that it has visited.
 
 #include <QJsonObject>
 #include <cstdint>
@@ -14,7 +14,7 @@
 /// Running hash of a sequence of values.
 class Fingerprint {
  public:
-  /// @param cap spans of time over so many milliseconds count as equal
+  /// @param cap durations longer than this are hashed as equal
   Fingerprint(Milliseconds now, Milliseconds cap) : now_(now), cap_(cap) {}
 
   void add(std::uint64_t value);
@@ -25,7 +25,7 @@
   void add(transport::Digest const& digest);
   void add(transport::Revisions const& revisions);
   void add(std::set<std::string> const& names);
-  /// Adds a point in time, as the span since then or until then.
+  /// Adds a point in time as its signed distance from now(), limited to the cap.
   void addTime(Milliseconds time);
   std::uint64_t value() const { return hash_; }
   Milliseconds now() const { return now_; }
--- a/consensus/src/handover.h
+++ b/consensus/src/handover.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Handing owned keys over while this member drains.
+/// Handover of the owned keys while this member is draining.
 
 #include <corkward/consensus/types.h>
 
@@ -9,9 +9,10 @@
 class EventContext;
 struct Replica;
 
-/// Hands every owned key without a proposal over to the other available members in turn, if there are any.
+/// Hands the owned keys that have no proposal in progress over to the other available members, round robin. Does
+/// nothing if no other member is available.
 void handOverOwnedKeys(EventContext& context);
-/// Whether nothing is lost when this member ends now; see ReplicatedRegisters::handoverComplete.
+/// Returns true if this member can end now without loss. See ReplicatedRegisters::handoverComplete.
 bool isHandoverComplete(Replica const& replica, Milliseconds now);
 
 }  // namespace corkward::consensus
--- a/consensus/src/heartbeats.cpp
+++ b/consensus/src/heartbeats.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Heartbeats that list the owned keys in full after these have changed.
-constexpr int fullListsAfterChange = 3;
+/// Number of heartbeats that list all owned keys after the set of owned keys has changed.
+constexpr int fullKeyListsAfterChange = 3;
 
-/// Links that heartbeats go to.
+/// Returns the link addresses to which heartbeats are sent.
 std::set<std::string> targetsOf(EventContext const& context) {
   std::set<std::string> targets;
   for (auto const& member : context.currentMembership().members) targets.insert(member.link);
@@ -26,7 +26,7 @@
   return targets;
 }
 
-/// Whether the member at the link has reported that it goes by the same membership.
+/// Returns true if the member at the link address has reported that it has adopted the current membership.
 bool hasCurrentMembership(EventContext const& context, std::string const& link) {
   Membership const& membership = context.currentMembership();
   return std::any_of(membership.members.begin(), membership.members.end(), [&](Member const& member) {
@@ -62,10 +62,10 @@
 
 void Heartbeats::updateAnnouncedKeys(transport::Heartbeat& heartbeat) {
   heartbeat.ownedDigest = transport::digestOf(heartbeat.ownedKeys);
-  if (!(heartbeat.ownedDigest == announcedKeys_)) fullListsLeft_ = fullListsAfterChange;
+  if (!(heartbeat.ownedDigest == announcedKeys_)) fullKeyListsLeft_ = fullKeyListsAfterChange;
   announcedKeys_ = heartbeat.ownedDigest;
-  if (fullListsLeft_ == 0) heartbeat.ownedKeys.clear();
-  fullListsLeft_ = std::max(0, fullListsLeft_ - 1);
+  if (fullKeyListsLeft_ == 0) heartbeat.ownedKeys.clear();
+  fullKeyListsLeft_ = std::max(0, fullKeyListsLeft_ - 1);
 }
 
 void Heartbeats::sendAll(EventContext& context) {
@@ -85,7 +85,7 @@
     context.membership.adopt(context,
                              Membership{heartbeat.membershipRevision, membersFromJson(heartbeat.membershipValue)});
   if (!context.currentMembership().contains(heartbeat.member)) {
-    context.membership.noteCandidate(heartbeat.member, from, heartbeat.hasNoState, context.now);
+    context.membership.recordCandidate(heartbeat.member, from, heartbeat.hasNoState, context.now);
     if (!context.local.hasNoState() && !context.local.isRemoved()) context.sendToPeer(from, stateHeartbeat(context));
     return;
   }
@@ -114,7 +114,7 @@
 
 void Heartbeats::onReply(EventContext& context, transport::HeartbeatReply const& reply) {
   if (!context.currentMembership().contains(reply.member)) return;
-  if (reply.wantsOwnedKeys) fullListsLeft_ = std::max(fullListsLeft_, 1);
+  if (reply.wantsOwnedKeys) fullKeyListsLeft_ = std::max(fullKeyListsLeft_, 1);
   context.detector.recordReply(reply, context.learner, context.now);
   if (!reply.voting) return;
   for (auto const& [key, ballotNumber] : reply.higherBallots)
@@ -126,7 +126,7 @@
 void Heartbeats::addTo(Fingerprint& fingerprint) const {
   fingerprint.addTime(nextAt_);
   fingerprint.addFlag(newestReadAt_ == fingerprint.now());
-  fingerprint.add(static_cast<std::uint64_t>(fullListsLeft_));
+  fingerprint.add(static_cast<std::uint64_t>(fullKeyListsLeft_));
   fingerprint.add(announcedKeys_);
 }
 
--- a/consensus/src/learner.cpp
+++ b/consensus/src/learner.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-/// Digests that are remembered, so that a member a few changes behind is still recognised.
+/// Number of stored digests. With them a member that is a few changes behind is still recognised as having no unknown
+/// value.
 constexpr std::size_t maxDigestHistory = 64;
 
 }  // namespace
 
-void rejectSecondValue(EventContext& context, std::string const& key, std::string const& reason) {
+void rejectConflictingValue(EventContext& context, std::string const& key, std::string const& reason) {
   CORKWARD_GUARANTEE(core::Guarantee::oneValuePerRevision, false, key + ": " + reason);
   context.log(events::messageRejected, {{"key", key}, {"reason", reason}});
 }
@@ -24,7 +25,7 @@
   CommittedValue const* const known = find(entry.key);
   if (known != nullptr && known->revision >= entry.revision) {
     if (known->revision == entry.revision && known->value != entry.value)
-      rejectSecondValue(context, entry.key, "two values under one revision");
+      rejectConflictingValue(context, entry.key, "two values under one revision");
     return;
   }
   CommittedValue const value{entry.key, entry.revision, entry.value};
--- a/consensus/src/learner.h
+++ b/consensus/src/learner.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Learner: values that are known to be chosen, as in "Paxos Made Simple", section 2.3.
+/// Learner: the values that are known to be chosen, as in "Paxos Made Simple", section 2.3.
 
 #include <cstdint>
 #include <deque>
@@ -14,44 +14,47 @@
 
 class EventContext;
 
-/// Committed values that one member knows, and the accepted ones that it doesn't know to be committed.
+/// Holds the committed values that this member knows, and notes which of its accepted values it does not yet know as
+/// committed.
 class Learner {
  public:
-  /// A value is chosen. An older one is ignored; another value under the same revision breaks a guarantee and is
-  /// rejected.
+  /// Records a chosen value. Ignores one that is older than the known value. Rejects a different value under the same
+  /// revision, which violates a guarantee.
   void learn(EventContext& context, transport::CommittedEntry const& entry);
-  /// This member's acceptor has the value of this revision.
+  /// Records that this member's acceptor has accepted the value of this revision.
   void noteAccepted(std::string const& key, std::uint64_t revision, Milliseconds now);
-  /// This member was removed: what it had accepted does not count any more.
+  /// Forgets the accepted values, which no longer count after this member was removed.
   void forgetAccepted() { unconfirmedSince_.clear(); }
 
   std::map<std::string, CommittedValue> const& committed() const { return committed_; }
   bool isCommitted(std::string const& key) const { return committed_.count(key) > 0; }
-  /// nullptr: none is known.
+  /// Returns nullptr if no committed value of the key is known.
   CommittedValue const* find(std::string const& key) const;
-  /// 0: none is known.
+  /// Returns the revision of the known committed value, or 0 if none is known.
   std::uint64_t revisionOf(std::string const& key) const;
   /// Digest of the committed revisions.
   transport::Digest const& digest() const { return digest_; }
-  /// Whether the digest is one that digest() was before or is now: who has that set has nothing that is unknown here.
+  /// Returns true if the digest equals the current digest() or a recent earlier one. A member that reports such a
+  /// digest has accepted no value that is unknown to this member.
   bool hasHadDigest(transport::Digest const& digest) const;
-  /// Earliest time from which on this member has an accepted value that it doesn't know to be committed; `now` when it
-  /// has none.
+  /// Returns the time since when this member has had an accepted value that it does not know as committed, the earliest
+  /// one if there are several. Returns `now` if there is no such value.
   Milliseconds confirmedUntil(Milliseconds now) const;
   void addTo(Fingerprint& fingerprint) const;
 
  private:
-  /// Invariant: revisions of a key never fall while the process runs, and a revision has one value.
+  /// Invariant: the revision of a key never decreases while the process runs, and each revision has one value.
   std::map<std::string, CommittedValue> committed_;
   /// Invariant: digest of committed_.
   transport::Digest digest_;
-  /// Last values of digest_, newest last.
+  /// The last values of digest_, newest last.
   std::deque<transport::Digest> digestHistory_;
-  /// Keys whose accepted revision is newer than the committed one, and since when.
+  /// Keys whose accepted revision is newer than the known committed one, with the time since when this is so.
   std::map<std::string, Milliseconds> unconfirmedSince_;
 };
 
-/// Logs that a message contradicts what this member knows, and counts the broken guarantee of one value per revision.
-void rejectSecondValue(EventContext& context, std::string const& key, std::string const& reason);
+/// Logs a message whose value contradicts a known value, and counts a violation of the guarantee that each revision has
+/// one value.
+void rejectConflictingValue(EventContext& context, std::string const& key, std::string const& reason);
 
 }  // namespace corkward::consensus
--- a/consensus/src/linearizable_reads.h
+++ b/consensus/src/linearizable_reads.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Reads of one key that wait for confirmation, as in Raft's ReadIndex (Ongaro's dissertation, section 6.4).
+/// Reads of one key that wait until a majority confirms the owner, as in Raft's ReadIndex (Ongaro's dissertation,
+/// section 6.4).
 
 #include <QJsonObject>
 #include <cstdint>
@@ -13,27 +14,28 @@
 
 namespace corkward::consensus {
 
-/// A read that the owner has evaluated and not yet answered.
+/// A read that the validator has evaluated and that the owner has not answered yet.
 struct PendingRead {
   std::uint64_t token = 0;
   Milliseconds startedAt = 0;
   int status = 0;
   QJsonObject body;
-  /// Ids of the members that confirmed the ownership after the read began, the owner included.
+  /// Ids of the members that confirmed the ownership after the read began, including the owner itself.
   std::set<std::string> confirmedBy;
 };
 
-/// An owner may have lost the key without knowing. It answers a read once a majority has replied to a heartbeat that
-/// was sent after the read began and has not promised a higher ballot by then.
+/// Pending reads of one key at its owner. The owner may have lost the key without knowing it. It therefore answers a
+/// read only once a majority has replied to heartbeats that were sent after the read began, without reporting a higher
+/// promised ballot.
 class LinearizableReads {
  public:
   void add(PendingRead read) { pending_.push_back(std::move(read)); }
-  /// The member has confirmed the ownership by its reply to a heartbeat of `heartbeatSentAt`. Appends the answers of
-  /// reads that a majority has confirmed, and of those that have timed out.
+  /// Records that the member has confirmed the ownership by its reply to the heartbeat sent at `heartbeatSentAt`.
+  /// Appends to `completed` the reads that a majority has now confirmed and, as failures, those that have timed out.
   void confirm(std::string const& key, std::string const& memberId, Milliseconds heartbeatSentAt,
                Membership const& membership, Milliseconds timeout, Milliseconds now,
                std::vector<CallCompleted>& completed);
-  /// Ownership was lost: appends a failure for every pending read.
+  /// Appends a failure for every pending read, because the ownership was lost.
   void abort(std::string const& key, std::vector<CallCompleted>& completed);
 
   bool empty() const { return pending_.empty(); }
@@ -41,7 +43,7 @@
   void addTo(Fingerprint& fingerprint) const;
 
  private:
-  /// In order of arrival; empty unless this member owns the key.
+  /// In order of arrival. Empty unless this member owns the key.
   std::vector<PendingRead> pending_;
 };
 
--- a/consensus/src/local_member.h
+++ b/consensus/src/local_member.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Identity and life cycle of this member.
+/// The identity and life cycle of this member.
 
 #include <cstdint>
 #include <string>
@@ -14,24 +14,24 @@
 
 class EventContext;
 
-/// Who this member is, and how far it is on its path from an empty disk to a voting member and to its removal.
+/// Holds this member's id and its state in the life cycle: empty disk, joined, voting, draining, removed.
 class LocalMember {
  public:
   LocalMember(Member self, std::vector<std::string> founders);
 
-  /// Identity and state that the disk returned.
+  /// Sets the identity and state that were read from the disk.
   void restore(records::Metadata const& metadata);
-  /// Takes an id that was never used, since this member's disk has none that counts, and writes it.
+  /// Adopts the id that the process was started with and writes it to the disk, which has no valid id.
   void assignInitialId(EventContext& context);
-  /// This member may not bootstrap a cluster any more.
+  /// Forgets the founders, so that this member no longer bootstraps a cluster.
   void forgetFounders() { founders_.clear(); }
-  /// A membership that contains this member was adopted.
+  /// Records that a membership with this member was adopted.
   void joined() { hasNoState_ = false; }
-  /// A membership without this member was adopted: its state is dropped with the next timer event.
+  /// Records that a membership without this member was adopted. The next timer event drops this member's state.
   void markRemoved() { removed_ = !hasNoState_; }
-  /// Back to the state of an empty disk, under an id that was never used.
+  /// Returns to the state of an empty disk, under a new id that was never used.
   void resetAfterRemoval(EventContext& context);
-  /// This member has caught up, and that is on its disk.
+  /// Lets this member vote, since the record that it has caught up is synced.
   void startVoting() { voting_ = true; }
   void startDraining() { draining_ = true; }
   void onPersisted(std::uint64_t ticket);
@@ -39,15 +39,16 @@
   Member const& self() const { return self_; }
   std::string const& id() const { return self_.id; }
   std::string const& link() const { return self_.link; }
-  /// Link addresses of the founders; empty unless this member may bootstrap a cluster.
+  /// Link addresses of the founders. Empty if this member may not bootstrap a cluster.
   std::vector<std::string> const& founders() const { return founders_; }
   bool isFounder(std::string const& link) const;
-  /// Has caught up under some membership. It votes unless its disk fails or it was removed.
+  /// Returns true if this member has caught up under some membership. It then votes unless its disk has failed or it
+  /// was removed.
   bool mayVote() const { return voting_; }
   bool hasNoState() const { return hasNoState_; }
   bool isRemoved() const { return removed_; }
   bool isDraining() const { return draining_; }
-  /// The member's id is on its disk. Before that it must not be used.
+  /// Returns true once the member's id is synced to its disk. The id must not be used before that.
   bool hasDurableId() const { return idTicket_ == 0; }
   void addTo(Fingerprint& fingerprint) const;
 
@@ -55,7 +56,7 @@
   void assignId(EventContext& context, std::string id);
 
   Member self_;
-  /// Id that the process was started with; ids after a removal are derived from it.
+  /// The id that the process was started with. Ids after a removal are derived from it.
   std::string initialId_;
   std::uint64_t derivedIds_ = 0;
   std::vector<std::string> founders_;
@@ -63,7 +64,7 @@
   bool hasNoState_ = true;
   bool removed_ = false;
   bool draining_ = false;
-  /// Ticket of the write of a new id; 0: none is pending.
+  /// Ticket of the pending write of a new id, or 0 if no such write is pending.
   std::uint64_t idTicket_ = 0;
 };
 
--- a/consensus/src/membership_manager.cpp
+++ b/consensus/src/membership_manager.cpp
@@ -10,9 +10,11 @@
 
 namespace {
 
-/// A founder bootstraps while it has heard the others within so many heartbeats.
+/// A founder bootstraps the cluster only if each other founder's last heartbeat is less than this many heartbeat
+/// intervals old.
 constexpr Milliseconds bootstrapHeartbeats = 3;
-/// A silent member is removed only from a larger membership: of three, the other two remain a majority.
+/// An unreachable member is removed only from a membership of more members than this. In a membership of three the
+/// other two members remain a majority, so a removal is not needed.
 constexpr std::size_t smallestRedundantMembership = 3;
 
 }  // namespace
@@ -56,19 +58,19 @@
   if (link == context.local.link()) founder = context.local.self();
   Milliseconds const window = bootstrapHeartbeats * context.tuning.heartbeatEvery;
   for (auto const& [memberId, candidate] : candidates_)
-    if (candidate.link == link && candidate.hasNoState && context.now - candidate.lastHeardAt < window)
+    if (candidate.link == link && candidate.hasNoState && context.now - candidate.lastContactAt < window)
       founder = Member{memberId, link};
   return founder;
 }
 
-void MembershipManager::noteCandidate(std::string const& memberId, std::string const& link, bool hasNoState,
-                                      Milliseconds now) {
+void MembershipManager::recordCandidate(std::string const& memberId, std::string const& link, bool hasNoState,
+                                        Milliseconds now) {
   candidates_[memberId] = Candidate{link, now, hasNoState};
 }
 
 void MembershipManager::expireCandidates(EventContext const& context) {
   std::erase_if(candidates_, [&](auto const& candidate) {
-    return context.now - candidate.second.lastHeardAt > context.tuning.ownerTimeout;
+    return context.now - candidate.second.lastContactAt > context.tuning.ownerTimeout;
   });
 }
 
@@ -76,8 +78,8 @@
   return !context.selfIsMember() || !context.detector.hasQuorum();
 }
 
-Milliseconds MembershipManager::timeSinceHeard(EventContext const& context, Member const& member) {
-  return context.detector.timeSinceHeard(member.id, context.local.id(), context.now);
+Milliseconds MembershipManager::timeSinceContact(EventContext const& context, Member const& member) {
+  return context.detector.timeSinceContact(member.id, context.local.id(), context.now);
 }
 
 void MembershipManager::proposeNextChange(EventContext& context) {
@@ -99,15 +101,15 @@
 }
 
 std::optional<std::set<std::string>> MembershipManager::caughtUpMembers(EventContext const& context) const {
-  bool const unchecked = context.tuning.switches.off(Mechanism::catchUpFirst);
+  bool const isCheckOff = context.tuning.switches.off(Mechanism::catchUpFirst);
   std::set<std::string> caughtUp;
   for (auto const& member : current_.members) {
     PeerState const& peer = *context.detector.find(member.id);
     bool const isSelf = member.id == context.local.id();
     std::uint64_t const revision = isSelf ? context.catchUp.caughtUpRevision() : peer.caughtUpRevision;
-    if ((isSelf || peer.voting) && (revision == current_.revision || unchecked))
+    if ((isSelf || peer.voting) && (revision == current_.revision || isCheckOff))
       caughtUp.insert(member.id);
-    else if (timeSinceHeard(context, member) < context.tuning.ownerTimeout)
+    else if (timeSinceContact(context, member) < context.tuning.ownerTimeout)
       return std::nullopt;
   }
   return caughtUp;
@@ -148,10 +150,11 @@
     auto const sameLink =
         std::find_if(current_.members.begin(), current_.members.end(),
                      [&, &link = candidate.link](Member const& member) { return member.link == link; });
-    bool const returns = sameLink != current_.members.end();
-    if (returns && timeSinceHeard(context, *sameLink) <= context.tuning.ownerTimeout) continue;
-    // A machine that returns with an empty disk replaces its former self, before any other machine is added.
-    if (returns) return Addition{Member{memberId, candidate.link}, &*sameLink};
+    bool const isReturning = sameLink != current_.members.end();
+    if (isReturning && timeSinceContact(context, *sameLink) <= context.tuning.ownerTimeout) continue;
+    // A machine that returns with an empty disk replaces the member at its own address before any other machine is
+    // added.
+    if (isReturning) return Addition{Member{memberId, candidate.link}, &*sameLink};
     if (!addition) addition = Addition{Member{memberId, candidate.link}, replaceable};
   }
   return addition;
@@ -163,7 +166,7 @@
   Change change{{}, core::LogEvent{events::memberRemoved, {{"old", removed.id}, {"link", removed.link}}}};
   for (auto const& member : current_.members) {
     if (member.id == removed.id) continue;
-    if (caughtUp.count(member.id) == 0 || timeSinceHeard(context, member) > context.tuning.ownerTimeout)
+    if (caughtUp.count(member.id) == 0 || timeSinceContact(context, member) > context.tuning.ownerTimeout)
       return std::nullopt;
     change.members.push_back(member);
   }
@@ -173,9 +176,9 @@
 Member const* MembershipManager::longestUnreachable(EventContext const& context) const {
   Member const* longest = nullptr;
   for (auto const& member : current_.members) {
-    Milliseconds const unheardFor = timeSinceHeard(context, member);
-    if (unheardFor > context.tuning.replaceUnreachableAfter &&
-        (longest == nullptr || timeSinceHeard(context, *longest) < unheardFor))
+    Milliseconds const unreachableFor = timeSinceContact(context, member);
+    if (unreachableFor > context.tuning.replaceUnreachableAfter &&
+        (longest == nullptr || timeSinceContact(context, *longest) < unreachableFor))
       longest = &member;
   }
   return longest;
@@ -185,8 +188,8 @@
   for (auto const& member : current_.members) {
     if (member.id == context.local.id() || !context.detector.isDraining(member.id)) continue;
     PeerState const& peer = *context.detector.find(member.id);
-    bool const ownsNothing = peer.ownedKeysKnown && peer.ownedKeys.empty();
-    if (ownsNothing || timeSinceHeard(context, member) > context.tuning.ownerTimeout) return &member;
+    bool const ownsNoKey = peer.ownedKeysKnown && peer.ownedKeys.empty();
+    if (ownsNoKey || timeSinceContact(context, member) > context.tuning.ownerTimeout) return &member;
   }
   return nullptr;
 }
@@ -197,7 +200,7 @@
   for (auto const& [memberId, candidate] : candidates_) {
     fingerprint.add(memberId);
     fingerprint.addFlag(candidate.hasNoState);
-    fingerprint.addTime(candidate.lastHeardAt);
+    fingerprint.addTime(candidate.lastContactAt);
   }
 }
 
--- a/consensus/src/membership_manager.h
+++ b/consensus/src/membership_manager.h
@@ -3,8 +3,8 @@
 /// Membership changes: bootstrapping the cluster, replacing, adding and removing one member at a time.
 ///
 /// A change is a value of the membership key. As in Raft's joint consensus (Ongaro's dissertation, chapter 4), a
-/// majority of the old and one of the new membership must accept it. The next change is proposed only after a majority
-/// of the membership, and each of its live members, has caught up under the present one (see catch_up.h).
+/// majority of the old membership and a majority of the new one must accept it. The next change is proposed only after
+/// a majority of the membership, and each of its live members, has caught up under the current one (see catch_up.h).
 
 #include <map>
 #include <optional>
@@ -20,23 +20,24 @@
 
 class EventContext;
 
-/// The membership that this member goes by, and who may be added to it.
+/// Holds the membership that this member has adopted and the machines that may be added to it.
 class MembershipManager {
  public:
-  /// Goes by the membership from now on if it is newer than the present one and not empty.
+  /// Adopts the membership if it is newer than the current one and not empty.
   void adopt(EventContext& context, Membership const& membership);
-  /// Bootstraps the cluster if this member is a founder and every founder with a disk reports to be without state. Each
-  /// founder derives the same first membership.
+  /// Bootstraps the cluster if this member is a founder and every founder that has a disk reports that it has no state.
+  /// Every founder derives the same first membership.
   void bootstrap(EventContext& context);
-  /// Proposes the next change, if this member owns the membership key, a change is due, and the members have caught up.
+  /// Proposes the next membership change if this member owns the membership key, a change is due, and the members have
+  /// caught up.
   void proposeNextChange(EventContext& context);
 
-  /// A machine that is no member has sent a heartbeat.
-  void noteCandidate(std::string const& memberId, std::string const& link, bool hasNoState, Milliseconds now);
-  /// Forgets candidates that were silent for longer than the owner timeout.
+  /// Records the heartbeat of a machine that is not a member.
+  void recordCandidate(std::string const& memberId, std::string const& link, bool hasNoState, Milliseconds now);
+  /// Forgets candidates without contact for longer than the owner timeout.
   void expireCandidates(EventContext const& context);
-  /// The founder at the link reports that it has no disk: it takes no part in the bootstrap.
-  void noteDisklessFounder(std::string const& link) { disklessFounders_.insert(link); }
+  /// Records that the founder at this link address has no disk and therefore takes no part in the bootstrap.
+  void recordDisklessFounder(std::string const& link) { disklessFounders_.insert(link); }
   void setDiscoveryPeers(std::vector<std::string> links) { discoveryPeers_ = std::move(links); }
 
   Membership const& current() const { return current_; }
@@ -46,41 +47,43 @@
   void addTo(Fingerprint& fingerprint) const;
 
  private:
-  /// A machine that is no member and was heard of late.
+  /// A machine that is not a member and has recently sent a heartbeat.
   struct Candidate {
     std::string link;
-    Milliseconds lastHeardAt = 0;
-    /// It has no state, so it may become a member.
+    Milliseconds lastContactAt = 0;
+    /// True if the machine reports that it has no state. Only such a machine may become a member.
     bool hasNoState = false;
   };
-  /// A change of one member, with its log event.
+  /// A membership change of one member, with its log event.
   struct Change {
     std::vector<Member> members;
     core::LogEvent logEvent;
   };
-  /// A machine that may be added, and the member whose place it takes over, if any.
+  /// A machine that may be added, and the member that it replaces. `replaced` is nullptr if it replaces none.
   struct Addition {
     Member added;
     Member const* replaced = nullptr;
   };
 
-  /// Nothing while the founder at the link has not reported to be without state.
+  /// Returns std::nullopt if the founder at this link address has not recently reported that it has no state.
   std::optional<Member> readyFounder(EventContext const& context, std::string const& link) const;
-  /// Ids of the voting members that have caught up. Nothing while a live member has not.
+  /// Returns the ids of the voting members that have caught up. Returns std::nullopt while a live member has not caught
+  /// up.
   std::optional<std::set<std::string>> caughtUpMembers(EventContext const& context) const;
   std::optional<Change> nextChange(EventContext const& context, std::set<std::string> const& caughtUp) const;
   std::optional<Addition> nextAddition(EventContext const& context, Member const* replaceable) const;
-  /// The membership without the member. Nothing unless each other member is live and has caught up.
+  /// Returns the change that removes the member. Returns std::nullopt unless each other member is live and has caught
+  /// up.
   std::optional<Change> removalOf(EventContext const& context, Member const& removed,
                                   std::set<std::string> const& caughtUp) const;
   Member const* longestUnreachable(EventContext const& context) const;
-  /// Another member that drains and owns no key any more; nullptr: none.
+  /// Returns another member that is draining and owns no key or is unreachable, or nullptr if there is none.
   Member const* drainedMember(EventContext const& context) const;
-  static Milliseconds timeSinceHeard(EventContext const& context, Member const& member);
+  static Milliseconds timeSinceContact(EventContext const& context, Member const& member);
 
-  /// Invariant: its revision never falls, and it is empty only while the revision is 0.
+  /// Invariant: its revision never decreases, and it is empty only while the revision is 0.
   Membership current_;
-  /// By member id.
+  /// Candidates by member id.
   std::map<std::string, Candidate> candidates_;
   std::set<std::string> disklessFounders_;
   std::vector<std::string> discoveryPeers_;
--- a/consensus/src/owner_monitor.cpp
+++ b/consensus/src/owner_monitor.cpp
@@ -3,7 +3,7 @@
 namespace corkward::consensus {
 
 void OwnerMonitor::startUnclaimed(Milliseconds now) {
-  lastHeardAt_ = now;
+  lastContactAt_ = now;
   unclaimed_ = true;
 }
 
@@ -14,7 +14,7 @@
 
 void OwnerMonitor::ownerAccepted(std::string const& memberId, Milliseconds now) {
   unclaimed_ = false;
-  lastHeardAt_ = now;
+  lastContactAt_ = now;
   owner_ = memberId;
 }
 
@@ -24,7 +24,7 @@
 }
 
 void OwnerMonitor::steppedDown(Milliseconds now) {
-  lastHeardAt_ = now;
+  lastContactAt_ = now;
   electionAt_ = 0;
 }
 
@@ -36,7 +36,7 @@
 void OwnerMonitor::addTo(Fingerprint& fingerprint) const {
   fingerprint.add(owner_);
   fingerprint.addFlag(unclaimed_);
-  fingerprint.addTime(lastHeardAt_);
+  fingerprint.addTime(lastContactAt_);
   fingerprint.addTime(electionAt_);
 }
 
--- a/consensus/src/persistence.cpp
+++ b/consensus/src/persistence.cpp
@@ -32,7 +32,7 @@
 void Persistence::sendWhenSynced(EventContext& context, std::uint64_t ticket, std::string const& to,
                                  transport::Message message) {
   auto const waiting = deferred_.find(ticket);
-  if (waiting != deferred_.end() && !context.tuning.switches.off(Mechanism::syncBeforeAnswer))
+  if (waiting != deferred_.end() && !context.tuning.switches.off(Mechanism::syncBeforeReply))
     waiting->second.push_back(transport::Send{to, std::move(message)});
   else
     context.send(to, std::move(message));
--- a/consensus/src/reasons.cpp
+++ b/consensus/src/reasons.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-struct FailedAnswer {
+struct FailedResponse {
   core::HttpStatus status;
   char const* error;
-  /// nullptr: the answer has no reason.
+  /// nullptr if the response has no reason field.
   char const* reason;
 };
 
-FailedAnswer answerOf(CallFailure failure) {
+FailedResponse responseFor(CallFailure failure) {
   using core::HttpStatus;
   switch (failure) {
     case CallFailure::memberCannotVote:
@@ -36,10 +36,10 @@
 }  // namespace
 
 CallCompleted failedCall(std::uint64_t token, std::string const& key, CallFailure failure) {
-  FailedAnswer const answer = answerOf(failure);
-  QJsonObject body{{"error", answer.error}};
-  if (answer.reason != nullptr) body.insert("reason", answer.reason);
-  return CallCompleted{token, key, 0, core::code(answer.status), body};
+  FailedResponse const response = responseFor(failure);
+  QJsonObject body{{"error", response.error}};
+  if (response.reason != nullptr) body.insert("reason", response.reason);
+  return CallCompleted{token, key, 0, core::code(response.status), body};
 }
 
 char const* nameOf(StepDownReason reason) {
--- a/consensus/src/reasons.h
+++ b/consensus/src/reasons.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Why a call fails and why an owner or candidate steps down; the only place that turns these reasons into text.
+/// The reasons why a call fails and why an owner or candidate steps down. Only this module converts these reasons to
+/// text.
 
 #include <cstdint>
 #include <string>
@@ -9,26 +10,26 @@
 
 namespace corkward::consensus {
 
-/// Why a call is answered without its result.
+/// The reason why a call fails.
 enum class CallFailure : std::uint8_t {
-  /// Not executed: this member is new, was removed, or its disk fails.
+  /// The call was not executed: this member is new or was removed, or its disk is stalled or has failed.
   memberCannotVote,
-  /// Not executed: no majority was reached before the call timed out.
+  /// The call was not executed: no majority was reached before the call timed out.
   noQuorum,
-  /// Not executed: this member was removed from the membership.
+  /// The call was not executed: this member was removed from the membership.
   memberRemoved,
-  /// A read whose ownership no majority confirmed.
+  /// The read was not answered: no majority confirmed the ownership of the key.
   readNotConfirmed,
-  /// Outcome unknown: ownership was lost while the change was being accepted.
+  /// The outcome is unknown: the ownership was lost while the change was being accepted.
   ownershipLost,
-  /// Outcome unknown: no majority accepted the change before the call timed out.
+  /// The outcome is unknown: no majority accepted the change before the call timed out.
   acceptTimeout,
 };
 
-/// The answer to a call that failed. Its status and texts stand on operators' pages, so they stay.
+/// Returns the response to a failed call. Operators' documentation lists its status and texts, so they must not change.
 CallCompleted failedCall(std::uint64_t token, std::string const& key, CallFailure failure);
 
-/// Why an owner or a candidate gives up a key.
+/// The reason why an owner or a candidate gives up a key.
 enum class StepDownReason : std::uint8_t {
   /// This member's acceptor promised a higher ballot.
   promisedHigherBallot,
@@ -44,7 +45,7 @@
   removedFromMembership,
 };
 
-/// The reason as it stands in the log.
+/// Returns the text of the reason in the log.
 char const* nameOf(StepDownReason reason);
 
 }  // namespace corkward::consensus
--- a/consensus/src/records.h
+++ b/consensus/src/records.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Records that a member keeps on its disk. Their keys and JSON fields stay as they are: disks of earlier releases have
-/// them.
+/// Records that a member stores on its disk. Their keys and JSON fields must not change, because the disks of earlier
+/// releases contain them.
 
 #include <QJsonObject>
 #include <cstdint>
@@ -15,24 +15,24 @@
 
 namespace corkward::consensus::records {
 
-/// Key and text of one record.
+/// The key and the JSON text of one record.
 struct Record {
   std::string key;
   std::string payload;
 };
 
-/// Identity and state of this member.
+/// The identity and state of this member.
 struct Metadata {
   std::string memberId;
   bool voting = false;
-  /// Revision of the membership under which the member caught up last.
+  /// Revision of the membership under which the member last caught up.
   std::uint64_t caughtUpRevision = 0;
-  /// Link addresses of the founders, until the cluster is bootstrapped.
+  /// Link addresses of the founders. Empty if this member may not bootstrap a cluster.
   std::vector<std::string> founders;
 };
 
-/// What an acceptor has promised and accepted. Belongs to the identity that wrote it: after a removal it counts no
-/// more.
+/// The ballot that an acceptor has promised and the value that it has accepted. The state is valid only for the member
+/// id that wrote it; after a removal the machine has a new id, and the state is ignored.
 struct AcceptorState {
   std::string memberId;
   Ballot promised;
@@ -40,7 +40,7 @@
   QJsonObject value;
 };
 
-/// The membership that this member adopted last.
+/// The membership that this member last adopted.
 struct AdoptedMembership {
   std::string memberId;
   Membership membership;
@@ -52,11 +52,11 @@
 Record encode(std::string const& registerKey, AcceptorState const& state);
 Record encode(AdoptedMembership const& adopted);
 
-/// Nothing when the disk has no such record, as at the first start.
+/// Returns std::nullopt if the disk has no such record, as at the first start.
 std::optional<Metadata> decodeMetadata(RecordMap const& recordMap);
-/// States by register key, of every identity.
+/// Returns the acceptor states by register key, including those that were written under an earlier member id.
 std::map<std::string, AcceptorState> decodeAcceptors(RecordMap const& recordMap);
-/// Revision 0 when the disk has no such record.
+/// Returns a membership of revision 0 if the disk has no such record.
 AdoptedMembership decodeMembership(RecordMap const& recordMap);
 
 }  // namespace corkward::consensus::records
--- a/consensus/src/register.cpp
+++ b/consensus/src/register.cpp
@@ -83,7 +83,7 @@
 void Register::onPrepare(EventContext& context, std::string const& from, transport::Prepare const& prepare,
                          bool fromOldMembership) {
   observeBallot(prepare.ballot);
-  ownerMonitor_.candidateHeard();
+  ownerMonitor_.candidateObserved();
   if (isRejected(context, prepare.ballot, fromOldMembership)) {
     context.send(from,
                  transport::Promise{key_, prepare.ballot, context.local.id(), false, acceptor_.promised(), {}, 0, {}});
@@ -185,7 +185,7 @@
   if (acceptor_.position().ballot == accept.ballot && accept.revision < acceptor_.revision()) return;
   bool const repeated = acceptor_.position() == position;
   if (repeated && acceptor_.value() != accept.value) {
-    rejectSecondValue(context, key_, "two values under one ballot and revision");
+    rejectConflictingValue(context, key_, "two values under one ballot and revision");
     return;
   }
   if (!repeated) {
--- a/consensus/src/register_table.cpp
+++ b/consensus/src/register_table.cpp
@@ -22,10 +22,11 @@
 }
 
 void RegisterTable::onTimer(EventContext& context) {
-  // Registers that the loop creates have their first turn with the next event.
-  std::vector<Register*> present;
-  for (auto& [key, keyRegister] : registers_) present.push_back(&keyRegister);
-  for (auto* const keyRegister : present) keyRegister->onTimer(context);
+  // Calls only the registers that exist now. Registers that are created meanwhile get their first timer call with the
+  // next timer event.
+  std::vector<Register*> existing;
+  for (auto& [key, keyRegister] : registers_) existing.push_back(&keyRegister);
+  for (auto* const keyRegister : existing) keyRegister->onTimer(context);
   for (auto const& [memberId, peer] : context.detector.peers())
     for (auto const& [key, revision] : peer.acceptedRevisions) at(key);
 }
--- a/consensus/src/register_table.h
+++ b/consensus/src/register_table.h
@@ -13,43 +13,44 @@
 
 class EventContext;
 
-/// Registers by key, and what is done to all of them.
+/// Holds the registers by key, with the operations on all of them.
 class RegisterTable {
  public:
   using Map = std::map<std::string, Register>;
 
-  /// The key's register, which is created at first use. References stay valid until resetAfterRemoval.
+  /// Returns the key's register, which is created at first use. References stay valid until resetAfterRemoval.
   Register& at(std::string const& key);
-  /// nullptr: none was used yet.
+  /// Returns nullptr if the key's register was not created yet.
   Register const* find(std::string const& key) const;
   Register* find(std::string const& key);
 
   void onTimer(EventContext& context);
-  /// Gives up every key that this member owns or prepares.
+  /// Gives up every key that this member owns or is a candidate for.
   void stepDownAll(EventContext& context, StepDownReason reason);
-  /// Gives up every key, fails the queued calls and forgets all registers.
+  /// Gives up every key, fails the queued calls and deletes all registers.
   void resetAfterRemoval(EventContext& context);
-  /// A member has replied to a heartbeat of `heartbeatSentAt`. It confirms the ownership of all keys but those for
-  /// which it has promised a higher ballot.
+  /// Records a member's reply to the heartbeat sent at `heartbeatSentAt`. The reply confirms the ownership of all keys
+  /// except those in `higherBallots`, for which the member has promised a higher ballot.
   void confirmReads(EventContext& context, std::string const& memberId, Milliseconds heartbeatSentAt,
                     transport::Revisions const& higherBallots);
-  /// Oldest membership revision from which ballots on the key are allowed. Members compare it in phases 1 and 2, so
-  /// that no majority of an older membership can choose a value beside the present one.
+  /// Returns the oldest membership revision from which prepare and accept requests for the key are allowed. Members
+  /// check it in phases 1 and 2, so that a majority of an older membership cannot choose a value concurrently with a
+  /// majority of the current one.
   std::uint64_t oldestMembershipAllowed(EventContext const& context, std::string const& key);
 
   std::size_t ownedCount() const;
-  /// Owned keys with their ballot numbers.
+  /// Returns the owned keys with their ballot numbers.
   transport::Revisions ownedKeys() const;
-  /// Keys with an accepted value and its revision.
+  /// Returns the keys that have an accepted value, with its revision.
   transport::Revisions acceptedRevisions() const;
-  /// Ticket of the newest acceptor write.
+  /// Returns the ticket of the latest write of an acceptor's state.
   std::uint64_t newestTicket() const;
 
   Map::iterator begin() { return registers_.begin(); }
   Map::iterator end() { return registers_.end(); }
   Map::const_iterator begin() const { return registers_.begin(); }
   Map::const_iterator end() const { return registers_.end(); }
-  /// First register with a greater key.
+  /// Returns the first register with a key greater than the given one.
   Map::const_iterator after(std::string const& key) const { return registers_.upper_bound(key); }
   void addTo(Fingerprint& fingerprint, Persistence const& persistence) const;
 
--- a/consensus/src/replica.cpp
+++ b/consensus/src/replica.cpp
@@ -98,7 +98,7 @@
 }
 
 void Replica::handle(EventContext& context, std::string const& from, transport::Accept const& accept) {
-  // The membership that adds a new member is accepted by that member too, before it votes.
+  // A new member also accepts the membership value that adds it, although it does not vote yet.
   bool const joins = accept.key == membershipKey && !local.mayVote() && !persistence.hasFailed() &&
                      !local.isRemoved() && local.hasNoState() && local.hasDurableId();
   if (persistence.isStalled() || (!isVoting() && !joins)) return;
@@ -137,7 +137,7 @@
 }
 
 void Replica::handle(EventContext&, std::string const& from, transport::NotAVotingMember const&) {
-  if (local.isFounder(from)) membership.noteDisklessFounder(from);
+  if (local.isFounder(from)) membership.recordDisklessFounder(from);
 }
 
 }  // namespace corkward::consensus
--- a/consensus/src/replica.h
+++ b/consensus/src/replica.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The parts of one member, and how an event reaches them.
+/// The components of one member, and the dispatch of events to them.
 
 #include <map>
 #include <string>
@@ -19,7 +19,7 @@
 
 namespace corkward::consensus {
 
-/// State of one member. Copied as a value by the explorer.
+/// The state of one member. The explorer copies it as a value.
 struct Replica {
   Replica(Member self, std::vector<std::string> founders, Validator callValidator, std::uint64_t seed,
           ConsensusTuning const& settings);
@@ -46,7 +46,7 @@
   RegisterTable registers;
 
  private:
-  /// Drops all state after a removal; this machine then joins again under a new id.
+  /// Drops all state after a removal. This machine then joins again under a new id.
   void resetAfterRemoval(EventContext& context);
 
   void handle(EventContext& context, std::string const& from, transport::Prepare const& prepare);
--- a/consensus/test/failure_detector_test.cpp
+++ b/consensus/test/failure_detector_test.cpp
@@ -38,24 +38,24 @@
 
 }  // namespace
 
-TEST_CASE("a voting peer is alive until it was silent for the owner timeout") {
+TEST_CASE("a voting peer is alive until the owner timeout has passed since its last contact") {
   consensus::FailureDetector detector = detectorOfA();
   CHECK_FALSE(detector.isAlive("b", 1000));
   detector.recordHeartbeat(heartbeatOf("b"), 1500);
   CHECK(detector.isAlive("b", 2499));
   CHECK_FALSE(detector.isAlive("b", 2500));
-  CHECK(detector.timeSinceHeard("b", "a", 2500) == 1000);
+  CHECK(detector.timeSinceContact("b", "a", 2500) == 1000);
 }
 
-TEST_CASE("silence of peers does not count while this machine slept") {
+TEST_CASE("time without contact does not count while this machine is suspended") {
   consensus::FailureDetector detector = detectorOfA();
   detector.recordHeartbeat(heartbeatOf("b"), 1500);
   detector.onTimer(1500);
   detector.onTimer(9000);
-  CHECK(detector.timeSinceHeard("b", "a", 9100) == 100);
+  CHECK(detector.timeSinceContact("b", "a", 9100) == 100);
 }
 
-TEST_CASE("a quorum needs this member's vote or those of a majority of others") {
+TEST_CASE("this member counts towards the quorum only if it votes, and a peer only within the owner timeout") {
   consensus::FailureDetector detector = detectorOfA();
   detector.updateQuorum(threeMembers, "a", true, 1000);
   CHECK_FALSE(detector.hasQuorum());
@@ -70,7 +70,7 @@
   CHECK_FALSE(detector.hasQuorum());
 }
 
-TEST_CASE("a reply with an accepted value that is not known as committed is no contact") {
+TEST_CASE("a reply that reports an accepted value not known as committed does not count as quorum contact") {
   consensus::FailureDetector detector = detectorOfA();
   consensus::Learner const learner;
   CHECK(detector.quorumContactAt(threeMembers, "a", 2000) == -1);
@@ -82,7 +82,7 @@
   CHECK(detector.quorumContactAt(threeMembers, "a", 2000) == 1300);
 }
 
-TEST_CASE("an accepted value of this member that is not known as committed limits its contact") {
+TEST_CASE("an accepted value that this member does not know as committed limits its quorum contact") {
   consensus::FailureDetector detector = detectorOfA();
   consensus::Learner learner;
   detector.recordReply(replyOf("b", 1900, {}), learner, 1910);
@@ -90,7 +90,7 @@
   CHECK(detector.quorumContactAt(threeMembers, "a", learner.confirmedUntil(2000)) == 1500);
 }
 
-TEST_CASE("a draining peer is alive but does not take over keys") {
+TEST_CASE("a draining peer is alive but is not available to take over keys") {
   consensus::FailureDetector detector = detectorOfA();
   transport::Heartbeat draining = heartbeatOf("b");
   draining.draining = true;
@@ -102,10 +102,10 @@
   CHECK(available.front().id == "c");
 }
 
-TEST_CASE("state of a peer ends with its membership") {
+TEST_CASE("the state of a peer is dropped when it is no longer a member") {
   consensus::FailureDetector detector = detectorOfA();
   detector.setMembers({2, {{"a", "linkA"}, {"d", "linkD"}}}, 2000);
   CHECK(detector.find("b") == nullptr);
   REQUIRE(detector.find("d") != nullptr);
-  CHECK(detector.timeSinceHeard("d", "a", 2300) == 300);
+  CHECK(detector.timeSinceContact("d", "a", 2300) == 300);
 }
--- a/testing/explore/run.cpp
+++ b/testing/explore/run.cpp
@@ -23,7 +23,7 @@
 
 constexpr Named ofRegisters[] = {{"promise-check", Mechanism::promiseCheck},
                                  {"newest-accepted", Mechanism::newestAccepted},
-                                 {"sync-before-answer", Mechanism::syncBeforeAnswer},
+                                 {"sync-before-answer", Mechanism::syncBeforeReply},
                                  {"read-confirmation", Mechanism::readConfirmation}};
 constexpr Named ofMembership[] = {{"catch-up-first", Mechanism::catchUpFirst},
                                   {"copy-before-vote", Mechanism::catchUpBeforeVote},
