--- a/consensus/test/acceptor_test.cpp
+++ b/consensus/test/acceptor_test.cpp
@@ -6,7 +6,7 @@
 using corkward::consensus::Acceptor;
 using corkward::consensus::Ballot;
 
-TEST_CASE("an acceptor promises a higher ballot and no ballot that is lower or equal") {
+TEST_CASE("an acceptor promises a higher ballot and rejects an equal or lower one") {
   Acceptor acceptor;
   CHECK(acceptor.promise(Ballot{2, "a"}));
   CHECK_FALSE(acceptor.promise(Ballot{2, "a"}));
@@ -16,7 +16,7 @@
   CHECK_FALSE(acceptor.hasAccepted());
 }
 
-TEST_CASE("accepting a value promises its ballot; adopting one from a snapshot does not") {
+TEST_CASE("accepting a value promises its ballot, and adopting a value from a snapshot does not") {
   Acceptor acceptor;
   acceptor.accept(AcceptedPosition{Ballot{3, "a"}, 7}, QJsonObject{{"x", 1}});
   CHECK(acceptor.promised() == Ballot{3, "a"});
@@ -27,7 +27,7 @@
   CHECK(acceptor.value() == QJsonObject{{"x", 2}});
 }
 
-TEST_CASE("accepted values are ordered by ballot before revision") {
+TEST_CASE("accepted positions are ordered by ballot, then by revision") {
   CHECK(AcceptedPosition{Ballot{1, "a"}, 9} < AcceptedPosition{Ballot{2, "a"}, 1});
   CHECK(AcceptedPosition{Ballot{2, "a"}, 1} < AcceptedPosition{Ballot{2, "a"}, 2});
 }
--- a/consensus/test/bootstrap_test.cpp
+++ b/consensus/test/bootstrap_test.cpp
@@ -13,81 +13,82 @@
 using consensus::threeLinks;
 using core::Milliseconds;
 
-TEST_CASE("one, two or three founders bootstrap a cluster; an empty disk without founders never does") {
-  for (std::size_t n = 1; n <= 3; ++n) {
-    Cluster cluster(n);
-    bootstrap(cluster,
-              std::vector<std::string>(threeLinks.begin(), threeLinks.begin() + static_cast<std::ptrdiff_t>(n)));
-    CHECK(cluster.size("a") == n);
+TEST_CASE("one to three founders bootstrap a cluster, and machines with empty disks and no founders never do") {
+  for (std::size_t founderCount = 1; founderCount <= 3; ++founderCount) {
+    Cluster cluster(founderCount);
+    bootstrap(cluster, std::vector<std::string>(threeLinks.begin(),
+                                                threeLinks.begin() + static_cast<std::ptrdiff_t>(founderCount)));
+    CHECK(cluster.membershipSize("a") == founderCount);
   }
   Cluster cluster(4);
-  for (std::string const& l : threeLinks) cluster.boot(l);
+  for (std::string const& link : threeLinks) cluster.start(link);
   cluster.run(30000);
-  for (std::string const& l : threeLinks) {
-    CHECK(cluster.at(l).hasNoState());
-    CHECK_FALSE(cluster.at(l).isVoting());
+  for (std::string const& link : threeLinks) {
+    CHECK(cluster.member(link).hasNoState());
+    CHECK_FALSE(cluster.member(link).isVoting());
   }
 }
 
-TEST_CASE("founders without a disk do not count, and the others bootstrap as soon as these report it") {
+TEST_CASE("the other founders bootstrap a cluster once a founder reports that it has no disk") {
   Cluster cluster(5);
   std::vector<std::string> const founders{"g", "a", "b"};
-  for (std::string const& l : threeLinks) cluster.boot(l, founders);
+  for (std::string const& link : threeLinks) cluster.start(link, founders);
   cluster.run(5000);
-  for (std::string const& l : threeLinks) CHECK(cluster.at(l).membership().empty());
-  for (std::string const& l : threeLinks) cluster.at(l).onMessage(cluster.now, "g", transport::NotAVotingMember{});
-  CHECK(cluster.until([&] { return cluster.isStable(); }, 4000) >= 0);
+  for (std::string const& link : threeLinks) CHECK(cluster.member(link).membership().empty());
+  for (std::string const& link : threeLinks)
+    cluster.member(link).onMessage(cluster.now, "g", transport::NotAVotingMember{});
+  CHECK(cluster.runUntil([&] { return cluster.isStable(); }, 4000) >= 0);
   CHECK(acknowledges(cluster, "c", "k", 2000));
   checkConsistent(cluster);
 }
 
-TEST_CASE("a founder that restarts without its list of founders during the bootstrap does not block it") {
-  for (Milliseconds when = 0; when < 500; when += 7)
+TEST_CASE("a founder that restarts during the bootstrap without a founders setting does not block the bootstrap") {
+  for (Milliseconds killAfter = 0; killAfter < 500; killAfter += 7)
     for (std::string const& victim : threeLinks) {
-      Cluster cluster(static_cast<std::uint64_t>(when) * 3 + 1, shortTimeouts());
-      for (std::string const& l : threeLinks) cluster.boot(l, threeLinks);
-      cluster.run(when);
+      Cluster cluster(static_cast<std::uint64_t>(killAfter) * 3 + 1, shortTimeouts());
+      for (std::string const& link : threeLinks) cluster.start(link, threeLinks);
+      cluster.run(killAfter);
       cluster.kill(victim);
       cluster.run(300);
-      cluster.boot(victim);
-      INFO("killed " << victim << " after " << when);
-      CHECK(cluster.until([&] { return cluster.isStable(); }, 4000) >= 0);
+      cluster.start(victim);
+      INFO("killed " << victim << " after " << killAfter << " ms");
+      CHECK(cluster.runUntil([&] { return cluster.isStable(); }, 4000) >= 0);
       CHECK(acknowledges(cluster, "b", "k", 2000));
       checkConsistent(cluster);
     }
 }
 
-TEST_CASE("founders that are all killed during the bootstrap complete it after their restart") {
-  for (Milliseconds when = 10; when < 500; when += 7) {
-    Cluster cluster(static_cast<std::uint64_t>(when), shortTimeouts());
-    for (std::string const& l : threeLinks) cluster.boot(l, threeLinks);
-    cluster.run(when);
-    for (std::string const& l : threeLinks) cluster.kill(l);
+TEST_CASE("founders that are all killed during the bootstrap complete the bootstrap after their restart") {
+  for (Milliseconds killAfter = 10; killAfter < 500; killAfter += 7) {
+    Cluster cluster(static_cast<std::uint64_t>(killAfter), shortTimeouts());
+    for (std::string const& link : threeLinks) cluster.start(link, threeLinks);
+    cluster.run(killAfter);
+    for (std::string const& link : threeLinks) cluster.kill(link);
     cluster.run(300);
-    for (std::string const& l : threeLinks) cluster.boot(l);
-    INFO("killed after " << when);
-    CHECK(cluster.until([&] { return cluster.isStable(); }, 4000) >= 0);
+    for (std::string const& link : threeLinks) cluster.start(link);
+    INFO("killed all after " << killAfter << " ms");
+    CHECK(cluster.runUntil([&] { return cluster.isStable(); }, 4000) >= 0);
     checkConsistent(cluster);
   }
 }
 
-TEST_CASE("a bootstrap with heavy message loss completes") {
+TEST_CASE("a bootstrap with 60 percent message loss completes once the loss ends") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Cluster cluster(seed, shortTimeouts());
-    cluster.loss = 0.6;
-    for (std::string const& l : threeLinks) cluster.boot(l, threeLinks);
+    cluster.lossProbability = 0.6;
+    for (std::string const& link : threeLinks) cluster.start(link, threeLinks);
     cluster.run(3000);
-    cluster.loss = 0;
-    CHECK(cluster.until([&] { return cluster.isStable(); }, 4000) >= 0);
+    cluster.lossProbability = 0;
+    CHECK(cluster.runUntil([&] { return cluster.isStable(); }, 4000) >= 0);
     checkConsistent(cluster);
   }
 }
 
-TEST_CASE("a member with a damaged disk joins as a new one and never bootstraps") {
-  consensus::ReplicatedRegisters m(consensus::Member{"x", "a"}, {"a"}, {}, 1);
-  consensus::RegisterCommands const c = m.restore({}, true, 1000);
-  for (consensus::PersistCommand const& p : c.persists) m.onPersisted(1000, p.ticket, true);
-  for (core::Milliseconds t = 1000; t < 20000; t += 25) m.onTimer(t);
-  CHECK_FALSE(m.isVoting());
-  CHECK(m.hasNoState());
+TEST_CASE("a founder with a damaged disk has no state and never bootstraps a cluster") {
+  consensus::ReplicatedRegisters member(consensus::Member{"x", "a"}, {"a"}, {}, 1);
+  consensus::RegisterCommands const commands = member.restore({}, true, 1000);
+  for (consensus::PersistCommand const& persist : commands.persists) member.onPersisted(1000, persist.ticket, true);
+  for (core::Milliseconds now = 1000; now < 20000; now += 25) member.onTimer(now);
+  CHECK_FALSE(member.isVoting());
+  CHECK(member.hasNoState());
 }
--- a/consensus/test/cluster.h
+++ b/consensus/test/cluster.h
@@ -18,313 +18,358 @@
 
 namespace corkward::consensus {
 
-/// Machines with a disk each in virtual time: a network with delays and cuts, disks that keep what was synced, and
-/// callers that append marks to keys. What was acknowledged and what was committed is kept apart from the members.
+/// Simulated cluster in virtual time: machines with one member and one disk each, and a network with delays, message
+/// loss and partitions. A disk keeps what was synced when its machine is killed. Calls append items to the list that is
+/// stored under a key. The fixture itself records the acknowledged items and the committed values, to check the
+/// members.
 class Cluster {
  public:
   struct Machine {
     std::string link;
+    /// Null while the process does not run.
     std::unique_ptr<ReplicatedRegisters> member;
     std::map<std::string, std::string> disk;
-    std::deque<std::vector<PersistCommand>> writes;
+    /// Batches of records that are not synced yet.
+    std::deque<std::vector<PersistCommand>> pendingWrites;
+    /// Events that arrived while the process was paused.
     std::deque<std::function<void()>> inbox;
-    bool writing = false;
-    bool frozen = false;
+    bool isWriting = false;
+    bool isPaused = false;
     Milliseconds diskDelay = 2;
-    int boots = 0;
+    int startCount = 0;
+    /// Increases with each start and end of the process, so that events of an earlier process are dropped.
     std::uint64_t incarnation = 0;
   };
 
-  explicit Cluster(std::uint64_t seed, ConsensusTuning tuning = {}, std::vector<std::string> seeds = {"a", "b", "c"})
-      : rng(seed), tuning_(tuning), seeds_(std::move(seeds)) {}
+  explicit Cluster(std::uint64_t seed, ConsensusTuning tuning = {},
+                   std::vector<std::string> discoveryPeers = {"a", "b", "c"})
+      : random(seed), tuning_(tuning), discoveryPeers_(std::move(discoveryPeers)) {}
 
-  /// Starts the process of a machine, with its disk as it is.
-  void boot(std::string const& link, std::vector<std::string> founders = {}) {
-    Machine& m = machines[link];
-    if (m.member) return;
-    m.link = link;
-    m.frozen = false;
-    m.writing = false;
-    m.writes.clear();
-    m.inbox.clear();
-    ++m.incarnation;
-    m.member = std::make_unique<ReplicatedRegisters>(Member{link + "#" + std::to_string(++m.boots), link},
-                                                     std::move(founders), validator, rng.next(), tuning_);
-    take(m, m.member->restore(m.disk, false, now));
-    clock(link, m.incarnation);
+  /// Starts the process of a machine with the present content of its disk. Does nothing if the process runs.
+  void start(std::string const& link, std::vector<std::string> founders = {}) {
+    Machine& machine = machines[link];
+    if (machine.member) return;
+    machine.link = link;
+    machine.isPaused = false;
+    machine.isWriting = false;
+    machine.pendingWrites.clear();
+    machine.inbox.clear();
+    ++machine.incarnation;
+    machine.member =
+        std::make_unique<ReplicatedRegisters>(Member{link + "#" + std::to_string(++machine.startCount), link},
+                                              std::move(founders), validator, random.next(), tuning_);
+    execute(machine, machine.member->restore(machine.disk, false, now));
+    runTimer(link, machine.incarnation);
   }
 
-  /// Ends the process; of the writes under way a random part has reached the disk.
+  /// Kills the process. A random number of the records that were being written has reached the disk.
   void kill(std::string const& link) {
-    Machine& m = machines.at(link);
-    if (!m.member) return;
-    std::size_t keep = m.writes.empty() ? 0 : rng.below(m.writes.front().size() + 1);
-    for (std::size_t i = 0; i < keep; ++i) m.disk[m.writes.front()[i].key] = m.writes.front()[i].payload;
-    m.member.reset();
-    ++m.incarnation;
+    Machine& machine = machines.at(link);
+    if (!machine.member) return;
+    std::size_t written = machine.pendingWrites.empty() ? 0 : random.below(machine.pendingWrites.front().size() + 1);
+    for (std::size_t i = 0; i < written; ++i)
+      machine.disk[machine.pendingWrites.front()[i].key] = machine.pendingWrites.front()[i].payload;
+    machine.member.reset();
+    ++machine.incarnation;
   }
 
-  /// Takes the machine away for good.
-  void remove(std::string const& link) {
+  /// Kills the process and removes the machine with its disk.
+  void removeMachine(std::string const& link) {
     kill(link);
     machines.erase(link);
   }
 
-  /// As SIGTERM.
-  void handOver(std::string const& link) {
-    Machine& m = machines.at(link);
-    take(m, m.member->startHandover(now));
+  /// Starts the handover, as a daemon does on SIGTERM.
+  void startHandover(std::string const& link) {
+    Machine& machine = machines.at(link);
+    execute(machine, machine.member->startHandover(now));
   }
 
-  void freeze(std::string const& link) { machines.at(link).frozen = true; }
-  void thaw(std::string const& link) {
-    Machine& m = machines.at(link);
-    m.frozen = false;
-    std::deque<std::function<void()>> const inbox = std::move(m.inbox);
-    m.inbox.clear();
-    for (std::function<void()> const& act : inbox) act();
+  /// Pauses the process. Messages to it are delivered after resume.
+  void pause(std::string const& link) { machines.at(link).isPaused = true; }
+  void resume(std::string const& link) {
+    Machine& machine = machines.at(link);
+    machine.isPaused = false;
+    std::deque<std::function<void()>> const inbox = std::move(machine.inbox);
+    machine.inbox.clear();
+    for (std::function<void()> const& event : inbox) event();
   }
 
-  void cutOff(std::string const& link, bool on) {
-    for (auto const& [name, machine] : machines) cut(link, name, on);
+  /// Cuts or restores the connections between the machine and all others.
+  void setIsolated(std::string const& link, bool isolated) {
+    for (auto const& [name, machine] : machines) setPartitioned(link, name, isolated);
   }
-  void cut(std::string const& a, std::string const& b, bool on) {
-    for (std::pair<std::string, std::string> const& p : {std::pair(a, b), std::pair(b, a)})
-      if (on)
-        cuts.insert(p);
+  /// Cuts or restores the connection between two machines, in both directions.
+  void setPartitioned(std::string const& a, std::string const& b, bool partitioned) {
+    for (std::pair<std::string, std::string> const& direction : {std::pair(a, b), std::pair(b, a)})
+      if (partitioned)
+        partitions.insert(direction);
       else
-        cuts.erase(p);
+        partitions.erase(direction);
   }
 
-  void run(Milliseconds how) {
-    Milliseconds const until = now + how;
+  void run(Milliseconds duration) {
+    Milliseconds const until = now + duration;
     while (!events_.empty() && events_.top().at <= until) step();
     now = until;
   }
-  /// Runs until the condition holds; how long that took, -1 when it does not within the limit.
-  Milliseconds until(std::function<bool()> const& holds, Milliseconds limit) {
+  /// Runs until the condition holds. Returns how long that took, or -1 if it does not hold within the limit.
+  Milliseconds runUntil(std::function<bool()> const& condition, Milliseconds limit) {
     Milliseconds const since = now;
-    while (!holds()) {
+    while (!condition()) {
       if (events_.empty() || events_.top().at > since + limit) return -1;
       step();
     }
     return now - since;
   }
 
-  ReplicatedRegisters& at(std::string const& link) { return *machines.at(link).member; }
-  bool votes(std::string const& link) {
-    Machine const& m = machines.at(link);
-    return m.member && m.member->isVoting() && isMemberHere(m);
+  ReplicatedRegisters& member(std::string const& link) { return *machines.at(link).member; }
+  /// Returns true if the machine's member votes and belongs to the membership that it has adopted.
+  bool isVotingMember(std::string const& link) {
+    Machine const& machine = machines.at(link);
+    return machine.member && machine.member->isVoting() && isInOwnMembership(machine);
   }
-  bool allVote() {
+  /// Returns true if every running machine has a voting member.
+  bool allRunningVote() {
     for (auto const& [name, machine] : machines)
-      if (machine.member && !votes(name)) return false;
+      if (machine.member && !isVotingMember(name)) return false;
     return true;
   }
-  std::size_t size(std::string const& link) { return at(link).membership().size(); }
+  /// Returns the size of the membership that this machine's member has adopted.
+  std::size_t membershipSize(std::string const& link) { return member(link).membership().size(); }
+  /// Returns true if all machines run and vote, and each has adopted a membership of as many members as there are
+  /// machines.
   bool isStable() {
     std::set<std::size_t> sizes;
     for (auto const& [name, machine] : machines) {
       if (!machine.member) return false;
       sizes.insert(machine.member->membership().size());
     }
-    return allVote() && sizes == std::set<std::size_t>{machines.size()};
+    return allRunningVote() && sizes == std::set<std::size_t>{machines.size()};
   }
 
-  /// Appends a mark to the key at the machine, or at the owner that it names.
-  std::uint64_t call(std::string const& link, std::string const& key) {
-    transport::OperatorCall c;
-    c.token = ++tokens_;
-    c.method = "PUT";
-    c.body = "m" + std::to_string(c.token);
-    hand(link, key, c);
-    return c.token;
+  /// Appends an item to the list under the key. The call is submitted to the owner that the machine knows, or to the
+  /// machine itself if it knows no running owner. Returns the token of the call.
+  std::uint64_t append(std::string const& link, std::string const& key) {
+    transport::OperatorCall call;
+    call.token = ++lastToken_;
+    call.method = "PUT";
+    call.body = "m" + std::to_string(call.token);
+    submitAtOwner(link, key, call);
+    return call.token;
   }
-  /// Asks for the key's value.
+  /// Reads the key's value. Returns the token of the call.
   std::uint64_t read(std::string const& link, std::string const& key) {
-    transport::OperatorCall c;
-    c.token = ++tokens_;
-    c.method = "GET";
-    hand(link, key, c);
-    return c.token;
+    transport::OperatorCall call;
+    call.token = ++lastToken_;
+    call.method = "GET";
+    submitAtOwner(link, key, call);
+    return call.token;
   }
-  int statusOf(std::uint64_t token) const { return answers.count(token) > 0 ? answers.at(token) : 0; }
-  /// Keys of which some majority of the newest membership's disks lacks a mark that was acknowledged.
-  std::vector<std::string> lostAcknowledged() {
-    std::vector<DiskState> disks;
-    if (newest[membershipKey] == 0) return {};
-    QJsonObject const membership = core::parseJson(committed_[{membershipKey, newest[membershipKey]}]).toObject();
-    for (Member const& c : membersFromJson(membership))
+  /// Returns the HTTP status of the call's response, or 0 before the response.
+  int statusOf(std::uint64_t token) const { return statuses.count(token) > 0 ? statuses.at(token) : 0; }
+  /// Returns the keys that have lost an acknowledged item: some majority of the newest membership exists on whose disks
+  /// the newest accepted value of the key lacks an acknowledged item.
+  std::vector<std::string> keysWithLostItems() {
+    std::vector<AcceptedOnDisk> disks;
+    if (newestRevisions[membershipKey] == 0) return {};
+    QJsonObject const membership =
+        core::parseJson(committed_[{membershipKey, newestRevisions[membershipKey]}]).toObject();
+    for (Member const& member : membersFromJson(membership))
       for (auto const& [name, machine] : machines) {
         if (machine.disk.count("meta") == 0) continue;
-        QJsonObject const meta = core::parseJson(machine.disk.at("meta")).toObject();
-        if (core::toStdString(meta.value("id").toString()) == c.id && meta.value("voting").toBool())
-          disks.push_back(DiskState{c.id, &machine.disk, {}, false});
+        QJsonObject const metadata = core::parseJson(machine.disk.at("meta")).toObject();
+        if (core::toStdString(metadata.value("id").toString()) == member.id && metadata.value("voting").toBool())
+          disks.push_back(AcceptedOnDisk{member.id, &machine.disk, {}, false});
       }
-    std::size_t const most = membersFromJson(membership).size() / 2 + 1;
-    std::vector<std::string> out;
-    for (auto const& [key, values] : acknowledged) {
-      for (DiskState& d : disks) d.read(key, values);
-      for (unsigned set = 0; set < 1U << disks.size(); ++set) {
-        if (static_cast<std::size_t>(std::popcount(set)) != most) continue;
-        DiskState const* best = nullptr;
+    std::size_t const majority = membersFromJson(membership).size() / 2 + 1;
+    std::vector<std::string> lost;
+    for (auto const& [key, items] : acknowledgedItems) {
+      for (AcceptedOnDisk& disk : disks) disk.read(key, items);
+      for (unsigned subset = 0; subset < 1U << disks.size(); ++subset) {
+        if (static_cast<std::size_t>(std::popcount(subset)) != majority) continue;
+        AcceptedOnDisk const* newest = nullptr;
         for (std::size_t i = 0; i < disks.size(); ++i)
-          if ((set >> i & 1U) != 0 && (best == nullptr || best->at < disks[i].at)) best = &disks[i];
-        if (best->complete) continue;
-        out.push_back(key);
+          if ((subset >> i & 1U) != 0 && (newest == nullptr || newest->position < disks[i].position))
+            newest = &disks[i];
+        if (newest->isComplete) continue;
+        lost.push_back(key);
         break;
       }
     }
-    return out;
+    return lost;
   }
 
-  /// Token of a call that changes nothing; 0: none.
-  static inline std::uint64_t readOnly = 0;
+  /// Token of a PUT call that the validator treats as a read, or 0 if there is none.
+  static inline std::uint64_t readOnlyToken = 0;
 
   Milliseconds now = 1000;
-  core::RandomGenerator rng;
+  core::RandomGenerator random;
   std::map<std::string, Machine> machines;
-  std::set<std::pair<std::string, std::string>> cuts;
-  double loss = 0;
-  std::map<std::uint64_t, int> answers;
-  std::map<std::string, std::set<std::string>> acknowledged;
-  std::map<std::string, std::uint64_t> newest;
+  /// Pairs of sender and receiver between which messages are dropped.
+  std::set<std::pair<std::string, std::string>> partitions;
+  /// Probability with which a message is lost.
+  double lossProbability = 0;
+  /// HTTP statuses of the responses, by the token of the call.
+  std::map<std::uint64_t, int> statuses;
+  /// Items whose append was answered with status 200, by key.
+  std::map<std::string, std::set<std::string>> acknowledgedItems;
+  /// Highest committed revision of each key.
+  std::map<std::string, std::uint64_t> newestRevisions;
+  /// Descriptions of the guarantee violations that were seen.
   std::vector<std::string> violations;
-  std::function<void(std::string const& from, transport::Send const& send)> watch;
+  /// Called for each message that a member sends, if set.
+  std::function<void(std::string const& from, transport::Send const& send)> onSend;
 
  private:
   struct Event {
     Milliseconds at;
     std::uint64_t order;
-    std::function<void()> act;
-    bool operator<(Event const& o) const { return at != o.at ? at > o.at : order > o.order; }
+    std::function<void()> action;
+    /// Reversed, so that the earliest event is on top of the priority queue.
+    bool operator<(Event const& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
 
-  /// What one member's disk holds of a key: the newest accepted, and whether all acknowledged marks stand in it.
-  struct DiskState {
-    std::string id;
+  /// The accepted value of one key on one member's disk.
+  struct AcceptedOnDisk {
+    std::string memberId;
     std::map<std::string, std::string> const* disk;
-    std::pair<Ballot, std::uint64_t> at;
-    bool complete = false;
-    void read(std::string const& key, std::set<std::string> const& want) {
-      at = {};
-      complete = false;
-      auto const it = disk->find("slot:" + key);
-      if (it == disk->end()) return;
-      QJsonObject const o = core::parseJson(it->second).toObject();
-      if (core::toStdString(o.value("i").toString()) != id) return;
-      QJsonObject const e = o.value("a").toObject();
-      at = {Ballot{static_cast<std::uint64_t>(e.value("n").toInteger()), core::toStdString(e.value("m").toString())},
-            static_cast<std::uint64_t>(o.value("s").toInteger())};
-      std::set<std::string> have;
-      for (QJsonValue const v : o.value("v").toObject().value("marks").toArray())
-        have.insert(core::toStdString(v.toString()));
-      complete = std::includes(have.begin(), have.end(), want.begin(), want.end());
+    /// Ballot and revision under which the value was accepted.
+    std::pair<Ballot, std::uint64_t> position;
+    /// Whether the value contains all acknowledged items.
+    bool isComplete = false;
+    void read(std::string const& key, std::set<std::string> const& acknowledged) {
+      position = {};
+      isComplete = false;
+      auto const found = disk->find("slot:" + key);
+      if (found == disk->end()) return;
+      QJsonObject const record = core::parseJson(found->second).toObject();
+      if (core::toStdString(record.value("i").toString()) != memberId) return;
+      QJsonObject const ballot = record.value("a").toObject();
+      position = {Ballot{static_cast<std::uint64_t>(ballot.value("n").toInteger()),
+                         core::toStdString(ballot.value("m").toString())},
+                  static_cast<std::uint64_t>(record.value("s").toInteger())};
+      std::set<std::string> items;
+      for (QJsonValue const item : record.value("v").toObject().value("items").toArray())
+        items.insert(core::toStdString(item.toString()));
+      isComplete = std::includes(items.begin(), items.end(), acknowledged.begin(), acknowledged.end());
     }
   };
-  void hand(std::string const& link, std::string const& key, transport::OperatorCall const& c) {
-    std::string const owner = at(link).ownerLink(key, now);
-    Machine* m = &machines.at(link);
-    if (machines.count(owner) > 0 && machines.at(owner).member && !machines.at(owner).frozen) m = &machines.at(owner);
-    take(*m, m->member->submit(now, key, c));
+  void submitAtOwner(std::string const& link, std::string const& key, transport::OperatorCall const& call) {
+    std::string const owner = member(link).ownerLink(key, now);
+    Machine* machine = &machines.at(link);
+    if (machines.count(owner) > 0 && machines.at(owner).member && !machines.at(owner).isPaused)
+      machine = &machines.at(owner);
+    execute(*machine, machine->member->submit(now, key, call));
   }
   static Verdict validator(std::string const&, std::uint64_t, QJsonObject const& value,
                            transport::OperatorCall const& call) {
     if (call.method == "GET") return Verdict{false, {}, 200, value};
-    if (readOnly != 0 && call.token == readOnly) return Verdict{false, {}, 200, value};
-    QJsonArray marks = value.value("marks").toArray();
-    marks.append(core::toQString(call.body));
-    return Verdict{true, QJsonObject{{"marks", marks}}, 200, {}};
+    if (readOnlyToken != 0 && call.token == readOnlyToken) return Verdict{false, {}, 200, value};
+    QJsonArray items = value.value("items").toArray();
+    items.append(core::toQString(call.body));
+    return Verdict{true, QJsonObject{{"items", items}}, 200, {}};
   }
-  static bool isMemberHere(Machine const& m) {
-    for (Member const& c : m.member->membership())
-      if (c.id == m.member->self().id) return true;
+  static bool isInOwnMembership(Machine const& machine) {
+    for (Member const& member : machine.member->membership())
+      if (member.id == machine.member->self().id) return true;
     return false;
   }
-  void after(Milliseconds delay, std::function<void()> act) {
-    events_.push(Event{now + delay, order_++, std::move(act)});
+  void schedule(Milliseconds delay, std::function<void()> action) {
+    events_.push(Event{now + delay, nextOrder_++, std::move(action)});
   }
   void step() {
-    Event const e = events_.top();
+    Event const event = events_.top();
     events_.pop();
-    now = std::max(now, e.at);
-    e.act();
+    now = std::max(now, event.at);
+    event.action();
   }
-  void to(std::string const& link, std::uint64_t incarnation, std::function<void()> act) {
+  /// Runs the action at the machine's process, after resume if the process is paused. Does nothing if the process has
+  /// ended.
+  void deliver(std::string const& link, std::uint64_t incarnation, std::function<void()> action) {
     if (!isRunning(link, incarnation)) return;
-    Machine& m = machines.at(link);
-    if (m.frozen)
-      m.inbox.push_back([this, link, incarnation, act] { to(link, incarnation, act); });
+    Machine& machine = machines.at(link);
+    if (machine.isPaused)
+      machine.inbox.push_back([this, link, incarnation, action] { deliver(link, incarnation, action); });
     else
-      act();
+      action();
   }
   bool isRunning(std::string const& link, std::uint64_t incarnation) const {
-    auto const it = machines.find(link);
-    return it != machines.end() && it->second.incarnation == incarnation && it->second.member;
+    auto const found = machines.find(link);
+    return found != machines.end() && found->second.incarnation == incarnation && found->second.member;
   }
-  void clock(std::string const& link, std::uint64_t incarnation) {
+  void runTimer(std::string const& link, std::uint64_t incarnation) {
     if (!isRunning(link, incarnation)) return;
-    Machine& m = machines.at(link);
-    if (!m.frozen) {
-      if (m.member->discovering()) m.member->setDiscoveryPeers(seeds_);
-      take(m, m.member->onTimer(now));
+    Machine& machine = machines.at(link);
+    if (!machine.isPaused) {
+      if (machine.member->discovering()) machine.member->setDiscoveryPeers(discoveryPeers_);
+      execute(machine, machine.member->onTimer(now));
     }
-    after(25, [this, link, incarnation] { clock(link, incarnation); });
+    schedule(25, [this, link, incarnation] { runTimer(link, incarnation); });
   }
-  void take(Machine& m, RegisterCommands&& c) {
-    if (!c.persists.empty()) m.writes.push_back(c.persists);
-    write(m);
-    for (CommittedValue const& k : c.commits) {
-      std::string& text = committed_[{k.key, k.revision}];
-      std::string const here = core::jsonText(k.value);
-      if (!text.empty() && text != here)
-        violations.push_back("two values of " + k.key + " under revision " + std::to_string(k.revision));
-      text = here;
-      newest[k.key] = std::max(newest[k.key], k.revision);
+  void execute(Machine& machine, RegisterCommands&& commands) {
+    if (!commands.persists.empty()) machine.pendingWrites.push_back(commands.persists);
+    writeNext(machine);
+    for (CommittedValue const& committed : commands.commits) {
+      std::string& known = committed_[{committed.key, committed.revision}];
+      std::string const value = core::jsonText(committed.value);
+      if (!known.empty() && known != value)
+        violations.push_back("two values of " + committed.key + " under revision " +
+                             std::to_string(committed.revision));
+      known = value;
+      newestRevisions[committed.key] = std::max(newestRevisions[committed.key], committed.revision);
     }
-    for (CallCompleted const& d : c.completedCalls) {
-      answers[d.token] = d.status;
-      if (d.status == 200 && d.revision > 0) acknowledged[d.key].insert("m" + std::to_string(d.token));
+    for (CallCompleted const& call : commands.completedCalls) {
+      statuses[call.token] = call.status;
+      if (call.status == 200 && call.revision > 0) acknowledgedItems[call.key].insert("m" + std::to_string(call.token));
     }
-    for (std::pair<std::string, transport::OperatorCall> const& r : c.rerouted)
-      after(1, [this, link = m.link, incarnation = m.incarnation, r] {
-        to(link, incarnation, [this, link, r] { hand(link, r.first, r.second); });
+    for (std::pair<std::string, transport::OperatorCall> const& rerouted : commands.rerouted)
+      schedule(1, [this, link = machine.link, incarnation = machine.incarnation, rerouted] {
+        deliver(link, incarnation, [this, link, rerouted] { submitAtOwner(link, rerouted.first, rerouted.second); });
       });
-    for (core::LogEvent const& n : c.logEvents)
-      if (n.event == events::messageRejected) violations.push_back("message rejected at " + m.link);
-    for (transport::Send const& s : c.sends) {
-      if (watch) watch(m.link, s);
-      auto const it = machines.find(s.to);
-      if (it == machines.end() || !it->second.member || cuts.count({m.link, s.to}) > 0 || rng.chance(loss)) continue;
-      after(1 + static_cast<Milliseconds>(rng.below(4)),
-            [this, from = m.link, link = s.to, incarnation = it->second.incarnation, message = s.message] {
-              to(link, incarnation,
-                 [this, from, link, message] { take(machines.at(link), at(link).onMessage(now, from, message)); });
-            });
+    for (core::LogEvent const& logEvent : commands.logEvents)
+      if (logEvent.event == events::messageRejected) violations.push_back("message rejected at " + machine.link);
+    for (transport::Send const& send : commands.sends) {
+      if (onSend) onSend(machine.link, send);
+      auto const target = machines.find(send.to);
+      if (target == machines.end() || !target->second.member || partitions.count({machine.link, send.to}) > 0 ||
+          random.chance(lossProbability))
+        continue;
+      schedule(1 + static_cast<Milliseconds>(random.below(4)),
+               [this, from = machine.link, link = send.to, incarnation = target->second.incarnation,
+                message = send.message] {
+                 deliver(link, incarnation, [this, from, link, message] {
+                   execute(machines.at(link), member(link).onMessage(now, from, message));
+                 });
+               });
     }
   }
-  void write(Machine& m) {
-    if (m.writing || m.writes.empty()) return;
-    m.writing = true;
-    after(m.diskDelay + static_cast<Milliseconds>(rng.below(3)), [this, link = m.link, incarnation = m.incarnation] {
-      if (!isRunning(link, incarnation)) return;
-      Machine& k = machines.at(link);
-      std::vector<PersistCommand> const done = k.writes.front();
-      k.writes.pop_front();
-      k.writing = false;
-      for (PersistCommand const& p : done) k.disk[p.key] = p.payload;
-      to(link, incarnation, [this, link, done] {
-        for (PersistCommand const& p : done) take(machines.at(link), at(link).onPersisted(now, p.ticket, true));
-      });
-      write(k);
-    });
+  /// Starts to write the oldest pending batch unless a write is in progress.
+  void writeNext(Machine& machine) {
+    if (machine.isWriting || machine.pendingWrites.empty()) return;
+    machine.isWriting = true;
+    schedule(machine.diskDelay + static_cast<Milliseconds>(random.below(3)),
+             [this, link = machine.link, incarnation = machine.incarnation] {
+               if (!isRunning(link, incarnation)) return;
+               Machine& running = machines.at(link);
+               std::vector<PersistCommand> const batch = running.pendingWrites.front();
+               running.pendingWrites.pop_front();
+               running.isWriting = false;
+               for (PersistCommand const& persist : batch) running.disk[persist.key] = persist.payload;
+               deliver(link, incarnation, [this, link, batch] {
+                 for (PersistCommand const& persist : batch)
+                   execute(machines.at(link), member(link).onPersisted(now, persist.ticket, true));
+               });
+               writeNext(running);
+             });
   }
 
   ConsensusTuning tuning_;
-  std::vector<std::string> seeds_;
+  std::vector<std::string> discoveryPeers_;
   std::priority_queue<Event> events_;
-  std::uint64_t order_ = 0;
-  std::uint64_t tokens_ = 0;
+  std::uint64_t nextOrder_ = 0;
+  std::uint64_t lastToken_ = 0;
+  /// Committed values as JSON text, by key and revision.
   std::map<std::pair<std::string, std::uint64_t>, std::string> committed_;
 };
 
--- a/consensus/test/golden_test.cpp
+++ b/consensus/test/golden_test.cpp
@@ -21,11 +21,12 @@
 
 namespace {
 
-/// Each record in the order of writing: the machine's link, the record's key and its text. "#" begins a comment.
+/// All records in the order of writing. Each line has the machine's link address, the record's key and its JSON text,
+/// separated by tabs. Lines that start with "#" are comments.
 constexpr char const* recordsFile = "consensus/test/golden/records.txt";
-/// What is committed when the last record is written: key, revision and value.
+/// The committed values after the last record was written. Each line has the key, the revision and the value.
 constexpr char const* committedFile = "consensus/test/golden/committed.txt";
-constexpr char const* slotPrefix = "slot:";
+constexpr char const* acceptorPrefix = "slot:";
 
 std::string const first = "127.0.0.1:7001";
 std::string const second = "127.0.0.1:7002";
@@ -35,8 +36,8 @@
 
 using Disk = std::map<std::string, std::string>;
 
-/// Nothing here is drawn by lot: all members wait equally long before an election.
-consensus::ConsensusTuning withoutChance() {
+/// Returns a tuning without random delays, so that the order of events is the same in every run.
+consensus::ConsensusTuning tuningWithoutRandomDelays() {
   consensus::ConsensusTuning tuning;
   tuning.electionSpread = 1;
   tuning.restartSpread = 1;
@@ -44,9 +45,9 @@
   return tuning;
 }
 
-/// Takes the body of a call as the key's new value.
-consensus::Verdict takeBody(std::string const&, std::uint64_t, QJsonObject const&,
-                            transport::OperatorCall const& call) {
+/// Validator that accepts the body of each call as the key's new value.
+consensus::Verdict acceptBody(std::string const&, std::uint64_t, QJsonObject const&,
+                              transport::OperatorCall const& call) {
   consensus::Verdict verdict;
   verdict.change = true;
   verdict.value = core::parseJson(call.body).toObject();
@@ -54,24 +55,25 @@
 }
 
 std::unique_ptr<consensus::ReplicatedRegisters> newMember(std::string const& id, std::string const& link) {
-  return std::make_unique<consensus::ReplicatedRegisters>(consensus::Member{id, link}, founders, takeBody, 1,
-                                                          withoutChance());
+  return std::make_unique<consensus::ReplicatedRegisters>(consensus::Member{id, link}, founders, acceptBody, 1,
+                                                          tuningWithoutRandomDelays());
 }
 
-/// Machines in virtual time, without chance: a message arrives, and a record is synced, with the next step.
+/// Simulated machines in virtual time without random delays. Each message is delivered and each record is synced in the
+/// next step.
 class ScriptedMachines {
  public:
   enum class DiskState { sound, damaged };
 
-  void boot(std::string const& link, std::string const& id, DiskState state = DiskState::sound) {
+  void start(std::string const& link, std::string const& id, DiskState state = DiskState::sound) {
     members_[link] = newMember(id, link);
-    take(link, members_[link]->restore(disks[link], state == DiskState::damaged, now_));
+    execute(link, members_[link]->restore(disks[link], state == DiskState::damaged, now_));
   }
-  /// The process ends; what it has sent is on its way, what it was sent is lost.
+  /// Ends the process. Messages that it has sent are still delivered, and messages to it are lost.
   void kill(std::string const& link) { members_.erase(link); }
   void killAll() { members_.clear(); }
 
-  void handOver(std::string const& link) { take(link, members_.at(link)->startHandover(now_)); }
+  void startHandover(std::string const& link) { execute(link, members_.at(link)->startHandover(now_)); }
   void call(std::string const& link, std::string const& key, std::string const& body) {
     transport::OperatorCall call;
     call.token = ++tokens_;
@@ -79,31 +81,31 @@
     call.body = body;
     std::string const owner = members_.at(link)->ownerLink(key, now_);
     std::string const at = owner.empty() ? link : owner;
-    take(at, members_.at(at)->submit(now_, key, call));
+    execute(at, members_.at(at)->submit(now_, key, call));
   }
 
   void step() {
     now_ += stepLength;
     std::deque<std::function<void()>> const due = std::move(inFlight_);
     inFlight_.clear();
-    for (auto const& act : due) act();
-    if (now_ % clockEvery != 0) return;
+    for (auto const& event : due) event();
+    if (now_ % timerInterval != 0) return;
     for (auto const& [link, member] : members_) {
       if (member->discovering()) member->setDiscoveryPeers(founders);
-      take(link, member->onTimer(now_));
+      execute(link, member->onTimer(now_));
     }
   }
   void run(Milliseconds duration) {
     for (Milliseconds const until = now_ + duration; now_ < until;) step();
   }
-  void runUntil(std::function<bool()> const& holds) {
-    for (Milliseconds const limit = now_ + 20000; !holds() && now_ < limit;) step();
-    REQUIRE(holds());
+  void runUntil(std::function<bool()> const& condition) {
+    for (Milliseconds const limit = now_ + 20000; !condition() && now_ < limit;) step();
+    REQUIRE(condition());
   }
 
   consensus::ReplicatedRegisters const& at(std::string const& link) const { return *members_.at(link); }
-  bool handedOver(std::string const& link) const { return members_.at(link)->handoverComplete(now_); }
-  /// All running members vote, and each knows a membership of this size.
+  bool isHandoverComplete(std::string const& link) const { return members_.at(link)->handoverComplete(now_); }
+  /// Returns true if all running members vote and each has adopted a membership of this size.
   bool allVote(std::size_t size) const {
     for (auto const& [link, member] : members_)
       if (!member->isVoting() || member->membership().size() != size) return false;
@@ -122,28 +124,28 @@
 
  private:
   static constexpr Milliseconds stepLength = 5;
-  static constexpr Milliseconds clockEvery = 25;
+  static constexpr Milliseconds timerInterval = 25;
 
-  void take(std::string const& link, consensus::RegisterCommands const& commands) {
+  void execute(std::string const& link, consensus::RegisterCommands const& commands) {
     for (consensus::PersistCommand const& persist : commands.persists) {
       log_ << link << "\t" << persist.key << "\t" << persist.payload << "\n";
       disks[link][persist.key] = persist.payload;
-      later(link, [this, ticket = persist.ticket](consensus::ReplicatedRegisters& member) {
+      deliverNextStep(link, [this, ticket = persist.ticket](consensus::ReplicatedRegisters& member) {
         return member.onPersisted(now_, ticket, true);
       });
     }
     for (transport::Send const& send : commands.sends)
-      later(send.to, [this, from = link, message = send.message](consensus::ReplicatedRegisters& member) {
+      deliverNextStep(send.to, [this, from = link, message = send.message](consensus::ReplicatedRegisters& member) {
         return member.onMessage(now_, from, message);
       });
   }
-  void later(std::string const& link,
-             std::function<consensus::RegisterCommands(consensus::ReplicatedRegisters&)> event) {
+  void deliverNextStep(std::string const& link,
+                       std::function<consensus::RegisterCommands(consensus::ReplicatedRegisters&)> event) {
     auto const running = members_.find(link);
     if (running == members_.end()) return;
     inFlight_.push_back([this, link, process = running->second.get(), event = std::move(event)] {
-      auto const still = members_.find(link);
-      if (still != members_.end() && still->second.get() == process) take(link, event(*process));
+      auto const current = members_.find(link);
+      if (current != members_.end() && current->second.get() == process) execute(link, event(*process));
     });
   }
 
@@ -161,11 +163,11 @@
   return text.str();
 }
 
-void foundMembership(ScriptedMachines& machines) {
+void bootstrapMembership(ScriptedMachines& machines) {
   machines.comment("three machines with empty disks found a membership");
-  machines.boot(first, "m1");
-  machines.boot(second, "m2");
-  machines.boot(third, "m3");
+  machines.start(first, "m1");
+  machines.start(second, "m2");
+  machines.start(third, "m3");
   machines.runUntil([&] { return machines.allVote(3) && machines.revisionOf(first, consensus::membershipKey) == 1; });
 }
 
@@ -183,18 +185,18 @@
 
 void drainAndRestart(ScriptedMachines& machines) {
   machines.comment("the first machine hands its keys over, ends, and starts again");
-  machines.handOver(first);
-  machines.runUntil([&] { return machines.handedOver(first); });
+  machines.startHandover(first);
+  machines.runUntil([&] { return machines.isHandoverComplete(first); });
   machines.run(500);
   machines.kill(first);
   machines.run(500);
-  machines.boot(first, "m1b");
+  machines.start(first, "m1b");
   machines.run(1000);
 }
 
 void addAndRemoveFourth(ScriptedMachines& machines) {
   machines.comment("a fourth machine joins");
-  machines.boot(fourth, "m4");
+  machines.start(fourth, "m4");
   machines.runUntil([&] { return machines.allVote(4); });
   machines.run(500);
   machines.comment("it is away until it is removed, and takes another name when it hears of that");
@@ -202,7 +204,7 @@
   machines.runUntil([&] { return machines.allVote(3); });
   machines.run(500);
   std::string const before = machines.disks[fourth].at("meta");
-  machines.boot(fourth, "m4b");
+  machines.start(fourth, "m4b");
   machines.runUntil([&] { return machines.disks[fourth].at("meta") != before; });
   machines.kill(fourth);
   machines.run(2000);
@@ -212,7 +214,7 @@
   machines.comment("the third machine starts with a damaged disk and joins anew in its old place");
   machines.kill(third);
   machines.run(1500);
-  machines.boot(third, "m5", ScriptedMachines::DiskState::damaged);
+  machines.start(third, "m5", ScriptedMachines::DiskState::damaged);
   machines.runUntil([&] { return machines.allVote(3) && machines.at(third).membership().back().id == "m5"; });
   machines.run(1000);
 }
@@ -231,7 +233,7 @@
 
 ScriptOutcome runScript() {
   ScriptedMachines machines;
-  foundMembership(machines);
+  bootstrapMembership(machines);
   changeValues(machines);
   drainAndRestart(machines);
   addAndRemoveFourth(machines);
@@ -242,13 +244,13 @@
   return ScriptOutcome{machines.log(), committed};
 }
 
-std::string namesOf(std::vector<consensus::Member> const& members) {
-  std::string names;
-  for (consensus::Member const& member : members) names += (names.empty() ? "" : " ") + member.id + "@" + member.link;
-  return names;
+std::string membersText(std::vector<consensus::Member> const& members) {
+  std::string text;
+  for (consensus::Member const& member : members) text += (text.empty() ? "" : " ") + member.id + "@" + member.link;
+  return text;
 }
 
-/// Each machine's disk when the last record of the file is written.
+/// Returns the content of each machine's disk after the last record of the golden file.
 std::map<std::string, Disk> recordedDisks() {
   std::map<std::string, Disk> disks;
   for (std::string const& line : golden::lines(golden::read(recordsFile))) {
@@ -261,7 +263,7 @@
   return disks;
 }
 
-QJsonObject parsed(std::string const& record) {
+QJsonObject parseRecord(std::string const& record) {
   return core::parseJson(record).toObject();
 }
 
@@ -274,7 +276,7 @@
                            core::toStdString(json.value("m").toString())};
 }
 
-/// Asks a member that runs by itself to promise a ballot.
+/// Sends a prepare request for the ballot to a member that runs without other members.
 consensus::RegisterCommands prepare(consensus::ReplicatedRegisters& member, std::string const& key,
                                     transport::Ballot const& ballot) {
   transport::Prepare message;
@@ -290,38 +292,39 @@
   return std::get<transport::Promise>(commands.sends.front().message);
 }
 
-/// What a member that was just restored tells the others of itself.
+/// Returns the first heartbeat of a restored member.
 transport::Heartbeat firstHeartbeat(consensus::ReplicatedRegisters& member) {
   for (transport::Send const& send : member.onTimer(0).sends)
     if (auto const* const heartbeat = std::get_if<transport::Heartbeat>(&send.message)) return *heartbeat;
-  FAIL("no heartbeat");
+  FAIL("the restored member sent no heartbeat");
   return {};
 }
 
-/// What a restored member answers, and writes, about a slot that it has on its disk.
-void checkSlot(consensus::ReplicatedRegisters& member, std::string const& key, std::string const& record) {
+/// Checks that a restored member replies to prepare requests as its acceptor record on the disk requires: it rejects a
+/// lower ballot, repeats its promise with the accepted value, and writes the record anew for a higher ballot.
+void checkAcceptorRecord(consensus::ReplicatedRegisters& member, std::string const& key, std::string const& record) {
   INFO(member.self().link << " " << key << " " << record);
-  QJsonObject const slot = parsed(record);
-  CHECK(core::toStdString(slot.value("i").toString()) == member.self().id);
-  transport::Ballot const promised = ballotOf(slot.value("p").toObject());
+  QJsonObject const json = parseRecord(record);
+  CHECK(core::toStdString(json.value("i").toString()) == member.self().id);
+  transport::Ballot const promised = ballotOf(json.value("p").toObject());
   REQUIRE(promised.number > 0);
 
-  transport::Promise const refused = promiseIn(prepare(member, key, transport::Ballot{}));
-  CHECK_FALSE(refused.granted);
-  CHECK(refused.promised == promised);
+  transport::Promise const rejected = promiseIn(prepare(member, key, transport::Ballot{}));
+  CHECK_FALSE(rejected.granted);
+  CHECK(rejected.promised == promised);
 
   consensus::RegisterCommands const again = prepare(member, key, promised);
   CHECK(again.persists.empty());
   transport::Promise const promise = promiseIn(again);
   CHECK(promise.granted);
-  CHECK(ballotJson(promise.acceptedBallot) == slot.value("a").toObject());
-  CHECK(static_cast<qint64>(promise.revision) == slot.value("s").toInteger(-1));
-  CHECK(promise.value == slot.value("v").toObject());
+  CHECK(ballotJson(promise.acceptedBallot) == json.value("a").toObject());
+  CHECK(static_cast<qint64>(promise.revision) == json.value("s").toInteger(-1));
+  CHECK(promise.value == json.value("v").toObject());
 
   transport::Ballot const higher{promised.number + 1, "m9"};
   consensus::RegisterCommands const writes = prepare(member, key, higher);
   REQUIRE(writes.persists.size() == 1);
-  CHECK(writes.persists.front().key == slotPrefix + key);
+  CHECK(writes.persists.front().key == acceptorPrefix + key);
   std::string const before = R"("p":)" + core::jsonText(ballotJson(promised));
   std::string expected = record;
   REQUIRE(expected.find(before) != std::string::npos);
@@ -329,49 +332,49 @@
   CHECK(writes.persists.front().payload == expected);
 }
 
-ScriptedMachines restarted(std::map<std::string, Disk> const& disks) {
+ScriptedMachines restartFrom(std::map<std::string, Disk> const& disks) {
   ScriptedMachines machines;
   machines.disks = disks;
-  for (std::string const& link : founders) machines.boot(link, "unused");
+  for (std::string const& link : founders) machines.start(link, "unused");
   return machines;
 }
 
 }  // namespace
 
-TEST_CASE("members write the recorded records") {
+TEST_CASE("members write the records of the golden file") {
   golden::check(recordsFile, runScript().log);
 }
 
-TEST_CASE("members commit the recorded values") {
+TEST_CASE("members commit the values of the golden file") {
   golden::check(committedFile, runScript().committed);
 }
 
-TEST_CASE("a member restored from recorded records stands by what it promised and accepted") {
+TEST_CASE("a member restored from the golden records keeps its promised ballots and accepted values") {
   for (auto const& [link, disk] : recordedDisks()) {
     if (link == fourth) continue;
     INFO(link);
     std::unique_ptr<consensus::ReplicatedRegisters> const member = newMember("unused", link);
     consensus::RegisterCommands const restored = member->restore(disk, false, 0);
-    CHECK(core::toQString(member->self().id) == parsed(disk.at("meta")).value("id").toString());
+    CHECK(core::toQString(member->self().id) == parseRecord(disk.at("meta")).value("id").toString());
     CHECK(member->isVoting());
-    CHECK(namesOf(member->membership()) == "m1@127.0.0.1:7001 m2@127.0.0.1:7002 m5@127.0.0.1:7003");
+    CHECK(membersText(member->membership()) == "m1@127.0.0.1:7001 m2@127.0.0.1:7002 m5@127.0.0.1:7003");
     REQUIRE(restored.persists.size() == 1);
     CHECK(restored.persists.front().key == "config");
     CHECK(restored.persists.front().payload == disk.at("config"));
     transport::Heartbeat const heartbeat = firstHeartbeat(*member);
-    CHECK(static_cast<qint64>(heartbeat.membershipRevision) == parsed(disk.at("config")).value("s").toInteger());
-    CHECK(static_cast<qint64>(heartbeat.caughtUpRevision) == parsed(disk.at("meta")).value("settled").toInteger());
-    std::size_t slots = 0;
+    CHECK(static_cast<qint64>(heartbeat.membershipRevision) == parseRecord(disk.at("config")).value("s").toInteger());
+    CHECK(static_cast<qint64>(heartbeat.caughtUpRevision) == parseRecord(disk.at("meta")).value("settled").toInteger());
+    std::size_t acceptorRecords = 0;
     for (auto const& [key, record] : disk) {
-      if (key.rfind(slotPrefix, 0) != 0) continue;
-      checkSlot(*member, key.substr(std::string(slotPrefix).size()), record);
-      ++slots;
+      if (key.rfind(acceptorPrefix, 0) != 0) continue;
+      checkAcceptorRecord(*member, key.substr(std::string(acceptorPrefix).size()), record);
+      ++acceptorRecords;
     }
-    CHECK(slots == 5);
+    CHECK(acceptorRecords == 5);
   }
 }
 
-TEST_CASE("a member restored from the recorded records of a removed one has its new name and nothing else") {
+TEST_CASE("a member restored from the golden records of a removed member has a new id and no state") {
   Disk const disk = recordedDisks().at(fourth);
   std::unique_ptr<consensus::ReplicatedRegisters> const member = newMember("unused", fourth);
   consensus::RegisterCommands const restored = member->restore(disk, false, 0);
@@ -381,12 +384,12 @@
   CHECK_FALSE(member->isVoting());
   CHECK(member->membership().empty());
   for (auto const& [key, record] : disk)
-    if (key.rfind(slotPrefix, 0) == 0)
-      CHECK_FALSE(member->mayHaveAcceptedValue(key.substr(std::string(slotPrefix).size())));
+    if (key.rfind(acceptorPrefix, 0) == 0)
+      CHECK_FALSE(member->mayHaveAcceptedValue(key.substr(std::string(acceptorPrefix).size())));
 }
 
-TEST_CASE("members restored from recorded records serve the recorded values") {
-  ScriptedMachines machines = restarted(recordedDisks());
+TEST_CASE("members restored from the golden records commit the golden values again") {
+  ScriptedMachines machines = restartFrom(recordedDisks());
   machines.run(3000);
   CHECK(machines.allVote(3));
   for (std::string const& link : founders) {
@@ -395,22 +398,22 @@
   }
 }
 
-TEST_CASE("a restored member that has yet to catch up writes the recorded word of that again") {
+TEST_CASE("a restored member that has not caught up writes the golden metadata record again after its catch-up") {
   std::map<std::string, Disk> const disks = recordedDisks();
   for (std::string const& link : founders) {
     std::string const recorded = disks.at(link).at("meta");
-    QJsonObject behind = parsed(recorded);
-    REQUIRE(behind.value("settled").toInteger() == 4);
-    behind.insert("settled", 0);
+    QJsonObject metadata = parseRecord(recorded);
+    REQUIRE(metadata.value("settled").toInteger() == 4);
+    metadata.insert("settled", 0);
     std::map<std::string, Disk> changed = disks;
-    changed[link]["meta"] = core::jsonText(behind);
-    ScriptedMachines machines = restarted(changed);
+    changed[link]["meta"] = core::jsonText(metadata);
+    ScriptedMachines machines = restartFrom(changed);
     machines.run(3000);
     CHECK(machines.disks.at(link).at("meta") == recorded);
   }
 }
 
-TEST_CASE("nothing counts of the recorded records when the disk is damaged") {
+TEST_CASE("a member with a damaged disk ignores the golden records") {
   std::unique_ptr<consensus::ReplicatedRegisters> const member = newMember("m9", first);
   consensus::RegisterCommands const restored = member->restore(recordedDisks().at(first), true, 0);
   REQUIRE(restored.persists.size() == 1);
--- a/consensus/test/linearizable_reads_test.cpp
+++ b/consensus/test/linearizable_reads_test.cpp
@@ -50,7 +50,7 @@
   CHECK(completed.front().body == QJsonObject{{"error", "not confirmed"}});
 }
 
-TEST_CASE("pending reads fail when the ownership is lost") {
+TEST_CASE("a pending read fails when the ownership is lost") {
   consensus::LinearizableReads reads = readStartedAt(100);
   std::vector<consensus::CallCompleted> completed;
   reads.abort("k", completed);
@@ -59,7 +59,7 @@
   CHECK(reads.empty());
 }
 
-TEST_CASE("queued calls leave in order of arrival, and the expired ones first") {
+TEST_CASE("a call queue returns expired calls and then the others in order of arrival") {
   consensus::CallQueue queue;
   queue.push(callOf(1), 100);
   queue.push(callOf(2), 200);
--- a/consensus/test/proposer_test.cpp
+++ b/consensus/test/proposer_test.cpp
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-TEST_CASE("an election uses a ballot higher than every promised, observed and own one") {
+TEST_CASE("an election uses a ballot higher than every promised, observed or own ballot") {
   Proposer proposer;
   proposer.observeBallot(5);
   proposer.startElection(Ballot{3, "b"}, "a", 10);
@@ -56,7 +56,7 @@
   CHECK(proposer.recordPromise(promiseOf(proposer, "a"), "a", threeMembers));
 }
 
-TEST_CASE("a promise of another ballot is not awaited, nor any promise once the key is owned") {
+TEST_CASE("a proposer awaits promises only for its current ballot and only until it owns the key") {
   Proposer proposer;
   proposer.startElection({}, "a", 10);
   transport::Promise promise = promiseOf(proposer, "b");
@@ -68,7 +68,7 @@
   CHECK_FALSE(proposer.awaitsPromise(promise));
 }
 
-TEST_CASE("a new owner learns the value that was accepted under the highest ballot") {
+TEST_CASE("a new owner gets the promise whose value was accepted under the highest ballot") {
   Proposer proposer;
   proposer.startElection({}, "a", 10);
   proposer.recordPromise(promiseOf(proposer, "a", Ballot{1, "a"}, 9), "a", threeMembers);
@@ -80,7 +80,7 @@
   CHECK(proposer.isOwner());
 }
 
-TEST_CASE("a new owner has nothing to propose first when no promising member has accepted a value") {
+TEST_CASE("a new owner gets no value to propose first if no promising member has accepted one") {
   Proposer proposer;
   proposer.startElection({}, "a", 10);
   proposer.recordPromise(promiseOf(proposer, "a"), "a", threeMembers);
@@ -107,7 +107,7 @@
   CHECK(proposer.recordAccepted("d", threeMembers, true));
 }
 
-TEST_CASE("an acceptance of another ballot or revision is not awaited") {
+TEST_CASE("a proposer does not await an acceptance for another ballot or revision") {
   Proposer proposer = owner();
   proposer.propose(proposalOf(4), 30);
   transport::Accepted accepted{"k", proposer.ballot(), "b", 4, true, proposer.ballot()};
--- a/consensus/test/records_test.cpp
+++ b/consensus/test/records_test.cpp
@@ -7,7 +7,7 @@
 namespace records = corkward::consensus::records;
 using consensus::Ballot;
 
-TEST_CASE("records are read as they were written") {
+TEST_CASE("decoded records equal the encoded ones") {
   records::RecordMap disk;
   auto const write = [&](records::Record const& record) { disk[record.key] = record.payload; };
   write(records::encode(records::Metadata{"a", true, 4, {"linkA", "linkB"}}));
@@ -45,7 +45,7 @@
   CHECK_FALSE(consensus::Membership{}.hasMajority({"a"}));
 }
 
-TEST_CASE("a call with an unknown outcome fails with 504, one that was not executed with 503") {
+TEST_CASE("a call that was not executed fails with status 503, and a call with an unknown outcome with 504") {
   using consensus::CallFailure;
   for (auto const failure : {CallFailure::memberCannotVote, CallFailure::noQuorum, CallFailure::memberRemoved}) {
     consensus::CallCompleted const failed = consensus::failedCall(7, "k", failure);
--- a/consensus/test/recovery_test.cpp
+++ b/consensus/test/recovery_test.cpp
@@ -12,21 +12,21 @@
 using consensus::threeLinks;
 using core::Milliseconds;
 
-TEST_CASE("records of an earlier identity are ignored under the next one") {
+TEST_CASE("a restored member ignores records that were written under another member id") {
   Cluster cluster(7, shortTimeouts());
   bootstrap(cluster, threeLinks);
   std::map<std::string, std::string> disk = cluster.machines.at("b").disk;
-  disk["meta"] = R"({"id":"fresh","voting":false,"settled":0,"founders":[]})";
-  consensus::ReplicatedRegisters m(consensus::Member{"x", "b"}, threeLinks, {}, 1);
-  m.restore(disk, false, 1000);
-  CHECK(m.self().id == "fresh");
-  CHECK(m.hasNoState());
-  CHECK(m.membership().empty());
-  for (core::Milliseconds t = 1000; t < 20000; t += 25) m.onTimer(t);
-  CHECK_FALSE(m.isVoting());
+  disk["meta"] = R"({"id":"newId","voting":false,"settled":0,"founders":[]})";
+  consensus::ReplicatedRegisters member(consensus::Member{"x", "b"}, threeLinks, {}, 1);
+  member.restore(disk, false, 1000);
+  CHECK(member.self().id == "newId");
+  CHECK(member.hasNoState());
+  CHECK(member.membership().empty());
+  for (core::Milliseconds now = 1000; now < 20000; now += 25) member.onTimer(now);
+  CHECK_FALSE(member.isVoting());
 }
 
-TEST_CASE("after staggered restarts of all members every key is committed again within a second") {
+TEST_CASE("after staggered restarts of all members each member knows every key as committed within a second") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Cluster cluster(seed, shortTimeouts());
     std::vector<std::string> links(threeLinks);
@@ -38,16 +38,16 @@
       keys.insert("k" + std::to_string(i));
       REQUIRE(acknowledges(cluster, links[static_cast<std::size_t>(i) % links.size()], "k" + std::to_string(i), 2000));
     }
-    for (std::string const& l : links) cluster.kill(l);
-    for (std::string const& l : links) {
-      cluster.run(static_cast<Milliseconds>(cluster.rng.below(400)));
-      cluster.boot(l);
+    for (std::string const& link : links) cluster.kill(link);
+    for (std::string const& link : links) {
+      cluster.run(static_cast<Milliseconds>(cluster.random.below(400)));
+      cluster.start(link);
     }
-    Milliseconds const took = cluster.until(
+    Milliseconds const took = cluster.runUntil(
         [&] {
-          for (std::string const& l : links)
-            for (std::string const& k : keys)
-              if (cluster.at(l).committed().count(k) == 0) return false;
+          for (std::string const& link : links)
+            for (std::string const& key : keys)
+              if (cluster.member(link).committed().count(key) == 0) return false;
           return true;
         },
         5000);
@@ -57,7 +57,8 @@
   }
 }
 
-TEST_CASE("after a restart of all members at once every key is committed again before the restart pause ends") {
+TEST_CASE(
+    "after a simultaneous restart of all members each one knows every key as committed within the restart pause") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Cluster cluster(seed, shortTimeouts());
     bootstrap(cluster, threeLinks);
@@ -68,13 +69,13 @@
                            "k" + std::to_string(i), 2000));
     }
     cluster.run(500);
-    for (std::string const& l : threeLinks) cluster.kill(l);
-    for (std::string const& l : threeLinks) cluster.boot(l);
-    Milliseconds const took = cluster.until(
+    for (std::string const& link : threeLinks) cluster.kill(link);
+    for (std::string const& link : threeLinks) cluster.start(link);
+    Milliseconds const took = cluster.runUntil(
         [&] {
-          for (std::string const& l : threeLinks)
-            for (std::string const& k : keys)
-              if (cluster.at(l).committed().count(k) == 0) return false;
+          for (std::string const& link : threeLinks)
+            for (std::string const& key : keys)
+              if (cluster.member(link).committed().count(key) == 0) return false;
           return true;
         },
         2000);
@@ -84,14 +85,14 @@
   }
 }
 
-TEST_CASE("the restart of one member does not move a key from a live owner") {
+TEST_CASE("the restart of a member does not take a key from its live owner") {
   Cluster cluster(3, shortTimeouts());
   bootstrap(cluster, threeLinks);
-  std::string const owner = cluster.at("a").ownerLink("k", cluster.now);
+  std::string const owner = cluster.member("a").ownerLink("k", cluster.now);
   std::string const other = owner == "a" ? "b" : "a";
   cluster.kill(other);
   cluster.run(200);
-  cluster.boot(other);
+  cluster.start(other);
   cluster.run(4000);
-  CHECK(cluster.at(owner).owns("k"));
+  CHECK(cluster.member(owner).owns("k"));
 }
