--- a/control/include/corkward/control/change_history.h
+++ b/control/include/corkward/control/change_history.h
@@ -8,58 +8,59 @@
 
 namespace corkward::control {
 
-/// Outcome of a call that was built on a base which is no longer the newest.
+/// What a key's history says about a change that names a base which is no longer the newest one.
 enum class PastOutcome { applied, notApplied, forgotten };
 
-/// Digest of a change by its content: method, path, base and body. The order of fields and white space of the body are
-/// no part of it; every field is, known or not.
-/// @param body the call's body as it was parsed
-/// @param changeId part of the digest where the same base may come twice; empty: none
+/// Returns the digest of a change's content: its method, path, base and body. All fields of the body count, also
+/// unknown ones; their order and the white space between them do not.
+/// @param body the call's parsed body
+/// @param changeId added to the digest for keys where two different changes may name the same base; empty to add none
 std::string contentDigest(transport::OperatorCall const& call, QJsonObject const& body, std::string const& changeId);
 
-/// Digests of the changes that a key has accepted, oldest first, stored within the key's replicated value. Hence every
-/// owner, and every member after a failover, a restart or a transfer of the state, gives the same reply to the same
-/// change.
+/// The digests of the changes that a key has accepted, oldest first. They are stored within the key's replicated value,
+/// so that each owner of the key gives the same reply to the same change, also after a failover, a restart or a
+/// transfer of the state.
 ///
-/// At least `segmentChanges` changes are remembered and at most twice as many: when the newer segment is full it
-/// replaces the older one, whose outcomes are then forgotten.
+/// The history has two segments. When the newer one is full, it replaces the older one, whose changes are then
+/// forgotten. Once enough changes were accepted, at least `segmentChanges` and at most twice as many are remembered.
 class ChangeHistory {
  public:
-  /// Changes of one segment. With `digestBytes` bytes each, a key's history stays within 32 KiB.
+  /// Largest number of changes in one segment. With `digestBytes` bytes per change, a key's history stays within 32
+  /// KiB.
   static constexpr std::size_t segmentChanges = 1024;
-  /// Bytes of a digest as text.
+  /// Length of a digest's text in bytes.
   static constexpr std::size_t digestBytes = 16;
-  /// Field of the stored value that has the history; bytes on disk.
+  /// Name of the field that contains the history in the stored value. It is part of the storage format.
   static constexpr char const* storedField = "taken";
 
-  /// @param value the key's value as stored; without a history nothing before `base` is remembered
-  /// @param base newest base that a change can be built on now
+  /// @param value the key's stored value; if it has no history, no change before `base` is remembered
+  /// @param base newest base that a change can name now
   ChangeHistory(QJsonObject const& value, std::uint64_t base);
 
-  /// Outcome of a change built on `base`, which is not the newest base.
+  /// Returns the outcome of a change that names `base`, which is not the newest base.
   PastOutcome outcomeOf(std::string const& digest, std::uint64_t base) const;
-  /// Changes accepted since the one of that digest, which must be remembered.
+  /// Returns how many changes were accepted after the one with this digest, which must be remembered.
   std::uint64_t changesSince(std::string const& digest) const;
-  /// Adds a change that was built on `base`, the newest one.
+  /// Adds a change that names `base`, the newest base.
   void append(std::string const& digest, std::uint64_t base);
-  /// As it is stored.
+  /// Returns the history in its storage format.
   QJsonObject json() const;
 
  private:
   struct Segment {
-    /// Base of its first change.
+    /// Base that the first change of the segment names.
     std::uint64_t firstBase = 0;
-    /// Digests one behind the other.
+    /// Concatenated digests of `digestBytes` bytes each.
     std::string digests;
   };
   static Segment parseSegment(QJsonObject const& json);
   static QJsonObject segmentJson(Segment const& segment);
-  /// Offset of the digest in the segment, or std::string::npos.
+  /// Returns the digest's offset in the segment, or std::string::npos if the segment does not contain it.
   static std::size_t offsetOf(Segment const& segment, std::string const& digest);
 
   Segment older_;
   Segment newer_;
-  /// Newest base; no change can have been built on a later one.
+  /// Newest base. No accepted change names a later one.
   std::uint64_t newestBase_ = 0;
 };
 
--- a/control/include/corkward/control/cluster_view_source.h
+++ b/control/include/corkward/control/cluster_view_source.h
@@ -9,8 +9,8 @@
 
 namespace corkward::control {
 
-/// Gives validators a view of the other keys' committed values. Views refer to their source, which has to
-/// outlive them.
+/// Provides validators with a view of the other keys' committed values. A view refers to its source, which has to
+/// outlive it.
 class ClusterViewSource {
  public:
   /// @param registers have to outlive the source
@@ -22,12 +22,13 @@
   ClusterViewSource& operator=(ClusterViewSource&&) = delete;
 
   ClusterView view() const;
-  /// Takes the pools of a newly committed configuration.
+  /// Updates the configured pools from a newly committed fleet configuration.
   void configure(config::FleetConfiguration const& configuration);
-  /// Wall time, by which certificates are judged; unknown: only their names are.
+  /// Sets the wall time in milliseconds since 1970, by which the validity periods of certificates are checked. Until it
+  /// is set, only the names in certificates are checked.
   void setWallTime(std::int64_t wallTime) { wallTime_ = wallTime; }
   config::WallTime const& wallTime() const { return wallTime_; }
-  /// Committed regimes and certificates.
+  /// Returns the committed regimes and certificates.
   config::Regimes regimes() const;
 
  private:
@@ -38,7 +39,7 @@
                                                  std::string const& pool) const;
 
   consensus::ReplicatedRegisters const& registers_;
-  /// Pools that the fleet configuration names.
+  /// Names of the pools in the fleet configuration.
   std::set<std::string> configuredPools_;
   config::WallTime wallTime_;
 };
--- a/control/include/corkward/control/committed_values.h
+++ b/control/include/corkward/control/committed_values.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Reads of the committed values, as the registers give them.
+/// Lookups in the committed values of the replicated registers.
 
 #include <cstdint>
 #include <map>
@@ -17,23 +17,24 @@
 /// Committed values by key.
 using CommittedValues = std::map<std::string, consensus::CommittedValue>;
 
-/// The committed value, or null.
+/// Returns the key's committed value, or null if it has none.
 consensus::CommittedValue const* findValue(CommittedValues const& values, std::string const& key);
 
-/// Newest committed revision of the key; 0: none.
+/// Returns the newest committed revision of the key, or 0 if it has no value.
 std::uint64_t revisionOf(CommittedValues const& values, std::string const& key);
 
-/// Revision that a read of the target would show: of the template or instance in a family, else of the key; 0: none.
+/// Returns the revision that a read of the target shows: that of the template or instance if the target is in a
+/// template family, otherwise that of the key. Returns 0 if there is no value.
 std::uint64_t revisionOf(CommittedValues const& values, Target const& target);
 
-/// Generation of a pool's committed endpoint list; 0: none.
+/// Returns the generation of the pool's committed endpoint list, or 0 if it has none.
 std::uint64_t generationOf(CommittedValues const& values, std::string const& pool);
 
-/// When the newest contact with a majority of the disks began whose accepted changes are committed here; nothing: there
-/// was none yet.
+/// Start of the newest exchange with a majority of the disks. All changes that the majority had accepted by then are
+/// committed at this controller. Empty if there was no such exchange yet.
 using QuorumContact = std::optional<Milliseconds>;
 
-/// True when what is committed here is no older than that moment.
+/// Returns true if the values that are committed at this controller include all changes accepted before `moment`.
 inline bool confirmedSince(QuorumContact const& contact, Milliseconds moment) {
   return contact && *contact >= moment;
 }
--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// The control plane of one machine as a pure reducer over its events. The reducer dispatches each event to the classes
-/// that own the state and joins their commands; see docs/design.md. It is neither copied nor moved: its parts refer to
-/// each other.
+/// The control plane of one machine as a pure reducer: it maps each event to commands and performs no I/O itself. It
+/// dispatches each event to the classes that own the state and concatenates their commands; see docs/design.md. A
+/// controller cannot be copied or moved because its members refer to each other.
 
 #include <map>
 #include <string>
@@ -29,49 +29,56 @@
   Controller(transport::Contact const& self, std::string memberId, std::vector<std::string> seeds,
              std::vector<std::string> founders, std::uint64_t seed, ControllerTuning tuning = {});
 
-  /// The first event: what the write-ahead log gave back. Damaged: nothing of it counts.
+  /// Handles the first event: the records that were read from the write-ahead log.
+  /// @param damaged true if the log is damaged; then none of its records is used
   ControllerCommands restore(std::map<std::string, std::string> const& slots, bool damaged, Milliseconds now);
   ControllerCommands onMessage(Milliseconds now, std::string const& from, transport::Message const& message);
   ControllerCommands onTimer(Milliseconds now);
-  /// A write and its sync are done; see consensus::ReplicatedRegisters::onPersisted.
+  /// Handles the completion of a write and its sync; see consensus::ReplicatedRegisters::onPersisted.
   ControllerCommands onPersisted(Milliseconds now, std::uint64_t ticket, bool ok);
-  /// A call at this process's HTTP edge; the response comes with the call's token, now or with a later event.
+  /// Handles an operator's HTTP request to this process. The response carries the call's token and is among the
+  /// commands of this event or of a later one.
   ControllerCommands onOperatorCall(Milliseconds now, transport::OperatorCall const& call);
-  /// Result of a probe of a link address.
+  /// Handles the result of probing a link address.
+  /// @param refused true if nothing listens at that address
   ControllerCommands onProbeResult(Milliseconds now, std::string const& link, bool refused);
-  /// The platform's endpoint lists as they were just read, by pool. Lists that differ from the committed ones are
-  /// proposed; the replicas that they remove are announced at once.
+  /// Handles the endpoint lists that were just read from the platform. Lists that differ from the committed ones are
+  /// proposed; the replicas that they remove are announced to the routers at once.
+  /// @param lists endpoint lists by pool
   ControllerCommands updateEndpointLists(Milliseconds now, std::map<std::string, config::EndpointList> const& lists);
-  /// True while this controller is the one that reads the platform's lists: it owns the roster's key.
+  /// Returns true if this controller is the one that reads the platform's endpoint lists. That is the owner of the
+  /// roster's key, or the first member while the key has no owner.
   bool isEndpointListReader(Milliseconds now) const;
-  /// Wall time in milliseconds since 1970, by which certificates are checked when they are declared; unknown: only
-  /// their names are.
+  /// Sets the wall time in milliseconds since 1970, by which the validity periods of declared certificates are checked.
+  /// Until it is set, only the names in certificates are checked.
   void setWallTime(std::int64_t wallTime) { clusterView_.setWallTime(wallTime); }
   void setSeeds(std::vector<std::string> seeds) { partialView_.setSeeds(std::move(seeds)); }
-  /// Hands every owned key to a named successor and accepts no calls from here on.
+  /// Starts to hand each owned key over to a successor. The controller accepts no operator calls from then on.
   ControllerCommands drain(Milliseconds now);
-  /// After drain: the other members have all that this one has; see consensus::ReplicatedRegisters::handoverComplete.
+  /// Returns true if, after drain(), the other members have all values that this one has; see
+  /// consensus::ReplicatedRegisters::handoverComplete.
   bool handoverComplete(Milliseconds now) const { return registers_.handoverComplete(now); }
 
-  /// True while this controller had contact with a majority of the disks within a serving lease, and does not drain.
+  /// Returns true if the last contact with a majority of the disks is no older than a serving lease and this controller
+  /// is not draining.
   bool ready(Milliseconds now) const;
-  /// The fleet's page.
+  /// Returns the body of the page /v1/fleet.
   QJsonObject fleet(Milliseconds now) const;
-  /// Counters folded from the journal and gauges, in Prometheus' text form.
+  /// Returns the counters aggregated from the journal and the gauges in the Prometheus text format.
   std::string metrics(Milliseconds now) const;
   consensus::ReplicatedRegisters const& registers() const { return registers_; }
-  /// Calls that have no reply yet.
+  /// Returns how many calls have no reply yet.
   std::size_t pendingCount() const { return calls_.size() + rollouts_.pendingReplies().size() + reads_.size(); }
 
  private:
-  // Registers and what they commit (controller.cpp).
+  // Replicated registers and their committed values (controller.cpp).
   void apply(ControllerCommands& out, Milliseconds now, consensus::RegisterCommands&& commands);
   void onCommitted(Milliseconds now, consensus::CommittedValue const& committed);
   CommittedValues const& values() const { return registers_.committed(); }
   QuorumContact quorumContact(Milliseconds now) const;
   RolloutInputs rolloutInputs(Milliseconds now) const { return {now, quorumContact(now), roster_, routers_}; }
 
-  // Operators' calls (operator_calls.cpp).
+  // Operator calls (operator_calls.cpp).
   void startRead(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call);
   OperatorResponse respondToRole(Milliseconds now, transport::OperatorCall const& call, std::string const& role);
   std::optional<OperatorResponse> rejectCall(Milliseconds now, transport::OperatorCall const& call,
@@ -92,7 +99,7 @@
   void rejectCallsWithoutQuorum(ControllerCommands& out, Milliseconds now);
   void completeRolloutReplies(ControllerCommands& out, Milliseconds now);
 
-  // Routers and their configuration (configuration_push.cpp).
+  // Routers and their configuration updates (configuration_push.cpp).
   void pushConfiguration(ControllerCommands& out, Milliseconds now, std::string const& link);
   void pushConfigurationToAll(ControllerCommands& out, Milliseconds now);
   bool updateKnownRevisions(RouterRegistry::Router& router, transport::ServingLeaseRequest const& request);
@@ -112,7 +119,7 @@
   void proposeEndpointList(ControllerCommands& out, Milliseconds now, std::string const& pool,
                            config::EndpointList const& list);
 
-  // Messages that are not the registers' own.
+  // Messages other than those of the replicated registers.
   void on(ControllerCommands& out, Milliseconds now, std::string const& from, transport::GossipShuffle const& shuffle);
   void on(ControllerCommands& out, Milliseconds now, std::string const& from, transport::OperatorCall const& call);
   void on(ControllerCommands& out, Milliseconds now, std::string const& from,
@@ -148,8 +155,9 @@
   QuotaCoordination quotas_;
   LeaseTable leases_;
   GuaranteeChecks guarantees_;
-  /// When this process started, and when it last had no vote; -1: it has always had one.
+  /// When this process started.
   Milliseconds startedAt_ = 0;
+  /// When this process was last not a voting member, or -1 if it has been one at every timer event.
   Milliseconds lastWithoutVoteAt_ = -1;
   bool draining_ = false;
 };
--- a/control/include/corkward/control/controller_commands.h
+++ b/control/include/corkward/control/controller_commands.h
@@ -11,19 +11,19 @@
 
 namespace corkward::control {
 
-/// Answers an operator's call that came in at this process's own HTTP edge.
+/// Response to an operator call that arrived at this process's own HTTP server.
 struct OperatorResponse {
   std::uint64_t token = 0;
   int status = 0;
   QJsonObject body;
 };
 
-/// Commands of one event, in the order in which they are to be carried out.
+/// Commands that result from one event. Each vector is in the order in which its commands are to be carried out.
 struct ControllerCommands {
   std::vector<transport::Send> sends;
   std::vector<consensus::PersistCommand> persists;
   std::vector<OperatorResponse> responses;
-  /// Link addresses to probe: is anything listening there?
+  /// Link addresses to probe for a listening process.
   std::vector<std::string> probes;
   std::vector<core::LogEvent> logEvents;
 };
--- a/control/include/corkward/control/controller_tuning.h
+++ b/control/include/corkward/control/controller_tuning.h
@@ -7,44 +7,45 @@
 
 using core::Milliseconds;
 
-/// Starting values of the control plane; times in milliseconds.
+/// Parameters of the control plane, with their default values. Durations are in milliseconds.
 struct ControllerTuning {
   consensus::ConsensusTuning registers;
-  /// A router without a serving lease this fresh rejects new work; see dataplane::Tuning::confirmFor.
+  /// A router whose last serving lease is older than this rejects new requests; see dataplane::Tuning::confirmFor.
   Milliseconds servingLeaseDuration = 1500;
-  /// What clocks may differ by over one lease.
+  /// Largest drift between two clocks over the duration of one lease.
   Milliseconds servingLeaseMargin = 200;
-  /// A change whose rollout is not complete by then is answered as pending.
+  /// A change whose rollout takes longer is answered as pending.
   Milliseconds rolloutTimeout = 4000;
-  /// A call that its key's owner has not answered by then is answered as unknown.
+  /// A change that has no reply from the key's owner after this long is answered as unknown.
   Milliseconds forwardTimeout = 9000;
-  /// A read is answered after this long at the latest when no contact with a majority began since it arrived: callers
-  /// go on to another machine after a second.
+  /// An operator call is answered after this long if no contact with a majority of the disks has begun since the call
+  /// arrived. It is below one second because operators' programs try another machine after a second.
   Milliseconds quorumConfirmationTimeout = 800;
-  /// A forwarded call is sent again after this long; its change id keeps it from being applied twice.
+  /// A forwarded call without a reply is sent again after this long. Its change id prevents that it is applied twice.
   Milliseconds resendEvery = 1500;
-  /// A configuration update that is not acknowledged is sent again after this long.
+  /// A configuration update without an acknowledgement is sent again after this long.
   Milliseconds repushEvery = 300;
-  /// A router of the roster that is not heard for this long is removed from it.
-  Milliseconds removeSilentRouterAfter = 60000;
-  /// After this long nothing is stored of a silent router that is not on the roster.
+  /// A router without contact for this long is removed from the roster.
+  Milliseconds removeUnresponsiveRouterAfter = 60000;
+  /// A router that is not on the roster is forgotten after this long without contact.
   Milliseconds forgetAfter = 600000;
+  /// Lease by which one router warms up a replica.
   Milliseconds warmupLeaseDuration = 1500;
-  /// Lease of a singleton role of the operators' programs, such as the alert watch.
+  /// Lease of a singleton role that operators' programs share, such as the alert watch.
   Milliseconds singletonLeaseDuration = 15000;
-  /// A router that an incomplete rollout waits for is probed after so long a silence.
+  /// A router that an incomplete rollout waits for is probed after this long without contact.
   Milliseconds probeAfter = 400;
-  /// False: a change is answered as soon as it is on a majority of the disks.
+  /// If false, a change is answered as soon as it is on a majority of the disks, without waiting for the routers.
   bool awaitRollout = true;
-  /// How often controllers report the routers' status to each other: ordinarily, while a rollout is incomplete, and
-  /// while the newest incomplete rollout is younger than rolloutStartPeriod.
+  /// Intervals at which controllers report the routers' status to each other: while all rollouts are complete, while a
+  /// rollout is incomplete, and while the newest incomplete rollout is younger than rolloutStartPeriod.
   Milliseconds statusReportEvery = 500;
   Milliseconds statusReportDuringRollout = 100;
   Milliseconds statusReportAtRolloutStart = 20;
   Milliseconds rolloutStartPeriod = 400;
-  /// A router that has sent no request here for this long is not reported as served from here.
+  /// A router without a lease request for this long is not reported as served by this controller.
   Milliseconds routerSessionTimeout = 2000;
-  /// What tenants may send beyond their limits.
+  /// How far tenants may exceed their limits.
   quota::OverdraftAllowance quotaAllowance;
 };
 
--- a/control/include/corkward/control/endpoint_lists.h
+++ b/control/include/corkward/control/endpoint_lists.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Endpoint lists as the platform gives them, until they are committed.
+/// Endpoint lists that the platform has provided and that are not committed yet.
 
 #include <cstdint>
 #include <map>
@@ -13,31 +13,35 @@
 
 namespace corkward::control {
 
-/// The call that makes a list that was read the pool's committed one.
+/// Returns the call that proposes a list which was read from the platform as the pool's committed list.
 transport::OperatorCall endpointListProposal(std::string const& pool, config::EndpointList const& list,
                                              std::uint64_t committedRevision);
 
-/// What a list that is not committed yet takes away; routers apply it at once.
+/// Returns the hint that names the replicas on a list that is not committed yet. Routers stop using all other replicas
+/// of the pool at once.
 transport::EndpointRemovalHint removalHintOf(std::string const& pool, config::EndpointList const& list);
 
-/// The lists that are newer than the committed ones: their removal hints, and the calls that propose them.
+/// Tracks the endpoint lists that are newer than the committed ones: their removal hints and the calls that propose
+/// them.
 class EndpointLists {
  public:
-  /// By pool; each of a generation above the committed list's when it was accepted.
+  /// Returns the hints by pool. When a hint was added, its generation was above that of the committed list.
   std::map<std::string, transport::EndpointRemovalHint> const& hints() const { return hints_; }
-  /// Adds a hint; false when a list that is as new is committed or was hinted at, or the pool has no list so far.
+  /// Adds a hint. Returns false without adding it if the pool has no committed list, or if the committed list or the
+  /// previous hint has the same or a newer generation.
   bool addHint(transport::EndpointRemovalHint const& hint, CommittedValues const& values);
-  /// Drops the hints whose lists, or newer ones, are committed.
+  /// Removes the hints whose list, or a newer one, is committed.
   void dropCommittedHints(CommittedValues const& values);
-  /// The lists that were read, and an empty one for each pool that has a committed list but was not read.
+  /// Returns `lists` with an empty list added for each pool that has a committed list but is not in `lists`.
   static std::map<std::string, config::EndpointList> withVanishedPools(
       std::map<std::string, config::EndpointList> lists, CommittedValues const& values);
-  /// True when the list equals the committed one, whatever their generations; drops the pool's hint then.
+  /// Returns true if the list equals the committed one apart from the generation, and removes the pool's hint then.
   bool isCommitted(std::string const& pool, config::EndpointList const& list, CommittedValues const& values);
-  /// Generation of a list that is newer than all that are known.
+  /// Returns the generation for a new list of the pool, above those of the committed list and of the hint.
   std::uint64_t nextGeneration(std::string const& pool, CommittedValues const& values) const;
 
-  /// Id of the call by which the pool's list was last proposed here.
+  /// Returns the id of the call by which this controller last proposed a list of the pool, or std::nullopt if there was
+  /// none.
   std::optional<std::uint64_t> proposalOf(std::string const& pool) const;
   void setProposal(std::string const& pool, std::uint64_t call) { endpointListProposals_[pool] = call; }
 
--- a/control/include/corkward/control/guarantee_checks.h
+++ b/control/include/corkward/control/guarantee_checks.h
@@ -11,27 +11,27 @@
 
 namespace corkward::control {
 
-/// The runtime invariants of core::Guarantee that a controller can check on its own. A violation is counted and logged;
-/// it changes no decision.
+/// Checks the runtime invariants of core::Guarantee that one controller can check on its own. A violation is counted
+/// and logged, and changes no decision.
 class GuaranteeChecks {
  public:
-  /// Revisions of a key rise.
-  /// @param previous revision that was committed here before; nothing: none
+  /// Checks that the revisions of a key rise.
+  /// @param previous revision that was committed at this controller before, if any
   void checkCommitted(consensus::CommittedValue const& committed, std::optional<std::uint64_t> previous) const;
-  /// No two changes are confirmed on one base.
+  /// Checks that no two changes of a key are confirmed that name the same base.
   void checkConfirmed(consensus::CallCompleted const& completed, transport::OperatorCall const& call);
-  /// A read shows nothing older than what was committed here when it arrived.
+  /// Checks that a read shows no revision older than the one committed at this controller when the read arrived.
   void checkServed(PendingCall const& call, int status, QJsonObject const& body) const;
 
  private:
   struct ConfirmedChange {
-    /// Base that the change named.
+    /// Base that the change named in If-Match.
     std::string base;
-    /// Revision that it became.
+    /// Revision that the change became.
     std::uint64_t revision = 0;
   };
 
-  /// Newest changes that were confirmed here, by key, oldest first.
+  /// Newest changes that this controller confirmed, by key, oldest first.
   std::map<std::string, std::deque<ConfirmedChange>> confirmed_;
 };
 
--- a/control/include/corkward/control/lease_table.h
+++ b/control/include/corkward/control/lease_table.h
@@ -13,37 +13,38 @@
 
 using core::Milliseconds;
 
-/// Exclusive leases by name, in memory only, as one member grants them: warm-ups of cold replicas and singleton roles.
-/// A holder is to count as such when a majority of the members grant it the lease (Chubby's locks with sequencers, here
-/// the term). Whether this member may grant any is its caller's decision.
+/// Exclusive leases by name that one member grants, in memory only: for warming up replicas and for singleton roles. A
+/// process holds a lease once a majority of the members has granted it. The term is a fencing token, like the sequencer
+/// of a Chubby lock. The caller decides whether this member may grant leases at all.
 class LeaseTable {
  public:
-  /// Claims a lease, or releases it.
+  /// A request to acquire or release a lease.
   struct Claim {
     std::string name;
     std::string holder;
-    /// Tells a restarted holder from the one before.
+    /// Distinguishes a restarted holder from its previous run.
     std::uint64_t incarnation = 0;
-    /// How long the lease lasts when it is granted, in milliseconds.
+    /// Duration of the lease if it is granted, in milliseconds.
     Milliseconds duration = 0;
   };
   /// Reply to a claim.
   struct Grant {
     bool granted = false;
-    /// Who has the lease, and under which term: it rises with each change of the holder.
+    /// Current holder of the lease, and its term, which rises with each change of the holder.
     std::string holder;
     std::uint64_t term = 0;
   };
 
-  /// True when the name cannot be added.
+  /// Returns true if the table is full and has no lease of this name.
   bool isFull(std::string const& name) const { return leases_.size() >= maxLeases && leases_.count(name) == 0; }
-  /// Grants a lease that is free, has run out, is the claimant's own or was left to it. Nothing: the table is full.
+  /// Grants the lease if it is free or expired, if the claimant holds it, or if the claimant was named as its
+  /// successor. Returns std::nullopt if the table is full.
   std::optional<Grant> acquire(Milliseconds now, Claim const& claim);
-  /// Ends a lease of this holder. A successor that is named has it alone for as long as a lease lasts.
+  /// Ends the claimant's lease. If a successor is named, only the successor can acquire the lease for its duration.
   void release(Milliseconds now, Claim const& claim, std::string const& successor);
-  /// Notes that the claimant was denied the lease.
+  /// Records that the claimant was denied the lease.
   void addContender(Milliseconds now, Claim const& claim);
-  /// Those who were denied within a lease's duration, sorted.
+  /// Returns the sorted names of the processes that were denied the lease within its duration.
   std::vector<std::string> contenders(Milliseconds now, Claim const& claim);
 
   static constexpr std::size_t maxLeases = 4096;
@@ -51,11 +52,11 @@
  private:
   struct Lease {
     std::string holder;
-    /// 0: the holder was named as a successor, and any incarnation of it may acquire the lease.
+    /// 0 if the holder was named as a successor; then any incarnation of it may acquire the lease.
     std::uint64_t incarnation = 0;
     std::uint64_t term = 0;
     Milliseconds expiresAt = 0;
-    /// Who was denied, and when.
+    /// Processes that were denied the lease, with the time of the denial.
     std::map<std::string, Milliseconds> contenders;
   };
 
--- a/control/include/corkward/control/linearizable_reads.h
+++ b/control/include/corkward/control/linearizable_reads.h
@@ -8,29 +8,30 @@
 
 namespace corkward::control {
 
-/// Reads that this controller answers from what is committed here, once a contact with a majority that began after the
-/// read arrived confirms that it is current (Raft's ReadIndex, with the heartbeats that go out anyway).
+/// Reads that this controller answers from its committed values. A read waits until a contact with a majority of the
+/// disks that began after its arrival confirms that the values are current. This is Raft's ReadIndex; it uses the
+/// regular heartbeats and sends no messages of its own.
 class LinearizableReads {
  public:
   struct Read {
     transport::OperatorCall call;
     Milliseconds since = 0;
   };
-  /// A read that is to be answered now.
+  /// A read that can be answered now.
   struct Completed {
     transport::OperatorCall call;
-    /// False: no majority confirmed it in time.
+    /// False if no majority confirmed the read in time.
     bool confirmed = false;
   };
 
-  /// @param timeout how long a read waits for its confirmation, in milliseconds
+  /// @param timeout longest wait of a read for its confirmation, in milliseconds
   explicit LinearizableReads(Milliseconds timeout) : timeout_(timeout) {}
 
   bool isFull() const { return reads_.size() >= maxReads; }
   std::size_t size() const { return reads_.size(); }
   void add(Milliseconds now, transport::OperatorCall const& call) { reads_.push_back(Read{call, now}); }
-  /// Takes out the reads that are confirmed or have waited too long, in the order of their arrival.
-  /// @param draining none can be confirmed any more
+  /// Removes and returns the reads that are confirmed or have timed out, in the order of their arrival.
+  /// @param draining true if the controller drains; then all reads complete as not confirmed
   std::vector<Completed> takeCompleted(Milliseconds now, QuorumContact const& quorumContact, bool draining);
 
   static constexpr std::size_t maxReads = 4096;
--- a/control/include/corkward/control/pending_calls.h
+++ b/control/include/corkward/control/pending_calls.h
@@ -14,28 +14,30 @@
 
 using core::Milliseconds;
 
-/// A call that has no reply yet.
+/// An operator call that has no reply yet.
 struct PendingCall {
-  /// Controller that forwarded it here; empty: it came in at this process's HTTP edge, or is its own.
+  /// Link of the controller that forwarded the call. Empty if the call arrived at this process's HTTP server or is this
+  /// controller's own.
   std::string from;
-  /// The caller's token; 0: the call is this controller's own.
+  /// The token that its sender gave the call, or 0 if the call is this controller's own.
   std::uint64_t token = 0;
   std::string key;
-  /// Its token is the call's id here, by which replies and outcomes come back.
+  /// The call, with its id at this controller as token. Replies of the key's owner carry this id.
   transport::OperatorCall call;
   Milliseconds since = 0;
-  /// When it was last sent to the key's owner.
+  /// When the call was last sent to the key's owner.
   Milliseconds sentAt = 0;
-  /// It waits for a reply of the key's owner.
+  /// True while the call waits for a reply of the key's owner.
   bool forwarded = false;
-  /// Revision that a read of the page would have shown when the call arrived, by what was committed here; 0: none.
+  /// Revision that was committed for the call's target at this controller when the call arrived, or 0 if there was
+  /// none.
   std::uint64_t revisionAtArrival = 0;
 
-  /// True for a call of an operator at this process's own HTTP edge.
+  /// Returns true if the call arrived from an operator at this process's own HTTP server.
   bool isFromOperator() const { return from.empty() && token != 0; }
 };
 
-/// The calls that wait for their reply here, by ids that no earlier run of this process used.
+/// The calls that have no reply yet, by ids that no earlier run of this process used.
 class PendingCalls {
  public:
   explicit PendingCalls(std::uint64_t seed);
@@ -43,14 +45,14 @@
   bool isFull() const { return calls_.size() >= maxCalls; }
   std::size_t size() const { return calls_.size(); }
   std::map<std::uint64_t, PendingCall> const& all() const { return calls_; }
-  /// The call, or null.
+  /// Returns the call, or null if there is none with this id.
   PendingCall* find(std::uint64_t id);
-  /// Takes a call in under a new id, which becomes the call's token.
+  /// Adds a call and returns its new id, which becomes the call's token.
   std::uint64_t add(PendingCall call);
-  /// Takes a call out; nothing: there is none of that id.
+  /// Removes and returns the call, or returns std::nullopt if there is none with this id.
   std::optional<PendingCall> remove(std::uint64_t id);
 
-  /// Calls that have been waiting for longer than this.
+  /// Returns the ids of the calls that have been waiting for longer than `age`.
   std::vector<std::uint64_t> olderThan(Milliseconds now, Milliseconds age) const;
 
   static constexpr std::size_t maxCalls = 4096;
--- a/control/include/corkward/control/quota_coordination.h
+++ b/control/include/corkward/control/quota_coordination.h
@@ -12,10 +12,10 @@
 
 namespace corkward::control {
 
-/// Joins the quota coordinator with what this controller knows of the members and the routers.
+/// Connects the quota coordinator to what this controller knows about the members and the routers.
 class QuotaCoordination {
  public:
-  /// What the membership view is built from.
+  /// Input from which the membership view is built.
   struct ClusterStatus {
     consensus::ReplicatedRegisters const& registers;
     Roster const& roster;
@@ -28,16 +28,16 @@
   QuotaCoordination(std::string link, std::uint64_t incarnation, quota::OverdraftAllowance const& allowance)
       : coordinator_(std::move(link), incarnation, allowance) {}
 
-  /// Takes the tenants' limits from a newly committed configuration.
+  /// Updates the tenants' limits from a newly committed fleet configuration.
   void configure(Milliseconds now, config::FleetConfiguration const& configuration);
-  /// Brings the membership view up to date and lets the coordinator act.
+  /// Updates the membership view and runs the coordinator's timer.
   std::vector<transport::Send> onTimer(Milliseconds now, ClusterStatus const& status);
-  /// A message of the quota protocol.
+  /// Handles a message of the quota protocol.
   template <class Message>
   std::vector<transport::Send> onMessage(Milliseconds now, std::string const& from, Message const& message) {
     return sendsOf(coordinator_.onMessage(now, from, message, view_));
   }
-  /// Partitions of the limits that this controller coordinates.
+  /// Returns how many partitions of the tenants' limits this controller coordinates.
   std::size_t ownedPartitionCount(Milliseconds now) const { return coordinator_.ownedPartitionCount(now, view_); }
 
  private:
@@ -49,9 +49,9 @@
   quota::QuotaCoordinator coordinator_;
   /// As of the last timer event.
   quota::MembershipView view_;
-  /// Since when the members are those of the view.
+  /// When the view's set of members last changed.
   Milliseconds membersSince_ = 0;
-  /// Revision of the roster whose routers the view has.
+  /// Revision of the roster from which the view's routers were taken.
   std::uint64_t rosterRevision_ = 0;
 };
 
--- a/control/include/corkward/control/rollout_tracker.h
+++ b/control/include/corkward/control/rollout_tracker.h
@@ -1,11 +1,11 @@
 #pragma once
 
-/// How far the newest revision of each key has reached the routers, and the replies that wait for it.
+/// Tracks which routers have the newest revision of each key, and the replies that wait for them.
 ///
-/// A rollout is complete when every router of the roster has the revision, has departed or is unreachable; or when a
-/// majority of the roster, and of the previous one while it may still serve, has had it for longer than a serving
-/// lease: the routers that lack it are then fenced, since a router that does not know what a majority knows gets no
-/// lease.
+/// A rollout is complete in one of two cases. First: each router of the roster has the revision, has departed or is
+/// unreachable. Second: a majority of the roster's routers has had the revision for longer than a serving lease, and so
+/// has a majority of the previous roster while its routers may still serve. The routers that lack the revision are then
+/// fenced, because a router that lacks a revision known to a majority gets no lease.
 
 #include <QJsonObject>
 #include <cstdint>
@@ -23,20 +23,20 @@
 
 enum class RolloutState { incomplete, majority, complete };
 
-/// A reply to an operator's change that is sent when its rollout is complete.
+/// A reply to an operator's change that is sent when the change's rollout is complete.
 struct PendingRolloutReply {
   /// Id of the call among the pending calls.
   std::uint64_t call = 0;
   std::string key;
   std::uint64_t revision = 0;
   Milliseconds since = 0;
-  /// When a majority was first seen to have the revision; -1: not yet.
+  /// When a majority of the routers was first known to have the revision, or -1 if that is not known yet.
   Milliseconds majorityAt = -1;
   int status = 0;
   QJsonObject body = {};
 };
 
-/// The inputs by which the tracker evaluates rollouts.
+/// The state by which the tracker evaluates rollouts.
 struct RolloutInputs {
   Milliseconds now = 0;
   QuorumContact quorumContact;
@@ -46,74 +46,76 @@
 
 class RolloutTracker {
  public:
-  /// The newest revision of a key being rolled out to the routers.
+  /// The rollout of a key's newest revision to the routers.
   struct Rollout {
     std::uint64_t revision = 0;
-    /// When it was committed here.
+    /// When the revision was committed at this controller.
     Milliseconds since = 0;
-    /// When a majority was first seen to have it; -1: not yet.
+    /// When a majority of the routers was first known to have the revision, or -1 if that is not known yet.
     Milliseconds majorityAt = -1;
     bool complete = false;
-    /// Newest revision that each router is known to have; dropped when the rollout is complete, but for the roster's.
+    /// Newest revision that each router is known to have. It is cleared when the rollout is complete, except for the
+    /// roster's key.
     transport::Revisions acknowledged = {};
   };
 
   explicit RolloutTracker(ControllerTuning const& tuning) : tuning_(tuning) {}
 
-  /// The rollout of the key's newest revision, or null.
+  /// Returns the rollout of the key's newest revision, or null if the key has no value.
   Rollout const* find(std::string const& key) const;
-  /// Keys whose newest revision is not known to have reached the routers.
+  /// Returns the keys whose newest revision is not known to have reached the routers.
   std::set<std::string> const& incomplete() const { return incompleteRollouts_; }
   std::vector<PendingRolloutReply> const& pendingReplies() const { return pendingReplies_; }
 
-  /// A revision of the key was committed.
+  /// Starts the rollout of a newly committed revision of the key.
   void start(Milliseconds now, std::string const& key, std::uint64_t revision);
   void recordAcknowledged(std::string const& link, std::string const& key, std::uint64_t revision);
-  /// The router has the newest revision of all keys whose rollout is incomplete.
+  /// Records that the router has the newest revision of all keys whose rollout is incomplete.
   void recordIncompleteAcknowledged(std::string const& link);
 
   RolloutState stateOf(RolloutInputs const& inputs, std::string const& key, std::uint64_t revision,
                        Milliseconds since) const;
-  /// True when the key's newest revision is known to have reached the routers, or those that lack it are fenced.
+  /// Returns true if all routers are known to have the key's newest revision, or if those that lack it are fenced.
   bool isComplete(RolloutInputs const& inputs, std::string const& key) const;
-  /// Judges the incomplete rollouts anew.
+  /// Re-evaluates the incomplete rollouts.
   void updateRollouts(RolloutInputs const& inputs);
 
   void awaitRollout(PendingRolloutReply reply) { pendingReplies_.push_back(std::move(reply)); }
-  /// Takes out the replies that are due: those whose rollout is complete, and those that have waited too long, which
-  /// say so.
+  /// Removes and returns the replies that are due: those whose rollout is complete and those that have timed out. A
+  /// timed-out reply has the body of pendingRolloutBody().
   std::vector<PendingRolloutReply> takeDueReplies(RolloutInputs const& inputs);
   bool awaitsReply(std::uint64_t call) const;
-  /// True when a reply waits for this router among others.
+  /// Returns true if a pending reply waits for this router.
   bool awaitsRouter(std::string const& link) const;
-  /// How many incomplete rollouts the router is not known to have.
+  /// Returns in how many incomplete rollouts the router is not known to have the newest revision.
   std::size_t missingAt(std::string const& link) const;
 
  private:
-  /// How many routers of a roster are known to have a revision.
+  /// Progress of a revision among the routers of one roster.
   struct Progress {
     std::size_t routers = 0;
+    /// Number of routers that have the revision, have departed or are unreachable.
     std::size_t acknowledged = 0;
-    /// Those that have the newest roster.
-    std::size_t onRoster = 0;
+    /// Number of routers that have the newest roster, have departed or are unreachable.
+    std::size_t onNewestRoster = 0;
   };
   Progress progressOf(RolloutInputs const& inputs, std::set<std::string> const& links, Rollout const& rollout,
                       std::uint64_t revision, Milliseconds since) const;
   bool mayStillServe(RolloutInputs const& inputs, Progress const& previousNodes) const;
-  /// True when the serving leases of routers that lack the revision have run out.
+  /// Returns true if the serving leases of all routers that lack the revision have expired.
   bool isFenced(Milliseconds now, Milliseconds majorityAt) const;
-  /// Marks the reply with its outcome when it is due.
+  /// Returns true if the reply is due, and then sets its outcome.
   bool isDue(RolloutInputs const& inputs, PendingRolloutReply& reply) const;
 
   ControllerTuning tuning_;
   std::map<std::string, Rollout> rollouts_;
-  /// Keys of rollouts_ that are not complete.
+  /// Keys of the incomplete rollouts in rollouts_.
   std::set<std::string> incompleteRollouts_;
   std::vector<PendingRolloutReply> pendingReplies_;
 };
 
-/// Reply to a change that is committed while its rollout is not known to be complete. It has status 504: no script must
-/// count it as a success.
+/// Returns the reply's body for a change that is committed while its rollout is not known to be complete. Such a reply
+/// has status 504, so that no script counts it as a success.
 QJsonObject pendingRolloutBody(QJsonObject body, std::uint64_t revision);
 
 }  // namespace corkward::control
--- a/control/include/corkward/control/roster.h
+++ b/control/include/corkward/control/roster.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The roster: which routers a change must have reached before its rollout is complete.
+/// The roster: the routers that a change must reach before its rollout is complete.
 
 #include <QJsonObject>
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 using core::Milliseconds;
 
-/// One router as the roster names it.
+/// A router's entry on the roster.
 struct RosterNode {
   std::string link;
   std::string httpAddress;
@@ -24,32 +24,33 @@
 /// The roster's replicated value.
 struct RosterValue {
   std::vector<RosterNode> nodes;
-  /// Links of the revision before this one, whose routers may serve until they know this one.
+  /// Links on the previous revision of the roster. Their routers may serve until they have this revision.
   std::set<std::string> previousNodes;
-  /// Links that an operator has declared departed for good: no rollout waits for them.
+  /// Links that an operator has declared permanently departed. No rollout waits for them.
   std::set<std::string> departed;
 
   static RosterValue parse(QJsonObject const& value);
-  /// What a controller proposes as the next roster; the validator adds the previous nodes.
+  /// Returns the value as a controller proposes it. The validator adds the previous nodes.
   QJsonObject proposalJson() const;
 };
 
-/// The committed roster and what is derived from it once at its commit.
+/// The committed roster, with sets that are derived from it when it is committed.
 class Roster {
  public:
-  /// Takes a newly committed value.
+  /// Loads a newly committed value.
   void load(Milliseconds now, std::uint64_t revision, QJsonObject const& value);
 
-  /// 0: no roster is committed.
+  /// Returns the committed revision, or 0 if no roster is committed.
   std::uint64_t revision() const { return revision_; }
-  /// When the revision was committed here.
+  /// Returns when the revision was committed at this controller.
   Milliseconds committedAt() const { return committedAt_; }
   RosterValue const& value() const { return value_; }
-  /// Links of the nodes.
+  /// Returns the links of the routers on the roster.
   std::set<std::string> const& nodes() const { return nodes_; }
   std::set<std::string> const& previousNodes() const { return value_.previousNodes; }
   std::set<std::string> const& departed() const { return value_.departed; }
-  /// Nodes and previous nodes, sorted: the link that each bit of a RouterStatusReport stands for.
+  /// Returns the sorted links of the nodes and previous nodes. A bit's position in a RouterStatusReport is the index of
+  /// its router's link in this vector.
   std::vector<std::string> const& bitPositions() const { return bitPositions_; }
 
  private:
--- a/control/include/corkward/control/roster_reconciler.h
+++ b/control/include/corkward/control/roster_reconciler.h
@@ -9,30 +9,31 @@
 
 namespace corkward::control {
 
-/// Decides when the roster is compared with the routers that are heard, and which roster follows from that.
+/// Decides when to compare the roster with the routers that are in contact, and which roster to propose.
 class RosterReconciler {
  public:
-  explicit RosterReconciler(ControllerTuning const& tuning) : removeSilentAfter_(tuning.removeSilentRouterAfter) {}
+  explicit RosterReconciler(ControllerTuning const& tuning)
+      : removeUnresponsiveAfter_(tuning.removeUnresponsiveRouterAfter) {}
 
-  /// @param now when this process started: silence is counted from there on
+  /// @param now when this process started; a router without any contact is counted as unresponsive from then on
   void start(Milliseconds now) { startedAt_ = now; }
-  /// True when the time has come and no proposal from here is pending.
+  /// Returns true if the next comparison is due and no proposal of this controller is pending.
   bool isDue(Milliseconds now) const { return now >= nextAt_ && !proposalPending_; }
   void scheduleNext(Milliseconds now);
-  /// The roster with routers that are newly heard and without those that are silent; nothing: it is to stay.
+  /// Returns the roster with new routers added and unresponsive ones removed, or std::nullopt if it does not change.
   std::optional<RosterValue> nextRoster(Milliseconds now, Roster const& roster, RouterRegistry const& routers,
                                         gossip::PartialView const& partialView) const;
   void proposalStarted() { proposalPending_ = true; }
   void proposalEnded() { proposalPending_ = false; }
 
  private:
-  bool isSilent(Milliseconds now, std::string const& link, RouterRegistry const& routers,
-                gossip::PartialView const& partialView) const;
+  bool isUnresponsive(Milliseconds now, std::string const& link, RouterRegistry const& routers,
+                      gossip::PartialView const& partialView) const;
 
-  Milliseconds removeSilentAfter_;
+  Milliseconds removeUnresponsiveAfter_;
   Milliseconds startedAt_ = 0;
   Milliseconds nextAt_ = 0;
-  /// A call with a proposal from here has not been answered.
+  /// True while a proposal of this controller has no reply.
   bool proposalPending_ = false;
 };
 
--- a/control/include/corkward/control/router_registry.h
+++ b/control/include/corkward/control/router_registry.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What this controller knows of each router: when it was heard, which committed revisions it is known to lack, and the
-/// configuration updates that are in flight to it.
+/// What this controller knows about each router: its last contact, the committed revisions that it is known to lack,
+/// and the configuration updates that are in flight to it.
 
 #include <cstdint>
 #include <map>
@@ -17,78 +17,83 @@
 
 class RouterRegistry {
  public:
-  /// A revision of a key that was sent and is not acknowledged.
+  /// A revision of a key that was sent and is not acknowledged yet.
   struct PushInFlight {
     std::uint64_t revision = 0;
     Milliseconds sentAt = 0;
   };
   struct Router {
     transport::Contact contact;
-    /// Last sign of it, here or at another controller; -1: none.
-    Milliseconds lastHeardAt = -1;
-    /// Last ServingLeaseRequest here; -1: it has no session here.
+    /// Last contact with this or another controller, or -1 if there was none.
+    Milliseconds lastContactAt = -1;
+    /// Last ServingLeaseRequest to this controller, or -1 if the router has no session with this controller.
     Milliseconds lastRequestAt = -1;
-    /// missingRevisions names all that it lacks.
+    /// True if missingRevisions contains all keys that the router lacks.
     bool revisionsKnown = false;
-    /// Keys that it is not known to have as committed, with the newest revision that it is known to have of each.
+    /// Keys whose newest committed revision the router is not known to have, with the newest revision of each key that
+    /// it is known to have.
     transport::Revisions missingRevisions;
-    /// By key; only keys in missingRevisions, and those of a snapshot.
+    /// Pushes in flight by key. All keys are in missingRevisions or were sent in a snapshot.
     std::map<std::string, PushInFlight> pushesInFlight;
-    /// Number of the newest configuration update sent to it.
+    /// Number of the newest configuration update that was sent to the router.
     std::uint64_t updateNumber = 0;
-    /// When a probe found that nothing listens at its link; -1: no probe did since it was last heard.
+    /// When a probe found that nothing listens at the router's link, or -1 if no probe has found that since the last
+    /// contact.
     Milliseconds unreachableAt = -1;
     Milliseconds probedAt = -1;
-    /// Since when it wants a snapshot; -1: it does not.
+    /// When the router first requested the snapshot that it waits for, or -1 if it waits for none.
     Milliseconds snapshotRequestedAt = -1;
 
     bool hasSession() const { return lastRequestAt >= 0; }
     bool isUpToDate() const { return revisionsKnown && missingRevisions.empty(); }
     void markUpToDate();
-    /// Drops what is known of its revisions and what is in flight to it.
+    /// Clears what is known about the router's revisions and the pushes in flight to it.
     void forgetRevisions();
   };
 
   explicit RouterRegistry(ControllerTuning const& tuning) : tuning_(tuning) {}
 
   std::map<std::string, Router> const& all() const { return routers_; }
-  /// The router, or null.
+  /// Returns the router, or null if it is not known.
   Router const* find(std::string const& link) const;
 
-  /// Stands for all committed keys and revisions.
+  /// Returns the digest of all committed keys and revisions.
   transport::Digest const& committedDigest() const { return committedDigest_; }
-  /// A key was committed: routers with a session here lack it until they acknowledge it.
+  /// Records a committed revision. Each router with a session at this controller lacks it until it acknowledges it.
   void recordCommitted(std::string const& key, std::uint64_t previousRevision, std::uint64_t revision);
 
-  /// First-hand sign of a router. Null when it comes from an incarnation older than the newest one known.
-  Router* recordHeard(Milliseconds now, std::string const& link, std::uint64_t incarnation);
-  /// A router's request for a serving lease.
+  /// Records a message that came directly from a router. Returns null if it comes from an incarnation that is older
+  /// than the newest known one.
+  Router* recordContact(Milliseconds now, std::string const& link, std::uint64_t incarnation);
+  /// Records a router's request for a serving lease.
   void recordRequest(Milliseconds now, transport::ServingLeaseRequest const& request);
-  /// Another controller serves this router.
-  void recordReported(Milliseconds now, transport::Contact const& contact);
-  /// The roster's router is served by another controller.
-  void recordHeardElsewhere(Milliseconds now, std::string const& link) { routers_[link].lastHeardAt = now; }
-  /// What a router acknowledges of one key.
+  /// Records that another controller reports serving this router, which is not on the roster.
+  void recordUnlistedRouter(Milliseconds now, transport::Contact const& contact);
+  /// Records that another controller reports recent contact with this router, which is on the roster.
+  void recordReportedContact(Milliseconds now, std::string const& link) { routers_[link].lastContactAt = now; }
+  /// Records that a router acknowledged a revision of a key.
+  /// @param committed the key's newest committed revision
   static void recordAcknowledged(Router& router, std::string const& key, std::uint64_t revision,
                                  std::uint64_t committed);
-  /// The router's full revisions.
+  /// Records the router's revisions of all keys.
   static void recordRevisions(Router& router, transport::Revisions const& revisions, CommittedValues const& values);
-  /// True when the digest is that of the revisions which the router is known to have.
+  /// Returns true if the digest is that of the revisions which the router is known to have.
   bool matchesKnownRevisions(Router const& router, transport::Digest const& digest,
                              CommittedValues const& values) const;
 
-  /// The next update for a router: a snapshot when it wants one and a majority has confirmed what is committed here
-  /// since, else what it lacks and is not in flight. Nothing: there is none. Ends the session of a silent router.
+  /// Returns the next update for a router, or std::nullopt if there is none. The update is a snapshot if the router has
+  /// requested one and a contact with a majority has begun since the request. Otherwise it contains the values that the
+  /// router lacks and that are not in flight. Ends the session of a router that no longer sends lease requests.
   std::optional<transport::ConfigurationUpdate> nextUpdate(Milliseconds now, std::string const& link,
                                                            CommittedValues const& values,
                                                            QuorumContact const& quorumContact);
 
-  /// True when a silent router is to be probed now; counts as probed then.
+  /// Returns true if an unresponsive router should be probed now, and then records the probe.
   bool startProbe(Milliseconds now, std::string const& link);
   void recordProbeResult(Milliseconds now, std::string const& link, bool refused);
 
-  /// Drops routers that have been silent for long and are not on the roster.
-  void forgetSilent(Milliseconds now, std::set<std::string> const& rosterNodes);
+  /// Removes the routers that are not on the roster and have had no contact for ControllerTuning::forgetAfter.
+  void forgetUnresponsive(Milliseconds now, std::set<std::string> const& rosterNodes);
 
  private:
   bool isInFlight(Milliseconds now, Router const& router, std::string const& key, std::uint64_t committed) const;
--- a/control/src/alert_validator.cpp
+++ b/control/src/alert_validator.cpp
@@ -1,4 +1,4 @@
-// Alerts: one is clear, claimed by somebody, or done.
+// Validator of alerts. An alert is clear, claimed or done.
 #include "call_method.h"
 #include "change_request.h"
 #include "json_fields.h"
@@ -13,7 +13,7 @@
 constexpr QLatin1String clearState("clear");
 constexpr QLatin1String claimedState("claimed");
 constexpr QLatin1String doneState("done");
-/// Fields of an alert: its state and who put it there.
+/// Number of fields of an alert: its state, and the name of the program that set the state.
 constexpr qsizetype fieldCount = 2;
 constexpr qsizetype maxNameLength = 64;
 
--- a/control/src/call_method.h
+++ b/control/src/call_method.h
@@ -4,10 +4,11 @@
 
 namespace corkward::control {
 
-/// Method of an operator's call, or of a controller's own call on the roster.
+/// Method of an operator call, or of a controller's own call that proposes a roster.
 enum class CallMethod { get, put, patch, remove, reconcileRoster, unknown };
 
-/// Method by which a controller itself proposes a roster; no HTTP edge takes it. Bytes between controllers.
+/// Method by which a controller proposes a roster. It is part of the wire format between controllers; their HTTP
+/// servers reject it.
 inline constexpr char const* rosterMethod = "ROSTER";
 
 inline CallMethod methodOf(std::string const& method) {
@@ -19,7 +20,7 @@
   return CallMethod::unknown;
 }
 
-/// True for the methods by which operators change something.
+/// Returns true for the methods by which operators change a value.
 inline bool isChange(CallMethod method) {
   return method == CallMethod::put || method == CallMethod::patch || method == CallMethod::remove;
 }
--- a/control/src/certificates_validator.cpp
+++ b/control/src/certificates_validator.cpp
@@ -1,4 +1,5 @@
-// Regimes and the certificates under which replicas and routers may serve them: one value under one revision.
+// Validator of the regimes and of the certificates by which replicas and routers may serve them. Regimes and
+// certificates are one value with one revision.
 #include <QJsonArray>
 
 #include <corkward/control/change_history.h>
@@ -20,7 +21,7 @@
   return Rejection{RejectionReason::notFound, "no such certificate"};
 }
 
-/// Tenants that could not be served under these certificates, one fault each.
+/// Returns one fault for each tenant that cannot be served under these certificates.
 std::vector<config::RegimeFault> uncoveredTenants(config::Regimes const& regimes, ClusterView const& clusterView) {
   std::vector<config::RegimeFault> faults;
   for (config::RegimeRequirement const& use : clusterView.regimeUses()) {
@@ -30,7 +31,7 @@
   return faults;
 }
 
-/// @param name certificate that is read; empty: all of them
+/// @param name name of the certificate to read, or empty to read all of them
 ValidationResult read(ValidationRequest const& request, std::string const& name) {
   if (request.revision == 0) return noCertificates();
   QJsonObject const spec = request.value.value(fields::spec).toObject();
@@ -42,7 +43,8 @@
   return Page{body};
 }
 
-/// Why the call cannot be made on this page; nothing: it can.
+/// Returns the rejection of a method that is not allowed, or std::nullopt if it is allowed.
+/// @param name name of the certificate in the path, or empty if the path denotes all certificates
 std::optional<Rejection> rejectedMethod(CallMethod method, std::string const& name) {
   bool const isDeletion = method == CallMethod::remove;
   if (!name.empty() && !isDeletion)
@@ -52,7 +54,7 @@
   return std::nullopt;
 }
 
-/// The declaration without one certificate; nothing: it names none of that name.
+/// Returns the declaration without one certificate, or std::nullopt if it has no certificate of that name.
 std::optional<QJsonObject> withoutCertificate(QJsonObject spec, std::string const& name) {
   QJsonObject certificates = spec.value(fields::certificates).toObject();
   if (!certificates.contains(core::toQString(name))) return std::nullopt;
@@ -61,7 +63,8 @@
   return spec;
 }
 
-/// The declaration after the call's change; nothing: it revokes a certificate that is not declared.
+/// Returns the declaration after the call's change, or std::nullopt if the call revokes a certificate that is not
+/// declared.
 std::optional<QJsonObject> changedSpec(QJsonObject const& spec, CallMethod method, QJsonObject const& body,
                                        std::string const& name) {
   switch (method) {
--- a/control/src/change_history.cpp
+++ b/control/src/change_history.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// Bytes of the hash that a digest is made of; as text they are ChangeHistory::digestBytes.
+/// Number of bytes of the hash that a digest encodes. The digest's Base64 text has ChangeHistory::digestBytes bytes.
 constexpr qsizetype hashBytes = 12;
-// Fields of the stored history; bytes on disk.
+// Field names of the stored history. They are part of the storage format.
 constexpr QLatin1String olderField("older");
 constexpr QLatin1String newerField("newer");
 constexpr QLatin1String firstBaseField("from");
--- a/control/src/change_request.h
+++ b/control/src/change_request.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What the validators of all kinds of target share: a call's body, the revision that it was built on, and its outcome
-/// by its key's history.
+/// Functions that the validators of all kinds of targets share: reading a call's body, checking the base revision that
+/// it names, and looking the change up in the key's history.
 
 #include <QJsonObject>
 #include <cstdint>
@@ -15,36 +15,39 @@
 
 namespace corkward::control {
 
-/// If-Match as operators may write it, without the quotes of an entity tag.
+/// Returns the value of If-Match without the quotes of an entity tag, which operators may omit.
 std::string unquotedIfMatch(std::string const& ifMatch);
 
-/// True when the call names as its base this revision or version.
+/// Returns true if the call names this revision or version as its base.
 bool isBuiltOn(transport::OperatorCall const& call, std::uint64_t base);
 
-/// The call's body as an object; throws core::JsonError.
+/// Returns the call's body as an object.
+/// @throws core::JsonError if the body is not a JSON object
 QJsonObject readBody(transport::OperatorCall const& call);
 
-/// Body of a change; a deletion has none. Throws core::JsonError.
+/// Returns the body of a change, which is an empty object for a deletion.
+/// @throws core::JsonError if the body is not a JSON object
 QJsonObject changeBody(transport::OperatorCall const& call);
 
-/// Rejection of a call on a base that is not the newest.
+/// Returns the rejection of a call that names a base other than the newest one.
 Rejection staleRevision(transport::OperatorCall const& call, std::uint64_t newest);
 
-/// "built on 3, but the newest is 5".
+/// Returns a text such as "built on 3, but the newest is 5".
 std::string staleBaseText(transport::OperatorCall const& call, std::uint64_t newest);
 
-/// Result of a call that the key's history knows, or that is older than the history; nothing: it was not accepted.
+/// Returns the result of a change that is in the key's history or is older than the history, or std::nullopt if the
+/// change was not accepted before.
 /// @param revision the key's newest revision
-/// @param newest highest base that a change of the key can be built on now
+/// @param newest newest base that a change of the key can name now
 std::optional<ValidationResult> resultFromHistory(std::uint64_t revision, std::uint64_t newest,
                                                   transport::OperatorCall const& call, std::string const& digest,
                                                   QJsonObject const& value);
 
-/// The key's history with one more change, which was built on its newest base.
+/// Returns the key's history with one more change, which names the newest base.
 QJsonObject historyWith(QJsonObject const& value, std::uint64_t newest, std::string const& digest);
 
-/// Runs a validation and turns what reading the call's body throws into a rejection.
-/// @param invalid reason of a body that is JSON but not valid for its target
+/// Runs a validation and returns a rejection if it throws an error about the call's body.
+/// @param invalid reason for rejecting a body that is JSON but not valid for its target
 template <class Validation>
 ValidationResult rejectingErrors(RejectionReason invalid, Validation const& validation) {
   try {
--- a/control/src/change_window.h
+++ b/control/src/change_window.h
@@ -8,31 +8,32 @@
 
 namespace corkward::control {
 
-/// The newest changes of a key by their change ids, oldest first, stored within the key's committed value: at most
-/// config::changeWindow of them. A change that comes again under its id gets the reply that it got first.
+/// The newest changes of a key with their change ids, oldest first, at most config::changeWindow of them. They are
+/// stored within the key's committed value. A change that is resent under its id gets the same reply as the first time.
 class ChangeWindow {
  public:
   /// One accepted change.
   struct Change {
     std::string id;
-    /// Tells two changes under one id apart.
+    /// Digest by which two different changes under the same id are distinguished.
     QString digest;
-    /// HTTP status of its reply.
+    /// HTTP status of the change's first reply.
     int status = 0;
     std::uint64_t revision = 0;
-    /// Only of the fleet configuration: its version, and an upper bound of its text's bytes.
+    /// Version of the fleet configuration, and an upper bound of the length of its text in bytes. Empty for other keys.
     std::optional<std::int64_t> version = {};
     std::optional<std::int64_t> bytes = {};
   };
 
-  /// @param value the key's value as stored
+  /// @param value the key's stored value
   explicit ChangeWindow(QJsonObject const& value);
 
   std::optional<Change> find(std::string const& id) const;
-  /// Bytes that the newest change of a fleet configuration noted; without one, the most that is allowed.
+  /// Returns the upper bound of bytes in the newest change of the fleet configuration, or the largest allowed size if
+  /// it has none.
   std::int64_t lastBytes() const;
   void append(Change const& change);
-  /// As it is stored; the oldest changes beyond the bound are dropped.
+  /// Returns the window in its storage format, without the oldest changes beyond the bound.
   QJsonArray json() const;
 
  private:
--- a/control/src/configuration_push.cpp
+++ b/control/src/configuration_push.cpp
@@ -1,4 +1,5 @@
-// Configuration to the routers, and the reports by which controllers share what the routers have.
+// Pushes the configuration to the routers, and exchanges reports with the other controllers about which revisions the
+// routers have.
 #include <algorithm>
 
 #include <corkward/control/controller.h>
@@ -29,7 +30,7 @@
 void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
                     transport::ConfigurationAck const& ack) {
   if (ack.link.empty() || ack.link != from) return;
-  RouterRegistry::Router* const router = routers_.recordHeard(now, from, ack.incarnation);
+  RouterRegistry::Router* const router = routers_.recordContact(now, from, ack.incarnation);
   if (router == nullptr) return;
   if (ack.digest == routers_.committedDigest()) {
     recordUpToDate(from, *router);
@@ -46,7 +47,7 @@
                     transport::ServingLeaseRequest const& request) {
   if (request.sender.link.empty() || request.sender.link != from) return;
   appendSends(out, partialView_.heard(now, request.sender));
-  RouterRegistry::Router* const router = routers_.recordHeard(now, from, request.sender.incarnation);
+  RouterRegistry::Router* const router = routers_.recordContact(now, from, request.sender.incarnation);
   routers_.recordRequest(now, request);
   bool const revisionsKnown = router != nullptr && updateKnownRevisions(*router, request);
   out.sends.push_back(transport::Send{from, servingLeaseGrant(now, request, revisionsKnown)});
@@ -60,8 +61,8 @@
     recordUpToDate(link, router);
     return true;
   }
-  bool const saysAll = transport::digestOf(request.revisions) == request.digest;
-  if (!saysAll) return routers_.matchesKnownRevisions(router, request.digest, values());
+  bool const hasAllRevisions = transport::digestOf(request.revisions) == request.digest;
+  if (!hasAllRevisions) return routers_.matchesKnownRevisions(router, request.digest, values());
   RouterRegistry::recordRevisions(router, request.revisions, values());
   for (auto const& [key, revision] : request.revisions)
     if (revision > 0) rollouts_.recordAcknowledged(link, key, revision);
@@ -99,7 +100,7 @@
   bool const isSameState = report.committedDigest == routers_.committedDigest();
   for (std::size_t position = 0; position < roster_.bitPositions().size(); ++position) {
     std::string const& link = roster_.bitPositions()[position];
-    if (report.recentlyHeard.test(position)) routers_.recordHeardElsewhere(now, link);
+    if (report.recentlyHeard.test(position)) routers_.recordReportedContact(now, link);
     if (isSameState && report.upToDate.test(position)) rollouts_.recordIncompleteAcknowledged(link);
     for (transport::RolloutProgress const& progress : report.rolloutProgress)
       if (progress.acknowledgedBy.test(position)) rollouts_.recordAcknowledged(link, progress.key, progress.revision);
@@ -113,8 +114,8 @@
       std::any_of(members.begin(), members.end(), [&](consensus::Member const& member) { return member.link == from; });
   if (!isFromMember) return;
   for (transport::Contact const& contact : report.unlistedRouters)
-    if (!contact.link.empty() && contact.role == transport::routerRole) routers_.recordReported(now, contact);
-  // Bits go by the roster: those of another revision of it say nothing here.
+    if (!contact.link.empty() && contact.role == transport::routerRole) routers_.recordUnlistedRouter(now, contact);
+  // The bit positions depend on the roster's revision, so the bits of another revision cannot be interpreted here.
   if (report.rosterRevision > 0 && report.rosterRevision == roster_.revision()) {
     recordReport(now, report);
     completeRolloutReplies(out, now);
--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Each use of the seed draws from a stream of its own.
+// Each user of the seed has its own random stream.
 constexpr std::uint64_t gossipStream = 0x51;
 constexpr std::uint64_t registersStream = 0x77;
 
--- a/control/src/controller_directory.cpp
+++ b/control/src/controller_directory.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 constexpr Milliseconds queryEvery = 500;
-/// A controller that was heard within this time counts as one that answers.
-constexpr Milliseconds heardLately = 1600;
+/// A controller whose last message is no older than this counts as responding.
+constexpr Milliseconds contactTimeout = 1600;
 
 }  // namespace
 
 ControllerDirectory::ControllerDirectory(transport::Contact self, std::vector<std::string> seeds, std::uint64_t seed)
     : partialView_(std::move(self), std::move(seeds), seed) {}
 
-std::vector<transport::Send> ControllerDirectory::arrived(Milliseconds now, std::string const& from,
-                                                          transport::Message const& message) {
-  auto const known = lastHeardAt_.find(from);
-  if (known != lastHeardAt_.end()) known->second = now;
+std::vector<transport::Send> ControllerDirectory::onMessage(Milliseconds now, std::string const& from,
+                                                            transport::Message const& message) {
+  auto const known = lastContactAt_.find(from);
+  if (known != lastContactAt_.end()) known->second = now;
   if (auto const* const shuffle = std::get_if<transport::GossipShuffle>(&message); shuffle != nullptr) {
     partialView_.arrived(now, from, transport::GossipShuffle{shuffle->contacts, false, 0, {}});
     if (!shuffle->reply) return {};
@@ -30,13 +30,13 @@
   return {transport::Send{from, transport::NotAVotingMember{}}};
 }
 
-std::vector<transport::Send> ControllerDirectory::clockEvent(Milliseconds now) {
+std::vector<transport::Send> ControllerDirectory::onTimer(Milliseconds now) {
   for (transport::Contact const& contact : partialView_.ofRole(transport::controllerRole, now))
-    lastHeardAt_.try_emplace(contact.link, -1);
+    lastContactAt_.try_emplace(contact.link, -1);
   if (now < nextQueryAt_) return {};
   nextQueryAt_ = now + queryEvery;
   std::set<std::string> links(partialView_.seeds().begin(), partialView_.seeds().end());
-  for (auto const& [link, heardAt] : lastHeardAt_) links.insert(link);
+  for (auto const& [link, contactAt] : lastContactAt_) links.insert(link);
   links.erase(partialView_.self().link);
   std::vector<transport::Send> sends;
   sends.reserve(links.size());
@@ -47,12 +47,12 @@
 
 std::vector<std::string> ControllerDirectory::controllers(Milliseconds now) const {
   std::vector<std::string> known;
-  std::vector<std::string> answering;
-  for (auto const& [link, heardAt] : lastHeardAt_) {
+  std::vector<std::string> responding;
+  for (auto const& [link, contactAt] : lastContactAt_) {
     known.push_back(link);
-    if (heardAt >= 0 && now - heardAt <= heardLately) answering.push_back(link);
+    if (contactAt >= 0 && now - contactAt <= contactTimeout) responding.push_back(link);
   }
-  return answering.empty() ? known : answering;
+  return responding.empty() ? known : responding;
 }
 
 }  // namespace corkward::control
--- a/control/src/endpoint_list_updates.cpp
+++ b/control/src/endpoint_list_updates.cpp
@@ -1,4 +1,5 @@
-// The platform's endpoint lists: proposed to the registers, and announced ahead of the disks by removal hints.
+// Proposes the platform's endpoint lists to the replicated registers, and announces removed replicas by removal hints
+// before the lists are committed.
 #include <corkward/control/controller.h>
 
 #include "events.h"
--- a/control/src/endpoint_list_validator.cpp
+++ b/control/src/endpoint_list_validator.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists of pools: a list replaces one of a lower generation.
+// Validator of the pools' endpoint lists. A list replaces only a list of a lower generation.
 #include "call_method.h"
 #include "change_request.h"
 #include "json_fields.h"
--- a/control/src/evacuation_validator.cpp
+++ b/control/src/evacuation_validator.cpp
@@ -1,4 +1,4 @@
-// Evacuations of zones: put starts one, delete lifts it.
+// Validator of evacuations of zones. PUT starts an evacuation, DELETE ends it.
 #include "call_method.h"
 #include "change_request.h"
 #include "json_fields.h"
--- a/control/src/events.h
+++ b/control/src/events.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Log events of the controller, and the events that it counts on the metrics page alone. Metric labels are bytes of
-/// the page.
+/// Log events of the controller, and events that it only counts on the metrics page. The metric labels are part of the
+/// metrics page's format.
 
 #include <corkward/core/log_event.h>
 
@@ -16,11 +16,11 @@
 /// A roster is proposed.
 inline constexpr core::EventName rosterProposed{"roster"};
 
-// Counted only.
+// Events that are counted and not logged.
 inline constexpr char const* configurationPushed = "news_pushed";
 inline constexpr char const* removalHintAccepted = "leaving_hint";
 inline constexpr char const* endpointListUnreadable = "unreadable_list";
-/// Followed by the reply's status.
+/// Prefix of a metric label; the reply's status follows.
 inline constexpr char const* callAnswered = "answered_";
 
 }  // namespace corkward::control::events
--- a/control/src/family_validator.cpp
+++ b/control/src/family_validator.cpp
@@ -1,4 +1,5 @@
-// Templates and their instances: one replicated value, a family, holds a template with all its instances.
+// Validator of templates and their instances. One replicated value, a family, contains a template with all its
+// instances.
 #include <QJsonArray>
 
 #include <corkward/control/change_history.h>
@@ -12,10 +13,10 @@
 
 namespace {
 
-/// A family is larger than any one call on it, up to this.
+/// Largest family as text, in bytes. A family may be larger than the body of a single call on it.
 constexpr std::size_t maxFamilyBytes = 4 * maxCallBodyBytes;
 
-/// The entry of a family that a call is on: its template or one of its instances.
+/// The entry of a family that a call refers to: its template or one of its instances.
 class FamilyEntry {
  public:
   FamilyEntry(QJsonObject family, Target const& target)
@@ -25,7 +26,7 @@
         instances_(family_.value(fields::instances).toObject()),
         current_(isInstance_ ? instances_.value(name_).toObject() : family_.value(fields::templateSpec).toObject()) {}
 
-  /// Revision of the entry; 0: there is none.
+  /// Returns the revision of the entry, or 0 if the entry does not exist.
   std::uint64_t revision() const { return static_cast<std::uint64_t>(current_.value(fields::revision).toInteger()); }
   bool exists() const { return revision() != 0; }
   bool lacksTemplate() const { return isInstance_ && !family_.contains(fields::templateSpec); }
@@ -39,7 +40,7 @@
     if (!isInstance_) body.insert(fields::instances, QJsonArray::fromStringList(instances_.keys()));
     return Page{body};
   }
-  /// The family with this entry's new spec.
+  /// Returns the family with a new spec of this entry.
   QJsonObject familyWith(QJsonValue const& spec, std::uint64_t revision) const {
     QJsonObject const entry{{fields::spec, spec}, {fields::revision, static_cast<qint64>(revision)}};
     QJsonObject changed = family_;
@@ -72,7 +73,7 @@
   QJsonObject current_;
 };
 
-/// The family after the call's change.
+/// Returns the family after the call's change.
 QJsonObject changedFamily(FamilyEntry const& entry, CallMethod method, QJsonObject const& body,
                           std::uint64_t nextRevision) {
   switch (method) {
@@ -87,12 +88,14 @@
   }
 }
 
-/// Checks the family against the pools and regimes that are known.
+/// Checks the family against the known pools and regimes. Returns a rejection if a pool that it names may not be
+/// recovered yet, and std::nullopt if the family is valid.
+/// @throws config::ConfigError if the family is invalid
 std::optional<Rejection> checkFamily(QJsonObject const& family, ClusterView const& clusterView) {
-  bool restsOnUnconfirmedPool = false;
+  bool namesUnconfirmedPool = false;
   auto const poolKnown = [&](std::string const& pool) {
     bool const known = clusterView.poolKnown(pool);
-    if (!known && clusterView.poolUnconfirmed(pool)) restsOnUnconfirmedPool = true;
+    if (!known && clusterView.poolUnconfirmed(pool)) namesUnconfirmedPool = true;
     return known;
   };
   auto const regimeFault = [&](std::string const& regime, std::string const& pool) {
@@ -102,13 +105,13 @@
   try {
     config::checkTemplateFamily(family, poolKnown, regimeFault);
   } catch (config::ConfigError const& error) {
-    if (!restsOnUnconfirmedPool) throw;
+    if (!namesUnconfirmedPool) throw;
     return Rejection{RejectionReason::unconfirmed, "the pools are still being recovered; send it again"};
   }
   return std::nullopt;
 }
 
-/// Why a change on a base that is the newest cannot be applied; nothing: it can.
+/// Returns a rejection if the change refers to an entry or a template that does not exist, otherwise std::nullopt.
 std::optional<Rejection> missingEntry(FamilyEntry const& entry, CallMethod method) {
   if (method != CallMethod::put && !entry.exists()) return entry.notFound();
   if (entry.lacksTemplate()) return Rejection{RejectionReason::notFound, "no such template"};
--- a/control/src/fleet_configuration_validator.cpp
+++ b/control/src/fleet_configuration_validator.cpp
@@ -1,4 +1,4 @@
-// The fleet configuration: one value under versions that the operators choose, each above the last.
+// Validator of the fleet configuration. It is one value; operators choose its versions, each above the previous one.
 #include <corkward/control/change_history.h>
 
 #include "call_method.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The committed configuration as the validator needs it.
+/// The committed fleet configuration and its version.
 struct CommittedConfiguration {
   explicit CommittedConfiguration(QJsonObject const& value)
       : spec(value.value(fields::spec).toObject()),
@@ -20,7 +20,7 @@
   bool exists() const { return version != 0; }
 
   QJsonObject spec;
-  /// 0: there is no configuration so far.
+  /// Version of the configuration, or 0 if there is none yet.
   std::uint64_t version;
 };
 
@@ -34,7 +34,7 @@
   return Rejection{RejectionReason::notFound, "no configuration so far"};
 }
 
-/// Result of a call that was built on another version than the newest one.
+/// Returns the result of a call that names a base version other than the newest one.
 ValidationResult resultOnOlderVersion(ValidationRequest const& request, std::string const& digest,
                                       std::int64_t callVersion, std::uint64_t newest) {
   auto const& [revision, value, call] = request;
@@ -47,8 +47,8 @@
   return *std::move(past);
 }
 
-/// True when the patched configuration's text is longer than allowed. It is written out only when its bound says that
-/// this can be.
+/// Returns true if the patched configuration's text is longer than allowed. The configuration is serialized only if the
+/// upper bound of its length exceeds the limit.
 bool exceedsLimit(QJsonObject const& patched, ValidationRequest const& request) {
   constexpr auto limit = static_cast<std::int64_t>(maxFleetConfigurationBytes);
   std::int64_t const bound = fleetConfigurationBytes(ChangeWindow(request.value).lastBytes(), request.call);
--- a/control/src/guarantee_checks.cpp
+++ b/control/src/guarantee_checks.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// Confirmed changes of one key that are remembered to be compared with later ones.
+/// Number of confirmed changes per key that are retained for comparison with later ones.
 constexpr std::size_t rememberedChanges = 64;
 
-/// True for keys whose changes name the version that they build on, each at most once.
+/// Returns true if the call names its base version and at most one change of the key may be accepted on that base.
 bool namesItsBase(std::string const& key, transport::OperatorCall const& call) {
   return key == config::fleetConfigurationKey && !call.ifMatch.empty() && !call.dryRun;
 }
--- a/control/src/json_fields.h
+++ b/control/src/json_fields.h
@@ -2,18 +2,18 @@
 
 /// Names of JSON fields that more than one file of this package reads or writes.
 ///
-/// They are bytes of the operators' pages and of the records on disk, and stay as they are; the constants carry the
-/// terms that the code uses.
+/// The texts are part of the format of the operators' pages and of the records on disk and must not change. The
+/// constants are named by the terms that the code uses.
 
 #include <QLatin1String>
 
 namespace corkward::control::fields {
 
-// Pages and stored values.
+// Fields of pages and stored values.
 inline constexpr QLatin1String spec("spec");
 /// Revision of a key, template or instance.
 inline constexpr QLatin1String revision("stamp");
-/// Version that operators give the fleet configuration.
+/// Version of the fleet configuration, which operators choose.
 inline constexpr QLatin1String version("version");
 inline constexpr QLatin1String templateSpec("template");
 inline constexpr QLatin1String instances("instances");
@@ -23,7 +23,7 @@
 /// Recent changes of a key by their change ids.
 inline constexpr QLatin1String changes("changes");
 
-// Replies.
+// Fields of replies.
 inline constexpr QLatin1String changeId("changeId");
 inline constexpr QLatin1String replayed("replayed");
 inline constexpr QLatin1String dryRun("dryRun");
@@ -32,10 +32,10 @@
 inline constexpr QLatin1String pointer("pointer");
 inline constexpr QLatin1String pending("pending");
 inline constexpr QLatin1String status("status");
-/// The change's rollout is complete.
+/// Whether the change's rollout is complete.
 inline constexpr QLatin1String rolloutComplete("inForce");
 
-// The roster's value.
+// Fields of the roster's value.
 inline constexpr QLatin1String nodes("nodes");
 inline constexpr QLatin1String previousNodes("previous");
 inline constexpr QLatin1String departed("gone");
--- a/control/src/keys.h
+++ b/control/src/keys.h
@@ -2,8 +2,8 @@
 
 /// Keys of the replicated values.
 ///
-/// The texts are bytes on disk, on the wire and on the fleet's page: they stay as they were first written, whatever the
-/// code calls the thing. The code names them by these constants only.
+/// The texts are part of the storage format, the wire format and the page /v1/fleet and must not change, also where the
+/// code uses other terms. The code refers to them only by these constants.
 
 #include <optional>
 #include <string>
@@ -13,13 +13,13 @@
 
 /// A template with all its instances.
 inline constexpr std::string_view familyKeyPrefix = "family:";
-/// The endpoint list of a pool, as the platform gives it.
+/// The endpoint list of a pool, which the platform provides.
 inline constexpr std::string_view poolKeyPrefix = "pool:";
 /// Whether a zone is evacuated.
 inline constexpr std::string_view zoneKeyPrefix = "zone:";
-/// An alert that operators' programs claim and close.
+/// An alert, which operators' programs claim and close.
 inline constexpr std::string_view alertKeyPrefix = "alert:";
-/// The routers that a change must have reached.
+/// The routers that a change must reach.
 inline constexpr char const* rosterKey = "roster";
 
 inline bool hasPrefix(std::string const& key, std::string_view prefix) {
@@ -30,7 +30,7 @@
   return std::string(prefix) + name;
 }
 
-/// Name behind the prefix, or nothing when the key is of another kind.
+/// Returns the name after the prefix, or std::nullopt if the key has another prefix.
 inline std::optional<std::string> nameOf(std::string const& key, std::string_view prefix) {
   if (!hasPrefix(key, prefix)) return std::nullopt;
   return key.substr(prefix.size());
--- a/control/src/operator_calls.cpp
+++ b/control/src/operator_calls.cpp
@@ -1,4 +1,4 @@
-// Operators' calls: from their arrival at this process or from another controller to their reply.
+// Handles operator calls, which arrive over HTTP or from another controller, until they are answered.
 #include <corkward/control/controller.h>
 #include <corkward/control/validator.h>
 #include <corkward/core/json.h>
@@ -18,13 +18,13 @@
 
 using core::HttpStatus;
 
-/// Pages that are answered from what is committed here.
+/// Returns true if the call reads a page that is answered from the values committed at this controller.
 bool isLinearizableRead(transport::OperatorCall const& call) {
   return methodOf(call.method) == CallMethod::get &&
          (call.path == paths::templates || call.path.rfind(paths::changes, 0) == 0);
 }
 
-/// A node's page of the roster is known, for deletions alone.
+/// Returns true if the target has a page. Of the roster, only the pages of single routers exist, and only for DELETE.
 bool hasPage(Target const& target, CallMethod method) {
   if (target.key != rosterKey) return true;
   return !target.entry.empty() && method == CallMethod::remove;
@@ -133,13 +133,13 @@
   PendingCall* const pending = calls_.find(id);
   if (pending == nullptr) return;
   std::string const owner = registers_.ownerLink(pending->key, now);
-  bool const isOwnedElsewhere = !owner.empty() && owner != registers_.self().link;
-  if (isOwnedElsewhere && !pending->from.empty()) {
+  bool const isOwnedByAnotherController = !owner.empty() && owner != registers_.self().link;
+  if (isOwnedByAnotherController && !pending->from.empty()) {
     finish(out, now, id, HttpStatus::misdirectedRequest, {{fields::error, "not the owner"}});
     return;
   }
-  pending->forwarded = isOwnedElsewhere;
-  if (isOwnedElsewhere) {
+  pending->forwarded = isOwnedByAnotherController;
+  if (isOwnedByAnotherController) {
     pending->sentAt = now;
     out.sends.push_back(transport::Send{owner, pending->call});
     return;
@@ -182,8 +182,8 @@
   guarantees_.checkConfirmed(completed, pending->call);
   constexpr int endOfSuccess = 300;
   bool const replayed = completed.body.value(fields::replayed).toBool() && completed.status < endOfSuccess;
-  // A replay on a key without a value requests the state that has always been, as lifting an evacuation that never was:
-  // no router can lack it, so there is nothing to wait for.
+  // A replay on a key without a value requests the initial state, such as ending an evacuation that never started. All
+  // routers have that state, so there is no rollout to wait for.
   bool const hasNoRollout = completed.revision == 0 && (!replayed || revisionOf(values(), completed.key) == 0);
   if (!tuning_.awaitRollout || hasNoRollout) {
     QJsonObject body = completed.body;
@@ -273,8 +273,8 @@
       continue;
     }
     bool const isOwn = methodOf(call.call.method) == CallMethod::reconcileRoster;
-    bool const mayMove = call.from.empty() && !isOwn && !rollouts_.awaitsReply(id);
-    if (mayMove && !registers_.owns(call.key) && !registers_.ownerLink(call.key, now).empty()) ids.push_back(id);
+    bool const mayBeRerouted = call.from.empty() && !isOwn && !rollouts_.awaitsReply(id);
+    if (mayBeRerouted && !registers_.owns(call.key) && !registers_.ownerLink(call.key, now).empty()) ids.push_back(id);
   }
   return ids;
 }
@@ -297,7 +297,7 @@
 void Controller::finishWithoutOutcome(ControllerCommands& out, Milliseconds now, std::uint64_t id, char const* reason) {
   PendingCall const* const call = calls_.find(id);
   if (call == nullptr) return;
-  // A change may be committed yet, hence no status that means a rejection.
+  // The change may still be committed, so the status must not mean a rejection.
   if (isChange(call->call.method))
     finish(out, now, id, HttpStatus::gatewayTimeout, {{fields::error, "unknown"}, {fields::reason, reason}});
   else
--- a/control/src/paths.h
+++ b/control/src/paths.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP paths of the operators' pages that this package itself names; bytes on the wire.
+/// HTTP paths of the operators' pages that this package names. The texts are part of the HTTP API.
 
 #include <string_view>
 
@@ -8,13 +8,13 @@
 
 inline constexpr std::string_view fleet = "/v1/fleet";
 inline constexpr std::string_view templates = "/v1/templates";
-/// Followed by a change id.
+/// A change id follows.
 inline constexpr std::string_view changes = "/v1/changes/";
-/// Followed by the name of a singleton role.
+/// The name of a singleton role follows.
 inline constexpr std::string_view singletonRoles = "/v1/duties/";
-/// Followed by a pool's name as a part of an address.
+/// A pool's percent-encoded name follows.
 inline constexpr std::string_view platformPools = "/v1/platform/pools/";
-/// Only between controllers: a controller's own proposal of a roster.
+/// Path of a controller's own proposal of a roster. It is used between controllers only.
 inline constexpr std::string_view rosterNodes = "/v1/roster/nodes";
 
 }  // namespace corkward::control::paths
--- a/control/src/pending_calls.cpp
+++ b/control/src/pending_calls.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Id of a run's first call, drawn at random from 2^52. Forwarded calls carry their id and their replies come back by
-/// it, so a reply meant for a call of an earlier run of this process must find none of that id in this one.
+/// Returns the id of the first call of this run, drawn at random from 2^52 values. Forwarded calls and their replies
+/// carry the id. A reply to a call of an earlier run of this process must not match a call of this run.
 std::uint64_t firstId(std::uint64_t seed) {
   constexpr std::uint64_t streamOfIds = 0x9b;
   constexpr int unusedBits = 12;
--- a/control/src/quota_coordination.cpp
+++ b/control/src/quota_coordination.cpp
@@ -35,8 +35,8 @@
 }
 
 void QuotaCoordination::refreshPermissions(Milliseconds now, ClusterStatus const& status) {
-  // Contact with a majority also implies that no newer membership was accepted here without being known as chosen: a
-  // member that may have been removed is not renewed by one that took part in its removal.
+  // Recent contact with a majority also implies that this controller has accepted no newer membership that it does not
+  // know as chosen. So a controller that took part in removing a member does not renew a lease of that member.
   Milliseconds const wait = quota::grantDelayAfterStart;
   Milliseconds const contactAge = status.registers.quorumContactAge(now);
   bool const hasContact = contactAge >= 0 && contactAge <= status.servingLeaseDuration;
--- a/control/src/responses.h
+++ b/control/src/responses.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Responses to operators' calls that more than one file of this package gives.
+/// Responses to operator calls that more than one file of this package uses.
 
 #include <corkward/control/controller_commands.h>
 #include <corkward/core/http_status.h>
@@ -24,7 +24,7 @@
 
 inline constexpr char const* tooManyCalls = "too many calls in hand";
 
-/// Body of a reply by a controller that cannot confirm that what it knows is current.
+/// Returns the body of a reply by a controller that cannot confirm that its committed values are current.
 inline QJsonObject noQuorumBody() {
   return {{fields::error, "not confirmed"}, {fields::reason, "this controller is not in touch with a majority"}};
 }
--- a/control/src/rollout_tracker.cpp
+++ b/control/src/rollout_tracker.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// Serving leases after which the routers of the previous roster no longer serve by it, once a majority of them knows
-/// the newest one.
+/// The routers of the previous roster may serve for this many serving leases after the newest roster was committed, and
+/// until a majority of them has the newest roster.
 constexpr Milliseconds previousRosterLeases = 4;
 
-bool isMajority(std::size_t part, std::size_t all) {
-  return part >= all / 2 + 1;
+bool isMajority(std::size_t count, std::size_t all) {
+  return count >= all / 2 + 1;
 }
 
 bool hasAcknowledged(RolloutTracker::Rollout const& rollout, std::string const& link, std::uint64_t revision) {
@@ -77,7 +77,7 @@
         rosterRollout != nullptr && hasAcknowledged(*rosterRollout, link, inputs.roster.revision());
     ++progress.routers;
     if (isAbsent || hasAcknowledged(rollout, link, revision)) ++progress.acknowledged;
-    if (isAbsent || knowsRoster) ++progress.onRoster;
+    if (isAbsent || knowsRoster) ++progress.onNewestRoster;
   }
   return progress;
 }
@@ -86,7 +86,7 @@
   if (previousNodes.routers == 0) return false;
   Milliseconds const age = inputs.now - inputs.roster.committedAt();
   return age < previousRosterLeases * tuning_.servingLeaseDuration ||
-         !isMajority(previousNodes.onRoster, previousNodes.routers);
+         !isMajority(previousNodes.onNewestRoster, previousNodes.routers);
 }
 
 RolloutState RolloutTracker::stateOf(RolloutInputs const& inputs, std::string const& key, std::uint64_t revision,
--- a/control/src/roster_proposal.cpp
+++ b/control/src/roster_proposal.cpp
@@ -1,4 +1,4 @@
-// The roster as one of the controllers proposes it.
+// Proposes changes of the roster.
 #include <corkward/control/controller.h>
 #include <corkward/core/json.h>
 
@@ -12,7 +12,7 @@
 void Controller::reconcileRoster(ControllerCommands& out, Milliseconds now) {
   if (draining_ || !rosterReconciler_.isDue(now) || !ready(now)) return;
   rosterReconciler_.scheduleNext(now);
-  routers_.forgetSilent(now, roster_.nodes());
+  routers_.forgetUnresponsive(now, roster_.nodes());
   if (!isRosterProposer(now) || !isRosterRolledOut(now)) return;
   std::optional<RosterValue> const next = rosterReconciler_.nextRoster(now, roster_, routers_, partialView_);
   if (next) proposeRoster(out, now, *next);
@@ -21,7 +21,7 @@
 bool Controller::isRosterProposer(Milliseconds now) const {
   std::string const owner = registers_.ownerLink(rosterKey, now);
   if (!owner.empty()) return owner == registers_.self().link;
-  // A key that never had a value has no owner: the first member begins.
+  // A key without a value has no owner; its first value is proposed by the first member.
   return roster_.revision() == 0 && registers_.membership().front().id == registers_.self().id;
 }
 
--- a/control/src/roster_reconciler.cpp
+++ b/control/src/roster_reconciler.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr Milliseconds reconcileEvery = 300;
-/// A router joins the roster when it was heard within this time.
-constexpr Milliseconds heardLately = 2000;
+/// A router joins the roster if its last contact is no older than this.
+constexpr Milliseconds joinContactTimeout = 2000;
 
 bool isJoining(Milliseconds now, RouterRegistry::Router const& router) {
-  bool const isHeard = router.lastHeardAt >= 0 && now - router.lastHeardAt <= heardLately;
-  return isHeard && router.contact.role == transport::routerRole && !router.contact.draining;
+  bool const hasRecentContact = router.lastContactAt >= 0 && now - router.lastContactAt <= joinContactTimeout;
+  return hasRecentContact && router.contact.role == transport::routerRole && !router.contact.draining;
 }
 
 }  // namespace
@@ -21,13 +21,13 @@
   nextAt_ = now + reconcileEvery;
 }
 
-bool RosterReconciler::isSilent(Milliseconds now, std::string const& link, RouterRegistry const& routers,
-                                gossip::PartialView const& partialView) const {
+bool RosterReconciler::isUnresponsive(Milliseconds now, std::string const& link, RouterRegistry const& routers,
+                                      gossip::PartialView const& partialView) const {
   RouterRegistry::Router const* const router = routers.find(link);
-  bool const neverHeard = router == nullptr || router->lastHeardAt < 0;
-  Milliseconds const silence = now - (neverHeard ? startedAt_ : router->lastHeardAt);
+  bool const hadNoContact = router == nullptr || router->lastContactAt < 0;
+  Milliseconds const contactAge = now - (hadNoContact ? startedAt_ : router->lastContactAt);
   Milliseconds const gossipAge = partialView.age(link, now);
-  return silence > removeSilentAfter_ && (gossipAge < 0 || gossipAge > removeSilentAfter_);
+  return contactAge > removeUnresponsiveAfter_ && (gossipAge < 0 || gossipAge > removeUnresponsiveAfter_);
 }
 
 std::optional<RosterValue> RosterReconciler::nextRoster(Milliseconds now, Roster const& roster,
@@ -43,9 +43,9 @@
     departed.erase(link);
     changed = true;
   }
-  if (now - startedAt_ > removeSilentAfter_) {
-    auto const silent = [&](auto const& node) { return isSilent(now, node.first, routers, partialView); };
-    if (std::erase_if(nodes, silent) > 0) changed = true;
+  if (now - startedAt_ > removeUnresponsiveAfter_) {
+    auto const unresponsive = [&](auto const& node) { return isUnresponsive(now, node.first, routers, partialView); };
+    if (std::erase_if(nodes, unresponsive) > 0) changed = true;
   }
   if (!changed) return std::nullopt;
   RosterValue next;
--- a/control/src/roster_validator.cpp
+++ b/control/src/roster_validator.cpp
@@ -1,4 +1,5 @@
-// The roster: controllers propose it as routers come and go; operators declare that a node has departed for good.
+// Validator of the roster. Controllers propose the roster when routers join or leave; operators declare that a router
+// has permanently departed.
 #include <QJsonArray>
 
 #include "call_method.h"
@@ -10,7 +11,7 @@
 
 namespace {
 
-/// Departed nodes that a roster names at the most; the oldest is dropped.
+/// Largest number of departed routers on a roster. Beyond it the oldest ones are dropped.
 constexpr qsizetype maxDeparted = 64;
 
 bool isNode(QJsonValue const& node, QString const& link) {
--- a/control/src/router_registry.cpp
+++ b/control/src/router_registry.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A router whose last request is older has no session here any more.
+/// The session of a router ends if its last lease request is older than this.
 constexpr Milliseconds sessionEndsAfter = 10000;
 
 }  // namespace
@@ -37,8 +37,8 @@
     if (router.hasSession()) router.missingRevisions.try_emplace(key, router.revisionsKnown ? previousRevision : 0);
 }
 
-RouterRegistry::Router* RouterRegistry::recordHeard(Milliseconds now, std::string const& link,
-                                                    std::uint64_t incarnation) {
+RouterRegistry::Router* RouterRegistry::recordContact(Milliseconds now, std::string const& link,
+                                                      std::uint64_t incarnation) {
   Router& router = routers_[link];
   if (incarnation < router.contact.incarnation) return nullptr;
   if (incarnation > router.contact.incarnation) {
@@ -46,7 +46,7 @@
     router.contact.incarnation = incarnation;
     router.contact.link = link;
   }
-  router.lastHeardAt = now;
+  router.lastContactAt = now;
   router.unreachableAt = -1;
   return &router;
 }
@@ -61,11 +61,11 @@
     router.snapshotRequestedAt = now;
 }
 
-void RouterRegistry::recordReported(Milliseconds now, transport::Contact const& contact) {
+void RouterRegistry::recordUnlistedRouter(Milliseconds now, transport::Contact const& contact) {
   Router& router = routers_[contact.link];
   if (router.hasSession() || contact.incarnation < router.contact.incarnation) return;
   router.contact = contact;
-  router.lastHeardAt = now;
+  router.lastContactAt = now;
 }
 
 void RouterRegistry::recordAcknowledged(Router& router, std::string const& key, std::uint64_t revision,
@@ -137,8 +137,8 @@
 
 bool RouterRegistry::startProbe(Milliseconds now, std::string const& link) {
   Router& router = routers_[link];
-  bool const isHeard = router.lastHeardAt >= 0 && now - router.lastHeardAt < tuning_.probeAfter;
-  if (isHeard || now - router.probedAt < tuning_.probeAfter) return false;
+  bool const hasRecentContact = router.lastContactAt >= 0 && now - router.lastContactAt < tuning_.probeAfter;
+  if (hasRecentContact || now - router.probedAt < tuning_.probeAfter) return false;
   router.probedAt = now;
   return true;
 }
@@ -148,11 +148,11 @@
   if (it != routers_.end()) it->second.unreachableAt = refused ? now : -1;
 }
 
-void RouterRegistry::forgetSilent(Milliseconds now, std::set<std::string> const& rosterNodes) {
+void RouterRegistry::forgetUnresponsive(Milliseconds now, std::set<std::string> const& rosterNodes) {
   std::erase_if(routers_, [&](auto const& entry) {
     auto const& [link, router] = entry;
-    bool const isSilent = router.lastHeardAt >= 0 && now - router.lastHeardAt > tuning_.forgetAfter;
-    return isSilent && rosterNodes.count(link) == 0;
+    bool const isUnresponsive = router.lastContactAt >= 0 && now - router.lastContactAt > tuning_.forgetAfter;
+    return isUnresponsive && rosterNodes.count(link) == 0;
   });
 }
 
--- a/control/src/router_status_reporter.cpp
+++ b/control/src/router_status_reporter.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Most rollouts that one report queries or reports on.
+/// Largest number of rollouts that one report queries or reports on.
 constexpr std::size_t maxRollouts = 32;
 
-/// Which routers that are served here have that revision of the key.
+/// Returns which of the routers that this controller serves have the queried revision of the key.
 transport::RolloutProgress progressOf(transport::RolloutProgress const& query, Roster const& roster,
                                       RouterRegistry const& routers, CommittedValues const& values) {
   transport::RolloutProgress progress{query.key, query.revision, {}};
--- a/control/src/sends.h
+++ b/control/src/sends.h
@@ -8,7 +8,7 @@
 
 namespace corkward::control {
 
-/// Adds messages behind those that are sent already.
+/// Appends messages to those that are to be sent already.
 inline void appendSends(ControllerCommands& out, std::vector<transport::Send>&& sends) {
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
 }
--- a/control/src/singleton_roles.cpp
+++ b/control/src/singleton_roles.cpp
@@ -14,13 +14,14 @@
 
 namespace {
 
-/// Tells the leases of roles from those of replicas; never leaves the process.
+/// Distinguishes the leases of roles from those of replicas in the lease table. It is not sent to other processes.
 constexpr char const* leaseNamePrefix = "duty ";
 constexpr std::size_t maxNameBytes = 64;
-/// A role's holder has no incarnations: it is its name alone. 0 would stand for a successor.
+/// The holder of a role is identified by its name alone, so its incarnation is constant. It is not 0, which denotes a
+/// successor in the lease table.
 constexpr std::uint64_t holderIncarnation = 1;
 
-/// Whom a call names.
+/// The holder and the successor that a call names.
 struct RoleRequest {
   std::string holder;
   std::string successor;
@@ -28,7 +29,8 @@
   bool isValid() const { return !holder.empty() && holder.size() <= maxNameBytes && successor.size() <= maxNameBytes; }
 };
 
-/// Throws core::JsonError.
+/// Parses the body of a call on a role.
+/// @throws core::JsonError if the text is not JSON
 RoleRequest readRequest(std::string const& text) {
   QJsonObject const body = core::parseJson(text).toObject();
   return RoleRequest{core::toStdString(body.value("holder").toString()),
@@ -72,8 +74,8 @@
                      {"cohortStamp", static_cast<qint64>(context.membershipRevision)}};
 }
 
-OperatorResponse takeRole(Milliseconds now, LeaseTable& leases, LeaseTable::Claim const& claim, std::uint64_t token,
-                          SingletonRoleContext const& context) {
+OperatorResponse acquireRole(Milliseconds now, LeaseTable& leases, LeaseTable::Claim const& claim, std::uint64_t token,
+                             SingletonRoleContext const& context) {
   std::optional<LeaseTable::Grant> const grant =
       context.mayGrant ? leases.acquire(now, claim) : std::optional<LeaseTable::Grant>();
   if (!grant) return cannotGrant(token);
@@ -105,7 +107,7 @@
   }
   if (!request.isValid()) return invalidRequest(call.token);
   LeaseTable::Claim const claim{leaseName, request.holder, holderIncarnation, context.leaseDuration};
-  if (method == CallMethod::put) return takeRole(now, leases, claim, call.token, context);
+  if (method == CallMethod::put) return acquireRole(now, leases, claim, call.token, context);
   leases.release(now, claim, request.successor);
   return respond(call.token, core::HttpStatus::ok, {{"granted", false}});
 }
--- a/control/src/singleton_roles.h
+++ b/control/src/singleton_roles.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The page by which operators' programs share singleton roles, such as the alert watch.
+/// The HTTP endpoint by which operators' programs share singleton roles, such as the alert watch.
 
 #include <optional>
 #include <string>
@@ -13,9 +13,10 @@
 
 namespace corkward::control {
 
-/// What the page shows of this member beside the lease.
+/// What the endpoint needs to know about this member besides its leases.
 struct SingletonRoleContext {
-  /// This member is in contact with a majority, and has been up for long enough to know of each lease that it granted.
+  /// True if this member has recent contact with a majority and has been running for longer than a lease lasts, so that
+  /// no lease which it granted in an earlier run is still valid.
   bool mayGrant = false;
   Milliseconds leaseDuration = 0;
   std::string memberId;
@@ -23,10 +24,10 @@
   std::uint64_t membershipRevision = 0;
 };
 
-/// Name of the role that a path is the page of; nothing: it is none.
+/// Returns the name of the role whose endpoint has this path, or std::nullopt if it is not the path of a role.
 std::optional<std::string> singletonRoleOf(std::string const& path);
 
-/// PUT takes or renews the role's lease, DELETE gives it up and may name a successor.
+/// Handles a call on a role: PUT acquires or renews the role's lease, DELETE releases it and may name a successor.
 OperatorResponse singletonRoleEndpoint(Milliseconds now, LeaseTable& leases, std::string const& role,
                                        transport::OperatorCall const& call, SingletonRoleContext const& context);
 
--- a/control/src/status_pages.cpp
+++ b/control/src/status_pages.cpp
@@ -17,15 +17,15 @@
 QJsonObject routerJson(Milliseconds now, std::string const& link, RouterRegistry const& routers,
                        RolloutTracker const& rollouts) {
   RouterRegistry::Router const* const router = routers.find(link);
-  bool const isHeard = router != nullptr && router->lastHeardAt >= 0;
+  bool const hadContact = router != nullptr && router->lastContactAt >= 0;
   return QJsonObject{{fields::link, core::toQString(link)},
-                     {fields::httpAddress, core::toQString(isHeard ? router->contact.httpAddress : "")},
-                     {fields::zone, core::toQString(isHeard ? router->contact.zone : "")},
-                     {"heardMsAgo", isHeard ? static_cast<qint64>(now - router->lastHeardAt) : -1},
+                     {fields::httpAddress, core::toQString(hadContact ? router->contact.httpAddress : "")},
+                     {fields::zone, core::toQString(hadContact ? router->contact.zone : "")},
+                     {"heardMsAgo", hadContact ? static_cast<qint64>(now - router->lastContactAt) : -1},
                      {"keysBehind", static_cast<qint64>(rollouts.missingAt(link))}};
 }
 
-/// One metric without labels.
+/// Returns the text of one gauge without labels.
 template <class Value>
 std::string gauge(std::string const& name, Value value) {
   return "# TYPE " + name + " gauge\n" + name + " " + std::to_string(value) + "\n";
--- a/control/src/status_pages.h
+++ b/control/src/status_pages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Pages that a controller answers from what it knows, and its metrics.
+/// Pages that a controller answers from its own state, and its metrics.
 
 #include <string>
 
@@ -11,30 +11,30 @@
 
 namespace corkward::control {
 
-/// The fleet as this controller sees it; whether or not it is current, it shows the age of the last contact with a
-/// majority.
+/// Returns the page of the fleet from this controller's state. The state may be out of date; the page shows the age of
+/// the last contact with a majority of the disks.
 QJsonObject fleetPage(Milliseconds now, consensus::ReplicatedRegisters const& registers, Roster const& roster,
                       RouterRegistry const& routers, RolloutTracker const& rollouts, bool ready);
 
-/// Names of all templates.
+/// Returns the page that lists the names of all templates.
 QJsonObject templatesPage(CommittedValues const& values);
 
-/// What became of the change that a path names by its id.
-/// @param rollouts null: changes are answered without their rollout
+/// Returns the outcome of the change whose id is in the call's path.
+/// @param rollouts null if replies to changes do not wait for their rollouts
 OperatorResponse changePage(transport::OperatorCall const& call, CommittedValues const& values,
                             RolloutTracker const* rollouts, RolloutInputs const& inputs);
 
-/// Figures of the metrics page that are not counted in the journal.
+/// Metrics of a controller that are not counted in the journal.
 struct ControllerGauges {
   bool ready = false;
-  /// -1: no contact with a majority so far.
+  /// Age of the last contact with a majority of the disks, or -1 if there was none yet.
   Milliseconds quorumContactAge = -1;
   std::size_t ownedKeys = 0;
   std::size_t ownedQuotaPartitions = 0;
   std::size_t pendingCalls = 0;
 };
 
-/// Metrics in Prometheus' text form.
+/// Returns the metrics in the Prometheus text format.
 std::string metricsText(core::Journal const& journal, ControllerGauges const& gauges, config::Regimes const& regimes,
                         config::WallTime const& wallTime);
 
--- a/control/src/validation_result.h
+++ b/control/src/validation_result.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The typed result of validating a call, and its HTTP status and JSON text.
+/// The typed result of validating a call, and its conversion to an HTTP status and a JSON body.
 
 #include <QJsonArray>
 #include <QJsonObject>
@@ -15,7 +15,7 @@
 
 namespace corkward::control {
 
-/// Why a call is rejected. Its HTTP status and its text on the page are given by `rejectionText`.
+/// Why a call is rejected. rejectionText() returns the HTTP status and the text for each reason.
 enum class RejectionReason {
   malformed,
   notFound,
@@ -24,7 +24,7 @@
   versionMissing,
   staleRevision,
   staleVersion,
-  /// The list that this one was read after has been replaced meanwhile.
+  /// The committed list is no longer the one that was current when this list was read.
   listReplaced,
   olderGeneration,
   changeIdReused,
@@ -33,14 +33,14 @@
   invalidEndpointList,
   invalidCertificates,
   invalidAlert,
-  /// The rejection would rest on a key that is not recovered yet.
+  /// The call is rejected only because a key that it refers to is not recovered yet.
   unconfirmed,
-  /// The call's base is older than all changes that the key's history covers.
+  /// The call's base is older than all changes in the key's history.
   outcomeForgotten,
   outcomeUnknown,
 };
 
-/// Status and text of a rejection as they stand on the page.
+/// HTTP status and text of a rejection in the response.
 struct RejectionText {
   core::HttpStatus status;
   char const* error;
@@ -52,45 +52,45 @@
 struct Rejection {
   RejectionReason reason = RejectionReason::notFound;
   std::string detail = {};
-  /// Place of the fault in the call's body, as a JSON pointer; empty: none.
+  /// JSON pointer to the fault in the call's body; empty if the fault is not in the body.
   std::string pointer = {};
-  /// What is committed now, where the caller needs it to build on.
+  /// The committed revision and version, where the operator needs them as the base of the next change.
   std::optional<std::uint64_t> revision = {};
   std::optional<std::int64_t> version = {};
 };
 
-/// A read.
+/// The body of the reply to a read.
 struct Page {
   QJsonObject body;
 };
 
-/// The same change was accepted before; it takes no effect a second time.
+/// The same change was accepted before and is not applied a second time.
 struct Replay {
-  /// Status that the change was first answered with.
+  /// HTTP status of the first reply to the change.
   int status = core::code(core::HttpStatus::ok);
   /// Revision that the change became.
   std::uint64_t revision = 0;
   std::optional<std::int64_t> version = {};
 };
 
-/// The call becomes the key's next value.
+/// The call changes the key to the next value.
 struct AcceptedChange {
-  /// The next value, without the window of change ids.
+  /// The next value, without the ChangeWindow.
   QJsonObject value;
   core::HttpStatus status = core::HttpStatus::ok;
-  /// Revision that the change becomes; nothing: a controller's own change, whose reply nobody reads.
+  /// Revision that the change becomes. Empty for a controller's own change, whose reply is not read.
   std::optional<std::uint64_t> revision = {};
   std::optional<std::int64_t> version = {};
   std::optional<bool> evacuated = {};
-  /// Tenants that are left without a certificate, one line each.
+  /// Tenants that are left without a certificate, one text per tenant.
   std::vector<std::string> uncovered = {};
-  /// A dry run is marked on the page, and always has status 200.
+  /// True if the reply to a dry run is marked as such and always has status 200.
   bool marksDryRun = false;
 };
 
 using ValidationResult = std::variant<Rejection, Page, Replay, AcceptedChange>;
 
-/// The result as the consensus layer takes it: HTTP status and JSON body of the reply, and the value to propose.
+/// Converts the result for the consensus layer: the HTTP status and JSON body of the reply, and the value to propose.
 consensus::Verdict verdictOf(ValidationResult const& result, transport::OperatorCall const& call);
 
 }  // namespace corkward::control
--- a/control/src/validator.cpp
+++ b/control/src/validator.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-/// Digest by which a reused change id shows. The base of a call on a zone is added by a controller, hence no part of
-/// the operator's change.
+/// Returns the digest by which a change id that is reused for a different change is detected. The digest of a call on a
+/// zone excludes the base, because a controller adds it and it is not part of the operator's change.
 QString changeDigest(std::string const& key, transport::OperatorCall const& call) {
   std::string const base = hasPrefix(key, zoneKeyPrefix) ? "" : unquotedIfMatch(call.ifMatch);
   constexpr int hexadecimal = 16;
   return QString::number(core::stableHash(call.method + " " + call.path + " " + base + " " + call.body), hexadecimal);
 }
 
-/// Result of a change that the key's window knows by its id; nothing: it does not.
+/// Returns the result of a change whose id is in the key's window, or std::nullopt if it is not.
 std::optional<ValidationResult> resultFromWindow(ChangeWindow const& window, std::string const& key,
                                                  transport::OperatorCall const& call) {
   bool const isIdentified = methodOf(call.method) != CallMethod::get && !call.dryRun && !call.changeId.empty();
--- a/control/src/validators.h
+++ b/control/src/validators.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// One validator for each kind of target; validateCall chooses among them.
+/// One validator for each kind of target. validateCall() selects the validator by the key.
 ///
-/// Each is a pure function of the key's committed value and the call. A value is given with its history where the
-/// validator consults the history, and without it otherwise.
+/// Each validator is a pure function of the key's committed value and the call. The value that it gets contains the
+/// key's history only if the validator uses the history.
 
 #include <QJsonObject>
 #include <cstdint>
@@ -16,40 +16,43 @@
 
 /// Input of a validator.
 struct ValidationRequest {
-  /// Newest revision of the key; 0: it has no value.
+  /// Newest revision of the key, or 0 if it has no value.
   std::uint64_t revision = 0;
   QJsonObject const& value;
   transport::OperatorCall const& call;
 
-  /// Revision that the key has once the call's change is committed.
+  /// Returns the revision that the key has once the call's change is committed.
   std::uint64_t nextRevision() const { return revision + 1; }
 };
 
-/// Templates and their instances. The value is the family, with its history.
+/// Validates calls on templates and their instances. The value is the family, with its history.
 ValidationResult validateFamily(ValidationRequest const& request, ClusterView const& clusterView);
 
-/// The fleet configuration, under operators' own versions. With its history.
+/// Validates calls on the fleet configuration, whose versions the operators choose. The value contains the history.
 ValidationResult validateFleetConfiguration(ValidationRequest const& request);
 
-/// Upper bound of the fleet configuration's text after a change, in bytes, without writing it out.
+/// Returns an upper bound of the length of the fleet configuration's text after a change, in bytes, without serializing
+/// the configuration.
 /// @param bytesBefore the same bound before the change
 std::int64_t fleetConfigurationBytes(std::int64_t bytesBefore, transport::OperatorCall const& call);
 
-/// Endpoint lists. A list that a controller has read itself names the revision that it knew when it read, so that one
-/// delayed by a partition does not overwrite what was read meanwhile. Lists that the platform sends name none.
+/// Validates calls on endpoint lists. If a controller reads a list from the platform itself, its call names the
+/// revision that was committed there at that time, so that a call delayed by a network partition does not overwrite a
+/// newer list. A list that the platform sends names no revision.
 ValidationResult validateEndpointList(ValidationRequest const& request);
 
-/// Evacuations of zones. Such a call names no base: the controller that it came in at adds the revision that it knew
-/// then, so that a delayed call is not carried out after a later one.
+/// Validates calls on evacuations of zones. Operators name no base in them. The controller that receives the call adds
+/// the revision that is committed there, so that a delayed call is not applied after a later one.
 ValidationResult validateEvacuation(ValidationRequest const& request);
 
-/// Regimes and certificates, under one revision; a certificate may be revoked by its name. With their history.
+/// Validates calls on regimes and certificates, which share one revision. A certificate can be revoked by its name. The
+/// value contains the history.
 ValidationResult validateCertificates(ValidationRequest const& request, ClusterView const& clusterView);
 
-/// Alerts that operators' programs claim and close.
+/// Validates calls on alerts, which operators' programs claim and close.
 ValidationResult validateAlert(ValidationRequest const& request);
 
-/// The roster: a controller's own proposal, or an operator's declaration that a node has departed.
+/// Validates calls on the roster: a controller's own proposal, or an operator's declaration that a router has departed.
 ValidationResult validateRoster(ValidationRequest const& request);
 
 }  // namespace corkward::control
--- a/control/src/warmup_leases.cpp
+++ b/control/src/warmup_leases.cpp
@@ -1,11 +1,11 @@
-// Leases that this member grants: which router warms a cold replica up.
+// Grants the leases by which one router warms up a replica.
 #include <corkward/control/controller.h>
 
 namespace corkward::control {
 
 namespace {
 
-/// What a lease of an earlier run, or of an earlier membership, may outlast its duration by.
+/// Margin by which a lease that was granted in an earlier run or under an earlier membership may outlast its duration.
 constexpr Milliseconds grantMargin = 500;
 
 }  // namespace
--- a/control/test/controller_directory_test.cpp
+++ b/control/test/controller_directory_test.cpp
@@ -29,9 +29,9 @@
   control::ControllerDirectory directory(contact("g", "guide"), {"g", "h", "s"}, 1);
   transport::Heartbeat heartbeat;
   heartbeat.member = "m";
-  CHECK(directory.arrived(100, "d", heartbeat).empty());
+  CHECK(directory.onMessage(100, "d", heartbeat).empty());
   heartbeat.hasNoState = true;
-  std::vector<transport::Send> const out = directory.arrived(200, "d", heartbeat);
+  std::vector<transport::Send> const out = directory.onMessage(200, "d", heartbeat);
   REQUIRE(out.size() == 1);
   CHECK(out[0].to == "d");
   CHECK(std::holds_alternative<transport::NotAVotingMember>(out[0].message));
@@ -40,16 +40,16 @@
 TEST_CASE("a controller directory introduces processes, and names controllers that answer") {
   control::ControllerDirectory directory(contact("g", "guide"), {"g"}, 1);
   CHECK(directory.controllers(0).empty());
-  directory.arrived(100, "n",
-                    told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
-                          contact("t", transport::controllerRole)}));
-  directory.clockEvent(200);
+  directory.onMessage(100, "n",
+                      told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
+                            contact("t", transport::controllerRole)}));
+  directory.onTimer(200);
   CHECK(directory.controllers(200) == std::vector<std::string>{"s", "t"});
-  directory.arrived(300, "t", told({contact("t", transport::controllerRole)}));
+  directory.onMessage(300, "t", told({contact("t", transport::controllerRole)}));
   CHECK(directory.controllers(400) == std::vector<std::string>{"t"});
   CHECK(directory.controllers(9000) == std::vector<std::string>{"s", "t"});
   std::vector<transport::Send> const out =
-      directory.arrived(9000, "m", transport::GossipShuffle{{contact("m", transport::routerRole)}, true, 0, {}});
+      directory.onMessage(9000, "m", transport::GossipShuffle{{contact("m", transport::routerRole)}, true, 0, {}});
   REQUIRE(out.size() == 1);
   CHECK(out[0].to == "m");
   std::vector<transport::Contact> const shown = std::get<transport::GossipShuffle>(out[0].message).contacts;
@@ -60,17 +60,17 @@
 
 TEST_CASE("a controller directory queries the seeds and all known controllers, and announces itself to none") {
   control::ControllerDirectory directory(contact("g", "guide"), {"g", "s", "u"}, 1);
-  directory.arrived(100, "n",
-                    told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
-                          contact("t", transport::controllerRole)}));
+  directory.onMessage(100, "n",
+                      told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
+                            contact("t", transport::controllerRole)}));
   std::set<std::string> to;
-  for (transport::Send const& s : directory.clockEvent(200)) {
+  for (transport::Send const& s : directory.onTimer(200)) {
     to.insert(s.to);
     transport::GossipShuffle const& asked = std::get<transport::GossipShuffle>(s.message);
     CHECK(asked.reply);
     CHECK(asked.contacts.empty());
   }
   CHECK(to == std::set<std::string>{"s", "t", "u"});
-  CHECK(directory.clockEvent(300).empty());
-  CHECK(directory.clockEvent(800).size() == 3);
+  CHECK(directory.onTimer(300).empty());
+  CHECK(directory.onTimer(800).size() == 3);
 }
--- a/control/test/rollout_tracker_test.cpp
+++ b/control/test/rollout_tracker_test.cpp
@@ -64,7 +64,7 @@
   Fixture fixture;
   fixture.tracker.recordAcknowledged("a", key, 1);
   fixture.tracker.recordAcknowledged("b", key, 1);
-  fixture.routers.recordHeard(500, "c", 1);
+  fixture.routers.recordContact(500, "c", 1);
   fixture.routers.recordProbeResult(1000, "c", true);
   CHECK(fixture.state(1100) == RolloutState::majority);
   fixture.routers.recordProbeResult(1050, "c", true);
--- a/control/test/roster_reconciler_test.cpp
+++ b/control/test/roster_reconciler_test.cpp
@@ -63,7 +63,7 @@
 TEST_CASE("a router that is silent for long leaves the roster, counted from this process's start") {
   Fixture fixture;
   fixture.reconciler.start(1000);
-  Milliseconds const limit = fixture.tuning.removeSilentRouterAfter;
+  Milliseconds const limit = fixture.tuning.removeUnresponsiveRouterAfter;
   addRouter(fixture.routers, 2000, "a");
   CHECK_FALSE(fixture.next(1000 + limit));
   std::optional<control::RosterValue> const next = fixture.next(1001 + limit);
--- a/control/test/router_fixture.h
+++ b/control/test/router_fixture.h
@@ -27,7 +27,7 @@
 
 /// A router that has a session and is up to date.
 inline RouterRegistry::Router& addRouter(RouterRegistry& routers, Milliseconds now, std::string const& link) {
-  RouterRegistry::Router& router = *routers.recordHeard(now, link, 1);
+  RouterRegistry::Router& router = *routers.recordContact(now, link, 1);
   routers.recordRequest(now, leaseRequest(link));
   router.markUpToDate();
   return router;
--- a/control/test/router_registry_test.cpp
+++ b/control/test/router_registry_test.cpp
@@ -38,7 +38,7 @@
 
 TEST_CASE("a snapshot waits for a contact with a majority that began after it was asked for") {
   RouterRegistry routers({});
-  routers.recordHeard(100, "a", 1);
+  routers.recordContact(100, "a", 1);
   routers.recordRequest(100, control::leaseRequest("a", true));
   control::CommittedValues const values = valuesOf({{"k", 1}, {"l", 2}});
   CHECK_FALSE(routers.nextUpdate(110, "a", values, {}));
@@ -54,10 +54,10 @@
   RouterRegistry routers({});
   RouterRegistry::Router& router = addRouter(routers, 0, "a");
   REQUIRE(router.isUpToDate());
-  CHECK(routers.recordHeard(10, "a", 2) == &router);
+  CHECK(routers.recordContact(10, "a", 2) == &router);
   CHECK_FALSE(router.revisionsKnown);
-  CHECK(routers.recordHeard(20, "a", 1) == nullptr);
-  CHECK(router.lastHeardAt == 10);
+  CHECK(routers.recordContact(20, "a", 1) == nullptr);
+  CHECK(router.lastContactAt == 10);
 }
 
 TEST_CASE("a silent router loses its session and what was known of it") {
@@ -93,11 +93,11 @@
   CHECK_FALSE(routers.startProbe(1001 + tuning.probeAfter, "a"));
   routers.recordProbeResult(2000, "a", true);
   CHECK(routers.find("a")->unreachableAt == 2000);
-  routers.recordHeard(2100, "a", 1);
+  routers.recordContact(2100, "a", 1);
   CHECK(routers.find("a")->unreachableAt == -1);
   control::Milliseconds const later = 2101 + tuning.forgetAfter;
-  routers.forgetSilent(later, {"a"});
+  routers.forgetUnresponsive(later, {"a"});
   CHECK(routers.find("a") != nullptr);
-  routers.forgetSilent(later, {});
+  routers.forgetUnresponsive(later, {});
   CHECK(routers.find("a") == nullptr);
 }
--- a/control/test/router_status_reporter_test.cpp
+++ b/control/test/router_status_reporter_test.cpp
@@ -69,7 +69,7 @@
   transport::RouterStatusReport question;
   question.incompleteRollouts = {{"k", 2, {}}, {"unknown", 1, {}}};
   control::CommittedValues const values = control::valuesOf({{"k", 2}});
-  fixture.routers.recordAcknowledged(*fixture.routers.recordHeard(1000, "b", 1), "k", 2, 2);
+  fixture.routers.recordAcknowledged(*fixture.routers.recordContact(1000, "b", 1), "k", 2, 2);
   transport::RouterStatusReport const reply =
       fixture.reporter.replyTo(1100, question, fixture.roster, fixture.routers, values);
   REQUIRE(reply.rolloutProgress.size() == 2);
