--- a/control/test/alert_validator_test.cpp
+++ b/control/test/alert_validator_test.cpp
@@ -19,7 +19,7 @@
   CHECK(page.body == QJsonObject{{"state", "clear"}, {"stamp", 0}});
 }
 
-TEST_CASE("an alert is claimed on the revision that was read") {
+TEST_CASE("a claim of an alert is accepted only on the current revision") {
   control::ValidatedKey key(control::validateAlert);
   CHECK(control::isRejected(key.call(operatorCall("PUT", path, claimed)), RejectionReason::revisionMissing));
   REQUIRE(control::isAccepted(key.call(operatorCall("PUT", path, claimed, "0"))));
@@ -29,7 +29,7 @@
   CHECK(control::isAccepted(key.call(operatorCall("PUT", path, R"({"state":"done","by":"x"})", "\"1\""))));
 }
 
-TEST_CASE("an alert has a known state and the name of who put it there") {
+TEST_CASE("an alert without a known state or the name of its author is rejected") {
   control::ValidatedKey key(control::validateAlert);
   for (char const* const body : {R"({"state":"late","by":"x"})", R"({"state":"clear"})", R"({"state":"clear","by":1})",
                                  R"({"state":"clear","by":"x","note":"n"})"})
--- a/control/test/call_target_test.cpp
+++ b/control/test/call_target_test.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("each kind of page stands for one key") {
+TEST_CASE("the path of each kind of page denotes one key") {
   CHECK(keyOf("/v1/templates/desk") == "family:desk");
   CHECK(keyOf("/v1/templates/desk/instances/nord") == "family:desk");
   CHECK(control::targetOf("/v1/templates/desk/instances/nord")->entry == "nord");
@@ -29,7 +29,7 @@
   CHECK(control::targetOf("/v1/nodes/n1")->entry == "n1");
 }
 
-TEST_CASE("other paths stand for no key") {
+TEST_CASE("other paths denote no key") {
   for (char const* const path : {"", "/", "/v1", "/v1/templates", "/v2/templates/desk", "/v1/templates/desk/instances",
                                  "/v1/templates/desk/instances/nord/x", "/v1/certificates/c1/x", "/v1/evacuations",
                                  "/v1/evacuations/a/b", "/v1/alerts/late/x", "/v1/platform/lists/model",
--- a/control/test/certificates_validator_test.cpp
+++ b/control/test/certificates_validator_test.cpp
@@ -17,7 +17,7 @@
   "pool":"model","zone":"z1","until":"2030-01-01T00:00:00Z"}}})";
 constexpr char const* emptyDeclaration = R"({"regimes":{"health":{"nacelles":"any"}},"certificates":{}})";
 
-/// Certificates that one tenant needs: each pool needs a certificate.
+/// Certificates that are used by one tenant, which cannot be served if no certificate is declared.
 struct Certificates {
   control::ValidationResult call(corkward::transport::OperatorCall const& call) {
     control::ClusterView view;
@@ -41,7 +41,9 @@
 
 }  // namespace
 
-TEST_CASE("a declaration that leaves a tenant without a certificate is rejected, a revocation says so") {
+TEST_CASE(
+    "a declaration that leaves a tenant without a certificate is rejected, a revocation is accepted and names the "
+    "tenant") {
   Certificates certificates;
   REQUIRE(control::isAccepted(certificates.call(operatorCall("PUT", path, declaration, "0"))));
   control::ValidationResult const declared = certificates.call(operatorCall("PUT", path, emptyDeclaration, "1"));
--- a/control/test/change_history_test.cpp
+++ b/control/test/change_history_test.cpp
@@ -13,7 +13,7 @@
   return control::contentDigest({}, {}, std::to_string(change));
 }
 
-/// A history of that many changes, the first one on base 0.
+/// Returns a history of that many changes, the first of which names base 0.
 ChangeHistory historyOf(std::uint64_t changes) {
   ChangeHistory history({}, 0);
   for (std::uint64_t base = 0; base < changes; ++base) history.append(digestOf(base), base);
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-TEST_CASE("a digest tells methods, paths, bases and bodies apart, and not how a base is quoted") {
+TEST_CASE("a digest depends on the base, the body and the change id, but not on the quotes of the base") {
   transport::OperatorCall call;
   call.method = "PUT";
   call.path = "/v1/x";
@@ -39,14 +39,14 @@
   CHECK(control::contentDigest(call, {}, "id") != digest);
 }
 
-TEST_CASE("a history knows what was applied and how many changes came since") {
+TEST_CASE("a history returns whether a change was applied and how many changes followed it") {
   ChangeHistory const history(QJsonObject{{ChangeHistory::storedField, historyOf(5).json()}}, 5);
   CHECK(history.outcomeOf(digestOf(2), 2) == PastOutcome::applied);
   CHECK(history.changesSince(digestOf(2)) == 2);
   CHECK(history.outcomeOf(digestOf(77), 2) == PastOutcome::notApplied);
 }
 
-TEST_CASE("changes older than two segments are forgotten, not denied") {
+TEST_CASE("a change older than both segments is reported as forgotten, not as not applied") {
   std::uint64_t const changes = 2 * ChangeHistory::segmentChanges + 1;
   ChangeHistory const history = historyOf(changes);
   CHECK(history.outcomeOf(digestOf(0), 0) == PastOutcome::forgotten);
--- a/control/test/change_window_test.cpp
+++ b/control/test/change_window_test.cpp
@@ -9,7 +9,7 @@
 namespace control = corkward::control;
 using control::ChangeWindow;
 
-TEST_CASE("a change is found by its id with all that was noted of it") {
+TEST_CASE("a change is found by its id with all its fields") {
   ChangeWindow window((QJsonObject()));
   CHECK_FALSE(window.find("one"));
   window.append(ChangeWindow::Change{"one", "d", 201, 3, 7, 100});
@@ -33,6 +33,6 @@
   CHECK(stored.find("c1"));
 }
 
-TEST_CASE("without noted bytes a configuration counts as the largest allowed") {
+TEST_CASE("a configuration without a stored size counts as the largest allowed one") {
   CHECK(ChangeWindow((QJsonObject())).lastBytes() == static_cast<std::int64_t>(control::maxFleetConfigurationBytes));
 }
--- a/control/test/committed_values_test.cpp
+++ b/control/test/committed_values_test.cpp
@@ -6,7 +6,7 @@
 namespace control = corkward::control;
 namespace core = corkward::core;
 
-TEST_CASE("revisions are those of the key, or of the entry in a family") {
+TEST_CASE("the revision of a target is that of its key, or of its entry in a family") {
   QJsonObject const family =
       core::parseJson(R"({"template":{"spec":{},"stamp":2},"instances":{"nord":{"spec":{},"stamp":5}}})").toObject();
   control::CommittedValues const values{{"family:desk", {"family:desk", 6, family}}, {"zone:z1", {"zone:z1", 3, {}}}};
@@ -19,7 +19,7 @@
   CHECK(control::revisionOf(values, control::Target{"family:other", "other", ""}) == 0);
 }
 
-TEST_CASE("a contact with a majority confirms what is no younger than its beginning") {
+TEST_CASE("a contact with a majority confirms what was committed up to its start") {
   CHECK_FALSE(control::confirmedSince({}, 0));
   CHECK_FALSE(control::confirmedSince(99, 100));
   CHECK(control::confirmedSince(100, 100));
--- a/control/test/controller_directory_test.cpp
+++ b/control/test/controller_directory_test.cpp
@@ -19,13 +19,13 @@
   return c;
 }
 
-transport::GossipShuffle told(std::vector<transport::Contact> contacts) {
+transport::GossipShuffle shuffleOf(std::vector<transport::Contact> contacts) {
   return transport::GossipShuffle{std::move(contacts), false, 0, {}};
 }
 
 }  // namespace
 
-TEST_CASE("a controller directory answers members without state, and no others, that it has no vote") {
+TEST_CASE("a controller directory replies only to members without state that it is not a voting member") {
   control::ControllerDirectory directory(contact("g", "guide"), {"g", "h", "s"}, 1);
   transport::Heartbeat heartbeat;
   heartbeat.member = "m";
@@ -37,15 +37,15 @@
   CHECK(std::holds_alternative<transport::NotAVotingMember>(out[0].message));
 }
 
-TEST_CASE("a controller directory introduces processes, and names controllers that answer") {
+TEST_CASE("a controller directory names the responding controllers to processes, or all if none responds") {
   control::ControllerDirectory directory(contact("g", "guide"), {"g"}, 1);
   CHECK(directory.controllers(0).empty());
   directory.onMessage(100, "n",
-                      told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
-                            contact("t", transport::controllerRole)}));
+                      shuffleOf({contact("n", transport::routerRole), contact("s", transport::controllerRole),
+                                 contact("t", transport::controllerRole)}));
   directory.onTimer(200);
   CHECK(directory.controllers(200) == std::vector<std::string>{"s", "t"});
-  directory.onMessage(300, "t", told({contact("t", transport::controllerRole)}));
+  directory.onMessage(300, "t", shuffleOf({contact("t", transport::controllerRole)}));
   CHECK(directory.controllers(400) == std::vector<std::string>{"t"});
   CHECK(directory.controllers(9000) == std::vector<std::string>{"s", "t"});
   std::vector<transport::Send> const out =
@@ -58,17 +58,17 @@
   CHECK(shown[1].link == "t");
 }
 
-TEST_CASE("a controller directory queries the seeds and all known controllers, and announces itself to none") {
+TEST_CASE("a controller directory queries the seeds and all known controllers without sending its own contact") {
   control::ControllerDirectory directory(contact("g", "guide"), {"g", "s", "u"}, 1);
   directory.onMessage(100, "n",
-                      told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
-                            contact("t", transport::controllerRole)}));
+                      shuffleOf({contact("n", transport::routerRole), contact("s", transport::controllerRole),
+                                 contact("t", transport::controllerRole)}));
   std::set<std::string> to;
   for (transport::Send const& s : directory.onTimer(200)) {
     to.insert(s.to);
-    transport::GossipShuffle const& asked = std::get<transport::GossipShuffle>(s.message);
-    CHECK(asked.reply);
-    CHECK(asked.contacts.empty());
+    transport::GossipShuffle const& query = std::get<transport::GossipShuffle>(s.message);
+    CHECK(query.reply);
+    CHECK(query.contacts.empty());
   }
   CHECK(to == std::set<std::string>{"s", "t", "u"});
   CHECK(directory.onTimer(300).empty());
--- a/control/test/endpoint_list_validator_test.cpp
+++ b/control/test/endpoint_list_validator_test.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("an endpoint list replaces one of a lower generation") {
+TEST_CASE("an endpoint list replaces only one of a lower generation") {
   control::ValidatedKey key(control::validateEndpointList);
   CHECK(control::isRejected(key.call(operatorCall("GET", path)), RejectionReason::notFound));
   REQUIRE(control::isAccepted(key.call(operatorCall("PUT", path, listOf(3)))));
@@ -28,7 +28,7 @@
   CHECK(std::get<control::Page>(key.call(operatorCall("GET", path))).body.value("stamp").toInteger() == 2);
 }
 
-TEST_CASE("a list that a controller read does not overwrite one that was committed meanwhile") {
+TEST_CASE("a list that a controller read is rejected if another list was committed meanwhile") {
   control::ValidatedKey key(control::validateEndpointList);
   REQUIRE(control::isAccepted(key.call(operatorCall("PUT", path, listOf(1), "0"))));
   CHECK(control::isRejected(key.call(operatorCall("PUT", path, listOf(2), "0")), RejectionReason::listReplaced));
--- a/control/test/endpoint_lists_test.cpp
+++ b/control/test/endpoint_lists_test.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("a hint is taken when it is newer than the committed list and than the hint before") {
+TEST_CASE("a hint is accepted only if it is newer than the committed list and the previous hint") {
   EndpointLists lists;
   transport::EndpointRemovalHint hint{"model", 5, {}, {}};
   CHECK_FALSE(lists.addHint(hint, {}));
@@ -40,7 +40,7 @@
   CHECK(lists.hints().empty());
 }
 
-TEST_CASE("a list that says the same as the committed one ends its hint, whatever its generation") {
+TEST_CASE("a list with the content of the committed one ends its hint, whatever its generation") {
   EndpointLists lists;
   lists.addHint({"model", 9, {}, {}}, committed(4));
   CHECK_FALSE(lists.isCommitted("model", listOf(0, config::ReplicaState::warmingUp), committed(4)));
@@ -50,7 +50,7 @@
   CHECK_FALSE(lists.isCommitted("other", listOf(0), committed(4)));
 }
 
-TEST_CASE("a pool that vanished from the platform has an empty list") {
+TEST_CASE("a pool that the platform no longer names gets an empty list") {
   std::map<std::string, config::EndpointList> const lists =
       EndpointLists::withVanishedPools({{"new", listOf(0)}}, committed(4));
   REQUIRE(lists.size() == 2);
@@ -58,7 +58,7 @@
   CHECK(lists.at("new").replicas.size() == 1);
 }
 
-TEST_CASE("a removal hint names serving and cold replicas by their incarnations") {
+TEST_CASE("a removal hint names serving and warming-up replicas by their incarnations") {
   config::EndpointList list = listOf(7);
   list.replicas.push_back(config::Replica{"r2", "10.0.0.2:80", "z1", config::ReplicaState::warmingUp});
   list.replicas.push_back(config::Replica{"r3", "10.0.0.3:80", "z1", config::ReplicaState::draining});
@@ -68,7 +68,7 @@
   CHECK(hint.cold == std::vector<std::string>{"10.0.0.2:80|r2"});
 }
 
-TEST_CASE("a proposal names the revision that it was read on") {
+TEST_CASE("the proposal of a list names the revision that was committed when the list was read") {
   transport::OperatorCall const call = control::endpointListProposal("a/b", listOf(7), 3);
   CHECK(call.method == "PUT");
   CHECK(call.path == "/v1/platform/pools/a%2Fb");
--- a/control/test/evacuation_validator_test.cpp
+++ b/control/test/evacuation_validator_test.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("a zone is evacuated and the evacuation lifted, each once") {
+TEST_CASE("a repeated evacuation, or a repeated end of one, is a replay") {
   control::ValidatedKey key(control::validateEvacuation);
   CHECK(control::isReplay(key.call(operatorCall("DELETE", path))));
   control::ValidationResult const first = key.call(operatorCall("PUT", path));
@@ -25,7 +25,7 @@
   CHECK_FALSE(key.value.value("evacuated").toBool());
 }
 
-TEST_CASE("a delayed evacuation is not carried out after the zone was changed") {
+TEST_CASE("a delayed evacuation is rejected after the zone was changed") {
   control::ValidatedKey key(control::validateEvacuation);
   REQUIRE(control::isAccepted(key.call(operatorCall("PUT", path, "", "0"))));
   REQUIRE(control::isAccepted(key.call(operatorCall("DELETE", path, "", "1"))));
--- a/control/test/family_validator_test.cpp
+++ b/control/test/family_validator_test.cpp
@@ -18,7 +18,7 @@
 constexpr char const* nord = "/v1/templates/desk/instances/nord";
 constexpr char const* spec = R"({"paths":[{"path":"a","pool":"model","class":"short"}]})";
 
-/// A family whose validator sees one pool, which may be unknown or not confirmed.
+/// A family whose validator treats all pools alike: as known or unknown, and as confirmed or not.
 struct Family {
   control::ValidationResult call(corkward::transport::OperatorCall const& call) {
     control::ClusterView view;
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-TEST_CASE("a template and its instances have revisions of their own within one family") {
+TEST_CASE("a template and its instances have separate revisions within one family") {
   Family family;
   CHECK(control::isRejected(family.call(operatorCall("GET", desk)), RejectionReason::notFound));
   CHECK(control::isRejected(family.call(operatorCall("PUT", nord, "{}", "0")), RejectionReason::notFound));
@@ -60,7 +60,8 @@
   CHECK(control::isRejected(family.call(operatorCall("GET", nord)), RejectionReason::notFound));
 }
 
-TEST_CASE("a change of a family names the newest revision of its entry, unless it was accepted before") {
+TEST_CASE(
+    "a change of a family that does not name its entry's newest revision is rejected unless it was accepted before") {
   Family family;
   CHECK(control::isRejected(family.call(operatorCall("PUT", desk, spec)), RejectionReason::revisionMissing));
   REQUIRE(control::isAccepted(family.call(operatorCall("PUT", desk, spec, "0", "one"))));
@@ -70,7 +71,7 @@
   CHECK(std::get<control::Rejection>(stale).revision == 1);
 }
 
-TEST_CASE("a family that names an unknown pool is rejected for good only when the pools are confirmed") {
+TEST_CASE("a family that names an unknown pool is invalid only if the pools are confirmed") {
   Family family;
   family.poolKnown = false;
   family.poolUnconfirmed = true;
--- a/control/test/fleet_configuration_validator_test.cpp
+++ b/control/test/fleet_configuration_validator_test.cpp
@@ -44,7 +44,7 @@
   CHECK(key.revision == 2);
 }
 
-TEST_CASE("a change of the fleet configuration that comes again is replayed, another on its base is stale") {
+TEST_CASE("a resent change of the fleet configuration is a replay, another change on its base is stale") {
   control::ValidatedKey key(control::validateFleetConfiguration);
   REQUIRE(control::isAccepted(key.call(put(5, "0", "one"))));
   REQUIRE(control::isAccepted(key.call(put(6, "5", "two"))));
@@ -59,14 +59,14 @@
   CHECK(control::isReplay(key.call(put(6, "6", "two"))));
 }
 
-TEST_CASE("the bound of the configuration's bytes grows with each patch and is reset by a full configuration") {
+TEST_CASE("the upper bound of the configuration's size grows with each patch and is reset by a full configuration") {
   corkward::transport::OperatorCall call = operatorCall("PATCH", config::fleetConfigurationPage, "12345");
   CHECK(control::fleetConfigurationBytes(100, call) == 105);
   call.method = "PUT";
   CHECK(control::fleetConfigurationBytes(100, call) == 5);
 }
 
-TEST_CASE("the fleet configuration is neither deleted nor patched before there is one") {
+TEST_CASE("the fleet configuration cannot be deleted, or patched before it exists") {
   control::ValidatedKey key(control::validateFleetConfiguration);
   CHECK(control::isRejected(key.call(operatorCall("GET", config::fleetConfigurationPage)), RejectionReason::notFound));
   CHECK(control::isRejected(key.call(operatorCall("PATCH", config::fleetConfigurationPage, specOf(5), "0")),
--- a/control/test/golden_pages_test.cpp
+++ b/control/test/golden_pages_test.cpp
@@ -1,7 +1,8 @@
-/// Every page that a controller answers, accepted and rejected, and its full metrics text, as recorded under golden/.
+/// Compares each page of a controller, for accepted and rejected calls, and the text of its metrics page with the files
+/// under golden/.
 ///
-/// What operators read is what they script against, so recording anew (see testing/golden/golden.h) is right only when
-/// a page itself is meant to change.
+/// Operators' scripts depend on these texts. The files may be recorded again (see testing/golden/golden.h) only if a
+/// page is meant to change.
 
 #include <catch2/catch.hpp>
 
@@ -20,7 +21,7 @@
 #include <corkward/control/validator.h>
 #include <corkward/core/json.h>
 
-#include "rig.h"
+#include "controller_harness.h"
 #include "testing/golden/golden.h"
 
 namespace config = corkward::config;
@@ -28,21 +29,21 @@
 namespace core = corkward::core;
 namespace golden = corkward::golden;
 namespace transport = corkward::transport;
-using control::Rig;
+using control::ControllerHarness;
 
 namespace {
 
-/// Longest body that is written out; of a longer one only the size is.
-constexpr std::size_t longestShown = 600;
-/// A call that has no answer after this long is written down as unanswered.
-constexpr core::Milliseconds patience = 12000;
+/// Longest body that is recorded, in bytes. Of a longer body only the size is recorded.
+constexpr std::size_t maxRecordedBytes = 600;
+/// A call without a response after this long is recorded as unanswered.
+constexpr core::Milliseconds responseTimeout = 12000;
 
-std::string file(std::string const& name) {
+std::string goldenPath(std::string const& name) {
   return "control/test/golden/" + name;
 }
 
-std::string shown(std::string const& body) {
-  return body.size() <= longestShown ? body : "(" + std::to_string(body.size()) + " bytes)";
+std::string recordedBody(std::string const& body) {
+  return body.size() <= maxRecordedBytes ? body : "(" + std::to_string(body.size()) + " bytes)";
 }
 
 std::string callText(transport::OperatorCall const& call) {
@@ -50,33 +51,33 @@
   if (call.dryRun) out += " dryRun";
   if (!call.ifMatch.empty()) out += " if-match=" + call.ifMatch;
   if (!call.changeId.empty()) out += " change-id=" + call.changeId;
-  if (!call.body.empty()) out += " " + shown(call.body);
+  if (!call.body.empty()) out += " " + recordedBody(call.body);
   return out + "\n";
 }
 
-std::string answerText(int status, QJsonObject const& body) {
+std::string responseText(int status, QJsonObject const& body) {
   return std::to_string(status) + " " + core::jsonText(body) + "\n";
 }
 
-/// Calls at one controller in a row, and the text of calls and answers.
+/// Sends consecutive calls to one controller and records the calls and responses as text.
 struct Pages {
-  Rig rig;
+  ControllerHarness harness;
   std::string text;
 
-  explicit Pages(control::ControllerTuning const& tuning = {}) : rig(tuning) {}
+  explicit Pages(control::ControllerTuning const& tuning = {}) : harness(tuning) {}
   void title(std::string const& heading) { text += "\n# " + heading + "\n"; }
-  /// A call that is waited for.
+  /// Sends a call, waits for the response and records both.
   void request(std::string const& method, std::string const& path, std::string const& body = "",
                std::string const& ifMatch = "", std::string const& changeId = "", bool dryRun = false) {
     transport::OperatorCall call = callOf(method, path, body, ifMatch, changeId);
     call.dryRun = dryRun;
-    rig.apply(rig.reducer.onOperatorCall(rig.now, call));
+    harness.apply(harness.controller.onOperatorCall(harness.now, call));
     wait(call);
   }
   transport::OperatorCall callOf(std::string const& method, std::string const& path, std::string const& body = "",
                                  std::string const& ifMatch = "", std::string const& changeId = "") {
     transport::OperatorCall call;
-    call.token = rig.next++;
+    call.token = harness.nextToken++;
     call.method = method;
     call.path = path;
     call.body = body;
@@ -85,15 +86,16 @@
     return call;
   }
   void wait(transport::OperatorCall const& call) {
-    for (core::Milliseconds const until = rig.now + patience; rig.answers.count(call.token) == 0 && rig.now < until;)
-      rig.run(25);
+    for (core::Milliseconds const until = harness.now + responseTimeout;
+         harness.responses.count(call.token) == 0 && harness.now < until;)
+      harness.run(25);
     text += callText(call);
-    if (rig.answers.count(call.token) == 0)
+    if (harness.responses.count(call.token) == 0)
       text += "no answer\n";
     else
-      text += answerText(rig.answers.at(call.token).status, rig.answers.at(call.token).body);
+      text += responseText(harness.responses.at(call.token).status, harness.responses.at(call.token).body);
   }
-  void check(std::string const& name) const { golden::check(file(name), text); }
+  void check(std::string const& name) const { golden::check(goldenPath(name), text); }
 };
 
 std::string const desk = "/v1/templates/desk";
@@ -321,7 +323,7 @@
 
 TEST_CASE("golden: pages of certificates") {
   Pages p;
-  p.rig.reducer.setWallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
+  p.harness.controller.setWallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
   p.request("PUT", "/v1/platform/pools/model", poolSpec);
   p.title("nothing so far");
   p.request("GET", certificatesPage);
@@ -468,7 +470,7 @@
   std::string const watch = "/v1/duties/watch";
   p.title("too early to know who has it");
   p.request("PUT", watch, R"({"holder":"a"})");
-  p.rig.run(16000);
+  p.harness.run(16000);
   p.title("granted, waited for, handed on");
   p.request("PUT", watch, R"({"holder":"a"})");
   p.request("PUT", watch, R"({"holder":"b"})");
@@ -486,7 +488,7 @@
   p.request("PUT", watch, "{}");
   p.request("PUT", watch, R"({"holder":")" + std::string(65, 'x') + R"("})");
   p.request("PUT", "/v1/duties/Watch", R"({"holder":"a"})");
-  for (int i = 0; i < 4096; ++i) p.rig.call("PUT", "/v1/duties/d" + std::to_string(i), R"({"holder":"a"})");
+  for (int i = 0; i < 4096; ++i) p.harness.call("PUT", "/v1/duties/d" + std::to_string(i), R"({"holder":"a"})");
   p.request("PUT", "/v1/duties/last", R"({"holder":"a"})");
   p.request("PUT", watch, R"({"holder":"b"})");
   p.check("pages_duties.txt");
@@ -497,33 +499,33 @@
   p.title("a controller alone");
   p.request("GET", "/v1/fleet");
   p.title("three routers");
-  p.rig.alive = {"a", "b", "c"};
-  p.rig.run(6000);
+  p.harness.runningRouters = {"a", "b", "c"};
+  p.harness.run(6000);
   p.request("GET", "/v1/fleet");
   p.request("PUT", "/v1/platform/pools/model", poolSpec);
   p.request("PUT", config::fleetConfigurationPage, fullSpec, "0");
   p.title("one router is deaf: a majority has it and the rest is fenced");
-  p.rig.deaf = {"c"};
+  p.harness.notReceivingRouters = {"c"};
   p.request("PUT", "/v1/evacuations/z1");
   p.title("two routers are deaf: pending");
-  p.rig.deaf = {"b", "c"};
+  p.harness.notReceivingRouters = {"b", "c"};
   p.request("PUT", "/v1/evacuations/z2", "", "", "late");
   p.request("GET", "/v1/changes/late");
   p.request("GET", "/v1/fleet");
   p.title("in force after all");
-  p.rig.deaf = {};
-  p.rig.run(700);
+  p.harness.notReceivingRouters = {};
+  p.harness.run(700);
   p.request("GET", "/v1/changes/late");
   p.title("nodes that are gone");
   p.request("DELETE", "/v1/nodes/nobody");
-  p.rig.alive = {"a", "b", "d"};
-  p.rig.run(6000);
+  p.harness.runningRouters = {"a", "b", "d"};
+  p.harness.run(6000);
   p.request("DELETE", "/v1/nodes/c", "", "", "", true);
   p.request("DELETE", "/v1/nodes/c", "", "", "struck");
   p.request("DELETE", "/v1/nodes/c");
   p.request("GET", "/v1/nodes/c");
   p.request("GET", "/v1/roster/nodes");
-  p.rig.run(6000);
+  p.harness.run(6000);
   p.request("GET", "/v1/fleet");
   p.check("pages_fleet.txt");
 }
@@ -575,43 +577,43 @@
 
 constexpr char const* holder = R"({"holder":"a"})";
 
-/// One of each kind of call.
-std::vector<std::pair<std::string, std::string>> const kinds{{"GET", config::fleetConfigurationPage},
-                                                             {"PUT", config::fleetConfigurationPage},
-                                                             {"PATCH", config::fleetConfigurationPage},
-                                                             {"GET", desk},
-                                                             {"PUT", desk},
-                                                             {"DELETE", nord},
-                                                             {"GET", certificatesPage},
-                                                             {"PUT", certificatesPage},
-                                                             {"GET", "/v1/evacuations/z1"},
-                                                             {"PUT", "/v1/evacuations/z1"},
-                                                             {"DELETE", "/v1/evacuations/z1"},
-                                                             {"GET", "/v1/alerts/a"},
-                                                             {"PUT", "/v1/alerts/a"},
-                                                             {"GET", "/v1/platform/pools/model"},
-                                                             {"PUT", "/v1/platform/pools/model"},
-                                                             {"DELETE", "/v1/nodes/a"},
-                                                             {"GET", "/v1/templates"},
-                                                             {"GET", "/v1/changes/x"},
-                                                             {"PUT", "/v1/duties/watch"}};
-
-/// A controller whose disk is silent: what it writes is never confirmed.
-struct UnreachablePeers {
-  control::Controller& reducer;
+/// One call of each kind, as method and path.
+std::vector<std::pair<std::string, std::string>> const callsOfAllKinds{{"GET", config::fleetConfigurationPage},
+                                                                       {"PUT", config::fleetConfigurationPage},
+                                                                       {"PATCH", config::fleetConfigurationPage},
+                                                                       {"GET", desk},
+                                                                       {"PUT", desk},
+                                                                       {"DELETE", nord},
+                                                                       {"GET", certificatesPage},
+                                                                       {"PUT", certificatesPage},
+                                                                       {"GET", "/v1/evacuations/z1"},
+                                                                       {"PUT", "/v1/evacuations/z1"},
+                                                                       {"DELETE", "/v1/evacuations/z1"},
+                                                                       {"GET", "/v1/alerts/a"},
+                                                                       {"PUT", "/v1/alerts/a"},
+                                                                       {"GET", "/v1/platform/pools/model"},
+                                                                       {"PUT", "/v1/platform/pools/model"},
+                                                                       {"DELETE", "/v1/nodes/a"},
+                                                                       {"GET", "/v1/templates"},
+                                                                       {"GET", "/v1/changes/x"},
+                                                                       {"PUT", "/v1/duties/watch"}};
+
+/// Runs a controller whose messages are lost and whose disk writes never complete.
+struct IsolatedController {
+  control::Controller& controller;
   core::Milliseconds& now;
-  std::map<std::uint64_t, control::OperatorResponse> answers;
+  std::map<std::uint64_t, control::OperatorResponse> responses;
 
   void apply(control::ControllerCommands const& commands) {
-    for (control::OperatorResponse const& a : commands.responses) answers[a.token] = a;
+    for (control::OperatorResponse const& a : commands.responses) responses[a.token] = a;
   }
-  void run(core::Milliseconds span) {
-    for (core::Milliseconds const until = now + span; now < until; now += 25) apply(reducer.onTimer(now));
+  void run(core::Milliseconds duration) {
+    for (core::Milliseconds const until = now + duration; now < until; now += 25) apply(controller.onTimer(now));
   }
-  std::string answersTo(transport::OperatorCall const& call) const {
-    auto const answer = answers.find(call.token);
+  std::string recordOf(transport::OperatorCall const& call) const {
+    auto const response = responses.find(call.token);
     return callText(call) +
-           (answer == answers.end() ? "no answer\n" : answerText(answer->second.status, answer->second.body));
+           (response == responses.end() ? "no answer\n" : responseText(response->second.status, response->second.body));
   }
 };
 
@@ -619,9 +621,9 @@
 
 TEST_CASE("golden: a controller that drains") {
   Pages p;
-  p.rig.run(16000);
-  p.rig.apply(p.rig.reducer.drain(p.rig.now));
-  for (auto const& [method, path] : kinds) p.request(method, path, holder, "0");
+  p.harness.run(16000);
+  p.harness.apply(p.harness.controller.drain(p.harness.now));
+  for (auto const& [method, path] : callsOfAllKinds) p.request(method, path, holder, "0");
   p.request("GET", "/v1/fleet");
   p.check("pages_leaving.txt");
 }
@@ -629,76 +631,77 @@
 TEST_CASE("golden: a controller that was never in contact with a majority") {
   std::string text;
   Pages calls;
-  control::Controller reducer(Rig::contact("s1", transport::controllerRole), "m1", {}, {"s1", "s2", "s3"}, 3);
+  control::Controller controller(ControllerHarness::contactOf("s1", transport::controllerRole), "m1", {},
+                                 {"s1", "s2", "s3"}, 3);
   core::Milliseconds now = 1000;
-  UnreachablePeers alone{reducer, now, {}};
-  alone.apply(reducer.restore({}, false, now));
+  IsolatedController alone{controller, now, {}};
+  alone.apply(controller.restore({}, false, now));
   alone.run(1000);
-  for (auto const& [method, path] : kinds) {
+  for (auto const& [method, path] : callsOfAllKinds) {
     transport::OperatorCall const call = calls.callOf(method, path, holder, "0");
-    alone.apply(reducer.onOperatorCall(now, call));
+    alone.apply(controller.onOperatorCall(now, call));
     alone.run(1000);
-    text += alone.answersTo(call);
+    text += alone.recordOf(call);
   }
   text += "\n# too many questions\n";
-  for (int i = 0; i < 4096; ++i) alone.apply(reducer.onOperatorCall(now, calls.callOf("GET", "/v1/templates")));
+  for (int i = 0; i < 4096; ++i) alone.apply(controller.onOperatorCall(now, calls.callOf("GET", "/v1/templates")));
   for (char const* const path : {"/v1/templates", "/v1/changes/x", "/v1/fleet"}) {
     transport::OperatorCall const call = calls.callOf("GET", path);
-    alone.apply(reducer.onOperatorCall(now, call));
-    text += alone.answersTo(call);
+    alone.apply(controller.onOperatorCall(now, call));
+    text += alone.recordOf(call);
   }
-  golden::check(file("pages_out_of_contact.txt"), text);
+  golden::check(goldenPath("pages_out_of_contact.txt"), text);
 }
 
 TEST_CASE("golden: the disk stops answering while calls are pending") {
   std::string text;
   Pages p;
-  p.rig.run(3000);
-  UnreachablePeers unreachable{p.rig.reducer, p.rig.now, {}};
+  p.harness.run(3000);
+  IsolatedController isolated{p.harness.controller, p.harness.now, {}};
   std::vector<transport::OperatorCall> calls;
-  for (auto const& [method, path] : kinds) {
+  for (auto const& [method, path] : callsOfAllKinds) {
     calls.push_back(p.callOf(method, path, holder, "0"));
-    unreachable.apply(p.rig.reducer.onOperatorCall(p.rig.now, calls.back()));
+    isolated.apply(p.harness.controller.onOperatorCall(p.harness.now, calls.back()));
   }
-  unreachable.run(patience);
-  for (transport::OperatorCall const& call : calls) text += unreachable.answersTo(call);
-  golden::check(file("pages_disk_silent.txt"), text);
+  isolated.run(responseTimeout);
+  for (transport::OperatorCall const& call : calls) text += isolated.recordOf(call);
+  golden::check(goldenPath("pages_disk_silent.txt"), text);
 }
 
 TEST_CASE("golden: a controller with too many pending calls") {
   std::string text;
   Pages p;
-  p.rig.run(3000);
-  UnreachablePeers full{p.rig.reducer, p.rig.now, {}};
+  p.harness.run(3000);
+  IsolatedController full{p.harness.controller, p.harness.now, {}};
   for (int i = 0; i < 4096; ++i)
-    full.apply(p.rig.reducer.onOperatorCall(p.rig.now, p.callOf("PUT", "/v1/evacuations/y" + std::to_string(i))));
-  for (auto const& [method, path] : kinds) {
+    full.apply(
+        p.harness.controller.onOperatorCall(p.harness.now, p.callOf("PUT", "/v1/evacuations/y" + std::to_string(i))));
+  for (auto const& [method, path] : callsOfAllKinds) {
     transport::OperatorCall const call = p.callOf(method, path, holder, "0");
-    full.apply(p.rig.reducer.onOperatorCall(p.rig.now, call));
-    text += full.answersTo(call);
+    full.apply(p.harness.controller.onOperatorCall(p.harness.now, call));
+    text += full.recordOf(call);
   }
-  golden::check(file("pages_full.txt"), text);
+  golden::check(goldenPath("pages_full.txt"), text);
 }
 
 namespace {
 
-/// Three controllers whose messages and disks take two milliseconds; answers that one sends another for its caller are
-/// lost when told so.
-struct Three {
+/// Three controllers whose messages and disk writes take two milliseconds each. Replies to forwarded calls can be lost.
+struct ThreeControllers {
   core::Milliseconds now = 1000;
   std::map<std::string, std::unique_ptr<control::Controller>> members;
   std::multimap<core::Milliseconds, std::function<void()>> events;
-  std::map<std::uint64_t, control::OperatorResponse> answers;
-  bool loseAnswers = false;
+  std::map<std::uint64_t, control::OperatorResponse> responses;
+  bool losesReplies = false;
   std::uint64_t token = 1;
 
-  Three() {
+  ThreeControllers() {
     std::uint64_t seed = 5;
     for (char const* const link : {"s1", "s2", "s3"})
-      members[link] = std::make_unique<control::Controller>(Rig::contact(link, transport::controllerRole),
-                                                            std::string("m") + link, std::vector<std::string>{},
-                                                            std::vector<std::string>{"s1", "s2", "s3"}, seed++);
-    for (auto const& [link, reducer] : members) apply(link, reducer->restore({}, false, now));
+      members[link] = std::make_unique<control::Controller>(
+          ControllerHarness::contactOf(link, transport::controllerRole), std::string("m") + link,
+          std::vector<std::string>{}, std::vector<std::string>{"s1", "s2", "s3"}, seed++);
+    for (auto const& [link, controller] : members) apply(link, controller->restore({}, false, now));
     run(4000);
     REQUIRE(members.at("s1")->ready(now));
   }
@@ -708,22 +711,22 @@
         apply(link, members.at(link)->onPersisted(now, ticket, true));
       });
     for (transport::Send const& send : commands.sends) {
-      bool const lost = loseAnswers && std::holds_alternative<transport::OperatorCallReply>(send.message);
+      bool const lost = losesReplies && std::holds_alternative<transport::OperatorCallReply>(send.message);
       if (lost || members.count(send.to) == 0) continue;
       events.emplace(now + 2,
                      [this, link, send] { apply(send.to, members.at(send.to)->onMessage(now, link, send.message)); });
     }
-    for (control::OperatorResponse const& a : commands.responses) answers[a.token] = a;
+    for (control::OperatorResponse const& a : commands.responses) responses[a.token] = a;
   }
-  void run(core::Milliseconds span) {
-    for (core::Milliseconds const until = now + span; now < until; ++now) {
+  void run(core::Milliseconds duration) {
+    for (core::Milliseconds const until = now + duration; now < until; ++now) {
       while (!events.empty() && events.begin()->first <= now) {
         std::function<void()> const event = std::move(events.begin()->second);
         events.erase(events.begin());
         event();
       }
       if (now % 25 != 0) continue;
-      for (auto const& [link, reducer] : members) apply(link, reducer->onTimer(now));
+      for (auto const& [link, controller] : members) apply(link, controller->onTimer(now));
     }
   }
   std::string request(std::string const& at, std::string const& method, std::string const& path,
@@ -736,16 +739,17 @@
     call.ifMatch = ifMatch;
     call.changeId = "c" + std::to_string(call.token);
     apply(at, members.at(at)->onOperatorCall(now, call));
-    for (core::Milliseconds const until = now + patience; answers.count(call.token) == 0 && now < until;) run(25);
-    REQUIRE(answers.count(call.token) == 1);
-    return at + callText(call) + answerText(answers.at(call.token).status, answers.at(call.token).body);
+    for (core::Milliseconds const until = now + responseTimeout; responses.count(call.token) == 0 && now < until;)
+      run(25);
+    REQUIRE(responses.count(call.token) == 1);
+    return at + callText(call) + responseText(responses.at(call.token).status, responses.at(call.token).body);
   }
 };
 
 }  // namespace
 
 TEST_CASE("golden: three controllers forward calls to the owner of a key") {
-  Three fleet;
+  ThreeControllers fleet;
   std::string text;
   for (char const* const link : {"s1", "s2", "s3"}) {
     text += fleet.request(link, "PUT", "/v1/evacuations/z1");
@@ -753,13 +757,13 @@
     text += fleet.request(link, "GET", config::fleetConfigurationPage);
     text += fleet.request(link, "GET", "/v1/fleet");
   }
-  fleet.loseAnswers = true;
+  fleet.losesReplies = true;
   text += "\n# answers of the owner are lost\n";
   for (char const* const link : {"s1", "s2", "s3"}) {
     text += fleet.request(link, "DELETE", "/v1/evacuations/z1");
     text += fleet.request(link, "GET", "/v1/evacuations/z1");
   }
-  golden::check(file("pages_relayed.txt"), text);
+  golden::check(goldenPath("pages_relayed.txt"), text);
 }
 
 TEST_CASE("golden: rejections that only a key's own history or size brings") {
@@ -782,7 +786,7 @@
     clusterView.regimes = [] { return config::Regimes{}; };
     clusterView.regimeUses = [] { return std::vector<config::RegimeRequirement>(); };
     auto const verdict = control::validateCall(key, revision, value, call, clusterView);
-    text += callText(call) + answerText(verdict.status, verdict.body);
+    text += callText(call) + responseText(verdict.status, verdict.body);
   };
   QJsonObject const family{{"template", QJsonObject{{"stamp", 1}, {"spec", core::parseJson(deskSpec).toObject()}}}};
   std::string const north = R"({"parameters":{"site":"north"}})";
@@ -822,16 +826,16 @@
       {"regimes", QJsonObject{{"health", QJsonObject{{"nacelles", "any"}, {"note", QString(2 << 20, 'n')}}}}},
       {"certificates", QJsonObject{}}};
   request("PATCH", certificatesPage, config::regimesKey, 1, QJsonObject{{"spec", noted}}, "{}", "1");
-  golden::check(file("refusals.txt"), text);
+  golden::check(goldenPath("refusals.txt"), text);
 }
 
 TEST_CASE("golden: metrics of a controller") {
   std::string text;
   Pages p;
-  text += "# alone\n" + p.rig.reducer.metrics(p.rig.now);
-  p.rig.reducer.setWallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
-  p.rig.alive = {"a", "b", "c"};
-  p.rig.run(6000);
+  text += "# alone\n" + p.harness.controller.metrics(p.harness.now);
+  p.harness.controller.setWallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
+  p.harness.runningRouters = {"a", "b", "c"};
+  p.harness.run(6000);
   p.request("PUT", "/v1/platform/pools/model", poolSpec);
   p.request("PUT", config::fleetConfigurationPage, fullSpec, "0");
   p.request("PUT", config::fleetConfigurationPage, fullSpec, "7");
@@ -845,18 +849,19 @@
   replica.address = "10.0.0.1:80";
   replica.zone = "z1";
   list.replicas = {replica};
-  p.rig.apply(p.rig.reducer.updateEndpointLists(p.rig.now, {{"model", list}}));
-  p.rig.run(700);
-  p.rig.deaf = {"b", "c"};
+  p.harness.apply(p.harness.controller.updateEndpointLists(p.harness.now, {{"model", list}}));
+  p.harness.run(700);
+  p.harness.notReceivingRouters = {"b", "c"};
   p.request("PUT", "/v1/evacuations/z2");
-  p.rig.call("PUT", "/v1/evacuations/z3");
-  text += "# with routers, certificates and a call in hand\n" + p.rig.reducer.metrics(p.rig.now);
-  p.rig.apply(p.rig.reducer.drain(p.rig.now));
-  p.rig.run(6000);
-  text += "# leaving\n" + p.rig.reducer.metrics(p.rig.now);
-  control::Controller alone(Rig::contact("s1", transport::controllerRole), "m1", {}, {"s1", "s2", "s3"}, 3);
+  p.harness.call("PUT", "/v1/evacuations/z3");
+  text += "# with routers, certificates and a call in hand\n" + p.harness.controller.metrics(p.harness.now);
+  p.harness.apply(p.harness.controller.drain(p.harness.now));
+  p.harness.run(6000);
+  text += "# leaving\n" + p.harness.controller.metrics(p.harness.now);
+  control::Controller alone(ControllerHarness::contactOf("s1", transport::controllerRole), "m1", {}, {"s1", "s2", "s3"},
+                            3);
   alone.restore({}, true, 1000);
   for (core::Milliseconds now = 1000; now < 4000; now += 25) alone.onTimer(now);
   text += "# out of contact, after a damaged disk\n" + alone.metrics(4000);
-  golden::check(file("metrics.txt"), text);
+  golden::check(goldenPath("metrics.txt"), text);
 }
--- a/control/test/golden_test.cpp
+++ b/control/test/golden_test.cpp
@@ -11,7 +11,7 @@
 #include <corkward/config/regimes.h>
 #include <corkward/core/json.h>
 
-#include "rig.h"
+#include "controller_harness.h"
 #include "testing/golden/golden.h"
 
 namespace config = corkward::config;
@@ -20,18 +20,18 @@
 namespace core = corkward::core;
 namespace golden = corkward::golden;
 namespace transport = corkward::transport;
-using control::Rig;
+using control::ControllerHarness;
 
 namespace {
 
-/// Each value in the order of its commit: key, revision, value.
+/// All committed values in the order of their commits. A line contains key, revision and value.
 constexpr char const* valuesFile = "control/test/golden/values.txt";
-/// The disk when the last value is committed: the record's key and its text.
+/// The records on disk after the last commit. A line contains the record's key and its text.
 constexpr char const* recordsFile = "control/test/golden/records.txt";
-/// Answers to reads of each page when the last value is committed: path, status, body.
+/// Responses to a read of each page after the last commit. A line contains path, status and body.
 constexpr char const* pagesFile = "control/test/golden/pages.txt";
 
-/// A change as an operator or the platform sends it, and the status of its answer.
+/// A change that an operator or the platform sends, and the expected status of the response.
 struct Change {
   std::string method;
   std::string path;
@@ -64,13 +64,13 @@
   "paths":[{"name":"Path 1/ü","host":"a.example","prefix":"/x/","kind":"stream","deadlineMs":15000,"aimMs":800,"gapAimMs":400,"urgency":0,"tries":2,"resumable":true,"affine":true,"open":true,"shares":[{"pool":"big","share":90},{"pool":"small","share":10}],"extra":{"a":1}},
   {"name":"b","host":"a.example","prefix":"/","kind":"repeatable","deadlineMs":1500,"pool":"small"}],
   "tenants":[{"name":"t1","keys":["k1","k2"],"urgency":3,"rate":12.5,"burst":40,"unit":"tokens","plainTokens":700,"extra":{}},{"name":"t2","keys":["k3"],"rate":1099511627776,"unit":"requests"}]})";
-constexpr char const* wholePatch =
+constexpr char const* fullPatch =
     R"({"version":9007199254740991,"set":{"paths":[{"name":"b","host":"a.example","prefix":"/","kind":"once","deadlineMs":1500,"pool":"big"}],"tenants":[{"name":"t3"}]},"drop":{"tenants":["t2"]},"extra":{}})";
 
 std::string const templatePage = "/v1/templates/desk";
 std::string const certificatesPage = "/v1/certificates";
 
-/// Changes of every kind of key that a controller stores; the roster's first values come by themselves.
+/// Changes of each kind of key that a controller stores. The first values of the roster are proposed by the controller.
 std::vector<Change> const changes{
     {"PUT", "/v1/platform/pools/model", "", "p1", firstList},
     {"PUT", "/v1/platform/pools/model", "", "p2", secondList},
@@ -87,7 +87,7 @@
     {"PUT", "/v1/templates/empty", "0", "f7", R"({"paths":[{"path":"a","pool":"model","class":"short"}]})", 201},
     {"DELETE", "/v1/templates/empty", "1", "f8", ""},
     {"PUT", config::fleetConfigurationPage, "0", "w1", fullSpec, 201},
-    {"PATCH", config::fleetConfigurationPage, "5", "w2", wholePatch},
+    {"PATCH", config::fleetConfigurationPage, "5", "w2", fullPatch},
     {"PUT", "/v1/evacuations/z1", "", "z1", ""},
     {"DELETE", "/v1/evacuations/z1", "", "z2", ""},
     {"PUT", "/v1/evacuations/Zone%20%C3%BC%2F1", "", "z3", ""},
@@ -137,98 +137,99 @@
   return lineOf({value.key, std::to_string(value.revision), core::jsonText(value.value)});
 }
 
-/// A controller with three routers, and the values that it commits.
+/// Runs a controller with three routers and records the values that it commits.
 class Recorder {
  public:
-  explicit Recorder(std::map<std::string, std::string> records = {}) : rig({}, std::move(records)) {
-    rig.reducer.setWallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
-    rig.alive = {"n1", "n2", "n3"};
+  explicit Recorder(std::map<std::string, std::string> records = {}) : harness({}, std::move(records)) {
+    harness.controller.setWallTime(QDateTime::fromString("2026-06-01T00:00:00Z", Qt::ISODate).toMSecsSinceEpoch());
+    harness.runningRouters = {"n1", "n2", "n3"};
     run(6000);
   }
 
   void run(core::Milliseconds duration) {
-    for (core::Milliseconds const until = rig.now + duration; rig.now < until;) {
-      rig.run(25);
-      noteCommits();
+    for (core::Milliseconds const until = harness.now + duration; harness.now < until;) {
+      harness.run(25);
+      recordCommits();
     }
   }
   control::OperatorResponse call(Change const& change) {
-    std::uint64_t const token = rig.call(change.method, change.path, change.body, change.ifMatch, change.changeId);
-    noteCommits();
+    std::uint64_t const token = harness.call(change.method, change.path, change.body, change.ifMatch, change.changeId);
+    recordCommits();
     run(3000);
-    return rig.answers[token];
+    return harness.responses[token];
   }
-  /// A router that sends one request and is not heard again.
-  void meetRouter(std::string const& link) {
+  /// Lets a new router send a single lease request.
+  void sendRequestOfNewRouter(std::string const& link) {
     transport::ServingLeaseRequest request;
-    request.sentAt = rig.now;
-    request.sender = Rig::contact(link, transport::routerRole);
+    request.sentAt = harness.now;
+    request.sender = ControllerHarness::contactOf(link, transport::routerRole);
     request.sender.httpAddress = "127.0.0.1:8004";
     request.sender.zone = "Zone ü/1";
-    rig.apply(rig.reducer.onMessage(rig.now, link, request));
+    harness.apply(harness.controller.onMessage(harness.now, link, request));
     run(6000);
   }
-  /// The controller reads the platform's list of one pool itself.
-  void readList() {
+  /// Lets the controller read endpoint lists from the platform, one of which is of a new pool.
+  void readEndpointLists() {
     config::EndpointList const list =
         config::readEndpointList(core::parseJson(R"({"generation":1,"coldRate":0.5,"replicas":[{"id":"r9",
           "address":"127.0.0.1:9009","zone":"z1","state":"cold"}]})")
                                      .toObject());
     config::EndpointList const model = config::readEndpointList(core::parseJson(secondList).toObject());
     config::EndpointList const labelled = config::readEndpointList(core::parseJson(labelledList).toObject());
-    rig.apply(rig.reducer.updateEndpointLists(rig.now, {{"read", list}, {"model", model}, {"Pool ü/1", labelled}}));
+    harness.apply(harness.controller.updateEndpointLists(harness.now,
+                                                         {{"read", list}, {"model", model}, {"Pool ü/1", labelled}}));
     run(3000);
   }
 
-  /// All values in the order of their commits.
+  /// Returns all values in the order of their commits.
   std::string values() const { return values_.str(); }
-  /// Newest value of each key.
+  /// Returns the newest value of each key.
   std::string newestValues() const {
     std::string text;
-    for (auto const& [key, value] : rig.reducer.registers().committed()) text += valueLine(value);
+    for (auto const& [key, value] : harness.controller.registers().committed()) text += valueLine(value);
     return text;
   }
   std::string records() const {
     std::string text;
-    for (auto const& [key, payload] : rig.disk) text += lineOf({key, payload});
+    for (auto const& [key, payload] : harness.disk) text += lineOf({key, payload});
     return text;
   }
-  std::string answersOfPages() {
+  std::string responsesOfPages() {
     std::string text;
     for (std::string const& page : pages) {
-      control::OperatorResponse const answer = call(Change{"GET", page, "", "", ""});
-      text += lineOf({page, std::to_string(answer.status), core::jsonText(answer.body)});
+      control::OperatorResponse const response = call(Change{"GET", page, "", "", ""});
+      text += lineOf({page, std::to_string(response.status), core::jsonText(response.body)});
     }
     return text;
   }
 
-  Rig rig;
+  ControllerHarness harness;
 
  private:
-  void noteCommits() {
-    for (auto const& [key, value] : rig.reducer.registers().committed()) {
-      if (noted_[key] == value.revision) continue;
-      noted_[key] = value.revision;
+  void recordCommits() {
+    for (auto const& [key, value] : harness.controller.registers().committed()) {
+      if (recordedRevisions_[key] == value.revision) continue;
+      recordedRevisions_[key] = value.revision;
       values_ << valueLine(value);
     }
   }
 
-  transport::Revisions noted_;
+  transport::Revisions recordedRevisions_;
   std::ostringstream values_;
 };
 
-/// A controller that has accepted all changes.
+/// Returns a controller that has accepted all changes.
 std::unique_ptr<Recorder> afterAllChanges() {
   auto recorder = std::make_unique<Recorder>();
-  recorder->meetRouter("n4");
+  recorder->sendRequestOfNewRouter("n4");
   for (Change const& change : changes) {
     INFO(change.method << " " << change.path << " " << change.changeId);
-    control::OperatorResponse const answer = recorder->call(change);
-    INFO(core::jsonText(answer.body));
-    REQUIRE(answer.status == change.status);
-    CHECK_FALSE(answer.body.contains("replayed"));
+    control::OperatorResponse const response = recorder->call(change);
+    INFO(core::jsonText(response.body));
+    REQUIRE(response.status == change.status);
+    CHECK_FALSE(response.body.contains("replayed"));
   }
-  recorder->readList();
+  recorder->readEndpointLists();
   return recorder;
 }
 
@@ -242,7 +243,7 @@
   return disk;
 }
 
-/// Newest recorded value of each key.
+/// Returns the newest recorded value of each key.
 std::string newestRecordedValues() {
   std::map<std::string, std::string> newest;
   for (std::string const& line : golden::lines(golden::read(valuesFile))) newest[columnsOf(line).at(0)] = line + "\n";
@@ -261,34 +262,34 @@
   golden::check(recordsFile, afterAllChanges()->records());
 }
 
-TEST_CASE("a controller answers reads as recorded") {
-  golden::check(pagesFile, afterAllChanges()->answersOfPages());
+TEST_CASE("a controller answers reads with the recorded responses") {
+  golden::check(pagesFile, afterAllChanges()->responsesOfPages());
 }
 
 TEST_CASE("a controller restored from recorded records serves the recorded values") {
   Recorder restored(recordedDisk());
   CHECK(restored.newestValues() == newestRecordedValues());
-  CHECK(restored.answersOfPages() == golden::read(pagesFile));
+  CHECK(restored.responsesOfPages() == golden::read(pagesFile));
   CHECK(restored.newestValues() == newestRecordedValues());
 }
 
-TEST_CASE("a controller restored from recorded records knows the recorded changes by their ids") {
+TEST_CASE("a controller restored from recorded records replays the recorded changes by their ids") {
   Recorder restored(recordedDisk());
   for (Change const& change : changes) {
     INFO(change.method << " " << change.path << " " << change.changeId);
-    control::OperatorResponse const answer = restored.call(change);
-    CHECK((answer.status == 200 || answer.status == 201));
-    CHECK(answer.body.value("replayed").toBool());
+    control::OperatorResponse const response = restored.call(change);
+    CHECK((response.status == 200 || response.status == 201));
+    CHECK(response.body.value("replayed").toBool());
   }
   CHECK(restored.newestValues() == newestRecordedValues());
 }
 
-TEST_CASE("a controller restored from recorded records knows a recorded change by its content") {
+TEST_CASE("a controller restored from recorded records replays a recorded change by its content") {
   Recorder restored(recordedDisk());
-  control::OperatorResponse const answer =
+  control::OperatorResponse const response =
       restored.call(Change{"PUT", config::fleetConfigurationPage, "0", "another-id", fullSpec});
-  CHECK(answer.status == 200);
-  CHECK(answer.body.value("replayed").toBool());
-  CHECK(answer.body.value("stamp").toInteger() == 1);
+  CHECK(response.status == 200);
+  CHECK(response.body.value("replayed").toBool());
+  CHECK(response.body.value("stamp").toInteger() == 1);
   CHECK(restored.newestValues() == newestRecordedValues());
 }
--- a/control/test/guarantee_checks_test.cpp
+++ b/control/test/guarantee_checks_test.cpp
@@ -32,7 +32,7 @@
   CHECK(newViolations() == 1);
 }
 
-TEST_CASE("two changes that are confirmed on one base violate a guarantee") {
+TEST_CASE("two changes that are confirmed on the same base violate a guarantee") {
   newViolations();
   control::GuaranteeChecks checks;
   corkward::transport::OperatorCall call;
@@ -47,7 +47,7 @@
   CHECK(newViolations() == 1);
 }
 
-TEST_CASE("a read that shows less than was committed when it arrived violates a guarantee") {
+TEST_CASE("a read that shows an older revision than was committed when it arrived violates a guarantee") {
   newViolations();
   control::GuaranteeChecks checks;
   control::PendingCall call;
--- a/control/test/lease_table_test.cpp
+++ b/control/test/lease_table_test.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-TEST_CASE("a lease has one holder until it runs out") {
+TEST_CASE("a lease has one holder until it expires") {
   LeaseTable leases;
   LeaseTable::Grant const first = *leases.acquire(0, claimOf("a"));
   CHECK(first.granted);
@@ -26,7 +26,7 @@
   CHECK(next.term == 2);
 }
 
-TEST_CASE("a renewal keeps the term, another incarnation waits like any other claimant") {
+TEST_CASE("a renewal keeps the term, and another incarnation of the holder waits for the lease to expire") {
   LeaseTable leases;
   leases.acquire(0, claimOf("a"));
   CHECK(leases.acquire(900, claimOf("a"))->term == 1);
@@ -34,7 +34,7 @@
   CHECK(leases.acquire(1900, claimOf("a", 2))->term == 2);
 }
 
-TEST_CASE("a holder that gives its lease up may name a successor, who has it alone for a lease") {
+TEST_CASE("only the named successor of a released lease can acquire it during the lease's duration") {
   LeaseTable leases;
   leases.acquire(0, claimOf("a"));
   leases.release(100, claimOf("b"), "b");
@@ -46,7 +46,7 @@
   CHECK(leases.acquire(1100, claimOf("b"))->term == 3);
 }
 
-TEST_CASE("contenders are those who asked in vain within a lease's duration") {
+TEST_CASE("contenders are the processes that were denied within the lease's duration") {
   LeaseTable leases;
   leases.acquire(0, claimOf("a"));
   leases.addContender(0, claimOf("c"));
@@ -57,7 +57,7 @@
   CHECK(leases.contenders(1001, claimOf("a")).empty());
 }
 
-TEST_CASE("a full table grants what it has and no new name") {
+TEST_CASE("a full table grants the leases that it has and rejects new names") {
   LeaseTable leases;
   for (std::size_t name = 0; name < LeaseTable::maxLeases; ++name)
     leases.acquire(0, LeaseTable::Claim{std::to_string(name), "a", 1, 1000});
--- a/control/test/linearizable_reads_test.cpp
+++ b/control/test/linearizable_reads_test.cpp
@@ -29,7 +29,7 @@
   CHECK(reads.size() == 1);
 }
 
-TEST_CASE("a read without confirmation is given up after the time-out, or when the controller drains") {
+TEST_CASE("a read without confirmation fails after the timeout or when the controller drains") {
   LinearizableReads reads(800);
   reads.add(100, callOf(1));
   CHECK(reads.takeCompleted(900, {}, false).empty());
@@ -42,7 +42,7 @@
   CHECK_FALSE(drained[0].confirmed);
 }
 
-TEST_CASE("pending reads have a bound") {
+TEST_CASE("the number of pending reads is bounded") {
   LinearizableReads reads(800);
   for (std::size_t read = 0; read < LinearizableReads::maxReads; ++read) reads.add(0, callOf(read));
   CHECK(reads.isFull());
--- a/control/test/cut_test.cpp
+++ b/control/test/partition_test.cpp
@@ -8,40 +8,41 @@
 #include <corkward/core/json.h>
 #include <corkward/core/guarantees.h>
 
-#include "rig.h"
+#include "controller_harness.h"
 
 namespace config = corkward::config;
 namespace core = corkward::core;
 namespace transport = corkward::transport;
 namespace control = corkward::control;
 namespace consensus = corkward::consensus;
-using corkward::control::Rig;
+using corkward::control::ControllerHarness;
 
 namespace {
 
 constexpr core::Milliseconds messageDelay = 2;
 constexpr core::Milliseconds diskDelay = 2;
-constexpr core::Milliseconds clockEvery = 25;
-/// After this long a caller turns to another machine.
-constexpr core::Milliseconds callerWaits = 1000;
+constexpr core::Milliseconds timerInterval = 25;
+/// An operator's program tries another machine after this long.
+constexpr core::Milliseconds operatorTimeout = 1000;
 
-/// Three controllers on disks that answer, one of which can be partitioned from the others.
+/// Three controllers with healthy disks. One of them can be partitioned from the others.
 struct ThreeControllers {
   struct Member {
-    std::unique_ptr<control::Controller> reducer;
+    std::unique_ptr<control::Controller> controller;
   };
   core::Milliseconds now = 1000;
   std::map<std::string, Member> members;
   std::multimap<core::Milliseconds, std::function<void()>> events;
-  std::map<std::uint64_t, control::OperatorResponse> answers;
-  std::map<std::uint64_t, core::Milliseconds> answeredAt;
-  std::string cutOff;
-  /// First snapshots sent to each router.
+  std::map<std::uint64_t, control::OperatorResponse> responses;
+  std::map<std::uint64_t, core::Milliseconds> respondedAt;
+  /// Link of the partitioned controller; empty if there is no partition.
+  std::string partitioned;
+  /// Number of snapshots sent to each router.
   std::map<std::string, int> snapshots;
   /// Called with each configuration update that a controller sends to a router.
-  std::function<void(transport::ConfigurationUpdate const&)> heard;
+  std::function<void(transport::ConfigurationUpdate const&)> onConfigurationUpdate;
   /// Called with each reply that one controller sends to another, before it is sent.
-  std::function<void(transport::OperatorCallReply&)> relayed;
+  std::function<void(transport::OperatorCallReply&)> onForwardedReply;
   std::uint64_t token = 1;
 
   ThreeControllers() {
@@ -49,47 +50,47 @@
     tuning.awaitRollout = false;
     std::uint64_t seed = 5;
     for (char const* link : {"s1", "s2", "s3"})
-      members[link].reducer = std::make_unique<control::Controller>(
-          Rig::contact(link, transport::controllerRole), std::string("m") + link, std::vector<std::string>{},
-          std::vector<std::string>{"s1", "s2", "s3"}, seed++, tuning);
+      members[link].controller = std::make_unique<control::Controller>(
+          ControllerHarness::contactOf(link, transport::controllerRole), std::string("m") + link,
+          std::vector<std::string>{}, std::vector<std::string>{"s1", "s2", "s3"}, seed++, tuning);
     for (std::map<std::string, Member>::value_type& m : members)
-      apply(m.first, m.second.reducer->restore({}, false, now));
+      apply(m.first, m.second.controller->restore({}, false, now));
     run(4000);
-    REQUIRE(members.at("s1").reducer->ready(now));
+    REQUIRE(members.at("s1").controller->ready(now));
   }
   void apply(std::string const& link, control::ControllerCommands&& c) {
     for (consensus::PersistCommand const& p : c.persists)
       events.emplace(now + diskDelay, [this, link, ticket = p.ticket] {
-        apply(link, members.at(link).reducer->onPersisted(now, ticket, true));
+        apply(link, members.at(link).controller->onPersisted(now, ticket, true));
       });
     for (transport::Send& s : c.sends) {
       transport::OperatorCallReply* const response = std::get_if<transport::OperatorCallReply>(&s.message);
-      if (response != nullptr && relayed) relayed(*response);
+      if (response != nullptr && onForwardedReply) onForwardedReply(*response);
       deliver(link, s);
     }
     for (control::OperatorResponse const& a : c.responses) {
-      answers[a.token] = a;
-      answeredAt[a.token] = now;
+      responses[a.token] = a;
+      respondedAt[a.token] = now;
     }
   }
   void deliver(std::string const& from, transport::Send const& s) {
     transport::ConfigurationUpdate const* const update = std::get_if<transport::ConfigurationUpdate>(&s.message);
-    if (update != nullptr && heard) heard(*update);
+    if (update != nullptr && onConfigurationUpdate) onConfigurationUpdate(*update);
     if (update != nullptr && update->isSnapshot) ++snapshots[s.to];
     if (members.count(s.to) == 0) return;
-    if (from != s.to && (from == cutOff || s.to == cutOff)) return;
+    if (from != s.to && (from == partitioned || s.to == partitioned)) return;
     events.emplace(now + messageDelay,
-                   [this, from, s] { apply(s.to, members.at(s.to).reducer->onMessage(now, from, s.message)); });
+                   [this, from, s] { apply(s.to, members.at(s.to).controller->onMessage(now, from, s.message)); });
   }
-  void run(core::Milliseconds span) {
-    for (core::Milliseconds const until = now + span; now < until; ++now) {
+  void run(core::Milliseconds duration) {
+    for (core::Milliseconds const until = now + duration; now < until; ++now) {
       while (!events.empty() && events.begin()->first <= now) {
         std::function<void()> const event = std::move(events.begin()->second);
         events.erase(events.begin());
         event();
       }
-      if (now % clockEvery != 0) continue;
-      for (std::map<std::string, Member>::value_type& m : members) apply(m.first, m.second.reducer->onTimer(now));
+      if (now % timerInterval != 0) continue;
+      for (std::map<std::string, Member>::value_type& m : members) apply(m.first, m.second.controller->onTimer(now));
     }
   }
   std::uint64_t call(std::string const& at, std::string const& method, std::string const& path,
@@ -101,25 +102,26 @@
     c.body = body;
     c.ifMatch = ifMatch;
     c.changeId = "c" + std::to_string(c.token);
-    apply(at, members.at(at).reducer->onOperatorCall(now, c));
+    apply(at, members.at(at).controller->onOperatorCall(now, c));
     return c.token;
   }
   void requestLease(std::string const& at, std::uint64_t incarnation) {
     transport::ServingLeaseRequest request;
     request.sentAt = now;
-    request.sender = Rig::contact("router", transport::routerRole);
+    request.sender = ControllerHarness::contactOf("router", transport::routerRole);
     request.sender.incarnation = incarnation;
     request.wantsSnapshot = true;
-    apply(at, members.at(at).reducer->onMessage(now, "router", request));
+    apply(at, members.at(at).controller->onMessage(now, "router", request));
   }
-  int statusOf(std::uint64_t call) const { return answers.count(call) > 0 ? answers.at(call).status : 0; }
+  int statusOf(std::uint64_t call) const { return responses.count(call) > 0 ? responses.at(call).status : 0; }
 };
 
 std::string const configuration = R"({"version":1,"paths":[],"pools":[]})";
 std::string const malformed = R"({"version":1,"surprise":1})";
 
-/// Every kind of call whose reply depends on state, at the controller of that name.
-std::vector<std::uint64_t> askAll(ThreeControllers& fleet, std::string const& at) {
+/// Sends one call of each kind whose reply depends on replicated state to the controller `at`, and returns their
+/// tokens.
+std::vector<std::uint64_t> sendAllKinds(ThreeControllers& fleet, std::string const& at) {
   return {fleet.call(at, "GET", config::fleetConfigurationPage),
           fleet.call(at, "PUT", config::fleetConfigurationPage, configuration, "7"),
           fleet.call(at, "PUT", config::fleetConfigurationPage, malformed, "1"),
@@ -132,78 +134,78 @@
 
 }  // namespace
 
-TEST_CASE("a partitioned controller answers within a second, serves nothing and rejects nothing") {
+TEST_CASE("a partitioned controller answers each call as unavailable or unknown within a second") {
   for (core::Milliseconds const since : {0, 5, 150, 700, 1300, 1600, 5000, 20000}) {
     ThreeControllers fleet;
     std::uint64_t const base = fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
     fleet.run(2000);
     REQUIRE((fleet.statusOf(base) == 200 || fleet.statusOf(base) == 201));
-    fleet.cutOff = "s1";
+    fleet.partitioned = "s1";
     fleet.run(since);
     core::Milliseconds const sentAt = fleet.now;
-    std::vector<std::uint64_t> const reads = askAll(fleet, "s1");
-    fleet.run(callerWaits);
-    for (std::uint64_t const read : reads) {
-      INFO("question " << read << ", " << since << " ms after the cut, answered " << fleet.statusOf(read));
-      CHECK((fleet.statusOf(read) == 503 || fleet.statusOf(read) == 504));
-      CHECK(fleet.answeredAt[read] - sentAt < callerWaits);
+    std::vector<std::uint64_t> const calls = sendAllKinds(fleet, "s1");
+    fleet.run(operatorTimeout);
+    for (std::uint64_t const call : calls) {
+      INFO("call " << call << ", " << since << " ms after the partition, status " << fleet.statusOf(call));
+      CHECK((fleet.statusOf(call) == 503 || fleet.statusOf(call) == 504));
+      CHECK(fleet.respondedAt[call] - sentAt < operatorTimeout);
     }
   }
 }
 
-TEST_CASE("after the partition the same controller answers again, from what was committed meanwhile") {
+TEST_CASE("after the partition the controller answers from the values committed meanwhile") {
   ThreeControllers fleet;
   fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
   fleet.run(2000);
-  fleet.cutOff = "s1";
+  fleet.partitioned = "s1";
   fleet.run(3000);
   std::uint64_t const other =
       fleet.call("s2", "PUT", config::fleetConfigurationPage, R"({"version":2,"paths":[],"pools":[]})", "1");
   fleet.run(17000);
   REQUIRE((fleet.statusOf(other) == 200 || fleet.statusOf(other) == 201));
   std::string const changeId = "c" + std::to_string(other);
-  fleet.cutOff.clear();
+  fleet.partitioned.clear();
   std::uint64_t const change = fleet.call("s1", "GET", "/v1/changes/" + changeId);
-  fleet.run(callerWaits);
+  fleet.run(operatorTimeout);
   CHECK((fleet.statusOf(change) == 200 || fleet.statusOf(change) == 503));
   std::uint64_t const read = fleet.call("s1", "GET", config::fleetConfigurationPage);
   std::uint64_t const again = fleet.call("s1", "GET", "/v1/changes/" + changeId);
-  fleet.run(callerWaits);
+  fleet.run(operatorTimeout);
   CHECK(fleet.statusOf(read) == 200);
-  CHECK(fleet.answers.at(read).body.value("version").toInteger() == 2);
+  CHECK(fleet.responses.at(read).body.value("version").toInteger() == 2);
   CHECK(fleet.statusOf(again) == 200);
 }
 
-TEST_CASE("a router that starts beside a partitioned controller gets no first snapshot from it") {
+TEST_CASE("a new router gets its snapshot from a partitioned controller only after the partition") {
   ThreeControllers fleet;
   fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
   fleet.run(2000);
-  fleet.cutOff = "s1";
+  fleet.partitioned = "s1";
   fleet.run(200);
   for (core::Milliseconds since = 0; since < 20000; since += 50) {
     fleet.requestLease("s1", 1);
     fleet.run(50);
   }
   CHECK(fleet.snapshots["router"] == 0);
-  fleet.cutOff.clear();
-  fleet.run(callerWaits);
+  fleet.partitioned.clear();
+  fleet.run(operatorTimeout);
   CHECK(fleet.snapshots["router"] == 1);
 }
 
-TEST_CASE("a restarted router requests its snapshot anew, whatever its former incarnation requested") {
+TEST_CASE("a restarted router's snapshot waits for a contact with a majority after its own request") {
   ThreeControllers fleet;
   fleet.call("s1", "PUT", config::fleetConfigurationPage, configuration, "0");
   fleet.run(2000);
-  fleet.cutOff = "s1";
+  fleet.partitioned = "s1";
   fleet.run(30);
   fleet.requestLease("s1", 1);
   fleet.run(100);
   REQUIRE(fleet.snapshots["router"] == 0);
-  fleet.cutOff.clear();
+  fleet.partitioned.clear();
   fleet.run(1);
   fleet.requestLease("s1", 2);
   CHECK(fleet.snapshots["router"] == 0);
-  fleet.run(callerWaits);
+  fleet.run(operatorTimeout);
   CHECK(fleet.snapshots["router"] == 1);
 }
 
@@ -212,8 +214,9 @@
 constexpr int poolCount = 12;
 constexpr core::Milliseconds readEvery = 500;
 
-/// The platform's lists: of each pool the replica that is always there, one that comes, and one that leaves.
-std::map<std::string, config::EndpointList> listsOf(bool come, bool leaves) {
+/// Returns the platform's lists. Each pool has a permanent replica, one that drains if `drains`, and one more if
+/// `isAdded`.
+std::map<std::string, config::EndpointList> listsOf(bool isAdded, bool drains) {
   std::map<std::string, config::EndpointList> out;
   for (int i = 0; i < poolCount; ++i) {
     auto const replica = [](std::string const& address, config::ReplicaState state) {
@@ -225,62 +228,63 @@
     };
     config::EndpointList& pool = out["p" + std::to_string(i)];
     pool.replicas = {replica("10.0.0.1:80", config::ReplicaState::serving),
-                     replica("10.0.0.2:80", leaves ? config::ReplicaState::draining : config::ReplicaState::serving)};
-    if (come) pool.replicas.push_back(replica("10.0.0.3:80", config::ReplicaState::serving));
+                     replica("10.0.0.2:80", drains ? config::ReplicaState::draining : config::ReplicaState::serving)};
+    if (isAdded) pool.replicas.push_back(replica("10.0.0.3:80", config::ReplicaState::serving));
   }
   return out;
 }
 
-/// Each controller that is the endpoint list reader gets the platform's lists.
-void readLists(ThreeControllers& fleet, core::Milliseconds span,
+/// Runs the controllers for `duration` while each one that is the endpoint list reader reads the platform's lists.
+void readLists(ThreeControllers& fleet, core::Milliseconds duration,
                std::map<std::string, config::EndpointList> const& lists) {
-  for (core::Milliseconds const until = fleet.now + span; fleet.now < until;) {
+  for (core::Milliseconds const until = fleet.now + duration; fleet.now < until;) {
     for (std::map<std::string, ThreeControllers::Member>::value_type& m : fleet.members)
-      if (m.second.reducer->isEndpointListReader(fleet.now))
-        fleet.apply(m.first, m.second.reducer->updateEndpointLists(fleet.now, lists));
+      if (m.second.controller->isEndpointListReader(fleet.now))
+        fleet.apply(m.first, m.second.controller->updateEndpointLists(fleet.now, lists));
     fleet.run(readEvery);
   }
 }
 
-/// Lists without the leaving replica that replaced one in which it leaves, after a controller was partitioned.
-std::vector<std::string> listsThatCameBack(char const* cutOff, core::Milliseconds leavesAfter) {
+/// Partitions a controller and lets a replica of each pool drain meanwhile. Returns the later lists, after the
+/// partition, in which that replica does not drain.
+std::vector<std::string> staleListsAfterPartition(char const* partitioned, core::Milliseconds drainsAfter) {
   ThreeControllers fleet;
   fleet.requestLease("s1", 1);
   readLists(fleet, 4 * readEvery, listsOf(false, false));
-  fleet.cutOff = cutOff;
-  readLists(fleet, leavesAfter, listsOf(true, false));
+  fleet.partitioned = partitioned;
+  readLists(fleet, drainsAfter, listsOf(true, false));
   readLists(fleet, 6 * readEvery, listsOf(true, true));
-  std::map<std::string, std::uint64_t> left;
-  std::vector<std::string> back;
-  fleet.heard = [&](transport::ConfigurationUpdate const& update) {
+  std::map<std::string, std::uint64_t> drainingRevisions;
+  std::vector<std::string> stale;
+  fleet.onConfigurationUpdate = [&](transport::ConfigurationUpdate const& update) {
     for (transport::CommittedEntry const& item : update.entries) {
       if (item.key.rfind("pool:", 0) != 0) continue;
-      bool const leaving = core::jsonText(item.value).find("leaving") != std::string::npos;
-      if (leaving)
-        left[item.key] = std::max(left[item.key], item.revision);
-      else if (left.count(item.key) > 0 && item.revision > left.at(item.key))
-        back.push_back(item.key + " under revision " + std::to_string(item.revision));
+      bool const isDraining = core::jsonText(item.value).find("leaving") != std::string::npos;
+      if (isDraining)
+        drainingRevisions[item.key] = std::max(drainingRevisions[item.key], item.revision);
+      else if (drainingRevisions.count(item.key) > 0 && item.revision > drainingRevisions.at(item.key))
+        stale.push_back(item.key + " at revision " + std::to_string(item.revision));
     }
   };
   for (char const* const controller : {"s1", "s2", "s3"}) fleet.requestLease(controller, 2);
-  fleet.cutOff.clear();
+  fleet.partitioned.clear();
   readLists(fleet, 8 * readEvery, listsOf(true, true));
-  CHECK(left.size() == poolCount);
-  return back;
+  CHECK(drainingRevisions.size() == poolCount);
+  return stale;
 }
 
 }  // namespace
 
 TEST_CASE("after a partition no endpoint list of the partitioned controller replaces a newer one") {
-  // How long after the cut the replica leaves decides how old the call is that the controller then has in hand.
-  for (core::Milliseconds leavesAfter = 8000; leavesAfter <= 12000; leavesAfter += readEvery)
-    for (char const* const cutOff : {"s1", "s2", "s3"}) {
-      INFO("cut off: " << cutOff << ", the replica leaves after " << leavesAfter << " ms");
-      CHECK(listsThatCameBack(cutOff, leavesAfter) == std::vector<std::string>());
+  // The time between the partition and the draining determines the age of the call that is pending at the controller.
+  for (core::Milliseconds drainsAfter = 8000; drainsAfter <= 12000; drainsAfter += readEvery)
+    for (char const* const partitioned : {"s1", "s2", "s3"}) {
+      INFO("partitioned: " << partitioned << ", the replica drains after " << drainsAfter << " ms");
+      CHECK(staleListsAfterPartition(partitioned, drainsAfter) == std::vector<std::string>());
     }
 }
 
-TEST_CASE("a reply older than what was committed when the read arrived violates a guarantee") {
+TEST_CASE("a forwarded read that returns an older revision than was committed when it arrived violates a guarantee") {
   ThreeControllers fleet;
   std::string const name = "/v1/templates/desk";
   std::string const desk = R"({"paths":[{"path":"a","pool":"big","class":"short"}]})";
@@ -292,34 +296,34 @@
     fleet.run(2000);
     REQUIRE(fleet.statusOf(first) < 300);
   }
-  std::uint64_t const ordered = fleet.call("s1", "PUT", "/v1/evacuations/z1");
-  std::uint64_t const made = fleet.call("s1", "PUT", name, desk, "0");
+  std::uint64_t const evacuated = fleet.call("s1", "PUT", "/v1/evacuations/z1");
+  std::uint64_t const created = fleet.call("s1", "PUT", name, desk, "0");
   fleet.run(2000);
-  REQUIRE(fleet.statusOf(ordered) < 300);
-  REQUIRE(fleet.statusOf(made) == 201);
+  REQUIRE(fleet.statusOf(evacuated) < 300);
+  REQUIRE(fleet.statusOf(created) == 201);
   core::GuaranteeCounts::ofThread().takeNewViolations();
-  int altered = 0;
-  bool older = false;
-  fleet.relayed = [&](transport::OperatorCallReply& response) {
+  int repliesWithRevision = 0;
+  bool lowersRevision = false;
+  fleet.onForwardedReply = [&](transport::OperatorCallReply& response) {
     if (!response.body.contains("stamp")) return;
-    ++altered;
-    if (older) response.body.insert("stamp", response.body.value("stamp").toInteger() - 1);
+    ++repliesWithRevision;
+    if (lowersRevision) response.body.insert("stamp", response.body.value("stamp").toInteger() - 1);
   };
   for (std::string const& page :
        {std::string(config::fleetConfigurationPage), std::string("/v1/evacuations/z1"), name}) {
     INFO(page);
     for (bool const tamper : {false, true}) {
-      altered = 0;
-      older = tamper;
+      repliesWithRevision = 0;
+      lowersRevision = tamper;
       for (char const* const link : {"s1", "s2", "s3"}) {
         std::uint64_t const read = fleet.call(link, "GET", page);
         fleet.run(500);
         CHECK(fleet.statusOf(read) == 200);
       }
-      CHECK(altered == 2);
-      std::vector<std::string> const broken = core::GuaranteeCounts::ofThread().takeNewViolations();
-      REQUIRE(broken.size() == (tamper ? 1 : 0));
-      if (tamper) CHECK_THAT(broken.front(), Catch::Contains("current-when-served violated 2 times"));
+      CHECK(repliesWithRevision == 2);
+      std::vector<std::string> const violations = core::GuaranteeCounts::ofThread().takeNewViolations();
+      REQUIRE(violations.size() == (tamper ? 1 : 0));
+      if (tamper) CHECK_THAT(violations.front(), Catch::Contains("current-when-served violated 2 times"));
     }
   }
 }
--- a/control/test/pending_calls_test.cpp
+++ b/control/test/pending_calls_test.cpp
@@ -6,7 +6,7 @@
 using control::PendingCall;
 using control::PendingCalls;
 
-TEST_CASE("a call is known by the id under which it was added") {
+TEST_CASE("a call is found and removed by the id under which it was added") {
   PendingCalls calls(3);
   PendingCall call;
   call.token = 9;
@@ -21,12 +21,12 @@
   CHECK(calls.find(id) == nullptr);
 }
 
-TEST_CASE("runs of other seeds use other ids") {
+TEST_CASE("runs with different seeds use different ids") {
   CHECK(PendingCalls(1).add({}) != PendingCalls(2).add({}));
   CHECK(PendingCalls(1).add({}) == PendingCalls(1).add({}));
 }
 
-TEST_CASE("a call of an operator came in at the HTTP edge of this process") {
+TEST_CASE("a call with a token that no controller forwarded is from an operator") {
   PendingCall call;
   CHECK_FALSE(call.isFromOperator());
   call.token = 1;
@@ -35,7 +35,7 @@
   CHECK_FALSE(call.isFromOperator());
 }
 
-TEST_CASE("old calls are found, and the table has a bound") {
+TEST_CASE("calls older than an age are found, and the number of calls is bounded") {
   PendingCalls calls(3);
   PendingCall call;
   call.since = 100;
--- a/control/test/rollout_tracker_test.cpp
+++ b/control/test/rollout_tracker_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr char const* key = "zone:z1";
 
-/// Three routers on the roster, and a rollout that began at 1000.
+/// A roster of three routers and a rollout that began at 1000 ms.
 struct Fixture {
   Fixture() { tracker.start(1000, key, 1); }
 
@@ -52,7 +52,7 @@
   CHECK(fixture.state(1100) == RolloutState::complete);
 }
 
-TEST_CASE("a rollout is not judged without a contact with a majority since its start") {
+TEST_CASE("a rollout is incomplete without a contact with a majority since its start") {
   Fixture fixture;
   for (char const* const link : {"a", "b", "c"}) fixture.tracker.recordAcknowledged(link, key, 1);
   CHECK(fixture.tracker.stateOf(fixture.inputs(1100, {}), key, 1, 1000) == RolloutState::incomplete);
@@ -60,7 +60,7 @@
   CHECK(fixture.tracker.stateOf(fixture.inputs(1100, 1000), key, 1, 1000) == RolloutState::complete);
 }
 
-TEST_CASE("routers that refuse connections are not waited for") {
+TEST_CASE("a rollout does not wait for routers that refuse connections") {
   Fixture fixture;
   fixture.tracker.recordAcknowledged("a", key, 1);
   fixture.tracker.recordAcknowledged("b", key, 1);
@@ -71,7 +71,7 @@
   CHECK(fixture.state(1100) == RolloutState::complete);
 }
 
-TEST_CASE("routers of the previous roster count until a majority of them knows the newest one") {
+TEST_CASE("routers of the previous roster count until a majority of them has the newest roster") {
   Fixture fixture;
   fixture.roster = rosterOf(900, 2, {"a", "b", "c"}, {"d", "e"});
   fixture.tracker.start(900, "roster", 2);
@@ -85,7 +85,7 @@
   CHECK(fixture.state(later) == RolloutState::majority);
 }
 
-TEST_CASE("a majority that has the revision for a lease and its margin completes the rollout") {
+TEST_CASE("a rollout is complete once a majority has had the revision for a serving lease and its margin") {
   Fixture fixture;
   fixture.tracker.recordAcknowledged("a", key, 1);
   fixture.tracker.recordAcknowledged("b", key, 1);
@@ -101,7 +101,7 @@
   CHECK(fixture.tracker.isComplete(fixture.inputs(fenced + 1), key));
 }
 
-TEST_CASE("the roster's acknowledgements are remembered after its rollout") {
+TEST_CASE("the roster's acknowledgements are retained after its rollout") {
   Fixture fixture;
   fixture.tracker.start(1000, "roster", 1);
   for (char const* const link : {"a", "b", "c"}) fixture.tracker.recordIncompleteAcknowledged(link);
@@ -112,7 +112,7 @@
   CHECK(fixture.tracker.find(key)->acknowledged.empty());
 }
 
-TEST_CASE("a reply waits for its rollout, and says after the time-out that it is pending") {
+TEST_CASE("a reply waits for its rollout and becomes a pending reply after the timeout") {
   Fixture fixture;
   fixture.tracker.awaitRollout(replyOf(7));
   CHECK(fixture.tracker.awaitsReply(7));
--- a/control/test/roster_reconciler_test.cpp
+++ b/control/test/roster_reconciler_test.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("the roster is reconciled now and then, and not while a proposal is pending") {
+TEST_CASE("the roster is reconciled at an interval, but not while a proposal is pending") {
   RosterReconciler reconciler({});
   REQUIRE(reconciler.isDue(1000));
   reconciler.scheduleNext(1000);
@@ -41,7 +41,7 @@
   CHECK(reconciler.isDue(9000));
 }
 
-TEST_CASE("a router that is heard joins the roster and is departed no longer") {
+TEST_CASE("a router with recent contact joins the roster and no longer counts as departed") {
   Fixture fixture;
   CHECK_FALSE(fixture.next(1000));
   fixture.roster.load(0, 2, QJsonObject{{"nodes", control::nodesJson({"a", "b"})}, {"gone", QJsonArray{"c", "d"}}});
@@ -60,7 +60,8 @@
   CHECK_FALSE(fixture.next(1000));
 }
 
-TEST_CASE("a router that is silent for long leaves the roster, counted from this process's start") {
+TEST_CASE(
+    "an unresponsive router is removed from the roster, at the earliest after the timeout from this process's start") {
   Fixture fixture;
   fixture.reconciler.start(1000);
   Milliseconds const limit = fixture.tuning.removeUnresponsiveRouterAfter;
--- a/control/test/roster_test.cpp
+++ b/control/test/roster_test.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("a roster is parsed once, with nodes as objects and departed ones as links") {
+TEST_CASE("a roster's nodes are parsed from objects, its departed nodes from links") {
   control::RosterValue const value = control::RosterValue::parse(rosterJson());
   REQUIRE(value.nodes.size() == 2);
   CHECK(value.nodes[0].link == "b");
@@ -27,13 +27,13 @@
   CHECK(value.departed == std::set<std::string>{"x"});
 }
 
-TEST_CASE("a proposal has the nodes and the departed ones, not the previous nodes") {
+TEST_CASE("a proposal contains the nodes and the departed nodes, not the previous nodes") {
   QJsonObject const proposal = control::RosterValue::parse(rosterJson()).proposalJson();
   CHECK(core::jsonText(proposal) ==
         R"({"gone":["x"],"nodes":[{"http":"h","link":"b","zone":"z1"},{"http":"","link":"c","zone":""}]})");
 }
 
-TEST_CASE("bit positions are the links of the nodes and the previous nodes, sorted") {
+TEST_CASE("bit positions are the sorted links of the nodes and the previous nodes") {
   control::Roster roster;
   CHECK(roster.revision() == 0);
   CHECK(roster.bitPositions().empty());
--- a/control/test/roster_validator_test.cpp
+++ b/control/test/roster_validator_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("a proposed roster names the nodes of the one before it") {
+TEST_CASE("an accepted roster contains the nodes of the previous one") {
   control::ValidatedKey key(control::validateRoster);
   REQUIRE(control::isAccepted(key.call(operatorCall("ROSTER", proposalPath, proposalOf({"a", "b"}), "0"))));
   CHECK(key.value.value("previous").toArray().isEmpty());
@@ -30,7 +30,7 @@
   CHECK(key.value.value("previous").toArray().size() == 2);
 }
 
-TEST_CASE("a node is declared departed once, also one of the roster before") {
+TEST_CASE("a node of the current or previous roster is declared departed once") {
   control::ValidatedKey key(control::validateRoster);
   REQUIRE(control::isAccepted(key.call(operatorCall("ROSTER", proposalPath, proposalOf({"a", "b"}), "0"))));
   CHECK(control::isRejected(key.call(operatorCall("DELETE", "/v1/nodes/c")), RejectionReason::notFound));
--- a/control/test/router_fixture.h
+++ b/control/test/router_fixture.h
@@ -25,7 +25,7 @@
   return request;
 }
 
-/// A router that has a session and is up to date.
+/// Adds a router that has a session and is up to date.
 inline RouterRegistry::Router& addRouter(RouterRegistry& routers, Milliseconds now, std::string const& link) {
   RouterRegistry::Router& router = *routers.recordContact(now, link, 1);
   routers.recordRequest(now, leaseRequest(link));
--- a/control/test/router_registry_test.cpp
+++ b/control/test/router_registry_test.cpp
@@ -8,7 +8,7 @@
 using control::RouterRegistry;
 using control::valuesOf;
 
-TEST_CASE("a router with a session misses what is committed until it acknowledges it") {
+TEST_CASE("a router with a session lacks a committed revision until it acknowledges it") {
   RouterRegistry routers({});
   RouterRegistry::Router& router = addRouter(routers, 0, "a");
   routers.recordCommitted("k", 0, 1);
@@ -19,7 +19,7 @@
   CHECK(router.isUpToDate());
 }
 
-TEST_CASE("a missing revision is pushed once, and again when it is not acknowledged in time") {
+TEST_CASE("a missing revision is pushed again if it is not acknowledged in time") {
   control::ControllerTuning const tuning;
   RouterRegistry routers(tuning);
   addRouter(routers, 0, "a");
@@ -36,7 +36,7 @@
   CHECK(routers.nextUpdate(20 + tuning.repushEvery, "a", valuesOf({{"k", 2}}), {})->entries[0].revision == 2);
 }
 
-TEST_CASE("a snapshot waits for a contact with a majority that began after it was asked for") {
+TEST_CASE("a snapshot waits for a contact with a majority that began after the snapshot was requested") {
   RouterRegistry routers({});
   routers.recordContact(100, "a", 1);
   routers.recordRequest(100, control::leaseRequest("a", true));
@@ -50,7 +50,7 @@
   CHECK_FALSE(routers.nextUpdate(120, "a", values, 110));
 }
 
-TEST_CASE("a new incarnation starts without known revisions, an older one is ignored") {
+TEST_CASE("a new incarnation has no known revisions, and an older one is ignored") {
   RouterRegistry routers({});
   RouterRegistry::Router& router = addRouter(routers, 0, "a");
   REQUIRE(router.isUpToDate());
@@ -60,7 +60,7 @@
   CHECK(router.lastContactAt == 10);
 }
 
-TEST_CASE("a silent router loses its session and what was known of it") {
+TEST_CASE("the session and the known revisions of an unresponsive router are dropped") {
   RouterRegistry routers({});
   RouterRegistry::Router& router = addRouter(routers, 0, "a");
   CHECK_FALSE(routers.nextUpdate(10001, "a", {}, {}));
@@ -70,7 +70,7 @@
   CHECK(router.missingRevisions.empty());
 }
 
-TEST_CASE("a digest stands for the committed revisions less those that a router misses") {
+TEST_CASE("a router's digest matches if it covers the committed revisions that the router is known to have") {
   RouterRegistry routers({});
   RouterRegistry::Router& router = addRouter(routers, 0, "a");
   routers.recordCommitted("k", 0, 1);
@@ -84,7 +84,7 @@
   CHECK(router.missingRevisions == transport::Revisions{{"l", 0}});
 }
 
-TEST_CASE("a silent router is probed now and then, and forgotten when it is not on the roster") {
+TEST_CASE("an unresponsive router is probed at an interval, and forgotten if it is not on the roster") {
   control::ControllerTuning const tuning;
   RouterRegistry routers(tuning);
   addRouter(routers, 1000, "a");
--- a/control/test/router_status_reporter_test.cpp
+++ b/control/test/router_status_reporter_test.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("reports come more often while a rollout is incomplete, most often at its start") {
+TEST_CASE("reports are due more often while a rollout is incomplete, and most often at its start") {
   Fixture fixture;
   REQUIRE(fixture.due(1000));
   CHECK_FALSE(fixture.due(1000 + fixture.tuning.statusReportEvery - 1));
@@ -45,7 +45,7 @@
   CHECK(fixture.due(2500));
 }
 
-TEST_CASE("a report has a bit for each router of the roster, and the contacts of the others") {
+TEST_CASE("a report contains a bit for each router on the roster and the contacts of the others") {
   Fixture fixture;
   addRouter(fixture.routers, 1000, "b");
   addRouter(fixture.routers, 1000, "x");
@@ -60,18 +60,18 @@
   CHECK(report->unlistedRouters[0].link == "x");
 }
 
-TEST_CASE("a reply says which routers have the revisions that were asked about") {
+TEST_CASE("a reply contains which routers have the queried revisions") {
   Fixture fixture;
   addRouter(fixture.routers, 1000, "a");
   addRouter(fixture.routers, 1000, "b");
   fixture.routers.recordCommitted("k", 0, 1);
   fixture.routers.recordCommitted("k", 1, 2);
-  transport::RouterStatusReport question;
-  question.incompleteRollouts = {{"k", 2, {}}, {"unknown", 1, {}}};
+  transport::RouterStatusReport query;
+  query.incompleteRollouts = {{"k", 2, {}}, {"unknown", 1, {}}};
   control::CommittedValues const values = control::valuesOf({{"k", 2}});
   fixture.routers.recordAcknowledged(*fixture.routers.recordContact(1000, "b", 1), "k", 2, 2);
   transport::RouterStatusReport const reply =
-      fixture.reporter.replyTo(1100, question, fixture.roster, fixture.routers, values);
+      fixture.reporter.replyTo(1100, query, fixture.roster, fixture.routers, values);
   REQUIRE(reply.rolloutProgress.size() == 2);
   CHECK_FALSE(reply.rolloutProgress[0].acknowledgedBy.test(0));
   CHECK(reply.rolloutProgress[0].acknowledgedBy.test(1));
--- a/control/test/singleton_roles_test.cpp
+++ b/control/test/singleton_roles_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// One member that may grant leases of 1000 ms.
+/// A member that may grant leases of 1000 ms.
 struct Fixture {
   control::OperatorResponse call(control::Milliseconds now, std::string const& method, std::string const& body) {
     transport::OperatorCall call;
@@ -27,14 +27,14 @@
 
 }  // namespace
 
-TEST_CASE("a role's path has a valid name") {
+TEST_CASE("only a path with a valid name denotes a role") {
   CHECK(control::singletonRoleOf("/v1/duties/watch") == "watch");
   CHECK_FALSE(control::singletonRoleOf("/v1/duties/"));
   CHECK_FALSE(control::singletonRoleOf("/v1/duties/a/b"));
   CHECK_FALSE(control::singletonRoleOf("/v1/other/watch"));
 }
 
-TEST_CASE("a role's page says who has it, under which term, by which members") {
+TEST_CASE("a response about a role contains its holder, its term, its contenders and the members") {
   Fixture fixture;
   CHECK(fixture.call(0, "PUT", R"({"holder":"a"})").body.value("granted").toBool());
   control::OperatorResponse const denied = fixture.call(10, "PUT", R"({"holder":"b"})");
@@ -51,7 +51,7 @@
   CHECK(fixture.call(30, "PUT", R"({"holder":"b"})").body.value("epoch").toInteger() == 2);
 }
 
-TEST_CASE("a role's page rejects other methods, bodies without a holder, and grants without a majority") {
+TEST_CASE("a role rejects other methods and bodies without a holder, and is not granted without a majority") {
   Fixture fixture;
   CHECK(fixture.call(0, "GET", "").status == 405);
   CHECK(fixture.call(0, "PUT", "{").status == 400);
--- a/control/test/validation_requests.h
+++ b/control/test/validation_requests.h
@@ -12,12 +12,12 @@
 
 namespace corkward::control {
 
-/// A key without consensus: calls are validated and applied one after the other.
+/// A key that is not replicated. Calls are validated and applied one after the other.
 class ValidatedKey {
  public:
   explicit ValidatedKey(ValidationResult (*validator)(ValidationRequest const&)) : validator_(validator) {}
 
-  /// The result of a call; an accepted change that is no trial run becomes the value.
+  /// Validates a call and returns the result. An accepted change that is not a dry run becomes the value.
   ValidationResult call(transport::OperatorCall const& call) {
     ValidationResult result = validator_(ValidationRequest{revision, value, call});
     AcceptedChange const* const accepted = std::get_if<AcceptedChange>(&result);
