--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -84,8 +84,8 @@
   std::optional<OperatorResponse> rejectCall(Milliseconds now, transport::OperatorCall const& call,
                                              std::optional<Target> const& target) const;
   void startCall(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call, Target const& target);
-  void announceList(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call,
-                    std::string const& pool);
+  void announceRemovals(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call,
+                        std::string const& pool);
   void route(ControllerCommands& out, Milliseconds now, std::uint64_t id);
   void onCallCompleted(ControllerCommands& out, Milliseconds now, consensus::CallCompleted const& completed);
   void finish(ControllerCommands& out, Milliseconds now, std::uint64_t id, core::HttpStatus status,
--- a/control/include/corkward/control/controller_tuning.h
+++ b/control/include/corkward/control/controller_tuning.h
@@ -16,19 +16,20 @@
   Milliseconds servingLeaseMargin = 200;
   /// A change whose rollout takes longer is answered as pending.
   Milliseconds rolloutTimeout = 4000;
-  /// A change that has no reply from the key's owner after this long is answered as unknown.
+  /// A call without a reply from the key's owner after this long is answered: a change as unknown, a read as not
+  /// confirmed.
   Milliseconds forwardTimeout = 9000;
   /// An operator call is answered after this long if no contact with a majority of the disks has begun since the call
   /// arrived. It is below one second because operators' programs try another machine after a second.
   Milliseconds quorumConfirmationTimeout = 800;
-  /// A forwarded call without a reply is sent again after this long. Its change id prevents that it is applied twice.
+  /// A forwarded call without a reply is sent again after this long. Its change id keeps it from being applied twice.
   Milliseconds resendEvery = 1500;
   /// A configuration update without an acknowledgement is sent again after this long.
   Milliseconds repushEvery = 300;
   /// A router without contact for this long is removed from the roster.
   Milliseconds removeUnresponsiveRouterAfter = 60000;
   /// A router that is not on the roster is forgotten after this long without contact.
-  Milliseconds forgetAfter = 600000;
+  Milliseconds forgetRouterAfter = 600000;
   /// Lease by which one router warms up a replica.
   Milliseconds warmupLeaseDuration = 1500;
   /// Lease of a singleton role that operators' programs share, such as the alert watch.
--- a/control/include/corkward/control/rollout_tracker.h
+++ b/control/include/corkward/control/rollout_tracker.h
@@ -71,7 +71,7 @@
   void start(Milliseconds now, std::string const& key, std::uint64_t revision);
   void recordAcknowledged(std::string const& link, std::string const& key, std::uint64_t revision);
   /// Records that the router has the newest revision of all keys whose rollout is incomplete.
-  void recordIncompleteAcknowledged(std::string const& link);
+  void recordUpToDate(std::string const& link);
 
   RolloutState stateOf(RolloutInputs const& inputs, std::string const& key, std::uint64_t revision,
                        Milliseconds since) const;
@@ -88,7 +88,7 @@
   /// Returns true if a pending reply waits for this router.
   bool awaitsRouter(std::string const& link) const;
   /// Returns in how many incomplete rollouts the router is not known to have the newest revision.
-  std::size_t missingAt(std::string const& link) const;
+  std::size_t missingRevisionCount(std::string const& link) const;
 
  private:
   /// Progress of a revision among the routers of one roster.
--- a/control/include/corkward/control/router_registry.h
+++ b/control/include/corkward/control/router_registry.h
@@ -59,7 +59,8 @@
 
   /// Returns the digest of all committed keys and revisions.
   transport::Digest const& committedDigest() const { return committedDigest_; }
-  /// Records a committed revision. Each router with a session at this controller lacks it until it acknowledges it.
+  /// Records a committed revision. For each router with a session at this controller, the revision counts as missing
+  /// until the router acknowledges it.
   void recordCommitted(std::string const& key, std::uint64_t previousRevision, std::uint64_t revision);
 
   /// Records a message that came directly from a router. Returns null if it comes from an incarnation that is older
@@ -92,7 +93,7 @@
   bool startProbe(Milliseconds now, std::string const& link);
   void recordProbeResult(Milliseconds now, std::string const& link, bool refused);
 
-  /// Removes the routers that are not on the roster and have had no contact for ControllerTuning::forgetAfter.
+  /// Removes the routers that are not on the roster and have had no contact for ControllerTuning::forgetRouterAfter.
   void forgetUnresponsive(Milliseconds now, std::set<std::string> const& rosterNodes);
 
  private:
--- a/control/src/configuration_push.cpp
+++ b/control/src/configuration_push.cpp
@@ -22,7 +22,7 @@
 }
 
 void Controller::recordUpToDate(std::string const& link, RouterRegistry::Router& router) {
-  rollouts_.recordIncompleteAcknowledged(link);
+  rollouts_.recordUpToDate(link);
   rollouts_.recordAcknowledged(link, rosterKey, roster_.revision());
   router.markUpToDate();
 }
@@ -101,7 +101,7 @@
   for (std::size_t position = 0; position < roster_.bitPositions().size(); ++position) {
     std::string const& link = roster_.bitPositions()[position];
     if (report.recentlyHeard.test(position)) routers_.recordReportedContact(now, link);
-    if (isSameState && report.upToDate.test(position)) rollouts_.recordIncompleteAcknowledged(link);
+    if (isSameState && report.upToDate.test(position)) rollouts_.recordUpToDate(link);
     for (transport::RolloutProgress const& progress : report.rolloutProgress)
       if (progress.acknowledgedBy.test(position)) rollouts_.recordAcknowledged(link, progress.key, progress.revision);
   }
--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Each user of the seed has its own random stream.
+// Each component that uses the seed has its own random stream.
 constexpr std::uint64_t gossipStream = 0x51;
 constexpr std::uint64_t registersStream = 0x77;
 
--- a/control/src/guarantee_checks.cpp
+++ b/control/src/guarantee_checks.cpp
@@ -28,7 +28,7 @@
 void GuaranteeChecks::checkCommitted(consensus::CommittedValue const& committed,
                                      std::optional<std::uint64_t> previous) const {
   CORKWARD_GUARANTEE(core::Guarantee::revisionsRise, !previous || committed.revision > *previous,
-                     committed.key + " falls to revision " + std::to_string(committed.revision));
+                     committed.key + ": the committed revision does not rise: " + std::to_string(committed.revision));
 }
 
 void GuaranteeChecks::checkConfirmed(consensus::CallCompleted const& completed, transport::OperatorCall const& call) {
@@ -39,7 +39,7 @@
     CORKWARD_GUARANTEE(core::Guarantee::oneChangePerRevision,
                        other.base != call.ifMatch || other.revision == completed.revision,
                        completed.key + ": revisions " + std::to_string(other.revision) + " and " +
-                           std::to_string(completed.revision) + " both on " + call.ifMatch);
+                           std::to_string(completed.revision) + " are both based on " + call.ifMatch);
   changes.push_back(ConfirmedChange{call.ifMatch, completed.revision});
   if (changes.size() > rememberedChanges) changes.pop_front();
 }
@@ -50,8 +50,8 @@
   if (!isRead) return;
   auto const served = static_cast<std::uint64_t>(body.value(fields::revision).toInteger());
   CORKWARD_GUARANTEE(core::Guarantee::currentWhenServed, served >= call.revisionAtArrival,
-                     call.call.path + ": stamp " + std::to_string(served) + " is served, " +
-                         std::to_string(call.revisionAtArrival) + " was committed when it was asked for");
+                     call.call.path + ": revision " + std::to_string(served) + " is served although revision " +
+                         std::to_string(call.revisionAtArrival) + " was committed when the read arrived");
 }
 
 }  // namespace corkward::control
--- a/control/src/lease_table.cpp
+++ b/control/src/lease_table.cpp
@@ -40,7 +40,7 @@
   if (it == leases_.end()) return names;
   std::map<std::string, Milliseconds>& contenders = it->second.contenders;
   std::erase_if(contenders, [&](auto const& contender) { return now - contender.second > claim.duration; });
-  for (auto const& [name, askedAt] : contenders) names.push_back(name);
+  for (auto const& [name, deniedAt] : contenders) names.push_back(name);
   return names;
 }
 
--- a/control/src/operator_calls.cpp
+++ b/control/src/operator_calls.cpp
@@ -115,12 +115,12 @@
   pending.revisionAtArrival = revisionOf(values(), target);
   std::uint64_t const id = calls_.add(std::move(pending));
   std::optional<std::string> const pool = nameOf(target.key, poolKeyPrefix);
-  if (pool && methodOf(call.method) == CallMethod::put && !call.dryRun) announceList(out, now, call, *pool);
+  if (pool && methodOf(call.method) == CallMethod::put && !call.dryRun) announceRemovals(out, now, call, *pool);
   route(out, now, id);
 }
 
-void Controller::announceList(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call,
-                              std::string const& pool) {
+void Controller::announceRemovals(ControllerCommands& out, Milliseconds now, transport::OperatorCall const& call,
+                                  std::string const& pool) {
   try {
     config::EndpointList const list = config::readEndpointList(core::parseJson(call.body).toObject());
     on(out, now, "", removalHintOf(pool, list));
--- a/control/src/rollout_tracker.cpp
+++ b/control/src/rollout_tracker.cpp
@@ -60,7 +60,7 @@
   acknowledged = std::max(acknowledged, revision);
 }
 
-void RolloutTracker::recordIncompleteAcknowledged(std::string const& link) {
+void RolloutTracker::recordUpToDate(std::string const& link) {
   for (std::string const& key : incompleteRollouts_) recordAcknowledged(link, key, rollouts_.at(key).revision);
 }
 
@@ -161,7 +161,7 @@
   });
 }
 
-std::size_t RolloutTracker::missingAt(std::string const& link) const {
+std::size_t RolloutTracker::missingRevisionCount(std::string const& link) const {
   return static_cast<std::size_t>(
       std::count_if(incompleteRollouts_.begin(), incompleteRollouts_.end(), [&](std::string const& key) {
         Rollout const& rollout = rollouts_.at(key);
--- a/control/src/roster.cpp
+++ b/control/src/roster.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Returns the link of a node, which is stored as an object, or of a departed node, which is stored as a text.
+/// Returns the link of a node, which is stored as an object, or of a departed node, which is stored as a string.
 std::string linkOf(QJsonValue const& node) {
   return core::toStdString(node.isString() ? node.toString() : node.toObject().value(fields::link).toString());
 }
--- a/control/src/router_registry.cpp
+++ b/control/src/router_registry.cpp
@@ -151,7 +151,7 @@
 void RouterRegistry::forgetUnresponsive(Milliseconds now, std::set<std::string> const& rosterNodes) {
   std::erase_if(routers_, [&](auto const& entry) {
     auto const& [link, router] = entry;
-    bool const isUnresponsive = router.lastContactAt >= 0 && now - router.lastContactAt > tuning_.forgetAfter;
+    bool const isUnresponsive = router.lastContactAt >= 0 && now - router.lastContactAt > tuning_.forgetRouterAfter;
     return isUnresponsive && rosterNodes.count(link) == 0;
   });
 }
--- a/control/src/status_pages.cpp
+++ b/control/src/status_pages.cpp
@@ -22,7 +22,7 @@
                      {fields::httpAddress, core::toQString(hadContact ? router->contact.httpAddress : "")},
                      {fields::zone, core::toQString(hadContact ? router->contact.zone : "")},
                      {"heardMsAgo", hadContact ? static_cast<qint64>(now - router->lastContactAt) : -1},
-                     {"keysBehind", static_cast<qint64>(rollouts.missingAt(link))}};
+                     {"keysBehind", static_cast<qint64>(rollouts.missingRevisionCount(link))}};
 }
 
 /// Returns the text of one gauge without labels.
--- a/control/test/controller_directory_test.cpp
+++ b/control/test/controller_directory_test.cpp
@@ -37,7 +37,7 @@
   CHECK(std::holds_alternative<transport::NotAVotingMember>(out[0].message));
 }
 
-TEST_CASE("a controller directory names the responding controllers to processes, or all if none responds") {
+TEST_CASE("a controller directory lists the responding controllers, or all known ones if none responds") {
   control::ControllerDirectory directory(contact("g", "guide"), {"g"}, 1);
   CHECK(directory.controllers(0).empty());
   directory.onMessage(100, "n",
--- a/control/test/golden_pages_test.cpp
+++ b/control/test/golden_pages_test.cpp
@@ -542,7 +542,7 @@
   p.check("pages_at_once.txt");
 }
 
-TEST_CASE("golden: no such page") {
+TEST_CASE("golden: calls on unknown pages") {
   Pages p;
   for (char const* const path : {"/",
                                  "/v1",
@@ -653,7 +653,7 @@
   golden::check(goldenPath("pages_out_of_contact.txt"), text);
 }
 
-TEST_CASE("golden: the disk stops answering while calls are pending") {
+TEST_CASE("golden: the disk stops responding while calls are pending") {
   std::string text;
   Pages p;
   p.harness.run(3000);
@@ -766,7 +766,7 @@
   golden::check(goldenPath("pages_relayed.txt"), text);
 }
 
-TEST_CASE("golden: rejections that only a key's own history or size brings") {
+TEST_CASE("golden: rejections that depend on a key's history or size") {
   std::string text;
   auto const request = [&text](std::string const& method, std::string const& path, std::string const& key,
                                std::uint64_t revision, QJsonObject const& value, std::string const& body,
--- a/control/test/golden_test.cpp
+++ b/control/test/golden_test.cpp
@@ -64,7 +64,7 @@
   "paths":[{"name":"Path 1/ü","host":"a.example","prefix":"/x/","kind":"stream","deadlineMs":15000,"aimMs":800,"gapAimMs":400,"urgency":0,"tries":2,"resumable":true,"affine":true,"open":true,"shares":[{"pool":"big","share":90},{"pool":"small","share":10}],"extra":{"a":1}},
   {"name":"b","host":"a.example","prefix":"/","kind":"repeatable","deadlineMs":1500,"pool":"small"}],
   "tenants":[{"name":"t1","keys":["k1","k2"],"urgency":3,"rate":12.5,"burst":40,"unit":"tokens","plainTokens":700,"extra":{}},{"name":"t2","keys":["k3"],"rate":1099511627776,"unit":"requests"}]})";
-constexpr char const* fullPatch =
+constexpr char const* configurationPatch =
     R"({"version":9007199254740991,"set":{"paths":[{"name":"b","host":"a.example","prefix":"/","kind":"once","deadlineMs":1500,"pool":"big"}],"tenants":[{"name":"t3"}]},"drop":{"tenants":["t2"]},"extra":{}})";
 
 std::string const templatePage = "/v1/templates/desk";
@@ -87,7 +87,7 @@
     {"PUT", "/v1/templates/empty", "0", "f7", R"({"paths":[{"path":"a","pool":"model","class":"short"}]})", 201},
     {"DELETE", "/v1/templates/empty", "1", "f8", ""},
     {"PUT", config::fleetConfigurationPage, "0", "w1", fullSpec, 201},
-    {"PATCH", config::fleetConfigurationPage, "5", "w2", fullPatch},
+    {"PATCH", config::fleetConfigurationPage, "5", "w2", configurationPatch},
     {"PUT", "/v1/evacuations/z1", "", "z1", ""},
     {"DELETE", "/v1/evacuations/z1", "", "z2", ""},
     {"PUT", "/v1/evacuations/Zone%20%C3%BC%2F1", "", "z3", ""},
--- a/control/test/rollout_tracker_test.cpp
+++ b/control/test/rollout_tracker_test.cpp
@@ -94,7 +94,7 @@
   Milliseconds const fenced = 1100 + fixture.tuning.servingLeaseDuration + fixture.tuning.servingLeaseMargin;
   fixture.tracker.updateRollouts(fixture.inputs(fenced));
   CHECK(fixture.tracker.incomplete().count(key) == 1);
-  CHECK(fixture.tracker.missingAt("c") == 1);
+  CHECK(fixture.tracker.missingRevisionCount("c") == 1);
   fixture.tracker.updateRollouts(fixture.inputs(fenced + 1));
   CHECK(fixture.tracker.incomplete().empty());
   CHECK(fixture.tracker.find(key)->acknowledged.empty());
@@ -104,7 +104,7 @@
 TEST_CASE("the roster's acknowledgements are retained after its rollout") {
   Fixture fixture;
   fixture.tracker.start(1000, "roster", 1);
-  for (char const* const link : {"a", "b", "c"}) fixture.tracker.recordIncompleteAcknowledged(link);
+  for (char const* const link : {"a", "b", "c"}) fixture.tracker.recordUpToDate(link);
   fixture.tracker.updateRollouts(fixture.inputs(1100));
   CHECK(fixture.tracker.incomplete().empty());
   CHECK(fixture.tracker.find("roster")->acknowledged.size() == 3);
--- a/control/test/router_registry_test.cpp
+++ b/control/test/router_registry_test.cpp
@@ -95,7 +95,7 @@
   CHECK(routers.find("a")->unreachableAt == 2000);
   routers.recordContact(2100, "a", 1);
   CHECK(routers.find("a")->unreachableAt == -1);
-  control::Milliseconds const later = 2101 + tuning.forgetAfter;
+  control::Milliseconds const later = 2101 + tuning.forgetRouterAfter;
   routers.forgetUnresponsive(later, {"a"});
   CHECK(routers.find("a") != nullptr);
   routers.forgetUnresponsive(later, {});
