--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -74,16 +74,17 @@
   RouterCommands onProgress(Milliseconds now, CallId id);
   RouterCommands onUpstreamFinished(Milliseconds now, CallId id, UpstreamResult result);
   RouterCommands onCallerDisconnected(Milliseconds now, CallId id);
-  /// The platform's list as told to this node: what it takes away is out of use at once, what it adds waits for
-  /// control.
+  /// Handles an endpoint list that the platform sent to this router. Replicas that the list removes are out of use at
+  /// once. Replicas that it adds are used only once the controllers have committed the list.
   RouterCommands onEndpointList(Milliseconds now, CallId call, std::string const& pool, std::string const& body);
   /// Other figures and seeds from here on; scalers that stand keep theirs.
   void updateTuning(RouterTuning const& tuning, std::vector<std::string> seeds);
   /// No new work from here on; ids and duties go to the others.
   RouterCommands drain(Milliseconds now);
-  /// Tells the wall time at that time on the boot clock, in milliseconds since 1970, with each timer event.
+  /// Sets the wall time (milliseconds since 1970) that belongs to `now` on the boot clock. Called with each timer
+  /// event.
   void setWallTime(Milliseconds now, std::int64_t wall);
-  /// Wall time at a time on the boot clock; nothing before it was told.
+  /// Wall time at a time on the boot clock. Returns std::nullopt before the first call of setWallTime.
   config::WallTime wallTimeAt(Milliseconds now) const { return wallClock_.at(now); }
   /// Whether records can be written from here on.
   void setAuditAvailable(bool works) { tuning_.auditRecordsAvailable = works; }
@@ -91,7 +92,7 @@
 
   /// Whether clients should be sent here.
   bool ready(Milliseconds now) const;
-  /// Whether this node may hand requests over at all.
+  /// Whether this router may dispatch requests to replicas at all.
   bool servingLease(Milliseconds now) const;
   RouterUsage usage() const;
   std::size_t pendingCount() const { return calls_.size(); }
@@ -100,9 +101,9 @@
   std::uint64_t revisionOf(std::string const& key) const { return configuration_.revisionOf(key); }
   /// Replicas held for a pool by each instance's part, and requests held there.
   std::vector<std::pair<std::size_t, std::size_t>> subsetSizes(std::string const& pool) const;
-  /// Value in force for a key; empty when there is none.
+  /// Value in effect for a key. Empty if the key has no entry.
   QJsonObject configurationValue(std::string const& key) const { return configuration_.value(key); }
-  /// Bounds of the callers' HTTP edge as the whole configuration says them.
+  /// Limits on callers' HTTP requests, from the fleet configuration.
   config::HttpLimits const& httpLimits() const { return httpLimits_; }
   core::Journal const& journal() const { return journal_; }
 
@@ -201,10 +202,12 @@
     scaling::CompletionRate completions;
     std::size_t queuedCount() const { return waiting[0].size() + waiting[1].size() + waiting[2].size(); }
   };
-  /// Why a regime's running requests must stop, and why none may start; empty: no reason.
-  struct RegimeStanding {
-    std::string uncertainty;
-    std::string rejection;
+  /// Whether this router may work for a regime. An empty string means that there is no such reason.
+  struct RegimeStatus {
+    /// Why the regime's running requests must stop.
+    std::string stopReason;
+    /// Why no request of the regime may start.
+    std::string rejectionReason;
   };
   using QueueKey = std::pair<NameIndex, NameIndex>;
 
@@ -221,9 +224,9 @@
   double slowStartRate(NameIndex pool) const;
   NameIndex choosePool(Milliseconds now, Route const& route, CallId id) const;
   NameIndex poolIndex(std::string const& name);
-  /// Drops the routes that are not needed any more, once they are many.
+  /// Frees removed routes that no call uses any more, if RouteTable::needsCompaction.
   void compactRoutes();
-  /// Throws core::Error when the value is not valid.
+  /// Applies the value of one configuration entry. Throws core::Error if the value is not valid.
   void applyValue(Milliseconds now, transport::CommittedEntry const& item);
   void applyEndpointList(std::string const& poolName, config::EndpointList const& list);
   void applyMembership(QJsonObject const& value);
@@ -290,7 +293,8 @@
   bool needsIsolatedReplica(Call const& call) const;
   void isolateReplicas(PoolView const& view);
   bool isEvacuated(std::string const& zone) const;
-  bool hasHeardMajority(Milliseconds now) const;
+  bool hasRecentQuorumContact(Milliseconds now) const;
+  /// Accepts the neighbours' snapshot as complete once this router has recent quorum contact.
   void adoptSnapshot(RouterCommands& out, Milliseconds now, std::string const& from);
   void chooseControllers(Milliseconds now);
   void sendLeaseRequest(RouterCommands& out, Milliseconds now, std::string const& to);
@@ -330,12 +334,13 @@
   /// Finds the call's tenant by its key under the configuration in force; false: it needs one and has none.
   bool identifyTenant(Call& call, config::Path const& path) const;
   // Tenants' limits (tenant_limits.cpp).
-  /// What the limit of the call's tenant says of it; what it asks for is sent.
+  /// Takes the call's amount out of its tenant's limit, or sends a request for the amount to the partition owner.
   Admission admitByQuota(RouterCommands& out, Milliseconds now, Call& call);
-  /// Before a hand-over: the call's amount is taken and was taken lately, or can be taken at once.
+  /// Marks the call's amount as used, right before the call is dispatched. An amount that was taken more than
+  /// quota::maxDispatchDelay ago is returned and taken again. Returns false if no amount is available at once.
   bool spendQuota(Milliseconds now, Call& call);
   void rejectOverQuota(RouterCommands& out, Milliseconds now, CallId id, Admission admission);
-  /// The call goes without having used its amount.
+  /// Returns the call's amount to its tenant's limit, since the call ends without having been dispatched.
   void returnQuota(Milliseconds now, Call& call);
   void applyQuotaDecisions(RouterCommands& out, Milliseconds now, std::vector<QuotaDecision> const& decisions);
   void updateTenants(RouterCommands& out, Milliseconds now);
@@ -351,31 +356,39 @@
   double retryAfter(AdmissionQueue const& c, config::RequestClass cls) const;
   Milliseconds expectedWait(AdmissionQueue const& c, config::RequestClass cls) const;
   bool needsWarmupLease(Replica const& replica) const;
-  /// How long this router waits before it requests a lease that is free: the routers come in an order by hash.
+  /// How long this router waits before it requests an unowned lease. The delay grows with the router's rank by hash, so
+  /// that the routers request the lease one after another.
   Milliseconds warmupRequestDelay(std::string const& replica) const;
   void updateWarmupLeases(RouterCommands& out, Milliseconds now);
-  /// Ends the leases that are held, and names the controllers a successor for each.
+  /// Releases all warm-up leases of this router and suggests a successor for each to the controllers.
   void releaseWarmupLeases(RouterCommands& out, Milliseconds now);
   std::string const& regimeOf(Call const& call) const;
-  std::string regimeUncertainty(Milliseconds now, std::string const& regime) const;
-  std::string regimeRejection(Milliseconds now, std::string const& regime) const;
+  /// Why running requests of the regime must stop at this router. Empty if they may go on.
+  std::string regimeStopReason(Milliseconds now, std::string const& regime) const;
+  /// Why this router may start no request of the regime. Empty if it may.
+  std::string regimeRejectionReason(Milliseconds now, std::string const& regime) const;
   config::Certificate const* certificate(Milliseconds now, std::string const& regime, NameIndex replica) const;
+  /// The call's regime, if it has one, allows this router to dispatch the call to its replica now.
   bool allowedByRegime(Milliseconds now, Call const& call) const;
+  /// The call may be sent to the replica: a regime's call if the replica is certified, any other call if enough of the
+  /// replica's capacity is left for regimes.
   bool certifiedFor(Milliseconds now, Call const& call, NameIndex replica) const;
   void refreshCertified(Milliseconds now);
   static scaling::Candidates candidatesOf(PoolView const& view, std::string const& regime);
-  void recordAudit(RouterCommands& out, Milliseconds now, Call const& call, AuditOutcome happened,
+  void recordAudit(RouterCommands& out, Milliseconds now, Call const& call, AuditOutcome outcome,
                    std::string reason = {});
-  /// Calls of regimes that are past admission, sorted.
+  /// Calls of regimes that have been admitted, in ascending order.
   std::vector<CallId> callsOfRegimes() const;
+  /// Stops, moves or rejects calls of regimes that this router or their replica may not serve any more.
   void enforceRegimes(RouterCommands& out, Milliseconds now);
-  void enforceRegime(RouterCommands& out, Milliseconds now, CallId id, RegimeStanding const& standing);
-  void enforceWhileQueued(RouterCommands& out, Milliseconds now, CallId id, RegimeStanding const& standing);
-  void enforceWhileConnecting(RouterCommands& out, Milliseconds now, CallId id, RegimeStanding const& standing,
+  void enforceRegime(RouterCommands& out, Milliseconds now, CallId id, RegimeStatus const& status);
+  void enforceWhileQueued(RouterCommands& out, Milliseconds now, CallId id, RegimeStatus const& status);
+  void enforceWhileConnecting(RouterCommands& out, Milliseconds now, CallId id, RegimeStatus const& status,
                               bool certified);
-  /// The call is to be resumed on another replica and was not sent there yet.
+  /// The call is being resumed on another replica, but has not been sent to that replica yet.
   static bool isResumeUnsent(Call const& call);
-  void abandonForRegime(RouterCommands& out, Milliseconds now, CallId id, std::string const& why);
+  /// Withdraws the call from its replica, and resumes, retries, aborts or rejects it.
+  void abandonForRegime(RouterCommands& out, Milliseconds now, CallId id, std::string const& reason);
   void expireRequestIds(Milliseconds now) {
     requestIds_.expire(now, tuning_.requestIdRetention, tuning_.maxRequestIds);
   }
@@ -422,7 +435,7 @@
   ControllerLinks controllerLinks_;
   NeighbourLinks neighbourLinks_;
   std::map<std::string, Milliseconds> valueRequestedAt_;
-  /// A whole snapshot has arrived, which a neighbour may have sent.
+  /// A complete snapshot has arrived from a controller or a neighbour.
   bool snapshotSeen_ = false;
   core::RandomGenerator rng_;
   std::map<QueueKey, AdmissionQueue> queues_;
--- a/dataplane/include/corkward/dataplane/serving_lease.h
+++ b/dataplane/include/corkward/dataplane/serving_lease.h
@@ -33,7 +33,7 @@
   /// A grant that counts is not older than this, in milliseconds.
   bool isGrantedWithin(Milliseconds now, Milliseconds age) const;
   /// A majority of the roster was heard within this time, in milliseconds.
-  bool hasHeardMajority(Milliseconds now, Milliseconds age, Roster const& roster) const;
+  bool hasRecentQuorumContact(Milliseconds now, Milliseconds age, Roster const& roster) const;
   /// How long ago each router of the roster was heard, in units of transport::ageUnit, one byte each.
   std::string encodeAges(Milliseconds now, Milliseconds maxAge, Roster const& roster) const;
 
--- a/dataplane/src/admission.cpp
+++ b/dataplane/src/admission.cpp
@@ -172,7 +172,7 @@
 
 void RequestRouter::admit(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
-  std::string const regimeProblem = regimeRejection(now, regimeOf(call));
+  std::string const regimeProblem = regimeRejectionReason(now, regimeOf(call));
   if (!regimeProblem.empty()) {
     reject(out, now, id, 503, regimeProblem, true, tuning_.defaultRetryAfter);
     return;
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -238,7 +238,7 @@
 }
 
 void RequestRouter::adoptSnapshot(RouterCommands& out, Milliseconds now, std::string const& from) {
-  if (snapshotApplied_ || !snapshotSeen_ || !hasHeardMajority(now)) return;
+  if (snapshotApplied_ || !snapshotSeen_ || !hasRecentQuorumContact(now)) return;
   snapshotApplied_ = true;
   logEvent(out, now, events::snapshotApplied, {{"from", "neighbours"}, {"last", from}});
 }
--- a/dataplane/src/dispatch.cpp
+++ b/dataplane/src/dispatch.cpp
@@ -110,7 +110,7 @@
 
 bool RequestRouter::confirmDispatch(RouterCommands& out, Milliseconds now, CallId id) {
   Call& call = calls_.at(id);
-  std::string const regimeProblem = regimeRejection(now, regimeOf(call));
+  std::string const regimeProblem = regimeRejectionReason(now, regimeOf(call));
   if (!regimeProblem.empty()) {
     rejectConnected(out, now, id, 503, regimeProblem, tuning_.defaultRetryAfter);
     return false;
--- a/dataplane/src/readiness.cpp
+++ b/dataplane/src/readiness.cpp
@@ -3,15 +3,15 @@
 
 namespace corkward::dataplane {
 
-bool RequestRouter::hasHeardMajority(Milliseconds now) const {
+bool RequestRouter::hasRecentQuorumContact(Milliseconds now) const {
   return rosterSize() >= tuning_.minRosterSize &&
-         servingLease_.hasHeardMajority(now, tuning_.servingLeaseDuration, roster_);
+         servingLease_.hasRecentQuorumContact(now, tuning_.servingLeaseDuration, roster_);
 }
 
 bool RequestRouter::servingLease(Milliseconds now) const {
   if (!tuning_.leaseRequired) return snapshotApplied_ && !routes_.empty();
   if (!snapshotApplied_ || !roster_.hasJoined()) return false;
-  return servingLease_.isGrantedWithin(now, tuning_.servingLeaseDuration) || hasHeardMajority(now);
+  return servingLease_.isGrantedWithin(now, tuning_.servingLeaseDuration) || hasRecentQuorumContact(now);
 }
 
 bool RequestRouter::isEvacuated(std::string const& zone) const {
--- a/dataplane/src/serving_lease.cpp
+++ b/dataplane/src/serving_lease.cpp
@@ -57,7 +57,7 @@
   });
 }
 
-bool ServingLease::hasHeardMajority(Milliseconds now, Milliseconds age, Roster const& roster) const {
+bool ServingLease::hasRecentQuorumContact(Milliseconds now, Milliseconds age, Roster const& roster) const {
   std::size_t heard = confirmedByController_ ? 1 : 0;
   for (std::string const& link : roster.others()) {
     auto const newest = heardAt_.find(link);
--- a/dataplane/test/serving_lease_test.cpp
+++ b/dataplane/test/serving_lease_test.cpp
@@ -68,16 +68,16 @@
   Roster const roster = rosterOf({"a", "b", "c"});
   ConfigurationState const configuration = configurationAt(1);
   lease.onHeartbeatReply("b", replyWith(200, configuration), configuration, roster);
-  CHECK_FALSE(lease.hasHeardMajority(200, 1000, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(200, 1000, roster));
   lease.onGrant("controller", 99, configuration.digest(), {});
   lease.refresh(configuration, roster);
-  CHECK_FALSE(lease.hasHeardMajority(200, 1000, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(200, 1000, roster));
   lease.onGrant("controller", 100, configuration.digest(), {});
   lease.refresh(configuration, roster);
-  CHECK(lease.hasHeardMajority(1200, 1000, roster));
-  CHECK_FALSE(lease.hasHeardMajority(1201, 1000, roster));
+  CHECK(lease.hasRecentQuorumContact(1200, 1000, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(1201, 1000, roster));
   lease.onHeartbeatReply("b", replyWith(300, configuration), configuration, roster);
-  CHECK(lease.hasHeardMajority(1300, 1000, roster));
+  CHECK(lease.hasRecentQuorumContact(1300, 1000, roster));
 }
 
 TEST_CASE("a reply that names a newer configuration counts once that is in force") {
@@ -86,9 +86,9 @@
   Roster const roster = rosterOf({"a", "b", "c"});
   ConfigurationState const newer = configurationAt(2);
   lease.onHeartbeatReply("b", replyWith(200, newer), configurationAt(1), roster);
-  CHECK_FALSE(lease.hasHeardMajority(200, 1000, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(200, 1000, roster));
   lease.refresh(newer, roster);
-  CHECK(lease.hasHeardMajority(200, 1000, roster));
+  CHECK(lease.hasRecentQuorumContact(200, 1000, roster));
 }
 
 TEST_CASE("a router without a snapshot is not heard") {
@@ -99,7 +99,7 @@
   transport::PeerHeartbeat reply = replyWith(200, configuration);
   reply.hasSnapshot = false;
   lease.onHeartbeatReply("b", reply, configuration, roster);
-  CHECK_FALSE(lease.hasHeardMajority(200, 1000, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(200, 1000, roster));
 }
 
 TEST_CASE("ages pass on whom a router has heard, when both have the same roster") {
@@ -117,10 +117,10 @@
   transport::PeerHeartbeat reply = replyWith(1000, configuration);
   reply.ages = ages;
   lease.onHeartbeatReply("b", reply, configuration, roster);
-  CHECK_FALSE(lease.hasHeardMajority(1000, 500, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(1000, 500, roster));
   reply.rosterRevision = roster.revision();
   lease.onHeartbeatReply("b", reply, configuration, roster);
-  CHECK(lease.hasHeardMajority(1000, 500, roster));
+  CHECK(lease.hasRecentQuorumContact(1000, 500, roster));
 }
 
 TEST_CASE("old grants and replies are forgotten") {
