--- a/dataplane/include/corkward/dataplane/configuration_state.h
+++ b/dataplane/include/corkward/dataplane/configuration_state.h
@@ -14,27 +14,30 @@
 
 namespace corkward::dataplane {
 
-/// The configuration entries in force on one router, by key, and what of others' configurations they cover.
+/// The configuration entries in effect on one router, by key. Also decides whether they cover what another process has
+/// in effect.
 class ConfigurationState {
  public:
-  /// Revision in force; 0: none.
+  /// Revision in effect for the key. 0 if the key has no entry.
   std::uint64_t revisionOf(std::string const& key) const;
   bool has(std::string const& key) const { return entries_.count(key) > 0; }
-  /// Value in force; empty when there is none.
+  /// Value in effect for the key. Empty if the key has no entry.
   QJsonObject value(std::string const& key) const;
   std::optional<transport::CommittedEntry> entry(std::string const& key) const;
 
-  /// Puts an entry in force, which must be newer than the one before.
+  /// Puts an entry into effect. Its revision must be higher than that of the key's current entry.
   void set(transport::CommittedEntry const& entry);
-  /// An update was applied whole: the digest now is one that this router has had.
+  /// Adds the current digest to the history. Call after all entries of an update were applied.
   void recordDigest();
 
   transport::Revisions revisions() const;
   transport::Digest const& digest() const { return digest_; }
-  /// Every entry that the other has, by its digest or its revisions, is in force here or was replaced by a newer one.
+  /// Returns true if each entry of another process is in effect here or was replaced by a newer entry. The other's
+  /// digest suffices if it is in this router's history; otherwise its revisions are compared, and count only if they
+  /// match its digest.
   bool covers(transport::Digest const& digest, transport::Revisions const& revisions) const;
   std::vector<transport::CommittedEntry> all() const;
-  /// Entries that the other lacks or has in an older revision.
+  /// Entries that the other process lacks or has in an older revision.
   std::vector<transport::CommittedEntry> missingFrom(transport::Revisions const& other) const;
 
  private:
@@ -43,11 +46,11 @@
     QJsonObject value;
   };
 
-  /// Revisions of a key rise.
+  /// The revision of a key only increases.
   std::map<std::string, Value> entries_;
   /// Digest of the keys and revisions of entries_.
   transport::Digest digest_;
-  /// Digests after each update since the start, newest last; bounded.
+  /// Digests after each update since the start, newest last. Bounded: the oldest are dropped.
   std::deque<transport::Digest> digestHistory_;
 };
 
--- a/dataplane/include/corkward/dataplane/controller_links.h
+++ b/dataplane/include/corkward/dataplane/controller_links.h
@@ -12,55 +12,59 @@
 
 namespace corkward::dataplane {
 
-/// The controllers that this router asks for its serving lease: those that answer, near ones first, the others in an
-/// order by hash that differs between routers.
+/// Chooses the controllers that this router requests its serving lease from. Responsive controllers come first, among
+/// them those of the router's own zone. The rest of the order is by a hash that differs between routers, so that
+/// routers spread over the controllers.
 class ControllerLinks {
  public:
-  /// A controller that is known, with its place among those that answer.
+  /// A known controller and what ranks it among the responsive ones.
   struct Candidate {
     std::string link;
     bool sameZone = false;
     std::uint64_t hash = 0;
   };
 
-  /// Chooses whom to ask from now on. One that did not answer in time is passed over for a while.
+  /// Chooses the controllers for the following requests. A controller whose reply timed out is ranked last for
+  /// RouterTuning::unresponsivePeerTimeout.
   void choose(Milliseconds now, std::vector<Candidate> const& known, RouterTuning const& tuning);
   std::vector<std::string> const& chosen() const { return chosen_; }
-  /// The controller is asked now. True when the request must list this router's revisions.
+  /// Records that a request is sent to the controller. Returns true if the request must list this router's revisions.
   bool onRequest(Milliseconds now, std::string const& link);
-  /// The controller granted a lease as one that has a quorum.
+  /// Records that the controller replied and had a quorum.
   void onUsefulReply(Milliseconds now, std::string const& link);
-  /// The controller says whether it wants this router's revisions. True when it must be asked again with them now,
-  /// since they were not sent within the interval (milliseconds).
+  /// Records whether the controller wants this router's revisions. Returns true if a request with the revisions must be
+  /// sent at once, because they are wanted and were not sent within `interval`.
   bool onRevisionsWanted(Milliseconds now, std::string const& link, bool wanted, Milliseconds interval);
 
-  /// Forgets links that were neither used nor of use since that time.
+  /// Removes links without a request or a useful reply since `oldest`.
   void forgetBefore(Milliseconds oldest);
   std::size_t size() const { return links_.size(); }
 
  private:
   struct Link {
-    /// Newest request.
+    /// When the newest request was sent.
     Milliseconds requestedAt = 0;
-    /// First request that has had no answer; below zero: none.
+    /// When the first unanswered request was sent. Negative if there is none.
     Milliseconds firstUnansweredAt = -1;
-    /// Newest answer that was of use; below zero: none.
+    /// When the newest reply with a quorum arrived. Negative if there is none.
     Milliseconds lastUsefulAt = -1;
-    /// When it last did not answer in time; below zero: never.
+    /// When the controller's reply last timed out. Negative if it never did.
     Milliseconds timedOutAt = -1;
-    /// The next request lists the revisions.
+    /// The next request must list this router's revisions.
     bool revisionsWanted = false;
-    /// Newest request that listed them; below zero: none.
+    /// When the newest request with revisions was sent. Negative if there is none.
     Milliseconds revisionsSentAt = -1;
   };
-  /// Order in which controllers are asked: those that timed out last, by when; then those of other zones.
+  /// Sort key of controllers, lowest first: time of the last timeout (0 if responsive), whether the zone is another
+  /// one, hash.
   using Rank = std::tuple<Milliseconds, bool, std::uint64_t>;
 
-  void noteTimeouts(Milliseconds now, Milliseconds patience);
-  std::map<Rank, std::string> rank(Milliseconds now, std::vector<Candidate> const& known, Milliseconds timeout);
+  void detectTimeouts(Milliseconds now, Milliseconds replyTimeout);
+  std::map<Rank, std::string> rank(Milliseconds now, std::vector<Candidate> const& known,
+                                   Milliseconds unresponsiveTimeout);
 
   std::map<std::string, Link> links_;
-  /// Each has a link; in the order of their ranks.
+  /// Link addresses of the chosen controllers, in rank order. Each is a key of links_.
   std::vector<std::string> chosen_;
 };
 
--- a/dataplane/include/corkward/dataplane/neighbour_links.h
+++ b/dataplane/include/corkward/dataplane/neighbour_links.h
@@ -11,50 +11,52 @@
 
 namespace corkward::dataplane {
 
-/// The other routers that this one exchanges heartbeats with: a random few, a third of them of its own zone, replaced
-/// when they do not answer and now and then otherwise.
+/// The neighbours: a few randomly chosen routers that this router sends heartbeats to, a third of them in its own zone
+/// if possible. A neighbour is replaced when it becomes unresponsive and after RouterTuning::neighbourRotationPeriod.
 class NeighbourLinks {
  public:
-  /// Routers that are known.
+  /// The known other routers.
   struct Peers {
-    /// Sorted, each once.
+    /// Sorted and without duplicates.
     std::vector<std::string> links;
-    /// Those of this router's zone.
+    /// Routers in this router's zone.
     std::set<std::string> sameZone;
   };
 
-  /// Chooses whom to send the heartbeats of this interval (milliseconds) to; sorted.
+  /// Chooses up to `count` neighbours and returns their links, sorted.
+  /// @param interval milliseconds between heartbeats; a neighbour that has not replied for 1.5 intervals is replaced
   std::vector<std::string> choose(Milliseconds now, std::size_t count, Milliseconds interval, Peers const& peers,
                                   RouterTuning const& tuning, core::RandomGenerator& random);
   void onHeartbeatSent(Milliseconds now, std::string const& link);
   void onReply(std::string const& link);
 
-  /// Forgets which routers did not answer before that time.
+  /// Removes records of routers that became unresponsive before `oldest`.
   void forgetBefore(Milliseconds oldest);
-  /// Links and unresponsive routers that are remembered.
+  /// Number of neighbours and of routers recorded as unresponsive.
   std::size_t size() const { return links_.size() + unresponsiveSince_.size(); }
 
  private:
   struct Link {
-    /// When it became a neighbour; earlier for some, so that they are not replaced all at once.
+    /// When the router became a neighbour, moved back by a random time so that neighbours are not all replaced at once.
     Milliseconds openedAt = 0;
-    /// First heartbeat that has had no reply; below zero: none.
+    /// When the first unanswered heartbeat was sent. Negative if there is none.
     Milliseconds firstUnansweredAt = -1;
   };
 
-  /// Drops those that do not answer, that were neighbours for long, and that are not known any more.
+  /// Removes neighbours that are unresponsive, due for rotation, or not among the known routers any more.
   void dropStale(Milliseconds now, Milliseconds interval, Peers const& peers, RouterTuning const& tuning);
-  /// Those that are no neighbours, in random order, the unresponsive last.
+  /// Known routers that are not neighbours, in random order, with unresponsive ones last.
   std::vector<std::string> shuffledOthers(Milliseconds now, Peers const& peers, RouterTuning const& tuning,
                                           core::RandomGenerator& random) const;
-  /// Adds one of these, and removes it from them.
+  /// Makes one of `others` a neighbour and removes it from `others`. Prefers a responsive router in this router's zone
+  /// if `sameZone`, or in another zone if not.
   void addOneOf(std::vector<std::string>& others, Milliseconds now, bool sameZone, Peers const& peers,
                 RouterTuning const& tuning, core::RandomGenerator& random);
   bool isUnresponsive(Milliseconds now, std::string const& link, Milliseconds timeout) const;
 
-  /// Each was among the known routers at the newest choice.
+  /// The neighbours. Each was among the known routers when neighbours were last chosen.
   std::map<std::string, Link> links_;
-  /// When a router that did not answer was dropped.
+  /// When each unresponsive router was removed from the neighbours.
   std::map<std::string, Milliseconds> unresponsiveSince_;
 };
 
--- a/dataplane/include/corkward/dataplane/regime_policy.h
+++ b/dataplane/include/corkward/dataplane/regime_policy.h
@@ -15,53 +15,59 @@
 using core::Milliseconds;
 using core::NameIndex;
 
-/// Replicas that have a certificate for a regime.
+/// The replicas that have a valid certificate for some regime.
 struct CertifiedReplicas {
   std::map<std::string, std::set<NameIndex>> byRegime;
-  /// Part of a replica's room that work of no regime leaves free: the largest of its regimes.
+  /// Fraction of each certified replica's capacity that requests without a regime must leave free. The largest value
+  /// counts if the replica is certified for several regimes.
   std::map<NameIndex, double> reservedFractions;
 
   void add(std::string const& regime, NameIndex replica, double reservedFraction);
   bool operator==(CertifiedReplicas const&) const = default;
 };
 
-/// Which regime binds which instance, and which replicas each may use. The empty name stands for work of no regime.
+/// Which regime each instance is bound to, and which replicas each regime may use. An empty regime name means that no
+/// regime applies.
 class RegimePolicy {
  public:
   void declare(config::Regimes regimes) { declared_ = std::move(regimes); }
   config::Regimes const& declared() const { return declared_; }
 
-  /// Binds an instance; its newest path decides. The empty name ends a binding.
+  /// Binds an instance to a regime; the latest call decides. An empty name unbinds the instance.
   void bind(NameIndex instance, std::string const& regime);
   void forget(NameIndex instance) { bindings_.erase(instance); }
-  /// Some path was bound to a regime since the start.
+  /// Some instance has been bound to a regime since the start of the process.
   bool anyBound() const { return anyBound_; }
   std::string const& regimeOf(NameIndex instance) const;
 
-  /// The certified replicas must be looked up again, since regimes, replicas or the wall clock changed.
+  /// Makes isStale() true. Call when regimes, replicas or the wall clock changed.
   void invalidate() { certifiedAt_ = -1; }
-  /// The certified replicas were looked up too long ago: certificates begin and end with time alone.
+  /// The certified replicas must be determined again. True at regular intervals too, because certificates become valid
+  /// and expire with time.
   bool isStale(Milliseconds now) const;
-  /// Takes the certified replicas as of now. True when they differ from those before.
+  /// Stores the replicas that are certified now. Returns true if they differ from the stored ones.
   bool update(Milliseconds now, CertifiedReplicas certified);
 
+  /// Requests of the regime may use the replica. Without a regime, they may use replicas that are not wholly reserved.
   bool mayUse(std::string const& regime, NameIndex replica) const;
-  /// Part of the replica's room that work of no regime leaves free; nothing: it has no certificate.
+  /// Fraction of the replica's capacity that requests without a regime must leave free. Returns std::nullopt if the
+  /// replica has no certificate.
   std::optional<double> reservedFraction(NameIndex replica) const;
-  /// What work of each regime that has certified replicas, and of none, may use of these.
+  /// The candidates that requests may use: by regime for each regime with certified replicas, and under the empty name
+  /// for requests without a regime.
   std::map<std::string, scaling::Candidates> candidatesByRegime(std::vector<scaling::Candidate> const& all) const;
 
  private:
   scaling::Candidates candidatesOf(std::string const& regime, std::vector<scaling::Candidate> const& all) const;
 
   config::Regimes declared_;
-  /// Never falls back to false.
+  /// Never reset to false.
   bool anyBound_ = false;
-  /// Empty until some path is bound.
+  /// Regime of each instance; an empty name if none. Instances are recorded only once anyBound_ is true.
   std::map<NameIndex, std::string> bindings_;
-  /// As of certifiedAt_.
+  /// Certified replicas as of certifiedAt_.
   CertifiedReplicas certified_;
-  /// Below zero: they must be looked up again.
+  /// Negative if the certified replicas must be determined again.
   Milliseconds certifiedAt_ = -1;
 };
 
--- a/dataplane/include/corkward/dataplane/roster.h
+++ b/dataplane/include/corkward/dataplane/roster.h
@@ -13,28 +13,29 @@
 
 using core::Milliseconds;
 
-/// The routers of the fleet as the newest roster names them, and whether this one has joined them.
+/// The routers of the fleet by the newest roster, and whether this router has joined them.
 class Roster {
  public:
   explicit Roster(std::string self) : self_(std::move(self)) {}
 
-  /// Takes a newer roster. A router that is neither on it for some time already nor on the one before it is joining:
-  /// the others may not know yet that it serves.
+  /// Replaces the roster by a newer one. A router that had not joined and was not on the previous roster is joining:
+  /// other routers may not know yet that it serves.
+  /// @param onPrevious this router is on the roster before the given one
   void load(Milliseconds now, std::uint64_t revision, std::vector<transport::Contact> const& contacts, bool onPrevious);
-  /// Ends the joining after this time, in milliseconds.
+  /// Completes joining once the newest roster has been in effect here for `joinTimeout`.
   void onTimer(Milliseconds now, Milliseconds joinTimeout);
-  /// All routers have the roster of that revision; 0: of none.
-  void onEveryoneHas(std::uint64_t revision);
+  /// Records that the roster of this revision is in effect on all routers, which completes joining. 0 if no roster is.
+  void onRolloutComplete(std::uint64_t revision);
 
-  /// 0: there is no roster yet.
+  /// 0 if there is no roster yet.
   std::uint64_t revision() const { return revision_; }
   std::size_t size() const { return size_; }
   std::string const& self() const { return self_; }
-  /// This router is on the roster, and the others know.
+  /// This router is on the roster and has completed joining.
   bool hasJoined() const { return includesSelf_ && !joining_; }
-  /// Links of the other routers.
+  /// Link addresses of the other routers.
   std::vector<std::string> const& others() const { return others_; }
-  /// Zones by link, this router's own among them; ages in heartbeats go in this order.
+  /// Zones by link address, including this router's. The ages in a PeerHeartbeat are in the order of this map.
   std::map<std::string, std::string> const& zones() const { return zones_; }
 
  private:
--- a/dataplane/include/corkward/dataplane/router_tuning.h
+++ b/dataplane/include/corkward/dataplane/router_tuning.h
@@ -16,79 +16,84 @@
   /// How long a serving lease lasts, counted from when it was requested.
   Milliseconds servingLeaseDuration = 1500;
   Milliseconds leaseRequestInterval = 300;
-  /// How often controllers are asked while no whole snapshot is applied yet.
+  /// Interval of requests to controllers until a complete snapshot is applied.
   Milliseconds snapshotRequestInterval = 50;
-  /// How often heartbeats are sent while a controller grants the lease, and while none does.
+  /// Interval of heartbeats to neighbours while a controller grants the lease (idle), and while none does.
   Milliseconds idleHeartbeatInterval = 1000;
   Milliseconds heartbeatInterval = 200;
-  /// How many neighbours are contacted in either state.
+  /// Number of neighbours while a controller grants the lease (idle), and while none does.
   std::size_t idleNeighbourCount = 2;
   std::size_t neighbourCount = 6;
-  /// How long a neighbour is kept before another takes its place.
+  /// How long a router stays a neighbour before another one replaces it.
   Milliseconds neighbourRotationPeriod = 10000;
-  /// How long an unresponsive peer is passed over while there are others.
+  /// How long an unresponsive controller or router is avoided while there are others.
   Milliseconds unresponsivePeerTimeout = 10000;
-  /// Controllers that are asked for leases, and how many at the most when some do not answer.
+  /// Number of responsive controllers that leases are requested from, and the most controllers that are contacted when
+  /// some do not respond.
   std::size_t controllerLinkCount = 2;
   std::size_t maxControllerLinks = 4;
   Milliseconds requestIdQueryTimeout = 500;
-  /// How long ids are remembered.
+  /// How long request ids are remembered.
   Milliseconds requestIdRetention = 600000;
-  /// How far back a router must remember to vouch for an id whose age is not said.
+  /// How far back a majority of the routers must remember request ids, to accept an id of unknown age as not executed
+  /// when no router knows it.
   Milliseconds minimumMemoryAge = 60000;
-  /// What is added to an age that is said: for the way, a slow head, and clocks whose rates differ.
+  /// Added to the age that a request states for its id. Covers network transit, slow arrival of the request's head, and
+  /// clocks that run at different rates.
   Milliseconds ageMargin = 15000;
-  /// How long after its start a router sends no clients here, and rejects ids of unsaid age when too few remember far
-  /// enough.
+  /// How long after its start a router is not ready. Also how far back a majority must remember request ids to accept
+  /// an id of unknown age, once all routers have replied.
   Milliseconds startupGracePeriod = 3000;
-  /// How far a majority must remember when others do not answer.
+  /// How far back a majority must remember request ids to accept an id of unknown age, if some routers did not reply.
   Milliseconds quorumMemoryWait = 10000;
-  /// How long a node that is new on the roster waits for the others to know of it, at the most.
+  /// Longest time that a router that is new on the roster waits until the others have that roster.
   Milliseconds joinTimeout = 10000;
   std::size_t maxRequestIds = 100000;
   Milliseconds connectTimeout = 700;
   Milliseconds connectFailureBackoff = 1500;
-  /// How long a replica that answered "not executed" is left alone.
+  /// How long a replica that answered "not executed" gets no further requests.
   Milliseconds overloadBackoff = 300;
   Milliseconds warmupRequestInterval = 400;
   Milliseconds warmupLeaseDuration = 1400;
   double queuedPerCapacity = 4.0;
   std::size_t minQueueLength = 8;
-  /// A request is queued for this many of its latency targets at the most.
+  /// Longest time that a request is queued, in multiples of its latency target.
   double maxQueueTargets = 2.0;
   double nodeLimitPerReplica = 8.0;
-  /// Seconds after which a caller is asked to come back when nothing better is known.
+  /// Retry-After in seconds if there is no better estimate.
   double defaultRetryAfter = 1.0;
-  /// The same, when its tenant is beyond its limit.
+  /// Retry-After in seconds if the request's tenant is over its limit.
   double quotaRetryAfter = 1.0;
-  /// A router in an evacuated zone says that it is not ready, though it goes on serving.
+  /// A router in an evacuated zone reports that it is not ready, but continues to serve requests.
   bool evacuationFailsReady = true;
-  /// A draining node goes on taking requests for this long, until callers are sent elsewhere.
+  /// How long a draining router still accepts requests, so that callers have time to switch to other routers.
   Milliseconds drainAcceptPeriod = 0;
-  /// When its work in hand is cut, counted from the begin of the drain: a request that would take longer than is left
-  /// is turned away. 0: not told.
+  /// Time from the start of the drain until running requests are aborted. A draining router rejects a request that is
+  /// expected to take longer than what is left. 0 if the limit is not known.
   Milliseconds drainTimeout = 0;
-  /// At the replica short prompts go ahead of long ones, whatever the path's own rank.
+  /// Replicas process short prompts before long ones, whatever the urgency of the path.
   bool prioritizeByPromptSize = false;
   std::int64_t shortPromptTokens = 4000;
   std::int64_t longPromptTokens = 16000;
-  /// Retries that all routers together may spend beyond their share, in ten seconds.
+  /// Retries in any ten seconds that all routers together may send beyond the fraction of first attempts that
+  /// scaling::RetryBudget allows.
   double retryAllowance = scaling::RetryBudget::allowance;
   int maxResumes = 2;
-  /// A stream in which nothing moves for this long is given up as broken.
+  /// A stream without any progress for this long is treated as broken.
   Milliseconds streamIdleTimeout = 10000;
-  /// A router whose roster is smaller than this cannot stand on its neighbours alone.
+  /// With a roster smaller than this, quorum contact among routers does not replace a controller's grant.
   std::size_t minRosterSize = 3;
-  /// False: whoever has a whole snapshot serves on, without confirmations, roster or joining wait; for callers whose
-  /// own rules bound how old a configuration may be. The first snapshot of a life still comes from a controller that
-  /// was in contact with a majority after it was asked, or from neighbours once a majority of the roster was heard.
+  /// If false, a router with a complete snapshot serves without lease, roster and joining. For deployments whose own
+  /// rules bound how old a configuration may be. The first snapshot of an incarnation still comes from a controller
+  /// that had quorum contact after the request, or from neighbours once this router has had recent quorum contact
+  /// itself.
   bool leaseRequired = true;
-  /// Records of regimes' work can be kept here; without them nothing of a regime is handed on.
+  /// Audit records can be written here. Without them this router dispatches no request of a regime.
   bool auditRecordsAvailable = false;
-  /// A stream of the whole configuration's paths is cut this long after its deadline, which the replica's own end may
-  /// take to arrive.
+  /// A stream on a path of the fleet configuration is aborted this long after its deadline. The time allows the end of
+  /// the stream, which the replica sends at the deadline, to arrive.
   Milliseconds deadlineGracePeriod = 100;
-  /// What tenants may send beyond their limits.
+  /// Amount that tenants may send beyond their limits.
   quota::OverdraftAllowance overdraftAllowance;
   scaling::ScalerParameters scalerParameters = scaling::defaultScalerParameters;
 };
--- a/dataplane/include/corkward/dataplane/serving_lease.h
+++ b/dataplane/include/corkward/dataplane/serving_lease.h
@@ -13,57 +13,61 @@
 
 using core::Milliseconds;
 
-/// What allows this router to serve: grants of controllers, and the other routers whose configuration it is known to
-/// have. Both count only once this router has in force what they name.
+/// The conditions under which this router may serve: lease grants of controllers, or contact with a quorum of the
+/// roster's routers. A grant or contact counts only once the configuration that it names is in effect here.
 class ServingLease {
  public:
   void start(Milliseconds now) { startedAt_ = now; }
-  /// A controller sent the whole configuration.
+  /// Records that a controller sent the complete configuration.
   void onControllerSnapshot() { confirmedByController_ = true; }
-  /// A controller's grant, which holds from the time at which its quorum was sure of it. It counts from the next
-  /// refresh on.
+  /// Records a controller's grant. It counts from the next refresh() on.
+  /// @param grantedAt when the controller last had quorum contact; the lease duration is measured from then
   void onGrant(std::string const& controller, Milliseconds grantedAt, transport::Digest const& digest,
                transport::Revisions const& revisions);
-  /// A router's reply to a heartbeat of this one.
+  /// Handles another router's reply to a heartbeat of this router.
   void onHeartbeatReply(std::string const& from, transport::PeerHeartbeat const& reply,
                         ConfigurationState const& configuration, Roster const& roster);
-  /// The configuration in force or a grant changed: counts what is covered now.
+  /// Counts grants and replies whose configuration is in effect here by now. Call when the configuration or a grant
+  /// changed.
   void refresh(ConfigurationState const& configuration, Roster const& roster);
 
-  /// A grant that counts is not older than this, in milliseconds.
+  /// Some grant that counts is at most `age` milliseconds old.
   bool isGrantedWithin(Milliseconds now, Milliseconds age) const;
-  /// A majority of the roster was heard within this time, in milliseconds.
+  /// This router had contact with a majority of the roster within the last `age` milliseconds. It counts itself once a
+  /// controller has confirmed the configuration of this incarnation.
   bool hasRecentQuorumContact(Milliseconds now, Milliseconds age, Roster const& roster) const;
-  /// How long ago each router of the roster was heard, in units of transport::ageUnit, one byte each.
+  /// Time since the last contact with each router of the roster, in units of transport::ageUnit and one byte each. See
+  /// transport::PeerHeartbeat::ages.
   std::string encodeAges(Milliseconds now, Milliseconds maxAge, Roster const& roster) const;
 
-  /// Forgets what is older than that time.
+  /// Removes grants, replies and contacts that are older than `oldest`.
   void forgetBefore(Milliseconds oldest);
-  std::size_t size() const { return grants_.size() + pendingReplies_.size() + heardAt_.size(); }
+  std::size_t size() const { return grants_.size() + pendingReplies_.size() + lastContactAt_.size(); }
 
  private:
   struct Grant {
-    /// Of the newest grant, with the configuration that it is for; below zero: none.
+    /// Time of the newest grant; `digest` and `revisions` are the configuration that it names. Negative if there is
+    /// none.
     Milliseconds grantedAt = -1;
     transport::Digest digest;
     transport::Revisions revisions;
-    /// Of the newest grant whose configuration was in force here; below zero: none.
-    Milliseconds usefulAt = -1;
+    /// Time of the newest grant whose configuration was in effect here. Negative if there is none.
+    Milliseconds validAt = -1;
   };
 
-  void recordHeard(std::string const& link, Milliseconds at);
+  void recordContact(std::string const& link, Milliseconds at);
   void recordReply(std::string const& from, transport::PeerHeartbeat const& reply, Roster const& roster);
 
   Milliseconds startedAt_ = 0;
-  /// A controller confirmed this incarnation's configuration. Until then this router is none of the majority that it
-  /// has heard: its incarnation before may have been counted for a change that it lacks now.
+  /// A controller has confirmed the configuration of this incarnation. Until then this router does not count itself
+  /// towards the majority: its previous incarnation may have been counted for a change that this one lacks.
   bool confirmedByController_ = false;
-  /// By the controller's link.
+  /// Grants by the controller's link address.
   std::map<std::string, Grant> grants_;
-  /// Newest reply of each router that names what is not in force here yet.
+  /// Newest reply of each router whose configuration is not in effect here yet.
   std::map<std::string, transport::PeerHeartbeat> pendingReplies_;
-  /// Newest time at which that router had nothing in force that this one lacks now.
-  std::map<std::string, Milliseconds> heardAt_;
+  /// For each router, the newest time at which it had no configuration in effect that this router lacks now.
+  std::map<std::string, Milliseconds> lastContactAt_;
 };
 
 }  // namespace corkward::dataplane
--- a/dataplane/include/corkward/dataplane/tenants.h
+++ b/dataplane/include/corkward/dataplane/tenants.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Tenants at one router: who sends a request, by its key, and whether the tenant's limit lets it go on. A reducer of
-/// its own: a request goes on by what this router was lent of the limit, or waits one round trip for a single amount.
+/// Tenants at one router: which tenant sends a request, by its key, and whether the tenant's limit admits the request.
+/// A request is admitted against this router's allocation of the limit, or waits one round trip until the coordinator
+/// grants a single amount. The coordinator of a tenant is the controller that owns the tenant's partition.
 
 #include <cstdint>
 #include <map>
@@ -19,89 +20,107 @@
 
 using core::Milliseconds;
 
-/// What a tenant's limit says of a request. Refused by the share that routers may admit of its requests, by a lender
-/// that has too little left, or because no lender answers and this router has too little.
-enum class Admission { granted, pending, rejectedByAllocation, rejectedByCoordinator, rejectedWithoutCoordinator };
+/// Result of checking a request against its tenant's limit.
+enum class Admission {
+  granted,
+  /// The request waits for an amount from the coordinator.
+  pending,
+  /// The request is not in the fraction of the tenant's requests that routers may admit.
+  rejectedByAllocation,
+  /// The coordinator has too little left.
+  rejectedByCoordinator,
+  /// No coordinator replies, and this router has too little left.
+  rejectedWithoutCoordinator,
+};
 
-/// What became of a request that waited for its amount.
+/// Decision on a request that waited for its amount.
 struct QuotaDecision {
   std::uint64_t call = 0;
   Admission admission = Admission::granted;
-  /// When the amount was taken, at the earliest; see quota::handOverWithin.
+  /// Earliest time at which the amount may have been taken. quota::maxDispatchDelay counts from here.
   Milliseconds amountTakenAt = 0;
 };
 
-/// The tenants of the whole configuration, the gates of their limits, and the reports to the controllers that lend.
+/// The tenants of the fleet configuration, their rate limiters, and the usage reports to the coordinators.
 class Tenants {
  public:
-  /// Life: number of this process's run.
-  Tenants(std::string link, std::uint64_t life, std::uint64_t seed, quota::OverdraftAllowance const& slack);
+  /// @param link this router's link address
+  /// @param incarnation number of this start of the router
+  Tenants(std::string link, std::uint64_t incarnation, std::uint64_t seed, quota::OverdraftAllowance const& allowance);
 
-  /// The tenants of the configuration in force; gates of tenants that stay are kept.
+  /// Replaces the tenants. The rate limiter of a tenant that still has a limit keeps its state.
   void configure(std::vector<config::Tenant> tenants);
-  /// Whether requests need a key at all.
+  /// Whether any tenant is configured, so that requests need a key.
   bool required() const { return !tenants_.empty(); }
-  /// Whose key that is; null: nobody's.
+  /// The tenant that the key belongs to. Null if it belongs to none.
   config::Tenant const* byKey(std::string const& key) const;
-  /// Members of the control plane, and how many routers there are.
+  /// Sets the link addresses of the control plane's members and the number of routers.
   void setMembers(std::vector<std::string> const& controllers, std::size_t routers);
 
-  /// What a request counts as against its tenant's limit; tokens: what it says that it has, if it says so.
+  /// The amount that a request counts as against its tenant's limit.
+  /// @param tokens the request's number of tokens, if the request states it
   static double amountOf(config::Tenant const& tenant, std::optional<std::int64_t> tokens);
-  /// Takes the amount out of the tenant's limit, or asks its lender for it.
+  /// Takes the amount out of the tenant's limit, or requests it from the coordinator.
   Admission admit(Milliseconds now, std::uint64_t call, config::Tenant const& tenant, double amount,
                   std::vector<transport::Send>& out);
-  /// Takes the amount at once or not at all: for a further run of a request, or one that waited too long.
+  /// Takes the amount if it is available at once. Returns false if it is not. For a retry of a request, or for a
+  /// request whose first amount was taken too long ago.
   bool takeAmount(Milliseconds now, std::string const& tenant, double amount);
-  /// An amount that was taken is not used.
+  /// Returns an amount that was taken and not used.
   void returnAmount(Milliseconds now, std::string const& tenant, double amount);
 
   std::vector<QuotaDecision> onMessage(Milliseconds now, std::string const& from, quota::QuotaGrants const& message,
                                        std::vector<transport::Send>& out);
-  /// A new lender asks which loans of its parts are held here.
+  /// Handles the query of a new coordinator. The reply lists this router's allocations of its partitions.
   transport::Send onMessage(Milliseconds now, std::string const& from, quota::AllocationQuery const& message);
-  /// Reports that are due, and requests that have waited long enough.
+  /// Sends the reports that are due, and decides on requests that have waited too long.
   std::vector<QuotaDecision> onTimer(Milliseconds now, std::vector<transport::Send>& out);
 
  private:
-  struct Limited {
+  struct LimitedTenant {
     quota::QuotaLimiter limiter;
     quota::Limit limit;
-    /// The lender had too little for the last request that asked; others are not asked for until then.
+    /// The coordinator had too little left for the last requested amount. No amount is requested before this time.
     Milliseconds depletedUntil = 0;
   };
-  struct Waiting {
+  struct WaitingRequest {
     std::uint64_t call = 0;
     std::string tenant;
     double amount = 0;
     Milliseconds since = 0;
-    int queries = 0;
+    /// Reports that were sent for this request.
+    int attempts = 0;
   };
-  /// A report whose answer is still to come.
+  /// A report that has not been replied to.
   struct PendingReport {
-    Milliseconds at = 0;
+    Milliseconds sentAt = 0;
     std::string coordinator;
-    std::vector<Waiting> waiting;
+    /// Requests that wait for an amount of the reply.
+    std::vector<WaitingRequest> waiting;
   };
-  /// What is known of a controller as a lender.
+  /// Responsiveness of a controller that reports were sent to.
   struct CoordinatorLink {
-    /// First report that has had no answer; below 0: none.
+    /// When the first unanswered report was sent. Negative if there is none.
     Milliseconds firstUnansweredAt = -1;
-    /// When it was last found silent; below 0: never.
+    /// When the controller's reply last timed out. Negative if it never did.
     Milliseconds timedOutAt = -1;
   };
-  Limited* limited(std::string const& tenant);
+  /// The tenant's limiter. Null if the tenant has no limit.
+  LimitedTenant* findLimited(std::string const& tenant);
+  /// A random number from 0 to 1.
   double randomFraction();
   void detectTimeouts(Milliseconds now);
   bool isUnresponsive(Milliseconds now, std::string const& link) const;
-  /// Whom to ask for a partition; empty: nobody answers.
+  /// The controller to ask for a partition: the announced owner, or else the responsive controller with the lowest
+  /// ownerRank. Empty if the partition is known to have no owner or no controller is responsive.
   std::string coordinatorOf(Milliseconds now, std::uint64_t partition) const;
-  /// Sends a report of one tenant with the amount that a request waits for. False: there is nobody to ask.
-  bool requestAmount(Milliseconds now, Waiting waiting, std::vector<transport::Send>& out);
-  void send(Milliseconds now, std::string const& coordinator, std::vector<quota::TenantUsage> uses,
-            std::vector<Waiting> waiting, std::vector<transport::Send>& out);
-  /// Decides on a request for which no amount came.
-  QuotaDecision decideWithoutCoordinator(Milliseconds now, Waiting const& waiting);
+  /// Sends a report of one tenant that requests the amount. Returns false if there is no coordinator to ask or the
+  /// attempts are used up.
+  bool requestAmount(Milliseconds now, WaitingRequest waiting, std::vector<transport::Send>& out);
+  void send(Milliseconds now, std::string const& coordinator, std::vector<quota::TenantUsage> usages,
+            std::vector<WaitingRequest> waiting, std::vector<transport::Send>& out);
+  /// Decides on a request whose coordinator did not reply, by what this router may spend without an allocation.
+  QuotaDecision decideWithoutCoordinator(Milliseconds now, WaitingRequest const& waiting);
   void sendReports(Milliseconds now, std::vector<transport::Send>& out);
 
   std::string link_;
@@ -110,19 +129,20 @@
   quota::OverdraftAllowance overdraftAllowance_;
   std::vector<config::Tenant> tenants_;
   std::unordered_map<std::string, std::size_t> byKey_;
-  std::map<std::string, Limited> limiters_;
+  std::map<std::string, LimitedTenant> limiters_;
   std::vector<std::string> controllers_;
   quota::UnallocatedShare unallocatedShare_;
   std::map<std::string, CoordinatorLink> coordinators_;
-  /// Who was said to lend a part; empty: nobody.
+  /// Link address of the coordinator of each partition, as announced by a controller.
   std::map<std::uint64_t, std::string> announcedOwners_;
-  /// Nobody lends these parts; that is asked again then.
+  /// Partitions that have no owner, and when an owner is asked for again.
   std::map<std::uint64_t, Milliseconds> ownerlessUntil_;
   std::map<std::uint64_t, PendingReport> pendingReports_;
-  std::uint64_t nextReport_ = 1;
-  /// First report of each part whose answer counts, since a new lender was told of the loans before it.
-  std::map<std::uint64_t, std::uint64_t> countsFrom_;
-  Milliseconds reportAt_ = 0;
+  std::uint64_t nextReportNumber_ = 1;
+  /// By partition, the number of the first report whose reply counts. Replies to earlier reports are ignored, because
+  /// a new coordinator has been told of this router's allocations since.
+  std::map<std::uint64_t, std::uint64_t> firstValidReport_;
+  Milliseconds nextReportAt_ = 0;
 };
 
 }  // namespace corkward::dataplane
--- a/dataplane/include/corkward/dataplane/wall_clock.h
+++ b/dataplane/include/corkward/dataplane/wall_clock.h
@@ -10,17 +10,17 @@
 
 using core::Milliseconds;
 
-/// Wall time (milliseconds since 1970) at each time on the boot clock, which never goes back.
+/// Converts times on the boot clock to wall time (milliseconds since 1970). The resulting wall time never goes back.
 class WallClock {
  public:
-  /// Tells the wall time at a time on the boot clock. True when it is the first one, or more than a second ahead of
-  /// what was expected.
+  /// Sets the wall time at `now` on the boot clock. Returns true if it is the first one, or if it is more than a second
+  /// ahead of the wall time expected by earlier calls.
   bool set(Milliseconds now, std::int64_t wall);
-  /// Nothing before it was told.
+  /// Returns std::nullopt before the first call of set().
   config::WallTime at(Milliseconds now) const;
 
  private:
-  /// Most that wall time was ahead of the boot clock; never falls.
+  /// Largest difference seen between wall time and boot clock. Never decreases.
   std::optional<std::int64_t> offset_;
 };
 
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -1,5 +1,5 @@
-// The configuration in force: updates from controllers and neighbours, the platform's endpoint lists, and hints of
-// what leaves them.
+// Keeps the configuration in effect up to date: updates from controllers and neighbours, endpoint lists that the
+// platform sends, and hints about replicas that newer endpoint lists remove.
 #include <QJsonArray>
 #include <algorithm>
 
@@ -12,13 +12,13 @@
 
 void RequestRouter::applyEntries(RouterCommands& out, Milliseconds now,
                                  std::vector<transport::CommittedEntry> const& items) {
-  bool any = false;
+  bool anyApplied = false;
   for (transport::CommittedEntry const& item : items) {
     if (item.revision <= revisionOf(item.key)) continue;
     applyEntry(out, now, item);
-    any = true;
+    anyApplied = true;
   }
-  if (!any) return;
+  if (!anyApplied) return;
   configuration_.recordDigest();
   servingLease_.refresh(configuration_, roster_);
   regimePolicy_.invalidate();
@@ -49,10 +49,10 @@
 void RequestRouter::applyFleetConfiguration(QJsonObject const& value) {
   config::FleetConfiguration const fleet = config::readFleetConfiguration(value.value("spec").toObject());
   routes_.remove(config::fleetConfigurationKey);
-  for (config::Path const& p : fleet.paths)
-    addRoute(config::fleetConfigurationKey, p.host + p.prefix, p, fleetInstance);
+  for (config::Path const& path : fleet.paths)
+    addRoute(config::fleetConfigurationKey, path.host + path.prefix, path, fleetInstance);
   for (PoolView& view : pools_) view.settings.reset();
-  for (config::PoolSettings const& t : fleet.pools) pools_[poolIndex(t.name)].settings = t;
+  for (config::PoolSettings const& settings : fleet.pools) pools_[poolIndex(settings.name)].settings = settings;
   httpLimits_ = fleet.http;
   tenants_.configure(fleet.tenants);
 }
@@ -60,8 +60,8 @@
 void RequestRouter::applyEntry(RouterCommands& out, Milliseconds now, transport::CommittedEntry const& item) {
   try {
     applyValue(now, item);
-  } catch (core::Error const& e) {
-    logEvent(out, now, events::entryRejected, {{"key", item.key}, {"error", e.what()}});
+  } catch (core::Error const& error) {
+    logEvent(out, now, events::entryRejected, {{"key", item.key}, {"error", error.what()}});
     return;
   }
   configuration_.set(item);
@@ -138,11 +138,13 @@
 void RequestRouter::refreshRemovalHint(PoolView& view) {
   if (view.hint.generation <= view.listGeneration) view.hint = transport::EndpointRemovalHint{};
   std::set<std::string> const serving(view.hint.serving.begin(), view.hint.serving.end());
-  std::set<std::string> const cold(view.hint.cold.begin(), view.hint.cold.end());
-  for (NameIndex const r : view.replicas) {
-    std::string const life = config::incarnationName(config::Replica{replicas_[r].id, replicas_[r].address, {}, {}});
-    bool const mayWarm = replicas_[r].state == config::ReplicaState::warmingUp && cold.count(life) > 0;
-    replicas_[r].unreachable = view.hint.generation > 0 && serving.count(life) == 0 && !mayWarm;
+  std::set<std::string> const warmingUp(view.hint.cold.begin(), view.hint.cold.end());
+  for (NameIndex const index : view.replicas) {
+    std::string const incarnation =
+        config::incarnationName(config::Replica{replicas_[index].id, replicas_[index].address, {}, {}});
+    bool const staysWarmingUp =
+        replicas_[index].state == config::ReplicaState::warmingUp && warmingUp.count(incarnation) > 0;
+    replicas_[index].unreachable = view.hint.generation > 0 && serving.count(incarnation) == 0 && !staysWarmingUp;
   }
 }
 
@@ -162,56 +164,56 @@
 }
 
 std::vector<transport::EndpointRemovalHint> RequestRouter::removalHints() const {
-  std::vector<transport::EndpointRemovalHint> out;
+  std::vector<transport::EndpointRemovalHint> hints;
   for (PoolView const& view : pools_)
-    if (view.hint.generation > 0) out.push_back(view.hint);
-  return out;
+    if (view.hint.generation > 0) hints.push_back(view.hint);
+  return hints;
 }
 
 RouterCommands RequestRouter::onEndpointList(Milliseconds now, CallId call, std::string const& pool,
                                              std::string const& body) {
   RouterCommands out;
-  EndpointListResponse answer;
-  answer.call = call;
+  EndpointListResponse response;
+  response.call = call;
   try {
-    QJsonValue const v = core::parseJson(body);
-    if (!v.isObject()) throw core::JsonError("must be an object");
-    config::EndpointList const list = config::readEndpointList(v.toObject());
+    QJsonValue const json = core::parseJson(body);
+    if (!json.isObject()) throw core::JsonError("must be an object");
+    config::EndpointList const list = config::readEndpointList(json.toObject());
     bool const known = configuration_.has("pool:" + pool);
-    std::uint64_t const have = known ? pools_[poolNames_.intern(pool)].listGeneration : 0;
-    std::uint64_t const newest = known ? std::max(have, pools_[poolNames_.intern(pool)].hint.generation) : 0;
+    std::uint64_t const active = known ? pools_[poolNames_.intern(pool)].listGeneration : 0;
+    std::uint64_t const newest = known ? std::max(active, pools_[poolNames_.intern(pool)].hint.generation) : 0;
     if (list.generation < newest) {
-      answer.status = 409;
-      answer.body = {{"error", "older generation"},
-                     {"reason", core::toQString("the list known here has generation " + std::to_string(newest))}};
-    } else if (list.generation == have) {
-      answer.body = {{"generation", static_cast<qint64>(have)}, {"inForce", true}};
+      response.status = 409;
+      response.body = {{"error", "older generation"},
+                       {"reason", core::toQString("the list known here has generation " + std::to_string(newest))}};
+    } else if (list.generation == active) {
+      response.body = {{"generation", static_cast<qint64>(active)}, {"inForce", true}};
     } else {
       transport::EndpointRemovalHint hint{pool, list.generation, {}, {}};
-      for (config::Replica const& r : list.replicas) {
-        if (r.state == config::ReplicaState::serving) hint.serving.push_back(config::incarnationName(r));
-        if (r.state == config::ReplicaState::warmingUp) hint.cold.push_back(config::incarnationName(r));
+      for (config::Replica const& replica : list.replicas) {
+        if (replica.state == config::ReplicaState::serving) hint.serving.push_back(config::incarnationName(replica));
+        if (replica.state == config::ReplicaState::warmingUp) hint.cold.push_back(config::incarnationName(replica));
       }
       on(out, now, "", hint);
-      answer.status = 504;
-      answer.body = {
+      response.status = 504;
+      response.body = {
           {"error", "pending"},
           {"pending", true},
           {"inForce", false},
           {"generation", static_cast<qint64>(list.generation)},
           {"reason", "what the list takes away is out of use here; the rest waits for a majority of the disks"}};
     }
-  } catch (core::JsonError const& e) {
-    answer.status = 400;
-    answer.body = {{"error", "malformed"}, {"reason", e.what()}, {"pointer", "/"}};
-  } catch (config::ConfigError const& e) {
-    answer.status = 422;
-    answer.body = {{"error", "not a valid list"},
-                   {"reason", core::toQString(e.reason())},
-                   {"pointer", core::toQString(e.pointer())}};
+  } catch (core::JsonError const& error) {
+    response.status = 400;
+    response.body = {{"error", "malformed"}, {"reason", error.what()}, {"pointer", "/"}};
+  } catch (config::ConfigError const& error) {
+    response.status = 422;
+    response.body = {{"error", "not a valid list"},
+                     {"reason", core::toQString(error.reason())},
+                     {"pointer", core::toQString(error.pointer())}};
   }
-  countMetric(now, "list_told_" + std::to_string(answer.status), pool);
-  out.calls.push_back(std::move(answer));
+  countMetric(now, "list_told_" + std::to_string(response.status), pool);
+  out.calls.push_back(std::move(response));
   return out;
 }
 
@@ -231,10 +233,10 @@
   transport::ConfigurationAck ack{
       m.number, partialView_.self().link, partialView_.self().incarnation, {}, configuration_.digest()};
   if (!m.isSnapshot)
-    for (transport::CommittedEntry const& i : m.entries) ack.revisions[i.key] = revisionOf(i.key);
-  std::set<std::string> to(controllerLinks_.chosen().begin(), controllerLinks_.chosen().end());
-  if (m.number > 0) to.insert(from);
-  for (std::string const& s : to) out.sends.push_back(transport::Send{s, ack});
+    for (transport::CommittedEntry const& entry : m.entries) ack.revisions[entry.key] = revisionOf(entry.key);
+  std::set<std::string> recipients(controllerLinks_.chosen().begin(), controllerLinks_.chosen().end());
+  if (m.number > 0) recipients.insert(from);
+  for (std::string const& link : recipients) out.sends.push_back(transport::Send{link, ack});
 }
 
 void RequestRouter::adoptSnapshot(RouterCommands& out, Milliseconds now, std::string const& from) {
@@ -248,10 +250,10 @@
   if (!applyRemovalHint(out, now, m)) return;
   std::vector<std::string> others = otherRouters();
   for (std::size_t i = others.size(); i > 1; --i) std::swap(others[i - 1], others[rng_.below(i)]);
-  std::set<std::string> to(
+  std::set<std::string> recipients(
       others.begin(), others.begin() + static_cast<std::ptrdiff_t>(std::min(others.size(), tuning_.neighbourCount)));
-  to.insert(controllerLinks_.chosen().begin(), controllerLinks_.chosen().end());
-  for (std::string const& link : to) out.sends.push_back(transport::Send{link, m});
+  recipients.insert(controllerLinks_.chosen().begin(), controllerLinks_.chosen().end());
+  for (std::string const& link : recipients) out.sends.push_back(transport::Send{link, m});
 }
 
 void RequestRouter::sendMissing(RouterCommands& out, std::string const& to, transport::Revisions const& have) const {
--- a/dataplane/src/controller_links.cpp
+++ b/dataplane/src/controller_links.cpp
@@ -5,23 +5,23 @@
 namespace corkward::dataplane {
 
 void ControllerLinks::choose(Milliseconds now, std::vector<Candidate> const& known, RouterTuning const& tuning) {
-  Milliseconds const patience = 2 * tuning.leaseRequestInterval + tuning.leaseRequestInterval / 2;
-  noteTimeouts(now, patience);
+  Milliseconds const replyTimeout = 2 * tuning.leaseRequestInterval + tuning.leaseRequestInterval / 2;
+  detectTimeouts(now, replyTimeout);
   std::map<Rank, std::string> const ranked = rank(now, known, tuning.unresponsivePeerTimeout);
   chosen_.clear();
-  std::size_t useful = 0;
-  for (auto const& [place, name] : ranked) {
-    if (useful >= tuning.controllerLinkCount || chosen_.size() >= tuning.maxControllerLinks) break;
+  std::size_t responsive = 0;
+  for (auto const& [order, name] : ranked) {
+    if (responsive >= tuning.controllerLinkCount || chosen_.size() >= tuning.maxControllerLinks) break;
     Link const& link = links_.at(name);
-    useful += link.lastUsefulAt >= 0 && now - link.lastUsefulAt <= patience ? 1 : 0;
+    responsive += link.lastUsefulAt >= 0 && now - link.lastUsefulAt <= replyTimeout ? 1 : 0;
     chosen_.push_back(name);
   }
 }
 
-void ControllerLinks::noteTimeouts(Milliseconds now, Milliseconds patience) {
+void ControllerLinks::detectTimeouts(Milliseconds now, Milliseconds replyTimeout) {
   for (std::string const& name : chosen_) {
     Link& link = links_[name];
-    if (link.firstUnansweredAt < 0 || now - link.firstUnansweredAt <= patience) continue;
+    if (link.firstUnansweredAt < 0 || now - link.firstUnansweredAt <= replyTimeout) continue;
     link.timedOutAt = now;
     link.firstUnansweredAt = -1;
   }
@@ -29,23 +29,23 @@
 
 std::map<ControllerLinks::Rank, std::string> ControllerLinks::rank(Milliseconds now,
                                                                    std::vector<Candidate> const& known,
-                                                                   Milliseconds timeout) {
+                                                                   Milliseconds unresponsiveTimeout) {
   std::map<Rank, std::string> ranked;
   for (Candidate const& candidate : known) {
     Link const& link = links_[candidate.link];
-    bool const unresponsive = link.timedOutAt >= 0 && now - link.timedOutAt < timeout;
+    bool const unresponsive = link.timedOutAt >= 0 && now - link.timedOutAt < unresponsiveTimeout;
     ranked[{unresponsive ? link.timedOutAt : 0, !candidate.sameZone, candidate.hash}] = candidate.link;
   }
   return ranked;
 }
 
 bool ControllerLinks::onRequest(Milliseconds now, std::string const& link) {
-  Link& asked = links_[link];
-  asked.requestedAt = now;
-  if (asked.firstUnansweredAt < 0) asked.firstUnansweredAt = now;
-  if (!asked.revisionsWanted) return false;
-  asked.revisionsWanted = false;
-  asked.revisionsSentAt = now;
+  Link& controller = links_[link];
+  controller.requestedAt = now;
+  if (controller.firstUnansweredAt < 0) controller.firstUnansweredAt = now;
+  if (!controller.revisionsWanted) return false;
+  controller.revisionsWanted = false;
+  controller.revisionsSentAt = now;
   return true;
 }
 
--- a/dataplane/src/neighbour_links.cpp
+++ b/dataplane/src/neighbour_links.cpp
@@ -13,9 +13,9 @@
   while (links_.size() > count)
     links_.erase(std::next(links_.begin(), static_cast<std::ptrdiff_t>(random.below(links_.size()))));
   while (links_.size() < count && !others.empty()) {
-    auto const near = static_cast<std::size_t>(std::count_if(
+    auto const inSameZone = static_cast<std::size_t>(std::count_if(
         links_.begin(), links_.end(), [&](auto const& link) { return peers.sameZone.count(link.first) > 0; }));
-    addOneOf(others, now, 3 * near < count, peers, tuning, random);
+    addOneOf(others, now, 3 * inSameZone < count, peers, tuning, random);
   }
   std::vector<std::string> chosen;
   chosen.reserve(links_.size());
@@ -27,9 +27,9 @@
                                RouterTuning const& tuning) {
   std::erase_if(links_, [&](auto const& entry) {
     auto const& [name, link] = entry;
-    bool const silent = link.firstUnansweredAt >= 0 && now - link.firstUnansweredAt > interval + interval / 2;
-    if (silent) unresponsiveSince_[name] = now;
-    return silent || now - link.openedAt > tuning.neighbourRotationPeriod ||
+    bool const unresponsive = link.firstUnansweredAt >= 0 && now - link.firstUnansweredAt > interval + interval / 2;
+    if (unresponsive) unresponsiveSince_[name] = now;
+    return unresponsive || now - link.openedAt > tuning.neighbourRotationPeriod ||
            !std::binary_search(peers.links.begin(), peers.links.end(), name);
   });
 }
@@ -53,8 +53,8 @@
     return (peers.sameZone.count(name) > 0) == sameZone && !isUnresponsive(now, name, tuning.unresponsivePeerTimeout);
   });
   if (next == others.end()) next = others.begin();
-  auto const head = random.below(static_cast<std::uint64_t>(tuning.neighbourRotationPeriod / 2));
-  links_[*next].openedAt = now - static_cast<Milliseconds>(head);
+  auto const headStart = random.below(static_cast<std::uint64_t>(tuning.neighbourRotationPeriod / 2));
+  links_[*next].openedAt = now - static_cast<Milliseconds>(headStart);
   others.erase(next);
 }
 
--- a/dataplane/src/peers.cpp
+++ b/dataplane/src/peers.cpp
@@ -1,4 +1,4 @@
-// The roster, the choice of controllers and neighbours, and the heartbeats.
+// Loads the roster, chooses controllers and neighbours, and exchanges heartbeats with other routers.
 #include <QJsonArray>
 #include <algorithm>
 
@@ -11,17 +11,18 @@
 void RequestRouter::loadRoster(Milliseconds now, std::uint64_t revision, QJsonObject const& value) {
   std::vector<transport::Contact> const contacts = gossip::rosterContacts(value);
   bool onPrevious = false;
-  for (QJsonValue const v : value.value("previous").toArray())
-    onPrevious = onPrevious || core::toStdString(v.toObject().value("link").toString()) == roster_.self();
+  for (QJsonValue const previous : value.value("previous").toArray())
+    onPrevious = onPrevious || core::toStdString(previous.toObject().value("link").toString()) == roster_.self();
   partialView_.setRoster(revision, contacts);
   roster_.load(now, revision, contacts, onPrevious);
 }
 
 std::vector<std::string> RequestRouter::controllers(Milliseconds now) const {
-  std::set<std::string> out;
-  out.insert(membershipLinks_.begin(), membershipLinks_.end());
-  for (transport::Contact const& c : partialView_.ofRole(transport::controllerRole, now)) out.insert(c.link);
-  return std::vector<std::string>(out.begin(), out.end());
+  std::set<std::string> links;
+  links.insert(membershipLinks_.begin(), membershipLinks_.end());
+  for (transport::Contact const& contact : partialView_.ofRole(transport::controllerRole, now))
+    links.insert(contact.link);
+  return std::vector<std::string>(links.begin(), links.end());
 }
 
 void RequestRouter::chooseControllers(Milliseconds now) {
@@ -59,27 +60,28 @@
 }
 
 void RequestRouter::sendHeartbeats(RouterCommands& out, Milliseconds now) {
-  bool const lacking =
+  bool const lacksControllers =
       tuning_.leaseRequired ? !servingLease_.isGrantedWithin(now, 2 * tuning_.leaseRequestInterval) : !snapshotApplied_;
-  Milliseconds const every = lacking ? tuning_.heartbeatInterval : tuning_.idleHeartbeatInterval;
-  if (now - lastHeartbeatAt_ < every) return;
+  Milliseconds const interval = lacksControllers ? tuning_.heartbeatInterval : tuning_.idleHeartbeatInterval;
+  if (now - lastHeartbeatAt_ < interval) return;
   lastHeartbeatAt_ = now;
   transport::PeerHeartbeat heartbeat;
   heartbeat.sentAt = now;
   heartbeat.hasSnapshot = snapshotApplied_;
   heartbeat.link = partialView_.self().link;
   heartbeat.digest = configuration_.digest();
-  heartbeat.wantsAges = lacking;
+  heartbeat.wantsAges = lacksControllers;
   heartbeat.removalHints = removalHints();
   bool const wantSnapshot = !snapshotApplied_ && !snapshotSeen_ && now - startedAt_ > 2000;
-  std::vector<std::string> const to =
-      neighbourLinks_.choose(now, lacking ? tuning_.neighbourCount : tuning_.idleNeighbourCount, every,
+  std::vector<std::string> const neighbours =
+      neighbourLinks_.choose(now, lacksControllers ? tuning_.neighbourCount : tuning_.idleNeighbourCount, interval,
                              neighbourCandidates(now), tuning_, rng_);
-  std::size_t const asked = wantSnapshot && !to.empty() ? rng_.below(to.size()) : to.size();
-  for (std::size_t i = 0; i < to.size(); ++i) {
-    neighbourLinks_.onHeartbeatSent(now, to[i]);
-    heartbeat.wantsSnapshot = i == asked;
-    out.sends.push_back(transport::Send{to[i], heartbeat});
+  std::size_t const snapshotSource =
+      wantSnapshot && !neighbours.empty() ? rng_.below(neighbours.size()) : neighbours.size();
+  for (std::size_t i = 0; i < neighbours.size(); ++i) {
+    neighbourLinks_.onHeartbeatSent(now, neighbours[i]);
+    heartbeat.wantsSnapshot = i == snapshotSource;
+    out.sends.push_back(transport::Send{neighbours[i], heartbeat});
   }
 }
 
--- a/dataplane/src/readiness.cpp
+++ b/dataplane/src/readiness.cpp
@@ -1,4 +1,4 @@
-// Whether this router may serve and is ready, and the controllers' grants that decide it.
+// Decides whether this router may serve and is ready, and handles the controllers' lease grants.
 #include "internal.h"
 
 namespace corkward::dataplane {
@@ -19,18 +19,18 @@
 }
 
 bool RequestRouter::ready(Milliseconds now) const {
-  bool const young = tuning_.leaseRequired && now - startedAt_ < tuning_.startupGracePeriod;
-  return !draining_ && !young && servingLease(now) &&
+  bool const inStartupGrace = tuning_.leaseRequired && now - startedAt_ < tuning_.startupGracePeriod;
+  return !draining_ && !inStartupGrace && servingLease(now) &&
          !(tuning_.evacuationFailsReady && isEvacuated(partialView_.self().zone)) && !routes_.empty();
 }
 
 void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
                        transport::ServingLeaseGrant const& m) {
-  for (transport::EndpointRemovalHint const& h : m.removalHints) applyRemovalHint(out, now, h);
+  for (transport::EndpointRemovalHint const& hint : m.removalHints) applyRemovalHint(out, now, hint);
   if (m.hasQuorum) controllerLinks_.onUsefulReply(now, from);
   if (controllerLinks_.onRevisionsWanted(now, from, m.wantsRevisions, tuning_.leaseRequestInterval / 3))
     sendLeaseRequest(out, now, from);
-  roster_.onEveryoneHas(m.rosterRevision);
+  roster_.onRolloutComplete(m.rosterRevision);
   if (!m.hasQuorum || m.quorumAge < 0 || m.requestSentAt > now) return;
   servingLease_.onGrant(from, m.requestSentAt - m.quorumAge, m.digest, m.revisions);
   servingLease_.refresh(configuration_, roster_);
--- a/dataplane/src/regime_policy.cpp
+++ b/dataplane/src/regime_policy.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::string const unbound;
+std::string const noRegime;
 constexpr Milliseconds certificateRefreshInterval = 1000;
 
 }  // namespace
@@ -25,7 +25,7 @@
 
 std::string const& RegimePolicy::regimeOf(NameIndex instance) const {
   auto const binding = bindings_.find(instance);
-  return binding == bindings_.end() ? unbound : binding->second;
+  return binding == bindings_.end() ? noRegime : binding->second;
 }
 
 bool RegimePolicy::isStale(Milliseconds now) const {
@@ -61,7 +61,7 @@
 std::map<std::string, scaling::Candidates> RegimePolicy::candidatesByRegime(
     std::vector<scaling::Candidate> const& all) const {
   std::map<std::string, scaling::Candidates> out;
-  out[unbound] = candidatesOf(unbound, all);
+  out[noRegime] = candidatesOf(noRegime, all);
   for (auto const& [regime, replicas] : certified_.byRegime) out[regime] = candidatesOf(regime, all);
   return out;
 }
--- a/dataplane/src/roster.cpp
+++ b/dataplane/src/roster.cpp
@@ -24,7 +24,7 @@
   if (joining_ && includesSelf_ && now - loadedAt_ >= joinTimeout) joining_ = false;
 }
 
-void Roster::onEveryoneHas(std::uint64_t revision) {
+void Roster::onRolloutComplete(std::uint64_t revision) {
   if (revision > 0 && revision >= revision_) joining_ = false;
 }
 
--- a/dataplane/src/tenant_limits.cpp
+++ b/dataplane/src/tenant_limits.cpp
@@ -1,5 +1,5 @@
-// How a request takes its amount out of its tenant's limit: at once, after a round trip to the lender, anew before a
-// further run, and back when it is not used.
+// Applies tenants' limits to requests: takes a request's amount at once or after a round trip to the quota coordinator,
+// takes it again before a retry, and returns it if the request is not dispatched.
 #include "internal.h"
 
 namespace corkward::dataplane {
--- a/dataplane/src/warmup_leases.cpp
+++ b/dataplane/src/warmup_leases.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Requests of one lease whose grants are counted at a time.
+/// Most requests for one lease whose grants are counted at a time.
 constexpr std::size_t maxOpenRequests = 8;
 
 }  // namespace
@@ -34,7 +34,7 @@
   Lease& lease = leases_[replica];
   if (lease.wantedSince < 0) lease.wantedSince = now;
   bool const held = now < lease.until;
-  Milliseconds const freeSince = std::max(lease.wantedSince, lease.heldElsewhereUntil);
+  Milliseconds const freeSince = std::max(lease.wantedSince, lease.heldByOtherUntil);
   if (!held && now - freeSince < delay) return false;
   if (lease.grants.size() > maxOpenRequests) lease.grants.erase(lease.grants.begin());
   return true;
@@ -42,7 +42,7 @@
 
 void WarmupLeases::deny(NameIndex replica, Milliseconds until) {
   Lease& lease = leases_[replica];
-  lease.heldElsewhereUntil = std::max(lease.heldElsewhereUntil, until);
+  lease.heldByOtherUntil = std::max(lease.heldByOtherUntil, until);
 }
 
 bool WarmupLeases::grant(Milliseconds now, NameIndex replica, Milliseconds requestSentAt, std::string const& member,
@@ -50,10 +50,10 @@
   Lease& lease = leases_[replica];
   std::set<std::string>& granted = lease.grants[requestSentAt];
   granted.insert(member);
-  auto const count = static_cast<std::size_t>(
+  auto const grantCount = static_cast<std::size_t>(
       std::count_if(members.begin(), members.end(), [&](std::string const& id) { return granted.count(id) > 0; }));
   Milliseconds const until = requestSentAt + duration;
-  if (count < majorityOf(members.size()) || until <= lease.until) return false;
+  if (grantCount < majorityOf(members.size()) || until <= lease.until) return false;
   bool const acquired = now >= lease.until;
   lease.until = until;
   if (acquired) lease.bucket = scaling::SlowStartBucket(now);
--- a/dataplane/src/warmup_requests.cpp
+++ b/dataplane/src/warmup_requests.cpp
@@ -1,4 +1,4 @@
-// When this router requests warm-up leases from the controllers, and what their answers change.
+// Requests warm-up leases from the controllers and handles their replies.
 #include <algorithm>
 
 #include "events.h"
