--- a/dataplane/test/configuration_state_test.cpp
+++ b/dataplane/test/configuration_state_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("the newest entry of a key is in force") {
+TEST_CASE("the newest entry of a key is in effect") {
   ConfigurationState state;
   CHECK(state.revisionOf("a") == 0);
   CHECK_FALSE(state.has("a"));
@@ -32,13 +32,13 @@
   CHECK(state.entry("a")->revision == 5);
 }
 
-TEST_CASE("the digest is that of the revisions in force") {
+TEST_CASE("the digest is computed from the revisions in effect") {
   ConfigurationState const state = stateWith({{"a", 3}, {"b", 1}});
   CHECK(state.revisions() == transport::Revisions{{"a", 3}, {"b", 1}});
   CHECK(state.digest() == transport::digestOf(state.revisions()));
 }
 
-TEST_CASE("a configuration that was in force before is covered by its digest alone") {
+TEST_CASE("a configuration that was in effect earlier is covered by its digest alone") {
   ConfigurationState state = stateWith({{"a", 3}});
   transport::Digest const before = state.digest();
   state.set(entryOf("a", 4));
@@ -48,7 +48,7 @@
   CHECK(state.covers(state.digest(), {}));
 }
 
-TEST_CASE("digests are remembered for sixty-four updates") {
+TEST_CASE("the digests of the last 64 updates are remembered") {
   ConfigurationState state = stateWith({{"a", 1}});
   transport::Digest const first = state.digest();
   for (std::uint64_t revision = 2; revision <= 64; ++revision) {
@@ -61,7 +61,7 @@
   CHECK_FALSE(state.covers(first, {}));
 }
 
-TEST_CASE("another configuration is covered by its revisions when they match its digest") {
+TEST_CASE("another configuration is covered by older revisions if these match its digest") {
   ConfigurationState const state = stateWith({{"a", 3}, {"b", 1}});
   transport::Revisions const older{{"a", 2}};
   transport::Revisions const newer{{"a", 4}};
@@ -70,7 +70,7 @@
   CHECK_FALSE(state.covers(transport::digestOf(newer), older));
 }
 
-TEST_CASE("what another lacks is missing or older there") {
+TEST_CASE("missingFrom returns entries that the other lacks or has in an older revision") {
   ConfigurationState const state = stateWith({{"a", 3}, {"b", 1}, {"c", 2}});
   std::vector<transport::CommittedEntry> const missing = state.missingFrom({{"a", 2}, {"b", 1}});
   REQUIRE(missing.size() == 2);
--- a/dataplane/test/controller_links_test.cpp
+++ b/dataplane/test/controller_links_test.cpp
@@ -7,44 +7,47 @@
 
 namespace {
 
-using Names = std::vector<std::string>;
+using Links = std::vector<std::string>;
 
-std::vector<ControllerLinks::Candidate> const known{
-    {"far", false, 1}, {"far-too", false, 2}, {"near", true, 9}, {"far-last", false, 7}, {"far-more", false, 8}};
+std::vector<ControllerLinks::Candidate> const known{{"other-zone-1", false, 1},
+                                                    {"other-zone-2", false, 2},
+                                                    {"same-zone", true, 9},
+                                                    {"other-zone-3", false, 7},
+                                                    {"other-zone-4", false, 8}};
 
 }  // namespace
 
-TEST_CASE("as long as none answers, as many controllers as allowed are asked, near ones first") {
+TEST_CASE("without any reply, the most allowed controllers are chosen, those of the same zone first") {
   ControllerLinks links;
   links.choose(0, known, RouterTuning());
-  CHECK(links.chosen() == Names{"near", "far", "far-too", "far-last"});
+  CHECK(links.chosen() == Links{"same-zone", "other-zone-1", "other-zone-2", "other-zone-3"});
 }
 
-TEST_CASE("two controllers that answer are enough") {
+TEST_CASE("two responsive controllers are enough") {
   ControllerLinks links;
   links.choose(0, known, RouterTuning());
-  links.onUsefulReply(10, "near");
-  links.onUsefulReply(10, "far");
+  links.onUsefulReply(10, "same-zone");
+  links.onUsefulReply(10, "other-zone-1");
   links.choose(20, known, RouterTuning());
-  CHECK(links.chosen() == Names{"near", "far"});
+  CHECK(links.chosen() == Links{"same-zone", "other-zone-1"});
   links.choose(10 + 751, known, RouterTuning());
   CHECK(links.chosen().size() == 4);
 }
 
-TEST_CASE("a controller that does not answer in time is passed over until its timeout ends") {
+TEST_CASE("a controller whose reply timed out is ranked last for the unresponsive timeout") {
   ControllerLinks links;
   RouterTuning const tuning;
   links.choose(0, known, tuning);
-  links.onRequest(0, "near");
+  links.onRequest(0, "same-zone");
   links.choose(750, known, tuning);
-  CHECK(links.chosen().front() == "near");
+  CHECK(links.chosen().front() == "same-zone");
   links.choose(751, known, tuning);
-  CHECK(links.chosen() == Names{"far", "far-too", "far-last", "far-more"});
+  CHECK(links.chosen() == Links{"other-zone-1", "other-zone-2", "other-zone-3", "other-zone-4"});
   links.choose(751 + tuning.unresponsivePeerTimeout, known, tuning);
-  CHECK(links.chosen().front() == "near");
+  CHECK(links.chosen().front() == "same-zone");
 }
 
-TEST_CASE("a request lists the revisions once after they were wanted") {
+TEST_CASE("a request lists the revisions once after the controller wanted them") {
   ControllerLinks links;
   CHECK_FALSE(links.onRequest(0, "a"));
   CHECK(links.onRevisionsWanted(100, "a", true, 100));
@@ -57,7 +60,7 @@
   CHECK_FALSE(links.onRevisionsWanted(300, "stranger", true, 100));
 }
 
-TEST_CASE("links that are not used any more are forgotten") {
+TEST_CASE("links without a recent request or useful reply are removed") {
   ControllerLinks links;
   links.onRequest(10, "a");
   links.onRequest(10, "b");
--- a/dataplane/test/neighbour_links_test.cpp
+++ b/dataplane/test/neighbour_links_test.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-TEST_CASE("as many neighbours as wanted are chosen, a third of them near") {
+TEST_CASE("the requested number of neighbours is chosen, a third of them in the same zone") {
   NeighbourLinks links;
   core::RandomGenerator random(1);
   std::vector<std::string> const chosen = links.choose(0, 6, interval, tenPeers(), tuning, random);
@@ -33,23 +33,23 @@
   CHECK(links.choose(2, 2, interval, tenPeers(), tuning, random).size() == 2);
 }
 
-TEST_CASE("a neighbour that does not answer is replaced and passed over") {
+TEST_CASE("an unresponsive neighbour is replaced and chosen again only if there are too few others") {
   NeighbourLinks links;
   core::RandomGenerator random(1);
-  std::string const silent = links.choose(0, 1, interval, tenPeers(), tuning, random).front();
-  links.onHeartbeatSent(0, silent);
-  CHECK(links.choose(300, 1, interval, tenPeers(), tuning, random).front() == silent);
-  CHECK(links.choose(301, 1, interval, tenPeers(), tuning, random).front() != silent);
-  std::vector<std::string> const most = links.choose(302, 9, interval, tenPeers(), tuning, random);
-  CHECK(std::find(most.begin(), most.end(), silent) == most.end());
+  std::string const unresponsive = links.choose(0, 1, interval, tenPeers(), tuning, random).front();
+  links.onHeartbeatSent(0, unresponsive);
+  CHECK(links.choose(300, 1, interval, tenPeers(), tuning, random).front() == unresponsive);
+  CHECK(links.choose(301, 1, interval, tenPeers(), tuning, random).front() != unresponsive);
+  std::vector<std::string> const others = links.choose(302, 9, interval, tenPeers(), tuning, random);
+  CHECK(std::find(others.begin(), others.end(), unresponsive) == others.end());
   CHECK(links.choose(303, 10, interval, tenPeers(), tuning, random).size() == 10);
 }
 
-TEST_CASE("a neighbour that answers stays until it is rotated or not known any more") {
+TEST_CASE("a responsive neighbour stays until its rotation or until it is not known any more") {
   NeighbourLinks links;
   core::RandomGenerator random(1);
-  NeighbourLinks::Peers const one{{"a"}, {}};
-  links.choose(0, 1, interval, one, tuning, random);
+  NeighbourLinks::Peers const singlePeer{{"a"}, {}};
+  links.choose(0, 1, interval, singlePeer, tuning, random);
   links.onHeartbeatSent(0, "a");
   links.onReply("a");
   CHECK(links.choose(4000, 1, interval, tenPeers(), tuning, random) == std::vector<std::string>{"a"});
@@ -57,7 +57,7 @@
         std::vector<std::string>{"b"});
 }
 
-TEST_CASE("unresponsive routers are forgotten in time") {
+TEST_CASE("forgetBefore removes routers that became unresponsive earlier") {
   NeighbourLinks links;
   core::RandomGenerator random(1);
   links.choose(0, 1, interval, NeighbourLinks::Peers{{"a"}, {}}, tuning, random);
--- a/dataplane/test/regime_policy_test.cpp
+++ b/dataplane/test/regime_policy_test.cpp
@@ -6,7 +6,7 @@
 using corkward::dataplane::CertifiedReplicas;
 using corkward::dataplane::RegimePolicy;
 
-TEST_CASE("an instance is bound by its newest path") {
+TEST_CASE("the latest bind call decides an instance's regime") {
   RegimePolicy policy;
   policy.bind(1, "");
   CHECK_FALSE(policy.anyBound());
@@ -22,7 +22,7 @@
   CHECK(policy.regimeOf(1).empty());
 }
 
-TEST_CASE("certified replicas are looked up every second, and at once after a change") {
+TEST_CASE("certified replicas are stale after a second, and at once after invalidate") {
   RegimePolicy policy;
   CHECK(policy.isStale(0));
   policy.update(0, {});
@@ -32,7 +32,7 @@
   CHECK(policy.isStale(1));
 }
 
-TEST_CASE("an update tells whether the certified replicas changed") {
+TEST_CASE("update returns whether the certified replicas changed") {
   RegimePolicy policy;
   CertifiedReplicas certified;
   CHECK_FALSE(policy.update(0, certified));
@@ -41,7 +41,7 @@
   CHECK_FALSE(policy.update(2, certified));
 }
 
-TEST_CASE("a regime uses its certified replicas alone, other work what is not reserved whole") {
+TEST_CASE("a regime may use only its certified replicas, other requests all that are not wholly reserved") {
   RegimePolicy policy;
   CertifiedReplicas certified;
   certified.add("eu", 1, 0.5);
@@ -60,7 +60,7 @@
   CHECK_FALSE(policy.reservedFraction(3));
 }
 
-TEST_CASE("candidates are told apart by regime") {
+TEST_CASE("each regime gets its own candidates") {
   RegimePolicy policy;
   CertifiedReplicas certified;
   certified.add("eu", 2, 1.0);
--- a/dataplane/test/roster_test.cpp
+++ b/dataplane/test/roster_test.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("a roster tells the other routers and everyone's zone") {
+TEST_CASE("the newest roster decides the other routers, the zones and whether this router is on it") {
   Roster roster("b");
   CHECK(roster.revision() == 0);
   roster.load(0, 4, contactsOf({"c", "b", "a"}), true);
@@ -35,18 +35,18 @@
   CHECK(roster.size() == 1);
 }
 
-TEST_CASE("a router that is new on the roster joins once everyone has it") {
+TEST_CASE("a router that is new on the roster joins once all routers have that roster") {
   Roster roster("b");
   roster.load(0, 4, contactsOf({"a", "b"}), false);
   CHECK_FALSE(roster.hasJoined());
-  roster.onEveryoneHas(0);
-  roster.onEveryoneHas(3);
+  roster.onRolloutComplete(0);
+  roster.onRolloutComplete(3);
   CHECK_FALSE(roster.hasJoined());
-  roster.onEveryoneHas(4);
+  roster.onRolloutComplete(4);
   CHECK(roster.hasJoined());
 }
 
-TEST_CASE("a router that is new on the roster joins after the timeout, counted anew with each roster") {
+TEST_CASE("a router that is new on the roster joins after the timeout, which restarts with each roster") {
   Roster roster("b");
   roster.load(0, 4, contactsOf({"a", "b"}), false);
   roster.load(50, 5, contactsOf({"a", "b"}), false);
--- a/dataplane/test/serving_lease_test.cpp
+++ b/dataplane/test/serving_lease_test.cpp
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("a grant counts from the tick that it names, once its configuration is in force") {
+TEST_CASE("a grant counts from its time on, once its configuration is in effect") {
   ServingLease lease;
   Roster const roster = rosterOf({"a", "b", "c"});
   ConfigurationState const newer = configurationAt(2);
@@ -62,7 +62,7 @@
   CHECK(lease.isGrantedWithin(1100, 1000));
 }
 
-TEST_CASE("a majority is heard by itself, or with this router once a controller has confirmed it") {
+TEST_CASE("this router counts towards the majority once a controller has confirmed its configuration") {
   ServingLease lease;
   lease.start(100);
   Roster const roster = rosterOf({"a", "b", "c"});
@@ -80,7 +80,7 @@
   CHECK(lease.hasRecentQuorumContact(1300, 1000, roster));
 }
 
-TEST_CASE("a reply that names a newer configuration counts once that is in force") {
+TEST_CASE("a reply with a newer configuration counts once that configuration is in effect here") {
   ServingLease lease;
   lease.onControllerSnapshot();
   Roster const roster = rosterOf({"a", "b", "c"});
@@ -91,7 +91,7 @@
   CHECK(lease.hasRecentQuorumContact(200, 1000, roster));
 }
 
-TEST_CASE("a router without a snapshot is not heard") {
+TEST_CASE("a reply of a router without a snapshot does not count as contact") {
   ServingLease lease;
   lease.onControllerSnapshot();
   Roster const roster = rosterOf({"a", "b", "c"});
@@ -102,7 +102,7 @@
   CHECK_FALSE(lease.hasRecentQuorumContact(200, 1000, roster));
 }
 
-TEST_CASE("ages pass on whom a router has heard, when both have the same roster") {
+TEST_CASE("a router learns the contacts of others from ages, if both have the same roster") {
   Roster const roster = rosterOf({"a", "b", "c"});
   ConfigurationState const configuration = configurationAt(1);
   ServingLease other;
@@ -123,7 +123,7 @@
   CHECK(lease.hasRecentQuorumContact(1000, 500, roster));
 }
 
-TEST_CASE("old grants and replies are forgotten") {
+TEST_CASE("forgetBefore removes older grants, replies and contacts") {
   ServingLease lease;
   Roster const roster = rosterOf({"a", "b", "c"});
   ConfigurationState const configuration = configurationAt(1);
--- a/dataplane/test/wall_clock_test.cpp
+++ b/dataplane/test/wall_clock_test.cpp
@@ -4,14 +4,14 @@
 
 using corkward::dataplane::WallClock;
 
-TEST_CASE("wall time is not known before it was told") {
+TEST_CASE("wall time is unknown until it is set") {
   WallClock clock;
   CHECK_FALSE(clock.at(5));
   CHECK(clock.set(10, 5000));
   CHECK(*clock.at(15) == 5005);
 }
 
-TEST_CASE("wall time never goes back, and a jump ahead is told") {
+TEST_CASE("wall time never goes back, and a jump of more than a second ahead is reported") {
   WallClock clock;
   clock.set(0, 5000);
   CHECK_FALSE(clock.set(10, 4000));
--- a/dataplane/test/warmup_leases_test.cpp
+++ b/dataplane/test/warmup_leases_test.cpp
@@ -24,7 +24,7 @@
   CHECK_FALSE(leases.holds(1100, 1));
 }
 
-TEST_CASE("a renewal is no new lease") {
+TEST_CASE("a renewal extends the lease and does not count as an acquisition") {
   WarmupLeases leases;
   leases.grant(100, 1, 100, "a", members, duration);
   CHECK(leases.grant(100, 1, 100, "b", members, duration));
@@ -33,7 +33,7 @@
   CHECK(leases.expiresAt(1) == 1500);
 }
 
-TEST_CASE("a free lease is requested after the delay, counted anew when another router held it") {
+TEST_CASE("an unowned lease is requested after the delay, which restarts when another router's lease expires") {
   WarmupLeases leases;
   CHECK_FALSE(leases.shouldRequest(0, 1, 50));
   CHECK(leases.shouldRequest(50, 1, 50));
@@ -42,14 +42,14 @@
   CHECK(leases.shouldRequest(250, 1, 50));
 }
 
-TEST_CASE("a lease that is held is renewed without delay") {
+TEST_CASE("a held lease is renewed without delay") {
   WarmupLeases leases;
   leases.grant(0, 1, 0, "a", members, duration);
   leases.grant(0, 1, 0, "b", members, duration);
   CHECK(leases.shouldRequest(10, 1, 5000));
 }
 
-TEST_CASE("a lease that is not needed any more is withdrawn, and its delay starts anew") {
+TEST_CASE("a withdrawn lease is requested again only after a new delay") {
   WarmupLeases leases;
   leases.shouldRequest(0, 1, 50);
   leases.grant(0, 1, 0, "a", members, duration);
@@ -60,20 +60,20 @@
   CHECK_FALSE(leases.shouldRequest(100, 1, 50));
 }
 
-TEST_CASE("requests to a warming replica need the lease and room at its rate") {
+TEST_CASE("requests to a replica that is warming up need the lease and a token of its rate") {
   WarmupLeases leases;
   CHECK_FALSE(leases.hasToken(0, 1, 10.0));
   leases.grant(0, 1, 0, "a", members, duration);
   leases.grant(0, 1, 0, "b", members, duration);
-  int taken = 0;
-  while (taken < 100 && leases.hasToken(0, 1, 10.0) && leases.takeToken(0, 1, 10.0)) ++taken;
-  CHECK(taken < 100);
+  int tokens = 0;
+  while (tokens < 100 && leases.hasToken(0, 1, 10.0) && leases.takeToken(0, 1, 10.0)) ++tokens;
+  CHECK(tokens < 100);
   CHECK_FALSE(leases.takeToken(0, 1, 10.0));
   CHECK(leases.hasToken(900, 1, 10.0));
   CHECK_FALSE(leases.hasToken(1000, 1, 10.0));
 }
 
-TEST_CASE("all held leases are released at once") {
+TEST_CASE("releaseAll returns the replicas whose lease was held, once") {
   WarmupLeases leases;
   for (corkward::core::NameIndex const replica : {3U, 1U, 2U}) {
     leases.grant(0, replica, 0, "a", members, duration);
