--- a/dataplane/include/corkward/dataplane/controller_links.h
+++ b/dataplane/include/corkward/dataplane/controller_links.h
@@ -33,7 +33,7 @@
   /// Records that the controller replied and had a quorum.
   void onUsefulReply(Milliseconds now, std::string const& link);
   /// Records whether the controller wants this router's revisions. Returns true if a request with the revisions must be
-  /// sent at once, because they are wanted and were not sent within `interval`.
+  /// sent at once, because they are wanted and were not sent within the last `interval` milliseconds.
   bool onRevisionsWanted(Milliseconds now, std::string const& link, bool wanted, Milliseconds interval);
 
   /// Removes links without a request or a useful reply since `oldest`.
--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -211,8 +211,8 @@
   };
   using QueueKey = std::pair<NameIndex, NameIndex>;
 
-  void applyEntries(RouterCommands& out, Milliseconds now, std::vector<transport::CommittedEntry> const& items);
-  void applyEntry(RouterCommands& out, Milliseconds now, transport::CommittedEntry const& item);
+  void applyEntries(RouterCommands& out, Milliseconds now, std::vector<transport::CommittedEntry> const& entries);
+  void applyEntry(RouterCommands& out, Milliseconds now, transport::CommittedEntry const& entry);
   void refreshCandidates(RouterCommands& out, Milliseconds now);
   void refreshPool(Milliseconds now, NameIndex pool);
   void activate(Milliseconds now, QueueKey const& key);
@@ -227,7 +227,7 @@
   /// Frees removed routes that no call uses any more, if RouteTable::needsCompaction.
   void compactRoutes();
   /// Applies the value of one configuration entry. Throws core::Error if the value is not valid.
-  void applyValue(Milliseconds now, transport::CommittedEntry const& item);
+  void applyValue(Milliseconds now, transport::CommittedEntry const& entry);
   void applyEndpointList(std::string const& poolName, config::EndpointList const& list);
   void applyMembership(QJsonObject const& value);
   void applyFleetConfiguration(QJsonObject const& value);
@@ -397,17 +397,17 @@
                 std::map<std::string, std::string> fields = {});
   void countMetric(Milliseconds now, std::string const& what, std::string const& about = "");
   void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::GossipShuffle const& m);
-  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::ConfigurationUpdate const& m);
-  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::ServingLeaseGrant const& m);
-  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::EndpointRemovalHint const& m);
-  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::PeerHeartbeat const& m);
-  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::ValueRequest const& m);
+  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::ConfigurationUpdate const& update);
+  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::ServingLeaseGrant const& grant);
+  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::EndpointRemovalHint const& hint);
+  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::PeerHeartbeat const& heartbeat);
+  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::ValueRequest const& request);
   void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::RequestIdQuery const& m);
   void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::RequestIdReply const& m);
   void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::RequestIdHandover const& m);
-  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::WarmupLeaseGrant const& m);
-  void on(RouterCommands& out, Milliseconds now, std::string const& from, quota::QuotaGrants const& m);
-  void on(RouterCommands& out, Milliseconds now, std::string const& from, quota::AllocationQuery const& m);
+  void on(RouterCommands& out, Milliseconds now, std::string const& from, transport::WarmupLeaseGrant const& grant);
+  void on(RouterCommands& out, Milliseconds now, std::string const& from, quota::QuotaGrants const& grants);
+  void on(RouterCommands& out, Milliseconds now, std::string const& from, quota::AllocationQuery const& query);
 
   RouterTuning tuning_;
   std::uint64_t seed_;
--- a/dataplane/include/corkward/dataplane/roster.h
+++ b/dataplane/include/corkward/dataplane/roster.h
@@ -20,7 +20,7 @@
 
   /// Replaces the roster by a newer one. A router that had not joined and was not on the previous roster is joining:
   /// other routers may not know yet that it serves.
-  /// @param onPrevious this router is on the roster before the given one
+  /// @param onPrevious this router was on the preceding roster
   void load(Milliseconds now, std::uint64_t revision, std::vector<transport::Contact> const& contacts, bool onPrevious);
   /// Completes joining once the newest roster has been in effect here for `joinTimeout`.
   void onTimer(Milliseconds now, Milliseconds joinTimeout);
--- a/dataplane/include/corkward/dataplane/router_tuning.h
+++ b/dataplane/include/corkward/dataplane/router_tuning.h
@@ -13,8 +13,9 @@
 
 /// Settings of the data plane; times are in milliseconds.
 struct RouterTuning {
-  /// How long a serving lease lasts, counted from when it was requested.
+  /// How long a serving lease lasts, counted from the granting controller's last quorum contact before the request.
   Milliseconds servingLeaseDuration = 1500;
+  /// Interval of lease requests to controllers.
   Milliseconds leaseRequestInterval = 300;
   /// Interval of requests to controllers until a complete snapshot is applied.
   Milliseconds snapshotRequestInterval = 50;
@@ -41,8 +42,8 @@
   /// Added to the age that a request states for its id. Covers network transit, slow arrival of the request's head, and
   /// clocks that run at different rates.
   Milliseconds ageMargin = 15000;
-  /// How long after its start a router is not ready. Also how far back a majority must remember request ids to accept
-  /// an id of unknown age, once all routers have replied.
+  /// How long after its start a router is not ready, if leaseRequired. Also how far back a majority must remember
+  /// request ids to accept an id of unknown age, once all routers have replied.
   Milliseconds startupGracePeriod = 3000;
   /// How far back a majority must remember request ids to accept an id of unknown age, if some routers did not reply.
   Milliseconds quorumMemoryWait = 10000;
--- a/dataplane/include/corkward/dataplane/serving_lease.h
+++ b/dataplane/include/corkward/dataplane/serving_lease.h
@@ -21,7 +21,8 @@
   /// Records that a controller sent the complete configuration.
   void onControllerSnapshot() { confirmedByController_ = true; }
   /// Records a controller's grant. It counts from the next refresh() on.
-  /// @param grantedAt when the controller last had quorum contact; the lease duration is measured from then
+  /// @param grantedAt when the controller last had quorum contact, on this router's clock. The lease duration counts
+  ///   from here.
   void onGrant(std::string const& controller, Milliseconds grantedAt, transport::Digest const& digest,
                transport::Revisions const& revisions);
   /// Handles another router's reply to a heartbeat of this router.
--- a/dataplane/include/corkward/dataplane/tenants.h
+++ b/dataplane/include/corkward/dataplane/tenants.h
@@ -45,7 +45,7 @@
 class Tenants {
  public:
   /// @param link this router's link address
-  /// @param incarnation number of this start of the router
+  /// @param incarnation incarnation of this router process
   Tenants(std::string link, std::uint64_t incarnation, std::uint64_t seed, quota::OverdraftAllowance const& allowance);
 
   /// Replaces the tenants. The rate limiter of a tenant that still has a limit keeps its state.
--- a/dataplane/src/configuration_state.cpp
+++ b/dataplane/src/configuration_state.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+/// Most digests in the history.
 constexpr std::size_t maxDigests = 64;
 
 }  // namespace
--- a/dataplane/src/configuration_updates.cpp
+++ b/dataplane/src/configuration_updates.cpp
@@ -11,11 +11,11 @@
 namespace corkward::dataplane {
 
 void RequestRouter::applyEntries(RouterCommands& out, Milliseconds now,
-                                 std::vector<transport::CommittedEntry> const& items) {
+                                 std::vector<transport::CommittedEntry> const& entries) {
   bool anyApplied = false;
-  for (transport::CommittedEntry const& item : items) {
-    if (item.revision <= revisionOf(item.key)) continue;
-    applyEntry(out, now, item);
+  for (transport::CommittedEntry const& entry : entries) {
+    if (entry.revision <= revisionOf(entry.key)) continue;
+    applyEntry(out, now, entry);
     anyApplied = true;
   }
   if (!anyApplied) return;
@@ -57,41 +57,41 @@
   tenants_.configure(fleet.tenants);
 }
 
-void RequestRouter::applyEntry(RouterCommands& out, Milliseconds now, transport::CommittedEntry const& item) {
+void RequestRouter::applyEntry(RouterCommands& out, Milliseconds now, transport::CommittedEntry const& entry) {
   try {
-    applyValue(now, item);
+    applyValue(now, entry);
   } catch (core::Error const& error) {
-    logEvent(out, now, events::entryRejected, {{"key", item.key}, {"error", error.what()}});
+    logEvent(out, now, events::entryRejected, {{"key", entry.key}, {"error", error.what()}});
     return;
   }
-  configuration_.set(item);
-  logEvent(out, now, events::entryApplied, {{"key", item.key}, {"revision", std::to_string(item.revision)}});
+  configuration_.set(entry);
+  logEvent(out, now, events::entryApplied, {{"key", entry.key}, {"revision", std::to_string(entry.revision)}});
   compactRoutes();
 }
 
-void RequestRouter::applyValue(Milliseconds now, transport::CommittedEntry const& item) {
-  std::size_t const colon = item.key.find(':');
-  std::string const kind = item.key.substr(0, colon);
-  std::string const name = colon == std::string::npos ? "" : item.key.substr(colon + 1);
+void RequestRouter::applyValue(Milliseconds now, transport::CommittedEntry const& entry) {
+  std::size_t const colon = entry.key.find(':');
+  std::string const kind = entry.key.substr(0, colon);
+  std::string const name = colon == std::string::npos ? "" : entry.key.substr(colon + 1);
   if (kind == "family") {
-    std::vector<config::Path> const paths = config::renderPaths(name, item.value);
-    routes_.remove(item.key);
-    for (config::Path const& path : paths) addRoute(item.key, path.instance + "/" + path.path, path, path.instance);
-  } else if (item.key == config::regimesKey) {
-    regimePolicy_.declare(config::readStoredRegimes(item.value));
-  } else if (item.key == config::fleetConfigurationKey) {
-    applyFleetConfiguration(item.value);
+    std::vector<config::Path> const paths = config::renderPaths(name, entry.value);
+    routes_.remove(entry.key);
+    for (config::Path const& path : paths) addRoute(entry.key, path.instance + "/" + path.path, path, path.instance);
+  } else if (entry.key == config::regimesKey) {
+    regimePolicy_.declare(config::readStoredRegimes(entry.value));
+  } else if (entry.key == config::fleetConfigurationKey) {
+    applyFleetConfiguration(entry.value);
   } else if (kind == "pool") {
-    applyEndpointList(name, config::readStoredEndpointList(item.value));
+    applyEndpointList(name, config::readStoredEndpointList(entry.value));
   } else if (kind == "zone") {
-    if (item.value.value("evacuated").toBool())
+    if (entry.value.value("evacuated").toBool())
       evacuated_.insert(name);
     else
       evacuated_.erase(name);
-  } else if (item.key == rosterKey) {
-    loadRoster(now, item.revision, item.value);
-  } else if (item.key == membershipKey) {
-    applyMembership(item.value);
+  } else if (entry.key == rosterKey) {
+    loadRoster(now, entry.revision, entry.value);
+  } else if (entry.key == membershipKey) {
+    applyMembership(entry.value);
   }
 }
 
@@ -218,10 +218,10 @@
 }
 
 void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
-                       transport::ConfigurationUpdate const& m) {
-  bool const fromRouter = m.isSnapshot && m.number == 0;
-  applyEntries(out, now, m.entries);
-  if (m.isSnapshot && !snapshotApplied_ && (tuning_.leaseRequired || !m.entries.empty())) {
+                       transport::ConfigurationUpdate const& update) {
+  bool const fromRouter = update.isSnapshot && update.number == 0;
+  applyEntries(out, now, update.entries);
+  if (update.isSnapshot && !snapshotApplied_ && (tuning_.leaseRequired || !update.entries.empty())) {
     if (!fromRouter) {
       snapshotApplied_ = true;
       servingLease_.onControllerSnapshot();
@@ -231,11 +231,11 @@
   }
   adoptSnapshot(out, now, from);
   transport::ConfigurationAck ack{
-      m.number, partialView_.self().link, partialView_.self().incarnation, {}, configuration_.digest()};
-  if (!m.isSnapshot)
-    for (transport::CommittedEntry const& entry : m.entries) ack.revisions[entry.key] = revisionOf(entry.key);
+      update.number, partialView_.self().link, partialView_.self().incarnation, {}, configuration_.digest()};
+  if (!update.isSnapshot)
+    for (transport::CommittedEntry const& entry : update.entries) ack.revisions[entry.key] = revisionOf(entry.key);
   std::set<std::string> recipients(controllerLinks_.chosen().begin(), controllerLinks_.chosen().end());
-  if (m.number > 0) recipients.insert(from);
+  if (update.number > 0) recipients.insert(from);
   for (std::string const& link : recipients) out.sends.push_back(transport::Send{link, ack});
 }
 
@@ -246,14 +246,14 @@
 }
 
 void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const&,
-                       transport::EndpointRemovalHint const& m) {
-  if (!applyRemovalHint(out, now, m)) return;
+                       transport::EndpointRemovalHint const& hint) {
+  if (!applyRemovalHint(out, now, hint)) return;
   std::vector<std::string> others = otherRouters();
   for (std::size_t i = others.size(); i > 1; --i) std::swap(others[i - 1], others[rng_.below(i)]);
   std::set<std::string> recipients(
       others.begin(), others.begin() + static_cast<std::ptrdiff_t>(std::min(others.size(), tuning_.neighbourCount)));
   recipients.insert(controllerLinks_.chosen().begin(), controllerLinks_.chosen().end());
-  for (std::string const& link : recipients) out.sends.push_back(transport::Send{link, m});
+  for (std::string const& link : recipients) out.sends.push_back(transport::Send{link, hint});
 }
 
 void RequestRouter::sendMissing(RouterCommands& out, std::string const& to, transport::Revisions const& have) const {
@@ -262,8 +262,9 @@
   if (!update.entries.empty()) out.sends.push_back(transport::Send{to, std::move(update)});
 }
 
-void RequestRouter::on(RouterCommands& out, Milliseconds, std::string const& from, transport::ValueRequest const& m) {
-  std::optional<transport::CommittedEntry> const entry = configuration_.entry(m.key);
+void RequestRouter::on(RouterCommands& out, Milliseconds, std::string const& from,
+                       transport::ValueRequest const& request) {
+  std::optional<transport::CommittedEntry> const entry = configuration_.entry(request.key);
   if (!entry) return;
   transport::ConfigurationUpdate update;
   update.entries.push_back(*entry);
--- a/dataplane/src/peers.cpp
+++ b/dataplane/src/peers.cpp
@@ -72,6 +72,7 @@
   heartbeat.digest = configuration_.digest();
   heartbeat.wantsAges = lacksControllers;
   heartbeat.removalHints = removalHints();
+  // Neighbours are asked for a snapshot only if none has arrived within two seconds of the start.
   bool const wantSnapshot = !snapshotApplied_ && !snapshotSeen_ && now - startedAt_ > 2000;
   std::vector<std::string> const neighbours =
       neighbourLinks_.choose(now, lacksControllers ? tuning_.neighbourCount : tuning_.idleNeighbourCount, interval,
@@ -86,13 +87,13 @@
 }
 
 void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
-                       transport::PeerHeartbeat const& m) {
-  if (m.link != from) return;
-  for (transport::EndpointRemovalHint const& hint : m.removalHints) applyRemovalHint(out, now, hint);
-  if (m.isReply)
-    onHeartbeatReply(out, now, from, m);
+                       transport::PeerHeartbeat const& heartbeat) {
+  if (heartbeat.link != from) return;
+  for (transport::EndpointRemovalHint const& hint : heartbeat.removalHints) applyRemovalHint(out, now, hint);
+  if (heartbeat.isReply)
+    onHeartbeatReply(out, now, from, heartbeat);
   else
-    replyToHeartbeat(out, now, from, m);
+    replyToHeartbeat(out, now, from, heartbeat);
 }
 
 void RequestRouter::replyToHeartbeat(RouterCommands& out, Milliseconds now, std::string const& from,
--- a/dataplane/src/readiness.cpp
+++ b/dataplane/src/readiness.cpp
@@ -25,14 +25,14 @@
 }
 
 void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
-                       transport::ServingLeaseGrant const& m) {
-  for (transport::EndpointRemovalHint const& hint : m.removalHints) applyRemovalHint(out, now, hint);
-  if (m.hasQuorum) controllerLinks_.onUsefulReply(now, from);
-  if (controllerLinks_.onRevisionsWanted(now, from, m.wantsRevisions, tuning_.leaseRequestInterval / 3))
+                       transport::ServingLeaseGrant const& grant) {
+  for (transport::EndpointRemovalHint const& hint : grant.removalHints) applyRemovalHint(out, now, hint);
+  if (grant.hasQuorum) controllerLinks_.onUsefulReply(now, from);
+  if (controllerLinks_.onRevisionsWanted(now, from, grant.wantsRevisions, tuning_.leaseRequestInterval / 3))
     sendLeaseRequest(out, now, from);
-  roster_.onRolloutComplete(m.rosterRevision);
-  if (!m.hasQuorum || m.quorumAge < 0 || m.requestSentAt > now) return;
-  servingLease_.onGrant(from, m.requestSentAt - m.quorumAge, m.digest, m.revisions);
+  roster_.onRolloutComplete(grant.rosterRevision);
+  if (!grant.hasQuorum || grant.quorumAge < 0 || grant.requestSentAt > now) return;
+  servingLease_.onGrant(from, grant.requestSentAt - grant.quorumAge, grant.digest, grant.revisions);
   servingLease_.refresh(configuration_, roster_);
 }
 
--- a/dataplane/src/regime_policy.cpp
+++ b/dataplane/src/regime_policy.cpp
@@ -8,6 +8,7 @@
 namespace {
 
 std::string const noRegime;
+/// Interval at which the certified replicas are determined again.
 constexpr Milliseconds certificateRefreshInterval = 1000;
 
 }  // namespace
--- a/dataplane/src/tenant_limits.cpp
+++ b/dataplane/src/tenant_limits.cpp
@@ -73,13 +73,14 @@
   applyQuotaDecisions(out, now, tenants_.onTimer(now, out.sends));
 }
 
-void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from, quota::QuotaGrants const& m) {
-  applyQuotaDecisions(out, now, tenants_.onMessage(now, from, m, out.sends));
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
+                       quota::QuotaGrants const& grants) {
+  applyQuotaDecisions(out, now, tenants_.onMessage(now, from, grants, out.sends));
 }
 
 void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
-                       quota::AllocationQuery const& m) {
-  out.sends.push_back(tenants_.onMessage(now, from, m));
+                       quota::AllocationQuery const& query) {
+  out.sends.push_back(tenants_.onMessage(now, from, query));
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/src/wall_clock.cpp
+++ b/dataplane/src/wall_clock.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-constexpr std::int64_t maxDriftMs = 1000;
+/// The wall clock has jumped if it is more than this ahead of the expected time.
+constexpr std::int64_t jumpThresholdMs = 1000;
 
 }  // namespace
 
 bool WallClock::set(Milliseconds now, std::int64_t wall) {
   std::int64_t const offset = wall - now;
-  bool const jumped = !offset_ || offset > *offset_ + maxDriftMs;
+  bool const jumped = !offset_ || offset > *offset_ + jumpThresholdMs;
   offset_ = std::max(offset_.value_or(offset), offset);
   return jumped;
 }
--- a/dataplane/src/warmup_requests.cpp
+++ b/dataplane/src/warmup_requests.cpp
@@ -50,18 +50,19 @@
 }
 
 void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const&,
-                       transport::WarmupLeaseGrant const& m) {
-  NameIndex const replica = replicaNames_.find(m.replica);
-  if (replica >= replicas_.size() || m.requestSentAt > now) return;
-  if (!m.granted) {
-    if (m.holder != partialView_.self().link) warmupLeases_.deny(replica, now + tuning_.warmupLeaseDuration);
+                       transport::WarmupLeaseGrant const& grant) {
+  NameIndex const replica = replicaNames_.find(grant.replica);
+  if (replica >= replicas_.size() || grant.requestSentAt > now) return;
+  if (!grant.granted) {
+    if (grant.holder != partialView_.self().link) warmupLeases_.deny(replica, now + tuning_.warmupLeaseDuration);
     return;
   }
-  if (membershipIds_.empty() ||
-      !warmupLeases_.grant(now, replica, m.requestSentAt, m.member, membershipIds_, tuning_.warmupLeaseDuration))
+  if (membershipIds_.empty() || !warmupLeases_.grant(now, replica, grant.requestSentAt, grant.member, membershipIds_,
+                                                     tuning_.warmupLeaseDuration))
     return;
   pools_[replicas_[replica].pool].changed = true;
-  logEvent(out, now, events::warmupLeaseGranted, {{"replica", m.replica}, {"lease-term", std::to_string(m.term)}});
+  logEvent(out, now, events::warmupLeaseGranted,
+           {{"replica", grant.replica}, {"lease-term", std::to_string(grant.term)}});
   refreshCandidates(out, now);
 }
 
