--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -385,7 +385,7 @@
   void enforceWhileQueued(RouterCommands& out, Milliseconds now, CallId id, RegimeStatus const& status);
   void enforceWhileConnecting(RouterCommands& out, Milliseconds now, CallId id, RegimeStatus const& status,
                               bool certified);
-  /// The call is being resumed on another replica, but has not been sent to that replica yet.
+  /// The call is to be resumed on another replica and was not sent there yet.
   static bool isResumeUnsent(Call const& call);
   /// Withdraws the call from its replica, and resumes, retries, aborts or rejects it.
   void abandonForRegime(RouterCommands& out, Milliseconds now, CallId id, std::string const& reason);
--- a/dataplane/src/internal.h
+++ b/dataplane/src/internal.h
@@ -13,7 +13,7 @@
 inline constexpr Milliseconds queueEvaluationInterval = 100;
 inline constexpr Milliseconds releaseInterval = 10000;
 inline constexpr std::size_t maxHandoverIds = 5000;
-/// Value in PeerHeartbeat::ages for a router whose last contact is unknown or too long ago.
+/// What stands for "not known" among the ages of a PeerHeartbeat.
 inline constexpr int unknownAge = 255;
 
 inline std::size_t majorityOf(std::size_t n) {
