--- a/dataplane/include/corkward/dataplane/regime_policy.h
+++ b/dataplane/include/corkward/dataplane/regime_policy.h
@@ -48,7 +48,8 @@
   /// Stores the replicas that are certified now. Returns true if they differ from the stored ones.
   bool update(Milliseconds now, CertifiedReplicas certified);
 
-  /// Requests of the regime may use the replica. Without a regime, they may use replicas that are not wholly reserved.
+  /// Requests of the regime may use the replica. Without a regime, they may use replicas that are not completely
+  /// reserved.
   bool mayUse(std::string const& regime, NameIndex replica) const;
   /// Fraction of the replica's capacity that requests without a regime must leave free. Returns std::nullopt if the
   /// replica has no certificate.
--- a/dataplane/include/corkward/dataplane/tenants.h
+++ b/dataplane/include/corkward/dataplane/tenants.h
@@ -140,7 +140,7 @@
   std::map<std::uint64_t, PendingReport> pendingReports_;
   std::uint64_t nextReportNumber_ = 1;
   /// By partition, the number of the first report whose reply counts. Replies to earlier reports are ignored, because
-  /// a new coordinator has been told of this router's allocations since.
+  /// a new coordinator has received this router's allocations since.
   std::map<std::uint64_t, std::uint64_t> firstValidReport_;
   Milliseconds nextReportAt_ = 0;
 };
--- a/dataplane/test/limited_fleet.h
+++ b/dataplane/test/limited_fleet.h
@@ -120,11 +120,13 @@
  private:
   /// Interval at which delivery is retried for a message to a paused process or across a partition.
   static constexpr Milliseconds redeliveryInterval = 20;
+  /// A simulated process: a controller has a coordinator, a router has tenants.
   struct Node {
     std::unique_ptr<quota::QuotaCoordinator> coordinator;
     std::unique_ptr<Tenants> tenants;
     Milliseconds startedAt = 0;
     Milliseconds pausedUntil = 0;
+    /// Side of the network partition that the process is on.
     int side = 0;
     std::uint64_t incarnation = 0;
   };
--- a/dataplane/test/regime_policy_test.cpp
+++ b/dataplane/test/regime_policy_test.cpp
@@ -41,7 +41,7 @@
   CHECK_FALSE(policy.update(2, certified));
 }
 
-TEST_CASE("a regime may use only its certified replicas, other requests all that are not wholly reserved") {
+TEST_CASE("a regime may use only its certified replicas, other requests all that are not completely reserved") {
   RegimePolicy policy;
   CertifiedReplicas certified;
   certified.add("eu", 1, 0.5);
