--- a/dataplane/src/tenant_limits.cpp
+++ b/dataplane/src/tenant_limits.cpp
@@ -1,5 +1,5 @@
-// How a request takes its amount out of its tenant's limit: at once, after a round trip to the lender, anew before a
-// further run, and back when it is not used.
+// Applies tenants' limits to requests: takes a request's amount at once or after a round trip to the quota coordinator,
+// takes it again before a retry, and returns it if the request is not dispatched.
 #include "internal.h"
 
 namespace corkward::dataplane {
@@ -73,13 +73,14 @@
   applyQuotaDecisions(out, now, tenants_.onTimer(now, out.sends));
 }
 
-void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from, quota::QuotaGrants const& m) {
-  applyQuotaDecisions(out, now, tenants_.onMessage(now, from, m, out.sends));
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
+                       quota::QuotaGrants const& grants) {
+  applyQuotaDecisions(out, now, tenants_.onMessage(now, from, grants, out.sends));
 }
 
 void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
-                       quota::AllocationQuery const& m) {
-  out.sends.push_back(tenants_.onMessage(now, from, m));
+                       quota::AllocationQuery const& query) {
+  out.sends.push_back(tenants_.onMessage(now, from, query));
 }
 
 }  // namespace corkward::dataplane
--- a/dataplane/test/serving_lease_test.cpp
+++ b/dataplane/test/serving_lease_test.cpp
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("a grant counts from the tick that it names, once its configuration is in force") {
+TEST_CASE("a grant counts from its time on, once its configuration is in effect") {
   ServingLease lease;
   Roster const roster = rosterOf({"a", "b", "c"});
   ConfigurationState const newer = configurationAt(2);
@@ -62,36 +62,36 @@
   CHECK(lease.isGrantedWithin(1100, 1000));
 }
 
-TEST_CASE("a majority is heard by itself, or with this router once a controller has confirmed it") {
+TEST_CASE("this router counts towards the majority once a controller has confirmed its configuration") {
   ServingLease lease;
   lease.start(100);
   Roster const roster = rosterOf({"a", "b", "c"});
   ConfigurationState const configuration = configurationAt(1);
   lease.onHeartbeatReply("b", replyWith(200, configuration), configuration, roster);
-  CHECK_FALSE(lease.hasHeardMajority(200, 1000, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(200, 1000, roster));
   lease.onGrant("controller", 99, configuration.digest(), {});
   lease.refresh(configuration, roster);
-  CHECK_FALSE(lease.hasHeardMajority(200, 1000, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(200, 1000, roster));
   lease.onGrant("controller", 100, configuration.digest(), {});
   lease.refresh(configuration, roster);
-  CHECK(lease.hasHeardMajority(1200, 1000, roster));
-  CHECK_FALSE(lease.hasHeardMajority(1201, 1000, roster));
+  CHECK(lease.hasRecentQuorumContact(1200, 1000, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(1201, 1000, roster));
   lease.onHeartbeatReply("b", replyWith(300, configuration), configuration, roster);
-  CHECK(lease.hasHeardMajority(1300, 1000, roster));
+  CHECK(lease.hasRecentQuorumContact(1300, 1000, roster));
 }
 
-TEST_CASE("a reply that names a newer configuration counts once that is in force") {
+TEST_CASE("a reply with a newer configuration counts once that configuration is in effect here") {
   ServingLease lease;
   lease.onControllerSnapshot();
   Roster const roster = rosterOf({"a", "b", "c"});
   ConfigurationState const newer = configurationAt(2);
   lease.onHeartbeatReply("b", replyWith(200, newer), configurationAt(1), roster);
-  CHECK_FALSE(lease.hasHeardMajority(200, 1000, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(200, 1000, roster));
   lease.refresh(newer, roster);
-  CHECK(lease.hasHeardMajority(200, 1000, roster));
+  CHECK(lease.hasRecentQuorumContact(200, 1000, roster));
 }
 
-TEST_CASE("a router without a snapshot is not heard") {
+TEST_CASE("a reply of a router without a snapshot does not count as contact") {
   ServingLease lease;
   lease.onControllerSnapshot();
   Roster const roster = rosterOf({"a", "b", "c"});
@@ -99,10 +99,10 @@
   transport::PeerHeartbeat reply = replyWith(200, configuration);
   reply.hasSnapshot = false;
   lease.onHeartbeatReply("b", reply, configuration, roster);
-  CHECK_FALSE(lease.hasHeardMajority(200, 1000, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(200, 1000, roster));
 }
 
-TEST_CASE("ages pass on whom a router has heard, when both have the same roster") {
+TEST_CASE("a router learns the contacts of others from ages, if both have the same roster") {
   Roster const roster = rosterOf({"a", "b", "c"});
   ConfigurationState const configuration = configurationAt(1);
   ServingLease other;
@@ -117,13 +117,13 @@
   transport::PeerHeartbeat reply = replyWith(1000, configuration);
   reply.ages = ages;
   lease.onHeartbeatReply("b", reply, configuration, roster);
-  CHECK_FALSE(lease.hasHeardMajority(1000, 500, roster));
+  CHECK_FALSE(lease.hasRecentQuorumContact(1000, 500, roster));
   reply.rosterRevision = roster.revision();
   lease.onHeartbeatReply("b", reply, configuration, roster);
-  CHECK(lease.hasHeardMajority(1000, 500, roster));
+  CHECK(lease.hasRecentQuorumContact(1000, 500, roster));
 }
 
-TEST_CASE("old grants and replies are forgotten") {
+TEST_CASE("forgetBefore removes older grants, replies and contacts") {
   ServingLease lease;
   Roster const roster = rosterOf({"a", "b", "c"});
   ConfigurationState const configuration = configurationAt(1);
