--- a/dataplane/test/route_table_test.cpp
+++ b/dataplane/test/route_table_test.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-Route routeOf(core::NameIndex instance) {
+Route routeOfInstance(core::NameIndex instance) {
   Route route;
   route.instance = instance;
   return route;
 }
 
-Request requestTo(std::string const& instance, std::string const& path) {
+Request requestToInstance(std::string const& instance, std::string const& path) {
   Request request;
   request.instance = instance;
   request.path = path;
   return request;
 }
 
-Request requestAt(std::string const& host, std::string const& target) {
+Request requestToHost(std::string const& host, std::string const& target) {
   Request request;
   request.host = host;
   request.target = target;
@@ -33,49 +33,49 @@
 
 TEST_CASE("a request that names an instance is routed by instance and path") {
   RouteTable routes;
-  routes.add("family:f", "a/chat", routeOf(1));
-  CHECK(routes[routes.find(requestTo("a", "chat"))].instance == 1);
-  CHECK(routes.find(requestTo("a", "other")) == core::InternedNames::none);
-  CHECK(routes.find(requestTo("b", "chat")) == core::InternedNames::none);
+  routes.add("family:f", "a/chat", routeOfInstance(1));
+  CHECK(routes[routes.find(requestToInstance("a", "chat"))].instance == 1);
+  CHECK(routes.find(requestToInstance("a", "other")) == core::InternedNames::none);
+  CHECK(routes.find(requestToInstance("b", "chat")) == core::InternedNames::none);
 }
 
 TEST_CASE("a request without an instance is routed by the longest prefix of its target") {
   RouteTable routes;
-  routes.add("fleet", "host/", routeOf(1));
-  routes.add("fleet", "host/v1/", routeOf(2));
-  CHECK(routes[routes.find(requestAt("host", "/v1/chat?x=/v2/"))].instance == 2);
-  CHECK(routes[routes.find(requestAt("host", "/v1"))].instance == 1);
-  CHECK(routes[routes.find(requestAt("host", "/v2/chat"))].instance == 1);
-  CHECK(routes.find(requestAt("other", "/v1/chat")) == core::InternedNames::none);
+  routes.add("fleet", "host/", routeOfInstance(1));
+  routes.add("fleet", "host/v1/", routeOfInstance(2));
+  CHECK(routes[routes.find(requestToHost("host", "/v1/chat?x=/v2/"))].instance == 2);
+  CHECK(routes[routes.find(requestToHost("host", "/v1"))].instance == 1);
+  CHECK(routes[routes.find(requestToHost("host", "/v2/chat"))].instance == 1);
+  CHECK(routes.find(requestToHost("other", "/v1/chat")) == core::InternedNames::none);
 }
 
-TEST_CASE("a route that was removed is not found, and keeps its index") {
+TEST_CASE("a removed route is not found any more but keeps its index") {
   RouteTable routes;
-  routes.add("family:f", "a/chat", routeOf(1));
-  routes.add("family:g", "b/chat", routeOf(2));
+  routes.add("family:f", "a/chat", routeOfInstance(1));
+  routes.add("family:g", "b/chat", routeOfInstance(2));
   std::uint64_t const before = routes.revision();
-  core::NameIndex const removed = routes.find(requestTo("a", "chat"));
+  core::NameIndex const removed = routes.find(requestToInstance("a", "chat"));
   routes.remove("family:f");
   CHECK(routes.revision() > before);
-  CHECK(routes.find(requestTo("a", "chat")) == core::InternedNames::none);
+  CHECK(routes.find(requestToInstance("a", "chat")) == core::InternedNames::none);
   CHECK(routes[removed].instance == 1);
   CHECK(routes.instances() == std::set<core::NameIndex>{2});
 }
 
-TEST_CASE("compaction keeps routes that are in force or in use, in order") {
+TEST_CASE("compaction keeps the active routes and those in use, in their order") {
   RouteTable routes;
   for (core::NameIndex instance = 0; instance < 1023; ++instance) {
     routes.remove("family:f");
-    routes.add("family:f", "a/chat", routeOf(instance));
+    routes.add("family:f", "a/chat", routeOfInstance(instance));
   }
   CHECK_FALSE(routes.needsCompaction());
-  routes.add("family:g", "b/chat", routeOf(5000));
+  routes.add("family:g", "b/chat", routeOfInstance(5000));
   CHECK(routes.needsCompaction());
-  std::vector<core::NameIndex> const moved = routes.compact({7});
+  std::vector<core::NameIndex> const newIndices = routes.compact({7});
   CHECK(routes.size() == 3);
-  CHECK(moved[7] == 0);
+  CHECK(newIndices[7] == 0);
   CHECK(routes[0].instance == 7);
-  CHECK(routes[routes.find(requestTo("a", "chat"))].instance == 1022);
-  CHECK(routes[routes.find(requestTo("b", "chat"))].instance == 5000);
+  CHECK(routes[routes.find(requestToInstance("a", "chat"))].instance == 1022);
+  CHECK(routes[routes.find(requestToInstance("b", "chat"))].instance == 5000);
   CHECK_FALSE(routes.needsCompaction());
 }
--- a/dataplane/test/service_times_test.cpp
+++ b/dataplane/test/service_times_test.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("a path's deadline is expected until sixteen of its requests were served") {
+TEST_CASE("until 16 requests of a path were served, its deadline is the expected duration") {
   ServiceTimes times;
   config::Path const path = pathWithDeadline(10000);
   for (int i = 0; i < 15; ++i) times.record(path, 100);
@@ -26,18 +26,18 @@
   CHECK(times.expected(path) == 125);
 }
 
-TEST_CASE("the longest time fades with each quicker request, and never exceeds the deadline") {
+TEST_CASE("the longest duration decays with each faster request, and the expected one never exceeds the deadline") {
   ServiceTimes times;
   config::Path const path = pathWithDeadline(1000);
   for (int i = 0; i < 16; ++i) times.record(path, 3200);
   CHECK(times.expected(path) == 1000);
-  ServiceTimes quicker;
-  for (int i = 0; i < 15; ++i) quicker.record(path, 640);
-  quicker.record(path, 1);
-  CHECK(quicker.expected(path) == (640 - 640 / 32) * 5 / 4);
+  ServiceTimes faster;
+  for (int i = 0; i < 15; ++i) faster.record(path, 640);
+  faster.record(path, 1);
+  CHECK(faster.expected(path) == (640 - 640 / 32) * 5 / 4);
 }
 
-TEST_CASE("paths are timed apart") {
+TEST_CASE("the durations of each path are recorded separately") {
   ServiceTimes times;
   config::Path const path = pathWithDeadline(10000);
   config::Path other = path;
--- a/programs/router/request_relay.cpp
+++ b/programs/router/request_relay.cpp
@@ -37,7 +37,7 @@
 void RequestRelay::add(http::Request request, http::CallerRequest caller) {
   ActiveRequest& active = requests_[request.id];
   if (caller.isEventStream)
-    active.stream.asEvents(std::move(caller.lastEventId));
+    active.stream.expectEvents(std::move(caller.lastEventId));
   else
     active.lastEvent = std::move(caller.lastEventId);
   active.request = std::move(request);
@@ -60,13 +60,13 @@
   closeUpstream(command.call);
   active->path = command.path;
   active->pausedSince = 0;
-  if (command.events && !active->everConnected) active->stream.asEvents(std::move(active->lastEvent));
+  if (command.events && !active->everConnected) active->stream.expectEvents(std::move(active->lastEvent));
   active->everConnected = true;
-  active->stream.connecting(command.resume);
+  active->stream.onConnecting(command.resume);
   http::UpstreamConnection::Events events = upstreamEvents(command.call);
   active->upstream =
       command.incarnation.empty()
-          ? upstreams_.acquire(command.address, command.fresh, std::move(events), owner_)
+          ? upstreams_.acquire(command.address, command.avoidStaleConnection, std::move(events), owner_)
           : new http::UpstreamConnection(command.address, command.incarnation, std::move(events), owner_);
 }
 
@@ -133,13 +133,13 @@
 
 void RequestRelay::onHead(std::uint64_t id, http::ReplicaHead const& head) {
   ActiveRequest* const active = find(id);
-  if (active != nullptr) apply(id, active->stream.head(mapping_.responseHead(head, active->request)));
+  if (active != nullptr) apply(id, active->stream.onHead(mapping_.responseHead(head, active->request)));
 }
 
 void RequestRelay::onChunk(std::uint64_t id, std::string bytes) {
   ActiveRequest* const active = find(id);
   if (active == nullptr) return;
-  apply(id, active->stream.piece(std::move(bytes)));
+  apply(id, active->stream.onChunk(std::move(bytes)));
   reportProgress(id);
   applyBackpressure(id);
 }
@@ -148,7 +148,7 @@
   ActiveRequest* const active = find(id);
   if (active == nullptr) return;
   bool const stale = !complete && active->upstream != nullptr && active->upstream->isStale();
-  dataplane::StreamSteps steps = active->stream.ended(complete);
+  dataplane::StreamSteps steps = active->stream.onEnd(complete);
   if (stale && steps.ended == dataplane::UpstreamResult::connectionLost)
     steps.ended = dataplane::UpstreamResult::staleConnection;
   apply(id, std::move(steps));
--- a/testing/capacity/requests.cpp
+++ b/testing/capacity/requests.cpp
@@ -109,9 +109,9 @@
   growth.restart();
   std::vector<dataplane::ResponseStream> streams(static_cast<std::size_t>(sizes.calls));
   for (dataplane::ResponseStream& stream : streams) {
-    stream.connecting(false);
-    stream.head(responseHead());
-    stream.piece(eventBytes);
+    stream.onConnecting(false);
+    stream.onHead(responseHead());
+    stream.onChunk(eventBytes);
   }
   growth.add("streams", "router", 1);
 }
@@ -157,10 +157,10 @@
   std::vector<double> out;
   for (int block = 0; block < blocks; ++block) {
     dataplane::ResponseStream stream;
-    stream.connecting(false);
-    stream.head(dataplane::ResponseHead{200, {{"corkward-run", "run-0123456789abcdef"}}, -1, false, false, {}, {}});
+    stream.onConnecting(false);
+    stream.onHead(dataplane::ResponseHead{200, {{"corkward-run", "run-0123456789abcdef"}}, -1, false, false, {}, {}});
     double const from = threadUs();
-    for (int i = 0; i < blockChunks; ++i) passedBytes += stream.piece(eventBytes).chunk.size();
+    for (int i = 0; i < blockChunks; ++i) passedBytes += stream.onChunk(eventBytes).chunk.size();
     out.push_back((threadUs() - from) / blockChunks);
   }
   return out;
--- a/testing/sim/mass_faults.cpp
+++ b/testing/sim/mass_faults.cpp
@@ -36,7 +36,7 @@
     ++result_.counts["reset-streams"];
     to->runs.at(forwarded.run).alive = false;
     wire(n.link, n.incarnation, key.second, forwarded.turn,
-         [](dataplane::ResponseStream& st) { return st.ended(false); });
+         [](dataplane::ResponseStream& st) { return st.onEnd(false); });
   }
 }
 
--- a/testing/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -56,13 +56,13 @@
   r.caller = callerOf_[{n.link, m.call}];
   r.turn = nextRun_++;
   std::uint64_t const turn = r.turn;
-  if (m.events && streams_.count({n.link, m.call}) == 0) streams_[{n.link, m.call}].asEvents("");
+  if (m.events && streams_.count({n.link, m.call}) == 0) streams_[{n.link, m.call}].expectEvents("");
   streams_[{n.link, m.call}].connecting(m.resume);
   std::vector<Idle>& idle = idle_[{n.link, m.address}];
   while (m.incarnation.empty() && !idle.empty() && !r.reused) {
     Idle const last = idle.back();
     Milliseconds const rest = now_ - last.since;
-    if (m.fresh && rest >= freshIdleLimit) break;
+    if (m.avoidStaleConnection && rest >= freshIdleLimit) break;
     idle.pop_back();
     r.reused = rest < idleLimit;
     r.dead = r.reused && last.dead;
@@ -124,7 +124,7 @@
       toNode(link, incarnation, [this, link, call, turn] {
         auto const still = upstreams_.find({link, call});
         if (still == upstreams_.end() || still->second.turn != turn) return;
-        fed(*node(link), call, [](dataplane::ResponseStream& st) { return st.ended(false); });
+        fed(*node(link), call, [](dataplane::ResponseStream& st) { return st.onEnd(false); });
       });
       return;
     }
@@ -177,7 +177,7 @@
     forwarded.run = wantedRun;
     if (known == r.runs.end()) {
       wire(n.link, incarnation, call, forwarded.turn, [](dataplane::ResponseStream& st) {
-        return st.head(dataplane::ResponseHead{410, {}, 0});
+        return st.onHead(dataplane::ResponseHead{410, {}, 0});
       });
       return;
     }
@@ -194,18 +194,18 @@
     std::string bytes = again.made.substr(from);
     if (plan_.mutation == Mutation::resumeOther) bytes = tokenText(r.address + "#other", 0) + bytes;
     bool const done = again.done;
-    wire(n.link, incarnation, call, forwarded.turn, [head](dataplane::ResponseStream& st) { return st.head(head); });
+    wire(n.link, incarnation, call, forwarded.turn, [head](dataplane::ResponseStream& st) { return st.onHead(head); });
     if (!bytes.empty())
       wire(n.link, incarnation, call, forwarded.turn,
-           [bytes](dataplane::ResponseStream& st) { return st.piece(bytes); });
+           [bytes](dataplane::ResponseStream& st) { return st.onChunk(bytes); });
     if (done)
-      wire(n.link, incarnation, call, forwarded.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
+      wire(n.link, incarnation, call, forwarded.turn, [](dataplane::ResponseStream& st) { return st.onEnd(true); });
     return;
   }
   countGrey(r);
   if (r.queue.size() > 40) {
     wire(n.link, incarnation, call, forwarded.turn, [](dataplane::ResponseStream& st) {
-      return st.head(dataplane::ResponseHead{.status = 503, .length = 0, .notExecuted = true});
+      return st.onHead(dataplane::ResponseHead{.status = 503, .length = 0, .notExecuted = true});
     });
     return;
   }
@@ -272,14 +272,14 @@
   Run const b = run;
   if (b.grey == Grey::dropped) {
     r.runs.erase(b.run);
-    wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
+    wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.onEnd(false); });
     return;
   }
   wire(b.node, b.incarnation, b.call, b.turn, [b](dataplane::ResponseStream& st) {
-    return st.head(dataplane::ResponseHead{.status = 500, .failed = true, .run = b.run});
+    return st.onHead(dataplane::ResponseHead{.status = 500, .failed = true, .run = b.run});
   });
-  wire(b.node, b.incarnation, b.call, b.turn, [b](dataplane::ResponseStream& st) { return st.piece(b.made); });
-  wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
+  wire(b.node, b.incarnation, b.call, b.turn, [b](dataplane::ResponseStream& st) { return st.onChunk(b.made); });
+  wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.onEnd(true); });
 }
 
 void SimulatedCluster::countGrey(Replica const& r) {
@@ -348,18 +348,18 @@
   if (r.dark || !now.alive) return;
   if (k == 0)
     wire(now.node, now.incarnation, now.call, now.turn, [name, events = now.events](dataplane::ResponseStream& st) {
-      return st.head(dataplane::ResponseHead{.status = 200, .run = name, .events = events});
+      return st.onHead(dataplane::ResponseHead{.status = 200, .run = name, .events = events});
     });
   if (!bytes.empty())
     wire(now.node, now.incarnation, now.call, now.turn,
-         [bytes](dataplane::ResponseStream& st) { return st.piece(bytes); });
+         [bytes](dataplane::ResponseStream& st) { return st.onChunk(bytes); });
   if (now.grey == Grey::cut && k == 1 && k < tokens) {
     r.runs.at(name).alive = false;
-    wire(now.node, now.incarnation, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
+    wire(now.node, now.incarnation, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.onEnd(false); });
     return;
   }
   if (k == tokens)
-    wire(now.node, now.incarnation, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.ended(true); });
+    wire(now.node, now.incarnation, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.onEnd(true); });
 }
 
 void SimulatedCluster::wire(std::string const& link, std::uint64_t incarnation, std::uint64_t call, std::uint64_t turn,
@@ -492,7 +492,7 @@
   for (Run const& run : hit)
     after(1 + static_cast<Milliseconds>(rng_.below(5)), [this, run] {
       wire(run.node, run.incarnation, run.call, run.turn,
-           [](dataplane::ResponseStream& st) { return st.ended(false); });
+           [](dataplane::ResponseStream& st) { return st.onEnd(false); });
     });
 }
 
@@ -501,7 +501,7 @@
     if (!execution.alive) continue;
     execution.alive = false;
     Run const& b = execution;
-    wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.ended(false); });
+    wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.onEnd(false); });
   }
 }
 
