--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -175,7 +175,7 @@
     Milliseconds backoffUntil = 0;
     /// Own requests that it has in hand.
     int inFlight = 0;
-    scaling::Reliability reliability;
+    scaling::CircuitBreaker reliability;
     /// Among the replicas of its pool that the pick may do without; see avoidWorst.
     bool ejected = false;
   };
--- a/dataplane/src/admission_queues.cpp
+++ b/dataplane/src/admission_queues.cpp
@@ -25,9 +25,10 @@
   for (NameIndex const ix : view.replicas) {
     Replica const& r = replicas_[ix];
     bool const cold = r.state == config::ReplicaState::warmingUp;
-    for (Milliseconds const at : {r.backoffUntil, cold ? warmupLeases_.expiresAt(ix) : 0, r.reliability.restUntil()})
+    for (Milliseconds const at :
+         {r.backoffUntil, cold ? warmupLeases_.expiresAt(ix) : 0, r.reliability.suspendedUntil()})
       if (at > now) view.changesAt = std::min(view.changesAt, at);
-    if (usable(now, ix) && !(r.ejected && r.reliability.isResting(now)))
+    if (usable(now, ix) && !(r.ejected && r.reliability.isSuspended(now)))
       all.push_back(scaling::Candidate{ix, cold, r.hash});
   }
   std::map<std::string, scaling::Candidates> candidates = regimePolicy_.candidatesByRegime(all);
@@ -36,7 +37,7 @@
   view.bindingsChanged = false;
   for (auto c = queues_.lower_bound({pool, 0}); c != queues_.end() && c->first.first == pool; ++c) {
     c->second.scaler.setCandidates(candidatesOf(view, regimePolicy_.regimeOf(c->first.second)));
-    if (!c->second.scaler.isAtRest()) activate(now, c->first);
+    if (!c->second.scaler.isIdle()) activate(now, c->first);
   }
 }
 
--- a/dataplane/src/replica_choice.cpp
+++ b/dataplane/src/replica_choice.cpp
@@ -63,7 +63,7 @@
   Route const& route = routes_[call.path];
   double const usual = queues_.at({call.pool, route.instance}).scaler.firstByteMean();
   return static_cast<double>(took) >
-         tuning_.scalerParameters.lateTargets * std::max(static_cast<double>(route.path.latencyTarget), usual);
+         tuning_.scalerParameters.overdueFactor * std::max(static_cast<double>(route.path.latencyTarget), usual);
 }
 
 void RequestRouter::backOff(NameIndex replica, Milliseconds until) {
@@ -153,7 +153,7 @@
       choices.push_back(c);
   std::function<bool(scaling::Candidate const&)> const avoid = [&](scaling::Candidate const& c) {
     Replica const& r = replicas_[c.replica];
-    return r.ejected && (r.reliability.isResting(now) || r.inFlight > 0);
+    return r.ejected && (r.reliability.isSuspended(now) || r.inFlight > 0);
   };
   if (!std::all_of(choices.begin(), choices.end(), avoid)) std::erase_if(choices, avoid);
   if (call.request.segments.size() < 2) {
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -185,7 +185,7 @@
   for (QueueKey const& key : keys) evaluateQueue(out, now, key);
   std::erase_if(activeQueues_, [&](QueueKey const& key) {
     AdmissionQueue const& queue = queues_.at(key);
-    return queue.queuedCount() == 0 && queue.scaler.isAtRest();
+    return queue.queuedCount() == 0 && queue.scaler.isIdle();
   });
 }
 
--- a/dataplane/test/prompt_test.cpp
+++ b/dataplane/test/prompt_test.cpp
@@ -25,11 +25,11 @@
     dataplane::RouterTuning t;
     t.leaseRequired = false;
     t.startupGracePeriod = 0;
-    t.scalerParameters.width = 0.005;
+    t.scalerParameters.excessPerReplica = 0.005;
     t.scalerParameters.initialLimit = 1.0;
     t.scalerParameters.minLimit = 0.05;
     t.scalerParameters.maxLimit = 1000;
-    t.scalerParameters.steady = 0.7;
+    t.scalerParameters.limitRaiseLatencyRatio = 0.7;
     t.scalerParameters.limitDecay = 0.9;
     return t;
   }
--- a/dataplane/test/request_router_test.cpp
+++ b/dataplane/test/request_router_test.cpp
@@ -709,9 +709,9 @@
 
 TEST_CASE("the part begins with and widens by the replica that keeps an arriving prompt's parts") {
   dataplane::RouterTuning tuning;
-  tuning.scalerParameters.width = 0.005;
+  tuning.scalerParameters.excessPerReplica = 0.005;
   tuning.scalerParameters.initialLimit = 1;
-  tuning.scalerParameters.steady = 0.7;
+  tuning.scalerParameters.limitRaiseLatencyRatio = 0.7;
   tuning.scalerParameters.minLimit = 0.05;
   tuning.scalerParameters.limitDecay = 0.9;
   for (std::uint64_t first = 0; first < 20; ++first) {
@@ -921,8 +921,8 @@
     t.leaseRequired = false;
     t.startupGracePeriod = 0;
     t.scalerParameters.limitDecay = 0.9;
-    t.scalerParameters.steady = 0.7;
-    t.scalerParameters.width = 0.5;
+    t.scalerParameters.limitRaiseLatencyRatio = 0.7;
+    t.scalerParameters.excessPerReplica = 0.5;
     return t;
   }
   Twins() : tuning(open()), reducer(Rig::self(), {"s1"}, seed, tuning) {
--- a/scaling/include/corkward/scaling/candidates.h
+++ b/scaling/include/corkward/scaling/candidates.h
@@ -11,22 +11,23 @@
 
 namespace corkward::scaling {
 
-/// A replica that a part may draw from.
+/// A replica that may become a member of a router's subset of a pool.
 struct Candidate {
   NameIndex replica = 0;
   bool warmingUp = false;
-  /// Hash of its address, equal on every node.
+  /// Hash of the replica's address, equal on every router.
   std::uint64_t hash = 0;
   bool operator==(Candidate const&) const = default;
 };
 
-/// The replicas that parts of one pool may draw from, in the order of their index. Copies share them.
+/// All candidates of one pool, sorted by the index of the replica. Copies share the underlying vector, which never
+/// changes.
 class Candidates {
  public:
   Candidates() = default;
   Candidates(std::vector<Candidate> all);
   Candidates(std::initializer_list<Candidate> all) : Candidates(std::vector<Candidate>(all)) {}
-  /// Null when it is none of them.
+  /// Returns the candidate of this replica, or nullptr if there is none.
   Candidate const* find(NameIndex replica) const;
   std::vector<Candidate> const& all() const;
   std::size_t size() const { return all().size(); }
--- a/scaling/include/corkward/scaling/completion_rate.h
+++ b/scaling/include/corkward/scaling/completion_rate.h
@@ -1,18 +1,21 @@
 #pragma once
 
-/// How fast requests of a kind end.
+/// The rate at which requests complete.
 
 #include <corkward/scaling/scaler_parameters.h>
 
 namespace corkward::scaling {
 
-/// How many requests end in a second: a running mean over windows of a second, closed by looks.
+/// Completed requests per second: a running mean over windows of one second. A window ends with the first call of
+/// closeWindow or catchUp after its second.
 class CompletionRate {
  public:
   static constexpr Milliseconds window = 1000;
   void onCompleted() { ++completed_; }
+  /// Ends the current window if it has lasted a second, and adds its rate to the mean.
   void closeWindow(Milliseconds now);
-  /// Makes up for the looks that were left out, as if there had been one at the end of each window before now.
+  /// Adds all windows that ended before `now`, with the same result as if closeWindow had been called at the end of
+  /// each.
   void catchUp(Milliseconds now);
   double perSecond() const { return perSecond_; }
 
--- a/scaling/include/corkward/scaling/scaler.h
+++ b/scaling/include/corkward/scaling/scaler.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// How many replicas one node draws from, and how much it has in flight at each: pure, with the time in each call.
+/// Controls how many replicas of a pool one router uses, and how many requests it has in flight at each. Pure: the time
+/// is a parameter of each call.
 
 #include <cstdint>
 #include <unordered_map>
@@ -10,76 +11,97 @@
 
 namespace corkward::scaling {
 
-/// Decides which replicas one (node, pool, instance) sends to: width trigger, one-replica steps, calm give-back.
+/// Decides which subset of a pool's replicas one router sends an instance's requests to, and how many may be in flight.
+/// The subset grows by one replica when demand exceeds the cap, and shrinks by one after demand has been low for a
+/// while. The concurrency limit per replica follows the latency target.
 class Scaler {
  public:
-  /// The seed orders this node's preference among replicas; nodes choose apart.
-  explicit Scaler(std::uint64_t seed, ScalerParameters const& f = defaultScalerParameters);
+  /// @param seed determines the order in which this router adds replicas; routers differ in it, so that their subsets
+  ///   spread over the pool
+  explicit Scaler(std::uint64_t seed, ScalerParameters const& parameters = defaultScalerParameters);
 
-  /// New candidates. Members of the subset that are no longer candidates leave at once and are replaced one for one;
-  /// neither counts as a step.
+  /// Sets the candidates. Members of the subset that are no longer candidates are removed at once and replaced one for
+  /// one; this is independent of the growth and shrinking by evaluate.
   void setCandidates(Candidates all);
-  /// Before anything was sent: the subset begins with this replica, if it is a candidate.
-  void beginWith(NameIndex wanted);
-  /// Evaluates the demand; `queued` counts no hedged requests. Takes at most one step and returns +1, -1 or 0. Growing
-  /// takes the wanted candidate, if that is outside the subset, else the next in this node's order.
-  int evaluate(Milliseconds now, std::size_t queued, std::int64_t wanted = -1);
-  /// True when evaluating with an empty queue changes nothing until a request is sent or candidates change.
-  bool isAtRest() const;
+  /// Replaces the only member of the subset by this replica, if it is a candidate and no request is in flight.
+  void beginWith(NameIndex preferred);
+  /// Evaluates the demand and grows or shrinks the subset by at most one replica.
+  /// @param queued requests that wait in the queue, without hedged ones
+  /// @param preferred index of the candidate to add if it is not in the subset, or -1 to add the next in this router's
+  ///   order
+  /// @return +1 if the subset grew, -1 if it shrank, else 0
+  int evaluate(Milliseconds now, std::size_t queued, std::int64_t preferred = -1);
+  /// Returns true if evaluating with an empty queue changes nothing until a request is sent or the candidates change.
+  bool isIdle() const;
 
+  /// Greatest number of requests in flight: the concurrency limit times the members of the subset that are not warming
+  /// up.
   double cap() const;
-  /// Capacity under the cap for one more request of the kind.
+  /// Returns true if the cap leaves capacity for one more request.
+  /// @param bulk whether it is a bulk request; these may fill only a fraction of the cap
   bool hasCapacity(bool bulk) const;
-  /// The same; while responses are steady the limit is raised so that there is capacity.
+  /// The same as hasCapacity, but raises the limit to make capacity while responses are well within the latency target.
   bool raiseLimitFor(bool bulk);
   std::vector<Candidate> const& subset() const { return subset_; }
-  /// How many it may draw from.
-  std::size_t candidateCount() const { return all_.size(); }
+  /// Number of replicas that the subset may have.
+  std::size_t candidateCount() const { return candidates_.size(); }
   bool has(NameIndex replica) const;
   int inFlight() const { return inFlight_; }
   int inFlightAt(NameIndex replica) const;
   double limit() const { return limit_; }
-  /// True when the replica's mean time to the first byte exceeds the latency target it was last measured against.
+  /// Returns true if the replica's mean time to the first byte exceeds the latency target of its last response.
   bool isSlow(NameIndex replica) const;
   ScalerParameters const& parameters() const { return parameters_; }
-  /// True when the whole subset is slow and growing it last did not help.
+  /// Returns true if all members of the subset are slow and its last growth did not help.
   bool areAllSlow() const { return allSlow_; }
+  /// Running mean of the time to the first byte over all replicas, in milliseconds; 0 before the first response.
   double firstByteMean() const { return meanFirstByte_; }
 
-  /// Forgets a replica that is gone for good and has nothing in flight.
-  void forget(NameIndex replica) { times_.erase(replica); }
+  /// Removes the measurements of a replica that has been removed from the pool and has no request in flight.
+  void forget(NameIndex replica) { firstByteTimes_.erase(replica); }
+  /// A request was dispatched to the replica.
   void onSent(NameIndex replica, bool bulk);
-  /// The first byte came after `took` milliseconds, against the class's latency target in milliseconds.
+  /// The first byte of a response arrived.
+  /// @param took milliseconds since the request was dispatched
+  /// @param latencyTarget latency target of the request's class, in milliseconds
   void onFirstByte(Milliseconds now, NameIndex replica, Milliseconds took, Milliseconds latencyTarget);
+  /// A request that was dispatched to the replica has ended, whatever its outcome.
   void onEnded(NameIndex replica, bool bulk);
 
  private:
+  /// Number of requests beyond low demand: in-flight requests above lowDemandFraction of the cap, and queued ones.
   double excessDemand(std::size_t queued) const;
-  /// Takes the first candidates of this node's order until the subset has so many.
+  /// Adds the next candidates in this router's order until the subset has `size` members or there are no more
+  /// candidates.
   void growSubset(std::size_t size);
+  /// Sort key of a candidate in this router's order.
   std::uint64_t subsetOrder(Candidate const& c) const;
 
-  struct Times {
+  struct FirstByteTimes {
     double meanFirstByte = 0;
+    /// Latency target of the last response.
     Milliseconds latencyTarget = 0;
-    int answers = 0;
+    int responses = 0;
   };
   std::uint64_t seed_;
   ScalerParameters parameters_;
-  Candidates all_;
+  Candidates candidates_;
   std::vector<Candidate> subset_;
   std::unordered_map<NameIndex, int> inFlightAt_;
-  std::unordered_map<NameIndex, Times> times_;
+  std::unordered_map<NameIndex, FirstByteTimes> firstByteTimes_;
   int inFlight_ = 0;
   int bulkInFlight_ = 0;
+  /// Concurrency limit per replica.
   double limit_;
   Milliseconds limitCutAt_ = 0;
-  Milliseconds calmSince_ = -1;
+  /// Since when demand has been low without a change of the subset, or -1 if it is not low.
+  Milliseconds lowDemandSince_ = -1;
   double meanFirstByte_ = 0;
-  /// Running mean of answer times as shares of their aims.
-  double strain_ = 0;
-  double meanAtWidening_ = 0;
-  int answersSinceWidening_ = 0;
+  /// Running mean of the ratio of the time to the first byte to the latency target.
+  double latencyRatio_ = 0;
+  /// Value of `meanFirstByte_` when the subset last grew, and the responses since then.
+  double meanFirstByteAtGrowth_ = 0;
+  int responsesSinceGrowth_ = 0;
   bool allSlow_ = false;
 };
 
--- a/scaling/include/corkward/scaling/scaler_parameters.h
+++ b/scaling/include/corkward/scaling/scaler_parameters.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The figures of scaling, picking and trust in one table; starting values of the design.
+/// Parameters of subset size, concurrency limit, choice of a replica and circuit breakers, in one table.
 
 #include <cstddef>
 
@@ -11,65 +11,78 @@
 using core::Milliseconds;
 using core::NameIndex;
 
-/// The design's figures; starting values, all in one table.
+/// Parameters of scaling. The defaults are the design's starting values.
 struct ScalerParameters {
-  /// Each width: this many more buffered requests add one more replica.
-  double width = 2.0;
-  /// Own in-flight requests past this share of the cap count as buffered; under it, for one replica fewer, is calm.
-  double calmFraction = 0.7;
-  /// How long the calm must last before one replica is given back (never under 5 s).
+  /// The subset grows by one replica when the excess demand (Scaler::evaluate) is at least this many requests for each
+  /// replica that the subset has.
+  double excessPerReplica = 2.0;
+  /// In-flight requests above this fraction of the cap count as excess demand. Demand is low while in-flight requests
+  /// are below this fraction of what the cap would be with one replica fewer.
+  double lowDemandFraction = 0.7;
+  /// How long demand must be low before one replica is removed from the subset, in milliseconds; at least 5000.
   Milliseconds cooldown = 5000;
-  /// Replicas that a part begins with.
+  /// Number of replicas that a subset has at the start.
   std::size_t initialSubset = 1;
+  /// Concurrency limit: in-flight requests of this router per replica, at the start and its bounds.
   double initialLimit = 4.0;
   double minLimit = 1.0;
   double maxLimit = 24.0;
-  /// The limit falls to this share when answer times pass the aim, at most once per cutEvery.
+  /// The limit is multiplied by this factor when a first byte takes longer than the latency target, at most once per
+  /// limitCutInterval.
   double limitCutFactor = 0.8;
   Milliseconds limitCutInterval = 500;
-  /// While answers take less than this share of their aims, the limit is raised for a request that finds no room.
-  double steady = 0.0;
-  /// The limit falls to this share with each look at which less than `used` of the cap is in use; below 1 a widening
-  /// also leaves the cap as it is, since the limit is raised on demand.
+  /// While the mean ratio of the time to the first byte to the latency target is below this, the limit is raised for a
+  /// request that finds no capacity. 0 turns such raises off.
+  double limitRaiseLatencyRatio = 0.0;
+  /// The limit is multiplied by this factor at each evaluation at which less than decayBelowUtilization of the cap is
+  /// in use. If it is below 1, a growing subset keeps its cap: the limit shrinks in proportion, since it is raised on
+  /// demand.
   double limitDecay = 1.0;
-  double usedFraction = 0.85;
-  /// What one request in flight weighs in the pick, in tokens to be read anew.
+  double decayBelowUtilization = 0.85;
+  /// Cost of one request in flight when a replica is chosen, in tokens that the replica has to read.
   double inFlightTokens = 300.0;
-  /// What a token of a shared part weighs that would be read anew.
+  /// Cost of a token of a shared segment that the replica would have to read because it does not have it cached.
   double uncachedTokenWeight = 4.0;
-  /// Tokens that a replica is taken to read in a millisecond, and how long a first word may take beyond that. What an
-  /// own request has waited longer counts as work that its replica is held up by.
+  /// Tokens that a replica is assumed to read per millisecond, and how many milliseconds a first byte may take beyond
+  /// that. A request that has waited longer shows that its replica is busy: the additional time counts as cost.
   double prefillTokensPerMs = 100.0;
   Milliseconds firstByteSlack = 60;
-  /// A prompt of more own tokens for each millisecond of its aim cannot be read within it. This share of a pool's
-  /// replicas, rounded down and the same on all nodes, reads those, so that they hold up nothing else.
+  /// A prompt whose last segment has more tokens than this per millisecond of the latency target cannot be read within
+  /// the target. Such long prompts go to isolated replicas, so that they delay no other requests. Isolated replicas are
+  /// this fraction of a pool's replicas, rounded down, and are the same on all routers.
   double targetTokensPerMs = 50.0;
   double isolatedFraction = 0.09;
-  /// What it weighs, in tokens, to send a prompt to a replica of the other kind.
+  /// Cost, in tokens, of sending a long prompt to a replica that is not isolated, or another one to an isolated
+  /// replica.
   double wrongGroupPenalty = 40000.0;
-  /// Parts of prompts that a node remembers to have sent.
+  /// Number of prompt segments that a router remembers to have sent.
   std::size_t maxCachedSegments = 40000;
-  /// Share of the cap that long requests may fill.
+  /// Fraction of the cap that bulk requests may fill.
   double bulkFraction = 0.4;
-  /// A prefix stays on its replica while that has at most this many more in flight than the fewest.
+  /// A prefix stays on its replica while that replica has at most this many more requests in flight than the replica
+  /// with the fewest.
   int prefixSlack = 1;
+  /// Number of prefixes whose last replica a router remembers.
   std::size_t maxPrefixes = 20000;
-  /// A replica's answer times weigh this much in the running mean.
+  /// Weight of one response in the running mean of the time to the first byte.
   double meanWeight = 0.2;
-  /// Answers needed after a widening before it is judged.
-  int minAnswers = 4;
-  /// Weight of one outcome in a replica's error rate, and the time after which rate and failures of late count half.
+  /// Responses after a growth of the subset that are needed to judge whether the growth helped.
+  int minResponses = 4;
+  /// Weight of one outcome in a replica's failure rate, and the time after which the rate and the recent failures count
+  /// half.
   double failureMeanWeight = 0.2;
   Milliseconds failureHalfLife = 30000;
-  /// A replica loses its trust at this error rate, with at least so many failures of late.
+  /// A replica is no longer trusted at this failure rate, if it has at least so many recent failures.
   double maxFailureRate = 0.4;
   double minFailures = 2.5;
-  /// First and longest rest of a replica that is not trusted, and the successes in a row that give trust back.
-  Milliseconds initialRest = 1000;
-  Milliseconds maxRest = 8000;
+  /// First and longest suspension of a replica that is not trusted, and the number of consecutive successes after which
+  /// it is trusted again.
+  Milliseconds initialSuspension = 1000;
+  Milliseconds maxSuspension = 8000;
   int probesToTrust = 5;
-  /// A first word, or a silence, over this many aims and this many of the usual first words is a failure.
-  double lateTargets = 3.0;
+  /// A request is overdue, which counts as a failure, when its first byte takes longer than this factor times the
+  /// latency target and longer than this factor times the mean time to the first byte.
+  double overdueFactor = 3.0;
 };
 
 inline constexpr ScalerParameters defaultScalerParameters{};
--- a/scaling/include/corkward/scaling/scaling.h
+++ b/scaling/include/corkward/scaling/scaling.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// All of the package in one include: the scaler, trust, the pick, prefixes, retry budgets, the cold bucket.
+/// Includes the whole package: control of subset size and concurrency, circuit breakers, the choice of a replica,
+/// prefix affinity, retry budgets and slow start.
 
 #include <corkward/scaling/balancing.h>
 #include <corkward/scaling/candidates.h>
@@ -8,6 +9,6 @@
 #include <corkward/scaling/scaler_parameters.h>
 #include <corkward/scaling/prefix_cache.h>
 #include <corkward/scaling/completion_rate.h>
-#include <corkward/scaling/reliability.h>
+#include <corkward/scaling/circuit_breaker.h>
 #include <corkward/scaling/retry_budget.h>
 #include <corkward/scaling/scaler.h>
--- a/scaling/src/prefix_cache.cpp
+++ b/scaling/src/prefix_cache.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Outdated uses may stand in an order of usage up to this multiple of what is remembered.
+/// Greatest length of a usage order, as a multiple of the number of entries that it orders; the surplus is outdated.
 constexpr std::size_t maxUsagesPerEntry = 4;
-/// Orders of usage up to this length are not worth compacting.
+/// A usage order up to this length is not compacted.
 constexpr std::size_t minCompactedUsages = 16;
 
 }  // namespace
@@ -42,7 +42,7 @@
   std::erase_if(usageOrder, [this](SegmentUsage const& used) { return !isLatest(used); });
 }
 
-void PrefixCacheEstimate::dropOldest(ReplicaCache& cache) {
+void PrefixCacheEstimate::evictOldest(ReplicaCache& cache) {
   while (!cache.usageOrder.empty()) {
     SegmentUsage const oldest = cache.usageOrder.front();
     cache.usageOrder.pop_front();
@@ -56,7 +56,7 @@
 }
 
 void PrefixCacheEstimate::recordSent(NameIndex replica, std::uint64_t segment, std::int64_t tokens,
-                                     std::int64_t memory) {
+                                     std::int64_t capacityTokens) {
   ReplicaCache& cache = byReplica_[replica];
   auto const [it, inserted] = cache.segments.try_emplace(segment, CachedSegment{tokens, 0});
   if (inserted) {
@@ -65,7 +65,8 @@
   }
   it->second.usage = ++lastUsage_;
   cache.usageOrder.push_back(SegmentUsage{segment, lastUsage_});
-  while (cache.segments.size() > 1 && ((memory > 0 && cache.tokens > memory) || count_ > bound_)) dropOldest(cache);
+  while (cache.segments.size() > 1 && ((capacityTokens > 0 && cache.tokens > capacityTokens) || count_ > bound_))
+    evictOldest(cache);
   while (cache.usageOrder.size() > maxUsagesPerEntry * cache.segments.size() + minCompactedUsages)
     cache.compactUsageOrder();
 }
--- a/scaling/src/retry_budget.cpp
+++ b/scaling/src/retry_budget.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Pools beyond which those that ask for nothing are forgotten.
+/// Number of pools above which idle budgets are removed.
 constexpr std::size_t maxPools = 32;
 
 }  // namespace
@@ -24,14 +24,14 @@
   expire(now);
 }
 
-bool RetryBudget::mayRetry(Milliseconds now, std::size_t nodes, double ofAll) {
+bool RetryBudget::mayRetry(Milliseconds now, std::size_t routers, double fleetAllowance) {
   expire(now);
-  return earned_ >= 1.0 ||
-         static_cast<double>(retries_.size()) + 1.0 <= ofAll / static_cast<double>(std::max<std::size_t>(nodes, 1));
+  return earned_ >= 1.0 || static_cast<double>(retries_.size()) + 1.0 <=
+                               fleetAllowance / static_cast<double>(std::max<std::size_t>(routers, 1));
 }
 
-bool RetryBudget::takeRetry(Milliseconds now, std::size_t nodes, double ofAll) {
-  if (!mayRetry(now, nodes, ofAll)) return false;
+bool RetryBudget::takeRetry(Milliseconds now, std::size_t routers, double fleetAllowance) {
+  if (!mayRetry(now, routers, fleetAllowance)) return false;
   if (earned_ >= 1.0)
     earned_ -= 1.0;
   else
@@ -44,20 +44,21 @@
   return firstAttempts_.empty() && retries_.empty();
 }
 
-RetryBudget& RetryBudgets::at(Milliseconds now, NameIndex pool) {
-  if (pools_.size() > maxPools && pools_.count(pool) == 0)
-    for (auto it = pools_.begin(); it != pools_.end();) it = it->second.isIdle(now) ? pools_.erase(it) : std::next(it);
-  return pools_[pool];
+RetryBudget& RetryBudgets::budgetOf(Milliseconds now, NameIndex pool) {
+  if (byPool_.size() > maxPools && byPool_.count(pool) == 0)
+    for (auto it = byPool_.begin(); it != byPool_.end();)
+      it = it->second.isIdle(now) ? byPool_.erase(it) : std::next(it);
+  return byPool_[pool];
 }
 
 void RetryBudgets::onFirstAttempt(Milliseconds now, NameIndex pool) {
-  all_.onFirstAttempt(now);
-  at(now, pool).onFirstAttempt(now);
+  allPools_.onFirstAttempt(now);
+  budgetOf(now, pool).onFirstAttempt(now);
 }
 
-bool RetryBudgets::takeRetry(Milliseconds now, NameIndex pool, std::size_t nodes, double ofAll) {
-  return at(now, pool).mayRetry(now, nodes, ofAll) && all_.takeRetry(now, nodes, ofAll) &&
-         pools_.at(pool).takeRetry(now, nodes, ofAll);
+bool RetryBudgets::takeRetry(Milliseconds now, NameIndex pool, std::size_t routers, double fleetAllowance) {
+  return budgetOf(now, pool).mayRetry(now, routers, fleetAllowance) &&
+         allPools_.takeRetry(now, routers, fleetAllowance) && byPool_.at(pool).takeRetry(now, routers, fleetAllowance);
 }
 
 }  // namespace corkward::scaling
--- a/scaling/src/scaler.cpp
+++ b/scaling/src/scaler.cpp
@@ -5,8 +5,9 @@
 
 namespace corkward::scaling {
 
-Scaler::Scaler(std::uint64_t seed, ScalerParameters const& f) : seed_(seed), parameters_(f), limit_(f.initialLimit) {
-  CORKWARD_INVARIANT(f.cooldown >= 5000 && f.width > 0);
+Scaler::Scaler(std::uint64_t seed, ScalerParameters const& parameters)
+    : seed_(seed), parameters_(parameters), limit_(parameters.initialLimit) {
+  CORKWARD_INVARIANT(parameters.cooldown >= 5000 && parameters.excessPerReplica > 0);
 }
 
 std::uint64_t Scaler::subsetOrder(Candidate const& c) const {
@@ -18,54 +19,54 @@
 }
 
 void Scaler::growSubset(std::size_t size) {
-  if (subset_.size() >= std::min(size, all_.size())) return;
+  if (subset_.size() >= std::min(size, candidates_.size())) return;
   std::vector<std::pair<std::uint64_t, Candidate>> free;
-  for (Candidate const& c : all_.all())
+  for (Candidate const& c : candidates_.all())
     if (!has(c.replica)) free.emplace_back(subsetOrder(c), c);
-  std::size_t const wanted = std::min(size - subset_.size(), free.size());
-  std::partial_sort(free.begin(), free.begin() + static_cast<std::ptrdiff_t>(wanted), free.end(),
+  std::size_t const added = std::min(size - subset_.size(), free.size());
+  std::partial_sort(free.begin(), free.begin() + static_cast<std::ptrdiff_t>(added), free.end(),
                     [](std::pair<std::uint64_t, Candidate> const& a, std::pair<std::uint64_t, Candidate> const& b) {
                       return std::pair(a.first, a.second.replica) < std::pair(b.first, b.second.replica);
                     });
-  for (std::size_t i = 0; i < wanted; ++i) subset_.push_back(free[i].second);
+  for (std::size_t i = 0; i < added; ++i) subset_.push_back(free[i].second);
 }
 
 void Scaler::setCandidates(Candidates all) {
-  all_ = std::move(all);
-  std::size_t const want = std::max<std::size_t>(subset_.size(), parameters_.initialSubset);
+  candidates_ = std::move(all);
+  std::size_t const size = std::max<std::size_t>(subset_.size(), parameters_.initialSubset);
   std::vector<Candidate> remaining;
   for (Candidate const& p : subset_)
-    if (Candidate const* const c = all_.find(p.replica); c != nullptr) remaining.push_back(*c);
+    if (Candidate const* const c = candidates_.find(p.replica); c != nullptr) remaining.push_back(*c);
   bool const lost = remaining.size() < subset_.size();
   subset_ = std::move(remaining);
-  growSubset(want);
-  if (lost) calmSince_ = -1;
+  growSubset(size);
+  if (lost) lowDemandSince_ = -1;
 }
 
-bool Scaler::isAtRest() const {
-  return inFlight_ == 0 && subset_.size() <= 1 && calmSince_ < 0 &&
+bool Scaler::isIdle() const {
+  return inFlight_ == 0 && subset_.size() <= 1 && lowDemandSince_ < 0 &&
          (parameters_.limitDecay >= 1.0 || limit_ <= parameters_.minLimit);
 }
 
 double Scaler::cap() const {
-  std::ptrdiff_t const warm =
+  std::ptrdiff_t const ready =
       std::count_if(subset_.begin(), subset_.end(), [](Candidate const& c) { return !c.warmingUp; });
-  return static_cast<double>(warm) * limit_;
+  return static_cast<double>(ready) * limit_;
 }
 
 bool Scaler::hasCapacity(bool bulk) const {
-  double const c = cap();
-  if (inFlight_ + 1 > c) return false;
-  return !bulk || c < 2.0 || bulkInFlight_ + 1 <= std::max(1.0, c * parameters_.bulkFraction);
+  double const total = cap();
+  if (inFlight_ + 1 > total) return false;
+  return !bulk || total < 2.0 || bulkInFlight_ + 1 <= std::max(1.0, total * parameters_.bulkFraction);
 }
 
 bool Scaler::raiseLimitFor(bool bulk) {
   if (hasCapacity(bulk)) return true;
-  std::ptrdiff_t const warm =
+  std::ptrdiff_t const ready =
       std::count_if(subset_.begin(), subset_.end(), [](Candidate const& c) { return !c.warmingUp; });
-  if (warm == 0 || allSlow_ || strain_ >= parameters_.steady) return false;
+  if (ready == 0 || allSlow_ || latencyRatio_ >= parameters_.limitRaiseLatencyRatio) return false;
   double const needed = std::max(inFlight_ + 1.0, bulk ? (bulkInFlight_ + 1.0) / parameters_.bulkFraction : 0.0);
-  double const raised = needed / static_cast<double>(warm) + 1e-9;
+  double const raised = needed / static_cast<double>(ready) + 1e-9;
   if (raised > parameters_.maxLimit) return false;
   limit_ = std::max(limit_, raised);
   return hasCapacity(bulk);
@@ -77,59 +78,59 @@
 }
 
 bool Scaler::isSlow(NameIndex replica) const {
-  auto const it = times_.find(replica);
-  return it != times_.end() && it->second.answers > 0 &&
+  auto const it = firstByteTimes_.find(replica);
+  return it != firstByteTimes_.end() && it->second.responses > 0 &&
          it->second.meanFirstByte > static_cast<double>(it->second.latencyTarget);
 }
 
 double Scaler::excessDemand(std::size_t queued) const {
-  return std::max(0.0, inFlight_ - parameters_.calmFraction * cap()) + static_cast<double>(queued);
+  return std::max(0.0, inFlight_ - parameters_.lowDemandFraction * cap()) + static_cast<double>(queued);
 }
 
-void Scaler::beginWith(NameIndex wanted) {
-  Candidate const* const first = all_.find(wanted);
+void Scaler::beginWith(NameIndex preferred) {
+  Candidate const* const first = candidates_.find(preferred);
   if (first != nullptr && inFlight_ == 0 && subset_.size() == 1) subset_.front() = *first;
 }
 
-int Scaler::evaluate(Milliseconds now, std::size_t queued, std::int64_t wanted) {
-  if (parameters_.limitDecay < 1.0 && inFlight_ < parameters_.usedFraction * cap())
+int Scaler::evaluate(Milliseconds now, std::size_t queued, std::int64_t preferred) {
+  if (parameters_.limitDecay < 1.0 && inFlight_ < parameters_.decayBelowUtilization * cap())
     limit_ = std::max(parameters_.minLimit, limit_ * parameters_.limitDecay);
-  double const buffered = excessDemand(queued);
-  std::size_t const x = subset_.size();
-  if (buffered >= parameters_.width * static_cast<double>(std::max<std::size_t>(x, 1)) && x < all_.size() &&
-      !allSlow_) {
-    calmSince_ = -1;
-    Candidate const* const next = wanted < 0 ? nullptr : all_.find(static_cast<NameIndex>(wanted));
+  double const excess = excessDemand(queued);
+  std::size_t const size = subset_.size();
+  if (excess >= parameters_.excessPerReplica * static_cast<double>(std::max<std::size_t>(size, 1)) &&
+      size < candidates_.size() && !allSlow_) {
+    lowDemandSince_ = -1;
+    Candidate const* const next = preferred < 0 ? nullptr : candidates_.find(static_cast<NameIndex>(preferred));
     if (next != nullptr && !has(next->replica)) subset_.push_back(*next);
-    growSubset(x + 1);
+    growSubset(size + 1);
     if (parameters_.limitDecay < 1.0)
-      limit_ = std::max(parameters_.minLimit, limit_ * static_cast<double>(x) / static_cast<double>(x + 1));
-    meanAtWidening_ = meanFirstByte_;
-    answersSinceWidening_ = 0;
+      limit_ = std::max(parameters_.minLimit, limit_ * static_cast<double>(size) / static_cast<double>(size + 1));
+    meanFirstByteAtGrowth_ = meanFirstByte_;
+    responsesSinceGrowth_ = 0;
     return 1;
   }
-  if (x <= 1) {
-    calmSince_ = -1;
+  if (size <= 1) {
+    lowDemandSince_ = -1;
     return 0;
   }
-  std::ptrdiff_t const warm =
+  std::ptrdiff_t const ready =
       std::count_if(subset_.begin(), subset_.end(), [](Candidate const& c) { return !c.warmingUp; });
-  bool const coldThere = warm < static_cast<std::ptrdiff_t>(x);
-  double const fewer = static_cast<double>(coldThere ? warm : warm - 1) * limit_;
-  bool const calm = queued == 0 && (inFlight_ == 0 || inFlight_ < parameters_.calmFraction * fewer);
-  if (!calm) {
-    calmSince_ = -1;
+  bool const hasWarmingUp = ready < static_cast<std::ptrdiff_t>(size);
+  double const capWithOneFewer = static_cast<double>(hasWarmingUp ? ready : ready - 1) * limit_;
+  bool const lowDemand = queued == 0 && (inFlight_ == 0 || inFlight_ < parameters_.lowDemandFraction * capWithOneFewer);
+  if (!lowDemand) {
+    lowDemandSince_ = -1;
     return 0;
   }
-  if (calmSince_ < 0) calmSince_ = now;
-  if (now - calmSince_ < parameters_.cooldown) return 0;
+  if (lowDemandSince_ < 0) lowDemandSince_ = now;
+  if (now - lowDemandSince_ < parameters_.cooldown) return 0;
   auto const idle = std::min_element(subset_.begin(), subset_.end(), [&](Candidate const& a, Candidate const& b) {
     if (a.warmingUp != b.warmingUp) return a.warmingUp;
     if (inFlightAt(a.replica) != inFlightAt(b.replica)) return inFlightAt(a.replica) < inFlightAt(b.replica);
     return subsetOrder(a) > subsetOrder(b);
   });
   subset_.erase(idle);
-  calmSince_ = now;
+  lowDemandSince_ = now;
   return -1;
 }
 
@@ -140,32 +141,34 @@
 }
 
 void Scaler::onFirstByte(Milliseconds now, NameIndex replica, Milliseconds took, Milliseconds latencyTarget) {
-  Times& t = times_[replica];
-  t.meanFirstByte = t.answers == 0
-                        ? static_cast<double>(took)
-                        : t.meanFirstByte + parameters_.meanWeight * (static_cast<double>(took) - t.meanFirstByte);
-  t.latencyTarget = latencyTarget;
-  ++t.answers;
+  FirstByteTimes& times = firstByteTimes_[replica];
+  times.meanFirstByte =
+      times.responses == 0
+          ? static_cast<double>(took)
+          : times.meanFirstByte + parameters_.meanWeight * (static_cast<double>(took) - times.meanFirstByte);
+  times.latencyTarget = latencyTarget;
+  ++times.responses;
   meanFirstByte_ = meanFirstByte_ == 0
                        ? static_cast<double>(took)
                        : meanFirstByte_ + parameters_.meanWeight * (static_cast<double>(took) - meanFirstByte_);
-  ++answersSinceWidening_;
-  strain_ += parameters_.meanWeight *
-             (static_cast<double>(took) / static_cast<double>(std::max<Milliseconds>(latencyTarget, 1)) - strain_);
+  ++responsesSinceGrowth_;
+  latencyRatio_ +=
+      parameters_.meanWeight *
+      (static_cast<double>(took) / static_cast<double>(std::max<Milliseconds>(latencyTarget, 1)) - latencyRatio_);
   if (took > latencyTarget) {
     if (now - limitCutAt_ >= parameters_.limitCutInterval) {
       limit_ = std::max(parameters_.minLimit, limit_ * parameters_.limitCutFactor);
       limitCutAt_ = now;
     }
-  } else if (inFlight_ >= parameters_.calmFraction * cap()) {
+  } else if (inFlight_ >= parameters_.lowDemandFraction * cap()) {
     limit_ = std::min(parameters_.maxLimit, limit_ + 1.0 / std::max(1.0, cap()));
   }
-  bool const all = !subset_.empty() &&
-                   std::all_of(subset_.begin(), subset_.end(), [&](Candidate const& c) { return isSlow(c.replica); });
-  if (!all)
+  bool const isWholeSubsetSlow = !subset_.empty() && std::all_of(subset_.begin(), subset_.end(),
+                                                                 [&](Candidate const& c) { return isSlow(c.replica); });
+  if (!isWholeSubsetSlow)
     allSlow_ = false;
-  else if (answersSinceWidening_ >= parameters_.minAnswers &&
-           (subset_.size() == all_.size() || (subset_.size() > 1 && meanFirstByte_ >= meanAtWidening_)))
+  else if (responsesSinceGrowth_ >= parameters_.minResponses &&
+           (subset_.size() == candidates_.size() || (subset_.size() > 1 && meanFirstByte_ >= meanFirstByteAtGrowth_)))
     allSlow_ = true;
 }
 
--- a/scaling/test/scaling_test.cpp
+++ b/scaling/test/scaling_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::vector<scaling::Candidate> warm(int n) {
+std::vector<scaling::Candidate> readyCandidates(int n) {
   std::vector<scaling::Candidate> out;
   for (int i = 0; i < n; ++i)
     out.push_back({static_cast<core::NameIndex>(i), false, core::stableHash(std::to_string(i))});
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-TEST_CASE("each width crossed adds one replica, and a calm of 5 s gives one back") {
+TEST_CASE("excess demand adds one replica per evaluation, and 5 s of low demand remove one") {
   scaling::Scaler s(7);
-  s.setCandidates(warm(9));
+  s.setCandidates(readyCandidates(9));
   REQUIRE(s.subset().size() == 1);
   CHECK(s.evaluate(0, 1) == 0);
   CHECK(s.evaluate(0, 2) == 1);
@@ -35,34 +35,34 @@
   CHECK(s.evaluate(20000, 0) == 0);
 }
 
-TEST_CASE("a widening takes the wanted replica first, by one step and only past the width") {
+TEST_CASE("a growing subset adds the preferred replica first, one replica at a time and only at excess demand") {
   scaling::Scaler s(7);
-  s.setCandidates(warm(9));
-  core::NameIndex wanted = 0;
-  while (s.has(wanted)) ++wanted;
+  s.setCandidates(readyCandidates(9));
+  core::NameIndex preferred = 0;
+  while (s.has(preferred)) ++preferred;
   scaling::Scaler other = s;
   other.evaluate(0, 2);
-  if (other.has(wanted)) ++wanted;
-  REQUIRE_FALSE(s.has(wanted));
-  CHECK(s.evaluate(0, 1, static_cast<std::int64_t>(wanted)) == 0);
-  CHECK_FALSE(s.has(wanted));
-  CHECK(s.evaluate(0, 2, static_cast<std::int64_t>(wanted)) == 1);
-  CHECK(s.has(wanted));
+  if (other.has(preferred)) ++preferred;
+  REQUIRE_FALSE(s.has(preferred));
+  CHECK(s.evaluate(0, 1, static_cast<std::int64_t>(preferred)) == 0);
+  CHECK_FALSE(s.has(preferred));
+  CHECK(s.evaluate(0, 2, static_cast<std::int64_t>(preferred)) == 1);
+  CHECK(s.has(preferred));
   CHECK(s.subset().size() == 2);
-  CHECK(s.evaluate(0, 4, static_cast<std::int64_t>(wanted)) == 1);
+  CHECK(s.evaluate(0, 4, static_cast<std::int64_t>(preferred)) == 1);
   CHECK(s.subset().size() == 3);
   CHECK(s.evaluate(0, 6, 99) == 1);
   CHECK(s.subset().size() == 4);
 }
 
-TEST_CASE("a part begins with the wanted replica, and a step up takes the wanted one, never more than one") {
-  for (core::NameIndex wanted = 0; wanted < 9; ++wanted) {
+TEST_CASE("a subset begins with the preferred replica, and each growth adds the preferred one and no other") {
+  for (core::NameIndex preferred = 0; preferred < 9; ++preferred) {
     scaling::Scaler s(7);
-    s.setCandidates(warm(9));
-    s.beginWith(wanted);
+    s.setCandidates(readyCandidates(9));
+    s.beginWith(preferred);
     REQUIRE(s.subset().size() == 1);
-    CHECK(s.subset().front().replica == wanted);
-    core::NameIndex const next = (wanted + 4) % 9;
+    CHECK(s.subset().front().replica == preferred);
+    core::NameIndex const next = (preferred + 4) % 9;
     CHECK(s.evaluate(0, 1, next) == 0);
     CHECK(s.evaluate(0, 2, next) == 1);
     REQUIRE(s.subset().size() == 2);
@@ -72,19 +72,19 @@
     CHECK(s.evaluate(0, 6, 99) == 1);
     CHECK(s.subset().size() == 4);
     s.beginWith(next);
-    CHECK(s.subset().front().replica == wanted);
+    CHECK(s.subset().front().replica == preferred);
   }
 }
 
-TEST_CASE("a replica that leaves is replaced one for one and is no step") {
+TEST_CASE("a replica that is no longer a candidate is replaced one for one") {
   scaling::Scaler s(7);
-  s.setCandidates(warm(4));
+  s.setCandidates(readyCandidates(4));
   s.evaluate(0, 2);
   core::NameIndex const removed = s.subset().front().replica;
-  std::vector<scaling::Candidate> rest;
-  for (scaling::Candidate const& c : warm(4))
-    if (c.replica != removed) rest.push_back(c);
-  s.setCandidates(rest);
+  std::vector<scaling::Candidate> remaining;
+  for (scaling::Candidate const& c : readyCandidates(4))
+    if (c.replica != removed) remaining.push_back(c);
+  s.setCandidates(remaining);
   CHECK(s.subset().size() == 2);
   for (scaling::Candidate const& c : s.subset()) CHECK(c.replica != removed);
   s.setCandidates({});
@@ -93,9 +93,9 @@
   CHECK_FALSE(s.hasCapacity(false));
 }
 
-TEST_CASE("when all are slow and a widening did not help, no more are taken and the cap falls") {
+TEST_CASE("when all replicas are slow and growth did not help, the subset stops growing and the limit falls") {
   scaling::Scaler s(3);
-  s.setCandidates(warm(9));
+  s.setCandidates(readyCandidates(9));
   core::Milliseconds now = 0;
   double const before = s.limit();
   for (int i = 0; i < 400; ++i) {
@@ -119,7 +119,7 @@
   CHECK_FALSE(s.areAllSlow());
 }
 
-TEST_CASE("cold replicas count as part but not for the cap") {
+TEST_CASE("replicas that warm up count as members of the subset but not for the cap") {
   scaling::Scaler s(3);
   s.setCandidates({{0, true, 11}, {1, false, 12}});
   s.evaluate(0, 2);
@@ -127,9 +127,9 @@
   CHECK(s.cap() == scaling::defaultScalerParameters.initialLimit);
 }
 
-TEST_CASE("a prefix stays with its replica until that is too busy") {
+TEST_CASE("a prefix stays on its replica until that replica has too many requests in flight") {
   scaling::Scaler s(3);
-  s.setCandidates(warm(3));
+  s.setCandidates(readyCandidates(3));
   s.evaluate(0, 9);
   s.evaluate(0, 9);
   std::vector<scaling::Candidate> const usable = s.subset();
@@ -141,7 +141,7 @@
   CHECK(scaling::chooseReplica(s, {}, 99, 2) == -1);
 }
 
-TEST_CASE("retries over any ten seconds stay under a fifth plus the allowance, under random demand") {
+TEST_CASE("retries within any ten seconds stay under a fifth of first attempts plus the allowance, at random demand") {
   for (std::uint64_t seed = 1; seed < 40; ++seed) {
     core::RandomGenerator rng(seed);
     scaling::RetryBudget b;
@@ -156,16 +156,16 @@
     }
     REQUIRE_FALSE(retries.empty());
     for (core::Milliseconds const end : retries) {
-      std::size_t f = 0;
-      std::size_t r = 0;
-      for (core::Milliseconds const t : firsts) f += t > end - 10000 && t <= end ? 1 : 0;
-      for (core::Milliseconds const t : retries) r += t > end - 10000 && t <= end ? 1 : 0;
-      REQUIRE(static_cast<double>(r) <= 0.2 * static_cast<double>(f) + 2.0 + 0.2 * 40);
+      std::size_t firstAttempts = 0;
+      std::size_t retried = 0;
+      for (core::Milliseconds const t : firsts) firstAttempts += t > end - 10000 && t <= end ? 1 : 0;
+      for (core::Milliseconds const t : retries) retried += t > end - 10000 && t <= end ? 1 : 0;
+      REQUIRE(static_cast<double>(retried) <= 0.2 * static_cast<double>(firstAttempts) + 2.0 + 0.2 * 40);
     }
   }
 }
 
-TEST_CASE("no pool's requests pay for retries at another") {
+TEST_CASE("requests to one pool earn no retries for another, and budgets of idle pools are removed") {
   constexpr core::NameIndex large = 0;
   constexpr core::NameIndex small = 1;
   scaling::RetryBudgets b;
@@ -180,18 +180,18 @@
     if (now % 10 == 0 && b.takeRetry(now, small, 5)) retries.push_back(now);
   }
   for (core::Milliseconds const end : retries) {
-    std::size_t f = 0;
-    std::size_t r = 0;
-    for (core::Milliseconds const t : firsts) f += t > end - 10000 && t <= end ? 1 : 0;
-    for (core::Milliseconds const t : retries) r += t > end - 10000 && t <= end ? 1 : 0;
-    REQUIRE(static_cast<double>(r) <= 0.2 * static_cast<double>(f) + 2.0 + 0.2 * 20);
+    std::size_t firstAttempts = 0;
+    std::size_t retried = 0;
+    for (core::Milliseconds const t : firsts) firstAttempts += t > end - 10000 && t <= end ? 1 : 0;
+    for (core::Milliseconds const t : retries) retried += t > end - 10000 && t <= end ? 1 : 0;
+    REQUIRE(static_cast<double>(retried) <= 0.2 * static_cast<double>(firstAttempts) + 2.0 + 0.2 * 20);
   }
   CHECK(retries.size() > 100);
   for (int i = 0; i < 1000; ++i) b.onFirstAttempt(40000 + i * 2000, static_cast<core::NameIndex>(i));
   CHECK(b.size() < 40);
 }
 
-TEST_CASE("retries do not outlive a crowd that is gone") {
+TEST_CASE("retries stop soon after a burst of requests has ended") {
   scaling::RetryBudget b;
   for (core::Milliseconds now = 0; now < 2000; ++now) b.onFirstAttempt(now);
   int retries = 0;
@@ -199,7 +199,7 @@
   CHECK(retries <= 4);
 }
 
-TEST_CASE("a cold bucket never passes its rate and starts empty") {
+TEST_CASE("a slow start bucket starts empty and never exceeds its rate") {
   scaling::SlowStartBucket b(1000);
   int granted = 0;
   for (core::Milliseconds now = 1000; now <= 11000; now += 7) granted += b.takeToken(now, 2.0) ? 1 : 0;
@@ -208,7 +208,7 @@
   CHECK_FALSE(scaling::SlowStartBucket(0).hasToken(400, 2.0));
 }
 
-TEST_CASE("remembered prefixes stay bounded") {
+TEST_CASE("the number of remembered prefixes is bounded, and the most recent one stays") {
   scaling::PrefixCacheIndex p(100);
   for (std::uint64_t i = 0; i < 10000; ++i) p.recordServed(i % 300, 1);
   CHECK(p.size() <= 100);
@@ -216,78 +216,78 @@
   CHECK(p.lastReplica(100000) == -1);
 }
 
-TEST_CASE("a scaler at rest that is not looked at does what one does that is looked at ten times a second") {
-  int rested = 0;
+TEST_CASE("an idle scaler that is not evaluated behaves like one that is evaluated every 100 ms") {
+  int idlePeriods = 0;
   for (std::uint64_t seed = 1; seed < 60; ++seed) {
     CAPTURE(seed);
     core::RandomGenerator rng(seed);
-    scaling::ScalerParameters f;
-    f.width = 1.0;
-    if (seed % 2 == 0) f.limitDecay = 0.9;
-    f.minLimit = 0.5;
-    f.steady = 0.7;
-    scaling::Scaler looked(seed, f);
-    scaling::Scaler skipped(seed, f);
-    scaling::CompletionRate rateLooked;
+    scaling::ScalerParameters parameters;
+    parameters.excessPerReplica = 1.0;
+    if (seed % 2 == 0) parameters.limitDecay = 0.9;
+    parameters.minLimit = 0.5;
+    parameters.limitRaiseLatencyRatio = 0.7;
+    scaling::Scaler evaluated(seed, parameters);
+    scaling::Scaler skipped(seed, parameters);
+    scaling::CompletionRate rateEvaluated;
     scaling::CompletionRate rateSkipped;
-    std::vector<scaling::Candidate> all = warm(6);
-    looked.setCandidates(all);
+    std::vector<scaling::Candidate> all = readyCandidates(6);
+    evaluated.setCandidates(all);
     skipped.setCandidates(all);
-    bool asleep = false;
+    bool skipping = false;
     std::vector<core::NameIndex> sent;
     for (core::Milliseconds now = 100; now < 240000; now += 50) {
       bool const busy = now / 20000 % 3 == 0;
       if (busy && rng.chance(0.4)) {
-        if (asleep) rateSkipped.catchUp(now);
-        asleep = false;
-        bool const hasCapacity = looked.raiseLimitFor(false);
+        if (skipping) rateSkipped.catchUp(now);
+        skipping = false;
+        bool const hasCapacity = evaluated.raiseLimitFor(false);
         REQUIRE(skipped.raiseLimitFor(false) == hasCapacity);
-        if (hasCapacity && !looked.subset().empty()) {
-          core::NameIndex const r = looked.subset()[rng.below(looked.subset().size())].replica;
-          looked.onSent(r, false);
+        if (hasCapacity && !evaluated.subset().empty()) {
+          core::NameIndex const r = evaluated.subset()[rng.below(evaluated.subset().size())].replica;
+          evaluated.onSent(r, false);
           skipped.onSent(r, false);
           sent.push_back(r);
         }
       }
       if (!sent.empty() && rng.chance(0.3)) {
         core::Milliseconds const took = static_cast<core::Milliseconds>(rng.below(900));
-        looked.onFirstByte(now, sent.back(), took, 600);
+        evaluated.onFirstByte(now, sent.back(), took, 600);
         skipped.onFirstByte(now, sent.back(), took, 600);
-        looked.onEnded(sent.back(), false);
+        evaluated.onEnded(sent.back(), false);
         skipped.onEnded(sent.back(), false);
-        rateLooked.onCompleted();
+        rateEvaluated.onCompleted();
         rateSkipped.onCompleted();
         sent.pop_back();
       }
       if (rng.chance(0.01)) {
-        all = warm(6);
+        all = readyCandidates(6);
         std::erase_if(all, [&](scaling::Candidate const&) { return rng.chance(0.4); });
-        looked.setCandidates(all);
+        evaluated.setCandidates(all);
         skipped.setCandidates(all);
-        if (asleep && !skipped.isAtRest()) {
+        if (skipping && !skipped.isIdle()) {
           rateSkipped.catchUp(now);
-          asleep = false;
+          skipping = false;
         }
       }
       if (now % 100 != 0) continue;
-      looked.setCandidates(all);
-      rateLooked.closeWindow(now);
-      int const step = looked.evaluate(now, 0);
-      if (!asleep) {
+      evaluated.setCandidates(all);
+      rateEvaluated.closeWindow(now);
+      int const step = evaluated.evaluate(now, 0);
+      if (!skipping) {
         rateSkipped.closeWindow(now);
         REQUIRE(skipped.evaluate(now, 0) == step);
-        asleep = skipped.isAtRest();
-        rested += asleep ? 1 : 0;
+        skipping = skipped.isIdle();
+        idlePeriods += skipping ? 1 : 0;
       } else {
         REQUIRE(step == 0);
       }
-      REQUIRE(skipped.subset() == looked.subset());
-      REQUIRE(skipped.limit() == looked.limit());
-      REQUIRE(skipped.areAllSlow() == looked.areAllSlow());
+      REQUIRE(skipped.subset() == evaluated.subset());
+      REQUIRE(skipped.limit() == evaluated.limit());
+      REQUIRE(skipped.areAllSlow() == evaluated.areAllSlow());
       scaling::CompletionRate caughtUp = rateSkipped;
       caughtUp.catchUp(now + 1);
-      REQUIRE(caughtUp.perSecond() == rateLooked.perSecond());
+      REQUIRE(caughtUp.perSecond() == rateEvaluated.perSecond());
     }
   }
-  CHECK(rested > 100);
+  CHECK(idlePeriods > 100);
 }
--- a/testing/sim/sweep.cpp
+++ b/testing/sim/sweep.cpp
@@ -45,7 +45,8 @@
                                                                             "times the demand in the middle third")(
       "deployment", po::value(&deployment), "calm, at the sizes of harmattan or lernkarten")(
       "plain", po::bool_switch(&plain), "whole pool, fewest in flight")(
-      "width", po::value(&figures.width), "each width")("calm-for", po::value(&figures.cooldown), "give-back wait, ms")(
+      "width", po::value(&figures.excessPerReplica), "each width")("calm-for", po::value(&figures.cooldown),
+                                                                   "give-back wait, ms")(
       "slack", po::value(&figures.prefixSlack), "prefix slack")("prefixes", po::value(&prefixes), "other prefixes")(
       "skip", po::value(&skip), "ms at the start whose first words do not count")(
       "first-limit", po::value(&figures.initialLimit), "limit per replica at the start")(
