--- a/quota/include/corkward/quota/decaying_maximum.h
+++ b/quota/include/corkward/quota/decaying_maximum.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The largest of recent amounts.
+/// The largest recent amount.
 
 #include <corkward/core/types.h>
 
@@ -8,10 +8,10 @@
 
 using core::Milliseconds;
 
-/// A maximum that halves with time until a larger amount is recorded.
+/// A maximum that decays over time until a larger amount is recorded.
 class DecayingMaximum {
  public:
-  /// @param halfLife milliseconds
+  /// @param halfLife milliseconds after which the maximum has decayed to half
   explicit DecayingMaximum(Milliseconds halfLife) : halfLife_(halfLife) {}
   void record(Milliseconds now, double amount);
   double value(Milliseconds now) const;
--- a/quota/include/corkward/quota/messages.h
+++ b/quota/include/corkward/quota/messages.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// Messages between routers, which spend tenants' limits, and the owners of the tenants' partitions; and between
-/// controllers, which grant each other leases on partitions.
+/// Messages between routers, which spend tenants' limits, and controllers, which own the tenants' partitions; and
+/// messages between controllers, which grant each other leases on partitions.
 ///
-/// The one-letter tags in each() are the wire format: they stay when a field is renamed.
+/// The one-letter tags in each() are the wire format. They must not change when a field is renamed.
 
 #include <algorithm>
 #include <cstdint>
@@ -14,15 +14,17 @@
 
 namespace corkward::quota {
 
-/// Number of partitions that tenants are hashed to; each partition has an owner of its own.
+/// Number of partitions that tenants are hashed to. Each partition has its own owner, a controller.
 inline constexpr std::uint64_t partitionCount = 16;
 /// Fractions on the wire are integers in units of 1 / fractionUnits.
 inline constexpr std::uint64_t fractionUnits = 1000000000;
 
+/// Converts a fraction from its integer form on the wire.
 inline double fractionFromWire(std::uint64_t units) {
   return static_cast<double>(units) / static_cast<double>(fractionUnits);
 }
 
+/// Converts a fraction to its integer form on the wire, clamped to the range from 0 to 1.
 inline std::uint64_t fractionToWire(double fraction) {
   return static_cast<std::uint64_t>(std::clamp(fraction, 0.0, 1.0) * static_cast<double>(fractionUnits));
 }
@@ -42,20 +44,20 @@
   std::string tenant;
   /// Recent demand of the tenant's requests at this router, as an amount per second.
   std::uint64_t demandPerSecond = 0;
-  /// Amount that a request waits for; the owner grants all of it or nothing.
+  /// Amount that waiting requests need now. The owner grants the full amount or none of it.
   std::uint64_t requestedAmount = 0;
   /// Amount that this router can still spend.
   std::uint64_t remainingAmount = 0;
   /// Amount that the router returns to the owner.
   std::uint64_t returnedAmount = 0;
-  /// The allocation that it holds, in units of 1 / fractionUnits; 0: none.
+  /// The allocation that the router holds, in units of 1 / fractionUnits; 0 if it has none.
   std::uint64_t allocatedFraction = 0;
   /// Term of the owner that granted the allocation, and the number of that grant.
   std::uint64_t ownerTerm = 0;
   std::uint64_t grantNumber = 0;
   /// Milliseconds until the allocation expires.
   std::uint64_t allocationRemainingMs = 0;
-  /// A new allocation is requested; else the amount alone.
+  /// True if the router requests a new allocation; false if it requests only `requestedAmount`.
   bool wantsRenewal = false;
   template <class F>
   void each(F& f) {
@@ -72,12 +74,13 @@
   }
 };
 
-/// A router's report to the owner of its tenants' partitions; the reply is QuotaGrants.
+/// Sent by a router to the controller that owns partitions of its tenants, periodically while the tenants have requests
+/// or allocations, and when a request waits for an amount. The reply is QuotaGrants.
 struct UsageReport {
-  /// Address of the sender, and which incarnation of that process it is.
+  /// Link address of the sender, and the incarnation of that process, which rises with each start.
   std::string link;
   std::uint64_t incarnation = 0;
-  /// Identifies the report in its reply; rises with each report of a router.
+  /// Identifies the report in its reply. It rises with each report of a router.
   std::uint64_t reportNumber = 0;
   std::vector<TenantUsage> usages;
   template <class F>
@@ -89,16 +92,17 @@
   }
 };
 
-/// What a partition's owner grants one router of one tenant's limit.
+/// What the owner of a partition grants one router of one tenant's limit.
 struct QuotaGrant {
   std::string tenant;
   /// Term of the owner.
   std::uint64_t ownerTerm = 0;
-  /// Rises with each allocation of this owner; 0: the router's allocation stays as it is, only the amount counts.
+  /// Number of the new allocation, which rises with each allocation of this owner. 0 if the router's allocation does
+  /// not change and only `grantedAmount` applies.
   std::uint64_t grantNumber = 0;
   /// Fraction of the limit that the router may spend from now on, in units of 1 / fractionUnits.
   std::uint64_t allocatedFraction = 0;
-  /// Amount that may be spent at once, in reply to TenantUsage::requestedAmount.
+  /// Amount that the router may spend in addition, in reply to TenantUsage::requestedAmount and to refill its reserve.
   std::uint64_t grantedAmount = 0;
   /// Fraction of the tenant's requests that routers may try to admit, in units of 1 / fractionUnits.
   std::uint64_t admissionShare = 0;
@@ -116,7 +120,7 @@
 /// The owner of a partition, as far as the sender knows.
 struct PartitionOwner {
   std::uint64_t partition = 0;
-  /// Address of the controller; empty: none is known.
+  /// Link address of the controller; empty if no owner is known.
   std::string coordinator;
   template <class F>
   void each(F& f) {
@@ -125,8 +129,10 @@
   }
 };
 
-/// Reply to a UsageReport: grants for the partitions that the sender owns, and the owners of the others.
+/// Sent by a controller to a router, in reply to a UsageReport: grants for the partitions that the sender owns, and the
+/// owners of the other partitions that the report named.
 struct QuotaGrants {
+  /// UsageReport::reportNumber of the report.
   std::uint64_t reportNumber = 0;
   std::vector<QuotaGrant> grants;
   std::vector<PartitionOwner> partitionOwners;
@@ -149,9 +155,11 @@
   }
 };
 
-/// A new owner queries a router for the allocations that it holds in these partitions; the router ignores replies to
-/// reports that it sent before.
+/// Sent by the new owner of partitions to a router, to learn which allocations the router holds in these partitions. It
+/// is repeated until the router has replied with an AllocationReport. From then on the router ignores replies to
+/// reports that it sent before this query.
 struct AllocationQuery {
+  /// The partitions, with the terms of the new owner.
   std::vector<PartitionTerm> terms;
   template <class F>
   void each(F& f) {
@@ -159,11 +167,15 @@
   }
 };
 
-/// Reply to an AllocationQuery: all allocations that this router holds of these partitions.
+/// Sent by a router to a new owner, in reply to an AllocationQuery: all allocations that the router holds in the
+/// queried partitions.
 struct AllocationReport {
+  /// Link address of the sender, and the incarnation of that process.
   std::string link;
   std::uint64_t incarnation = 0;
+  /// The partitions and terms of the query.
   std::vector<PartitionTerm> terms;
+  /// One entry for each tenant with an allocation.
   std::vector<TenantUsage> usages;
   template <class F>
   void each(F& f) {
@@ -174,13 +186,15 @@
   }
 };
 
-/// A controller requests leases on partitions from each member, or renews or releases those that it has.
+/// Sent by a controller to all members of the control plane, periodically while it contends for partitions or owns
+/// some: requests, renews or releases leases on these partitions. The reply is PartitionLeaseReply.
 struct PartitionLeaseRequest {
-  /// Moment on the sender's clock, in milliseconds; leases count from it.
+  /// Time on the sender's clock. The sender counts the duration of granted leases from it.
   core::Milliseconds sentAt = 0;
+  /// Link address of the sender, and the incarnation of that process.
   std::string link;
   std::uint64_t incarnation = 0;
-  /// The sender gives these leases up.
+  /// True if the sender releases these leases instead of requesting them.
   bool release = false;
   std::vector<PartitionTerm> terms;
   template <class F>
@@ -199,7 +213,7 @@
   /// Greatest term that the member has granted.
   std::uint64_t term = 0;
   bool granted = false;
-  /// Who holds the lease by this member's grant; empty: nobody.
+  /// Link address of the controller that holds the lease by this member's grant; empty if none does.
   std::string holder;
   template <class F>
   void each(F& f) {
@@ -210,7 +224,7 @@
   }
 };
 
-/// One member's reply to a PartitionLeaseRequest.
+/// Sent by a member to a controller, in reply to a PartitionLeaseRequest.
 struct PartitionLeaseReply {
   /// PartitionLeaseRequest::sentAt of the request.
   core::Milliseconds requestSentAt = 0;
--- a/quota/include/corkward/quota/owned_partition.h
+++ b/quota/include/corkward/quota/owned_partition.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// A partition that a controller owns: a grant table for each of its tenants, and the recovery of the allocations that
-/// earlier owners have granted.
+/// A partition that a controller owns: a grant table for each of the partition's tenants, and the recovery of the
+/// allocations that earlier owners have granted.
 
 #include <cstdint>
 #include <map>
@@ -22,26 +22,30 @@
   std::uint64_t term() const { return term_; }
   /// Applies changed limits; tables of tenants without a limit are removed.
   void configure(Milliseconds now, std::map<std::string, Limit> const& limits, OverdraftAllowance const& allowance);
-  /// The grant table of a tenant, made on first use.
+  /// Returns the grant table of a tenant, which is created on first use.
   GrantTable& grantTable(Milliseconds now, std::string const& tenant, Limit const& limit,
                          OverdraftAllowance const& allowance);
 
-  /// Starts the recovery once the roster is known to be current: all its routers are to report what they hold. Ends it
-  /// when all earlier allocations have expired.
-  /// @param quorumContactSince when the newest contact with a majority of the members began; below 0: there is none
+  /// Starts the recovery once the roster is known to be current, which is when contact with a majority of the members
+  /// began after this term: from then on all routers of the roster have to report their allocations. Ends the recovery
+  /// when all allocations of earlier owners have expired.
+  /// @param quorumContactSince when the newest contact with a majority of the members began, or negative if there is
+  /// none
   void advanceRecovery(Milliseconds now, Milliseconds quorumContactSince, std::set<std::string> const& routers);
   bool isRecoveryStarted() const { return recoveryStarted_; }
-  /// Routers that have not reported yet.
+  /// Routers that have not reported their allocations yet.
   std::set<std::string> const& unreportedRouters() const { return unreportedRouters_; }
-  /// A router has reported all its allocations of this partition.
+  /// Notes that a router has reported all its allocations in this partition.
   void onRouterReported(Milliseconds now, std::string const& router);
 
  private:
+  /// Passes the number of unreported routers on to all grant tables.
   void limitUnreported(Milliseconds now);
 
   std::uint64_t term_;
+  /// When this controller became the owner.
   Milliseconds since_;
-  /// By then all allocations of earlier owners have expired.
+  /// Time by which all allocations of earlier owners have expired.
   Milliseconds recoveryEndsAt_;
   bool recoveryStarted_ = false;
   /// Empty until the recovery starts.
--- a/quota/include/corkward/quota/partition_lease_grants.h
+++ b/quota/include/corkward/quota/partition_lease_grants.h
@@ -2,9 +2,9 @@
 
 /// The leases on partitions that one member of the control plane has granted.
 ///
-/// A lease without storage, as in PaxosLease (Trencseni, Gazso, Reinhardt 2012): a controller owns a partition while a
-/// majority of the members has granted it the lease. A member that may have forgotten its grants grants nothing for
-/// longer than a lease lasts, so two leases on one partition never overlap.
+/// The leases need no storage, as in PaxosLease (Trencseni, Gazso, Reinhardt 2012): a controller owns a partition while
+/// a majority of the members has granted it the lease on that partition. A member that may have forgotten its grants
+/// grants nothing for longer than a lease lasts, so two leases on one partition never overlap.
 
 #include <cstdint>
 #include <map>
@@ -17,28 +17,30 @@
 
 /// Milliseconds for which a member's grant is valid.
 inline constexpr Milliseconds partitionLeaseDuration = 800;
-/// Milliseconds for which a member grants no new lease after it has started, joined or seen a new membership: by then
-/// whatever it may have granted before has expired.
+/// Milliseconds for which a member grants no new lease after it has started, joined, or received a new membership.
+/// After that time all leases that it may have granted before have expired.
 inline constexpr Milliseconds grantDelayAfterStart = partitionLeaseDuration + 200;
 
-/// What a member may grant at present.
+/// Which leases a member may grant at present.
 enum class GrantPermission {
-  /// Nothing: it has no contact with a majority, or may have forgotten grants.
+  /// No leases: the member has no contact with a majority, or may have forgotten grants.
   none,
-  /// Renewals of valid grants: it may not yet have seen all members under the present membership.
+  /// Only renewals of valid grants: the member may not yet have contacted all members of the present membership.
   renewals,
-  /// Any lease that nobody else holds.
+  /// Any lease that no other controller holds.
   all,
 };
 
-/// One member's grants.
+/// The grants of one member of the control plane.
 class PartitionLeaseGrants {
  public:
-  /// Decides on each partition of a request, or takes back the sender's grants when it releases them.
+  /// Grants or rejects the lease on each partition of a request, or revokes the sender's grants if the request releases
+  /// them.
   PartitionLeaseReply onRequest(Milliseconds now, PartitionLeaseRequest const& request, GrantPermission permission);
-  /// Who holds the lease on a partition by this member's own grant; empty: nobody.
+  /// Returns the link address of the controller that holds the lease on a partition by this member's grant, or an empty
+  /// string if none does.
   std::string holder(Milliseconds now, std::uint64_t partition) const;
-  /// Term of the newest grant; 0: none was granted.
+  /// Returns the term of the newest grant, or 0 if none was granted.
   std::uint64_t term(std::uint64_t partition) const;
 
  private:
@@ -51,7 +53,7 @@
   PartitionLeaseDecision decide(Milliseconds now, PartitionLeaseRequest const& request, PartitionTerm const& requested,
                                 GrantPermission permission);
 
-  /// The newest grant of each partition. Its term only rises.
+  /// The newest grant by partition. The term of a partition only rises.
   std::map<std::uint64_t, Grant> grants_;
 };
 
--- a/quota/include/corkward/quota/partition_leases.h
+++ b/quota/include/corkward/quota/partition_leases.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The leases on partitions that one controller holds or contends for; see partition_lease_grants.h for what the
-/// members grant.
+/// The leases on partitions that one controller holds or contends for; see partition_lease_grants.h for the members'
+/// side.
 
 #include <cstdint>
 #include <map>
@@ -17,29 +17,31 @@
 /// Requests leases under rising terms and counts the members' grants.
 class PartitionLeases {
  public:
-  /// Starts to contend for a partition under a term above all known ones, or goes on contending; under a higher term
-  /// if a member has granted such a term to another controller. For partitions that are not owned.
-  /// @param minTerm a term that earlier incarnations of the members did not reach
+  /// Starts or continues to contend for a partition that is not owned here. The term is above all known ones. It rises
+  /// only if a member has granted the same or a higher term to another controller.
+  /// @param minTerm smallest term to use, which no earlier incarnation of a member has reached
   void contend(Milliseconds now, std::uint64_t partition, std::uint64_t minTerm);
-  /// Since when the partition is contended for or owned; below 0: it is neither.
+  /// Returns since when the partition is contended for or owned, or a negative time if it is neither.
   Milliseconds contendingSince(std::uint64_t partition) const;
-  /// Stops contending for a partition, and gives up its lease if there is one.
+  /// Stops contending for a partition, or abandons its lease if it is owned.
   void abandon(std::uint64_t partition);
+  /// Records a member's grants and rejections.
   void onReply(std::string const& member, PartitionLeaseReply const& reply);
-  /// Until when the lease on a partition is valid by the grants of a majority of these members; 0 or past: it is not.
+  /// Returns until when the lease on a partition is valid by the grants of a majority of these members. A time that is
+  /// not in the future means that there is no valid lease.
   Milliseconds validUntil(std::uint64_t partition, std::vector<std::string> const& members) const;
-  /// All leases to request or renew, by partition.
+  /// Returns all leases to request or renew, sorted by partition.
   std::vector<PartitionTerm> requestedTerms() const;
-  /// Term under which the partition is contended for or owned; 0: it is neither.
+  /// Returns the term under which the partition is contended for or owned, or 0 if it is neither.
   std::uint64_t term(std::uint64_t partition) const;
 
  private:
   struct Candidacy {
     std::uint64_t term = 0;
     Milliseconds since = 0;
-    /// A member has granted another controller this term or a higher one.
+    /// True if a member has granted this term or a higher one to another controller.
     bool superseded = false;
-    /// When the request that led to the newest grant was sent, by member.
+    /// By member, when the request was sent that the member's newest grant replies to.
     std::map<std::string, Milliseconds> grantRequestedAt;
   };
   std::map<std::uint64_t, Candidacy> candidacies_;
--- a/quota/include/corkward/quota/quota_coordinator.h
+++ b/quota/include/corkward/quota/quota_coordinator.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// The coordination of tenants' limits at one controller: it grants leases on partitions, contends for those that
-/// nobody owns, and grants quota for those that it owns. A reducer beside the controller's own.
+/// The coordination of tenants' limits at one controller: it grants leases on partitions to other controllers, contends
+/// for partitions without an owner, and grants quota of the partitions that it owns. It is a reducer of its own,
+/// separate from the controller's reducer.
 
 #include <cstddef>
 #include <cstdint>
@@ -17,36 +18,37 @@
 
 namespace corkward::quota {
 
-/// Command: send a message to the process that listens at the link address.
+/// Command to send a message to the process at a link address.
 struct Send {
   std::string to;
   std::variant<PartitionLeaseRequest, PartitionLeaseReply, AllocationQuery, QuotaGrants> message;
 };
 
-/// What the controller knows of itself, the members and the routers. Processes are named by their link addresses.
+/// What the controller knows about itself, the members and the routers. Processes are identified by link addresses.
 struct MembershipView {
-  /// Which leases this member may grant.
+  /// Which leases this controller may grant as a member.
   GrantPermission grantPermission = GrantPermission::none;
-  /// All members, this one included.
+  /// All members of the control plane, including this one.
   std::vector<std::string> members;
-  /// Those members that were heard from lately.
+  /// Members with recent contact.
   std::vector<std::string> aliveMembers;
-  /// Routers of the roster that is committed here, and earlier ones that may still serve.
+  /// Routers of the committed roster, and of earlier rosters if they may still serve.
   std::set<std::string> routers;
-  /// When the newest contact with a majority of the members began; below 0: there is none.
+  /// When the newest contact with a majority of the members began; negative if there is none.
   Milliseconds quorumContactSince = -1;
-  /// The process shuts down: it contends for no lease and releases those it has.
+  /// True if the process shuts down. It then contends for no lease and releases the leases that it has.
   bool draining = false;
 };
 
-/// Reducer: time, messages and the membership in, messages out.
+/// Reducer whose input is time, messages and the membership, and whose output is messages.
 class QuotaCoordinator {
  public:
-  /// @param incarnation rises with each start of a member; terms of leases begin with it
+  /// @param incarnation rises with each start of this process; the terms of its leases begin with it
   QuotaCoordinator(std::string link, std::uint64_t incarnation, OverdraftAllowance const& allowance);
 
-  /// The limits of the active configuration, by tenant; tenants without a limit are left out.
+  /// Applies the limits of the active configuration, by tenant. Tenants without a limit are not in the map.
   void configure(Milliseconds now, std::map<std::string, Limit> limits);
+  /// Requests and renews leases and queries allocations, each at its interval; releases all leases while draining.
   std::vector<Send> clockEvent(Milliseconds now, MembershipView const& view);
   std::vector<Send> onMessage(Milliseconds now, std::string const& from, UsageReport const& message,
                               MembershipView const& view);
@@ -57,6 +59,7 @@
   std::vector<Send> onMessage(Milliseconds now, std::string const& from, AllocationReport const& message,
                               MembershipView const& view);
 
+  /// Returns true if this controller holds a valid lease on the partition.
   bool ownsPartition(Milliseconds now, std::uint64_t partition, MembershipView const& view) const;
   std::size_t ownedPartitionCount(Milliseconds now, MembershipView const& view) const;
 
@@ -66,19 +69,20 @@
     std::string link;
     Milliseconds validUntil = 0;
   };
-  /// Owner of a partition as far as this controller knows; empty: none.
+  /// Returns the owner of a partition as far as this controller knows, or an empty string if none is known.
   std::string ownerOf(Milliseconds now, std::uint64_t partition, MembershipView const& view) const;
-  /// No other live member comes before this one as owner of the partition.
+  /// Returns true if no other live member has a lower rank (ownerRank) for the partition.
   bool isPreferredOwner(std::uint64_t partition, std::vector<std::string> const& aliveMembers) const;
+  /// Returns true if the partition has no known owner and this controller should try to become it.
   bool mayContend(Milliseconds now, std::uint64_t partition, MembershipView const& view) const;
   /// Starts or stops to contend for each partition that is not owned here.
   void updateContention(Milliseconds now, MembershipView const& view);
-  /// Drops partitions whose lease has expired and takes over those whose lease was acquired.
+  /// Drops partitions whose lease has expired, and adds those whose lease was acquired.
   void updateOwnedPartitions(Milliseconds now, MembershipView const& view);
   PartitionLeaseRequest leaseRequest(Milliseconds now) const;
   void requestLeases(std::vector<Send>& out, Milliseconds now, MembershipView const& view);
   void releaseLeases(std::vector<Send>& out, Milliseconds now, MembershipView const& view);
-  /// Queries routers that have not reported their allocations of partitions that are owned here.
+  /// Queries the routers that have not yet reported their allocations in the partitions that this controller owns.
   void queryAllocations(std::vector<Send>& out, Milliseconds now, MembershipView const& view);
   GrantTable& grantTable(Milliseconds now, OwnedPartition& partition, std::string const& tenant);
 
@@ -86,14 +90,15 @@
   std::uint64_t incarnation_;
   OverdraftAllowance allowance_;
   std::map<std::string, Limit> limits_;
-  /// What this member has granted to itself and others.
+  /// Leases that this member has granted to itself and to other controllers.
   PartitionLeaseGrants grants_;
-  /// What this controller contends for or owns.
+  /// Leases that this controller holds or contends for.
   PartitionLeases leases_;
-  /// Partitions whose lease this controller had at the last update; whether it is still valid is said by `leases_`.
+  /// Partitions whose lease was valid at the last update. Whether it still is must be looked up in `leases_`.
   std::map<std::uint64_t, OwnedPartition> ownedPartitions_;
+  /// Owners of other partitions as other members have named them, by partition.
   std::map<std::uint64_t, AnnouncedOwner> announcedOwners_;
-  /// Until when this controller does not contend for a partition again.
+  /// By partition, until when this controller does not contend for it again.
   std::map<std::uint64_t, Milliseconds> backoffUntil_;
   Milliseconds nextLeaseRequestAt_ = 0;
   Milliseconds nextAllocationQueryAt_ = 0;
--- a/quota/include/corkward/quota/quota_limiter.h
+++ b/quota/include/corkward/quota/quota_limiter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// One tenant at one router: admits its requests against the fraction of the limit that this router was allocated, and
-/// against single amounts that the partition's owner grants. Pure, with the time in each call.
+/// against single amounts that the partition's owner grants. Pure: the time is a parameter of each call.
 
 #include <cstddef>
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace corkward::quota {
 
-/// How many routers share unallocatedFraction equally.
+/// The number of routers that share unallocatedFraction equally.
 struct UnallocatedShare {
   std::size_t routers = 1;
 };
@@ -27,56 +27,60 @@
 
   /// Records the demand of a request.
   /// @param draw a random number, 0 to 1
-  /// @return false: the request is not among the fraction of requests that may be admitted at present
+  /// @return false if the request must be rejected because only a fraction of the requests may be admitted at present
   bool onRequest(Milliseconds now, double amount, double draw);
-  /// Takes the amount if this router has as much; else takes nothing and returns false.
+  /// Takes the amount and returns true if this router has that much; otherwise takes nothing and returns false.
   bool tryAcquire(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance, double amount);
-  /// Takes the amount out of this router's part of unallocatedFraction. For more than there is, the draw decides with
-  /// a probability of what there is over the amount, and uses that up: the mean of what is admitted stays within it.
+  /// Takes the amount from this router's equal fraction of unallocatedFraction. A request for more than is available is
+  /// admitted with the probability available / amount, and uses up what is available, so that the mean of the admitted
+  /// amounts stays within the fraction.
   /// @param draw a random number, 0 to 1
   bool tryAcquireUnallocated(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance, double amount,
                              UnallocatedShare sharing, double draw);
-  /// Returns an amount that was acquired and is not needed.
+  /// Returns an acquired amount that is not needed.
   void refund(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance, double amount);
 
   /// Applies the reply to a report.
-  /// @param reportSentAt when that report was sent; a granted amount that comes more than maxDispatchDelay / 2 later is
-  ///   void
+  /// @param reportSentAt when that report was sent; a granted amount that arrives more than maxDispatchDelay / 2 later
+  /// is
+  ///   discarded
   void onGrant(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance, Milliseconds reportSentAt,
                QuotaGrant const& grant);
-  /// Puts aside for the owner what exceeds this router's capacity, once waiting requests have been served.
+  /// Moves what exceeds this router's capacity to the amount to be returned to the owner. Called after waiting requests
+  /// have been served.
   void trim(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance);
 
-  /// The report to send now. The amounts that it returns to the owner are deducted here.
-  /// @param requestedAmount amount that a request waits for; 0: none
+  /// Returns the report to send now, and deducts the amount that the report returns to the owner.
+  /// @param requestedAmount amount that a request waits for, or 0 if none waits
   TenantUsage takeReport(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance,
                          double requestedAmount);
-  /// Demand and allocation as they are; returns nothing to the owner.
+  /// Returns a report of the present demand and allocation that returns no amount to the owner and changes nothing.
   TenantUsage currentUsage(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance) const;
-  /// A report is due: requests arrived, or an allocation is to be renewed or given up.
+  /// Returns true if a report is due because requests arrived, or because an allocation has to be renewed or returned.
   bool reportDue(Milliseconds now) const;
-  /// It has no allocation and had no request for so long that it may be removed.
+  /// Returns true if this limiter may be removed: it has no allocation and had no request for a long time.
   bool idle(Milliseconds now) const;
   bool hasAllocation(Milliseconds now) const { return now < expiresAt_ && allocatedFraction_ > 0; }
-  /// Amount that this router can spend.
+  /// Amount that this router can spend now.
   double remainingAmount(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance) const;
 
  private:
   /// Adds the refill since the last update and ends an expired allocation.
   void update(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance);
-  /// Puts aside for the owner what exceeds the amount. True: there was something.
+  /// Moves what exceeds `maxAmount` to the amount to be returned to the owner. Returns true if there was an excess.
   bool returnExcess(double maxAmount);
   void applyAllocation(Milliseconds now, Milliseconds reportSentAt, QuotaGrant const& grant);
-  /// The refill of this router's allocation still goes to the owner.
+  /// Returns true while the refill of this router's allocation goes to the owner (see refillTransferDelay).
   bool refillsOwner(Milliseconds now) const;
   /// Greatest amount that this router may store.
   double maxAmount(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance) const;
 
   DemandEstimator demand_;
+  /// -1 before the first request.
   Milliseconds lastRequestAt_ = -1;
-  /// Something happened since the last renewal that the owner should learn of.
+  /// True if requests arrived or an amount is to be returned since the last report with a renewal.
   bool hasUnreportedChange_ = false;
-  /// Fraction of the requests that may be admitted, and when the owner last said so.
+  /// Fraction of the requests that may be admitted, and when the owner last reported it.
   double admissionShare_ = 1.0;
   Milliseconds admissionShareAt_ = 0;
   /// The allocation: a fraction of the limit until `expiresAt_`, granted under the owner's term and number.
@@ -89,11 +93,13 @@
   /// Amount that can be spent, as of `updatedAt_`.
   double remainingAmount_ = 0;
   Milliseconds updatedAt_ = 0;
-  /// Amount put aside for the owner until the next report.
+  /// Amount to be returned to the owner with the next report.
   double returnedAmount_ = 0;
-  /// Amount of the router's part of unallocatedFraction, as of `unallocatedAt_`; -1: never used.
+  /// Available amount of this router's part of unallocatedFraction, as of `unallocatedAt_`, which is -1 before first
+  /// use.
   double unallocatedAmount_ = 0;
   Milliseconds unallocatedAt_ = -1;
+  /// When the last report that requested a renewal was sent.
   Milliseconds renewalRequestedAt_ = -reportEvery;
 };
 
--- a/quota/src/grant_table.cpp
+++ b/quota/src/grant_table.cpp
@@ -9,21 +9,23 @@
 
 /// Milliseconds after which a router's last report no longer counts as demand.
 constexpr Milliseconds reportValidity = 2000;
-/// A router's fraction is changed when it is off by more than this part of itself: the difference to a smaller one is
-/// refilled to nobody until the router has confirmed it.
+/// A router's fraction changes only if the target differs from it by more than this fraction of it. Frequent small
+/// changes would waste quota: the difference to a smaller allocation is refilled to no counter until the router has
+/// confirmed it.
 constexpr double fractionHysteresis = 0.25;
-/// The owner keeps a capacity of this many of the largest requested amounts.
+/// The owner keeps enough capacity for this many requests of the largest recently requested amount.
 constexpr double largestRequestsReserve = 2.0;
-/// Milliseconds after which the largest requested amount counts half.
+/// Milliseconds after which the largest requested amount has decayed to half.
 constexpr Milliseconds largestRequestHalfLife = 20000;
-/// Below this part of the capacity, routers may admit only a fraction of the requests.
+/// While less than this fraction of the capacity is available, routers may admit only a fraction of the requests.
 constexpr double scarcityThreshold = 0.5;
-/// Part of the capacity that is spared for large requests, which need more at once than is refilled for them.
+/// Fraction of the capacity that is reserved for large requests, which need more at once than the refill alone
+/// provides.
 constexpr double largeRequestReserve = 0.25;
-/// What is available beyond the reserve may be spent within a second; of what is missing to it, this part is recovered
-/// in a second.
+/// An available amount beyond the reserve for large requests may be spent within a second. If the reserve is not full,
+/// this fraction of what is missing is recovered per second.
 constexpr double reserveRecoveryPerSecond = 0.25;
-/// A demand of at most this part of the refill needs no rejections: what is missing is refilled anyway.
+/// A demand of at most this fraction of the refill needs no rejections, because the bucket fills up anyway.
 constexpr double demandBelowRefill = 0.9;
 
 }  // namespace
@@ -95,13 +97,14 @@
 GrantTable::RouterAllocation& GrantTable::allocationOf(std::string const& router, std::uint64_t incarnation) {
   RouterAllocation& allocation = allocations_[router];
   if (allocation.incarnation == incarnation) return allocation;
-  // An earlier incarnation's allocation ended with it; but a late report of an earlier incarnation frees nothing.
+  // The allocation of an earlier incarnation ended with that process. A late report of an earlier incarnation must not
+  // free the allocation of the present one.
   bool const restarted = incarnation > allocation.incarnation;
-  RouterAllocation fresh;
-  fresh.incarnation = incarnation;
-  fresh.reservedFraction = restarted ? 0.0 : allocation.reservedFraction;
-  fresh.expiresAt = restarted ? 0 : allocation.expiresAt;
-  allocation = fresh;
+  RouterAllocation replacement;
+  replacement.incarnation = incarnation;
+  replacement.reservedFraction = restarted ? 0.0 : allocation.reservedFraction;
+  replacement.expiresAt = restarted ? 0 : allocation.expiresAt;
+  allocation = replacement;
   return allocation;
 }
 
--- a/quota/src/limit.cpp
+++ b/quota/src/limit.cpp
@@ -10,7 +10,7 @@
   return static_cast<double>(milliseconds) / 1000.0;
 }
 
-/// Least capacity: as a fraction of the burst, as seconds of refill, and as an amount.
+/// Lower bounds of the total capacity: as a fraction of the burst, in seconds of refill, and as an amount.
 constexpr double minBurstFraction = 0.5;
 constexpr double minRefillSeconds = 0.25;
 constexpr double minAmount = 1.0;
--- a/quota/src/quota_coordinator.cpp
+++ b/quota/src/quota_coordinator.cpp
@@ -11,10 +11,11 @@
 constexpr Milliseconds leaseRequestInterval = 200;
 /// Milliseconds between queries to routers that have not reported their allocations.
 constexpr Milliseconds allocationQueryInterval = 200;
-/// Milliseconds after which a controller stops to contend for a partition.
+/// Milliseconds after which a controller stops contending for a partition that it has not acquired.
 constexpr Milliseconds contentionTimeout = partitionLeaseDuration;
-/// Milliseconds for which it leaves the partition to others then: at least the minimum, and up to the spread more by a
-/// hash of its address, so that two controllers that split the members' grants don't do so again.
+/// Backoff in milliseconds after a contention timeout, until the controller contends for the partition again: the
+/// minimum plus an addition of less than contentionBackoffSpread by the hash of the controller's address. The addition
+/// differs between controllers, so that two controllers that split the members' grants do not split them again.
 constexpr Milliseconds minContentionBackoff = partitionLeaseDuration;
 constexpr Milliseconds contentionBackoffSpread = 1000;
 
@@ -159,7 +160,7 @@
   GrantScope const scope = view.routers.contains(from) ? GrantScope::allocation : GrantScope::amountsOnly;
   QuotaGrants reply;
   reply.reportNumber = message.reportNumber;
-  std::set<std::uint64_t> ownedElsewhere;
+  std::set<std::uint64_t> otherPartitions;
   for (TenantUsage const& usage : message.usages) {
     std::uint64_t const partition = partitionOf(usage.tenant);
     if (!limits_.contains(usage.tenant)) {
@@ -171,7 +172,7 @@
     } else if (ownsPartition(now, partition, view)) {
       GrantTable& table = grantTable(now, ownedPartitions_.at(partition), usage.tenant);
       reply.grants.push_back(table.onReport(now, from, message.incarnation, usage, scope));
-    } else if (ownedElsewhere.insert(partition).second) {
+    } else if (otherPartitions.insert(partition).second) {
       reply.partitionOwners.push_back({partition, ownerOf(now, partition, view)});
     }
   }
--- a/quota/src/quota_limiter.cpp
+++ b/quota/src/quota_limiter.cpp
@@ -9,11 +9,12 @@
 
 /// Milliseconds over which a tenant's demand is averaged.
 constexpr Milliseconds demandTimeConstant = 3000;
-/// Milliseconds after which an admission share no longer applies.
+/// Milliseconds after its arrival for which an admission share applies.
 constexpr Milliseconds admissionShareValidity = 1500;
-/// Milliseconds between reports of an allocation that no request uses.
+/// Milliseconds between reports while no requests arrive but the router holds an allocation.
 constexpr Milliseconds idleRenewalInterval = 600;
-/// Part of its capacity that a router keeps while the tenant's demand exceeds its limit; others need the rest.
+/// Fraction of its capacity that a router keeps while the tenant's demand exceeds the limit. Other routers need the
+/// remainder.
 constexpr double capacityWhenScarce = 0.5;
 /// Milliseconds without a request after which a limiter may be removed.
 constexpr Milliseconds idleTimeout = 60000;
--- a/quota/test/demand_estimator_test.cpp
+++ b/quota/test/demand_estimator_test.cpp
@@ -13,7 +13,7 @@
   CHECK(demand.perSecond(63000) == Approx(demand.perSecond(60000) / std::exp(1.0)));
 }
 
-TEST_CASE("a maximum halves within its half-life, until a larger amount is recorded") {
+TEST_CASE("a maximum decays to half within its half-life until a larger amount is recorded") {
   quota::DecayingMaximum maximum(20000);
   CHECK(maximum.value(0) == 0.0);
   maximum.record(0, 100);
--- a/quota/test/owned_partition_test.cpp
+++ b/quota/test/owned_partition_test.cpp
@@ -8,7 +8,7 @@
 using quota::test::allowance;
 using quota::test::limit;
 
-TEST_CASE("a new owner queries the roster's routers once its contact with a majority began after its term") {
+TEST_CASE("a new owner queries the roster's routers once contact with a majority began after the start of its term") {
   quota::OwnedPartition partition(1000, 4);
   CHECK(partition.term() == 4);
   partition.advanceRecovery(1100, 1000, {"r1", "r2"});
@@ -21,7 +21,7 @@
   CHECK(partition.unreportedRouters().empty());
 }
 
-TEST_CASE("a tenant's table counts as allocated what routers that have not reported may hold") {
+TEST_CASE("a tenant's grant table counts what unreported routers may hold as allocated") {
   quota::OwnedPartition partition(1000, 4);
   CHECK(partition.grantTable(1000, "early", limit, allowance).allocatedFraction(1000) ==
         Approx(quota::maxAllocatedFraction));
--- a/quota/test/partition_lease_grants_test.cpp
+++ b/quota/test/partition_lease_grants_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("a member grants a partition to one holder at a time, under a rising term") {
+TEST_CASE("a member grants the lease on a partition to one holder at a time, under rising terms") {
   quota::PartitionLeaseGrants grants;
   CHECK(granted(grants.onRequest(1000, request("c1", 5, 990), GrantPermission::all)));
   CHECK(grants.holder(1100, 3) == "c1");
@@ -28,15 +28,15 @@
   CHECK_FALSE(granted(rejected));
   CHECK(rejected.decisions[0].holder == "c1");
   CHECK(rejected.decisions[0].term == 5);
-  Milliseconds const renewed = 1000 + partitionLeaseDuration - 100;
-  Milliseconds const expired = renewed + partitionLeaseDuration;
-  CHECK(granted(grants.onRequest(renewed, request("c1", 5, renewed - 10), GrantPermission::all)));
-  CHECK_FALSE(granted(grants.onRequest(expired - 1, request("c2", 6, 0), GrantPermission::all)));
-  CHECK_FALSE(granted(grants.onRequest(expired, request("c2", 5, 0), GrantPermission::all)));
-  CHECK(granted(grants.onRequest(expired, request("c2", 6, 0), GrantPermission::all)));
+  Milliseconds const renewedAt = 1000 + partitionLeaseDuration - 100;
+  Milliseconds const expiresAt = renewedAt + partitionLeaseDuration;
+  CHECK(granted(grants.onRequest(renewedAt, request("c1", 5, renewedAt - 10), GrantPermission::all)));
+  CHECK_FALSE(granted(grants.onRequest(expiresAt - 1, request("c2", 6, 0), GrantPermission::all)));
+  CHECK_FALSE(granted(grants.onRequest(expiresAt, request("c2", 5, 0), GrantPermission::all)));
+  CHECK(granted(grants.onRequest(expiresAt, request("c2", 6, 0), GrantPermission::all)));
 }
 
-TEST_CASE("a member that may have forgotten its grants grants nothing; one with a new membership renews only") {
+TEST_CASE("a member that may have forgotten its grants grants no lease, and one with a new membership only renews") {
   quota::PartitionLeaseGrants grants;
   CHECK_FALSE(granted(grants.onRequest(1000, request("c1", 5, 990), GrantPermission::none)));
   CHECK_FALSE(granted(grants.onRequest(1000, request("c1", 5, 990), GrantPermission::renewals)));
@@ -46,16 +46,16 @@
   CHECK_FALSE(granted(grants.onRequest(1300, request("c1", 5, 1290, 2), GrantPermission::all)));
 }
 
-TEST_CASE("a released lease is free at once, and only its holder can release it") {
+TEST_CASE("a lease that its holder releases can be granted at once, and no other controller can release it") {
   quota::PartitionLeaseGrants grants;
   REQUIRE(granted(grants.onRequest(1000, request("c1", 5, 990), GrantPermission::all)));
-  quota::PartitionLeaseRequest stranger = request("c2", 5, 990);
-  stranger.release = true;
-  grants.onRequest(1010, stranger, GrantPermission::all);
+  quota::PartitionLeaseRequest releaseByOther = request("c2", 5, 990);
+  releaseByOther.release = true;
+  grants.onRequest(1010, releaseByOther, GrantPermission::all);
   CHECK(grants.holder(1010, 3) == "c1");
-  quota::PartitionLeaseRequest own = request("c1", 5, 990);
-  own.release = true;
-  grants.onRequest(1020, own, GrantPermission::all);
+  quota::PartitionLeaseRequest releaseByHolder = request("c1", 5, 990);
+  releaseByHolder.release = true;
+  grants.onRequest(1020, releaseByHolder, GrantPermission::all);
   CHECK(grants.holder(1020, 3).empty());
   CHECK(granted(grants.onRequest(1030, request("c2", 6, 1020), GrantPermission::all)));
 }
--- a/quota/test/partition_leases_test.cpp
+++ b/quota/test/partition_leases_test.cpp
@@ -5,7 +5,7 @@
 namespace quota = corkward::quota;
 using corkward::core::Milliseconds;
 
-TEST_CASE("a lease counts from when it was requested from a majority of the members") {
+TEST_CASE("a lease is valid for its duration from when a majority of the members was asked for it") {
   std::vector<std::string> const members{"c1", "c2", "c3", "c4", "c5"};
   quota::PartitionLeases leases;
   leases.contend(1000, 3, 9);
--- a/quota/test/quota_coordinator_test.cpp
+++ b/quota/test/quota_coordinator_test.cpp
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-TEST_CASE("a report in another's name is rejected; one of a tenant without a limit here is granted in full") {
+TEST_CASE(
+    "a report with another sender's address is ignored, and a tenant without a limit is granted the full amount") {
   quota::QuotaCoordinator coordinator = ::coordinator();
   quota::MembershipView const view;
   CHECK(coordinator.onMessage(10, "n1", report("n2", "a"), view).empty());
--- a/quota/test/quota_fixtures.h
+++ b/quota/test/quota_fixtures.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What the tests of grant tables and limiters share: one tenant's limit and its usage.
+/// Fixtures of the tests of grant tables and limiters: one tenant's limit, and usage reports.
 
 #include <string>
 
@@ -11,6 +11,7 @@
 inline Limit const limit{1000, 1000};
 inline OverdraftAllowance const allowance{8000, 0.1, 500};
 
+/// A report that requests a renewal, for a tenant "t".
 inline TenantUsage usage(std::uint64_t demandPerSecond, std::uint64_t requestedAmount = 0) {
   TenantUsage out;
   out.tenant = "t";
@@ -24,7 +25,7 @@
   return fractionFromWire(grant.allocatedFraction);
 }
 
-/// The table of an owner to which no earlier allocation is unknown.
+/// The grant table of an owner that knows all allocations of earlier owners.
 inline GrantTable recoveredTable() {
   GrantTable table(0, 4, limit, allowance, allocationDuration);
   table.limitUnreported(0, 0);
--- a/quota/test/quota_limiter_test.cpp
+++ b/quota/test/quota_limiter_test.cpp
@@ -9,7 +9,7 @@
 using quota::test::allowance;
 using quota::test::limit;
 
-TEST_CASE("a disconnected limiter spends the refill of its allocation until it expires") {
+TEST_CASE("a disconnected limiter spends the refill of its allocation until the allocation expires") {
   quota::QuotaLimiter limiter;
   CHECK_FALSE(limiter.tryAcquire(1000, limit, allowance, 1));
   limiter.onGrant(1010, limit, allowance, 1000, {"t", 4, 1, quota::fractionUnits / 10, 30, quota::fractionUnits});
@@ -21,7 +21,7 @@
   CHECK_FALSE(limiter.tryAcquire(1000 + quota::allocationDuration, limit, allowance, 1));
 }
 
-TEST_CASE("a limiter that is connected again returns all but its reserve to the owner") {
+TEST_CASE("a limiter that is connected again returns everything except its reserve to the owner") {
   quota::QuotaLimiter limiter;
   limiter.onGrant(1010, limit, allowance, 1000, {"t", 4, 1, quota::fractionUnits / 10, 0, quota::fractionUnits});
   REQUIRE(limiter.remainingAmount(9000, limit, allowance) == Approx(0.1 * quota::totalCapacity(limit, allowance)));
@@ -33,14 +33,14 @@
         static_cast<std::uint64_t>(0.1 * quota::totalCapacity(limit, allowance) - reserve));
 }
 
-TEST_CASE("a granted amount that arrives too late is void") {
+TEST_CASE("a granted amount that arrives too late is discarded") {
   quota::QuotaLimiter limiter;
   limiter.onGrant(1000 + quota::maxDispatchDelay / 2 + 1, limit, allowance, 1000,
                   {"t", 4, 0, 0, 50, quota::fractionUnits});
   CHECK(limiter.remainingAmount(1300, limit, allowance) == 0.0);
 }
 
-TEST_CASE("routers without an allocation admit no more together than the unallocated fraction, in the mean") {
+TEST_CASE("routers without an allocation together admit at most the unallocated fraction, in the mean") {
   double admitted = 0;
   corkward::core::RandomGenerator random(5);
   for (int router = 0; router < 100; ++router) {
