--- a/control/src/configuration_push.cpp
+++ b/control/src/configuration_push.cpp
@@ -45,7 +45,7 @@
 void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
                     transport::ServingLeaseRequest const& request) {
   if (request.sender.link.empty() || request.sender.link != from) return;
-  appendSends(out, partialView_.heard(now, request.sender));
+  appendSends(out, partialView_.onDirectContact(now, request.sender));
   RouterRegistry::Router* const router = routers_.recordHeard(now, from, request.sender.incarnation);
   routers_.recordRequest(now, request);
   bool const revisionsKnown = router != nullptr && updateKnownRevisions(*router, request);
@@ -99,7 +99,7 @@
   bool const isSameState = report.committedDigest == routers_.committedDigest();
   for (std::size_t position = 0; position < roster_.bitPositions().size(); ++position) {
     std::string const& link = roster_.bitPositions()[position];
-    if (report.recentlyHeard.test(position)) routers_.recordHeardElsewhere(now, link);
+    if (report.recentlyContacted.test(position)) routers_.recordHeardElsewhere(now, link);
     if (isSameState && report.upToDate.test(position)) rollouts_.recordIncompleteAcknowledged(link);
     for (transport::RolloutProgress const& progress : report.rolloutProgress)
       if (progress.acknowledgedBy.test(position)) rollouts_.recordAcknowledged(link, progress.key, progress.revision);
--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -158,7 +158,7 @@
 
 void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
                     transport::GossipShuffle const& shuffle) {
-  appendSends(out, partialView_.arrived(now, from, shuffle));
+  appendSends(out, partialView_.onShuffle(now, from, shuffle));
 }
 
 void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
--- a/control/src/controller_directory.cpp
+++ b/control/src/controller_directory.cpp
@@ -20,7 +20,7 @@
   auto const known = lastHeardAt_.find(from);
   if (known != lastHeardAt_.end()) known->second = now;
   if (auto const* const shuffle = std::get_if<transport::GossipShuffle>(&message); shuffle != nullptr) {
-    partialView_.arrived(now, from, transport::GossipShuffle{shuffle->contacts, false, 0, {}});
+    partialView_.onShuffle(now, from, transport::GossipShuffle{shuffle->contacts, false, 0, {}});
     if (!shuffle->reply) return {};
     std::vector<transport::Contact> controllers = partialView_.ofRole(transport::controllerRole, now);
     return {transport::Send{from, transport::GossipShuffle{std::move(controllers), false, 0, {}}}};
--- a/control/src/router_status_reporter.cpp
+++ b/control/src/router_status_reporter.cpp
@@ -38,7 +38,7 @@
   for (std::size_t position = 0; position < roster.bitPositions().size(); ++position) {
     RouterRegistry::Router const* const router = routers.find(roster.bitPositions()[position]);
     if (router == nullptr || !router->hasSession()) continue;
-    if (requestedLately(*router)) report.recentlyHeard.set(position);
+    if (requestedLately(*router)) report.recentlyContacted.set(position);
     if (router->isUpToDate()) report.upToDate.set(position);
   }
   for (auto const& [link, router] : routers.all())
--- a/control/test/router_status_reporter_test.cpp
+++ b/control/test/router_status_reporter_test.cpp
@@ -53,8 +53,8 @@
   fixture.routers.recordCommitted("k", 1, 2);
   std::optional<transport::RouterStatusReport> const report = fixture.due(1100);
   REQUIRE(report);
-  CHECK_FALSE(report->recentlyHeard.test(0));
-  CHECK(report->recentlyHeard.test(1));
+  CHECK_FALSE(report->recentlyContacted.test(0));
+  CHECK(report->recentlyContacted.test(1));
   CHECK_FALSE(report->upToDate.test(1));
   REQUIRE(report->unlistedRouters.size() == 1);
   CHECK(report->unlistedRouters[0].link == "x");
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -59,7 +59,7 @@
 
 void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
                        transport::GossipShuffle const& m) {
-  std::vector<transport::Send> sends = partialView_.arrived(now, from, m);
+  std::vector<transport::Send> sends = partialView_.onShuffle(now, from, m);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
 }
 
--- a/gossip/src/partial_view.cpp
+++ b/gossip/src/partial_view.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// No incarnation of ours, a wall clock's milliseconds, comes near this; a greater one is not refuted but ignored.
-constexpr std::uint64_t mostInc = std::uint64_t{1} << 52;
+/// Incarnations are milliseconds of the wall clock and stay far below this. Contacts with a greater one are ignored.
+constexpr std::uint64_t maxIncarnation = std::uint64_t{1} << 52;
 
 }  // namespace
 
@@ -31,7 +31,8 @@
     : self_(std::move(self)), seeds_(std::move(seeds)), rng_(seed) {}
 
 void PartialView::merge(Milliseconds now, transport::Contact const& contact) {
-  if (contact.link.empty() || contact.age < 0 || contact.age > dropAfter || contact.incarnation > mostInc) return;
+  if (contact.link.empty() || contact.age < 0 || contact.age > removalTimeout || contact.incarnation > maxIncarnation)
+    return;
   if (contact.link == self_.link) {
     if (contact.incarnation > self_.incarnation) self_.incarnation = contact.incarnation + 1;
     return;
@@ -39,23 +40,23 @@
   KnownContact& known = view_[contact.link];
   Milliseconds const at = now - contact.age;
   if (contact.incarnation < known.contact.incarnation ||
-      (contact.incarnation == known.contact.incarnation && at <= known.lastSeenAt && known.lastSeenAt != 0))
+      (contact.incarnation == known.contact.incarnation && at <= known.lastContactAt && known.lastContactAt != 0))
     return;
   known.contact = contact;
-  known.lastSeenAt = at;
-  if (view_.size() <= viewBound) return;
+  known.lastContactAt = at;
+  if (view_.size() <= maxViewSize) return;
   auto const oldest = std::min_element(view_.begin(), view_.end(), [](auto const& a, auto const& b) {
-    return a.second.lastSeenAt < b.second.lastSeenAt;
+    return a.second.lastContactAt < b.second.lastContactAt;
   });
   view_.erase(oldest);
 }
 
-void PartialView::setRoster(std::uint64_t revision, std::vector<transport::Contact> nodes) {
-  std::sort(nodes.begin(), nodes.end(),
+void PartialView::setRoster(std::uint64_t revision, std::vector<transport::Contact> routers) {
+  std::sort(routers.begin(), routers.end(),
             [](transport::Contact const& a, transport::Contact const& b) { return a.link < b.link; });
   rosterRevision_ = revision;
-  roster_ = std::move(nodes);
-  alike_ = false;
+  roster_ = std::move(routers);
+  lastPeerHasSameRoster_ = false;
 }
 
 std::ptrdiff_t PartialView::rosterPosition(transport::Contact const& contact) const {
@@ -66,46 +67,46 @@
   return same ? it - roster_.begin() : -1;
 }
 
-transport::GossipShuffle PartialView::sample(Milliseconds now, bool reply, bool brief) {
+transport::GossipShuffle PartialView::sample(Milliseconds now, bool wantsReply, bool compact) {
   std::vector<transport::Contact> out;
   for (auto const& [link, known] : view_) {
     out.push_back(known.contact);
-    out.back().age = now - known.lastSeenAt;
+    out.back().age = now - known.lastContactAt;
   }
   for (std::size_t i = out.size(); i > 1; --i) std::swap(out[i - 1], out[rng_.below(i)]);
   if (out.size() > sampleSize) out.resize(sampleSize);
   transport::GossipShuffle shuffle;
-  shuffle.reply = reply;
+  shuffle.reply = wantsReply;
   shuffle.rosterRevision = rosterRevision_;
   for (transport::Contact& c : out) {
-    std::ptrdiff_t const at = brief ? rosterPosition(c) : -1;
-    if (at < 0)
+    std::ptrdiff_t const position = compact ? rosterPosition(c) : -1;
+    if (position < 0)
       shuffle.contacts.push_back(std::move(c));
     else
-      shuffle.knownContacts.insert(shuffle.knownContacts.end(),
-                                   {static_cast<std::uint64_t>(at), c.incarnation, static_cast<std::uint64_t>(c.age)});
+      shuffle.compactContacts.insert(shuffle.compactContacts.end(), {static_cast<std::uint64_t>(position),
+                                                                     c.incarnation, static_cast<std::uint64_t>(c.age)});
   }
   shuffle.contacts.push_back(self_);
   return shuffle;
 }
 
-std::vector<transport::Send> PartialView::arrived(Milliseconds now, std::string const& from,
-                                                  transport::GossipShuffle const& shuffle) {
-  alike_ = rosterRevision_ > 0 && shuffle.rosterRevision == rosterRevision_;
+std::vector<transport::Send> PartialView::onShuffle(Milliseconds now, std::string const& from,
+                                                    transport::GossipShuffle const& shuffle) {
+  lastPeerHasSameRoster_ = rosterRevision_ > 0 && shuffle.rosterRevision == rosterRevision_;
   for (transport::Contact const& c : shuffle.contacts) merge(now, c);
-  for (std::size_t i = 0; alike_ && i + 2 < shuffle.knownContacts.size(); i += 3) {
-    if (shuffle.knownContacts[i] >= roster_.size()) continue;
-    transport::Contact c = roster_[shuffle.knownContacts[i]];
-    c.incarnation = shuffle.knownContacts[i + 1];
-    c.age = static_cast<std::int64_t>(shuffle.knownContacts[i + 2]);
+  for (std::size_t i = 0; lastPeerHasSameRoster_ && i + 2 < shuffle.compactContacts.size(); i += 3) {
+    if (shuffle.compactContacts[i] >= roster_.size()) continue;
+    transport::Contact c = roster_[shuffle.compactContacts[i]];
+    c.incarnation = shuffle.compactContacts[i + 1];
+    c.age = static_cast<std::int64_t>(shuffle.compactContacts[i + 2]);
     merge(now, c);
   }
   std::vector<transport::Send> out;
-  if (shuffle.reply) out.push_back(transport::Send{from, sample(now, false, alike_)});
+  if (shuffle.reply) out.push_back(transport::Send{from, sample(now, false, lastPeerHasSameRoster_)});
   return out;
 }
 
-std::vector<transport::Send> PartialView::heard(Milliseconds now, transport::Contact const& contact) {
+std::vector<transport::Send> PartialView::onDirectContact(Milliseconds now, transport::Contact const& contact) {
   auto const it = view_.find(contact.link);
   std::vector<transport::Send> out;
   if (it != view_.end() && it->second.contact.incarnation > contact.incarnation)
@@ -118,19 +119,19 @@
 
 std::vector<transport::Send> PartialView::clockEvent(Milliseconds now) {
   std::vector<transport::Send> out;
-  if (now < shuffleAt_) return out;
-  shuffleAt_ = now + (view_.size() < fewContacts ? shuffleAtFirst : shuffleEvery);
+  if (now < nextShuffleAt_) return out;
+  nextShuffleAt_ = now + (view_.size() < smallViewSize ? initialShuffleInterval : shuffleInterval);
   for (auto it = view_.begin(); it != view_.end();)
-    it = now - it->second.lastSeenAt > dropAfter ? view_.erase(it) : std::next(it);
+    it = now - it->second.lastContactAt > removalTimeout ? view_.erase(it) : std::next(it);
   std::vector<std::string> targets;
   for (auto const& [link, known] : view_) targets.push_back(link);
   if (!targets.empty()) {
     std::string const to = targets[rng_.below(targets.size())];
-    out.push_back(transport::Send{to, sample(now, true, alike_)});
+    out.push_back(transport::Send{to, sample(now, true, lastPeerHasSameRoster_)});
   }
   if (!seeds_.empty() && (targets.size() < 3 || rng_.chance(0.1))) {
     std::string const seed = seeds_[rng_.below(seeds_.size())];
-    if (seed != self_.link) out.push_back(transport::Send{seed, sample(now, true, alike_)});
+    if (seed != self_.link) out.push_back(transport::Send{seed, sample(now, true, lastPeerHasSameRoster_)});
   }
   return out;
 }
@@ -140,20 +141,20 @@
   for (auto const& [link, known] : view_) {
     if (known.contact.role != role) continue;
     out.push_back(known.contact);
-    out.back().age = now - known.lastSeenAt;
+    out.back().age = now - known.lastContactAt;
   }
   return out;
 }
 
 Milliseconds PartialView::age(std::string const& link, Milliseconds now) const {
   auto const it = view_.find(link);
-  return it == view_.end() ? -1 : now - it->second.lastSeenAt;
+  return it == view_.end() ? -1 : now - it->second.lastContactAt;
 }
 
-ServingLease PartialView::servingLease(std::string const& link, Milliseconds now) const {
+Liveness PartialView::liveness(std::string const& link, Milliseconds now) const {
   Milliseconds const a = age(link, now);
-  if (a < 0) return ServingLease::unknown;
-  return a > suspectAfter ? ServingLease::suspected : ServingLease::alive;
+  if (a < 0) return Liveness::unknown;
+  return a > suspectTimeout ? Liveness::suspected : Liveness::alive;
 }
 
 }  // namespace corkward::gossip
--- a/transport/include/corkward/transport/configuration_messages.h
+++ b/transport/include/corkward/transport/configuration_messages.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// How configuration reaches the routers: pushes, acknowledgements, confirmations of serving leases, and touches.
+/// Messages by which configuration reaches the routers: updates and their acknowledgements, serving leases, and
+/// heartbeats between routers.
 
 #include <cstdint>
 #include <string>
@@ -12,9 +13,12 @@
 
 namespace corkward::transport {
 
-/// A numbered push of changes down one link.
+/// Sent by a controller to a router when configuration changes or the router lacks some. Also sent between routers: in
+/// reply to a ValueRequest, or when a heartbeat shows that the other router lacks entries or wants a snapshot.
 struct ConfigurationUpdate {
+  /// Number of the update in the sender's session with this router; 0 if the sender is a router.
   std::uint64_t number = 0;
+  /// True if `entries` is the sender's complete configuration.
   bool isSnapshot = false;
   std::vector<CommittedEntry> entries;
   template <class F>
@@ -25,13 +29,17 @@
   }
 };
 
-/// What a router has in force of the keys that the news named, and a digest of all that it has; told to the
-/// controllers that hold it.
+/// Sent by a router, after it has applied a ConfigurationUpdate, to its chosen controllers and to the controller that
+/// sent the update.
 struct ConfigurationAck {
+  /// ConfigurationUpdate::number of the update.
   std::uint64_t number = 0;
+  /// Link address of the sender, and the incarnation of that process.
   std::string link;
   std::uint64_t incarnation = 0;
+  /// Revisions that the router has applied of the update's keys; empty for a snapshot.
   Revisions revisions;
+  /// Digest of the router's complete configuration.
   Digest digest;
   template <class F>
   void each(F& f) {
@@ -43,10 +51,11 @@
   }
 };
 
-/// Which routers have a key under that revision or a newer one.
+/// Which routers have applied a key at this revision or a newer one.
 struct RolloutProgress {
   std::string key;
   std::uint64_t revision = 0;
+  /// Bits as in RouterStatusReport.
   BitSet acknowledgedBy;
   template <class F>
   void each(F& f) {
@@ -56,26 +65,29 @@
   }
 };
 
-/// What a controller tells the others of the routers that it holds. Bits go by the links of the roster of that revision
-/// and of the one before it, sorted.
+/// Sent by a controller to the other members of the control plane, periodically and more often during a rollout: the
+/// state of the routers that have a session with the sender. Also sent in reply to such a report with incomplete
+/// rollouts. Bit i stands for the i-th router in the sorted links of the roster of `rosterRevision` and of the roster
+/// before it.
 struct RouterStatusReport {
   std::uint64_t rosterRevision = 0;
+  /// Digest of the configuration that the sender knows to be committed.
   Digest committedDigest;
-  /// Heard from lately.
-  BitSet recentlyHeard;
-  /// Have all that the digest stands for.
+  /// Routers with recent contact.
+  BitSet recentlyContacted;
+  /// Routers that have the complete configuration of `committedDigest`.
   BitSet upToDate;
-  /// Heard from lately and not on the roster.
+  /// Routers with recent contact that are not in the roster.
   std::vector<Contact> unlistedRouters;
-  /// How far the asked changes are.
+  /// In a reply: the progress of the rollouts that the other report listed as incomplete.
   std::vector<RolloutProgress> rolloutProgress;
-  /// Changes not yet in force as far as the sender knows; wants an answer.
+  /// Rollouts that are not complete as far as the sender knows. If there are any, the receiver replies.
   std::vector<RolloutProgress> incompleteRollouts;
   template <class F>
   void each(F& f) {
     f("r", rosterRevision);
     f("d", committedDigest);
-    f("h", recentlyHeard);
+    f("h", recentlyContacted);
     f("w", upToDate);
     f("f", unlistedRouters);
     f("e", rolloutProgress);
@@ -83,17 +95,20 @@
   }
 };
 
-/// A router asks a controller for a confirmation of its serving lease.
+/// Sent by a router to its chosen controllers, periodically, to renew its serving lease. The reply is
+/// ServingLeaseGrant.
 struct ServingLeaseRequest {
+  /// Time on the sender's clock.
   core::Milliseconds sentAt = 0;
   Contact sender;
+  /// True if the router has no complete configuration yet.
   bool wantsSnapshot = false;
-  /// Always false: a first snapshot is confirmed by a majority whatever the asker says. Kept on the wire for processes
-  /// of an earlier version.
+  /// Always false: a first snapshot has to be confirmed by a majority in any case. The field stays on the wire for
+  /// processes of an earlier version.
   bool acceptsUnconfirmedSnapshot = false;
-  /// What the router has in force.
+  /// Digest of the revisions that the router has applied.
   Digest digest;
-  /// The same in full, when the controller asked for it.
+  /// These revisions in full, if the controller has requested them; else empty.
   Revisions revisions;
   template <class F>
   void each(F& f) {
@@ -106,12 +121,17 @@
   }
 };
 
-/// A platform's list that is newer than the one in force. It only ever takes away: what it does not name, or names
-/// cold where the list in force says serving, is not used; what it adds waits for control.
+/// An endpoint list of the platform that is newer than the committed one. Routers and controllers forward a new hint to
+/// other routers and controllers at once. A hint only removes replicas: those that it does not name, and those that it
+/// names as warming up while the committed list has them as serving, are not used. Replicas that the list adds are used
+/// only after the control plane has committed the list.
 struct EndpointRemovalHint {
   std::string pool;
+  /// Generation of the endpoint list.
   std::uint64_t generation = 0;
+  /// Incarnations of the replicas that serve.
   std::vector<std::string> serving;
+  /// Incarnations of the replicas that are warming up.
   std::vector<std::string> cold;
   template <class F>
   void each(F& f) {
@@ -122,20 +142,25 @@
   }
 };
 
-/// Reply to a ServingLeaseRequest: whether the controller is in touch with a majority, how old that contact is, and
-/// what is known.
+/// Sent by a controller to a router, in reply to a ServingLeaseRequest. It renews the router's serving lease if the
+/// controller has a quorum and the router has applied everything in `digest`.
 struct ServingLeaseGrant {
+  /// ServingLeaseRequest::sentAt of the request.
   core::Milliseconds requestSentAt = 0;
+  /// True if the controller has recent contact with a majority of the members.
   bool hasQuorum = false;
+  /// Age of that contact, in milliseconds.
   core::Milliseconds quorumAge = 0;
-  /// What the controller knows to be on a majority of the disks: all that the router must know for this to count.
+  /// Digest of the revisions that the controller knows to be on a majority of the disks. The grant counts only once the
+  /// router has applied them.
   Digest digest;
-  /// The same in full, when the asker's digest is another.
+  /// These revisions in full if the digest of the request was another; else empty.
   Revisions revisions;
-  /// The controller does not know what the router has.
+  /// True if the controller does not know which revisions the router has, so that the next request must list them.
   bool wantsRevisions = false;
-  /// Newest revision of the roster that is known to be in force.
+  /// Revision of the roster if its rollout is complete as far as the controller knows; else 0.
   std::uint64_t rosterRevision = 0;
+  /// All hints that are newer than the committed endpoint lists.
   std::vector<EndpointRemovalHint> removalHints;
   template <class F>
   void each(F& f) {
@@ -150,23 +175,31 @@
   }
 };
 
-/// Contact between routers, with what each has in force.
+/// Sent by a router to some neighbour routers, periodically and more often while it has no valid lease from a
+/// controller. The reply is a PeerHeartbeat with `isReply`. Both report what configuration they have, so that each can
+/// send the other what it lacks.
 struct PeerHeartbeat {
+  /// Time on the clock of the router that sent the request; the reply repeats it.
   core::Milliseconds sentAt = 0;
   bool isReply = false;
+  /// True if the sender has no complete configuration and wants the receiver to send a snapshot.
   bool wantsSnapshot = false;
+  /// True if the sender has a complete configuration.
   bool hasSnapshot = false;
+  /// Link address of the sender.
   std::string link;
+  /// Digest of the revisions that the sender has applied.
   Digest digest;
-  /// The same in full, in an echo when the asker's digest is another.
+  /// In a reply: these revisions in full, if the digest of the request was another; else empty.
   Revisions revisions;
-  /// The asker lacks control, and wants ages.
+  /// True if the sender has no valid lease from a controller and needs `ages` in the reply.
   bool wantsAges = false;
-  /// Revision of the roster that the ages go by.
+  /// In a reply with `ages`: the revision of the roster that they refer to.
   std::uint64_t rosterRevision = 0;
-  /// For each link of that roster, sorted, one byte: in units of ageUnit, how long ago at the most that router had
-  /// nothing in force which the sender lacks; 255: longer, or not known.
+  /// In a reply, one byte for each link of that roster, in sorted order: an upper bound, in units of ageUnit, of the
+  /// time since that router had no newer configuration than the sender. 255 if the bound is greater or not known.
   std::string ages;
+  /// Hints that the sender knows.
   std::vector<EndpointRemovalHint> removalHints;
   template <class F>
   void each(F& f) {
@@ -184,7 +217,7 @@
   }
 };
 
-/// Milliseconds that one unit of a PeerHeartbeat's ages stands for.
+/// Milliseconds per unit of PeerHeartbeat::ages.
 inline constexpr core::Milliseconds ageUnit = 10;
 
 }  // namespace corkward::transport
--- a/transport/include/corkward/transport/connection_health.h
+++ b/transport/include/corkward/transport/connection_health.h
@@ -7,47 +7,58 @@
 
 namespace corkward::transport {
 
-/// True for messages that a live receiver answers at once, so that silence after one says that the path is broken.
+/// Returns true for messages that a live receiver replies to at once. If such a reply does not come, the network path
+/// is broken.
 bool expectsReply(Message const& message);
 
-/// Judges whether the connection that a process dialled to a peer still carries anything, and when it must be closed
-/// and dialled anew. TCP itself would wait for its own retransmission timer, which doubles with every loss: after a cut
-/// of some length it may stay silent for as long again. A dial, and a connection that owes an answer, therefore live
-/// for about a second; a new dial starts with a fresh timer. Pure: the caller says what happened and when, in
-/// milliseconds of one monotonic clock.
+/// Decides whether the connection that this process dialled to a peer still carries messages, or must be closed and
+/// dialled again. TCP alone does not suffice: its retransmission timer doubles with every loss, so after an
+/// interruption it may send nothing for as long again as the interruption lasted. A dial that does not connect, and a
+/// connection with an overdue reply, are therefore given up after about a second; a new dial starts with a new timer.
+/// Pure: the caller reports each event with its time, in milliseconds of one monotonic clock.
 class ConnectionHealth {
  public:
-  /// A dial that has not connected after this long is made anew, and so is a connection that owes an answer so long.
+  /// Milliseconds after which a dial that has not connected, or a connection on which a reply is missing, is replaced
+  /// by a new dial.
   static constexpr core::Milliseconds responseTimeout = 1000;
-  /// A peer that was just heard can be reached, so a dial to it that hangs is made anew sooner, each next one later.
+  /// When a message from the peer arrives, the peer is reachable, so a dial that hangs is repeated sooner: first after
+  /// this many milliseconds, then after twice as long each time, up to responseTimeout.
   static constexpr core::Milliseconds firstRedialTimeout = 300;
-  /// A connection that owes an answer is given this much time beyond the limit for what was sent on it, in bytes per
-  /// millisecond, so that a long message over a slow link is not cut off by its own length.
+  /// Lowest assumed throughput, in bytes per millisecond. The time that the sent bytes need at this rate is added to
+  /// responseTimeout, so that a long message on a slow network does not time out because of its length.
   static constexpr std::size_t slowestBytesPerMs = 500;
 
-  /// A dial begins.
+  /// Notes that a dial begins.
   void dialled(core::Milliseconds now);
-  /// A message is handed to the connection.
-  void sent(core::Milliseconds now, bool expectsAnswer, std::size_t bytes);
-  /// True when a dial must be made anew before the next message is sent.
+  /// Notes that a message is sent on the connection.
+  /// @param wantsReply whether the peer replies to it at once (expectsReply)
+  void sent(core::Milliseconds now, bool wantsReply, std::size_t bytes);
+  /// Returns true if the connection must be dialled again before the next message is sent.
+  /// @param connected whether the dial is connected now
   bool staleOnSend(core::Milliseconds now, bool connected) const;
-  /// A message of the peer arrived, from the named run of its process, over the peer's own connection `pipe`.
-  /// `connects` counts how often our dial has connected, `connected` says whether it is so now. True when our dial must
-  /// be made anew: it does not reach that run, it owed an answer for too long, or the peer has given up its own
-  /// connection and dialled anew, which says that the path was broken for ours as well.
+  /// Notes that a message of the peer arrived. Returns true if our connection must be dialled again: because it does
+  /// not reach this run of the peer's process, because a reply was overdue, or because the peer has given up its own
+  /// connection and dialled again, which shows that the path was broken for our connection as well.
+  /// @param connected whether our dial is connected now
+  /// @param connects how often our dial has connected
+  /// @param run identifies the run of the peer's process
+  /// @param pipe identifies the peer's own connection, over which the message arrived
   bool staleOnReceive(core::Milliseconds now, bool connected, int connects, std::uint64_t run, std::uint32_t pipe);
 
  private:
+  /// Returns true if a reply has been missing for longer than allowed.
   bool responseOverdue(core::Milliseconds now) const;
 
   core::Milliseconds dialledAt_ = 0;
   core::Milliseconds redialTimeout_ = firstRedialTimeout;
-  /// When the oldest message was sent that wants an answer and has none; below zero: none is owed.
+  /// When the oldest message was sent whose reply is missing; -1 if no reply is missing.
   core::Milliseconds unansweredSince_ = -1;
+  /// Bytes sent since the last message of the peer arrived.
   std::size_t unansweredBytes_ = 0;
-  /// Run of the peer's process that was last heard, how often the dial had connected by then, and over which pipe.
+  /// Run of the peer's process, number of connects of our dial, and pipe of the peer, all as of the peer's last
+  /// message.
   std::uint64_t run_ = 0;
-  int connectsThen_ = 0;
+  int lastConnects_ = 0;
   std::uint32_t pipe_ = 0;
 };
 
--- a/transport/include/corkward/transport/consensus_messages.h
+++ b/transport/include/corkward/transport/consensus_messages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Agreement between the members on one value for each key, their heartbeats, and catching up.
+/// Messages between the members of the control plane: consensus on one value for each key, heartbeats and catch-up.
 
 #include <QJsonObject>
 #include <cstdint>
@@ -12,11 +12,15 @@
 
 namespace corkward::transport {
 
-/// Asks a member to promise an epoch of a key.
+/// Sent by a member that wants to become the owner of a key to all members: phase 1 of the consensus. The reply is
+/// Promise.
 struct Prepare {
   std::string key;
+  /// Ballot of the sender.
   Ballot ballot;
+  /// Id of the sender.
   std::string member;
+  /// Revision of the sender's membership.
   std::uint64_t membershipRevision = 0;
   template <class F>
   void each(F& f) {
@@ -27,13 +31,18 @@
   }
 };
 
-/// Answer to a Prepare: promised or not, the ballot that the member holds to, and what it accepted last.
+/// Sent in reply to a Prepare, with what the member has accepted last.
 struct Promise {
   std::string key;
+  /// Ballot of the Prepare.
   Ballot ballot;
+  /// Id of the member that replies.
   std::string member;
+  /// True if the member promises to accept nothing under a lower ballot.
   bool granted = false;
+  /// Highest ballot that the member has promised.
   Ballot promised;
+  /// Ballot, revision and value that the member has accepted last.
   Ballot acceptedBallot;
   std::uint64_t revision = 0;
   QJsonObject value;
@@ -50,11 +59,14 @@
   }
 };
 
-/// Asks a member to accept a value under a ballot and write it to its disk.
+/// Sent by the owner of a key to all members: phase 2 of the consensus. The member accepts the value under the ballot
+/// and writes it to its disk. The reply is Accepted.
 struct Accept {
   std::string key;
   Ballot ballot;
+  /// Id of the sender.
   std::string member;
+  /// Revision of the sender's membership.
   std::uint64_t membershipRevision = 0;
   std::uint64_t revision = 0;
   QJsonObject value;
@@ -69,13 +81,18 @@
   }
 };
 
-/// Answer to an Accept, sent once the value is on the member's synced disk, or with the ballot that stands against it.
+/// Sent in reply to an Accept: once the value is synced to the member's disk, or at once if a higher ballot was
+/// promised.
 struct Accepted {
   std::string key;
+  /// Ballot of the Accept.
   Ballot ballot;
+  /// Id of the member that replies.
   std::string member;
   std::uint64_t revision = 0;
+  /// True if the member has accepted the value.
   bool granted = false;
+  /// Highest ballot that the member has promised.
   Ballot promised;
   template <class F>
   void each(F& f) {
@@ -88,7 +105,8 @@
   }
 };
 
-/// Tells that an item is on a majority of the disks.
+/// Sent by the owner of a key to the other members once the entry is on a majority of the disks, and in reply to a
+/// ValueRequest for one key.
 struct Commit {
   Ballot ballot;
   CommittedEntry entry;
@@ -99,7 +117,7 @@
   }
 };
 
-/// Names the receiver as the successor of a key's owner.
+/// Sent by the owner of a key to another member when the owner drains: the receiver shall become the owner.
 struct Handover {
   std::string key;
   Ballot ballot;
@@ -110,24 +128,30 @@
   }
 };
 
-/// Standing of one membership member, sent to the others.
+/// Sent by a member, or by a controller that wants to become one, to all members and, while
+/// a cluster is founded, to the controllers that it has discovered, periodically. The reply is
+/// HeartbeatReply, or a Heartbeat if the sender is not in the receiver's membership.
 struct Heartbeat {
+  /// Time on the sender's clock.
   core::Milliseconds sentAt = 0;
+  /// Id of the sender.
   std::string member;
+  /// True if the sender has no state of the cluster yet, so that it may join or found one.
   bool hasNoState = false;
+  /// True if the sender votes at present.
   bool voting = false;
   std::uint64_t membershipRevision = 0;
-  /// Revision of the membership under which the member last brought its state up to a majority's.
+  /// Revision of the membership under which the sender last completed its catch-up with a majority.
   std::uint64_t caughtUpRevision = 0;
-  /// Empty for a member that said it has this membership.
+  /// The membership; empty if the receiver has reported the same revision.
   QJsonObject membershipValue;
-  /// What the sender knows to be on a majority of the disks.
+  /// Digest of the revisions that the sender knows to be on a majority of the disks.
   Digest committedDigest;
-  /// Keys that the sender owns, with their epochs.
+  /// Digest of the keys that the sender owns, with the numbers of their ballots.
   Digest ownedDigest;
-  /// The same in full, after a change or when it was asked for.
+  /// These keys in full after a change or if a reply has requested them; else empty.
   Revisions ownedKeys;
-  /// The sender drains and will end.
+  /// True if the sender drains and will exit.
   bool draining = false;
   template <class F>
   void each(F& f) {
@@ -145,25 +169,29 @@
   }
 };
 
-/// Word of a machine that serves operators without a disk, to a disk that has not joined yet: it founds nothing and is
-/// never a member.
+/// Sent by a controller without a disk in reply to the Heartbeat of a controller that has no state yet: the sender only
+/// relays operator calls, is never a member, and must not be waited for when a cluster is founded.
 struct NotAVotingMember {
   template <class F>
   void each(F&) {}
 };
 
-/// Answer to a Heartbeat: what the member has accepted, so that the asker can confirm its keys and learn what it lacks.
+/// Sent in reply to a Heartbeat. It reports what the member has accepted, so that the sender of the heartbeat can
+/// confirm its ownership of keys and learn what it lacks.
 struct HeartbeatReply {
+  /// Heartbeat::sentAt of the heartbeat.
   core::Milliseconds requestSentAt = 0;
+  /// Id of the member that replies.
   std::string member;
+  /// True if this member votes at present.
   bool voting = false;
-  /// Newest revisions this member has accepted, committed or not.
+  /// Digest of the newest revisions that this member has accepted, whether they are committed or not.
   Digest acceptedDigest;
-  /// The same in full, when what the asker knows is another set.
+  /// These revisions in full if `committedDigest` of the heartbeat was another digest; else empty.
   Revisions accepted;
-  /// Keys of the asker for which this member has promised a higher epoch.
+  /// Keys that the heartbeat claims to own, but for which this member has promised a higher ballot, with its number.
   Revisions higherBallots;
-  /// The asker's keys are not known here as it owns them now.
+  /// True if this member does not know which keys the sender of the heartbeat owns now.
   bool wantsOwnedKeys = false;
   template <class F>
   void each(F& f) {
@@ -177,7 +205,7 @@
   }
 };
 
-/// One slot of a member's write-ahead log, for a member that copies.
+/// The record of one key in a member's write-ahead log, for a member that catches up.
 struct RecordSlot {
   std::string key;
   Ballot promised;
@@ -194,16 +222,19 @@
   }
 };
 
-/// Asks for a value that is on a majority, or, when copying, for all slots that are newer than the asker's.
+/// Sent by a member or router that lacks the newest value of a key. A member replies with Commit, a router with
+/// ConfigurationUpdate. With `isCatchUp`, a member requests all slots of another member that are newer than its own;
+/// the reply is SnapshotChunk.
 struct ValueRequest {
-  /// When copying: only keys behind this one, which the asker had before.
+  /// The requested key. With `isCatchUp`, only slots with greater keys are requested.
   std::string key;
   bool isCatchUp = false;
+  /// With `isCatchUp`: id of the sender and the revision of its membership.
   std::string member;
   std::uint64_t membershipRevision = 0;
-  /// The asker's slots without their values.
+  /// With `isCatchUp`: the sender's slots without their values.
   std::vector<RecordSlot> knownSlots = {};
-  /// Number of this question, for its answer; 0 from releases that take an answer in one piece alone.
+  /// Number of this request, which the reply repeats; 0 from releases that only accept all slots in one reply.
   std::uint64_t requestNumber = 0;
   template <class F>
   void each(F& f) {
@@ -217,15 +248,16 @@
   }
 };
 
-/// Reply to a catch-up ValueRequest: the slots that are newer than the asker's.
+/// Sent by a member in reply to a ValueRequest with `isCatchUp`: slots that are newer than those of the request.
 struct SnapshotChunk {
+  /// Id of the sender.
   std::string member;
-  /// Revision of the membership that the answering member goes by.
+  /// Revision of the sender's membership.
   std::uint64_t membershipRevision = 0;
   std::vector<RecordSlot> slots;
-  /// Number of the question that this answers; 0 from releases that don't number them.
+  /// ValueRequest::requestNumber of the request; 0 from releases that do not number requests.
   std::uint64_t requestNumber = 0;
-  /// There are more slots behind the last one.
+  /// True if there are more newer slots with keys after the last one of this chunk.
   bool hasMore = false;
   template <class F>
   void each(F& f) {
--- a/transport/include/corkward/transport/message.h
+++ b/transport/include/corkward/transport/message.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Every message between our processes as one type, its envelope and its wire form.
+/// All messages between the fleet's processes as one type, with their envelope and wire format.
 
 #include <cstdint>
 #include <string>
@@ -18,12 +18,13 @@
 
 namespace corkward::transport {
 
-/// An error of the links and their framing.
+/// An error of a link or of the wire format.
 class TransportError : public core::Error {
  public:
   using core::Error::Error;
 };
 
+/// The position of a kind in this list is its number on the wire, so the order must not change.
 using Message =
     std::variant<GossipShuffle, Prepare, Promise, Accept, Accepted, Commit, Handover, Heartbeat, HeartbeatReply,
                  ValueRequest, SnapshotChunk, OperatorCall, OperatorCallReply, ConfigurationUpdate, ConfigurationAck,
@@ -32,25 +33,26 @@
                  NotAVotingMember, quota::UsageReport, quota::QuotaGrants, quota::AllocationQuery,
                  quota::AllocationReport, quota::PartitionLeaseRequest, quota::PartitionLeaseReply>;
 
-/// Command: send a message to the process that listens at the link address.
+/// Command to send a message to the process at a link address.
 struct Send {
   std::string to;
   Message message;
 };
 
-/// A message with its sender's link address, as it stands on the wire.
+/// A message with its sender's link address, as it is sent on the wire.
 struct Envelope {
   std::string from;
   Message message;
-  /// Name of the sending process's run.
+  /// Random number that identifies the run of the sending process.
   std::uint64_t run = 0;
 };
 
-/// Wire form (CBOR). Throws transport::Error on anything that is not a whole, well-typed envelope.
+/// Returns the wire format (CBOR) of an envelope.
 std::string pack(Envelope const& envelope);
+/// Reads an envelope. Throws TransportError if the bytes are not a complete envelope whose fields have the right types.
 Envelope unpack(std::string const& bytes);
 
-/// Name of a message's kind, for logs.
+/// Returns the name of a message's kind, for logs.
 char const* kindName(Message const& message);
 
 }  // namespace corkward::transport
--- a/transport/include/corkward/transport/operator_messages.h
+++ b/transport/include/corkward/transport/operator_messages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Calls of operators between controllers.
+/// Operator calls that controllers relay to each other.
 
 #include <QJsonObject>
 #include <cstdint>
@@ -8,13 +8,19 @@
 
 namespace corkward::transport {
 
-/// An operator's call, relayed to the controller that owns its key.
+/// Sent by the controller that received an operator's HTTP request to the controller that owns the key of the request.
+/// The reply is OperatorCallReply.
 struct OperatorCall {
+  /// Identifies the call in its reply.
   std::uint64_t token = 0;
+  /// Method and path of the HTTP request.
   std::string method;
   std::string path;
+  /// Its If-Match header; empty if it has none.
   std::string ifMatch;
+  /// Id of the change that the operator has chosen; empty if there is none.
   std::string changeId;
+  /// True if the change is only to be validated.
   bool dryRun = false;
   std::string body;
   template <class F>
@@ -29,9 +35,11 @@
   }
 };
 
-/// Answer to a Call of the same token.
+/// Sent in reply to an OperatorCall: the HTTP response for the operator.
 struct OperatorCallReply {
+  /// OperatorCall::token of the call.
   std::uint64_t token = 0;
+  /// HTTP status.
   int status = 0;
   QJsonObject body;
   template <class F>
--- a/transport/include/corkward/transport/request_id_messages.h
+++ b/transport/include/corkward/transport/request_id_messages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What routers tell each other of request ids that may have run.
+/// Messages by which routers find out whether a request id may have been executed on another router.
 
 #include <cstdint>
 #include <string>
@@ -10,15 +10,17 @@
 
 namespace corkward::transport {
 
-/// Asks the others whether a request's id may have run there, and has them remember that it was asked for here.
+/// Sent by a router to all other routers before it admits a request with an id: whether an earlier attempt with this id
+/// may have been executed. The receivers store that the sender claims the id. The reply is RequestIdReply.
 struct RequestIdQuery {
+  /// Identifies the query in its replies.
   std::uint64_t token = 0;
   std::string id;
-  /// 0: the caller does not number its attempts.
+  /// Number of the caller's attempt, or 0 if the caller does not number its attempts.
   std::uint64_t attempt = 0;
-  /// Milliseconds since the caller's first attempt, when attempts are numbered.
+  /// Milliseconds since the caller's first attempt, if attempts are numbered.
   core::Milliseconds age = 0;
-  /// Name of this run of the asking process, never used again.
+  /// Unique name of this run of the sending process.
   std::string processRun;
   template <class F>
   void each(F& f) {
@@ -30,20 +32,22 @@
   }
 };
 
-/// Reply to a RequestIdQuery of the same token.
+/// Sent by a router in reply to a RequestIdQuery.
 struct RequestIdReply {
+  /// RequestIdQuery::token of the query.
   std::uint64_t token = 0;
-  /// Name of this run of the answering process.
+  /// Unique name of this run of the replying process.
   std::string processRun;
-  /// It did not run here and will not, as far as this node remembers; for numbered attempts it remembers far enough.
+  /// True if the request was not executed through this router and will not be, as far as this router remembers. If
+  /// attempts are numbered, it is true only if this router remembers back to the first attempt.
   bool notExecuted = false;
-  /// The id is remembered here.
+  /// True if this router remembers the id.
   bool known = false;
-  /// It had reached a replica from here, which may have rejected it.
+  /// True if the request reached a replica through this router; the replica may have rejected it.
   bool reachedReplica = false;
-  /// How far back this node remembers.
+  /// How far back this router remembers request ids, in milliseconds.
   core::Milliseconds memorySpan = 0;
-  /// Who has asked for the id before, by the names of their runs.
+  /// Unique names of the processes that have queried the id before.
   std::vector<std::string> claimedBy;
   template <class F>
   void each(F& f) {
@@ -57,11 +61,12 @@
   }
 };
 
-/// Ids that a leaving router leaves to its successors.
+/// Sent by a draining router to other routers before it exits: the ids that may have been executed through it. Many ids
+/// are split over several messages.
 struct RequestIdHandover {
-  /// Name of this run of the leaving process.
+  /// Unique name of this run of the draining process.
   std::string processRun;
-  /// The last part: what is named in none of them did not run there.
+  /// True in the last message. Ids that none of the messages named were not executed through the draining router.
   bool last = false;
   std::vector<std::string> ids;
   template <class F>
--- a/transport/include/corkward/transport/values.h
+++ b/transport/include/corkward/transport/values.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Values that messages of several topics carry: ballots, revisions with their digests, sets of places, and items.
+/// Values that several kinds of messages use: ballots, revisions with their digests, bit sets, and committed entries.
 
 #include <QJsonObject>
 #include <compare>
@@ -11,7 +11,7 @@
 
 namespace corkward::transport {
 
-/// Rising number of an ownership; the member's id breaks ties.
+/// Ballot number of a key's consensus. It rises with each change of the key's owner. The member's id breaks ties.
 struct Ballot {
   std::uint64_t number = 0;
   std::string member;
@@ -25,22 +25,22 @@
   }
 };
 
-/// Key -> newest revision.
+/// Newest revision by key.
 using Revisions = std::map<std::string, std::uint64_t>;
 
-/// Stands for a set of keys with their revisions: the sum of one 64-bit hash for each pair, and how many there are.
+/// Digest of a set of keys with their revisions: the sum of a 64-bit hash of each pair, and the number of pairs.
 struct Digest {
   std::uint64_t sum = 0;
   std::uint64_t count = 0;
-  /// Puts the key under its newer revision; revision 0 stands for no such key.
+  /// Replaces the revision of a key. Revision 0 means that the set does not contain the key.
   void replace(std::string const& key, std::uint64_t before, std::uint64_t after);
   bool operator==(Digest const&) const = default;
 };
 
-/// Digest of a set.
+/// Returns the digest of a set of revisions.
 Digest digestOf(Revisions const& revisions);
 
-/// One bit for each place of an agreed list, eight to a byte.
+/// One bit for each position of a list that sender and receiver agree on, eight bits per byte.
 class BitSet {
  public:
   void set(std::size_t position);
@@ -57,7 +57,7 @@
   std::string bytes_;
 };
 
-/// One key with its value as it was accepted on a majority of the disks.
+/// A key with a value that is on a majority of the disks.
 struct CommittedEntry {
   std::string key;
   std::uint64_t revision = 0;
--- a/transport/src/connection_health.cpp
+++ b/transport/src/connection_health.cpp
@@ -14,17 +14,17 @@
   dialledAt_ = now;
   unansweredSince_ = -1;
   unansweredBytes_ = 0;
-  connectsThen_ = 0;
+  lastConnects_ = 0;
 }
 
-void ConnectionHealth::sent(core::Milliseconds now, bool expectsAnswer, std::size_t bytes) {
+void ConnectionHealth::sent(core::Milliseconds now, bool wantsReply, std::size_t bytes) {
   unansweredBytes_ += bytes;
-  if (expectsAnswer && unansweredSince_ < 0) unansweredSince_ = now;
+  if (wantsReply && unansweredSince_ < 0) unansweredSince_ = now;
 }
 
 bool ConnectionHealth::responseOverdue(core::Milliseconds now) const {
-  auto const forBytes = static_cast<core::Milliseconds>(unansweredBytes_ / slowestBytesPerMs);
-  return unansweredSince_ >= 0 && now - unansweredSince_ > responseTimeout + forBytes;
+  auto const transferTime = static_cast<core::Milliseconds>(unansweredBytes_ / slowestBytesPerMs);
+  return unansweredSince_ >= 0 && now - unansweredSince_ > responseTimeout + transferTime;
 }
 
 bool ConnectionHealth::staleOnSend(core::Milliseconds now, bool connected) const {
@@ -33,16 +33,16 @@
 
 bool ConnectionHealth::staleOnReceive(core::Milliseconds now, bool connected, int connects, std::uint64_t run,
                                       std::uint32_t pipe) {
-  bool const otherRun = run_ != 0 && run_ != run && connects == connectsThen_;
-  bool const peerDialledAnew = pipe_ != 0 && pipe_ != pipe && run_ == run && now - dialledAt_ > responseTimeout;
-  bool const owed = responseOverdue(now);
+  bool const otherRun = run_ != 0 && run_ != run && connects == lastConnects_;
+  bool const peerRedialled = pipe_ != 0 && pipe_ != pipe && run_ == run && now - dialledAt_ > responseTimeout;
+  bool const replyOverdue = responseOverdue(now);
   pipe_ = pipe;
   unansweredSince_ = -1;
   unansweredBytes_ = 0;
-  bool const sound = connected && !otherRun && !peerDialledAnew && !owed;
-  if (sound) {
+  bool const healthy = connected && !otherRun && !peerRedialled && !replyOverdue;
+  if (healthy) {
     run_ = run;
-    connectsThen_ = connects;
+    lastConnects_ = connects;
     redialTimeout_ = firstRedialTimeout;
     return false;
   }
--- a/transport/src/link.cpp
+++ b/transport/src/link.cpp
@@ -14,11 +14,13 @@
 namespace {
 
 constexpr std::size_t maxFrameBytes = 16U << 20;
+/// Messages that nng queues per connection.
 constexpr int sendQueueLength = 256;
-constexpr std::chrono::seconds idleSweepPeriod{5};
+/// Time between searches for idle connections.
+constexpr std::chrono::seconds idleSweepInterval{5};
 
-void check(int rv, char const* what) {
-  if (rv != 0) throw TransportError(std::string(what) + ": " + nng_strerror(rv));
+void check(int result, char const* what) {
+  if (result != 0) throw TransportError(std::string(what) + ": " + nng_strerror(result));
 }
 
 nng_socket socketOf(std::uint32_t id) {
@@ -32,16 +34,17 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
 }
 
+/// Callback of nng that counts one event.
 void count(nng_pipe, nng_pipe_ev, void* counter) {
   ++*static_cast<std::atomic<int>*>(counter);
 }
 
 }  // namespace
 
-Link::Link(QObject* owner, std::string const& name, std::function<void(Envelope)> arrived, std::string const& listen)
+Link::Link(QObject* owner, std::string const& name, std::function<void(Envelope)> onMessage, std::string const& listen)
     : owner_(owner),
       address_(name),
-      onMessage_(std::move(arrived)),
+      onMessage_(std::move(onMessage)),
       run_(QRandomGenerator::system()->generate()),
       lastIdleSweep_(Clock::now()),
       closer_(std::make_unique<SocketCloser>()) {
@@ -53,10 +56,10 @@
   nng_socket_set_ms(s, NNG_OPT_RECVTIMEO, 200);
   nng_listener l;
   check(nng_listener_create(&l, s, ("tcp://" + address).c_str()), "link address");
-  int const rv = nng_listener_start(l, 0);
-  if (rv != 0) {
+  int const result = nng_listener_start(l, 0);
+  if (result != 0) {
     nng_close(s);
-    throw TransportError("listen at " + address + ": " + nng_strerror(rv));
+    throw TransportError("listen at " + address + ": " + nng_strerror(result));
   }
   int port = 0;
   if (listen.empty() && nng_listener_get_int(l, NNG_OPT_TCP_BOUND_PORT, &port) == 0)
@@ -141,7 +144,7 @@
 
 void Link::send(std::string const& to, Message const& message) {
   Clock::time_point const now = Clock::now();
-  if (now - lastIdleSweep_ > idleSweepPeriod) closeIdle(idleTimeout);
+  if (now - lastIdleSweep_ > idleSweepInterval) closeIdle(idleTimeout);
   auto const it = connections_.try_emplace(to).first;
   if (it->second.socket == 0 && !dial(to, it->second)) {
     connections_.erase(it);
--- a/transport/src/message.cpp
+++ b/transport/src/message.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+/// Names of the kinds, in the order of Message.
 constexpr std::array<char const*, 32> kinds{"shuffle",
                                             "prepare",
                                             "promise",
@@ -45,6 +46,7 @@
                                             "quota-term-grant"};
 static_assert(kinds.size() == std::variant_size_v<Message>);
 
+/// Writes the fields of a message to a CBOR map.
 struct Packer {
   QCborMap map;
 
@@ -90,22 +92,23 @@
   }
 };
 
+/// Reads the fields of a message from a CBOR map.
 struct Unpacker {
   QCborMap const& map;
 
-  [[noreturn]] static void wrong() { throw TransportError("field of the wrong type"); }
+  [[noreturn]] static void failType() { throw TransportError("field has a wrong type or is out of range"); }
   static void get(QCborValue const& c, bool& v) {
-    if (!c.isBool()) wrong();
+    if (!c.isBool()) failType();
     v = c.toBool();
   }
   static void get(QCborValue const& c, int& v) {
-    if (!c.isInteger()) wrong();
+    if (!c.isInteger()) failType();
     v = static_cast<int>(c.toInteger());
   }
-  /// No time, revision, epoch or age of ours is below zero or comes near this.
-  static constexpr qint64 most = qint64{1} << 53;
+  /// Times, revisions, ballot numbers and ages are at least 0 and stay far below this.
+  static constexpr qint64 maxInteger = qint64{1} << 53;
   static void get(QCborValue const& c, std::int64_t& v) {
-    if (!c.isInteger() || c.toInteger() < 0 || c.toInteger() > most) wrong();
+    if (!c.isInteger() || c.toInteger() < 0 || c.toInteger() > maxInteger) failType();
     v = c.toInteger();
   }
   static void get(QCborValue const& c, std::uint64_t& v) {
@@ -114,20 +117,20 @@
     v = static_cast<std::uint64_t>(n);
   }
   static void get(QCborValue const& c, std::string& v) {
-    if (!c.isByteArray()) wrong();
+    if (!c.isByteArray()) failType();
     v = c.toByteArray().toStdString();
   }
   static void get(QCborValue const& c, QJsonObject& v) {
-    if (!c.isMap()) wrong();
+    if (!c.isMap()) failType();
     v = c.toMap().toJsonObject();
   }
   template <class T>
   static void get(QCborValue const& c, std::vector<T>& v) {
-    if (!c.isArray()) wrong();
+    if (!c.isArray()) failType();
     for (QCborValue const item : c.toArray()) get(item, v.emplace_back());
   }
   static void get(QCborValue const& c, Revisions& v) {
-    if (!c.isArray() || c.toArray().size() % 2 != 0) wrong();
+    if (!c.isArray() || c.toArray().size() % 2 != 0) failType();
     QCborArray const pairs = c.toArray();
     for (qsizetype i = 0; i < pairs.size(); i += 2) {
       std::string key;
@@ -136,14 +139,14 @@
     }
   }
   static void get(QCborValue const& c, Digest& v) {
-    if (!c.isArray() || c.toArray().size() != 2 || !c.toArray().at(0).isInteger()) wrong();
+    if (!c.isArray() || c.toArray().size() != 2 || !c.toArray().at(0).isInteger()) failType();
     v.sum = static_cast<std::uint64_t>(c.toArray().at(0).toInteger());
     get(c.toArray().at(1), v.count);
   }
   template <class T>
   requires requires(T t, Unpacker u) { t.each(u); }
   static void get(QCborValue const& c, T& v) {
-    if (!c.isMap()) wrong();
+    if (!c.isMap()) failType();
     QCborMap const inner = c.toMap();
     Unpacker u{inner};
     v.each(u);
@@ -152,7 +155,7 @@
   void operator()(char const* name, T& v) {
     get(map.value(QLatin1String(name)), v);
   }
-  /// A field that earlier releases don't send.
+  /// Reads a field that earlier releases do not send, if it is there.
   template <class T>
   void optional(char const* name, T& v) {
     if (map.contains(QLatin1String(name))) (*this)(name, v);
@@ -160,9 +163,9 @@
 };
 
 template <std::size_t I = 0>
-Message make(std::size_t ix, QCborValue const& body) {
+Message make(std::size_t kind, QCborValue const& body) {
   if constexpr (I < std::variant_size_v<Message>) {
-    if (ix != I) return make<I + 1>(ix, body);
+    if (kind != I) return make<I + 1>(kind, body);
     std::variant_alternative_t<I, Message> m;
     Unpacker::get(body, m);
     return m;
@@ -174,16 +177,16 @@
 }  // namespace
 
 void Digest::replace(std::string const& key, std::uint64_t before, std::uint64_t after) {
-  auto const part = [&](std::uint64_t revision) {
+  auto const hashOf = [&](std::uint64_t revision) {
     return revision == 0 ? 0 : core::stableHash(key + "=" + std::to_string(revision));
   };
-  sum += part(after) - part(before);
+  sum += hashOf(after) - hashOf(before);
   count += static_cast<std::uint64_t>(after > 0) - static_cast<std::uint64_t>(before > 0);
 }
 
 Digest digestOf(Revisions const& revisions) {
   Digest out;
-  for (auto const& [offset, bytes] : revisions) out.replace(offset, 0, bytes);
+  for (auto const& [key, revision] : revisions) out.replace(key, 0, revision);
   return out;
 }
 
@@ -209,15 +212,15 @@
   QCborParserError error;
   QCborValue const root =
       QCborValue::fromCbor(QByteArray::fromRawData(bytes.data(), static_cast<qsizetype>(bytes.size())), &error);
-  if (error.error != QCborError::NoError || !root.isMap()) throw TransportError("not an envelope");
+  if (error.error != QCborError::NoError || !root.isMap()) throw TransportError("frame is not a CBOR map");
   QCborMap const map = root.toMap();
   Envelope out;
   Unpacker u{map};
   u("f", out.from);
   u("r", out.run);
-  std::uint64_t ix = 0;
-  u("k", ix);
-  out.message = make(ix, map.value(QLatin1String("b")));
+  std::uint64_t kind = 0;
+  u("k", kind);
+  out.message = make(kind, map.value(QLatin1String("b")));
   return out;
 }
 
--- a/transport/src/socket_closer.cpp
+++ b/transport/src/socket_closer.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A close takes some milliseconds, unless it never returns.
+/// How long the destructor waits for pending closes. A close takes some milliseconds, unless it never returns.
 constexpr std::chrono::milliseconds drainTimeout{1000};
 
 }  // namespace
--- a/transport/test/connection_health_test.cpp
+++ b/transport/test/connection_health_test.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t smallMessage = 200;
 constexpr core::Milliseconds limit = ConnectionHealth::responseTimeout;
 
-/// A connection that was dialled at 0 and had its answer at 10.
+/// A connection that was dialled at 0 and received its reply at 10.
 ConnectionHealth healthyConnection() {
   ConnectionHealth connection;
   connection.dialled(0);
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("a dial that hangs is made anew by itself, whether or not its peer is heard") {
+TEST_CASE("a dial that does not connect within the timeout is repeated, also without a message from the peer") {
   ConnectionHealth connection;
   connection.dialled(0);
   CHECK_FALSE(connection.staleOnSend(limit, false));
@@ -35,22 +35,22 @@
   CHECK(connection.staleOnSend(2 * limit + 2, false));
 }
 
-TEST_CASE("after a cut of any length each side dials at least once a second, so none waits for an old timer") {
-  for (core::Milliseconds const cut : {5000, 17000, 20000, 600000}) {
+TEST_CASE("during an interruption of any length a router dials at least once a second, so no old TCP timer delays it") {
+  for (core::Milliseconds const interruption : {5000, 17000, 20000, 600000}) {
     ConnectionHealth connection = healthyConnection();
     core::Milliseconds dialledAt = 0;
-    for (core::Milliseconds now = 500; now < cut; now += 500) {
+    for (core::Milliseconds now = 500; now < interruption; now += 500) {
       if (connection.staleOnSend(now, dialledAt == 0)) {
         connection.dialled(now);
         dialledAt = now;
       }
       connection.sent(now, true, smallMessage);
     }
-    CHECK(dialledAt > cut - limit - 1000);
+    CHECK(dialledAt > interruption - limit - 1000);
   }
 }
 
-TEST_CASE("a connection that owes an answer is made anew, and one that owes none is kept") {
+TEST_CASE("a connection with an overdue reply is dialled again, and one without a pending reply is kept") {
   ConnectionHealth connection = healthyConnection();
   connection.sent(100, false, smallMessage);
   CHECK_FALSE(connection.staleOnSend(100000, true));
@@ -59,13 +59,13 @@
   CHECK(connection.staleOnSend(100000 + limit + 1, true));
 }
 
-TEST_CASE("a connection that owed an answer too long is made anew when its peer is heard again") {
+TEST_CASE("a connection with an overdue reply is dialled again when a message from the peer arrives") {
   ConnectionHealth connection = healthyConnection();
   connection.sent(100, true, smallMessage);
   CHECK(connection.staleOnReceive(18000, true, 1, run, peerPipe));
 }
 
-TEST_CASE("a peer that dialled anew is answered over a new dial, and that does not go back and forth") {
+TEST_CASE("when the peer dials again this side dials again too, once and without the peer repeating it") {
   ConnectionHealth connection = healthyConnection();
   ConnectionHealth peer = healthyConnection();
   CHECK(connection.staleOnReceive(18000, true, 1, run, otherPipe));
@@ -75,16 +75,16 @@
   CHECK_FALSE(connection.staleOnReceive(18020, true, 1, run, otherPipe));
 }
 
-TEST_CASE("a long message has time to pass before its connection is given up") {
+TEST_CASE("a long message extends the time before its connection is given up") {
   ConnectionHealth connection = healthyConnection();
   std::size_t const bytes = 4U << 20;
   connection.sent(100, true, bytes);
-  core::Milliseconds const passes = static_cast<core::Milliseconds>(bytes / ConnectionHealth::slowestBytesPerMs);
-  CHECK_FALSE(connection.staleOnSend(100 + limit + passes, true));
-  CHECK(connection.staleOnSend(102 + limit + passes, true));
+  core::Milliseconds const transferTime = static_cast<core::Milliseconds>(bytes / ConnectionHealth::slowestBytesPerMs);
+  CHECK_FALSE(connection.staleOnSend(100 + limit + transferTime, true));
+  CHECK(connection.staleOnSend(102 + limit + transferTime, true));
 }
 
-TEST_CASE("only messages that are answered at once make a connection owe an answer") {
+TEST_CASE("only messages that a live peer replies to at once expect a reply") {
   CHECK(transport::expectsReply(transport::ServingLeaseRequest{}));
   CHECK(transport::expectsReply(transport::Heartbeat{}));
   transport::PeerHeartbeat heartbeat;
--- a/transport/test/fill.h
+++ b/transport/test/fill.h
@@ -5,7 +5,7 @@
 
 namespace corkward::transport {
 
-/// Fills messages with values that are well typed, often well known and often absurd.
+/// Fills messages with random values of the right types: partly plausible ones, partly extreme ones.
 struct Filler {
   core::RandomGenerator& rng;
   std::vector<std::string> const& names;
@@ -58,7 +58,7 @@
   }
 };
 
-/// A random message of a random kind.
+/// Returns a message of the kind with this number, filled with random values.
 template <std::size_t I = 0>
 Message randomMessage(core::RandomGenerator& rng, std::vector<std::string> const& names, core::Milliseconds now,
                       std::size_t kind) {
--- a/transport/test/golden_test.cpp
+++ b/transport/test/golden_test.cpp
@@ -23,11 +23,11 @@
 constexpr char const* recordedFile = "transport/test/golden/messages.txt";
 constexpr char const* sender = "127.0.0.1:7001";
 constexpr std::uint64_t senderRun = 77;
-constexpr std::size_t itemsOfList = 2;
+constexpr std::size_t itemsPerList = 2;
 
-/// Fills every field of a message with a value of its own, the same in each run: numbers of each width that the wire
-/// form has up to the greatest that is read back, texts with more than ASCII, lists of two items. Fields are filled in
-/// the order in which they are declared, so that two fields which swap their names on the wire show.
+/// Fills every field of a message with a unique value, the same in each run: numbers of each width of the wire format
+/// up to the greatest that can be read, texts with non-ASCII characters, and lists of two items. Fields are filled in
+/// the order of their declaration, so that the recorded bytes differ if two fields swap their tags.
 class Filler {
   struct FieldsByAddress {
     Filler& filler;
@@ -63,7 +63,7 @@
     value.insert("number", static_cast<qint64>(++count_));
   }
   void fill(transport::Revisions& value) {
-    for (std::size_t i = 0; i < itemsOfList; ++i) {
+    for (std::size_t i = 0; i < itemsPerList; ++i) {
       std::string const key = "key:" + std::to_string(++count_);
       value[key] = number();
     }
@@ -72,7 +72,7 @@
   template <class T>
   void fill(std::vector<T>& value) {
     value.clear();
-    for (std::size_t i = 0; i < itemsOfList; ++i) fill(value.emplace_back());
+    for (std::size_t i = 0; i < itemsPerList; ++i) fill(value.emplace_back());
   }
   std::uint64_t number() {
     constexpr std::uint64_t bases[] = {0, 100, 1000, 100000, std::uint64_t{1} << 40, (std::uint64_t{1} << 53) - 1000};
@@ -83,7 +83,7 @@
   std::uint64_t count_ = 0;
 };
 
-/// One message of each kind, in the order of their numbers on the wire.
+/// Returns one message of each kind, in the order of the kinds' numbers on the wire.
 template <std::size_t Kind = 0>
 std::vector<transport::Message> messagesOfAllKinds(bool filled, std::vector<transport::Message> before = {}) {
   if constexpr (Kind < std::variant_size_v<transport::Message>) {
@@ -108,7 +108,7 @@
   return QByteArray::fromHex(QByteArray::fromStdString(hex)).toStdString();
 }
 
-bool isRead(QCborMap const& envelope) {
+bool isReadable(QCborMap const& envelope) {
   try {
     transport::unpack(QCborValue(envelope).toCbor().toStdString());
     return true;
@@ -117,7 +117,7 @@
   }
 }
 
-/// Names of the message's own fields on the wire, each with "?" behind it that may be missing.
+/// Returns the tags of the message's fields on the wire; a tag that may be missing is followed by "?".
 std::string fieldsOf(std::string const& bytes) {
   QCborMap const envelope = QCborValue::fromCbor(QByteArray::fromStdString(bytes)).toMap();
   QCborMap const body = envelope.value(QLatin1String("b")).toMap();
@@ -127,12 +127,12 @@
     without.remove(name);
     QCborMap changed = envelope;
     changed.insert(QLatin1String("b"), without);
-    fields += " " + core::toStdString(name.toString()) + (isRead(changed) ? "?" : "");
+    fields += " " + core::toStdString(name.toString()) + (isReadable(changed) ? "?" : "");
   }
   return fields;
 }
 
-/// One line of the recorded file: a message's kind, "filled" or "empty", and its bytes.
+/// One line of the golden file with the bytes of a message: the number of its kind, "filled" or "empty", and the bytes.
 struct RecordedMessage {
   std::size_t kind = 0;
   std::string bytes;
@@ -153,7 +153,7 @@
 
 }  // namespace
 
-TEST_CASE("messages of every kind have the recorded bytes") {
+TEST_CASE("messages of every kind are encoded to the recorded bytes") {
   std::vector<transport::Message> const filled = messagesOfAllKinds(true);
   std::vector<transport::Message> const empty = messagesOfAllKinds(false);
   std::ostringstream text;
@@ -167,7 +167,7 @@
   golden::check(recordedFile, text.str());
 }
 
-TEST_CASE("recorded messages are read as what was written") {
+TEST_CASE("recorded messages are decoded and encode to the same bytes again") {
   std::vector<RecordedMessage> const messages = recordedMessages();
   REQUIRE(messages.size() == 2 * std::variant_size_v<transport::Message>);
   for (RecordedMessage const& recorded : messages) {
--- a/transport/test/socket_closer_test.cpp
+++ b/transport/test/socket_closer_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Records what was closed; closes block while the gate is shut.
+/// Records which sockets were closed. Each close blocks until `gate` is set.
 struct RecordedCloses {
   std::mutex mutex;
   std::vector<std::uint32_t> sockets;
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_CASE("sockets are closed in order before the closer is gone") {
+TEST_CASE("the destructor returns after all sockets were closed in order") {
   auto const closes = std::make_shared<RecordedCloses>();
   closes->gate.set_value();
   {
@@ -46,7 +46,7 @@
   CHECK(closes->closed() == std::vector<std::uint32_t>{1, 2, 3});
 }
 
-TEST_CASE("a close that never returns blocks neither the caller nor the closer's end") {
+TEST_CASE("a close that never returns blocks neither close() nor the destructor") {
   auto const closes = std::make_shared<RecordedCloses>();
   auto const began = std::chrono::steady_clock::now();
   {
@@ -59,20 +59,20 @@
   CHECK(took >= std::chrono::milliseconds(900));
   CHECK(took < std::chrono::seconds(10));
   closes->gate.set_value();
-  // The thread goes on by itself.
+  // The thread goes on after the SocketCloser is destroyed.
   while (closes->closed().size() < 2) std::this_thread::yield();
   CHECK(closes->closed() == std::vector<std::uint32_t>{1, 2});
 }
 
-TEST_CASE("what callbacks write to lives as long as its socket") {
+TEST_CASE("the memory that callbacks write to is freed after its socket is closed") {
   auto const closes = std::make_shared<RecordedCloses>();
   auto counts = std::make_shared<int>(0);
-  std::weak_ptr<int> const written = counts;
+  std::weak_ptr<int> const observed = counts;
   {
     SocketCloser closer(recordingClose(closes));
     closer.close(1, std::move(counts));
-    CHECK_FALSE(written.expired());
+    CHECK_FALSE(observed.expired());
     closes->gate.set_value();
   }
-  CHECK(written.expired());
+  CHECK(observed.expired());
 }
--- a/transport/test/transport_test.cpp
+++ b/transport/test/transport_test.cpp
@@ -14,7 +14,7 @@
 namespace core = corkward::core;
 namespace transport = corkward::transport;
 
-TEST_CASE("an envelope comes back as it was, and no damaged one is taken for whole") {
+TEST_CASE("an envelope is decoded to what was encoded, and a truncated one is rejected") {
   transport::Accept accept;
   accept.key = "family:fault";
   accept.ballot = transport::Ballot{7, "m1"};
@@ -30,7 +30,7 @@
     CHECK_THROWS_AS(transport::unpack(bytes.substr(0, cut)), transport::TransportError);
 }
 
-TEST_CASE("a digest follows the set, whatever the order, and comes back over the wire") {
+TEST_CASE("a digest depends on the set alone, not on the order of changes, and survives the wire format") {
   transport::Revisions const revisions{{"family:desk", 5}, {"family:fault", 6}};
   transport::Digest built;
   built.replace("family:fault", 0, 2);
@@ -47,7 +47,7 @@
             .digest == c.digest);
 }
 
-TEST_CASE("random bytes never pass for an envelope and never crash the reader") {
+TEST_CASE("random bytes do not crash the decoder, and most are rejected") {
   core::RandomGenerator rng(42);
   std::string const good = transport::pack(transport::Envelope{"a", transport::RequestIdQuery{1, "id", 2, 0, ""}});
   int rejected = 0;
@@ -68,7 +68,7 @@
   CHECK(rejected > 10000);
 }
 
-TEST_CASE("links carry messages both ways over nng on ephemeral ports") {
+TEST_CASE("two links on ephemeral ports exchange messages in both directions") {
   int argc = 0;
   QCoreApplication app(argc, nullptr);
   QObject owner;
@@ -91,14 +91,14 @@
 
 namespace {
 
-/// A port of this machine whose opening packets are dropped, as those to a machine without power are: nobody takes the
-/// connections that wait there, and no more may wait.
-struct BlackHole {
+/// A listening port of this machine that drops connection attempts, like a machine that is powered off: its accept
+/// queue is full and no connection is accepted from it.
+struct UnreachablePort {
   int listener = ::socket(AF_INET, SOCK_STREAM, 0);
   std::vector<int> waiting;
   sockaddr_in at{};
 
-  BlackHole() {
+  UnreachablePort() {
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof at;
@@ -110,8 +110,8 @@
       ::connect(waiting.back(), reinterpret_cast<sockaddr*>(&at), sizeof at);
     }
   }
-  ~BlackHole() { end(); }
-  void end() {
+  ~UnreachablePort() { close(); }
+  void close() {
     for (int const fd : waiting) ::close(fd);
     waiting.clear();
     if (listener >= 0) ::close(listener);
@@ -133,26 +133,26 @@
 
 }  // namespace
 
-TEST_CASE("a dial that hangs is made anew when the machine it goes to is heard, and a way that is not used is freed") {
+TEST_CASE("a dial that hangs is repeated when a message of the peer arrives, and an unused connection is closed") {
   int argc = 0;
   QCoreApplication app(argc, nullptr);
   QObject owner;
-  BlackHole hole;
+  UnreachablePort port;
   std::uint64_t got = 0;
   transport::RequestIdQuery const request{1, "x", 2, 0, ""};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
-  a.send(hole.address(), request);
+  a.send(port.address(), request);
   CHECK(a.connectionCount() == 1);
-  transport::Link early(
-      &owner, hole.address(), [](transport::Envelope) {}, "127.0.0.1:0");
-  waitFor([&] { return a.redials() > 0; }, [&] { early.send(a.address(), request); });
-  hole.end();
+  transport::Link peer(
+      &owner, port.address(), [](transport::Envelope) {}, "127.0.0.1:0");
+  waitFor([&] { return a.redials() > 0; }, [&] { peer.send(a.address(), request); });
+  port.close();
   std::unique_ptr<transport::Link> b;
   waitFor([&] { return got > 0; },
           [&] {
             try {
               if (!b)
-                b = std::make_unique<transport::Link>(&owner, hole.address(), [&](transport::Envelope) { ++got; });
+                b = std::make_unique<transport::Link>(&owner, port.address(), [&](transport::Envelope) { ++got; });
             } catch (transport::TransportError const&) {
               return;
             }
@@ -165,44 +165,45 @@
   CHECK(a.connectionCount() == 0);
 }
 
-TEST_CASE("a way that goes to an earlier run of a process is dialled anew once") {
+TEST_CASE("a connection to an earlier run of a process is dialled again exactly once") {
   int argc = 0;
   QCoreApplication app(argc, nullptr);
   QObject owner;
   std::uint64_t got = 0;
   transport::RequestIdQuery const request{1, "x", 2, 0, ""};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
-  transport::Link former(&owner, "127.0.0.1:0", [&](transport::Envelope) { ++got; });
+  transport::Link earlierRun(&owner, "127.0.0.1:0", [&](transport::Envelope) { ++got; });
   waitFor([&] { return got > 20; },
           [&] {
-            a.send(former.address(), request);
-            former.send(a.address(), request);
+            a.send(earlierRun.address(), request);
+            earlierRun.send(a.address(), request);
           });
   CHECK(a.redials() == 0);
-  transport::Link latter(
-      &owner, former.address(), [](transport::Envelope) {}, "127.0.0.1:0");
-  waitFor([&] { return a.redials() > 0; }, [&] { latter.send(a.address(), request); });
+  transport::Link laterRun(
+      &owner, earlierRun.address(), [](transport::Envelope) {}, "127.0.0.1:0");
+  waitFor([&] { return a.redials() > 0; }, [&] { laterRun.send(a.address(), request); });
   std::uint64_t const before = got;
   waitFor([&] { return got > before + 50; },
           [&] {
-            a.send(former.address(), request);
-            latter.send(a.address(), request);
+            a.send(earlierRun.address(), request);
+            laterRun.send(a.address(), request);
           });
   CHECK(a.redials() == 1);
 }
 
 namespace {
 
-/// A path to a peer. A cut leaves the connections made before it open but carrying nothing, as lost packets leave them
-/// waiting for TCP's retransmission timers; those made after it are passed on again.
-class CutPath {
+/// A proxy on the path to a peer. After interrupt(), connections that were made before it stay open but carry no data,
+/// like connections that wait for TCP's retransmission timers after lost packets. Connections made later carry data
+/// again.
+class InterruptiblePath {
  public:
-  explicit CutPath(std::string const& to) : peer_(QString::fromStdString(to)) {
+  explicit InterruptiblePath(std::string const& to) : peer_(QString::fromStdString(to)) {
     REQUIRE(server_.listen(QHostAddress::LocalHost));
     QObject::connect(&server_, &QTcpServer::newConnection, [this] { accept(); });
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.serverPort()); }
-  void cut() { ++cuts_; }
+  void interrupt() { ++interruptions_; }
 
  private:
   void accept() {
@@ -210,33 +211,33 @@
     QTcpSocket* const far = new QTcpSocket(near);
     QStringList const parts = peer_.split(':');
     far->connectToHost(parts[0], parts[1].toUShort());
-    int const madeAfter = cuts_;
+    int const madeAfter = interruptions_;
     QObject::connect(near, &QTcpSocket::readyRead, far, [this, near, far, madeAfter] {
-      if (madeAfter == cuts_) far->write(near->readAll());
+      if (madeAfter == interruptions_) far->write(near->readAll());
     });
     QObject::connect(far, &QTcpSocket::readyRead, near, [this, near, far, madeAfter] {
-      if (madeAfter == cuts_) near->write(far->readAll());
+      if (madeAfter == interruptions_) near->write(far->readAll());
     });
   }
 
   QString peer_;
   QTcpServer server_;
-  int cuts_ = 0;
+  int interruptions_ = 0;
 };
 
 }  // namespace
 
-TEST_CASE("a dial that hangs and whose peer is silent is made anew by itself") {
+TEST_CASE("a dial that hangs is repeated although no message of the peer arrives") {
   int argc = 0;
   QCoreApplication app(argc, nullptr);
   QObject owner;
-  BlackHole const hole;
+  UnreachablePort const port;
   transport::ServingLeaseRequest const request{};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
-  waitFor([&] { return a.redials() >= 2; }, [&] { a.send(hole.address(), request); });
+  waitFor([&] { return a.redials() >= 2; }, [&] { a.send(port.address(), request); });
 }
 
-TEST_CASE("a connection on which a cut left its messages waiting is replaced, and the next one carries them") {
+TEST_CASE("a connection that carries nothing after an interruption is replaced, and the new one carries messages") {
   int argc = 0;
   QCoreApplication app(argc, nullptr);
   QObject owner;
@@ -244,9 +245,9 @@
   transport::ServingLeaseRequest const request{};
   transport::Link a(&owner, "127.0.0.1:0", [](transport::Envelope) {});
   transport::Link b(&owner, "127.0.0.1:0", [&](transport::Envelope) { ++got; });
-  CutPath path(b.address());
+  InterruptiblePath path(b.address());
   waitFor([&] { return got > 0; }, [&] { a.send(path.address(), request); });
-  path.cut();
+  path.interrupt();
   int const before = got;
   waitFor([&] { return got > before; }, [&] { a.send(path.address(), request); });
   CHECK(a.redials() == 1);
