--- a/storage/src/write_ahead_log.cpp
+++ b/storage/src/write_ahead_log.cpp
@@ -11,8 +11,10 @@
 
 namespace {
 
+/// Length and checksum in front of each record.
 constexpr std::size_t headBytes = 8;
-constexpr std::uint32_t maxRecord = 32U << 20;
+/// Greatest length of a record that is read, in bytes. A greater length means that the record is damaged.
+constexpr std::uint32_t maxRecordBytes = 32U << 20;
 
 constexpr std::array<std::uint32_t, 256> crcTable = [] {
   std::array<std::uint32_t, 256> t{};
@@ -24,6 +26,7 @@
   return t;
 }();
 
+/// CRC-32C (Castagnoli).
 std::uint32_t crc(char const* data, std::size_t size) {
   std::uint32_t c = 0xFFFFFFFFU;
   for (std::size_t i = 0; i < size; ++i) c = crcTable[(c ^ static_cast<unsigned char>(data[i])) & 0xFFU] ^ (c >> 8);
@@ -40,12 +43,12 @@
   return n;
 }
 
-/// Reads framed records; returns how many bytes were complete and intact.
+/// Reads records into `slots` up to the first incomplete or damaged one. Returns the number of bytes read.
 std::size_t readAll(std::string_view bytes, std::map<std::string, std::string>& slots) {
   std::size_t at = 0;
   while (bytes.size() - at >= headBytes) {
     std::uint32_t const size = getNumber(bytes.data() + at);
-    if (size < 4 || size > maxRecord || bytes.size() - at - headBytes < size) break;
+    if (size < 4 || size > maxRecordBytes || bytes.size() - at - headBytes < size) break;
     char const* body = bytes.data() + at + headBytes;
     if (crc(body, size) != getNumber(bytes.data() + at + 4)) break;
     std::uint32_t const keyBytes = getNumber(body);
@@ -56,21 +59,23 @@
   return at;
 }
 
-/// True when complete records follow the damaged offset: then the damage is not a torn last write.
-bool hasCompleteRecordAfter(std::string_view bytes, std::size_t bad) {
-  std::map<std::string, std::string> behind;
-  for (std::size_t at = bad + 1; at + headBytes < bytes.size(); ++at)
-    if (readAll(bytes.substr(at), behind) > 0) return true;
+/// Returns true if there is a complete record after the damaged offset. The damage is then not a torn last write.
+bool hasCompleteRecordAfter(std::string_view bytes, std::size_t damagedAt) {
+  std::map<std::string, std::string> ignored;
+  for (std::size_t at = damagedAt + 1; at + headBytes < bytes.size(); ++at)
+    if (readAll(bytes.substr(at), ignored) > 0) return true;
   return false;
 }
 
-std::string numbered(char const* kind, std::uint64_t n) {
+/// Returns the name of a segment or snapshot.
+std::string fileName(char const* kind, std::uint64_t n) {
   std::array<char, 40> name{};
   std::snprintf(name.data(), name.size(), "%s-%012llu", kind, static_cast<unsigned long long>(n));
   return name.data();
 }
 
-bool numberOf(std::string const& name, std::string const& kind, std::uint64_t& n) {
+/// Returns true if the name is one of this kind, and stores its number in `n`.
+bool parseNumber(std::string const& name, std::string const& kind, std::uint64_t& n) {
   if (name.size() != kind.size() + 13 || name.compare(0, kind.size() + 1, kind + "-") != 0) return false;
   n = 0;
   for (std::size_t i = kind.size() + 1; i < name.size(); ++i) {
@@ -80,9 +85,9 @@
   return true;
 }
 
-/// A snapshot that is being written.
+/// Name of a snapshot while it is being written.
 constexpr char const* unfinishedSnapshot = "image.new";
-/// Key of a snapshot's last record.
+/// Key of the last record of a snapshot. A snapshot without it is incomplete.
 constexpr char const* snapshotEnd = "\x01image-end";
 
 }  // namespace
@@ -98,76 +103,77 @@
   return out + body;
 }
 
-void quarantine(Directory& folder, std::string const& label) {
+void quarantine(Directory& directory, std::string const& label) {
   constexpr char const* prefix = "damaged-";
   std::string const newPrefix = prefix + label + "-";
   std::vector<std::pair<std::uint64_t, std::string>> files;
-  for (std::string const& name : folder.list()) {
+  for (std::string const& name : directory.list()) {
     std::uint64_t n = 0;
     if (name.rfind(prefix, 0) == 0)
-      folder.remove(name);
-    else if (numberOf(name, "image", n) || numberOf(name, "segment", n) || name == unfinishedSnapshot)
+      directory.remove(name);
+    else if (parseNumber(name, "image", n) || parseNumber(name, "segment", n) || name == unfinishedSnapshot)
       files.emplace_back(n, name);
   }
-  // From the oldest on, a snapshot before its segment: what is left after each step still lacks or shows the damage.
+  // Renames the oldest files first, and a snapshot before the segment of the same number. After each step the remaining
+  // files are then still recognized as damaged, or there are none.
   std::sort(files.begin(), files.end());
   for (auto const& [number, name] : files) {
-    folder.rename(name, newPrefix + name);
-    folder.syncDirectory();
+    directory.rename(name, newPrefix + name);
+    directory.syncDirectory();
   }
 }
 
-WriteAheadLog::WriteAheadLog(Directory& folder, std::uint64_t segmentBytes)
-    : folder_(folder), segmentBytes_(segmentBytes) {}
+WriteAheadLog::WriteAheadLog(Directory& directory, std::uint64_t segmentBytes)
+    : directory_(directory), segmentBytes_(segmentBytes) {}
 
 RecoveredState WriteAheadLog::recover() {
   RecoveredState out;
   failed_ = true;
-  std::uint64_t snapshotNo = 0;
+  std::uint64_t snapshotNumber = 0;
   std::vector<std::uint64_t> segments;
-  for (std::string const& name : folder_.list()) {
+  for (std::string const& name : directory_.list()) {
     std::uint64_t n = 0;
-    if (numberOf(name, "image", n)) snapshotNo = std::max(snapshotNo, n);
-    if (numberOf(name, "segment", n)) segments.push_back(n);
+    if (parseNumber(name, "image", n)) snapshotNumber = std::max(snapshotNumber, n);
+    if (parseNumber(name, "segment", n)) segments.push_back(n);
   }
   std::sort(segments.begin(), segments.end());
-  segment_ = std::max<std::uint64_t>(snapshotNo, 1);
+  segment_ = std::max<std::uint64_t>(snapshotNumber, 1);
   std::erase_if(segments, [&](std::uint64_t n) { return n < segment_; });
-  if (snapshotNo > 0) readSnapshot(snapshotNo, out);
+  if (snapshotNumber > 0) readSnapshot(snapshotNumber, out);
   readSegments(segments, out);
   out.slots = slots_;
   if (out.damaged) return out;
-  if (snapshotNo == 0 && segments.empty()) {
+  if (snapshotNumber == 0 && segments.empty()) {
     failed_ = false;
     return out;
   }
-  // The process before may have ended between a write and its sync. The caller answers from what was read, so it has to
-  // outlive a loss of power from here on.
-  if (!segments.empty()) folder_.sync(numbered("segment", segment_));
-  folder_.syncDirectory();
+  // The previous process may have exited between a write and its sync. The caller sends replies that depend on what was
+  // read, so that must survive a power loss from now on.
+  if (!segments.empty()) directory_.sync(fileName("segment", segment_));
+  directory_.syncDirectory();
   removeOld();
   failed_ = false;
   return out;
 }
 
 void WriteAheadLog::readSnapshot(std::uint64_t number, RecoveredState& out) {
-  std::string const bytes = folder_.read(numbered("image", number));
+  std::string const bytes = directory_.read(fileName("image", number));
   std::size_t const good = readAll(bytes, slots_);
   if (good == bytes.size() && slots_.erase(snapshotEnd) > 0) return;
   out.damaged = true;
-  out.damage = numbered("image", number);
+  out.damage = fileName("image", number);
 }
 
 void WriteAheadLog::readSegments(std::vector<std::uint64_t> const& segments, RecoveredState& out) {
-  std::uint64_t expect = segment_;
+  std::uint64_t expected = segment_;
   for (std::uint64_t const n : segments) {
-    if (n != expect) {
+    if (n != expected) {
       out.damaged = true;
-      out.damage = numbered("segment", expect) + " missing";
+      out.damage = fileName("segment", expected) + " missing";
     }
-    expect = n + 1;
-    std::string const name = numbered("segment", n);
-    std::string const bytes = folder_.read(name);
+    expected = n + 1;
+    std::string const name = fileName("segment", n);
+    std::string const bytes = directory_.read(name);
     std::size_t const good = readAll(bytes, slots_);
     bool const torn = good != bytes.size();
     if (torn && (n != segments.back() || hasCompleteRecordAfter(bytes, good))) {
@@ -175,54 +181,54 @@
       out.damage = name + " at byte " + std::to_string(good);
     } else if (torn) {
       out.tornTail = true;
-      folder_.truncate(name, good);
+      directory_.truncate(name, good);
     }
-    size_ = good;
+    segmentSize_ = good;
     segment_ = n;
   }
 }
 
 void WriteAheadLog::removeOld() {
-  for (std::string const& name : folder_.list()) {
+  for (std::string const& name : directory_.list()) {
     std::uint64_t n = 0;
-    bool const numberedName = numberOf(name, "segment", n) || numberOf(name, "image", n);
-    if (name == unfinishedSnapshot || (numberedName && n < segment_)) folder_.remove(name);
+    bool const isLogFile = parseNumber(name, "segment", n) || parseNumber(name, "image", n);
+    if (name == unfinishedSnapshot || (isLogFile && n < segment_)) directory_.remove(name);
   }
 }
 
 void WriteAheadLog::write(std::vector<Record> const& records) {
-  if (failed_) throw StorageError("the write-ahead log has failed before");
+  if (failed_) throw StorageError("the write-ahead log cannot be written: a previous operation failed or found damage");
   std::string bytes;
   for (Record const& r : records) bytes += frame(r);
   try {
-    std::string const name = numbered("segment", segment_);
-    bool const fresh = size_ == 0;
-    folder_.append(name, bytes);
-    folder_.sync(name);
-    if (fresh) folder_.syncDirectory();
-    size_ += bytes.size();
+    std::string const name = fileName("segment", segment_);
+    bool const isNew = segmentSize_ == 0;
+    directory_.append(name, bytes);
+    directory_.sync(name);
+    if (isNew) directory_.syncDirectory();
+    segmentSize_ += bytes.size();
     for (Record const& r : records) slots_[r.key] = r.payload;
-    if (size_ >= segmentBytes_) snapshot();
+    if (segmentSize_ >= segmentBytes_) writeSnapshot();
   } catch (StorageError const&) {
     failed_ = true;
     throw;
   }
 }
 
-void WriteAheadLog::snapshot() {
+void WriteAheadLog::writeSnapshot() {
   std::uint64_t const next = segment_ + 1;
   std::string bytes;
   for (auto const& [key, value] : slots_) bytes += frame(Record{key, value});
   bytes += frame(Record{snapshotEnd, ""});
-  std::string const fresh = unfinishedSnapshot;
-  for (std::string const& name : folder_.list())
-    if (name == fresh) folder_.remove(fresh);
-  folder_.append(fresh, bytes);
-  folder_.sync(fresh);
-  folder_.rename(fresh, numbered("image", next));
-  folder_.syncDirectory();
+  std::string const unfinished = unfinishedSnapshot;
+  for (std::string const& name : directory_.list())
+    if (name == unfinished) directory_.remove(unfinished);
+  directory_.append(unfinished, bytes);
+  directory_.sync(unfinished);
+  directory_.rename(unfinished, fileName("image", next));
+  directory_.syncDirectory();
   segment_ = next;
-  size_ = 0;
+  segmentSize_ = 0;
   removeOld();
 }
 
--- a/storage/test/crash_directory.h
+++ b/storage/test/crash_directory.h
@@ -10,20 +10,20 @@
 
 namespace corkward::storage {
 
-/// Thrown by CrashFolder when the process is to end.
+/// Thrown by CrashDirectory at the point where the simulated process crashes.
 struct Crash {};
 
-/// A simulated folder that can stop before any operation and lists every state in which a disk may come back. What was
-/// made, renamed or removed since the folder's last sync is kept or lost, each by itself; of the bytes since a file's
-/// last sync any prefix is kept (none, half and all are tried).
-class CrashFolder : public Directory {
+/// A simulated directory that can crash before any operation, and that enumerates all states which the disk may have
+/// after a power loss. Each file that was created, renamed or removed since the directory's last sync is kept or lost
+/// independently. Of the bytes since a file's last sync, any prefix may be kept; none, half and all are tried.
+class CrashDirectory : public Directory {
  public:
-  /// Operations that are still carried out; negative: no bound.
-  int left = -1;
-  /// Appends and syncs fail from here on, as on a full disk.
-  bool full = false;
-  /// Operations carried out so far.
-  int done = 0;
+  /// Number of operations before the crash; negative if there is no crash.
+  int operationsLeft = -1;
+  /// True if appends write only half of their bytes and fail from now on, as on a full disk.
+  bool isFull = false;
+  /// Number of operations so far.
+  int operationCount = 0;
 
   std::vector<std::string> list() override {
     std::vector<std::string> out;
@@ -36,14 +36,14 @@
     if (names_.count(name) == 0) {
       names_[name] = inodes_.size();
       inodes_.emplace_back();
-      entries_.push_back(Entry{"", name, names_[name]});
+      unsyncedChanges_.push_back(UnsyncedChange{"", name, names_[name]});
     }
-    if (!full) {
+    if (!isFull) {
       inode(name).bytes += bytes;
       return;
     }
     inode(name).bytes += bytes.substr(0, bytes.size() / 2);
-    throw StorageError("no room");
+    throw StorageError("no space left on the disk");
   }
   void sync(std::string const& name) override {
     step();
@@ -51,13 +51,13 @@
   }
   void rename(std::string const& from, std::string const& to) override {
     step();
-    entries_.push_back(Entry{from, to, names_.at(from)});
+    unsyncedChanges_.push_back(UnsyncedChange{from, to, names_.at(from)});
     names_[to] = names_.at(from);
     names_.erase(from);
   }
   void remove(std::string const& name) override {
     step();
-    entries_.push_back(Entry{name, "", names_.at(name)});
+    unsyncedChanges_.push_back(UnsyncedChange{name, "", names_.at(name)});
     names_.erase(name);
   }
   void truncate(std::string const& name, std::uint64_t size) override {
@@ -67,56 +67,56 @@
   }
   void syncDirectory() override {
     step();
-    durable_ = names_;
-    entries_.clear();
+    syncedNames_ = names_;
+    unsyncedChanges_.clear();
   }
 
-  /// Bytes under all names.
+  /// Returns the number of bytes in all files.
   std::size_t bytes() {
     std::size_t sum = 0;
     for (auto const& [name, inode] : names_) sum += inodes_[inode].bytes.size();
     return sum;
   }
 
-  /// How many names begin so.
-  std::size_t countOf(std::string const& kind) const {
+  /// Returns the number of files whose names begin with this prefix.
+  std::size_t countOf(std::string const& prefix) const {
     std::size_t n = 0;
-    for (auto const& [name, inode] : names_) n += name.rfind(kind, 0) == 0 ? 1 : 0;
+    for (auto const& [name, inode] : names_) n += name.rfind(prefix, 0) == 0 ? 1 : 0;
     return n;
   }
-  bool has(std::string const& kind) const { return countOf(kind) > 0; }
-  /// Damages the first record of the newest file whose name begins so.
-  void flip(std::string const& kind) {
+  bool has(std::string const& prefix) const { return countOf(prefix) > 0; }
+  /// Flips a bit in the first record of the newest file whose name begins with this prefix.
+  void flipBit(std::string const& prefix) {
     std::string newest;
     for (auto const& [name, inode] : names_)
-      if (name.rfind(kind, 0) == 0) newest = name;
+      if (name.rfind(prefix, 0) == 0) newest = name;
     inode(newest).bytes.at(9) ^= 1;
   }
 
-  /// The folder after the process was killed: nothing is lost, and nothing more is synced.
-  CrashFolder killed() const {
-    CrashFolder out = *this;
-    out.left = -1;
-    out.full = false;
-    out.done = 0;
+  /// Returns the directory after the process was killed: no change is lost, and unsynced changes stay unsynced.
+  CrashDirectory afterKill() const {
+    CrashDirectory out = *this;
+    out.operationsLeft = -1;
+    out.isFull = false;
+    out.operationCount = 0;
     return out;
   }
 
-  /// Every folder in which the disk may come back after a loss of power.
-  std::vector<CrashFolder> powerLosses() const {
-    std::vector<CrashFolder> out;
-    for (unsigned survivingEntries = 0; survivingEntries < 1U << entries_.size(); ++survivingEntries)
-      for (std::size_t part = 0; part <= 2; ++part) out.push_back(powerLoss(survivingEntries, part));
+  /// Returns all states that the disk may have after a power loss.
+  std::vector<CrashDirectory> afterPowerLoss() const {
+    std::vector<CrashDirectory> out;
+    for (unsigned survivingChanges = 0; survivingChanges < 1U << unsyncedChanges_.size(); ++survivingChanges)
+      for (std::size_t halves = 0; halves <= 2; ++halves) out.push_back(powerLoss(survivingChanges, halves));
     return out;
   }
 
-  /// Names, bytes, and what of these is synced: two folders of one text behave alike.
+  /// Returns a text with all names, bytes and what is synced of them. Two directories with the same text behave alike.
   std::string text() const {
     std::string out;
     for (auto const& [name, inode] : names_)
       out += name + "=" + inodes_[inode].bytes + "/" + std::to_string(inodes_[inode].synced) + ";";
-    for (auto const& [name, inode] : durable_) out += name + ":" + std::to_string(inode) + ";";
-    for (Entry const& e : entries_) out += e.from + ">" + e.to + ";";
+    for (auto const& [name, inode] : syncedNames_) out += name + ":" + std::to_string(inode) + ";";
+    for (UnsyncedChange const& e : unsyncedChanges_) out += e.from + ">" + e.to + ";";
     return out;
   }
 
@@ -126,41 +126,48 @@
     std::size_t synced = 0;
   };
   using Names = std::map<std::string, std::size_t>;
-  /// A change of the folder that is not synced: made (from empty), renamed or removed (to empty).
-  struct Entry {
+  /// A change of the directory that is not synced: a created file (`from` is empty), a renamed file, or a removed file
+  /// (`to` is empty).
+  struct UnsyncedChange {
     std::string from;
     std::string to;
     std::size_t inode = 0;
   };
 
   Inode& inode(std::string const& name) { return inodes_[names_.at(name)]; }
+  /// Counts an operation, or crashes before it.
   void step() {
-    if (left == 0) throw Crash{};
-    if (left > 0) --left;
-    ++done;
+    if (operationsLeft == 0) throw Crash{};
+    if (operationsLeft > 0) --operationsLeft;
+    ++operationCount;
   }
-  CrashFolder powerLoss(unsigned survivingEntries, std::size_t part) const {
-    CrashFolder out;
-    Names names = durable_;
-    for (std::size_t i = 0; i < entries_.size(); ++i) {
-      if ((survivingEntries >> i & 1U) == 0) continue;
-      if (!entries_[i].from.empty()) names.erase(entries_[i].from);
-      if (!entries_[i].to.empty()) names[entries_[i].to] = entries_[i].inode;
+  /// Returns one state after a power loss.
+  /// @param survivingChanges bit i is set if the i-th unsynced change is kept
+  /// @param halves how much of each file's unsynced bytes is kept: 0 for none, 1 for half, 2 for all
+  CrashDirectory powerLoss(unsigned survivingChanges, std::size_t halves) const {
+    CrashDirectory out;
+    Names names = syncedNames_;
+    for (std::size_t i = 0; i < unsyncedChanges_.size(); ++i) {
+      if ((survivingChanges >> i & 1U) == 0) continue;
+      if (!unsyncedChanges_[i].from.empty()) names.erase(unsyncedChanges_[i].from);
+      if (!unsyncedChanges_[i].to.empty()) names[unsyncedChanges_[i].to] = unsyncedChanges_[i].inode;
     }
     for (auto const& [name, inode] : names) {
       Inode const& was = inodes_[inode];
-      std::size_t const size = was.synced + (was.bytes.size() - was.synced) * part / 2;
+      std::size_t const size = was.synced + (was.bytes.size() - was.synced) * halves / 2;
       out.names_[name] = out.inodes_.size();
       out.inodes_.push_back(Inode{was.bytes.substr(0, size), size});
     }
-    out.durable_ = out.names_;
+    out.syncedNames_ = out.names_;
     return out;
   }
 
   std::vector<Inode> inodes_;
   Names names_;
-  Names durable_;
-  std::vector<Entry> entries_;
+  /// Names as of the directory's last sync.
+  Names syncedNames_;
+  /// Changes since the directory's last sync.
+  std::vector<UnsyncedChange> unsyncedChanges_;
 };
 
 }  // namespace corkward::storage
--- a/storage/test/crash_test.cpp
+++ b/storage/test/crash_test.cpp
@@ -3,161 +3,169 @@
 #include "crash_directory.h"
 
 namespace storage = corkward::storage;
-using storage::CrashFolder;
+using storage::CrashDirectory;
 
 namespace {
 
 constexpr std::uint64_t segmentBytes = 90;
 
-/// What must be on the disk: for each key the number of the newest write that counts, and of the newest that was tried.
-struct Owed {
+/// What a recovery has to find on the disk, by key.
+struct ExpectedState {
+  /// Number of the newest write that succeeded or was recovered.
   std::map<std::string, int> atLeast;
+  /// Number of the newest write that was tried.
   std::map<std::string, int> atMost;
 };
 
-/// Takes what a recovery gave back, which counts from then on: members answer from it.
-void take(Owed& owed, storage::RecoveredState const& got) {
+/// Checks a recovered state. From then on what was recovered is expected to stay, since members send replies that
+/// depend on it.
+void checkRecovered(ExpectedState& expected, storage::RecoveredState const& got) {
   REQUIRE_FALSE(got.damaged);
-  for (auto const& [key, number] : owed.atLeast) {
+  for (auto const& [key, number] : expected.atLeast) {
     INFO(key << " must be " << number << " or newer");
     REQUIRE(got.slots.count(key) == 1);
     REQUIRE(std::stoi(got.slots.at(key)) >= number);
-    REQUIRE(std::stoi(got.slots.at(key)) <= owed.atMost.at(key));
+    REQUIRE(std::stoi(got.slots.at(key)) <= expected.atMost.at(key));
   }
-  for (auto const& [key, value] : got.slots) owed.atLeast[key] = std::stoi(value);
+  for (auto const& [key, value] : got.slots) expected.atLeast[key] = std::stoi(value);
 }
 
-/// Recovers and writes some records, until the folder stops it.
-Owed live(CrashFolder& folder, Owed owed, int first, int count) {
-  storage::WriteAheadLog log(folder, segmentBytes);
+/// Simulates a process that recovers the log and writes some records, until the directory crashes. Returns what a later
+/// recovery has to find.
+ExpectedState runProcess(CrashDirectory& directory, ExpectedState expected, int first, int count) {
+  storage::WriteAheadLog log(directory, segmentBytes);
   try {
-    take(owed, log.recover());
+    checkRecovered(expected, log.recover());
     for (int i = first; i < first + count; ++i) {
       std::string const key = i % 3 == 0 ? "a" : "b";
-      owed.atMost[key] = i;
+      expected.atMost[key] = i;
       log.write({{key, std::to_string(i) + " some text"}});
-      owed.atLeast[key] = i;
+      expected.atLeast[key] = i;
     }
   } catch (storage::Crash const&) {
   }
-  return owed;
+  return expected;
 }
 
-std::string text(Owed const& owed) {
+std::string text(ExpectedState const& expected) {
   std::string out;
-  for (auto const& [key, number] : owed.atLeast) out += key + std::to_string(number) + ";";
+  for (auto const& [key, number] : expected.atLeast) out += key + std::to_string(number) + ";";
   return out;
 }
 
-/// Each state in which the folder may be found by the next process.
-std::vector<CrashFolder> ends(CrashFolder const& folder) {
-  std::vector<CrashFolder> out = folder.powerLosses();
-  out.push_back(folder.killed());
+/// Returns all states in which the next process may find the directory.
+std::vector<CrashDirectory> statesAfterCrash(CrashDirectory const& directory) {
+  std::vector<CrashDirectory> out = directory.afterPowerLoss();
+  out.push_back(directory.afterKill());
   return out;
 }
 
-/// Lives of a process, each stopped before every operation in turn and begun again from every state that this leaves.
-void everyCrash(CrashFolder const& start, Owed const& owed, int first, int restarts, std::set<std::string>& visited) {
-  if (!visited.insert(std::to_string(restarts) + start.text() + text(owed)).second) return;
+/// Runs a process that crashes before each operation in turn, and restarts it from each state that the crash may leave.
+/// @param visited combinations of state and expectation that were checked before
+void checkEveryCrash(CrashDirectory const& start, ExpectedState const& expected, int first, int restarts,
+                     std::set<std::string>& visited) {
+  if (!visited.insert(std::to_string(restarts) + start.text() + text(expected)).second) return;
   if (restarts == 0) {
-    CrashFolder folder = start;
-    Owed left = owed;
-    take(left, storage::WriteAheadLog(folder, segmentBytes).recover());
+    CrashDirectory directory = start;
+    ExpectedState expectedHere = expected;
+    checkRecovered(expectedHere, storage::WriteAheadLog(directory, segmentBytes).recover());
     return;
   }
   int const count = restarts == 1 ? 2 : 7;
-  CrashFolder uninterrupted = start;
-  live(uninterrupted, owed, first, count);
-  for (int stop = 0; stop <= uninterrupted.done; ++stop) {
-    CrashFolder folder = start;
-    folder.left = stop;
-    Owed const left = live(folder, owed, first, count);
-    for (CrashFolder const& end : ends(folder)) everyCrash(end, left, first + count, restarts - 1, visited);
+  CrashDirectory uninterrupted = start;
+  runProcess(uninterrupted, expected, first, count);
+  for (int crashAt = 0; crashAt <= uninterrupted.operationCount; ++crashAt) {
+    CrashDirectory directory = start;
+    directory.operationsLeft = crashAt;
+    ExpectedState const expectedAfter = runProcess(directory, expected, first, count);
+    for (CrashDirectory const& state : statesAfterCrash(directory))
+      checkEveryCrash(state, expectedAfter, first + count, restarts - 1, visited);
   }
 }
 
 }  // namespace
 
-TEST_CASE("a process stopped before any operation, three times, loses nothing that it wrote or answered from") {
+TEST_CASE("three crashes before any operation lose no record that was written or recovered") {
   std::set<std::string> visited;
-  everyCrash(CrashFolder(), Owed(), 1, 3, visited);
+  checkEveryCrash(CrashDirectory(), ExpectedState(), 1, 3, visited);
   CHECK(visited.size() > 1000);
 }
 
-TEST_CASE("a disk that is full at any operation, and then loses power, keeps what was written") {
-  CrashFolder uninterrupted;
-  live(uninterrupted, Owed(), 1, 9);
-  for (int when = 0; when <= uninterrupted.done; ++when) {
-    CrashFolder folder;
-    folder.left = when;
-    Owed owed = live(folder, Owed(), 1, 9);
-    CrashFolder later = folder.killed();
+TEST_CASE("a disk that is full at any operation and then loses power keeps the records that were written") {
+  CrashDirectory uninterrupted;
+  runProcess(uninterrupted, ExpectedState(), 1, 9);
+  for (int crashAt = 0; crashAt <= uninterrupted.operationCount; ++crashAt) {
+    CrashDirectory directory;
+    directory.operationsLeft = crashAt;
+    ExpectedState expected = runProcess(directory, ExpectedState(), 1, 9);
+    CrashDirectory later = directory.afterKill();
     storage::WriteAheadLog log(later, segmentBytes);
-    take(owed, log.recover());
-    later.full = true;
-    owed.atMost["b"] = 20;
+    checkRecovered(expected, log.recover());
+    later.isFull = true;
+    expected.atMost["b"] = 20;
     CHECK_THROWS_AS(log.write({{"b", "20 more"}}), storage::StorageError);
     CHECK(log.failed());
-    for (CrashFolder const& end : ends(later)) {
-      CrashFolder again = end;
-      Owed left = owed;
-      take(left, storage::WriteAheadLog(again, segmentBytes).recover());
+    for (CrashDirectory const& state : statesAfterCrash(later)) {
+      CrashDirectory again = state;
+      ExpectedState expectedHere = expected;
+      checkRecovered(expectedHere, storage::WriteAheadLog(again, segmentBytes).recover());
     }
   }
 }
 
-TEST_CASE("what stands in the folder is bounded, whatever was left there by crashes") {
-  CrashFolder folder;
+TEST_CASE("the size of the directory is bounded after any number of crashes") {
+  CrashDirectory directory;
   std::size_t most = 0;
-  int done = 1;
-  for (int stop = 0; stop < 400; ++stop) {
-    folder.left = stop % 40;
-    live(folder, Owed(), done, 9);
-    done += 9;
-    folder = folder.killed();
-    most = std::max(most, folder.bytes());
+  int nextWrite = 1;
+  for (int crashAt = 0; crashAt < 400; ++crashAt) {
+    directory.operationsLeft = crashAt % 40;
+    runProcess(directory, ExpectedState(), nextWrite, 9);
+    nextWrite += 9;
+    directory = directory.afterKill();
+    most = std::max(most, directory.bytes());
   }
   CHECK(most < 4 * segmentBytes);
 }
 
-TEST_CASE("a damaged log that is set aside never comes back as an older one, whenever that is stopped") {
+TEST_CASE("a quarantine that is interrupted at any point never leaves a valid older log") {
   for (bool const inSnapshot : {true, false}) {
-    CrashFolder damaged;
-    int done = 1;
-    while (done < 200 && !(damaged.has("image-") && damaged.has("segment-") && damaged.countOf("segment-") > 1)) {
-      damaged.left = done % 23;
-      live(damaged, Owed(), done, 9);
-      done += 9;
-      damaged = damaged.killed();
+    CrashDirectory damaged;
+    int nextWrite = 1;
+    while (nextWrite < 200 && !(damaged.has("image-") && damaged.has("segment-") && damaged.countOf("segment-") > 1)) {
+      damaged.operationsLeft = nextWrite % 23;
+      runProcess(damaged, ExpectedState(), nextWrite, 9);
+      nextWrite += 9;
+      damaged = damaged.afterKill();
     }
     damaged.syncDirectory();
-    damaged = damaged.powerLosses().back();
-    damaged.flip(inSnapshot ? "image-" : "segment-");
+    damaged = damaged.afterPowerLoss().back();
+    damaged.flipBit(inSnapshot ? "image-" : "segment-");
     REQUIRE(storage::WriteAheadLog(damaged, segmentBytes).recover().damaged);
-    CrashFolder uninterrupted = damaged;
+    CrashDirectory uninterrupted = damaged;
     storage::quarantine(uninterrupted, "x");
     CHECK(storage::WriteAheadLog(uninterrupted, segmentBytes).recover().slots.empty());
-    for (int stop = 0; stop < uninterrupted.done - damaged.done; ++stop) {
-      CrashFolder folder = damaged;
-      folder.left = stop;
-      CHECK_THROWS_AS(storage::quarantine(folder, "x"), storage::Crash);
-      for (CrashFolder const& end : ends(folder)) {
-        CrashFolder again = end;
+    for (int crashAt = 0; crashAt < uninterrupted.operationCount - damaged.operationCount; ++crashAt) {
+      CrashDirectory directory = damaged;
+      directory.operationsLeft = crashAt;
+      CHECK_THROWS_AS(storage::quarantine(directory, "x"), storage::Crash);
+      for (CrashDirectory const& state : statesAfterCrash(directory)) {
+        CrashDirectory again = state;
         storage::RecoveredState const got = storage::WriteAheadLog(again, segmentBytes).recover();
-        INFO("stopped before " << stop << " of " << uninterrupted.done - damaged.done << ": " << again.text());
+        INFO("crashed before operation " << crashAt << " of " << uninterrupted.operationCount - damaged.operationCount
+                                         << ": " << again.text());
         CHECK((got.damaged || got.slots.empty()));
       }
     }
   }
 }
 
-TEST_CASE("only the newest damaged log is kept") {
-  CrashFolder folder;
+TEST_CASE("only the newest quarantined log is kept") {
+  CrashDirectory directory;
   std::size_t most = 0;
   for (int i = 0; i < 20; ++i) {
-    live(folder, Owed(), 1, 9);
-    storage::quarantine(folder, std::to_string(i));
-    most = std::max(most, folder.bytes());
+    runProcess(directory, ExpectedState(), 1, 9);
+    storage::quarantine(directory, std::to_string(i));
+    most = std::max(most, directory.bytes());
   }
   CHECK(most < 8 * segmentBytes);
 }
--- a/storage/test/golden_test.cpp
+++ b/storage/test/golden_test.cpp
@@ -8,9 +8,9 @@
 
 #include "testing/golden/folder.h"
 
-/// Folders of a write-ahead log as a released version has written them: a later one has to recover the same state from
-/// them, and to write the same bytes under the same names. Recording them anew is right only when docs/ gives the log
-/// another form, with a migration for members that have the old one on their disks.
+/// Directories of a write-ahead log as a released version has written them. Later versions have to recover the same
+/// state from them and to write the same bytes under the same names. They may be recorded again only if docs/ specifies
+/// another format of the log, with a migration for members that have the old format on their disks.
 namespace golden = corkward::golden;
 namespace storage = corkward::storage;
 
@@ -27,7 +27,8 @@
   return out;
 }
 
-/// The n-th write: one to three records over five keys, so that later ones replace earlier ones.
+/// Returns the records of the n-th write: one to three records with five different keys, so that later writes replace
+/// earlier ones.
 std::vector<storage::Record> batch(int n) {
   std::vector<storage::Record> out;
   for (int i = 0; i <= n % 3; ++i)
@@ -41,56 +42,56 @@
 }
 
 golden::Files written(std::uint64_t segmentBytes, int writes, bool losesRemovals = false) {
-  golden::NotingFolder folder;
-  folder.losesRemovals = losesRemovals;
-  storage::WriteAheadLog log(folder, segmentBytes);
+  golden::NotingFolder directory;
+  directory.losesRemovals = losesRemovals;
+  storage::WriteAheadLog log(directory, segmentBytes);
   log.recover();
   writeBatches(log, 0, writes);
-  return golden::filesOf(folder);
+  return golden::filesOf(directory);
 }
 
 /// One segment, with an empty key, an empty payload, and a payload of all bytes.
 golden::Files oneSegment() {
-  golden::NotingFolder folder;
-  storage::WriteAheadLog log(folder);
+  golden::NotingFolder directory;
+  storage::WriteAheadLog log(directory);
   log.recover();
   log.write({{"", "payload of the empty key"}, {"empty", ""}, {std::string("zero\0byte", 9), everyByte()}});
   writeBatches(log, 0, 4);
-  return golden::filesOf(folder);
+  return golden::filesOf(directory);
 }
 
 golden::Files snapshotAndLater() {
   return written(smallSegment, 14);
 }
 
-/// A loss of power has undone the removals of older segments and snapshots.
+/// A power loss has undone the removal of older segments and snapshots.
 golden::Files olderReturned() {
   return written(smallSegment, 14, true);
 }
 
-/// Segments that no snapshot stands beside. A log leaves no such folder, since a snapshot is on the disk before the
-/// next segment begins; it reads one all the same.
+/// Several segments without a snapshot. A log does not write such a directory, since a snapshot is on the disk before
+/// the next segment begins, but it can read one.
 golden::Files segmentsOnly() {
   golden::Files files = olderReturned();
   std::erase_if(files, [](auto const& file) { return file.first.rfind("image", 0) == 0; });
   return files;
 }
 
-/// The process ended while it wrote a snapshot.
+/// The process exited while it wrote a snapshot.
 golden::Files unfinishedSnapshot() {
-  constexpr int mostChanges = 100;
-  for (int left = 0; left < mostChanges; ++left) {
-    golden::NotingFolder folder;
-    folder.left = left;
-    storage::WriteAheadLog log(folder, smallSegment);
+  constexpr int maxOperations = 100;
+  for (int operations = 0; operations < maxOperations; ++operations) {
+    golden::NotingFolder directory;
+    directory.operationsLeft = operations;
+    storage::WriteAheadLog log(directory, smallSegment);
     log.recover();
     try {
       writeBatches(log, 0, 14);
     } catch (storage::Crash const&) {
-      if (folder.has("image.new")) return golden::filesOf(folder);
+      if (directory.has("image.new")) return golden::filesOf(directory);
     }
   }
-  FAIL("no snapshot was begun");
+  FAIL("no run was interrupted while it wrote a snapshot");
   return {};
 }
 
@@ -101,7 +102,7 @@
   return files.at(name);
 }
 
-golden::Files cutAtEnd(golden::Files files, std::string const& kind, std::size_t bytes) {
+golden::Files truncatedBy(golden::Files files, std::string const& kind, std::size_t bytes) {
   std::string& content = newest(files, kind);
   content.resize(content.size() - bytes);
   return files;
@@ -112,7 +113,7 @@
   return files;
 }
 
-golden::Files flipped(golden::Files files, std::string const& kind, std::size_t at) {
+golden::Files withFlippedBit(golden::Files files, std::string const& kind, std::size_t at) {
   newest(files, kind).at(at) ^= 1;
   return files;
 }
@@ -124,40 +125,40 @@
 
 golden::Files onlyFirstRecordTorn() {
   golden::Files files = written(smallSegment, 1);
-  return cutAtEnd(files, "segment", 3);
+  return truncatedBy(files, "segment", 3);
 }
 
-/// Damage in the middle of a segment that has others behind it.
+/// Damage in the middle of a segment that is followed by other segments.
 golden::Files olderSegmentDamaged() {
   golden::Files files = segmentsOnly();
   files.begin()->second.at(40) ^= 1;
   return files;
 }
 
-/// What a member does with a damaged log: sets it aside and begins an empty one.
-golden::Files setAsideAndBegun(golden::Files const& damaged, std::string const& label) {
-  golden::NotingFolder folder(damaged);
-  storage::WriteAheadLog log(folder, smallSegment);
+/// Does what a member does with a damaged log: quarantines it and begins an empty one.
+golden::Files quarantinedAndRestarted(golden::Files const& damaged, std::string const& label) {
+  golden::NotingFolder directory(damaged);
+  storage::WriteAheadLog log(directory, smallSegment);
   REQUIRE(log.recover().damaged);
-  storage::quarantine(folder, label);
-  storage::WriteAheadLog fresh(folder, smallSegment);
-  REQUIRE_FALSE(fresh.recover().damaged);
-  writeBatches(fresh, 20, 22);
-  return golden::filesOf(folder);
+  storage::quarantine(directory, label);
+  storage::WriteAheadLog next(directory, smallSegment);
+  REQUIRE_FALSE(next.recover().damaged);
+  writeBatches(next, 20, 22);
+  return golden::filesOf(directory);
 }
 
-golden::Files segmentSetAside() {
-  return setAsideAndBegun(flipped(snapshotAndLater(), "segment", 9), firstLabel);
+golden::Files segmentQuarantined() {
+  return quarantinedAndRestarted(withFlippedBit(snapshotAndLater(), "segment", 9), firstLabel);
 }
 
-/// Only the newest damaged set stays.
-golden::Files setAsideTwice() {
-  return setAsideAndBegun(flipped(segmentSetAside(), "segment", 9), secondLabel);
+/// Only the newest quarantined files stay.
+golden::Files quarantinedTwice() {
+  return quarantinedAndRestarted(withFlippedBit(segmentQuarantined(), "segment", 9), secondLabel);
 }
 
 struct Scenario {
   char const* name;
-  std::function<golden::Files()> folder;
+  std::function<golden::Files()> directory;
 };
 
 std::vector<Scenario> scenarios() {
@@ -167,16 +168,16 @@
           {"older-returned", olderReturned},
           {"segments-only", segmentsOnly},
           {"unfinished-snapshot", unfinishedSnapshot},
-          {"torn-tail", [] { return cutAtEnd(oneSegment(), "segment", 5); }},
+          {"torn-tail", [] { return truncatedBy(oneSegment(), "segment", 5); }},
           {"torn-head", [] { return appended(snapshotAndLater(), "segment", std::string("\x20\0\0", 3)); }},
           {"torn-only-record", onlyFirstRecordTorn},
-          {"damaged-segment", [] { return flipped(snapshotAndLater(), "segment", 9); }},
+          {"damaged-segment", [] { return withFlippedBit(snapshotAndLater(), "segment", 9); }},
           {"damaged-older-segment", olderSegmentDamaged},
           {"missing-segment", [] { return without(segmentsOnly(), "segment-000000000002"); }},
-          {"damaged-snapshot", [] { return flipped(snapshotAndLater(), "image", 9); }},
-          {"snapshot-without-end", [] { return cutAtEnd(snapshotAndLater(), "image", 1); }},
-          {"set-aside", segmentSetAside},
-          {"set-aside-twice", setAsideTwice}};
+          {"damaged-snapshot", [] { return withFlippedBit(snapshotAndLater(), "image", 9); }},
+          {"snapshot-without-end", [] { return truncatedBy(snapshotAndLater(), "image", 1); }},
+          {"set-aside", segmentQuarantined},
+          {"set-aside-twice", quarantinedTwice}};
 }
 
 std::string goldenName(std::string const& scenario, std::string const& part) {
@@ -192,35 +193,36 @@
   return out;
 }
 
-/// Recovers the folder and goes on as a member does: writes on, or sets the damage aside and begins anew.
+/// Recovers the directory and continues as a member does: appends records, or quarantines a damaged log and begins an
+/// empty one. Returns a description of all steps.
 std::string recoveryText(golden::Files const& files) {
-  golden::NotingFolder folder(files);
-  storage::WriteAheadLog log(folder, smallSegment);
+  golden::NotingFolder directory(files);
+  storage::WriteAheadLog log(directory, smallSegment);
   storage::RecoveredState const recovered = log.recover();
   std::string out = "recovered\n" + recoveredText(recovered) + "usable " + std::to_string(!log.failed()) + "\n";
   if (recovered.damaged) {
-    storage::quarantine(folder, secondLabel);
-    storage::WriteAheadLog fresh(folder, smallSegment);
-    out += "after it was set aside\n" + recoveredText(fresh.recover());
-    fresh.write(batch(30));
+    storage::quarantine(directory, secondLabel);
+    storage::WriteAheadLog next(directory, smallSegment);
+    out += "after it was set aside\n" + recoveredText(next.recover());
+    next.write(batch(30));
   } else {
     writeBatches(log, 30, 33);
   }
-  return out + "changes\n" + folder.changes + "folder\n" +
-         golden::filesText(golden::filesOf(folder), golden::Form::hex);
+  return out + "changes\n" + directory.changes + "folder\n" +
+         golden::filesText(golden::filesOf(directory), golden::Form::hex);
 }
 
-/// A folder on the disk that goes with the test.
-class TemporaryFolder {
+/// A directory on the disk that is removed at the end of the test.
+class TemporaryDirectory {
  public:
-  TemporaryFolder() {
+  TemporaryDirectory() {
     std::string path = (std::filesystem::temp_directory_path() / "corkward-golden-XXXXXX").string();
     REQUIRE(::mkdtemp(path.data()) != nullptr);
     path_ = path;
   }
-  ~TemporaryFolder() { std::filesystem::remove_all(path_); }
-  TemporaryFolder(TemporaryFolder const&) = delete;
-  TemporaryFolder& operator=(TemporaryFolder const&) = delete;
+  ~TemporaryDirectory() { std::filesystem::remove_all(path_); }
+  TemporaryDirectory(TemporaryDirectory const&) = delete;
+  TemporaryDirectory& operator=(TemporaryDirectory const&) = delete;
   std::string const& path() const { return path_; }
 
  private:
@@ -229,7 +231,7 @@
 
 }  // namespace
 
-TEST_CASE("golden: a record is framed as it was") {
+TEST_CASE("golden: records are encoded to the recorded bytes") {
   std::string text;
   for (storage::Record const& record :
        {storage::Record{"", ""}, storage::Record{"key", ""}, storage::Record{"", "payload"},
@@ -239,38 +241,39 @@
   golden::check("storage/test/golden/frames.txt", text);
 }
 
-TEST_CASE("golden: a write-ahead log writes the bytes and names it did") {
+TEST_CASE("golden: a write-ahead log writes the recorded bytes under the recorded names") {
   for (Scenario const& scenario : scenarios()) DYNAMIC_SECTION(scenario.name) {
-      golden::check(goldenName(scenario.name, "folder"), golden::filesText(scenario.folder(), golden::Form::hex));
+      golden::check(goldenName(scenario.name, "folder"), golden::filesText(scenario.directory(), golden::Form::hex));
     }
 }
 
-TEST_CASE("golden: a recorded folder is recovered to the same state, and written on alike") {
+TEST_CASE("golden: a recorded directory is recovered to the recorded state, and later writes are as recorded") {
   for (Scenario const& scenario : scenarios()) DYNAMIC_SECTION(scenario.name) {
       golden::Files const recorded = golden::readFiles(goldenName(scenario.name, "folder"));
       golden::check(goldenName(scenario.name, "recovered"), recoveryText(recorded));
     }
 }
 
-TEST_CASE("golden: a folder on the disk has the same files") {
-  TemporaryFolder const temporary;
-  std::unique_ptr<storage::Directory> const folder = storage::openDirectory(temporary.path());
-  storage::WriteAheadLog log(*folder, smallSegment);
+TEST_CASE("golden: a directory on the disk has the same files as a simulated one") {
+  TemporaryDirectory const temporary;
+  std::unique_ptr<storage::Directory> const directory = storage::openDirectory(temporary.path());
+  storage::WriteAheadLog log(*directory, smallSegment);
   log.recover();
   writeBatches(log, 0, 14);
-  CHECK(golden::filesOf(*folder) == golden::readFiles(goldenName("snapshot-and-later", "folder")));
+  CHECK(golden::filesOf(*directory) == golden::readFiles(goldenName("snapshot-and-later", "folder")));
 }
 
-TEST_CASE("golden: segments roll where they did unless another size is set") {
-  golden::NotingFolder folder;
-  storage::WriteAheadLog log(folder);
+TEST_CASE("golden: the default segment size is as recorded") {
+  golden::NotingFolder directory;
+  storage::WriteAheadLog log(directory);
   log.recover();
   std::string text;
   std::string const almost((1U << 20) - 15, 'b');
   for (int n = 0; n < 9; ++n) {
     log.write({{"key", almost + std::string(n == 3 ? 1 : 0, '+')}});
     text += "write " + std::to_string(n) + ":";
-    for (auto const& [name, bytes] : golden::filesOf(folder)) text += " " + name + " " + std::to_string(bytes.size());
+    for (auto const& [name, bytes] : golden::filesOf(directory))
+      text += " " + name + " " + std::to_string(bytes.size());
     text += "\n";
   }
   golden::check("storage/test/golden/default-size.txt", text);
--- a/storage/test/write_ahead_log_test.cpp
+++ b/storage/test/write_ahead_log_test.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// A folder whose disk keeps only what was synced when the power goes, and a random part of the rest.
-class LossyFolder : public storage::Directory {
+/// A directory that keeps, at a power loss, what was synced and a random part of the remaining bytes.
+class LossyDirectory : public storage::Directory {
  public:
   struct File {
     std::string bytes;
@@ -44,15 +44,15 @@
   void syncDirectory() override {}
   void powerLoss(core::RandomGenerator& rng) {
     for (auto& [name, file] : files) {
-      std::size_t const loose = file.bytes.size() - file.synced;
-      file.bytes.resize(file.synced + rng.below(loose + 1));
+      std::size_t const unsynced = file.bytes.size() - file.synced;
+      file.bytes.resize(file.synced + rng.below(unsynced + 1));
       file.synced = file.bytes.size();
     }
   }
 };
 
-/// Watches in which order a folder is used.
-class MockFolder : public storage::Directory {
+/// A mock that checks the order of the operations on a directory.
+class MockDirectory : public storage::Directory {
  public:
   MAKE_MOCK0(list, std::vector<std::string>(), override);
   MAKE_MOCK1(read, std::string(std::string const&), override);
@@ -66,116 +66,116 @@
 
 }  // namespace
 
-TEST_CASE("an snapshot is whole and synced under its name before anything older goes") {
+TEST_CASE("a snapshot is complete, synced and renamed before any older file is removed") {
   using trompeloeil::_;
   std::string const segment = "segment-000000000001";
   std::string const snapshot = "image-000000000002";
-  MockFolder folder;
+  MockDirectory directory;
   trompeloeil::sequence order;
-  REQUIRE_CALL(folder, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{});
-  REQUIRE_CALL(folder, append(segment, _)).IN_SEQUENCE(order);
-  REQUIRE_CALL(folder, sync(segment)).IN_SEQUENCE(order);
-  REQUIRE_CALL(folder, syncDirectory()).IN_SEQUENCE(order);
-  REQUIRE_CALL(folder, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{segment});
-  REQUIRE_CALL(folder, append("image.new", _)).IN_SEQUENCE(order);
-  REQUIRE_CALL(folder, sync("image.new")).IN_SEQUENCE(order);
-  REQUIRE_CALL(folder, rename("image.new", snapshot)).IN_SEQUENCE(order);
-  REQUIRE_CALL(folder, syncDirectory()).IN_SEQUENCE(order);
-  REQUIRE_CALL(folder, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{segment, snapshot});
-  REQUIRE_CALL(folder, remove(segment)).IN_SEQUENCE(order);
-  storage::WriteAheadLog log(folder, 10);
+  REQUIRE_CALL(directory, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{});
+  REQUIRE_CALL(directory, append(segment, _)).IN_SEQUENCE(order);
+  REQUIRE_CALL(directory, sync(segment)).IN_SEQUENCE(order);
+  REQUIRE_CALL(directory, syncDirectory()).IN_SEQUENCE(order);
+  REQUIRE_CALL(directory, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{segment});
+  REQUIRE_CALL(directory, append("image.new", _)).IN_SEQUENCE(order);
+  REQUIRE_CALL(directory, sync("image.new")).IN_SEQUENCE(order);
+  REQUIRE_CALL(directory, rename("image.new", snapshot)).IN_SEQUENCE(order);
+  REQUIRE_CALL(directory, syncDirectory()).IN_SEQUENCE(order);
+  REQUIRE_CALL(directory, list()).IN_SEQUENCE(order).RETURN(std::vector<std::string>{segment, snapshot});
+  REQUIRE_CALL(directory, remove(segment)).IN_SEQUENCE(order);
+  storage::WriteAheadLog log(directory, 10);
   log.recover();
   log.write({{"k", "long enough to roll"}});
 }
 
-TEST_CASE("after a failed sync the file is not touched again") {
+TEST_CASE("a log whose sync has failed does not write to its file again") {
   using trompeloeil::_;
-  MockFolder folder;
-  REQUIRE_CALL(folder, list()).RETURN(std::vector<std::string>{});
-  REQUIRE_CALL(folder, append(_, _)).TIMES(1);
-  REQUIRE_CALL(folder, sync(_)).TIMES(1).THROW(storage::StorageError("sync failed"));
-  storage::WriteAheadLog log(folder);
+  MockDirectory directory;
+  REQUIRE_CALL(directory, list()).RETURN(std::vector<std::string>{});
+  REQUIRE_CALL(directory, append(_, _)).TIMES(1);
+  REQUIRE_CALL(directory, sync(_)).TIMES(1).THROW(storage::StorageError("sync failed"));
+  storage::WriteAheadLog log(directory);
   log.recover();
   CHECK_THROWS_AS(log.write({{"k", "v"}}), storage::StorageError);
   CHECK_THROWS_AS(log.write({{"k", "v"}}), storage::StorageError);
   CHECK(log.failed());
 }
 
-TEST_CASE("what was synced comes back after power loss, through rolls, snapshots and torn tails") {
+TEST_CASE("records that were synced survive power losses, with new segments, snapshots and torn tails") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     core::RandomGenerator rng(seed);
-    LossyFolder folder;
-    std::map<std::string, std::string> sure;
+    LossyDirectory directory;
+    std::map<std::string, std::string> durable;
     for (int restart = 0; restart < 5; ++restart) {
-      storage::WriteAheadLog log(folder, 600);
-      storage::RecoveredState const got = log.recover();
-      REQUIRE_FALSE(got.damaged);
-      for (auto const& [key, value] : sure) REQUIRE(got.slots.at(key) == value);
-      sure = got.slots;
+      storage::WriteAheadLog log(directory, 600);
+      storage::RecoveredState const recovered = log.recover();
+      REQUIRE_FALSE(recovered.damaged);
+      for (auto const& [key, value] : durable) REQUIRE(recovered.slots.at(key) == value);
+      durable = recovered.slots;
       for (int i = 0; i < 40; ++i) {
         storage::Record const r{"k" + std::to_string(rng.below(6)),
                                 std::string(rng.below(80), 'x') + std::to_string(i)};
         if (rng.chance(0.02)) {
-          folder.failSync = true;
+          directory.failSync = true;
           CHECK_THROWS_AS(log.write({r}), storage::StorageError);
-          folder.failSync = false;
+          directory.failSync = false;
           CHECK_THROWS_AS(log.write({r}), storage::StorageError);
-          sure.erase(r.key);
+          durable.erase(r.key);
           break;
         }
         log.write({r});
-        sure[r.key] = r.payload;
+        durable[r.key] = r.payload;
       }
-      folder.powerLoss(rng);
+      directory.powerLoss(rng);
     }
   }
 }
 
-TEST_CASE("damage inside the log is told apart from a torn tail") {
-  LossyFolder folder;
-  storage::WriteAheadLog log(folder);
+TEST_CASE("damage in the middle of the log is reported as damage, and a torn last record is cut off") {
+  LossyDirectory directory;
+  storage::WriteAheadLog log(directory);
   log.recover();
   for (int i = 0; i < 5; ++i) log.write({{"k", "value " + std::to_string(i)}});
-  std::string& bytes = folder.files.begin()->second.bytes;
+  std::string& bytes = directory.files.begin()->second.bytes;
   SECTION("a flipped bit in the middle") {
     bytes[bytes.size() / 2] ^= 1;
-    CHECK(storage::WriteAheadLog(folder).recover().damaged);
+    CHECK(storage::WriteAheadLog(directory).recover().damaged);
   }
   SECTION("a cut last record") {
     bytes.resize(bytes.size() - 3);
-    storage::RecoveredState const got = storage::WriteAheadLog(folder).recover();
-    CHECK_FALSE(got.damaged);
-    CHECK(got.tornTail);
-    CHECK(got.slots.at("k") == "value 3");
+    storage::RecoveredState const recovered = storage::WriteAheadLog(directory).recover();
+    CHECK_FALSE(recovered.damaged);
+    CHECK(recovered.tornTail);
+    CHECK(recovered.slots.at("k") == "value 3");
   }
 }
 
-TEST_CASE("a torn record of some megabytes is cut, not searched for ever") {
-  LossyFolder folder;
-  storage::WriteAheadLog log(folder);
+TEST_CASE("a torn record of several megabytes is recognized in acceptable time") {
+  LossyDirectory directory;
+  storage::WriteAheadLog log(directory);
   log.recover();
   log.write({{"k", "kept"}});
   std::string big(3 << 20, ' ');
   core::RandomGenerator rng(5);
   for (char& c : big) c = static_cast<char>(32 + rng.below(90));
   std::string const torn = storage::frame({"big", big});
-  folder.files.begin()->second.bytes += torn.substr(0, torn.size() - 10);
-  storage::RecoveredState const got = storage::WriteAheadLog(folder).recover();
-  CHECK(got.tornTail);
-  CHECK_FALSE(got.damaged);
-  CHECK(got.slots.at("k") == "kept");
+  directory.files.begin()->second.bytes += torn.substr(0, torn.size() - 10);
+  storage::RecoveredState const recovered = storage::WriteAheadLog(directory).recover();
+  CHECK(recovered.tornTail);
+  CHECK_FALSE(recovered.damaged);
+  CHECK(recovered.slots.at("k") == "kept");
 }
 
-TEST_CASE("a write-ahead log on the real disk survives reopening") {
+TEST_CASE("a write-ahead log on the real disk has the same records after reopening") {
   std::string path = std::filesystem::temp_directory_path().string() + "/corkward-storage-XXXXXX";
   REQUIRE(::mkdtemp(path.data()) != nullptr);
   {
-    std::unique_ptr<storage::Directory> const folder = storage::openDirectory(path);
-    storage::WriteAheadLog log(*folder, 200);
+    std::unique_ptr<storage::Directory> const directory = storage::openDirectory(path);
+    storage::WriteAheadLog log(*directory, 200);
     log.recover();
     for (int i = 0; i < 50; ++i) log.write({{"k" + std::to_string(i % 4), std::to_string(i)}});
   }
-  std::unique_ptr<storage::Directory> const folder = storage::openDirectory(path);
-  CHECK(storage::WriteAheadLog(*folder, 200).recover().slots.at("k1") == "49");
+  std::unique_ptr<storage::Directory> const directory = storage::openDirectory(path);
+  CHECK(storage::WriteAheadLog(*directory, 200).recover().slots.at("k1") == "49");
   std::filesystem::remove_all(path);
 }
--- a/testing/golden/folder.h
+++ b/testing/golden/folder.h
@@ -79,16 +79,16 @@
 }
 
 /// A folder in memory that notes each change.
-class NotingFolder : public storage::CrashFolder {
+class NotingFolder : public storage::CrashDirectory {
  public:
   NotingFolder() = default;
   /// A folder that comes back from the disk with these files.
   explicit NotingFolder(Files const& files) {
     for (auto const& [name, bytes] : files) {
-      storage::CrashFolder::append(name, bytes);
-      storage::CrashFolder::sync(name);
+      storage::CrashDirectory::append(name, bytes);
+      storage::CrashDirectory::sync(name);
     }
-    storage::CrashFolder::syncDirectory();
+    storage::CrashDirectory::syncDirectory();
   }
 
   /// Changes so far, one a line.
@@ -98,27 +98,27 @@
 
   void append(std::string const& name, std::string const& bytes) override {
     note("append " + name + " " + std::to_string(bytes.size()) + " bytes");
-    storage::CrashFolder::append(name, bytes);
+    storage::CrashDirectory::append(name, bytes);
   }
   void sync(std::string const& name) override {
     note("sync " + name);
-    storage::CrashFolder::sync(name);
+    storage::CrashDirectory::sync(name);
   }
   void rename(std::string const& from, std::string const& to) override {
     note("rename " + from + " to " + to);
-    storage::CrashFolder::rename(from, to);
+    storage::CrashDirectory::rename(from, to);
   }
   void remove(std::string const& name) override {
     note("remove " + name);
-    if (!losesRemovals) storage::CrashFolder::remove(name);
+    if (!losesRemovals) storage::CrashDirectory::remove(name);
   }
   void truncate(std::string const& name, std::uint64_t size) override {
     note("truncate " + name + " to " + std::to_string(size) + " bytes");
-    storage::CrashFolder::truncate(name, size);
+    storage::CrashDirectory::truncate(name, size);
   }
   void syncDirectory() override {
     note("sync folder");
-    storage::CrashFolder::syncDirectory();
+    storage::CrashDirectory::syncDirectory();
   }
 
  private:
