--- a/core/include/corkward/core/error.h
+++ b/core/include/corkward/core/error.h
@@ -5,19 +5,19 @@
 
 namespace corkward::core {
 
-/// Root of all errors; each layer derives its own and turns those from below.
+/// Base class of all errors. Each package derives its own errors from it and converts errors of the packages it uses.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// A broken invariant.
+/// A violated invariant (CORKWARD_INVARIANT): a fault in the code.
 class InvariantError : public Error {
  public:
   using Error::Error;
 };
 
-/// Text that is not valid JSON, with the place.
+/// A text is not valid JSON, or contains JSON that is not supported.
 class JsonError : public Error {
  public:
   using Error::Error;
--- a/core/include/corkward/core/file_descriptor.h
+++ b/core/include/corkward/core/file_descriptor.h
@@ -5,13 +5,14 @@
 
 namespace corkward::core {
 
-/// Owns one file descriptor of the operating system and closes it at the end of its scope.
+/// Owns one file descriptor of the operating system and closes it on destruction.
 class FileDescriptor {
  public:
+  /// Value of an object that owns no descriptor.
   static constexpr int none = -1;
 
   FileDescriptor() = default;
-  /// Takes ownership; a negative number, as failed system calls return it, is no descriptor.
+  /// Takes ownership of the descriptor. A negative number, which failed system calls return, means that there is none.
   explicit FileDescriptor(int descriptor) : descriptor_(descriptor) {}
   ~FileDescriptor() { reset(); }
   FileDescriptor(FileDescriptor const&) = delete;
--- a/core/include/corkward/core/guarantees.h
+++ b/core/include/corkward/core/guarantees.h
@@ -8,66 +8,69 @@
 
 namespace corkward::core {
 
-/// What the fleet guarantees to callers and operators, as far as one process can check it while it runs. Unlike
-/// CORKWARD_INVARIANT, whose break leaves no state to go on with, a violated guarantee is counted, logged and survived.
+/// Guarantees of the fleet to callers and operators that one process can check while it runs. A violated guarantee is
+/// counted and logged, and the process goes on. This differs from CORKWARD_INVARIANT, after whose violation the state
+/// of the process cannot be relied on.
 enum class Guarantee : std::size_t {
-  /// A request that may run once is handed over again only after "not run".
+  /// A request that may be executed only once is dispatched again only after the response "not run".
   runsOnce,
-  /// "Not run" is said of no request that may have run.
+  /// The response "not run" is never given for a request that may have been executed.
   notExecutedIsTrue,
-  /// No request is handed to more replicas than its path allows.
+  /// No request is dispatched to more replicas than its path allows.
   withinAttempts,
-  /// A request goes only to a replica that is in use, of a pool that its path names in the newest configuration.
+  /// A request is dispatched only to a replica in use, of a pool that its path names in the newest configuration.
   allowedReplica,
-  /// A replica is told of no more time than the caller has left.
+  /// The deadline that is sent to a replica is not later than the caller's deadline.
   timeLeft,
-  /// No revision that a process holds of a key falls during its life.
+  /// The revision of a key never decreases in a process.
   revisionsRise,
-  /// No revision of a key has two values.
+  /// A revision of a key has only one value.
   oneValuePerRevision,
-  /// No two changes are confirmed on one revision of a key.
+  /// At most one change that is based on the same revision of a key is confirmed.
   oneChangePerRevision,
-  /// What a controller serves as current is no older than what it had committed when it was asked.
+  /// What a controller serves as the current value is at least as new as what was committed when the request arrived.
   currentWhenServed,
-  /// An answer that is finished has as many bytes as its head says.
+  /// A complete response has as many bytes as its head announces.
   completeResponses,
-  /// No request gets a second head.
+  /// No request gets more than one response head.
   singleResponse,
-  /// Events of one answer have rising ids.
+  /// The events of one response have increasing ids.
   eventsInOrder,
 };
 
 inline constexpr std::size_t guaranteeCount = 12;
 
-/// Name of a guarantee in logs and metrics.
+/// Returns the name of a guarantee in logs and metrics.
 char const* nameOf(Guarantee guarantee);
 
-/// Counts of the calling thread, which owns the reducer that it drives. A process has one such thread; simulated runs
-/// have one for each world.
+/// Counts of violated guarantees on one thread. A process checks guarantees only on the thread that runs its reducer. A
+/// simulation runs each simulated cluster on a thread of its own, so the counts of clusters do not mix.
 class GuaranteeCounts {
  public:
-  /// Counts of the calling thread.
+  /// Returns the counts of the calling thread.
   static GuaranteeCounts& ofThread();
 
-  /// Counts one violation and logs it; of each guarantee only the first few are logged.
+  /// Counts one violation and logs it. Only the first violations of each guarantee are logged.
   void recordViolation(Guarantee guarantee, std::string const& detail);
   std::uint64_t count(Guarantee guarantee) const { return counts_.at(static_cast<std::size_t>(guarantee)); }
   std::uint64_t total() const;
-  /// One line for each guarantee that was violated since the last call, with its first detail; forgets them.
+  /// Returns one line for each guarantee that was violated since the last call, with the detail of the first violation.
   std::vector<std::string> takeNewViolations();
 
  private:
   std::array<std::uint64_t, guaranteeCount> counts_{};
+  /// Counts as of the last call of takeNewViolations.
   std::array<std::uint64_t, guaranteeCount> reported_{};
+  /// Details of the first violations since that call.
   std::array<std::string, guaranteeCount> details_{};
 };
 
-/// Every guarantee with its count as lines of a metrics page, also those that were never violated.
+/// Returns the counts of all guarantees, including those that were never violated, as lines of a metrics page.
 std::string guaranteeMetrics();
 
 }  // namespace corkward::core
 
-/// Checks a guarantee; the detail is built only when it is violated.
+/// Checks a guarantee. The detail is evaluated only if the guarantee is violated.
 #define CORKWARD_GUARANTEE(guarantee, condition, detail)                                                \
   do {                                                                                                  \
     if (!(condition)) ::corkward::core::GuaranteeCounts::ofThread().recordViolation(guarantee, detail); \
--- a/core/include/corkward/core/http_method.h
+++ b/core/include/corkward/core/http_method.h
@@ -5,11 +5,11 @@
 
 namespace corkward::core {
 
-/// Methods of HTTP/1.1 (RFC 9110, section 9; PATCH of RFC 5789) that the fleet's edges and pages tell apart. Other ones
-/// pass a router as the text that the caller wrote.
+/// Methods of HTTP/1.1 (RFC 9110, section 9; PATCH: RFC 5789) that the fleet's HTTP servers distinguish. A router
+/// forwards a request with another method under the text that the caller sent.
 enum class HttpMethod { get, head, post, put, patch, del, options };
 
-/// The method as it stands on the wire.
+/// Returns the method's text on the wire.
 constexpr std::string_view name(HttpMethod method) {
   switch (method) {
     case HttpMethod::get:
@@ -30,7 +30,7 @@
   return "";
 }
 
-/// The method of a request line; nothing for one that is not in the list. Methods are case-sensitive.
+/// Returns the method with this text, or std::nullopt if the text is not one of HttpMethod. Methods are case-sensitive.
 constexpr std::optional<HttpMethod> httpMethodOf(std::string_view text) {
   for (HttpMethod const method : {HttpMethod::get, HttpMethod::head, HttpMethod::post, HttpMethod::put,
                                   HttpMethod::patch, HttpMethod::del, HttpMethod::options})
--- a/core/include/corkward/core/http_status.h
+++ b/core/include/corkward/core/http_status.h
@@ -2,7 +2,8 @@
 
 namespace corkward::core {
 
-/// Status codes of HTTP/1.1 (RFC 9110, section 15; 429 of RFC 6585) that the fleet's pages and edges answer with.
+/// Status codes of HTTP/1.1 (RFC 9110, section 15; 428, 429 and 431: RFC 6585) that the fleet's HTTP servers respond
+/// with.
 enum class HttpStatus : int {
   continueRequest = 100,
   switchingProtocols = 101,
@@ -34,12 +35,12 @@
   httpVersionNotSupported = 505,
 };
 
-/// The code as it stands on the wire.
+/// Returns the status code on the wire.
 constexpr int code(HttpStatus status) {
   return static_cast<int>(status);
 }
 
-/// Lowest code of the class of client errors: answers from there on are failures.
+/// Lowest status code of client errors. Responses with this code or a greater one are failures.
 inline constexpr int firstErrorCode = 400;
 
 }  // namespace corkward::core
--- a/core/include/corkward/core/journal.h
+++ b/core/include/corkward/core/journal.h
@@ -10,35 +10,40 @@
 
 namespace corkward::core {
 
-/// One event as the journal keeps it.
-struct Entry {
+/// One event in the journal.
+struct JournalEntry {
+  /// Counts the appended events, from 1.
   std::uint64_t number = 0;
   Milliseconds at = 0;
-  std::string what;
-  std::string about;
+  /// Name of the event.
+  std::string event;
+  /// The object that the event concerns, for example a key or a link address.
+  std::string subject;
 };
 
-/// Bounded in-memory journal: events are appended, views are folded from them.
+/// An in-memory journal of events with a bounded number of entries, and with counts of all events.
 class Journal {
  public:
-  explicit Journal(std::size_t bound = 4096) : bound_(bound) {}
-  /// Appends one event; the oldest goes when the bound is reached.
-  void append(Milliseconds at, std::string what, std::string about);
-  /// Folds the kept entries into a view, oldest first.
-  template <class View, class Fold>
-  View fold(View view, Fold fold) const {
-    for (Entry const& e : entries_) view = fold(std::move(view), e);
-    return view;
+  /// @param maxEntries number of entries that are kept
+  explicit Journal(std::size_t maxEntries = 4096) : maxEntries_(maxEntries) {}
+  /// Appends one event. Removes the oldest entry if there are more than the bound allows.
+  void append(Milliseconds at, std::string event, std::string subject);
+  /// Reduces the entries to one value, from the oldest to the newest.
+  template <class Value, class Reduce>
+  Value reduce(Value value, Reduce reduce) const {
+    for (JournalEntry const& e : entries_) value = reduce(std::move(value), e);
+    return value;
   }
-  /// The standing view: how often each event has been appended, those included that the bound has let go.
+  /// Returns how often each event was appended, including entries that have been removed.
   std::map<std::string, std::uint64_t> const& counts() const { return counts_; }
-  std::uint64_t last() const { return next_; }
+  /// Number of the newest entry, or 0 if there is none.
+  std::uint64_t last() const { return lastNumber_; }
   std::size_t size() const { return entries_.size(); }
 
  private:
-  std::size_t bound_;
-  std::uint64_t next_ = 0;
-  std::deque<Entry> entries_;
+  std::size_t maxEntries_;
+  std::uint64_t lastNumber_ = 0;
+  std::deque<JournalEntry> entries_;
   std::map<std::string, std::uint64_t> counts_;
 };
 
--- a/core/include/corkward/core/json.h
+++ b/core/include/corkward/core/json.h
@@ -8,16 +8,17 @@
 
 namespace corkward::core {
 
-/// Parses and checks JSON with simdjson; throws JsonError. Duplicate keys and depth over 32 are rejected.
+/// Parses and checks JSON with simdjson. Throws JsonError if the text is not valid JSON, has duplicate keys in an
+/// object, is nested deeper than 32, or has an integer that does not fit into 64 bits with sign.
 QJsonValue parseJson(std::string_view text);
 
-/// Compact text of a value, keys in order.
+/// Returns the compact text of a value, with sorted keys.
 std::string jsonText(QJsonValue const& value);
 
-/// JSON Merge Patch (RFC 7396).
+/// Returns the target with a JSON Merge Patch (RFC 7396) applied.
 QJsonValue mergePatch(QJsonValue const& target, QJsonValue const& patch);
 
-/// Shorthands between the string types.
+// Conversions between the string types of Qt and the standard library.
 inline std::string toStdString(QString const& s) {
   return s.toStdString();
 }
--- a/core/include/corkward/core/log.h
+++ b/core/include/corkward/core/log.h
@@ -8,24 +8,25 @@
 
 namespace corkward::core {
 
-/// Least level of the events that are logged.
+/// Severity of a logged event. Events below the configured level are not logged.
 enum class LogLevel { trace, debug, info, warn, error };
 
-/// The level as settings write it.
+/// Returns the name of the level in settings.
 std::string_view name(LogLevel level);
-/// The level of a settings text; nothing for another text.
+/// Returns the level with this name, or std::nullopt if there is none.
 std::optional<LogLevel> logLevelOf(std::string_view text);
 
-/// Sets log4cxx up: one key=value line per event.
-/// @param node name of this process in each line
-/// @param file path of the log file; empty: standard error
+/// Configures log4cxx to write each event as one line of key=value pairs.
+/// @param node name of this process, which each line contains
+/// @param file path of the log file, or empty for standard error
+/// @param level lowest level of the events that are logged
 void startLog(std::string const& node, std::string const& file, LogLevel level);
 
-/// Writes one event as a key=value line, at the level info.
+/// Logs an event at the level info.
 void writeLog(LogEvent const& logEvent);
-/// The same at the level warn: a request of a caller or operator failed.
+/// Logs an event at the level warn. Used when a request of a caller or operator failed.
 void writeWarning(LogEvent const& logEvent);
-/// The same at the level error: a runtime invariant was violated.
+/// Logs an event at the level error. Used when a guarantee was violated.
 void writeError(LogEvent const& logEvent);
 
 }  // namespace corkward::core
--- a/core/include/corkward/core/log_event.h
+++ b/core/include/corkward/core/log_event.h
@@ -10,9 +10,12 @@
 /// docs/operations.md lists them all with their fields.
 class EventName {
  public:
-  /// @param name how the event is called in logs, and the label under which metrics pages count it
+  /// @param name name of the event in logs, and its label in metrics
   constexpr EventName(char const* name = "") : logName_(name), metricLabel_(name) {}
-  /// @param metricLabel label of earlier releases: dashboards select by it, so it stays when the log's name changes
+  /// @param logName name of the event in logs
+  /// @param metricLabel its label in metrics. Dashboards select by the label of earlier releases, so it stays the same
+  /// when
+  ///   the name in logs changes
   constexpr EventName(char const* logName, char const* metricLabel) : logName_(logName), metricLabel_(metricLabel) {}
 
   constexpr std::string_view logName() const { return logName_; }
@@ -24,7 +27,7 @@
   std::string_view metricLabel_;
 };
 
-/// One line of a log: an event and its key=value pairs.
+/// An event with its fields, which is one line of the log.
 struct LogEvent {
   EventName event;
   std::map<std::string, std::string> fields = {};
--- a/core/include/corkward/core/types.h
+++ b/core/include/corkward/core/types.h
@@ -14,23 +14,25 @@
 /// machine is suspended.
 using Milliseconds = std::int64_t;
 
-/// Dense index of a name, given out at the HTTP edge.
+/// Dense index of a name such as a tenant, pool or replica. InternedNames assigns it.
 using NameIndex = std::uint32_t;
 
-/// Maps names to dense indices. An index is reused only after its name was released.
+/// Maps names to dense indices and back. An index is reused only after its name was released.
 class InternedNames {
  public:
-  /// Index of the name, made if it is new.
+  /// Returns the index of the name, and assigns one if the name is new.
   NameIndex intern(std::string const& name);
-  /// Index of the name, or none.
+  /// Returned by find() for a name without an index.
   static constexpr NameIndex none = ~NameIndex{0};
+  /// Returns the index of the name, or `none`.
   NameIndex find(std::string const& name) const;
-  /// Forgets a name; its index may be given to another one.
-  void release(NameIndex ix);
-  /// Names that are known now.
+  /// Removes a name. Its index may be assigned to another name.
+  void release(NameIndex index);
+  /// Number of names that have an index.
   std::size_t count() const { return byName_.size(); }
-  /// Name of an index that was given out.
-  std::string const& name(NameIndex ix) const;
+  /// Returns the name of an assigned index.
+  std::string const& name(NameIndex index) const;
+  /// Number of indices that were ever assigned, which is greater than every assigned index.
   std::size_t size() const { return names_.size(); }
 
  private:
@@ -39,29 +41,30 @@
   std::vector<NameIndex> free_;
 };
 
-/// Small seeded generator; the seed comes in with an event, so reducers stay pure.
+/// Pseudo-random generator (SplitMix64). Reducers get the seed from outside, so that they stay deterministic.
 class RandomGenerator {
  public:
   explicit RandomGenerator(std::uint64_t seed = 1) : s_(seed * 0x9E3779B97F4A7C15ULL + 0x1234567ULL) {}
+  /// Returns 64 random bits.
   std::uint64_t next();
-  /// Uniform in [0, bound); 0 when bound is 0.
+  /// Returns a uniformly distributed number below `bound`, or 0 if `bound` is 0.
   std::uint64_t below(std::uint64_t bound) { return bound == 0 ? 0 : next() % bound; }
-  /// True with the given probability.
+  /// Returns true with the given probability, from 0 to 1.
   bool chance(double p) { return static_cast<double>(next() >> 11) * 0x1.0p-53 < p; }
 
  private:
   std::uint64_t s_;
 };
 
-/// Stable hash of a text, equal on every machine.
+/// Returns a hash of the text that is the same on every machine.
 std::uint64_t stableHash(std::string const& text);
 
-/// Throws InvariantError.
-[[noreturn]] void failInvariant(char const* what, char const* file, int line);
+/// Throws an InvariantError that names the condition and the source line.
+[[noreturn]] void failInvariant(char const* condition, char const* file, int line);
 
 }  // namespace corkward::core
 
-/// Checks an invariant inside the code; a broken one stops the process.
+/// Checks an invariant of the code. A violation throws InvariantError, which ends the process.
 #define CORKWARD_INVARIANT(cond)                                             \
   do {                                                                       \
     if (!(cond)) ::corkward::core::failInvariant(#cond, __FILE__, __LINE__); \
--- a/core/include/corkward/core/workers.h
+++ b/core/include/corkward/core/workers.h
@@ -9,23 +9,25 @@
 
 namespace corkward::core {
 
-/// A pool of workers. Lock order in every process: the workers' queue lock is the last one taken,
-/// and nothing is called while it is held.
+/// A pool of worker threads. Lock order in every process: the lock of the job queue is acquired after all other locks,
+/// and no other function is called while it is held.
 class WorkerPool {
  public:
+  /// @param count number of threads
   explicit WorkerPool(unsigned count);
+  /// Runs the queued jobs and waits for them.
   ~WorkerPool();
   WorkerPool(WorkerPool const&) = delete;
   WorkerPool& operator=(WorkerPool const&) = delete;
   WorkerPool(WorkerPool&&) = delete;
   WorkerPool& operator=(WorkerPool&&) = delete;
-  /// Queues a job; a job never throws.
+  /// Queues a job, which must not throw.
   void run(std::function<void()> job);
 
  private:
-  void loop();
-  std::mutex lock_;
-  std::condition_variable more_;
+  void runJobs();
+  std::mutex mutex_;
+  std::condition_variable changed_;
   std::deque<std::function<void()>> jobs_;
   bool stopping_ = false;
   std::vector<std::thread> threads_;
--- a/core/src/core.cpp
+++ b/core/src/core.cpp
@@ -8,16 +8,16 @@
 NameIndex InternedNames::intern(std::string const& name) {
   auto const it = byName_.find(name);
   if (it != byName_.end()) return it->second;
-  auto ix = static_cast<NameIndex>(names_.size());
+  auto index = static_cast<NameIndex>(names_.size());
   if (free_.empty()) {
     names_.push_back(name);
   } else {
-    ix = free_.back();
+    index = free_.back();
     free_.pop_back();
-    names_[ix] = name;
+    names_[index] = name;
   }
-  byName_.emplace(name, ix);
-  return ix;
+  byName_.emplace(name, index);
+  return index;
 }
 
 NameIndex InternedNames::find(std::string const& name) const {
@@ -25,15 +25,15 @@
   return it == byName_.end() ? none : it->second;
 }
 
-void InternedNames::release(NameIndex ix) {
-  CORKWARD_INVARIANT(ix < names_.size() && byName_.erase(names_[ix]) == 1);
-  names_[ix].clear();
-  free_.push_back(ix);
+void InternedNames::release(NameIndex index) {
+  CORKWARD_INVARIANT(index < names_.size() && byName_.erase(names_[index]) == 1);
+  names_[index].clear();
+  free_.push_back(index);
 }
 
-std::string const& InternedNames::name(NameIndex ix) const {
-  CORKWARD_INVARIANT(ix < names_.size());
-  return names_[ix];
+std::string const& InternedNames::name(NameIndex index) const {
+  CORKWARD_INVARIANT(index < names_.size());
+  return names_[index];
 }
 
 std::uint64_t RandomGenerator::next() {
@@ -51,43 +51,43 @@
   return RandomGenerator(h).next();
 }
 
-void failInvariant(char const* what, char const* file, int line) {
-  throw InvariantError(std::string("broken invariant: ") + what + " at " + file + ":" + std::to_string(line));
+void failInvariant(char const* condition, char const* file, int line) {
+  throw InvariantError(std::string("broken invariant: ") + condition + " at " + file + ":" + std::to_string(line));
 }
 
-void Journal::append(Milliseconds at, std::string what, std::string about) {
-  ++counts_[what];
-  entries_.push_back(Entry{++next_, at, std::move(what), std::move(about)});
-  if (entries_.size() > bound_) entries_.pop_front();
+void Journal::append(Milliseconds at, std::string event, std::string subject) {
+  ++counts_[event];
+  entries_.push_back(JournalEntry{++lastNumber_, at, std::move(event), std::move(subject)});
+  if (entries_.size() > maxEntries_) entries_.pop_front();
 }
 
 WorkerPool::WorkerPool(unsigned count) {
-  for (unsigned i = 0; i < count; ++i) threads_.emplace_back([this] { loop(); });
+  for (unsigned i = 0; i < count; ++i) threads_.emplace_back([this] { runJobs(); });
 }
 
 WorkerPool::~WorkerPool() {
   {
-    std::lock_guard<std::mutex> const hold(lock_);
+    std::lock_guard<std::mutex> const lock(mutex_);
     stopping_ = true;
   }
-  more_.notify_all();
+  changed_.notify_all();
   for (std::thread& t : threads_) t.join();
 }
 
 void WorkerPool::run(std::function<void()> job) {
   {
-    std::lock_guard<std::mutex> const hold(lock_);
+    std::lock_guard<std::mutex> const lock(mutex_);
     jobs_.push_back(std::move(job));
   }
-  more_.notify_one();
+  changed_.notify_one();
 }
 
-void WorkerPool::loop() {
+void WorkerPool::runJobs() {
   for (;;) {
     std::function<void()> job;
     {
-      std::unique_lock<std::mutex> hold(lock_);
-      more_.wait(hold, [this] { return stopping_ || !jobs_.empty(); });
+      std::unique_lock<std::mutex> lock(mutex_);
+      changed_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
       if (jobs_.empty()) return;
       job = std::move(jobs_.front());
       jobs_.pop_front();
--- a/core/src/events.h
+++ b/core/src/events.h
@@ -6,7 +6,7 @@
 
 namespace corkward::core::events {
 
-/// A guarantee that holds at run time was found violated; the process goes on.
+/// A guarantee was violated. The process goes on.
 inline constexpr EventName guaranteeViolated{"guarantee-violated"};
 
 }  // namespace corkward::core::events
--- a/core/src/guarantees.cpp
+++ b/core/src/guarantees.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-constexpr std::uint64_t loggedOfEach = 20;
+/// Number of violations of each guarantee that are logged.
+constexpr std::uint64_t maxLoggedViolations = 20;
 
 constexpr std::array<char const*, guaranteeCount> names{"runs-once",
                                                         "not-run-is-true",
@@ -39,7 +40,7 @@
   auto const index = static_cast<std::size_t>(guarantee);
   ++counts_.at(index);
   if (counts_.at(index) == reported_.at(index) + 1) details_.at(index) = detail;
-  if (counts_.at(index) <= loggedOfEach)
+  if (counts_.at(index) <= maxLoggedViolations)
     writeError(LogEvent{events::guaranteeViolated, {{"guarantee", nameOf(guarantee)}, {"detail", detail}}});
 }
 
@@ -50,9 +51,9 @@
 std::vector<std::string> GuaranteeCounts::takeNewViolations() {
   std::vector<std::string> out;
   for (std::size_t index = 0; index < guaranteeCount; ++index) {
-    std::uint64_t const fresh = counts_.at(index) - reported_.at(index);
-    if (fresh == 0) continue;
-    out.push_back(std::string("guarantee ") + names.at(index) + " violated " + std::to_string(fresh) +
+    std::uint64_t const unreported = counts_.at(index) - reported_.at(index);
+    if (unreported == 0) continue;
+    out.push_back(std::string("guarantee ") + names.at(index) + " violated " + std::to_string(unreported) +
                   " times, first: " + details_.at(index));
     reported_.at(index) = counts_.at(index);
   }
--- a/core/src/json.cpp
+++ b/core/src/json.cpp
@@ -12,21 +12,21 @@
 
 constexpr int maxDepth = 32;
 
-/// Denies what the values of Qt cannot hold or would hold differently.
-void check(simdjson::dom::element const e, int depth) {
+/// Throws JsonError for values that Qt's types cannot represent, or would represent differently.
+void checkRepresentable(simdjson::dom::element const e, int depth) {
   if (depth > maxDepth) throw JsonError("nested deeper than 32");
   if (e.type() == simdjson::dom::element_type::UINT64) throw JsonError("integer out of range");
   if (e.is_array())
-    for (simdjson::dom::element const item : simdjson::dom::array(e)) check(item, depth + 1);
+    for (simdjson::dom::element const item : simdjson::dom::array(e)) checkRepresentable(item, depth + 1);
   if (!e.is_object()) return;
   std::vector<std::string_view> keys;
   for (simdjson::dom::key_value_pair const field : simdjson::dom::object(e)) {
     keys.push_back(field.key);
-    check(field.value, depth + 1);
+    checkRepresentable(field.value, depth + 1);
   }
   std::sort(keys.begin(), keys.end());
-  auto const twice = std::adjacent_find(keys.begin(), keys.end());
-  if (twice != keys.end()) throw JsonError("duplicate key \"" + std::string(*twice) + "\"");
+  auto const duplicate = std::adjacent_find(keys.begin(), keys.end());
+  if (duplicate != keys.end()) throw JsonError("duplicate key \"" + std::string(*duplicate) + "\"");
 }
 
 }  // namespace
@@ -36,7 +36,7 @@
   simdjson::dom::element root;
   simdjson::error_code const ec = parser.parse(text.data(), text.size()).get(root);
   if (ec != simdjson::SUCCESS) throw JsonError(simdjson::error_message(ec));
-  check(root, 0);
+  checkRepresentable(root, 0);
   QJsonParseError error;
   QJsonArray const wrapped =
       QJsonDocument::fromJson("[" + QByteArray::fromRawData(text.data(), static_cast<qsizetype>(text.size())) + "]",
--- a/core/test/core_test.cpp
+++ b/core/test/core_test.cpp
@@ -15,7 +15,7 @@
   struct MergeCase {
     char const* target;
     char const* patch;
-    char const* want;
+    char const* expected;
   };
   constexpr MergeCase cases[] = {{R"({"a":"b"})", R"({"a":"c"})", R"({"a":"c"})"},
                                  {R"({"a":"b"})", R"({"a":null})", R"({})"},
@@ -24,11 +24,11 @@
                                  {R"({"e":null})", R"({"a":1})", R"({"a":1,"e":null})"},
                                  {R"([1,2])", R"({"a":"b","c":null})", R"({"a":"b"})"},
                                  {R"({})", R"({"a":{"bb":{"ccc":null}}})", R"({"a":{"bb":{}}})"}};
-  for (MergeCase const& r : cases)
-    CHECK(core::jsonText(core::mergePatch(core::parseJson(r.target), core::parseJson(r.patch))) == r.want);
+  for (MergeCase const& c : cases)
+    CHECK(core::jsonText(core::mergePatch(core::parseJson(c.target), core::parseJson(c.patch))) == c.expected);
 }
 
-TEST_CASE("bad JSON is rejected, never guessed at") {
+TEST_CASE("text that is not valid JSON, duplicate keys, and too deep nesting are rejected") {
   for (char const* text : {"", "{", "{\"a\":1,\"a\":2}", "[1,]", "nul", "{\"a\":18446744073709551615}", "\"\xff\""})
     CHECK_THROWS_AS(core::parseJson(text), core::JsonError);
   std::string deep(40, '[');
@@ -36,18 +36,18 @@
   CHECK_THROWS_AS(core::parseJson(deep), core::JsonError);
 }
 
-TEST_CASE("JSON is read as it was written") {
-  struct MergeCase {
+TEST_CASE("valid JSON keeps its values when it is parsed and written, and invalid JSON is rejected") {
+  struct ParseCase {
     char const* text;
-    char const* want;
+    char const* expected;
   };
-  constexpr MergeCase cases[] = {
+  constexpr ParseCase cases[] = {
       {"7", "7"},
       {" \"x\" ", "\"x\""},
       {"null", "null"},
       {"[9223372036854775807,-9223372036854775808]", "[9223372036854775807,-9223372036854775808]"},
       {R"({"b":[{},[],true,null,0.5],"a":"\u00e9\n"})", R"({"a":"é\n","b":[{},[],true,null,0.5]})"}};
-  for (MergeCase const& r : cases) CHECK(core::jsonText(core::parseJson(r.text)) == r.want);
+  for (ParseCase const& c : cases) CHECK(core::jsonText(core::parseJson(c.text)) == c.expected);
   CHECK(core::parseJson("[3.0]").toArray().first().toInteger() == 3);
   CHECK(core::parseJson("[1e2]").toArray().first().toInteger() == 100);
   for (char const* text : {R"({"a":1,"\u0061":2})", R"([{"x":{"a":1,"b":2,"a":3}}])", "[18446744073709551615]", "1 2",
@@ -57,7 +57,7 @@
   CHECK_THROWS_AS(core::parseJson(std::string(34, '[') + std::string(34, ']')), core::JsonError);
 }
 
-TEST_CASE("names get dense indices and the journal stays bounded") {
+TEST_CASE("names get dense indices, and the journal keeps a bounded number of entries") {
   core::InternedNames names;
   CHECK(names.intern("a") == 0);
   CHECK(names.intern("b") == 1);
@@ -66,20 +66,20 @@
   core::Journal j(8);
   for (int i = 0; i < 100; ++i) j.append(i, "x", "y");
   CHECK(j.size() == 8);
-  CHECK(j.fold(std::uint64_t{0}, [](std::uint64_t, core::Entry const& e) { return e.number; }) == 100);
+  CHECK(j.reduce(std::uint64_t{0}, [](std::uint64_t, core::JournalEntry const& e) { return e.number; }) == 100);
   CHECK(j.counts().at("x") == 100);
 }
 
-TEST_CASE("a violated guarantee is counted and reported, and the process goes on") {
+TEST_CASE("a violated guarantee is counted and reported once, and the process goes on") {
   core::GuaranteeCounts& counts = core::GuaranteeCounts::ofThread();
   std::uint64_t const before = counts.count(core::Guarantee::runsOnce);
-  int made = 0;
+  int detailsBuilt = 0;
   auto const detail = [&] {
-    ++made;
-    return "request r" + std::to_string(made);
+    ++detailsBuilt;
+    return "request r" + std::to_string(detailsBuilt);
   };
   CORKWARD_GUARANTEE(core::Guarantee::runsOnce, true, detail());
-  CHECK(made == 0);
+  CHECK(detailsBuilt == 0);
   CORKWARD_GUARANTEE(core::Guarantee::runsOnce, false, detail());
   CORKWARD_GUARANTEE(core::Guarantee::runsOnce, false, detail());
   CHECK(counts.count(core::Guarantee::runsOnce) == before + 2);
--- a/core/test/file_descriptor_test.cpp
+++ b/core/test/file_descriptor_test.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-TEST_CASE("a file descriptor is closed by its last owner, once") {
+TEST_CASE("a file descriptor is closed exactly once, by the object that owns it last") {
   int const number = ::dup(STDERR_FILENO);
   REQUIRE(number >= 0);
   {
@@ -30,7 +30,7 @@
   CHECK_FALSE(isOpen(number));
 }
 
-TEST_CASE("reset closes the descriptor that was owned before") {
+TEST_CASE("reset closes the previously owned descriptor") {
   int const before = ::dup(STDERR_FILENO);
   int const after = ::dup(STDERR_FILENO);
   FileDescriptor descriptor(before);
--- a/core/test/http_method_test.cpp
+++ b/core/test/http_method_test.cpp
@@ -5,13 +5,13 @@
 namespace core = corkward::core;
 using core::HttpMethod;
 
-TEST_CASE("methods are read as they are written") {
+TEST_CASE("the text of each method is parsed to the same method") {
   for (HttpMethod const method : {HttpMethod::get, HttpMethod::head, HttpMethod::post, HttpMethod::put,
                                   HttpMethod::patch, HttpMethod::del, HttpMethod::options})
     CHECK(core::httpMethodOf(core::name(method)) == method);
   CHECK(core::name(HttpMethod::del) == "DELETE");
 }
 
-TEST_CASE("methods that are not known, or in other case, are none") {
+TEST_CASE("an unknown method, or one in lower case, is parsed to no method") {
   for (char const* const text : {"", "get", "TRACE", "GETS", " GET"}) CHECK_FALSE(core::httpMethodOf(text));
 }
--- a/core/test/log_level_test.cpp
+++ b/core/test/log_level_test.cpp
@@ -5,7 +5,7 @@
 namespace core = corkward::core;
 using core::LogLevel;
 
-TEST_CASE("log levels are read as they are written") {
+TEST_CASE("the name of each log level is parsed to the same level, and other names are rejected") {
   for (LogLevel const level : {LogLevel::trace, LogLevel::debug, LogLevel::info, LogLevel::warn, LogLevel::error})
     CHECK(core::logLevelOf(core::name(level)) == level);
   for (char const* const text : {"", "INFO", "fatal", "information"}) CHECK_FALSE(core::logLevelOf(text));
