--- a/dataplane/include/corkward/dataplane/request_router.h
+++ b/dataplane/include/corkward/dataplane/request_router.h
@@ -187,7 +187,7 @@
     Milliseconds backoffUntil = 0;
     /// Requests of this router that are connecting to the replica or in progress on it.
     int inFlight = 0;
-    scaling::Reliability reliability;
+    scaling::CircuitBreaker reliability;
     /// Excluded from the choice because it fails more often than others of its pool; see ejectOutliers.
     bool ejected = false;
   };
--- a/dataplane/src/admission_queues.cpp
+++ b/dataplane/src/admission_queues.cpp
@@ -26,9 +26,9 @@
     Replica const& r = replicas_[ix];
     bool const warmingUp = r.state == config::ReplicaState::warmingUp;
     for (Milliseconds const at :
-         {r.backoffUntil, warmingUp ? warmupLeases_.expiresAt(ix) : 0, r.reliability.restUntil()})
+         {r.backoffUntil, warmingUp ? warmupLeases_.expiresAt(ix) : 0, r.reliability.suspendedUntil()})
       if (at > now) view.changesAt = std::min(view.changesAt, at);
-    if (usable(now, ix) && !(r.ejected && r.reliability.isResting(now)))
+    if (usable(now, ix) && !(r.ejected && r.reliability.isSuspended(now)))
       all.push_back(scaling::Candidate{ix, warmingUp, r.hash});
   }
   std::map<std::string, scaling::Candidates> candidates = regimePolicy_.candidatesByRegime(all);
@@ -37,7 +37,7 @@
   view.bindingsChanged = false;
   for (auto entry = queues_.lower_bound({pool, 0}); entry != queues_.end() && entry->first.first == pool; ++entry) {
     entry->second.scaler.setCandidates(candidatesOf(view, regimePolicy_.regimeOf(entry->first.second)));
-    if (!entry->second.scaler.isAtRest()) activate(now, entry->first);
+    if (!entry->second.scaler.isIdle()) activate(now, entry->first);
   }
 }
 
--- a/dataplane/src/replica_choice.cpp
+++ b/dataplane/src/replica_choice.cpp
@@ -63,7 +63,7 @@
   Route const& route = routes_[call.path];
   double const meanTime = queues_.at({call.pool, route.instance}).scaler.firstByteMean();
   return static_cast<double>(took) >
-         tuning_.scalerParameters.lateTargets * std::max(static_cast<double>(route.path.latencyTarget), meanTime);
+         tuning_.scalerParameters.overdueFactor * std::max(static_cast<double>(route.path.latencyTarget), meanTime);
 }
 
 void RequestRouter::backOff(NameIndex replica, Milliseconds until) {
@@ -155,7 +155,7 @@
       choices.push_back(c);
   std::function<bool(scaling::Candidate const&)> const isAvoided = [&](scaling::Candidate const& candidate) {
     Replica const& r = replicas_[candidate.replica];
-    return r.ejected && (r.reliability.isResting(now) || r.inFlight > 0);
+    return r.ejected && (r.reliability.isSuspended(now) || r.inFlight > 0);
   };
   if (!std::all_of(choices.begin(), choices.end(), isAvoided)) std::erase_if(choices, isAvoided);
   if (call.request.segments.size() < 2) {
--- a/dataplane/src/request_router.cpp
+++ b/dataplane/src/request_router.cpp
@@ -59,7 +59,7 @@
 
 void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
                        transport::GossipShuffle const& m) {
-  std::vector<transport::Send> sends = partialView_.arrived(now, from, m);
+  std::vector<transport::Send> sends = partialView_.onShuffle(now, from, m);
   std::move(sends.begin(), sends.end(), std::back_inserter(out.sends));
 }
 
@@ -185,7 +185,7 @@
   for (QueueKey const& key : keys) evaluateQueue(out, now, key);
   std::erase_if(activeQueues_, [&](QueueKey const& key) {
     AdmissionQueue const& queue = queues_.at(key);
-    return queue.queuedCount() == 0 && queue.scaler.isAtRest();
+    return queue.queuedCount() == 0 && queue.scaler.isIdle();
   });
 }
 
--- a/dataplane/test/request_router_test.cpp
+++ b/dataplane/test/request_router_test.cpp
@@ -714,9 +714,9 @@
 
 TEST_CASE("the subset starts with and grows by the affinity replica of an arriving prompt") {
   dataplane::RouterTuning tuning;
-  tuning.scalerParameters.width = 0.005;
+  tuning.scalerParameters.excessPerReplica = 0.005;
   tuning.scalerParameters.initialLimit = 1;
-  tuning.scalerParameters.steady = 0.7;
+  tuning.scalerParameters.limitRaiseLatencyRatio = 0.7;
   tuning.scalerParameters.minLimit = 0.05;
   tuning.scalerParameters.limitDecay = 0.9;
   for (std::uint64_t first = 0; first < 20; ++first) {
@@ -928,8 +928,8 @@
     t.leaseRequired = false;
     t.startupGracePeriod = 0;
     t.scalerParameters.limitDecay = 0.9;
-    t.scalerParameters.steady = 0.7;
-    t.scalerParameters.width = 0.5;
+    t.scalerParameters.limitRaiseLatencyRatio = 0.7;
+    t.scalerParameters.excessPerReplica = 0.5;
     return t;
   }
   ReferenceScalers() : tuning(tuningWithoutLease()), reducer(RouterFixture::self(), {"s1"}, seed, tuning) {
