--- a/core/include/corkward/core/log_event.h
+++ b/core/include/corkward/core/log_event.h
@@ -13,9 +13,8 @@
   /// @param name name of the event in logs, and its label in metrics
   constexpr EventName(char const* name = "") : logName_(name), metricLabel_(name) {}
   /// @param logName name of the event in logs
-  /// @param metricLabel its label in metrics. Dashboards select by the label of earlier releases, so it stays the same
-  /// when
-  ///   the name in logs changes
+  /// @param metricLabel its label in metrics. Dashboards select by the label of earlier releases, so it must not change
+  ///   when the name in logs changes.
   constexpr EventName(char const* logName, char const* metricLabel) : logName_(logName), metricLabel_(metricLabel) {}
 
   constexpr std::string_view logName() const { return logName_; }
