--- a/testing/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -57,7 +57,7 @@
   r.turn = nextRun_++;
   std::uint64_t const turn = r.turn;
   if (m.events && streams_.count({n.link, m.call}) == 0) streams_[{n.link, m.call}].expectEvents("");
-  streams_[{n.link, m.call}].connecting(m.resume);
+  streams_[{n.link, m.call}].onConnecting(m.resume);
   std::vector<Idle>& idle = idle_[{n.link, m.address}];
   while (m.incarnation.empty() && !idle.empty() && !r.reused) {
     Idle const last = idle.back();
