--- a/testing/capacity/fleet.cpp
+++ b/testing/capacity/fleet.cpp
@@ -54,7 +54,7 @@
     p.zone = static_cast<int>(ix % sizes.zones);
     p.region = static_cast<int>(p.zone % sizes.regions);
     p.link = address(control ? 1 : 2, static_cast<std::size_t>(ix), 7400);
-    if (control) p.disk = std::make_unique<SimDisk>();
+    if (control) p.disk = std::make_unique<SimulatedDisk>();
     byLink_[p.link] = processes_.size();
     processes_.push_back(std::move(p));
     dark_.push_back(false);
--- a/testing/capacity/fleet.h
+++ b/testing/capacity/fleet.h
@@ -31,7 +31,7 @@
   std::uint64_t incarnation = 0;
   std::unique_ptr<control::Controller> control;
   std::unique_ptr<dataplane::RequestRouter> data;
-  std::unique_ptr<SimDisk> disk;
+  std::unique_ptr<SimulatedDisk> disk;
   std::unique_ptr<storage::WriteAheadLog> writeAheadLog;
   Milliseconds diskFree = 0;
 };
--- a/testing/sim/callers.cpp
+++ b/testing/sim/callers.cpp
@@ -6,8 +6,8 @@
 namespace corkward::testing {
 
 void SimulatedCluster::callerArrives() {
-  if (quiet_) return;
-  double const gap = -std::log(1.0 - static_cast<double>(rng_.below(1000000)) / 1000000.0) * 1000.0 / demandNow_;
+  if (loadStopped_) return;
+  double const gap = -std::log(1.0 - static_cast<double>(rng_.below(1000000)) / 1000000.0) * 1000.0 / currentDemand_;
   after(std::max<Milliseconds>(1, static_cast<Milliseconds>(gap)), [this] { callerArrives(); });
   Caller c;
   c.id = "c" + std::to_string(nextCaller_++);
@@ -30,9 +30,9 @@
   if (c.cls != "urgent" && rng_.chance(0.03) && !lastMark_.empty()) c.path = lastMark_;
   if (c.cls != "urgent")
     c.prefix = rng_.chance(0.3) ? "hot" : "p" + std::to_string(rng_.below(static_cast<std::uint64_t>(plan_.prefixes)));
-  c.hard = rng_.chance(hardShare_);
-  c.numbered = rng_.chance(0.7);
-  c.began = now_;
+  c.aggressive = rng_.chance(aggressiveFraction_);
+  c.sendsAttemptNumbers = rng_.chance(0.7);
+  c.startedAt = now_;
   c.deadline = now_ + callerPatience * 2;
   ++result_.counts["requests"];
   std::string const id = c.id;
@@ -62,7 +62,7 @@
   c.incarnation = n.incarnation;
   c.call = nextCall_++;
   c.open = true;
-  c.brokenOff = false;
+  c.responseReset = false;
   c.attemptAt = now_;
   callerOf_[{n.link, c.call}] = id;
   dataplane::Request r;
@@ -70,10 +70,10 @@
   r.instance = c.instance;
   r.path = c.path;
   r.id = id;
-  r.attempt = c.numbered ? c.attempt : 0;
-  r.ageMs = now_ - c.began;
+  r.attempt = c.sendsAttemptNumbers ? c.attempt : 0;
+  r.ageMs = now_ - c.startedAt;
   r.prefix = c.prefix;
-  r.earlierNotExecuted = c.numbered && c.attempt > 1 && c.earlierNotRun;
+  r.earlierNotExecuted = c.sendsAttemptNumbers && c.attempt > 1 && c.earlierNotRun;
   r.earlierReachedReplica = c.earlierReached;
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
@@ -95,8 +95,8 @@
   });
 }
 
-bool SimulatedCluster::again(Caller& c) {
-  if (!plan_.fenced || !c.hard || c.attempt >= 12 || now_ > c.deadline) return false;
+bool SimulatedCluster::retryUnprompted(Caller& c) {
+  if (!plan_.fenced || !c.aggressive || c.attempt >= 12 || now_ > c.deadline) return false;
   c.open = false;
   c.firstTokenReceived = false;
   c.earlierNotRun = false;
@@ -110,18 +110,18 @@
   ++result_.counts["denied-" + std::to_string(d.status) + (d.status == 409 ? " " + d.reason : "")];
   c.earlierReached = c.earlierReached || d.reachedReplica;
   if (d.notExecuted) {
-    rejectedNotRun_.insert({id, c.call});
-    if (ranAttempts_.count({id, c.call}) > 0) violation("rejected as not run, but ran: " + id);
+    rejectedAsNotExecuted_.insert({id, c.call});
+    if (executedAttempts_.count({id, c.call}) > 0) violation("rejected as not run, but ran: " + id);
   }
-  if (!d.notExecuted && again(c)) return;
-  bool const back = plan_.fenced && d.notExecuted && (d.retryAfter > 0 || c.hard) && c.attempt < (c.hard ? 12U : 4U) &&
-                    now_ < c.deadline;
+  if (!d.notExecuted && retryUnprompted(c)) return;
+  bool const back = plan_.fenced && d.notExecuted && (d.retryAfter > 0 || c.aggressive) &&
+                    c.attempt < (c.aggressive ? 12U : 4U) && now_ < c.deadline;
   if (!back) {
     callerEnds(id, d.notExecuted ? "denied" : "unknown");
     return;
   }
-  Milliseconds const wait = c.hard ? static_cast<Milliseconds>(20 + rng_.below(100))
-                                   : d.retryAfter * 1000 + static_cast<Milliseconds>(rng_.below(500));
+  Milliseconds const wait = c.aggressive ? static_cast<Milliseconds>(20 + rng_.below(100))
+                                         : d.retryAfter * 1000 + static_cast<Milliseconds>(rng_.below(500));
   after(wait, [this, id] { callerSends(id); });
 }
 
@@ -131,7 +131,7 @@
   Caller& c = it->second;
   c.open = false;
   c.earlierNotRun = false;
-  if (c.status < 500 && !c.got.empty() && !oneBody(c))
+  if (c.status < 500 && !c.got.empty() && !isUninterrupted(c))
     violation("a stream has a gap, a repeat or a join, and was cut: " + id);
   if (!plan_.fenced || c.firstTokenReceived || c.attempt >= 4 || now_ > c.deadline) {
     callerEnds(id, c.firstTokenReceived ? "broken" : "cut");
@@ -143,7 +143,7 @@
 void SimulatedCluster::callerEnds(std::string const& id, std::string const& outcome) {
   ++result_.counts[outcome];
   callers_.at(id).open = false;
-  if (outcome == "served") servedSince_ = true;
+  if (outcome == "served") servedSinceOutage_ = true;
 }
 
 }  // namespace corkward::testing
--- a/testing/sim/disk.cpp
+++ b/testing/sim/disk.cpp
@@ -2,101 +2,101 @@
 
 namespace corkward::testing {
 
-std::vector<std::string> SimDisk::list() {
+std::vector<std::string> SimulatedDisk::list() {
   std::vector<std::string> out;
   for (auto const& [name, file] : files_) out.push_back(name);
   return out;
 }
 
-std::string SimDisk::read(std::string const& name) {
+std::string SimulatedDisk::read(std::string const& name) {
   return files_.at(name)->bytes;
 }
 
-void SimDisk::step() {
-  if (left_ < 0) return;
-  if (left_ == 0) throw storage::StorageError("the process is no more");
-  --left_;
+void SimulatedDisk::countOperation() {
+  if (operationsLeft_ < 0) return;
+  if (operationsLeft_ == 0) throw storage::StorageError("the process has exited");
+  --operationsLeft_;
 }
 
-void SimDisk::named(NameChange change) {
-  if (looseNames) loose_.push_back(std::move(change));
+void SimulatedDisk::recordNameChange(NameChange change) {
+  if (namesLostSeparately) unsyncedNameChanges_.push_back(std::move(change));
 }
 
-void SimDisk::append(std::string const& name, std::string const& bytes) {
-  step();
+void SimulatedDisk::append(std::string const& name, std::string const& bytes) {
+  countOperation();
   if (full) throw storage::StorageError("no space left");
   std::shared_ptr<File>& file = files_[name];
   if (!file) {
     file = std::make_shared<File>();
-    named(NameChange{"", name, file});
+    recordNameChange(NameChange{"", name, file});
   }
   file->bytes += bytes;
 }
 
-void SimDisk::sync(std::string const& name) {
-  step();
+void SimulatedDisk::sync(std::string const& name) {
+  countOperation();
   if (failing) throw storage::StorageError("sync failed");
-  if (!lying) files_.at(name)->synced = files_.at(name)->bytes.size();
+  if (!skipsSync) files_.at(name)->synced = files_.at(name)->bytes.size();
 }
 
-void SimDisk::rename(std::string const& from, std::string const& to) {
-  step();
+void SimulatedDisk::rename(std::string const& from, std::string const& to) {
+  countOperation();
   std::shared_ptr<File> const file = files_.at(from);
   files_[to] = file;
   files_.erase(from);
-  named(NameChange{from, to, file});
+  recordNameChange(NameChange{from, to, file});
 }
 
-void SimDisk::remove(std::string const& name) {
-  step();
+void SimulatedDisk::remove(std::string const& name) {
+  countOperation();
   std::shared_ptr<File> const file = files_.at(name);
   files_.erase(name);
-  named(NameChange{name, "", file});
+  recordNameChange(NameChange{name, "", file});
 }
 
-void SimDisk::truncate(std::string const& name, std::uint64_t size) {
-  step();
+void SimulatedDisk::truncate(std::string const& name, std::uint64_t size) {
+  countOperation();
   files_.at(name)->bytes.resize(size);
   files_.at(name)->synced = size;
 }
 
-void SimDisk::syncDirectory() {
-  step();
-  if (!looseNames || lyingNames) return;
-  safe_ = files_;
-  loose_.clear();
+void SimulatedDisk::syncDirectory() {
+  countOperation();
+  if (!namesLostSeparately || directorySkipsSync) return;
+  syncedNames_ = files_;
+  unsyncedNameChanges_.clear();
 }
 
-void SimDisk::wipe() {
+void SimulatedDisk::wipe() {
   files_.clear();
-  safe_.clear();
-  loose_.clear();
+  syncedNames_.clear();
+  unsyncedNameChanges_.clear();
 }
 
-void SimDisk::loseNames(core::RandomGenerator& rng) {
-  for (NameChange const& change : loose_) {
+void SimulatedDisk::loseNames(core::RandomGenerator& rng) {
+  for (NameChange const& change : unsyncedNameChanges_) {
     if (rng.chance(0.5)) {
-      ++lostNames_;
+      ++lostNameChanges_;
       continue;
     }
-    auto const removedName = safe_.find(change.removedName);
-    if (removedName != safe_.end() && removedName->second == change.file) safe_.erase(removedName);
-    if (!change.fresh.empty()) safe_[change.fresh] = change.file;
+    auto const removedName = syncedNames_.find(change.removedName);
+    if (removedName != syncedNames_.end() && removedName->second == change.file) syncedNames_.erase(removedName);
+    if (!change.addedName.empty()) syncedNames_[change.addedName] = change.file;
   }
-  loose_.clear();
-  files_ = safe_;
+  unsyncedNameChanges_.clear();
+  files_ = syncedNames_;
 }
 
-void SimDisk::powerLoss(core::RandomGenerator& rng) {
+void SimulatedDisk::powerLoss(core::RandomGenerator& rng) {
   for (auto& [name, file] : files_) {
-    std::size_t const loose = file->bytes.size() - file->synced;
-    file->bytes.resize(file->synced + (lying ? 0 : rng.below(loose + 1)));
+    std::size_t const unsynced = file->bytes.size() - file->synced;
+    file->bytes.resize(file->synced + (skipsSync ? 0 : rng.below(unsynced + 1)));
     file->synced = file->bytes.size();
   }
-  if (looseNames) loseNames(rng);
+  if (namesLostSeparately) loseNames(rng);
 }
 
-bool SimDisk::damage(core::RandomGenerator& rng) {
+bool SimulatedDisk::damage(core::RandomGenerator& rng) {
   for (auto& [name, file] : files_) {
     if (name.rfind("damaged-", 0) == 0 || file->bytes.size() < 64) continue;
     file->bytes[rng.below(file->bytes.size() / 2)] ^= 4;
@@ -105,7 +105,7 @@
   return false;
 }
 
-void SimDisk::tear(std::string const& bytes, core::RandomGenerator& rng) {
+void SimulatedDisk::tear(std::string const& bytes, core::RandomGenerator& rng) {
   std::string last;
   for (auto const& [name, file] : files_)
     if (name.rfind("segment-", 0) == 0) last = name;
--- a/testing/sim/disk.h
+++ b/testing/sim/disk.h
@@ -11,17 +11,18 @@
 
 namespace corkward::testing {
 
-/// A simulated disk: keeps what was synced; of the rest a random part when the power goes.
-class SimDisk : public storage::Directory {
+/// A simulated disk. At a power loss it keeps all synced bytes and a random prefix of the unsynced bytes of each file.
+class SimulatedDisk : public storage::Directory {
  public:
   bool full = false;
   bool failing = false;
-  /// Mutation: says "synced" without keeping anything safe.
-  bool lying = false;
-  /// At a loss of power each creation, renaming and removal since the folder was last synced is kept or lost by itself.
-  bool looseNames = false;
-  /// Mutation: syncing the folder makes no name safe.
-  bool lyingNames = false;
+  /// Mutation: sync succeeds without making anything durable.
+  bool skipsSync = false;
+  /// At a power loss, each creation, renaming and removal of a file since the last sync of the directory is kept or
+  /// lost independently.
+  bool namesLostSeparately = false;
+  /// Mutation: syncing the directory makes no name change durable.
+  bool directorySkipsSync = false;
 
   std::vector<std::string> list() override;
   std::string read(std::string const& name) override;
@@ -34,14 +35,15 @@
 
   void powerLoss(core::RandomGenerator& rng);
   void wipe();
-  /// Flips one bit somewhere in the oldest file. False when there is nothing to damage.
+  /// Flips one bit in the first half of the oldest file. Returns false if there is no file to damage.
   bool damage(core::RandomGenerator& rng);
-  /// Appends bytes that were under way when the power went.
+  /// Appends a random prefix of the bytes that were being written when the process was killed.
   void tear(std::string const& bytes, core::RandomGenerator& rng);
-  /// After so many more operations every further one is refused, as for a process that is no more; -1: never.
-  void stopAfter(int operations) { left_ = operations; }
-  /// How many names were lost in all.
-  std::size_t lostNames() const { return lostNames_; }
+  /// Lets this many more operations succeed and makes every later one throw, as if the process had exited. -1 removes
+  /// the limit.
+  void stopAfter(int operations) { operationsLeft_ = operations; }
+  /// Number of name changes that power losses have dropped.
+  std::size_t lostNameChanges() const { return lostNameChanges_; }
 
  private:
   struct File {
@@ -49,24 +51,24 @@
     std::size_t synced = 0;
   };
   using Names = std::map<std::string, std::shared_ptr<File>>;
-  /// A change of the folder that is not synced yet; an empty name stands for none.
+  /// A change of the directory that is not synced yet. An empty name means that no name is removed or added.
   struct NameChange {
     std::string removedName;
-    std::string fresh;
+    std::string addedName;
     std::shared_ptr<File> file;
   };
 
-  /// Counts an operation towards the last one.
-  void step();
-  void named(NameChange change);
+  /// Counts an operation towards the limit set by stopAfter; throws StorageError if the limit is reached.
+  void countOperation();
+  void recordNameChange(NameChange change);
   void loseNames(core::RandomGenerator& rng);
 
   Names files_;
-  /// Names as they stand after a loss of power, and what was done since.
-  Names safe_;
-  std::vector<NameChange> loose_;
-  int left_ = -1;
-  std::size_t lostNames_ = 0;
+  /// Names at the last sync of the directory, and the changes since.
+  Names syncedNames_;
+  std::vector<NameChange> unsyncedNameChanges_;
+  int operationsLeft_ = -1;
+  std::size_t lostNameChanges_ = 0;
 };
 
 }  // namespace corkward::testing
--- a/testing/sim/faults.cpp
+++ b/testing/sim/faults.cpp
@@ -25,27 +25,30 @@
   for (FaultName const& entry : faultTable)
     if (entry.fault == f) result_.timeline.push_back(std::to_string(now_) + " " + entry.name);
   ++result_.counts["faults"];
-  if (f >= firstOfControl) {
-    causeOfControl(f);
+  if (f >= firstControlFault) {
+    causeControlFault(f);
     return;
   }
-  constexpr std::array<Fault, 19> hitsReturn{
-      Fault::killHerd,  Fault::killControl,    Fault::freezeController,  Fault::isolateMember,
-      Fault::splitCore, Fault::partitionCore,  Fault::partitionZone,     Fault::oneWayPartition,
-      Fault::diskSlow,  Fault::diskStall,      Fault::diskFull,          Fault::diskFail,
-      Fault::powerLoss, Fault::diskDamage,     Fault::restartController, Fault::longAbsence,
-      Fault::zoneLoss,  Fault::slowController, Fault::resetConnections};
-  if (totalOutage_ && std::find(hitsReturn.begin(), hitsReturn.end(), f) != hitsReturn.end()) returnHit_ = true;
+  constexpr std::array<Fault, 19> delaysRecovery{
+      Fault::killMany,        Fault::killControllers, Fault::freezeController,
+      Fault::isolateMember,   Fault::splitFleet,      Fault::partitionControllers,
+      Fault::partitionZone,   Fault::oneWayPartition, Fault::diskSlow,
+      Fault::diskStall,       Fault::diskFull,        Fault::diskFail,
+      Fault::powerLoss,       Fault::diskDamage,      Fault::restartController,
+      Fault::longAbsence,     Fault::zoneLoss,        Fault::slowController,
+      Fault::resetConnections};
+  if (restartAfterOutage_ && std::find(delaysRecovery.begin(), delaysRecovery.end(), f) != delaysRecovery.end())
+    faultDuringRestart_ = true;
   std::vector<Node*> control;
   std::vector<Node*> data;
   for (auto& [address, machine] : nodes_)
     if (machine.alive) (machine.disk ? control : data).push_back(&machine);
   std::vector<Replica*> models;
   for (auto& [replicaAddress, modelReplica] : replicas_)
-    if (modelReplica.up && !modelReplica.dark && modelReplica.listed && modelReplica.state == "serving" &&
+    if (modelReplica.up && !modelReplica.poweredOff && modelReplica.listed && modelReplica.state == "serving" &&
         modelReplica.pool == "model")
       models.push_back(&modelReplica);
-  Milliseconds const shortly = 500 + static_cast<Milliseconds>(rng_.below(6000));
+  Milliseconds const recoveryDelay = 500 + static_cast<Milliseconds>(rng_.below(6000));
   auto const bootLater = [this](Node& n, Milliseconds delay) {
     std::string const link = n.link;
     after(delay, [this, link] {
@@ -53,7 +56,7 @@
       if (k != nullptr && !k->alive) boot(*k);
     });
   };
-  auto const cut = [this](std::vector<std::string> const& a, std::vector<std::string> const& b, Milliseconds how) {
+  auto const cut = [this](std::vector<std::string> const& a, std::vector<std::string> const& b, Milliseconds duration) {
     std::vector<std::pair<std::string, std::string>> pairs;
     for (std::string const& x : a)
       for (std::string const& y : b)
@@ -62,7 +65,7 @@
           pairs.emplace_back(y, x);
         }
     for (std::pair<std::string, std::string> const& p : pairs) cuts_.insert(p);
-    after(how, [this, pairs] {
+    after(duration, [this, pairs] {
       for (std::pair<std::string, std::string> const& p : pairs) cuts_.erase(p);
     });
   };
@@ -78,47 +81,47 @@
       if (!data.empty()) {
         Node& n = *data[rng_.below(data.size())];
         kill(n, false);
-        bootLater(n, shortly);
+        bootLater(n, recoveryDelay);
       }
       break;
-    case Fault::killHerd:
+    case Fault::killMany:
       for (Node* const n : data)
         if (rng_.chance(0.6)) {
           kill(*n, false);
-          bootLater(*n, shortly + static_cast<Milliseconds>(rng_.below(2000)));
+          bootLater(*n, recoveryDelay + static_cast<Milliseconds>(rng_.below(2000)));
         }
       for (Node* const n : control)
         if (rng_.chance(0.4)) {
           kill(*n, rng_.chance(0.5));
-          bootLater(*n, shortly + static_cast<Milliseconds>(rng_.below(2000)));
+          bootLater(*n, recoveryDelay + static_cast<Milliseconds>(rng_.below(2000)));
         }
       break;
-    case Fault::killControl:
+    case Fault::killControllers:
       for (Node* const n : control) {
         kill(*n, rng_.chance(0.5));
-        bootLater(*n, shortly + 2000);
+        bootLater(*n, recoveryDelay + 2000);
       }
       break;
     case Fault::killAll: {
-      if (totalOutage_) break;
-      totalOutage_ = true;
+      if (restartAfterOutage_) break;
+      restartAfterOutage_ = true;
       Milliseconds const back = 1500;
       for (auto& [name, process] : nodes_) {
         kill(process, true);
-        if (plan_.mutation == Mutation::noReturn && process.disk) continue;
+        if (plan_.mutation == Mutation::controllersStayDown && process.disk) continue;
         bootLater(process, back);
       }
       after(back, [this] {
         cuts_.clear();
         zoneCuts_.clear();
         loss_ = 0;
-        returnHit_ = false;
-        servedSince_ = false;
+        faultDuringRestart_ = false;
+        servedSinceOutage_ = false;
       });
       after(back + 12000, [this] {
-        totalOutage_ = false;
-        if (!servedSince_ && !returnHit_) violation("service was not back 12 s after a total outage");
-        servedSince_ = true;
+        restartAfterOutage_ = false;
+        if (!servedSinceOutage_ && !faultDuringRestart_) violation("service was not back 12 s after a total outage");
+        servedSinceOutage_ = true;
       });
       break;
     }
@@ -130,27 +133,27 @@
         freeze(*control[rng_.below(control.size())], 500 + static_cast<Milliseconds>(rng_.below(8000)));
       break;
     case Fault::isolateMember:
-      if (!control.empty()) cut({control[rng_.below(control.size())]->link}, allLinks, shortly + 1000);
+      if (!control.empty()) cut({control[rng_.below(control.size())]->link}, allLinks, recoveryDelay + 1000);
       break;
-    case Fault::splitCore: {
+    case Fault::splitFleet: {
       std::vector<std::string> a;
       std::vector<std::string> b;
       for (std::string const& l : allLinks) (rng_.chance(0.5) ? a : b).push_back(l);
-      cut(a, b, shortly + 1000);
+      cut(a, b, recoveryDelay + 1000);
       break;
     }
-    case Fault::partitionCore:
-      cut(controlLinks, dataLinks, shortly + 2000);
+    case Fault::partitionControllers:
+      cut(controlLinks, dataLinks, recoveryDelay + 2000);
       break;
     case Fault::partitionZone: {
       std::string const z = "z" + std::to_string(1 + rng_.below(static_cast<std::uint64_t>(plan_.zones)));
       zoneCuts_.insert(z);
-      after(shortly + 1000, [this, z] { zoneCuts_.erase(z); });
+      after(recoveryDelay + 1000, [this, z] { zoneCuts_.erase(z); });
       break;
     }
     case Fault::isolateRouter:
       if (!data.empty())
-        cut({data[rng_.below(data.size())]->link}, allLinks, shortly + (rng_.chance(0.4) ? 10000 : 1500));
+        cut({data[rng_.below(data.size())]->link}, allLinks, recoveryDelay + (rng_.chance(0.4) ? 10000 : 1500));
       break;
     case Fault::oneWayPartition: {
       std::string const a = allLinks[rng_.below(allLinks.size())];
@@ -158,7 +161,7 @@
       for (std::string const& l : allLinks)
         if (rng_.chance(0.5)) pairs.emplace_back(rng_.chance(0.5) ? std::pair(a, l) : std::pair(l, a));
       for (std::pair<std::string, std::string> const& p : pairs) cuts_.insert(p);
-      after(shortly + 1000, [this, pairs] {
+      after(recoveryDelay + 1000, [this, pairs] {
         for (std::pair<std::string, std::string> const& p : pairs) cuts_.erase(p);
       });
       break;
@@ -167,7 +170,7 @@
       if (!control.empty()) {
         Node& n = *control[rng_.below(control.size())];
         n.diskDelay = 200 + static_cast<Milliseconds>(rng_.below(900));
-        after(shortly, [this, link = n.link] {
+        after(recoveryDelay, [this, link = n.link] {
           if (Node* const k = node(link)) k->diskDelay = 2;
         });
       }
@@ -176,7 +179,7 @@
       if (!control.empty()) {
         Node& n = *control[rng_.below(control.size())];
         n.diskStalled = true;
-        after(shortly, [this, link = n.link] {
+        after(recoveryDelay, [this, link = n.link] {
           Node* const k = node(link);
           if (k == nullptr) return;
           k->diskStalled = false;
@@ -190,7 +193,7 @@
       if (!control.empty()) {
         Node& n = *control[rng_.below(control.size())];
         (f == Fault::diskFull ? n.disk->full : n.disk->failing) = true;
-        after(shortly, [this, link = n.link] {
+        after(recoveryDelay, [this, link = n.link] {
           Node* const k = node(link);
           if (k == nullptr) return;
           if (k->alive) kill(*k, false);
@@ -203,14 +206,14 @@
         Node& n = *control[rng_.below(control.size())];
         kill(n, false);
         n.disk->damage(rng_);
-        bootLater(n, shortly);
+        bootLater(n, recoveryDelay);
       }
       break;
     case Fault::powerLoss:
       for (Node* const n : control)
         if (rng_.chance(0.5)) {
           kill(*n, true);
-          bootLater(*n, shortly);
+          bootLater(*n, recoveryDelay);
         }
       break;
     case Fault::wipeSameAddress:
@@ -220,20 +223,20 @@
       kill(n, true);
       if (f == Fault::wipeSameAddress) {
         n.disk->wipe();
-        n.diskSince = now_;
-        bootLater(n, shortly);
+        n.diskContentSince = now_;
+        bootLater(n, recoveryDelay);
       } else {
         ++newAddresses_;
-        Node fresh;
-        fresh.link = "s9";
-        fresh.zone = n.zone;
-        fresh.disk = std::make_unique<SimDisk>();
-        fresh.disk->looseNames = plan_.looseNames;
-        fresh.diskSince = now_;
+        Node added;
+        added.link = "s9";
+        added.zone = n.zone;
+        added.disk = std::make_unique<SimulatedDisk>();
+        added.disk->namesLostSeparately = plan_.namesLostSeparately;
+        added.diskContentSince = now_;
         std::string const old = n.link;
         nodes_.erase(old);
-        nodes_.emplace("s9", std::move(fresh));
-        bootLater(nodes_.at("s9"), shortly);
+        nodes_.emplace("s9", std::move(added));
+        bootLater(nodes_.at("s9"), recoveryDelay);
       }
       break;
     }
@@ -241,17 +244,17 @@
       if (models.size() > 2) {
         Replica& r = *models[rng_.below(models.size())];
         crash(r);
-        after(shortly, [this, a = r.address] { replicas_.at(a).up = true; });
+        after(recoveryDelay, [this, a = r.address] { replicas_.at(a).up = true; });
       }
       break;
     case Fault::breakStreams:
-      for (Milliseconds t = 0; t < shortly; t += 200)
+      for (Milliseconds t = 0; t < recoveryDelay; t += 200)
         after(t, [this] {
           for (auto& [key, target] : replicas_)
             if (target.pool == "model" && rng_.chance(0.7)) breakStreams(target);
         });
       break;
-    case Fault::breakMany:
+    case Fault::crashManyReplicas:
       for (Replica* const r : models)
         if (rng_.chance(0.6)) {
           crash(*r);
@@ -259,14 +262,14 @@
                 [this, a = r->address] { replicas_.at(a).up = true; });
         }
       break;
-    case Fault::replicaDark:
+    case Fault::replicaPowerOff:
       if (models.size() > 2) {
         Replica& r = *models[rng_.below(models.size())];
-        r.dark = true;
-        after(shortly, [this, a = r.address] {
+        r.poweredOff = true;
+        after(recoveryDelay, [this, a = r.address] {
           Replica& k = replicas_.at(a);
           crash(k);
-          k.dark = false;
+          k.poweredOff = false;
           k.up = true;
         });
       }
@@ -277,26 +280,26 @@
         crash(r);
         after(2000, [this, a = r.address] {
           replicas_.at(a).listed = false;
-          platform();
+          publishEndpointLists();
         });
       }
       break;
     case Fault::allSlow:
       for (auto& [key, target] : replicas_) target.slow = 12.0;
-      after(shortly + 3000, [this] {
+      after(recoveryDelay + 3000, [this] {
         for (auto& [key, target] : replicas_) target.slow = 1.0;
       });
       break;
-    case Fault::crowd:
-      demandNow_ = plan_.demand * 6;
-      after(shortly, [this] { demandNow_ = plan_.demand; });
+    case Fault::requestBurst:
+      currentDemand_ = plan_.demand * 6;
+      after(recoveryDelay, [this] { currentDemand_ = plan_.demand; });
       break;
-    case Fault::hardRetries:
-      hardShare_ = 0.7;
-      demandNow_ = plan_.demand * 4;
-      after(shortly + 2000, [this] {
-        hardShare_ = 0;
-        demandNow_ = plan_.demand;
+    case Fault::aggressiveRetries:
+      aggressiveFraction_ = 0.7;
+      currentDemand_ = plan_.demand * 4;
+      after(recoveryDelay + 2000, [this] {
+        aggressiveFraction_ = 0;
+        currentDemand_ = plan_.demand;
       });
       break;
     case Fault::rollReplicas:
@@ -304,7 +307,7 @@
       if (models.size() > 3) {
         Replica& r = *models[rng_.below(models.size())];
         r.state = "leaving";
-        platform();
+        publishEndpointLists();
         after(9000, [this, a = r.address] { replaceReplica(a); });
       }
       break;
@@ -326,16 +329,16 @@
             after(50, *poll);
             return;
           }
-          std::size_t hurt = 0;
+          std::size_t dropped = 0;
           for (auto const& [id, caller] : callers_)
-            hurt += caller.open && caller.node == link && caller.incarnation == incarnation &&
-                            caller.firstTokenReceived && !caller.brokenOff
-                        ? 1
-                        : 0;
-          if (hurt > 0)
-            violation("a planned restart dropped " + std::to_string(hurt) + " requests in hand at " + link +
-                      ", which still held " + std::to_string(k.data->pendingCount()) + ", " +
-                      std::to_string(until - now_) + " ms before its limit");
+            dropped += caller.open && caller.node == link && caller.incarnation == incarnation &&
+                               caller.firstTokenReceived && !caller.responseReset
+                           ? 1
+                           : 0;
+          if (dropped > 0)
+            violation("a planned restart dropped " + std::to_string(dropped) + " pending requests at " + link +
+                      ", which still had " + std::to_string(k.data->pendingCount()) + ", " +
+                      std::to_string(until - now_) + " ms before the drain limit");
           ++result_.counts["planned-restarts"];
           kill(k, false);
           boot(k);
@@ -347,8 +350,8 @@
       if (control.size() >= static_cast<std::size_t>(plan_.controllers)) {
         Node& n = *control[rng_.below(control.size())];
         if (n.frozen) break;
-        // A member that drains may leave the set before its process ends.
-        memberTroubledAt_ = now_;
+        // A draining member may leave the membership before its process exits.
+        lastControllerFaultAt_ = now_;
         run(n, n.control->drain(local(n)));
         after(500, [this, link = n.link, incarnation = n.incarnation] {
           Node* const k = node(link);
@@ -381,60 +384,60 @@
       break;
     case Fault::evacuate: {
       std::string const z = "z" + std::to_string(1 + rng_.below(static_cast<std::uint64_t>(plan_.zones)));
-      if (zoneShown_.count(z) > 0) break;
-      zoneShown_[z] = {now_, false};
+      if (evacuations_.count(z) > 0) break;
+      evacuations_[z] = {now_, false};
       change("zone:" + z, "evacuate", "PUT", "/v1/evacuations/" + z, "", "", "",
              [this, z](int status, QJsonObject const&) {
-               if (status == 200) zoneShown_[z] = {now_, true};
+               if (status == 200) evacuations_[z] = {now_, true};
                after(9000, [this, z] {
-                 zoneShown_[z] = {now_, false};
+                 evacuations_[z] = {now_, false};
                  change("zone:" + z, "lift", "DELETE", "/v1/evacuations/" + z, "", "", "",
-                        [this, z](int, QJsonObject const&) { zoneShown_.erase(z); });
+                        [this, z](int, QJsonObject const&) { evacuations_.erase(z); });
                });
              });
       break;
     }
     case Fault::wallClockJump:
       wallJump_ = static_cast<Milliseconds>(rng_.below(2000000)) - 1000000;
-      if (plan_.regimes) wallJump_ = std::max(wallJump_, -mostBack);
-      break;
-    case Fault::growCore:
-      if (grown_ < 3) {
-        Node fresh;
-        fresh.link = "t" + std::to_string(++grown_);
-        fresh.zone = "z" + std::to_string(1 + rng_.below(static_cast<std::uint64_t>(plan_.zones)));
-        fresh.disk = std::make_unique<SimDisk>();
-        std::string const link = fresh.link;
-        boot(nodes_.emplace(link, std::move(fresh)).first->second);
+      if (plan_.regimes) wallJump_ = std::max(wallJump_, -maxClockStepBack);
+      break;
+    case Fault::addController:
+      if (addedControllers_ < 3) {
+        Node added;
+        added.link = "t" + std::to_string(++addedControllers_);
+        added.zone = "z" + std::to_string(1 + rng_.below(static_cast<std::uint64_t>(plan_.zones)));
+        added.disk = std::make_unique<SimulatedDisk>();
+        std::string const link = added.link;
+        boot(nodes_.emplace(link, std::move(added)).first->second);
       }
       break;
     case Fault::longAbsence:
       if (!control.empty()) {
         Node& n = *control[rng_.below(control.size())];
-        Milliseconds const how = plan_.replaceDarkAfter + 500 + static_cast<Milliseconds>(rng_.below(6000));
+        Milliseconds const duration = plan_.replaceUnreachableAfter + 500 + static_cast<Milliseconds>(rng_.below(6000));
         switch (rng_.below(3)) {
           case 0:
-            freeze(n, how);
+            freeze(n, duration);
             break;
           case 1:
-            cut({n.link}, allLinks, how);
+            cut({n.link}, allLinks, duration);
             break;
           default:
             kill(n, rng_.chance(0.5));
-            bootLater(n, how);
+            bootLater(n, duration);
         }
       }
       break;
     case Fault::greyReplicas:
       if (models.size() > 2) {
         std::size_t const count = 1 + rng_.below(models.size() / 3);
-        Milliseconds const how = 12000 + static_cast<Milliseconds>(rng_.below(12000));
+        Milliseconds const duration = 12000 + static_cast<Milliseconds>(rng_.below(12000));
         for (std::size_t i = 0; i < count; ++i) {
           Replica& r = *models[rng_.below(models.size())];
           if (r.grey > 0) continue;
           r.grey = 0.4 + 0.1 * static_cast<double>(rng_.below(5));
           r.greySince = now_;
-          after(how, [this, a = r.address] { replicas_.at(a).grey = 0; });
+          after(duration, [this, a = r.address] { replicas_.at(a).grey = 0; });
         }
       }
       break;
@@ -442,7 +445,7 @@
       for (std::size_t i = 0; i < 3 && models.size() > 4; ++i) {
         std::string const a = models[rng_.below(models.size())]->address;
         Milliseconds t = 0;
-        while (t < shortly + 4000) {
+        while (t < recoveryDelay + 4000) {
           after(t, [this, a] { crash(replicas_.at(a)); });
           t += 200 + static_cast<Milliseconds>(rng_.below(1500));
           after(t, [this, a] { replicas_.at(a).up = true; });
@@ -451,7 +454,7 @@
       }
       break;
     case Fault::resetConnections:
-      for (Milliseconds t = 0; t < shortly; t += 300)
+      for (Milliseconds t = 0; t < recoveryDelay; t += 300)
         after(t, [this] {
           for (auto& [name, process] : nodes_) {
             if (!process.alive || !rng_.chance(0.2)) continue;
@@ -462,10 +465,10 @@
         });
       break;
     case Fault::forgetConnections:
-      for (Milliseconds t = 0; t < shortly + 4000; t += 100)
+      for (Milliseconds t = 0; t < recoveryDelay + 4000; t += 100)
         after(t, [this] {
           for (auto& [key, idle] : idle_)
-            for (Idle& c : idle) c.dead = c.dead || rng_.chance(0.3);
+            for (Idle& c : idle) c.forgotten = c.forgotten || rng_.chance(0.3);
         });
       break;
     case Fault::slowRouter:
@@ -473,10 +476,10 @@
       std::vector<Node*> const& all = f == Fault::slowRouter ? data : control;
       if (all.empty()) break;
       Node& n = *all[rng_.below(all.size())];
-      n.step = 2 + static_cast<Milliseconds>(rng_.below(18));
-      after(shortly + 3000, [this, link = n.link, incarnation = n.incarnation] {
+      n.eventDelay = 2 + static_cast<Milliseconds>(rng_.below(18));
+      after(recoveryDelay + 3000, [this, link = n.link, incarnation = n.incarnation] {
         Node* const k = node(link);
-        if (k != nullptr && k->alive && k->incarnation == incarnation) unslow(*k);
+        if (k != nullptr && k->alive && k->incarnation == incarnation) restoreSpeed(*k);
       });
       break;
     }
@@ -484,15 +487,15 @@
       scaleOut();
       break;
     case Fault::zoneLoss:
-      loseZone("z" + std::to_string(1 + rng_.below(static_cast<std::uint64_t>(plan_.zones))), shortly + 5000);
+      powerOffZone("z" + std::to_string(1 + rng_.below(static_cast<std::uint64_t>(plan_.zones))), recoveryDelay + 5000);
       break;
     case Fault::shiftLengths:
-      demandNow_ = plan_.demand * 3;
-      for (Milliseconds t = 0; t < shortly + 4000; t += 1500)
+      currentDemand_ = plan_.demand * 3;
+      for (Milliseconds t = 0; t < recoveryDelay + 4000; t += 1500)
         after(t, [this] { shape_ = shape_ == Shape::longPrompt ? Shape::longAnswer : Shape::longPrompt; });
-      after(shortly + 4000, [this] {
+      after(recoveryDelay + 4000, [this] {
         shape_ = Shape::usual;
-        demandNow_ = plan_.demand;
+        currentDemand_ = plan_.demand;
       });
       break;
     case Fault::reuseAddress: {
@@ -500,12 +503,12 @@
       std::vector<Replica*> mine;
       for (Replica* const r : models)
         if (r->zone != last) mine.push_back(r);
-      if (mine.size() < 2 || zoneShown_.count(last) > 0) break;
+      if (mine.size() < 2 || evacuations_.count(last) > 0) break;
       Replica& r = *mine[rng_.below(mine.size())];
       std::string const zone = r.zone;
       crash(r);
       r.zone = last;
-      after(shortly + 2000, [this, a = r.address, zone] {
+      after(recoveryDelay + 2000, [this, a = r.address, zone] {
         Replica& k = replicas_.at(a);
         crash(k);
         k.zone = zone;
@@ -517,7 +520,7 @@
     case Fault::lossyNetwork:
       loss_ = 0.05 + 0.1 * static_cast<double>(rng_.below(3));
       duplication_ = 0.1;
-      after(shortly + 2000, [this] {
+      after(recoveryDelay + 2000, [this] {
         loss_ = 0;
         duplication_ = 0;
       });
@@ -534,14 +537,14 @@
   duplication_ = 0;
   for (auto& [link, node] : nodes_) {
     node.diskDelay = 2;
-    if (node.step > 0 && node.alive) unslow(node);
+    if (node.eventDelay > 0 && node.alive) restoreSpeed(node);
     if (node.diskStalled) {
       node.diskStalled = false;
       node.writing = false;
       if (node.alive) disk(node);
     }
     if (node.disk && (node.disk->full || node.disk->failing)) kill(node, false);
-    if (!node.alive && plan_.mutation != Mutation::noReturn) boot(node);
+    if (!node.alive && plan_.mutation != Mutation::controllersStayDown) boot(node);
   }
 }
 
--- a/testing/sim/mass_faults.cpp
+++ b/testing/sim/mass_faults.cpp
@@ -2,7 +2,7 @@
 
 #include "internal.h"
 
-/// Failures of many at once: connections, zones, replicas that join in numbers.
+/// Faults that hit many processes at once: connection resets, loss of a zone, and many replicas that join together.
 namespace corkward::testing {
 
 void SimulatedCluster::resetLinks(Node& n) {
@@ -35,37 +35,37 @@
     if (to == nullptr || to->runs.count(forwarded.run) == 0 || !to->runs.at(forwarded.run).alive) continue;
     ++result_.counts["reset-streams"];
     to->runs.at(forwarded.run).alive = false;
-    wire(n.link, n.incarnation, key.second, forwarded.turn,
-         [](dataplane::ResponseStream& st) { return st.onEnd(false); });
+    sendUpstreamEvent(n.link, n.incarnation, key.second, forwarded.connectionId,
+                      [](dataplane::ResponseStream& st) { return st.onEnd(false); });
   }
 }
 
 void SimulatedCluster::scaleOut() {
-  if (scaledOut_ >= 2) return;
-  ++scaledOut_;
+  if (scaleOuts_ >= 2) return;
+  ++scaleOuts_;
   bool const cold = rng_.chance(0.5);
-  std::vector<std::string> fresh;
+  std::vector<std::string> added;
   for (int i = 1; i <= plan_.models; ++i) {
     Replica r;
-    r.address = "10.0." + std::to_string(scaledOut_) + "." + std::to_string(i) + ":80";
+    r.address = "10.0." + std::to_string(scaleOuts_) + "." + std::to_string(i) + ":80";
     r.zone = "z" + std::to_string(i % plan_.zones + 1);
     r.pool = "model";
     if (cold) r.state = "cold";
-    fresh.push_back(r.address);
+    added.push_back(r.address);
     ++result_.counts["joined"];
     replicas_[r.address] = r;
   }
-  platform();
-  auto const become = [this, fresh](Milliseconds when, std::string const& state, bool departed) {
-    after(when, [this, fresh, state, departed] {
-      for (std::string const& a : fresh) {
+  publishEndpointLists();
+  auto const become = [this, added](Milliseconds when, std::string const& state, bool departed) {
+    after(when, [this, added, state, departed] {
+      for (std::string const& a : added) {
         Replica& r = replicas_.at(a);
         if (departed) crash(r);
         if (departed || !r.listed) r.listed = false;
         r.state = state;
         if (state != "cold") r.coldHits.clear();
       }
-      platform();
+      publishEndpointLists();
     });
   };
   if (cold) become(9000, "serving", false);
@@ -73,46 +73,46 @@
   become(29000, "leaving", true);
 }
 
-void SimulatedCluster::loseZone(std::string const& zone, Milliseconds how) {
+void SimulatedCluster::powerOffZone(std::string const& zone, Milliseconds duration) {
   ++result_.counts["lost-zones"];
   std::vector<std::string> hit;
   for (auto& [address, replica] : replicas_) {
-    if (replica.zone != zone || !replica.listed || replica.state != "serving" || replica.dark) continue;
-    replica.dark = true;
+    if (replica.zone != zone || !replica.listed || replica.state != "serving" || replica.poweredOff) continue;
+    replica.poweredOff = true;
     hit.push_back(address);
   }
   for (auto& [name, process] : nodes_) {
     if (process.zone != zone || !process.alive) continue;
     kill(process, true);
-    process.dark = true;
-    after(how, [this, link = name] {
+    process.poweredOff = true;
+    after(duration, [this, link = name] {
       Node* const k = node(link);
       if (k != nullptr && !k->alive) boot(*k);
     });
   }
   after(2000, [this, hit] {
     for (std::string const& a : hit) replicas_.at(a).listed = false;
-    platform();
+    publishEndpointLists();
   });
-  after(how, [this, hit] {
+  after(duration, [this, hit] {
     for (std::string const& a : hit) {
       Replica& r = replicas_.at(a);
       crash(r);
-      r.dark = false;
+      r.poweredOff = false;
       r.up = true;
       r.listed = true;
       r.state = "cold";
       r.coldHits.clear();
     }
-    platform();
+    publishEndpointLists();
   });
-  after(how + 9000, [this, hit] {
+  after(duration + 9000, [this, hit] {
     for (std::string const& a : hit) {
       Replica& r = replicas_.at(a);
       if (r.state == "cold") r.state = "serving";
       r.coldHits.clear();
     }
-    platform();
+    publishEndpointLists();
   });
 }
 
--- a/testing/sim/network.cpp
+++ b/testing/sim/network.cpp
@@ -1,6 +1,6 @@
 #include "internal.h"
 
-/// The network between processes: what passes, how late, how often, and what mutations make of it.
+/// The network between processes: loss, delay and duplication of messages, and their changes by mutations.
 namespace corkward::testing {
 
 bool SimulatedCluster::passes(std::string const& from, std::string const& to) {
@@ -14,10 +14,10 @@
 }
 
 transport::Message SimulatedCluster::mutated(transport::Message const& message) const {
-  if (plan_.mutation != Mutation::forgetHints && plan_.mutation != Mutation::youngAges) return message;
+  if (plan_.mutation != Mutation::dropRemovalHints && plan_.mutation != Mutation::zeroAges) return message;
   transport::Message out = message;
   transport::PeerHeartbeat* const t = std::get_if<transport::PeerHeartbeat>(&out);
-  if (plan_.mutation == Mutation::youngAges) {
+  if (plan_.mutation == Mutation::zeroAges) {
     if (t != nullptr) t->ages.assign(t->ages.size(), '\0');
     return out;
   }
@@ -26,7 +26,7 @@
   return out;
 }
 
-void SimulatedCluster::tally(std::string const& from, transport::Send const& s) {
+void SimulatedCluster::countTraffic(std::string const& from, transport::Send const& s) {
   if (!plan_.traffic || now_ < trafficFrom || now_ >= trafficFrom - 10000 + plan_.length) return;
   std::pair<std::size_t, std::size_t>& t = result_.traffic[{
       node(from)->disk ? transport::controllerRole : transport::routerRole, transport::kindName(s.message)}];
@@ -36,15 +36,15 @@
 
 void SimulatedCluster::send(std::string const& from, transport::Send const& s) {
   ++result_.counts["messages"];
-  tally(from, s);
+  countTraffic(from, s);
   Node const* const to = node(s.to);
   if (to == nullptr || !to->alive || !passes(from, s.to)) return;
-  if (plan_.mutation == Mutation::forgetHints && std::holds_alternative<transport::EndpointRemovalHint>(s.message))
+  if (plan_.mutation == Mutation::dropRemovalHints && std::holds_alternative<transport::EndpointRemovalHint>(s.message))
     return;
-  if (plan_.mutation == Mutation::deafRouter && s.to == "n1" && now_ > trafficFrom &&
+  if (plan_.mutation == Mutation::dropConfigurationUpdates && s.to == "n1" && now_ > trafficFrom &&
       std::holds_alternative<transport::ConfigurationUpdate>(s.message))
     return;
-  if (plan_.mutation == Mutation::lateDuplicates && now_ - to->bootedAt < 8000 && now_ > trafficFrom &&
+  if (plan_.mutation == Mutation::dropSnapshotChunks && now_ - to->bootedAt < 8000 && now_ > trafficFrom &&
       std::holds_alternative<transport::SnapshotChunk>(s.message))
     return;
   std::uint64_t const incarnation = to->incarnation;
--- a/testing/sim/operator_changes.cpp
+++ b/testing/sim/operator_changes.cpp
@@ -5,17 +5,17 @@
 
 #include "internal.h"
 
-/// Operators of the fleet configuration: changes, retries at other machines, races and reads, and the answers they may
-/// get.
+/// Operators of the fleet configuration: their changes, retries at other controllers, races and reads, and the checks
+/// of the responses.
 namespace corkward::testing {
 
 namespace {
 
-/// An operator takes so long a silence for no answer, and gives an order up after so long in all.
+/// An operator retries a change after this time without a response, and gives it up after `changeTimeout` in all.
 constexpr Milliseconds answerTimeout = 1000;
-constexpr Milliseconds orderPatience = 20000;
-/// Answers that are no clear ones: the order is sent again.
-bool unclear(int status) {
+constexpr Milliseconds changeTimeout = 20000;
+/// Returns whether the status leaves open whether the change was accepted; the operator then sends it again.
+bool isInconclusive(int status) {
   return status == 0 || status == 307 || status == 408 || status == 421 || status == 429 || status >= 500;
 }
 
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-std::string SimulatedCluster::otherController(std::string const& link) {
+std::string SimulatedCluster::chooseOtherController(std::string const& link) {
   std::vector<std::string> up;
   for (auto const& [address, machine] : nodes_)
     if (machine.control && machine.alive && !machine.draining && address != link) up.push_back(address);
@@ -51,7 +51,7 @@
   }
   call.token = nextCall_++;
   std::shared_ptr<bool> const done = std::make_shared<bool>(false);
-  bool const late = plan_.mutation == Mutation::lateAnswers && call.method != "GET";
+  bool const late = plan_.mutation == Mutation::delayResponses && call.method != "GET";
   answers_[{link, call.token}] = [this, done, then, late](int status, QJsonObject const& body) {
     auto const deliver = [done, then, status, body] {
       if (*done) return;
@@ -78,44 +78,46 @@
   after(20000, [this, link, token = call.token] { answers_.erase({link, token}); });
 }
 
-void SimulatedCluster::ordersTurn() {
-  if (quiet_) return;
-  Milliseconds const mean = burstLeft_ > 0 ? 1 : plan_.operators.every;
-  after(1 + static_cast<Milliseconds>(rng_.below(static_cast<std::uint64_t>(2 * mean))), [this] { ordersTurn(); });
-  if (rng_.chance(0.1)) lateResend();
+void SimulatedCluster::changeFleetConfigurationPeriodically() {
+  if (loadStopped_) return;
+  Milliseconds const mean = burstChangesLeft_ > 0 ? 1 : plan_.operators.meanInterval;
+  after(1 + static_cast<Milliseconds>(rng_.below(static_cast<std::uint64_t>(2 * mean))),
+        [this] { changeFleetConfigurationPeriodically(); });
+  if (rng_.chance(0.1)) resendAcknowledgedChange();
   std::size_t const open =
-      static_cast<std::size_t>(std::count_if(orders_.begin(), orders_.end(), [](Order const& o) { return !o.closed; }));
+      static_cast<std::size_t>(std::count_if(configurationChanges_.begin(), configurationChanges_.end(),
+                                             [](ConfigurationChange const& o) { return !o.closed; }));
   if (open > 0) return;
-  orderAnew("");
-  if (burstLeft_ == 0 && rng_.chance(plan_.operators.race)) orderAnew("");
-  if (burstLeft_ > 0 && --burstLeft_ == 0) afterBurst();
+  sendNewChange("");
+  if (burstChangesLeft_ == 0 && rng_.chance(plan_.operators.raceFraction)) sendNewChange("");
+  if (burstChangesLeft_ > 0 && --burstChangesLeft_ == 0) stopControllerAfterBurst();
 }
 
-void SimulatedCluster::orderAnew(std::string const& link) {
-  Order o;
+void SimulatedCluster::sendNewChange(std::string const& link) {
+  ConfigurationChange o;
   o.base = std::to_string(knownVersion_);
   nextVersion_ = std::max(nextVersion_, knownVersion_ + 1);
   o.version = nextVersion_;
   nextVersion_ += 1 + rng_.below(3);
   o.id = "order" + std::to_string(o.version);
   o.body = configurationBody(o.version);
-  orders_.push_back(o);
+  configurationChanges_.push_back(o);
   ++result_.counts["orders"];
-  sendOrder(orders_.size() - 1, link.empty() ? someController() : link);
+  sendConfigurationChange(configurationChanges_.size() - 1, link.empty() ? chooseController() : link);
 }
 
-void SimulatedCluster::sendOrder(std::size_t order, std::string const& link) {
-  Order& o = orders_[order];
+void SimulatedCluster::sendConfigurationChange(std::size_t index, std::string const& link) {
+  ConfigurationChange& o = configurationChanges_[index];
   if (o.closed) return;
   if (o.sentAt < 0) {
     o.sentAt = now_;
-    if (strike_.set && strike_.timed) {
-      Strike const due = strike_;
-      strike_ = {};
-      after(5 + static_cast<Milliseconds>(rng_.below(396)), [this, due] { strike(due); });
+    if (powerLossTrigger_.armed && powerLossTrigger_.afterSending) {
+      PowerLossTrigger const due = powerLossTrigger_;
+      powerLossTrigger_ = {};
+      after(5 + static_cast<Milliseconds>(rng_.below(396)), [this, due] { cutPower(due); });
     }
   }
-  if (now_ - o.sentAt > orderPatience) {
+  if (now_ - o.sentAt > changeTimeout) {
     o.closed = true;
     ++result_.counts["orders-given-up"];
     return;
@@ -126,29 +128,29 @@
   call.path = config::fleetConfigurationPage;
   call.ifMatch = o.base;
   call.changeId = o.id;
-  if (plan_.mutation == Mutation::rebaseOrders && o.sends > 1) call.ifMatch = std::to_string(confirmedVersion_);
-  if (plan_.mutation == Mutation::refuseProper && o.sends == 1 && rng_.chance(0.2)) call.ifMatch = "999999";
+  if (plan_.mutation == Mutation::rebaseResends && o.sends > 1) call.ifMatch = std::to_string(confirmedVersion_);
+  if (plan_.mutation == Mutation::rejectValidChange && o.sends == 1 && rng_.chance(0.2)) call.ifMatch = "999999";
   call.body = o.sends > 1 ? resentBody(o) : o.body;
   std::uint64_t const base = confirmedVersion_;
-  sendOperatorCall(link, call, answerTimeout, [this, order, link, base](int status, QJsonObject const& body) {
-    orderAnswered(order, link, base, status, body);
+  sendOperatorCall(link, call, answerTimeout, [this, index, link, base](int status, QJsonObject const& body) {
+    onChangeResponse(index, link, base, status, body);
   });
 }
 
-void SimulatedCluster::orderAgain(std::size_t order, std::string const& link, Milliseconds wait) {
-  after(wait, [this, order, link] {
-    std::string const next = plan_.operators.hard && rng_.chance(0.5) ? link : otherController(link);
-    if (orders_[order].closed) return;
+void SimulatedCluster::resendLater(std::size_t index, std::string const& link, Milliseconds wait) {
+  after(wait, [this, index, link] {
+    std::string const next = plan_.operators.retryImmediately && rng_.chance(0.5) ? link : chooseOtherController(link);
+    if (configurationChanges_[index].closed) return;
     if (next.empty())
-      orderAgain(order, link, 300);
+      resendLater(index, link, 300);
     else
-      sendOrder(order, next);
+      sendConfigurationChange(index, next);
   });
 }
 
-void SimulatedCluster::orderAnswered(std::size_t order, std::string const& link, std::uint64_t baseAtSend, int status,
-                                     QJsonObject const& body) {
-  Order& o = orders_[order];
+void SimulatedCluster::onChangeResponse(std::size_t index, std::string const& link, std::uint64_t baseAtSend,
+                                        int status, QJsonObject const& body) {
+  ConfigurationChange& o = configurationChanges_[index];
   ++result_.counts["order-" + std::to_string(status)];
   if (success(status)) {
     bool const first = o.acknowledgedAt < 0;
@@ -160,62 +162,64 @@
       confirmedVersion_ = std::max(confirmedVersion_, o.version);
       confirmedRevision_ = std::max(confirmedRevision_, o.revision);
     }
-    if (first && strike_.set && !strike_.timed) {
-      Strike const due = strike_;
-      strike_ = {};
-      strike(due);
+    if (first && powerLossTrigger_.armed && !powerLossTrigger_.afterSending) {
+      PowerLossTrigger const due = powerLossTrigger_;
+      powerLossTrigger_ = {};
+      cutPower(due);
     }
     if (o.closed) return;
-    if (o.sends < 6 && rng_.chance(plan_.operators.ackLost)) {
+    if (o.sends < 6 && rng_.chance(plan_.operators.ackLossFraction)) {
       ++result_.counts["acks-lost"];
-      orderAgain(order, link, plan_.operators.hard ? 20 : answerTimeout);
+      resendLater(index, link, plan_.operators.retryImmediately ? 20 : answerTimeout);
       return;
     }
     o.closed = true;
     knownVersion_ = std::max(knownVersion_, o.version);
     return;
   }
-  if (plan_.mutation == Mutation::rebaseOrders && status == 412 && !o.closed) {
-    orderAgain(order, link, 200);
+  if (plan_.mutation == Mutation::rebaseResends && status == 412 && !o.closed) {
+    resendLater(index, link, 200);
     return;
   }
-  if (!unclear(status)) {
-    orderRefused(o, link, baseAtSend, status);
+  if (!isInconclusive(status)) {
+    checkRejection(o, link, baseAtSend, status);
     o.closed = true;
     knownVersion_ = std::max(knownVersion_, static_cast<std::uint64_t>(body.value("version").toInteger()));
     return;
   }
-  if (!o.closed) orderAgain(order, link, plan_.operators.hard ? 20 : 200);
+  if (!o.closed) resendLater(index, link, plan_.operators.retryImmediately ? 20 : 200);
 }
 
-void SimulatedCluster::orderRefused(Order& order, std::string const& link, std::uint64_t baseAtSend, int status) {
-  auto const ix = static_cast<std::size_t>(&order - orders_.data());
-  bool const inFact = std::any_of(orderOf_.begin(), orderOf_.end(),
-                                  [&](std::pair<std::uint64_t const, std::size_t> const& c) { return c.second == ix; });
-  if (order.acknowledgedAt >= 0 || inFact) {
-    violation("a resend of what was taken was refused with " + std::to_string(status) + " by " + link + ": " +
-              order.id + " on " + order.base + ", newest confirmed " + std::to_string(confirmedVersion_));
+void SimulatedCluster::checkRejection(ConfigurationChange& rejected, std::string const& link, std::uint64_t baseAtSend,
+                                      int status) {
+  auto const ix = static_cast<std::size_t>(&rejected - configurationChanges_.data());
+  bool const committed =
+      std::any_of(changeOfRevision_.begin(), changeOfRevision_.end(),
+                  [&](std::pair<std::uint64_t const, std::size_t> const& c) { return c.second == ix; });
+  if (rejected.acknowledgedAt >= 0 || committed) {
+    violation("a resend of an accepted change was rejected with " + std::to_string(status) + " by " + link + ": " +
+              rejected.id + " on " + rejected.base + ", newest confirmed " + std::to_string(confirmedVersion_));
     return;
   }
   std::uint64_t const newest = committedVersions_.empty() ? 0 : committedVersions_.rbegin()->second;
-  if (std::to_string(baseAtSend) == order.base && std::to_string(newest) == order.base)
-    violation("a proper order was refused with " + std::to_string(status) + " by " + link + ": " + order.id + " on " +
-              order.base + ", which is the newest");
+  if (std::to_string(baseAtSend) == rejected.base && std::to_string(newest) == rejected.base)
+    violation("a valid change was rejected with " + std::to_string(status) + " by " + link + ": " + rejected.id +
+              " on " + rejected.base + ", which is the newest");
 }
 
-std::string SimulatedCluster::resentBody(Order const& order) const {
-  if (plan_.mutation != Mutation::alteredResends) return order.body;
-  return "{\"resent\":true," + order.body.substr(1);
+std::string SimulatedCluster::resentBody(ConfigurationChange const& change) const {
+  if (plan_.mutation != Mutation::alterResentBody) return change.body;
+  return "{\"resent\":true," + change.body.substr(1);
 }
 
-void SimulatedCluster::lateResend() {
+void SimulatedCluster::resendAcknowledgedChange() {
   std::vector<std::size_t> acknowledged;
-  for (std::size_t i = 0; i < orders_.size(); ++i)
-    if (orders_[i].closed && orders_[i].acknowledgedAt >= 0) acknowledged.push_back(i);
-  std::string const link = someController();
+  for (std::size_t i = 0; i < configurationChanges_.size(); ++i)
+    if (configurationChanges_[i].closed && configurationChanges_[i].acknowledgedAt >= 0) acknowledged.push_back(i);
+  std::string const link = chooseController();
   if (acknowledged.empty() || link.empty()) return;
   std::size_t const ix = acknowledged[rng_.below(acknowledged.size())];
-  Order const& o = orders_[ix];
+  ConfigurationChange const& o = configurationChanges_[ix];
   transport::OperatorCall call;
   call.method = "PUT";
   call.path = config::fleetConfigurationPage;
@@ -224,14 +228,14 @@
   call.body = resentBody(o);
   ++result_.counts["late-resends"];
   sendOperatorCall(link, call, answerTimeout, [this, ix, link](int status, QJsonObject const&) {
-    if (!success(status) && !unclear(status)) orderRefused(orders_[ix], link, 0, status);
+    if (!success(status) && !isInconclusive(status)) checkRejection(configurationChanges_[ix], link, 0, status);
   });
 }
 
-void SimulatedCluster::readsTurn() {
-  if (quiet_) return;
-  after(100 + static_cast<Milliseconds>(rng_.below(400)), [this] { readsTurn(); });
-  std::string const link = someController();
+void SimulatedCluster::readPeriodically() {
+  if (loadStopped_) return;
+  after(100 + static_cast<Milliseconds>(rng_.below(400)), [this] { readPeriodically(); });
+  std::string const link = chooseController();
   if (!link.empty()) readOnce(link);
 }
 
@@ -256,13 +260,13 @@
 
 void SimulatedCluster::checkRead(std::string const& link, std::uint64_t confirmed, int status,
                                  QJsonObject const& body) {
-  if (unclear(status)) {
+  if (isInconclusive(status)) {
     ++result_.counts["reads-unclear"];
     return;
   }
   auto const version = static_cast<std::uint64_t>(body.value("version").toInteger());
   if (!success(status) && confirmed > 0)
-    violation("a read was refused with " + std::to_string(status) + " by " + link + " though " +
+    violation("a read was rejected with " + std::to_string(status) + " by " + link + " though " +
               std::to_string(confirmed) + " was confirmed");
   if (success(status) && version < confirmed)
     violation("a read at " + link + " showed " + std::to_string(version) + ", confirmed before it began was " +
@@ -283,30 +287,32 @@
   auto const known = committedVersions_.find(revision);
   if (known != committedVersions_.end()) {
     if (known->second != version)
-      violation("two whole configurations under revision " + std::to_string(revision) + ": " +
+      violation("two fleet configurations under revision " + std::to_string(revision) + ": " +
                 std::to_string(known->second) + " and " + std::to_string(version));
     return;
   }
   committedVersions_[revision] = version;
-  for (std::size_t i = 0; i < orders_.size(); ++i)
-    if (orders_[i].version == version) orderOf_[revision] = i;
+  for (std::size_t i = 0; i < configurationChanges_.size(); ++i)
+    if (configurationChanges_[i].version == version) changeOfRevision_[revision] = i;
 }
 
-void SimulatedCluster::finalOrders() {
+void SimulatedCluster::checkFinalFleetConfiguration() {
   std::map<std::string, std::string> accepted;
-  for (Order const& o : orders_) {
+  for (ConfigurationChange const& o : configurationChanges_) {
     if (o.acknowledgedAt < 0) continue;
     std::string& before = accepted[o.base];
-    if (!before.empty()) violation("two orders on version " + o.base + " were confirmed: " + before + " and " + o.id);
+    if (!before.empty())
+      violation("two changes of the fleet configuration on version " + o.base + " were confirmed: " + before + " and " +
+                o.id);
     before = o.id;
   }
-  for (std::pair<std::uint64_t const, std::size_t> const& c : orderOf_) {
+  for (std::pair<std::uint64_t const, std::size_t> const& c : changeOfRevision_) {
     auto const earlier = committedVersions_.find(c.first - 1);
-    if (earlier != committedVersions_.end() && std::to_string(earlier->second) != orders_[c.second].base)
-      violation("order " + orders_[c.second].id + " on " + orders_[c.second].base + " follows version " +
-                std::to_string(earlier->second));
+    if (earlier != committedVersions_.end() && std::to_string(earlier->second) != configurationChanges_[c.second].base)
+      violation("change " + configurationChanges_[c.second].id + " on " + configurationChanges_[c.second].base +
+                " follows version " + std::to_string(earlier->second));
   }
-  std::string const link = someController();
+  std::string const link = chooseController();
   if (link.empty()) return;
   transport::OperatorCall call;
   call.method = "GET";
@@ -314,9 +320,9 @@
   sendOperatorCall(link, call, 10000, [this](int status, QJsonObject const& body) {
     auto const version = static_cast<std::uint64_t>(body.value("version").toInteger());
     if (!success(status) && confirmedVersion_ > 0)
-      violation("the whole configuration could not be read back: " + std::to_string(status));
+      violation("the fleet configuration could not be read back: " + std::to_string(status));
     else if (version < confirmedVersion_)
-      violation("acknowledged order lost: version " + std::to_string(version) + ", acknowledged " +
+      violation("acknowledged fleet configuration lost: version " + std::to_string(version) + ", acknowledged " +
                 std::to_string(confirmedVersion_));
   });
 }
--- a/testing/sim/operators.cpp
+++ b/testing/sim/operators.cpp
@@ -7,8 +7,8 @@
 
 namespace corkward::testing {
 
-std::string SimulatedCluster::someController() {
-  for (std::string const& link : luredBy_)
+std::string SimulatedCluster::chooseController() {
+  for (std::string const& link : cutOffControllers_)
     if (Node const* const n = node(link); n != nullptr && n->control && n->alive && !n->draining) return link;
   std::vector<std::string> up;
   for (auto const& [address, machine] : nodes_)
@@ -19,7 +19,7 @@
 void SimulatedCluster::change(std::string const& key, std::string const& what, std::string const& method,
                               std::string const& path, std::string const& body, std::string const& ifMatch,
                               std::string const& mark, std::function<void(int, QJsonObject const&)> then) {
-  std::string const link = someController();
+  std::string const link = chooseController();
   std::size_t const ix = changes_.size();
   Change c;
   c.id = "ch" + std::to_string(nextChange_++);
@@ -62,8 +62,8 @@
     if (status >= 200 && status < 300 && isChange && !k.rolledOut)
       violation("answered " + std::to_string(status) + " although not in force: " + k.id);
     bool const refused = status == 400 || status == 404 || status == 422;
-    if (plan_.operators.proper && refused && k.key == family && k.mark.rfind("denied-", 0) != 0)
-      violation("a proper change of a template was refused with " + std::to_string(status) + ": " +
+    if (plan_.operators.rejectionsChecked && refused && k.key == family && k.mark.rfind("denied-", 0) != 0)
+      violation("a valid template change was rejected with " + std::to_string(status) + ": " +
                 core::toStdString(answer.value("pointer").toString() + " " + answer.value("reason").toString()));
     ++result_.counts["change-" + std::to_string(status)];
     if (status == 200 || status == 201) result_.ackTimes.push_back(now_ - k.sentAt);
@@ -116,15 +116,15 @@
          });
 }
 
-void SimulatedCluster::operatorTurn() {
-  if (quiet_) return;
-  after(1500 + static_cast<Milliseconds>(rng_.below(2500)), [this] { operatorTurn(); });
-  if (operatorBusy_) return;
-  operatorBusy_ = true;
-  putTemplate(lastRevision_, 0, [this](int, QJsonObject const&) { operatorBusy_ = false; });
+void SimulatedCluster::changeTemplatePeriodically() {
+  if (loadStopped_) return;
+  after(1500 + static_cast<Milliseconds>(rng_.below(2500)), [this] { changeTemplatePeriodically(); });
+  if (templateChangePending_) return;
+  templateChangePending_ = true;
+  putTemplate(lastRevision_, 0, [this](int, QJsonObject const&) { templateChangePending_ = false; });
 }
 
-void SimulatedCluster::platform() {
+void SimulatedCluster::publishEndpointLists() {
   ++generation_;
   for (char const* const pool : {"model", "other"}) {
     QJsonArray list;
@@ -132,7 +132,7 @@
     for (auto& [address, replica] : replicas_) {
       if (replica.pool != pool) continue;
       if (replica.listed && replica.state != "leaving")
-        replica.shownLeaving = -1;
+        replica.leavingPublishedAt = -1;
       else
         leaving.push_back(address);
       if (!replica.listed) continue;
@@ -142,25 +142,27 @@
       if (plan_.regimes) {
         listEntry.insert("id", core::toQString(incarnationName(replica)));
         listedIncarnations_[address] = incarnationName(replica);
-        everListed_.insert(incarnationName(replica));
+        everListedIncarnations_.insert(incarnationName(replica));
       }
       list.append(listEntry);
     }
-    showList(pool, generation_, leaving,
-             core::jsonText(QJsonObject{
-                 {"generation", static_cast<qint64>(generation_)}, {"coldRate", coldRate}, {"replicas", list}}));
+    publishEndpointList(
+        pool, generation_, leaving,
+        core::jsonText(
+            QJsonObject{{"generation", static_cast<qint64>(generation_)}, {"coldRate", coldRate}, {"replicas", list}}));
   }
 }
 
-void SimulatedCluster::showList(std::string const& pool, std::uint64_t generation,
-                                std::vector<std::string> const& leaving, std::string const& body) {
+void SimulatedCluster::publishEndpointList(std::string const& pool, std::uint64_t generation,
+                                           std::vector<std::string> const& leaving, std::string const& body) {
   if (generation != generation_) return;
   std::shared_ptr<bool> const done = std::make_shared<bool>(false);
   auto const shown = [this, leaving, generation] {
     for (std::string const& a : leaving)
-      if (generation == generation_ && replicas_.at(a).shownLeaving < 0) replicas_.at(a).shownLeaving = now_;
+      if (generation == generation_ && replicas_.at(a).leavingPublishedAt < 0)
+        replicas_.at(a).leavingPublishedAt = now_;
   };
-  if (!someController().empty()) shown();
+  if (!chooseController().empty()) shown();
   change("pool:" + pool, body, "PUT", "/v1/platform/pools/" + pool, body, "", "",
          [done](int status, QJsonObject const&) {
            if (status == 200) *done = true;
@@ -171,7 +173,7 @@
   for (int i = 0; i < 2 && !up.empty(); ++i) {
     std::string const link = up[rng_.below(up.size())];
     shown();
-    if (plan_.mutation == Mutation::forgetHints) continue;
+    if (plan_.mutation == Mutation::dropRemovalHints) continue;
     after(2, [this, link, incarnation = node(link)->incarnation, pool, body] {
       toNode(link, incarnation, [this, link, pool, body] {
         Node& n = *node(link);
@@ -180,7 +182,7 @@
     });
   }
   after(600, [this, pool, generation, leaving, body, done] {
-    if (!*done) showList(pool, generation, leaving, body);
+    if (!*done) publishEndpointList(pool, generation, leaving, body);
   });
 }
 
--- a/testing/sim/oracles.cpp
+++ b/testing/sim/oracles.cpp
@@ -8,7 +8,7 @@
 
 namespace corkward::testing {
 
-bool SimulatedCluster::mostLiveSince(Milliseconds since) const {
+bool SimulatedCluster::majorityOfRoutersLiveSince(Milliseconds since) const {
   std::size_t all = 0;
   std::size_t live = 0;
   for (auto const& [link, node] : nodes_) {
@@ -23,14 +23,14 @@
     result_.violations.push_back("t=" + std::to_string(now_) + " " + what);
 }
 
-void SimulatedCluster::watch() {
-  after(200, [this] { watch(); });
+void SimulatedCluster::checkPeriodically() {
+  after(200, [this] { checkPeriodically(); });
   for (std::string const& broken : core::GuaranteeCounts::ofThread().takeNewViolations()) violation(broken);
-  while (!firsts_.empty() && firsts_.front() <= now_ - 10000) firsts_.pop_front();
-  while (!repeats_.empty() && repeats_.front() <= now_ - 10000) repeats_.pop_front();
-  if (static_cast<double>(repeats_.size()) > 0.2 * static_cast<double>(firsts_.size()) + 20.0)
-    violation("repeats " + std::to_string(repeats_.size()) + " over first hand-overs " +
-              std::to_string(firsts_.size()) + " in 10 s");
+  while (!firstDispatches_.empty() && firstDispatches_.front() <= now_ - 10000) firstDispatches_.pop_front();
+  while (!repeatedDispatches_.empty() && repeatedDispatches_.front() <= now_ - 10000) repeatedDispatches_.pop_front();
+  if (static_cast<double>(repeatedDispatches_.size()) > 0.2 * static_cast<double>(firstDispatches_.size()) + 20.0)
+    violation("repeats " + std::to_string(repeatedDispatches_.size()) + " over first dispatches " +
+              std::to_string(firstDispatches_.size()) + " in 10 s");
   for (auto const& r : replicas_) {
     if (r.second.state != "cold") continue;
     auto const n = static_cast<std::size_t>(std::count_if(r.second.coldHits.begin(), r.second.coldHits.end(),
@@ -50,10 +50,10 @@
                                                        .toObject()
                                                        .value("note")
                                                        .toString());
-    if (rejected.count(logEvent) > 0) violation("a rejected change is in force: " + logEvent);
+    if (rejected.count(logEvent) > 0) violation("a rejected change is in effect: " + logEvent);
     for (std::pair<std::size_t, std::size_t> const& part : node.data->subsetSizes("model")) {
-      result_.partSum += static_cast<double>(part.first);
-      ++result_.partSamples;
+      result_.subsetSum += static_cast<double>(part.first);
+      ++result_.subsetSamples;
       result_.counts["held-most"] = std::max(result_.counts["held-most"], part.second);
     }
     ++result_.counts["standing-looks"];
@@ -61,7 +61,7 @@
   }
 }
 
-void SimulatedCluster::finalChecks() {
+void SimulatedCluster::checkFinalState() {
   std::map<std::pair<std::string, std::string>, std::string> accepted;
   std::uint64_t newest = 0;
   Change const* last = nullptr;
@@ -82,13 +82,13 @@
     }
   }
   result_.counts["grey-hits"] = static_cast<std::size_t>(greyHits_);
-  result_.counts["grey-fair"] = static_cast<std::size_t>(greyFair_);
+  result_.counts["grey-fair"] = static_cast<std::size_t>(greyExpected_);
   bool const alone = plan_.faults == std::vector<Fault>{Fault::greyReplicas};
-  if (alone && greyFair_ >= 30 && greyHits_ > greyShare * greyFair_)
-    violation("grey replicas went on drawing work: " + std::to_string(greyHits_) + " requests, a fair share is " +
-              std::to_string(greyFair_));
+  if (alone && greyExpected_ >= 30 && greyHits_ > greyMaxFraction * greyExpected_)
+    violation("grey replicas still received requests: " + std::to_string(greyHits_) +
+              " requests, an even distribution gives " + std::to_string(greyExpected_));
   std::shared_ptr<bool> const read = std::make_shared<bool>(false);
-  std::string const link = someController();
+  std::string const link = chooseController();
   if (link.empty()) {
     violation("no controller is alive at the end");
     return;
@@ -110,7 +110,7 @@
         unknown = unknown || (c.key == family && (c.status == 504 || c.status == 0) &&
                               core::jsonText(body.value("spec")) ==
                                   core::jsonText(core::parseJson(c.what.empty() || c.what[0] != '{' ? "{}" : c.what)));
-      if (!unknown) violation("a change stands that nobody was told of");
+      if (!unknown) violation("a change that was never acknowledged is in effect");
     }
   };
   if (newestCertificates > 0) {
--- a/testing/sim/plan.cpp
+++ b/testing/sim/plan.cpp
@@ -9,7 +9,7 @@
   return p;
 }
 
-Plan chaos(std::uint64_t seed, bool grown) {
+Plan chaos(std::uint64_t seed, bool withLaterFaults) {
   Plan p;
   p.seed = seed;
   core::RandomGenerator rng(seed ^ 0xC0);
@@ -19,15 +19,15 @@
     p.zones = 4;
   }
   for (FaultName const& f : faultTable)
-    if (f.fault < Fault::growCore && rng.chance(0.35)) p.faults.push_back(f.fault);
-  if (p.faults.empty()) p.faults.push_back(Fault::killHerd);
-  p.every = 2500 + static_cast<Milliseconds>(rng.below(6000));
+    if (f.fault < Fault::addController && rng.chance(0.35)) p.faults.push_back(f.fault);
+  if (p.faults.empty()) p.faults.push_back(Fault::killMany);
+  p.faultInterval = 2500 + static_cast<Milliseconds>(rng.below(6000));
   if (rng.chance(0.4)) p.clockSpread = 0.045;
-  for (Fault const f : {Fault::growCore, Fault::longAbsence})
+  for (Fault const f : {Fault::addController, Fault::longAbsence})
     if (rng.chance(0.35)) p.faults.push_back(f);
-  if (rng.chance(0.5)) p.replaceDarkAfter = 3000;
+  if (rng.chance(0.5)) p.replaceUnreachableAfter = 3000;
   for (FaultName const& f : faultTable)
-    if (grown && f.fault > Fault::longAbsence && f.fault < Fault::reuseAddress && rng.chance(0.35))
+    if (withLaterFaults && f.fault > Fault::longAbsence && f.fault < Fault::reuseAddress && rng.chance(0.35))
       p.faults.push_back(f.fault);
   return p;
 }
@@ -45,34 +45,35 @@
 
 namespace {
 
-std::vector<Fault> faultsOf(Point point) {
+std::vector<Fault> faultsOfScenario(ControlScenario point) {
   switch (point) {
-    case Point::cuts:
+    case ControlScenario::cuts:
       return {Fault::partitionMember,
-              Fault::partitionMemberAll,
-              Fault::partitionMemberNear,
+              Fault::partitionMemberFromAll,
+              Fault::partitionMemberFromOtherZones,
               Fault::partitionMemberOldest,
               Fault::partitionMemberAsymmetric,
-              Fault::partitionMemberBoth,
-              Fault::partitionMemberSeeds,
-              Fault::partitionMemberLure,
+              Fault::partitionMemberRestart,
+              Fault::partitionMemberNewSeeds,
+              Fault::partitionMemberEndpointChange,
               Fault::killRouter,
               Fault::evacuate,
               Fault::rollReplicas};
-    case Point::resends:
-      return {Fault::powerLossAtTime,  Fault::partitionMemberAll, Fault::partitionMemberAsymmetric,
-              Fault::isolateMember,    Fault::restartController,  Fault::killControl,
-              Fault::freezeController, Fault::diskStall};
-    case Point::secondLoss:
-      return {Fault::secondLoss, Fault::replaceInTurn, Fault::wipeAtAcknowledgement, Fault::restartController,
-              Fault::wipeSameAddress};
-    case Point::manyChanges:
+    case ControlScenario::resends:
+      return {Fault::powerLossAtTime,           Fault::partitionMemberFromAll,
+              Fault::partitionMemberAsymmetric, Fault::isolateMember,
+              Fault::restartController,         Fault::killControllers,
+              Fault::freezeController,          Fault::diskStall};
+    case ControlScenario::secondDiskLoss:
+      return {Fault::secondDiskLoss, Fault::replaceMembersInTurn, Fault::wipeAtAcknowledgement,
+              Fault::restartController, Fault::wipeSameAddress};
+    case ControlScenario::manyChanges:
       return {Fault::manyChanges, Fault::restartController, Fault::wipeSameAddress, Fault::powerLoss};
-    case Point::powerCuts:
+    case ControlScenario::powerCuts:
       return {Fault::powerLossAtAcknowledgement,
               Fault::powerLossAtTime,
               Fault::wipeAtAcknowledgement,
-              Fault::massPower,
+              Fault::massPowerLoss,
               Fault::diskFull,
               Fault::diskFail,
               Fault::powerLoss,
@@ -83,7 +84,7 @@
 
 }  // namespace
 
-Plan worstDay(std::uint64_t seed, Point point) {
+Plan controlPlan(std::uint64_t seed, ControlScenario point) {
   core::RandomGenerator rng(seed ^ (0xDA00 + static_cast<std::uint64_t>(point)));
   Plan p;
   p.seed = seed;
@@ -94,20 +95,20 @@
   p.others = 3;
   p.demand = 10;
   p.length = 40000;
-  p.every = 5000 + static_cast<Milliseconds>(rng.below(5000));
-  p.replaceDarkAfter = 3000;
+  p.faultInterval = 5000 + static_cast<Milliseconds>(rng.below(5000));
+  p.replaceUnreachableAfter = 3000;
   p.fenced = rng.chance(0.5);
-  p.looseNames = point == Point::powerCuts || rng.chance(0.3);
-  p.operators.any = true;
-  p.operators.ackLost = point == Point::resends ? 0.7 : rng.chance(0.5) ? 0.2 : 0.0;
-  p.operators.race = rng.chance(0.5) ? 0.4 : 0.0;
-  p.operators.meet = rng.chance(0.6);
-  p.operators.hard = rng.chance(0.4);
-  std::vector<Fault> const all = faultsOf(point);
+  p.namesLostSeparately = point == ControlScenario::powerCuts || rng.chance(0.3);
+  p.operators.enabled = true;
+  p.operators.ackLossFraction = point == ControlScenario::resends ? 0.7 : rng.chance(0.5) ? 0.2 : 0.0;
+  p.operators.raceFraction = rng.chance(0.5) ? 0.4 : 0.0;
+  p.operators.sendToIsolated = rng.chance(0.6);
+  p.operators.retryImmediately = rng.chance(0.4);
+  std::vector<Fault> const all = faultsOfScenario(point);
   for (Fault const f : all)
     if (rng.chance(0.4)) p.faults.push_back(f);
   if (p.faults.empty()) p.faults.push_back(all[rng.below(all.size())]);
-  if (point == Point::manyChanges) p.faults.push_back(Fault::manyChanges);
+  if (point == ControlScenario::manyChanges) p.faults.push_back(Fault::manyChanges);
   return p;
 }
 
--- a/testing/sim/plan.h
+++ b/testing/sim/plan.h
@@ -9,22 +9,23 @@
 #include <corkward/core/types.h>
 #include <corkward/scaling/scaling.h>
 
-/// What a simulated run is of: its sizes, its failures, the rules that it breaks on purpose, and what it showed.
+/// The plan of a simulated run (sizes, faults and the rules broken on purpose) and its result.
 namespace corkward::testing {
 
 using core::Milliseconds;
 
-/// Failures of the brief that a run may cause.
+/// Faults that a run may cause. `faultTable` gives the name of each on the command line.
+/// The core is the set of controllers, which store the replicated state on their disks.
 enum class Fault {
   killRouter,
-  killHerd,
-  killControl,
+  killMany,
+  killControllers,
   killAll,
   freezeRouter,
   freezeController,
   isolateMember,
-  splitCore,
-  partitionCore,
+  splitFleet,
+  partitionControllers,
   partitionZone,
   isolateRouter,
   oneWayPartition,
@@ -38,12 +39,12 @@
   returnNewAddress,
   replicaCrash,
   breakStreams,
-  breakMany,
-  replicaDark,
+  crashManyReplicas,
+  replicaPowerOff,
   replicaVanish,
   allSlow,
-  crowd,
-  hardRetries,
+  requestBurst,
+  aggressiveRetries,
   rollReplicas,
   coldReplicas,
   restartRouter,
@@ -54,7 +55,7 @@
   evacuate,
   wallClockJump,
   lossyNetwork,
-  growCore,
+  addController,
   longAbsence,
   greyReplicas,
   flapReplicas,
@@ -67,24 +68,24 @@
   shiftLengths,
   reuseAddress,
   partitionMember,
-  partitionMemberAll,
-  partitionMemberNear,
+  partitionMemberFromAll,
+  partitionMemberFromOtherZones,
   partitionMemberOldest,
   partitionMemberAsymmetric,
-  partitionMemberBoth,
-  partitionMemberSeeds,
-  partitionMemberLure,
-  secondLoss,
-  replaceInTurn,
+  partitionMemberRestart,
+  partitionMemberNewSeeds,
+  partitionMemberEndpointChange,
+  secondDiskLoss,
+  replaceMembersInTurn,
   manyChanges,
   powerLossAtAcknowledgement,
   powerLossAtTime,
   wipeAtAcknowledgement,
-  massPower
+  massPowerLoss
 };
 
-/// The first failure of those that belong to control's worst days.
-inline constexpr Fault firstOfControl = Fault::partitionMember;
+/// First fault of the control scenarios (see ControlScenario); they are handled by causeControlFault.
+inline constexpr Fault firstControlFault = Fault::partitionMember;
 
 struct FaultName {
   Fault fault;
@@ -92,14 +93,14 @@
 };
 
 inline constexpr FaultName faultTable[] = {{Fault::killRouter, "kill-router"},
-                                           {Fault::killHerd, "kill-herd"},
-                                           {Fault::killControl, "kill-control"},
+                                           {Fault::killMany, "kill-herd"},
+                                           {Fault::killControllers, "kill-control"},
                                            {Fault::killAll, "kill-all"},
                                            {Fault::freezeRouter, "freeze-router"},
                                            {Fault::freezeController, "freeze-controller"},
                                            {Fault::isolateMember, "isolate-member"},
-                                           {Fault::splitCore, "split-core"},
-                                           {Fault::partitionCore, "cut-core"},
+                                           {Fault::splitFleet, "split-core"},
+                                           {Fault::partitionControllers, "cut-core"},
                                            {Fault::partitionZone, "cut-zone"},
                                            {Fault::isolateRouter, "isolate-router"},
                                            {Fault::oneWayPartition, "one-way-cut"},
@@ -113,12 +114,12 @@
                                            {Fault::returnNewAddress, "return-new-address"},
                                            {Fault::replicaCrash, "replica-crash"},
                                            {Fault::breakStreams, "break-streams"},
-                                           {Fault::breakMany, "break-many"},
-                                           {Fault::replicaDark, "replica-dark"},
+                                           {Fault::crashManyReplicas, "break-many"},
+                                           {Fault::replicaPowerOff, "replica-dark"},
                                            {Fault::replicaVanish, "replica-vanish"},
                                            {Fault::allSlow, "all-slow"},
-                                           {Fault::crowd, "crowd"},
-                                           {Fault::hardRetries, "hard-retries"},
+                                           {Fault::requestBurst, "crowd"},
+                                           {Fault::aggressiveRetries, "hard-retries"},
                                            {Fault::rollReplicas, "roll-replicas"},
                                            {Fault::coldReplicas, "cold-replicas"},
                                            {Fault::restartRouter, "restart-router"},
@@ -129,7 +130,7 @@
                                            {Fault::evacuate, "evacuate"},
                                            {Fault::wallClockJump, "wall-clock-jump"},
                                            {Fault::lossyNetwork, "lossy-network"},
-                                           {Fault::growCore, "grow-core"},
+                                           {Fault::addController, "grow-core"},
                                            {Fault::longAbsence, "long-absence"},
                                            {Fault::greyReplicas, "grey-replicas"},
                                            {Fault::flapReplicas, "flap-replicas"},
@@ -142,184 +143,193 @@
                                            {Fault::shiftLengths, "shift-lengths"},
                                            {Fault::reuseAddress, "reuse-address"},
                                            {Fault::partitionMember, "cut-member"},
-                                           {Fault::partitionMemberAll, "cut-member-all"},
-                                           {Fault::partitionMemberNear, "cut-member-near"},
+                                           {Fault::partitionMemberFromAll, "cut-member-all"},
+                                           {Fault::partitionMemberFromOtherZones, "cut-member-near"},
                                            {Fault::partitionMemberOldest, "cut-member-oldest"},
                                            {Fault::partitionMemberAsymmetric, "cut-member-one-way"},
-                                           {Fault::partitionMemberBoth, "cut-member-both"},
-                                           {Fault::partitionMemberSeeds, "cut-member-seeds"},
-                                           {Fault::partitionMemberLure, "cut-member-lure"},
-                                           {Fault::secondLoss, "second-loss"},
-                                           {Fault::replaceInTurn, "replace-in-turn"},
+                                           {Fault::partitionMemberRestart, "cut-member-both"},
+                                           {Fault::partitionMemberNewSeeds, "cut-member-seeds"},
+                                           {Fault::partitionMemberEndpointChange, "cut-member-lure"},
+                                           {Fault::secondDiskLoss, "second-loss"},
+                                           {Fault::replaceMembersInTurn, "replace-in-turn"},
                                            {Fault::manyChanges, "many-changes"},
                                            {Fault::powerLossAtAcknowledgement, "power-at-taken"},
                                            {Fault::powerLossAtTime, "power-at-timed"},
                                            {Fault::wipeAtAcknowledgement, "wipe-at-taken"},
-                                           {Fault::massPower, "mass-power"}};
+                                           {Fault::massPowerLoss, "mass-power"}};
 
-/// Switches that break a rule on purpose, to show that its oracle can fail.
+/// Defects injected on purpose, to show that the oracle of each rule can fail.
 enum class Mutation {
   none,
   noFencing,
-  earlyAck,
-  vouchTooSoon,
-  sayNotRun,
-  resendUnseen,
-  warmForever,
-  lyingDisk,
+  acknowledgeEarly,
+  confirmNotExecutedTooSoon,
+  reportNotExecuted,
+  extraRetries,
+  overlongWarmupLease,
+  diskSkipsSync,
   rewriteIfMatch,
   rejectAccepted,
   dropOnRestart,
-  noReturn,
-  forgetLeaving,
-  youngAges,
-  forgetHints,
+  controllersStayDown,
+  noFencingOnRemoval,
+  zeroAges,
+  dropRemovalHints,
   resumeGap,
   resumeRepeat,
-  resumeOther,
+  resumeOtherRun,
   truncationLooksComplete,
   foreignBody,
-  neverGrow,
-  blindTrust,
+  fixedMembership,
+  ignoreFailures,
   skipIncarnationCheck,
   ignoreExpiry,
   resumeAnywhere,
   resumeTwice,
   eventGap,
-  unrecorded,
+  omitAuditRecord,
   staleRead,
-  refuseProper,
-  alteredResends,
-  rebaseOrders,
-  deafRouter,
-  oldImage,
-  lateDuplicates,
-  lateAnswers,
-  lyingNames
+  rejectValidChange,
+  alterResentBody,
+  rebaseResends,
+  dropConfigurationUpdates,
+  startWithOldConfiguration,
+  dropSnapshotChunks,
+  delayResponses,
+  directorySkipsSync
 };
 
-/// How operators of the fleet configuration behave. They send one order after the other, each on the version that they
-/// know; what gets no clear answer within a second is sent again unchanged to another machine.
+/// Behaviour of the operators of the fleet configuration. They send one change at a time, each based on the newest
+/// version that they know. A change without a conclusive response within one second is sent again, unchanged, to
+/// another controller.
 struct Operators {
-  /// False: there are none, and none of the rules about them is checked.
-  bool any = false;
-  /// Mean time between orders.
-  Milliseconds every = 1200;
-  /// Share of the acknowledgements that are lost on their way back.
-  double ackLost = 0;
-  /// Two orders at once on the same version, this share of the time.
-  double race = 0;
-  /// During a cut and as it heals an order is sent to the machine that is cut off; with race, two.
-  bool meet = false;
-  /// What has no answer is sent again at once, and not to other machines only.
-  bool hard = false;
-  /// A proper change of a template is never refused as invalid or unknown.
-  bool proper = false;
-  /// Orders of one burst, at the least and at the most.
-  int burstLeast = 200;
-  int burstMost = 200;
+  /// If false, there are no such operators and none of the rules about them is checked.
+  bool enabled = false;
+  /// Mean time between two changes.
+  Milliseconds meanInterval = 1200;
+  /// Fraction of the acknowledgements that are lost on the way back to the operator.
+  double ackLossFraction = 0;
+  /// Fraction of the changes that are sent together with a second change based on the same version.
+  double raceFraction = 0;
+  /// During a partition, and when it ends, a change is sent to the isolated controller; with probability
+  /// `raceFraction`, a second one too.
+  bool sendToIsolated = false;
+  /// A change without a response is sent again after 20 ms, possibly to the same controller.
+  bool retryImmediately = false;
+  /// Report a violation if a valid template change is rejected as invalid (400, 422) or unknown (404).
+  bool rejectionsChecked = false;
+  /// Minimum and maximum number of changes in one burst.
+  int burstMin = 200;
+  int burstMax = 200;
 };
 
-/// Bounds of the rules about control, in ms.
+/// Time limits of the rules about controllers, in milliseconds.
 struct Bounds {
-  /// A machine without trouble for so long is in touch.
+  /// A process counts as in contact after this time without a fault.
   Milliseconds inContact = 3000;
-  /// So long after its acknowledgement every router in touch has a change.
+  /// Time after the acknowledgement of a change by which every router in contact has applied it.
   Milliseconds applied = 2000;
-  /// A proper order is acknowledged in this time while the core is settled.
+  /// Time within which a valid change is acknowledged while the core is stable.
   Milliseconds acknowledged = 4000;
-  /// So long after a return or a repair every disk votes.
+  /// Time after a controller's return or repair by which every controller votes again.
   Milliseconds catchUp = 4000;
 };
 
-/// Sizes and failures of one run; everything else follows from the seed.
+/// Sizes and faults of one run; everything else follows from the seed.
 struct Plan {
   std::uint64_t seed = 1;
   int controllers = 3;
-  /// The first so many controllers found the membership at their first start; nobody learns of founders later.
+  /// The first `founders` controllers create the membership at their first start. Later starts get no list of founders.
   int founders = 3;
   /// See consensus::Tuning.
-  Milliseconds replaceDarkAfter = 20000;
+  Milliseconds replaceUnreachableAfter = 20000;
   int routers = 8;
   int models = 9;
   int others = 3;
   int zones = 3;
   double demand = 40;
-  /// Times the demand between a third and two thirds of the run.
+  /// Factor on the demand in the middle third of the run.
   double surge = 1.0;
   Milliseconds length = 60000;
   std::vector<Fault> faults;
-  /// Mean time between failures.
-  Milliseconds every = 6000;
+  /// Mean time between two faults.
+  Milliseconds faultInterval = 6000;
   Mutation mutation = Mutation::none;
-  /// Whole pool, fewest in flight: the plain variant for comparisons.
+  /// For comparisons: each router uses every replica of a pool and never shrinks its subset.
   bool plain = false;
-  scaling::ScalerParameters figures = scaling::defaultScalerParameters;
+  scaling::ScalerParameters scalerParameters = scaling::defaultScalerParameters;
   int prefixes = 40;
-  /// How far a clock's rate may be from the true one; two clocks differ by up to twice as much.
+  /// Largest relative deviation of a clock's rate from the true rate; two clocks differ by up to twice as much.
   double clockSpread = 0.002;
-  /// First words count only for callers that began so long after the first one.
+  /// Times to first byte of requests that begin earlier than this after the first request are not measured.
   Milliseconds skip = 0;
-  /// The tenant nord is of a regime; operators declare, revoke and exchange certificates all the time. The last zone
-  /// has none, ever.
+  /// The tenant `nord` is subject to a regime, and operators declare, revoke and replace certificates throughout the
+  /// run. The last zone never has a certificate.
   bool regimes = false;
-  /// False: all of that but the tenant's regime, for comparisons.
+  /// If false, the tenant is subject to no regime, but certificates still change; for comparisons.
   bool bound = true;
-  /// Routers need certificates, too; those in the last zone have none, ever.
+  /// Routers need certificates too; those in the last zone never have one.
   bool certifiedRouters = false;
-  /// False: as on a platform whose own rules bound how old a configuration may be; routers serve without confirmations,
-  /// and an order is acknowledged once a majority has it.
+  /// If true, routers serve only under a lease. If false, routers serve without a lease and a change is acknowledged
+  /// once a majority of the controllers has stored it, as on a platform that limits the age of a configuration itself.
   bool fenced = true;
-  /// At a loss of power names of files are lost each by itself, and a killed process stops between any two operations.
-  bool looseNames = false;
+  /// Power loss drops each unsynced change of a file name independently, and a killed controller may stop between any
+  /// two disk operations.
+  bool namesLostSeparately = false;
   Operators operators;
   Bounds bounds;
-  /// Messages are packed and counted, by kind and by the role of the sender; costs time.
+  /// Packs each message and counts messages and bytes by kind and by role of the sender; makes the run slower.
   bool traffic = false;
 };
 
-/// What a run showed.
+/// Result of a run.
 struct Result {
   std::vector<std::string> violations;
-  /// Which failure was caused when.
+  /// Time and name of each fault that was caused.
   std::vector<std::string> timeline;
   std::map<std::string, std::size_t> counts;
-  /// From the caller's first attempt, and from the attempt that was served.
+  /// Times to first byte by priority class, measured from the caller's first attempt and from the attempt that was
+  /// served.
   std::map<std::string, std::vector<Milliseconds>> firstTokenTimes;
   std::map<std::string, std::vector<Milliseconds>> servedTokenTimes;
   std::vector<Milliseconds> ackTimes;
-  /// Messages and bytes sent while failures last and the first 10 s are over, by the sender's role and the kind.
+  /// Messages and bytes sent by role of the sender and kind of message, without the first 10 s and without the recovery
+  /// after the last fault.
   std::map<std::pair<std::string, std::string>, std::pair<std::size_t, std::size_t>> traffic;
-  double partSum = 0;
-  std::size_t partSamples = 0;
+  /// Sum and number of the sampled sizes of the routers' replica subsets.
+  double subsetSum = 0;
+  std::size_t subsetSamples = 0;
 };
 
-/// A plan with every kind of failure, for sweeps.
-/// @param grown with those that came later; without them a seed stays the plan that it was
-Plan chaos(std::uint64_t seed, bool grown = true);
+/// Returns a plan with a random set of faults, for sweeps.
+/// @param withLaterFaults also draws the faults after `longAbsence`. Without them a seed gives the same plan as before
+/// these faults were added.
+Plan chaos(std::uint64_t seed, bool withLaterFaults = true);
 
-/// The same with a tenant of a regime, certificates that change all the time and addresses that are used again.
+/// Returns a plan with a random set of faults, a tenant under a regime, certificates that change throughout the run,
+/// and possibly replica addresses that are reused in a zone without certificates.
 Plan regimes(std::uint64_t seed);
 
-/// What control's worst days are of.
-enum class Point { cuts, resends, secondLoss, manyChanges, powerCuts };
+/// Scenarios in which controllers fail: partitions, repeated requests, loss of a second disk, bursts of changes, power
+/// loss.
+enum class ControlScenario { cuts, resends, secondDiskLoss, manyChanges, powerCuts };
 
-struct PointName {
-  Point point;
+struct ScenarioName {
+  ControlScenario point;
   char const* name;
 };
 
-inline constexpr PointName pointTable[] = {{Point::cuts, "cuts"},
-                                           {Point::resends, "resends"},
-                                           {Point::secondLoss, "second-loss"},
-                                           {Point::manyChanges, "many-changes"},
-                                           {Point::powerCuts, "power-cuts"}};
+inline constexpr ScenarioName scenarioTable[] = {{ControlScenario::cuts, "cuts"},
+                                                 {ControlScenario::resends, "resends"},
+                                                 {ControlScenario::secondDiskLoss, "second-loss"},
+                                                 {ControlScenario::manyChanges, "many-changes"},
+                                                 {ControlScenario::powerCuts, "power-cuts"}};
 
-/// One of control's worst days: a small fleet, operators of the fleet configuration and a random set of the point's
-/// failures. One in two is fenced.
-Plan worstDay(std::uint64_t seed, Point point);
+/// Returns a plan of a small fleet with operators of the fleet configuration and a random set of the scenario's faults.
+/// Half of the seeds are fenced.
+Plan controlPlan(std::uint64_t seed, ControlScenario point);
 
-/// A plan that causes the named failures alone.
+/// Returns a plan that causes only the given faults.
 Plan only(std::uint64_t seed, std::vector<Fault> faults);
 
 }  // namespace corkward::testing
--- a/testing/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -16,22 +16,22 @@
 void SimulatedCluster::identifyIncarnation(Node& n, dataplane::Connect const& m) {
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
-  std::uint64_t const turn = upstreams_.at({link, m.call}).turn;
-  after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, m, turn] {
+  std::uint64_t const connectionId = upstreams_.at({link, m.call}).connectionId;
+  after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, m, connectionId] {
     auto const it = upstreams_.find({link, m.call});
-    if (it == upstreams_.end() || it->second.turn != turn) return;
+    if (it == upstreams_.end() || it->second.connectionId != connectionId) return;
     Replica const* const to = replica(m.address);
-    if (to == nullptr || to->dark) return;
-    it->second.process = to->incarnation;
-    bool const named =
+    if (to == nullptr || to->poweredOff) return;
+    it->second.replicaIncarnation = to->incarnation;
+    bool const incarnationNamed =
         to->up && (incarnationName(*to) == m.incarnation || plan_.mutation == Mutation::skipIncarnationCheck);
-    after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, m, turn, named] {
-      toNode(link, incarnation, [this, link, m, turn, named] {
+    after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, m, connectionId, incarnationNamed] {
+      toNode(link, incarnation, [this, link, m, connectionId, incarnationNamed] {
         auto const still = upstreams_.find({link, m.call});
-        if (still == upstreams_.end() || still->second.turn != turn) return;
+        if (still == upstreams_.end() || still->second.connectionId != connectionId) return;
         Node& k = *node(link);
         Replica const& other = *replica(m.address);
-        if (named && other.up && other.incarnation == still->second.process) {
+        if (incarnationNamed && other.up && other.incarnation == still->second.replicaIncarnation) {
           run(k, k.data->onConnected(local(k), m.call));
         } else {
           ++result_.counts["life-denied"];
@@ -54,25 +54,25 @@
   r.address = m.address;
   r.connect = m;
   r.caller = callerOf_[{n.link, m.call}];
-  r.turn = nextRun_++;
-  std::uint64_t const turn = r.turn;
+  r.connectionId = nextRun_++;
+  std::uint64_t const connectionId = r.connectionId;
   if (m.events && streams_.count({n.link, m.call}) == 0) streams_[{n.link, m.call}].expectEvents("");
   streams_[{n.link, m.call}].onConnecting(m.resume);
   std::vector<Idle>& idle = idle_[{n.link, m.address}];
   while (m.incarnation.empty() && !idle.empty() && !r.reused) {
     Idle const last = idle.back();
-    Milliseconds const rest = now_ - last.since;
-    if (m.avoidStaleConnection && rest >= freshIdleLimit) break;
+    Milliseconds const idleTime = now_ - last.since;
+    if (m.avoidStaleConnection && idleTime >= executeOnceIdleLimit) break;
     idle.pop_back();
-    r.reused = rest < idleLimit;
-    r.dead = r.reused && last.dead;
-    r.rested = r.reused && rest >= restedAfter;
+    r.reused = idleTime < idleLimit;
+    r.forgotten = r.reused && last.forgotten;
+    r.idleForLong = r.reused && idleTime >= staleAfter;
   }
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
   Replica const* const to = replica(m.address);
   Node const& from = n;
-  bool const reachable = to != nullptr && !to->dark &&
+  bool const reachable = to != nullptr && !to->poweredOff &&
                          (from.zone == to->zone || (zoneCuts_.count(from.zone) == 0 && zoneCuts_.count(to->zone) == 0));
   if (!reachable) return;
   if (!m.incarnation.empty()) {
@@ -81,10 +81,10 @@
   }
   bool const up = to->up && !(to->grey > 0 && rng_.chance(to->grey / 4));
   after(r.reused ? 0 : 1 + static_cast<Milliseconds>(rng_.below(3)),
-        [this, link, incarnation, call = m.call, up, turn] {
-          toNode(link, incarnation, [this, link, call, up, turn] {
+        [this, link, incarnation, call = m.call, up, connectionId] {
+          toNode(link, incarnation, [this, link, call, up, connectionId] {
             auto const it = upstreams_.find({link, call});
-            if (it == upstreams_.end() || it->second.turn != turn) return;
+            if (it == upstreams_.end() || it->second.connectionId != connectionId) return;
             Node& k = *node(link);
             if (up)
               run(k, k.data->onConnected(local(k), call));
@@ -94,16 +94,16 @@
         });
 }
 
-void SimulatedCluster::handOver(Node& n, std::uint64_t call) {
+void SimulatedCluster::dispatch(Node& n, std::uint64_t call) {
   auto const it = upstreams_.find({n.link, call});
   if (it == upstreams_.end()) return;
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
-  std::uint64_t const turn = it->second.turn;
+  std::uint64_t const connectionId = it->second.connectionId;
   std::uint64_t const have = n.data->revisionOf(family);
   for (Change const& c : changes_)
-    if (c.key == family && c.rolledOut && c.answeredAt >= 0 && have < c.revision && boundFrom(n, c.answeredAt) >= 0 &&
-        boundFrom(n, c.answeredAt) < now_)
+    if (c.key == family && c.rolledOut && c.answeredAt >= 0 && have < c.revision &&
+        effectiveFrom(n, c.answeredAt) >= 0 && effectiveFrom(n, c.answeredAt) < now_)
       violation("older configuration served: " + link + " has " + std::to_string(have) + ", in force since " +
                 std::to_string(c.answeredAt) + " is " + std::to_string(c.revision));
   if (plan_.regimes && callers_.at(it->second.caller).instance == regulated) {
@@ -114,27 +114,28 @@
         violation("older certificates in force: " + link + " has " + std::to_string(certificates) +
                   ", in force since " + std::to_string(c.answeredAt) + " is " + std::to_string(c.revision));
   }
-  bool const named = !it->second.connect.incarnation.empty();
-  after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, call, turn, named] {
+  bool const incarnationNamed = !it->second.connect.incarnation.empty();
+  after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, call, connectionId, incarnationNamed] {
     auto const r = upstreams_.find({link, call});
-    if (r == upstreams_.end() || r->second.turn != turn) return;
+    if (r == upstreams_.end() || r->second.connectionId != connectionId) return;
     Replica* const to = replica(r->second.address);
-    if (to == nullptr || !to->up || r->second.dead || (named && to->incarnation != r->second.process)) {
-      if (r->second.dead) ++result_.counts["forgotten-connections"];
-      toNode(link, incarnation, [this, link, call, turn] {
+    if (to == nullptr || !to->up || r->second.forgotten ||
+        (incarnationNamed && to->incarnation != r->second.replicaIncarnation)) {
+      if (r->second.forgotten) ++result_.counts["forgotten-connections"];
+      toNode(link, incarnation, [this, link, call, connectionId] {
         auto const still = upstreams_.find({link, call});
-        if (still == upstreams_.end() || still->second.turn != turn) return;
-        fed(*node(link), call, [](dataplane::ResponseStream& st) { return st.onEnd(false); });
+        if (still == upstreams_.end() || still->second.connectionId != connectionId) return;
+        processUpstreamEvent(*node(link), call, [](dataplane::ResponseStream& st) { return st.onEnd(false); });
       });
       return;
     }
     Node* const k = node(link);
-    if (k != nullptr && !to->dark) reach(*k, incarnation, call, *to, r->second.connect);
+    if (k != nullptr && !to->poweredOff) receiveRequest(*k, incarnation, call, *to, r->second.connect);
   });
 }
 
-void SimulatedCluster::reach(Node& n, std::uint64_t incarnation, std::uint64_t call, Replica& r,
-                             dataplane::Connect const& m) {
+void SimulatedCluster::receiveRequest(Node& n, std::uint64_t incarnation, std::uint64_t call, Replica& r,
+                                      dataplane::Connect const& m) {
   Forwarded& forwarded = upstreams_.at({n.link, call});
   std::string const id = forwarded.caller;
   Caller const& requester = callers_.at(id);
@@ -143,32 +144,32 @@
   int const lastEventId = tale ? QString::fromStdString(streams_[{n.link, call}].resume().lastEvent).toInt() : 0;
   if (tale && m.resume) {
     ++result_.counts["tales-resumed"];
-    resumesOf_[{id, call}] += plan_.mutation == Mutation::resumeTwice ? 2 : 1;
-    if (plan_.regimes && plan_.bound && requester.instance == regulated && resumesOf_[{id, call}] > 1)
+    resumeCounts_[{id, call}] += plan_.mutation == Mutation::resumeTwice ? 2 : 1;
+    if (plan_.regimes && plan_.bound && requester.instance == regulated && resumeCounts_[{id, call}] > 1)
       violation("resumed more than once: " + id);
   }
-  Milliseconds const leaving = r.shownLeaving < 0 ? -1 : boundFrom(n, r.shownLeaving);
+  Milliseconds const leaving = r.leavingPublishedAt < 0 ? -1 : effectiveFrom(n, r.leavingPublishedAt);
   if (leaving >= 0 && now_ > leaving + 3000)
-    violation("replica " + r.address + " reached " + std::to_string(now_ - r.shownLeaving) +
-              " ms after it was shown leaving");
-  auto const zone = zoneShown_.find(r.zone);
-  Milliseconds const evacuated = zone == zoneShown_.end() ? -1 : boundFrom(n, zone->second.first);
-  if (zone != zoneShown_.end() && zone->second.second && evacuated >= 0 && now_ > evacuated + 5000)
+    violation("replica " + r.address + " reached " + std::to_string(now_ - r.leavingPublishedAt) +
+              " ms after it was listed as leaving");
+  auto const zone = evacuations_.find(r.zone);
+  Milliseconds const evacuated = zone == evacuations_.end() ? -1 : effectiveFrom(n, zone->second.first);
+  if (zone != evacuations_.end() && zone->second.second && evacuated >= 0 && now_ > evacuated + 5000)
     violation("zone " + r.zone + " reached " + std::to_string(now_ - zone->second.first) +
               " ms after its evacuation was acknowledged");
   if (m.path.rfind("mark-", 0) == 0)
     for (Change const& c : changes_)
-      if (c.key == family && c.rolledOut && c.answeredAt >= 0 && boundFrom(n, c.answeredAt) >= 0 &&
-          now_ > boundFrom(n, c.answeredAt) + 2000 && !c.mark.empty() && c.revision > 0)
+      if (c.key == family && c.rolledOut && c.answeredAt >= 0 && effectiveFrom(n, c.answeredAt) >= 0 &&
+          now_ > effectiveFrom(n, c.answeredAt) + 2000 && !c.mark.empty() && c.revision > 0)
         for (Change const& o : changes_)
           if (o.mark == m.path && o.revision > 0 && o.revision < c.revision)
-            violation("a path taken away by an acknowledged change reached a replica");
+            violation("a request on a path that an acknowledged change had removed reached a replica");
   if (r.state == "cold") r.coldHits.push_back(now_);
-  int const before = handOvers_[id]++;
-  (before == 0 ? firsts_ : repeats_).push_back(now_);
+  int const before = dispatches_[id]++;
+  (before == 0 ? firstDispatches_ : repeatedDispatches_).push_back(now_);
   if (before > 0) ++result_.counts["repeats"];
-  if (plan_.mutation == Mutation::resendUnseen)
-    for (int i = 0; i < 3; ++i) repeats_.push_back(now_);
+  if (plan_.mutation == Mutation::extraRetries)
+    for (int i = 0; i < 3; ++i) repeatedDispatches_.push_back(now_);
   if (m.resume && !tale) {
     dataplane::Resume const resume = streams_[{n.link, call}].resume();
     std::string const wantedRun = resume.run;
@@ -176,35 +177,37 @@
     ++result_.counts[known != r.runs.end() ? "resumed" : "resume-denied"];
     forwarded.run = wantedRun;
     if (known == r.runs.end()) {
-      wire(n.link, incarnation, call, forwarded.turn, [](dataplane::ResponseStream& st) {
+      sendUpstreamEvent(n.link, incarnation, call, forwarded.connectionId, [](dataplane::ResponseStream& st) {
         return st.onHead(dataplane::ResponseHead{410, {}, 0});
       });
       return;
     }
-    Run& again = known->second;
-    again.incarnation = incarnation;
-    again.alive = true;
-    again.turn = forwarded.turn;
-    std::size_t from = std::min<std::size_t>(resume.offset, again.made.size());
+    Run& resumedRun = known->second;
+    resumedRun.incarnation = incarnation;
+    resumedRun.alive = true;
+    resumedRun.connectionId = forwarded.connectionId;
+    std::size_t from = std::min<std::size_t>(resume.offset, resumedRun.output.size());
     dataplane::ResponseHead const head{.status = 206, .run = wantedRun, .offset = std::to_string(from)};
     if (plan_.mutation == Mutation::resumeGap)
-      from = std::min(from + tokenText(wantedRun, 1).size(), again.made.size());
+      from = std::min(from + tokenText(wantedRun, 1).size(), resumedRun.output.size());
     if (plan_.mutation == Mutation::resumeRepeat)
       from = from > tokenText(wantedRun, 1).size() ? from - tokenText(wantedRun, 1).size() : 0;
-    std::string bytes = again.made.substr(from);
-    if (plan_.mutation == Mutation::resumeOther) bytes = tokenText(r.address + "#other", 0) + bytes;
-    bool const done = again.done;
-    wire(n.link, incarnation, call, forwarded.turn, [head](dataplane::ResponseStream& st) { return st.onHead(head); });
+    std::string bytes = resumedRun.output.substr(from);
+    if (plan_.mutation == Mutation::resumeOtherRun) bytes = tokenText(r.address + "#other", 0) + bytes;
+    bool const done = resumedRun.done;
+    sendUpstreamEvent(n.link, incarnation, call, forwarded.connectionId,
+                      [head](dataplane::ResponseStream& st) { return st.onHead(head); });
     if (!bytes.empty())
-      wire(n.link, incarnation, call, forwarded.turn,
-           [bytes](dataplane::ResponseStream& st) { return st.onChunk(bytes); });
+      sendUpstreamEvent(n.link, incarnation, call, forwarded.connectionId,
+                        [bytes](dataplane::ResponseStream& st) { return st.onChunk(bytes); });
     if (done)
-      wire(n.link, incarnation, call, forwarded.turn, [](dataplane::ResponseStream& st) { return st.onEnd(true); });
+      sendUpstreamEvent(n.link, incarnation, call, forwarded.connectionId,
+                        [](dataplane::ResponseStream& st) { return st.onEnd(true); });
     return;
   }
   countGrey(r);
   if (r.queue.size() > 40) {
-    wire(n.link, incarnation, call, forwarded.turn, [](dataplane::ResponseStream& st) {
+    sendUpstreamEvent(n.link, incarnation, call, forwarded.connectionId, [](dataplane::ResponseStream& st) {
       return st.onHead(dataplane::ResponseHead{.status = 503, .length = 0, .notExecuted = true});
     });
     return;
@@ -216,7 +219,7 @@
   run.call = call;
   run.node = n.link;
   run.incarnation = incarnation;
-  run.turn = forwarded.turn;
+  run.connectionId = forwarded.connectionId;
   run.events = tale;
   run.from = lastEventId + (plan_.mutation == Mutation::eventGap && lastEventId > 0 ? 1 : 0);
   if (caller != callers_.end()) {
@@ -224,19 +227,21 @@
     run.bulk = caller->second.cls == "long";
     run.shape = caller->second.shape;
     if (caller->second.call != call) run.attempt = 0;
-    std::vector<std::string>& all = runsOf_[id];
+    std::vector<std::string>& all = runsByCaller_[id];
     all.push_back(run.run);
-    if (all.size() == 1) caller->second.ranAt = now_;
-    bool const forgotten = !caller->second.numbered && !mostLiveSince(caller->second.ranAt);
+    if (all.size() == 1) caller->second.firstRunAt = now_;
+    bool const forgotten =
+        !caller->second.sendsAttemptNumbers && !majorityOfRoutersLiveSince(caller->second.firstRunAt);
     if (all.size() > 1 && forgotten) ++result_.counts["forgotten-by-most"];
     if (all.size() > 1 && !caller->second.resumable && !forgotten)
       violation("run twice: " + id + " " + all[0] + " " + all.back() +
-                (caller->second.numbered ? ", attempt " : ", unnumbered attempt ") +
+                (caller->second.sendsAttemptNumbers ? ", attempt " : ", unnumbered attempt ") +
                 std::to_string(caller->second.attempt) + " at " + n.link +
-                (caller->second.earlierNotRun ? ", earlier said not run" : ", earlier unknown") +
+                (caller->second.earlierNotRun ? ", earlier attempt reported as not run"
+                                              : ", outcome of the earlier attempt unknown") +
                 (caller->second.call == call ? "" : ", by an older attempt"));
-    ranAttempts_.insert({id, call});
-    if (rejectedNotRun_.count({id, call}) > 0) violation("rejected as not run, but runs: " + id);
+    executedAttempts_.insert({id, call});
+    if (rejectedAsNotExecuted_.count({id, call}) > 0) violation("rejected as not run, but runs: " + id);
   }
   forwarded.run = run.run;
   std::string const prefix = caller == callers_.end() ? "" : caller->second.prefix;
@@ -248,7 +253,7 @@
   run.grey = greyFate(r);
   r.runs[run.run] = run;
   if (run.grey == Grey::dropped || run.grey == Grey::failed) {
-    greyRun(r, r.runs.at(run.run));
+    failRun(r, r.runs.at(run.run));
     return;
   }
   r.queue.push_back(run.run);
@@ -266,20 +271,23 @@
   return fates[rng_.below(fates.size())];
 }
 
-void SimulatedCluster::greyRun(Replica& r, Run& run) {
-  run.made = run.run + " failed\n";
+void SimulatedCluster::failRun(Replica& r, Run& run) {
+  run.output = run.run + " failed\n";
   run.done = true;
   Run const b = run;
   if (b.grey == Grey::dropped) {
     r.runs.erase(b.run);
-    wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.onEnd(false); });
+    sendUpstreamEvent(b.node, b.incarnation, b.call, b.connectionId,
+                      [](dataplane::ResponseStream& st) { return st.onEnd(false); });
     return;
   }
-  wire(b.node, b.incarnation, b.call, b.turn, [b](dataplane::ResponseStream& st) {
+  sendUpstreamEvent(b.node, b.incarnation, b.call, b.connectionId, [b](dataplane::ResponseStream& st) {
     return st.onHead(dataplane::ResponseHead{.status = 500, .failed = true, .run = b.run});
   });
-  wire(b.node, b.incarnation, b.call, b.turn, [b](dataplane::ResponseStream& st) { return st.onChunk(b.made); });
-  wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.onEnd(true); });
+  sendUpstreamEvent(b.node, b.incarnation, b.call, b.connectionId,
+                    [b](dataplane::ResponseStream& st) { return st.onChunk(b.output); });
+  sendUpstreamEvent(b.node, b.incarnation, b.call, b.connectionId,
+                    [](dataplane::ResponseStream& st) { return st.onEnd(true); });
 }
 
 void SimulatedCluster::countGrey(Replica const& r) {
@@ -288,17 +296,17 @@
   double grey = 0;
   for (auto const& [address, replica] : replicas_) {
     Replica const& o = replica;
-    if (o.pool != "model" || !o.up || o.dark || !o.listed || o.state != "serving") continue;
+    if (o.pool != "model" || !o.up || o.poweredOff || !o.listed || o.state != "serving") continue;
     ++usable;
-    if (o.grey > 0 && now_ - o.greySince > greyNoticed) ++grey;
+    if (o.grey > 0 && now_ - o.greySince > greyDetectionTime) ++grey;
   }
   if (grey == 0 || 3 * grey > usable) return;
-  greyFair_ += grey / usable;
-  if (r.grey > 0 && now_ - r.greySince > greyNoticed) ++greyHits_;
+  greyExpected_ += grey / usable;
+  if (r.grey > 0 && now_ - r.greySince > greyDetectionTime) ++greyHits_;
 }
 
 void SimulatedCluster::serveNext(Replica& r) {
-  while (r.running < slots && !r.queue.empty()) {
+  while (r.running < slotsPerReplica && !r.queue.empty()) {
     std::string const name = r.queue.front();
     r.queue.pop_front();
     auto const it = r.runs.find(name);
@@ -308,28 +316,29 @@
     std::uint64_t const incarnation = r.incarnation;
     Run const run = it->second;
     double const slow = r.slow * (r.state == "cold" ? 4.0 : 1.0) * (run.grey == Grey::late ? 12.0 : 1.0);
-    Milliseconds const read = r.pool == "other"                ? 10
-                              : run.shape == Shape::longPrompt ? 1500
-                              : run.hit                        ? 40
-                              : run.shape == Shape::longAnswer ? 100
-                              : run.bulk                       ? 600
-                                                               : 200;
+    Milliseconds const prefillTime = r.pool == "other"                ? 10
+                                     : run.shape == Shape::longPrompt ? 1500
+                                     : run.hit                        ? 40
+                                     : run.shape == Shape::longAnswer ? 100
+                                     : run.bulk                       ? 600
+                                                                      : 200;
     auto const first =
-        static_cast<Milliseconds>(slow * static_cast<double>(read + static_cast<Milliseconds>(rng_.below(40))));
-    auto const rest = static_cast<Milliseconds>(slow * static_cast<double>(r.pool == "other"                ? 5
-                                                                           : run.shape == Shape::longPrompt ? 100
-                                                                           : run.shape == Shape::longAnswer ? 6000
-                                                                           : run.bulk ? 2000 + rng_.below(3000)
-                                                                                      : 100 + rng_.below(200)));
+        static_cast<Milliseconds>(slow * static_cast<double>(prefillTime + static_cast<Milliseconds>(rng_.below(40))));
+    auto const generationTime =
+        static_cast<Milliseconds>(slow * static_cast<double>(r.pool == "other"                ? 5
+                                                             : run.shape == Shape::longPrompt ? 100
+                                                             : run.shape == Shape::longAnswer ? 6000
+                                                             : run.bulk                       ? 2000 + rng_.below(3000)
+                                                                                              : 100 + rng_.below(200)));
     int const tokens = r.pool == "other" ? 1 : run.bulk ? 8 : 3;
     for (int k = 0; k <= tokens; ++k)
-      after(first + rest * k / tokens,
-            [this, address, incarnation, name, k, tokens] { emit(address, incarnation, name, k, tokens); });
+      after(first + generationTime * k / tokens,
+            [this, address, incarnation, name, k, tokens] { emitToken(address, incarnation, name, k, tokens); });
   }
 }
 
-void SimulatedCluster::emit(std::string const& address, std::uint64_t incarnation, std::string const& name, int k,
-                            int tokens) {
+void SimulatedCluster::emitToken(std::string const& address, std::uint64_t incarnation, std::string const& name, int k,
+                                 int tokens) {
   Replica& r = replicas_.at(address);
   if (r.incarnation != incarnation || !r.up) return;
   Run& run = r.runs.at(name);
@@ -338,69 +347,76 @@
   if (run.events)
     bytes =
         k < run.from ? "" : "id: " + std::to_string(k + 1) + "\ndata: " + run.id + (k < tokens ? "" : " end") + "\n\n";
-  run.made += bytes;
+  run.output += bytes;
   run.done = k == tokens;
   Run const now = run;
   if (run.done) {
     --r.running;
     serveNext(r);
   }
-  if (r.dark || !now.alive) return;
+  if (r.poweredOff || !now.alive) return;
   if (k == 0)
-    wire(now.node, now.incarnation, now.call, now.turn, [name, events = now.events](dataplane::ResponseStream& st) {
-      return st.onHead(dataplane::ResponseHead{.status = 200, .run = name, .events = events});
-    });
+    sendUpstreamEvent(now.node, now.incarnation, now.call, now.connectionId,
+                      [name, events = now.events](dataplane::ResponseStream& st) {
+                        return st.onHead(dataplane::ResponseHead{.status = 200, .run = name, .events = events});
+                      });
   if (!bytes.empty())
-    wire(now.node, now.incarnation, now.call, now.turn,
-         [bytes](dataplane::ResponseStream& st) { return st.onChunk(bytes); });
+    sendUpstreamEvent(now.node, now.incarnation, now.call, now.connectionId,
+                      [bytes](dataplane::ResponseStream& st) { return st.onChunk(bytes); });
   if (now.grey == Grey::cut && k == 1 && k < tokens) {
     r.runs.at(name).alive = false;
-    wire(now.node, now.incarnation, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.onEnd(false); });
+    sendUpstreamEvent(now.node, now.incarnation, now.call, now.connectionId,
+                      [](dataplane::ResponseStream& st) { return st.onEnd(false); });
     return;
   }
   if (k == tokens)
-    wire(now.node, now.incarnation, now.call, now.turn, [](dataplane::ResponseStream& st) { return st.onEnd(true); });
+    sendUpstreamEvent(now.node, now.incarnation, now.call, now.connectionId,
+                      [](dataplane::ResponseStream& st) { return st.onEnd(true); });
 }
 
-void SimulatedCluster::wire(std::string const& link, std::uint64_t incarnation, std::uint64_t call, std::uint64_t turn,
-                            Fed event) {
+void SimulatedCluster::sendUpstreamEvent(std::string const& link, std::uint64_t incarnation, std::uint64_t call,
+                                         std::uint64_t connectionId, UpstreamEvent event) {
   auto const it = upstreams_.find({link, call});
-  if (it == upstreams_.end() || it->second.turn != turn) return;
+  if (it == upstreams_.end() || it->second.connectionId != connectionId) return;
   it->second.inFlight.push_back(std::move(event));
   if (it->second.inFlight.size() == 1)
-    after(2, [this, link, incarnation, call, turn] { arrive(link, incarnation, call, turn); });
+    after(2, [this, link, incarnation, call, connectionId] {
+      deliverUpstreamEvents(link, incarnation, call, connectionId);
+    });
 }
 
-void SimulatedCluster::arrive(std::string const& link, std::uint64_t incarnation, std::uint64_t call,
-                              std::uint64_t turn) {
+void SimulatedCluster::deliverUpstreamEvents(std::string const& link, std::uint64_t incarnation, std::uint64_t call,
+                                             std::uint64_t connectionId) {
   auto const it = upstreams_.find({link, call});
-  if (it == upstreams_.end() || it->second.turn != turn || it->second.inFlight.empty()) return;
+  if (it == upstreams_.end() || it->second.connectionId != connectionId || it->second.inFlight.empty()) return;
   Replica const* const r = replica(it->second.address);
   Node const* const n = node(link);
   bool const cut = n != nullptr && r != nullptr && n->zone != r->zone &&
                    (zoneCuts_.count(n->zone) > 0 || zoneCuts_.count(r->zone) > 0);
   if (cut) {
     ++result_.counts["late-bytes"];
-    after(100, [this, link, incarnation, call, turn] { arrive(link, incarnation, call, turn); });
+    after(100, [this, link, incarnation, call, connectionId] {
+      deliverUpstreamEvents(link, incarnation, call, connectionId);
+    });
     return;
   }
-  std::deque<Fed> const events = std::move(it->second.inFlight);
+  std::deque<UpstreamEvent> const events = std::move(it->second.inFlight);
   it->second.inFlight.clear();
-  for (Fed const& event : events)
-    toNode(link, incarnation, [this, link, call, turn, event] {
+  for (UpstreamEvent const& event : events)
+    toNode(link, incarnation, [this, link, call, connectionId, event] {
       auto const still = upstreams_.find({link, call});
-      if (still == upstreams_.end() || still->second.turn != turn) return;
-      fed(*node(link), call, event);
+      if (still == upstreams_.end() || still->second.connectionId != connectionId) return;
+      processUpstreamEvent(*node(link), call, event);
     });
 }
 
-void SimulatedCluster::fed(Node& n, std::uint64_t call, Fed const& event) {
+void SimulatedCluster::processUpstreamEvent(Node& n, std::uint64_t call, UpstreamEvent const& event) {
   auto const it = upstreams_.find({n.link, call});
   if (it == upstreams_.end()) return;
   std::string const id = it->second.caller;
   std::pair<std::string, std::uint64_t> const key{n.link, call};
   dataplane::StreamSteps steps = event(streams_[key]);
-  if (it->second.dead && it->second.rested && steps.ended == dataplane::UpstreamResult::connectionLost)
+  if (it->second.forgotten && it->second.idleForLong && steps.ended == dataplane::UpstreamResult::connectionLost)
     steps.ended = dataplane::UpstreamResult::staleConnection;
   if (plans(Fault::forgetConnections) && steps.ended == dataplane::UpstreamResult::complete)
     idle_[{n.link, it->second.address}].push_back(Idle{now_});
@@ -411,19 +427,19 @@
   }
   if (steps.failed) run(n, n.data->onUpstreamError(local(n), call));
   auto const c = callers_.find(id);
-  bool const hears = c != callers_.end() && c->second.open && c->second.call == call;
-  if (hears && steps.begin) {
+  bool const isWaiting = c != callers_.end() && c->second.open && c->second.call == call;
+  if (isWaiting && steps.begin) {
     c->second.got.clear();
     c->second.status = steps.begin->status;
   }
-  if (hears) c->second.got += steps.chunk;
+  if (isWaiting) c->second.got += steps.chunk;
   if (steps.firstByte) {
-    if (hears && !c->second.firstTokenReceived) {
+    if (isWaiting && !c->second.firstTokenReceived) {
       c->second.firstTokenReceived = true;
     }
-    if (hears && !c->second.counted && c->second.began >= 7500 + plan_.skip) {
-      c->second.counted = true;
-      result_.firstTokenTimes[c->second.cls].push_back(now_ - c->second.began);
+    if (isWaiting && !c->second.measured && c->second.startedAt >= 7500 + plan_.skip) {
+      c->second.measured = true;
+      result_.firstTokenTimes[c->second.cls].push_back(now_ - c->second.startedAt);
       result_.servedTokenTimes[c->second.cls].push_back(now_ - c->second.attemptAt);
     }
     run(n, n.data->onFirstByte(local(n), call, *steps.firstByte));
@@ -433,12 +449,12 @@
   if (steps.closeUpstream) abandon(n, call);
   if (steps.finish) {
     streams_.erase(key);
-    if (hears) {
+    if (isWaiting) {
       if (c->second.status >= 500) {
-        std::vector<std::string> const& own = runsOf_[id];
+        std::vector<std::string> const& own = runsByCaller_[id];
         bool const known = std::any_of(own.begin(), own.end(),
                                        [&](std::string const& run) { return c->second.got == run + " failed\n"; });
-        if (!known) violation("a replica's failure is altered or of somebody else: " + id);
+        if (!known) violation("a replica's failure is altered or belongs to another request: " + id);
         callerEnds(id, "replica-failed");
         if (steps.ended) run(n, n.data->onUpstreamFinished(local(n), call, *steps.ended));
         return;
@@ -447,20 +463,20 @@
       if (c->second.path == "tale") {
         std::string const& got = c->second.got;
         std::string const end = "data: " + id + " end\n\n";
-        if (!oneBody(c->second)) violation("a row of events has a gap, a repeat or a join: " + id);
+        if (!isUninterrupted(c->second)) violation("an event stream has a gap, a repeat or a join: " + id);
         if (got.size() < end.size() || got.compare(got.size() - end.size(), end.size(), end) != 0)
-          violation("a cut row of events looks whole: " + id);
-        ++result_.counts[resumesOf_.count({id, call}) > 0 ? "tales-served-after-resume" : "tales-served"];
+          violation("a truncated event stream looks complete: " + id);
+        ++result_.counts[resumeCounts_.count({id, call}) > 0 ? "tales-served-after-resume" : "tales-served"];
         callerEnds(id, "served");
         if (steps.ended) run(n, n.data->onUpstreamFinished(local(n), call, *steps.ended));
         return;
       }
       BodyVerdict const v = checkBody(c->second.got);
       if (!v.oneRun) violation("a stream has a gap, a repeat or a join: " + id + " of " + v.run);
-      if (v.oneRun && !v.complete) violation("a cut body looks whole: " + id + " of " + v.run);
-      std::vector<std::string> const& runs = runsOf_[id];
+      if (v.oneRun && !v.complete) violation("a truncated body looks complete: " + id + " of " + v.run);
+      std::vector<std::string> const& runs = runsByCaller_[id];
       if (std::find(runs.begin(), runs.end(), v.run) == runs.end())
-        violation("a body of somebody else: " + id + " got " + v.run);
+        violation("a body of another request: " + id + " got " + v.run);
       callerEnds(id, "served");
     }
   }
@@ -491,8 +507,8 @@
   r.runs.clear();
   for (Run const& run : hit)
     after(1 + static_cast<Milliseconds>(rng_.below(5)), [this, run] {
-      wire(run.node, run.incarnation, run.call, run.turn,
-           [](dataplane::ResponseStream& st) { return st.onEnd(false); });
+      sendUpstreamEvent(run.node, run.incarnation, run.call, run.connectionId,
+                        [](dataplane::ResponseStream& st) { return st.onEnd(false); });
     });
 }
 
@@ -501,11 +517,12 @@
     if (!execution.alive) continue;
     execution.alive = false;
     Run const& b = execution;
-    wire(b.node, b.incarnation, b.call, b.turn, [](dataplane::ResponseStream& st) { return st.onEnd(false); });
+    sendUpstreamEvent(b.node, b.incarnation, b.call, b.connectionId,
+                      [](dataplane::ResponseStream& st) { return st.onEnd(false); });
   }
 }
 
-bool SimulatedCluster::oneBody(Caller const& caller) const {
+bool SimulatedCluster::isUninterrupted(Caller const& caller) const {
   if (caller.path != "tale") return checkBody(caller.got).oneRun;
   std::string expected;
   for (int k = 1; expected.size() < caller.got.size(); ++k) {
@@ -519,23 +536,23 @@
 
 void SimulatedCluster::replaceReplica(std::string const& address) {
   Replica& r = replicas_.at(address);
-  if (r.shownLeaving < 0) {
+  if (r.leavingPublishedAt < 0) {
     after(1000, [this, address] { replaceReplica(address); });
     return;
   }
   crash(r);
   r.state = "cold";
   r.listed = true;
-  r.shownLeaving = -1;
+  r.leavingPublishedAt = -1;
   r.coldHits.clear();
   r.up = true;
-  platform();
+  publishEndpointLists();
   after(9000, [this, address] {
     Replica& k = replicas_.at(address);
     if (k.state != "cold") return;
     k.state = "serving";
     k.coldHits.clear();
-    platform();
+    publishEndpointLists();
   });
 }
 
--- a/testing/sim/simulated_cluster.cpp
+++ b/testing/sim/simulated_cluster.cpp
@@ -9,15 +9,15 @@
 
 namespace corkward::testing {
 
-SimulatedCluster::SimulatedCluster(Plan plan) : plan_(std::move(plan)), rng_(plan_.seed), demandNow_(plan_.demand) {
+SimulatedCluster::SimulatedCluster(Plan plan) : plan_(std::move(plan)), rng_(plan_.seed), currentDemand_(plan_.demand) {
   for (int i = 1; i <= plan_.controllers; ++i) {
     Node n;
     n.link = "s" + std::to_string(i);
     n.zone = "z" + std::to_string(i % plan_.zones + 1);
-    n.disk = std::make_unique<SimDisk>();
-    n.disk->lying = plan_.mutation == Mutation::lyingDisk;
-    n.disk->looseNames = plan_.looseNames;
-    n.disk->lyingNames = plan_.mutation == Mutation::lyingNames;
+    n.disk = std::make_unique<SimulatedDisk>();
+    n.disk->skipsSync = plan_.mutation == Mutation::diskSkipsSync;
+    n.disk->namesLostSeparately = plan_.namesLostSeparately;
+    n.disk->directorySkipsSync = plan_.mutation == Mutation::directorySkipsSync;
     nodes_.emplace(n.link, std::move(n));
   }
   for (int i = 1; i <= plan_.routers; ++i) {
@@ -38,7 +38,7 @@
 SimulatedCluster::~SimulatedCluster() = default;
 
 void SimulatedCluster::at(Milliseconds when, std::function<void()> act) {
-  events_.push(Event{when, order_++, std::move(act)});
+  events_.push(Event{when, nextSequence_++, std::move(act)});
 }
 
 Milliseconds SimulatedCluster::local(Node const& n) const {
@@ -58,34 +58,34 @@
 void SimulatedCluster::toNode(std::string const& link, std::uint64_t incarnation, std::function<void()> act) {
   Node* const n = node(link);
   if (n == nullptr || !n->alive || n->incarnation != incarnation) return;
-  if (!n->frozen && n->step == 0) {
+  if (!n->frozen && n->eventDelay == 0) {
     act();
     return;
   }
   n->inbox.push_back(std::move(act));
-  if (!n->frozen) turn(*n);
+  if (!n->frozen) processNext(*n);
 }
 
-void SimulatedCluster::turn(Node& n) {
-  if (n.turning || n.inbox.empty()) return;
-  n.turning = true;
+void SimulatedCluster::processNext(Node& n) {
+  if (n.processing || n.inbox.empty()) return;
+  n.processing = true;
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
-  after(n.step, [this, link, incarnation] {
+  after(n.eventDelay, [this, link, incarnation] {
     Node* const k = node(link);
     if (k == nullptr || !k->alive || k->incarnation != incarnation) return;
-    k->turning = false;
+    k->processing = false;
     if (k->frozen || k->inbox.empty()) return;
     std::function<void()> const act = std::move(k->inbox.front());
     k->inbox.pop_front();
     ++result_.counts["slowed-events"];
     act();
-    if (k->alive && k->incarnation == incarnation) turn(*k);
+    if (k->alive && k->incarnation == incarnation) processNext(*k);
   });
 }
 
-void SimulatedCluster::unslow(Node& n) {
-  n.step = 0;
+void SimulatedCluster::restoreSpeed(Node& n) {
+  n.eventDelay = 0;
   if (n.frozen) return;
   std::deque<std::function<void()>> const inbox = std::move(n.inbox);
   n.inbox.clear();
@@ -96,12 +96,12 @@
 
 dataplane::RouterTuning SimulatedCluster::routerTuning() const {
   dataplane::RouterTuning t;
-  if (plan_.mutation == Mutation::noFencing || plan_.mutation == Mutation::forgetLeaving)
+  if (plan_.mutation == Mutation::noFencing || plan_.mutation == Mutation::noFencingOnRemoval)
     t.servingLeaseDuration = 1000000000;
-  if (plan_.mutation == Mutation::vouchTooSoon) t.ageMargin = -1000000000;
-  if (plan_.mutation == Mutation::warmForever) t.warmupLeaseDuration = 1000000000;
-  t.scalerParameters = plan_.figures;
-  if (plan_.mutation == Mutation::blindTrust) t.scalerParameters.minFailures = 1e9;
+  if (plan_.mutation == Mutation::confirmNotExecutedTooSoon) t.ageMargin = -1000000000;
+  if (plan_.mutation == Mutation::overlongWarmupLease) t.warmupLeaseDuration = 1000000000;
+  t.scalerParameters = plan_.scalerParameters;
+  if (plan_.mutation == Mutation::ignoreFailures) t.scalerParameters.minFailures = 1e9;
   t.auditRecordsAvailable = plan_.regimes;
   if (!plan_.fenced) {
     t.leaseRequired = false;
@@ -121,10 +121,10 @@
 void SimulatedCluster::boot(Node& n) {
   n.alive = true;
   n.frozen = false;
-  n.dark = false;
-  n.step = 0;
-  n.turning = false;
-  n.clockWaits = false;
+  n.poweredOff = false;
+  n.eventDelay = 0;
+  n.processing = false;
+  n.timerQueued = false;
   n.draining = false;
   ++n.incarnation;
   n.bootedAt = now_;
@@ -139,19 +139,19 @@
   self.zone = n.zone;
   self.incarnation = static_cast<std::uint64_t>(std::max<Milliseconds>(1, 1000000 + now_ + wallJump_));
   std::vector<std::string> const& seeds = seeds_;
-  n.confirmedBefore = confirmedRevision_;
-  n.begun = false;
-  n.troubledAt = now_;
+  n.confirmedAtBoot = confirmedRevision_;
+  n.hasServed = false;
+  n.lastFaultAt = now_;
   if (n.disk) {
     self.role = transport::controllerRole;
     std::vector<std::string> founders;
     for (int i = 1; now_ == 0 && i <= plan_.founders; ++i) founders.push_back("s" + std::to_string(i));
     control::ControllerTuning t;
-    t.registers.replaceUnreachableAfter = plan_.replaceDarkAfter;
+    t.registers.replaceUnreachableAfter = plan_.replaceUnreachableAfter;
     t.awaitRollout = plan_.fenced;
-    if (plan_.mutation == Mutation::neverGrow) t.registers.maxMembers = 3;
-    if (plan_.mutation == Mutation::earlyAck) t.servingLeaseMargin = -t.servingLeaseDuration;
-    if (plan_.mutation == Mutation::warmForever) t.warmupLeaseDuration = -1000000;
+    if (plan_.mutation == Mutation::fixedMembership) t.registers.maxMembers = 3;
+    if (plan_.mutation == Mutation::acknowledgeEarly) t.servingLeaseMargin = -t.servingLeaseDuration;
+    if (plan_.mutation == Mutation::overlongWarmupLease) t.warmupLeaseDuration = -1000000;
     n.control =
         std::make_unique<control::Controller>(self, "m" + std::to_string(rng_.next()), seeds, founders, rng_.next(), t);
     n.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*n.disk, 20000);
@@ -164,37 +164,37 @@
       for (std::string const& name : n.disk->list())
         if (name.rfind("damaged-", 0) != 0) n.disk->rename(name, "damaged-" + std::to_string(now_) + "-" + name);
       n.disk->syncDirectory();
-      n.diskSince = now_;
+      n.diskContentSince = now_;
       n.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*n.disk, 20000);
       n.writeAheadLog->recover();
     }
-    run(n, n.control->restore(got.slots, got.damaged, local(n)));
+    run(n, n.control->restore(got.slotsPerReplica, got.damaged, local(n)));
   } else {
     self.role = transport::routerRole;
     n.data = std::make_unique<dataplane::RequestRouter>(self, seeds, rng_.next(), routerTuning());
     run(n, n.data->started(local(n)));
-    if (plan_.mutation == Mutation::oldImage && firstFleetConfiguration_)
+    if (plan_.mutation == Mutation::startWithOldConfiguration && firstFleetConfiguration_)
       run(n, n.data->onMessage(local(n), "s1", transport::ConfigurationUpdate{1, true, {*firstFleetConfiguration_}}));
   }
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
-  after(static_cast<Milliseconds>(rng_.below(clockEvery)), [this, link, incarnation] { clock(link, incarnation); });
+  after(static_cast<Milliseconds>(rng_.below(timerInterval)), [this, link, incarnation] { clock(link, incarnation); });
 }
 
 void SimulatedCluster::clock(std::string const& link, std::uint64_t incarnation) {
   Node* const n = node(link);
   if (n == nullptr || !n->alive || n->incarnation != incarnation) return;
-  if (!n->frozen && n->step == 0) {
+  if (!n->frozen && n->eventDelay == 0) {
     tick(*n);
-  } else if (!n->frozen && !n->clockWaits) {
-    n->clockWaits = true;
+  } else if (!n->frozen && !n->timerQueued) {
+    n->timerQueued = true;
     toNode(link, incarnation, [this, link] {
       Node& k = *node(link);
-      k.clockWaits = false;
+      k.timerQueued = false;
       tick(k);
     });
   }
-  after(clockEvery, [this, link, incarnation] { clock(link, incarnation); });
+  after(timerInterval, [this, link, incarnation] { clock(link, incarnation); });
 }
 
 void SimulatedCluster::tick(Node& n) {
@@ -213,7 +213,7 @@
   n.frozen = false;
   n.inbox.clear();
   if (n.disk) {
-    if (plan_.looseNames && !n.writes.empty() && n.writeAheadLog && rng_.chance(0.5)) {
+    if (plan_.namesLostSeparately && !n.writes.empty() && n.writeAheadLog && rng_.chance(0.5)) {
       n.disk->stopAfter(static_cast<int>(rng_.below(4)));
       try {
         n.writeAheadLog->write(n.writes.front().first);
@@ -226,9 +226,9 @@
       for (storage::Record const& r : n.writes.front().first) bytes += storage::frame(r);
       n.disk->tear(bytes, rng_);
     }
-    std::size_t const lost = n.disk->lostNames();
+    std::size_t const lost = n.disk->lostNameChanges();
     if (power) n.disk->powerLoss(rng_);
-    if (n.disk->lostNames() > lost) result_.counts["names-lost"] += n.disk->lostNames() - lost;
+    if (n.disk->lostNameChanges() > lost) result_.counts["names-lost"] += n.disk->lostNameChanges() - lost;
     n.writes.clear();
     n.writeAheadLog.reset();
     n.control.reset();
@@ -250,12 +250,12 @@
   for (std::string const& id : cut) after(1 + static_cast<Milliseconds>(rng_.below(20)), [this, id] { callerCut(id); });
 }
 
-void SimulatedCluster::freeze(Node& n, Milliseconds how) {
+void SimulatedCluster::freeze(Node& n, Milliseconds duration) {
   if (!n.alive || n.frozen) return;
   n.frozen = true;
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
-  after(how, [this, link, incarnation] {
+  after(duration, [this, link, incarnation] {
     Node* const m = node(link);
     if (m == nullptr || !m->alive || m->incarnation != incarnation || !m->frozen) return;
     m->frozen = false;
@@ -285,7 +285,7 @@
   for (core::LogEvent const& logEvent : c.logEvents)
     if (logEvent.event == consensus::events::messageRejected) violation("two values under one revision at " + link);
   for (core::LogEvent const& logEvent : c.logEvents)
-    if (plan_.operators.any && logEvent.event == "committed" &&
+    if (plan_.operators.enabled && logEvent.event == "committed" &&
         logEvent.fields.at("key") == config::fleetConfigurationKey)
       onFleetConfigurationCommitted(n);
   for (transport::Send const& s : c.sends) send(link, s);
@@ -298,7 +298,7 @@
   }
   for (std::string const& p : c.probes) {
     Node const* const target = node(p);
-    bool const refused = target == nullptr || (!target->alive && !target->dark);
+    bool const refused = target == nullptr || (!target->alive && !target->poweredOff);
     if (!passes(link, p) || !passes(p, link)) continue;
     after(2, [this, link, incarnation, p, refused] {
       if (refused)
@@ -339,26 +339,26 @@
 }
 
 void SimulatedCluster::run(Node& n, dataplane::RouterCommands&& c) {
-  if (plan_.operators.any) inspectBeginning(n);
+  if (plan_.operators.enabled) checkFirstServing(n);
   for (transport::Send const& s : c.sends) send(n.link, s);
   for (dataplane::CallCommand const& v : c.calls) {
     if (dataplane::Connect const* const m = std::get_if<dataplane::Connect>(&v)) {
       connect(n, *m);
     } else if (dataplane::SendRequest const* const h = std::get_if<dataplane::SendRequest>(&v)) {
-      handOver(n, h->call);
+      dispatch(n, h->call);
     } else if (dataplane::WriteAuditRecord const* const w = std::get_if<dataplane::WriteAuditRecord>(&v)) {
       ++result_.counts["records"];
       auto const it = upstreams_.find({n.link, w->call});
       bool const before =
           w->outcome == dataplane::AuditOutcome::dispatched || w->outcome == dataplane::AuditOutcome::resumed;
-      if (it != upstreams_.end() && before && plan_.mutation != Mutation::unrecorded)
-        it->second.recorded = w->incarnation;
+      if (it != upstreams_.end() && before && plan_.mutation != Mutation::omitAuditRecord)
+        it->second.auditedIncarnation = w->incarnation;
     } else if (dataplane::CloseUpstream const* const a = std::get_if<dataplane::CloseUpstream>(&v)) {
       abandon(n, a->call);
     } else if (dataplane::Reject const* const d = std::get_if<dataplane::Reject>(&v)) {
       std::string const id = callerOf_[{n.link, d->call}];
       dataplane::Reject reject = *d;
-      if (plan_.mutation == Mutation::sayNotRun && reject.status == 502) reject.notExecuted = true;
+      if (plan_.mutation == Mutation::reportNotExecuted && reject.status == 502) reject.notExecuted = true;
       abandon(n, d->call);
       streams_.erase({n.link, d->call});
       after(1, [this, id, reject, link = n.link] {
@@ -371,13 +371,13 @@
       abandon(n, b->call);
       streams_.erase({n.link, b->call});
       auto const caller = callers_.find(id);
-      if (caller != callers_.end() && caller->second.call == b->call) caller->second.brokenOff = true;
+      if (caller != callers_.end() && caller->second.call == b->call) caller->second.responseReset = true;
       after(1, [this, id, call = b->call] {
         auto const it = callers_.find(id);
         if (it == callers_.end() || !it->second.open || it->second.call != call) return;
-        if (it->second.status < 500 && !it->second.got.empty() && !oneBody(it->second))
+        if (it->second.status < 500 && !it->second.got.empty() && !isUninterrupted(it->second))
           violation("a stream has a gap, a repeat or a join, and broke: " + id);
-        if (again(it->second)) return;
+        if (retryUnprompted(it->second)) return;
         callerEnds(id, "broken");
       });
     }
@@ -387,7 +387,7 @@
 Result SimulatedCluster::run() {
   core::GuaranteeCounts::ofThread().takeNewViolations();
   for (auto& [link, node] : nodes_) boot(node);
-  at(3500, [this] { platform(); });
+  at(3500, [this] { publishEndpointLists(); });
   if (plan_.regimes)
     at(4000, [this] {
       watchIncarnations();
@@ -405,34 +405,35 @@
   Milliseconds const begin = trafficFrom - 10000;
   at(begin, [this] {
     callerArrives();
-    operatorTurn();
-    watch();
-    if (plan_.operators.any) {
-      ordersTurn();
-      readsTurn();
-      inspect();
+    changeTemplatePeriodically();
+    checkPeriodically();
+    if (plan_.operators.enabled) {
+      changeFleetConfigurationPeriodically();
+      readPeriodically();
+      checkContactRules();
     }
   });
   if (!plan_.faults.empty())
     for (Milliseconds t = begin + 2000; t < begin + plan_.length;
-         t += 1 + static_cast<Milliseconds>(rng_.below(static_cast<std::uint64_t>(2 * plan_.every)))) {
+         t += 1 + static_cast<Milliseconds>(rng_.below(static_cast<std::uint64_t>(2 * plan_.faultInterval)))) {
       Fault const f = plan_.faults[rng_.below(plan_.faults.size())];
       at(t, [this, f] { cause(f); });
     }
   if (plan_.surge != 1.0) {
-    at(begin + plan_.length / 3, [this] { demandNow_ = plan_.demand * plan_.surge; });
-    at(begin + 2 * plan_.length / 3, [this] { demandNow_ = plan_.demand; });
+    at(begin + plan_.length / 3, [this] { currentDemand_ = plan_.demand * plan_.surge; });
+    at(begin + 2 * plan_.length / 3, [this] { currentDemand_ = plan_.demand; });
   }
   at(begin + plan_.length, [this] {
     heal();
-    quiet_ = false;
-    demandNow_ = std::max(5.0, plan_.demand / 4);
-    hardShare_ = 0;
+    loadStopped_ = false;
+    currentDemand_ = std::max(5.0, plan_.demand / 4);
+    aggressiveFraction_ = 0;
   });
   at(begin + plan_.length + 15000, [this] { heal(); });
-  at(begin + plan_.length + recoveryPeriod, [this] { quiet_ = true; });
-  at(begin + plan_.length + recoveryPeriod + 16000, [this] { finalChecks(); });
-  if (plan_.operators.any) at(begin + plan_.length + recoveryPeriod + 16500, [this] { finalOrders(); });
+  at(begin + plan_.length + recoveryPeriod, [this] { loadStopped_ = true; });
+  at(begin + plan_.length + recoveryPeriod + 16000, [this] { checkFinalState(); });
+  if (plan_.operators.enabled)
+    at(begin + plan_.length + recoveryPeriod + 16500, [this] { checkFinalFleetConfiguration(); });
   Milliseconds const end = begin + plan_.length + recoveryPeriod + 30000;
   while (!events_.empty() && events_.top().at <= end) {
     Event const e = events_.top();
--- a/testing/sim/simulated_cluster.h
+++ b/testing/sim/simulated_cluster.h
@@ -21,7 +21,8 @@
 
 namespace corkward::testing {
 
-/// A complete fleet, its network, disks, callers, replicas, operators and platform, from one seed.
+/// Simulates a complete fleet with its network, disks, callers, replicas, operators and platform. The seed of the plan
+/// determines the run.
 class SimulatedCluster {
  public:
   explicit SimulatedCluster(Plan plan);
@@ -34,12 +35,12 @@
     std::string zone;
     bool alive = false;
     bool frozen = false;
-    /// Without power: it does not even refuse.
-    bool dark = false;
-    /// What each event takes on a slow machine; events wait for one another.
-    Milliseconds step = 0;
-    bool turning = false;
-    bool clockWaits = false;
+    /// Powered off: connection attempts get no response, not even a refusal.
+    bool poweredOff = false;
+    /// Time that each event takes on a slow process, in ms; later events wait in `inbox`. 0 if the process is not slow.
+    Milliseconds eventDelay = 0;
+    bool processing = false;
+    bool timerQueued = false;
     bool draining = false;
     std::uint64_t incarnation = 0;
     Milliseconds bootedAt = 0;
@@ -48,22 +49,23 @@
     std::deque<std::function<void()>> inbox;
     std::unique_ptr<control::Controller> control;
     std::unique_ptr<dataplane::RequestRouter> data;
-    std::unique_ptr<SimDisk> disk;
+    std::unique_ptr<SimulatedDisk> disk;
     std::unique_ptr<storage::WriteAheadLog> writeAheadLog;
     std::deque<std::pair<std::vector<storage::Record>, std::vector<std::uint64_t>>> writes;
     bool writing = false;
     Milliseconds diskDelay = 2;
     bool diskStalled = false;
-    /// Since when its disk holds what it holds.
-    Milliseconds diskSince = 0;
-    /// Newest fleet configuration that was confirmed before it started, and whether it has served since.
-    std::uint64_t confirmedBefore = 0;
-    bool begun = false;
-    /// Last moment at which it was not healthy, running and joined to the core.
-    Milliseconds troubledAt = 0;
+    /// When the disk was last empty or its log was set aside as damaged.
+    Milliseconds diskContentSince = 0;
+    /// Revision of the newest fleet configuration confirmed before the process started, and whether the router has had
+    /// a serving lease since.
+    std::uint64_t confirmedAtBoot = 0;
+    bool hasServed = false;
+    /// Last time at which the process was not running normally or not connected to the stable core.
+    Milliseconds lastFaultAt = 0;
   };
   enum class Shape { usual, longPrompt, longAnswer };
-  /// What a grey replica does with a request.
+  /// What a replica that fails part of its requests (a grey replica) does with a request.
   enum class Grey { none, dropped, failed, cut, late };
   struct Run {
     std::string run;
@@ -78,11 +80,11 @@
     bool hit = false;
     Shape shape = Shape::usual;
     Grey grey = Grey::none;
-    /// Connection over which it is answered.
-    std::uint64_t turn = 0;
-    /// What the replica has made so far.
-    std::string made;
-    /// A row of events that goes on after so many of them.
+    /// Connection that carries the response.
+    std::uint64_t connectionId = 0;
+    /// Response body produced so far.
+    std::string output;
+    /// Whether the response is an event stream, and the number of events that the caller already has.
     bool events = false;
     int from = 0;
   };
@@ -92,14 +94,14 @@
     std::string pool;
     std::string state = "serving";
     bool up = true;
-    bool dark = false;
+    bool poweredOff = false;
     bool listed = true;
     double slow = 1.0;
-    /// Share of the requests that it fails, and since when.
+    /// Fraction of the requests that the replica fails (0 if it works normally), and when that began.
     double grey = 0;
     Milliseconds greySince = 0;
     std::uint64_t incarnation = 0;
-    Milliseconds shownLeaving = -1;
+    Milliseconds leavingPublishedAt = -1;
     std::vector<Milliseconds> coldHits;
     std::map<std::string, Run> runs;
     std::deque<std::string> queue;
@@ -119,45 +121,48 @@
     bool resumable = false;
     bool earlierNotRun = true;
     bool earlierReached = false;
-    /// Says attempt numbers and ages; the others send the same id again and say no more.
-    bool numbered = true;
-    Milliseconds ranAt = 0;
-    bool hard = false;
+    /// Whether the caller sends attempt numbers and marks retries of requests that were not executed. Other callers
+    /// only repeat the request id.
+    bool sendsAttemptNumbers = true;
+    Milliseconds firstRunAt = 0;
+    /// Retries soon after every failure, whether or not the response allows it.
+    bool aggressive = false;
     bool open = false;
-    Milliseconds began = 0;
+    Milliseconds startedAt = 0;
     Milliseconds attemptAt = 0;
     Milliseconds deadline = 0;
     bool firstTokenReceived = false;
-    /// Its node has broken its answer off; that is under way.
-    bool brokenOff = false;
-    bool counted = false;
+    /// The router has reset the response, and the reset has not reached the caller yet.
+    bool responseReset = false;
+    bool measured = false;
     Shape shape = Shape::usual;
     int status = 0;
     std::string got;
   };
-  using Fed = std::function<dataplane::StreamSteps(dataplane::ResponseStream&)>;
+  using UpstreamEvent = std::function<dataplane::StreamSteps(dataplane::ResponseStream&)>;
   struct Forwarded {
     std::string address;
     std::string run;
     std::string caller;
     dataplane::Connect connect;
-    std::uint64_t turn = 0;
-    /// On a kept connection, which the replica has forgotten, and which was idle for long.
+    std::uint64_t connectionId = 0;
+    /// Whether the connection is reused, whether the replica has dropped it unnoticed, and whether it was idle for at
+    /// least `staleAfter`.
     bool reused = false;
-    bool dead = false;
-    bool rested = false;
-    /// Life of the process at the other end, where it was asked for.
-    std::uint64_t process = 0;
-    /// Life that was written down for the next hand-over.
-    std::string recorded;
-    /// What the replica sent and the node has not had yet, in order.
-    std::deque<Fed> inFlight;
+    bool forgotten = false;
+    bool idleForLong = false;
+    /// Incarnation of the replica that accepted the connection, if the router requires a certain incarnation.
+    std::uint64_t replicaIncarnation = 0;
+    /// Incarnation in the audit record of the dispatch.
+    std::string auditedIncarnation;
+    /// Events that the replica sent and the router has not received yet, in order.
+    std::deque<UpstreamEvent> inFlight;
   };
   struct Event {
     Milliseconds at;
-    std::uint64_t order;
+    std::uint64_t sequence;
     std::function<void()> act;
-    bool operator<(Event const& o) const { return at != o.at ? at > o.at : order > o.order; }
+    bool operator<(Event const& o) const { return at != o.at ? at > o.at : sequence > o.sequence; }
   };
   struct Change {
     std::string id;
@@ -173,26 +178,26 @@
     Milliseconds answeredAt = -1;
   };
 
-  /// One change that an operator makes to the fleet configuration.
-  struct Order {
+  /// A change of the fleet configuration that an operator sends.
+  struct ConfigurationChange {
     std::string id;
     std::string base;
     std::string body;
     std::uint64_t version = 0;
     Milliseconds sentAt = -1;
-    /// First success that a controller answered, whether the operator got it or not.
+    /// Time of the first successful response, even if it was lost on the way to the operator. -1 if there is none.
     Milliseconds acknowledgedAt = -1;
     std::uint64_t revision = 0;
     int sends = 0;
     bool closed = false;
-    bool judgedLate = false;
+    bool reportedLate = false;
   };
-  /// What is to happen at an order's acknowledgement, or some time after it was sent.
-  struct Strike {
-    bool set = false;
-    bool timed = false;
-    bool wipe = false;
-    bool everyone = false;
+  /// A power loss due at the acknowledgement of the next change or, if `afterSending`, some time after it is sent.
+  struct PowerLossTrigger {
+    bool armed = false;
+    bool afterSending = false;
+    bool wipesDisk = false;
+    bool includesRouters = false;
   };
 
   void at(Milliseconds when, std::function<void()> act);
@@ -200,60 +205,62 @@
   Milliseconds local(Node const& n) const;
   Node* node(std::string const& link);
   Node const* node(std::string const& link) const;
-  /// Whether a majority of the routers has run without a break since before that time.
-  bool mostLiveSince(Milliseconds since) const;
+  /// Returns whether a majority of the routers is alive and was started before the given time.
+  bool majorityOfRoutersLiveSince(Milliseconds since) const;
   void toNode(std::string const& link, std::uint64_t incarnation, std::function<void()> act);
   dataplane::RouterTuning routerTuning() const;
   void boot(Node& n);
   void kill(Node& n, bool power);
-  void freeze(Node& n, Milliseconds how);
-  /// A slow machine takes what waits for it, one event after the other.
-  void turn(Node& n);
-  void unslow(Node& n);
+  void freeze(Node& n, Milliseconds duration);
+  /// Lets a slow process handle the events in its inbox one after the other.
+  void processNext(Node& n);
+  void restoreSpeed(Node& n);
   void tick(Node& n);
   void clock(std::string const& link, std::uint64_t incarnation);
   void send(std::string const& from, transport::Send const& s);
-  void tally(std::string const& from, transport::Send const& s);
+  void countTraffic(std::string const& from, transport::Send const& s);
   bool passes(std::string const& from, std::string const& to);
   void run(Node& n, control::ControllerCommands&& c);
   void run(Node& n, dataplane::RouterCommands&& c);
   void disk(Node& n);
   void connect(Node& n, dataplane::Connect m);
-  void handOver(Node& n, std::uint64_t call);
+  void dispatch(Node& n, std::uint64_t call);
   void abandon(Node& n, std::uint64_t call);
-  void reach(Node& n, std::uint64_t incarnation, std::uint64_t call, Replica& r, dataplane::Connect const& m);
+  void receiveRequest(Node& n, std::uint64_t incarnation, std::uint64_t call, Replica& r, dataplane::Connect const& m);
   void serveNext(Replica& r);
-  void emit(std::string const& address, std::uint64_t incarnation, std::string const& name, int k, int tokens);
-  /// An event of a replica's connection on its way to the node: in order, late across a cut, never for a closed
-  /// connection.
-  void wire(std::string const& link, std::uint64_t incarnation, std::uint64_t call, std::uint64_t turn, Fed event);
-  void arrive(std::string const& link, std::uint64_t incarnation, std::uint64_t call, std::uint64_t turn);
-  void fed(Node& n, std::uint64_t call, Fed const& event);
+  void emitToken(std::string const& address, std::uint64_t incarnation, std::string const& name, int k, int tokens);
+  /// Sends an event of a replica's connection to the router. Events arrive in order, are delayed by a zone partition,
+  /// and are dropped if the connection is closed.
+  void sendUpstreamEvent(std::string const& link, std::uint64_t incarnation, std::uint64_t call,
+                         std::uint64_t connectionId, UpstreamEvent event);
+  void deliverUpstreamEvents(std::string const& link, std::uint64_t incarnation, std::uint64_t call,
+                             std::uint64_t connectionId);
+  void processUpstreamEvent(Node& n, std::uint64_t call, UpstreamEvent const& event);
   void breakStreams(Replica& r);
-  /// How a request fares at a replica that is grey.
+  /// Draws what the replica does with a request. Returns Grey::none if the replica handles it normally.
   Grey greyFate(Replica const& r);
-  void greyRun(Replica& r, Run& run);
-  /// Counts the hand-over for the check of grey replicas.
+  void failRun(Replica& r, Run& run);
+  /// Counts the dispatch for the check that grey replicas get fewer requests.
   void countGrey(Replica const& r);
   void resetCallers(Node& n);
   void resetReplicas(Node& n);
   void resetLinks(Node& n);
   void scaleOut();
-  void loseZone(std::string const& zone, Milliseconds how);
+  void powerOffZone(std::string const& zone, Milliseconds duration);
   bool plans(Fault f) const;
   void crash(Replica& r);
   Replica* replica(std::string const& address);
   void callerArrives();
   void callerSends(std::string const& id);
-  /// A caller that retries hard comes back although no answer asked for it.
-  bool again(Caller& c);
+  /// Schedules another attempt of an aggressive caller although no response allowed it. Returns whether it did.
+  bool retryUnprompted(Caller& c);
   void callerRejected(std::string const& id, dataplane::Reject const& d);
   void callerCut(std::string const& id);
   void callerEnds(std::string const& id, std::string const& outcome);
-  void operatorTurn();
-  /// Name of a replica's incarnation on the platform's list.
+  void changeTemplatePeriodically();
+  /// Returns the id of the replica's incarnation in the platform's endpoint list.
   std::string incarnationName(Replica const& r) const;
-  /// Wall time as machines read it.
+  /// Returns the wall clock time of the processes, in ms since the epoch.
   std::int64_t wall() const;
   std::vector<std::string> certificateNames() const;
   QJsonObject certificateFor(std::string const& name, Milliseconds lasts) const;
@@ -261,101 +268,107 @@
   void declareRegulated();
   void patchCertificates(std::vector<std::string> const& names, Milliseconds lasts);
   void revoke(std::string const& name);
-  void certificateTurn();
+  void changeCertificatesPeriodically();
   void watchIncarnations();
-  /// A request of that instance has reached the replica: may it?
+  /// Checks that the regime of the caller's tenant allows the router and replica that the request has reached, and that
+  /// the dispatch has an audit record.
   void checkRegime(Caller const& caller, Node const& from, Replica const& r, Forwarded const& forwarded);
-  /// Opens a connection that stands once the replica has named its incarnation.
+  /// Opens a connection that succeeds only if the replica reports the incarnation that the router requires.
   void identifyIncarnation(Node& n, dataplane::Connect const& m);
-  /// Whether what the caller has so far is one run's, or one row of events, from the first on without gap or repeat.
-  bool oneBody(Caller const& caller) const;
+  /// Returns whether the bytes that the caller has received are a prefix of one run's response (or of one event
+  /// stream), without gap or repeat.
+  bool isUninterrupted(Caller const& caller) const;
   void change(std::string const& key, std::string const& what, std::string const& method, std::string const& path,
               std::string const& body, std::string const& ifMatch, std::string const& mark,
               std::function<void(int, QJsonObject const&)> then = {});
   void putTemplate(std::string const& ifMatch, int extraPaths, std::function<void(int, QJsonObject const&)> then = {});
-  void platform();
-  /// Shows a list to a controller and to two routers, again and again until it is acknowledged or overtaken.
-  void showList(std::string const& pool, std::uint64_t generation, std::vector<std::string> const& leaving,
-                std::string const& body);
-  /// The message as the plan's mutation leaves it.
+  void publishEndpointLists();
+  /// Sends an endpoint list to a controller and to two routers, every 600 ms until a controller acknowledges it or a
+  /// newer generation exists.
+  void publishEndpointList(std::string const& pool, std::uint64_t generation, std::vector<std::string> const& leaving,
+                           std::string const& body);
+  /// Returns the message with the changes that the plan's mutation makes.
   transport::Message mutated(transport::Message const& message) const;
   void cause(Fault f);
   // Operators of the fleet configuration: operator_changes.cpp.
-  void ordersTurn();
-  void orderAnew(std::string const& link);
-  void sendOrder(std::size_t order, std::string const& link);
-  void orderAnswered(std::size_t order, std::string const& link, std::uint64_t baseAtSend, int status,
-                     QJsonObject const& body);
-  void orderRefused(Order& order, std::string const& link, std::uint64_t baseAtSend, int status);
-  void orderAgain(std::size_t order, std::string const& link, Milliseconds wait);
-  void lateResend();
-  /// Body of an order that is sent again: as it was, but for a mutation.
-  std::string resentBody(Order const& order) const;
-  void readsTurn();
+  void changeFleetConfigurationPeriodically();
+  void sendNewChange(std::string const& link);
+  void sendConfigurationChange(std::size_t index, std::string const& link);
+  void onChangeResponse(std::size_t index, std::string const& link, std::uint64_t baseAtSend, int status,
+                        QJsonObject const& body);
+  void checkRejection(ConfigurationChange& rejected, std::string const& link, std::uint64_t baseAtSend, int status);
+  void resendLater(std::size_t index, std::string const& link, Milliseconds wait);
+  void resendAcknowledgedChange();
+  /// Returns the body for a resend of the change: the original body, unless the mutation alterResentBody is set.
+  std::string resentBody(ConfigurationChange const& change) const;
+  void readPeriodically();
   void readOnce(std::string const& link);
   void checkRead(std::string const& link, std::uint64_t confirmed, int status, QJsonObject const& body);
   void onFleetConfigurationCommitted(Node const& n);
-  void finalOrders();
-  std::string otherController(std::string const& link);
-  /// Sends a call of an operator to a controller and hands on its answer, status 0 for none after so long.
+  void checkFinalFleetConfiguration();
+  std::string chooseOtherController(std::string const& link);
+  /// Sends an operator call to a controller and passes its response to `then`; status 0 if none comes within `limit`.
   void sendOperatorCall(std::string const& link, transport::OperatorCall call, Milliseconds limit,
                         std::function<void(int, QJsonObject const&)> then);
-  // Machines in contact, and what holds for them: contact_oracles.cpp.
-  void inspect();
-  bool running(Node const& n) const;
-  bool joined(std::string const& a, std::string const& b) const;
+  // Processes in contact with the core, and the rules for them: contact_oracles.cpp.
+  void checkContactRules();
+  bool isRunning(Node const& n) const;
+  bool isConnected(std::string const& a, std::string const& b) const;
   std::set<std::string> stableCore() const;
   std::string coreState() const;
-  bool calm() const;
+  bool hasNoFaults() const;
   bool inContact(Node const& n) const;
-  void inspectRouters();
-  /// A router serves from here on: not with less than was confirmed before it started.
-  void inspectBeginning(Node& n);
-  void inspectMembers();
-  void inspectOrders();
-  /// Since when a rule with a bound holds for the machine: the moment itself where the fleet is fenced, else not before
-  /// the machine was in touch. Less than zero: it does not hold.
-  Milliseconds boundFrom(Node const& n, Milliseconds since) const;
-  // Failures of control: control_faults.cpp.
-  void causeOfControl(Fault f);
+  void checkRouterRevisions();
+  /// When a router gets its first serving lease, checks that it has at least the fleet configuration that was confirmed
+  /// before the router started.
+  void checkFirstServing(Node& n);
+  void checkMembersVote();
+  void checkAcknowledgements();
+  /// Returns the time from which a change made at `since` must be in effect at the process. In a fenced fleet that is
+  /// `since`; otherwise the process must also have been in contact for the time in `bounds`. Returns -1 if the rule
+  /// does not apply.
+  Milliseconds effectiveFrom(Node const& n, Milliseconds since) const;
+  // Faults of the control scenarios: control_faults.cpp.
+  void causeControlFault(Fault f);
   void partitionMember(Fault f);
   std::vector<std::pair<std::string, std::string>> cutPairs(Fault f, std::vector<std::string> const& cut);
-  void cutExtras(Fault f, std::vector<std::string> const& cut, Milliseconds how);
-  void lure(std::vector<std::string> const& cut);
-  void newSeeds(std::vector<std::string> const& first);
+  void causeDuringCut(Fault f, std::vector<std::string> const& cut, Milliseconds duration);
+  void publishToCutOff(std::vector<std::string> const& cut);
+  void replaceSeeds(std::vector<std::string> const& first);
   void restartLater(std::string const& link, Milliseconds delay);
-  void meetOrders(std::string const& link);
-  void loseSecond();
-  void replaceNext(std::vector<std::string> old);
-  void afterBurst();
-  void strike(Strike const& strike);
+  void sendChangesTo(std::string const& link);
+  void loseSecondDisk();
+  void replaceNextMember(std::vector<std::string> old);
+  void stopControllerAfterBurst();
+  void cutPower(PowerLossTrigger const& cutPower);
   std::string oldestDisk(bool oldest);
   void replaceReplica(std::string const& address);
   void heal();
-  void watch();
-  void finalChecks();
+  void checkPeriodically();
+  void checkFinalState();
   void violation(std::string const& what);
-  std::string someController();
+  std::string chooseController();
   int live(bool control) const;
-  /// Every disk is up, votes, and knows a membership of all of them: one may be lost.
+  /// Returns whether every controller is alive, votes, and knows a membership of all controllers, so that one disk may
+  /// be lost.
   bool coreComplete() const;
 
   Plan plan_;
   core::RandomGenerator rng_;
   Milliseconds now_ = 0;
-  std::uint64_t order_ = 0;
+  std::uint64_t nextSequence_ = 0;
   std::priority_queue<Event> events_;
   std::map<std::string, Node> nodes_;
   std::map<std::string, Replica> replicas_;
   std::set<std::pair<std::string, std::string>> cuts_;
   std::set<std::string> zoneCuts_;
-  /// How often the link between two was reset; what was under way before is lost.
+  /// Number of resets of the connection between two processes. A reset drops the messages in flight.
   std::map<std::pair<std::string, std::string>, std::uint64_t> resets_;
   struct Idle {
     Milliseconds since = 0;
-    bool dead = false;
+    bool forgotten = false;
   };
-  /// Kept connections by node and replica, when the plan has replicas that forget them.
+  /// Idle connections by router and replica, if the plan contains Fault::forgetConnections.
   std::map<std::pair<std::string, std::string>, std::vector<Idle>> idle_;
   double loss_ = 0;
   double duplication_ = 0;
@@ -369,63 +382,65 @@
   std::uint64_t nextRun_ = 1;
   std::uint64_t nextChange_ = 1;
   std::uint64_t generation_ = 0;
-  bool operatorBusy_ = false;
-  double demandNow_ = 0;
-  double hardShare_ = 0;
+  bool templateChangePending_ = false;
+  double currentDemand_ = 0;
+  double aggressiveFraction_ = 0;
   Shape shape_ = Shape::usual;
-  int scaledOut_ = 0;
-  double greyFair_ = 0;
+  int scaleOuts_ = 0;
+  double greyExpected_ = 0;
   double greyHits_ = 0;
-  bool quiet_ = false;
+  bool loadStopped_ = false;
   std::vector<Change> changes_;
-  std::map<std::string, std::pair<Milliseconds, bool>> zoneShown_;
+  std::map<std::string, std::pair<Milliseconds, bool>> evacuations_;
   std::map<std::pair<std::string, std::uint64_t>, std::function<void(int, QJsonObject const&)>> answers_;
   std::string lastRevision_;
   std::string lastMark_;
-  std::map<std::string, std::vector<std::string>> runsOf_;
-  std::set<std::pair<std::string, std::uint64_t>> rejectedNotRun_;
-  std::set<std::pair<std::string, std::uint64_t>> ranAttempts_;
-  std::deque<Milliseconds> firsts_;
-  std::deque<Milliseconds> repeats_;
-  std::map<std::string, int> handOvers_;
-  bool returnHit_ = false;
-  bool servedSince_ = true;
+  std::map<std::string, std::vector<std::string>> runsByCaller_;
+  std::set<std::pair<std::string, std::uint64_t>> rejectedAsNotExecuted_;
+  std::set<std::pair<std::string, std::uint64_t>> executedAttempts_;
+  std::deque<Milliseconds> firstDispatches_;
+  std::deque<Milliseconds> repeatedDispatches_;
+  std::map<std::string, int> dispatches_;
+  bool faultDuringRestart_ = false;
+  bool servedSinceOutage_ = true;
   int newAddresses_ = 0;
-  int grown_ = 0;
-  bool totalOutage_ = false;
+  int addedControllers_ = 0;
+  bool restartAfterOutage_ = false;
   std::map<std::string, int> violationKinds_;
   std::vector<std::string> seeds_{"s1", "s2", "s3"};
-  std::vector<Order> orders_;
+  std::vector<ConfigurationChange> configurationChanges_;
   std::uint64_t nextVersion_ = 1;
   std::uint64_t knownVersion_ = 0;
-  /// Newest fleet configuration that an operator was notified of, and its revision.
+  /// Version and revision of the newest fleet configuration that was acknowledged.
   std::uint64_t confirmedVersion_ = 0;
   std::uint64_t confirmedRevision_ = 0;
-  /// Version and order of each revision of the fleet configuration that was committed anywhere.
+  /// Version and change (index in configurationChanges_) of each revision of the fleet configuration that any
+  /// controller has committed.
   std::map<std::uint64_t, std::uint64_t> committedVersions_;
-  std::map<std::uint64_t, std::size_t> orderOf_;
-  int burstLeft_ = 0;
-  Strike strike_;
+  std::map<std::uint64_t, std::size_t> changeOfRevision_;
+  int burstChangesLeft_ = 0;
+  PowerLossTrigger powerLossTrigger_;
   bool coreCut_ = false;
-  bool repairing_ = false;
+  bool repairInProgress_ = false;
   int replacedInTurn_ = 0;
-  /// Machines that are shown the platform's list first.
-  std::vector<std::string> luredBy_;
+  /// Isolated controllers that receive the platform's endpoint lists before all others.
+  std::vector<std::string> cutOffControllers_;
   std::string coreState_;
-  /// When anything last happened to the core, and when any link or disk was last in trouble.
+  /// Time of the last change of the state or links of a controller, of the last fault of any link, disk or process, and
+  /// of the last fault that concerns a controller.
   Milliseconds coreChangedAt_ = 0;
-  Milliseconds troubledAt_ = 0;
-  Milliseconds memberTroubledAt_ = 0;
+  Milliseconds lastFaultAt_ = 0;
+  Milliseconds lastControllerFaultAt_ = 0;
   std::set<std::string> stableCore_;
   std::optional<transport::CommittedEntry> firstFleetConfiguration_;
   std::string certificateRevision_ = "0";
-  /// Changes of each certificate, as they were sent.
-  std::map<std::string, std::uint64_t> certificateTurns_;
-  /// Certificates that are out of force for certain, since when.
-  std::map<std::string, Milliseconds> outSince_;
+  /// Number of changes of each certificate that were sent.
+  std::map<std::string, std::uint64_t> certificateChanges_;
+  /// Certificates that are certainly no longer valid, and since when.
+  std::map<std::string, Milliseconds> invalidSince_;
   std::map<std::string, std::string> listedIncarnations_;
-  std::set<std::string> everListed_;
-  std::map<std::pair<std::string, std::uint64_t>, int> resumesOf_;
+  std::set<std::string> everListedIncarnations_;
+  std::map<std::pair<std::string, std::uint64_t>, int> resumeCounts_;
   Result result_;
 };
 
--- a/testing/sim/sweep.cpp
+++ b/testing/sim/sweep.cpp
@@ -32,42 +32,48 @@
   bool unbound = false;
   std::string point;
   std::string fencing;
-  bool looseNames = false;
+  bool namesLostSeparately = false;
   bool proper = false;
   Operators operators;
-  scaling::ScalerParameters figures = scaling::defaultScalerParameters;
+  scaling::ScalerParameters scalerParameters = scaling::defaultScalerParameters;
   po::options_description flags("corkward-sweep: simulated fleets over many seeds");
   flags.add_options()("from", po::value(&from), "first seed")("count", po::value(&count), "seeds")(
-      "jobs", po::value(&jobs), "threads")(
-      "fault", po::value(&names), "cause this failure alone; may be repeated; without it, a random set for each seed")(
-      "demand", po::value(&demand), "requests a second")("every", po::value(&every), "mean ms between failures")(
-      "minutes", po::value(&minutes), "minutes of failures instead of one")("surge", po::value(&surge),
-                                                                            "times the demand in the middle third")(
-      "deployment", po::value(&deployment), "calm, at the sizes of harmattan or lernkarten")(
-      "plain", po::bool_switch(&plain), "whole pool, fewest in flight")(
-      "width", po::value(&figures.excessPerReplica), "each width")("calm-for", po::value(&figures.cooldown),
-                                                                   "give-back wait, ms")(
-      "slack", po::value(&figures.prefixSlack), "prefix slack")("prefixes", po::value(&prefixes), "other prefixes")(
-      "skip", po::value(&skip), "ms at the start whose first words do not count")(
-      "first-limit", po::value(&figures.initialLimit), "limit per replica at the start")(
-      "bulk-share", po::value(&figures.bulkFraction), "share of the cap for long requests")(
-      "nacelles", po::value(&routers), "how many instead of eight")(
-      "traffic", po::bool_switch(&traffic), "print messages and bytes a second and node, by sender and kind")(
-      "counts", po::bool_switch(&counts), "print what each run counted")(
-      "regimes", po::bool_switch(&withRegimes), "a tenant of a regime, and certificates that change all the time")(
-      "unbound", po::bool_switch(&unbound), "the same, but the tenant is of no regime")(
-      "point", po::value(&point),
-      "one of control's worst days: cuts, resends, second-loss, many-changes or power-cuts")(
-      "fence", po::value(&fencing), "on or off, whatever the seed says")("orders", po::bool_switch(&operators.any),
-                                                                         "operators of the whole configuration")(
-      "ack-lost", po::value(&operators.ackLost), "share of their acknowledgements that are lost")(
-      "race", po::value(&operators.race), "share of their orders that are two on one version")(
-      "meet", po::bool_switch(&operators.meet), "they send to machines that are cut off and as they return")(
-      "hard", po::bool_switch(&operators.hard), "they send again at once until they are answered")(
-      "proper", po::bool_switch(&proper), "judge refusals of proper changes of templates, too")(
-      "burst", po::value(&operators.burstMost), "most orders of a burst of changes")(
-      "loose-names", po::bool_switch(&looseNames), "names of files are lost each by itself")(
-      "list", "list the failures")("help", "print this");
+      "jobs", po::value(&jobs), "threads")("fault", po::value(&names),
+                                           "cause only this fault; repeatable; default: a random set for each seed")(
+      "demand", po::value(&demand), "requests per second")(
+      "every", po::value(&every), "mean time between faults in ms")("minutes", po::value(&minutes),
+                                                                    "minutes with faults (default 1)")(
+      "surge", po::value(&surge), "factor on the demand in the middle third of the run")(
+      "deployment", po::value(&deployment),
+      "use the sizes of the deployment harmattan or lernkarten; no faults unless --fault is given")(
+      "plain", po::bool_switch(&plain), "every router uses the complete pool")(
+      "width", po::value(&scalerParameters.excessPerReplica), "excess requests per replica that the scaler tolerates")(
+      "calm-for", po::value(&scalerParameters.cooldown), "time in ms before the scaler releases a replica")(
+      "slack", po::value(&scalerParameters.prefixSlack), "load difference tolerated for prefix affinity")(
+      "prefixes", po::value(&prefixes), "number of prompt prefixes besides the most frequent one")(
+      "skip", po::value(&skip), "time in ms at the start without measurement of the time to first byte")(
+      "first-limit", po::value(&scalerParameters.initialLimit), "initial concurrency limit per replica")(
+      "bulk-share", po::value(&scalerParameters.bulkFraction), "fraction of the limit for long requests")(
+      "nacelles", po::value(&routers), "number of routers (default 8)")(
+      "traffic", po::bool_switch(&traffic),
+      "print messages and bytes per second and process, by role of the sender and kind")(
+      "counts", po::bool_switch(&counts), "print the counters of each run")(
+      "regimes", po::bool_switch(&withRegimes),
+      "a tenant under a regime, and certificates that change throughout the run")(
+      "unbound", po::bool_switch(&unbound), "with --regimes: the tenant is under no regime")(
+      "point", po::value(&point), "controller fault scenario: cuts, resends, second-loss, many-changes or power-cuts")(
+      "fence", po::value(&fencing), "on or off, overrides the seed's choice")(
+      "orders", po::bool_switch(&operators.enabled), "operators change the fleet configuration")(
+      "ack-lost", po::value(&operators.ackLossFraction), "fraction of the operators' acknowledgements that are lost")(
+      "race", po::value(&operators.raceFraction),
+      "fraction of changes sent together with a second one on the same version")(
+      "meet", po::bool_switch(&operators.sendToIsolated),
+      "operators send changes to isolated controllers during and right after the partition")(
+      "hard", po::bool_switch(&operators.retryImmediately), "operators retry after 20 ms until they get a response")(
+      "proper", po::bool_switch(&proper), "also report rejections of valid template changes")(
+      "burst", po::value(&operators.burstMax), "maximum number of changes in a burst")(
+      "loose-names", po::bool_switch(&namesLostSeparately),
+      "power loss drops each unsynced file name change independently")("list", "list the faults")("help", "print this");
   po::variables_map vm;
   try {
     po::store(po::parse_command_line(argc, argv, flags), vm);
@@ -88,11 +94,11 @@
     std::cerr << "corkward-sweep: no such deployment: " << deployment << "\n";
     return 2;
   }
-  PointName const* worst = nullptr;
-  for (PointName const& entry : pointTable)
-    if (point == entry.name) worst = &entry;
-  if (!point.empty() && worst == nullptr) {
-    std::cerr << "corkward-sweep: no such point: " << point << "\n";
+  ScenarioName const* scenario = nullptr;
+  for (ScenarioName const& entry : scenarioTable)
+    if (point == entry.name) scenario = &entry;
+  if (!point.empty() && scenario == nullptr) {
+    std::cerr << "corkward-sweep: no such scenario: " << point << "\n";
     return 2;
   }
   if (!fencing.empty() && fencing != "on" && fencing != "off") {
@@ -108,7 +114,7 @@
         found = true;
       }
     if (!found) {
-      std::cerr << "corkward-sweep: no such failure: " << n << "\n";
+      std::cerr << "corkward-sweep: no such fault: " << n << "\n";
       return 2;
     }
   }
@@ -133,15 +139,15 @@
           }
         }
         if (withRegimes && faults.empty() && deployment.empty()) plan = regimes(seed);
-        if (worst != nullptr) {
-          plan = worstDay(seed, worst->point);
+        if (scenario != nullptr) {
+          plan = controlPlan(seed, scenario->point);
           if (!faults.empty()) plan.faults = faults;
         }
-        if (operators.any) plan.operators = operators;
-        if (operators.burstMost != Operators{}.burstMost) plan.operators.burstMost = operators.burstMost;
-        plan.operators.proper = proper;
+        if (operators.enabled) plan.operators = operators;
+        if (operators.burstMax != Operators{}.burstMax) plan.operators.burstMax = operators.burstMax;
+        plan.operators.rejectionsChecked = proper;
         if (!fencing.empty()) plan.fenced = fencing == "on";
-        plan.looseNames = plan.looseNames || looseNames;
+        plan.namesLostSeparately = plan.namesLostSeparately || namesLostSeparately;
         plan.regimes = withRegimes;
         plan.bound = !unbound;
         if (routers > 0) plan.routers = routers;
@@ -150,10 +156,10 @@
         plan.surge = surge;
         plan.prefixes = prefixes;
         plan.skip = skip;
-        if (every > 0) plan.every = every;
+        if (every > 0) plan.faultInterval = every;
         if (minutes > 0) plan.length = minutes * 60000;
         plan.plain = plain;
-        plan.figures = figures;
+        plan.scalerParameters = scalerParameters;
         std::vector<std::string> violations;
         Result result;
         try {
@@ -171,7 +177,7 @@
               std::cout << " " << f.name;
           std::cout << "\n";
           for (std::string const& v : violations) std::cout << "  " << v << "\n";
-          std::cout << "  caused:";
+          std::cout << "  faults:";
           for (std::string const& t : result.timeline) std::cout << " " << t << ";";
           std::cout << "\n";
         }
@@ -197,8 +203,8 @@
             std::cout << " " << requestClass << "-served-median=" << t[t.size() / 2] << " " << requestClass
                       << "-served-99=" << t[t.size() * 99 / 100];
           }
-          if (result.partSamples > 0)
-            std::cout << " part-mean=" << result.partSum / static_cast<double>(result.partSamples);
+          if (result.subsetSamples > 0)
+            std::cout << " part-mean=" << result.subsetSum / static_cast<double>(result.subsetSamples);
           std::vector<Milliseconds> a = result.ackTimes;
           std::sort(a.begin(), a.end());
           if (!a.empty()) std::cout << " ack-median=" << a[a.size() / 2] << " ack-most=" << a.back();
