--- a/testing/explore/bounds.h
+++ b/testing/explore/bounds.h
@@ -2,18 +2,18 @@
 
 namespace corkward::explore {
 
-/// How much of each a trace may have.
+/// Maximum number of each kind of event in one trace.
 struct Bounds {
   int members = 3;
-  /// Changes by callers.
+  /// Changes requested by operators.
   int changes = 2;
   int reads = 1;
-  /// Elections that nothing but chance brought about.
+  /// Elections that start without a timeout.
   int elections = 1;
-  /// Clock events of single members.
+  /// Timer events of single members.
   int clocks = 0;
-  /// Crashes, wiped disks, slow or unfinished writes, messages delivered twice; in the membership's model each loss,
-  /// return, cut and newcomer.
+  /// Crashes, wiped disks, slow or unfinished writes and duplicated messages; in the membership model each kill,
+  /// restart, wipe, isolation, end of an isolation and loss of messages.
   int faults = 1;
 };
 
--- a/testing/explore/main.cpp
+++ b/testing/explore/main.cpp
@@ -31,9 +31,9 @@
   std::cout.flush();
 }
 
-void checkRange(char const* name, int value, int least, int most) {
-  if (value < least || value > most)
-    throw po::error(std::string(name) + ": must be " + std::to_string(least) + " to " + std::to_string(most));
+void checkRange(char const* name, int value, int min, int max) {
+  if (value < min || value > max)
+    throw po::error(std::string(name) + ": must be " + std::to_string(min) + " to " + std::to_string(max));
 }
 
 void check(Run const& run, Limits const& limits) {
@@ -48,11 +48,11 @@
   if (limits.memoryMb < 64 || limits.memoryMb > 16384) throw po::error("memory: must be 64 to 16384");
 }
 
-/// Plays the table, so many searches at a time; true when each came out as it must.
-bool playTable(Limits const& limits, unsigned jobs) {
+/// Runs the searches of the table, `jobs` at a time. Returns whether each gave the expected result.
+bool runTable(Limits const& limits, unsigned jobs) {
   std::vector<Run> const runs = tableRuns();
   std::atomic<std::size_t> next = 0;
-  std::atomic<bool> good = true;
+  std::atomic<bool> allAsExpected = true;
   std::mutex printing;
   std::vector<std::thread> threads;
   for (unsigned t = 0; t < jobs; ++t)
@@ -61,11 +61,11 @@
         Outcome const o = search(runs[i], limits);
         std::lock_guard<std::mutex> const lock(printing);
         printOutcome(runs[i], o, false);
-        if (!asExpected(runs[i], o)) good = false;
+        if (!asExpected(runs[i], o)) allAsExpected = false;
       }
     });
   for (std::thread& t : threads) t.join();
-  return good;
+  return allAsExpected;
 }
 
 void list() {
@@ -83,18 +83,22 @@
   Limits limits;
   bool table = false;
   unsigned jobs = 2;
-  po::options_description flags("corkward-explore: search over the states of the real reducers");
+  po::options_description flags("corkward-explore: exhaustive search over the states of the production reducers");
   flags.add_options()("help", "print this")("model", po::value(&run.model), "registers or membership")(
-      "without", po::value(&run.without), "turn one mechanism off")("table", po::bool_switch(&table),
-                                                                    "every model with nothing off and with each of "
-                                                                    "its mechanisms off")(
-      "list", "list the models and their mechanisms")("members", po::value(&run.bounds.members), "members, 2 to 5")(
-      "changes", po::value(&run.bounds.changes), "changes by callers")("reads", po::value(&run.bounds.reads), "reads")(
-      "elections", po::value(&run.bounds.elections), "elections by chance")("clocks", po::value(&run.bounds.clocks),
-                                                                            "clock events of single members")(
-      "faults", po::value(&run.bounds.faults), "faults in a trace")("depth", po::value(&limits.depth), "longest trace")(
-      "seconds", po::value(&limits.seconds), "time limit")("memory", po::value(&limits.memoryMb), "memory limit, MB")(
-      "jobs", po::value(&jobs), "searches of the table at a time");
+      "without", po::value(&run.without), "mechanism to turn off")(
+      "table", po::bool_switch(&table),
+      "every model with all mechanisms on and with each of "
+      "its mechanisms turned off")("list", "list the models and their mechanisms")(
+      "members", po::value(&run.bounds.members), "members, 2 to 5")("changes", po::value(&run.bounds.changes),
+                                                                    "changes by operators")(
+      "reads", po::value(&run.bounds.reads), "reads")("elections", po::value(&run.bounds.elections),
+                                                      "elections without a timeout")(
+      "clocks", po::value(&run.bounds.clocks), "timer events of single members")(
+      "faults", po::value(&run.bounds.faults), "faults per trace")(
+      "depth", po::value(&limits.depth), "longest trace, in actions")("seconds", po::value(&limits.seconds),
+                                                                      "time limit in seconds")(
+      "memory", po::value(&limits.memoryMb), "memory limit, MB")("jobs", po::value(&jobs),
+                                                                 "parallel searches of --table");
   po::variables_map vm;
   try {
     po::store(po::parse_command_line(argc, argv, flags), vm);
@@ -109,8 +113,8 @@
     }
     check(run, limits);
     checkRange("jobs", static_cast<int>(jobs), 1, 64);
-    if (table) return playTable(limits, jobs) ? 0 : 1;
-    if (run.model.empty()) throw po::error("model: say one, or --table");
+    if (table) return runTable(limits, jobs) ? 0 : 1;
+    if (run.model.empty()) throw po::error("model: missing; must be registers or membership, or use --table");
     Outcome const o = search(run, limits);
     printOutcome(run, o, true);
     return asExpected(run, o) ? 0 : 1;
--- a/testing/explore/membership_model.h
+++ b/testing/explore/membership_model.h
@@ -5,23 +5,23 @@
 
 namespace corkward::explore {
 
-/// The membership, hop by hop: between any two hops of messages or clock events a member is lost, emptied, replaced,
-/// cut off, healed, returns with its disk as it was, a newcomer joins, or a caller changes something. Messages under
-/// way at one time are delivered in the order in which they were sent, or those of one kind are lost together.
+/// Model of the membership. In each step all messages in flight are delivered, or all timers fire. Between two steps a
+/// member may be killed, wiped, isolated or reconnected, may restart with its disk unchanged, or an operator may change
+/// a value. Messages in flight at the same time are delivered in the order in which they were sent, or all messages of
+/// one kind are lost together.
 ///
-/// A search begins with the last confirmed change on the smallest majority that there is. Of five members, two of the
-/// three that have it have been silent for nearly as long as a member may be.
+/// In the initial state only the smallest possible majority has the last confirmed change. With five members, two of
+/// the three that have it have been unresponsive for nearly as long as a member may be before it is replaced.
 ///
-/// A disk is emptied only while the losses that are open, this one included, leave a majority that votes and has caught
-/// up.
+/// A disk is wiped only if, including this loss, a majority remains that votes and has caught up.
 class MembershipModel {
  public:
   using State = explore::State;
-  enum class Kind : std::uint8_t { goOn, longWait, kill, back, wipe, cutOff, heal, lose, change };
+  enum class Kind : std::uint8_t { advance, longWait, kill, restart, wipe, isolate, heal, loseMessages, change };
   struct Action {
-    Kind kind = Kind::goOn;
+    Kind kind = Kind::advance;
     std::uint8_t machine = 0;
-    /// Kind of the messages that are lost, by its place in the list of messages.
+    /// Kind of the messages that are lost: the index of its type in transport::Message.
     std::uint8_t message = 0;
   };
 
@@ -35,7 +35,7 @@
 
  private:
   void act(State& s, Action const& action) const;
-  State lagging(int members) const;
+  State stateOnSmallestMajority(int members) const;
 
   Rules rules_;
   Bounds bounds_;
--- a/testing/explore/model_cluster.cpp
+++ b/testing/explore/model_cluster.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Longest chain of messages without a clock event before a run counts as endless.
-constexpr int mostHops = 200;
+/// Longest chain of messages without a timer event; a longer one counts as an endless loop.
+constexpr int maxHops = 200;
 constexpr Milliseconds timerStep = 50;
 
 std::uint64_t mix(std::uint64_t h, std::uint64_t v) {
@@ -42,7 +42,7 @@
   };
 }
 
-/// Reads anew what the disk says.
+/// Updates the machine's fields that are read from its disk.
 void readDisk(Machine& m) {
   m.diskId.clear();
   m.diskVotes = false;
@@ -56,7 +56,7 @@
   m.diskId = core::toStdString(o.value("id").toString());
   m.diskVotes = o.value("voting").toBool();
   m.diskCaughtUp = static_cast<std::uint64_t>(o.value("settled").toInteger());
-  auto const slot = m.disk.find(std::string("slot:") + callersKey);
+  auto const slot = m.disk.find(std::string("slot:") + operatorKey);
   if (slot == m.disk.end()) return;
   QJsonObject const v = core::parseJson(slot->second).toObject();
   if (core::toStdString(v.value("i").toString()) != m.diskId) return;
@@ -80,16 +80,16 @@
       message);
 }
 
-/// Takes the time out of a message, so that messages that differ by it alone hash alike.
-transport::Message untimed(transport::Message const& message, Milliseconds& tick) {
+/// Returns the message without its time, so that messages that differ only in time get the same hash.
+transport::Message withoutTime(transport::Message const& message, Milliseconds& time) {
   transport::Message out = message;
   std::visit(
       [&](auto& m) {
         if constexpr (requires { m.sentAt; }) {
-          tick = m.sentAt;
+          time = m.sentAt;
           m.sentAt = 0;
         } else if constexpr (requires { m.requestSentAt; }) {
-          tick = m.requestSentAt;
+          time = m.requestSentAt;
           m.requestSentAt = 0;
         }
       },
@@ -97,10 +97,11 @@
   return out;
 }
 
-/// The founding ended as every search takes for granted: one change confirmed, the members known.
+/// Returns whether the founding reached the state that every search starts from: one confirmed change, known members,
+/// no message in flight.
 bool isFoundingComplete(State const& s) {
   return s.broken.empty() && s.history->confirmed.size() == 1 && !s.history->members.empty() && s.net.empty() &&
-         s.machines[0]->member->owns(callersKey);
+         s.machines[0]->member->owns(operatorKey);
 }
 
 }  // namespace
@@ -137,13 +138,13 @@
 
 void ModelCluster::start(State& s, int machine, std::vector<std::string> founders) const {
   Machine& m = edit(s, machine);
-  bool const named = rules_.freshIds || m.boots == 0;
-  if (named) ++m.boots;
+  bool const getsNewId = rules_.freshIds || m.boots == 0;
+  if (getsNewId) ++m.boots;
   std::string const id = m.link + "#" + std::to_string(m.boots);
   m.pending.clear();
   m.member.emplace(consensus::Member{id, m.link}, std::move(founders), validatorOf(rules_.compareBase), 1,
                    rules_.tuning);
-  take(s, machine, m.member->restore(m.disk, false, m.now), Sync::atOnce);
+  applyCommands(s, machine, m.member->restore(m.disk, false, m.now), Sync::atOnce);
 }
 
 void ModelCluster::boot(State& s, int machine) const {
@@ -164,10 +165,10 @@
   readDisk(m);
 }
 
-void ModelCluster::arrive(State& s, Packet const& p, Sync sync) const {
+void ModelCluster::deliver(State& s, Packet const& p, Sync sync) const {
   if (!s.machines[static_cast<std::size_t>(p.to)]->member) return;
   Machine& m = edit(s, p.to);
-  take(s, p.to, m.member->onMessage(m.now, linkOf(p.from), *p.message), sync);
+  applyCommands(s, p.to, m.member->onMessage(m.now, linkOf(p.from), *p.message), sync);
 }
 
 void ModelCluster::clock(State& s, int machine, Milliseconds by) const {
@@ -179,17 +180,17 @@
     for (std::shared_ptr<Machine const> const& o : s.machines) links.push_back(o->link);
     m.member->setDiscoveryPeers(links);
   }
-  take(s, machine, m.member->onTimer(m.now), Sync::atOnce);
+  applyCommands(s, machine, m.member->onTimer(m.now), Sync::atOnce);
 }
 
-void ModelCluster::handover(State& s, int machine) const {
+void ModelCluster::triggerElection(State& s, int machine) const {
   Machine& m = edit(s, machine);
-  take(s, machine, m.member->onMessage(m.now, m.link, transport::Handover{callersKey, {}}), Sync::atOnce);
+  applyCommands(s, machine, m.member->onMessage(m.now, m.link, transport::Handover{operatorKey, {}}), Sync::atOnce);
 }
 
 void ModelCluster::change(State& s, int machine) const {
   Machine& m = edit(s, machine);
-  auto const it = m.member->committed().find(callersKey);
+  auto const it = m.member->committed().find(operatorKey);
   std::uint64_t const base = it == m.member->committed().end() ? 0 : it->second.revision;
   History& history = editHistory(s);
   transport::OperatorCall call;
@@ -198,7 +199,7 @@
   call.ifMatch = std::to_string(base);
   call.body = "m" + std::to_string(call.token);
   history.baseOf[call.token] = base;
-  take(s, machine, m.member->submit(m.now, callersKey, call), Sync::atOnce);
+  applyCommands(s, machine, m.member->submit(m.now, operatorKey, call), Sync::atOnce);
 }
 
 void ModelCluster::read(State& s, int machine) const {
@@ -209,10 +210,10 @@
   call.method = "GET";
   std::set<std::string>& want = history.pendingReads[call.token];
   for (auto const& [mark, revision] : history.confirmed) want.insert(mark);
-  take(s, machine, m.member->submit(m.now, callersKey, call), Sync::atOnce);
+  applyCommands(s, machine, m.member->submit(m.now, operatorKey, call), Sync::atOnce);
 }
 
-void ModelCluster::sync(State& s, int machine, std::size_t records, bool tell) const {
+void ModelCluster::sync(State& s, int machine, std::size_t records, bool notify) const {
   Machine& m = edit(s, machine);
   std::vector<std::uint64_t> tickets;
   for (std::size_t i = 0; i < records && !m.pending.empty(); ++i) {
@@ -221,7 +222,7 @@
     m.pending.pop_front();
   }
   readDisk(m);
-  if (!tell) return;
+  if (!notify) return;
   consensus::RegisterCommands all;
   for (std::uint64_t const ticket : tickets) {
     consensus::RegisterCommands const c = m.member->onPersisted(m.now, ticket, true);
@@ -231,33 +232,33 @@
     all.completedCalls.insert(all.completedCalls.end(), c.completedCalls.begin(), c.completedCalls.end());
     all.logEvents.insert(all.logEvents.end(), c.logEvents.begin(), c.logEvents.end());
   }
-  take(s, machine, all, Sync::atOnce);
+  applyCommands(s, machine, all, Sync::atOnce);
 }
 
-void ModelCluster::take(State& s, int machine, consensus::RegisterCommands const& c, Sync sync) const {
+void ModelCluster::applyCommands(State& s, int machine, consensus::RegisterCommands const& c, Sync sync) const {
   for (core::LogEvent const& e : c.logEvents)
-    if (e.event == consensus::events::messageRejected) s.broken = "two values under one revision reach a member";
-  for (transport::Send const& send : c.sends) post(s, machine, send);
+    if (e.event == consensus::events::messageRejected) s.broken = "a member received two values for one revision";
+  for (transport::Send const& send : c.sends) sendMessage(s, machine, send);
   for (consensus::CommittedValue const& k : c.commits) onCommit(s, k);
-  for (consensus::CallCompleted const& d : c.completedCalls) onDecided(s, d);
+  for (consensus::CallCompleted const& d : c.completedCalls) onCallCompleted(s, d);
   if (c.persists.empty()) return;
   Machine& m = edit(s, machine);
   m.pending.insert(m.pending.end(), c.persists.begin(), c.persists.end());
   if (sync == Sync::atOnce) this->sync(s, machine, m.pending.size(), true);
 }
 
-void ModelCluster::post(State& s, int from, transport::Send const& send) const {
+void ModelCluster::sendMessage(State& s, int from, transport::Send const& send) const {
   int const to = indexOf(s, send.to);
   if (to < 0 || (rules_.dropMembership && keyOf(send.message) == consensus::membershipKey)) return;
   Packet p{from, to, nullptr, 0, -1, 0};
-  transport::Message const plain = untimed(send.message, p.tick);
+  transport::Message const plain = withoutTime(send.message, p.time);
   if (std::holds_alternative<transport::Heartbeat>(plain)) p.clock = from;
   if (std::holds_alternative<transport::HeartbeatReply>(plain)) p.clock = to;
   p.hash = mix(core::stableHash(transport::pack(transport::Envelope{linkOf(from), plain, 0})),
                static_cast<std::uint64_t>(to));
   p.message = std::make_shared<transport::Message const>(send.message);
   for (Packet const& q : s.net)
-    if (q.hash == p.hash && q.tick == p.tick) return;
+    if (q.hash == p.hash && q.time == p.time) return;
   s.net.push_back(std::move(p));
 }
 
@@ -271,7 +272,7 @@
   }
   History& history = editHistory(s);
   history.chosen[at] = text;
-  if (c.key == callersKey) history.marks[c.revision] = marksOf(c.value);
+  if (c.key == operatorKey) history.marks[c.revision] = marksOf(c.value);
   if (c.key == consensus::membershipKey && c.revision > history.newestMembership) {
     history.newestMembership = c.revision;
     history.members.clear();
@@ -280,11 +281,11 @@
   checkMarks(s);
 }
 
-void ModelCluster::onDecided(State& s, consensus::CallCompleted const& d) const {
+void ModelCluster::onCallCompleted(State& s, consensus::CallCompleted const& d) const {
   auto const pendingRead = s.history->pendingReads.find(d.token);
   if (pendingRead != s.history->pendingReads.end()) {
     if (d.status == 200 && !hasAll(marksOf(d.body), pendingRead->second))
-      s.broken = "a read misses what was confirmed before the question began";
+      s.broken = "a read misses a change confirmed before the read began";
     editHistory(s).pendingReads.erase(d.token);
     return;
   }
@@ -311,45 +312,45 @@
       disks.push_back(&m->accepted);
   std::set<std::string> want;
   for (auto const& [mark, revision] : s.history->confirmed) want.insert(mark);
-  std::size_t const most = s.history->members.size() / 2 + 1;
+  std::size_t const majority = s.history->members.size() / 2 + 1;
   for (unsigned set = 0; set < 1U << disks.size(); ++set) {
-    if (static_cast<std::size_t>(std::popcount(set)) != most) continue;
+    if (static_cast<std::size_t>(std::popcount(set)) != majority) continue;
     AcceptedState const* best = nullptr;
     for (std::size_t i = 0; i < disks.size(); ++i)
       if ((set >> i & 1U) != 0 && (best == nullptr || best->ballot < disks[i]->ballot ||
                                    (best->ballot == disks[i]->ballot && best->revision < disks[i]->revision)))
         best = disks[i];
-    if (!hasAll(best->marks, want)) s.broken = "a majority of the members' disks lacks what was confirmed";
+    if (!hasAll(best->marks, want)) s.broken = "a majority of the members' disks lacks a confirmed change";
   }
 }
 
 int ModelCluster::openLosses(State const& s) const {
-  int open = 0;
+  int losses = 0;
   for (std::string const& id : s.history->members)
-    open += std::none_of(s.machines.begin(), s.machines.end(), [&](std::shared_ptr<Machine const> const& m) {
+    losses += std::none_of(s.machines.begin(), s.machines.end(), [&](std::shared_ptr<Machine const> const& m) {
       return m->diskId == id && m->diskVotes && m->diskCaughtUp == s.history->newestMembership;
     });
-  return open;
+  return losses;
 }
 
-void ModelCluster::wave(State& s, int hops) const {
+void ModelCluster::deliverMessages(State& s, int hops) const {
   for (int hop = 0; !s.net.empty() && (hops == 0 || hop < hops); ++hop) {
-    CORKWARD_INVARIANT(hop < mostHops);
+    CORKWARD_INVARIANT(hop < maxHops);
     std::vector<Packet> const now = std::move(s.net);
     s.net.clear();
     for (Packet const& p : now)
-      if (((s.cut >> p.from | s.cut >> p.to) & 1U) == 0) arrive(s, p, Sync::atOnce);
+      if (((s.isolated >> p.from | s.isolated >> p.to) & 1U) == 0) deliver(s, p, Sync::atOnce);
   }
 }
 
-void ModelCluster::runFor(State& s, Milliseconds how) const {
-  for (Milliseconds t = 0; t < how; t += timerStep) {
+void ModelCluster::runFor(State& s, Milliseconds duration) const {
+  for (Milliseconds t = 0; t < duration; t += timerStep) {
     for (int i = 0; i < static_cast<int>(s.machines.size()); ++i) clock(s, i, timerStep);
-    wave(s, 0);
+    deliverMessages(s, 0);
   }
 }
 
-State ModelCluster::founded(int members, int spare) const {
+State ModelCluster::foundedState(int members, int spare) const {
   State s;
   s.history = std::make_shared<History const>();
   std::vector<std::string> founders;
@@ -363,10 +364,10 @@
   for (int i = 0; i < members; ++i) start(s, i, founders);
   Milliseconds const round = rules_.tuning.ownerTimeout + rules_.tuning.electionSpread;
   runFor(s, 4 * round);
-  handover(s, 0);
-  wave(s, 0);
+  triggerElection(s, 0);
+  deliverMessages(s, 0);
   change(s, 0);
-  wave(s, 0);
+  deliverMessages(s, 0);
   runFor(s, 2 * round);
   if (s.history->members.empty()) {
     History& history = editHistory(s);
@@ -398,11 +399,11 @@
 }
 
 std::uint64_t ModelCluster::digest(State const& s) const {
-  std::uint64_t h = mix(static_cast<std::uint64_t>(s.cut), digest(*s.history));
+  std::uint64_t h = mix(static_cast<std::uint64_t>(s.isolated), digest(*s.history));
   for (std::shared_ptr<Machine const> const& m : s.machines) h = mix(h, digest(*m));
   std::vector<std::uint64_t> net;
   for (Packet const& p : s.net) {
-    Milliseconds const age = p.clock < 0 ? 0 : s.machines[static_cast<std::size_t>(p.clock)]->now - p.tick;
+    Milliseconds const age = p.clock < 0 ? 0 : s.machines[static_cast<std::size_t>(p.clock)]->now - p.time;
     net.push_back(mix(p.hash, static_cast<std::uint64_t>(std::min(age, rules_.cap))));
   }
   std::sort(net.begin(), net.end());
@@ -412,7 +413,7 @@
   return s.broken.empty() ? h : mix(h, core::stableHash(s.broken));
 }
 
-bool ModelCluster::changes(Packet const& p, Machine const& receiver) const {
+bool ModelCluster::hasEffect(Packet const& p, Machine const& receiver) const {
   if (!receiver.member) return false;
   consensus::ReplicatedRegisters trial = *receiver.member;
   consensus::RegisterCommands const c = trial.onMessage(receiver.now, linkOf(p.from), *p.message);
--- a/testing/explore/registers_model.cpp
+++ b/testing/explore/registers_model.cpp
@@ -13,8 +13,8 @@
   return rules;
 }
 
-/// Kinds that change nothing once they change nothing.
-bool endsForGood(transport::Message const& message) {
+/// Returns whether a message of this kind that has no effect now can never have one later.
+bool staysWithoutEffect(transport::Message const& message) {
   return std::holds_alternative<transport::Promise>(message) || std::holds_alternative<transport::Accepted>(message) ||
          std::holds_alternative<transport::Commit>(message);
 }
@@ -22,7 +22,9 @@
 }  // namespace
 
 RegistersModel::RegistersModel(Rules rules, Bounds bounds)
-    : bounds_(bounds), cluster_(withoutMembership(std::move(rules))), start_(cluster_.founded(bounds.members, 0)) {}
+    : bounds_(bounds),
+      cluster_(withoutMembership(std::move(rules))),
+      start_(cluster_.foundedState(bounds.members, 0)) {}
 
 std::vector<RegistersModel::Action> RegistersModel::actions(State const& s) const {
   std::vector<Action> out;
@@ -42,7 +44,7 @@
 
 void RegistersModel::actionsOf(std::vector<Action>& out, State const& s, std::uint8_t machine) const {
   Machine const& m = *s.machines[machine];
-  bool const owns = m.member->owns(callersKey);
+  bool const owns = m.member->owns(operatorKey);
   if (!m.pending.empty()) out.push_back(Action{Kind::sync, machine, 0, 0});
   if (owns && s.spent.calls < bounds_.changes) out.push_back(Action{Kind::change, machine, 0, 0});
   if (owns && s.spent.reads < bounds_.reads) out.push_back(Action{Kind::read, machine, 0, 0});
@@ -72,7 +74,7 @@
   if (action.kind != Kind::deliverTwice) s.net.erase(s.net.begin() + action.packet);
   if (action.kind != Kind::deliver) ++s.spent.faults;
   bool const slow = action.kind == Kind::deliverSlow || action.kind == Kind::deliverCrash;
-  cluster_.arrive(s, p, slow ? Sync::later : Sync::atOnce);
+  cluster_.deliver(s, p, slow ? Sync::later : Sync::atOnce);
   if (action.kind != Kind::deliverCrash) return;
   cluster_.kill(s, p.to);
   cluster_.boot(s, p.to);
@@ -99,7 +101,7 @@
       return cluster_.boot(s, machine);
     case Kind::election:
       ++s.spent.elections;
-      return cluster_.handover(s, machine);
+      return cluster_.triggerElection(s, machine);
     case Kind::change:
       ++s.spent.calls;
       return cluster_.change(s, machine);
@@ -114,11 +116,11 @@
 
 void RegistersModel::prune(State& s) const {
   std::erase_if(s.net, [&](Packet& p) {
-    if (!endsForGood(*p.message)) return false;
+    if (!staysWithoutEffect(*p.message)) return false;
     Machine const& m = *s.machines[static_cast<std::size_t>(p.to)];
     std::uint64_t const digest = cluster_.digest(m);
-    if (p.usefulAt != digest && !cluster_.changes(p, m)) return true;
-    p.usefulAt = digest;
+    if (p.hadEffectAt != digest && !cluster_.hasEffect(p, m)) return true;
+    p.hadEffectAt = digest;
     return false;
   });
 }
@@ -131,13 +133,13 @@
     case Kind::deliverTwice:
       return "deliver, and again later: " + nameOf(s.net[action.packet]);
     case Kind::deliverSlow:
-      return "deliver, its write waits: " + nameOf(s.net[action.packet]);
+      return "deliver, with a delayed sync: " + nameOf(s.net[action.packet]);
     case Kind::deliverCrash:
       return "deliver, crash before the write, restart: " + nameOf(s.net[action.packet]);
     case Kind::sync:
-      return "sync what waits at" + at;
+      return "sync the pending records at" + at;
     case Kind::crash:
-      return "crash and restart" + at + ", " + std::to_string(action.persistedRecords) + " waiting records kept";
+      return "crash and restart" + at + ", " + std::to_string(action.persistedRecords) + " pending records kept";
     case Kind::wipe:
       return "wipe the disk and restart" + at;
     case Kind::election:
@@ -147,7 +149,7 @@
     case Kind::read:
       return "read called at" + at;
     case Kind::clock:
-      return "clock event, the next heartbeat due, at" + at;
+      return "timer event, the next heartbeat is due, at" + at;
   }
   return "";
 }
--- a/testing/explore/registers_model.h
+++ b/testing/explore/registers_model.h
@@ -5,14 +5,14 @@
 
 namespace corkward::explore {
 
-/// The registers message by message: any order of deliveries, with losses (a message that is never delivered), crashes
-/// before, in the middle of and after a write, wiped disks, late syncs, messages delivered twice, elections and clock
-/// events at any time. A cut or a frozen member is one whose messages are delivered late or never.
+/// Model of the registers, message by message: any order of deliveries, lost messages (never delivered), crashes
+/// before, during and after a write, wiped disks, late syncs, duplicated messages, and elections and timer events at
+/// any time. An isolated or frozen member is one whose messages are delivered late or never.
 ///
-/// Of messages that can change nothing any more, answers to a past ballot and commits that the member has, none is
-/// kept: such a commit that outlives its receiver's restart counts as lost. Clock events come to owners and to members
-/// without a vote. Messages on the membership's own register are lost throughout; the membership has a model of its
-/// own.
+/// Messages that can no longer have an effect (replies to an old ballot, commits that the member already has) are
+/// dropped. If the receiver of a dropped commit restarts later, the commit therefore counts as lost. Only owners and
+/// members without a vote get timer events. All messages about the membership register are lost, because the membership
+/// has its own model.
 class RegistersModel {
  public:
   using State = explore::State;
@@ -33,7 +33,7 @@
     Kind kind = Kind::deliver;
     std::uint8_t machine = 0;
     std::uint16_t packet = 0;
-    /// Records that reach the disk before a crash.
+    /// Number of pending records that reach the disk before a crash.
     std::uint8_t persistedRecords = 0;
   };
 
@@ -49,7 +49,7 @@
   void actionsOf(std::vector<Action>& out, State const& s, std::uint8_t machine) const;
   void act(State& s, Action const& action) const;
   void deliver(State& s, Action const& action) const;
-  /// Drops the messages that can change nothing any more.
+  /// Drops messages that can no longer have an effect.
   void prune(State& s) const;
 
   Bounds bounds_;
--- a/testing/explore/run.cpp
+++ b/testing/explore/run.cpp
@@ -15,31 +15,31 @@
 
 using consensus::Mechanism;
 
-/// A mechanism of the registers by its name.
-struct Named {
+/// A mechanism of the registers and its name on the command line.
+struct NamedMechanism {
   char const* name;
   Mechanism mechanism;
 };
 
-constexpr Named ofRegisters[] = {{"promise-check", Mechanism::promiseCheck},
-                                 {"newest-accepted", Mechanism::newestAccepted},
-                                 {"sync-before-answer", Mechanism::syncBeforeReply},
-                                 {"read-confirmation", Mechanism::readConfirmation}};
-constexpr Named ofMembership[] = {{"catch-up-first", Mechanism::catchUpFirst},
-                                  {"copy-before-vote", Mechanism::catchUpBeforeVote},
-                                  {"both-majorities", Mechanism::jointQuorum},
-                                  {"membership-guard", Mechanism::membershipGuard}};
-constexpr char const* freshId = "fresh-id";
-constexpr char const* compareBase = "compare-base";
+constexpr NamedMechanism registerMechanisms[] = {{"promise-check", Mechanism::promiseCheck},
+                                                 {"newest-accepted", Mechanism::newestAccepted},
+                                                 {"sync-before-answer", Mechanism::syncBeforeReply},
+                                                 {"read-confirmation", Mechanism::readConfirmation}};
+constexpr NamedMechanism membershipMechanisms[] = {{"catch-up-first", Mechanism::catchUpFirst},
+                                                   {"copy-before-vote", Mechanism::catchUpBeforeVote},
+                                                   {"both-majorities", Mechanism::jointQuorum},
+                                                   {"membership-guard", Mechanism::membershipGuard}};
+constexpr char const* freshIdName = "fresh-id";
+constexpr char const* compareBaseName = "compare-base";
 
 Rules rulesWithout(std::string const& without) {
   Rules rules;
-  for (Named const& n : ofRegisters)
+  for (NamedMechanism const& n : registerMechanisms)
     if (without == n.name) rules.tuning.switches.turnOff(n.mechanism);
-  for (Named const& n : ofMembership)
+  for (NamedMechanism const& n : membershipMechanisms)
     if (without == n.name) rules.tuning.switches.turnOff(n.mechanism);
-  rules.freshIds = without != freshId;
-  rules.compareBase = without != compareBase;
+  rules.freshIds = without != freshIdName;
+  rules.compareBase = without != compareBaseName;
   return rules;
 }
 
@@ -66,12 +66,12 @@
 std::vector<std::string> mechanisms(std::string const& model) {
   std::vector<std::string> out;
   if (model == "registers") {
-    for (Named const& n : ofRegisters) out.push_back(n.name);
-    out.push_back(freshId);
-    out.push_back(compareBase);
+    for (NamedMechanism const& n : registerMechanisms) out.push_back(n.name);
+    out.push_back(freshIdName);
+    out.push_back(compareBaseName);
   }
   if (model == "membership")
-    for (Named const& n : ofMembership) out.push_back(n.name);
+    for (NamedMechanism const& n : membershipMechanisms) out.push_back(n.name);
   return out;
 }
 
--- a/testing/explore/run.h
+++ b/testing/explore/run.h
@@ -10,30 +10,30 @@
 
 namespace corkward::explore {
 
-/// One search: a model, what is off in it, and its bounds.
+/// One search: a model, the mechanism that is turned off, and the bounds.
 struct Run {
   std::string model;
-  /// Name of the mechanism that is off, empty: none.
+  /// Name of the mechanism that is turned off. Empty if none is.
   std::string without;
   Bounds bounds;
 };
 
-/// A name that is not one of those known.
+/// Thrown for an unknown name of a model or mechanism.
 class UnknownName : public core::Error {
  public:
   using core::Error::Error;
 };
 
-/// Names of the models.
+/// Returns the names of the models.
 std::vector<std::string> models();
-/// Names of the mechanisms that a model can do without.
+/// Returns the names of the mechanisms that can be turned off in a model.
 std::vector<std::string> mechanisms(std::string const& model);
-/// Throws UnknownName.
+/// Runs a search. Throws UnknownName if the model or mechanism does not exist.
 Outcome search(Run const& run, Limits const& limits);
 
-/// Searches of the table: each model with nothing off, then with each of its mechanisms off.
+/// Returns the searches of `--table`: each model with all mechanisms on, then with single mechanisms turned off.
 std::vector<Run> tableRuns();
-/// Nothing off: nothing found; a mechanism off: a break found.
+/// Returns whether the search found a broken invariant exactly if a mechanism is turned off.
 bool asExpected(Run const& run, Outcome const& outcome);
 
 }  // namespace corkward::explore
--- a/testing/explore/search.h
+++ b/testing/explore/search.h
@@ -8,7 +8,7 @@
 
 namespace corkward::explore {
 
-/// Where a search stops before its end.
+/// Limits at which a search stops early.
 struct Limits {
   /// Longest trace, in actions.
   int depth = 1000;
@@ -18,25 +18,26 @@
   std::size_t memoryMb = 2048;
 };
 
-/// What a search came to.
+/// Result of a search.
 struct Outcome {
   std::uint64_t states = 0;
-  /// Transitions tried, those to states that were known included.
+  /// Transitions tried, including those to states already visited.
   std::uint64_t steps = 0;
-  /// Length of the longest shortest trace to a state.
+  /// Number of actions from the initial state to the farthest state found.
   int depth = 0;
   double seconds = 0;
-  /// Empty when every state within the model's bounds was seen; else the limit that was reached.
+  /// The limit that ended the search. Empty if every state within the model's bounds was visited.
   std::string stoppedBy;
-  /// The invariant that broke, empty when none did, and the shortest trace to it.
+  /// The invariant that was broken and the shortest trace to it. Empty if none was.
   std::string broken;
   std::vector<std::string> trace;
 };
 
-/// Resident memory of this process, in MB.
+/// Returns the resident memory of this process, in MB.
 std::size_t residentMb();
 
-/// Breadth-first search over a model's states, folded by a 64-bit hash: the first break found has the shortest trace. A
+/// Breadth-first search over a model's states, deduplicated by a 64-bit hash. The first broken invariant found has the
+/// shortest trace. A
 /// model has `State` (with a text `broken`), `Action`, `initial()`, `actions(state)`, `apply(state, action)`,
 /// `digest(state)` and `name(state, action)`, all without side effects.
 template <class Model>
@@ -45,13 +46,13 @@
   Search(Model const& model, Limits const& limits) : model_(model), limits_(limits) {}
 
   Outcome run() {
-    for (typename Model::State const& s : model_.initial()) enter(s, none, {});
+    for (typename Model::State const& s : model_.initial()) visit(s, none, {});
     while (!level_.empty() && out_.broken.empty() && out_.stoppedBy.empty()) {
       if (out_.depth >= limits_.depth) {
         out_.stoppedBy = "depth";
         break;
       }
-      deepen();
+      expandLevel();
     }
     out_.states = nodes_.size();
     out_.seconds = seconds();
@@ -64,19 +65,19 @@
     std::uint32_t parent = none;
     typename Model::Action action;
   };
-  struct Waiting {
+  struct QueuedState {
     std::uint32_t node;
     typename Model::State state;
   };
 
-  void deepen() {
-    std::vector<Waiting> const level = std::move(level_);
+  void expandLevel() {
+    std::vector<QueuedState> const level = std::move(level_);
     level_.clear();
     ++out_.depth;
-    for (Waiting const& w : level) {
+    for (QueuedState const& w : level) {
       for (typename Model::Action const& action : model_.actions(w.state)) {
         ++out_.steps;
-        enter(model_.apply(w.state, action), w.node, action);
+        visit(model_.apply(w.state, action), w.node, action);
         if (!out_.broken.empty()) return;
       }
       if (out_.steps >= checkAt_ && limitReached()) return;
@@ -84,7 +85,7 @@
     if (level_.empty()) --out_.depth;
   }
 
-  void enter(typename Model::State&& state, std::uint32_t parent, typename Model::Action const& action) {
+  void visit(typename Model::State&& state, std::uint32_t parent, typename Model::Action const& action) {
     if (!visited_.insert(model_.digest(state)).second) return;
     nodes_.push_back(Node{parent, action});
     auto const node = static_cast<std::uint32_t>(nodes_.size() - 1);
@@ -92,13 +93,13 @@
       out_.broken = state.broken;
       replayTrace(node);
     }
-    level_.push_back(Waiting{node, std::move(state)});
+    level_.push_back(QueuedState{node, std::move(state)});
   }
-  void enter(typename Model::State const& state, std::uint32_t parent, typename Model::Action const& action) {
-    enter(typename Model::State(state), parent, action);
+  void visit(typename Model::State const& state, std::uint32_t parent, typename Model::Action const& action) {
+    visit(typename Model::State(state), parent, action);
   }
 
-  /// Plays the trace to a node again, to name its actions.
+  /// Repeats the trace that leads to a node, to name its actions.
   void replayTrace(std::uint32_t node) {
     std::vector<typename Model::Action> actions;
     std::uint32_t at = node;
@@ -108,7 +109,7 @@
       out_.trace.push_back(model_.name(state, actions[i]));
       state = model_.apply(state, actions[i]);
     }
-    if (state.broken != out_.broken) out_.broken += " (not the same when played again)";
+    if (state.broken != out_.broken) out_.broken += " (not reproduced when the trace is repeated)";
   }
 
   bool limitReached() {
@@ -117,16 +118,18 @@
     if (residentMb() > limits_.memoryMb) out_.stoppedBy = "memory";
     return !out_.stoppedBy.empty();
   }
-  double seconds() const { return std::chrono::duration<double>(std::chrono::steady_clock::now() - began_).count(); }
+  double seconds() const {
+    return std::chrono::duration<double>(std::chrono::steady_clock::now() - startedAt_).count();
+  }
 
   Model const& model_;
   Limits limits_;
   Outcome out_;
   std::vector<Node> nodes_;
-  std::vector<Waiting> level_;
+  std::vector<QueuedState> level_;
   std::unordered_set<std::uint64_t> visited_;
   std::uint64_t checkAt_ = 0;
-  std::chrono::steady_clock::time_point began_ = std::chrono::steady_clock::now();
+  std::chrono::steady_clock::time_point startedAt_ = std::chrono::steady_clock::now();
 };
 
 }  // namespace corkward::explore
--- a/testing/test/explore_input.sh
+++ b/testing/test/explore_input.sh
@@ -1,16 +1,16 @@
 #!/bin/sh
-# Bad arguments of corkward-explore: the name, the reason and exit code 2; nothing is searched.
+# Checks that corkward-explore rejects bad arguments with the argument's name, the reason and exit code 2.
 explore=$1
 bad() {
   want=$1
   shift
-  said=$("$explore" "$@" 2>&1)
+  output=$("$explore" "$@" 2>&1)
   code=$?
-  case $said in *"$want"*) ;; *) echo "$*: said: $said"; exit 1 ;; esac
+  case $output in *"$want"*) ;; *) echo "$*: output: $output"; exit 1 ;; esac
   [ $code -eq 2 ] || { echo "$*: exit code $code"; exit 1; }
 }
 bad "no such model: x" --model x
-bad "model: say one" --depth 3
+bad "model: missing" --depth 3
 bad "has no mechanism x" --model registers --without x
 bad "members: must be 2 to 5" --model registers --members 6
 bad "faults: must be 0 to 9" --model registers --faults -1
