--- a/testing/capacity/changes.cpp
+++ b/testing/capacity/changes.cpp
@@ -1,4 +1,4 @@
-// Single changes of the configuration: how long each takes, and what it costs.
+// Measures the duration and cost of single configuration changes.
 #include <algorithm>
 #include <array>
 #include <map>
@@ -11,18 +11,18 @@
 
 constexpr int changesTried = 12;
 
-/// What the changes cost so far, and how long they took.
+/// Costs and durations of the changes so far.
 struct ChangeCosts {
-  int answered = 0;
-  /// Milliseconds until the operator's answer, and until every router had the change.
-  std::vector<double> answers;
-  std::vector<double> everywhere;
+  int acknowledged = 0;
+  /// Milliseconds until the operator got the acknowledgement, and until every router had the change.
+  std::vector<double> acknowledgeTimes;
+  std::vector<double> applyTimes;
   /// Sums by purpose, of routers and of controllers.
   std::array<std::map<std::string, Tally>, 2> sums;
   double diskBytes = 0;
 };
 
-double greatest(std::vector<double> const& values) {
+double maximum(std::vector<double> const& values) {
   return values.empty() ? -1 : *std::max_element(values.begin(), values.end());
 }
 
@@ -38,7 +38,7 @@
   costs.diskBytes += static_cast<double>(fleet.diskBytes());
 }
 
-/// Makes one change and waits until it is answered and every router has it.
+/// Makes one change and waits until it is acknowledged and every router has it.
 void tryChange(ChangeCosts& costs, Fleet& fleet, Sizes const& sizes, core::RandomGenerator& rng) {
   auto const tenant = static_cast<std::int64_t>(rng.below(static_cast<std::uint64_t>(sizes.tenants)));
   std::uint64_t const before = fleet.revisionOfTenant(tenant);
@@ -49,18 +49,18 @@
   auto const isApplied = [&](Process const& p) { return !p.data || p.data->revisionOf(key) > before; };
   bool const applied = fleet.until(
       [&] { return std::all_of(fleet.processes().begin(), fleet.processes().end(), isApplied); }, longestWait);
-  if (applied) costs.everywhere.push_back(static_cast<double>(fleet.now() - from));
-  fleet.until([&] { return fleet.answer(token).has_value(); }, longestWait);
-  if (fleet.answer(token) && fleet.answer(token)->status == 200) {
-    ++costs.answered;
-    costs.answers.push_back(static_cast<double>(fleet.answer(token)->at - from));
+  if (applied) costs.applyTimes.push_back(static_cast<double>(fleet.now() - from));
+  fleet.until([&] { return fleet.response(token).has_value(); }, longestWait);
+  if (fleet.response(token) && fleet.response(token)->status == 200) {
+    ++costs.acknowledged;
+    costs.acknowledgeTimes.push_back(static_cast<double>(fleet.response(token)->at - from));
   }
   fleet.run(500);
   addTallies(costs, fleet);
   fleet.count(false);
 }
 
-/// Messages, bytes and processor time of one change at one process of a role.
+/// Adds the mean messages, bytes and processor time of one change at one process of a role.
 void addCosts(Measurements& out, ChangeCosts& costs, Fleet const& fleet, bool control) {
   char const* const role = roleName(control);
   double const n = static_cast<double>(fleet.alive(control)) * changesTried;
@@ -83,10 +83,10 @@
   ChangeCosts costs;
   for (int i = 0; i < changesTried; ++i) tryChange(costs, fleet, sizes, rng);
   Measurements out;
-  out.push_back({"answered", "operator", "share", counted, static_cast<double>(costs.answered) / changesTried});
-  out.push_back({"in_force.median", "operator", "ms", counted, median(costs.answers)});
-  out.push_back({"in_force.most", "operator", "ms", counted, greatest(costs.answers)});
-  out.push_back({"everywhere.most", "router", "ms", counted, greatest(costs.everywhere)});
+  out.push_back({"answered", "operator", "share", counted, static_cast<double>(costs.acknowledged) / changesTried});
+  out.push_back({"in_force.median", "operator", "ms", counted, median(costs.acknowledgeTimes)});
+  out.push_back({"in_force.most", "operator", "ms", counted, maximum(costs.acknowledgeTimes)});
+  out.push_back({"everywhere.most", "router", "ms", counted, maximum(costs.applyTimes)});
   for (bool const control : {false, true}) addCosts(out, costs, fleet, control);
   out.push_back({"change.disk", "controller", "bytes", counted,
                  costs.diskBytes / static_cast<double>(sizes.control) / changesTried});
--- a/testing/capacity/rig.cpp
+++ b/testing/capacity/command_line.cpp
@@ -1,4 +1,4 @@
-#include "rig.h"
+#include "command_line.h"
 
 #include <boost/program_options.hpp>
 #include <fstream>
@@ -14,25 +14,26 @@
 
 namespace {
 
-/// What the command line asks for.
-struct RigOptions {
+/// Options of the command line.
+struct CommandOptions {
   std::string experiment;
   std::string sweep;
   std::string file;
   std::map<std::string, std::int64_t> sizes;
 };
 
-po::options_description describe(RigOptions& options) {
+po::options_description describe(CommandOptions& options) {
   po::options_description flags(
-      "corkward-capacity: slopes of the real reducers and codecs, many hollow processes in one, in virtual time");
+      "corkward-capacity: costs of the production reducers and codecs by fleet size, with many processes simulated in "
+      "one, in virtual time");
   po::options_description_easy_init add = flags.add_options();
-  add("part", po::value(&options.experiment), "what is measured");
-  add("sweep", po::value(&options.sweep), "NAME=VALUE,VALUE,...: run at each of these sizes");
+  add("part", po::value(&options.experiment), "experiment to run (see below)");
+  add("sweep", po::value(&options.sweep), "NAME=VALUE,VALUE,...: run the experiment at each of these sizes");
   add("out", po::value(&options.file), "file for the CSV instead of standard output");
   add("help", "print this");
   Sizes const defaults;
   for (SizeOption const& size : sizeTable)
-    add(size.name, po::value(&options.sizes[size.name])->default_value(defaults.*(size.field)), size.what);
+    add(size.name, po::value(&options.sizes[size.name])->default_value(defaults.*(size.field)), size.description);
   return flags;
 }
 
@@ -42,7 +43,7 @@
     out << "  " << std::left << std::setw(10) << experiment.name << experiment.description << "\n";
 }
 
-/// Throws SizesError for a missing or unknown name.
+/// Returns the experiment with this name. Throws SizesError if the name is missing or unknown.
 Experiment const& chosenExperiment(std::string const& name) {
   Experiment const* const found = findExperiment(name);
   if (found == nullptr) throw SizesError(name.empty() ? "part: missing" : "part: no such part: " + name);
@@ -54,7 +55,7 @@
   return sizes;
 }
 
-/// The command line without the name of the file that the figures go into.
+/// Prints the command line without the name of the output file.
 void printCommandLine(std::ostream& out, int argc, char const* const* argv) {
   out << "# corkward-capacity";
   for (int i = 1; i < argc; ++i) {
@@ -66,7 +67,7 @@
   }
 }
 
-void printFigures(std::ostream& out, Experiment const& experiment, Sizes const& sizes, Sweep const& sweep) {
+void printMeasurements(std::ostream& out, Experiment const& experiment, Sizes const& sizes, Sweep const& sweep) {
   out << "\nmeasure,role,unit,kind,of,size,value\n" << std::setprecision(8);
   for (std::int64_t const value : sweep.values) {
     for (Measurement const& row : experiment.run(atSize(sizes, sweep.name, value)))
@@ -78,7 +79,7 @@
 }
 
 /// Checks the options and runs the experiment at every size; throws SizesError.
-void runExperiment(RigOptions const& options, int argc, char const* const* argv, std::ostream& out) {
+void runExperiment(CommandOptions const& options, int argc, char const* const* argv, std::ostream& out) {
   Experiment const& experiment = chosenExperiment(options.experiment);
   Sizes sizes;
   for (auto const& [name, value] : options.sizes) setSize(sizes, name, value);
@@ -92,13 +93,13 @@
   }
   std::ostream& target = options.file.empty() ? out : file;
   printCommandLine(target, argc, argv);
-  printFigures(target, experiment, sizes, sweep);
+  printMeasurements(target, experiment, sizes, sweep);
 }
 
 }  // namespace
 
-int rig(int argc, char const* const* argv, std::ostream& out, std::ostream& errors) {
-  RigOptions options;
+int runCommand(int argc, char const* const* argv, std::ostream& out, std::ostream& errors) {
+  CommandOptions options;
   po::options_description const flags = describe(options);
   try {
     po::variables_map vm;
--- a/testing/capacity/experiments.h
+++ b/testing/capacity/experiments.h
@@ -3,27 +3,29 @@
 #include "measurements.h"
 #include "sizes.h"
 
-/// The experiments that the rig can run, one for each kind of cost.
+/// The experiments of corkward-capacity, one for each kind of cost.
 namespace corkward::testing::capacity {
 
-/// Messages, bytes, processor time and memory of a fleet at rest, with the changes of the sizes.
+/// Measures messages, bytes, processor time and memory of a fleet without requests, with the configuration changes that
+/// `sizes` sets.
 Measurements measureIdle(Sizes const& sizes);
-/// Links between processes: how many each holds, and how many it dials.
+/// Measures the open links of each process and how many it opens per second.
 Measurements measureLinks(Sizes const& sizes);
-/// Single changes of a tenant, one after the other: how long until each is in force, and what it costs.
+/// Makes single changes of a tenant one after the other, and measures the time until each is in effect and its cost.
 Measurements measureChanges(Sizes const& sizes);
-/// Bootstrap, a start of all after an outage of all, a restart of one node, and a snapshot for one emptied disk.
+/// Measures the bootstrap, the restart of one router, the start of an additional router, the recovery of an empty disk
+/// from a snapshot, and the recovery from a total outage.
 Measurements measureOutage(Sizes const& sizes);
-/// Regions lose each other for ten seconds; a change is tried in each.
+/// Partitions the regions for ten seconds and tries a change in each.
 Measurements measurePartition(Sizes const& sizes);
-/// A zone goes dark with its nodes and control machines; then a change is made.
+/// Powers off a zone with its routers and controllers, then makes two changes.
 Measurements measureZoneLoss(Sizes const& sizes);
-/// Bytes that one node and one control machine hold: configuration, queues, calls, streams, ids, prefixes.
+/// Measures the memory of one router and one controller: configuration, queues, calls, streams, ids and prefixes.
 Measurements measureState(Sizes const& sizes);
-/// Processor time of one node per request, chunk and clock event, with queues, calls and replicas of the sizes.
+/// Measures the processor time of one router per request, chunk and timer event at the given sizes.
 Measurements measureRequestCost(Sizes const& sizes);
 
-/// One experiment by the name that the command line knows.
+/// An experiment and its name on the command line.
 struct Experiment {
   char const* name;
   Measurements (*run)(Sizes const&);
@@ -31,17 +33,17 @@
 };
 
 inline constexpr Experiment experiments[] = {
-    {"rest", measureIdle, "messages, bytes, processor time and memory of a fleet at rest, with its changes"},
-    {"links", measureLinks, "links that a process holds and dials"},
-    {"change", measureChanges, "time until a change is in force, its bytes and processor time"},
+    {"rest", measureIdle, "messages, bytes, processor time and memory of a fleet without requests"},
+    {"links", measureLinks, "links that a process keeps open and opens per second"},
+    {"change", measureChanges, "time until a change is in effect, its bytes and processor time"},
     {"outage", measureOutage,
-     "time to found, to restart one node, to copy a member, to recover after an outage of all"},
-    {"split", measurePartition, "regions lose each other"},
-    {"zone", measureZoneLoss, "a zone goes dark"},
-    {"state", measureState, "bytes of state at one node and one control machine"},
-    {"cost", measureRequestCost, "processor time of one node per request, piece and clock event"}};
+     "times of the bootstrap, a router's restart, a member's copy and the recovery from a total outage"},
+    {"split", measurePartition, "partition between the regions"},
+    {"zone", measureZoneLoss, "power loss of a zone"},
+    {"state", measureState, "memory of one router and one controller"},
+    {"cost", measureRequestCost, "processor time of one router per request, chunk and timer event"}};
 
-/// The experiment of a name, or null.
+/// Returns the experiment with this name, or null if there is none.
 Experiment const* findExperiment(std::string const& name);
 
 }  // namespace corkward::testing::capacity
--- a/testing/capacity/fleet.cpp
+++ b/testing/capacity/fleet.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Milliseconds nodeClockEvery = 20;
-constexpr Milliseconds controlClockEvery = 25;
+constexpr Milliseconds routerTimerInterval = 20;
+constexpr Milliseconds controllerTimerInterval = 25;
 constexpr Milliseconds pollInterval = 10;
-constexpr Milliseconds within = 1;
-constexpr Milliseconds syncMs = 2;
-constexpr Milliseconds answerLimit = 60000;
-constexpr Milliseconds idleAfter = std::chrono::milliseconds(transport::Link::idleTimeout).count();
+constexpr Milliseconds sameRegionDelay = 1;
+constexpr Milliseconds syncDuration = 2;
+constexpr Milliseconds responseTimeout = 60000;
+constexpr Milliseconds linkIdleTimeout = std::chrono::milliseconds(transport::Link::idleTimeout).count();
 
 std::string address(int net, std::size_t ix, int port) {
   return "10." + std::to_string(net) + "." + std::to_string(ix / 250) + "." + std::to_string(ix % 250 + 1) + ":" +
@@ -57,20 +57,20 @@
     if (control) p.disk = std::make_unique<SimulatedDisk>();
     byLink_[p.link] = processes_.size();
     processes_.push_back(std::move(p));
-    dark_.push_back(false);
+    poweredOff_.push_back(false);
     linkLastUsed_.emplace_back();
   }
 }
 
 void Fleet::push(Event event) {
-  event.order = order_++;
+  event.sequence = nextSequence_++;
   events_.push(std::move(event));
 }
 
 void Fleet::boot(std::size_t ix) {
   Process& p = processes_[ix];
   p.alive = true;
-  dark_[ix] = false;
+  poweredOff_[ix] = false;
   ++p.incarnation;
   transport::Contact self;
   self.link = p.link;
@@ -79,7 +79,7 @@
   self.incarnation = 1764640000000ULL + static_cast<std::uint64_t>(now_);
   std::vector<std::string> seeds;
   std::vector<std::string> founders;
-  for (std::size_t i = 0; i < firstNode(); ++i) {
+  for (std::size_t i = 0; i < firstRouter(); ++i) {
     if (i < 3) seeds.push_back(processes_[i].link);
     founders.push_back(processes_[i].link);
   }
@@ -90,53 +90,55 @@
     p.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*p.disk);
     storage::RecoveredState const got = p.writeAheadLog->recover();
     p.diskFree = now_;
-    take(ix, p.control->restore(got.slots, got.damaged, now_));
+    applyCommands(ix, p.control->restore(got.slots, got.damaged, now_));
   } else {
     self.role = transport::routerRole;
     p.data = std::make_unique<dataplane::RequestRouter>(self, seeds, rng_.next(), tuning_);
-    take(ix, p.data->started(now_));
+    applyCommands(ix, p.data->started(now_));
   }
   Event e;
-  e.at = now_ + static_cast<Milliseconds>(rng_.below(p.disk ? controlClockEvery : nodeClockEvery));
+  e.at = now_ + static_cast<Milliseconds>(rng_.below(p.disk ? controllerTimerInterval : routerTimerInterval));
   e.to = ix;
   e.incarnation = p.incarnation;
   push(std::move(e));
 }
 
-void Fleet::kill(std::size_t ix, bool dark) {
+void Fleet::kill(std::size_t ix, bool poweredOff) {
   Process& p = processes_[ix];
   p.alive = false;
-  dark_[ix] = dark;
+  poweredOff_[ix] = poweredOff;
   p.control.reset();
   p.data.reset();
   p.writeAheadLog.reset();
 }
 
-bool Fleet::startControl() {
-  for (std::size_t i = 0; i < firstNode(); ++i) boot(i);
+bool Fleet::startControllers() {
+  for (std::size_t i = 0; i < firstRouter(); ++i) boot(i);
   return until(
       [this] {
-        return std::all_of(processes_.begin(), processes_.begin() + static_cast<std::ptrdiff_t>(firstNode()),
+        return std::all_of(processes_.begin(), processes_.begin() + static_cast<std::ptrdiff_t>(firstRouter()),
                            [this](Process const& p) { return p.control->ready(now_); });
       },
-      answerLimit);
+      responseTimeout);
 }
 
-bool Fleet::startNodes() {
-  for (std::size_t i = firstNode(); i < spare(); ++i) boot(i);
-  return until([this] { return servingLease() == static_cast<std::size_t>(sizes_.nodes); }, answerLimit);
+bool Fleet::startRouters() {
+  for (std::size_t i = firstRouter(); i < spare(); ++i) boot(i);
+  return until([this] { return servingRouters() == static_cast<std::size_t>(sizes_.nodes); }, responseTimeout);
 }
 
 void Fleet::configure() {
-  std::vector<std::uint64_t> open;
-  auto const wait = [&] {
+  std::vector<std::uint64_t> pending;
+  auto const waitForResponses = [&] {
     bool const all = until(
-        [&] { return std::all_of(open.begin(), open.end(), [&](std::uint64_t t) { return answer(t).has_value(); }); },
-        answerLimit);
-    for (std::uint64_t const t : open)
-      if (!all || answer(t)->status > 201)
-        throw SizesError("tenants: the control machines did not take the configuration");
-    open.clear();
+        [&] {
+          return std::all_of(pending.begin(), pending.end(), [&](std::uint64_t t) { return response(t).has_value(); });
+        },
+        responseTimeout);
+    for (std::uint64_t const t : pending)
+      if (!all || response(t)->status > 201)
+        throw SizesError("tenants: the controllers did not accept the configuration");
+    pending.clear();
   };
   for (std::int64_t m = 0; m < sizes_.models; ++m) {
     QJsonArray list;
@@ -144,10 +146,10 @@
       list.append(QJsonObject{{"address", core::toQString(address(9, static_cast<std::size_t>(r), 8000))},
                               {"zone", core::toQString(zoneName(static_cast<int>(r % sizes_.zones)))},
                               {"state", "serving"}});
-    open.push_back(call(0, "PUT", "/v1/platform/pools/" + modelName(m),
-                        core::jsonText(QJsonObject{{"generation", 1}, {"coldRate", 2}, {"replicas", list}}), ""));
+    pending.push_back(call(0, "PUT", "/v1/platform/pools/" + modelName(m),
+                           core::jsonText(QJsonObject{{"generation", 1}, {"coldRate", 2}, {"replicas", list}}), ""));
   }
-  wait();
+  waitForResponses();
   for (std::int64_t t = 0; t < sizes_.templates; ++t) {
     QJsonArray paths;
     for (std::int64_t i = 0; i < sizes_.paths; ++i)
@@ -155,17 +157,17 @@
                                {"pool", core::toQString(modelName(t % sizes_.models))},
                                {"class", "short"}});
     QJsonObject const site{{"type", "string"}};
-    open.push_back(call(0, "PUT", "/v1/templates/" + templateName(t),
-                        core::jsonText(QJsonObject{{"parameters", QJsonObject{{"site", site}}}, {"paths", paths}}),
-                        "0"));
+    pending.push_back(call(0, "PUT", "/v1/templates/" + templateName(t),
+                           core::jsonText(QJsonObject{{"parameters", QJsonObject{{"site", site}}}, {"paths", paths}}),
+                           "0"));
   }
-  wait();
+  waitForResponses();
   for (std::int64_t i = 0; i < sizes_.tenants; ++i) {
-    open.push_back(call(0, "PUT", "/v1/templates/" + familyOf(sizes_, i) + "/instances/" + instanceOf(sizes_, i),
-                        R"({"parameters":{"site":"lagos-west"}})", "0"));
-    if (i % sizes_.templates == sizes_.templates - 1) wait();
+    pending.push_back(call(0, "PUT", "/v1/templates/" + familyOf(sizes_, i) + "/instances/" + instanceOf(sizes_, i),
+                           R"({"parameters":{"site":"lagos-west"}})", "0"));
+    if (i % sizes_.templates == sizes_.templates - 1) waitForResponses();
   }
-  wait();
+  waitForResponses();
 }
 
 std::uint64_t Fleet::call(std::size_t at, std::string const& method, std::string const& path, std::string const& body,
@@ -177,13 +179,13 @@
   c.body = body;
   c.ifMatch = ifMatch;
   c.changeId = "change-" + std::to_string(sizes_.seed) + "-" + std::to_string(c.token);
-  take(at, processes_[at].control->onOperatorCall(now_, c));
+  applyCommands(at, processes_[at].control->onOperatorCall(now_, c));
   return c.token;
 }
 
-std::optional<OperatorAnswer> Fleet::answer(std::uint64_t token) const {
-  auto const it = answers_.find(token);
-  return it == answers_.end() ? std::nullopt : std::optional<OperatorAnswer>(it->second);
+std::optional<ReceivedResponse> Fleet::response(std::uint64_t token) const {
+  auto const it = responses_.find(token);
+  return it == responses_.end() ? std::nullopt : std::optional<ReceivedResponse>(it->second);
 }
 
 std::uint64_t Fleet::change(std::size_t at, std::int64_t tenant) {
@@ -218,20 +220,20 @@
   }));
 }
 
-std::size_t Fleet::aliveIn(int region) const {
+std::size_t Fleet::aliveRouters(int region) const {
   return static_cast<std::size_t>(std::count_if(processes_.begin(), processes_.end(), [&](Process const& p) {
     return p.alive && p.data && (region < 0 || p.region == region);
   }));
 }
 
-std::size_t Fleet::servingLease(int region) const {
+std::size_t Fleet::servingRouters(int region) const {
   return static_cast<std::size_t>(std::count_if(processes_.begin(), processes_.end(), [&](Process const& p) {
     return p.alive && p.data && (region < 0 || p.region == region) && p.data->servingLease(now_);
   }));
 }
 
-void Fleet::run(Milliseconds how) {
-  Milliseconds const end = now_ + how;
+void Fleet::run(Milliseconds duration) {
+  Milliseconds const end = now_ + duration;
   while (!events_.empty() && events_.top().at <= end) {
     Event e = std::move(const_cast<Event&>(events_.top()));
     events_.pop();
@@ -253,10 +255,10 @@
   counting_ = on;
   if (!on) return;
   countFrom_ = now_;
-  controlTallies_.clear();
-  nodeTallies_.clear();
-  controlClockUs_ = 0;
-  nodeClockUs_ = 0;
+  controllerTallies_.clear();
+  routerTallies_.clear();
+  controllerTimerUs_ = 0;
+  routerTimerUs_ = 0;
   diskBytes_ = 0;
 }
 
@@ -283,7 +285,7 @@
       deliver(event);
       break;
     case EventKind::written:
-      written(event);
+      onWritten(event);
       break;
   }
 }
@@ -293,15 +295,15 @@
   double const from = counting_ ? threadUs() : 0;
   if (p.control) {
     control::ControllerCommands c = p.control->onTimer(now_);
-    if (counting_) controlClockUs_ += threadUs() - from;
-    take(ix, std::move(c));
+    if (counting_) controllerTimerUs_ += threadUs() - from;
+    applyCommands(ix, std::move(c));
   } else {
     dataplane::RouterCommands c = p.data->onTimer(now_);
-    if (counting_) nodeClockUs_ += threadUs() - from;
-    take(ix, std::move(c));
+    if (counting_) routerTimerUs_ += threadUs() - from;
+    applyCommands(ix, std::move(c));
   }
   Event e;
-  e.at = now_ + (p.disk ? controlClockEvery : nodeClockEvery);
+  e.at = now_ + (p.disk ? controllerTimerInterval : routerTimerInterval);
   e.to = ix;
   e.incarnation = p.incarnation;
   push(std::move(e));
@@ -310,7 +312,7 @@
 void Fleet::deliver(Event& event) {
   Process& p = processes_[event.to];
   auto const lastUsed = linkLastUsed_[event.to].find(event.from);
-  if (lastUsed != linkLastUsed_[event.to].end() && now_ - lastUsed->second < idleAfter) lastUsed->second = now_;
+  if (lastUsed != linkLastUsed_[event.to].end() && now_ - lastUsed->second < linkIdleTimeout) lastUsed->second = now_;
   std::string const from = processes_[event.from].link;
   transport::Envelope envelope;
   double start = 0;
@@ -329,19 +331,19 @@
     data = p.data->onMessage(now_, from, message);
   if (counting_ && !event.bytes.empty()) {
     double const handled = threadUs();
-    Tally& t = (p.control ? controlTallies_ : nodeTallies_).of(message);
+    Tally& t = (p.control ? controllerTallies_ : routerTallies_).of(message);
     ++t.received;
     t.receivedBytes += event.bytes.size();
     t.unpackUs += unpacked - start;
     t.handleUs += handled - unpacked;
   }
   if (p.control)
-    take(event.to, std::move(control));
+    applyCommands(event.to, std::move(control));
   else
-    take(event.to, std::move(data));
+    applyCommands(event.to, std::move(data));
 }
 
-void Fleet::written(Event& event) {
+void Fleet::onWritten(Event& event) {
   Process& p = processes_[event.to];
   bool ok = true;
   try {
@@ -351,14 +353,14 @@
   }
   if (counting_)
     for (storage::Record const& r : event.records) diskBytes_ += storage::frame(r).size();
-  for (std::uint64_t const t : event.tickets) take(event.to, p.control->onPersisted(now_, t, ok));
+  for (std::uint64_t const t : event.tickets) applyCommands(event.to, p.control->onPersisted(now_, t, ok));
 }
 
-void Fleet::take(std::size_t ix, control::ControllerCommands&& commands) {
+void Fleet::applyCommands(std::size_t ix, control::ControllerCommands&& commands) {
   Process& p = processes_[ix];
   if (!commands.persists.empty()) {
     Event e;
-    p.diskFree = std::max(p.diskFree, now_) + syncMs;
+    p.diskFree = std::max(p.diskFree, now_) + syncDuration;
     e.at = p.diskFree;
     e.kind = EventKind::written;
     e.to = ix;
@@ -371,16 +373,16 @@
   }
   for (transport::Send const& s : commands.sends) send(ix, s);
   for (control::OperatorResponse const& a : commands.responses)
-    answers_[a.token] = OperatorAnswer{a.status, a.body, now_};
+    responses_[a.token] = ReceivedResponse{a.status, a.body, now_};
   for (std::string const& link : commands.probes) {
     auto const it = byLink_.find(link);
-    if (it == byLink_.end() || processes_[it->second].alive || dark_[it->second]) continue;
+    if (it == byLink_.end() || processes_[it->second].alive || poweredOff_[it->second]) continue;
     if (regionsCut_ && processes_[it->second].region != p.region) continue;
-    take(ix, p.control->onProbeResult(now_, link, true));
+    applyCommands(ix, p.control->onProbeResult(now_, link, true));
   }
 }
 
-void Fleet::take(std::size_t ix, dataplane::RouterCommands&& commands) {
+void Fleet::applyCommands(std::size_t ix, dataplane::RouterCommands&& commands) {
   for (transport::Send const& s : commands.sends) send(ix, s);
 }
 
@@ -388,13 +390,13 @@
   std::size_t out = 0;
   for (std::size_t i = 0; i < processes_.size(); ++i) {
     if (!processes_[i].alive || (processes_[i].disk != nullptr) != control) continue;
-    for (auto const& [peer, lastUsedAt] : linkLastUsed_[i]) out += now_ - lastUsedAt < idleAfter ? 1 : 0;
+    for (auto const& [peer, lastUsedAt] : linkLastUsed_[i]) out += now_ - lastUsedAt < linkIdleTimeout ? 1 : 0;
   }
   return out;
 }
 
 Milliseconds Fleet::delay(Process const& a, Process const& b) const {
-  return a.region == b.region ? within : within + sizes_.interRegionDelay;
+  return a.region == b.region ? sameRegionDelay : sameRegionDelay + sizes_.interRegionDelay;
 }
 
 void Fleet::send(std::size_t from, transport::Send const& send) {
@@ -404,7 +406,7 @@
     double const start = threadUs();
     e.bytes = transport::pack(transport::Envelope{p.link, send.message});
     double const packed = threadUs();
-    Tally& t = (p.disk ? controlTallies_ : nodeTallies_).of(send.message);
+    Tally& t = (p.disk ? controllerTallies_ : routerTallies_).of(send.message);
     ++t.sent;
     t.sentBytes += e.bytes.size();
     t.packUs += packed - start;
@@ -412,7 +414,7 @@
   auto const it = byLink_.find(send.to);
   if (it == byLink_.end()) return;
   auto const [lastUsed, opened] = linkLastUsed_[from].try_emplace(it->second, now_);
-  if (opened || now_ - lastUsed->second >= idleAfter) ++dialled_[p.disk ? 1 : 0];
+  if (opened || now_ - lastUsed->second >= linkIdleTimeout) ++dialled_[p.disk ? 1 : 0];
   lastUsed->second = now_;
   Process const& to = processes_[it->second];
   if (!to.alive || (regionsCut_ && to.region != p.region)) return;
--- a/testing/capacity/fleet.h
+++ b/testing/capacity/fleet.h
@@ -22,7 +22,7 @@
 
 using core::Milliseconds;
 
-/// One hollow process: the reducer of a daemon without its sockets, HTTP edges and threads.
+/// One simulated process: the reducer of a daemon without its sockets, HTTP layer and threads.
 struct Process {
   std::string link;
   int zone = 0;
@@ -36,81 +36,82 @@
   Milliseconds diskFree = 0;
 };
 
-/// An operator's answer and when it came.
-struct OperatorAnswer {
+/// Response to an operator call and the time at which it arrived.
+struct ReceivedResponse {
   int status = 0;
   QJsonObject body;
   Milliseconds at = 0;
 };
 
-/// Many hollow processes in one, with a network and disks of their own, driven by virtual time from one seed. It runs
-/// whatever reducers are there through their public events and counts what comes out.
+/// Simulates many processes in one, with a network and disks, in virtual time and from one seed. Drives the reducers of
+/// the daemons through their public events and counts their messages and disk writes.
 class Fleet {
  public:
   explicit Fleet(Sizes const& sizes, dataplane::RouterTuning const& tuning = {});
 
-  /// Starts the control machines and runs until each is in touch with a majority. False when that fails.
-  bool startControl();
-  /// Gives the lists, templates and instances of the sizes.
+  /// Starts the controllers and runs until each is in contact with a majority. Returns false if that takes over 60 s.
+  bool startControllers();
+  /// Writes the endpoint lists, templates and instances that the sizes ask for.
   void configure();
-  /// Starts every node and runs until each one stands. False when that fails.
-  bool startNodes();
+  /// Starts every router and runs until each one has a serving lease. Returns false if that takes over 60 s.
+  bool startRouters();
 
   void boot(std::size_t ix);
-  /// Ends a process. A dark one's machine is gone: nobody hears that the connection is refused.
-  void kill(std::size_t ix, bool dark = false);
+  /// Ends a process. With `poweredOff` its machine is down too, so that connections to it time out instead of being
+  /// refused.
+  void kill(std::size_t ix, bool poweredOff = false);
   void wipe(std::size_t ix) { processes_[ix].disk->wipe(); }
-  /// No message passes between regions from here on, or passes again.
+  /// Starts or ends a partition between all regions.
   void cutRegions(bool cut) { regionsCut_ = cut; }
 
-  /// Runs for so many milliseconds.
-  void run(Milliseconds how);
-  /// Runs until it is true; false when it is not within the limit.
+  /// Runs for the given virtual time.
+  void run(Milliseconds duration);
+  /// Runs until `done` returns true. Returns false if it does not within the limit.
   bool until(std::function<bool()> const& done, Milliseconds limit);
   Milliseconds now() const { return now_; }
 
-  /// An operator's call at a control machine; the answer comes under the token.
+  /// Sends an operator call to the controller with this index. Returns the token of the response.
   std::uint64_t call(std::size_t at, std::string const& method, std::string const& path, std::string const& body,
                      std::string const& ifMatch);
-  std::optional<OperatorAnswer> answer(std::uint64_t token) const;
-  /// Changes one tenant's parameter; the answer comes under the token.
+  std::optional<ReceivedResponse> response(std::uint64_t token) const;
+  /// Changes one tenant's parameter. Returns the token of the response.
   std::uint64_t change(std::size_t at, std::int64_t tenant);
-  /// Newest revision of a tenant's family that some control machine holds.
+  /// Returns the newest revision of a tenant's family that any controller has committed.
   std::uint64_t revisionOfTenant(std::int64_t tenant) const;
 
   std::vector<Process>& processes() { return processes_; }
-  std::size_t firstNode() const { return static_cast<std::size_t>(sizes_.control); }
-  /// A node at an address of its own that is not started with the others.
+  std::size_t firstRouter() const { return static_cast<std::size_t>(sizes_.control); }
+  /// Index of an additional router, with its own address, that startRouters does not start.
   std::size_t spare() const { return processes_.size() - 1; }
   std::size_t alive(bool control) const;
-  /// Nodes of a region, or of all when it is below zero, that may hand requests over.
-  std::size_t servingLease(int region = -1) const;
-  std::size_t aliveIn(int region) const;
+  /// Number of routers with a serving lease in a region, or in all regions if it is negative.
+  std::size_t servingRouters(int region = -1) const;
+  std::size_t aliveRouters(int region) const;
   static std::string familyOf(Sizes const& sizes, std::int64_t tenant);
   static std::string instanceOf(Sizes const& sizes, std::int64_t tenant);
 
-  /// From here on every message is packed, unpacked, timed and tallied.
+  /// Starts or stops packing, unpacking, timing and counting every message. Starting resets the counts.
   void count(bool on);
-  Tallies const& tallies(bool control) const { return control ? controlTallies_ : nodeTallies_; }
-  /// Processor time of clock events since the count began, microseconds.
-  double clockUs(bool control) const { return control ? controlClockUs_ : nodeClockUs_; }
-  Milliseconds counted() const { return now_ - countFrom_; }
-  /// Bytes and records that went to the disks since the count began.
+  Tallies const& tallies(bool control) const { return control ? controllerTallies_ : routerTallies_; }
+  /// Processor time of timer events since counting began, in microseconds.
+  double timerUs(bool control) const { return control ? controllerTimerUs_ : routerTimerUs_; }
+  Milliseconds countedTime() const { return now_ - countFrom_; }
+  /// Bytes written to the disks since counting began.
   std::uint64_t diskBytes() const { return diskBytes_; }
-  /// Ways that the processes of a role hold as transport::Link does, all together, and how often one was dialled so
-  /// far.
+  /// Number of links that the processes of a role keep open in all, under the rules of transport::Link, and number of
+  /// links opened so far.
   std::size_t openLinks(bool control) const;
   std::uint64_t dialled(bool control) const { return dialled_[control ? 1 : 0]; }
-  /// What the simulated disks hold, which a real process would not hold in memory.
+  /// Memory of the simulated disks, to be subtracted because a real process does not hold it.
   std::uint64_t diskUsage() const;
-  /// Lets go of what is under way.
+  /// Drops all pending events.
   void discardPendingEvents();
 
  private:
   enum class EventKind { clock, message, written };
   struct Event {
     Milliseconds at = 0;
-    std::uint64_t order = 0;
+    std::uint64_t sequence = 0;
     EventKind kind = EventKind::clock;
     std::size_t to = 0;
     std::uint64_t incarnation = 0;
@@ -119,15 +120,15 @@
     std::string bytes;
     std::vector<storage::Record> records;
     std::vector<std::uint64_t> tickets;
-    bool operator<(Event const& o) const { return at != o.at ? at > o.at : order > o.order; }
+    bool operator<(Event const& o) const { return at != o.at ? at > o.at : sequence > o.sequence; }
   };
   void push(Event event);
   void act(Event& event);
   void clock(std::size_t ix);
   void deliver(Event& event);
-  void written(Event& event);
-  void take(std::size_t ix, control::ControllerCommands&& commands);
-  void take(std::size_t ix, dataplane::RouterCommands&& commands);
+  void onWritten(Event& event);
+  void applyCommands(std::size_t ix, control::ControllerCommands&& commands);
+  void applyCommands(std::size_t ix, dataplane::RouterCommands&& commands);
   void send(std::size_t from, transport::Send const& send);
   Milliseconds delay(Process const& a, Process const& b) const;
 
@@ -135,23 +136,23 @@
   dataplane::RouterTuning tuning_;
   core::RandomGenerator rng_;
   Milliseconds now_ = 0;
-  std::uint64_t order_ = 0;
+  std::uint64_t nextSequence_ = 0;
   std::uint64_t nextToken_ = 1;
   std::uint64_t nextNote_ = 1;
   std::priority_queue<Event> events_;
   std::vector<Process> processes_;
-  std::vector<bool> dark_;
+  std::vector<bool> poweredOff_;
   std::unordered_map<std::string, std::size_t> byLink_;
-  std::map<std::uint64_t, OperatorAnswer> answers_;
+  std::map<std::uint64_t, ReceivedResponse> responses_;
   bool regionsCut_ = false;
   bool counting_ = false;
   Milliseconds countFrom_ = 0;
-  Tallies controlTallies_;
-  Tallies nodeTallies_;
-  double controlClockUs_ = 0;
-  double nodeClockUs_ = 0;
+  Tallies controllerTallies_;
+  Tallies routerTallies_;
+  double controllerTimerUs_ = 0;
+  double routerTimerUs_ = 0;
   std::uint64_t diskBytes_ = 0;
-  /// When each process last sent to another or heard from it, for the ways that it dialled.
+  /// Time of the last message sent or received on each link, by the process that opened it and the peer.
   std::vector<std::unordered_map<std::size_t, Milliseconds>> linkLastUsed_;
   std::array<std::uint64_t, 2> dialled_{};
 };
--- a/testing/capacity/idle.cpp
+++ b/testing/capacity/idle.cpp
@@ -1,4 +1,4 @@
-// A fleet at rest: what it sends, holds and computes, and the links that it keeps open.
+// Measures a fleet without requests: its traffic, memory, processor time and open links.
 #include <map>
 
 #include <corkward/core/json.h>
@@ -29,7 +29,7 @@
   sum.receivedBytes += tally.receivedBytes;
 }
 
-/// Cost of one message of each kind.
+/// Adds the mean cost of one message of a kind.
 void addMessageCosts(Measurements& out, Tally const& tally, char const* role) {
   auto const sent = static_cast<double>(tally.sent);
   auto const received = static_cast<double>(tally.received);
@@ -43,7 +43,7 @@
   }
 }
 
-/// Rates of messages and bytes that the processes of a role send and receive for one purpose.
+/// Adds the rates of messages and bytes that the processes of a role send and receive for one purpose.
 void addTrafficRates(Measurements& out, std::string const& purpose, Tally const& sum, char const* role, Milliseconds ms,
                      std::size_t processes) {
   auto const rate = [&](std::uint64_t total) { return perSecond(static_cast<double>(total), ms, processes); };
@@ -53,13 +53,13 @@
   out.push_back({"taken." + purpose, role, "bytes/s", counted, rate(sum.receivedBytes)});
 }
 
-/// Traffic and processor time of all processes of a role.
+/// Adds the traffic and processor time of all processes of a role.
 void addRole(Measurements& out, Fleet& fleet, bool control, Milliseconds ms) {
   char const* const role = roleName(control);
   std::size_t const processes = fleet.alive(control);
   std::map<std::string, Tally> purposes;
   Tally all;
-  double processorUs = fleet.clockUs(control);
+  double processorUs = fleet.timerUs(control);
   for (Tally const& tally : fleet.tallies(control).all()) {
     addTraffic(purposes[tally.purpose], tally);
     addTraffic(all, tally);
@@ -69,18 +69,18 @@
   }
   purposes["all"] = all;
   purposes["all"].handleUs = processorUs;
-  purposes["clock"].handleUs = fleet.clockUs(control);
+  purposes["clock"].handleUs = fleet.timerUs(control);
   for (auto const& [purpose, sum] : purposes) {
     out.push_back({"cpu." + purpose, role, "us/s", timed, perSecond(sum.handleUs, ms, processes)});
     if (purpose != "clock") addTrafficRates(out, purpose, sum, role, ms, processes);
   }
 }
 
-/// Memory of the processes, found by ending the nodes first.
+/// Adds the memory of the routers and controllers. The routers are ended first to tell the two apart.
 void addMemory(Measurements& out, Fleet& fleet, Sizes const& sizes, std::uint64_t empty, std::uint64_t withControl) {
   fleet.discardPendingEvents();
   auto const all = static_cast<double>(heapBytes() - empty - fleet.diskUsage());
-  for (std::size_t i = fleet.firstNode(); i < fleet.processes().size(); ++i) fleet.kill(i);
+  for (std::size_t i = fleet.firstRouter(); i < fleet.processes().size(); ++i) fleet.kill(i);
   auto const control = static_cast<double>(heapBytes() - empty - fleet.diskUsage());
   out.push_back({"state", "router", "bytes", heap, (all - control) / static_cast<double>(sizes.nodes)});
   out.push_back({"state", "controller", "bytes", heap, control / static_cast<double>(sizes.control)});
@@ -93,10 +93,10 @@
 Measurements measureIdle(Sizes const& sizes) {
   std::uint64_t const empty = heapBytes();
   Fleet fleet(sizes);
-  startControl(fleet);
+  startControllers(fleet);
   fleet.configure();
   std::uint64_t const withControl = heapBytes() - fleet.diskUsage();
-  startNodes(fleet);
+  startRouters(fleet);
   fleet.run(stabilizationTime);
   core::RandomGenerator rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xCA);
   Milliseconds dueAt = fleet.now();
@@ -106,12 +106,12 @@
     fleet.run(1000);
   }
   Measurements out;
-  Milliseconds const ms = fleet.counted();
+  Milliseconds const ms = fleet.countedTime();
   for (bool const control : {false, true}) addRole(out, fleet, control, ms);
   out.push_back({"disk", "controller", "bytes/s", counted,
                  perSecond(static_cast<double>(fleet.diskBytes()), ms, fleet.alive(true))});
   out.push_back({"standing", "router", "share", counted,
-                 static_cast<double>(fleet.servingLease()) / static_cast<double>(sizes.nodes)});
+                 static_cast<double>(fleet.servingRouters()) / static_cast<double>(sizes.nodes)});
   out.push_back({"page.fleet", "operator", "bytes", counted,
                  static_cast<double>(core::jsonText(fleet.processes().front().control->fleet(fleet.now())).size())});
   fleet.count(false);
--- a/testing/capacity/main.cpp
+++ b/testing/capacity/main.cpp
@@ -1,7 +1,7 @@
 #include <iostream>
 
-#include "rig.h"
+#include "command_line.h"
 
 int main(int argc, char** argv) {
-  return corkward::testing::capacity::rig(argc, argv, std::cout, std::cerr);
+  return corkward::testing::capacity::runCommand(argc, argv, std::cout, std::cerr);
 }
--- a/testing/capacity/measurements.cpp
+++ b/testing/capacity/measurements.cpp
@@ -26,18 +26,19 @@
   return tally.packUs + tally.unpackUs + tally.handleUs;
 }
 
-void startControl(Fleet& fleet) {
-  if (!fleet.startControl()) throw SizesError("control: the membership was not founded within its limit");
+void startControllers(Fleet& fleet) {
+  if (!fleet.startControllers())
+    throw SizesError("control: the controllers did not found their membership within 60 s");
 }
 
-void startNodes(Fleet& fleet) {
-  if (!fleet.startNodes()) throw SizesError("nodes: not all stand within the limit");
+void startRouters(Fleet& fleet) {
+  if (!fleet.startRouters()) throw SizesError("nodes: not all routers got a serving lease within 60 s");
 }
 
 void startAndStabilize(Fleet& fleet) {
-  startControl(fleet);
+  startControllers(fleet);
   fleet.configure();
-  startNodes(fleet);
+  startRouters(fleet);
   fleet.run(stabilizationTime);
 }
 
--- a/testing/capacity/measurements.h
+++ b/testing/capacity/measurements.h
@@ -6,18 +6,19 @@
 #include "fleet.h"
 #include "sizes.h"
 
-/// Figures of the rig, and what all experiments need to take them.
+/// Measured values, and helpers that the experiments share.
 namespace corkward::testing::capacity {
 
-/// Kinds of figures: counted ones follow from the seed alone, timed ones are processor time, heap ones bytes of memory.
+/// Kinds of measurements: `counted` values depend only on the sizes and the seed, `timed` ones are processor time,
+/// `heap` ones are bytes of memory.
 inline constexpr char const* counted = "counted";
 inline constexpr char const* timed = "timed";
 inline constexpr char const* heap = "heap";
 
-/// One figure.
+/// One measured value.
 struct Measurement {
   std::string measure;
-  /// router, controller or operator; figures are per process of the role unless the measure says otherwise.
+  /// router, controller or operator. Values are per process of the role unless the measure says otherwise.
   std::string role;
   std::string unit;
   std::string kind;
@@ -26,26 +27,26 @@
 
 using Measurements = std::vector<Measurement>;
 
-/// Virtual time that a started fleet gets to come to rest, ms.
+/// Virtual time after the start of a fleet until measurements begin, in ms.
 inline constexpr Milliseconds stabilizationTime = 12000;
-/// Longest virtual time that an experiment waits for what it measures, ms.
+/// Longest virtual time that an experiment waits for the event it measures, in ms.
 inline constexpr Milliseconds longestWait = 30000;
 
-/// Role of a process as the figures name it.
+/// Returns the name of a role in the output.
 char const* roleName(bool control);
-/// A total over `ms` milliseconds as a rate per second and process.
+/// Converts a total over `ms` milliseconds to a rate per second and process.
 double perSecond(double value, Milliseconds ms, std::size_t processes);
 double median(std::vector<double> values);
-/// Milliseconds since `from` when it succeeded, else -1.
+/// Returns the milliseconds since `from`, or -1 if the operation did not succeed.
 double elapsed(Fleet const& fleet, bool succeeded, Milliseconds from);
-/// Processor time of all messages of a tally, microseconds.
+/// Returns the processor time of all messages of a tally, in microseconds.
 double processorTime(Tally const& tally);
 
-/// Starts the control machines; throws SizesError when they don't found their membership in time.
-void startControl(Fleet& fleet);
-/// Starts the nodes; throws SizesError when one doesn't serve in time.
-void startNodes(Fleet& fleet);
-/// Starts the complete fleet with its configuration and lets it come to rest.
+/// Starts the controllers. Throws SizesError if they don't found their membership in time.
+void startControllers(Fleet& fleet);
+/// Starts the routers. Throws SizesError if one doesn't get a serving lease in time.
+void startRouters(Fleet& fleet);
+/// Starts the complete fleet with its configuration and waits for `stabilizationTime`.
 void startAndStabilize(Fleet& fleet);
 
 }  // namespace corkward::testing::capacity
--- a/testing/capacity/outages.cpp
+++ b/testing/capacity/outages.cpp
@@ -1,4 +1,4 @@
-// Losses of machines, regions and zones, and how long the fleet takes to come back.
+// Measures how long the fleet takes to recover from the loss of processes, regions and zones.
 #include <algorithm>
 #include <map>
 
@@ -25,7 +25,7 @@
   return out;
 }
 
-/// Waits until a node serves; milliseconds since now, or -1.
+/// Waits until a router has a serving lease. Returns the time in milliseconds, or -1 if it takes too long.
 double untilServing(Fleet& fleet, std::size_t node) {
   Milliseconds const from = fleet.now();
   bool const serves = fleet.until([&] { return fleet.processes()[node].data->servingLease(fleet.now()); }, longestWait);
@@ -33,17 +33,17 @@
 }
 
 void bootstrap(Measurements& out, Fleet& fleet) {
-  startControl(fleet);
+  startControllers(fleet);
   out.push_back({"found", "controller", "ms", counted, static_cast<double>(fleet.now())});
   fleet.configure();
   Milliseconds const from = fleet.now();
-  startNodes(fleet);
+  startRouters(fleet);
   out.push_back({"start", "router", "ms", counted, static_cast<double>(fleet.now() - from)});
   fleet.run(stabilizationTime);
 }
 
-void restartNode(Measurements& out, Fleet& fleet, Sizes const& sizes) {
-  std::size_t const node = fleet.firstNode() + static_cast<std::size_t>(sizes.nodes) / 2;
+void restartRouter(Measurements& out, Fleet& fleet, Sizes const& sizes) {
+  std::size_t const node = fleet.firstRouter() + static_cast<std::size_t>(sizes.nodes) / 2;
   fleet.count(true);
   fleet.kill(node);
   fleet.run(1000);
@@ -69,9 +69,9 @@
   }
 }
 
-/// A control machine comes back with an emptied disk and catches up from a snapshot.
+/// Restarts a controller with an empty disk, which catches up from a snapshot.
 void restoreDisk(Measurements& out, Fleet& fleet) {
-  std::size_t const last = fleet.firstNode() - 1;
+  std::size_t const last = fleet.firstRouter() - 1;
   fleet.kill(last);
   fleet.wipe(last);
   fleet.run(1000);
@@ -89,10 +89,10 @@
   fleet.count(true);
   for (std::size_t i = 0; i < fleet.processes().size(); ++i) fleet.boot(i);
   bool const recovered =
-      fleet.until([&] { return fleet.servingLease() == static_cast<std::size_t>(sizes.nodes) + 1; }, longestWait);
+      fleet.until([&] { return fleet.servingRouters() == static_cast<std::size_t>(sizes.nodes) + 1; }, longestWait);
   out.push_back({"recover", "router", "ms", counted, elapsed(fleet, recovered, from)});
   for (bool const control : {false, true}) {
-    double processorUs = fleet.clockUs(control);
+    double processorUs = fleet.timerUs(control);
     for (Tally const& tally : fleet.tallies(control).all()) processorUs += processorTime(tally);
     out.push_back(
         {"recover.cpu", roleName(control), "us", timed, processorUs / static_cast<double>(fleet.alive(control))});
@@ -100,8 +100,8 @@
 }
 
 double servingShare(Fleet const& fleet, int region) {
-  return static_cast<double>(fleet.servingLease(region)) /
-         static_cast<double>(std::max<std::size_t>(fleet.aliveIn(region), 1));
+  return static_cast<double>(fleet.servingRouters(region)) /
+         static_cast<double>(std::max<std::size_t>(fleet.aliveRouters(region), 1));
 }
 
 }  // namespace
@@ -110,7 +110,7 @@
   Measurements out;
   Fleet fleet(sizes);
   bootstrap(out, fleet);
-  restartNode(out, fleet, sizes);
+  restartRouter(out, fleet, sizes);
   joinSpare(out, fleet);
   fleet.count(true);
   if (sizes.control > 1) restoreDisk(out, fleet);
@@ -121,16 +121,16 @@
 }
 
 Measurements measurePartition(Sizes const& sizes) {
-  if (sizes.regions < 2) throw SizesError("regions: it takes two to lose each other");
+  if (sizes.regions < 2) throw SizesError("regions: a partition needs at least two regions");
   if (sizes.tenants < 2 || sizes.control < 2)
-    throw SizesError("tenants: two tenants and two control machines are needed");
+    throw SizesError("tenants: at least two tenants and two controllers are needed");
   Fleet fleet(sizes);
   startAndStabilize(fleet);
   fleet.cutRegions(true);
   Milliseconds const from = fleet.now();
   std::map<int, std::uint64_t> tokens;
   std::map<int, std::size_t> members;
-  for (std::size_t i = 0; i < fleet.firstNode(); ++i) {
+  for (std::size_t i = 0; i < fleet.firstRouter(); ++i) {
     int const region = fleet.processes()[i].region;
     if (++members[region] == 1) tokens[region] = fleet.change(i, region);
   }
@@ -140,16 +140,16 @@
     std::string const name = "region" + std::to_string(region + 1);
     out.push_back({"split.members." + name, "controller", "machines", counted, static_cast<double>(members[region])});
     out.push_back({"split.standing." + name, "router", "share", counted, servingShare(fleet, region)});
-    bool const acknowledged = fleet.answer(token) && fleet.answer(token)->status == 200;
+    bool const acknowledged = fleet.response(token) && fleet.response(token)->status == 200;
     out.push_back({"split.status." + name, "operator", "status", counted,
-                   fleet.answer(token) ? static_cast<double>(fleet.answer(token)->status) : 0});
+                   fleet.response(token) ? static_cast<double>(fleet.response(token)->status) : 0});
     out.push_back({"split.change." + name, "operator", "ms", counted,
-                   acknowledged ? static_cast<double>(fleet.answer(token)->at - from) : -1});
+                   acknowledged ? static_cast<double>(fleet.response(token)->at - from) : -1});
   }
   fleet.cutRegions(false);
   Milliseconds const joined = fleet.now();
   bool const ok =
-      fleet.until([&] { return fleet.servingLease() == static_cast<std::size_t>(sizes.nodes); }, longestWait);
+      fleet.until([&] { return fleet.servingRouters() == static_cast<std::size_t>(sizes.nodes); }, longestWait);
   out.push_back({"split.back", "router", "ms", counted, elapsed(fleet, ok, joined)});
   return out;
 }
@@ -162,28 +162,28 @@
   for (std::size_t i = 0; i < fleet.processes().size(); ++i) {
     if (fleet.processes()[i].zone == 0)
       fleet.kill(i, true);
-    else if (i < fleet.firstNode() && first == 0)
+    else if (i < fleet.firstRouter() && first == 0)
       first = i;
   }
   Measurements out;
-  double least = 1;
+  double min = 1;
   Milliseconds const from = fleet.now();
   std::uint64_t const token = fleet.change(first, 0);
   for (int i = 0; i < 100; ++i) {
     fleet.run(50);
-    least = std::min(least, servingShare(fleet, -1));
+    min = std::min(min, servingShare(fleet, -1));
   }
-  fleet.until([&] { return fleet.answer(token).has_value(); }, longestWait);
-  bool const acknowledged = fleet.answer(token) && fleet.answer(token)->status == 200;
-  out.push_back({"zone.standing", "router", "least share of the rest", counted, least});
+  fleet.until([&] { return fleet.response(token).has_value(); }, longestWait);
+  bool const acknowledged = fleet.response(token) && fleet.response(token)->status == 200;
+  out.push_back({"zone.standing", "router", "least share of the rest", counted, min});
   out.push_back({"zone.change", "operator", "ms", counted,
-                 acknowledged ? static_cast<double>(fleet.answer(token)->at - from) : -1});
+                 acknowledged ? static_cast<double>(fleet.response(token)->at - from) : -1});
   std::uint64_t const next = fleet.change(first, 0);
   Milliseconds const again = fleet.now();
-  fleet.until([&] { return fleet.answer(next).has_value(); }, longestWait);
-  bool const nextAcknowledged = fleet.answer(next) && fleet.answer(next)->status == 200;
+  fleet.until([&] { return fleet.response(next).has_value(); }, longestWait);
+  bool const nextAcknowledged = fleet.response(next) && fleet.response(next)->status == 200;
   out.push_back({"zone.next_change", "operator", "ms", counted,
-                 nextAcknowledged ? static_cast<double>(fleet.answer(next)->at - again) : -1});
+                 nextAcknowledged ? static_cast<double>(fleet.response(next)->at - again) : -1});
   return out;
 }
 
--- a/testing/capacity/requests.cpp
+++ b/testing/capacity/requests.cpp
@@ -1,4 +1,4 @@
-// Requests at one node: the memory that they take, and their processor time.
+// Measures the memory and processor time of requests at one router.
 #include <algorithm>
 
 #include <corkward/dataplane/response_stream.h>
@@ -15,7 +15,7 @@
 constexpr int clockBlocks = 5;
 constexpr char const* eventBytes = "data: 012345678901234567890123\n\n";
 
-/// Bounds that never stop a request, so that what is measured is the cost and not the scaler's choice.
+/// Returns limits that never delay a request, so that the cost is measured and not the decisions of the scaler.
 dataplane::RouterTuning unlimitedTuning() {
   dataplane::RouterTuning t;
   t.scalerParameters.initialSubset = 1000000;
@@ -28,11 +28,11 @@
   return t;
 }
 
-/// Sends requests to one node, and ends them when told to.
+/// Sends requests to one router and ends them on demand.
 class Callers {
  public:
   Callers(Fleet& fleet, Sizes const& sizes)
-      : fleet_(fleet), sizes_(sizes), node_(*fleet.processes()[fleet.firstNode()].data) {}
+      : fleet_(fleet), sizes_(sizes), node_(*fleet.processes()[fleet.firstRouter()].data) {}
 
   /// Begins a request up to its first byte, and returns its id.
   dataplane::CallId begin(std::int64_t tenant, std::string const& id, std::string const& prefix) {
@@ -56,7 +56,7 @@
       } else if (dataplane::Reject const* const d = std::get_if<dataplane::Reject>(&v)) {
         throw SizesError("calls: a request was rejected: " + d->reason);
       }
-    if (!dispatched) throw SizesError("calls: a request was held");
+    if (!dispatched) throw SizesError("calls: a request was queued");
     node_.onFirstByte(fleet_.now(), r.call, true);
     return r.call;
   }
@@ -72,8 +72,8 @@
   dataplane::CallId next_ = 1;
 };
 
-void checkOneNodeWithTenants(Sizes const& sizes) {
-  if (sizes.nodes != 1) throw SizesError("nodes: this part measures one node");
+void checkOneRouterWithTenants(Sizes const& sizes) {
+  if (sizes.nodes != 1) throw SizesError("nodes: this experiment measures exactly one router");
   if (sizes.tenants == 0) throw SizesError("tenants: requests need a tenant");
 }
 
@@ -86,13 +86,13 @@
           {}};
 }
 
-/// Takes the growth of the heap from one moment to the next as figures.
+/// Measures the growth of the heap between calls.
 class HeapGrowth {
  public:
   explicit HeapGrowth(Measurements& out) : out_(out) { restart(); }
 
   void restart() { before_ = heapBytes(); }
-  /// Adds the growth since the last figure, without `excluded` bytes, per one of `share`.
+  /// Adds the growth since the last measurement, minus `excluded` bytes and divided by `share`, as a measurement.
   void add(char const* measure, char const* role, double share, std::uint64_t excluded = 0) {
     std::uint64_t const now = heapBytes();
     out_.push_back({measure, role, "bytes", heap,
@@ -116,7 +116,7 @@
   growth.add("streams", "router", 1);
 }
 
-/// Memory of queues, calls, streams, ids and prefixes at one node.
+/// Measures the memory of queues, calls, streams, ids and prefixes at one router.
 void measureRequestState(HeapGrowth& growth, Callers& callers, Sizes const& sizes) {
   std::vector<dataplane::CallId> calls;
   calls.reserve(static_cast<std::size_t>(std::max({sizes.calls, sizes.tenants, sizes.sessions, sizes.prefixes})));
@@ -136,7 +136,7 @@
   growth.add("prefixes", "router", 1);
 }
 
-/// Processor time per request in each block, microseconds.
+/// Returns the processor time per request in each block, in microseconds.
 std::vector<double> timeRequests(Callers& callers, Sizes const& sizes) {
   core::RandomGenerator rng(static_cast<std::uint64_t>(sizes.seed) ^ 0xC0);
   std::vector<double> out;
@@ -152,7 +152,7 @@
   return out;
 }
 
-/// Processor time per chunk of a response in each block, microseconds.
+/// Returns the processor time per chunk of a response in each block, in microseconds.
 std::vector<double> timeChunks(std::size_t& passedBytes) {
   std::vector<double> out;
   for (int block = 0; block < blocks; ++block) {
@@ -168,19 +168,19 @@
 
 }  // namespace
 
-// Messages are packed and unpacked from the start, since values that are handed over as they are would be shared and
-// count once.
+// Messages are packed and unpacked from the start: otherwise the processes would share values, whose memory would be
+// counted only once.
 Measurements measureState(Sizes const& sizes) {
-  checkOneNodeWithTenants(sizes);
+  checkOneRouterWithTenants(sizes);
   Measurements out;
   HeapGrowth growth(out);
   Fleet fleet(sizes, unlimitedTuning());
   fleet.count(true);
-  startControl(fleet);
+  startControllers(fleet);
   fleet.configure();
   fleet.run(2000);
   growth.add("configured", "controller", static_cast<double>(sizes.control), fleet.diskUsage());
-  startNodes(fleet);
+  startRouters(fleet);
   fleet.run(2000);
   growth.add("configured", "router", 1);
   Callers callers(fleet, sizes);
@@ -195,7 +195,7 @@
 }
 
 Measurements measureRequestCost(Sizes const& sizes) {
-  checkOneNodeWithTenants(sizes);
+  checkOneRouterWithTenants(sizes);
   Fleet fleet(sizes, unlimitedTuning());
   startAndStabilize(fleet);
   Callers callers(fleet, sizes);
@@ -215,7 +215,7 @@
   for (int block = 0; block < clockBlocks; ++block) {
     fleet.count(true);
     fleet.run(1000);
-    clocks.push_back(fleet.clockUs(false));
+    clocks.push_back(fleet.timerUs(false));
     for (dataplane::CallId const call : calls) callers.node().onProgress(fleet.now(), call);
   }
   out.push_back({"clock", "router", "us/s", timed, median(clocks)});
--- a/testing/capacity/sizes.cpp
+++ b/testing/capacity/sizes.cpp
@@ -13,20 +13,21 @@
   SizeOption const* const size =
       std::find_if(std::begin(sizeTable), std::end(sizeTable), [&](SizeOption const& r) { return name == r.name; });
   if (size == std::end(sizeTable)) throw SizesError("sweep: no such size: " + name);
-  if (value < size->least || value > size->most)
-    throw SizesError(name + ": must be " + std::to_string(size->least) + " to " + std::to_string(size->most) +
-                     ", not " + std::to_string(value));
+  if (value < size->min || value > size->max)
+    throw SizesError(name + ": must be " + std::to_string(size->min) + " to " + std::to_string(size->max) + ", not " +
+                     std::to_string(value));
   sizes.*(size->field) = value;
 }
 
 void checkSizes(Sizes const& sizes) {
-  if (sizes.zones < sizes.regions) throw SizesError("zones: fewer than regions");
-  if (sizes.replicas < sizes.models) throw SizesError("replicas: fewer than models");
+  if (sizes.zones < sizes.regions) throw SizesError("zones: must be at least as many as regions");
+  if (sizes.replicas < sizes.models) throw SizesError("replicas: must be at least as many as models");
   std::int64_t const each = (sizes.tenants + sizes.templates - 1) / sizes.templates;
   if (each > static_cast<std::int64_t>(config::maxInstances))
-    throw SizesError("tenants: over " + std::to_string(config::maxInstances) + " for one template");
+    throw SizesError("tenants: more than " + std::to_string(config::maxInstances) + " for one template");
   if (each * sizes.paths > static_cast<std::int64_t>(config::maxRenderedPaths))
-    throw SizesError("paths: over " + std::to_string(config::maxRenderedPaths) + " for the tenants of one template");
+    throw SizesError("paths: more than " + std::to_string(config::maxRenderedPaths) +
+                     " for the tenants of one template");
   if (sizes.changes > 0 && sizes.tenants == 0) throw SizesError("changes: there is no tenant to change");
 }
 
@@ -41,7 +42,7 @@
   for (std::string const& part : parts) {
     std::int64_t value = 0;
     if (!boost::conversion::try_lexical_convert(part, value))
-      throw SizesError("sweep: not a whole number for " + out.name + ": " + part);
+      throw SizesError("sweep: must be an integer for " + out.name + ": " + part);
     Sizes scratch;
     setSize(scratch, out.name, value);
     out.values.push_back(value);
--- a/testing/capacity/tally.h
+++ b/testing/capacity/tally.h
@@ -9,13 +9,14 @@
 
 namespace corkward::testing::capacity {
 
-/// What a kind of message is for.
+/// The purpose for which a kind of message is counted.
 struct MessagePurpose {
   char const* kind;
   char const* purpose;
 };
 
-/// Kinds that are not named here, newer ones too, count under "other". News count by the key that they carry.
+/// Kinds that are not in this table count as "other". Messages with configuration entries count by the key of the first
+/// entry (see purposeOf).
 inline constexpr MessagePurpose messagePurposes[] = {{"ask", "confirmations"}, {"confirm", "confirmations"},
                                                      {"touch", "contacts"},    {"shuffle", "shuffles"},
                                                      {"hint", "list"},         {"news", "news"},
@@ -30,10 +31,11 @@
                                                      {"seen-echo", "ids"},     {"seen-left", "ids"},
                                                      {"warm-ask", "warming"},  {"warm-grant", "warming"}};
 
-/// Duty of one message.
+/// Returns the purpose for which a message is counted.
 std::string purposeOf(transport::Message const& message);
 
-/// What all processes of one role did with one kind of message for one duty. Microseconds are of processor time.
+/// Counts of one kind of message for one purpose, over all processes of a role. Times are processor time in
+/// microseconds.
 struct Tally {
   std::string purpose;
   std::string kind;
@@ -46,7 +48,7 @@
   double handleUs = 0;
 };
 
-/// Tallies of one role.
+/// All tallies of one role.
 class Tallies {
  public:
   Tally& of(transport::Message const& message);
@@ -57,9 +59,9 @@
   std::vector<Tally> all_;
 };
 
-/// Processor time of this thread so far, microseconds.
+/// Returns the processor time of this thread so far, in microseconds.
 double threadUs();
-/// Bytes that the process holds of the heap now.
+/// Returns the heap bytes that the process currently has allocated.
 std::uint64_t heapBytes();
 
 }  // namespace corkward::testing::capacity
--- a/testing/test/capacity_test.cpp
+++ b/testing/test/capacity_test.cpp
@@ -5,7 +5,7 @@
 
 #include "fleet.h"
 #include "experiments.h"
-#include "rig.h"
+#include "command_line.h"
 
 namespace capacity = corkward::testing::capacity;
 namespace core = corkward::core;
@@ -19,13 +19,13 @@
   std::string errors;
 };
 
-Outcome rig(std::vector<std::string> const& arguments) {
+Outcome runCommand(std::vector<std::string> const& arguments) {
   std::vector<char const*> argv{"corkward-capacity"};
   for (std::string const& w : arguments) argv.push_back(w.c_str());
   std::ostringstream out;
   std::ostringstream errors;
   Outcome o;
-  o.code = capacity::rig(static_cast<int>(argv.size()), argv.data(), out, errors);
+  o.code = capacity::runCommand(static_cast<int>(argv.size()), argv.data(), out, errors);
   o.out = out.str();
   o.errors = errors.str();
   return o;
@@ -54,7 +54,7 @@
   return it->value;
 }
 
-std::string followsFromTheSeed(capacity::Measurements const& measurements) {
+std::string countedRows(capacity::Measurements const& measurements) {
   std::ostringstream out;
   for (capacity::Measurement const& r : measurements)
     if (r.kind == "counted") out << r.measure << "," << r.role << "," << r.unit << "," << r.value << "\n";
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-TEST_CASE("a bad argument ends with its name, the reason and 2") {
+TEST_CASE("a bad argument ends with exit code 2 and an error that names the argument") {
   struct Bad {
     std::vector<std::string> arguments;
     char const* name;
@@ -87,32 +87,32 @@
                        {{"--part", "state", "--nodes", "2"}, "nodes"},
                        {{"--part", "rest", "--out", "/nonexistent/file"}, "out"}};
   for (capacity::SizeOption const& r : capacity::sizeTable) {
-    bad.push_back({{"--part", "rest", std::string("--") + r.name, std::to_string(r.least - 1)}, r.name});
-    bad.push_back({{"--part", "rest", std::string("--") + r.name, std::to_string(r.most + 1)}, r.name});
+    bad.push_back({{"--part", "rest", std::string("--") + r.name, std::to_string(r.min - 1)}, r.name});
+    bad.push_back({{"--part", "rest", std::string("--") + r.name, std::to_string(r.max + 1)}, r.name});
   }
   for (Bad const& b : bad) {
-    Outcome const o = rig(b.arguments);
+    Outcome const o = runCommand(b.arguments);
     INFO(o.errors);
     CHECK(o.code == 2);
     CHECK(o.errors.find(b.name) != std::string::npos);
   }
-  CHECK(rig({"--help"}).code == 0);
+  CHECK(runCommand({"--help"}).code == 0);
 }
 
-TEST_CASE("the same seed gives the same counts, and another one others") {
+TEST_CASE("the same seed gives the same counted values and another seed gives different ones") {
   for (char const* const part : {"rest", "links", "change", "outage", "split", "zone"}) {
     capacity::Sizes sizes = small();
-    std::string const once = followsFromTheSeed(capacity::findExperiment(part)->run(sizes));
-    CHECK(once == followsFromTheSeed(capacity::findExperiment(part)->run(sizes)));
+    std::string const once = countedRows(capacity::findExperiment(part)->run(sizes));
+    CHECK(once == countedRows(capacity::findExperiment(part)->run(sizes)));
     if (part != std::string("rest")) continue;
     sizes.seed = 2;
-    CHECK(once != followsFromTheSeed(capacity::findExperiment(part)->run(sizes)));
+    CHECK(once != countedRows(capacity::findExperiment(part)->run(sizes)));
   }
 }
 
-TEST_CASE("each size of a sweep gives its rows") {
+TEST_CASE("a sweep prints rows for each of its sizes") {
   Outcome const o =
-      rig({"--part", "rest", "--sweep", "nodes=2,3", "--control", "1", "--tenants", "2", "--seconds", "1"});
+      runCommand({"--part", "rest", "--sweep", "nodes=2,3", "--control", "1", "--tenants", "2", "--seconds", "1"});
   REQUIRE(o.code == 0);
   CHECK(o.out.rfind("# corkward-capacity --part rest --sweep nodes=2,3", 0) == 0);
   CHECK(o.out.find("\nmeasure,role,unit,kind,of,size,value\n") != std::string::npos);
@@ -120,7 +120,7 @@
   CHECK(o.out.find("\nstanding,router,share,counted,nodes,3,1\n") != std::string::npos);
 }
 
-TEST_CASE("what all send is what all take, and the duties add up") {
+TEST_CASE("received bytes equal sent bytes and the purposes add up to the total") {
   capacity::Sizes sizes = small();
   sizes.changes = 86400;
   sizes.interRegionDelay = 0;
@@ -145,7 +145,7 @@
   CHECK(valueOf(measurements, "sent.news", "controller", "bytes/s") > 0);
 }
 
-TEST_CASE("the links that a node holds stop growing with the fleet") {
+TEST_CASE("a router's open links stop growing with the size of the fleet") {
   capacity::Sizes sizes = small();
   sizes.regions = 1;
   sizes.seconds = 30;
@@ -160,58 +160,58 @@
   CHECK(openLinks[128] < 1.2 * openLinks[64]);
 }
 
-TEST_CASE("every change that is answered is in force at every node") {
+TEST_CASE("every acknowledged change reaches every router") {
   capacity::Measurements const measurements = capacity::findExperiment("change")->run(small());
   CHECK(valueOf(measurements, "answered", "operator", "share") == 1);
   CHECK(valueOf(measurements, "in_force.most", "operator", "ms") > 0);
   CHECK(valueOf(measurements, "everywhere.most", "router", "ms") > 0);
 }
 
-TEST_CASE("a hollow fleet goes by what passes between its processes") {
+TEST_CASE("a simulated fleet acknowledges no change at once and loses readiness without a majority") {
   capacity::Sizes sizes = small();
   sizes.zones = 2;
   capacity::Fleet fleet(sizes);
-  REQUIRE(fleet.startControl());
+  REQUIRE(fleet.startControllers());
   fleet.configure();
-  REQUIRE(fleet.startNodes());
+  REQUIRE(fleet.startRouters());
   fleet.run(4000);
-  REQUIRE(fleet.servingLease() == 4);
-  for (std::size_t i = fleet.firstNode(); i < fleet.processes().size(); ++i) fleet.kill(i);
-  CHECK(fleet.servingLease() == 0);
+  REQUIRE(fleet.servingRouters() == 4);
+  for (std::size_t i = fleet.firstRouter(); i < fleet.processes().size(); ++i) fleet.kill(i);
+  CHECK(fleet.servingRouters() == 0);
   CHECK(fleet.alive(false) == 0);
   std::uint64_t const token = fleet.change(0, 0);
-  CHECK_FALSE(fleet.answer(token).has_value());
-  CHECK(fleet.until([&] { return fleet.answer(token).has_value(); }, 10000));
-  for (std::size_t i = 1; i < fleet.firstNode(); ++i) fleet.kill(i, true);
+  CHECK_FALSE(fleet.response(token).has_value());
+  CHECK(fleet.until([&] { return fleet.response(token).has_value(); }, 10000));
+  for (std::size_t i = 1; i < fleet.firstRouter(); ++i) fleet.kill(i, true);
   fleet.run(3000);
   CHECK_FALSE(fleet.processes().front().control->ready(fleet.now()));
 }
 
-TEST_CASE("messages count for the duty they are for") {
+TEST_CASE("a message is counted for its purpose") {
   CHECK(capacity::purposeOf(transport::GossipShuffle{}) == "shuffles");
   CHECK(capacity::purposeOf(transport::Heartbeat{}) == "beats");
   CHECK(capacity::purposeOf(transport::RouterStatusReport{}) == "holdings");
-  transport::ConfigurationUpdate news;
-  CHECK(capacity::purposeOf(news) == "news");
-  news.entries.push_back(transport::CommittedEntry{"family:desk", 1, {}});
-  CHECK(capacity::purposeOf(news) == "news");
-  news.entries.front().key = "roster";
-  CHECK(capacity::purposeOf(news) == "roster");
-  news.entries.front().key = "pool:model1";
-  CHECK(capacity::purposeOf(news) == "list");
+  transport::ConfigurationUpdate update;
+  CHECK(capacity::purposeOf(update) == "news");
+  update.entries.push_back(transport::CommittedEntry{"family:desk", 1, {}});
+  CHECK(capacity::purposeOf(update) == "news");
+  update.entries.front().key = "roster";
+  CHECK(capacity::purposeOf(update) == "roster");
+  update.entries.front().key = "pool:model1";
+  CHECK(capacity::purposeOf(update) == "list");
 }
 
-TEST_CASE("the heap's bytes grow by what is held, and go back") {
+TEST_CASE("heapBytes grows by the allocated bytes and shrinks when they are freed") {
   std::uint64_t const before = capacity::heapBytes();
-  std::vector<std::string> openLinks(100, std::string(10000, 'x'));
+  std::vector<std::string> blocks(100, std::string(10000, 'x'));
   std::uint64_t const with = capacity::heapBytes();
   CHECK(with - before >= 1000000);
   CHECK(with - before < 1100000);
-  openLinks = {};
+  blocks = {};
   CHECK(capacity::heapBytes() < before + 10000);
 }
 
-TEST_CASE("requests are handed over, and what they leave behind is bounded") {
+TEST_CASE("the state left by requests matches their number and pending calls are counted") {
   capacity::Sizes sizes = small();
   sizes.nodes = 1;
   sizes.control = 1;
