--- a/testing/catch_main.cpp
+++ b/testing/catch_main.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-int casesWithBrokenPromises = 0;
+int casesWithViolations = 0;
 
-/// Names each test case in which the code violated a guarantee that the test did not ask for with
+/// Prints each test case in which the code violated a guarantee and the test did not take the violation with
 /// GuaranteeCounts::takeNewViolations.
-struct PromiseListener : Catch::TestEventListenerBase {
+struct GuaranteeListener : Catch::TestEventListenerBase {
   using TestEventListenerBase::TestEventListenerBase;
   void testCaseStarting(Catch::TestCaseInfo const& info) override {
     TestEventListenerBase::testCaseStarting(info);
@@ -20,19 +20,19 @@
   void testCaseEnded(Catch::TestCaseStats const& stats) override {
     std::vector<std::string> const broken = corkward::core::GuaranteeCounts::ofThread().takeNewViolations();
     for (std::string const& line : broken) std::cerr << stats.testInfo.name << ": " << line << "\n";
-    casesWithBrokenPromises += broken.empty() ? 0 : 1;
+    casesWithViolations += broken.empty() ? 0 : 1;
     TestEventListenerBase::testCaseEnded(stats);
   }
 };
 
 }  // namespace
 
-CATCH_REGISTER_LISTENER(PromiseListener)
+CATCH_REGISTER_LISTENER(GuaranteeListener)
 
-/// Runs the tests; they also fail when the code under test broke one of its promises.
+/// Runs the tests. Also fails if the code under test violated one of its guarantees.
 int main(int argc, char** argv) {
   int const failed = Catch::Session().run(argc, argv);
-  if (casesWithBrokenPromises == 0) return failed;
-  std::cerr << casesWithBrokenPromises << " test cases in which a promise was broken\n";
+  if (casesWithViolations == 0) return failed;
+  std::cerr << casesWithViolations << " test cases violated a guarantee\n";
   return failed == 0 ? 1 : failed;
 }
--- a/testing/common/body.h
+++ b/testing/common/body.h
@@ -5,13 +5,15 @@
 
 namespace corkward::testing {
 
-/// The n-th word of a run's body: it names the run and the place, so gaps, repeats and mixes show.
+/// Returns the n-th token of a run's body. It contains the run and the position, so that gaps, repeats and mixed bodies
+/// are detected.
 std::string tokenText(std::string const& run, std::uint64_t n);
 
-/// The complete body of a run of so many tokens.
+/// Returns the complete body of a run with this many tokens.
 std::string bodyOf(std::string const& run, std::uint64_t tokens);
 
-/// What a caller can tell of a body it was given.
+/// What can be derived from a received body: whether it is complete, whether all of it is from one run, the run and the
+/// number of tokens.
 struct BodyVerdict {
   bool complete = false;
   bool oneRun = true;
--- a/testing/fleet/chaos.cpp
+++ b/testing/fleet/chaos.cpp
@@ -1,4 +1,4 @@
-// The course of a run: relays, the platform, the operator, healing and the outage at the end.
+// The main sequence of a run: fault proxies, the platform, the operator, recovery and the final outage.
 #include <QJsonArray>
 #include <QTimer>
 #include <iostream>
@@ -19,31 +19,32 @@
     return true;
   });
   publishEndpointLists();
-  fleet_.until("the lists", [&] { return listDone_; });
+  fleet_.until("the endpoint lists", [&] { return listDone_; });
   fleet_.loadConfigurations();
   fleet_.untilReady(fleet_.routers().size());
   traffic_ = std::make_unique<Traffic>(fleet_, plan_.seed, plan_.scale);
   traffic_->startCalling();
-  began_ = programs::now();
-  for (std::unique_ptr<FaultProxy> const& t : replicaProxies_) t->harm(0.02);
-  for (std::unique_ptr<FaultProxy> const& t : callerProxies_) t->harm(0.02);
+  startedAt_ = programs::now();
+  for (std::unique_ptr<FaultProxy> const& t : replicaProxies_) t->setFaultFraction(0.02);
+  for (std::unique_ptr<FaultProxy> const& t : callerProxies_) t->setFaultFraction(0.02);
   for (int i = 0; i < plan_.events; ++i) {
     int const overlapping = 1 + static_cast<int>(rng_.below(static_cast<std::uint64_t>(plan_.overlap)));
     for (int k = 0; k < overlapping; ++k) injectFault();
-    operatorTurn();
+    changeTemplate();
     std::size_t const before = served();
-    fleet_.until("traffic beside the failures", [&] { return served() >= before + 60; });
+    fleet_.until("requests to be served during the faults", [&] { return served() >= before + 60; });
   }
   heal();
-  if (plan_.outage) outage();
+  if (plan_.killAllAtEnd) killEverything();
   fleet_.untilReady(fleet_.routers().size());
   traffic_->stopCalling();
   try {
     fleet_.until(
-        "the last answers", [&] { return traffic_->open() == 0 && !putting_; }, 90000);
+        "the last responses", [&] { return traffic_->open() == 0 && !changePending_; }, 90000);
   } catch (FleetError const& e) {
     throw FleetError(std::string(e.what()) + ": " + std::to_string(traffic_->open()) + " open, " +
-                     traffic_->openText() + (putting_ ? ", a change is under way" : "") + "; " + whatLasts());
+                     traffic_->describeOpen() + (changePending_ ? ", a change is pending" : "") + "; " +
+                     describePendingFaults());
   }
   checkResult();
   return std::move(result_);
@@ -55,20 +56,20 @@
   throw FleetError("no deployment " + name);
 }
 
-void Chaos::logEvent(std::string const& what) {
-  if (plan_.loud) std::cerr << what << std::endl;
-  result_.timeline.push_back(std::to_string(began_ == 0 ? 0 : programs::now() - began_) + " " + what);
+void Chaos::logFault(std::string const& what) {
+  if (plan_.printFaults) std::cerr << what << std::endl;
+  result_.timeline.push_back(std::to_string(startedAt_ == 0 ? 0 : programs::now() - startedAt_) + " " + what);
 }
 
 void Chaos::startProxies() {
   std::uint64_t seed = plan_.seed;
   for (Node& n : fleet_.replicas()) {
     replicaProxies_.push_back(std::make_unique<FaultProxy>(n.http, n.http.substr(0, n.http.rfind(':')), ++seed));
-    n.shown = replicaProxies_.back()->address();
+    n.advertisedAddress = replicaProxies_.back()->address();
   }
   for (Node& n : fleet_.routers()) {
     callerProxies_.push_back(std::make_unique<FaultProxy>(n.http, n.http.substr(0, n.http.rfind(':')), ++seed));
-    n.shown = callerProxies_.back()->address();
+    n.advertisedAddress = callerProxies_.back()->address();
   }
   fleet_.proxyLinks([&](std::string const& listen) {
     linkProxies_.push_back(std::make_unique<FaultProxy>(listen, listen.substr(0, listen.rfind(':')), ++seed));
@@ -85,18 +86,19 @@
     for (Node const& r : fleet_.replicas()) {
       if (r.pool != pool) continue;
       std::string const state = states_.count(r.name) > 0 ? states_.at(r.name) : "serving";
-      list.append(QJsonObject{
-          {"address", core::toQString(r.shown)}, {"zone", core::toQString(r.zone)}, {"state", core::toQString(state)}});
+      list.append(QJsonObject{{"address", core::toQString(r.advertisedAddress)},
+                              {"zone", core::toQString(r.zone)},
+                              {"state", core::toQString(state)}});
     }
-    show(pool, generation_,
-         core::jsonText(
-             QJsonObject{{"generation", static_cast<qint64>(generation_)}, {"coldRate", 2}, {"replicas", list}}),
-         left);
+    sendEndpointList(pool, generation_,
+                     core::jsonText(QJsonObject{
+                         {"generation", static_cast<qint64>(generation_)}, {"coldRate", 2}, {"replicas", list}}),
+                     left);
   }
 }
 
-void Chaos::show(std::string const& pool, std::uint64_t generation, std::string const& body,
-                 std::shared_ptr<int> const& left) {
+void Chaos::sendEndpointList(std::string const& pool, std::uint64_t generation, std::string const& body,
+                             std::shared_ptr<int> const& left) {
   if (generation != generation_) return;
   std::vector<Node*> to{&fleet_.controllers()[rng_.below(fleet_.controllers().size())],
                         &fleet_.routers()[rng_.below(fleet_.routers().size())],
@@ -112,44 +114,44 @@
                      });
   }
   QTimer::singleShot(600, &fleet_, [this, pool, generation, body, left, done] {
-    if (!*done) show(pool, generation, body, left);
+    if (!*done) sendEndpointList(pool, generation, body, left);
   });
 }
 
 void Chaos::setReplicaState(Node const& replica, std::string const& next) {
   Milliseconds const now = programs::now();
-  for (std::vector<Ban>* const bans : {&leaving_, &cold_})
-    for (Ban& ban : *bans)
-      if (ban.name == replica.name && ban.until < 0) ban.until = now;
+  for (std::vector<RestrictedSpan>* const spans : {&leaving_, &warmingUp_})
+    for (RestrictedSpan& span : *spans)
+      if (span.name == replica.name && span.until < 0) span.until = now;
   states_[replica.name] = next;
-  if (next == "leaving") leaving_.push_back(Ban{replica.name, now, -1});
-  if (next == "cold") cold_.push_back(Ban{replica.name, now, -1});
+  if (next == "leaving") leaving_.push_back(RestrictedSpan{replica.name, now, -1});
+  if (next == "cold") warmingUp_.push_back(RestrictedSpan{replica.name, now, -1});
   publishEndpointLists();
 }
 
-void Chaos::operatorTurn() {
-  if (putting_) return;
+void Chaos::changeTemplate() {
+  if (changePending_) return;
   std::string const path = std::string("/v1/templates/") + fleet_.deployment().family;
   std::vector<Node*> up;
   for (Node& n : fleet_.controllers())
     if (n.process) up.push_back(&n);
   if (up.empty()) return;
-  putting_ = true;
+  changePending_ = true;
   std::string const http = up[rng_.below(up.size())]->http;
   fleet_.callAsync(http, "GET", path, "", "", "", 4000, [this, http, path](Reply const& r) {
     if (r.status != 200) {
-      putting_ = false;
+      changePending_ = false;
       return;
     }
     QJsonObject const spec = r.body.value("spec").toObject();
     std::string const revision = std::to_string(r.body.value("stamp").toInteger());
     int const racing = rng_.chance(0.4) ? 2 : 1;
     std::shared_ptr<int> const left = std::make_shared<int>(racing);
-    for (int i = 0; i < racing; ++i) put(path, marked(spec), revision, left);
+    for (int i = 0; i < racing; ++i) sendTemplateChange(path, withMark(spec), revision, left);
   });
 }
 
-std::pair<std::string, QJsonObject> Chaos::marked(QJsonObject spec) {
+std::pair<std::string, QJsonObject> Chaos::withMark(QJsonObject spec) {
   std::string const mark = "mark-" + std::to_string(++marks_);
   QJsonArray paths;
   for (QJsonValue const p : spec.value("paths").toArray())
@@ -159,26 +161,26 @@
   return {mark, spec};
 }
 
-void Chaos::put(std::string const& path, std::pair<std::string, QJsonObject> const& what, std::string const& revision,
-                std::shared_ptr<int> const& left) {
+void Chaos::sendTemplateChange(std::string const& path, std::pair<std::string, QJsonObject> const& what,
+                               std::string const& revision, std::shared_ptr<int> const& left) {
   Node const& to = fleet_.controllers()[rng_.below(fleet_.controllers().size())];
-  std::size_t const ix = puts_.size();
-  puts_.push_back(Put{what.first, what.second, revision, 0, 0, -1});
+  std::size_t const ix = templateChanges_.size();
+  templateChanges_.push_back(TemplateChange{what.first, what.second, revision, 0, 0, -1});
   fleet_.callAsync(to.http, "PUT", path, core::jsonText(what.second), revision, "id-" + what.first, 14000,
                    [this, ix, left](Reply const& r) {
-                     Put& p = puts_[ix];
+                     TemplateChange& p = templateChanges_[ix];
                      p.status = r.status;
                      p.pending = r.body.value("pending").toBool();
                      p.revision = r.body.value("stamp").toInteger();
                      p.answeredAt = programs::now();
                      ++result_.changes;
-                     if (--*left == 0) putting_ = false;
-                     probe();
+                     if (--*left == 0) changePending_ = false;
+                     requestRemovedPaths();
                    });
 }
 
-void Chaos::probe() {
-  for (Put const& put : puts_) {
+void Chaos::requestRemovedPaths() {
+  for (TemplateChange const& put : templateChanges_) {
     Node const& router = fleet_.routers()[rng_.below(fleet_.routers().size())];
     if (!router.process) continue;
     fleet_.callAsync(router.http, "POST", "/v1/" + fleet_.instances()[0] + "/" + put.mark, "{}", "", "", 8000,
@@ -186,36 +188,37 @@
   }
 }
 
-bool Chaos::allVote() {
+bool Chaos::allControllersVote() {
   for (Node const& s : fleet_.controllers())
     if (!fleet_.get(s.http, "/v1/fleet").body.value("voting").toBool()) return false;
   return true;
 }
 
 void Chaos::heal() {
-  logEvent("heal");
+  logFault("heal");
   for (std::vector<std::unique_ptr<FaultProxy>>* const proxies : {&replicaProxies_, &callerProxies_})
-    for (std::unique_ptr<FaultProxy> const& t : *proxies) t->harm(0);
+    for (std::unique_ptr<FaultProxy> const& t : *proxies) t->setFaultFraction(0);
   try {
-    fleet_.until("what was begun to end", [&] { return frozen_.empty() && !replacing_ && !evacuating_ && !cutting_; });
+    fleet_.until("the injected faults to end",
+                 [&] { return frozen_.empty() && !replacementPending_ && !evacuationPending_ && !partitionActive_; });
   } catch (FleetError const& e) {
-    throw FleetError(std::string(e.what()) + ": " + whatLasts());
+    throw FleetError(std::string(e.what()) + ": " + describePendingFaults());
   }
   for (std::vector<Node>* const group : {&fleet_.controllers(), &fleet_.routers(), &fleet_.replicas()})
     for (Node& n : *group)
       if (!n.process) fleet_.start(n);
   for (std::unique_ptr<FaultProxy> const& t : linkProxies_) {
     t->cut(false);
-    t->hold(false);
+    t->pause(false);
   }
-  fleet_.until("every member to vote", [&] { return allVote(); });
+  fleet_.until("every member to vote", [&] { return allControllersVote(); });
 }
 
-std::string Chaos::whatLasts() {
+std::string Chaos::describePendingFaults() {
   std::string out = std::to_string(frozen_.size()) + " frozen";
-  if (replacing_) out += ", a replica is replaced";
-  if (evacuating_) out += ", a zone is evacuated";
-  if (cutting_) out += ", a cut lasts";
+  if (replacementPending_) out += ", a replica is being replaced";
+  if (evacuationPending_) out += ", a zone is being evacuated";
+  if (partitionActive_) out += ", a partition is active";
   for (Node const& node : fleet_.controllers()) {
     out += "\n  " + node.name + (node.process ? "" : " is not running");
     if (!node.process) continue;
@@ -227,18 +230,18 @@
   return out;
 }
 
-void Chaos::outage() {
-  logEvent("kill everything");
+void Chaos::killEverything() {
+  logFault("kill everything");
   for (std::vector<Node>* const group : {&fleet_.routers(), &fleet_.controllers(), &fleet_.replicas()})
-    for (Node& n : *group) fleet_.kill9(n);
+    for (Node& n : *group) fleet_.crash(n);
   Milliseconds const start = programs::now();
-  outageAt_ = start - began_;
+  outageAt_ = start - startedAt_;
   std::size_t const before = served();
   fleet_.startAll();
   fleet_.until("service after the outage", [&] { return served() >= before + 20; });
-  result_.back = programs::now() - start;
-  if (plan_.timed && result_.back > 12000)
-    violation("service was back only " + std::to_string(result_.back) + " ms after a total outage");
+  result_.recoveryMs = programs::now() - start;
+  if (plan_.checkTimeLimits && result_.recoveryMs > 12000)
+    violation("service recovered only " + std::to_string(result_.recoveryMs) + " ms after a total outage");
 }
 
 ChaosResult chaos(ChaosPlan const& plan) {
--- a/testing/fleet/chaos.h
+++ b/testing/fleet/chaos.h
@@ -9,32 +9,35 @@
 
 namespace corkward::testing {
 
-/// One seeded run of a whole deployment as real processes under failures.
+/// One seeded run of a complete deployment as real processes with injected faults.
 struct ChaosPlan {
   std::string deployment = "harmattan";
   std::uint64_t seed = 1;
   int events = 12;
-  /// Failures begun at one moment, at the most. Above 1 controllers are also cut off and split, and several are
-  /// stopped.
+  /// Maximum number of faults that start at the same time. Above 1, controllers are also isolated and partitioned, and
+  /// a router and a controller are stopped together.
   int overlap = 1;
   double scale = 1.0;
-  /// Also check what depends on the machine's speed: 3 s, 5 s, 2 s, 12 s, cold bounds.
-  bool timed = true;
-  /// End with a kill of every process.
-  bool outage = true;
-  /// Say on standard error what is caused.
-  bool loud = false;
+  /// Also check the rules that depend on the machine's speed: 3 s for leaving replicas, 5 s for evacuations, 2 s for
+  /// changes, 12 s for the recovery, and the rate limit of replicas that are warming up.
+  bool checkTimeLimits = true;
+  /// Kill every process at the end and check that the fleet recovers.
+  bool killAllAtEnd = true;
+  /// Print the faults to standard error.
+  bool printFaults = false;
 };
 
-/// What callers, replicas, operators and the platform recorded, checked against the never-rules.
+/// Result of a run: the records of callers, replicas, operators and the platform, checked against the rules that must
+/// never be broken.
 struct ChaosResult {
   std::vector<std::string> violations;
   std::vector<std::string> timeline;
   Report report;
-  std::size_t harmed = 0;
+  std::size_t faultyConnections = 0;
   std::size_t repeats = 0;
   std::size_t changes = 0;
-  core::Milliseconds back = -1;
+  /// Time from the final kill until the fleet serves again. -1 if there was none.
+  core::Milliseconds recoveryMs = -1;
 };
 
 ChaosResult chaos(ChaosPlan const& plan);
--- a/testing/fleet/chaos_checks.cpp
+++ b/testing/fleet/chaos_checks.cpp
@@ -1,4 +1,4 @@
-// What the records of callers, replicas, operators and the platform must show.
+// Checks of the records of callers, replicas, operators and the platform.
 #include <algorithm>
 #include <fstream>
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Time within which no router uses a replica that is shown leaving, in ms.
+/// Time after which no router uses a replica that is listed as leaving, in ms.
 constexpr Milliseconds leavingAppliedMs = 3000;
 /// Time within which an acknowledged evacuation of a zone is applied, in ms.
 constexpr Milliseconds evacuationAppliedMs = 5000;
@@ -30,8 +30,8 @@
     std::istringstream in(line);
     Arrival a;
     std::string more;
-    in >> a.at >> a.what >> a.run >> a.id >> more;
-    if (a.what != "run" && a.what != "resume" && a.what != "not-run") continue;
+    in >> a.at >> a.kind >> a.run >> a.id >> more;
+    if (a.kind != "run" && a.kind != "resume" && a.kind != "not-run") continue;
     std::size_t const slash = more.find('/');
     if (slash != std::string::npos) a.path = more.substr(slash + 1, more.rfind('/') - slash - 1);
     out.push_back(a);
@@ -42,19 +42,20 @@
 void Chaos::checkResult() {
   result_.report = traffic_->report();
   for (std::vector<std::unique_ptr<FaultProxy>>* const proxies : {&replicaProxies_, &callerProxies_})
-    for (std::unique_ptr<FaultProxy> const& proxy : *proxies) result_.harmed += proxy->harmed();
+    for (std::unique_ptr<FaultProxy> const& proxy : *proxies) result_.faultyConnections += proxy->faultyConnections();
   Report const& report = result_.report;
   checkRuns();
-  if (report.badBodies > 0) violation(std::to_string(report.badBodies) + " bodies looked whole or joined and were not");
+  if (report.badBodies > 0)
+    violation(std::to_string(report.badBodies) + " bodies were marked complete but truncated, or mixed two runs");
   if (report.rejectedButRan > 0)
     violation(std::to_string(report.rejectedButRan) + " requests were rejected as not run and ran");
   std::vector<std::pair<Milliseconds, std::string>> all;
   for (Node const& node : fleet_.replicas())
     for (Arrival const& arrival : arrivalsAt(node)) {
       if (arrival.id != "-") all.emplace_back(arrival.at, arrival.id);
-      if (plan_.timed) checkArrival(node, arrival);
+      if (plan_.checkTimeLimits) checkArrival(node, arrival);
     }
-  for (Node const& node : fleet_.replicas()) checkCold(node);
+  for (Node const& node : fleet_.replicas()) checkSlowStart(node);
   checkRepeats(all);
   checkChanges();
   checkGuarantees();
@@ -62,25 +63,25 @@
 }
 
 void Chaos::checkArrival(Node const& replica, Arrival const& arrival) {
-  for (Ban const& ban : leaving_)
-    if (ban.name == replica.name && arrival.at > ban.from + leavingAppliedMs && ban.holdsAt(arrival.at))
-      violation(replica.name + " was reached " + std::to_string(arrival.at - ban.from) +
-                " ms after it was shown leaving");
-  for (Ban const& ban : zones_)
-    if (ban.name == replica.zone && arrival.at > ban.from + evacuationAppliedMs && ban.holdsAt(arrival.at))
-      violation(replica.name + " was reached " + std::to_string(arrival.at - ban.from) +
+  for (RestrictedSpan const& span : leaving_)
+    if (span.name == replica.name && arrival.at > span.from + leavingAppliedMs && span.contains(arrival.at))
+      violation(replica.name + " was reached " + std::to_string(arrival.at - span.from) +
+                " ms after it was listed as leaving");
+  for (RestrictedSpan const& span : evacuatedZones_)
+    if (span.name == replica.zone && arrival.at > span.from + evacuationAppliedMs && span.contains(arrival.at))
+      violation(replica.name + " was reached " + std::to_string(arrival.at - span.from) +
                 " ms after its zone's evacuation was acknowledged");
-  for (Put const& put : puts_)
+  for (TemplateChange const& put : templateChanges_)
     if (put.acknowledged() && arrival.at > put.answeredAt + changeAppliedMs && revisionOf(arrival.path) > 0 &&
         revisionOf(arrival.path) < put.revision)
       violation(arrival.path + " reached a replica " + std::to_string(arrival.at - put.answeredAt) + " ms after " +
-                put.mark + " was in force");
+                put.mark + " was acknowledged");
 }
 
 void Chaos::checkGuarantees() {
   for (std::vector<Node>* const group : {&fleet_.controllers(), &fleet_.routers()})
     for (Node const& node : *group) {
-      std::ifstream log(fleet_.folder() + "/" + node.name + ".log");
+      std::ifstream log(fleet_.directory() + "/" + node.name + ".log");
       std::string line;
       while (std::getline(log, line))
         for (char const* const bad : {"guarantee-violated", "broken invariant", "terminate called", "panic"})
@@ -92,8 +93,8 @@
   std::map<std::string, std::vector<std::pair<Milliseconds, std::string>>> executions;
   for (Node const& node : fleet_.replicas())
     for (Arrival const& arrival : arrivalsAt(node))
-      if (arrival.what == "run" && arrival.id != "-")
-        executions[arrival.id].emplace_back(arrival.at - began_, arrival.run);
+      if (arrival.kind == "run" && arrival.id != "-")
+        executions[arrival.id].emplace_back(arrival.at - startedAt_, arrival.run);
   for (auto const& [id, runs] : executions)
     if (runs.size() > 1) checkRepeatedRun(id, runs);
 }
@@ -102,30 +103,30 @@
   std::vector<CallerRecord> const& records = traffic_->records();
   auto const caller =
       std::find_if(records.begin(), records.end(), [&](CallerRecord const& record) { return record.id == id; });
-  bool const numbered = caller != records.end() && caller->numbered;
+  bool const sendsAttemptNumbers = caller != records.end() && caller->sendsAttemptNumbers;
   Milliseconds const first = std::min_element(runs.begin(), runs.end())->first;
-  if (!numbered && outageAt_ >= 0 && first < outageAt_) return;
+  if (!sendsAttemptNumbers && outageAt_ >= 0 && first < outageAt_) return;
   std::string text = "request " + id + " ran twice:";
   for (auto const& [at, run] : runs) text += " " + run + " at " + std::to_string(at);
-  violation(text + (numbered ? ", numbered" : ", unnumbered"));
+  violation(text + (sendsAttemptNumbers ? ", numbered" : ", unnumbered"));
 }
 
 qint64 Chaos::revisionOf(std::string const& mark) const {
-  for (Put const& p : puts_)
+  for (TemplateChange const& p : templateChanges_)
     if (p.mark == mark && (p.pending || p.status == 200 || p.status == 201)) return p.revision;
   return 0;
 }
 
-void Chaos::checkCold(Node const& n) {
-  if (!plan_.timed) return;
-  for (Ban const& b : cold_) {
+void Chaos::checkSlowStart(Node const& n) {
+  if (!plan_.checkTimeLimits) return;
+  for (RestrictedSpan const& b : warmingUp_) {
     if (b.name != n.name) continue;
     std::vector<Milliseconds> hits;
     for (Arrival const& a : arrivalsAt(n))
       if (a.at >= b.from && (b.until < 0 || a.at < b.until)) hits.push_back(a.at);
     for (std::size_t i = 0; i + 7 < hits.size(); ++i)
       if (hits[i + 7] - hits[i] < 3000)
-        violation(n.name + " was cold and had 8 requests in " + std::to_string(hits[i + 7] - hits[i]) + " ms");
+        violation(n.name + " was warming up and got 8 requests in " + std::to_string(hits[i + 7] - hits[i]) + " ms");
   }
 }
 
@@ -144,14 +145,14 @@
     };
     if (static_cast<double>(in(repeats)) > 0.2 * static_cast<double>(in(firsts)) + 20.0)
       violation(std::to_string(in(repeats)) + " repeats over " + std::to_string(in(firsts)) +
-                " first hand-overs in 10 s");
+                " first dispatches in 10 s");
   }
 }
 
 void Chaos::checkChanges() {
   std::map<std::string, int> accepted;
   qint64 newest = 0;
-  for (Put const& p : puts_) {
+  for (TemplateChange const& p : templateChanges_) {
     bool const mayBeApplied = p.status == 200 || p.status == 201 || p.pending;
     if (mayBeApplied && ++accepted[p.ifMatch] > 1)
       violation("two changes built on revision " + p.ifMatch + " were both accepted");
@@ -164,14 +165,15 @@
   if (revision < newest)
     violation("an acknowledged change is lost: revision " + std::to_string(revision) + " of " + std::to_string(newest));
   bool explained = newest == 0 || revision == 1;
-  for (Put const& p : puts_) {
+  for (TemplateChange const& p : templateChanges_) {
     bool const same = now.body.value("spec").toObject() == p.spec;
     bool const rejected = p.status >= 400 && p.status < 500;
-    if (same && rejected) violation("a rejected change is what stands at the end: " + p.mark);
+    if (same && rejected) violation("a rejected change is in effect at the end: " + p.mark);
     explained = explained || (same && !rejected &&
                               (revision > newest ? !(p.status >= 200 && p.status < 300) : p.revision == revision));
   }
-  if (!explained) violation("what stands at the end is no change that was acknowledged or left unknown");
+  if (!explained)
+    violation("the final configuration is from no change that was acknowledged or has an unknown outcome");
 }
 
 }  // namespace corkward::testing
--- a/testing/fleet/chaos_faults.cpp
+++ b/testing/fleet/chaos_faults.cpp
@@ -1,4 +1,4 @@
-// What is done to the processes and to the links between them.
+// Faults of the processes and of the links between them.
 #include <QDir>
 #include <QFile>
 #include <QTimer>
@@ -37,7 +37,7 @@
 constexpr std::uint64_t overlappingFaults = static_cast<std::uint64_t>(ChaosFault::stopTogether) + 1;
 /// Size limit of every file that a controller with a full disk writes, in bytes.
 constexpr std::uint64_t fullDiskBytes = 4000;
-/// Time for which a controller's disk is full at the least, in ms.
+/// Minimum time for which a controller's disk is full, in ms.
 constexpr int fullDiskMs = 4000;
 
 }  // namespace
@@ -88,13 +88,13 @@
       if (allRun) restartController(controller);
       break;
     case ChaosFault::wipeDisk:
-      if (allRun && allVote()) wipeDisk(controller);
+      if (allRun && allControllersVote()) wipeDisk(controller);
       break;
     case ChaosFault::truncateLog:
-      if (allRun && allVote()) truncateLog(controller);
+      if (allRun && allControllersVote()) truncateLog(controller);
       break;
     case ChaosFault::fillDisk:
-      if (allRun && allVote()) fillDisk(controller, durationMs);
+      if (allRun && allControllersVote()) fillDisk(controller, durationMs);
       break;
     case ChaosFault::replaceReplica:
       replaceReplica(*targets->model);
@@ -121,45 +121,45 @@
 }
 
 void Chaos::restartRouter(Node& router) {
-  logEvent("restart " + router.name);
-  if (fleet_.stop(router) != 0) violation(router.name + " did not end cleanly");
+  logFault("restart " + router.name);
+  if (fleet_.stop(router) != 0) violation(router.name + " did not exit cleanly");
   fleet_.start(router);
 }
 
 void Chaos::restartController(Node& controller) {
-  logEvent("restart " + controller.name);
+  logFault("restart " + controller.name);
   fleet_.stop(controller);
   fleet_.start(controller);
 }
 
 void Chaos::wipeDisk(Node& controller) {
-  logEvent("wipe " + controller.name);
-  fleet_.kill9(controller);
+  logFault("wipe " + controller.name);
+  fleet_.crash(controller);
   fleet_.wipe(controller);
   fleet_.start(controller);
 }
 
 void Chaos::truncateLog(Node& controller) {
-  logEvent("tear " + controller.name);
-  fleet_.kill9(controller);
+  logFault("truncate the log of " + controller.name);
+  fleet_.crash(controller);
   truncateNewestFile(controller);
   fleet_.start(controller);
 }
 
 void Chaos::fillDisk(Node& controller, int durationMs) {
-  logEvent("full " + controller.name);
-  fleet_.kill9(controller);
+  logFault("fill the disk of " + controller.name);
+  fleet_.crash(controller);
   fleet_.start(controller, fullDiskBytes);
   QTimer::singleShot(fullDiskMs + durationMs, &fleet_, [this, &controller] {
     if (!controller.process || frozen_.count(controller.name) > 0) return;
-    fleet_.kill9(controller);
+    fleet_.crash(controller);
     fleet_.start(controller);
   });
 }
 
 void Chaos::crashReplica(Node& replica, int durationMs) {
-  logEvent("crash " + replica.name);
-  fleet_.kill9(replica);
+  logFault("crash " + replica.name);
+  fleet_.crash(replica);
   QTimer::singleShot(durationMs, &fleet_, [this, &replica] {
     if (!replica.process) fleet_.start(replica);
   });
@@ -168,25 +168,25 @@
 void Chaos::breakLink(int durationMs) {
   bool const cut = rng_.chance(0.5);
   FaultProxy* const proxy = linkProxies_[rng_.below(linkProxies_.size())].get();
-  logEvent(std::string(cut ? "cut" : "hold") + " a link inwards");
-  cut ? proxy->cut(true) : proxy->hold(true);
-  QTimer::singleShot(1000 + durationMs, &fleet_, [proxy, cut] { cut ? proxy->cut(false) : proxy->hold(false); });
+  logFault(std::string(cut ? "cut" : "pause") + " the incoming connections of a link");
+  cut ? proxy->cut(true) : proxy->pause(true);
+  QTimer::singleShot(1000 + durationMs, &fleet_, [proxy, cut] { cut ? proxy->cut(false) : proxy->pause(false); });
 }
 
 FaultProxy& Chaos::proxyOf(Node const& node) {
   for (std::unique_ptr<FaultProxy> const& proxy : linkProxies_)
     if (proxy->address() == node.link) return *proxy;
-  throw FleetError("no tap of " + node.name);
+  throw FleetError("no fault proxy of " + node.name);
 }
 
 void Chaos::isolate(Node& node, int durationMs) {
-  if (cutting_) return;
-  cutting_ = true;
-  logEvent("cut off " + node.name);
+  if (partitionActive_) return;
+  partitionActive_ = true;
+  logFault("isolate " + node.name);
   FaultProxy* const own = &proxyOf(node);
   own->cut(true);
   for (std::unique_ptr<FaultProxy> const& proxy : linkProxies_)
-    if (proxy.get() != own) proxy->cutFrom({node.link});
+    if (proxy.get() != own) proxy->cutSenders({node.link});
   QTimer::singleShot(durationMs, &fleet_, [this, own] {
     own->cut(false);
     healPartitions();
@@ -194,43 +194,43 @@
 }
 
 void Chaos::partitionControllers(int durationMs) {
-  if (cutting_) return;
-  cutting_ = true;
+  if (partitionActive_) return;
+  partitionActive_ = true;
   std::vector<Node>& all = fleet_.controllers();
   std::size_t const begin = rng_.below(all.size());
   std::set<std::string> halves[2];
   for (std::size_t i = 0; i < all.size(); ++i)
     halves[i < all.size() / 2 ? 0 : 1].insert(all[(begin + i) % all.size()].link);
-  logEvent("split the controllers");
-  for (Node const& node : all) proxyOf(node).cutFrom(halves[halves[0].count(node.link) > 0 ? 1 : 0]);
+  logFault("partition the controllers");
+  for (Node const& node : all) proxyOf(node).cutSenders(halves[halves[0].count(node.link) > 0 ? 1 : 0]);
   QTimer::singleShot(durationMs, &fleet_, [this] { healPartitions(); });
 }
 
 void Chaos::healPartitions() {
-  for (std::unique_ptr<FaultProxy> const& proxy : linkProxies_) proxy->cutFrom({});
-  cutting_ = false;
+  for (std::unique_ptr<FaultProxy> const& proxy : linkProxies_) proxy->cutSenders({});
+  partitionActive_ = false;
 }
 
 void Chaos::stopTogether(Node& router, Node& controller) {
-  if (cutting_ || !allVote()) return;
-  logEvent("stop " + router.name + " and " + controller.name);
+  if (partitionActive_ || !allControllersVote()) return;
+  logFault("stop " + router.name + " and " + controller.name);
   router.process->terminate();
-  if (fleet_.stop(controller) != 0) violation(controller.name + " did not end cleanly");
-  if (fleet_.stop(router) != 0) violation(router.name + " did not end cleanly");
+  if (fleet_.stop(controller) != 0) violation(controller.name + " did not exit cleanly");
+  if (fleet_.stop(router) != 0) violation(router.name + " did not exit cleanly");
   fleet_.start(controller);
   fleet_.start(router);
 }
 
 void Chaos::crashAndRestart(Node& node, int durationMs) {
-  logEvent("kill " + node.name);
-  fleet_.kill9(node);
+  logFault("kill " + node.name);
+  fleet_.crash(node);
   QTimer::singleShot(durationMs, &fleet_, [this, &node] {
     if (!node.process) fleet_.start(node);
   });
 }
 
 void Chaos::freezeAndResume(Node& node, int durationMs) {
-  logEvent("freeze " + node.name);
+  logFault("freeze " + node.name);
   fleet_.freeze(node);
   frozen_.insert(node.name);
   QTimer::singleShot(durationMs, &fleet_, [this, &node] {
@@ -248,40 +248,40 @@
 }
 
 void Chaos::replaceReplica(Node& model) {
-  if (replacing_) return;
-  replacing_ = true;
-  logEvent("replace " + model.name);
+  if (replacementPending_) return;
+  replacementPending_ = true;
+  logFault("replace " + model.name);
   setReplicaState(model, "leaving");
   QTimer::singleShot(4000, &fleet_, [this, &model] {
-    fleet_.kill9(model);
+    fleet_.crash(model);
     fleet_.start(model);
     setReplicaState(model, "cold");
     QTimer::singleShot(5000, &fleet_, [this, &model] {
       setReplicaState(model, "serving");
-      replacing_ = false;
+      replacementPending_ = false;
     });
   });
 }
 
 void Chaos::evacuateZone() {
-  if (evacuating_) return;
-  evacuating_ = true;
+  if (evacuationPending_) return;
+  evacuationPending_ = true;
   std::string const zone = "z2";
-  logEvent("evacuate " + zone);
+  logFault("evacuate " + zone);
   Node const& to = fleet_.controllers()[rng_.below(fleet_.controllers().size())];
   fleet_.callAsync(to.http, "PUT", "/v1/evacuations/" + zone, "", "", "", 14000, [this, zone](Reply const& r) {
-    if (r.status == 200) zones_.push_back(Ban{zone, programs::now(), -1});
+    if (r.status == 200) evacuatedZones_.push_back(RestrictedSpan{zone, programs::now(), -1});
     QTimer::singleShot(7000, &fleet_, [this, zone] { endEvacuation(zone); });
   });
 }
 
 void Chaos::endEvacuation(std::string const& zone) {
-  for (Ban& ban : zones_)
-    if (ban.until < 0) ban.until = programs::now();
+  for (RestrictedSpan& span : evacuatedZones_)
+    if (span.until < 0) span.until = programs::now();
   Node const& to = fleet_.controllers()[rng_.below(fleet_.controllers().size())];
   fleet_.callAsync(to.http, "DELETE", "/v1/evacuations/" + zone, "", "", "", 14000, [this, zone](Reply const& r) {
     if (r.status == 200)
-      evacuating_ = false;
+      evacuationPending_ = false;
     else
       QTimer::singleShot(500, &fleet_, [this, zone] { endEvacuation(zone); });
   });
--- a/testing/fleet/chaos_main.cpp
+++ b/testing/fleet/chaos_main.cpp
@@ -12,12 +12,12 @@
   QCoreApplication app(argc, argv);
   ChaosPlan plan;
   std::uint64_t count = 1;
-  po::options_description flags("corkward-chaos: a deployment of real processes under seeded failures");
+  po::options_description flags("corkward-chaos: runs a deployment of real processes with faults drawn from a seed");
   flags.add_options()("deployment", po::value(&plan.deployment), "harmattan, lernkarten or small")(
       "from", po::value(&plan.seed), "first seed")("count", po::value(&count), "seeds")(
-      "events", po::value(&plan.events), "failures in a run")("overlap", po::value(&plan.overlap),
-                                                              "failures begun at one moment, at the most")(
-      "scale", po::value(&plan.scale), "times the deployment's demand")("help", "print this");
+      "events", po::value(&plan.events), "faults per run")("overlap", po::value(&plan.overlap),
+                                                           "maximum number of faults that start together")(
+      "scale", po::value(&plan.scale), "factor on the deployment's demand")("help", "print this");
   po::variables_map vm;
   try {
     po::store(po::parse_command_line(argc, argv, flags), vm);
@@ -31,18 +31,19 @@
     return 0;
   }
   std::uint64_t bad = 0;
-  plan.loud = true;
+  plan.printFaults = true;
   for (std::uint64_t i = 0; i < count; ++i, ++plan.seed) {
     try {
       ChaosResult const r = chaos(plan);
-      std::cout << plan.deployment << " seed " << plan.seed << ": harmed " << r.harmed << ", changes " << r.changes
-                << ", repeats " << r.repeats << ", back after " << r.back << " ms;";
+      std::cout << plan.deployment << " seed " << plan.seed << ": faulty connections " << r.faultyConnections
+                << ", changes " << r.changes << ", repeats " << r.repeats << ", recovered after " << r.recoveryMs
+                << " ms;";
       for (auto const& [outcome, requests] : r.report.outcomes) std::cout << " " << outcome << " " << requests;
       std::cout << std::endl;
       if (!r.violations.empty()) {
         ++bad;
         for (std::string const& v : r.violations) std::cout << "  " << v << "\n";
-        std::cout << "  caused:";
+        std::cout << "  faults:";
         for (std::string const& t : r.timeline) std::cout << " " << t << ";";
         std::cout << std::endl;
       }
--- a/testing/fleet/chaos_run.h
+++ b/testing/fleet/chaos_run.h
@@ -18,22 +18,22 @@
 
 struct Arrival {
   Milliseconds at = 0;
-  std::string what;
+  std::string kind;
   std::string run;
   std::string id;
   std::string path;
 };
 
-/// A span in which a replica or a zone was not to be reached; open while `until` is below zero.
-struct Ban {
+/// A span of time in which a replica or zone must not be used or is warming up. It has not ended while `until` is -1.
+struct RestrictedSpan {
   std::string name;
   Milliseconds from = 0;
   Milliseconds until = -1;
 
-  bool holdsAt(Milliseconds time) const { return until < 0 || time < until; }
+  bool contains(Milliseconds time) const { return until < 0 || time < until; }
 };
 
-/// One run: a deployment of real processes behind relays, the failures that are begun, and what is checked at the end.
+/// One run: a deployment of real processes behind fault proxies, the injected faults and the checks at the end.
 class Chaos {
  public:
   explicit Chaos(ChaosPlan const& plan) : plan_(plan), rng_(plan.seed), fleet_(deploymentOf(plan.deployment)) {}
@@ -43,26 +43,26 @@
  private:
   static Deployment const& deploymentOf(std::string const& name);
   void violation(std::string const& what) { result_.violations.push_back(what); }
-  void logEvent(std::string const& what);
+  void logFault(std::string const& what);
   std::size_t served() { return traffic_->outcomes()["served"]; }
 
   void startProxies();
 
-  // The platform: shows each list to a controller and two routers until it is acknowledged or overtaken.
+  // The platform: sends each endpoint list to a controller and two routers until it is acknowledged or outdated.
   void publishEndpointLists();
-  void show(std::string const& pool, std::uint64_t generation, std::string const& body,
-            std::shared_ptr<int> const& left);
+  void sendEndpointList(std::string const& pool, std::uint64_t generation, std::string const& body,
+                        std::shared_ptr<int> const& left);
   void setReplicaState(Node const& replica, std::string const& next);
 
-  // An operator who puts marked templates one after the other; now and then two at once on one revision.
-  void operatorTurn();
-  std::pair<std::string, QJsonObject> marked(QJsonObject spec);
-  void put(std::string const& path, std::pair<std::string, QJsonObject> const& what, std::string const& revision,
-           std::shared_ptr<int> const& left);
+  // The operator: writes templates with a unique path one after the other, sometimes two at once on the same revision.
+  void changeTemplate();
+  std::pair<std::string, QJsonObject> withMark(QJsonObject spec);
+  void sendTemplateChange(std::string const& path, std::pair<std::string, QJsonObject> const& what,
+                          std::string const& revision, std::shared_ptr<int> const& left);
 
-  /// Asks for paths that acknowledged changes have taken away, at any router.
-  void probe();
-  /// What the faults of one turn may strike, drawn before the fault is.
+  /// Sends requests for the paths of all template changes, also removed ones, to random routers.
+  void requestRemovedPaths();
+  /// Targets of the next fault, drawn before the kind of fault.
   struct FaultTargets {
     std::vector<Node*> routers;
     std::vector<Node*> controllers;
@@ -71,64 +71,65 @@
     Node* model = nullptr;
     int durationMs = 0;
   };
-  /// Processes of the group that run and aren't frozen.
+  /// Returns the processes of the group that run and are not frozen.
   std::vector<Node*> runningNodes(std::vector<Node>& group) const;
-  /// Nothing when no router or no controller runs.
+  /// Returns std::nullopt if no router or no controller runs.
   std::optional<FaultTargets> drawTargets();
   void injectFault();
   void restartRouter(Node& router);
   void restartController(Node& controller);
   void wipeDisk(Node& controller);
   void truncateLog(Node& controller);
-  /// For a while the controller runs with a limit on the size of its files.
+  /// Restarts the controller with a limit on the size of its files, and without it after `durationMs` and 4 s.
   void fillDisk(Node& controller, int durationMs);
   void crashReplica(Node& replica, int durationMs);
-  /// Cuts or holds every connection to one link address for a while.
+  /// Cuts or pauses every connection to one link address for a while.
   void breakLink(int durationMs);
   FaultProxy& proxyOf(Node const& node);
 
-  /// Cuts the machine of a controller off from every other process of the fleet, both ways.
+  /// Isolates a process from every other process of the fleet, in both directions.
   void isolate(Node& node, int durationMs);
 
-  /// Cuts the controllers into two halves; routers, callers and operators reach both.
+  /// Partitions the controllers into two halves. Routers, callers and operators reach both.
   void partitionControllers(int durationMs);
   void healPartitions();
 
-  /// Stops a router and a controller at the same moment, and starts them again as each has ended.
+  /// Stops a router and a controller at the same time and restarts them after both have exited.
   void stopTogether(Node& router, Node& controller);
   void crashAndRestart(Node& node, int durationMs);
   void freezeAndResume(Node& node, int durationMs);
-  bool allVote();
-  /// Cuts bytes off the end of the newest file of the write-ahead log.
+  bool allControllersVote();
+  /// Truncates the newest file of the write-ahead log by up to 60 bytes.
   void truncateNewestFile(Node const& controller);
 
-  /// A release replaces one replica: shown leaving, stopped, back cold at the same address, then serving.
+  /// Replaces one replica as a release does: it is listed as leaving, restarted at the same address in state cold, and
+  /// then serving.
   void replaceReplica(Node& model);
   void evacuateZone();
   void endEvacuation(std::string const& zone);
   void heal();
 
-  /// What keeps a run from its end, and what each controller says of itself.
-  std::string whatLasts();
-  void outage();
+  /// Describes the faults that have not ended and the state of each controller, for error texts.
+  std::string describePendingFaults();
+  void killEverything();
   std::vector<Arrival> arrivalsAt(Node const& r) const;
   /// Checks the records of callers, replicas, operators and the platform.
   void checkResult();
-  /// Checks that a request reached the replica at a time at which it might be used.
+  /// Checks that the replica was allowed to get requests at the time of the arrival.
   void checkArrival(Node const& replica, Arrival const& arrival);
 
-  /// What the processes themselves say of broken guarantees and invariants, in their complete logs.
+  /// Checks the logs of all processes for violated guarantees and invariants.
   void checkGuarantees();
   void checkRuns();
   void checkRepeatedRun(std::string const& id, std::vector<std::pair<Milliseconds, std::string>> const& runs);
 
-  /// Revision under which the path is known to have been accepted.
+  /// Returns the revision under which the template with this path was accepted, or 0.
   qint64 revisionOf(std::string const& mark) const;
-  void checkCold(Node const& n);
+  void checkSlowStart(Node const& n);
   void checkRepeats(std::vector<std::pair<Milliseconds, std::string>> all);
   void checkChanges();
 
-  struct Put {
+  struct TemplateChange {
     std::string mark;
     QJsonObject spec;
     std::string ifMatch;
@@ -149,20 +150,21 @@
   std::unique_ptr<Traffic> traffic_;
   std::map<std::string, std::string> states_;
   std::set<std::string> frozen_;
-  std::vector<Ban> leaving_;
-  std::vector<Ban> cold_;
-  std::vector<Ban> zones_;
-  std::vector<Put> puts_;
+  std::vector<RestrictedSpan> leaving_;
+  std::vector<RestrictedSpan> warmingUp_;
+  std::vector<RestrictedSpan> evacuatedZones_;
+  std::vector<TemplateChange> templateChanges_;
   std::uint64_t generation_ = 0;
-  Milliseconds began_ = 0;
-  /// Nobody remembers ids from before a total outage; see "Not yet proved" in docs/failures.md.
+  Milliseconds startedAt_ = 0;
+  /// Time of the total outage, after which no router remembers earlier request ids; see "Not yet proved" in
+  /// docs/failures.md. -1 if there was none.
   Milliseconds outageAt_ = -1;
   int marks_ = 0;
   bool listDone_ = false;
-  bool putting_ = false;
-  bool replacing_ = false;
-  bool evacuating_ = false;
-  bool cutting_ = false;
+  bool changePending_ = false;
+  bool replacementPending_ = false;
+  bool evacuationPending_ = false;
+  bool partitionActive_ = false;
   ChaosResult result_;
 };
 
--- a/testing/fleet/fault_proxy.cpp
+++ b/testing/fleet/fault_proxy.cpp
@@ -10,21 +10,21 @@
 
 namespace corkward::testing {
 
-struct FaultProxy::Pair {
-  QTcpSocket* a = nullptr;
-  QTcpSocket* b = nullptr;
+struct FaultProxy::ConnectionPair {
+  QTcpSocket* caller = nullptr;
+  QTcpSocket* target = nullptr;
   ConnectionFault fault = ConnectionFault::pass;
-  std::int64_t left = 0;
+  std::int64_t bytesUntilFault = 0;
   bool stalled = false;
-  QByteArray slow;
-  bool bClosed = false;
+  QByteArray trickleBuffer;
+  bool targetIsClosed = false;
   /// Link address of the sender, once its first message has named it.
   std::string sender;
 };
 
 namespace {
 
-/// The first ip:port that the bytes hold as text; empty: none. A message begins with its sender's.
+/// Returns the first ip:port in the bytes, or an empty string. A message begins with its sender's address.
 std::string firstAddress(QByteArray const& bytes) {
   static QRegularExpression const address(R"(\d+\.\d+\.\d+\.\d+:\d+)");
   return address.match(QString::fromLatin1(bytes)).captured().toStdString();
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-FaultProxy::FaultProxy(std::string const& target, std::string const& ip, std::uint64_t seed, int darkMs)
-    : target_(target), rng_(seed), darkMs_(darkMs) {
+FaultProxy::FaultProxy(std::string const& target, std::string const& ip, std::uint64_t seed, int unresponsiveMs)
+    : target_(target), rng_(seed), unresponsiveMs_(unresponsiveMs) {
   server_.setListenBacklogSize(512);
   if (!server_.listen(QHostAddress(QString::fromStdString(ip)), 0)) throw http::HttpError("no free port at " + ip);
   address_ = ip + ":" + std::to_string(server_.serverPort());
@@ -41,9 +41,9 @@
 }
 
 FaultProxy::~FaultProxy() {
-  std::map<Pair*, std::shared_ptr<Pair>> const all = std::move(pairs_);
+  std::map<ConnectionPair*, std::shared_ptr<ConnectionPair>> const all = std::move(pairs_);
   for (auto const& [key, pair] : all)
-    for (QTcpSocket* const s : {pair->a, pair->b}) {
+    for (QTcpSocket* const s : {pair->caller, pair->target}) {
       s->disconnect();
       s->abort();
     }
@@ -61,87 +61,89 @@
 }
 
 void FaultProxy::openPair(QTcpSocket* caller) {
-  std::shared_ptr<Pair> const p = std::make_shared<Pair>();
-  p->a = caller;
-  p->b = new QTcpSocket(this);
+  std::shared_ptr<ConnectionPair> const p = std::make_shared<ConnectionPair>();
+  p->caller = caller;
+  p->target = new QTcpSocket(this);
   caller->setParent(this);
-  if (rng_.chance(share_)) {
-    ++harmed_;
+  if (rng_.chance(faultFraction_)) {
+    ++faultyConnections_;
     p->fault = static_cast<ConnectionFault>(1 + rng_.below(6));
-    p->left = static_cast<std::int64_t>(rng_.below(p->fault == ConnectionFault::cutUp ? 300 : 1500));
+    p->bytesUntilFault = static_cast<std::int64_t>(rng_.below(p->fault == ConnectionFault::cutUp ? 300 : 1500));
   }
   pairs_[p.get()] = p;
   connectSignals(p);
-  if (p->fault != ConnectionFault::dark) {
+  if (p->fault != ConnectionFault::unresponsive) {
     http::SocketAddress const target = http::parseSocketAddress(target_);
-    p->b->connectToHost(QHostAddress(QString::fromStdString(target.host)), target.port);
+    p->target->connectToHost(QHostAddress(QString::fromStdString(target.host)), target.port);
     return;
   }
-  ++dark_;
-  std::weak_ptr<Pair> const weak = p;
-  QTimer::singleShot(darkMs_, p->a, [this, weak] {
-    if (std::shared_ptr<Pair> const pair = weak.lock()) end(pair, true);
+  ++unresponsive_;
+  std::weak_ptr<ConnectionPair> const weak = p;
+  QTimer::singleShot(unresponsiveMs_, p->caller, [this, weak] {
+    if (std::shared_ptr<ConnectionPair> const pair = weak.lock()) end(pair, true);
   });
 }
 
-void FaultProxy::connectSignals(std::shared_ptr<Pair> const& p) {
-  std::weak_ptr<Pair> const weak = p;
+void FaultProxy::connectSignals(std::shared_ptr<ConnectionPair> const& p) {
+  std::weak_ptr<ConnectionPair> const weak = p;
   auto const whileOpen = [weak](auto action) {
     return [weak, action] {
-      if (std::shared_ptr<Pair> const pair = weak.lock()) action(pair);
+      if (std::shared_ptr<ConnectionPair> const pair = weak.lock()) action(pair);
     };
   };
-  auto const passUp = [this](std::shared_ptr<Pair> const& pair) { pass(pair, true); };
-  auto const passDown = [this](std::shared_ptr<Pair> const& pair) { pass(pair, false); };
-  auto const reset = [this](std::shared_ptr<Pair> const& pair) { end(pair, true); };
-  QObject::connect(p->a, &QTcpSocket::readyRead, this, whileOpen(passUp));
-  QObject::connect(p->b, &QTcpSocket::readyRead, this, whileOpen(passDown));
-  QObject::connect(p->b, &QTcpSocket::connected, this, whileOpen(passUp));
-  QObject::connect(p->a, &QTcpSocket::disconnected, this, whileOpen(reset));
-  QObject::connect(p->b, &QTcpSocket::disconnected, this,
-                   whileOpen([this](std::shared_ptr<Pair> const& pair) { targetClosed(pair); }));
-  QObject::connect(p->b, &QTcpSocket::errorOccurred, this, whileOpen([reset](std::shared_ptr<Pair> const& pair) {
-                     if (pair->b->state() == QAbstractSocket::UnconnectedState && !pair->bClosed) reset(pair);
+  auto const passUp = [this](std::shared_ptr<ConnectionPair> const& pair) { pass(pair, true); };
+  auto const passDown = [this](std::shared_ptr<ConnectionPair> const& pair) { pass(pair, false); };
+  auto const reset = [this](std::shared_ptr<ConnectionPair> const& pair) { end(pair, true); };
+  QObject::connect(p->caller, &QTcpSocket::readyRead, this, whileOpen(passUp));
+  QObject::connect(p->target, &QTcpSocket::readyRead, this, whileOpen(passDown));
+  QObject::connect(p->target, &QTcpSocket::connected, this, whileOpen(passUp));
+  QObject::connect(p->caller, &QTcpSocket::disconnected, this, whileOpen(reset));
+  QObject::connect(p->target, &QTcpSocket::disconnected, this,
+                   whileOpen([this](std::shared_ptr<ConnectionPair> const& pair) { onTargetClosed(pair); }));
+  QObject::connect(p->target, &QTcpSocket::errorOccurred, this,
+                   whileOpen([reset](std::shared_ptr<ConnectionPair> const& pair) {
+                     if (pair->target->state() == QAbstractSocket::UnconnectedState && !pair->targetIsClosed)
+                       reset(pair);
                    }));
 }
 
-void FaultProxy::targetClosed(std::shared_ptr<Pair> const& p) {
-  p->bClosed = true;
+void FaultProxy::onTargetClosed(std::shared_ptr<ConnectionPair> const& p) {
+  p->targetIsClosed = true;
   pass(p, false);
-  if (isOpen(p) && !p->stalled && !paused_ && p->slow.isEmpty()) end(p, false);
+  if (isOpen(p) && !p->stalled && !paused_ && p->trickleBuffer.isEmpty()) end(p, false);
 }
 
-void FaultProxy::pass(std::shared_ptr<Pair> const& p, bool up) {
-  if (!isOpen(p) || paused_ || p->fault == ConnectionFault::dark) return;
-  bool const blocked = up ? p->b->state() != QAbstractSocket::ConnectedState : p->stalled;
+void FaultProxy::pass(std::shared_ptr<ConnectionPair> const& p, bool up) {
+  if (!isOpen(p) || paused_ || p->fault == ConnectionFault::unresponsive) return;
+  bool const blocked = up ? p->target->state() != QAbstractSocket::ConnectedState : p->stalled;
   if (blocked) return;
-  QByteArray const bytes = (up ? p->a : p->b)->readAll();
+  QByteArray const bytes = (up ? p->caller : p->target)->readAll();
   if (bytes.isEmpty()) return;
   if (!up) {
     passDown(p, bytes);
     return;
   }
-  if (cutSender(*p, bytes)) {
+  if (isCutSender(*p, bytes)) {
     end(p, true);
     return;
   }
-  if (p->fault == ConnectionFault::cutUp && p->left < bytes.size()) {
-    cutAt(p, *p->b, bytes);
+  if (p->fault == ConnectionFault::cutUp && p->bytesUntilFault < bytes.size()) {
+    cutAt(p, *p->target, bytes);
     return;
   }
-  p->left -= bytes.size();
-  p->b->write(bytes);
+  p->bytesUntilFault -= bytes.size();
+  p->target->write(bytes);
 }
 
-void FaultProxy::passDown(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
-  bool const reached = p->left < bytes.size();
+void FaultProxy::passDown(std::shared_ptr<ConnectionPair> const& p, QByteArray const& bytes) {
+  bool const reached = p->bytesUntilFault < bytes.size();
   if (p->fault == ConnectionFault::cutDown && reached) {
-    cutAt(p, *p->a, bytes);
+    cutAt(p, *p->caller, bytes);
     return;
   }
   if (p->fault == ConnectionFault::garbage) {
-    p->a->write(QByteArray("\x01\xff garbage \r\n\r\n", 15));
-    p->a->flush();
+    p->caller->write(QByteArray("\x01\xff garbage \r\n\r\n", 15));
+    p->caller->flush();
     end(p, false);
     return;
   }
@@ -149,61 +151,61 @@
     stallAt(p, bytes);
     return;
   }
-  p->left -= bytes.size();
+  p->bytesUntilFault -= bytes.size();
   if (p->fault == ConnectionFault::trickle)
     trickle(p, bytes);
   else
-    p->a->write(bytes);
+    p->caller->write(bytes);
 }
 
-void FaultProxy::cutAt(std::shared_ptr<Pair> const& p, QTcpSocket& to, QByteArray const& bytes) {
-  to.write(bytes.left(p->left));
+void FaultProxy::cutAt(std::shared_ptr<ConnectionPair> const& p, QTcpSocket& to, QByteArray const& bytes) {
+  to.write(bytes.left(p->bytesUntilFault));
   to.flush();
   end(p, true);
 }
 
-void FaultProxy::stallAt(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
+void FaultProxy::stallAt(std::shared_ptr<ConnectionPair> const& p, QByteArray const& bytes) {
   p->fault = ConnectionFault::pass;
   p->stalled = true;
-  p->a->write(bytes.left(p->left));
-  QByteArray const rest = bytes.mid(p->left);
-  std::weak_ptr<Pair> const weak = p;
+  p->caller->write(bytes.left(p->bytesUntilFault));
+  QByteArray const rest = bytes.mid(p->bytesUntilFault);
+  std::weak_ptr<ConnectionPair> const weak = p;
   QTimer::singleShot(300 + static_cast<int>(rng_.below(9000)), this,
                      [this, weak, rest] { resumeStalled(weak.lock(), rest); });
 }
 
-void FaultProxy::resumeStalled(std::shared_ptr<Pair> const& p, QByteArray const& rest) {
+void FaultProxy::resumeStalled(std::shared_ptr<ConnectionPair> const& p, QByteArray const& rest) {
   if (!isOpen(p)) return;
   p->stalled = false;
-  p->a->write(rest);
+  p->caller->write(rest);
   pass(p, false);
-  if (p->bClosed && isOpen(p)) end(p, false);
+  if (p->targetIsClosed && isOpen(p)) end(p, false);
 }
 
-void FaultProxy::trickle(std::shared_ptr<Pair> const& p, QByteArray const& bytes) {
-  bool const idle = p->slow.isEmpty();
-  p->slow += bytes;
+void FaultProxy::trickle(std::shared_ptr<ConnectionPair> const& p, QByteArray const& bytes) {
+  bool const idle = p->trickleBuffer.isEmpty();
+  p->trickleBuffer += bytes;
   if (!idle) return;
-  auto* const timer = new QTimer(p->a);
-  std::weak_ptr<Pair> const weak = p;
+  auto* const timer = new QTimer(p->caller);
+  std::weak_ptr<ConnectionPair> const weak = p;
   QObject::connect(timer, &QTimer::timeout, this, [this, weak, timer] {
-    std::shared_ptr<Pair> const pair = weak.lock();
+    std::shared_ptr<ConnectionPair> const pair = weak.lock();
     if (!isOpen(pair) || !trickleStep(pair)) return;
     timer->deleteLater();
-    if (pair->bClosed) end(pair, false);
+    if (pair->targetIsClosed) end(pair, false);
   });
   timer->start(4);
 }
 
-bool FaultProxy::trickleStep(std::shared_ptr<Pair> const& p) {
-  p->a->write(p->slow.left(7));
-  p->slow.remove(0, 7);
-  return p->slow.isEmpty();
+bool FaultProxy::trickleStep(std::shared_ptr<ConnectionPair> const& p) {
+  p->caller->write(p->trickleBuffer.left(7));
+  p->trickleBuffer.remove(0, 7);
+  return p->trickleBuffer.isEmpty();
 }
 
-void FaultProxy::end(std::shared_ptr<Pair> const& p, bool reset) {
+void FaultProxy::end(std::shared_ptr<ConnectionPair> const& p, bool reset) {
   if (pairs_.erase(p.get()) == 0) return;
-  for (QTcpSocket* const s : {p->a, p->b}) {
+  for (QTcpSocket* const s : {p->caller, p->target}) {
     s->disconnect(this);
     QObject::connect(s, &QTcpSocket::disconnected, s, &QObject::deleteLater);
     bool const open = s->state() != QAbstractSocket::UnconnectedState;
@@ -218,33 +220,33 @@
 void FaultProxy::cut(bool on) {
   cut_ = on;
   if (!on) return;
-  std::vector<std::shared_ptr<Pair>> all;
+  std::vector<std::shared_ptr<ConnectionPair>> all;
   for (auto const& [key, pair] : pairs_) all.push_back(pair);
-  for (std::shared_ptr<Pair> const& p : all) end(p, true);
+  for (std::shared_ptr<ConnectionPair> const& p : all) end(p, true);
 }
 
-bool FaultProxy::cutSender(Pair& p, QByteArray const& bytes) const {
+bool FaultProxy::isCutSender(ConnectionPair& p, QByteArray const& bytes) const {
   if (p.sender.empty()) p.sender = firstAddress(bytes);
   return cutSenders_.count(p.sender) > 0;
 }
 
-void FaultProxy::cutFrom(std::set<std::string> senders) {
+void FaultProxy::cutSenders(std::set<std::string> senders) {
   cutSenders_ = std::move(senders);
-  std::vector<std::shared_ptr<Pair>> cut;
+  std::vector<std::shared_ptr<ConnectionPair>> cut;
   for (auto const& [key, pair] : pairs_)
     if (cutSenders_.count(pair->sender) > 0) cut.push_back(pair);
-  for (std::shared_ptr<Pair> const& p : cut) end(p, true);
+  for (std::shared_ptr<ConnectionPair> const& p : cut) end(p, true);
 }
 
-void FaultProxy::hold(bool on) {
+void FaultProxy::pause(bool on) {
   paused_ = on;
   if (on) return;
-  std::vector<std::shared_ptr<Pair>> all;
+  std::vector<std::shared_ptr<ConnectionPair>> all;
   for (auto const& [key, pair] : pairs_) all.push_back(pair);
-  for (std::shared_ptr<Pair> const& p : all) {
+  for (std::shared_ptr<ConnectionPair> const& p : all) {
     pass(p, true);
     pass(p, false);
-    if (p->bClosed && pairs_.count(p.get()) > 0 && !p->stalled && p->slow.isEmpty()) end(p, false);
+    if (p->targetIsClosed && pairs_.count(p.get()) > 0 && !p->stalled && p->trickleBuffer.isEmpty()) end(p, false);
   }
 }
 
--- a/testing/fleet/fleet.cpp
+++ b/testing/fleet/fleet.cpp
@@ -23,14 +23,14 @@
   core::RandomGenerator rng(programs::randomSeed());
   net_ = "127." + std::to_string(10 + rng.below(200)) + "." + std::to_string(1 + rng.below(250)) + ".";
   int machine = 0;
-  for (int i = 0; i < deployment.disks; ++i) {
+  for (int i = 0; i < deployment.controllers; ++i) {
     Node n;
     std::string const ip = net_ + std::to_string(++machine);
     n.name = "control" + std::to_string(i + 1);
     n.link = freeAddress(ip);
     n.http = freeAddress(ip);
     n.zone = "z" + std::to_string(i % deployment.zones + 1);
-    n.data = folder() + "/" + n.name;
+    n.data = directory() + "/" + n.name;
     controllers_.push_back(std::move(n));
   }
   for (int i = 0; i < deployment.routers; ++i) {
@@ -42,7 +42,7 @@
     n.zone = "z" + std::to_string(i % deployment.zones + 1);
     routers_.push_back(std::move(n));
   }
-  for (int i = 0; i < deployment.models + deployment.others; ++i) {
+  for (int i = 0; i < deployment.models + deployment.otherReplicas; ++i) {
     Node n;
     bool const model = i < deployment.models;
     n.name = model ? "model" + std::to_string(i + 1)
@@ -50,7 +50,7 @@
     n.http = freeAddress(net_ + std::to_string(100 + i));
     n.zone = "z" + std::to_string(i % deployment.zones + 1);
     n.pool = model ? "model" : deployment.otherPool;
-    n.record = folder() + "/" + n.name + ".record";
+    n.record = directory() + "/" + n.name + ".record";
     n.program = CORKWARD_BIN "/testing/standin-replica";
     n.flags = {"--http", core::toQString(n.http), "--record", core::toQString(n.record)};
     if (!model) n.flags += {"--first-ms", "5", "--words", "1", "--slots", "32"};
@@ -65,16 +65,16 @@
     for (Node& n : *group) {
       bool const disk = group == &controllers_;
       n.program = QString(CORKWARD_BIN "/programs/") + (disk ? "corkward-control" : "corkward-router");
-      QFile settings(core::toQString(folder() + "/" + n.name + ".conf"));
+      QFile settings(core::toQString(directory() + "/" + n.name + ".conf"));
       settings.open(QIODevice::WriteOnly);
       std::string text = "link = " + n.link + "\nhttp = " + n.http + "\nzone = " + n.zone + "\n";
       if (!n.listen.empty()) text += "listen = " + n.listen + "\n";
       for (std::size_t i = 0; i < 3; ++i) text += "seed = " + controllers_[i % controllers_.size()].link + "\n";
-      if (!disk && regimes_) text += "audit = " + auditFolder(n) + "\n";
+      if (!disk && regimes_) text += "audit = " + auditDirectory(n) + "\n";
       if (disk) text += "data = " + n.data + "\n";
       for (std::size_t i = 0; disk && i < std::min<std::size_t>(3, controllers_.size()); ++i)
         text += "founder = " + controllers_[i].link + "\n";
-      text += "log-file = " + folder() + "/" + n.name + ".log\n";
+      text += "log-file = " + directory() + "/" + n.name + ".log\n";
       settings.write(QByteArray::fromStdString(text));
       n.flags = {"--settings", settings.fileName()};
     }
@@ -89,7 +89,7 @@
   writeSettings();
 }
 
-void Fleet::withRegimes() {
+void Fleet::enableRegimes() {
   regimes_ = true;
   writeSettings();
 }
@@ -98,7 +98,7 @@
   closing_ = true;
   for (std::vector<Node>* const group : {&routers_, &controllers_, &replicas_})
     for (Node& n : *group)
-      if (n.process) kill9(n);
+      if (n.process) crash(n);
 }
 
 std::string Fleet::freeAddress(std::string const& ip) {
@@ -110,7 +110,7 @@
 void Fleet::start(Node& node, std::uint64_t fileLimit) {
   node.process = std::make_unique<QProcess>();
   node.process->setProcessChannelMode(QProcess::MergedChannels);
-  node.process->setStandardOutputFile(core::toQString(folder() + "/" + node.name + ".out"), QIODevice::Append);
+  node.process->setStandardOutputFile(core::toQString(directory() + "/" + node.name + ".out"), QIODevice::Append);
   if (fileLimit > 0)
     node.process->setChildProcessModifier([fileLimit] {
       std::signal(SIGXFSZ, SIG_IGN);
@@ -131,7 +131,7 @@
     for (Node& n : *group) start(n);
 }
 
-void Fleet::kill9(Node& node) {
+void Fleet::crash(Node& node) {
   if (!node.process) return;
   ::kill(static_cast<pid_t>(node.process->processId()), SIGCONT);
   node.process->kill();
@@ -163,7 +163,7 @@
   QElapsedTimer clock;
   clock.start();
   while (!condition()) {
-    if (clock.elapsed() > limitMs) throw FleetError("waited in vain for " + what);
+    if (clock.elapsed() > limitMs) throw FleetError("timed out waiting for " + what);
     runFor(20);
   }
 }
@@ -202,7 +202,7 @@
                     std::string const& ifMatch, std::string const& changeId) {
   std::string const id = changeId.empty() ? "fleet-" + std::to_string(nextChange_++) : changeId;
   Reply out;
-  until("an answer for good to " + method + " " + path, [&] {
+  until("a conclusive response to " + method + " " + path, [&] {
     out = call(firstController(), method, path, body, ifMatch, id);
     return out.status != 0 && out.status != 503 && out.status != 504;
   });
@@ -229,8 +229,8 @@
   });
 }
 
-Fleet::Tool Fleet::tool(std::string const& program, std::vector<std::string> const& arguments,
-                        std::string const& input) {
+Fleet::ProgramResult Fleet::runProgram(std::string const& program, std::vector<std::string> const& arguments,
+                                       std::string const& input) {
   QProcess process;
   QStringList flags;
   for (std::string const& w : arguments) flags += core::toQString(w);
@@ -239,8 +239,8 @@
   process.closeWriteChannel();
   until(
       program + " to end", [&] { return process.state() == QProcess::NotRunning; }, 60000);
-  return Tool{process.exitStatus() == QProcess::NormalExit ? process.exitCode() : -1,
-              process.readAllStandardOutput().toStdString(), process.readAllStandardError().toStdString()};
+  return ProgramResult{process.exitStatus() == QProcess::NormalExit ? process.exitCode() : -1,
+                       process.readAllStandardOutput().toStdString(), process.readAllStandardError().toStdString()};
 }
 
 Reply Fleet::get(std::string const& address, std::string const& path) {
@@ -271,7 +271,7 @@
       if (r.pool != pool) continue;
       auto const it = states.find(r.name);
       if (it != states.end() && it->second == "gone") continue;
-      QJsonObject listEntry{{"address", core::toQString(r.shown.empty() ? r.http : r.shown)},
+      QJsonObject listEntry{{"address", core::toQString(r.advertisedAddress.empty() ? r.http : r.advertisedAddress)},
                             {"zone", core::toQString(r.zone)},
                             {"state", core::toQString(it == states.end() ? "serving" : it->second)}};
       if (!r.incarnation.empty()) listEntry.insert("id", core::toQString(r.incarnation));
@@ -317,7 +317,7 @@
 }
 
 std::string Fleet::logTail(Node const& node) const {
-  QFile file(core::toQString(folder() + "/" + node.name + ".log"));
+  QFile file(core::toQString(directory() + "/" + node.name + ".log"));
   if (!file.open(QIODevice::ReadOnly)) return "";
   QByteArray const all = file.readAll();
   return all.right(2000).toStdString();
--- a/testing/fleet/fleet.h
+++ b/testing/fleet/fleet.h
@@ -17,20 +17,21 @@
 
 namespace corkward::testing {
 
-/// A fleet that does not do what was waited for.
+/// Thrown if the fleet does not reach an expected state in time.
 class FleetError : public core::Error {
  public:
   using core::Error::Error;
 };
 
-/// Size and mix of one deployment.
+/// Sizes and traffic of one deployment. `streams` and `quick` are requests per second: streamed responses and urgent
+/// requests.
 struct Deployment {
   char const* name;
   int zones;
-  int disks;
+  int controllers;
   int routers;
   int models;
-  int others;
+  int otherReplicas;
   double streams;
   double quick;
   char const* otherPool;
@@ -50,28 +51,28 @@
   std::string name;
   std::string link;
   std::string http;
-  /// Where others find it, when that is not its own address: at a fault proxy.
-  std::string shown;
-  /// Own address for links, when `link` is a fault proxy's.
+  /// Address under which other processes reach it if that is not `http`: a fault proxy's.
+  std::string advertisedAddress;
+  /// The process's own link address if `link` is a fault proxy's.
   std::string listen;
   std::string zone;
   std::string pool;
   std::string record;
   std::string data;
-  /// Incarnation of a replica, fresh at each start; empty: it has none.
+  /// Incarnation of a replica, new at each start. Empty if it has none.
   std::string incarnation;
   QStringList flags;
   QString program;
   std::unique_ptr<QProcess> process;
 };
 
-/// Answer to an operator's call.
+/// Response to an HTTP call. Status 0 if there was none.
 struct Reply {
   int status = 0;
   QJsonObject body;
 };
 
-/// A fleet of real processes on loopback addresses; it alone starts processes.
+/// A fleet of real processes on loopback addresses. Starts and stops all of them.
 class Fleet : public QObject {
  public:
   explicit Fleet(Deployment const& deployment);
@@ -82,51 +83,52 @@
   ~Fleet() override;
 
   void startAll();
-  /// Starts it; with a limit above 0 no file that it writes can grow beyond so many bytes.
+  /// Starts a process. If `fileLimit` is above 0, no file that it writes can grow beyond that many bytes.
   void start(Node& node, std::uint64_t fileLimit = 0);
-  /// Puts a fault proxy before every link address. Call it before anything is started.
+  /// Puts a fault proxy in front of every link address. Must be called before any process is started.
   void proxyLinks(std::function<std::string(std::string const& listen)> const& proxy);
-  /// Replicas have incarnations, which the platform's lists name, and routers keep records of regimes' work. Before
-  /// anything is started.
-  void withRegimes();
-  /// Folder of a router's records.
-  std::string auditFolder(Node const& router) const { return folder() + "/" + router.name + ".audit"; }
-  void kill9(Node& node);
+  /// Gives replicas incarnations, which the endpoint lists then contain, and lets routers write audit records of
+  /// requests under a regime. Must be called before any process is started.
+  void enableRegimes();
+  /// Directory of a router's audit records.
+  std::string auditDirectory(Node const& router) const { return directory() + "/" + router.name + ".audit"; }
+  void crash(Node& node);
   void freeze(Node& node);
   void resume(Node& node);
-  /// SIGTERM, then waits for the end; returns the exit code.
+  /// Sends SIGTERM and waits for the process to exit. Returns the exit code, or -1 if it crashed.
   int stop(Node& node);
   void wipe(Node& node);
 
-  /// Runs the event loop until the condition holds; throws FleetError after the limit.
+  /// Runs the event loop until the condition holds. Throws FleetError after the limit.
   void until(std::string const& what, std::function<bool()> const& condition, int limitMs = 90000);
-  /// Runs the event loop for the time that the traffic takes.
+  /// Runs the event loop for the given time.
   void runFor(int ms);
 
-  /// One call to a controller, waited for.
+  /// Sends an HTTP call to a process and waits for the response.
   Reply call(Node const& node, std::string const& method, std::string const& path, std::string const& body = "",
              std::string const& ifMatch = "", std::string const& changeId = "");
-  /// A change sent as an operator sends it: again under its one id, to any ready controller, until the answer is for
-  /// good.
+  /// Sends a change as an operator does: repeats it with the same id at any ready controller until the response is
+  /// conclusive (neither missing nor 503 or 504).
   Reply change(std::string const& method, std::string const& path, std::string const& body = "",
                std::string const& ifMatch = "", std::string const& changeId = "");
-  /// The same as call, without waiting; status 0 when there was no answer in time.
+  /// Sends an HTTP call without waiting. `done` gets status 0 if there is no response in time.
   void callAsync(std::string const& http, std::string const& method, std::string const& path, std::string const& body,
                  std::string const& ifMatch, std::string const& changeId, int limitMs,
                  std::function<void(Reply)> const& done);
-  struct Tool {
+  struct ProgramResult {
     int code = -1;
     std::string out;
     std::string err;
   };
-  /// Runs one of the project's programs to its end.
-  Tool tool(std::string const& program, std::vector<std::string> const& arguments, std::string const& input = "");
+  /// Runs one of the project's programs and waits for its exit.
+  ProgramResult runProgram(std::string const& program, std::vector<std::string> const& arguments,
+                           std::string const& input = "");
 
-  /// A plain GET; status 0 when nobody answers.
+  /// Sends a GET request. Status 0 if there is no response.
   Reply get(std::string const& address, std::string const& path);
   void getAsync(std::string const& address, std::string const& path, std::function<void(Reply)> const& done);
 
-  /// The platform gives both pools' lists; state by replica name, serving when not named.
+  /// Publishes the endpoint lists of both pools. `states` gives states by replica name; the others are serving.
   void publishEndpointLists(std::map<std::string, std::string> const& states = {});
   void loadConfigurations();
   void untilReady(std::size_t routers);
@@ -136,8 +138,8 @@
   std::vector<Node>& routers() { return routers_; }
   std::vector<Node>& replicas() { return replicas_; }
   Node& firstController();
-  std::string folder() const { return folder_.path().toStdString(); }
-  /// Every instance's name as callers use it.
+  std::string directory() const { return directory_.path().toStdString(); }
+  /// Returns the names of all instances as callers use them.
   std::vector<std::string> instances() const;
   std::string logTail(Node const& node) const;
 
@@ -147,7 +149,7 @@
                             std::string const& changeId, int limitMs) const;
   std::string freeAddress(std::string const& ip);
   Deployment deployment_;
-  QTemporaryDir folder_;
+  QTemporaryDir directory_;
   QNetworkAccessManager manager_;
   std::string net_;
   bool closing_ = false;
--- a/testing/fleet/main.cpp
+++ b/testing/fleet/main.cpp
@@ -16,11 +16,11 @@
 
 constexpr int warmUpMs = 5000;
 
-/// What one process has used: processor time in microseconds, memory in bytes.
+/// Resources that one process uses: processor time in microseconds, memory in bytes.
 struct Usage {
   double cpuUs = 0;
   double resident = 0;
-  double own = 0;
+  double anonymous = 0;
   double threads = 0;
 };
 
@@ -39,13 +39,13 @@
     double value = 0;
     in >> field >> value;
     if (field == "VmRSS:") out.resident = 1024 * value;
-    if (field == "RssAnon:") out.own = 1024 * value;
+    if (field == "RssAnon:") out.anonymous = 1024 * value;
     if (field == "Threads:") out.threads = value;
   }
   return out;
 }
 
-/// Prints what the processes of each role use at rest, a mean over them, in the form of corkward-capacity's figures.
+/// Prints the mean resource usage of the processes of each role without requests, as CSV like corkward-capacity.
 void printUsage(Fleet& fleet, int seconds) {
   std::vector<std::pair<std::string, std::vector<Node>*>> const roles{{"router", &fleet.routers()},
                                                                       {"control", &fleet.controllers()}};
@@ -60,33 +60,32 @@
       Usage const u = usageOf(n);
       sum.cpuUs += u.cpuUs - before[n.name];
       sum.resident += u.resident;
-      sum.own += u.own;
+      sum.anonymous += u.anonymous;
       sum.threads += u.threads;
     }
     auto const count = static_cast<double>(r.second->size());
     std::string const end = ",nodes," + std::to_string(fleet.routers().size()) + ",";
     std::cout << "real.cpu," << r.first << ",us/s,timed" << end << sum.cpuUs / count / seconds << "\n";
     std::cout << "real.resident," << r.first << ",bytes,heap" << end << sum.resident / count << "\n";
-    std::cout << "real.own," << r.first << ",bytes,heap" << end << sum.own / count << "\n";
+    std::cout << "real.own," << r.first << ",bytes,heap" << end << sum.anonymous / count << "\n";
     std::cout << "real.threads," << r.first << ",threads,counted" << end << sum.threads / count << "\n";
   }
 }
 
-/// A command line that the program refuses: the option and the reason.
+/// Thrown for an invalid command line. The text has the option and the reason.
 class UsageError : public core::Error {
  public:
   using core::Error::Error;
 };
 
-/// The options of the command line.
 struct Options {
   std::string deployment;
   int seconds = 10;
   double scale = 1.0;
   bool hold = false;
-  /// Routers instead of the deployment's; 0: the deployment's.
+  /// Number of routers. 0 for the deployment's number.
   int nodes = 0;
-  /// Seconds over which usage at rest is measured; 0: it is not.
+  /// Seconds over which resource usage without requests is measured. 0 for no measurement.
   int usage = 0;
 };
 
@@ -94,11 +93,11 @@
   po::options_description flags("corkward-fleet: a fleet of real processes on loopback");
   auto add = flags.add_options();
   add("deployment", po::value(&options.deployment)->default_value("harmattan"), "harmattan, lernkarten or small");
-  add("seconds", po::value(&options.seconds)->default_value(10), "how long callers call");
-  add("scale", po::value(&options.scale)->default_value(1.0), "times the deployment's demand");
-  add("nodes", po::value(&options.nodes), "so many routers instead of the deployment's, 1 to 100");
+  add("seconds", po::value(&options.seconds)->default_value(10), "duration of the traffic in seconds");
+  add("scale", po::value(&options.scale)->default_value(1.0), "factor on the deployment's demand");
+  add("nodes", po::value(&options.nodes), "number of routers instead of the deployment's, 1 to 100");
   add("usage", po::value(&options.usage),
-      "print as CSV what the processes use at rest in so many seconds, 1 to 600, and end");
+      "measure resource usage without requests for this many seconds, 1 to 600, print it as CSV and exit");
   add("hold", po::bool_switch(&options.hold), "keep the fleet running until a line is read from standard input");
   add("help", "print this");
   return flags;
@@ -110,12 +109,12 @@
   return nullptr;
 }
 
-void checkRange(po::variables_map const& vm, std::string const& name, int value, int most) {
-  if (vm.count(name) > 0 && (value < 1 || value > most))
-    throw UsageError(name + ": must be 1 to " + std::to_string(most) + ", not " + std::to_string(value));
+void checkRange(po::variables_map const& vm, std::string const& name, int value, int max) {
+  if (vm.count(name) > 0 && (value < 1 || value > max))
+    throw UsageError(name + ": must be 1 to " + std::to_string(max) + ", not " + std::to_string(value));
 }
 
-/// Throws UsageError.
+/// Checks the values of the options. Throws UsageError.
 void check(Options const& options, po::variables_map const& vm) {
   if (findDeployment(options.deployment) == nullptr) throw UsageError("no such deployment: " + options.deployment);
   checkRange(vm, "nodes", options.nodes, 100);
@@ -128,7 +127,7 @@
   return sized;
 }
 
-/// Starts every process, gives the configuration and waits until the routers are ready.
+/// Starts every process, loads the configuration and waits until the routers are ready.
 void startFleet(Fleet& fleet) {
   fleet.startAll();
   fleet.until("a ready controller", [&] {
@@ -161,11 +160,11 @@
   fleet.runFor(options.seconds * 1000);
   traffic.stopCalling();
   fleet.until(
-      "the last answers", [&] { return traffic.open() == 0; }, 60000);
+      "the last responses", [&] { return traffic.open() == 0; }, 60000);
   std::cout << text(traffic.report());
 }
 
-/// Does with the running fleet what the options ask for: measures usage, waits, or calls.
+/// Runs the action that the options choose on the running fleet: measures usage, waits, or sends traffic.
 void runOn(Fleet& fleet, Options const& options) {
   if (options.usage > 0) {
     fleet.runFor(warmUpMs);
--- a/testing/fleet/traffic.h
+++ b/testing/fleet/traffic.h
@@ -15,22 +15,22 @@
 
 namespace corkward::testing {
 
-/// What callers saw of one request.
+/// What a caller observed of one request.
 struct CallerRecord {
   std::string id;
-  std::string cls;
+  std::string requestClass;
   std::string instance;
   std::string outcome;
   int attempts = 0;
-  /// Says attempts and ages; the others send the same id again and say no more.
-  bool numbered = true;
+  /// Whether the caller sends attempt numbers and ages. Other callers only repeat the request id.
+  bool sendsAttemptNumbers = true;
   std::vector<std::string> runs;
   core::Milliseconds firstByteAfter = -1;
-  core::Milliseconds began = 0;
+  core::Milliseconds startedAt = 0;
   bool rejectedAsNotRun = false;
 };
 
-/// Figures of one run, from the callers' and the replicas' own records.
+/// Results of one run, from the records of the callers and replicas.
 struct Report {
   std::map<std::string, std::size_t> outcomes;
   std::map<std::string, std::vector<core::Milliseconds>> firstByteTimes;
@@ -43,24 +43,25 @@
   std::size_t requests = 0;
 };
 
-/// Callers with the deployment's mix: each calls nodes that report ready, and retries when the answer says so.
+/// Callers with the deployment's mix of requests. They call routers that report ready and retry if the response allows
+/// it.
 class Traffic : public QObject {
  public:
   Traffic(Fleet& fleet, std::uint64_t seed, double scale);
   void startCalling();
   void stopCalling();
   std::size_t open() const { return open_.size(); }
-  /// The requests that are open, for people.
-  std::string openText() const;
+  /// Describes the open requests for error texts.
+  std::string describeOpen() const;
   /// Requests whose final outcome is known, by outcome.
   std::map<std::string, std::size_t> outcomes() const;
-  /// Joins the callers' records with the replicas'. Call when open() is 0.
+  /// Joins the records of callers and replicas. Must be called when open() is 0.
   Report report() const;
-  std::vector<CallerRecord> const& records() const { return done_; }
-  void send(std::string const& cls);
+  std::vector<CallerRecord> const& records() const { return finished_; }
+  void send(std::string const& requestClass);
 
  private:
-  struct Open {
+  struct OpenRequest {
     CallerRecord record;
     std::string instance;
     std::string path;
@@ -71,20 +72,20 @@
     core::Milliseconds deadline = 0;
     http::UpstreamConnection* forwarder = nullptr;
     http::ReplicaHead head;
-    std::string got;
+    std::string receivedBytes;
   };
-  void arrive();
+  void sendDueRequests();
   void attempt(std::string const& id);
-  std::string shownOf(std::string const& http) const;
+  std::string advertisedAddressOf(std::string const& http) const;
   void attemptLater(std::string const& id, int delayMs);
-  bool mayAttemptAgain(Open const& open) const;
-  void sendRequest(Open& open);
+  bool mayAttemptAgain(OpenRequest const& open) const;
+  void sendRequest(OpenRequest& open);
   void connectFailed(std::string const& id);
-  void received(Open& open, std::string const& bytes);
+  void onChunk(OpenRequest& open, std::string const& bytes);
   void responseEnded(std::string const& id, bool complete);
   void finishServed(std::string const& id, bool complete);
-  /// The router has promised that the request was not run: waits and retries, or gives up.
-  void rejected(std::string const& id);
+  /// Handles a rejection with the guarantee that the request was not executed: retries after a delay or gives up.
+  void onRejected(std::string const& id);
   void finish(std::string const& id, std::string const& outcome);
   void pollReadiness();
   Fleet& fleet_;
@@ -92,15 +93,15 @@
   double scale_;
   QTimer arrivals_;
   QTimer pollTimer_;
-  double due_ = 0;
-  core::Milliseconds last_ = 0;
-  std::uint64_t next_ = 1;
+  double dueRequests_ = 0;
+  core::Milliseconds lastArrivalAt_ = 0;
+  std::uint64_t nextId_ = 1;
   std::set<std::string> ready_;
-  std::map<std::string, Open> open_;
-  std::vector<CallerRecord> done_;
+  std::map<std::string, OpenRequest> open_;
+  std::vector<CallerRecord> finished_;
 };
 
-/// The report as lines for people.
+/// Formats the report as readable lines.
 std::string text(Report const& report);
 
 }  // namespace corkward::testing
--- a/testing/golden/folder.h
+++ b/testing/golden/folder.h
@@ -11,14 +11,14 @@
 #include "storage/test/crash_directory.h"
 #include "testing/golden/golden.h"
 
-/// Folders of a disk as golden files. A file begins with the line "file NAME"; its bytes follow as lines "x HEX", or as
-/// lines of text: "= TEXT" for one that ends in a newline, "- TEXT" for a last one that does not.
+/// Directories as golden files. Each file begins with the line "file NAME". Its bytes follow as lines "x HEX" or as
+/// lines of text: "= TEXT" for a line that ends in a newline, "- TEXT" for a last line that does not.
 namespace corkward::golden {
 
-/// Content of a folder by file name.
+/// Content of a directory by file name.
 using Files = std::map<std::string, std::string>;
 
-/// How the bytes of a file are written down.
+/// How the bytes of a file are written in the golden file.
 enum class Form { hex, text };
 
 inline std::string hexOf(std::string const& bytes) {
@@ -60,7 +60,7 @@
   return out;
 }
 
-/// The folder that a golden file holds.
+/// Returns the directory that a golden file contains.
 inline Files readFiles(std::string const& goldenFile) {
   constexpr std::size_t markSize = 2;
   std::string const fileMark = "file ";
@@ -78,11 +78,11 @@
   return out;
 }
 
-/// A folder in memory that notes each change.
+/// A directory in memory that records each change.
 class NotingFolder : public storage::CrashDirectory {
  public:
   NotingFolder() = default;
-  /// A folder that comes back from the disk with these files.
+  /// Creates a directory with these files, all synced.
   explicit NotingFolder(Files const& files) {
     for (auto const& [name, bytes] : files) {
       storage::CrashDirectory::append(name, bytes);
@@ -91,9 +91,9 @@
     storage::CrashDirectory::syncDirectory();
   }
 
-  /// Changes so far, one a line.
+  /// Changes so far, one per line.
   std::string changes;
-  /// Removals don't reach the disk, as when the power fails soon after.
+  /// If true, removals don't reach the disk, as after a power loss.
   bool losesRemovals = false;
 
   void append(std::string const& name, std::string const& bytes) override {
@@ -125,7 +125,7 @@
   void note(std::string const& change) { changes += change + "\n"; }
 };
 
-/// Content of any folder.
+/// Returns the content of a directory.
 inline Files filesOf(storage::Directory& folder) {
   Files out;
   for (std::string const& name : folder.list()) out[name] = folder.read(name);
--- a/testing/golden/golden.h
+++ b/testing/golden/golden.h
@@ -8,19 +8,19 @@
 #include <string>
 #include <vector>
 
-/// Golden files: data that an earlier release has written, kept as text beside the tests. What is on the wire, on disk
-/// and on pages must not change by accident, so a test compares what the code writes now with what was recorded.
+/// Golden files: data that an earlier release wrote, stored as text beside the tests. Formats on the wire, on disk and
+/// of HTTP endpoints must not change by accident, so tests compare the current output with the recorded one.
 ///
-/// CORKWARD_RECORD_GOLDEN=1 writes the files anew and lets the test fail all the same. That is right only when the form
-/// itself is meant to change, which needs its reason in the commit.
+/// CORKWARD_RECORD_GOLDEN=1 overwrites the files and still lets the test fail. Use it only for an intended change of
+/// the format, and give the reason in the commit.
 namespace corkward::golden {
 
-/// Path of a golden file, given from the root of the sources.
+/// Returns the path of a golden file. The name is relative to the root of the sources.
 inline std::string path(std::string const& name) {
   return std::string(CORKWARD_SOURCE) + "/" + name;
 }
 
-/// Content of a golden file; fails the test when there is none.
+/// Returns the content of a golden file. Fails the test if the file does not exist.
 inline std::string read(std::string const& name) {
   std::ifstream file(path(name), std::ios::binary);
   INFO("golden file " << name);
--- a/testing/golden/program.h
+++ b/testing/golden/program.h
@@ -11,7 +11,7 @@
 
 #include "testing/golden/golden.h"
 
-/// What programs accept on their command lines, compared with what earlier releases accepted.
+/// Compares the command line options of the programs with those of earlier releases.
 namespace corkward::golden {
 
 constexpr int programLimitMs = 20000;
@@ -22,7 +22,7 @@
   std::string err;
 };
 
-/// Runs one of the built programs to its end, given its path below the build folder.
+/// Runs a built program, given by its path below the build directory, and waits for its exit.
 inline ProgramRun runProgram(std::string const& program, QStringList const& arguments,
                              QProcessEnvironment const& environment = QProcessEnvironment::systemEnvironment()) {
   QProcess process;
@@ -35,7 +35,7 @@
           process.readAllStandardError().toStdString()};
 }
 
-/// The options of a help text as lines `--name`, or `--name arg` for one with a value, sorted.
+/// Returns the options of a help text as sorted lines `--name`, or `--name arg` for an option with a value.
 inline std::string optionsOf(std::string const& help) {
   std::set<std::string> options;
   std::regex const option("^  (?:-\\w \\[ )?(--[a-z0-9-]+)(?: \\])?( arg)?.*");
@@ -53,8 +53,8 @@
   return record != nullptr && std::string(record) == "1";
 }
 
-/// Every recorded option must go on being accepted, whether the help text still shows it or not; new ones may be added.
-/// --version ends a program that could read its command line with 0.
+/// Checks that every recorded option is still accepted, even if the help text no longer shows it. New options may be
+/// added. With --version a program exits with 0 if its command line is valid.
 inline void checkOptions(std::string const& name, std::string const& program) {
   ProgramRun const help = runProgram(program, {"--help"});
   REQUIRE(help.code == 0);
--- a/testing/replica/main.cpp
+++ b/testing/replica/main.cpp
@@ -16,8 +16,8 @@
 
 namespace po = boost::program_options;
 
-/// A stand-in for a model replica or a small ordinary service: runs what it is handed, a few at a time, and writes
-/// down every run.
+/// A stand-in for a model replica or an ordinary service. Executes a limited number of requests at a time and writes
+/// every run to a record file.
 class Replica : public QObject {
  public:
   struct Options {
@@ -51,7 +51,7 @@
     std::uint64_t tokens = 0;
     std::uint64_t next = 0;
     std::string resumed;
-    /// The answer is a row of events, whose ids go on from here.
+    /// Whether the response is an event stream. Its ids continue after `next`.
     bool events = false;
     bool begun = false;
   };
@@ -223,15 +223,16 @@
   corkward::testing::Replica::Options options;
   boost::program_options::options_description flags("standin-replica");
   flags.add_options()("http", boost::program_options::value(&options.http)->required(), "own address")(
-      "record", boost::program_options::value(&options.record)->required(), "file that every run is written to")(
-      "slots", boost::program_options::value(&options.slots), "runs at a time")(
-      "queue", boost::program_options::value(&options.queue), "runs that wait")(
-      "first-ms", boost::program_options::value(&options.firstMs), "time to the first word")(
-      "gap-ms", boost::program_options::value(&options.gapMs), "time between words")(
-      "words", boost::program_options::value(&options.tokens), "words of a short run")(
-      "long-words", boost::program_options::value(&options.longTokens), "words of a long run")(
-      "life", boost::program_options::value(&options.incarnation), "name of this life, told to who asks for it")(
-      "drop-after", boost::program_options::value(&options.dropAfter), "cut every stream after so many words");
+      "record", boost::program_options::value(&options.record)->required(), "file to which every run is written")(
+      "slots", boost::program_options::value(&options.slots), "maximum number of concurrent runs")(
+      "queue", boost::program_options::value(&options.queue), "maximum number of queued runs")(
+      "first-ms", boost::program_options::value(&options.firstMs), "time to the first token in ms")(
+      "gap-ms", boost::program_options::value(&options.gapMs), "time between tokens in ms")(
+      "words", boost::program_options::value(&options.tokens), "tokens of a short run")(
+      "long-words", boost::program_options::value(&options.longTokens), "tokens of a long run")(
+      "life", boost::program_options::value(&options.incarnation),
+      "name of this incarnation, returned at /corkward/life")(
+      "drop-after", boost::program_options::value(&options.dropAfter), "abort every response after this many tokens");
   try {
     boost::program_options::variables_map vm;
     boost::program_options::store(boost::program_options::parse_command_line(argc, argv, flags), vm);
--- a/testing/test/body_test.cpp
+++ b/testing/test/body_test.cpp
@@ -4,7 +4,7 @@
 
 namespace testing = corkward::testing;
 
-TEST_CASE("a body is whole only with every word of one run, in order, and its end") {
+TEST_CASE("a body is complete only with all tokens of one run in order and its end") {
   std::string const good = testing::bodyOf("r-1", 5);
   CHECK(testing::checkBody(good).complete);
   CHECK(testing::checkBody(good).tokens == 5);
@@ -24,7 +24,7 @@
   CHECK_FALSE(testing::checkBody(good + testing::tokenText("r-1", 5)).complete);
 }
 
-TEST_CASE("a body cut at any byte is of one run and not whole") {
+TEST_CASE("a body truncated at any byte is from one run and incomplete") {
   std::string const all = corkward::testing::bodyOf("r-7", 12);
   for (std::size_t n = 0; n < all.size(); ++n) {
     corkward::testing::BodyVerdict const v = corkward::testing::checkBody(all.substr(0, n));
--- a/testing/test/fault_proxy_test.cpp
+++ b/testing/test/fault_proxy_test.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr std::size_t connections = 60;
-constexpr int darkMs = 50;
+constexpr int unresponsiveMs = 50;
 constexpr int limitMs = 10000;
 
 void application() {
@@ -28,13 +28,13 @@
 
 }  // namespace
 
-TEST_CASE("a connection that the relay keeps dark ends after a time", "[tap]") {
+TEST_CASE("a connection to which the proxy never responds is reset after the time limit", "[tap]") {
   application();
-  // Takes connections and never answers, and nothing is sent, so that only the relay can end them.
+  // Accepts connections and never responds, and nothing is sent, so that only the proxy can end the connections.
   QTcpServer unresponsive;
   REQUIRE(unresponsive.listen(QHostAddress::LocalHost));
-  testing::FaultProxy proxy("127.0.0.1:" + std::to_string(unresponsive.serverPort()), "127.0.0.1", 3, darkMs);
-  proxy.harm(1.0);
+  testing::FaultProxy proxy("127.0.0.1:" + std::to_string(unresponsive.serverPort()), "127.0.0.1", 3, unresponsiveMs);
+  proxy.setFaultFraction(1.0);
   std::string const port = proxy.address().substr(proxy.address().rfind(':') + 1);
   std::vector<std::unique_ptr<QTcpSocket>> callers;
   for (std::size_t i = 0; i < connections; ++i) {
@@ -49,9 +49,9 @@
   };
   QElapsedTimer clock;
   clock.start();
-  while ((proxy.harmed() < connections || ended() < proxy.dark()) && clock.elapsed() < limitMs)
+  while ((proxy.faultyConnections() < connections || ended() < proxy.unresponsive()) && clock.elapsed() < limitMs)
     QCoreApplication::processEvents(QEventLoop::AllEvents | QEventLoop::WaitForMoreEvents, 20);
-  CHECK(proxy.harmed() == connections);
-  CHECK(proxy.dark() > 0);
-  CHECK(ended() == proxy.dark());
+  CHECK(proxy.faultyConnections() == connections);
+  CHECK(proxy.unresponsive() > 0);
+  CHECK(ended() == proxy.unresponsive());
 }
--- a/testing/test/fleet_test.cpp
+++ b/testing/test/fleet_test.cpp
@@ -21,11 +21,11 @@
 
 namespace {
 
-/// Exit codes of `corkward`: the controllers ask to come back, or none answers.
-constexpr int comeBack = 5;
-constexpr int nobody = 7;
+/// Exit codes of `corkward`: the controllers ask to retry later, or no controller responds.
+constexpr int exitRetryLater = 5;
+constexpr int exitNoController = 7;
 
-testing::Deployment const& named(std::string const& name) {
+testing::Deployment const& deploymentNamed(std::string const& name) {
   for (testing::Deployment const& d : testing::deployments)
     if (name == d.name) return d;
   throw testing::FleetError("no deployment " + name);
@@ -37,7 +37,7 @@
   static QCoreApplication app(argc, nullptr);
 }
 
-void bringUp(testing::Fleet& fleet) {
+void startFleet(testing::Fleet& fleet) {
   fleet.startAll();
   fleet.until("ready controllers", [&] {
     for (testing::Node& n : fleet.controllers())
@@ -49,20 +49,21 @@
   fleet.untilReady(fleet.routers().size());
 }
 
-struct Raw {
+struct RawResponse {
   std::string got;
   bool closed = false;
 };
 
-/// Sends bytes as they are and waits for the end of the connection or for the words.
-Raw raw(testing::Fleet& fleet, std::string const& address, std::string const& bytes, std::string const& expectedText) {
+/// Sends raw bytes and waits until the connection is closed or the expected text has arrived.
+RawResponse sendRaw(testing::Fleet& fleet, std::string const& address, std::string const& bytes,
+                    std::string const& expectedText) {
   http::SocketAddress const at = http::parseSocketAddress(address);
   QTcpSocket socket;
-  Raw out;
+  RawResponse out;
   socket.connectToHost(QHostAddress(core::toQString(at.host)), at.port);
   fleet.until("a connection", [&] { return socket.state() == QAbstractSocket::ConnectedState; });
   socket.write(QByteArray::fromStdString(bytes));
-  fleet.until("an answer to raw bytes", [&] {
+  fleet.until("a response to raw bytes", [&] {
     out.got += socket.readAll().toStdString();
     out.closed = socket.state() != QAbstractSocket::ConnectedState;
     return out.closed || (!expectedText.empty() && out.got.find(expectedText) != std::string::npos);
@@ -89,7 +90,7 @@
   return n;
 }
 
-void soundly(testing::Report const& report) {
+void checkReport(testing::Report const& report) {
   CHECK(report.runTwice == 0);
   CHECK(report.badBodies == 0);
   CHECK(report.rejectedButRan == 0);
@@ -99,67 +100,70 @@
 void drainTraffic(testing::Fleet& fleet, testing::Traffic& traffic) {
   traffic.stopCalling();
   fleet.until(
-      "the last answers", [&] { return traffic.open() == 0; }, 90000);
+      "the last responses", [&] { return traffic.open() == 0; }, 90000);
 }
 
 }  // namespace
 
-TEST_CASE("bad input gets a definite answer, changes nothing and takes no process down", "[input]") {
+TEST_CASE("invalid input gets an error response, changes nothing and stops no process", "[input]") {
   application();
-  testing::Fleet fleet(named("small"));
-  bringUp(fleet);
-  testing::Node& sub = fleet.firstController();
-  testing::Node& nac = fleet.routers().front();
+  testing::Fleet fleet(deploymentNamed("small"));
+  startFleet(fleet);
+  testing::Node& controller = fleet.firstController();
+  testing::Node& router = fleet.routers().front();
   std::string const t = "/v1/templates/fault-desk";
-  testing::Reply const before = fleet.call(sub, "GET", t);
+  testing::Reply const before = fleet.call(controller, "GET", t);
   REQUIRE(before.status == 200);
   std::string const revision = std::to_string(before.body.value("stamp").toInteger());
   constexpr char const* good = R"({"paths":[{"path":"a","pool":"model","class":"short"}]})";
-  CHECK(fleet.call(sub, "PUT", t, "{", revision).status == 400);
-  CHECK(fleet.call(sub, "PUT", t, R"({"paths":[]})", revision).status == 422);
-  CHECK(fleet.call(sub, "PUT", t, R"({"surprise":1})", revision).body.value("pointer").toString() ==
+  CHECK(fleet.call(controller, "PUT", t, "{", revision).status == 400);
+  CHECK(fleet.call(controller, "PUT", t, R"({"paths":[]})", revision).status == 422);
+  CHECK(fleet.call(controller, "PUT", t, R"({"surprise":1})", revision).body.value("pointer").toString() ==
         "/template/surprise");
-  CHECK(fleet.call(sub, "PUT", t, good).status == 428);
-  CHECK(fleet.call(sub, "PUT", t, good, "12345").status == 412);
-  CHECK(fleet.call(sub, "PUT", t, std::string(3 << 20, ' '), revision).status == 413);
-  CHECK(fleet.call(sub, "PUT", t + "/instances/neu", R"({"parameters":{}})", "0").status == 422);
-  CHECK(fleet.call(sub, "PUT", t + "/instances/neu", R"({"parameters":{"site":"x","extra":1}})", "0").status == 422);
-  CHECK(fleet.call(sub, "PUT", "/v1/templates/none/instances/neu", "{}", "0").status == 404);
-  CHECK(fleet.call(sub, "GET", "/v1/templates/none").status == 404);
-  CHECK(fleet.call(sub, "DELETE", t, "", revision).status == 422);
-  CHECK(fleet.call(sub, "POST", t, "{}").status == 405);
-  CHECK(fleet.call(sub, "GET", "/v1/nowhere").status == 404);
-  CHECK(fleet.call(sub, "PUT", "/v1/platform/pools/model", R"({"generation":1,"replicas":[]})").status == 409);
-  CHECK(fleet.call(sub, "GET", "/v1/changes/never-said").status == 404);
+  CHECK(fleet.call(controller, "PUT", t, good).status == 428);
+  CHECK(fleet.call(controller, "PUT", t, good, "12345").status == 412);
+  CHECK(fleet.call(controller, "PUT", t, std::string(3 << 20, ' '), revision).status == 413);
+  CHECK(fleet.call(controller, "PUT", t + "/instances/neu", R"({"parameters":{}})", "0").status == 422);
+  CHECK(fleet.call(controller, "PUT", t + "/instances/neu", R"({"parameters":{"site":"x","extra":1}})", "0").status ==
+        422);
+  CHECK(fleet.call(controller, "PUT", "/v1/templates/none/instances/neu", "{}", "0").status == 404);
+  CHECK(fleet.call(controller, "GET", "/v1/templates/none").status == 404);
+  CHECK(fleet.call(controller, "DELETE", t, "", revision).status == 422);
+  CHECK(fleet.call(controller, "POST", t, "{}").status == 405);
+  CHECK(fleet.call(controller, "GET", "/v1/nowhere").status == 404);
+  CHECK(fleet.call(controller, "PUT", "/v1/platform/pools/model", R"({"generation":1,"replicas":[]})").status == 409);
+  CHECK(fleet.call(controller, "GET", "/v1/changes/never-said").status == 404);
   std::string const nord = t + "/instances/nord";
-  std::string const is = std::to_string(fleet.call(sub, "GET", nord).body.value("stamp").toInteger());
+  std::string const is = std::to_string(fleet.call(controller, "GET", nord).body.value("stamp").toInteger());
   CHECK(fleet.change("PATCH", nord, R"({"parameters":{"pitch-aim":700}})", is, "one").status == 200);
-  CHECK(
-      fleet.call(sub, "PATCH", nord, R"({"parameters":{"pitch-aim":700}})", is, "one").body.value("replayed").toBool());
-  CHECK(fleet.call(sub, "PATCH", nord, R"({"parameters":{"pitch-aim":701}})", is, "one").status == 409);
-  fleet.until("the change to be told in force",
-              [&] { return fleet.call(sub, "GET", "/v1/changes/one").body.value("inForce").toBool(); });
-  CHECK(fleet.call(sub, "GET", t).body.value("spec") == before.body.value("spec"));
+  CHECK(fleet.call(controller, "PATCH", nord, R"({"parameters":{"pitch-aim":700}})", is, "one")
+            .body.value("replayed")
+            .toBool());
+  CHECK(fleet.call(controller, "PATCH", nord, R"({"parameters":{"pitch-aim":701}})", is, "one").status == 409);
+  fleet.until("the change to be reported as in force",
+              [&] { return fleet.call(controller, "GET", "/v1/changes/one").body.value("inForce").toBool(); });
+  CHECK(fleet.call(controller, "GET", t).body.value("spec") == before.body.value("spec"));
 
-  CHECK(raw(fleet, nac.http, "GARBAGE\r\n\r\n", "").got.find(" 400 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", "")
+  CHECK(sendRaw(fleet, router.http, "GARBAGE\r\n\r\n", "").got.find(" 400 ") != std::string::npos);
+  CHECK(sendRaw(fleet, router.http,
+                "POST /v1/a/b HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", "")
             .got.find(" 400 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nContent-Length: -3\r\n\r\n", "").got.find(" 400 ") !=
+  CHECK(sendRaw(fleet, router.http, "POST /v1/a/b HTTP/1.1\r\nContent-Length: -3\r\n\r\n", "").got.find(" 400 ") !=
         std::string::npos);
-  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nX: " + std::string(40000, 'x') + "\r\n\r\n", "")
+  CHECK(sendRaw(fleet, router.http, "POST /v1/a/b HTTP/1.1\r\nX: " + std::string(40000, 'x') + "\r\n\r\n", "")
             .got.find(" 431 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n", "").got.find(" 413 ") !=
+  CHECK(sendRaw(fleet, router.http, "POST /v1/a/b HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n", "").got.find(" 413 ") !=
         std::string::npos);
-  CHECK(raw(fleet, nac.http, "POST /v1/a/b HTTP/1.0\r\nContent-Length: 0\r\n\r\n", "").got.find(" 505 ") !=
+  CHECK(sendRaw(fleet, router.http, "POST /v1/a/b HTTP/1.0\r\nContent-Length: 0\r\n\r\n", "").got.find(" 505 ") !=
         std::string::npos);
-  CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/nowhere", "", "{}"), "outcome").got.find(" 404 ") !=
+  CHECK(sendRaw(fleet, router.http, post("/v1/fault-desk.nord/nowhere", "", "{}"), "outcome").got.find(" 404 ") !=
         std::string::npos);
-  CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Attempt: zero\r\n", "{}"), "outcome")
+  CHECK(sendRaw(fleet, router.http, post("/v1/fault-desk.nord/pitch", "Corkward-Attempt: zero\r\n", "{}"), "outcome")
             .got.find(" 400 ") != std::string::npos);
-  CHECK(raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Attempt: 2\r\n", "{}"), "outcome")
+  CHECK(sendRaw(fleet, router.http, post("/v1/fault-desk.nord/pitch", "Corkward-Attempt: 2\r\n", "{}"), "outcome")
             .got.find(" 409 ") != std::string::npos);
   {
-    http::SocketAddress const at = http::parseSocketAddress(nac.http);
+    http::SocketAddress const at = http::parseSocketAddress(router.http);
     QTcpSocket cut;
     cut.connectToHost(QHostAddress(core::toQString(at.host)), at.port);
     cut.write(
@@ -169,7 +173,7 @@
     cut.disconnectFromHost();
   }
   core::RandomGenerator rng(7);
-  for (testing::Node const* const n : {&sub, &nac})
+  for (testing::Node const* const n : {&controller, &router})
     for (int i = 0; i < 20; ++i) {
       http::SocketAddress const at = http::parseSocketAddress(n->link);
       QTcpSocket socket;
@@ -191,34 +195,36 @@
     for (testing::Node const& n : *group) CHECK(n.process->state() == QProcess::Running);
 }
 
-TEST_CASE("run-once and whole bodies at the wire", "[wire]") {
+TEST_CASE("a request is executed once and a truncated body never looks complete", "[wire]") {
   application();
-  testing::Fleet fleet(named("small"));
+  testing::Fleet fleet(deploymentNamed("small"));
   for (testing::Node& n : fleet.replicas())
     if (n.pool == "model") n.flags += {"--first-ms", "300", "--gap-ms", "20", "--drop-after", "3"};
-  bringUp(fleet);
-  testing::Node& nac = fleet.routers().front();
-  SECTION("a replica that breaks in mid-stream leaves a body that cannot look complete, and no second run") {
-    Raw const r = raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\n", "{}"), "");
+  startFleet(fleet);
+  testing::Node& router = fleet.routers().front();
+  SECTION("a response aborted by the replica is truncated and the request is not executed again") {
+    RawResponse const r =
+        sendRaw(fleet, router.http, post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\n", "{}"), "");
     CHECK(r.closed);
     CHECK(r.got.find(" 200 ") != std::string::npos);
     CHECK(r.got.find("\r\n0\r\n") == std::string::npos);
     std::size_t const lines = runsOf(fleet, "broken1");
     CHECK(lines == 2);
-    Raw const again = raw(
-        fleet, nac.http,
+    RawResponse const again = sendRaw(
+        fleet, router.http,
         post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\nCorkward-Attempt: 2\r\n", "{}"), "outcome");
     CHECK(again.got.find(" 409 ") != std::string::npos);
     CHECK(again.got.find("\"unknown\"") != std::string::npos);
-    Raw const otherRequest = raw(
+    RawResponse const otherRequest = sendRaw(
         fleet, fleet.routers()[1].http,
         post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: broken1\r\nCorkward-Attempt: 2\r\n", "{}"), "outcome");
     CHECK(otherRequest.got.find(" 409 ") != std::string::npos);
     CHECK(runsOf(fleet, "broken1") == lines);
   }
-  SECTION("a resumable stream goes on with the same run at the same place") {
-    Raw const r = raw(fleet, nac.http,
-                      post("/v1/fault-desk.nord/report/nord", "Corkward-Request-Id: resumed1\r\n", "{}"), "\r\n0\r\n");
+  SECTION("an aborted resumable stream continues the same run at the same offset") {
+    RawResponse const r =
+        sendRaw(fleet, router.http, post("/v1/fault-desk.nord/report/nord", "Corkward-Request-Id: resumed1\r\n", "{}"),
+                "\r\n0\r\n");
     std::string body;
     std::size_t at = r.got.find("\r\n\r\n") + 4;
     while (at < r.got.size()) {
@@ -234,31 +240,31 @@
     for (testing::Node const& n : fleet.replicas()) resumes += linesWith(n.record, " resume ");
     CHECK(resumes == 1);
   }
-  SECTION("a replica killed after the hand-over is unknown, never rejected") {
-    http::SocketAddress const at = http::parseSocketAddress(nac.http);
+  SECTION("a request whose replica is killed after the dispatch gets the outcome unknown") {
+    http::SocketAddress const at = http::parseSocketAddress(router.http);
     QTcpSocket socket;
     socket.connectToHost(QHostAddress(core::toQString(at.host)), at.port);
     socket.write(
         QByteArray::fromStdString(post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: killed1\r\n", "{}")));
     fleet.until("the run", [&] { return runsOf(fleet, "killed1") == 1; });
     for (testing::Node& n : fleet.replicas())
-      if (n.pool == "model") fleet.kill9(n);
+      if (n.pool == "model") fleet.crash(n);
     std::string got;
-    fleet.until("an answer", [&] {
+    fleet.until("a response", [&] {
       got += socket.readAll().toStdString();
       return got.find("outcome\":") != std::string::npos;
     });
     CHECK(got.find(" 502 ") != std::string::npos);
     CHECK(got.find("\"unknown\"") != std::string::npos);
     CHECK(got.find("Retry-After") == std::string::npos);
-    Raw const none =
-        raw(fleet, nac.http, post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: none1\r\n", "{}"), "outcome\":");
+    RawResponse const none = sendRaw(
+        fleet, router.http, post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: none1\r\n", "{}"), "outcome\":");
     CHECK(none.got.find(" 503 ") != std::string::npos);
     CHECK(none.got.find("\"not-run\"") != std::string::npos);
     CHECK(none.got.find("retry-after: ") != std::string::npos);
   }
-  SECTION("a caller that is gone is told to its replica") {
-    http::SocketAddress const at = http::parseSocketAddress(nac.http);
+  SECTION("the replica is notified when the caller disconnects") {
+    http::SocketAddress const at = http::parseSocketAddress(router.http);
     QTcpSocket socket;
     socket.connectToHost(QHostAddress(core::toQString(at.host)), at.port);
     socket.write(QByteArray::fromStdString(post("/v1/fault-desk.nord/pitch", "Corkward-Request-Id: gone1\r\n", "{}")));
@@ -272,10 +278,10 @@
   }
 }
 
-TEST_CASE("routers and controllers are killed, frozen, restarted and wiped under traffic", "[faults]") {
+TEST_CASE("no rule is broken while routers and controllers are killed, frozen, restarted and wiped", "[faults]") {
   application();
-  testing::Fleet fleet(named("small"));
-  bringUp(fleet);
+  testing::Fleet fleet(deploymentNamed("small"));
+  startFleet(fleet);
   testing::Traffic traffic(fleet, 5, 2.0);
   traffic.startCalling();
   std::string const t = "/v1/templates/fault-desk/instances/nord";
@@ -290,7 +296,7 @@
     });
   };
   patch(701);
-  fleet.kill9(fleet.routers()[0]);
+  fleet.crash(fleet.routers()[0]);
   patch(702);
   fleet.start(fleet.routers()[0]);
   fleet.untilReady(3);
@@ -300,7 +306,7 @@
   fleet.untilReady(3);
   CHECK(fleet.stop(fleet.routers()[2]) == 0);
   fleet.start(fleet.routers()[2]);
-  fleet.kill9(fleet.controllers()[0]);
+  fleet.crash(fleet.controllers()[0]);
   patch(704);
   fleet.wipe(fleet.controllers()[0]);
   fleet.start(fleet.controllers()[0]);
@@ -313,12 +319,12 @@
   fleet.start(fleet.controllers()[1]);
   fleet.untilReady(3);
   std::size_t const beforeOutage = traffic.outcomes()["served"];
-  for (testing::Node& n : fleet.controllers()) fleet.kill9(n);
-  fleet.until("traffic without control", [&] { return traffic.outcomes()["served"] > beforeOutage + 60; });
+  for (testing::Node& n : fleet.controllers()) fleet.crash(n);
+  fleet.until("traffic without controllers", [&] { return traffic.outcomes()["served"] > beforeOutage + 60; });
   for (testing::Node& n : fleet.controllers()) fleet.start(n);
   fleet.untilReady(3);
   drainTraffic(fleet, traffic);
-  soundly(traffic.report());
+  checkReport(traffic.report());
   CHECK(fleet.call(fleet.firstController(), "GET", t)
             .body.value("spec")
             .toObject()
@@ -328,7 +334,7 @@
             .toInteger() == 705);
 }
 
-TEST_CASE("both deployments keep every rule while real processes fail at random", "[chaos]") {
+TEST_CASE("no rule is broken in either deployment while real processes fail at random", "[chaos]") {
   application();
   for (char const* const name : {"harmattan", "lernkarten"}) {
     testing::ChaosPlan plan;
@@ -336,24 +342,24 @@
     plan.seed = 3;
     plan.events = 8;
     plan.scale = 0.6;
-    plan.timed = false;
+    plan.checkTimeLimits = false;
     testing::ChaosResult const r = testing::chaos(plan);
     for (std::string const& v : r.violations) std::cerr << name << ": " << v << "\n";
     CHECK(r.violations.empty());
-    CHECK(r.harmed > 0);
+    CHECK(r.faultyConnections > 0);
     CHECK(r.changes > 0);
-    CHECK(r.back >= 0);
+    CHECK(r.recoveryMs >= 0);
   }
 }
 
-TEST_CASE("after every process was killed the fleet serves again, with what was acknowledged", "[outage]") {
+TEST_CASE("a fleet whose processes were all killed serves again with the acknowledged configuration", "[outage]") {
   application();
-  testing::Fleet fleet(named("small"));
-  bringUp(fleet);
+  testing::Fleet fleet(deploymentNamed("small"));
+  startFleet(fleet);
   std::string const t = "/v1/templates/fault-desk";
   testing::Reply const before = fleet.call(fleet.firstController(), "GET", t);
   for (std::vector<testing::Node>* const group : {&fleet.routers(), &fleet.controllers(), &fleet.replicas()})
-    for (testing::Node& n : *group) fleet.kill9(n);
+    for (testing::Node& n : *group) fleet.crash(n);
   fleet.startAll();
   fleet.untilReady(3);
   testing::Traffic traffic(fleet, 9, 1.0);
@@ -363,12 +369,11 @@
   CHECK(fleet.call(fleet.firstController(), "GET", t).body == before.body);
 }
 
-TEST_CASE("both deployments run whole: two instances, their mix, a leaving replica and an evacuated zone",
-          "[deployments]") {
+TEST_CASE("both deployments serve their traffic and avoid a leaving replica and an evacuated zone", "[deployments]") {
   application();
   for (char const* const name : {"harmattan", "lernkarten"}) {
-    testing::Fleet fleet(named(name));
-    bringUp(fleet);
+    testing::Fleet fleet(deploymentNamed(name));
+    startFleet(fleet);
     testing::Traffic traffic(fleet, 11, 1.0);
     traffic.startCalling();
     fleet.until("traffic", [&] { return traffic.outcomes()["served"] > 200; });
@@ -378,7 +383,7 @@
     std::vector<std::size_t> z2;
     for (testing::Node const& r : fleet.replicas()) z2.push_back(linesWith(r.record, " run "));
     std::size_t const served = traffic.outcomes()["served"];
-    fleet.until("traffic beside the zone", [&] { return traffic.outcomes()["served"] > served + 300; });
+    fleet.until("traffic outside the zone", [&] { return traffic.outcomes()["served"] > served + 300; });
     CHECK(linesWith(fleet.replicas()[0].record, " run ") <= model1 + 8);
     for (std::size_t i = 0; i < z2.size(); ++i)
       if (fleet.replicas()[i].zone == "z2") CHECK(linesWith(fleet.replicas()[i].record, " run ") <= z2[i] + 8);
@@ -388,15 +393,15 @@
     fleet.untilReady(fleet.routers().size());
     drainTraffic(fleet, traffic);
     testing::Report const report = traffic.report();
-    soundly(report);
+    checkReport(report);
     std::cerr << name << "\n" << testing::text(report);
   }
 }
 
-TEST_CASE("the command line, the runbooks, the rules and the settings are checked and do what they say", "[tools]") {
+TEST_CASE("the programs reject invalid settings, commands, runbooks and rules and execute valid ones", "[tools]") {
   application();
-  testing::Fleet fleet(named("small"));
-  std::string const conf = fleet.folder() + "/x.conf";
+  testing::Fleet fleet(deploymentNamed("small"));
+  std::string const conf = fleet.directory() + "/x.conf";
   struct Case {
     std::vector<std::string> flags;
     char const* name;
@@ -413,41 +418,41 @@
       {{"--link", "127.0.0.1:1", "--http", "127.0.0.1:2", "--zone", "z"}, "seed: missing"},
       {{"--settings", "/nowhere"}, "settings: cannot be read"}};
   for (Case const& r : cases) {
-    testing::Fleet::Tool const t = fleet.tool("corkward-router", r.flags);
+    testing::Fleet::ProgramResult const t = fleet.runProgram("corkward-router", r.flags);
     CHECK(t.code == 2);
     CHECK(t.err.find(r.name) != std::string::npos);
   }
   std::vector<std::string> check = good;
   check.push_back("--check");
-  CHECK(fleet.tool("corkward-router", check).code == 0);
+  CHECK(fleet.runProgram("corkward-router", check).code == 0);
   for (char const* const program : {"corkward-router", "corkward-control"}) {
     std::string const example = CORKWARD_SOURCE "/examples/settings/" + std::string(program).substr(9) + ".conf";
-    CHECK(fleet.tool(program, {"--settings", example, "--check"}).code == 0);
-    CHECK(fleet.tool(program, {"--help"}).out.find("--drain-limit") != std::string::npos);
-    CHECK(fleet.tool(program, {"--version"}).out.find("0.1.0") != std::string::npos);
+    CHECK(fleet.runProgram(program, {"--settings", example, "--check"}).code == 0);
+    CHECK(fleet.runProgram(program, {"--help"}).out.find("--drain-limit") != std::string::npos);
+    CHECK(fleet.runProgram(program, {"--version"}).out.find("0.1.0") != std::string::npos);
   }
   QFile file(core::toQString(conf));
   REQUIRE(file.open(QIODevice::WriteOnly));
   file.write("link = 127.0.0.1:1\nbogus = 3\n");
   file.close();
-  testing::Fleet::Tool const bogus = fleet.tool("corkward-control", {"--settings", conf});
-  CHECK(bogus.code == 2);
-  CHECK(bogus.err.find("bogus") != std::string::npos);
+  testing::Fleet::ProgramResult const unknownSetting = fleet.runProgram("corkward-control", {"--settings", conf});
+  CHECK(unknownSetting.code == 2);
+  CHECK(unknownSetting.err.find("bogus") != std::string::npos);
 
-  bringUp(fleet);
-  std::vector<std::string> subs;
+  startFleet(fleet);
+  std::vector<std::string> controllerFlags;
   for (testing::Node const& n : fleet.controllers()) {
-    subs.push_back("--controller");
-    subs.push_back(n.http);
+    controllerFlags.push_back("--controller");
+    controllerFlags.push_back(n.http);
   }
   auto const run = [&](std::string const& program, std::vector<std::string> expectedText, std::string const& input) {
-    expectedText.insert(expectedText.end(), subs.begin(), subs.end());
-    if (program != "corkward") return fleet.tool(program, expectedText, input);
+    expectedText.insert(expectedText.end(), controllerFlags.begin(), controllerFlags.end());
+    if (program != "corkward") return fleet.runProgram(program, expectedText, input);
     expectedText.insert(expectedText.end(), {"--wait", "60"});
-    testing::Fleet::Tool out;
-    fleet.until("an answer other than to come back", [&] {
-      out = fleet.tool(program, expectedText, input);
-      return out.code != comeBack && out.code != nobody;
+    testing::Fleet::ProgramResult out;
+    fleet.until("a response other than to retry later", [&] {
+      out = fleet.runProgram(program, expectedText, input);
+      return out.code != exitRetryLater && out.code != exitNoController;
     });
     return out;
   };
@@ -464,8 +469,8 @@
             .code == 4);
   CHECK(run("corkward", {"template-put", "neu", "-", "--revision", "1"}, "{").code == 3);
   CHECK(run("corkward", {"dance"}, "").code == 2);
-  CHECK(fleet.tool("corkward", {"fleet", "--controller", "127.0.0.1:1"}).code == 7);
-  testing::Fleet::Tool const asJson = run("corkward", {"template-get", "neu", "--json"}, "");
+  CHECK(fleet.runProgram("corkward", {"fleet", "--controller", "127.0.0.1:1"}).code == 7);
+  testing::Fleet::ProgramResult const asJson = run("corkward", {"template-get", "neu", "--json"}, "");
   CHECK(core::parseJson(asJson.out).toObject().value("stamp").toInteger() == 1);
 
   std::string const complete = CORKWARD_SOURCE "/examples/configuration.json";
@@ -491,30 +496,30 @@
   large.insert("extra", QJsonObject{{"text", QString(3 << 20, 'x')}});
   CHECK(run("corkward", {"fleet-configuration-put", "-", "--revision", "9"}, core::jsonText(large)).code == 0);
 
-  std::string const books = CORKWARD_SOURCE "/examples/runbooks/";
-  CHECK(run("corkward-runbook", {books + "evacuate-zone.json"}, "").code == 2);
-  CHECK(run("corkward-runbook", {books + "evacuate-zone.json", "--set", "zone=z2", "--check"}, "").code == 0);
-  CHECK(run("corkward-runbook", {books + "evacuate-zone.json", "--set", "zone=z2", "--dry-run"}, "").code == 0);
+  std::string const runbooks = CORKWARD_SOURCE "/examples/runbooks/";
+  CHECK(run("corkward-runbook", {runbooks + "evacuate-zone.json"}, "").code == 2);
+  CHECK(run("corkward-runbook", {runbooks + "evacuate-zone.json", "--set", "zone=z2", "--check"}, "").code == 0);
+  CHECK(run("corkward-runbook", {runbooks + "evacuate-zone.json", "--set", "zone=z2", "--dry-run"}, "").code == 0);
   CHECK_FALSE(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
-  CHECK(run("corkward-runbook", {books + "evacuate-zone.json", "--set", "zone=z2"}, "").code == 0);
+  CHECK(run("corkward-runbook", {runbooks + "evacuate-zone.json", "--set", "zone=z2"}, "").code == 0);
   CHECK(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
-  CHECK(run("corkward-runbook", {books + "lift-zone.json", "--set", "zone=z2"}, "").code == 0);
+  CHECK(run("corkward-runbook", {runbooks + "lift-zone.json", "--set", "zone=z2"}, "").code == 0);
   CHECK_FALSE(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
-  CHECK(
-      run("corkward-runbook", {books + "read-back.json", "--set", "file=" + fleet.folder() + "/saved.json"}, "").code ==
-      0);
+  CHECK(run("corkward-runbook", {runbooks + "read-back.json", "--set", "file=" + fleet.directory() + "/saved.json"}, "")
+            .code == 0);
   CHECK(run("corkward-runbook",
-            {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "")
+            {runbooks + "restore-after-outage.json", "--set", "saved=" + fleet.directory() + "/saved.json", "--yes"},
+            "")
             .code == 0);
   CHECK(run("corkward", {"template-delete", "neu", "--revision", "1"}, "").code == 0);
-  testing::Fleet::Tool const differs =
+  testing::Fleet::ProgramResult const differs =
       run("corkward-runbook",
-          {books + "restore-after-outage.json", "--set", "saved=" + fleet.folder() + "/saved.json", "--yes"}, "");
+          {runbooks + "restore-after-outage.json", "--set", "saved=" + fleet.directory() + "/saved.json", "--yes"}, "");
   CHECK(differs.code == 1);
   CHECK(differs.out.find("template neu differs") != std::string::npos);
-  CHECK(run("corkward-runbook", {books + "rolling-restart.json", "--set", "node=n"}, "no\n").code == 1);
+  CHECK(run("corkward-runbook", {runbooks + "rolling-restart.json", "--set", "node=n"}, "no\n").code == 1);
 
-  std::string const declared = fleet.folder() + "/declared";
+  std::string const declared = fleet.directory() + "/declared";
   auto const declareIn = [&](std::string const& name, std::string const& text) {
     REQUIRE(QDir().mkpath(core::toQString(declared)));
     QFile f(core::toQString(declared + "/" + name));
@@ -531,13 +536,13 @@
   CHECK(run("corkward", {"template-get", "kept"}, "").code == 3);
   CHECK(run("corkward", {"apply", declared}, "").code == 0);
   CHECK(run("corkward", {"diff", declared}, "").code == 0);
-  testing::Fleet::Tool const unchanged = run("corkward", {"apply", declared, "--json"}, "");
+  testing::Fleet::ProgramResult const unchanged = run("corkward", {"apply", declared, "--json"}, "");
   CHECK(unchanged.out.find("\"changes\":[]") != std::string::npos);
   CHECK(fleet.call(fleet.firstController(), "GET", "/v1/templates/kept").body.value("stamp").toInteger() == 1);
   declareIn(
       "t.json",
       R"({"template":"kept","spec":{"parameters":{"site":{"type":"string"},"aim":{"type":"integer"}},"paths":[{"path":"a","pool":"model","class":"short"}]}})");
-  testing::Fleet::Tool const missing = run("corkward", {"apply", declared}, "");
+  testing::Fleet::ProgramResult const missing = run("corkward", {"apply", declared}, "");
   CHECK(missing.code == 2);
   CHECK(missing.err.find("aim") != std::string::npos);
   declareIn(
@@ -546,7 +551,7 @@
   declareIn("i.json", R"({"template":"kept","instance":"nord","spec":{"parameters":{"site":"n","aim":4}}})");
   CHECK(run("corkward", {"apply", declared}, "").code == 0);
   declareIn("again.json", R"({"template":"kept","instance":"nord","spec":{}})");
-  testing::Fleet::Tool const doubled = run("corkward", {"apply", declared}, "");
+  testing::Fleet::ProgramResult const doubled = run("corkward", {"apply", declared}, "");
   CHECK(doubled.code == 2);
   CHECK(doubled.err.find("again.json") != std::string::npos);
   declareIn("again.json", "{");
@@ -562,51 +567,53 @@
 
   std::string const rules = CORKWARD_SOURCE "/examples/rules/zones.yml";
   CHECK(run("corkward-runbook", {"--rules", rules, "--check"}, "").code == 0);
-  QFile badRules(core::toQString(fleet.folder() + "/bad.yml"));
+  QFile badRules(core::toQString(fleet.directory() + "/bad.yml"));
   REQUIRE(badRules.open(QIODevice::WriteOnly));
   badRules.write(
       "groups:\n- name: g\n  rules:\n  - alert: a\n    expr: rate(x[1m]) > 1\n    annotations: {runbook: "
       "evacuate-zone.json}\n");
   badRules.close();
-  testing::Fleet::Tool const bad = run("corkward-runbook", {"--rules", fleet.folder() + "/bad.yml", "--check"}, "");
+  testing::Fleet::ProgramResult const bad =
+      run("corkward-runbook", {"--rules", fleet.directory() + "/bad.yml", "--check"}, "");
   CHECK(bad.code == 2);
   CHECK(bad.err.find("line 5") != std::string::npos);
   testing::Node const& lost = fleet.routers()[1];
   REQUIRE(lost.zone == "z2");
-  fleet.kill9(fleet.routers()[1]);
-  QFile quick(core::toQString(fleet.folder() + "/quick.yml"));
+  fleet.crash(fleet.routers()[1]);
+  QFile quick(core::toQString(fleet.directory() + "/quick.yml"));
   REQUIRE(quick.open(QIODevice::WriteOnly));
   quick.write(
       "groups:\n- name: g\n  rules:\n  - alert: a\n    expr: sum(corkward_up{zone=\"z2\"}) < 1\n    for: 1s\n    "
       "annotations: {runbook: evacuate-zone.json, parameters: {zone: z2}}\n");
   quick.close();
-  QFile::copy(core::toQString(books + "evacuate-zone.json"), core::toQString(fleet.folder() + "/evacuate-zone.json"));
-  testing::Fleet::Tool const fired =
-      run("corkward-runbook",
-          {"--rules", fleet.folder() + "/quick.yml", "--target", "z2=" + lost.http, "--every", "1", "--acts", "1"}, "");
+  QFile::copy(core::toQString(runbooks + "evacuate-zone.json"),
+              core::toQString(fleet.directory() + "/evacuate-zone.json"));
+  testing::Fleet::ProgramResult const fired = run(
+      "corkward-runbook",
+      {"--rules", fleet.directory() + "/quick.yml", "--target", "z2=" + lost.http, "--every", "1", "--acts", "1"}, "");
   CHECK(fired.out.find("alert=a runbook=") != std::string::npos);
-  testing::Node next;
-  next.name = "second-watch";
-  next.program = CORKWARD_BIN "/programs/corkward-runbook";
-  for (testing::Node const& s : fleet.controllers()) next.flags += {"--controller", core::toQString(s.http)};
-  next.flags += {"--rules",  core::toQString(fleet.folder() + "/quick.yml"),
-                 "--target", core::toQString("z2=" + lost.http),
-                 "--every",  "1"};
+  testing::Node secondRunner;
+  secondRunner.name = "second-watch";
+  secondRunner.program = CORKWARD_BIN "/programs/corkward-runbook";
+  for (testing::Node const& s : fleet.controllers()) secondRunner.flags += {"--controller", core::toQString(s.http)};
+  secondRunner.flags += {"--rules",  core::toQString(fleet.directory() + "/quick.yml"),
+                         "--target", core::toQString("z2=" + lost.http),
+                         "--every",  "1"};
   CHECK(fleet.change("DELETE", "/v1/evacuations/z2").status == 200);
-  fleet.start(next);
-  std::string const said = fleet.folder() + "/second-watch.out";
-  fleet.until("the second watch to find the alert done", [&] { return linesWith(said, "state=done") > 0; });
-  CHECK(linesWith(said, "runbook=") == 0);
+  fleet.start(secondRunner);
+  std::string const output = fleet.directory() + "/second-watch.out";
+  fleet.until("the second runner to find the alert handled", [&] { return linesWith(output, "state=done") > 0; });
+  CHECK(linesWith(output, "runbook=") == 0);
   CHECK_FALSE(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
   fleet.start(fleet.routers()[1]);
-  fleet.until("the alert to cease", [&] {
+  fleet.until("the alert to clear", [&] {
     return fleet.call(fleet.firstController(), "GET", "/v1/alerts/a").body.value("state").toString() == "clear";
   });
-  fleet.kill9(fleet.routers()[1]);
-  fleet.until("the second watch to act", [&] { return linesWith(said, "runbook=") > 0; });
+  fleet.crash(fleet.routers()[1]);
+  fleet.until("the second runner to act", [&] { return linesWith(output, "runbook=") > 0; });
   fleet.until("the evacuation", [&] {
     return fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool();
   });
-  fleet.kill9(next);
+  fleet.crash(secondRunner);
   CHECK(fleet.call(fleet.firstController(), "GET", "/v1/evacuations/z2").body.value("evacuated").toBool());
 }
