--- a/testing/fuzz/caller.cpp
+++ b/testing/fuzz/caller.cpp
@@ -19,13 +19,13 @@
 
 namespace {
 
-constexpr int dripMs = 3;
-constexpr std::size_t drips = 40;
+constexpr int slowSendMs = 3;
+constexpr std::size_t slowSendSteps = 40;
 constexpr int slowReadMs = 2;
 constexpr qint64 slowReadBytes = 6000;
 constexpr int smallWindow = 4096;
-/// How much longer than its stated time-out a caller waits before it disconnects, in ms.
-constexpr int patienceMs = 1200;
+/// Time that a caller waits beyond its stated timeout before it disconnects, in ms.
+constexpr int timeoutGraceMs = 1200;
 
 std::string requestText(CallerObservation const& observation) {
   http::HeaderList fields = wire::callerFields();
@@ -52,16 +52,16 @@
 Caller::Caller(std::string address, Events events)
     : address_(std::move(address)),
       events_(std::move(events)),
-      slow_(new QTimer(this)),
-      drips_(new QTimer(this)),
-      leaves_(new QTimer(this)),
+      slowReadTimer_(new QTimer(this)),
+      slowSendTimer_(new QTimer(this)),
+      disconnectTimer_(new QTimer(this)),
       limit_(new QTimer(this)) {
-  leaves_->setSingleShot(true);
+  disconnectTimer_->setSingleShot(true);
   limit_->setSingleShot(true);
-  QObject::connect(slow_, &QTimer::timeout, this, [this] { readable(); });
-  QObject::connect(drips_, &QTimer::timeout, this, [this] { drip(); });
-  QObject::connect(leaves_, &QTimer::timeout, this, [this] { leave(); });
-  QObject::connect(limit_, &QTimer::timeout, this, [this] { giveUp(); });
+  QObject::connect(slowReadTimer_, &QTimer::timeout, this, [this] { readable(); });
+  QObject::connect(slowSendTimer_, &QTimer::timeout, this, [this] { sendSlowly(); });
+  QObject::connect(disconnectTimer_, &QTimer::timeout, this, [this] { disconnectFromRouter(); });
+  QObject::connect(limit_, &QTimer::timeout, this, [this] { onTimeout(); });
 }
 
 Caller::~Caller() {
@@ -70,14 +70,15 @@
 
 void Caller::enqueue(std::size_t index) {
   waiting_.push_back(index);
-  turn();
+  sendNext();
 }
 
-void Caller::turn() {
+void Caller::sendNext() {
   if (waiting_.empty()) return;
-  bool const pipelined = !open_.empty() && events_.observation(waiting_.front()).request.manner == Manner::pipeline &&
+  bool const pipelined = !open_.empty() &&
+                         events_.observation(waiting_.front()).request.behaviour == CallerBehaviour::pipeline &&
                          socket_ != nullptr && socket_->state() == QAbstractSocket::ConnectedState &&
-                         !lastOnConnection_ && toDrip_.empty();
+                         !lastOnConnection_ && unsentBytes_.empty();
   if (!open_.empty() && !pipelined) return;
   if (socket_ == nullptr) {
     connectNow();
@@ -87,7 +88,7 @@
   std::size_t const index = waiting_.front();
   waiting_.pop_front();
   start(index);
-  if (!waiting_.empty()) turn();
+  if (!waiting_.empty()) sendNext();
 }
 
 void Caller::connectNow() {
@@ -95,10 +96,10 @@
   parser_.reset();
   lastOnConnection_ = false;
   socket_ = new QTcpSocket(this);
-  QObject::connect(socket_, &QTcpSocket::connected, this, [this] { turn(); });
+  QObject::connect(socket_, &QTcpSocket::connected, this, [this] { sendNext(); });
   QObject::connect(socket_, &QTcpSocket::bytesWritten, this, [this](qint64) { written(); });
   QObject::connect(socket_, &QTcpSocket::readyRead, this, [this] {
-    if (!slow_->isActive()) readable();
+    if (!slowReadTimer_->isActive()) readable();
   });
   QObject::connect(socket_, &QTcpSocket::disconnected, this, [this] { ended(); });
   QObject::connect(
@@ -115,37 +116,37 @@
   CallerObservation& observation = events_.observation(index);
   bool const first = open_.empty();
   open_.push_back(index);
-  observation.began = true;
+  observation.started = true;
   observation.startedAt = programs::now();
-  if (first) observation.freeAt = programs::now();
+  if (first) observation.connectionFreeAt = programs::now();
   std::string const text = requestText(observation);
-  Manner const manner = observation.request.manner;
-  if (manner == Manner::slowRead) {
+  CallerBehaviour const behaviour = observation.request.behaviour;
+  if (behaviour == CallerBehaviour::slowRead) {
     socket_->setReadBufferSize(slowReadBytes);
     socket_->setSocketOption(QAbstractSocket::ReceiveBufferSizeSocketOption, smallWindow);
-    slow_->start(slowReadMs);
+    slowReadTimer_->start(slowReadMs);
   }
-  if (manner == Manner::slowSend || manner == Manner::leaveSending) {
-    toDrip_ = text;
-    drips_->start(dripMs);
+  if (behaviour == CallerBehaviour::slowSend || behaviour == CallerBehaviour::leaveSending) {
+    unsentBytes_ = text;
+    slowSendTimer_->start(slowSendMs);
   } else {
     socket_->write(text.data(), static_cast<qint64>(text.size()));
   }
-  if (manner == Manner::leave || manner == Manner::leaveByReset || manner == Manner::leaveSending ||
-      manner == Manner::halfClose)
-    leaves_->start(observation.request.leaveMs);
-  if (first) limit_->start(observation.request.callerTimeoutMs + patienceMs);
+  if (behaviour == CallerBehaviour::leave || behaviour == CallerBehaviour::leaveByReset ||
+      behaviour == CallerBehaviour::leaveSending || behaviour == CallerBehaviour::halfClose)
+    disconnectTimer_->start(observation.request.leaveMs);
+  if (first) limit_->start(observation.request.callerTimeoutMs + timeoutGraceMs);
 }
 
-void Caller::drip() {
-  std::size_t const each = std::max<std::size_t>(1, events_.observation(open_.back()).body.size() / drips + 20);
-  socket_->write(toDrip_.data(), static_cast<qint64>(std::min(each, toDrip_.size())));
-  toDrip_.erase(0, each);
-  if (toDrip_.empty()) drips_->stop();
+void Caller::sendSlowly() {
+  std::size_t const each = std::max<std::size_t>(1, events_.observation(open_.back()).body.size() / slowSendSteps + 20);
+  socket_->write(unsentBytes_.data(), static_cast<qint64>(std::min(each, unsentBytes_.size())));
+  unsentBytes_.erase(0, each);
+  if (unsentBytes_.empty()) slowSendTimer_->stop();
 }
 
 void Caller::written() {
-  if (socket_ == nullptr || socket_->bytesToWrite() > 0 || !toDrip_.empty()) return;
+  if (socket_ == nullptr || socket_->bytesToWrite() > 0 || !unsentBytes_.empty()) return;
   for (std::size_t const index : open_) {
     CallerObservation& observation = events_.observation(index);
     if (observation.sentAt == 0) observation.sentAt = programs::now();
@@ -154,7 +155,7 @@
 
 void Caller::readable() {
   if (socket_ == nullptr || !socket_->isReadable()) return;
-  buffer_ += slow_->isActive() ? socket_->read(slowReadBytes) : socket_->readAll();
+  buffer_ += slowReadTimer_->isActive() ? socket_->read(slowReadBytes) : socket_->readAll();
   parse();
 }
 
@@ -187,7 +188,7 @@
       observation.fields.clear();
       for (auto const& f : parser_->get())
         observation.fields.emplace_back(std::string(f.name_string()), std::string(f.value()));
-      observation.got = parser_->get().body();
+      observation.received = parser_->get().body();
     }
     if (ec && ec != beastHttp::error::need_more) {
       events_.unsolicited("broken framing at " + observation.attempt + ": " + ec.message());
@@ -195,33 +196,33 @@
       return;
     }
     if (!parser_->is_done()) return;
-    answered();
+    responded();
   }
 }
 
-void Caller::answered() {
+void Caller::responded() {
   std::size_t const index = open_.front();
-  Manner const manner = events_.observation(index).request.manner;
+  CallerBehaviour const behaviour = events_.observation(index).request.behaviour;
   parser_.reset();
   open_.pop_front();
   if (open_.empty()) {
-    slow_->stop();
-    drips_->stop();
-    leaves_->stop();
+    slowReadTimer_->stop();
+    slowSendTimer_->stop();
+    disconnectTimer_->stop();
     limit_->stop();
   } else {
     CallerObservation& next = events_.observation(open_.front());
-    next.freeAt = programs::now();
-    limit_->start(next.request.callerTimeoutMs + patienceMs);
+    next.connectionFreeAt = programs::now();
+    limit_->start(next.request.callerTimeoutMs + timeoutGraceMs);
   }
-  bool const unsent = !toDrip_.empty();
-  toDrip_.clear();
+  bool const unsent = !unsentBytes_.empty();
+  unsentBytes_.clear();
   finish(index, true);
-  if (lastOnConnection_ || unsent || manner == Manner::halfClose) {
+  if (lastOnConnection_ || unsent || behaviour == CallerBehaviour::halfClose) {
     buffer_.clear();
     ended();
   } else {
-    turn();
+    sendNext();
   }
 }
 
@@ -229,7 +230,7 @@
   CallerObservation& observation = events_.observation(index);
   observation.complete = complete;
   observation.endedAt = programs::now();
-  events_.over(index);
+  events_.ended(index);
 }
 
 void Caller::ended() {
@@ -237,45 +238,45 @@
   bool const connected = socket_->state() != QAbstractSocket::UnconnectedState || !open_.empty();
   if (socket_->bytesAvailable() > 0) {
     buffer_ += socket_->readAll();
-    slow_->stop();
+    slowReadTimer_->stop();
     QTcpSocket* const same = socket_;
     parse();
     if (socket_ != same) return;
   }
   dropSocket();
-  loseOpen();
+  failOpenRequests();
   if (!connected && !waiting_.empty()) {
     std::size_t const index = waiting_.front();
     waiting_.pop_front();
     events_.observation(index).unsent = true;
     finish(index, false);
   }
-  turn();
+  sendNext();
 }
 
-void Caller::loseOpen() {
+void Caller::failOpenRequests() {
   std::deque<std::size_t> const lost = std::move(open_);
   open_.clear();
   for (std::size_t const index : lost) finish(index, false);
 }
 
-void Caller::leave() {
+void Caller::disconnectFromRouter() {
   if (socket_ == nullptr || open_.empty()) return;
   std::size_t const index = open_.back();
   CallerObservation& observation = events_.observation(index);
-  if (observation.request.manner == Manner::halfClose) {
+  if (observation.request.behaviour == CallerBehaviour::halfClose) {
     ::shutdown(static_cast<int>(socket_->socketDescriptor()), SHUT_WR);
     return;
   }
-  bool const reset = observation.request.manner == Manner::leaveByReset;
+  bool const reset = observation.request.behaviour == CallerBehaviour::leaveByReset;
   core::Milliseconds const now = programs::now();
-  for (std::size_t const p : open_) events_.observation(p).leftAt = now;
-  if (events_.staysOpen) {
+  for (std::size_t const p : open_) events_.observation(p).disconnectedAt = now;
+  if (events_.ignoresDisconnects) {
     socket_->disconnect(this);
     socket_ = nullptr;
     dropSocket();
-    loseOpen();
-    turn();
+    failOpenRequests();
+    sendNext();
     return;
   }
   if (reset) {
@@ -285,16 +286,16 @@
   ended();
 }
 
-void Caller::giveUp() {
+void Caller::onTimeout() {
   if (open_.empty()) return;
   core::Milliseconds const now = programs::now();
-  for (std::size_t const p : open_) events_.observation(p).leftAt = now;
+  for (std::size_t const p : open_) events_.observation(p).disconnectedAt = now;
   ended();
 }
 
 void Caller::dropSocket() {
-  for (QTimer* const t : {slow_, drips_, leaves_, limit_}) t->stop();
-  toDrip_.clear();
+  for (QTimer* const t : {slowReadTimer_, slowSendTimer_, disconnectTimer_, limit_}) t->stop();
+  unsentBytes_.clear();
   parser_.reset();
   if (socket_ == nullptr) return;
   socket_->disconnect(this);
--- a/testing/fuzz/caller.h
+++ b/testing/fuzz/caller.h
@@ -14,50 +14,50 @@
 
 namespace corkward::fuzz {
 
-/// One lane of a caller: requests go one after the other on one connection while it lasts, and on a new one else.
+/// A caller that sends its requests one after the other on one connection, and on a new one if that was closed.
 class Caller : public QObject {
  public:
   struct Events {
     std::function<CallerObservation&(std::size_t)> observation;
-    /// The request with that place has come to its end.
-    std::function<void(std::size_t)> over;
+    /// Called when the request with this index has ended.
+    std::function<void(std::size_t)> ended;
     std::function<void(std::string)> unsolicited;
-    /// Callers that leave only pretend to.
-    bool staysOpen = false;
+    /// Mutation: callers that should disconnect leave the connection open.
+    bool ignoresDisconnects = false;
   };
   Caller(std::string address, Events events);
   ~Caller() override;
-  /// Takes the request up now, or once those before it have ended.
+  /// Sends the request when those before it have ended.
   void enqueue(std::size_t index);
 
  private:
   struct Open;
-  void turn();
+  void sendNext();
   void connectNow();
   void start(std::size_t index);
   void written();
-  void drip();
+  void sendSlowly();
   void readable();
   void parse();
-  void answered();
+  void responded();
   void ended();
-  void loseOpen();
-  void leave();
-  void giveUp();
+  void failOpenRequests();
+  void disconnectFromRouter();
+  void onTimeout();
   void dropSocket();
   void finish(std::size_t index, bool complete);
 
   std::string address_;
   Events events_;
   QTcpSocket* socket_ = nullptr;
-  QTimer* slow_;
-  QTimer* drips_;
-  QTimer* leaves_;
+  QTimer* slowReadTimer_;
+  QTimer* slowSendTimer_;
+  QTimer* disconnectTimer_;
   QTimer* limit_;
-  /// Waiting, and sent without their complete answer.
+  /// Requests that are not sent yet, and those sent without a complete response.
   std::deque<std::size_t> waiting_;
   std::deque<std::size_t> open_;
-  std::string toDrip_;
+  std::string unsentBytes_;
   QByteArray buffer_;
   using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
   std::unique_ptr<Parser> parser_;
--- a/testing/fuzz/main.cpp
+++ b/testing/fuzz/main.cpp
@@ -1,4 +1,4 @@
-/// corkward-fuzz: misbehaving callers and replicas around a real router daemon, by seed and from a corpus.
+/// corkward-fuzz: runs a real router daemon with misbehaving callers and replicas, by seed and from a corpus.
 
 #include <QCoreApplication>
 #include <boost/program_options.hpp>
@@ -17,17 +17,17 @@
 
 namespace po = boost::program_options;
 
-constexpr std::size_t shownFindings = 60;
+constexpr std::size_t maxPrintedFindings = 60;
 
 void print(Report const& report) {
-  std::cout << report.scenarios << " scenes, " << report.requests << " requests (" << report.served << " served, "
+  std::cout << report.scenarios << " scenarios, " << report.requests << " requests (" << report.served << " served, "
             << report.cut << " cut), " << report.dispatches << " reached a replica\n";
   for (auto const& [fault, count] : report.faults) std::cout << "  " << fault << " " << count << "\n";
   std::cout << report.findings.size() << " violations\n";
-  std::size_t shown = 0;
+  std::size_t printed = 0;
   for (Finding const& f : report.findings) {
-    if (++shown > shownFindings) break;
-    std::cout << "scene " << f.scenario << ": " << f.violation.oracle << ": " << f.violation.what << "\n";
+    if (++printed > maxPrintedFindings) break;
+    std::cout << "scenario " << f.scenario << ": " << f.violation.oracle << ": " << f.violation.what << "\n";
   }
 }
 
@@ -35,18 +35,18 @@
   std::uint64_t from = 1;
   std::uint64_t count = 0;
   double seconds = 0;
-  std::size_t atOnce = 12;
-  std::string folder;
+  std::size_t maxConcurrent = 12;
+  std::string directory;
   std::string without;
   po::options_description flags("corkward-fuzz");
   flags.add_options()("help", "print this and exit")("from", po::value(&from)->default_value(from), "first seed")(
-      "count", po::value(&count)->default_value(count), "seeds; 0: as many as the seconds allow")(
-      "seconds", po::value(&seconds)->default_value(seconds), "begin no scene after; 0: no limit")(
-      "at-once", po::value(&atOnce)->default_value(atOnce), "scenes that are played at once")(
-      "corpus", po::value(&folder), "folder of scenes that are played first")(
-      "without", po::value(&without), "a fault put in on purpose; see --mutations")(
-      "mutations", "print the faults that can be put in, and the oracle that must find each")(
-      "print", po::value<std::uint64_t>(), "print a seed's scene in the form of the corpus and exit");
+      "count", po::value(&count)->default_value(count), "number of seeds; 0: as many as --seconds allows")(
+      "seconds", po::value(&seconds)->default_value(seconds), "start no scenario after this time; 0: no limit")(
+      "at-once", po::value(&maxConcurrent)->default_value(maxConcurrent), "scenarios that run at the same time")(
+      "corpus", po::value(&directory), "directory of scenarios that run first")("without", po::value(&without),
+                                                                                "defect to inject; see --mutations")(
+      "mutations", "print the defects that can be injected, and the oracle that must report each")(
+      "print", po::value<std::uint64_t>(), "print a seed's scenario in the format of the corpus and exit");
   po::variables_map vm;
   po::store(po::parse_command_line(argc, argv, flags), vm);
   po::notify(vm);
@@ -63,10 +63,11 @@
     return 0;
   }
   std::optional<Mutation> const mutation = mutationOf(without);
-  if (!without.empty() && !mutation) throw PlanError("without: no such fault: " + without);
-  if (count == 0 && seconds == 0 && folder.empty()) throw PlanError("count: must be given, or seconds, or corpus");
+  if (!without.empty() && !mutation) throw PlanError("without: no such mutation: " + without);
+  if (count == 0 && seconds == 0 && directory.empty())
+    throw PlanError("count: missing; give --count, --seconds or --corpus");
   std::uint64_t const most = count == 0 && seconds > 0 ? std::numeric_limits<std::uint64_t>::max() : count;
-  std::vector<Plan> files = folder.empty() ? std::vector<Plan>() : corpus(folder);
+  std::vector<Plan> files = directory.empty() ? std::vector<Plan>() : corpus(directory);
   auto const bySeed = seeds(from, most, seconds);
   std::size_t given = 0;
   Runner runner(
@@ -74,7 +75,7 @@
         if (given < files.size()) return files[given++];
         return bySeed();
       },
-      mutation, atOnce);
+      mutation, maxConcurrent);
   Report const report = runner.run();
   print(report);
   return report.findings.empty() ? 0 : 1;
--- a/testing/fuzz/mutation.h
+++ b/testing/fuzz/mutation.h
@@ -6,29 +6,29 @@
 
 #include "wire.h"
 
-/// Faults put into a scenario on purpose, one for each oracle at least: the oracle must find it.
+/// Defects injected on purpose, at least one for each oracle, which must report it.
 namespace corkward::fuzz {
 
-/// Faults that strike at callers and replicas; those of the mapping are MappingFault.
+/// Defects injected at callers and replicas. Those of the router's mapping are MappingFault.
 enum class Tampering {
   none,
-  /// A byte of the callers' answers is altered.
-  alterAnswer,
-  /// An answer that was cut is taken for a complete one.
-  hideCut,
-  /// A byte of the requests is altered on its way to the replica.
+  /// Alters a byte of the responses that callers received.
+  alterResponse,
+  /// Records a truncated response as complete.
+  hideTruncation,
+  /// Alters a byte of the requests on the way to the replica.
   alterRequest,
-  /// A lost outcome is reported as not run.
-  promiseAfterRun,
-  /// The leaving of callers does not show.
-  ignoreLeaving,
-  /// Requests are sent to more replicas than is checked.
+  /// Reports a request with a lost outcome as not executed.
+  reportNotRunAfterRun,
+  /// Hides from the router that callers disconnect.
+  ignoreDisconnects,
+  /// Lets the router use more attempts than the oracle allows.
   extraAttempts,
 };
 
 struct Mutation {
   char const* name = "";
-  /// The oracle that must find it.
+  /// The oracle that must report the defect.
   char const* oracle = "";
   Tampering tampering = Tampering::none;
   platform::test::wire::MappingFault mapping = platform::test::wire::MappingFault::none;
--- a/testing/fuzz/oracles.h
+++ b/testing/fuzz/oracles.h
@@ -6,24 +6,25 @@
 
 #include "record.h"
 
-/// What must hold of every scenario, checked from outside alone.
+/// Rules that hold for every scenario, checked only from outside of the router.
 namespace corkward::fuzz {
 
 struct Violation {
-  /// own-answer, as-sent, once, promise, tries, gone, time-left, held, status.
+  /// Name of the oracle: own-answer, as-sent, once, promise, tries, gone, time-left, held or status.
   std::string oracle;
   std::string what;
 };
 
-/// What the scenario's routes allow.
-struct Terms {
+/// Limits of the scenario's routes.
+struct RouteLimits {
   int maxAttempts = 2;
   core::Milliseconds deadlineMs = 1500;
 };
 
-/// @param lag how long the event loop stood still between two times, which is forgiven
+/// Checks the record of a scenario.
+/// @param lag returns how long the event loop was blocked between two times; the time limits are extended by it
 std::vector<Violation> checkRecord(
-    Record const& record, Terms const& terms,
+    Record const& record, RouteLimits const& limits,
     std::function<core::Milliseconds(core::Milliseconds, core::Milliseconds)> const& lag);
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/plan.cpp
+++ b/testing/fuzz/plan.cpp
@@ -10,24 +10,24 @@
 
 namespace {
 
-constexpr std::array<char const*, faults> faultNames{
+constexpr std::array<char const*, faultCount> faultNames{
     "well",       "interim",   "early",           "surplus",       "surplus-late",  "two-answers",
     "other-id",   "bad-chunk", "truncated-event", "cut-answer",    "cut-reading",   "silence",
     "slow-write", "slow-read", "not-run",         "not-run-early", "false-promise", "failure",
     "unsealed",   "garbage",   "encoded",         "short-body",    "odd-head"};
-constexpr std::array<char const*, manners> mannerNames{
+constexpr std::array<char const*, callerBehaviourCount> behaviourNames{
     "stay", "leave", "leave-by-reset", "half-close", "pipeline", "again", "slow-send", "slow-read", "leave-sending"};
 constexpr std::array<char const*, 4> routeNames{"safe", "once", "row", "tell"};
 constexpr std::array<char const*, 3> framingNames{"length", "chunks", "till-end"};
 
 constexpr std::uint64_t maxRequests = 16;
 constexpr std::uint64_t lanes = 6;
-constexpr std::uint64_t startsWithinMs = 700;
-constexpr std::uint64_t longBody = 700000;
-constexpr std::uint64_t longAnswer = 600000;
+constexpr std::uint64_t maxStartMs = 700;
+constexpr std::uint64_t maxBodyBytes = 700000;
+constexpr std::uint64_t maxResponseBytes = 600000;
 
 bool isEventStream(Route route) {
-  return route == Route::eventStream || route == Route::tell;
+  return route == Route::resumableEvents || route == Route::nonResumableEvents;
 }
 
 std::uint32_t sizeOf(core::RandomGenerator& rng, std::uint64_t longest) {
@@ -43,11 +43,11 @@
   }
 }
 
-Answer answerOf(core::RandomGenerator& rng, Route route) {
-  Answer out;
-  out.fault = rng.chance(0.35) ? Fault::well : static_cast<Fault>(rng.below(faults));
+ScriptedResponse drawResponse(core::RandomGenerator& rng, Route route) {
+  ScriptedResponse out;
+  out.fault = rng.chance(0.35) ? Fault::none : static_cast<Fault>(rng.below(faultCount));
   out.framing = static_cast<Framing>(rng.below(3));
-  out.size = isEventStream(route) ? static_cast<std::uint32_t>(1 + rng.below(12)) : sizeOf(rng, longAnswer);
+  out.size = isEventStream(route) ? static_cast<std::uint32_t>(1 + rng.below(12)) : sizeOf(rng, maxResponseBytes);
   out.at = static_cast<std::uint32_t>(rng.below(4) == 0 ? rng.below(2) * 1000 : rng.below(1001));
   out.pauseMs = rng.chance(0.5) ? 0 : static_cast<int>(rng.below(120));
   out.reset = rng.chance(0.5);
@@ -68,8 +68,8 @@
   return value.isUndefined() ? 0 : indexOf(names, core::toStdString(value.toString()), field);
 }
 
-Answer answerFrom(QJsonObject const& from) {
-  Answer out;
+ScriptedResponse responseFromJson(QJsonObject const& from) {
+  ScriptedResponse out;
   out.fault = static_cast<Fault>(read(faultNames, from, "fault"));
   out.framing = static_cast<Framing>(read(framingNames, from, "framing"));
   out.size = static_cast<std::uint32_t>(from.value("size").toInt(static_cast<int>(out.size)));
@@ -89,31 +89,31 @@
   out.callerTimeoutMs = from.value("toldMs").toInt(out.callerTimeoutMs);
   out.lane = static_cast<std::size_t>(from.value("lane").toInt());
   out.startMs = from.value("startMs").toInt();
-  out.manner = static_cast<Manner>(read(mannerNames, from, "manner"));
+  out.behaviour = static_cast<CallerBehaviour>(read(behaviourNames, from, "manner"));
   out.leaveMs = from.value("leaveMs").toInt(out.leaveMs);
-  for (QJsonValue const a : from.value("answers").toArray()) out.answers.push_back(answerFrom(a.toObject()));
-  if (out.answers.empty()) out.answers.emplace_back();
+  for (QJsonValue const a : from.value("answers").toArray()) out.responses.push_back(responseFromJson(a.toObject()));
+  if (out.responses.empty()) out.responses.emplace_back();
   return out;
 }
 
-QJsonObject jsonOf(Answer const& answer) {
-  return QJsonObject{{"fault", name(answer.fault)},
-                     {"framing", framingNames[static_cast<std::size_t>(answer.framing)]},
-                     {"size", static_cast<int>(answer.size)},
-                     {"at", static_cast<int>(answer.at)},
-                     {"pauseMs", answer.pauseMs},
-                     {"reset", answer.reset},
-                     {"variant", static_cast<int>(answer.variant)}};
+QJsonObject jsonOf(ScriptedResponse const& response) {
+  return QJsonObject{{"fault", name(response.fault)},
+                     {"framing", framingNames[static_cast<std::size_t>(response.framing)]},
+                     {"size", static_cast<int>(response.size)},
+                     {"at", static_cast<int>(response.at)},
+                     {"pauseMs", response.pauseMs},
+                     {"reset", response.reset},
+                     {"variant", static_cast<int>(response.variant)}};
 }
 
 QJsonObject jsonOf(CallerRequest const& request) {
-  QJsonArray answers;
-  for (Answer const& a : request.answers) answers.append(jsonOf(a));
+  QJsonArray responses;
+  for (ScriptedResponse const& a : request.responses) responses.append(jsonOf(a));
   return QJsonObject{{"route", name(request.route)},       {"body", static_cast<int>(request.body)},
                      {"chunkedBody", request.chunkedBody}, {"expectsContinue", request.expectsContinue},
                      {"toldMs", request.callerTimeoutMs},  {"lane", static_cast<int>(request.lane)},
-                     {"startMs", request.startMs},         {"manner", name(request.manner)},
-                     {"leaveMs", request.leaveMs},         {"answers", answers}};
+                     {"startMs", request.startMs},         {"manner", name(request.behaviour)},
+                     {"leaveMs", request.leaveMs},         {"answers", responses}};
 }
 
 }  // namespace
@@ -122,8 +122,8 @@
   return faultNames[static_cast<std::size_t>(fault)];
 }
 
-char const* name(Manner manner) {
-  return mannerNames[static_cast<std::size_t>(manner)];
+char const* name(CallerBehaviour behaviour) {
+  return behaviourNames[static_cast<std::size_t>(behaviour)];
 }
 
 char const* name(Route route) {
@@ -131,26 +131,27 @@
 }
 
 Plan planOf(std::uint64_t seed) {
-  // The generator's streams of seeds that follow each other are alike.
+  // The seed is hashed because consecutive seeds of the generator give similar sequences.
   core::RandomGenerator rng(core::stableHash("plan " + std::to_string(seed)));
   Plan out;
   out.seed = seed;
   out.name = std::to_string(seed);
-  out.refused = rng.chance(0.2) ? 100 : 0;
+  out.refusedPerMille = rng.chance(0.2) ? 100 : 0;
   std::uint64_t const count = 4 + rng.below(maxRequests - 3);
   for (std::uint64_t i = 0; i < count; ++i) {
     CallerRequest request;
     request.route = static_cast<Route>(rng.below(4));
-    request.body = sizeOf(rng, longBody);
+    request.body = sizeOf(rng, maxBodyBytes);
     request.chunkedBody = rng.chance(0.3);
     request.expectsContinue = rng.chance(0.1);
     request.callerTimeoutMs = 300 + static_cast<int>(rng.below(1000));
     request.lane = static_cast<std::size_t>(rng.below(lanes));
-    request.startMs = static_cast<int>(rng.below(startsWithinMs));
-    request.manner = rng.chance(0.4) ? Manner::stay : static_cast<Manner>(rng.below(manners));
+    request.startMs = static_cast<int>(rng.below(maxStartMs));
+    request.behaviour =
+        rng.chance(0.4) ? CallerBehaviour::stay : static_cast<CallerBehaviour>(rng.below(callerBehaviourCount));
     request.leaveMs = static_cast<int>(rng.below(rng.chance(0.5) ? 20 : 400));
-    std::uint64_t const answers = 1 + rng.below(3);
-    for (std::uint64_t a = 0; a < answers; ++a) request.answers.push_back(answerOf(rng, request.route));
+    std::uint64_t const responses = 1 + rng.below(3);
+    for (std::uint64_t a = 0; a < responses; ++a) request.responses.push_back(drawResponse(rng, request.route));
     out.requests.push_back(std::move(request));
   }
   return out;
@@ -160,7 +161,7 @@
   Plan out;
   out.name = name;
   out.seed = static_cast<std::uint64_t>(file.value("seed").toInt(1));
-  out.refused = static_cast<std::uint32_t>(file.value("refused").toInt());
+  out.refusedPerMille = static_cast<std::uint32_t>(file.value("refused").toInt());
   for (QJsonValue const a : file.value("asks").toArray()) out.requests.push_back(requestFromJson(a.toObject()));
   if (out.requests.empty()) throw PlanError(name + ": asks: missing");
   return out;
@@ -169,8 +170,9 @@
 QJsonObject jsonOf(Plan const& plan) {
   QJsonArray requests;
   for (CallerRequest const& a : plan.requests) requests.append(jsonOf(a));
-  return QJsonObject{
-      {"seed", static_cast<qint64>(plan.seed)}, {"refused", static_cast<int>(plan.refused)}, {"asks", requests}};
+  return QJsonObject{{"seed", static_cast<qint64>(plan.seed)},
+                     {"refused", static_cast<int>(plan.refusedPerMille)},
+                     {"asks", requests}};
 }
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/plan.h
+++ b/testing/fuzz/plan.h
@@ -7,102 +7,103 @@
 
 #include <corkward/core/error.h>
 
-/// What callers and replicas of one scenario do, made from a seed or read from a corpus file. A plan holds all choices;
-/// playing it makes none, so that a seed always plays the same plan.
+/// Behaviour of the callers and replicas of one scenario, drawn from a seed or read from a corpus file. A plan contains
+/// all random choices, so that a seed always gives the same scenario.
 namespace corkward::fuzz {
 
-/// A corpus file that cannot be read as a plan.
+/// Thrown for an invalid corpus file or command line.
 class PlanError : public core::Error {
  public:
   using core::Error::Error;
 };
 
-/// Routes of the scenario: idempotent, not idempotent, events that may be resumed, and events that may not.
-enum class Route { safe, once, eventStream, tell };
+/// Routes of the scenario: idempotent, not idempotent, event streams that may be resumed, and event streams that may
+/// not.
+enum class Route { safe, once, resumableEvents, nonResumableEvents };
 
-/// How a replica misbehaves in one answer.
+/// Misbehaviour of a replica in one response.
 enum class Fault {
-  well,
+  none,
   interim,
   early,
-  surplus,
-  surplusLate,
-  twoAnswers,
-  otherId,
+  extraBytes,
+  delayedExtraBytes,
+  twoResponses,
+  otherRequestsResponse,
   badChunk,
   truncatedEvent,
-  cutAnswer,
-  cutReading,
-  silence,
+  truncatedResponse,
+  closeWhileReading,
+  noResponse,
   slowWrite,
   slowRead,
   notRun,
   notRunEarly,
-  falsePromise,
-  failure,
-  unsealed,
+  unmarkedRejection,
+  errorStatus,
+  missingSeal,
   garbage,
   encoded,
   shortBody,
-  oddHead,
+  invalidHead,
 };
-constexpr int faults = 23;
+constexpr int faultCount = 23;
 
-/// How the end of an answer's body is framed.
+/// How the end of a response's body is marked.
 enum class Framing { length, chunks, tillEnd };
 
-/// One answer of a replica.
-struct Answer {
-  Fault fault = Fault::well;
+/// One response of a replica.
+struct ScriptedResponse {
+  Fault fault = Fault::none;
   Framing framing = Framing::length;
-  /// Bytes of a plain body; events of a row.
+  /// Bytes of a plain body, or number of events of an event stream.
   std::uint32_t size = 100;
-  /// Where the fault strikes, in thousandths of the answer's bytes (or of the request's, for those that concern it).
+  /// Position of the fault, in thousandths of the response's bytes (of the request's, for faults while reading it).
   std::uint32_t at = 500;
   int pauseMs = 0;
-  /// Connections end with a reset, not with their orderly end.
+  /// The connection is reset instead of closed.
   bool reset = false;
-  /// Picks among variants of the fault.
+  /// Selects a variant of the fault.
   std::uint32_t variant = 0;
 };
 
 /// How a caller behaves.
-enum class Manner { stay, leave, leaveByReset, halfClose, pipeline, again, slowSend, slowRead, leaveSending };
-constexpr int manners = 9;
+enum class CallerBehaviour { stay, leave, leaveByReset, halfClose, pipeline, again, slowSend, slowRead, leaveSending };
+constexpr int callerBehaviourCount = 9;
 
-/// One request of a caller, and how the replicas answer it, one answer for each time that it reaches one; the last
-/// holds for all that come after.
+/// One request of a caller, and the responses of the replicas: one for each time that the request reaches a replica.
+/// The last one is repeated.
 struct CallerRequest {
   Route route = Route::safe;
   std::uint32_t body = 0;
   bool chunkedBody = false;
   bool expectsContinue = false;
-  /// What the caller tells as the time that it will wait.
+  /// Timeout that the caller states in its request, in ms.
   int callerTimeoutMs = 1000;
-  /// Requests of one lane go one after the other on one connection while it lasts.
+  /// Requests of one lane are sent one after the other by the same Caller.
   std::size_t lane = 0;
   int startMs = 0;
-  Manner manner = Manner::stay;
+  CallerBehaviour behaviour = CallerBehaviour::stay;
   int leaveMs = 100;
-  std::vector<Answer> answers;
+  std::vector<ScriptedResponse> responses;
 };
 
-/// A scenario.
+/// The plan of a scenario.
 struct Plan {
   std::uint64_t seed = 0;
   std::string name;
-  /// In thousand: connections that a replica resets as they come.
-  std::uint32_t refused = 0;
+  /// How many of a thousand new connections a replica resets at once.
+  std::uint32_t refusedPerMille = 0;
   std::vector<CallerRequest> requests;
 };
 
 Plan planOf(std::uint64_t seed);
-/// Throws PlanError.
+/// Reads a plan from a corpus file. Throws PlanError.
 Plan planOf(std::string const& name, QJsonObject const& file);
 QJsonObject jsonOf(Plan const& plan);
 
 char const* name(Fault fault);
-char const* name(Manner manner);
+char const* name(CallerBehaviour behaviour);
 char const* name(Route route);
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/record.h
+++ b/testing/fuzz/record.h
@@ -12,61 +12,62 @@
 
 #include "plan.h"
 
-/// What is observed of a scenario from outside of the router: what reached replicas, and what callers were given.
+/// Observations of a scenario from outside of the router: the requests that reached replicas and the responses of
+/// callers.
 namespace corkward::fuzz {
 
-/// A request that reached a replica: its complete head was read there.
+/// A request whose complete head has reached a replica.
 struct Dispatch {
   std::string attempt;
   std::string seal;
   std::size_t replica = 0;
-  /// When its head had come, and the last of its bytes so far; monotonic milliseconds.
+  /// Times at which the head and the last byte so far arrived, in monotonic milliseconds.
   core::Milliseconds at = 0;
   core::Milliseconds lastByteAt = 0;
-  /// When its connection ended; 0: not yet.
+  /// Time at which the connection was closed. 0 if it is open.
   core::Milliseconds closedAt = 0;
-  /// When the replica had written all that it had to say; 0: not yet.
-  core::Milliseconds answeredAt = 0;
+  /// Time at which the replica had written its complete response. 0 if it has not.
+  core::Milliseconds respondedAt = 0;
   std::string method;
   std::string target;
   http::HeaderMap fields;
   std::string body;
   bool bodyComplete = false;
-  /// It counts as run: the replica did not say, truly, that it would not run it.
+  /// Whether the request counts as executed: true unless the replica correctly marked it as not executed.
   bool ran = true;
-  /// The replica reads slowly, so what reaches it was sent earlier.
+  /// The replica reads slowly, so bytes arrive later than they were sent.
   bool slow = false;
-  Fault fault = Fault::well;
+  Fault fault = Fault::none;
   int status = 200;
-  /// Body of the answer as framed, and whether the framing says that it is complete.
+  /// Body of the response, and whether its framing marks it as complete.
   std::string framed;
   bool framedComplete = false;
 };
 
-/// What a caller has sent and was given.
+/// A caller's request and the response that it received.
 struct CallerObservation {
   CallerRequest request;
   std::string attempt;
   std::string target;
   std::string body;
-  /// Whole row of events that any replica gives to it.
+  /// The complete event stream that every replica sends for this request.
   std::string events;
-  bool began = false;
-  /// When its first byte was sent.
+  bool started = false;
+  /// Time at which sending began.
   core::Milliseconds startedAt = 0;
-  /// When all of it had been handed to the system; 0: not yet.
+  /// Time at which all bytes had been passed to the operating system. 0 if they have not.
   core::Milliseconds sentAt = 0;
-  /// When the connection was free of earlier requests.
-  core::Milliseconds freeAt = 0;
+  /// Time at which all earlier requests on the connection had ended.
+  core::Milliseconds connectionFreeAt = 0;
   core::Milliseconds headAt = 0;
   core::Milliseconds endedAt = 0;
-  /// When the caller left, if it did before the end; 0: it stayed.
-  core::Milliseconds leftAt = 0;
+  /// Time at which the caller disconnected before the end of the response. 0 if it did not.
+  core::Milliseconds disconnectedAt = 0;
   int status = 0;
   http::HeaderList fields;
-  std::string got;
+  std::string received;
   bool complete = false;
-  /// The connection could not be had, or had ended before the request went out on it.
+  /// The connection failed or was closed before the request was sent.
   bool unsent = false;
 };
 
@@ -74,19 +75,19 @@
 struct Record {
   std::deque<Dispatch> dispatches;
   std::deque<CallerObservation> callers;
-  /// Bytes that callers were given while no request of theirs was open.
+  /// Bytes that callers received while they had no open request.
   std::vector<std::string> unsolicited;
-  /// When the scenario ended.
+  /// Time at which the scenario ended.
   core::Milliseconds endedAt = 0;
 };
 
-/// A field of the callers' own that means nothing to the router.
+/// A header field that the router does not know and must forward.
 constexpr char const* ownField = "x-own";
 
-/// A text of the length that shows any shift, swap or altered byte.
+/// Returns a text of the given length in which every shifted, swapped or altered byte is detectable.
 std::string pattern(std::string const& tag, std::size_t length);
 
-/// One event of the row that answers the attempt.
+/// Returns one event of the event stream that answers the attempt.
 std::string eventOf(std::string const& attempt, std::size_t number);
 std::string eventsOf(std::string const& attempt, std::size_t after, std::size_t last);
 
--- a/testing/fuzz/replica.cpp
+++ b/testing/fuzz/replica.cpp
@@ -28,16 +28,16 @@
   socket.abort();
 }
 
-struct Replica::Conn {
+struct Replica::Connection {
   using Parser = beastHttp::request_parser<beastHttp::string_body>;
   QTcpSocket* socket = nullptr;
   QTimer* timer = nullptr;
   QTimer* slow = nullptr;
   QByteArray buffer;
   std::unique_ptr<Parser> parser = {};
-  bool headed = false;
+  bool headComplete = false;
   bool bodyComplete = false;
-  bool answered = false;
+  bool responded = false;
   bool over = false;
   std::size_t dispatch = 0;
   ScriptedExchange exchange = {};
@@ -51,7 +51,7 @@
 }
 
 Replica::~Replica() {
-  for (std::shared_ptr<Conn> const& c : conns_) {
+  for (std::shared_ptr<Connection> const& c : connections_) {
     c->socket->disconnect(this);
     c->socket->abort();
   }
@@ -68,55 +68,55 @@
       socket->deleteLater();
       continue;
     }
-    std::shared_ptr<Conn> const conn = std::make_shared<Conn>();
+    std::shared_ptr<Connection> const conn = std::make_shared<Connection>();
     conn->socket = socket;
     socket->setReadBufferSize(readBuffer);
     conn->timer = new QTimer(socket);
     conn->timer->setSingleShot(true);
     conn->slow = new QTimer(socket);
-    conns_.push_back(conn);
-    std::weak_ptr<Conn> const weak = conn;
+    connections_.push_back(conn);
+    std::weak_ptr<Connection> const weak = conn;
     QObject::connect(socket, &QTcpSocket::readyRead, this, [this, weak] {
-      if (std::shared_ptr<Conn> const c = weak.lock()) readable(c);
+      if (std::shared_ptr<Connection> const c = weak.lock()) readable(c);
     });
     QObject::connect(socket, &QTcpSocket::disconnected, this, [this, weak] {
-      if (std::shared_ptr<Conn> const c = weak.lock()) over(c);
+      if (std::shared_ptr<Connection> const c = weak.lock()) onClosed(c);
     });
     QObject::connect(conn->timer, &QTimer::timeout, this, [this, weak] {
-      if (std::shared_ptr<Conn> const c = weak.lock()) play(c);
+      if (std::shared_ptr<Connection> const c = weak.lock()) runScript(c);
     });
     QObject::connect(conn->slow, &QTimer::timeout, this, [this, weak] {
-      if (std::shared_ptr<Conn> const c = weak.lock()) read(c);
+      if (std::shared_ptr<Connection> const c = weak.lock()) read(c);
     });
     readable(conn);
   }
 }
 
-void Replica::readable(std::shared_ptr<Conn> const& conn) {
+void Replica::readable(std::shared_ptr<Connection> const& conn) {
   if (!conn->slow->isActive()) read(conn);
 }
 
-void Replica::read(std::shared_ptr<Conn> const& conn) {
+void Replica::read(std::shared_ptr<Connection> const& conn) {
   if (conn->over || !conn->socket->isReadable()) return;
   conn->buffer += conn->socket->read(conn->slow->isActive() ? slowReadBytes : readBuffer);
   while (!conn->over && !conn->buffer.isEmpty() && !conn->bodyComplete) {
     if (!conn->parser) {
-      conn->parser = std::make_unique<Conn::Parser>();
+      conn->parser = std::make_unique<Connection::Parser>();
       conn->parser->body_limit(longestBody);
       conn->parser->header_limit(1U << 20);
     }
-    conn->parser->eager(conn->headed);
+    conn->parser->eager(conn->headComplete);
     boost::beast::error_code ec;
     std::size_t const used = conn->parser->put(
         boost::asio::buffer(conn->buffer.constData(), static_cast<std::size_t>(conn->buffer.size())), ec);
     conn->buffer.remove(0, static_cast<qsizetype>(used));
-    if (conn->headed) events_.dispatch(conn->dispatch).lastByteAt = programs::now();
+    if (conn->headComplete) events_.dispatch(conn->dispatch).lastByteAt = programs::now();
     if (ec && ec != beastHttp::error::need_more) {
       resetSocket(*conn->socket);
       return;
     }
-    if (!conn->headed && conn->parser->is_header_done()) headed(conn);
-    if (conn->over || !conn->headed) return;
+    if (!conn->headComplete && conn->parser->is_header_done()) onHead(conn);
+    if (conn->over || !conn->headComplete) return;
     if (conn->parser->is_done()) {
       conn->bodyComplete = true;
       Dispatch& d = events_.dispatch(conn->dispatch);
@@ -127,12 +127,12 @@
       break;
     }
   }
-  if (conn->headed && !conn->over) play(conn);
-  if (conn->answered && conn->bodyComplete) next(conn);
+  if (conn->headComplete && !conn->over) runScript(conn);
+  if (conn->responded && conn->bodyComplete) next(conn);
 }
 
-void Replica::headed(std::shared_ptr<Conn> const& conn) {
-  conn->headed = true;
+void Replica::onHead(std::shared_ptr<Connection> const& conn) {
+  conn->headComplete = true;
   beastHttp::request<beastHttp::string_body> const& head = conn->parser->get();
   Dispatch d;
   d.replica = index_;
@@ -149,64 +149,64 @@
   if (conn->exchange.slowReading && length > 0) conn->slow->start(slowReadMs);
 }
 
-void Replica::play(std::shared_ptr<Conn> const& conn) {
-  while (!conn->over && !conn->answered && !conn->timer->isActive()) {
+void Replica::runScript(std::shared_ptr<Connection> const& conn) {
+  while (!conn->over && !conn->responded && !conn->timer->isActive()) {
     Step const& step = conn->exchange.steps[conn->step];
-    switch (step.what) {
-      case Step::What::awaitBody:
+    switch (step.kind) {
+      case Step::Kind::awaitBody:
         if (!conn->bodyComplete) return;
         break;
-      case Step::What::awaitBytes:
+      case Step::Kind::awaitBytes:
         if (!conn->bodyComplete && conn->parser->get().body().size() < step.count) return;
         break;
-      case Step::What::write:
+      case Step::Kind::write:
         conn->socket->write(step.bytes.data(), static_cast<qint64>(step.bytes.size()));
         break;
-      case Step::What::pause:
+      case Step::Kind::pause:
         conn->timer->start(step.ms);
         break;
-      case Step::What::close:
-        events_.dispatch(conn->dispatch).answeredAt = programs::now();
+      case Step::Kind::close:
+        events_.dispatch(conn->dispatch).respondedAt = programs::now();
         conn->slow->stop();
-        conn->answered = true;
+        conn->responded = true;
         conn->socket->disconnectFromHost();
         return;
-      case Step::What::reset:
-        events_.dispatch(conn->dispatch).answeredAt = programs::now();
+      case Step::Kind::reset:
+        events_.dispatch(conn->dispatch).respondedAt = programs::now();
         conn->socket->flush();
         resetSocket(*conn->socket);
         return;
-      case Step::What::hold:
+      case Step::Kind::hold:
         return;
-      case Step::What::done:
-        events_.dispatch(conn->dispatch).answeredAt = programs::now();
-        conn->answered = true;
+      case Step::Kind::done:
+        events_.dispatch(conn->dispatch).respondedAt = programs::now();
+        conn->responded = true;
         return;
     }
     ++conn->step;
   }
-  if (conn->answered && conn->bodyComplete) next(conn);
+  if (conn->responded && conn->bodyComplete) next(conn);
 }
 
-void Replica::next(std::shared_ptr<Conn> const& conn) {
-  if (conn->over || !conn->answered || !conn->bodyComplete) return;
+void Replica::next(std::shared_ptr<Connection> const& conn) {
+  if (conn->over || !conn->responded || !conn->bodyComplete) return;
   conn->parser.reset();
-  conn->headed = false;
+  conn->headComplete = false;
   conn->bodyComplete = false;
-  conn->answered = false;
+  conn->responded = false;
   conn->slow->stop();
   QMetaObject::invokeMethod(
       conn->socket, [this, conn] { read(conn); }, Qt::QueuedConnection);
 }
 
-void Replica::over(std::shared_ptr<Conn> const& conn) {
+void Replica::onClosed(std::shared_ptr<Connection> const& conn) {
   if (conn->over) return;
   conn->over = true;
-  if (conn->headed) events_.dispatch(conn->dispatch).closedAt = programs::now();
+  if (conn->headComplete) events_.dispatch(conn->dispatch).closedAt = programs::now();
   conn->timer->stop();
   conn->slow->stop();
   conn->socket->deleteLater();
-  std::erase(conns_, conn);
+  std::erase(connections_, conn);
 }
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/replica.h
+++ b/testing/fuzz/replica.h
@@ -14,16 +14,17 @@
 
 namespace corkward::fuzz {
 
-/// A replica on loopback that plays scripted exchanges; requests are read by Boost.Beast.
+/// A replica on loopback that executes scripted exchanges. Boost.Beast parses the requests.
 class Replica : public QObject {
  public:
   struct Events {
-    /// A complete head was read: records the dispatch and gives its index in the record and its scripted exchange.
+    /// Called when a complete head was read. Records the dispatch and returns its index in the record and its scripted
+    /// exchange.
     std::function<std::pair<std::size_t, ScriptedExchange>(Dispatch, std::size_t bodyLength)> arrived;
     std::function<Dispatch&(std::size_t)> dispatch;
-    /// Whether to reset the connection that has just come.
+    /// Returns whether to reset a new connection.
     std::function<bool()> refuses;
-    /// One byte of each request's body is altered.
+    /// Mutation: alters one byte of each request's body.
     bool alters = false;
   };
   Replica(std::size_t index, Events events);
@@ -31,21 +32,21 @@
   std::string address() const;
 
  private:
-  struct Conn;
+  struct Connection;
   void accept();
-  void readable(std::shared_ptr<Conn> const& conn);
-  void read(std::shared_ptr<Conn> const& conn);
-  void headed(std::shared_ptr<Conn> const& conn);
-  void play(std::shared_ptr<Conn> const& conn);
-  void next(std::shared_ptr<Conn> const& conn);
-  void over(std::shared_ptr<Conn> const& conn);
+  void readable(std::shared_ptr<Connection> const& conn);
+  void read(std::shared_ptr<Connection> const& conn);
+  void onHead(std::shared_ptr<Connection> const& conn);
+  void runScript(std::shared_ptr<Connection> const& conn);
+  void next(std::shared_ptr<Connection> const& conn);
+  void onClosed(std::shared_ptr<Connection> const& conn);
   std::size_t index_;
   Events events_;
   QTcpServer server_;
-  std::vector<std::shared_ptr<Conn>> conns_;
+  std::vector<std::shared_ptr<Connection>> connections_;
 };
 
-/// Ends a connection with a reset.
+/// Closes a connection with a reset.
 void resetSocket(QTcpSocket& socket);
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/runner.cpp
+++ b/testing/fuzz/runner.cpp
@@ -15,11 +15,11 @@
 
 }  // namespace
 
-Runner::Runner(std::function<std::optional<Plan>()> next, std::optional<Mutation> mutation, std::size_t atOnce)
-    : next_(std::move(next)), mutation_(std::move(mutation)), atOnce_(atOnce) {}
+Runner::Runner(std::function<std::optional<Plan>()> next, std::optional<Mutation> mutation, std::size_t maxConcurrent)
+    : next_(std::move(next)), mutation_(std::move(mutation)), maxConcurrent_(maxConcurrent) {}
 
 void Runner::fill() {
-  while (scenarios_.size() < atOnce_) {
+  while (scenarios_.size() < maxConcurrent_) {
     std::optional<Plan> plan = next_();
     if (!plan) return;
     std::shared_ptr<Scenario*> const index = std::make_shared<Scenario*>(nullptr);
@@ -40,7 +40,7 @@
     ++report_.requests;
     bool const success = s.status >= 200 && s.status < 300;
     report_.served += s.complete && success ? 1 : 0;
-    report_.cut += !s.complete && success && s.leftAt == 0 ? 1 : 0;
+    report_.cut += !s.complete && success && s.disconnectedAt == 0 ? 1 : 0;
   }
   for (Violation& v : scenario->check(lag_)) report_.findings.push_back(Finding{scenario->plan().name, std::move(v)});
   std::erase_if(scenarios_, [scenario](std::unique_ptr<Scenario> const& s) { return s.get() == scenario; });
@@ -64,9 +64,9 @@
   };
 }
 
-std::vector<Plan> corpus(std::string const& folder) {
-  QDir const dir(core::toQString(folder));
-  if (!dir.exists()) throw PlanError(folder + ": no such folder");
+std::vector<Plan> corpus(std::string const& directory) {
+  QDir const dir(core::toQString(directory));
+  if (!dir.exists()) throw PlanError(directory + ": no such directory");
   std::vector<Plan> out;
   for (QString const& name : dir.entryList({"*.json"}, QDir::Files, QDir::Name)) {
     QFile file(dir.filePath(name));
--- a/testing/fuzz/scenario.cpp
+++ b/testing/fuzz/scenario.cpp
@@ -26,7 +26,7 @@
 constexpr core::Milliseconds timerTolerance = 2;
 constexpr std::size_t maxGaps = 4000;
 constexpr std::size_t maxRetries = 2;
-constexpr Terms terms{};
+constexpr RouteLimits limits{};
 
 std::string freeAddress() {
   QTcpServer probe;
@@ -43,7 +43,7 @@
   return t;
 }
 
-programs::RouterSurface surface(std::uint64_t seed) {
+programs::RouterSurface daemonOptions(std::uint64_t seed) {
   programs::RouterSurface s;
   s.limits.sendsServerHeader = false;
   s.limits.errorHeaders = {};
@@ -77,17 +77,17 @@
   return out;
 }
 
-Scenario::Scenario(Plan plan, std::optional<Mutation> mutation, std::function<void()> over)
+Scenario::Scenario(Plan plan, std::optional<Mutation> mutation, std::function<void()> onFinished)
     : plan_(std::move(plan)),
       mutation_(std::move(mutation)),
-      over_(std::move(over)),
+      onFinished_(std::move(onFinished)),
       rng_(plan_.seed ^ 0x5eedULL),
       mapping_(mutation_ ? mutation_->mapping : wire::MappingFault::none) {
   for (std::size_t i = 0; i < replicaCount; ++i) {
     Replica::Events e;
     e.arrived = [this, i](Dispatch d, std::size_t length) { return arrived(i, std::move(d), length); };
     e.dispatch = [this](std::size_t at) -> Dispatch& { return record_.dispatches[at]; };
-    e.refuses = [this] { return rng_.below(1000) < plan_.refused; };
+    e.refuses = [this] { return rng_.below(1000) < plan_.refusedPerMille; };
     e.alters = tampers(Tampering::alterRequest);
     replicas_.push_back(std::make_unique<Replica>(i, std::move(e)));
   }
@@ -99,7 +99,7 @@
       listen();
       return;
     } catch (core::Error const&) {
-      // Another process took a port between its choice and its use.
+      // Another process has taken a port between its choice and its use.
       if (left == 1) throw;
       router_.reset();
       control_.reset();
@@ -117,14 +117,14 @@
   for (std::unique_ptr<Replica> const& r : replicas_) addresses.push_back(r->address());
   std::vector<wire::Route> const routes{
       {"safe", false, true}, {"once", false, false}, {"row", true, true}, {"tell", true, false}};
-  transport::ConfigurationUpdate const update =
-      wire::firstNews(routes, addresses, tampers(Tampering::extraAttempts) ? terms.maxAttempts + 2 : terms.maxAttempts,
-                      terms.deadlineMs);
+  transport::ConfigurationUpdate const update = wire::firstNews(
+      routes, addresses, tampers(Tampering::extraAttempts) ? limits.maxAttempts + 2 : limits.maxAttempts,
+      limits.deadlineMs);
   std::string const link = settings.link;
   control_ = std::make_unique<transport::Link>(this, control, [this, update, link](transport::Envelope const&) {
     if (!router_->ready()) control_->send(link, update);
   });
-  router_ = std::make_unique<programs::RouterDaemon>(settings, tuning(), mapping_, surface(plan_.seed));
+  router_ = std::make_unique<programs::RouterDaemon>(settings, tuning(), mapping_, daemonOptions(plan_.seed));
   for (int const number : {SIGTERM, SIGINT}) ::signal(number, SIG_DFL);
   QObject::connect(&boot_, &QTimer::timeout, this, [this] {
     if (!router_->ready()) return;
@@ -134,7 +134,7 @@
   boot_.start(bootEveryMs);
   limit_.setSingleShot(true);
   QObject::connect(&limit_, &QTimer::timeout, this, [this] {
-    record_.unsolicited.push_back("the scene did not end");
+    record_.unsolicited.push_back("the scenario did not end");
     finish();
   });
   limit_.start(limitMs);
@@ -145,9 +145,9 @@
   for (std::size_t i = 0; i < laneCount; ++i) {
     Caller::Events e;
     e.observation = [this](std::size_t at) -> CallerObservation& { return record_.callers[at]; };
-    e.over = [this](std::size_t at) { ended(at); };
+    e.ended = [this](std::size_t at) { ended(at); };
     e.unsolicited = [this](std::string bytes) { record_.unsolicited.push_back(std::move(bytes)); };
-    e.staysOpen = tampers(Tampering::ignoreLeaving);
+    e.ignoresDisconnects = tampers(Tampering::ignoreDisconnects);
     lanes_.push_back(std::make_unique<Caller>(address, std::move(e)));
   }
   toStart_ = plan_.requests.size();
@@ -164,7 +164,7 @@
   observation.attempt = attempt;
   observation.target = std::string("/") + name(request.route) + "/" + attempt + "?q=1";
   observation.body = pattern("q" + attempt, request.body);
-  observation.events = eventsOf(attempt, 0, request.answers.front().size);
+  observation.events = eventsOf(attempt, 0, request.responses.front().size);
   ++open_;
   record_.callers.push_back(std::move(observation));
   lanes_[request.lane % laneCount]->enqueue(record_.callers.size() - 1);
@@ -172,13 +172,15 @@
 
 void Scenario::ended(std::size_t index) {
   CallerObservation& observation = record_.callers[index];
-  if (tampers(Tampering::alterAnswer) && !observation.got.empty()) observation.got[observation.got.size() / 2] ^= 1;
-  if (tampers(Tampering::hideCut) && observation.status == 200) observation.complete = true;
-  if (tampers(Tampering::promiseAfterRun) && (observation.status == 502 || observation.status == 504))
+  if (tampers(Tampering::alterResponse) && !observation.received.empty())
+    observation.received[observation.received.size() / 2] ^= 1;
+  if (tampers(Tampering::hideTruncation) && observation.status == 200) observation.complete = true;
+  if (tampers(Tampering::reportNotRunAfterRun) && (observation.status == 502 || observation.status == 504))
     observation.status = 503;
   bool const served = observation.complete && observation.status >= 200 && observation.status < 300;
   auto const before = static_cast<std::size_t>(std::count(observation.attempt.begin(), observation.attempt.end(), 'r'));
-  if (observation.request.manner == Manner::again && !served && observation.leftAt == 0 && before < maxRetries) {
+  if (observation.request.behaviour == CallerBehaviour::again && !served && observation.disconnectedAt == 0 &&
+      before < maxRetries) {
     CallerRequest const again = observation.request;
     startRequest(again, observation.attempt + "r");
   }
@@ -192,7 +194,7 @@
   return it == record_.callers.end() ? nullptr : &*it;
 }
 
-std::string Scenario::otherThan(std::string const& attempt) {
+std::string Scenario::endedAttemptOtherThan(std::string const& attempt) {
   std::vector<std::string> ended;
   for (CallerObservation const& s : record_.callers)
     if (s.endedAt != 0 && s.attempt != attempt) ended.push_back(s.attempt);
@@ -205,25 +207,26 @@
   dispatch.attempt = http::headerValue(dispatch.fields, wire::attempt);
   dispatch.seal = "s" + std::to_string(replica) + "." + std::to_string(index);
   CallerObservation const* const caller = callerOf(dispatch.attempt);
-  Answer answer;
+  ScriptedResponse response;
   ReceivedRequest received;
   received.attempt = dispatch.attempt;
   received.seal = dispatch.seal;
   received.bodyLength = bodyLength;
-  received.other = otherThan(received.attempt);
+  received.other = endedAttemptOtherThan(received.attempt);
   if (caller != nullptr) {
     std::size_t const before =
         static_cast<std::size_t>(std::count_if(record_.dispatches.begin(), record_.dispatches.end(),
                                                [&](Dispatch const& d) { return d.attempt == dispatch.attempt; }));
-    std::vector<Answer> const& answers = caller->request.answers;
-    answer = answers[std::min(before, answers.size() - 1)];
-    received.isEventStream = caller->request.route == Route::eventStream || caller->request.route == Route::tell;
-    received.events = answers.front().size;
+    std::vector<ScriptedResponse> const& responses = caller->request.responses;
+    response = responses[std::min(before, responses.size() - 1)];
+    received.isEventStream =
+        caller->request.route == Route::resumableEvents || caller->request.route == Route::nonResumableEvents;
+    received.events = responses.front().size;
     received.after = static_cast<std::size_t>(
         std::strtoull(http::headerValue(dispatch.fields, wire::lastEvent).c_str(), nullptr, 10));
   }
-  ScriptedExchange exchange = scriptedExchangeOf(answer, received);
-  dispatch.fault = answer.fault;
+  ScriptedExchange exchange = scriptedExchangeOf(response, received);
+  dispatch.fault = response.fault;
   dispatch.ran = exchange.ran;
   dispatch.slow = exchange.slowReading;
   dispatch.status = exchange.status;
@@ -238,11 +241,11 @@
   finished_ = true;
   record_.endedAt = programs::now();
   limit_.stop();
-  over_();
+  onFinished_();
 }
 
 std::vector<Violation> Scenario::check(LagMeter const& lag) const {
-  return checkRecord(record_, terms,
+  return checkRecord(record_, limits,
                      [&lag](core::Milliseconds from, core::Milliseconds to) { return lag.between(from, to); });
 }
 
--- a/testing/fuzz/scenario.h
+++ b/testing/fuzz/scenario.h
@@ -18,11 +18,11 @@
 
 namespace corkward::fuzz {
 
-/// How long the event loop stood still, for oracles that compare times.
+/// Measures how long the event loop was blocked, for oracles that compare times.
 class LagMeter : public QObject {
  public:
   LagMeter();
-  /// What was lost between the two times.
+  /// Returns the blocked time between two times, in ms.
   core::Milliseconds between(core::Milliseconds from, core::Milliseconds to) const;
 
  private:
@@ -36,10 +36,10 @@
   QTimer timer_;
 };
 
-/// One plan played on a router daemon of its own, over loopback.
+/// Runs one plan against its own router daemon on loopback.
 class Scenario : public QObject {
  public:
-  Scenario(Plan plan, std::optional<Mutation> mutation, std::function<void()> over);
+  Scenario(Plan plan, std::optional<Mutation> mutation, std::function<void()> onFinished);
   Plan const& plan() const { return plan_; }
   Record const& record() const { return record_; }
   std::vector<Violation> check(LagMeter const& lag) const;
@@ -52,14 +52,15 @@
   void ended(std::size_t index);
   std::pair<std::size_t, ScriptedExchange> arrived(std::size_t replica, Dispatch dispatch, std::size_t bodyLength);
   CallerObservation* callerOf(std::string const& attempt);
-  /// An attempt that has ended; a late answer of one that is still to come could not be distinguished from its own.
-  std::string otherThan(std::string const& attempt);
+  /// Returns an attempt that has ended. A stale response for a later attempt could not be distinguished from its real
+  /// one.
+  std::string endedAttemptOtherThan(std::string const& attempt);
   void finish();
   bool tampers(Tampering tampering) const { return mutation_ && mutation_->tampering == tampering; }
 
   Plan plan_;
   std::optional<Mutation> mutation_;
-  std::function<void()> over_;
+  std::function<void()> onFinished_;
   Record record_;
   core::RandomGenerator rng_;
   std::size_t open_ = 0;
--- a/testing/fuzz/scripted_exchange.cpp
+++ b/testing/fuzz/scripted_exchange.cpp
@@ -18,10 +18,10 @@
 constexpr int slowWriteMs = 10;
 constexpr char const* crlf = "\r\n";
 
-/// A message in the making: its head's fields, and its body cut into chunks or events.
+/// A response message: its head, and its body split into chunks or events.
 struct Message {
   std::string head;
-  /// Each with its chunk's framing.
+  /// Parts of the body, each with the framing of its chunk.
   std::vector<std::string> parts;
   std::string last;
   std::string bytes() const {
@@ -45,10 +45,12 @@
   return out;
 }
 
-/// Writes the scripted exchange of one answer.
+/// Builds the scripted exchange of one response.
 class Writer {
  public:
-  Writer(Answer const& answer, ReceivedRequest const& request) : answer_(answer), request_(request) { contents(); }
+  Writer(ScriptedResponse const& response, ReceivedRequest const& request) : response_(response), request_(request) {
+    contents();
+  }
 
   ScriptedExchange run() {
     begin();
@@ -62,7 +64,7 @@
       for (std::size_t i = request_.after + 1; i <= request_.events; ++i)
         bodyParts_.push_back(eventOf(request_.attempt, i));
     } else {
-      bodyParts_ = cut(pattern(request_.attempt + "/" + request_.seal, answer_.size), 1 + answer_.variant % 5);
+      bodyParts_ = cut(pattern(request_.attempt + "/" + request_.seal, response_.size), 1 + response_.variant % 5);
     }
     for (std::string const& p : bodyParts_) out_.framed += p;
   }
@@ -88,28 +90,28 @@
     return m;
   }
 
-  Message ownAnswer(int status = 200) const {
-    return message(status, fields(request_.attempt, request_.seal), bodyParts_, answer_.framing, out_.framed.size());
+  Message ownResponse(int status = 200) const {
+    return message(status, fields(request_.attempt, request_.seal), bodyParts_, response_.framing, out_.framed.size());
   }
 
-  Message smallAnswer(int status, std::string const& head) {
+  Message smallResponse(int status, std::string const& head) {
     std::string const body = pattern("says" + std::to_string(status) + "/" + request_.attempt, 40);
     out_.framed = body;
     out_.status = status;
     return message(status, head, {body}, Framing::length, body.size());
   }
 
-  void write(std::string bytes) { out_.steps.push_back(Step{Step::What::write, std::move(bytes)}); }
+  void write(std::string bytes) { out_.steps.push_back(Step{Step::Kind::write, std::move(bytes)}); }
   void pause(int ms) {
-    if (ms > 0) out_.steps.push_back(Step{Step::What::pause, {}, ms});
+    if (ms > 0) out_.steps.push_back(Step{Step::Kind::pause, {}, ms});
   }
-  void end() { out_.steps.push_back(Step{answer_.reset ? Step::What::reset : Step::What::close}); }
-  void hold() { out_.steps.push_back(Step{Step::What::hold}); }
+  void end() { out_.steps.push_back(Step{response_.reset ? Step::Kind::reset : Step::Kind::close}); }
+  void hold() { out_.steps.push_back(Step{Step::Kind::hold}); }
 
-  /// Writes a message part by part; one that ends with its connection ends it in order.
+  /// Writes a message part by part, and closes the connection if that marks the end of the body.
   void writeMessage(Message const& m) {
     std::string first = m.head;
-    int const each = m.parts.empty() ? 0 : answer_.pauseMs / static_cast<int>(m.parts.size() + 1);
+    int const each = m.parts.empty() ? 0 : response_.pauseMs / static_cast<int>(m.parts.size() + 1);
     if (each == 0) {
       write(m.bytes());
     } else {
@@ -121,43 +123,43 @@
       pause(each);
       write(m.last);
     }
-    if (answer_.framing == Framing::tillEnd) out_.steps.push_back(Step{Step::What::close});
+    if (response_.framing == Framing::tillEnd) out_.steps.push_back(Step{Step::Kind::close});
   }
 
   void begin() {
-    Fault const f = answer_.fault;
+    Fault const f = response_.fault;
     if (f == Fault::early || f == Fault::notRunEarly) return;
-    if (f == Fault::cutReading) {
-      out_.steps.push_back(Step{Step::What::awaitBytes, {}, 0, request_.bodyLength * answer_.at / 1000});
+    if (f == Fault::closeWhileReading) {
+      out_.steps.push_back(Step{Step::Kind::awaitBytes, {}, 0, request_.bodyLength * response_.at / 1000});
       return;
     }
-    out_.steps.push_back(Step{Step::What::awaitBody});
-    if (f != Fault::well) pause(answer_.pauseMs);
+    out_.steps.push_back(Step{Step::Kind::awaitBody});
+    if (f != Fault::none) pause(response_.pauseMs);
   }
 
-  /// Only what a length or chunks end has an end that something can come after.
+  /// Makes the response end before the connection does, so that further bytes can follow it.
   void ensureDelimited() {
-    if (answer_.framing == Framing::tillEnd) answer_.framing = Framing::length;
+    if (response_.framing == Framing::tillEnd) response_.framing = Framing::length;
   }
 
   void applyFault() {
-    switch (answer_.fault) {
-      case Fault::well:
+    switch (response_.fault) {
+      case Fault::none:
       case Fault::early:
-        writeMessage(ownAnswer());
+        writeMessage(ownResponse());
         break;
       case Fault::interim:
         interim();
         break;
-      case Fault::surplus:
-      case Fault::surplusLate:
-        surplus();
+      case Fault::extraBytes:
+      case Fault::delayedExtraBytes:
+        extraBytes();
         break;
-      case Fault::twoAnswers:
-        twoAnswers();
+      case Fault::twoResponses:
+        twoResponses();
         break;
-      case Fault::otherId:
-        otherId();
+      case Fault::otherRequestsResponse:
+        otherRequestsResponse();
         break;
       case Fault::badChunk:
         badChunk();
@@ -165,38 +167,38 @@
       case Fault::truncatedEvent:
         truncated();
         break;
-      case Fault::cutAnswer:
-        cutAnswer();
+      case Fault::truncatedResponse:
+        truncatedResponse();
         break;
-      case Fault::cutReading:
-        broken();
+      case Fault::closeWhileReading:
+        markIncomplete();
         end();
         break;
-      case Fault::silence:
-        stopAnswering();
+      case Fault::noResponse:
+        stopResponding();
         break;
       case Fault::slowWrite:
         slowWrite();
         break;
       case Fault::slowRead:
         out_.slowReading = true;
-        writeMessage(ownAnswer());
+        writeMessage(ownResponse());
         break;
       case Fault::notRun:
       case Fault::notRunEarly:
         notRun();
         break;
-      case Fault::falsePromise:
-        answer_.framing = Framing::length;
-        writeMessage(smallAnswer(503, fields(request_.attempt, "")));
+      case Fault::unmarkedRejection:
+        response_.framing = Framing::length;
+        writeMessage(smallResponse(503, fields(request_.attempt, "")));
         out_.framedComplete = false;
         break;
-      case Fault::failure:
-        answer_.framing = Framing::length;
-        writeMessage(smallAnswer(answer_.variant % 2 == 0 ? 500 : 504, fields(request_.attempt, request_.seal)));
+      case Fault::errorStatus:
+        response_.framing = Framing::length;
+        writeMessage(smallResponse(response_.variant % 2 == 0 ? 500 : 504, fields(request_.attempt, request_.seal)));
         break;
-      case Fault::unsealed:
-        writeMessage(message(200, fields(request_.attempt, ""), bodyParts_, answer_.framing, out_.framed.size()));
+      case Fault::missingSeal:
+        writeMessage(message(200, fields(request_.attempt, ""), bodyParts_, response_.framing, out_.framed.size()));
         out_.framedComplete = false;
         break;
       case Fault::garbage:
@@ -204,24 +206,24 @@
         break;
       case Fault::encoded:
         writeMessage(message(200, fields(request_.attempt, request_.seal) + "Content-Encoding: gzip\r\n", bodyParts_,
-                             answer_.framing, out_.framed.size()));
+                             response_.framing, out_.framed.size()));
         out_.framedComplete = false;
         break;
       case Fault::shortBody:
         shortBody();
         break;
-      case Fault::oddHead:
-        oddHead();
+      case Fault::invalidHead:
+        invalidHead();
         break;
     }
-    out_.steps.push_back(Step{Step::What::done});
+    out_.steps.push_back(Step{Step::Kind::done});
   }
 
-  void broken() { out_.framedComplete = false; }
+  void markIncomplete() { out_.framedComplete = false; }
 
   std::string atFault() const {
-    std::string const all = ownAnswer().bytes();
-    return all.substr(0, all.size() * answer_.at / 1000);
+    std::string const all = ownResponse().bytes();
+    return all.substr(0, all.size() * response_.at / 1000);
   }
 
   void interim() {
@@ -229,151 +231,151 @@
         "HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 102 Processing\r\n\r\n",
         "HTTP/1.1 103 Early Hints\r\nLink: </style.css>; rel=preload\r\n\r\n",
         "HTTP/1.1 199 Some Words\r\nContent-Length: 5\r\n\r\n"};
-    for (std::size_t i = 0; i <= answer_.variant % 3; ++i) {
-      write(heads[(answer_.variant + i) % heads.size()]);
-      pause(answer_.pauseMs / 4);
+    for (std::size_t i = 0; i <= response_.variant % 3; ++i) {
+      write(heads[(response_.variant + i) % heads.size()]);
+      pause(response_.pauseMs / 4);
     }
-    writeMessage(ownAnswer());
+    writeMessage(ownResponse());
   }
 
-  void surplus() {
+  void extraBytes() {
     ensureDelimited();
     std::string const more =
-        answer_.variant % 2 == 0 ? pattern("surplus/" + request_.other, 1 + answer_.at) : otherAnswer();
-    if (answer_.fault == Fault::surplus) {
-      write(ownAnswer().bytes() + more);
+        response_.variant % 2 == 0 ? pattern("surplus/" + request_.other, 1 + response_.at) : otherResponse();
+    if (response_.fault == Fault::extraBytes) {
+      write(ownResponse().bytes() + more);
       return;
     }
-    writeMessage(ownAnswer());
-    pause(1 + answer_.pauseMs);
+    writeMessage(ownResponse());
+    pause(1 + response_.pauseMs);
     write(more);
   }
 
-  std::string otherAnswer() const {
-    std::string const body = pattern(request_.other + "/stale", 100 + answer_.at);
+  std::string otherResponse() const {
+    std::string const body = pattern(request_.other + "/stale", 100 + response_.at);
     return message(200, fields(request_.other, "stale-" + request_.seal), {body}, Framing::length, body.size()).bytes();
   }
 
-  void twoAnswers() {
+  void twoResponses() {
     ensureDelimited();
-    std::string const body = pattern(request_.attempt + "/second", answer_.size);
+    std::string const body = pattern(request_.attempt + "/second", response_.size);
     std::string const second =
         message(200, fields(request_.attempt, "second-" + request_.seal), {body}, Framing::length, body.size()).bytes();
-    write(ownAnswer().bytes() + (answer_.variant % 2 == 0 ? second : ""));
-    if (answer_.variant % 2 == 0) return;
-    pause(1 + answer_.pauseMs);
+    write(ownResponse().bytes() + (response_.variant % 2 == 0 ? second : ""));
+    if (response_.variant % 2 == 0) return;
+    pause(1 + response_.pauseMs);
     write(second);
   }
 
-  /// Another's answer in this one's place; this one's own follows, or does not.
-  void otherId() {
-    write(otherAnswer());
-    if (answer_.variant % 2 == 0) return;
-    pause(answer_.pauseMs);
-    writeMessage(ownAnswer());
+  /// Sends the response of another request. Every second variant sends the correct response after it.
+  void otherRequestsResponse() {
+    write(otherResponse());
+    if (response_.variant % 2 == 0) return;
+    pause(response_.pauseMs);
+    writeMessage(ownResponse());
   }
 
   void badChunk() {
     static constexpr std::array<char const*, 6> bad{"zz\r\n",       "-5\r\nhello\r\n",  "ffffffffffffffffff\r\n",
                                                     "5\r\nhelloXX", "5 5\r\nhello\r\n", "\r\n\r\n"};
-    answer_.framing = Framing::chunks;
-    broken();
-    Message m = ownAnswer();
-    std::size_t const index = m.parts.empty() ? 0 : m.parts.size() * answer_.at / 1001;
+    response_.framing = Framing::chunks;
+    markIncomplete();
+    Message m = ownResponse();
+    std::size_t const index = m.parts.empty() ? 0 : m.parts.size() * response_.at / 1001;
     m.parts.resize(index);
     out_.framed.clear();
     for (std::size_t i = 0; i < index; ++i) out_.framed += bodyParts_[i];
     out_.framed += "hello";
-    m.last = bad[answer_.variant % bad.size()];
+    m.last = bad[response_.variant % bad.size()];
     write(m.bytes());
-    if (answer_.variant % 3 == 0)
+    if (response_.variant % 3 == 0)
       hold();
     else
       end();
   }
 
-  /// The last event lacks its end, though the framing says that all is there.
+  /// Truncates the last event although the framing marks the body as complete.
   void truncated() {
     if (bodyParts_.empty()) {
-      writeMessage(ownAnswer());
+      writeMessage(ownResponse());
       return;
     }
     std::string& last = bodyParts_.back();
-    last.resize(last.size() * answer_.at / 1001);
+    last.resize(last.size() * response_.at / 1001);
     if (last.empty()) bodyParts_.pop_back();
     out_.framed.clear();
     for (std::string const& p : bodyParts_) out_.framed += p;
-    writeMessage(ownAnswer());
+    writeMessage(ownResponse());
   }
 
-  void stopAnswering() {
+  void stopResponding() {
     write(atFault());
-    if (answer_.at >= 1000 && answer_.framing != Framing::tillEnd) return;
-    broken();
+    if (response_.at >= 1000 && response_.framing != Framing::tillEnd) return;
+    markIncomplete();
     hold();
   }
 
-  void cutAnswer() {
+  void truncatedResponse() {
     std::string const bytes = atFault();
-    bool const all = answer_.at >= 1000;
-    if (answer_.framing == Framing::tillEnd && !answer_.reset && !all) {
-      std::size_t const head = ownAnswer().head.size();
+    bool const all = response_.at >= 1000;
+    if (response_.framing == Framing::tillEnd && !response_.reset && !all) {
+      std::size_t const head = ownResponse().head.size();
       out_.framed.resize(bytes.size() > head ? bytes.size() - head : 0);
       out_.framedComplete = bytes.size() >= head;
-    } else if (!all || (answer_.framing == Framing::tillEnd && answer_.reset)) {
-      broken();
+    } else if (!all || (response_.framing == Framing::tillEnd && response_.reset)) {
+      markIncomplete();
     }
     write(bytes);
     end();
   }
 
   void slowWrite() {
-    for (std::string const& p : cut(ownAnswer().bytes(), slowWriteParts)) {
+    for (std::string const& p : cut(ownResponse().bytes(), slowWriteParts)) {
       write(p);
       pause(slowWriteMs);
     }
-    if (answer_.framing == Framing::tillEnd) out_.steps.push_back(Step{Step::What::close});
+    if (response_.framing == Framing::tillEnd) out_.steps.push_back(Step{Step::Kind::close});
   }
 
   void notRun() {
     static constexpr std::array<int, 3> statuses{503, 429, 421};
     out_.ran = false;
-    answer_.framing = Framing::length;
-    writeMessage(smallAnswer(statuses[answer_.variant % statuses.size()],
-                             fields(request_.attempt, "") + wire::notRun + ": 1\r\n"));
+    response_.framing = Framing::length;
+    writeMessage(smallResponse(statuses[response_.variant % statuses.size()],
+                               fields(request_.attempt, "") + wire::notRun + ": 1\r\n"));
   }
 
   void garbage() {
-    broken();
-    core::RandomGenerator rng(answer_.variant + answer_.size);
+    markIncomplete();
+    core::RandomGenerator rng(response_.variant + response_.size);
     std::string bytes;
-    for (std::size_t i = 0; i < 20 + answer_.at; ++i) bytes += static_cast<char>(rng.below(256));
-    write((answer_.variant % 2 == 0 ? "HTTP/1.1 200 OK\r\n" : "") + bytes);
-    if (answer_.variant % 3 == 0)
+    for (std::size_t i = 0; i < 20 + response_.at; ++i) bytes += static_cast<char>(rng.below(256));
+    write((response_.variant % 2 == 0 ? "HTTP/1.1 200 OK\r\n" : "") + bytes);
+    if (response_.variant % 3 == 0)
       hold();
     else
       end();
   }
 
-  /// Less comes than the length says.
+  /// Sends fewer bytes than Content-Length states.
   void shortBody() {
-    broken();
+    markIncomplete();
     write(message(200, fields(request_.attempt, request_.seal), bodyParts_, Framing::length, out_.framed.size() + 7)
               .bytes());
-    if (answer_.variant % 2 == 0)
+    if (response_.variant % 2 == 0)
       hold();
     else
       end();
   }
 
-  /// Heads that contradict themselves, are too long or of another version.
-  void oddHead() {
+  /// Sends a contradictory or too long head, or one of another HTTP version.
+  void invalidHead() {
     std::string const mine = fields(request_.attempt, request_.seal);
     std::string const length = std::to_string(out_.framed.size());
-    switch (answer_.variant % 6) {
+    switch (response_.variant % 6) {
       case 0:
         write(message(200, mine + "Content-Length: 3\r\n", bodyParts_, Framing::length, out_.framed.size()).bytes());
-        broken();
+        markIncomplete();
         break;
       case 1:
         write(message(200, mine + "Content-Length: " + length + "\r\n", bodyParts_, Framing::chunks, 0).bytes());
@@ -384,26 +386,26 @@
                   .bytes());
         break;
       case 3: {
-        answer_.framing = Framing::tillEnd;
-        std::string text = ownAnswer().bytes();
+        response_.framing = Framing::tillEnd;
+        std::string text = ownResponse().bytes();
         text.replace(0, 8, "HTTP/1.0");
         write(text);
-        out_.steps.push_back(Step{Step::What::close});
+        out_.steps.push_back(Step{Step::Kind::close});
         break;
       }
       case 4:
         write(message(200, mine + "Content-Length: -1\r\n", bodyParts_, Framing::tillEnd, 0).bytes());
-        out_.steps.push_back(Step{Step::What::close});
-        broken();
+        out_.steps.push_back(Step{Step::Kind::close});
+        markIncomplete();
         break;
       default:
         write(message(101, mine + "Upgrade: other\r\n", bodyParts_, Framing::tillEnd, 0).bytes());
-        broken();
+        markIncomplete();
         break;
     }
   }
 
-  Answer answer_;
+  ScriptedResponse response_;
   ReceivedRequest const& request_;
   std::vector<std::string> bodyParts_;
   ScriptedExchange out_;
@@ -411,8 +413,8 @@
 
 }  // namespace
 
-ScriptedExchange scriptedExchangeOf(Answer const& answer, ReceivedRequest const& request) {
-  return Writer(answer, request).run();
+ScriptedExchange scriptedExchangeOf(ScriptedResponse const& response, ReceivedRequest const& request) {
+  return Writer(response, request).run();
 }
 
 }  // namespace corkward::fuzz
--- a/testing/fuzz/scripted_exchange.h
+++ b/testing/fuzz/scripted_exchange.h
@@ -5,56 +5,56 @@
 
 #include "plan.h"
 
-/// What a replica does about one request, step by step.
+/// The steps by which a replica handles one request.
 namespace corkward::fuzz {
 
 /// One step of a replica.
 struct Step {
-  enum class What {
+  enum class Kind {
     /// Waits until the complete request was read.
     awaitBody,
-    /// Waits until so many bytes of the request's body were read, or it is complete.
+    /// Waits until `count` bytes of the request's body were read, or the body is complete.
     awaitBytes,
     write,
     pause,
-    /// Ends the connection in order, or by a reset.
+    /// Closes or resets the connection.
     close,
     reset,
-    /// Says nothing more, and keeps the connection.
+    /// Sends nothing more and keeps the connection open.
     hold,
-    /// The answer is given; the connection goes on to the next request.
+    /// The response is complete; the connection is used for the next request.
     done,
   };
-  What what = What::done;
+  Kind kind = Kind::done;
   std::string bytes = {};
   int ms = 0;
   std::size_t count = 0;
 };
 
-/// Who asks, and for what.
+/// The request that the replica has received.
 struct ReceivedRequest {
   std::string attempt;
   std::string seal;
-  /// Attempt whose answer may come in this one's place.
+  /// Another attempt, for faults that send its response instead of this one's.
   std::string other;
   bool isEventStream = false;
-  /// Events of the row, and the last that the caller has.
+  /// Number of events of the stream, and the last one that the caller already has.
   std::size_t events = 0;
   std::size_t after = 0;
   std::size_t bodyLength = 0;
 };
 
-/// The steps, and what the answer comes to.
+/// The steps and the resulting response.
 struct ScriptedExchange {
   std::vector<Step> steps;
   int status = 200;
   bool ran = true;
   bool slowReading = false;
-  /// Body as framed, and whether the framing says that it is complete.
+  /// Body of the response, and whether its framing marks it as complete.
   std::string framed;
   bool framedComplete = true;
 };
 
-ScriptedExchange scriptedExchangeOf(Answer const& answer, ReceivedRequest const& request);
+ScriptedExchange scriptedExchangeOf(ScriptedResponse const& response, ReceivedRequest const& request);
 
 }  // namespace corkward::fuzz
--- a/testing/test/fuzz_test.cpp
+++ b/testing/test/fuzz_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr std::size_t atOnce = 10;
+constexpr std::size_t maxConcurrent = 10;
 constexpr std::uint64_t mutationSeeds = 48;
 constexpr std::uint64_t firstSeed = 1;
 constexpr std::uint64_t budgetSeeds = 100;
@@ -37,12 +37,12 @@
   return corkward::fuzz::corpus(CORKWARD_SOURCE "/testing/fuzz/corpus");
 }
 
-Report play(std::vector<Plan> const& plans, std::optional<Mutation> const& mutation = std::nullopt) {
+Report runPlans(std::vector<Plan> const& plans, std::optional<Mutation> const& mutation = std::nullopt) {
   application();
   std::size_t given = 0;
   Runner runner(
       [&]() -> std::optional<Plan> { return given < plans.size() ? std::optional(plans[given++]) : std::nullopt; },
-      mutation, atOnce);
+      mutation, maxConcurrent);
   return runner.run();
 }
 
@@ -55,13 +55,13 @@
 std::string textOf(Report const& report) {
   std::string out;
   for (Finding const& f : report.findings)
-    out += "scene " + f.scenario + ": " + f.violation.oracle + ": " + f.violation.what + "\n";
+    out += "scenario " + f.scenario + ": " + f.violation.oracle + ": " + f.violation.what + "\n";
   return out;
 }
 
 }  // namespace
 
-TEST_CASE("a seed always makes the same scene, and it is read back as it is written", "[plans]") {
+TEST_CASE("a seed always gives the same plan and a plan is unchanged after writing and reading it", "[plans]") {
   for (std::uint64_t seed = 1; seed < 50; ++seed) {
     Plan const plan = corkward::fuzz::planOf(seed);
     CHECK(jsonOf(plan) == jsonOf(corkward::fuzz::planOf(seed)));
@@ -71,30 +71,30 @@
   CHECK_THROWS_AS(corkward::fuzz::planOf("none", QJsonObject{}), corkward::fuzz::PlanError);
 }
 
-TEST_CASE("misbehaving callers and replicas of the corpus break no rule", "[corpus]") {
-  Report const report = play(corpusOfTheTree());
+TEST_CASE("no rule is broken by misbehaving callers and replicas of the corpus", "[corpus]") {
+  Report const report = runPlans(corpusOfTheTree());
   INFO(textOf(report));
   CHECK(report.findings.empty());
   CHECK(report.served > 0);
 }
 
-TEST_CASE("misbehaving callers and replicas by seed break no rule", "[seeds]") {
-  Report const report = play(bySeed(firstSeed, budgetSeeds));
+TEST_CASE("no rule is broken by misbehaving callers and replicas drawn from seeds", "[seeds]") {
+  Report const report = runPlans(bySeed(firstSeed, budgetSeeds));
   INFO(textOf(report));
   CHECK(report.findings.empty());
   CHECK(report.served > report.requests / 5);
-  CHECK(report.faults.size() == static_cast<std::size_t>(corkward::fuzz::faults));
+  CHECK(report.faults.size() == static_cast<std::size_t>(corkward::fuzz::faultCount));
 }
 
-TEST_CASE("each oracle finds the fault that was put in for it", "[mutation]") {
+TEST_CASE("each oracle reports its injected defect", "[mutation]") {
   for (Mutation const& m : corkward::fuzz::mutations()) {
     bool found = false;
     std::vector<Plan> plans = corpusOfTheTree();
-    for (std::uint64_t seed = firstSeed; !found && seed <= firstSeed + mutationSeeds; seed += atOnce) {
-      Report const report = play(plans, m);
+    for (std::uint64_t seed = firstSeed; !found && seed <= firstSeed + mutationSeeds; seed += maxConcurrent) {
+      Report const report = runPlans(plans, m);
       found = std::any_of(report.findings.begin(), report.findings.end(),
                           [&](Finding const& f) { return f.violation.oracle == m.oracle; });
-      plans = bySeed(seed, atOnce);
+      plans = bySeed(seed, maxConcurrent);
     }
     CAPTURE(m.name, m.oracle);
     CHECK(found);
