--- a/programs/cli/apply.cpp
+++ b/programs/cli/apply.cpp
@@ -31,7 +31,7 @@
   std::cout << "\n";
 }
 
-/// The change in the JSON report, without its outcome.
+/// Returns the change's entry in the JSON report, without its outcome.
 QJsonObject reportOf(PlannedChange const& change) {
   return {{"action", name(change.action)},
           {"path", core::toQString(change.call.path)},
@@ -39,13 +39,13 @@
           {"changeId", core::toQString(change.call.changeId)}};
 }
 
-/// Sends planned changes in their order until one is not accepted.
+/// Sends planned changes in order until one is not accepted.
 class ChangeApplier {
  public:
   ChangeApplier(std::vector<std::string> const& controllers, ApplyOptions const& options)
       : controllers_(controllers), options_(options) {}
 
-  /// Sends the change unless one before it failed, and adds it to the report.
+  /// Sends the change, unless an earlier one failed or changes are only compared, and adds it to the report.
   void add(PlannedChange const& change) {
     QJsonObject report = reportOf(change);
     bool const send = options_.apply && !options_.dryRun;
--- a/programs/cli/change_plan.cpp
+++ b/programs/cli/change_plan.cpp
@@ -21,17 +21,18 @@
 using core::HttpMethod;
 using Declarations = std::vector<Declaration const*>;
 
-/// Revision of what does not exist yet.
+/// Revision on which the creation of a resource is based.
 constexpr qint64 noRevision = 0;
 
-/// Entries of pages and of families: the value, its revision (under the name that pages give it) and, in a family, the
-/// instances.
+/// JSON fields of the operator interface's responses and of template families: the value, its revision and, in a
+/// family, the template and its instances.
 constexpr char const* specField = "spec";
 constexpr char const* revisionField = "stamp";
 constexpr char const* templateField = "template";
 constexpr char const* instancesField = "instances";
 
-/// The same change on the same revision has the same id, so a retry of apply is harmless.
+/// Derives the change id from the change and its base revision, so that a retry of apply does not change anything
+/// twice.
 std::string changeIdOf(OperatorCall const& call) {
   std::string const text =
       std::string(core::name(call.method)) + " " + call.path + " " + call.revision + " " + call.body;
@@ -58,17 +59,17 @@
   out.insert(out.end(), more.begin(), more.end());
 }
 
-/// A template with its instances: as the fleet has it, and as it is declared.
+/// A template with its instances, both as stored in the fleet and as declared.
 struct Family {
-  /// {"template": entry, "instances": {name: entry}}; empty when the fleet does not have it.
+  /// {"template": entry, "instances": {name: entry}}. Empty if the fleet does not have the template.
   QJsonObject current;
   Declarations instances;
-  /// Null when the template itself is not declared.
+  /// Null if the template itself is not declared.
   Declaration const* declaredTemplate = nullptr;
 
   QJsonObject currentTemplate() const { return current.value(templateField).toObject(); }
   QJsonObject currentInstances() const { return current.value(instancesField).toObject(); }
-  /// The entry that a declaration of this family replaces; empty: none.
+  /// Returns the entry that a declaration of this family replaces. Empty if there is none.
   QJsonObject currentEntry(Declaration const& declaration) const {
     return declaration.kind == Declaration::Kind::instance
                ? currentInstances().value(core::toQString(declaration.instance)).toObject()
@@ -82,7 +83,7 @@
       return core::toQString(declaration->instance) == instance;
     });
   }
-  /// The family after all changes.
+  /// Returns the family as it will be after all changes.
   QJsonObject target(bool prune) const;
 };
 
@@ -98,13 +99,13 @@
   return out;
 }
 
-/// What families are checked against.
+/// The pools, regimes and time against which families are validated.
 struct ValidationContext {
   config::IsKnownPool poolExists;
   config::Regimes regimes;
   config::WallTime wallTime;
 
-  /// Why a tenant under the regime cannot be served from the pool; empty: it can.
+  /// Returns why a tenant under the regime cannot be served from the pool. Empty if the tenant can be served.
   std::string regimeError(std::string const& regime, std::string const& pool) const {
     std::optional<config::RegimeFault> const fault = config::findRegimeFault(regimes, regime, pool, wallTime);
     return fault ? fault->reason : std::string();
@@ -126,7 +127,7 @@
   });
 }
 
-/// Why the changes are not valid in this order; nothing: they are.
+/// Returns why the changes are invalid in this order, or std::nullopt if they are valid.
 std::optional<std::string> orderError(Family const& family, Declarations const& order,
                                       ValidationContext const& context) {
   QJsonObject state = family.current;
@@ -140,7 +141,8 @@
   return std::nullopt;
 }
 
-/// The changed declarations of a family, with the template first, or last when only that is valid.
+/// Returns the changed declarations of a family. The template comes first, or last if only that order is valid.
+/// Throws UsageError if neither order is valid.
 Declarations orderedChanges(Family const& family, ValidationContext const& context) {
   bool const templateChanged = family.declaredTemplate != nullptr && family.differs(*family.declaredTemplate);
   Declarations changed;
@@ -158,7 +160,7 @@
   throw UsageError(*error);
 }
 
-/// Removals of what the fleet has of a family and nobody declares.
+/// Plans the removal of the family's instances and template that the fleet has and no file declares.
 std::vector<PlannedChange> planRemovals(std::string const& templateName, Family const& family) {
   std::vector<PlannedChange> out;
   QJsonObject const current = family.currentInstances();
@@ -183,8 +185,8 @@
   return out;
 }
 
-/// The first tenant of the families that could not be served, and why; empty: all can. Families that are not valid by
-/// themselves are skipped: their error is reported elsewhere.
+/// Returns the first tenant of the families that could not be served, with the reason. Empty if all can be served.
+/// Invalid families are skipped, because orderedChanges reports their errors.
 std::string unservableTenant(std::map<std::string, QJsonObject> const& families, ValidationContext const& context) {
   for (auto const& [templateName, family] : families) {
     std::vector<config::Path> routes;
@@ -201,7 +203,7 @@
   return "";
 }
 
-/// Reads the fleet and plans the changes.
+/// Reads the fleet's configuration and plans the changes.
 class ChangePlanner {
  public:
   ChangePlanner(std::vector<Declaration> const& declarations, bool prune, CallFunction const& call);
@@ -220,9 +222,9 @@
   bool prune_;
   CallFunction const& call_;
   Families families_;
-  /// Null when certificates are not declared.
+  /// Null if certificates are not declared.
   Declaration const* certificates_ = nullptr;
-  /// Whether a pool exists, as far as that was read.
+  /// Whether a pool exists, for each pool that was looked up so far.
   std::map<std::string, bool> pools_;
 };
 
@@ -284,7 +286,7 @@
     bool const orphaned = family.current.isEmpty() && family.declaredTemplate == nullptr && !family.instances.empty();
     if (orphaned)
       throw UsageError(family.instances.front()->file + ": /template: " + templateName +
-                       " is neither declared nor in force");
+                       " is neither declared nor present in the fleet");
   }
 }
 
@@ -315,7 +317,8 @@
   return planWithCertificates(context, storedCertificates);
 }
 
-/// Certificates go first, unless tenants of the fleet still need the stored ones: then these change before.
+/// Plans the certificates before the families. If current tenants still need the stored certificates, plans the
+/// families first, so that these tenants are changed before the certificates.
 std::vector<PlannedChange> ChangePlanner::planWithCertificates(ValidationContext const& current,
                                                                OperatorReply const& stored) const {
   ValidationContext declared = current;
@@ -341,8 +344,8 @@
     out.push_back(certificatesChange);
     return out;
   } catch (UsageError const& error) {
-    throw UsageError(std::string(error.what()) + "; with the declared certificates first: " + before +
-                     "; declare this in two steps");
+    throw UsageError(std::string(error.what()) + "; if the declared certificates are applied first: " + before +
+                     "; split the change into two steps, each with its own apply");
   }
 }
 
--- a/programs/cli/change_plan.h
+++ b/programs/cli/change_plan.h
@@ -11,7 +11,7 @@
 
 enum class ChangeAction { create, change, remove };
 
-/// The action as reports name it.
+/// Returns the action's name in reports.
 char const* name(ChangeAction action);
 
 /// One change that brings the fleet closer to the declarations.
@@ -23,10 +23,10 @@
 /// Sends a call to a controller.
 using CallFunction = std::function<OperatorReply(OperatorCall const&)>;
 
-/// The changes that bring the fleet to the declarations, in an order in which every step leaves a valid configuration.
-/// Everything is checked before anything is changed: only reads are sent here.
-/// @param prune also remove what is not declared
-/// Throws UsageError when the declarations are no valid configuration, core::Error when the fleet cannot be read.
+/// Returns the changes that make the fleet match the declarations, in an order in which the configuration is valid
+/// after each change. Sends only reads, so that everything is validated before anything is changed. Throws UsageError
+/// if the declarations are not a valid configuration, and core::Error if the fleet cannot be read.
+/// @param prune also remove templates and instances that are not declared
 std::vector<PlannedChange> planChanges(std::vector<Declaration> const& declarations, bool prune,
                                        CallFunction const& call);
 
--- a/programs/cli/commands.cpp
+++ b/programs/cli/commands.cpp
@@ -114,7 +114,7 @@
       {"template-get", "T", "read a template", getTemplate},
       {"template-put", "T FILE", "create or replace a template (--revision, 0 for a new one)", putTemplate},
       {"template-patch", "T FILE", "change part of a template by a merge patch (--revision)", patchTemplate},
-      {"template-delete", "T", "remove a template without instances (--revision)", deleteTemplate},
+      {"template-delete", "T", "remove a template that has no instances (--revision)", deleteTemplate},
       {"templates", "", "list the templates", listTemplates},
       {"instance-get", "T I", "read an instance", getInstance},
       {"instance-put", "T I FILE", "create or replace an instance (--revision, 0 for a new one)", putInstance},
@@ -122,30 +122,34 @@
       {"instance-delete", "T I", "remove an instance (--revision)", deleteInstance},
       {"fleet-configuration-get", "", "read the fleet configuration", getFleetConfiguration},
       {"fleet-configuration-put", "FILE",
-       "replace the fleet configuration (--revision, the version that it is based on, 0 when there is none so far)",
+       "replace the fleet configuration (--revision, the version that the change is based on, or 0 if there is none "
+       "yet)",
        putFleetConfiguration},
       {"fleet-configuration-patch", "FILE",
-       "set and remove named items of the fleet configuration (--revision, the version that it is based on)",
+       "set and remove named items of the fleet configuration (--revision, the version that the change is "
+       "based on)",
        patchFleetConfiguration},
       {"certificates-get", "", "read the regimes and their certificates", getCertificates},
-      {"certificates-put", "FILE",
-       "replace the regimes and their certificates (--revision, 0 when there are none so far)", putCertificates},
-      {"certificates-patch", "FILE", "change part of them by a merge patch (--revision)", patchCertificates},
-      {"revoke", "CERTIFICATE", "revoke a certificate at once; answers which tenants are left without one",
+      {"certificates-put", "FILE", "replace the regimes and their certificates (--revision, 0 if there are none yet)",
+       putCertificates},
+      {"certificates-patch", "FILE", "change some regimes and certificates by a merge patch (--revision)",
+       patchCertificates},
+      {"revoke", "CERTIFICATE", "revoke a certificate at once and list the tenants that have no certificate left",
        revokeCertificate},
       {"evacuate", "ZONE", "evacuate a zone", putEvacuation},
-      {"lift", "ZONE", "lift a zone's evacuation", deleteEvacuation},
+      {"lift", "ZONE", "end a zone's evacuation", deleteEvacuation},
       {"evacuation", "ZONE", "read whether a zone is evacuated", getEvacuation},
       {"pool-get", "POOL", "read a pool's endpoint list", getPool},
       {"pool-put", "POOL FILE", "replace a pool's endpoint list, as the platform does", putPool},
       {"change", "ID", "read the outcome of a change", getChange},
       {"diff", "DIR", "compare a directory of declarations with the fleet (exit code 1 when they differ)", nullptr},
-      {"apply", "DIR", "change the fleet to the directory's declarations (--dry-run, --prune, --wait)", nullptr},
-      {"regime", "report FOLDER...",
-       "what ran where, was rejected and resumed, from copies of the routers' audit directories (--regime, --from, "
-       "--until, --span, --head; exit code 1 when records were changed or are missing)",
+      {"apply", "DIR", "change the fleet to match a directory of declarations (--dry-run, --prune, --wait)", nullptr},
+      {"regime", "report DIR...",
+       "report which requests ran where, were rejected or were resumed, from copies of the routers' audit directories "
+       "(--regime, --from, "
+       "--until, --span, --head; exit code 1 if records were changed or are missing)",
        nullptr},
-      {"node-remove", "LINK", "declare that a lost node's machine is switched off for good", removeNode},
+      {"node-remove", "LINK", "declare that the machine of a failed node is switched off permanently", removeNode},
       {"fleet", "", "show the fleet as one controller sees it", getFleet}};
   return table;
 }
@@ -157,11 +161,13 @@
 }
 
 CommandRequest requestOf(std::vector<std::string> const& commandLine) {
-  if (commandLine.empty()) throw UsageError("no command; see --help");
+  if (commandLine.empty()) throw UsageError("a command is missing; corkward --help lists all commands");
   Command const& command = commandNamed(commandLine[0]);
   std::size_t const wanted = argumentCount(command);
   bool const complete = commandLine.size() == wanted + 1 && command.request != nullptr;
-  if (!complete) throw UsageError(commandLine[0] + " wants: " + (wanted == 0 ? "nothing more" : command.arguments));
+  if (!complete)
+    throw UsageError(commandLine[0] + (wanted == 0 ? ": takes no arguments"
+                                                   : std::string(": needs the arguments ") + command.arguments));
   return command.request({commandLine.begin() + 1, commandLine.end()});
 }
 
--- a/programs/cli/commands.h
+++ b/programs/cli/commands.h
@@ -7,31 +7,32 @@
 
 namespace corkward::programs {
 
-/// The request that a command of the command line sends.
+/// The request that a command sends.
 struct CommandRequest {
   core::HttpMethod method = core::HttpMethod::get;
   std::string path;
-  /// File with the body, or - for standard input; empty: no body.
+  /// File with the body, or - for standard input. Empty if the request has no body.
   std::string bodyFile = {};
 };
 
-/// A command of the command line as --help shows it.
+/// A command of `corkward` as --help shows it.
 struct Command {
   char const* name;
   /// Names of its arguments, separated by a space.
   char const* arguments;
   char const* description;
-  /// The request that it sends; null for a command with a procedure of its own.
+  /// Builds the command's request. Null for a command that does not send exactly one request.
   CommandRequest (*request)(std::vector<std::string> const& arguments);
 };
 
-/// All commands in the order of --help.
+/// Returns all commands in the order of --help.
 std::vector<Command> const& commands();
 
-/// Today's name of a command, given that or a former one (former_names.h).
+/// Returns the current name of a command, given its current or former name (former_names.h).
 std::string currentCommandName(std::string const& name);
 
-/// The request of a command line's words: a command and its arguments. Throws UsageError.
+/// Returns the request for a command line, which is a command and its arguments. Throws UsageError if the command is
+/// unknown or the number of arguments is wrong.
 CommandRequest requestOf(std::vector<std::string> const& commandLine);
 
 }  // namespace corkward::programs
--- a/programs/cli/declaration.cpp
+++ b/programs/cli/declaration.cpp
@@ -17,12 +17,12 @@
 namespace {
 
 std::vector<std::string> jsonFilesBelow(std::string const& directory) {
-  if (!QDir(core::toQString(directory)).exists()) throw UsageError("no such folder: " + directory);
+  if (!QDir(core::toQString(directory)).exists()) throw UsageError("no such directory: " + directory);
   std::vector<std::string> files;
   QDirIterator it(core::toQString(directory), {"*.json"}, QDir::Files, QDirIterator::Subdirectories);
   while (it.hasNext()) files.push_back(core::toStdString(it.next()));
   std::sort(files.begin(), files.end());
-  if (files.empty()) throw UsageError(directory + ": no *.json file in it");
+  if (files.empty()) throw UsageError(directory + ": contains no *.json file");
   return files;
 }
 
@@ -76,8 +76,8 @@
     Declaration declaration = readDeclaration(file);
     auto const [entry, isNew] = fileByPath.try_emplace(declaration.path(), file);
     if (!isNew && declaration.kind == Declaration::Kind::certificates)
-      throw UsageError(file + ": /regimes: regimes stand in " + entry->second + " already");
-    if (!isNew) throw UsageError(file + ": " + declaration.path() + " is declared in " + entry->second + " too");
+      throw UsageError(file + ": /regimes: regimes are already declared in " + entry->second);
+    if (!isNew) throw UsageError(file + ": " + declaration.path() + " is already declared in " + entry->second);
     out.push_back(std::move(declaration));
   }
   return out;
--- a/programs/cli/declaration.h
+++ b/programs/cli/declaration.h
@@ -6,23 +6,24 @@
 
 namespace corkward::programs {
 
-/// One declaration of a directory.
+/// A declaration of a template, an instance or the certificates, read from one file.
 struct Declaration {
   enum class Kind { templateSpec, instance, certificates };
 
   Kind kind = Kind::templateSpec;
   /// Empty for certificates.
   std::string templateName;
-  /// Empty but for an instance.
+  /// Empty unless an instance is declared.
   std::string instance;
   QJsonObject spec;
-  /// File that it stands in, for messages.
+  /// The file of the declaration, for error texts.
   std::string file;
-  /// Path of what it declares in the operator interface.
+  /// Returns the path of the declared resource in the operator interface.
   std::string path() const;
 };
 
-/// Reads every *.json file below a directory, in the order of their paths. Throws UsageError with file and reason.
+/// Reads all *.json files in a directory and its subdirectories, in the order of their paths. Throws UsageError with
+/// the file and the reason if one is invalid.
 std::vector<Declaration> readDeclarations(std::string const& directory);
 
 }  // namespace corkward::programs
--- a/programs/cli/exit_code.h
+++ b/programs/cli/exit_code.h
@@ -5,20 +5,20 @@
 /// Exit codes of `corkward`, as --help lists them.
 enum class ExitCode : int {
   ok = 0,
-  /// diff found differences, or audit records are not as they were written.
+  /// diff found differences, or audit records were changed or are missing.
   differs = 1,
   invalidUsage = 2,
   rejected = 3,
-  /// A stale revision, or a change id that was used for another change.
+  /// The revision is stale, or the change id was used for another change.
   conflict = 4,
   unavailable = 5,
   unknownOutcome = 6,
   noAnswer = 7,
-  /// Committed, and not applied by all routers yet.
+  /// The change is committed but not yet applied by all routers.
   rolloutPending = 8,
 };
 
-/// Exit code for a status of the operator interface.
+/// Returns the exit code for an HTTP status of the operator interface.
 ExitCode exitCodeOf(int status);
 
 }  // namespace corkward::programs
--- a/programs/cli/main.cpp
+++ b/programs/cli/main.cpp
@@ -56,30 +56,31 @@
 po::options_description visibleOptions(Options& options) {
   po::options_description out("Flags");
   out.add_options()(former_names::controllerOption.current, po::value(&options.controllers),
-                    "address of a controller, ip:port (127.0.0.1:9100 when left out); when given more than once, the "
-                    "first that answers")(
+                    "address of a controller, ip:port (default 127.0.0.1:9100); if given more than once, the first "
+                    "controller that responds is used")(
       former_names::revisionOption.current, po::value(&options.revision),
-      "revision that the change is based on (of the fleet configuration: its version); 0 to create a new one")(
-      "change-id", po::value(&options.changeId), "id of the change; a random one when left out")(
-      "dry-run", po::bool_switch(&options.dryRun), "check the change, change nothing")(
-      "prune", po::bool_switch(&options.prune), "apply and diff: remove what the fleet has and is not declared")(
+      "revision that the change is based on (for the fleet configuration, its version); 0 to create a resource")(
+      "change-id", po::value(&options.changeId), "id of the change; random by default")(
+      "dry-run", po::bool_switch(&options.dryRun), "check the change without applying it")(
+      "prune", po::bool_switch(&options.prune),
+      "for apply and diff: also remove templates and instances that are not declared")(
       "json", po::bool_switch(&options.json), "print one JSON object")(
       "limit", po::value(&options.timeoutSeconds)->default_value(options.timeoutSeconds),
-      "seconds to wait for the answer, 1 to 300")("wait",
-                                                  po::value(&options.waitSeconds)->default_value(options.waitSeconds),
-                                                  "seconds to retry until the change is applied everywhere, 0 to 3600");
+      "seconds to wait for a response, 1 to 300")(
+      "wait", po::value(&options.waitSeconds)->default_value(options.waitSeconds),
+      "seconds to retry until all routers have applied the change, 0 to 3600");
   return out;
 }
 
 po::options_description reportOptions(ReportOptions& report) {
   po::options_description out("Flags of regime report");
-  out.add_options()("regime", po::value(&report.regime), "this regime alone")(
-      "from", po::value(&report.from), "from this time on, as 2027-01-31T00:00:00Z")("until", po::value(&report.until),
-                                                                                     "before this time")(
+  out.add_options()("regime", po::value(&report.regime), "report only this regime")(
+      "from", po::value(&report.from), "start of the report in UTC, as 2027-01-31T00:00:00Z")(
+      "until", po::value(&report.until), "end of the report in UTC, excluded")(
       "span", po::value(&report.spanMinutes)->default_value(report.spanMinutes),
-      "minutes that are summed up, 1 to 44640")(
+      "length in minutes of the periods that are summed up, 1 to 44640")(
       "head", po::value(&report.checkpoints),
-      "NODE=NUMBER:HASH of a record that was noted elsewhere and must be in the node's records");
+      "NODE=NUMBER:HASH of a record that was stored outside the node and must be among its records");
   return out;
 }
 
@@ -90,17 +91,19 @@
   return out;
 }
 
-/// Takes the values of former names over. Throws UsageError when a single value is given under both names.
+/// Merges the values given under former names into the options. Throws UsageError if --revision and its former name are
+/// both given.
 void merge(Options& options, FormerOptions const& former) {
   options.controllers.insert(options.controllers.end(), former.controllers.begin(), former.controllers.end());
   if (options.controllers.empty()) options.controllers.emplace_back(defaultController);
   if (former.revision.empty()) return;
-  if (!options.revision.empty()) throw UsageError("stamp: is the former name of revision; give one of them");
+  if (!options.revision.empty())
+    throw UsageError("stamp: is the former name of revision; give only one of the two flags");
   options.revision = former.revision;
 }
 
 void printFormerNames() {
-  std::cout << "\nFormer names, which are accepted as well:";
+  std::cout << "\nFormer names that are still accepted:";
   for (auto const& [former, current] : former_names::commands) std::cout << " " << former << " (" << current << "),";
   auto const& [formerController, controller] = former_names::controllerOption;
   auto const& [formerRevision, revision] = former_names::revisionOption;
@@ -117,12 +120,14 @@
   }
   std::cout << "  FILE is a JSON file, or - for standard input\n\n" << options;
   printFormerNames();
-  std::cout << "\nExit codes: 0 done, 2 bad use, 3 rejected, 4 stale revision or reused id, 5 not accepted, 6 "
-               "unknown, 7 no answer, 8 not yet in force\n";
+  std::cout
+      << "\nExit codes: 0 success, 1 differences found, 2 invalid command line, 3 rejected, 4 stale revision or reused "
+         "change id, 5 service unavailable, 6 outcome unknown, 7 no response, 8 committed but not yet applied by "
+         "all routers\n";
 }
 
 /// Reads the command line. Throws po::error or UsageError.
-/// @return false when all that was wanted has been printed
+/// @return false if the help or version was printed and no command is to be run
 bool readOptions(int argc, char** argv, Options& options) {
   FormerOptions former;
   po::options_description visible = visibleOptions(options);
@@ -147,8 +152,9 @@
   }
   merge(options, former);
   if (options.timeoutSeconds < 1 || options.timeoutSeconds > maxTimeoutSeconds)
-    throw UsageError("limit: must be 1 to 300");
-  if (options.waitSeconds < 0 || options.waitSeconds > maxWaitSeconds) throw UsageError("wait: must be 0 to 3600");
+    throw UsageError("limit: must be 1 to 300, but is " + std::to_string(options.timeoutSeconds));
+  if (options.waitSeconds < 0 || options.waitSeconds > maxWaitSeconds)
+    throw UsageError("wait: must be 0 to 3600, but is " + std::to_string(options.waitSeconds));
   if (options.changeId.empty()) options.changeId = randomId();
   return true;
 }
@@ -165,7 +171,7 @@
   std::cout << "\n" << reply.text.toStdString() << (reply.text.endsWith('\n') ? "" : "\n");
 }
 
-/// Sends the request of a command and prints its answer.
+/// Sends the request of a command and prints the response.
 ExitCode send(CommandRequest const& request, Options const& options) {
   bool const isChange = request.method != core::HttpMethod::get;
   OperatorCall const call{
@@ -175,7 +181,7 @@
   if (options.waitSeconds > 0 && isChange)
     reply = waitForRollout(options.controllers, call, reply, options.timeoutSeconds, options.waitSeconds);
   if (!reply.answered()) {
-    std::cerr << "corkward: no answer from " << reply.controller << ": " << reply.error << "\n";
+    std::cerr << "corkward: no response from " << reply.controller << ": " << reply.error << "\n";
     if (isChange)
       std::cerr << "corkward: whether the change was accepted is unknown; its change id is " << options.changeId
                 << "\n";
@@ -187,7 +193,7 @@
 
 ExitCode runApply(Options const& options) {
   std::vector<std::string> const& commandLine = options.commandLine;
-  if (commandLine.size() != 2) throw UsageError(commandLine[0] + " wants: DIR");
+  if (commandLine.size() != 2) throw UsageError(commandLine[0] + ": needs the argument DIR");
   ApplyOptions apply;
   apply.directory = commandLine[1];
   apply.apply = commandLine[0] == "apply";
@@ -201,7 +207,8 @@
 
 ExitCode runReport(Options const& options) {
   std::vector<std::string> const& commandLine = options.commandLine;
-  if (commandLine.size() < 3 || commandLine[1] != "report") throw UsageError("regime wants: report FOLDER...");
+  if (commandLine.size() < 3 || commandLine[1] != "report")
+    throw UsageError("regime: needs the arguments report DIR...");
   ReportOptions report = options.report;
   report.directories.assign(commandLine.begin() + 2, commandLine.end());
   report.json = options.json;
@@ -212,7 +219,7 @@
   std::string const command = options.commandLine.empty() ? "" : options.commandLine[0];
   if (command == "diff" || command == "apply") return runApply(options);
   if (command == "regime") return runReport(options);
-  if (options.prune) throw UsageError("prune: goes with diff and apply alone");
+  if (options.prune) throw UsageError("prune: is allowed only with diff and apply");
   return send(requestOf(options.commandLine), options);
 }
 
--- a/programs/cli/regime_report.cpp
+++ b/programs/cli/regime_report.cpp
@@ -20,16 +20,17 @@
 /// Length of a SHA-256 hash in hexadecimal digits.
 constexpr std::size_t hashLength = 64;
 
-/// Milliseconds since 1970 of an option's time; 0: no bound.
+/// Parses the time given by an option to milliseconds since 1970. Returns 0 if the text is empty, so that there is no
+/// bound.
 std::int64_t parseTime(char const* option, std::string const& text) {
   if (text.empty()) return 0;
   QDateTime const time = QDateTime::fromString(core::toQString(text), Qt::ISODate);
   if (!time.isValid() || text.back() != 'Z')
-    throw UsageError(std::string(option) + ": must be a time in UTC, as 2027-01-31T00:00:00Z");
+    throw UsageError(std::string(option) + ": must be a time in UTC, as 2027-01-31T00:00:00Z, but is " + text);
   return time.toMSecsSinceEpoch();
 }
 
-/// A checkpoint with its node.
+/// Parses a checkpoint of the form NODE=NUMBER:HASH to its node and its record. Throws UsageError.
 std::pair<std::string, audit::AuditHead> parseCheckpoint(std::string const& text) {
   std::size_t const equals = text.rfind('=');
   std::size_t const colon = text.rfind(':');
@@ -43,7 +44,8 @@
 
 audit::ReportQuery queryOf(ReportOptions const& options) {
   if (options.spanMinutes < 1 || options.spanMinutes > maxSpanMinutes)
-    throw UsageError("span: must be 1 to " + std::to_string(maxSpanMinutes));
+    throw UsageError("span: must be 1 to " + std::to_string(maxSpanMinutes) + ", but is " +
+                     std::to_string(options.spanMinutes));
   audit::ReportQuery query;
   query.regime = options.regime;
   query.from = parseTime("from", options.from);
@@ -54,11 +56,11 @@
 }
 
 audit::AuditLogView readLog(std::string const& directory) {
-  if (!QDir(core::toQString(directory)).exists()) throw UsageError("no such folder: " + directory);
+  if (!QDir(core::toQString(directory)).exists()) throw UsageError("no such directory: " + directory);
   try {
     std::unique_ptr<storage::Directory> const opened = storage::openDirectory(directory);
     audit::AuditLogView log = audit::readAuditLog(*opened);
-    if (log.records.empty() && log.faults.empty()) throw UsageError(directory + ": holds no records");
+    if (log.records.empty() && log.faults.empty()) throw UsageError(directory + ": contains no audit records");
     return log;
   } catch (storage::StorageError const& error) {
     throw UsageError(directory + ": " + error.what());
@@ -89,11 +91,12 @@
 void printIncarnation(QJsonObject const& incarnation) {
   bool const incomplete = incarnation.value("countsAreLeast").toBool();
   std::cout << "  " << text(incarnation, "from") << " to " << text(incarnation, "until")
-            << (incomplete ? ": no end was written, its last minute's counts are the least" : ": complete") << "\n";
+            << (incomplete ? ": no end was recorded, so the counts of its last minute are lower bounds" : ": complete")
+            << "\n";
 }
 
 void printFault(QJsonObject const& fault) {
-  std::cout << "  NOT AS WRITTEN: ";
+  std::cout << "  CHANGED OR MISSING: ";
   if (fault.contains("file")) std::cout << text(fault, "file") << " line " << fault.value("line").toInteger() << " ";
   std::cout << text(fault, "reason") << "\n";
 }
@@ -102,7 +105,7 @@
   QJsonObject const head = node.value("head").toObject();
   std::cout << "node " << text(node, "node") << ": records " << node.value("first").toInteger() << " to "
             << head.value("n").toInteger() << ", newest " << text(head, "hash")
-            << (node.value("tornEnd").toBool() ? ", the end is torn" : "") << "\n";
+            << (node.value("tornEnd").toBool() ? ", the last record is incomplete" : "") << "\n";
   for (QJsonValue const incarnation : node.value("lives").toArray()) printIncarnation(incarnation.toObject());
   for (QJsonValue const fault : node.value("faults").toArray()) printFault(fault.toObject());
 }
@@ -111,7 +114,7 @@
   QJsonObject const regimes = report.value("regimes").toObject();
   for (QString const& regime : regimes.keys()) printRegime(regime, regimes.value(regime).toArray());
   for (QJsonValue const node : report.value("nodes").toArray()) printNode(node.toObject());
-  std::cout << (intact ? "all records are as they were written" : "NOT all records are as they were written") << "\n";
+  std::cout << (intact ? "all records are intact" : "NOT all records are intact") << "\n";
 }
 
 }  // namespace
--- a/programs/cli/regime_report.h
+++ b/programs/cli/regime_report.h
@@ -11,21 +11,21 @@
 struct ReportOptions {
   /// Directories with copies of the routers' audit logs.
   std::vector<std::string> directories;
-  /// Only this regime; empty: all.
+  /// The only regime to report. Empty to report all regimes.
   std::string regime;
-  /// Times in UTC as 2027-01-31T00:00:00Z; empty: no bound.
+  /// Start and end of the report as times in UTC, such as 2027-01-31T00:00:00Z. Empty if there is no bound.
   std::string from;
   std::string until;
-  /// Minutes that are summed up.
+  /// Length in minutes of the periods that are summed up.
   int spanMinutes = 60;
-  /// Checkpoints that were noted elsewhere, NODE=NUMBER:HASH: each must be in its node's log.
+  /// Checkpoints of the form NODE=NUMBER:HASH that were stored outside the nodes. Each must be in its node's log.
   std::vector<std::string> checkpoints;
-  /// Print one JSON object instead of lines.
+  /// Print one JSON object instead of text lines.
   bool json = false;
 };
 
-/// Prints the report. Throws UsageError.
-/// @return ExitCode::differs when records are not as they were written, or are missing
+/// Prints the report. Throws UsageError if an option is invalid or a log cannot be read.
+/// @return ExitCode::differs if records were changed or are missing
 ExitCode reportRegimes(ReportOptions const& options);
 
 }  // namespace corkward::programs
--- a/programs/common/directory_lock.h
+++ b/programs/common/directory_lock.h
@@ -6,11 +6,11 @@
 
 namespace corkward::programs {
 
-/// Keeps a directory for this process alone while the object lives, by flock(2).
+/// Locks a directory with flock(2) for this process until the object is destroyed.
 class DirectoryLock {
  public:
-  /// Throws SettingsError, which names the setting, when another process holds the lock or the directory cannot be
-  /// opened.
+  /// Throws SettingsError if another process holds the lock or the directory cannot be opened; the error text begins
+  /// with the name of the setting.
   DirectoryLock(char const* setting, std::string const& directory);
 
  private:
--- a/programs/common/events.h
+++ b/programs/common/events.h
@@ -6,29 +6,30 @@
 /// declared in their own packages.
 namespace corkward::programs::events {
 
-/// The process listens and takes part: `link`, `http`, `zone`.
+/// The process has opened its listening sockets and started its reducer. Fields: `link`, `http`, `zone`.
 inline constexpr core::EventName started{"started"};
-/// A graceful shutdown began: `pending` calls.
+/// A graceful shutdown began. Field: `pending`, the number of calls in progress.
 inline constexpr core::EventName draining{"draining"};
-/// The event loop ends: `pending` requests that were given up.
+/// The event loop ends. Field: `pending`, the number of requests that were abandoned.
 inline constexpr core::EventName stopped{"stopped"};
 /// The write-ahead log ended in an incomplete record, which was cut off.
 inline constexpr core::EventName writeAheadLogTailTruncated{"write-ahead-log-tail-truncated"};
-/// The write-ahead log is corrupt other than at its end: `position`.
+/// The write-ahead log is corrupt at a position before its end. Field: `position`.
 inline constexpr core::EventName writeAheadLogCorrupt{"write-ahead-log-corrupt"};
-/// The write-ahead log could not be read at the start: `error`.
+/// The write-ahead log could not be read when the process started. Field: `error`.
 inline constexpr core::EventName writeAheadLogReadFailed{"write-ahead-log-read-failed"};
-/// A write or sync of the write-ahead log failed: `error`.
+/// A write or sync of the write-ahead log failed. Field: `error`.
 inline constexpr core::EventName writeAheadLogWriteFailed{"write-ahead-log-write-failed"};
-/// The disk takes writes again after a failure; the controller starts over from its log.
+/// The disk accepts writes again after a failure, and the controller restarts its reducer from the log.
 inline constexpr core::EventName diskRecovered{"disk-recovered"};
-/// Audit records can be written from here on.
+/// Audit records can be written from now on.
 inline constexpr core::EventName auditLogAvailable{"audit-log-available"};
-/// Audit records cannot be written: `error`.
+/// Audit records cannot be written. Field: `error`.
 inline constexpr core::EventName auditLogUnavailable{"audit-log-unavailable"};
-/// Newest record of the audit log, to be noted elsewhere: `number`, `hash`.
+/// The newest record of the audit log, for operators to store outside this machine, so that later tampering can be
+/// detected. Fields: `number`, `hash`.
 inline constexpr core::EventName auditCheckpoint{"audit-checkpoint"};
-/// The address for the process's own metrics could not be had: `error`.
+/// The address for the process's own metrics could not be bound. Field: `error`.
 inline constexpr core::EventName metricsUnavailable{"metrics-unavailable"};
 
 }  // namespace corkward::programs::events
--- a/programs/common/former_names.h
+++ b/programs/common/former_names.h
@@ -3,8 +3,9 @@
 #include <array>
 #include <string_view>
 
-/// Names of earlier releases that are still accepted. They do what today's names do and send the same requests; scripts
-/// and deployments of operators use them, so no release drops one. This is the only place where they are declared.
+/// Names of earlier releases that are still accepted. A former name has the same effect as the current one and sends
+/// the same requests. Operators' scripts and deployments use former names, so no release drops one. This is the only
+/// place where they are declared.
 namespace corkward::programs::former_names {
 
 struct FormerName {
@@ -26,7 +27,7 @@
                                                      {"blueprint-patch", "fleet-configuration-patch"},
                                                      {"node-gone", "node-remove"}}};
 
-/// Whether a text is the name, today's or the former one.
+/// Returns whether a text is the current or the former name.
 constexpr bool matches(FormerName const& name, std::string_view text) {
   return text == name.current || text == name.former;
 }
--- a/programs/common/graceful_shutdown.cpp
+++ b/programs/common/graceful_shutdown.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// Callers that were sent here just before the signal still arrive for this long, in milliseconds.
+/// Milliseconds for which new connections are still accepted after the signal: load balancers directed these callers to
+/// this process just before it.
 constexpr core::Milliseconds lateCallerPeriod = 1000;
 
 }  // namespace
@@ -21,7 +22,7 @@
 bool GracefulShutdown::begin() {
   if (deadline_ != 0) return false;
   deadline_ = now() + limit_;
-  earliest_ = now() + std::max(lateCallerPeriod, minimum_);
+  earliestEnd_ = now() + std::max(lateCallerPeriod, minimum_);
   return true;
 }
 
@@ -29,7 +30,7 @@
   if (deadline_ == 0) return;
   bool const outOfTime = now() >= deadline_;
   std::size_t const remaining = pending + server.pendingCount();
-  if (!outOfTime && (remaining > 0 || now() < earliest_)) return;
+  if (!outOfTime && (remaining > 0 || now() < earliestEnd_)) return;
   server.closeListeners();
   if (!outOfTime && server.pendingCount() + server.expectedRequests() > 0) return;
   core::writeLog(core::LogEvent{events::stopped, {{"pending", std::to_string(remaining)}}});
--- a/programs/common/operator_client.cpp
+++ b/programs/common/operator_client.cpp
@@ -37,7 +37,7 @@
   return request;
 }
 
-/// The text as a JSON object; empty when it is none.
+/// Parses the text as a JSON object. Returns an empty object if the text is not one.
 QJsonObject objectOf(QByteArray const& text) {
   try {
     return core::parseJson(text.toStdString()).toObject();
--- a/programs/common/operator_client.h
+++ b/programs/common/operator_client.h
@@ -11,7 +11,7 @@
 
 namespace corkward::programs {
 
-/// A command line, runbook or address that cannot be used; nothing was sent.
+/// A command line, runbook or address is invalid. No request was sent.
 class UsageError : public core::Error {
  public:
   using core::Error::Error;
@@ -21,57 +21,58 @@
 struct OperatorCall {
   core::HttpMethod method = core::HttpMethod::get;
   std::string path;
-  /// JSON text; empty: none.
+  /// JSON text. Empty if the call has no body.
   std::string body = {};
-  /// Revision that a change is based on, sent as If-Match; empty: none.
+  /// Revision that a change is based on, sent as If-Match. Empty if there is none.
   std::string revision = {};
-  /// Idempotency key of a change; empty: none.
+  /// Idempotency key of a change. Empty if there is none.
   std::string changeId = {};
   bool dryRun = false;
 };
 
 /// Outcome of a call.
 struct OperatorReply {
-  /// Status code; noStatus: no controller answered.
+  /// HTTP status code. 0 if no controller responded.
   int status = 0;
+  /// Body of the response.
   QByteArray text;
-  /// The text as JSON; empty when it is no JSON object.
+  /// The body parsed as JSON. Empty if the body is not a JSON object.
   QJsonObject body;
-  /// The ETag's revision.
+  /// Revision from the ETag header.
   std::string revision;
-  /// Reason of the transport when there was no answer.
+  /// Description of the transport error if no controller responded.
   std::string error;
-  /// Address of the controller that answered, or of the last one that was tried.
+  /// Address of the controller that responded, or of the last one that was called.
   std::string controller;
 
   bool answered() const { return status != 0; }
   bool is(core::HttpStatus expected) const { return status == core::code(expected); }
-  /// The change was accepted: replaced or created.
+  /// Returns whether the change was accepted, that is, whether the resource was replaced or created.
   bool accepted() const { return is(core::HttpStatus::ok) || is(core::HttpStatus::created); }
-  /// The outcome is not final: the same call under the same change id may be sent again.
+  /// Returns whether the outcome is not final, so that the call may be sent again with the same change id.
   bool mayRetry() const {
     return !answered() || is(core::HttpStatus::serviceUnavailable) || is(core::HttpStatus::gatewayTimeout);
   }
-  /// A change that was committed and is not yet applied by all routers.
+  /// Returns whether the change is committed but not yet applied by all routers.
   bool pending() const { return body.value("pending").toBool(); }
 };
 
-/// Sends the call to the controllers in turn until one answers, and waits for the answer. Change ids make retries
-/// harmless. Throws UsageError when an address is not ip:port.
-/// @param timeoutSeconds for each controller
+/// Sends the call to one controller after the other until one responds. Change ids prevent a retry from applying a
+/// change twice. Throws UsageError when an address is not ip:port.
+/// @param timeoutSeconds time limit of the request to each controller
 OperatorReply callOperator(std::vector<std::string> const& controllers, OperatorCall const& call, int timeoutSeconds);
 
-/// Retries a change under its id until it is applied everywhere, rejected, or the time is over.
+/// Retries a change with the same change id until all routers have applied it, it is rejected, or the time limit ends.
 /// @param first outcome of the first attempt
-/// @param waitSeconds for all retries together
-/// @return the newest outcome
+/// @param waitSeconds time limit of all retries together
+/// @return the outcome of the last attempt
 OperatorReply waitForRollout(std::vector<std::string> const& controllers, OperatorCall const& call, OperatorReply first,
                              int timeoutSeconds, int waitSeconds);
 
-/// Runs the event loop for so many milliseconds.
+/// Runs the event loop for the given number of milliseconds.
 void pause(int milliseconds);
 
-/// Reads a file, or standard input for "-". Throws UsageError.
+/// Reads a file, or standard input if the path is "-". Throws UsageError if the file cannot be read.
 std::string readFile(std::string const& path);
 
 }  // namespace corkward::programs
--- a/programs/common/operator_paths.h
+++ b/programs/common/operator_paths.h
@@ -2,7 +2,8 @@
 
 #include <string>
 
-/// Paths of the operator interface (docs/interface.md). Parts of them that callers name freely are percent-encoded.
+/// Paths of the operator interface (docs/interface.md). Names of zones and pools may contain any character and are
+/// percent-encoded.
 namespace corkward::programs::paths {
 
 inline constexpr char const* templates = "/v1/templates";
@@ -10,7 +11,7 @@
 inline constexpr char const* fleet = "/v1/fleet";
 inline constexpr char const* metrics = "/metrics";
 
-/// A template, or one of its instances when a name is given.
+/// Returns the path of a template, or of one of its instances if an instance name is given.
 std::string ofTemplate(std::string const& templateName, std::string const& instance = "");
 std::string ofCertificate(std::string const& certificate);
 std::string ofEvacuation(std::string const& zone);
--- a/programs/common/process.h
+++ b/programs/common/process.h
@@ -11,18 +11,18 @@
 
 namespace corkward::programs {
 
-/// How a process introduces itself to its peers. The incarnation is a first guess from the wall clock.
+/// Returns the contact data that a process announces to its peers. The initial incarnation is the wall clock's time.
 transport::Contact contactOf(Settings const& settings, char const* role);
 
-/// Selects Qt's own event loop, which spends less on each connection than glib's. To be called before there is an
-/// application object.
+/// Selects Qt's own event loop, which uses less CPU time per connection than glib's. Must be called before the
+/// QCoreApplication is constructed.
 void selectQtEventLoop();
 
 /// Exit codes of the daemons.
 enum class DaemonExit : int { ok = 0, error = 1, invalidSettings = 2 };
 
-/// Main function of a daemon: reads the settings, starts the log and runs the daemon until its event loop ends.
-/// @tparam Daemon is constructed from the settings
+/// Main function of a daemon. Reads the settings, starts the log and runs the daemon until its event loop ends.
+/// @tparam Daemon the daemon's class, which is constructed from the settings
 /// @return the exit code of the process
 template <class Daemon>
 int runDaemon(char const* program, Role role, int argc, char** argv) {
--- a/programs/common/settings.cpp
+++ b/programs/common/settings.cpp
@@ -48,7 +48,7 @@
   if (!isAddress(value)) throw SettingsError(name + ": must be ip:port, but is " + value);
 }
 
-/// A directory that does not exist is made later; one that does must be writable.
+/// Throws SettingsError if the path exists and is not a writable directory. A missing directory is created later.
 void checkDirectory(std::string const& name, std::string const& path) {
   struct stat info {};
   if (::stat(path.c_str(), &info) != 0) return;
@@ -61,7 +61,8 @@
   return millisPerSecond * seconds;
 }
 
-/// The settings, and those of their values that are parsed only after the checks that come before theirs.
+/// Settings as read. The log level is parsed only after the addresses are checked, so that errors are reported in this
+/// order.
 struct RawSettings {
   Settings settings;
   std::string logLevel;
@@ -70,35 +71,38 @@
 void addControllerOptions(po::options_description& options, Settings& settings) {
   options.add_options()("data", po::value<std::string>(&settings.data), "directory for this machine's write-ahead log")(
       "founder", po::value<std::vector<std::string>>(&settings.founders),
-      "link address of a founder of the membership, once for each; counts at the first start of an empty directory");
+      "link address of one of the first members of the controllers' membership; repeat the flag for each of them; read "
+      "only at the first start with an empty data directory");
 }
 
 void addRouterOptions(po::options_description& options, Settings& settings) {
-  options.add_options()("audit", po::value<std::string>(&settings.audit),
-                        "directory for the audit log of regimes; without it nothing of a regime is served here")(
+  options.add_options()(
+      "audit", po::value<std::string>(&settings.audit),
+      "directory for the audit log of regimes; without it this router serves no tenant under a regime")(
       "audit-megabytes", po::value<int>(&settings.auditMegabytes)->default_value(settings.auditMegabytes),
-      "most that the audit log takes, 2 to 65536");
+      "maximum size of the audit log in megabytes, 2 to 65536");
 }
 
-/// The options that a settings file may have as well; values go to the settings.
+/// Returns the options that are allowed both as flags and in a settings file. Their values are stored in `raw`.
 po::options_description settingsOptions(RawSettings& raw, Role role) {
   Settings& settings = raw.settings;
   po::options_description options("Settings, in the file or as flags");
-  options.add_options()("link", po::value<std::string>(&settings.link), "own address for other processes, ip:port")(
+  options.add_options()("link", po::value<std::string>(&settings.link),
+                        "address at which other processes reach this one, ip:port")(
       "listen", po::value<std::string>(&settings.listen),
-      "address to listen at for links, when others reach it at another one")(
+      "address to listen at for other processes, if it differs from link, ip:port")(
       "http", po::value<std::string>(&settings.http),
-      role == Role::controller
-          ? "own address for operators and the platform, ip:port"
-          : "own address for callers, ip:port")("zone", po::value<std::string>(&settings.zone), "own zone")(
+      role == Role::controller ? "address to listen at for operators and the platform, ip:port"
+                               : "address to listen at for callers, ip:port")(
+      "zone", po::value<std::string>(&settings.zone), "zone (failure domain) of this process")(
       "seed", po::value<std::vector<std::string>>(&settings.seeds),
-      "link address of another process to join by; up to 8 times")(
-      "log-file", po::value<std::string>(&settings.logFile), "file for the log; standard error when empty")(
+      "link address of another process through which this one joins the fleet; up to 8 times")(
+      "log-file", po::value<std::string>(&settings.logFile), "log file; standard error if empty")(
       "log-level", po::value<std::string>(&raw.logLevel)->default_value("info"), "trace, debug, info, warn or error")(
       "drain-limit", po::value<int>()->default_value(defaultDrainSeconds)->notifier([&settings](int seconds) {
         settings.drainLimitMs = drainLimitOf(seconds);
       }),
-      "seconds that pending work may take after SIGTERM, 1 to 3600");
+      "seconds after SIGTERM before requests in progress are abandoned, 1 to 3600");
   if (role == Role::controller)
     addControllerOptions(options, settings);
   else
@@ -108,7 +112,7 @@
 
 po::options_description flagOptions() {
   po::options_description flags("Flags");
-  flags.add_options()("settings", po::value<std::string>(), "settings file: name = value lines")(
+  flags.add_options()("settings", po::value<std::string>(), "settings file with lines of the form name = value")(
       "check", "check the settings and exit")("help", "print this and exit")("version", "print the version and exit");
   return flags;
 }
@@ -140,7 +144,7 @@
   for (std::string const& founder : settings.founders) checkAddress("founder", founder, Presence::required);
 }
 
-/// Throws SettingsError at the first value that is missing or out of its range.
+/// Returns the settings if they are valid. Throws SettingsError at the first value that is missing or out of range.
 Settings checked(RawSettings const& raw, Role role) {
   Settings settings = raw.settings;
   checkAddresses(settings, role);
@@ -152,7 +156,7 @@
   return settings;
 }
 
-/// Adds the values of the settings file to the flags, which take precedence.
+/// Adds the values of the settings file. A value that was already given by a flag is not replaced.
 void storeFile(std::string const& path, po::options_description const& options, po::variables_map& values) {
   std::ifstream file(path);
   if (!file) throw SettingsError("settings: cannot be read: " + path + ": " + std::generic_category().message(errno));
--- a/programs/common/settings.h
+++ b/programs/common/settings.h
@@ -10,45 +10,45 @@
 
 namespace corkward::programs {
 
-/// Settings of a daemon, from its file and flags; a flag takes precedence over the file. Fields are called as the
-/// settings are.
+/// Settings of a daemon from its settings file and its flags. A flag takes precedence over the file.
 struct Settings {
-  /// Address that peers reach this process at, ip:port.
+  /// Address at which peers reach this process, ip:port.
   std::string link;
-  /// Address to listen at for peers, when it differs from `link`; empty: the same.
+  /// Address to listen at for peers. Empty if it is the same as `link`.
   std::string listen;
   /// Address for callers (router) or operators (controller), ip:port.
   std::string http;
   /// Failure domain that this process runs in.
   std::string zone;
-  /// Link addresses of processes to join by.
+  /// Link addresses of processes through which this one joins the fleet.
   std::vector<std::string> seeds;
-  /// Directory of the write-ahead log; controllers only.
+  /// Directory of the write-ahead log. Controllers only.
   std::string data;
-  /// Link addresses of the first members; read when the directory is empty. Controllers only.
+  /// Link addresses of the first members of the membership, used only if `data` is an empty directory. Controllers
+  /// only.
   std::vector<std::string> founders;
-  /// Directory of the audit log; empty: nothing is recorded. Routers only.
+  /// Directory of the audit log. Empty if no audit records are written. Routers only.
   std::string audit;
-  /// Most megabytes that the audit log takes.
+  /// Maximum size of the audit log in megabytes.
   int auditMegabytes = 64;
-  /// Log file; empty: standard error.
+  /// Log file. Empty to log to standard error.
   std::string logFile;
   core::LogLevel logLevel = core::LogLevel::info;
-  /// Milliseconds that pending work may take after SIGTERM.
+  /// Milliseconds after SIGTERM before requests in progress are abandoned.
   core::Milliseconds drainLimitMs = 60000;
 };
 
-/// A setting that is unknown, missing or out of its range; the message begins with its name.
+/// A setting is unknown, missing or out of range. The error text names the setting.
 class SettingsError : public core::Error {
  public:
   using core::Error::Error;
 };
 
-/// The daemon that settings are read for: it decides which settings there are.
+/// The daemon for which settings are read. It determines which settings are allowed.
 enum class Role { router, controller };
 
 /// Reads flags and the settings file and checks every value. Throws SettingsError.
-/// @return nothing when the process is to end with exit code 0 (--help, --version, --check)
+/// @return std::nullopt if the process should end with exit code 0 (after --help, --version or --check)
 std::optional<Settings> readSettings(int argc, char const* const* argv, Role role);
 
 }  // namespace corkward::programs
--- a/programs/common/signals.cpp
+++ b/programs/common/signals.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// The self-pipe of a signal handler: the handler writes a byte, the event loop reads it. It belongs to the newest
-/// owner; each owner closes only the ends that it took over.
+/// Self-pipe of a signal handler: the handler writes a byte and the event loop reads it. The pipe belongs to the most
+/// recent owner of the handler. Each owner closes only the descriptors that it acquired.
 struct SignalPipe {
   int readEnd = -1;
   int writeEnd = -1;
-  /// An owner reads from it.
+  /// Whether an owner reads from the pipe.
   bool owned = false;
 };
 
@@ -27,7 +27,8 @@
   static_cast<void>(written);
 }
 
-/// Routes the signals to the pipe. A pipe without an owner is used further, with the signals that wait in it.
+/// Installs a handler that writes the signals to the pipe. An existing pipe without an owner is reused, so that the
+/// signals buffered in it are delivered. Returns false if no pipe can be created.
 bool routeSignals(SignalPipe& pipe, std::initializer_list<int> numbers) {
   bool const unclaimed = pipe.readEnd >= 0 && !pipe.owned;
   if (!unclaimed) {
--- a/programs/common/signals.h
+++ b/programs/common/signals.h
@@ -5,14 +5,14 @@
 
 namespace corkward::programs {
 
-/// Keeps SIGHUP from ending the process while it starts. A signal that arrives before onReload is delivered to its
-/// handler later. To be called before anything else in main.
+/// Prevents SIGHUP from ending the process while it starts. A SIGHUP that arrives before onReload is called is
+/// delivered to the handler once onReload has installed it. Must be the first call in main.
 void deferReloads();
 
 /// Calls the handler on the owner's thread when SIGHUP arrives.
 void onReload(QObject* owner, std::function<void()> const& handler);
 
-/// Calls the handler on the owner's thread when SIGTERM or SIGINT arrives; SIGPIPE is ignored from here on.
+/// Calls the handler on the owner's thread when SIGTERM or SIGINT arrives; SIGPIPE is ignored from this call on.
 void onTermination(QObject* owner, std::function<void()> const& handler);
 
 }  // namespace corkward::programs
--- a/programs/test/change_plan_test.cpp
+++ b/programs/test/change_plan_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A controller's answers to reads.
+/// A controller that responds to reads with stored bodies, and with 404 for any other path.
 struct FakeController {
   std::map<std::string, QJsonObject> pages;
 
@@ -84,7 +84,7 @@
   CHECK(plan(directory, unchanged).empty());
 }
 
-TEST_CASE("certificates that tenants of the fleet still need are changed after the tenants that give them up") {
+TEST_CASE("certificates that current tenants still need are changed after these tenants") {
   FakeController controller = withPool();
   controller.store("/v1/certificates", certificates, 4);
   controller.store("/v1/templates/desk", R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})",
@@ -101,7 +101,7 @@
         std::string::npos);
 }
 
-TEST_CASE("the examples of regimes are valid, certificates first") {
+TEST_CASE("the examples of regimes are valid and planned with certificates first") {
   std::vector<programs::PlannedChange> const changes =
       programs::planChanges(programs::readDeclarations(CORKWARD_SOURCE "/examples/regimes"), false, withPool());
   REQUIRE(changes.size() == 3);
@@ -117,5 +117,5 @@
   CHECK(errorOf(directory, withPool()).find("c.json: /certificates/c1/until: missing") != std::string::npos);
   directory.write("c.json", certificates);
   directory.write("d.json", none);
-  CHECK(errorOf(directory, withPool()).find("d.json: /regimes: regimes stand in") != std::string::npos);
+  CHECK(errorOf(directory, withPool()).find("d.json: /regimes: regimes are already declared in") != std::string::npos);
 }
--- a/programs/test/commands_test.cpp
+++ b/programs/test/commands_test.cpp
@@ -16,7 +16,7 @@
 
 using CommandLine = std::vector<std::string>;
 
-/// The request as text, or the error.
+/// Returns the request of a command line as text, or the error text if there is none.
 std::string requestText(CommandLine const& commandLine) {
   try {
     programs::CommandRequest const request = programs::requestOf(commandLine);
@@ -26,7 +26,7 @@
   }
 }
 
-/// A command line with so many arguments.
+/// Returns a command line with the given number of arguments.
 CommandLine commandLineWith(std::string const& command, std::size_t arguments) {
   CommandLine commandLine{command};
   for (std::size_t i = 0; i < arguments; ++i) commandLine.push_back("argument-" + std::to_string(i));
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("commands send their requests") {
+TEST_CASE("each command is mapped to its method, path and body file") {
   struct Case {
     CommandLine commandLine;
     char const* request;
@@ -67,7 +67,7 @@
   for (auto const& [commandLine, request] : cases) CHECK(requestText(commandLine) == request);
 }
 
-TEST_CASE("former names of commands send the same requests as today's, and reject the same arguments") {
+TEST_CASE("former names of commands send the same requests and reject the same arguments as current names") {
   for (auto const& [former, current] : former_names::commands) {
     INFO(former);
     CHECK(programs::currentCommandName(former) == current);
@@ -80,20 +80,20 @@
   }
 }
 
-TEST_CASE("former names are no names of today") {
+TEST_CASE("no former name of a command is a current name of another") {
   for (auto const& [former, current] : former_names::commands)
     for (programs::Command const& command : programs::commands()) CHECK(std::string(former) != command.name);
 }
 
-TEST_CASE("a command line that is no command is rejected with what is wanted") {
-  CHECK(requestText({}) == "error: no command; see --help");
+TEST_CASE("a missing or unknown command and a wrong number of arguments are rejected") {
+  CHECK(requestText({}) == "error: a command is missing; corkward --help lists all commands");
   CHECK(requestText({"dance"}) == "error: no such command: dance");
-  CHECK(requestText({"template-get"}) == "error: template-get wants: T");
-  CHECK(requestText({"templates", "t"}) == "error: templates wants: nothing more");
-  CHECK(requestText({"blueprint-put"}) == "error: blueprint-put wants: FILE");
+  CHECK(requestText({"template-get"}) == "error: template-get: needs the arguments T");
+  CHECK(requestText({"templates", "t"}) == "error: templates: takes no arguments");
+  CHECK(requestText({"blueprint-put"}) == "error: blueprint-put: needs the arguments FILE");
 }
 
-TEST_CASE("exit codes tell operators what to do next") {
+TEST_CASE("HTTP statuses are mapped to exit codes") {
   using programs::ExitCode;
   using programs::exitCodeOf;
   for (int const status : {200, 201}) CHECK(exitCodeOf(status) == ExitCode::ok);
--- a/programs/test/regime_report_test.cpp
+++ b/programs/test/regime_report_test.cpp
@@ -14,7 +14,8 @@
 using programs::ExitCode;
 using programs::test::TemporaryDirectory;
 
-TEST_CASE("the report of regimes says when a record was changed, and rejects invalid options and empty directories") {
+TEST_CASE(
+    "a regime report returns differs for a missing checkpoint and rejects invalid options and empty directories") {
   TemporaryDirectory directory;
   {
     std::unique_ptr<storage::Directory> const disk = storage::openDirectory(directory.path());
