--- a/programs/cli/change_plan.cpp
+++ b/programs/cli/change_plan.cpp
@@ -249,7 +249,7 @@
   OperatorReply reply = call_({HttpMethod::get, path});
   if (reply.is(core::HttpStatus::ok) || reply.is(core::HttpStatus::notFound)) return reply;
   throw core::Error("cannot read " + path + ": " +
-                    (reply.answered() ? "status " + std::to_string(reply.status) : "no answer: " + reply.error));
+                    (reply.answered() ? "status " + std::to_string(reply.status) : "no response: " + reply.error));
 }
 
 void ChangePlanner::readPools() {
--- a/programs/cli/main.cpp
+++ b/programs/cli/main.cpp
@@ -120,10 +120,10 @@
   }
   std::cout << "  FILE is a JSON file, or - for standard input\n\n" << options;
   printFormerNames();
-  std::cout
-      << "\nExit codes: 0 success, 1 differences found, 2 invalid command line, 3 rejected, 4 stale revision or reused "
-         "change id, 5 service unavailable, 6 outcome unknown, 7 no response, 8 committed but not yet applied by "
-         "all routers\n";
+  std::cout << "\nExit codes: 0 success, 1 differences or changed records found, 2 invalid command line, 3 rejected, 4 "
+               "stale revision or reused "
+               "change id, 5 service unavailable, 6 outcome unknown, 7 no response, 8 committed but not yet applied by "
+               "all routers\n";
 }
 
 /// Reads the command line. Throws po::error or UsageError.
--- a/programs/control/control_daemon.cpp
+++ b/programs/control/control_daemon.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-/// What is kept of a call until its answer is written: all but the body.
+/// Returns a copy of the call without its body. Pending calls are stored without it, since only the other fields are
+/// needed to write the response.
 transport::OperatorCall withoutBody(transport::OperatorCall const& call) {
   transport::OperatorCall out;
   out.token = call.token;
@@ -29,7 +30,7 @@
   return out;
 }
 
-/// Answer of a call that was pending when the disk failed.
+/// Response to a call that was pending when the disk failed. Its outcome is unknown.
 control::OperatorResponse diskFailureResponse(std::uint64_t token) {
   return {token,
           core::code(core::HttpStatus::gatewayTimeout),
--- a/programs/control/control_daemon.h
+++ b/programs/control/control_daemon.h
@@ -22,9 +22,10 @@
 
 namespace corkward::programs {
 
-/// How a controller is reached, when that differs from the product's own HTTP surface.
+/// Configuration of a controller's HTTP interface, for deployments in which it differs from the product's own.
 struct ControllerSurface {
-  /// Addresses for operators and the platform, ip:port, all served alike; empty: Settings::http.
+  /// Addresses to listen at, ip:port. Operators and the platform are served at each of them. Empty to use only
+  /// Settings::http.
   std::vector<std::string> addresses = {};
   http::ServerLimits limits = http::ServerLimits{.bodyLimitBytes = control::maxFleetConfigurationBytes};
   /// Interval of the reducer's timer events, in milliseconds.
@@ -33,24 +34,25 @@
   bool standardEndpoints = true;
 };
 
-/// Runs the control plane's reducer: joins it with the links to peers, the operators' HTTP server and the write-ahead
-/// log.
+/// Runs the control plane's reducer and connects it with the links to peers, the operators' HTTP server and the
+/// write-ahead log.
 class ControlDaemon : public QObject {
  public:
-  /// The mapping must outlive the daemon. Throws core::Error when the disk or an address cannot be had.
+  /// The mapping must outlive the daemon. Throws core::Error if the data directory cannot be opened and locked or an
+  /// address cannot be bound.
   ControlDaemon(Settings const& settings, control::ControllerTuning const& tuning, http::OperatorMapping const& mapping,
                 ControllerSurface surface = {});
 
   http::Server& server() { return server_; }
   control::Controller const& reducer() const { return *reducer_; }
   bool ready() const;
-  /// Counters and gauges in the Prometheus text format.
+  /// Returns counters and gauges in the Prometheus text format.
   std::string metrics() const;
-  /// Takes over the platform's endpoint lists as they were just read; see control::Controller::updateEndpointLists.
+  /// Applies the endpoint lists that were just read from the platform; see control::Controller::updateEndpointLists.
   void updateEndpointLists(std::map<std::string, config::EndpointList> const& lists);
-  /// Whether this controller reads the platform's endpoint lists on behalf of all.
+  /// Returns whether this controller is the one that reads the platform's endpoint lists for all controllers.
   bool isEndpointListReader() const;
-  /// Processes to join by from here on.
+  /// Replaces the addresses of the processes through which this one joins the fleet.
   void updateSeeds(std::vector<std::string> const& seeds);
   /// Starts a graceful shutdown, as SIGTERM does.
   void drain();
@@ -59,10 +61,10 @@
   http::Server::Events serverEvents();
   void serve(http::Request const& request);
   void respond(control::OperatorResponse const& response);
-  /// Carries the reducer's commands out.
+  /// Executes the reducer's commands.
   void execute(control::ControllerCommands&& commands);
   void onPersisted(std::vector<std::uint64_t> const& tickets, bool written);
-  /// Replaces the reducer by a new one that starts from the recovered log, as after a restart of the process.
+  /// Replaces the reducer by a new one that starts from the recovered log, as if the process had been restarted.
   void restartReducer(storage::RecoveredState const& recovered);
   void probe(std::string const& link);
   void onTimer();
@@ -74,9 +76,9 @@
   GracefulShutdown shutdown_;
   LogWriter log_;
   bool draining_ = false;
-  /// Engaged from the constructor on; replaced as a whole by restartReducer.
+  /// Always has a value after construction. An optional, so that restartReducer can construct a new reducer in place.
   std::optional<control::Controller> reducer_;
-  /// Calls without an answer by their token, each without its body.
+  /// Calls that have no response yet, without their bodies, keyed by their tokens.
   std::unordered_map<std::uint64_t, transport::OperatorCall> pendingCalls_;
   transport::Link link_;
   http::Server server_;
--- a/programs/control/log_writer.cpp
+++ b/programs/control/log_writer.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr int retryIntervalMs = 1000;
-/// Key of a record without meaning, which shows that the disk takes writes. Readers of the log ignore it; the bytes are
-/// those of earlier releases.
+/// Key of a record without content, which is written to check that the disk accepts writes. Readers of the log ignore
+/// it. The key must not change, so that all releases ignore it.
 constexpr char const* diskProbeKey = "tried";
 
 }  // namespace
@@ -39,7 +39,8 @@
       startEmptyLog();
     }
   } catch (storage::StorageError const& error) {
-    // The log rejects the first write, of a new member id, so nothing is announced until the disk was retried and read.
+    // The log rejects every write until the disk is retried. The first write is that of a new member id, so the
+    // controller announces no member id before the log could be read.
     core::writeLog(core::LogEvent{events::writeAheadLogReadFailed, {{"error", error.what()}}});
     recovered = storage::RecoveredState{};
     recovered.damaged = true;
--- a/programs/control/main.cpp
+++ b/programs/control/main.cpp
@@ -1,4 +1,4 @@
-/// corkward-control: the control plane's daemon with the product's own HTTP surface.
+/// corkward-control: the control plane's daemon with the product's own HTTP interface.
 
 #include "control_daemon.h"
 
--- a/programs/router/audit_recorder.cpp
+++ b/programs/router/audit_recorder.cpp
@@ -16,7 +16,8 @@
 constexpr core::Milliseconds syncInterval = 1000;
 constexpr core::Milliseconds checkpointInterval = 60000;
 
-/// The outcome as audit records on disk name it; the texts are those of earlier releases.
+/// Returns the name of an outcome in audit records on disk. The names must not change, so that the records of earlier
+/// releases stay readable.
 char const* outcomeText(dataplane::AuditOutcome outcome) {
   switch (outcome) {
     case dataplane::AuditOutcome::dispatched:
--- a/programs/router/audit_recorder.h
+++ b/programs/router/audit_recorder.h
@@ -16,31 +16,33 @@
 
 namespace corkward::programs {
 
-/// Writes the audit records of a router's regimes, and syncs the files on a worker thread.
+/// Writes the audit records of requests under a regime, and syncs the files of the audit log on a worker thread.
 class AuditRecorder {
  public:
-  /// Whether records can be written from here on; called on the owner's thread when that changes.
+  /// Called on the owner's thread when records become writable (true) or are no longer writable (false).
   using AvailabilityChanged = std::function<void(bool available)>;
-  /// Without an audit directory nothing is recorded. Throws SettingsError when another process has the directory, and
-  /// storage::StorageError when it cannot be written.
+  /// Writes no records if the settings name no audit directory. Throws SettingsError if another process has locked the
+  /// directory, and storage::StorageError if the directory cannot be written.
   AuditRecorder(QObject* owner, Settings const& settings, AvailabilityChanged availabilityChanged);
-  /// Writes what was counted and not written yet.
+  /// Writes the outcomes that were counted but not yet written.
   ~AuditRecorder();
   AuditRecorder(AuditRecorder const&) = delete;
   AuditRecorder& operator=(AuditRecorder const&) = delete;
   AuditRecorder(AuditRecorder&&) = delete;
   AuditRecorder& operator=(AuditRecorder&&) = delete;
-  /// @return whether the record is in the file
+  /// Counts the outcome of a request; the first record of a kind is written to the file at once.
+  /// @return false if there is no audit directory or the write failed
   bool write(dataplane::WriteAuditRecord const& record);
-  /// Writes the counts of a span that has ended, and syncs in its turn.
+  /// Writes the counts of a counting period that has ended. Also syncs the files and logs a checkpoint when these are
+  /// due.
   void onTimer();
-  /// The newest record for the state page: number, hash, and whether records can be written; nothing without an audit
-  /// directory.
+  /// Returns the newest record for the router's state: its number, its hash, and whether records can be written.
+  /// Returns std::nullopt if there is no audit directory.
   std::optional<QJsonObject> head() const;
 
  private:
   void setAvailable(bool available, std::string const& error);
-  /// Runs a step that writes; a failure makes the recorder unavailable.
+  /// Runs a step that writes. If it fails, returns false and reports that records cannot be written.
   template <class Step>
   bool tryWrite(Step const& step);
   void sync();
@@ -49,16 +51,17 @@
 
   QObject* owner_;
   AvailabilityChanged availabilityChanged_;
-  /// Null without an audit directory, as is the log.
+  /// Null if there is no audit directory.
   std::unique_ptr<storage::Directory> directory_;
   std::optional<DirectoryLock> lock_;
+  /// Null if there is no audit directory.
   std::unique_ptr<audit::AuditLog> log_;
   bool available_ = false;
-  /// A sync is under way on the worker.
+  /// Whether a sync is in progress on the worker thread.
   bool syncing_ = false;
   core::Milliseconds nextSyncAt_ = 0;
   core::Milliseconds nextCheckpointAt_ = 0;
-  /// The last member: it ends before what its jobs use.
+  /// Declared last, so that the worker thread is stopped before the members that its jobs use are destroyed.
   std::optional<core::WorkerPool> worker_;
 };
 
--- a/programs/router/main.cpp
+++ b/programs/router/main.cpp
@@ -1,4 +1,4 @@
-/// corkward-router: the data plane's daemon with the product's own HTTP surface.
+/// corkward-router: the data plane's daemon with the product's own HTTP interface.
 
 #include "router_daemon.h"
 
--- a/programs/router/request_relay.cpp
+++ b/programs/router/request_relay.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Bytes that may wait to be written to a caller before its replica is not read any more.
+/// If more bytes than this wait to be written to a caller, reading from its replica pauses.
 constexpr std::int64_t callerBufferLimit = 256 << 10;
-/// Reading goes on below this.
+/// If fewer bytes than this wait to be written to the caller, reading from its replica resumes.
 constexpr std::int64_t callerBufferResume = callerBufferLimit / 2;
-/// Least milliseconds between two reports of progress, and between two checks for stalled callers.
+/// Minimum milliseconds between two progress reports of a request, and between two checks for stalled callers.
 constexpr core::Milliseconds progressInterval = 1000;
-/// A caller that reads nothing for this long is disconnected.
+/// Milliseconds after which a caller that reads nothing is disconnected.
 constexpr core::Milliseconds callerStallTimeout = 60000;
 
 }  // namespace
--- a/programs/router/request_relay.h
+++ b/programs/router/request_relay.h
@@ -17,72 +17,75 @@
 
 namespace corkward::programs {
 
-/// Carries requests to replicas and their responses back to the callers, as the data plane's reducer commands it. The
-/// bytes of bodies pass here alone; the reducer gets the events.
+/// Forwards requests to replicas and their responses to the callers, as commanded by the data plane's reducer. Bodies
+/// pass only through the relay; the reducer is notified of events without their bytes.
 class RequestRelay {
  public:
-  /// What the reducer is notified of; the number is the id of the caller's request.
+  /// Notifications to the reducer. The number is the id of the caller's request.
   struct Events {
-    /// The connection is established and no byte of the request was sent yet.
+    /// The connection to the replica is established. No byte of the request has been sent yet.
     std::function<void(std::uint64_t)> connected;
-    /// No connection to the replica; nothing was sent.
+    /// The connection to the replica failed. No byte of the request has been sent.
     std::function<void(std::uint64_t)> connectFailed;
-    /// This process could open no connection at all, for want of descriptors.
+    /// This process ran out of file descriptors and cannot open any connection, so the replica is not at fault.
     std::function<void(std::uint64_t)> localConnectFailed;
-    /// The replica answers with a failure, of which nothing was passed on yet.
+    /// The replica responds with an error. No byte of the response has been forwarded to the caller.
     std::function<void(std::uint64_t)> responseFailed;
-    /// The first byte of the response, or the first one after a resume; and whether the run may be resumed.
+    /// The first byte of the response arrived, or the first one after a resume. `runKnown` says whether the response
+    /// can be resumed on another replica.
     std::function<void(std::uint64_t, bool runKnown)> firstByte;
-    /// The response moves, or it is the caller that is slow.
+    /// Bytes of the response arrived, or none are read from the replica because the caller is slow.
     std::function<void(std::uint64_t)> progress;
     std::function<void(std::uint64_t, dataplane::UpstreamResult)> finished;
     std::function<void(std::uint64_t)> callerDisconnected;
   };
 
-  /// All references must outlive the relay; the owner is the parent of the connections to replicas.
+  /// All references must outlive the relay. The owner is the QObject parent of the connections to replicas.
   RequestRelay(QObject* owner, http::Server& server, http::UpstreamPool& upstreams, http::Mapping const& mapping,
                AuditRecorder& recorder, Events events);
 
-  /// Takes a caller's request over, until its response is complete or the caller is disconnected.
+  /// Stores a caller's request until its response is complete or the caller is disconnected.
   void add(http::Request request, http::CallerRequest caller);
 
-  /// Opens a connection to a replica, in place of the one before.
+  /// Opens a connection to a replica and closes the request's previous one.
   void execute(dataplane::Connect const& command);
   /// Sends the request on its connection.
   void execute(dataplane::SendRequest const& command);
   /// Closes the connection to the replica.
   void execute(dataplane::CloseUpstream const& command);
-  /// Writes an audit record before the request is sent.
+  /// Writes an audit record. If that fails before dispatch, a request under a regime is not sent.
   void execute(dataplane::WriteAuditRecord const& command);
   /// Rejects the request.
   void execute(dataplane::Reject const& command);
-  /// Cuts a response that has begun.
+  /// Aborts a response that has begun by resetting the caller's connection.
   void execute(dataplane::ResetDownstream const& command);
 
-  /// Bytes were written to the caller: reading from the replica goes on when the buffer has emptied.
+  /// Called after bytes were written to the caller. Resumes reading from the replica if the caller's buffer has
+  /// drained.
   void onCallerWritable(std::uint64_t id);
   void onCallerDisconnected(std::uint64_t id);
-  /// Resets callers that have read nothing for too long.
+  /// Disconnects callers that have read nothing for too long.
   void onTimer();
 
  private:
   struct ActiveRequest {
-    /// Null between two connections. Owned by the pool's or the relay's owner, as its parent.
+    /// Null while the request has no connection. Owned by its QObject parent, the relay's owner.
     http::UpstreamConnection* upstream = nullptr;
     http::Request request;
     dataplane::Request caller;
-    /// Path that the reducer connected for.
+    /// Path of the request at the replica, from the reducer's newest Connect command.
     std::string path;
     dataplane::ResponseStream stream;
-    /// Id of the last event that the caller says it has, for a path whose responses are event streams.
+    /// Id of the last event that the caller has received, from its request. Only for a path whose responses are event
+    /// streams.
     std::string lastEvent;
-    /// Some connection was opened before.
+    /// Whether a connection was opened for this request before.
     bool everConnected = false;
-    /// When progress was reported last, by the boot clock.
+    /// Time of the last progress report by the boot clock.
     core::Milliseconds progressAt = 0;
-    /// Since when the replica is not read, as the caller is slow; 0: it is read.
+    /// Time since which reading from the replica is paused because the caller is slow; 0 if it is not paused.
     core::Milliseconds pausedSince = 0;
-    /// The audit record of what the request is about to do could not be written.
+    /// Whether the newest audit record of the request could not be written.
     bool unrecorded = false;
   };
   enum class CloseMode { close, drainAndReuse };
@@ -95,7 +98,7 @@
   void onChunk(std::uint64_t id, std::string bytes);
   void onEnded(std::uint64_t id, bool complete);
   void reportProgress(std::uint64_t id);
-  /// Stops reading from the replica while too much waits to be written to the caller.
+  /// Pauses reading from the replica if too many bytes wait to be written to the caller.
   void applyBackpressure(std::uint64_t id);
   void apply(std::uint64_t id, dataplane::StreamSteps&& steps);
 
@@ -105,7 +108,7 @@
   http::Mapping const& mapping_;
   AuditRecorder& recorder_;
   Events events_;
-  /// By the id of the caller's request.
+  /// Keyed by the id of the caller's request.
   std::unordered_map<std::uint64_t, ActiveRequest> requests_;
   core::Milliseconds nextStallCheckAt_ = 0;
 };
--- a/programs/router/router_daemon.cpp
+++ b/programs/router/router_daemon.cpp
@@ -20,7 +20,7 @@
 
 constexpr char const* statePath = "/v1/state";
 constexpr char const* poolsPath = "/v1/platform/pools/";
-/// Request id of an endpoint list that no HTTP request waits for.
+/// Request id for an endpoint list that was not received by an HTTP request and needs no response.
 constexpr std::uint64_t noRequest = 0;
 
 }  // namespace
@@ -138,9 +138,9 @@
 }
 
 void RouterDaemon::execute(dataplane::RouterCommands&& commands) {
-  if (surface_.limitsUnder && reducer_.httpLimits() != httpLimits_) {
+  if (surface_.deriveServerLimits && reducer_.httpLimits() != httpLimits_) {
     httpLimits_ = reducer_.httpLimits();
-    server_.setLimits(surface_.limitsUnder(httpLimits_));
+    server_.setLimits(surface_.deriveServerLimits(httpLimits_));
   }
   for (transport::Send const& send : commands.sends) link_.send(send.to, send.message);
   for (core::LogEvent const& event : commands.logEvents) core::writeLog(event);
--- a/programs/router/router_daemon.h
+++ b/programs/router/router_daemon.h
@@ -24,44 +24,48 @@
 
 class RouterDaemon;
 
-/// How a router is reached, when that differs from the product's own HTTP surface.
+/// Configuration of a router's HTTP interface, for deployments in which it differs from the product's own.
 struct RouterSurface {
-  /// Addresses for callers, operators and the platform, ip:port, all served alike; empty: Settings::http.
+  /// Addresses to listen at, ip:port. Callers, operators and the platform are served at each of them. Empty to use only
+  /// Settings::http.
   std::vector<std::string> addresses = {};
   http::ServerLimits limits = {};
-  /// Connections to replicas that are kept for further requests.
+  /// Policy for keeping connections to replicas open for further requests.
   http::KeepAlivePolicy keepAlive = {};
   /// Interval of the reducer's timer events, in milliseconds.
   int timerIntervalMs = 20;
-  /// Answers a request that is not a caller's and returns true; false: the request is a caller's.
+  /// Responds to a request for an additional endpoint and returns true. Returns false, without a response, for any
+  /// other request.
   std::function<bool(RouterDaemon&, http::Request const&)> extraEndpoints = {};
-  /// Whether the product's own endpoints (/healthz, /readyz, /metrics, /v1/state, the platform's endpoint lists) are
-  /// served, after those.
+  /// Whether the product's own endpoints are served: /healthz, /readyz, /metrics, /v1/state and the platform's endpoint
+  /// lists. `extraEndpoints` takes precedence over them.
   bool standardEndpoints = true;
-  /// Limits of the callers' HTTP server under the fleet configuration's, applied when these change; empty: they stay.
-  std::function<http::ServerLimits(config::HttpLimits const&)> limitsUnder = {};
-  /// Seed of the reducer's random choices, so that tests can repeat them; 0: a random one.
+  /// Computes the limits of the callers' HTTP server from those of the fleet configuration. Called each time the latter
+  /// change. Empty if the limits are fixed.
+  std::function<http::ServerLimits(config::HttpLimits const&)> deriveServerLimits = {};
+  /// Seed of the reducer's random choices, so that tests can repeat them; 0 for a random seed.
   std::uint64_t seed = 0;
 };
 
-/// Runs the data plane's reducer: joins it with the links to peers, the callers' HTTP server, the connections to
+/// Runs the data plane's reducer and connects it with the links to peers, the callers' HTTP server, the connections to
 /// replicas and the audit log.
 class RouterDaemon : public QObject {
  public:
-  /// The mapping must outlive the daemon. Throws core::Error when an address or the audit directory cannot be had.
+  /// The mapping must outlive the daemon. Throws core::Error if an address cannot be bound or the audit directory
+  /// cannot be opened and locked.
   RouterDaemon(Settings const& settings, dataplane::RouterTuning const& tuning, http::Mapping const& mapping,
                RouterSurface surface = {});
 
   http::Server& server() { return server_; }
   http::UpstreamPool& upstreams() { return upstreams_; }
   dataplane::RequestRouter const& reducer() const { return reducer_; }
-  /// Whether callers should be sent here.
+  /// Returns whether load balancers should direct callers to this router.
   bool ready() const;
-  /// Counters and gauges in the Prometheus text format.
+  /// Returns counters and gauges in the Prometheus text format.
   std::string metrics() const;
-  /// Takes over the platform's endpoint list of a pool.
+  /// Applies the endpoint list of a pool that the platform supplied.
   void updateEndpointList(std::string const& pool, std::string const& body);
-  /// Parameters and seeds from here on.
+  /// Replaces the tuning parameters and the seeds.
   void retune(dataplane::RouterTuning const& tuning, std::vector<std::string> const& seeds);
   /// Starts a graceful shutdown, as SIGTERM does.
   void drain();
@@ -72,7 +76,7 @@
   void serve(http::Request request);
   bool serveNativeEndpoint(http::Request const& request);
   void respondState(http::Request const& request);
-  /// Carries the reducer's commands out.
+  /// Executes the reducer's commands.
   void execute(dataplane::RouterCommands&& commands);
   void execute(dataplane::EndpointListResponse const& command);
   template <class Command>
@@ -93,7 +97,7 @@
   http::Server server_;
   RequestRelay relay_;
   QTimer timer_;
-  /// Limits of the fleet configuration that the server's were derived from last.
+  /// Limits of the fleet configuration from which the server's current limits were derived.
   config::HttpLimits httpLimits_;
 };
 
--- a/programs/runbook/alert_watcher.cpp
+++ b/programs/runbook/alert_watcher.cpp
@@ -22,7 +22,7 @@
 /// Name of the singleton role in the control state.
 constexpr char const* roleName = "alert-watch";
 
-/// Name of an alert in paths: ZoneDark becomes zone-dark.
+/// Returns an alert's name as used in paths; ZoneDark becomes zone-dark.
 std::string pathName(std::string const& alert) {
   std::string out;
   for (char const c : alert) {
@@ -41,7 +41,7 @@
 
 std::string runbookPath(std::string const& directory, std::string const& name) {
   if (name.find('/') != std::string::npos || name.find("..") != std::string::npos)
-    throw UsageError("runbook: must be a name without folders: " + name);
+    throw UsageError("runbook: must be a file name without directories, but is " + name);
   return directory + "/" + name;
 }
 
--- a/programs/runbook/alert_watcher.h
+++ b/programs/runbook/alert_watcher.h
@@ -14,12 +14,12 @@
 
 namespace corkward::programs {
 
-/// Path of a runbook in its directory. Throws UsageError for a name that leads out of it.
+/// Returns the path of a runbook in a directory. Throws UsageError if the name leads out of the directory.
 std::string runbookPath(std::string const& directory, std::string const& name);
 
-/// Watches alert rules over metrics pages and executes their runbooks. It acts only while it holds the singleton role
-/// of the watch, and only on an alert that it has claimed in the control state, so that after a takeover no runbook is
-/// executed a second time.
+/// Evaluates alert rules on scraped metrics and executes the runbooks of firing alerts. An instance acts only while it
+/// holds the singleton role of the alert watch, and only on an alert that is claimed in the control state. Therefore no
+/// runbook is executed a second time after another process has taken over the role.
 class AlertWatcher {
  public:
   /// Reads the runbooks of all rules. Throws runbook::RunbookError, core::JsonError or UsageError.
@@ -28,21 +28,21 @@
 
   /// Scrapes the targets (ip:port or zone=ip:port), evaluates the rules and acts on those that fire.
   void evaluate(std::vector<std::string> const& targets);
-  /// Runbooks executed so far.
+  /// Returns the number of runbooks executed so far.
   int executedCount() const { return executedCount_; }
   /// Extends the role between two evaluations.
   void renewRole();
   void releaseRole() { role_.release(); }
 
  private:
-  /// State of an alert in the control state; `done` says that its runbook was executed.
+  /// State of an alert in the control state. `done` means that its runbook was executed.
   enum class AlertState { clear, claimed, done };
   static char const* textOf(AlertState state);
 
-  /// Requests or extends the role, and reports a change of it.
+  /// Requests or extends the role, and prints a line if the role was acquired or lost.
   void updateRole();
-  /// Writes a state on the revision that was read.
-  /// @return the new revision; nothing when the change was not accepted
+  /// Writes the state of an alert, based on the revision that was read.
+  /// @return the new revision, or std::nullopt if the change was not accepted
   std::optional<qint64> writeState(alerting::Rule const& rule, AlertState state, qint64 revision);
   void updateAlert(alerting::Rule const& rule, bool firing);
   void executeRunbook(alerting::Rule const& rule, qint64 claim);
@@ -56,9 +56,9 @@
   /// Whether the role was held at the last evaluation.
   bool holdsRole_ = false;
   int executedCount_ = 0;
-  /// By the name of the alert.
+  /// Keyed by the name of the alert.
   std::map<std::string, runbook::Runbook> runbooks_;
-  /// States of alerts as this process read or wrote them last, while it holds the role.
+  /// States of alerts that this process last read or wrote. Cleared each time the role is acquired.
   std::map<std::string, std::string> knownStates_;
 };
 
--- a/programs/runbook/main.cpp
+++ b/programs/runbook/main.cpp
@@ -1,4 +1,4 @@
-/// corkward-runbook: executes one runbook, or watches alert rules and executes theirs.
+/// corkward-runbook: executes one runbook, or watches alert rules and executes the runbooks of firing alerts.
 
 #include <QCoreApplication>
 #include <boost/program_options.hpp>
@@ -22,10 +22,10 @@
 
 constexpr char const* defaultController = "127.0.0.1:9100";
 constexpr int maxIntervalSeconds = 600;
-/// The watch sleeps in slices, so that a signal ends it soon.
+/// The watch sleeps in short slices, so that it ends soon after a termination signal.
 constexpr int sliceMs = 250;
 constexpr int slicesPerSecond = 1000 / sliceMs;
-/// The singleton role is renewed once in so many slices.
+/// Number of slices between two renewals of the singleton role.
 constexpr int slicesPerRenewal = 12;
 
 enum class ExitCode : int { ok = 0, stepFailed = 1, invalidUsage = 2 };
@@ -33,16 +33,17 @@
 /// The values of the command line.
 struct Options {
   std::vector<std::string> controllers;
-  /// name=value for parameters of the runbook.
+  /// Values of the runbook's parameters, each as name=value.
   std::vector<std::string> parameters;
   std::vector<std::string> targets;
-  /// File of the runbook.
+  /// Files of runbooks. Exactly one is needed without --rules, and none is allowed with it.
   std::vector<std::string> runbooks;
   std::string accountFile;
   std::string rulesFile;
   int intervalSeconds = 5;
-  /// 0: no end.
+  /// Number of evaluations after which the watch ends; 0 if there is no limit.
   int maxEvaluations = 0;
+  /// Number of executed runbooks after which the watch ends; 0 if there is no limit.
   int maxExecutions = 0;
   bool check = false;
   bool dryRun = false;
@@ -62,33 +63,37 @@
 po::options_description visibleOptions(Options& options) {
   po::options_description out("Flags");
   out.add_options()(former_names::controllerOption.current, po::value(&options.controllers),
-                    "address of a controller, ip:port (127.0.0.1:9100 when left out); give all of them")(
+                    "address of a controller, ip:port (default 127.0.0.1:9100); repeat the flag for each controller")(
       "set", po::value(&options.parameters), "name=value for a parameter of the runbook")(
       "check", po::bool_switch(&options.check), "check the runbook or the rules and exit")(
-      "dry-run", po::bool_switch(&options.dryRun), "say what each step would do; changes are only checked")(
-      "yes", po::bool_switch(&options.assumeYes), "take every confirm step for done")(
-      "account", po::value(&options.accountFile), "file that the account is appended to")(
-      "rules", po::value(&options.rulesFile), "watch with this rule file; its runbooks stand beside it")(
-      "target", po::value(&options.targets), "metrics page to watch, ip:port or zone=ip:port")(
+      "dry-run", po::bool_switch(&options.dryRun), "print what each step would do; changes are only checked")(
+      "yes", po::bool_switch(&options.assumeYes), "answer yes to every confirm step")(
+      "account", po::value(&options.accountFile), "file to which the account of the run is appended")(
+      "rules", po::value(&options.rulesFile),
+      "watch the alert rules of this file; their runbooks are files in the same directory")(
+      "target", po::value(&options.targets),
+      "address of a process whose metrics are watched, ip:port or zone=ip:port; repeat the flag for each")(
       "every", po::value(&options.intervalSeconds)->default_value(options.intervalSeconds),
       "seconds between two evaluations, 1 to 600")(
       "rounds", po::value(&options.maxEvaluations)->default_value(options.maxEvaluations),
-      "evaluations before the end; 0 for no end")(
+      "number of evaluations after which the watch ends; 0 for no limit")(
       "acts", po::value(&options.maxExecutions)->default_value(options.maxExecutions),
-      "runbooks executed before the end; 0 for no end")("help", "print this and exit")("version",
-                                                                                       "print the version and exit");
+      "number of executed runbooks after which the watch ends; 0 for no limit")("help", "print this and exit")(
+      "version", "print the version and exit");
   return out;
 }
 
 void printHelp(po::options_description const& options) {
   auto const& [former, current] = former_names::controllerOption;
-  std::cout << "corkward-runbook [flags] RUNBOOK\ncorkward-runbook [flags] --rules FILE --target ...\n\n"
-            << options << "\nFormer names, which are accepted as well: --" << former << " (--" << current << ")\n"
-            << "\nExit codes: 0 done, 1 a step failed and the rest was not done, 2 bad use and nothing done\n";
+  std::cout
+      << "corkward-runbook [flags] RUNBOOK\ncorkward-runbook [flags] --rules FILE --target ...\n\n"
+      << options << "\nFormer names that are still accepted: --" << former << " (--" << current << ")\n"
+      << "\nExit codes: 0 success, 1 a step failed and the steps after it were not executed, 2 invalid command line, "
+         "runbook or rule file; nothing was executed\n";
 }
 
 /// Reads the command line. Throws po::error or UsageError.
-/// @return nothing when all that was wanted has been printed
+/// @return std::nullopt if the help or version was printed and nothing is to be executed
 std::optional<Options> readOptions(int argc, char** argv) {
   Options options;
   std::vector<std::string> formerControllers;
@@ -114,7 +119,7 @@
   options.controllers.insert(options.controllers.end(), formerControllers.begin(), formerControllers.end());
   if (options.controllers.empty()) options.controllers.emplace_back(defaultController);
   if (options.intervalSeconds < 1 || options.intervalSeconds > maxIntervalSeconds)
-    throw UsageError("every: must be 1 to 600");
+    throw UsageError("every: must be 1 to 600, but is " + std::to_string(options.intervalSeconds));
   return options;
 }
 
@@ -134,7 +139,8 @@
 }
 
 ExitCode watchRules(Options const& options, RunbookExecutor& executor) {
-  if (!options.runbooks.empty()) throw UsageError("a runbook and --rules exclude each other");
+  if (!options.runbooks.empty())
+    throw UsageError("rules: a runbook must not be given as well, but is " + options.runbooks[0]);
   std::vector<alerting::Rule> const rules = alerting::readRules(readFile(options.rulesFile));
   std::size_t const slash = options.rulesFile.rfind('/');
   std::string const directory = slash == std::string::npos ? "." : options.rulesFile.substr(0, slash);
@@ -144,14 +150,15 @@
     std::cout << rules.size() << " rules are valid\n";
     return ExitCode::ok;
   }
-  if (options.targets.empty()) throw UsageError("target: missing");
+  if (options.targets.empty()) throw UsageError("target: missing; --rules needs at least one target");
   AlertWatcher watcher(options.controllers, executor, rules, directory);
   watch(watcher, options);
   return ExitCode::ok;
 }
 
 ExitCode executeOne(Options const& options, RunbookExecutor& executor) {
-  if (options.runbooks.size() != 1) throw UsageError("one runbook is needed; see --help");
+  if (options.runbooks.size() != 1)
+    throw UsageError("exactly one runbook must be given, but there are " + std::to_string(options.runbooks.size()));
   runbook::Runbook const book =
       runbook::readRunbook(readFile(options.runbooks[0]), parseParameters(options.parameters));
   if (options.check) {
--- a/programs/runbook/metrics_scraper.cpp
+++ b/programs/runbook/metrics_scraper.cpp
@@ -27,7 +27,7 @@
   return target;
 }
 
-/// The samples of a target's page; nothing when it cannot be read.
+/// Returns the samples of a target's metrics, or std::nullopt if these cannot be read.
 std::optional<std::vector<alerting::Sample>> scrape(Target const& target) {
   OperatorReply const page =
       callOperator({target.address}, {core::HttpMethod::get, paths::metrics}, scrapeTimeoutSeconds);
--- a/programs/runbook/metrics_scraper.h
+++ b/programs/runbook/metrics_scraper.h
@@ -7,8 +7,8 @@
 
 namespace corkward::programs {
 
-/// Reads the metrics pages of all targets. Each sample gets the labels `target` and, when it is known, `zone`; the
-/// sample corkward_up of each target says whether its page could be read.
+/// Reads the metrics of all targets. Each sample gets the label `target` and, if the zone is known, the label `zone`.
+/// For each target the sample corkward_up is added, which is 1 if the metrics could be read and else 0.
 /// @param targets ip:port or zone=ip:port
 std::vector<alerting::Sample> scrapeMetrics(std::vector<std::string> const& targets);
 
--- a/programs/runbook/runbook_executor.cpp
+++ b/programs/runbook/runbook_executor.cpp
@@ -18,7 +18,7 @@
 constexpr int pollIntervalMs = 250;
 constexpr int callTimeoutSeconds = 15;
 constexpr core::Milliseconds millisPerSecond = 1000;
-/// Bytes of a page's value that an account repeats.
+/// Maximum bytes of an observed value that are copied to the account.
 constexpr std::size_t maxShownValue = 200;
 
 core::Milliseconds deadlineOf(runbook::Step const& step) {
@@ -33,9 +33,9 @@
                " steps=" + std::to_string(count));
   for (std::size_t i = 0; i < count; ++i) {
     runbook::Step const& step = book.steps[i];
-    bool const mayGoOn = !mayGoOn_ || mayGoOn_();
-    StepOutcome const outcome =
-        mayGoOn ? executeStep(step, run + "-" + std::to_string(i)) : StepOutcome{false, "the duty is no longer held"};
+    bool const mayContinue = !mayContinue_ || mayContinue_();
+    StepOutcome const outcome = mayContinue ? executeStep(step, run + "-" + std::to_string(i))
+                                            : StepOutcome{false, "this process no longer holds the singleton role"};
     writeStepAccount(run, i + 1, step, outcome);
     if (!outcome.done) {
       writeAccount("run=" + run + " stopped-at=" + std::to_string(i + 1) + " not-done=" + std::to_string(count - i));
@@ -103,11 +103,11 @@
                                           std::string const& changeId) {
   OperatorReply const before = call({HttpMethod::get, paths::ofChange(changeId)});
   if (before.is(core::HttpStatus::ok) || before.pending())
-    return {true, "done before, revision " + std::to_string(before.body.value("stamp").toInteger())};
+    return {true, "already done, revision " + std::to_string(before.body.value("stamp").toInteger())};
   OperatorReply const current = call({HttpMethod::get, path});
   bool const isNew = method == HttpMethod::put && current.is(core::HttpStatus::notFound);
   if (!current.is(core::HttpStatus::ok) && !isNew)
-    return {false, "reading it: status " + std::to_string(current.status)};
+    return {false, "reading " + path + " failed with status " + std::to_string(current.status)};
   std::string const revision = isNew ? "0" : current.revision;
   return change({method, path, core::jsonText(step.body), revision, changeId, options_.dryRun}, step);
 }
@@ -116,11 +116,11 @@
   core::Milliseconds const deadline = deadlineOf(step);
   for (;;) {
     OperatorReply const reply = call(operatorCall);
-    if (reply.accepted()) return {true, "stamp " + reply.revision};
+    if (reply.accepted()) return {true, "revision " + reply.revision};
     if (!reply.mayRetry() || now() >= deadline)
       return {false, reply.answered() ? "status " + std::to_string(reply.status) + " " +
                                             core::toStdString(reply.body.value("reason").toString())
-                                      : "no answer: " + reply.error};
+                                      : "no response: " + reply.error};
     pause(pollIntervalMs);
   }
 }
@@ -137,7 +137,8 @@
       lastObserved = outcome.seen.substr(0, maxShownValue);
     }
     if (now() >= deadline)
-      return {false, "not in " + std::to_string(step.limitSeconds) + " s; last seen " + lastObserved};
+      return {false,
+              "condition not met within " + std::to_string(step.limitSeconds) + " s; last value " + lastObserved};
     pause(pollIntervalMs);
   }
 }
@@ -174,14 +175,14 @@
   QFile file(core::toQString(path));
   if (!file.open(QIODevice::WriteOnly)) return {false, "cannot write " + path};
   file.write(QByteArray::fromStdString(core::jsonText(*templates) + "\n"));
-  return {true, std::to_string(templates->size()) + " templates"};
+  return {true, std::to_string(templates->size()) + " templates saved"};
 }
 
 StepOutcome RunbookExecutor::verify(std::string const& path) const {
   std::optional<QJsonObject> const templates = readTemplates();
   if (!templates) return {false, "the configuration could not be read"};
   QJsonValue const saved = core::parseJson(readFile(path));
-  if (saved == QJsonValue(*templates)) return {true, "as saved"};
+  if (saved == QJsonValue(*templates)) return {true, "all templates are as saved"};
   for (QString const& name : saved.toObject().keys())
     if (saved.toObject().value(name) != templates->value(name))
       return {false, "template " + core::toStdString(name) + " differs from " + path};
@@ -190,7 +191,7 @@
 
 StepOutcome RunbookExecutor::confirm(std::string const& prompt) const {
   if (options_.dryRun) return {true, "would ask: " + prompt};
-  if (options_.assumeYes) return {true, "taken as done: " + prompt};
+  if (options_.assumeYes) return {true, "assumed done: " + prompt};
   std::cout << prompt << "\nDone? (yes/no) " << std::flush;
   std::string line;
   std::getline(std::cin, line);
--- a/programs/runbook/runbook_executor.h
+++ b/programs/runbook/runbook_executor.h
@@ -16,32 +16,32 @@
 /// Outcome of one step.
 struct StepOutcome {
   bool done = false;
-  /// For the account of the run.
+  /// Description of the outcome for the account of the run.
   std::string detail;
 };
 
-/// Options of all runs of an executor.
+/// Options for all runbooks that an executor executes.
 struct ExecutorOptions {
   std::vector<std::string> controllers;
-  /// Only check the changes and say what would be done.
+  /// Only check the changes and report what each step would do.
   bool dryRun = false;
-  /// Take confirm steps for done without a prompt.
+  /// Treat confirm steps as confirmed, without a prompt.
   bool assumeYes = false;
-  /// File that each line of the account is appended to; empty: none. The lines are printed in any case.
+  /// File to which each line of the account is appended. Empty if there is none. The lines are always printed as well.
   std::string accountFile;
 };
 
-/// Executes runbooks, one step after the other, by the operator interface alone.
+/// Executes the steps of runbooks one after the other. All changes to the fleet are made by the operator interface.
 class RunbookExecutor {
  public:
   explicit RunbookExecutor(ExecutorOptions options) : options_(std::move(options)) {}
 
-  /// Called before each step; when it returns false the run ends there.
-  void setGuard(std::function<bool()> mayGoOn) { mayGoOn_ = std::move(mayGoOn); }
+  /// Sets a function that is called before each step. If it returns false, the step fails and the run ends.
+  void setGuard(std::function<bool()> mayContinue) { mayContinue_ = std::move(mayContinue); }
 
-  /// Executes the steps up to the first that fails. Steps of runs with the same name have the same change ids, so a
-  /// change that was made before is not made again.
-  /// @return whether every step was done
+  /// Executes the steps until one fails. Change ids are derived from the name of the run, so a second run of the same
+  /// name does not repeat the changes of the first.
+  /// @return whether all steps succeeded
   bool execute(runbook::Runbook const& book, std::string const& run = randomId());
 
  private:
@@ -50,13 +50,13 @@
                         StepOutcome const& outcome) const;
   OperatorReply call(OperatorCall const& call) const;
   StepOutcome executeStep(runbook::Step const& step, std::string const& changeId);
-  /// Puts or patches on the newest revision, unless a change of this id was made before.
+  /// Puts or patches a resource, based on its newest revision, unless a change with this id was made before.
   StepOutcome changeNewest(std::string const& path, core::HttpMethod method, runbook::Step const& step,
                            std::string const& changeId);
-  /// Retries a change until its outcome is final or the step's time is over.
+  /// Sends a change, and retries it until its outcome is final or the step's time limit is reached.
   StepOutcome change(OperatorCall const& call, runbook::Step const& step);
   StepOutcome waitForPage(runbook::Step const& step);
-  /// All templates with their instances; nothing when one of them could not be read.
+  /// Reads all templates with their instances. Returns std::nullopt if one of them cannot be read.
   std::optional<QJsonObject> readTemplates() const;
   std::optional<QJsonObject> readTemplate(std::string const& name) const;
   StepOutcome save(std::string const& path) const;
@@ -64,7 +64,7 @@
   StepOutcome confirm(std::string const& prompt) const;
 
   ExecutorOptions options_;
-  std::function<bool()> mayGoOn_;
+  std::function<bool()> mayContinue_;
 };
 
 }  // namespace corkward::programs
--- a/programs/runbook/singleton_role_client.cpp
+++ b/programs/runbook/singleton_role_client.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// Milliseconds; shorter than the controllers' own count by more than clocks may differ.
+/// Duration of the lease in milliseconds. It is shorter than the controllers' duration by more than the clocks' rates
+/// may differ, so the holder's lease ends first.
 constexpr core::Milliseconds leaseDuration = 12000;
 constexpr int requestTimeoutSeconds = 1;
 
--- a/programs/runbook/singleton_role_client.h
+++ b/programs/runbook/singleton_role_client.h
@@ -11,30 +11,31 @@
 
 namespace corkward::programs {
 
-/// Competes for a role that one process holds at a time, as a lease granted by a majority of the controllers with a
-/// disk. Terms rise with each holder (a fencing token). The lease counts from before it was requested, so it ends here
-/// before any controller takes it for ended.
+/// Client for a singleton role, which at most one process holds at a time. The role is a lease that a majority of the
+/// consensus members grants. The term increases with each holder and serves as a fencing token. The client counts the
+/// lease from before the request, so the lease ends for the client before it ends for any controller.
 class SingletonRoleClient {
  public:
-  /// @param controllers all of them, ip:port: the lease needs a majority
+  /// @param controllers addresses of all controllers, ip:port, since the lease needs a majority
   /// @param role name of the role
   /// @param holder random id of this process
   SingletonRoleClient(std::vector<std::string> controllers, std::string role, std::string holder);
   /// Requests the lease, or its extension.
-  /// @return whether this process holds it
+  /// @return whether this process holds the role
   bool renew();
   bool holdsRole() const;
-  /// Term of the lease that was granted last.
+  /// Returns the term of the lease that was granted last.
   std::uint64_t term() const { return term_; }
-  /// Hands the lease to one of the contenders.
+  /// Releases the lease and names one of the contenders, if any, as successor.
   void release();
 
  private:
-  /// What the controllers answered to one request for the lease.
+  /// The controllers' replies to one request for the lease.
   struct Votes {
     std::set<std::string> grantedBy;
-    /// Members by the newest membership that was seen, and its revision.
+    /// Members of the newest membership in the replies.
     std::set<std::string> members;
+    /// Revision of that membership.
     std::uint64_t membersRevision = 0;
     std::uint64_t term = 0;
 
@@ -47,10 +48,10 @@
   std::vector<std::string> controllers_;
   std::string role_;
   std::string holder_;
-  /// End of the lease by the boot clock; 0: not held.
+  /// End of the lease by the boot clock; 0 if the lease is not held.
   core::Milliseconds expiresAt_ = 0;
   std::uint64_t term_ = 0;
-  /// Others that requested the role, by the newest answers.
+  /// Other processes that requested the role, according to the newest replies.
   std::set<std::string> contenders_;
 };
 
--- a/programs/test/audit_recorder_test.cpp
+++ b/programs/test/audit_recorder_test.cpp
@@ -18,7 +18,8 @@
 
 namespace {
 
-struct Node {
+/// A router's application, audit directory and settings, without a recorder.
+struct RecorderFixture {
   int argc = 1;
   char name[5] = "test";
   char* argv[2] = {name, nullptr};
@@ -26,17 +27,17 @@
   QTemporaryDir directory;
   programs::Settings settings;
   QObject owner;
-  /// Every availability that the recorder reported.
+  /// All availability changes that the recorder reported.
   std::vector<bool> availability;
 
-  Node() {
+  RecorderFixture() {
     settings.link = "10.0.0.9:1";
     settings.audit = core::toStdString(directory.path()) + "/audit";
   }
   programs::AuditRecorder::AvailabilityChanged onAvailability() {
     return [this](bool available) { availability.push_back(available); };
   }
-  /// Counts in the files.
+  /// Returns the number of records with a count in the files.
   std::size_t recordedCount() const {
     std::unique_ptr<storage::Directory> const opened = storage::openDirectory(settings.audit);
     audit::AuditLogView const view = audit::readAuditLog(*opened);
@@ -45,8 +46,8 @@
     for (QJsonObject const& record : view.records) out += record.contains("count") ? 1 : 0;
     return out;
   }
-  /// Runs the event loop until the condition holds.
-  bool until(std::function<bool()> const& condition) {
+  /// Runs the event loop until the condition holds or 20 seconds have passed. Returns whether the condition holds.
+  bool waitUntil(std::function<bool()> const& condition) {
     QElapsedTimer limit;
     limit.start();
     while (!condition() && limit.elapsed() < 20000) QCoreApplication::processEvents(QEventLoop::AllEvents, 20);
@@ -65,21 +66,21 @@
 
 }  // namespace
 
-TEST_CASE("the first record of a kind is in the file at once, and the others when the recorder is closed") {
-  Node node;
+TEST_CASE("the first record of a kind is written at once, and the others when the recorder is closed") {
+  RecorderFixture fixture;
   {
-    programs::AuditRecorder recorder(&node.owner, node.settings, node.onAvailability());
-    CHECK(node.availability == std::vector<bool>{true});
+    programs::AuditRecorder recorder(&fixture.owner, fixture.settings, fixture.onAvailability());
+    CHECK(fixture.availability == std::vector<bool>{true});
     CHECK(recorder.write(record(dataplane::AuditOutcome::dispatched)));
-    CHECK(node.recordedCount() == 1);
+    CHECK(fixture.recordedCount() == 1);
     CHECK(recorder.write(record(dataplane::AuditOutcome::dispatched)));
     CHECK(recorder.write(record(dataplane::AuditOutcome::rejected)));
-    CHECK(node.recordedCount() >= 2);
+    CHECK(fixture.recordedCount() >= 2);
     CHECK(recorder.head()->value("n").toInteger() >= 3);
-    CHECK_THROWS_AS(programs::AuditRecorder(&node.owner, node.settings, node.onAvailability()),
+    CHECK_THROWS_AS(programs::AuditRecorder(&fixture.owner, fixture.settings, fixture.onAvailability()),
                     programs::SettingsError);
   }
-  std::unique_ptr<storage::Directory> const opened = storage::openDirectory(node.settings.audit);
+  std::unique_ptr<storage::Directory> const opened = storage::openDirectory(fixture.settings.audit);
   QJsonObject const report = audit::auditReport({audit::readAuditLog(*opened)}, {});
   qint64 sent = 0;
   for (QJsonValue const span : report.value("regimes").toObject().value("health").toArray())
@@ -89,28 +90,28 @@
   CHECK(sent == 2);
 }
 
-TEST_CASE("without an audit directory nothing is recorded, and write reports so") {
-  Node node;
-  node.settings.audit.clear();
-  programs::AuditRecorder recorder(&node.owner, node.settings, node.onAvailability());
-  CHECK(node.availability.empty());
+TEST_CASE("without an audit directory write returns false and nothing is recorded") {
+  RecorderFixture fixture;
+  fixture.settings.audit.clear();
+  programs::AuditRecorder recorder(&fixture.owner, fixture.settings, fixture.onAvailability());
+  CHECK(fixture.availability.empty());
   CHECK_FALSE(recorder.write(record(dataplane::AuditOutcome::dispatched)));
   CHECK_FALSE(recorder.head());
 }
 
-TEST_CASE("a directory that cannot be written is reported, and its recovery as well") {
-  Node node;
-  programs::AuditRecorder recorder(&node.owner, node.settings, node.onAvailability());
-  QString const path = core::toQString(node.settings.audit);
-  REQUIRE(QDir(node.directory.path()).rename("audit", "away"));
+TEST_CASE("a failed write is reported, and so is the recovery of the directory") {
+  RecorderFixture fixture;
+  programs::AuditRecorder recorder(&fixture.owner, fixture.settings, fixture.onAvailability());
+  QString const path = core::toQString(fixture.settings.audit);
+  REQUIRE(QDir(fixture.directory.path()).rename("audit", "away"));
   CHECK_FALSE(recorder.write(record(dataplane::AuditOutcome::dispatched)));
-  CHECK(node.availability == std::vector<bool>{true, false});
-  REQUIRE(QDir(node.directory.path()).rename("away", "audit"));
-  CHECK(node.until([&] {
+  CHECK(fixture.availability == std::vector<bool>{true, false});
+  REQUIRE(QDir(fixture.directory.path()).rename("away", "audit"));
+  CHECK(fixture.waitUntil([&] {
     recorder.onTimer();
-    return node.availability.size() == 3;
+    return fixture.availability.size() == 3;
   }));
-  CHECK(node.availability.back());
+  CHECK(fixture.availability.back());
   CHECK(recorder.write(record(dataplane::AuditOutcome::dispatched)));
-  CHECK(node.recordedCount() == 1);
+  CHECK(fixture.recordedCount() == 1);
 }
--- a/programs/test/golden_requests_test.cpp
+++ b/programs/test/golden_requests_test.cpp
@@ -19,9 +19,9 @@
 
 #include "testing/golden/golden.h"
 
-/// What `corkward` and `corkward-runbook` send for each of their commands, against a stand-in for a controller. Old
-/// commands must go on sending the same bytes to controllers of any release. Recording anew is right only when the
-/// operator interface of docs/interface.md changes its form.
+/// Checks the requests that `corkward` and `corkward-runbook` send to a fake controller for each of their commands.
+/// Former commands must still send the same bytes, since controllers of any release may receive them. The golden files
+/// may be recorded again only if the operator interface in docs/interface.md changes.
 
 namespace audit = corkward::audit;
 namespace golden = corkward::golden;
@@ -29,7 +29,7 @@
 
 namespace {
 
-constexpr int limitMs = 30000;
+constexpr int programTimeoutMs = 30000;
 
 QCoreApplication& application() {
   static int argc = 0;
@@ -37,23 +37,25 @@
   return app;
 }
 
-struct Page {
+struct Response {
   int status = 200;
   std::string body = R"({"spec":{},"stamp":7})";
 };
 
-/// Answers every request with a canned page and writes down what came in.
-class Controller : public QObject {
+/// Responds to every request with a predefined response, and records the requests.
+class FakeController : public QObject {
  public:
-  Controller() {
+  FakeController() {
     REQUIRE(server_.listen(QHostAddress::LocalHost, 0));
     QObject::connect(&server_, &QTcpServer::newConnection, this, [this] { accept(); });
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.serverPort()); }
-  /// Answers of one `METHOD path`, one after the other; the last one stays.
-  void answers(std::string const& request, std::deque<Page> pages) { pages_[request] = std::move(pages); }
-  /// Answers to what has no page of its own.
-  void otherwise(Page const& page) { otherwise_ = page; }
+  /// Sets the responses to requests of one `METHOD path`, used one after the other. The last one is used repeatedly.
+  void respondWith(std::string const& request, std::deque<Response> responses) {
+    responses_[request] = std::move(responses);
+  }
+  /// Sets the response to all requests for which respondWith was not called.
+  void setDefaultResponse(Response const& response) { defaultResponse_ = response; }
   std::string takeRequests() { return std::exchange(requests_, ""); }
 
  private:
@@ -78,39 +80,39 @@
 
   void serve(QTcpSocket* socket, std::string const& head, std::string const& body) {
     std::vector<std::string> const fields = golden::lines(std::regex_replace(head, std::regex("\r\n"), "\n"));
-    // What the HTTP library adds by itself depends on its release and the machine's language.
-    std::regex const ofLibrary("(connection|accept-encoding|accept-language|user-agent): .*", std::regex::icase);
+    // These headers are added by the HTTP library, and depend on its release and the machine's language.
+    std::regex const libraryHeader("(connection|accept-encoding|accept-language|user-agent): .*", std::regex::icase);
     for (std::string const& field : fields)
-      if (!std::regex_match(field, ofLibrary))
+      if (!std::regex_match(field, libraryHeader))
         requests_ += "  | " + std::regex_replace(field, std::regex(address()), "ADDRESS") + "\n";
     for (std::string const& line : golden::lines(body)) requests_ += "  > " + line + "\n";
     std::string const request = fields.front().substr(0, fields.front().rfind(' '));
-    Page const page = next(request.substr(0, request.find('?')));
-    std::string answer = "HTTP/1.1 " + std::to_string(page.status) + " x\r\nconnection: close\r\n";
-    if (page.status < 300) answer += "etag: \"7\"\r\n";
-    answer += "content-length: " + std::to_string(page.body.size()) + "\r\n\r\n" + page.body;
-    socket->write(QByteArray::fromStdString(answer));
+    Response const response = nextResponse(request.substr(0, request.find('?')));
+    std::string bytes = "HTTP/1.1 " + std::to_string(response.status) + " x\r\nconnection: close\r\n";
+    if (response.status < 300) bytes += "etag: \"7\"\r\n";
+    bytes += "content-length: " + std::to_string(response.body.size()) + "\r\n\r\n" + response.body;
+    socket->write(QByteArray::fromStdString(bytes));
     socket->disconnectFromHost();
   }
 
-  Page next(std::string const& request) {
-    auto const found = pages_.find(request);
-    if (found == pages_.end()) return otherwise_;
-    Page const page = found->second.front();
+  Response nextResponse(std::string const& request) {
+    auto const found = responses_.find(request);
+    if (found == responses_.end()) return defaultResponse_;
+    Response const response = found->second.front();
     if (found->second.size() > 1) found->second.pop_front();
-    return page;
+    return response;
   }
 
   QTcpServer server_;
-  std::map<std::string, std::deque<Page>> pages_;
-  Page otherwise_;
+  std::map<std::string, std::deque<Response>> responses_;
+  Response defaultResponse_;
   std::string requests_;
 };
 
-/// Command lines with their exit codes, the requests that they sent and, where asked for, what they printed.
+/// Runs command lines and records their exit codes, the requests that they sent and, if requested, their output.
 class Session {
  public:
-  Controller& controller() { return controller_; }
+  FakeController& controller() { return controller_; }
 
   void run(std::string const& program, std::vector<std::string> const& commandLine, bool showOutput = false) {
     text_ += "$ " + program;
@@ -125,16 +127,16 @@
     QProcess process;
     QEventLoop loop;
     QObject::connect(&process, &QProcess::finished, &loop, &QEventLoop::quit);
-    QTimer::singleShot(limitMs, &loop, &QEventLoop::quit);
+    QTimer::singleShot(programTimeoutMs, &loop, &QEventLoop::quit);
     process.start(QString::fromStdString(std::string(CORKWARD_BIN) + "/programs/" + program), flags);
     process.closeWriteChannel();
     if (process.state() != QProcess::NotRunning) loop.exec();
     REQUIRE(process.state() == QProcess::NotRunning);
     text_ += "\n  exit code " + std::to_string(process.exitCode()) + "\n";
-    text_ += withoutNames(controller_.takeRequests());
+    text_ += withoutRandomIds(controller_.takeRequests());
     if (!showOutput) return;
     for (std::string const& line : golden::lines(process.readAllStandardOutput().toStdString()))
-      text_ += "  < " + withoutNames(line) + "\n";
+      text_ += "  < " + withoutRandomIds(line) + "\n";
   }
   void corkward(std::vector<std::string> commandLine, bool showOutput = false) {
     commandLine.insert(commandLine.begin(), {"--substation", "ADDRESS"});
@@ -144,21 +146,21 @@
   std::string const& text() const { return text_; }
 
  private:
-  /// Names that the programs draw at random.
-  static std::string withoutNames(std::string const& text) {
+  /// Replaces the ids that the programs generate at random.
+  static std::string withoutRandomIds(std::string const& text) {
     return std::regex_replace(text, std::regex("\\b[0-9a-f]{32}\\b"), "RANDOM");
   }
 
-  /// Before the controller, whose sockets need it.
+  /// Declared before the controller, whose sockets need an application object.
   QCoreApplication& application_ = application();
   QTemporaryDir scratch_;
-  Controller controller_;
+  FakeController controller_;
   std::string text_;
 };
 
 }  // namespace
 
-TEST_CASE("each command sends the recorded request", "[golden]") {
+TEST_CASE("each command sends the request of the golden file", "[golden]") {
   Session session;
   std::string const file = "GOLDEN/spec.json";
   std::vector<std::string> const change{"--stamp", "6", "--change-id", "change-1"};
@@ -197,20 +199,20 @@
   golden::check("programs/test/golden/requests_commands.txt", session.text());
 }
 
-TEST_CASE("the options of a command change its request and its end as recorded", "[golden]") {
+TEST_CASE("options change a command's request, exit code and output as in the golden file", "[golden]") {
   Session session;
   session.corkward({"--dry-run", "--stamp", "6", "--change-id", "c", "template-put", "desk", "GOLDEN/spec.json"});
   session.corkward({"--stamp", "6", "template-delete", "desk"});
   session.corkward({"evacuate", "z1"});
   session.run("corkward", {"--substation", "127.0.0.1:1", "--substation", "ADDRESS", "--limit", "5", "fleet"});
   session.corkward({"--json", "template-get", "desk"}, true);
-  session.controller().answers("PUT /v1/evacuations/z2", {{503, "{}"}, {200, R"({"stamp":8})"}});
+  session.controller().respondWith("PUT /v1/evacuations/z2", {{503, "{}"}, {200, R"({"stamp":8})"}});
   session.corkward({"--json", "--wait", "20", "--change-id", "c", "evacuate", "z2"}, true);
   for (int const status : {200, 201, 400, 404, 405, 409, 412, 413, 422, 428, 431, 503, 504, 500}) {
-    session.controller().answers("PUT /v1/evacuations/z3", {{status, R"({"reason":"r"})"}});
+    session.controller().respondWith("PUT /v1/evacuations/z3", {{status, R"({"reason":"r"})"}});
     session.corkward({"--json", "--change-id", "c", "evacuate", "z3"}, true);
   }
-  session.controller().answers("PUT /v1/evacuations/z3", {{504, R"({"pending":true,"stamp":9})"}});
+  session.controller().respondWith("PUT /v1/evacuations/z3", {{504, R"({"pending":true,"stamp":9})"}});
   session.corkward({"--json", "--change-id", "c", "evacuate", "z3"}, true);
   session.run("corkward", {"--substation", "127.0.0.1:1", "--limit", "5", "fleet"});
   session.corkward({"--prune", "fleet"});
@@ -220,10 +222,10 @@
   golden::check("programs/test/golden/requests_options.txt", session.text());
 }
 
-TEST_CASE("a folder of declarations is compared and applied with the recorded requests", "[golden]") {
+TEST_CASE("diff and apply of a directory of declarations send the requests of the golden file", "[golden]") {
   Session session;
-  session.controller().otherwise({404, "{}"});
-  session.controller().answers("GET /v1/platform/pools/model", {{}});
+  session.controller().setDefaultResponse({404, "{}"});
+  session.controller().respondWith("GET /v1/platform/pools/model", {{}});
   auto const all = [&] {
     session.corkward({"--json", "diff", "GOLDEN/declared"}, true);
     session.corkward({"--json", "--dry-run", "apply", "GOLDEN/declared"}, true);
@@ -232,31 +234,31 @@
   all();
   for (char const* const path :
        {"PUT /v1/certificates", "PUT /v1/templates/desk", "PUT /v1/templates/desk/instances/nord"})
-    session.controller().answers(path, {{201, R"({"stamp":1})"}});
+    session.controller().respondWith(path, {{201, R"({"stamp":1})"}});
   session.corkward({"--json", "--wait", "5", "apply", "GOLDEN/declared"}, true);
-  // In force: another template, an instance and a whole family that are not declared.
-  session.controller().answers("GET /v1/certificates",
-                               {{200, R"({"spec":{"regimes":{},"certificates":{}},"stamp":3})"}});
-  session.controller().answers("GET /v1/templates", {{200, R"({"templates":["desk","old"]})"}});
-  session.controller().answers(
+  // The fleet now has a different template, an undeclared instance and an undeclared template.
+  session.controller().respondWith("GET /v1/certificates",
+                                   {{200, R"({"spec":{"regimes":{},"certificates":{}},"stamp":3})"}});
+  session.controller().respondWith("GET /v1/templates", {{200, R"({"templates":["desk","old"]})"}});
+  session.controller().respondWith(
       "GET /v1/templates/desk",
       {{200,
         R"({"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]},"stamp":4,"instances":["nord","sued"]})"}});
-  session.controller().answers("GET /v1/templates/desk/instances/nord", {{200, R"({"spec":{},"stamp":5})"}});
-  session.controller().answers("GET /v1/templates/desk/instances/sued", {{200, R"({"spec":{},"stamp":6})"}});
-  session.controller().answers(
+  session.controller().respondWith("GET /v1/templates/desk/instances/nord", {{200, R"({"spec":{},"stamp":5})"}});
+  session.controller().respondWith("GET /v1/templates/desk/instances/sued", {{200, R"({"spec":{},"stamp":6})"}});
+  session.controller().respondWith(
       "GET /v1/templates/old",
       {{200, R"({"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]},"stamp":2,"instances":[]})"}});
-  session.controller().answers("DELETE /v1/templates/desk/instances/sued", {{200, R"({"stamp":8})"}});
-  session.controller().answers("DELETE /v1/templates/old", {{200, R"({"stamp":9})"}});
+  session.controller().respondWith("DELETE /v1/templates/desk/instances/sued", {{200, R"({"stamp":8})"}});
+  session.controller().respondWith("DELETE /v1/templates/old", {{200, R"({"stamp":9})"}});
   all();
   session.corkward({"--json", "--prune", "apply", "GOLDEN/declared"}, true);
-  session.controller().answers("PUT /v1/templates/desk", {{412, R"({"stamp":9,"reason":"stale"})"}});
+  session.controller().respondWith("PUT /v1/templates/desk", {{412, R"({"stamp":9,"reason":"stale"})"}});
   session.corkward({"--json", "apply", "GOLDEN/declared"}, true);
   golden::check("programs/test/golden/requests_declared.txt", session.text());
 }
 
-TEST_CASE("a report of regimes is printed as recorded", "[golden]") {
+TEST_CASE("a report of regimes is printed as in the golden file", "[golden]") {
   Session session;
   {
     std::unique_ptr<storage::Directory> const disk = storage::openDirectory(session.scratch() + "/audit");
@@ -280,19 +282,19 @@
   golden::check("programs/test/golden/report.txt", session.text());
 }
 
-TEST_CASE("the steps of a runbook send the recorded requests", "[golden]") {
+TEST_CASE("the steps of a runbook send the requests of the golden file", "[golden]") {
   Session session;
-  session.controller().answers("GET /v1/templates", {{200, R"({"templates":["desk"]})"}});
+  session.controller().respondWith("GET /v1/templates", {{200, R"({"templates":["desk"]})"}});
   std::vector<std::string> commandLine{
       "--substation",       "ADDRESS", "--set", "zone=north west", "--set", "file=SCRATCH/saved", "--yes",
       "GOLDEN/runbook.json"};
-  session.controller().otherwise({404, R"({"stamp":7})"});
+  session.controller().setDefaultResponse({404, R"({"stamp":7})"});
   for (char const* const path :
        {"PUT /v1/evacuations/north%20west", "GET /v1/evacuations/north%20west", "DELETE /v1/evacuations/north%20west",
         "GET /v1/templates/desk", "PUT /v1/templates/desk", "PATCH /v1/templates/desk",
         "GET /v1/templates/desk/instances/nord", "PUT /v1/templates/desk/instances/nord",
         "PATCH /v1/templates/desk/instances/nord"})
-    session.controller().answers(path, {{}});
+    session.controller().respondWith(path, {{}});
   session.run("corkward-runbook", commandLine);
   commandLine.insert(commandLine.begin(), "--dry-run");
   session.run("corkward-runbook", commandLine);
--- a/programs/test/golden_settings_test.cpp
+++ b/programs/test/golden_settings_test.cpp
@@ -8,8 +8,8 @@
 #include "testing/golden/golden.h"
 #include "testing/golden/program.h"
 
-/// Settings files and options of earlier releases must go on being read as they were, whatever newer names stand beside
-/// theirs. Recording anew is right only when a release may break its users' settings, which none has done.
+/// Checks that settings files and options of earlier releases are still read with the same result. The golden files may
+/// be recorded again only for a release that is allowed to break its users' settings; there has been none so far.
 
 namespace golden = corkward::golden;
 namespace programs = corkward::programs;
@@ -35,7 +35,7 @@
   return out.str();
 }
 
-/// What the words of a command line are read as: the settings, or the text of the error.
+/// Returns the settings that are read from a command line, or the error text, as text.
 std::string parsedForm(programs::Role role, std::vector<std::string> const& commandLine) {
   std::vector<char const*> argv{"program"};
   for (std::string const& argument : commandLine) argv.push_back(argument.c_str());
@@ -47,7 +47,8 @@
   }
 }
 
-/// Command lines, each with what it is read as. `FILE` stands for the role's settings file in the sources.
+/// Collects command lines, each followed by the settings or the error that it is read as. The argument `FILE` is
+/// replaced by the path of the role's settings file in the source tree.
 class Readings {
  public:
   Readings(programs::Role role, std::string const& file) : role_(role), file_(golden::path(folder + file)) {}
@@ -59,7 +60,7 @@
       if (argument == "FILE") argument = file_;
     text_ += parsedForm(role_, commandLine);
   }
-  /// The words behind those that suffice.
+  /// Adds a command line with further arguments after those given.
   void addTo(std::vector<std::string> commandLine, std::vector<std::string> const& more) {
     commandLine.insert(commandLine.end(), more.begin(), more.end());
     add(std::move(commandLine));
@@ -72,20 +73,20 @@
   std::string text_;
 };
 
-std::vector<std::string> const leastRouter{"--link", "10.4.0.7:7721", "--http", "10.4.0.7:8161",
-                                           "--zone", "north",         "--seed", "10.5.0.30:7720"};
-std::vector<std::string> const leastControl{"--link", "10.4.0.7:7720", "--http",    "10.4.0.7:8166", "--zone",
-                                            "north",  "--data",        "/nowhere/", "--seed",        "10.5.0.30:7720"};
+std::vector<std::string> const minimalRouter{"--link", "10.4.0.7:7721", "--http", "10.4.0.7:8161",
+                                             "--zone", "north",         "--seed", "10.5.0.30:7720"};
+std::vector<std::string> const minimalControl{"--link", "10.4.0.7:7720", "--http", "10.4.0.7:8166", "--zone", "north",
+                                              "--data", "/nowhere/",     "--seed", "10.5.0.30:7720"};
 
-void addShared(Readings& readings, std::vector<std::string> const& least) {
+void addShared(Readings& readings, std::vector<std::string> const& minimal) {
   readings.add({"--settings", "FILE"});
   readings.add({"--settings", "FILE", "--zone", "south", "--seed", "10.9.0.1:7720", "--drain-limit", "5"});
   readings.add({"--settings", "FILE", "--check"});
   readings.add({"--settings", "/nowhere/none.conf"});
-  readings.add(least);
+  readings.add(minimal);
   readings.add({});
-  for (std::size_t without = 0; without < least.size(); without += 2) {
-    std::vector<std::string> commandLine = least;
+  for (std::size_t without = 0; without < minimal.size(); without += 2) {
+    std::vector<std::string> commandLine = minimal;
     commandLine.erase(commandLine.begin() + static_cast<std::ptrdiff_t>(without),
                       commandLine.begin() + static_cast<std::ptrdiff_t>(without) + 2);
     readings.add(commandLine);
@@ -99,33 +100,33 @@
                                                    {"--not-a-setting", "1"},   {"word"},
                                                    {"--founder", "10.4.0.7"},  {"--audit-megabytes", "1"},
                                                    {"--audit-megabytes", "2"}};
-  for (std::vector<std::string> const& commandLine : more) readings.addTo(least, commandLine);
+  for (std::vector<std::string> const& commandLine : more) readings.addTo(minimal, commandLine);
 }
 
 }  // namespace
 
-TEST_CASE("a router's settings are read as recorded", "[golden]") {
+TEST_CASE("a router's settings are read as in the golden file", "[golden]") {
   Readings readings(programs::Role::router, "settings/router.conf");
-  addShared(readings, leastRouter);
-  readings.addTo(leastRouter, {"--listen", "10.4.0.7:7722", "--log-file", "/nowhere/a.log", "--log-level", "error",
-                               "--drain-limit", "3600", "--audit", "/nowhere/audit", "--audit-megabytes", "65536"});
-  readings.addTo(leastRouter, {"--audit-megabytes", "65537"});
-  readings.addTo(leastRouter, {"--audit", "/dev/null"});
+  addShared(readings, minimalRouter);
+  readings.addTo(minimalRouter, {"--listen", "10.4.0.7:7722", "--log-file", "/nowhere/a.log", "--log-level", "error",
+                                 "--drain-limit", "3600", "--audit", "/nowhere/audit", "--audit-megabytes", "65536"});
+  readings.addTo(minimalRouter, {"--audit-megabytes", "65537"});
+  readings.addTo(minimalRouter, {"--audit", "/dev/null"});
   std::vector<std::string> seeds;
   for (int i = 0; i < 8; ++i) seeds.insert(seeds.end(), {"--seed", "10.5.0.3" + std::to_string(i) + ":7720"});
-  readings.addTo(leastRouter, seeds);
+  readings.addTo(minimalRouter, seeds);
   golden::check(std::string(folder) + "settings/router.txt", readings.text());
 }
 
-TEST_CASE("a controller's settings are read as recorded", "[golden]") {
+TEST_CASE("a controller's settings are read as in the golden file", "[golden]") {
   Readings readings(programs::Role::controller, "settings/control.conf");
-  addShared(readings, leastControl);
-  readings.addTo(leastControl, {"--founder", "10.4.0.7:7720", "--founder", "10.5.0.30:7720", "--listen",
-                                "10.4.0.7:7723", "--log-file", "/nowhere/a.log"});
-  readings.addTo(leastControl, {"--data", "/dev/null"});
+  addShared(readings, minimalControl);
+  readings.addTo(minimalControl, {"--founder", "10.4.0.7:7720", "--founder", "10.5.0.30:7720", "--listen",
+                                  "10.4.0.7:7723", "--log-file", "/nowhere/a.log"});
+  readings.addTo(minimalControl, {"--data", "/dev/null"});
   std::vector<std::string> founders;
   for (int i = 0; i < 10; ++i) founders.insert(founders.end(), {"--founder", "10.5.0.3" + std::to_string(i) + ":7720"});
-  readings.addTo(leastControl, founders);
+  readings.addTo(minimalControl, founders);
   golden::check(std::string(folder) + "settings/control.txt", readings.text());
 }
 
@@ -151,7 +152,7 @@
     for (std::string const& command : commands) text += command + "\n";
     golden::check(name, text);
   }
-  // A command that is known says what it wants; with so many words it sends nothing.
+  // With too many arguments a known command reports a different error than an unknown one, and sends no request.
   QStringList const tooMany{"a", "b", "c", "d", "e"};
   std::vector<std::string> const recorded = golden::lines(golden::read(name));
   REQUIRE_FALSE(recorded.empty());
@@ -162,7 +163,7 @@
     CHECK(run.code == 2);
     CHECK(run.err.find("no such command") == std::string::npos);
   }
-  // Shows that the check above would find a command that is not accepted.
+  // Verifies that the check above fails for a command that is not accepted.
   golden::ProgramRun const unknown = golden::runProgram("programs/corkward", QStringList{"not-a-command"} + tooMany);
   CHECK(unknown.code == 2);
   CHECK(unknown.err.find("no such command") != std::string::npos);
--- a/programs/test/signals_test.cpp
+++ b/programs/test/signals_test.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("owners of signal handlers that come and go in one process close only their own descriptors") {
+TEST_CASE("each owner of a signal handler closes only its own descriptors when it is destroyed") {
   application();
   bool const deferred = GENERATE(false, true);
   if (deferred) programs::deferReloads();
@@ -35,7 +35,8 @@
     programs::onReload(owner, [] {});
   }
   first.reset();
-  // Reuse the numbers of the first owner's descriptors.
+  // Opens descriptors that reuse the numbers of the first owner's closed ones. A second close of these numbers would
+  // close the new descriptors.
   std::vector<int> others;
   for (int i = 0; i < 8; ++i) others.push_back(::dup(STDERR_FILENO));
   second.reset();
@@ -43,7 +44,7 @@
   for (int const other : others) ::close(other);
 }
 
-TEST_CASE("a reload signal that arrives before its handler is delivered to it, once") {
+TEST_CASE("a SIGHUP that arrives before onReload is delivered to the handler once") {
   application();
   programs::deferReloads();
   REQUIRE(::raise(SIGHUP) == 0);
