--- a/programs/cli/apply.cpp
+++ b/programs/cli/apply.cpp
@@ -18,9 +18,10 @@
 }
 
 void printPlan(std::vector<PlannedChange> const& plan) {
-  std::cout << (plan.empty() ? "nothing to change" : std::to_string(plan.size()) + " to change") << "\n";
+  std::cout << (plan.empty() ? "nothing to change" : std::to_string(plan.size()) + " changes") << "\n";
   for (PlannedChange const& change : plan)
-    std::cout << "  " << name(change.action) << " " << change.call.path << " (stamp " << change.call.revision << ")\n";
+    std::cout << "  " << name(change.action) << " " << change.call.path << " (revision " << change.call.revision
+              << ")\n";
 }
 
 void printOutcome(PlannedChange const& change, OperatorReply const& reply) {
@@ -101,7 +102,7 @@
     std::cout << core::jsonText(report) << "\n";
   }
   bool const sent = options.apply && !options.dryRun && !plan.empty();
-  if (!options.json && sent) std::cout << applier.done() << " of " << plan.size() << " done\n";
+  if (!options.json && sent) std::cout << applier.done() << " of " << plan.size() << " changes done\n";
   return code;
 }
 
--- a/programs/cli/commands.cpp
+++ b/programs/cli/commands.cpp
@@ -146,8 +146,7 @@
       {"apply", "DIR", "change the fleet to match a directory of declarations (--dry-run, --prune, --wait)", nullptr},
       {"regime", "report DIR...",
        "report which requests ran where, were rejected or were resumed, from copies of the routers' audit directories "
-       "(--regime, --from, "
-       "--until, --span, --head; exit code 1 if records were changed or are missing)",
+       "(--regime, --from, --until, --span, --head; exit code 1 if records were changed or are missing)",
        nullptr},
       {"node-remove", "LINK", "declare that the machine of a failed node is switched off permanently", removeNode},
       {"fleet", "", "show the fleet as one controller sees it", getFleet}};
@@ -163,11 +162,11 @@
 CommandRequest requestOf(std::vector<std::string> const& commandLine) {
   if (commandLine.empty()) throw UsageError("a command is missing; corkward --help lists all commands");
   Command const& command = commandNamed(commandLine[0]);
-  std::size_t const wanted = argumentCount(command);
-  bool const complete = commandLine.size() == wanted + 1 && command.request != nullptr;
+  std::size_t const expectedCount = argumentCount(command);
+  bool const complete = commandLine.size() == expectedCount + 1 && command.request != nullptr;
   if (!complete)
-    throw UsageError(commandLine[0] + (wanted == 0 ? ": takes no arguments"
-                                                   : std::string(": needs the arguments ") + command.arguments));
+    throw UsageError(commandLine[0] + (expectedCount == 0 ? ": takes no arguments"
+                                                          : std::string(": needs the arguments ") + command.arguments));
   return command.request({commandLine.begin() + 1, commandLine.end()});
 }
 
--- a/programs/common/graceful_shutdown.cpp
+++ b/programs/common/graceful_shutdown.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Milliseconds for which new connections are still accepted after the signal: load balancers directed these callers to
-/// this process just before it.
+/// Minimum milliseconds from the signal to the end of the process. Until then the process still accepts requests of
+/// callers that were directed to it just before the signal.
 constexpr core::Milliseconds lateCallerPeriod = 1000;
 
 }  // namespace
--- a/programs/common/graceful_shutdown.h
+++ b/programs/common/graceful_shutdown.h
@@ -12,7 +12,7 @@
 class GracefulShutdown {
  public:
   /// @param limit milliseconds after which the process ends with requests still pending
-  /// @param minimum milliseconds for which new callers are still served, though nothing is pending
+  /// @param minimum milliseconds for which new requests are still accepted, even if no request is pending
   explicit GracefulShutdown(core::Milliseconds limit, core::Milliseconds minimum = 0)
       : limit_(limit), minimum_(minimum) {}
   /// Starts the shutdown. Returns false if it was started before.
--- a/programs/router/request_relay.cpp
+++ b/programs/router/request_relay.cpp
@@ -39,7 +39,7 @@
   if (caller.isEventStream)
     active.stream.expectEvents(std::move(caller.lastEventId));
   else
-    active.lastEvent = std::move(caller.lastEventId);
+    active.lastEventId = std::move(caller.lastEventId);
   active.request = std::move(request);
   active.caller = std::move(*caller.request);
 }
@@ -60,7 +60,7 @@
   closeUpstream(command.call);
   active->path = command.path;
   active->pausedSince = 0;
-  if (command.events && !active->everConnected) active->stream.expectEvents(std::move(active->lastEvent));
+  if (command.events && !active->everConnected) active->stream.expectEvents(std::move(active->lastEventId));
   active->everConnected = true;
   active->stream.onConnecting(command.resume);
   http::UpstreamConnection::Events events = upstreamEvents(command.call);
--- a/programs/router/request_relay.h
+++ b/programs/router/request_relay.h
@@ -78,7 +78,7 @@
     dataplane::ResponseStream stream;
     /// Id of the last event that the caller has received, from its request. Only for a path whose responses are event
     /// streams.
-    std::string lastEvent;
+    std::string lastEventId;
     /// Whether a connection was opened for this request before.
     bool everConnected = false;
     /// Time of the last progress report by the boot clock.
--- a/programs/runbook/runbook_executor.h
+++ b/programs/runbook/runbook_executor.h
@@ -31,7 +31,7 @@
   std::string accountFile;
 };
 
-/// Executes the steps of runbooks one after the other. All changes to the fleet are made by the operator interface.
+/// Executes the steps of runbooks one after the other. All changes to the fleet are sent to the operator interface.
 class RunbookExecutor {
  public:
   explicit RunbookExecutor(ExecutorOptions options) : options_(std::move(options)) {}
--- a/programs/runbook/singleton_role_client.h
+++ b/programs/runbook/singleton_role_client.h
@@ -12,8 +12,9 @@
 namespace corkward::programs {
 
 /// Client for a singleton role, which at most one process holds at a time. The role is a lease that a majority of the
-/// consensus members grants. The term increases with each holder and serves as a fencing token. The client counts the
-/// lease from before the request, so the lease ends for the client before it ends for any controller.
+/// consensus members, which are controllers with a disk, grants. The term increases with each holder and serves as a
+/// fencing token. The client counts the lease from before the request, so the lease ends for the client before it ends
+/// for any controller.
 class SingletonRoleClient {
  public:
   /// @param controllers addresses of all controllers, ip:port, since the lease needs a majority
--- a/programs/test/change_plan_test.cpp
+++ b/programs/test/change_plan_test.cpp
@@ -57,7 +57,7 @@
 constexpr char const* certificates =
     R"({"regimes":{"health":{"nacelles":"any"}},"certificates":{"c1":{"regime":"health","carrier":"replicas",
   "pool":"model","zone":"z1","until":"2099-01-01T00:00:00Z"}}})";
-constexpr char const* none = R"({"regimes":{},"certificates":{}})";
+constexpr char const* noCertificates = R"({"regimes":{},"certificates":{}})";
 
 FakeController withPool() {
   FakeController controller;
@@ -93,7 +93,7 @@
   TemporaryDirectory directory;
   directory.write("desk.json", R"({"template":"desk","spec":{"paths":[{"path":"a","pool":"model","class":"short"}]}})");
   directory.write("nord.json", tenant);
-  directory.write("certificates.json", none);
+  directory.write("certificates.json", noCertificates);
   CHECK(plan(directory, controller) ==
         std::vector<std::string>{"change /v1/templates/desk 1", "change /v1/certificates 4"});
   directory.write("desk.json", tenantTemplate);
@@ -116,6 +116,6 @@
       R"({"regimes":{"health":{"nacelles":"any"}},"certificates":{"c1":{"regime":"health","carrier":"replicas","pool":"m","zone":"z1"}}})");
   CHECK(errorOf(directory, withPool()).find("c.json: /certificates/c1/until: missing") != std::string::npos);
   directory.write("c.json", certificates);
-  directory.write("d.json", none);
+  directory.write("d.json", noCertificates);
   CHECK(errorOf(directory, withPool()).find("d.json: /regimes: regimes are already declared in") != std::string::npos);
 }
