--- a/http/include/corkward/http/http_error.h
+++ b/http/include/corkward/http/http_error.h
@@ -4,7 +4,7 @@
 
 namespace corkward::http {
 
-/// An error of the HTTP layer's set-up: an address that is malformed or cannot be listened at.
+/// An address is malformed, or the server cannot listen at it.
 class HttpError : public core::Error {
  public:
   using core::Error::Error;
--- a/http/include/corkward/http/mapping.h
+++ b/http/include/corkward/http/mapping.h
@@ -11,30 +11,33 @@
 
 namespace corkward::http {
 
-/// A caller's request as an event for the data plane, or the error that it is rejected with.
+/// A caller's request as the data plane receives it, or the error response for a request that is rejected.
 struct CallerRequest {
-  /// Empty for a request that is rejected.
+  /// std::nullopt if the request is rejected.
   std::optional<dataplane::Request> request;
-  /// Status and reason of the rejection.
+  /// HTTP status and reason of the rejection; unset if the request is accepted.
   int status = 0;
   std::string reason;
-  /// A response that is an event stream may be resumed at another replica, after the last event that was passed on.
+  /// Whether a response that is an event stream may be resumed on another replica after the last event that was
+  /// forwarded to the caller.
   bool isEventStream = false;
-  /// Last event that the caller says it has; empty: none.
+  /// Id of the last event that the caller has received according to its request. Empty if the request names none.
   std::string lastEventId;
 };
 
-/// What a request to a replica is made of. The references are valid during the call only.
+/// Everything that Mapping::replicaRequest needs to build the request to a replica. The references are valid only
+/// during that call.
 struct Dispatch {
   Request const& request;
   dataplane::Request const& caller;
-  /// Path that the data plane connected for.
+  /// Path of the request on the replica, as the data plane determined it.
   std::string const& path;
   dataplane::SendRequest const& command;
   dataplane::Resume const& resume;
 };
 
-/// Maps HTTP to the data plane's events and back; there is one for each HTTP surface. Mappings keep no state.
+/// Translates between HTTP and the data plane's events. Each HTTP interface has an implementation. Mappings are
+/// stateless.
 class Mapping {
  public:
   Mapping() = default;
@@ -43,19 +46,20 @@
   Mapping& operator=(Mapping const&) = delete;
   Mapping(Mapping&&) = delete;
   Mapping& operator=(Mapping&&) = delete;
-  /// Reads a caller's request.
+  /// Translates a caller's HTTP request to a request for the data plane, or to a rejection.
   virtual CallerRequest callerRequest(Request const& request) const = 0;
-  /// Head of the request to a replica; the body goes with it unchanged. Host and the body's length are added where they
-  /// are missing.
+  /// Returns the request line and header fields for the request to a replica. The caller's body is forwarded unchanged.
+  /// The connection adds Host if it is missing, and Content-Length.
   virtual ReplicaRequest replicaRequest(Dispatch const& dispatch) const = 0;
-  /// Reads the head of a replica's response to the request.
+  /// Translates the status and header section of a replica's response to the given request.
   virtual dataplane::ResponseHead responseHead(ReplicaHead const& head, Request const& request) const = 0;
-  /// Headers and body of a rejection, or of an outcome that is not known.
+  /// Return the header fields and the body of the response for a rejected request, or for a request whose outcome is
+  /// unknown.
   virtual HeaderList rejectionHeaders(dataplane::Reject const& reject) const = 0;
   virtual std::string rejectionBody(dataplane::Reject const& reject) const = 0;
 };
 
-/// The product's own HTTP surface: POST /v1/{instance}/{path...}; see docs/interface.md.
+/// The product's native HTTP interface for callers: POST /v1/{instance}/{path...}; see docs/interface.md.
 class NativeMapping : public Mapping {
  public:
   CallerRequest callerRequest(Request const& request) const override;
--- a/http/include/corkward/http/operator_mapping.h
+++ b/http/include/corkward/http/operator_mapping.h
@@ -9,21 +9,23 @@
 
 namespace corkward::http {
 
-/// A complete response.
+/// A complete HTTP response.
 struct Response {
   int status = 200;
   HeaderList headers;
   std::string body;
 };
 
-/// A request of an operator or the platform as an event for the control plane, or the response to one that is none.
+/// A request of an operator or the platform: either a call for the control plane, or a response that is sent without
+/// involving the control plane.
 struct OperatorRequest {
-  /// Empty for a request that is answered at once.
+  /// std::nullopt if immediateResponse is the response to the request.
   std::optional<transport::OperatorCall> call;
   Response immediateResponse;
 };
 
-/// Maps HTTP to the control plane's events and back; there is one for each HTTP surface. Mappings keep no state.
+/// Translates between HTTP and the control plane's operator calls. Each HTTP interface has an implementation. Mappings
+/// are stateless.
 class OperatorMapping {
  public:
   OperatorMapping() = default;
@@ -32,17 +34,19 @@
   OperatorMapping& operator=(OperatorMapping const&) = delete;
   OperatorMapping(OperatorMapping&&) = delete;
   OperatorMapping& operator=(OperatorMapping&&) = delete;
-  /// Reads a request as a call. Its change id is the caller's, or the given one.
-  virtual OperatorRequest operatorCall(Request const& request, std::string const& freshChangeId) const = 0;
-  /// The response to a call.
-  /// @param call the call without its body
+  /// Translates an HTTP request to an operator call.
+  /// @param generatedChangeId change id of the call if the request names none
+  virtual OperatorRequest operatorCall(Request const& request, std::string const& generatedChangeId) const = 0;
+  /// Returns the HTTP response to a call.
+  /// @param call the call; its body is empty
+  /// @param body the control plane's reply
   virtual Response response(transport::OperatorCall const& call, int status, QJsonObject const& body) const = 0;
 };
 
-/// The product's own operator interface; see docs/interface.md.
+/// The product's native operator interface; see docs/interface.md.
 class NativeOperatorMapping : public OperatorMapping {
  public:
-  OperatorRequest operatorCall(Request const& request, std::string const& freshChangeId) const override;
+  OperatorRequest operatorCall(Request const& request, std::string const& generatedChangeId) const override;
   Response response(transport::OperatorCall const& call, int status, QJsonObject const& body) const override;
 };
 
--- a/http/include/corkward/http/server.h
+++ b/http/include/corkward/http/server.h
@@ -14,47 +14,53 @@
 
 namespace corkward::http {
 
-/// A complete request, head and body within their limits.
+/// A complete request whose header section and body are within the server's limits.
 struct Request {
+  /// Identifies the request among all requests of the server.
   std::uint64_t id = 0;
-  /// Index of the server's address that it came in at.
+  /// Index of the server's address at which the request arrived.
   std::size_t listener = 0;
   std::string method;
-  /// Path and query as they were sent.
+  /// Request target (path and query) as the caller sent it.
   std::string target;
   HeaderMap headers;
   std::string body;
-  /// Milliseconds from its first byte that was read until all of it was there.
+  /// Milliseconds between reading the first byte and the last byte of the request.
   core::Milliseconds readDuration = 0;
 };
 
-/// Limits of a server, and how it signs its responses.
+/// Limits of a server, and options of its responses.
 struct ServerLimits {
+  /// Longest request line and header section.
   std::uint32_t headLimitBytes = 16U << 10;
   std::uint64_t bodyLimitBytes = 1U << 20;
-  /// Further connections are rejected with 503, and twice as many are closed at once.
+  /// Connections beyond this number receive a 503 response. Connections beyond twice this number are closed without a
+  /// response.
   int maxConnections = 4096;
-  /// Milliseconds for a request to arrive, from its first byte or from the start of the connection.
+  /// Milliseconds within which a request must arrive completely, counted from its first byte. On a new connection the
+  /// first byte must arrive within the same time.
   int headTimeoutMs = 10000;
-  /// Milliseconds that a connection without a request stays open.
+  /// Idle timeout: milliseconds after which a connection without a request is closed.
   int idleTimeoutMs = 60000;
   bool sendsServerHeader = true;
-  /// Headers of the responses to requests that break HTTP or these limits.
+  /// Header fields of the error responses to requests that violate HTTP or these limits.
   HeaderList errorHeaders = {{"corkward-outcome", "not-run"}};
 };
 
-/// HTTP/1.1 server for callers, operators and the platform: Boost.Beast parses, Qt carries the bytes. Each connection
-/// has one request at a time; its response is written at once or in parts.
+/// HTTP/1.1 server for callers, operators and the platform. Boost.Beast parses the messages, and Qt reads and writes
+/// the sockets. Each connection processes one request at a time. A response is written either complete with respond(),
+/// or incrementally with beginResponse(), writeChunk() and finishResponse().
 class Server : public QObject {
  public:
   struct Events {
     std::function<void(Request)> request;
-    /// The caller's connection ended before its response was complete.
+    /// The caller's connection ended before the response to the request was complete.
     std::function<void(std::uint64_t id)> disconnected;
-    /// Some of the buffered bytes of a response were written to the caller.
+    /// Some of the buffered bytes of the response were written to the caller's socket.
     std::function<void(std::uint64_t id)> writable;
   };
-  /// Listens at ip:port, at one or at several with the limits shared; port 0 takes a free one. Throws HttpError.
+  /// Listens at one or several ip:port addresses, which share the limits. With port 0 the operating system chooses a
+  /// free port. Throws HttpError.
   Server(std::string const& address, ServerLimits limits, Events events, QObject* parent = nullptr);
   Server(std::vector<std::string> const& addresses, ServerLimits limits, Events events, QObject* parent = nullptr);
   ~Server() override;
@@ -63,43 +69,47 @@
   Server(Server&&) = delete;
   Server& operator=(Server&&) = delete;
 
-  /// The address with the port that was taken.
+  /// Returns the address of a listener with the port that it actually uses.
   std::string const& address(std::size_t listener = 0) const;
-  /// Limits for what comes from here on.
+  /// Sets the limits for the requests and connections that begin after this call.
   void setLimits(ServerLimits limits);
 
-  // Responses; a request that is not known any more is ignored.
+  // The functions below do nothing if the request has no pending response any more.
 
   /// Writes a complete response.
   void respond(std::uint64_t id, int status, HeaderList const& headers, std::string const& body);
-  /// Starts a response.
-  /// @param bodyLength below zero: the body goes in chunks. A response without a body has none, whatever is said here.
-  /// @param reason phrase of the status; empty: the usual one
+  /// Writes the status line and header section of a response.
+  /// @param bodyLength length of the body; negative for the chunked transfer coding. Responses that never have a body,
+  ///   such as those to HEAD, have none whatever the value is.
+  /// @param reason reason phrase; if empty, the standard phrase of the status is used
   void beginResponse(std::uint64_t id, int status, HeaderList const& headers, std::int64_t bodyLength,
                      std::string const& reason = {});
+  /// Writes bytes of the body.
   void writeChunk(std::uint64_t id, std::string const& bytes);
-  /// Ends a response whose body is complete.
+  /// Ends a response whose body has been written completely.
   void finishResponse(std::uint64_t id);
-  /// Resets the connection, so that what the caller has cannot look complete.
+  /// Closes the connection immediately, so that the caller cannot mistake the partial response for a complete one.
   void abort(std::uint64_t id);
-  /// Bytes that wait to be written for the request.
+  /// Returns the number of response bytes that are not written to the request's socket yet; 0 if the request is
+  /// unknown.
   std::int64_t bufferedBytes(std::uint64_t id) const;
-  /// The caller has closed or lost the connection of the request, as its socket says at this moment; the event may
-  /// still be on its way.
+  /// Whether the request's connection is closed or lost according to the operating system. The event `disconnected` may
+  /// not have been delivered yet. Returns true if the request is unknown.
   bool isDisconnected(std::uint64_t id) const;
 
-  /// From here on each response announces that its connection is closed; what still comes is served.
+  /// Makes each further response announce that its connection will be closed. Requests that still arrive are served.
   void startDraining();
-  /// Accepts every connection that waits at the addresses, and stops listening.
+  /// Accepts all connections that are pending in the listen queues, then stops listening.
   void closeListeners();
-  /// Connections without a request whose caller has sent something, or has just connected and is about to.
+  /// Returns the number of connections from which a request is expected: no request is being processed, and the caller
+  /// has sent part of one or has not sent any request yet.
   std::size_t expectedRequests() const;
-  /// Requests without their complete response, and responses that are not fully written.
+  /// Returns the number of connections with a request whose response is incomplete or not fully written to the socket.
   std::size_t pendingCount() const;
   std::size_t connectionCount() const;
-  /// Requests that broke HTTP or the limits.
+  /// Returns the number of requests that violated HTTP or the limits, including connections rejected with 503.
   std::uint64_t malformedRequests() const;
-  /// Connections that could not be accepted at once, for want of descriptors or memory.
+  /// Returns the number of failed attempts to accept a connection, caused by a lack of file descriptors or memory.
   std::uint64_t failedAccepts() const;
 
  private:
--- a/http/include/corkward/http/socket_address.h
+++ b/http/include/corkward/http/socket_address.h
@@ -13,10 +13,10 @@
   std::uint16_t port = 0;
 };
 
-/// Reads ip:port. Throws HttpError.
+/// Parses ip:port. Throws HttpError if the text is no such address.
 SocketAddress parseSocketAddress(std::string const& text);
 
-/// Starts to connect a socket to ip:port. Throws HttpError when that is no address.
+/// Starts to connect a socket to ip:port. Throws HttpError if the address is malformed.
 void connectSocket(QTcpSocket& socket, std::string const& address);
 
 }  // namespace corkward::http
--- a/http/include/corkward/http/upstream_connection.h
+++ b/http/include/corkward/http/upstream_connection.h
@@ -15,45 +15,48 @@
 
 class UpstreamPool;
 
-/// Head of a request to a replica.
+/// Request line and header fields of a request to a replica.
 struct ReplicaRequest {
   std::string method = "POST";
   std::string target;
   HeaderList headers = {};
 };
 
-/// Head of a replica's response as it came.
+/// Status line and header fields of a replica's response as received.
 struct ReplicaHead {
   int status = 0;
   std::string reason = {};
   HeaderList headers = {};
-  /// Announced length of the body; below zero: none is announced.
+  /// Value of Content-Length; negative if the response announces no length.
   std::int64_t bodyLength = -1;
-  /// No body follows: the response to HEAD, or a status that has none.
+  /// The response has no body because it answers a HEAD request or has a status without a body (204 or 304).
   bool hasNoBody = false;
 };
 
-/// One connection to one replica for one request. It is always known whether a byte of the request was handed to a
-/// connected socket, and nothing is sent again without the owner. Events come from the event loop, never from within a
-/// call.
+/// A connection to a replica that carries one request of its owner. Before the owner calls send() no byte of the
+/// request is written, and the connection never sends a request a second time on its own; so the owner always knows
+/// whether the replica may have received the request. Events are delivered from the event loop, never from within a
+/// member function.
 class UpstreamConnection : public QObject {
  public:
   struct Events {
-    /// The connection is established; nothing was sent yet.
+    /// The connection is established, and no byte of the request was sent yet.
     std::function<void()> connected;
-    /// No connection, or none that may be used; nothing was sent.
+    /// The connection could not be established or is not usable. No byte of the request was sent.
     std::function<void()> connectFailed;
     std::function<void(ReplicaHead)> head;
-    /// All bytes of the body that arrived together.
+    /// Bytes of the response's body.
     std::function<void(std::string)> chunk;
-    /// The response's own end was seen (true), or the connection ended before it (false). For a body without an
-    /// announced end see KeepAlivePolicy::closeCompletesResponse.
+    /// The response has ended. `complete` is true if its end was received as the message framing defines it, and false
+    /// if the connection ended earlier or the response is malformed. KeepAlivePolicy::closeCompletesResponse defines
+    /// the value for a body that ends with the connection.
     std::function<void(bool complete)> ended;
   };
-  /// Opens a connection that ends with the request.
-  /// @param address ip:port. Throws HttpError.
+  /// Opens a connection that is closed after the request. Throws HttpError if the address is malformed.
+  /// @param address ip:port
   UpstreamConnection(std::string const& address, Events events, QObject* parent);
-  /// The same; it is established only when the replica has named this incarnation on it (GET /corkward/life), else it
+  /// Opens a connection that is closed after the request, and asks the replica for its incarnation (GET
+  /// /corkward/life). The connection is established only if the replica reports the given incarnation; otherwise it
   /// fails.
   UpstreamConnection(std::string const& address, std::string incarnation, Events events, QObject* parent);
   ~UpstreamConnection() override;
@@ -61,30 +64,31 @@
   UpstreamConnection& operator=(UpstreamConnection const&) = delete;
   UpstreamConnection(UpstreamConnection&&) = delete;
   UpstreamConnection& operator=(UpstreamConnection&&) = delete;
-  /// Sends the request. Only once, after the event connected.
+  /// Sends the request. May be called once, after the event `connected`.
   void send(ReplicaRequest const& request, std::string const& body);
-  /// Closes the connection; no event comes after.
+  /// Closes the connection. No event is delivered afterwards.
   void close();
-  /// As close, but a connection that may be kept reads the rest of a short response, goes back to its pool, and deletes
-  /// this object.
+  /// Gives up the response and deletes this object later. No event is delivered afterwards. If the connection can be
+  /// reused, the rest of a short response is read and discarded, and the connection returns to its pool; otherwise it
+  /// is closed.
   void release();
-  /// The connection failed because this process could open no socket.
+  /// Whether the connection failed because this process ran out of file descriptors or other socket resources.
   bool outOfDescriptors() const;
-  /// The connection was reused after a long idle time and nothing came on it: the replica may have closed it before it
-  /// saw the request.
+  /// Whether the connection was reused after a long idle time and no response head has arrived: the replica may have
+  /// closed the connection before it received the request.
   bool isStale() const;
-  /// Stops or resumes reading, for backpressure.
+  /// Stops or resumes reading the response, to apply backpressure to the replica.
   void setPaused(bool paused);
 
  private:
   friend class UpstreamPool;
   struct State;
-  /// An idle connection of the pool.
+  /// An idle connection that is taken from the pool.
   struct ReusedSocket {
-    /// Null: there is none, and a new connection is opened.
+    /// Null if the pool has no usable connection, so that a new one is opened.
     QTcpSocket* socket = nullptr;
-    /// It was idle for so long that the replica may have closed it unseen.
-    bool rested = false;
+    /// The connection was idle for so long that the replica may have closed it without this process having noticed.
+    bool mayBeStale = false;
   };
   UpstreamConnection(std::string const& address, Events events, QObject* parent, UpstreamPool* pool,
                      ReusedSocket reused);
@@ -94,23 +98,24 @@
   void onSocketReady();
   void onReadyRead();
   void onDisconnected();
-  /// Asks the replica for its incarnation.
+  /// Sends the request for the replica's incarnation.
   void requestIncarnation();
   void readIncarnation();
   void establish();
   void failConnect();
   void readResponse();
+  /// Handles a complete response head. Returns false if the response must not be read further.
   bool onHead();
-  /// Passes bytes of the body on, or discards them after release, and empties the text.
+  /// Delivers bytes of the body to the owner, or discards them after release(). Clears the given text.
   void deliver(std::string& bytes);
-  /// The connection has ended, and all that came on it is to be read.
+  /// Reads everything that was received on a connection that has ended, then finishes the response.
   void readToEnd();
   void finish(bool complete);
   void returnToPool();
 
   Events events_;
   std::string address_;
-  /// Null once it was returned to the pool.
+  /// Null after the socket was returned to the pool.
   QTcpSocket* socket_;
   std::unique_ptr<State> state_;
 };
--- a/http/include/corkward/http/upstream_pool.h
+++ b/http/include/corkward/http/upstream_pool.h
@@ -13,72 +13,77 @@
 
 namespace corkward::http {
 
-/// Which connections to replicas are kept for further requests; times in milliseconds.
+/// Defines which connections to replicas are kept alive for further requests. Durations are in milliseconds.
 struct KeepAlivePolicy {
-  /// Idle connections kept for one replica at most; 0: each request has a connection of its own.
+  /// Largest number of idle connections to one replica. If 0, every request opens a connection of its own.
   std::size_t maxIdlePerReplica = 0;
-  /// An idle connection is used for less than this, or than half of the replica's Keep-Alive time-out.
+  /// An idle connection is reused only if it has been idle for less than this time and for less than half of the
+  /// timeout in the replica's Keep-Alive header.
   core::Milliseconds idleTimeout = 5000;
-  /// The same for a request that may be executed once only; 0: it has a new connection.
-  core::Milliseconds freshIdleTimeout = 0;
-  /// A response without an announced end is complete when the replica closes its connection in order. False: it always
-  /// counts as cut, since a replica's process that dies closes its connections in order as well.
+  /// Replaces idleTimeout for a request that must not be executed twice and therefore should avoid a stale connection.
+  /// If 0, such a request opens a new connection.
+  core::Milliseconds avoidStaleIdleTimeout = 0;
+  /// Whether a body that ends with the connection (RFC 9112, section 6.3) is complete if the replica closes the
+  /// connection without a reset. If false, such a response always counts as incomplete, because the operating system
+  /// also closes the connections of a crashed replica process without a reset.
   bool closeCompletesResponse = false;
 };
 
-/// Keeps idle connections to replicas for further requests. A connection comes back only when its request was fully
-/// written, its response was complete with nothing after it, and neither side announced its end; one on which anything
-/// arrives while it is idle is closed.
+/// Keeps idle connections to replicas for further requests. A connection returns to the pool only if its request was
+/// written completely, its response was complete and followed by no further bytes, and neither side announced that it
+/// closes the connection. An idle connection on which any byte arrives is closed.
 class UpstreamPool : public QObject {
  public:
-  /// @param now monotonic milliseconds
+  /// @param now returns the monotonic time in milliseconds
   UpstreamPool(KeepAlivePolicy policy, std::function<core::Milliseconds()> now, QObject* parent = nullptr);
   ~UpstreamPool() override;
   UpstreamPool(UpstreamPool const&) = delete;
   UpstreamPool& operator=(UpstreamPool const&) = delete;
   UpstreamPool(UpstreamPool&&) = delete;
   UpstreamPool& operator=(UpstreamPool&&) = delete;
-  /// A connection for one request: an idle one or a new one. It belongs to the parent.
-  /// @param fresh see KeepAlivePolicy::freshIdleTimeout
-  UpstreamConnection* acquire(std::string const& address, bool fresh, UpstreamConnection::Events events,
+  /// Returns a connection for one request, which reuses an idle connection if possible. The parent owns it.
+  /// @param avoidStale whether KeepAlivePolicy::avoidStaleIdleTimeout applies
+  UpstreamConnection* acquire(std::string const& address, bool avoidStale, UpstreamConnection::Events events,
                               QObject* parent);
-  /// Closes the idle connections to an address.
+  /// Closes all idle connections to an address.
   void closeIdle(std::string const& address);
   void setKeepAlive(KeepAlivePolicy policy);
   KeepAlivePolicy const& policy() const { return policy_; }
   std::size_t idleCount() const { return idleCount_; }
-  /// Connections that were opened.
+  /// Number of connections that were opened.
   std::uint64_t openedCount() const { return openedCount_; }
-  /// Requests that were sent on a connection that had been idle.
+  /// Number of requests that reused an idle connection.
   std::uint64_t reusedCount() const { return reusedCount_; }
 
  private:
   friend class UpstreamConnection;
   struct IdleConnection {
     QTcpSocket* socket = nullptr;
+    /// Time at which the connection became idle.
     core::Milliseconds since = 0;
-    /// Milliseconds for which it may be reused, by its replica's word and the policy of that time.
+    /// Milliseconds for which the connection may be reused, determined when it became idle from the replica's
+    /// Keep-Alive header and the policy.
     core::Milliseconds timeout = 0;
   };
   void countOpened() { ++openedCount_; }
   void countReused() { ++reusedCount_; }
-  /// Takes a connection back.
+  /// Adds a connection that has become idle.
   void put(std::string const& address, QTcpSocket* socket, core::Milliseconds keepAliveTimeout);
-  /// The youngest idle connection that may be used; its socket is null when there is none.
-  UpstreamConnection::ReusedSocket take(std::string const& address, bool fresh);
-  /// Closes an idle connection on which something arrived.
+  /// Removes and returns the usable connection that became idle last. The returned socket is null if there is none.
+  UpstreamConnection::ReusedSocket take(std::string const& address, bool avoidStale);
+  /// Closes an idle connection that has ended or on which bytes arrived.
   void remove(std::string const& address, QTcpSocket* socket);
   void closeExpired();
 
   KeepAlivePolicy policy_;
   std::function<core::Milliseconds()> now_;
-  /// By the replica's address, the oldest first.
+  /// Idle connections by the replica's address, in the order in which they became idle.
   std::unordered_map<std::string, std::vector<IdleConnection>> idle_;
-  /// Over all addresses.
+  /// Number of idle connections to all addresses.
   std::size_t idleCount_ = 0;
   std::uint64_t openedCount_ = 0;
   std::uint64_t reusedCount_ = 0;
-  /// Active while there are idle connections.
+  /// Calls closeExpired() periodically while there are idle connections.
   QTimer expiryTimer_;
 };
 
--- a/http/src/close_observer.cpp
+++ b/http/src/close_observer.cpp
@@ -9,8 +9,8 @@
   descriptor_.reset(::fcntl(static_cast<int>(socket.socketDescriptor()), F_DUPFD_CLOEXEC, 0));
 }
 
-bool CloseObserver::closedInOrder() const {
-  // A reset leaves the connection without a peer.
+bool CloseObserver::closedWithoutReset() const {
+  // getpeername fails after a reset, because the socket then has no peer any more.
   sockaddr_storage peer{};
   socklen_t length = sizeof peer;
   return descriptor_.isOpen() && ::getpeername(descriptor_.get(), reinterpret_cast<sockaddr*>(&peer), &length) == 0;
--- a/http/src/close_observer.h
+++ b/http/src/close_observer.h
@@ -6,15 +6,17 @@
 
 namespace corkward::http {
 
-/// Tells whether a peer has closed its connection in order or reset it. The socket closes its own descriptor before it
-/// reports that the connection has ended, and does not say in which of both ways; a second descriptor still knows.
+/// Determines whether the peer closed a connection normally (FIN) or reset it (RST). QTcpSocket does not report which
+/// of the two happened, and it closes its descriptor before it reports the end of the connection. This class therefore
+/// keeps a duplicate of the descriptor, from which the difference can still be read.
 class CloseObserver {
  public:
-  /// Observes the connection of the socket from here on.
+  /// Starts to observe the connection of the socket.
   void observe(QTcpSocket const& socket);
   void stop() { descriptor_.reset(); }
-  /// The connection has ended in order; false when it is not observed.
-  bool closedInOrder() const;
+  /// Whether the connection, which must have ended, was closed without a reset. Returns false if no connection is
+  /// observed.
+  bool closedWithoutReset() const;
 
  private:
   core::FileDescriptor descriptor_;
--- a/http/src/headers.cpp
+++ b/http/src/headers.cpp
@@ -21,7 +21,7 @@
                                                       "content-length",
                                                       "expect"};
 
-/// All values of Connection, joined: they name further hop-by-hop headers.
+/// Returns all values of Connection, joined with commas and in lower case. They name further hop-by-hop header fields.
 template <class Headers>
 std::string connectionOptions(Headers const& headers) {
   std::string out;
--- a/http/src/mapping.cpp
+++ b/http/src/mapping.cpp
@@ -14,7 +14,7 @@
 
 using core::HttpStatus;
 
-// Header fields of the product, in lower case (docs/interface.md).
+// Header fields of the native interface, in lower case; see docs/interface.md.
 constexpr char const* requestIdHeader = "corkward-request-id";
 constexpr char const* prefixHeader = "corkward-prefix";
 constexpr char const* attemptHeader = "corkward-attempt";
@@ -28,7 +28,7 @@
 constexpr char const* lastEventIdHeader = "last-event-id";
 constexpr char const* contentTypeHeader = "content-type";
 
-// Values of corkward-earlier, of corkward-outcome, and of corkward-run.
+// Values of the header fields corkward-earlier, corkward-outcome and corkward-run.
 constexpr char const* notExecutedValue = "not-run";
 constexpr char const* notExecutedReachedValue = "not-run-reached";
 constexpr char const* executedValue = "run";
@@ -37,17 +37,18 @@
 
 constexpr char const* pathPrefix = "/v1/";
 constexpr std::size_t maxTargetLength = 1024;
-constexpr std::size_t maxNameLength = 256;
-/// Bytes of a caller's name for its request that the log repeats.
-constexpr std::size_t maxTraceLength = 64;
+constexpr std::size_t maxIdentifierLength = 256;
+/// Number of bytes of a caller's request id that are written to the log.
+constexpr std::size_t maxLoggedIdLength = 64;
 constexpr std::uint64_t maxAttempt = 1000000;
 constexpr std::uint64_t maxDeadlineMs = 600000;
 constexpr std::uint64_t maxAgeMs = 99999999999;
 constexpr std::size_t maxDigits = 12;
-/// Age of a request whose caller names none.
+/// Age of a request without the header field corkward-age-ms.
 constexpr core::Milliseconds unknownAge = -1;
 
-/// A number in plain digits, up to a bound; nothing for any other text.
+/// Parses a decimal number. Returns std::nullopt if the text has other characters than digits or the number exceeds
+/// max.
 std::optional<std::uint64_t> parseNumber(std::string const& text, std::uint64_t max) {
   bool const isNumber = !text.empty() && text.size() <= maxDigits &&
                         std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
@@ -75,27 +76,29 @@
   return target.rfind(pathPrefix, 0) == 0 && target.size() <= maxTargetLength;
 }
 
-/// Splits the path of a caller's target into instance and path; false when it has not both.
+/// Reads instance and path from the target of a caller's request. Returns false if one of them is missing.
 bool readPath(std::string const& target, dataplane::Request& out) {
-  std::string const rest = target.substr(0, target.find('?')).substr(std::string(pathPrefix).size());
-  std::size_t const slash = rest.find('/');
-  if (slash == std::string::npos || slash == 0 || slash + 1 == rest.size()) return false;
-  out.instance = rest.substr(0, slash);
-  out.path = rest.substr(slash + 1);
+  std::string const instanceAndPath = target.substr(0, target.find('?')).substr(std::string(pathPrefix).size());
+  std::size_t const slash = instanceAndPath.find('/');
+  if (slash == std::string::npos || slash == 0 || slash + 1 == instanceAndPath.size()) return false;
+  out.instance = instanceAndPath.substr(0, slash);
+  out.path = instanceAndPath.substr(slash + 1);
   return true;
 }
 
-/// Reads the caller's names for the request; the reason when one is not valid.
-std::optional<std::string> readNames(HeaderMap const& headers, dataplane::Request& out) {
+/// Reads the request id and the prefix from the header fields. Returns the reason for a rejection if one is too long,
+/// std::nullopt otherwise.
+std::optional<std::string> readIdentifiers(HeaderMap const& headers, dataplane::Request& out) {
   out.id = headerValue(headers, requestIdHeader);
-  out.attemptName = out.id.substr(0, maxTraceLength);
+  out.attemptName = out.id.substr(0, maxLoggedIdLength);
   out.prefix = headerValue(headers, prefixHeader);
-  if (out.id.size() > maxNameLength) return std::string(requestIdHeader) + ": longer than 256";
-  if (out.prefix.size() > maxNameLength) return std::string(prefixHeader) + ": longer than 256";
+  if (out.id.size() > maxIdentifierLength) return std::string(requestIdHeader) + ": longer than 256";
+  if (out.prefix.size() > maxIdentifierLength) return std::string(prefixHeader) + ": longer than 256";
   return std::nullopt;
 }
 
-/// Reads attempt, deadline, earlier outcome and age; the reason when one is not valid.
+/// Reads attempt, deadline, outcome of the earlier attempt and age from the header fields. Returns the reason for a
+/// rejection if one is invalid, std::nullopt otherwise.
 std::optional<std::string> readAttempt(HeaderMap const& headers, dataplane::Request& out) {
   std::string const attempt = headerValue(headers, attemptHeader);
   out.attempt = attempt.empty() ? 0 : parseNumber(attempt, maxAttempt).value_or(0);
@@ -126,11 +129,11 @@
   if (!readPath(request.target, out)) return rejected(HttpStatus::notFound, "no such page");
   out.call = request.id;
   out.readDuration = request.readDuration;
-  if (auto const reason = readNames(request.headers, out)) return invalid(*reason);
+  if (auto const reason = readIdentifiers(request.headers, out)) return invalid(*reason);
   if (auto const reason = readAttempt(request.headers, out)) return invalid(*reason);
   CallerRequest caller;
   std::string const lastEventId = headerValue(request.headers, lastEventIdHeader);
-  if (lastEventId.size() <= maxNameLength) caller.lastEventId = lastEventId;
+  if (lastEventId.size() <= maxIdentifierLength) caller.lastEventId = lastEventId;
   caller.request = std::move(out);
   return caller;
 }
--- a/http/src/message_text.h
+++ b/http/src/message_text.h
@@ -7,14 +7,14 @@
 
 namespace corkward::http {
 
-/// Appends a sequence of buffers to text.
+/// Appends the bytes of a sequence of buffers to a text.
 template <class Buffers>
 void append(std::string& out, Buffers const& buffers) {
   for (boost::asio::const_buffer const buffer : boost::beast::buffers_range_ref(buffers))
     out.append(static_cast<char const*>(buffer.data()), buffer.size());
 }
 
-/// The head of a message as it goes on the wire.
+/// Returns the start line and header section of a message as they are sent on the wire.
 template <bool isRequest>
 std::string headText(boost::beast::http::message<isRequest, boost::beast::http::empty_body>& message) {
   std::string out;
@@ -25,7 +25,8 @@
   return out;
 }
 
-/// Adds bytes to the socket's own buffer, so that what is written in one turn of the event loop leaves together.
+/// Appends bytes to the socket's write buffer, so that everything written in one iteration of the event loop is sent
+/// together.
 inline void write(QTcpSocket& socket, std::string const& bytes) {
   socket.write(bytes.data(), static_cast<qint64>(bytes.size()));
 }
--- a/http/src/operator_mapping.cpp
+++ b/http/src/operator_mapping.cpp
@@ -11,14 +11,15 @@
 
 constexpr std::size_t maxChangeIdLength = 256;
 constexpr char const* retryAfterSeconds = "1";
-/// If-Match for what does not exist yet.
+/// Revision that a change is based on if it creates an object that does not exist yet.
 constexpr char const* noRevision = "0";
 
 bool hasDryRun(std::string const& query) {
   return query == "dryRun=1" || query.rfind("dryRun=1&", 0) == 0 || query.find("&dryRun=1") != std::string::npos;
 }
 
-/// Revision that a change is based on; empty: none is given.
+/// Returns the revision that a change is based on: the value of If-Match, or noRevision for "If-None-Match: *". Empty
+/// if the request names no revision.
 std::string revisionOf(HeaderMap const& headers) {
   std::string revision = headerValue(headers, "if-match");
   if (revision.empty() && headerValue(headers, "if-none-match") == "*") revision = noRevision;
@@ -27,7 +28,8 @@
 
 }  // namespace
 
-OperatorRequest NativeOperatorMapping::operatorCall(Request const& request, std::string const& freshChangeId) const {
+OperatorRequest NativeOperatorMapping::operatorCall(Request const& request,
+                                                    std::string const& generatedChangeId) const {
   transport::OperatorCall call;
   call.token = request.id;
   call.method = request.method;
@@ -36,7 +38,7 @@
   call.dryRun = query != std::string::npos && hasDryRun(request.target.substr(query + 1));
   call.ifMatch = revisionOf(request.headers);
   call.changeId = headerValue(request.headers, "corkward-change-id");
-  if (call.changeId.empty()) call.changeId = freshChangeId;
+  if (call.changeId.empty()) call.changeId = generatedChangeId;
   if (call.changeId.size() > maxChangeIdLength) call.changeId.resize(maxChangeIdLength);
   call.body = request.body;
   OperatorRequest out;
--- a/http/src/request_head.cpp
+++ b/http/src/request_head.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// Version of HTTP/1.1 as Beast writes it.
+/// HTTP/1.1 in Beast's representation of versions.
 constexpr unsigned http11 = 11;
 
-/// Methods whose requests without a body announce no length.
+/// Whether a request with this method and without a body may omit Content-Length (RFC 9110, section 8.6).
 bool mayLackLength(std::string const& method) {
   switch (core::httpMethodOf(method).value_or(core::HttpMethod::post)) {
     case core::HttpMethod::get:
--- a/http/src/request_head.h
+++ b/http/src/request_head.h
@@ -7,16 +7,16 @@
 
 namespace corkward::http {
 
-/// How a request to a replica is framed.
+/// Values for the header fields that the connection adds to a request to a replica.
 struct RequestFraming {
-  /// Value of Host when the request has none.
+  /// Value of the Host header field if the request has none.
   std::string host;
   std::size_t bodyBytes = 0;
-  /// The connection is kept open after the response.
+  /// Whether the connection stays open after the response; if false, the request announces its end.
   bool keepsConnection = true;
 };
 
-/// The head of a request to a replica as it goes on the wire.
+/// Returns the request line and header section of a request to a replica as they are sent on the wire.
 std::string requestHead(ReplicaRequest const& request, RequestFraming const& framing);
 
 }  // namespace corkward::http
--- a/http/src/request_parser.cpp
+++ b/http/src/request_parser.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Version of HTTP/1.1 as Beast writes it.
+/// HTTP/1.1 in Beast's representation of versions.
 constexpr unsigned http11 = 11;
 
 RequestError errorOf(beast::error_code const& error) {
@@ -20,8 +20,8 @@
   return {status, error.message()};
 }
 
-/// Header fields with names in lower case; values of one name are joined (RFC 9110, section 5.3), cookies with
-/// semicolons (RFC 6265, section 5.4).
+/// Returns the header fields by name in lower case. The values of a repeated field are joined with commas (RFC 9110,
+/// section 5.3), those of Cookie with semicolons (RFC 6265, section 5.4).
 HeaderMap headersOf(beast::http::fields const& fields) {
   HeaderMap out;
   for (auto const& field : fields) {
--- a/http/src/request_parser.h
+++ b/http/src/request_parser.h
@@ -12,50 +12,54 @@
 
 namespace corkward::http {
 
-/// A complete request with what its connection has to know of it.
+/// A complete request, and the properties that its connection needs to write the response.
 struct ParsedRequest {
-  /// Without its id and listener.
+  /// The request; its id and listener are not set.
   Request request;
-  /// The caller keeps the connection open for further requests.
+  /// The caller keeps the connection open after the response.
   bool keepAlive = true;
+  /// The method is HEAD.
   bool isHead = false;
 };
 
-/// Why bytes are no request, or none that is accepted.
+/// The bytes are no valid request, or one that exceeds the server's limits.
 struct RequestError {
   core::HttpStatus status = core::HttpStatus::badRequest;
   std::string reason;
 };
 
-/// More bytes are needed.
+/// The request is not complete yet; the parser needs more bytes.
 struct IncompleteRequest {};
 
 struct ParseResult {
-  /// The caller waits for 100 Continue before it sends the body (RFC 9110, section 10.1.1).
+  /// The caller waits for a 100 (Continue) response before it sends the body (RFC 9110, section 10.1.1). Set only once
+  /// for each request.
   bool expectsContinue = false;
   std::variant<IncompleteRequest, ParsedRequest, RequestError> outcome;
 };
 
-/// Parses the requests of one connection, one after the other, within the server's limits.
+/// Parses the successive requests of one connection, and enforces the server's limits.
 class RequestParser {
  public:
-  /// Some of a request was read and not all of it.
+  /// Whether a request has begun and is not complete yet.
   bool inProgress() const { return parser_.has_value(); }
-  /// Starts with the next request, at its first byte.
+  /// Prepares to parse the next request. Must be called when its first byte has arrived.
   void begin(ServerLimits const& limits);
-  /// Takes bytes of the request out of the buffer; what follows the request stays in it.
+  /// Consumes the bytes of the request from the front of the buffer. Bytes after the request remain in the buffer.
   ParseResult parse(QByteArray& buffer);
 
  private:
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
+  /// Whether the request expects a 100 (Continue) response that was not reported yet; marks it as reported.
   bool takeExpectsContinue();
+  /// Returns the complete request or its error, and ends the parsing of the request.
   std::variant<IncompleteRequest, ParsedRequest, RequestError> release();
 
-  /// Empty between two requests.
+  /// std::nullopt between two requests.
   std::optional<Parser> parser_;
   qsizetype maxHeadBytes_ = 0;
-  /// Since the first byte of the request.
+  /// Measures the time since the first byte of the request.
   QElapsedTimer readingSince_;
   bool continueReported_ = false;
 };
--- a/http/src/response_parser.cpp
+++ b/http/src/response_parser.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr std::uint32_t maxHeadBytes = 16U << 10;
-/// Bytes of the body that are parsed in one step.
+/// Largest number of body bytes that one call of parse() consumes.
 constexpr std::size_t bodyStepBytes = 32768;
-/// Version of HTTP/1.1 as Beast writes it.
+/// HTTP/1.1 in Beast's representation of versions.
 constexpr unsigned http11 = 11;
 constexpr core::Milliseconds millisPerSecond = 1000;
 
@@ -81,7 +81,7 @@
   out.headers = headersOf(parser_->get());
   out.hasNoBody = hasNoBody();
   if (out.hasNoBody) {
-    // The length that the body would have, had it been sent.
+    // Content-Length announces the length that the body would have if it were sent.
     bool isNumber = false;
     std::int64_t const announced =
         QString::fromStdString(headerValue(out.headers, "content-length")).toLongLong(&isNumber);
--- a/http/src/response_parser.h
+++ b/http/src/response_parser.h
@@ -11,47 +11,51 @@
 
 namespace corkward::http {
 
-/// Parses one response of a replica from the bytes of its connection.
+/// Parses one response of a replica from the bytes that were received on its connection.
 class ResponseParser {
  public:
   enum class Outcome {
-    /// Bytes were taken.
+    /// Bytes were consumed.
     progress,
-    /// Nothing can be taken without more bytes than the buffer has.
+    /// No byte can be consumed until the buffer contains more bytes.
     needsMoreBytes,
     /// An interim response (1xx) was skipped.
     interimResponse,
-    /// The head has just become complete.
+    /// The header section has just become complete.
     headComplete,
-    /// The bytes are no response.
+    /// The bytes are no valid response.
     failed,
   };
 
-  /// Keep-alive time-out of a response that announces none.
+  /// Value of keepAliveTimeout() for a response that announces no timeout.
   static constexpr core::Milliseconds noTimeout = std::numeric_limits<core::Milliseconds>::max();
 
-  /// Starts with the response to a request.
-  /// @param toHead the request was HEAD
+  /// Prepares to parse the response to a request.
+  /// @param toHead whether the method of the request is HEAD
   void begin(bool toHead);
-  /// Takes bytes from the front of the buffer, and appends those of the body to the text.
+  /// Consumes bytes from the front of the buffer, and appends the bytes of the response's body to `body`.
   Outcome parse(QByteArray& buffer, std::string& body);
 
+  /// Whether the header section is complete.
   bool hasHead() const { return hasHead_; }
-  /// The response's own end was seen.
+  /// Whether the end of the response was received, as its message framing defines it.
   bool isComplete() const { return hasHead_ && parser_->is_done(); }
-  /// The head, once it is complete.
+  /// Returns the status line and header fields. The header section must be complete.
   ReplicaHead head() const;
-  /// The response cannot be passed on: a change of the protocol, or an encoded body that nobody asked for.
+  /// Whether the response cannot be forwarded: it switches the protocol (101), or it is successful and has a content
+  /// coding, which requests to replicas do not ask for.
   bool isUnusable() const;
-  /// The body has no announced end: the end of the connection is its end (RFC 9112, section 6.3).
+  /// Whether the body ends with the connection, because the response has neither Content-Length nor the chunked
+  /// transfer coding (RFC 9112, section 6.3).
   bool bodyEndsWithConnection() const;
-  /// The replica keeps the connection open after the response.
+  /// Whether the replica keeps the connection open after the response.
   bool keepsConnection() const;
-  /// Milliseconds that the replica keeps an idle connection, by its Keep-Alive header.
+  /// Returns the timeout of the Keep-Alive header in milliseconds: the replica closes a connection that is idle for
+  /// longer. Returns noTimeout if the response announces none, and 0 if the value is malformed.
   core::Milliseconds keepAliveTimeout() const;
-  /// Announced length of the body; nothing when none is announced.
+  /// Returns the value of Content-Length, or std::nullopt if the response has none.
   std::optional<std::uint64_t> contentLength() const;
-  /// Value of a header; empty: none.
+  /// Returns the value of a header field, or an empty text if the response has no such field.
   std::string header(std::string const& name) const;
 
  private:
--- a/http/src/response_writer.cpp
+++ b/http/src/response_writer.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-/// Version of HTTP/1.1 as Beast writes it.
+/// HTTP/1.1 in Beast's representation of versions.
 constexpr unsigned http11 = 11;
 constexpr char const* serverName = "corkward";
-/// Room for the size line and line ends of a chunk.
+/// Bytes reserved for the size line and the line ends of a chunk.
 constexpr std::size_t chunkOverhead = 24;
 
 bool isNotModified(int status) {
   return status == core::code(core::HttpStatus::notModified);
 }
 
-/// Statuses of responses that never have a body (RFC 9110, section 6.4.1).
+/// Whether responses with this status never have a body (RFC 9110, section 6.4.1).
 bool hasNoBody(int status) {
   return status < core::code(core::HttpStatus::ok) || status == core::code(core::HttpStatus::noContent) ||
          isNotModified(status);
--- a/http/src/response_writer.h
+++ b/http/src/response_writer.h
@@ -8,32 +8,34 @@
 
 namespace corkward::http {
 
-/// Head of a response as the server writes it.
+/// Content of a response's status line and header section.
 struct ResponseHeadFields {
   int status = 200;
   HeaderList const& headers;
-  /// Length of the body; below zero: not known, so the body goes in chunks.
+  /// Length of the body; negative if it is unknown, so that the chunked transfer coding is used.
   std::int64_t bodyLength = -1;
-  /// Reason phrase; empty: the usual one.
+  /// Reason phrase; if empty, the standard phrase of the status is used.
   std::string reason = {};
-  /// Announces that the connection is closed after the response.
+  /// Whether the response announces that the connection is closed after it.
   bool closes = false;
   bool sendsServerHeader = true;
 };
 
-/// Writes the responses of one connection, one after the other, with the framing of HTTP/1.1 (RFC 9112, section 6).
+/// Writes the successive responses of one connection with the message framing of HTTP/1.1 (RFC 9112, section 6).
 class ResponseWriter {
  public:
   explicit ResponseWriter(QTcpSocket& socket) : socket_(socket) {}
-  /// Begins with the next response.
-  /// @param toHead the request was HEAD, so that no body follows, whatever the length says
+  /// Prepares to write the next response.
+  /// @param toHead whether the method of the request is HEAD, so that the response has no body whatever its length is
   void reset(bool toHead);
+  /// Writes the status line and header section.
   void writeHead(ResponseHeadFields const& head);
-  /// Writes a part of the body; nothing for a response that has none.
+  /// Writes bytes of the body. Does nothing if the response has no body.
   void writeBody(std::string const& bytes);
-  /// Writes the end of a body in chunks.
+  /// Writes the last chunk if the response uses the chunked transfer coding; otherwise does nothing.
   void writeEnd();
-  /// Bytes of the announced body that were not written yet; 0 when the body is complete or of no announced length.
+  /// Returns how many bytes of the announced body length were not written yet; 0 if the body is complete or has no
+  /// announced length.
   std::int64_t missingBytes() const { return missingBytes_; }
 
  private:
--- a/http/src/server.cpp
+++ b/http/src/server.cpp
@@ -14,16 +14,17 @@
 namespace {
 
 constexpr int listenBacklog = 512;
-/// Connections accepted in one turn of the event loop.
-constexpr int acceptsPerTurn = 16;
-/// Wait after a failed accept, for want of descriptors or memory, until the next one.
+/// Largest number of connections accepted in one iteration of the event loop.
+constexpr int acceptsPerIteration = 16;
+/// Milliseconds between an accept that failed for lack of file descriptors or memory and the next attempt.
 constexpr int acceptRetryMs = 100;
-/// Connections beyond the limit that still get a response, as a multiple of the limit.
+/// Connections beyond ServerLimits::maxConnections receive a response up to this multiple of the limit; further ones
+/// are closed without a response.
 constexpr int rejectedConnectionsFactor = 2;
 
 }  // namespace
 
-/// The listeners, and the connections with their requests.
+/// Owns the listening sockets, the connections and the pending requests of a server.
 class Server::Implementation final : public ConnectionHost {
  public:
   Implementation(QObject* context, std::vector<std::string> const& addresses, ServerLimits limits, Events events);
@@ -45,13 +46,13 @@
   void setLimits(ServerLimits limits) { limits_ = std::move(limits); }
   void startDraining() { draining_ = true; }
   void closeListeners();
-  /// The connection of a request; null when it is not known any more.
+  /// Returns the connection of a request, or null if the request is not pending.
   std::shared_ptr<ServerConnection> find(std::uint64_t id) const;
   std::string const& address(std::size_t listener) const { return addresses_.at(listener); }
   std::size_t connectionCount() const { return connections_.size(); }
   std::uint64_t malformedRequests() const { return malformedRequests_; }
   std::uint64_t failedAccepts() const { return failedAccepts_; }
-  /// Connections that satisfy the predicate.
+  /// Returns the number of connections that satisfy the predicate.
   template <class Predicate>
   std::size_t countConnections(Predicate const& predicate) const {
     std::size_t count = 0;
@@ -62,15 +63,17 @@
 
  private:
   void listen(std::string const& address);
+  /// Accepts up to acceptsPerIteration pending connections of a listener.
   void acceptPending(std::size_t listener);
-  /// A listening socket whose accept failed stays paused until it is resumed.
+  /// Resumes accepting after acceptRetryMs. Qt pauses a listening socket after a failed accept.
   void resumeLater(QTcpServer* listener);
   void accept(QTcpSocket* socket, std::size_t listener);
+  /// Accepts all pending connections of a listener. Returns false if there were none.
   bool acceptAllPending(std::size_t listener);
 
   QObject* context_;
   std::vector<std::string> addresses_;
-  /// Children of the context.
+  /// Listening sockets in the order of addresses_; owned by context_.
   std::vector<QTcpServer*> listeners_;
   ServerLimits limits_;
   Events events_;
@@ -79,7 +82,7 @@
   std::uint64_t malformedRequests_ = 0;
   std::uint64_t failedAccepts_ = 0;
   std::unordered_map<ServerConnection const*, std::shared_ptr<ServerConnection>> connections_;
-  /// Connections by the id of the request that they wait to be answered.
+  /// Connections with a pending response, by the id of their request.
   std::unordered_map<std::uint64_t, std::shared_ptr<ServerConnection>> byRequest_;
 };
 
@@ -100,9 +103,9 @@
   auto* const listener = new QTcpServer(context_);
   listeners_.push_back(listener);
   listener->setListenBacklogSize(listenBacklog);
-  listener->setMaxPendingConnections(acceptsPerTurn);
+  listener->setMaxPendingConnections(acceptsPerIteration);
   if (!listener->listen(QHostAddress(QString::fromStdString(host)), port))
-    throw HttpError("listen at " + address + ": " + listener->errorString().toStdString());
+    throw HttpError("cannot listen at " + address + ": " + listener->errorString().toStdString());
   addresses_.push_back(host + ":" + std::to_string(listener->serverPort()));
   QObject::connect(
       listener, &QTcpServer::newConnection, context_, [this, index] { acceptPending(index); }, Qt::QueuedConnection);
@@ -117,7 +120,7 @@
 }
 
 void Server::Implementation::acceptPending(std::size_t listener) {
-  for (int i = 0; i < acceptsPerTurn; ++i) {
+  for (int i = 0; i < acceptsPerIteration; ++i) {
     QTcpSocket* const socket = listeners_[listener]->nextPendingConnection();
     if (socket == nullptr) return;
     accept(socket, listener);
--- a/http/src/server_connection.cpp
+++ b/http/src/server_connection.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr qint64 readBufferBytes = 64 << 10;
-/// Wait for the caller to close a connection that ends, in milliseconds.
+/// Milliseconds that a connection which is to be closed stays open, so that the caller can close it first.
 constexpr int lingerTimeoutMs = 1000;
 constexpr char const* continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 constexpr char const* overloadRetrySeconds = "1";
@@ -126,7 +126,7 @@
 
 void ServerConnection::respond(int status, HeaderList const& headers, std::string const& body) {
   CORKWARD_GUARANTEE(core::Guarantee::singleResponse, !responseBegun_,
-                     "an answer after a head, status " + std::to_string(status));
+                     "a complete response after a response head, status " + std::to_string(status));
   if (responseBegun_) {
     abortRequest();
     return;
@@ -140,7 +140,7 @@
 void ServerConnection::beginResponse(int status, HeaderList const& headers, std::int64_t bodyLength,
                                      std::string const& reason) {
   CORKWARD_GUARANTEE(core::Guarantee::singleResponse, !responseBegun_,
-                     "a second head, status " + std::to_string(status));
+                     "a second response head, status " + std::to_string(status));
   if (responseBegun_) {
     abortRequest();
     return;
@@ -176,7 +176,7 @@
     linger();
     return;
   }
-  // What the caller sent meanwhile is parsed in a turn of its own.
+  // Bytes that the caller sent in the meantime are parsed in a separate iteration of the event loop.
   QTimer::singleShot(0, context_, [weak = weak_from_this()] {
     if (auto const connection = weak.lock()) connection->readRequests();
   });
--- a/http/src/socket_peek.cpp
+++ b/http/src/socket_peek.cpp
@@ -11,7 +11,7 @@
   if (received > 0) return PeekResult::data;
   if (received == 0) return PeekResult::closed;
   bool const wouldBlock = errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
-  return wouldBlock ? PeekResult::nothing : PeekResult::failed;
+  return wouldBlock ? PeekResult::noData : PeekResult::failed;
 }
 
 }  // namespace corkward::http
--- a/http/src/socket_peek.h
+++ b/http/src/socket_peek.h
@@ -4,20 +4,20 @@
 
 namespace corkward::http {
 
-/// What waits on a socket at this moment, as the operating system says it: the event loop may not have been notified
-/// yet.
+/// State of a socket's receiving side according to the operating system. The event loop may not have been notified of
+/// it yet.
 enum class PeekResult {
   /// Bytes can be read.
   data,
-  /// Nothing waits; the connection stands.
-  nothing,
-  /// The peer has closed its side in order.
+  /// No bytes can be read, and the connection is open.
+  noData,
+  /// The peer has closed its sending side without a reset.
   closed,
-  /// The connection was reset, or is in another error.
+  /// The connection was reset or has another error.
   failed,
 };
 
-/// Looks at the socket without reading from it.
+/// Returns the state of the socket's receiving side without consuming bytes.
 PeekResult peek(QTcpSocket const& socket);
 
 }  // namespace corkward::http
--- a/http/src/upstream_connection.cpp
+++ b/http/src/upstream_connection.cpp
@@ -21,20 +21,22 @@
 namespace {
 
 constexpr qint64 readBufferBytes = 64 << 10;
-/// Bytes and milliseconds that the rest of a response may take for its connection to be kept.
+/// After release(), the connection is closed if the rest of the response is longer than this.
 constexpr std::size_t maxDiscardedBytes = 16U << 10;
+/// After release(), the connection is closed if the rest of the response takes longer than this, in milliseconds.
 constexpr int discardTimeoutMs = 500;
-/// Page and header by which a replica names its incarnation; the bytes are those of earlier releases.
+/// Path and header field with which a replica reports its incarnation. Both keep the names of earlier releases.
 constexpr char const* incarnationPath = "/corkward/life";
 constexpr char const* incarnationHeader = "corkward-life";
-/// Longest request body after which a connection is kept. A replica may respond before it has read a long body, and
-/// what is sent next on that connection would wait unread behind the rest of it, in buffers that no one here sees.
-constexpr std::size_t maxStoredRequestBytes = 64U << 10;
+/// Longest request body after which a connection is reused. A replica may respond before it has read a long body. The
+/// rest of that body may then still be in the operating system's buffers, which this process cannot inspect, and the
+/// next request on the connection would wait unread behind it.
+constexpr std::size_t maxReusableBodyBytes = 64U << 10;
 
-/// The connection stands and nothing waits on it, not even its end.
-bool isQuiet(QTcpSocket const& socket) {
+/// Whether the connection is established, has no bytes to read and was not closed by the peer.
+bool isOpenAndIdle(QTcpSocket const& socket) {
   return socket.state() == QAbstractSocket::ConnectedState && socket.bytesAvailable() == 0 &&
-         peek(socket) == PeekResult::nothing;
+         peek(socket) == PeekResult::noData;
 }
 
 }  // namespace
@@ -42,36 +44,38 @@
 struct UpstreamConnection::State {
   enum class Phase {
     connecting,
-    /// The replica was asked for its incarnation.
+    /// The request for the replica's incarnation was sent.
     verifying,
-    /// Established, and nothing was sent.
+    /// The connection is established, and the request was not sent yet.
     connected,
+    /// The request was sent.
     sent,
-    /// No further event but one that is on its way.
+    /// The connection has ended. Only an event that is already queued may still be delivered.
     finished,
   };
 
   Phase phase = Phase::connecting;
-  /// Null for a connection of its own, or when the pool is gone.
+  /// Null for a connection that was opened without a pool, or if the pool was destroyed.
   QPointer<UpstreamPool> pool;
-  /// Bytes that were read and not parsed yet.
+  /// Bytes that were read from the socket and not parsed yet.
   QByteArray buffer;
   ResponseParser parser;
   CloseObserver closeObserver;
-  /// Milliseconds that the replica keeps the connection idle.
+  /// Milliseconds after which the replica closes the connection if it is idle, from its Keep-Alive header.
   core::Milliseconds keepAliveTimeout = ResponseParser::noTimeout;
-  /// Incarnation that the replica must name; empty: any.
+  /// Incarnation that the replica must report. Empty if any incarnation is accepted.
   std::string incarnation;
-  /// The socket is an idle one of the pool.
+  /// The socket was taken from the pool's idle connections.
   bool reused = false;
-  bool rested = false;
+  /// See ReusedSocket::mayBeStale.
+  bool mayBeStale = false;
   bool outOfDescriptors = false;
-  /// The request's body was longer than what a connection is kept after.
+  /// The request's body was longer than maxReusableBodyBytes.
   bool hadLongBody = false;
   bool paused = false;
-  /// The owner is not interested any more; the rest of the response is discarded.
+  /// release() was called: the rest of the response is discarded, and no event is delivered.
   bool released = false;
-  /// The owner wants no event any more.
+  /// close() was called: no event is delivered.
   bool closed = false;
   std::size_t discardedBytes = 0;
 
@@ -97,7 +101,7 @@
       state_(std::make_unique<State>()) {
   state_->pool = pool;
   state_->reused = socket_ != nullptr;
-  state_->rested = reused.rested;
+  state_->mayBeStale = reused.mayBeStale;
   if (!state_->reused) {
     open();
     return;
@@ -161,12 +165,13 @@
 
 void UpstreamConnection::onSocketReady() {
   if (state_->phase != State::Phase::connecting) return;
-  if (!isQuiet(*socket_)) {
+  if (!isOpenAndIdle(*socket_)) {
     if (!state_->reused) {
       failConnect();
       return;
     }
-    // The idle connection has ended meanwhile, and so may its siblings; a new one takes its place.
+    // The reused connection has ended or received bytes meanwhile. The other idle connections to this replica may have
+    // ended as well, so all of them are closed and a new connection is opened.
     socket_->disconnect(this);
     socket_->abort();
     socket_->deleteLater();
@@ -224,14 +229,14 @@
 
 void UpstreamConnection::send(ReplicaRequest const& request, std::string const& body) {
   if (state_->phase != State::Phase::connected) return;
-  if (!isQuiet(*socket_)) {
+  if (!isOpenAndIdle(*socket_)) {
     failConnect();
     return;
   }
   RequestFraming const framing{address_, body.size(), state_->poolKeepsConnections()};
   state_->parser.begin(request.method == core::name(core::HttpMethod::head));
   state_->phase = State::Phase::sent;
-  state_->hadLongBody = body.size() > maxStoredRequestBytes;
+  state_->hadLongBody = body.size() > maxReusableBodyBytes;
   write(*socket_, requestHead(request, framing));
   if (!body.empty()) write(*socket_, body);
 }
@@ -257,7 +262,7 @@
 }
 
 bool UpstreamConnection::isStale() const {
-  return state_->reused && state_->rested && !state_->parser.hasHead();
+  return state_->reused && state_->mayBeStale && !state_->parser.hasHead();
 }
 
 void UpstreamConnection::close() {
@@ -296,7 +301,7 @@
   QPointer<UpstreamConnection> const alive(this);
   readResponse();
   if (!alive || state_->isFinished() || state_->paused) return;
-  finish(state_->buffer.isEmpty() && state_->closeObserver.closedInOrder());
+  finish(state_->buffer.isEmpty() && state_->closeObserver.closedWithoutReset());
 }
 
 void UpstreamConnection::finish(bool complete) {
@@ -314,7 +319,7 @@
 
 void UpstreamConnection::returnToPool() {
   bool const reusable = state_->poolKeepsConnections() && !state_->hadLongBody && state_->parser.keepsConnection() &&
-                        state_->buffer.isEmpty() && socket_->bytesToWrite() == 0 && isQuiet(*socket_);
+                        state_->buffer.isEmpty() && socket_->bytesToWrite() == 0 && isOpenAndIdle(*socket_);
   if (!reusable) return;
   QTcpSocket* const socket = std::exchange(socket_, nullptr);
   socket->disconnect(this);
@@ -349,7 +354,7 @@
   using Outcome = ResponseParser::Outcome;
   if (state_->phase != State::Phase::sent) return;
   QPointer<UpstreamConnection> const alive(this);
-  // Bytes of the body that were parsed and not passed on yet.
+  // Bytes of the body that were parsed and not delivered yet.
   std::string body;
   while (alive && !state_->isFinished() && !state_->paused) {
     if (state_->buffer.isEmpty()) state_->buffer = socket_->read(readBufferBytes);
--- a/http/src/upstream_pool.cpp
+++ b/http/src/upstream_pool.cpp
@@ -9,8 +9,9 @@
 namespace {
 
 constexpr int expiryIntervalMs = 500;
-/// Idle milliseconds after which the replica may have closed the connection unseen.
-constexpr core::Milliseconds restedAfter = 500;
+/// Idle time in milliseconds from which on the replica may have closed the connection without this process having
+/// noticed.
+constexpr core::Milliseconds possiblyStaleAfter = 500;
 
 void closeSocket(QTcpSocket* socket) {
   socket->disconnect();
@@ -30,13 +31,13 @@
     for (IdleConnection const& connection : connections) connection.socket->disconnect();
 }
 
-UpstreamConnection* UpstreamPool::acquire(std::string const& address, bool fresh, UpstreamConnection::Events events,
-                                          QObject* parent) {
-  UpstreamConnection::ReusedSocket const reused = take(address, fresh);
+UpstreamConnection* UpstreamPool::acquire(std::string const& address, bool avoidStale,
+                                          UpstreamConnection::Events events, QObject* parent) {
+  UpstreamConnection::ReusedSocket const reused = take(address, avoidStale);
   return new UpstreamConnection(address, std::move(events), parent, this, reused);
 }
 
-UpstreamConnection::ReusedSocket UpstreamPool::take(std::string const& address, bool fresh) {
+UpstreamConnection::ReusedSocket UpstreamPool::take(std::string const& address, bool avoidStale) {
   auto const found = idle_.find(address);
   if (found == idle_.end()) return {};
   core::Milliseconds const now = now_();
@@ -45,7 +46,7 @@
   while (!connections.empty() && out.socket == nullptr) {
     IdleConnection const youngest = connections.back();
     core::Milliseconds const idleFor = now - youngest.since;
-    if (fresh && idleFor >= std::min(policy_.freshIdleTimeout, youngest.timeout)) break;
+    if (avoidStale && idleFor >= std::min(policy_.avoidStaleIdleTimeout, youngest.timeout)) break;
     connections.pop_back();
     --idleCount_;
     bool const usable = idleFor < std::min(policy_.idleTimeout, youngest.timeout) &&
@@ -53,7 +54,7 @@
                         youngest.socket->bytesAvailable() == 0;
     if (usable) {
       youngest.socket->disconnect(this);
-      out = {youngest.socket, idleFor >= restedAfter};
+      out = {youngest.socket, idleFor >= possiblyStaleAfter};
     } else {
       closeSocket(youngest.socket);
     }
