--- a/http/test/descriptors_test.cpp
+++ b/http/test/descriptors_test.cpp
@@ -9,70 +9,71 @@
 
 #include <corkward/http/server.h>
 
-#include "turn.h"
+#include "event_loop.h"
 
 namespace http = corkward::http;
-using corkward::http::test::application;
-using corkward::http::test::until;
+using corkward::http::test::ensureApplication;
+using corkward::http::test::waitUntil;
 
 namespace {
 
-/// Lets the process open no descriptor any more, until it goes.
-class NoDescriptors {
+/// Prevents the process from opening file descriptors, until this object is destroyed.
+class DescriptorExhaustion {
  public:
-  NoDescriptors() {
-    REQUIRE(::getrlimit(RLIMIT_NOFILE, &before_) == 0);
-    int const next = ::dup(STDERR_FILENO);
-    REQUIRE(next > 0);
-    rlimit const now{static_cast<rlim_t>(next), before_.rlim_max};
-    ::close(next);
-    REQUIRE(::setrlimit(RLIMIT_NOFILE, &now) == 0);
+  DescriptorExhaustion() {
+    REQUIRE(::getrlimit(RLIMIT_NOFILE, &previousLimit_) == 0);
+    int const lowestFree = ::dup(STDERR_FILENO);
+    REQUIRE(lowestFree > 0);
+    rlimit const exhausted{static_cast<rlim_t>(lowestFree), previousLimit_.rlim_max};
+    ::close(lowestFree);
+    REQUIRE(::setrlimit(RLIMIT_NOFILE, &exhausted) == 0);
   }
-  ~NoDescriptors() { ::setrlimit(RLIMIT_NOFILE, &before_); }
+  ~DescriptorExhaustion() { ::setrlimit(RLIMIT_NOFILE, &previousLimit_); }
 
  private:
-  rlimit before_{};
+  rlimit previousLimit_{};
 };
 
-/// A socket that is open before the descriptors are gone, and connects when it is told to.
-struct LateClient {
-  LateClient() : socket(new QTcpSocket()) { socket->bind(QHostAddress(QHostAddress::LocalHost), 0); }
-  ~LateClient() { socket->deleteLater(); }
-  void ask(std::string const& address) {
+/// A client whose socket is opened before the descriptors are exhausted, and connected by sendRequest().
+struct PreopenedClient {
+  PreopenedClient() : socket(new QTcpSocket()) { socket->bind(QHostAddress(QHostAddress::LocalHost), 0); }
+  ~PreopenedClient() { socket->deleteLater(); }
+  void sendRequest(std::string const& address) {
     http::SocketAddress const at = http::parseSocketAddress(address);
     socket->connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
     socket->write("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
   }
-  bool answered() {
-    return until([&] {
-      got += socket->readAll();
-      return got.contains("200");
+  bool receivesResponse() {
+    return waitUntil([&] {
+      received += socket->readAll();
+      return received.contains("200");
     });
   }
   QTcpSocket* socket;
-  QByteArray got;
+  QByteArray received;
 };
 
 }  // namespace
 
-TEST_CASE("a server that was out of descriptors accepts connections as soon as there are some again", "[descriptors]") {
-  application();
-  http::Server* at = nullptr;
+TEST_CASE("a server that ran out of file descriptors accepts connections again when descriptors are available",
+          "[descriptors]") {
+  ensureApplication();
+  http::Server* serverPointer = nullptr;
   http::Server::Events events;
-  events.request = [&](http::Request const& r) { at->respond(r.id, 200, {}, "ok"); };
+  events.request = [&](http::Request const& r) { serverPointer->respond(r.id, 200, {}, "ok"); };
   http::Server server("127.0.0.1:0", http::ServerLimits{}, events);
-  at = &server;
-  LateClient first;
-  LateClient second;
+  serverPointer = &server;
+  PreopenedClient first;
+  PreopenedClient second;
   {
-    NoDescriptors const none;
-    first.ask(server.address());
-    REQUIRE(until([&] { return first.socket->state() == QAbstractSocket::ConnectedState; }));
-    // The server's turn to accept has come when the event loop has nothing left to do at once.
+    DescriptorExhaustion const exhaustion;
+    first.sendRequest(server.address());
+    REQUIRE(waitUntil([&] { return first.socket->state() == QAbstractSocket::ConnectedState; }));
+    // The server has tried to accept the connection when the event loop has no pending events.
     while (QCoreApplication::eventDispatcher()->processEvents(QEventLoop::AllEvents)) continue;
     CHECK(server.connectionCount() == 0);
   }
-  CHECK(first.answered());
-  second.ask(server.address());
-  CHECK(second.answered());
+  CHECK(first.receivesResponse());
+  second.sendRequest(server.address());
+  CHECK(second.receivesResponse());
 }
--- a/http/test/golden_exchange.h
+++ b/http/test/golden_exchange.h
@@ -10,30 +10,31 @@
 #include <corkward/http/operator_mapping.h>
 #include <corkward/http/server.h>
 
-#include "turn.h"
+#include "event_loop.h"
 
-/// For golden tests of the HTTP edges: requests as bytes through a real server, what a mapping reads in them, and
-/// answers as the bytes that the caller gets.
+/// Helpers for golden tests of HTTP interfaces. They send the bytes of requests to a real server, and record how a
+/// mapping translates them and the bytes of the responses that the caller receives.
 namespace corkward::http::test {
 
-/// Milliseconds that a request took to be read, as the tests say it.
-constexpr core::Milliseconds saidReadFor = 7;
+/// Value of Request::readDuration in all records. The measured duration would differ from run to run.
+constexpr core::Milliseconds recordedReadDuration = 7;
 
-/// A server on the loopback, and one caller at a time.
+/// A server on the loopback interface that receives one request at a time.
 class Exchange {
  public:
+  /// Writes the response to a request.
   using Serve = std::function<void(Server&, Request const&)>;
 
   explicit Exchange(ServerLimits limits = {}) : server_("127.0.0.1:0", std::move(limits), events()) {}
 
-  /// One more connection, which stays open and asks for nothing.
-  void occupy() {
+  /// Opens a connection that stays open and sends no request.
+  void openIdleConnection() {
     SocketAddress const at = parseSocketAddress(server_.address());
     idle_.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
-    until([this] { return server_.connectionCount() == 1; });
+    waitUntil([this] { return server_.connectionCount() == 1; });
   }
-  /// Sends the bytes on a connection of their own and gives all bytes of the one answer.
-  std::string answerTo(std::string const& bytes, Serve serve) {
+  /// Sends the bytes on a new connection and returns all bytes of the response.
+  std::string responseTo(std::string const& bytes, Serve serve) {
     serve_ = std::move(serve);
     SocketAddress const at = parseSocketAddress(server_.address());
     QTcpSocket socket;
@@ -41,26 +42,27 @@
     socket.write(QByteArray::fromStdString(bytes));
     bool const bodiless = bytes.rfind("HEAD ", 0) == 0;
     std::string got;
-    bool const whole = until([&] {
+    bool const isComplete = waitUntil([&] {
       got += socket.readAll().toStdString();
       return complete(got, bodiless) || (socket.state() == QAbstractSocket::UnconnectedState && !got.empty());
     });
-    return whole ? got : got + "(no whole answer)";
+    return isComplete ? got : got + "(incomplete response)";
   }
 
  private:
   Server::Events events() {
     Server::Events e;
     e.request = [this](Request const& request) {
-      Request said = request;
-      said.readDuration = saidReadFor;
-      serve_(server_, said);
+      Request recorded = request;
+      recorded.readDuration = recordedReadDuration;
+      serve_(server_, recorded);
     };
     return e;
   }
+  /// Whether the received bytes are a complete response, which an interim 100 (Continue) response may precede.
   static bool complete(std::string const& all, bool bodiless) {
-    bool const goesOn = all.rfind("HTTP/1.1 100 ", 0) == 0 && all.find("\r\n\r\n") != std::string::npos;
-    std::string const got = goesOn ? all.substr(all.find("\r\n\r\n") + 4) : all;
+    bool const hasInterimResponse = all.rfind("HTTP/1.1 100 ", 0) == 0 && all.find("\r\n\r\n") != std::string::npos;
+    std::string const got = hasInterimResponse ? all.substr(all.find("\r\n\r\n") + 4) : all;
     std::size_t const end = got.find("\r\n\r\n");
     if (end == std::string::npos) return false;
     std::string const head = toLower(got.substr(0, end));
@@ -78,33 +80,34 @@
   Server server_;
 };
 
-/// Longest line that is written out; a longer one is told by its beginning and its size.
-constexpr std::size_t longestLine = 2000;
+/// Longest line that is recorded completely. Of a longer line only the first 80 characters and its length are recorded.
+constexpr std::size_t maxRecordedLineLength = 2000;
 
-/// Bytes of a message with its line ends made visible.
-inline std::string shown(std::string const& bytes) {
+/// Returns the bytes of a message, indented and with visible line ends.
+inline std::string recordOf(std::string const& bytes) {
   std::string out;
   for (std::size_t from = 0; from < bytes.size();) {
-    std::size_t const feed = bytes.find('\n', from);
-    std::size_t const end = feed == std::string::npos ? bytes.size() : feed + 1;
+    std::size_t const lineFeed = bytes.find('\n', from);
+    std::size_t const end = lineFeed == std::string::npos ? bytes.size() : lineFeed + 1;
     std::string line;
     for (char const c : bytes.substr(from, end - from))
       line += c == '\r' ? "\\r" : c == '\n' ? "\\n" : std::string(1, c);
-    if (line.size() > longestLine) line = line.substr(0, 80) + " ... (" + std::to_string(line.size()) + " characters)";
+    if (line.size() > maxRecordedLineLength)
+      line = line.substr(0, 80) + " ... (" + std::to_string(line.size()) + " characters)";
     out += "  " + line + "\n";
     from = end;
   }
   return out;
 }
 
-inline std::string shown(HeaderList const& fields) {
+inline std::string recordOf(HeaderList const& fields) {
   std::string out;
   for (auto const& [name, value] : fields) out += "  " + name + ": " + value + "\n";
   return out;
 }
 
-/// A caller's request as the data plane gets it, or its fault.
-inline std::string shown(CallerRequest const& caller) {
+/// Returns the record of a caller's request as the data plane receives it, or of its rejection.
+inline std::string recordOf(CallerRequest const& caller) {
   if (!caller.request) return "fault " + std::to_string(caller.status) + " \"" + caller.reason + "\"\n";
   dataplane::Request const& r = *caller.request;
   std::string out = "request\n";
@@ -115,8 +118,8 @@
   line("path", r.path);
   line("host", r.host);
   line("target", r.target);
-  for (dataplane::PromptSegment const& part : r.segments)
-    line("part", std::to_string(part.hash) + " " + std::to_string(part.tokens));
+  for (dataplane::PromptSegment const& segment : r.segments)
+    line("part", std::to_string(segment.hash) + " " + std::to_string(segment.tokens));
   line("tokens-out", std::to_string(r.tokensOut));
   line("tokens", r.tokens ? std::to_string(*r.tokens) : "none");
   line("key", r.tenantKey);
@@ -134,11 +137,11 @@
   return out;
 }
 
-inline std::string shown(ReplicaRequest const& request) {
-  return request.method + " " + request.target + "\n" + shown(request.headers);
+inline std::string recordOf(ReplicaRequest const& request) {
+  return request.method + " " + request.target + "\n" + recordOf(request.headers);
 }
 
-inline std::string shown(dataplane::ResponseHead const& head) {
+inline std::string recordOf(dataplane::ResponseHead const& head) {
   std::string out =
       "head " + std::to_string(head.status) + " \"" + head.reason + "\" length=" + std::to_string(head.length);
   if (head.notExecuted) out += " not-run";
@@ -148,110 +151,117 @@
   if (head.bodiless) out += " bodiless";
   if (!head.run.empty()) out += " run=" + head.run;
   if (!head.offset.empty()) out += " offset=" + head.offset;
-  return out + "\n" + shown(head.fields);
+  return out + "\n" + recordOf(head.fields);
 }
 
-/// An operator's request as the control plane gets it, or the answer that it gets at once.
-inline std::string shown(OperatorRequest const& asked) {
-  if (!asked.call) return "answered at once\n";
-  transport::OperatorCall const& call = *asked.call;
+/// Returns the record of an operator's request as the control plane receives it, or a note that the mapping responded
+/// to it.
+inline std::string recordOf(OperatorRequest const& operatorRequest) {
+  if (!operatorRequest.call) return "answered at once\n";
+  transport::OperatorCall const& call = *operatorRequest.call;
   return "call\n  method=" + call.method + "\n  path=" + call.path + "\n  if-match=" + call.ifMatch +
          "\n  change-id=" + call.changeId + "\n  dry-run=" + (call.dryRun ? "yes" : "no") + "\n  body=" + call.body +
          "\n";
 }
 
-/// Requests, what they became and what was answered, one after the other.
+/// Records a sequence of requests, their translations and the responses.
 class Transcript {
  public:
   explicit Transcript(ServerLimits limits = {}) : exchange_(std::move(limits)) {}
 
-  void occupy() { exchange_.occupy(); }
-  void title(std::string const& words) { text_ += "\n# " + words + "\n"; }
-  void add(std::string const& more) { text_ += more; }
+  void openIdleConnection() { exchange_.openIdleConnection(); }
+  void title(std::string const& heading) { text_ += "\n# " + heading + "\n"; }
+  void append(std::string const& records) { text_ += records; }
   std::string const& text() const { return text_; }
 
+  /// Records a caller's request, and the response if the request is not dispatched to the data plane.
   void caller(Mapping const& mapping, std::string const& bytes) {
-    text_ += ">\n" + shown(bytes);
-    std::string event = "not read\n";
-    std::string const got = exchange_.answerTo(bytes, [&](Server& server, Request const& request) {
+    text_ += ">\n" + recordOf(bytes);
+    std::string translation = "not read\n";
+    std::string const response = exchange_.responseTo(bytes, [&](Server& server, Request const& request) {
       CallerRequest const caller = mapping.callerRequest(request);
-      event = shown(caller);
+      translation = recordOf(caller);
       dataplane::Reject const reject{request.id, caller.request ? 503 : caller.status,
                                      caller.request ? "answered by the test" : caller.reason, true, 0};
       server.respond(request.id, reject.status, mapping.rejectionHeaders(reject), mapping.rejectionBody(reject));
     });
-    text_ += event;
-    if (event.rfind("request", 0) != 0) text_ += "<\n" + shown(got);
+    text_ += translation;
+    if (translation.rfind("request", 0) != 0) text_ += "<\n" + recordOf(response);
   }
-  /// What the server itself answers to the bytes.
-  void refused(std::string const& bytes) {
-    text_ += ">\n" + shown(bytes) + "<\n" + shown(exchange_.answerTo(bytes, [](Server& server, Request const& request) {
-               server.respond(request.id, 200, {}, "served");
-             }));
+  /// Records the response to bytes that the server itself rejects, or that the test serves with status 200.
+  void serverResponse(std::string const& bytes) {
+    text_ += ">\n" + recordOf(bytes) + "<\n" +
+             recordOf(exchange_.responseTo(
+                 bytes, [](Server& server, Request const& request) { server.respond(request.id, 200, {}, "served"); }));
   }
+  /// Records the response to a request that the data plane rejects.
   void rejected(Mapping const& mapping, dataplane::Reject const& reject, std::string const& method = "POST") {
     text_ += "reject " + std::to_string(reject.status) + (reject.notExecuted ? " not-run" : "") +
              (reject.reachedReplica ? " reached" : "") + " retry-after=" + std::to_string(reject.retryAfter) + " " +
              method + "\n<\n" +
-             shown(exchange_.answerTo(method + " /x HTTP/1.1\r\nHost: h\r\n\r\n",
-                                      [&](Server& server, Request const& request) {
-                                        server.respond(request.id, reject.status, mapping.rejectionHeaders(reject),
-                                                       mapping.rejectionBody(reject));
-                                      }));
+             recordOf(exchange_.responseTo(method + " /x HTTP/1.1\r\nHost: h\r\n\r\n",
+                                           [&](Server& server, Request const& request) {
+                                             server.respond(request.id, reject.status, mapping.rejectionHeaders(reject),
+                                                            mapping.rejectionBody(reject));
+                                           }));
   }
-  /// What a replica is handed for the caller's bytes.
-  void dispatch(Mapping const& mapping, std::string const& bytes, dataplane::SendRequest const& handOver,
+  /// Records the request that is sent to a replica for a caller's request.
+  void dispatch(Mapping const& mapping, std::string const& bytes, dataplane::SendRequest const& command,
                 dataplane::Resume const& resume) {
-    text_ += ">\n" + shown(bytes);
-    exchange_.answerTo(bytes, [&](Server& server, Request const& request) {
+    text_ += ">\n" + recordOf(bytes);
+    exchange_.responseTo(bytes, [&](Server& server, Request const& request) {
       CallerRequest const caller = mapping.callerRequest(request);
       std::string const path = caller.request ? caller.request->path : "";
       text_ += "to the replica\n";
       if (caller.request)
-        text_ += shown(mapping.replicaRequest(Dispatch{request, *caller.request, path, handOver, resume}));
+        text_ += recordOf(mapping.replicaRequest(Dispatch{request, *caller.request, path, command, resume}));
       server.respond(request.id, 200, {}, "");
     });
   }
-  /// The answer that a caller gets for a replica's, with that body.
-  void replicaAnswer(Mapping const& mapping, ReplicaHead const& replica, std::string const& body,
-                     HeaderMap const& asked = {}) {
+  /// Records the response that a caller receives for a replica's response with the given body.
+  /// @param requestHeaders header fields of the caller's request
+  void replicaResponse(Mapping const& mapping, ReplicaHead const& replica, std::string const& body,
+                       HeaderMap const& requestHeaders = {}) {
     text_ += "replica " + std::to_string(replica.status) + " length=" + std::to_string(replica.bodyLength) + "\n" +
-             shown(replica.headers);
+             recordOf(replica.headers);
     Request request;
     request.method = "POST";
-    request.headers = asked;
+    request.headers = requestHeaders;
     dataplane::ResponseHead const head = mapping.responseHead(replica, request);
-    text_ += shown(head) + "<\n" +
-             shown(exchange_.answerTo("POST /x HTTP/1.1\r\nHost: h\r\n\r\n", [&](Server& server, Request const& r) {
-               server.beginResponse(r.id, head.status, head.fields, head.length, head.reason);
-               server.writeChunk(r.id, body);
-               server.finishResponse(r.id);
-             }));
+    text_ +=
+        recordOf(head) + "<\n" +
+        recordOf(exchange_.responseTo("POST /x HTTP/1.1\r\nHost: h\r\n\r\n", [&](Server& server, Request const& r) {
+          server.beginResponse(r.id, head.status, head.fields, head.length, head.reason);
+          server.writeChunk(r.id, body);
+          server.finishResponse(r.id);
+        }));
   }
+  /// Records an operator's request, and the response if the mapping responds itself.
   void operatorCall(OperatorMapping const& mapping, std::string const& bytes) {
-    text_ += ">\n" + shown(bytes);
-    std::string event = "not read\n";
-    std::string const got = exchange_.answerTo(bytes, [&](Server& server, Request const& request) {
-      OperatorRequest const asked = mapping.operatorCall(request, "fresh");
-      event = shown(asked);
-      server.respond(request.id, asked.call ? 200 : asked.immediateResponse.status,
-                     asked.call ? HeaderList{} : asked.immediateResponse.headers,
-                     asked.call ? "" : asked.immediateResponse.body);
+    text_ += ">\n" + recordOf(bytes);
+    std::string translation = "not read\n";
+    std::string const response = exchange_.responseTo(bytes, [&](Server& server, Request const& request) {
+      OperatorRequest const operatorRequest = mapping.operatorCall(request, "fresh");
+      translation = recordOf(operatorRequest);
+      server.respond(request.id, operatorRequest.call ? 200 : operatorRequest.immediateResponse.status,
+                     operatorRequest.call ? HeaderList{} : operatorRequest.immediateResponse.headers,
+                     operatorRequest.call ? "" : operatorRequest.immediateResponse.body);
     });
-    text_ += event;
-    if (event.rfind("call", 0) != 0) text_ += "<\n" + shown(got);
+    text_ += translation;
+    if (translation.rfind("call", 0) != 0) text_ += "<\n" + recordOf(response);
   }
-  void operatorAnswer(OperatorMapping const& mapping, transport::OperatorCall const& call, int status,
-                      std::string const& body) {
+  /// Records the response to an operator call for a reply of the control plane.
+  void operatorResponse(OperatorMapping const& mapping, transport::OperatorCall const& call, int status,
+                        std::string const& body) {
     text_ += "answer to " + call.method + " " + call.path + ": " + std::to_string(status) + " " + body + "\n";
-    whole(mapping.response(call, status, core::parseJson(body).toObject()));
+    complete(mapping.response(call, status, core::parseJson(body).toObject()));
   }
-  /// An answer as bytes.
-  void whole(Response const& answer) {
-    text_ += "<\n" + shown(exchange_.answerTo("GET /x HTTP/1.1\r\nHost: h\r\n\r\n",
-                                              [&](Server& server, Request const& request) {
-                                                server.respond(request.id, answer.status, answer.headers, answer.body);
-                                              }));
+  /// Records the bytes of a complete response.
+  void complete(Response const& response) {
+    text_ += "<\n" + recordOf(exchange_.responseTo(
+                         "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", [&](Server& server, Request const& request) {
+                           server.respond(request.id, response.status, response.headers, response.body);
+                         }));
   }
 
  private:
--- a/http/test/http_test.cpp
+++ b/http/test/http_test.cpp
@@ -11,19 +11,19 @@
 #include <corkward/http/upstream_connection.h>
 #include <corkward/http/server.h>
 
-#include "turn.h"
+#include "event_loop.h"
 
 namespace core = corkward::core;
 namespace http = corkward::http;
-using corkward::http::test::application;
-using corkward::http::test::until;
+using corkward::http::test::ensureApplication;
+using corkward::http::test::waitUntil;
 
 namespace {
 
-/// A replica that says exactly the given bytes and then closes, or stays.
-class Raw {
+/// A replica that responds with the given bytes, and then closes the connection or leaves it open.
+class FixedReplica {
  public:
-  Raw(std::string bytes, bool close) {
+  FixedReplica(std::string bytes, bool close) {
     server_.listen(QHostAddress::LocalHost, 0);
     QObject::connect(&server_, &QTcpServer::newConnection, &server_, [this, bytes, close] {
       QTcpSocket* const s = server_.nextPendingConnection();
@@ -40,32 +40,34 @@
   QTcpServer server_;
 };
 
-struct Got {
+struct Received {
   int status = 0;
   std::string body;
+  /// 1 after a complete response, 0 after an incomplete one, -1 before the end.
   int ended = -1;
-  bool rejected = false;
+  bool connectFailed = false;
 };
 
-Got forwarded(std::string const& address) {
-  Got got;
+/// Sends a request to the address, and returns what was received up to its end.
+Received sendRequest(std::string const& address) {
+  Received received;
   QObject owner;
   http::UpstreamConnection* upstream = nullptr;
   http::UpstreamConnection::Events e;
   e.connected = [&] { upstream->send({"POST", "/x"}, "{}"); };
-  e.connectFailed = [&] { got.rejected = true; };
-  e.head = [&](http::ReplicaHead h) { got.status = h.status; };
-  e.chunk = [&](std::string bytes) { got.body += bytes; };
-  e.ended = [&](bool whole) { got.ended = whole ? 1 : 0; };
+  e.connectFailed = [&] { received.connectFailed = true; };
+  e.head = [&](http::ReplicaHead h) { received.status = h.status; };
+  e.chunk = [&](std::string bytes) { received.body += bytes; };
+  e.ended = [&](bool complete) { received.ended = complete ? 1 : 0; };
   upstream = new http::UpstreamConnection(address, std::move(e), &owner);
-  REQUIRE(until([&] { return got.rejected || got.ended >= 0; }));
-  return got;
+  REQUIRE(waitUntil([&] { return received.connectFailed || received.ended >= 0; }));
+  return received;
 }
 
 }  // namespace
 
-TEST_CASE("a body is complete only when the response's own end was seen") {
-  application();
+TEST_CASE("a response is complete only if its end was received as the message framing defines it") {
+  ensureApplication();
   struct Row {
     char const* bytes;
     int ended;
@@ -82,21 +84,22 @@
                           {"", 0, ""}};
   for (Row const& r : rows) {
     INFO(r.bytes);
-    Raw const raw(r.bytes, true);
-    Got const got = forwarded(raw.address());
-    CHECK(got.ended == r.ended);
-    if (r.body != nullptr) CHECK(got.body == r.body);
+    FixedReplica const replica(r.bytes, true);
+    Received const received = sendRequest(replica.address());
+    CHECK(received.ended == r.ended);
+    if (r.body != nullptr) CHECK(received.body == r.body);
   }
-  CHECK(forwarded("127.0.0.1:1").rejected);
+  CHECK(sendRequest("127.0.0.1:1").connectFailed);
 }
 
-TEST_CASE("a paused connection stops reading, so that a slow caller slows its replica down") {
-  application();
+TEST_CASE("a paused connection stops reading, so that a slow caller applies backpressure to its replica") {
+  ensureApplication();
   std::string const body(8 << 20, 'x');
-  Raw const raw("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body, true);
+  FixedReplica const replica("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
+                             true);
   QObject owner;
   http::UpstreamConnection* upstream = nullptr;
-  std::size_t got = 0;
+  std::size_t receivedBytes = 0;
   int ended = -1;
   bool paused = false;
   http::UpstreamConnection::Events e;
@@ -104,44 +107,44 @@
   e.connectFailed = [] {};
   e.head = [](http::ReplicaHead) {};
   e.chunk = [&](std::string bytes) {
-    got += bytes.size();
-    if (got > (1 << 20) && !paused) {
+    receivedBytes += bytes.size();
+    if (receivedBytes > (1 << 20) && !paused) {
       paused = true;
       upstream->setPaused(true);
     }
   };
-  e.ended = [&](bool whole) { ended = whole ? 1 : 0; };
-  upstream = new http::UpstreamConnection(raw.address(), std::move(e), &owner);
-  REQUIRE(until([&] { return paused; }));
-  std::size_t const at = got;
+  e.ended = [&](bool complete) { ended = complete ? 1 : 0; };
+  upstream = new http::UpstreamConnection(replica.address(), std::move(e), &owner);
+  REQUIRE(waitUntil([&] { return paused; }));
+  std::size_t const bytesWhenPaused = receivedBytes;
   for (int i = 0; i < 200; ++i) QCoreApplication::processEvents();
-  CHECK(got == at);
+  CHECK(receivedBytes == bytesWhenPaused);
   CHECK(ended == -1);
   upstream->setPaused(false);
-  REQUIRE(until([&] { return ended >= 0; }));
+  REQUIRE(waitUntil([&] { return ended >= 0; }));
   CHECK(ended == 1);
-  CHECK(got == body.size());
+  CHECK(receivedBytes == body.size());
 }
 
-TEST_CASE("random and damaged requests get a response or an end, and the server goes on") {
-  application();
+TEST_CASE("random and damaged requests get a response or their connection ends, and the server keeps serving") {
+  ensureApplication();
   std::size_t served = 0;
-  http::Server* http = nullptr;
+  http::Server* serverPointer = nullptr;
   http::Server::Events e;
   e.request = [&](http::Request r) {
     ++served;
-    http->respond(r.id, 200, {}, "ok");
+    serverPointer->respond(r.id, 200, {}, "ok");
   };
   http::Server server(
       "127.0.0.1:0",
       http::ServerLimits{.headLimitBytes = 2048, .bodyLimitBytes = 4096, .headTimeoutMs = 100, .idleTimeoutMs = 100},
       std::move(e));
-  http = &server;
+  serverPointer = &server;
   http::SocketAddress const at = http::parseSocketAddress(server.address());
-  std::string const good = "POST /v1/a/b HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
+  std::string const validRequest = "POST /v1/a/b HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody";
   core::RandomGenerator rng(11);
   for (int round = 0; round < 400; ++round) {
-    std::string bytes = good;
+    std::string bytes = validRequest;
     if (round % 3 == 0) {
       bytes.assign(rng.below(3000), '\0');
       for (char& c : bytes) c = static_cast<char>(rng.next());
@@ -153,19 +156,19 @@
     QTcpSocket socket;
     socket.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
     socket.write(QByteArray::fromStdString(bytes));
-    REQUIRE(
-        until([&] { return socket.bytesAvailable() > 0 || (socket.state() == QAbstractSocket::UnconnectedState); }));
+    REQUIRE(waitUntil(
+        [&] { return socket.bytesAvailable() > 0 || (socket.state() == QAbstractSocket::UnconnectedState); }));
   }
-  std::size_t const before = served;
+  std::size_t const servedBefore = served;
   QTcpSocket socket;
   socket.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
-  socket.write(QByteArray::fromStdString(good + good));
-  REQUIRE(until([&] { return served == before + 2; }));
+  socket.write(QByteArray::fromStdString(validRequest + validRequest));
+  REQUIRE(waitUntil([&] { return served == servedBefore + 2; }));
   CHECK(server.malformedRequests() > 100);
 }
 
-TEST_CASE("a caller beyond the limit of connections is rejected at once with a time to retry") {
-  application();
+TEST_CASE("a connection beyond the limit is rejected immediately with 503 and Retry-After") {
+  ensureApplication();
   http::Server::Events e;
   e.request = [](http::Request) {};
   http::Server server("127.0.0.1:0", http::ServerLimits{.maxConnections = 2}, std::move(e));
@@ -175,21 +178,21 @@
   QTcpSocket third;
   for (QTcpSocket* const s : {&first, &second, &third}) {
     s->connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
-    REQUIRE(until([&] { return s->state() == QAbstractSocket::ConnectedState; }));
+    REQUIRE(waitUntil([&] { return s->state() == QAbstractSocket::ConnectedState; }));
   }
-  REQUIRE(until([&] { return third.bytesAvailable() > 0; }));
-  std::string const got = third.readAll().toStdString();
-  CHECK(got.find(" 503 ") != std::string::npos);
-  CHECK(got.find("Retry-After: 1") != std::string::npos);
-  CHECK(got.find("corkward-outcome: not-run") != std::string::npos);
+  REQUIRE(waitUntil([&] { return third.bytesAvailable() > 0; }));
+  std::string const response = third.readAll().toStdString();
+  CHECK(response.find(" 503 ") != std::string::npos);
+  CHECK(response.find("Retry-After: 1") != std::string::npos);
+  CHECK(response.find("corkward-outcome: not-run") != std::string::npos);
   CHECK(first.bytesAvailable() == 0);
 }
 
-TEST_CASE("the ETag of a response is what a change based on it has in If-Match") {
-  http::NativeOperatorMapping const operators;
-  CHECK(http::headerValue(operators.response({}, 200, QJsonObject{{"stamp", 3}}).headers, "etag") == "\"3\"");
-  CHECK(http::headerValue(operators.response({}, 200, QJsonObject{{"stamp", 3}, {"version", 70}}).headers, "etag") ==
+TEST_CASE("the ETag of a successful operator response is its version, or its stamp if it has no version") {
+  http::NativeOperatorMapping const mapping;
+  CHECK(http::headerValue(mapping.response({}, 200, QJsonObject{{"stamp", 3}}).headers, "etag") == "\"3\"");
+  CHECK(http::headerValue(mapping.response({}, 200, QJsonObject{{"stamp", 3}, {"version", 70}}).headers, "etag") ==
         "\"70\"");
-  CHECK(http::headerValue(operators.response({}, 412, QJsonObject{{"stamp", 3}, {"version", 70}}).headers, "etag")
-            .empty());
+  CHECK(
+      http::headerValue(mapping.response({}, 412, QJsonObject{{"stamp", 3}, {"version", 70}}).headers, "etag").empty());
 }
--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -11,194 +11,207 @@
 #include <corkward/core/types.h>
 #include <corkward/http/upstream_pool.h>
 
-#include "turn.h"
+#include "event_loop.h"
 
 namespace core = corkward::core;
 namespace http = corkward::http;
-using corkward::http::test::application;
-using corkward::http::test::until;
+using corkward::http::test::ensureApplication;
+using corkward::http::test::waitUntil;
 
 namespace {
 
-constexpr char const* good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+constexpr char const* validResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// A replica whose answers are given one by one, whatever it is asked.
-class Script {
+/// A replica that sends prepared responses one after the other, whatever the requests are. After the last one it sends
+/// validResponse.
+class ScriptedReplica {
  public:
-  struct Line {
+  struct Response {
     std::string bytes;
+    /// Closes the connection after the bytes.
     bool close = false;
   };
-  explicit Script(std::vector<Line> lines) : lines_(std::move(lines)) {
+  explicit ScriptedReplica(std::vector<Response> responses) : responses_(std::move(responses)) {
     server_.listen(QHostAddress::LocalHost, 0);
     QObject::connect(&server_, &QTcpServer::newConnection, &server_, [this] {
       QTcpSocket* const s = server_.nextPendingConnection();
       ++connections;
-      last = s;
+      lastSocket = s;
       QObject::connect(s, &QTcpSocket::disconnected, &server_, [this] { ++closed; });
       QObject::connect(s, &QTcpSocket::readyRead, s, [this, s] {
-        QByteArray const got = s->readAll();
-        if (!got.contains("\r\n\r\n")) return;
+        QByteArray const received = s->readAll();
+        if (!received.contains("\r\n\r\n")) return;
         ++requests;
-        Line const line = next_ < lines_.size() ? lines_[next_++] : Line{good, false};
-        s->write(QByteArray::fromStdString(line.bytes));
-        if (line.close) s->disconnectFromHost();
+        Response const response = next_ < responses_.size() ? responses_[next_++] : Response{validResponse, false};
+        s->write(QByteArray::fromStdString(response.bytes));
+        if (response.close) s->disconnectFromHost();
       });
     });
   }
-  /// Ends the newest connection by a reset.
+  /// Resets the newest connection.
   void resetLast() {
-    linger const at{1, 0};
-    ::setsockopt(static_cast<int>(last->socketDescriptor()), SOL_SOCKET, SO_LINGER, &at, sizeof at);
-    last->abort();
+    linger const noLinger{1, 0};
+    ::setsockopt(static_cast<int>(lastSocket->socketDescriptor()), SOL_SOCKET, SO_LINGER, &noLinger, sizeof noLinger);
+    lastSocket->abort();
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.serverPort()); }
   int connections = 0;
   int closed = 0;
   int requests = 0;
-  QTcpSocket* last = nullptr;
+  /// The newest connection.
+  QTcpSocket* lastSocket = nullptr;
 
  private:
   QTcpServer server_;
-  std::vector<Line> lines_;
+  std::vector<Response> responses_;
   std::size_t next_ = 0;
 };
 
-/// A replica that answers each request at its head, and reads the body only when it is told to.
-class LateReader {
+/// A replica that responds to each request as soon as its header section has arrived, and reads the body only after
+/// readBodies() was called.
+class EarlyResponder {
  public:
-  LateReader() {
+  EarlyResponder() {
     server_.listen(QHostAddress::LocalHost, 0);
     QObject::connect(&server_, &QTcpServer::newConnection, &server_, [this] {
       QTcpSocket* const s = server_.nextPendingConnection();
-      std::size_t const at = got.size();
-      got.emplace_back();
+      std::size_t const index = received.size();
+      received.emplace_back();
       sockets_.push_back(s);
-      s->setReadBufferSize(readsOn_ ? 0 : leastBuffer);
-      QObject::connect(s, &QTcpSocket::readyRead, s, [this, s, at] { take(*s, at); });
+      s->setReadBufferSize(readsBodies_ ? 0 : minReadBufferBytes);
+      QObject::connect(s, &QTcpSocket::readyRead, s, [this, s, index] { read(*s, index); });
     });
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.serverPort()); }
-  /// From here on it reads all that comes.
-  void readOn() {
-    readsOn_ = true;
-    for (std::size_t at = 0; at < sockets_.size(); ++at) {
-      sockets_[at]->setReadBufferSize(0);
-      take(*sockets_[at], at);
+  /// Reads all bytes that have arrived and that still arrive.
+  void readBodies() {
+    readsBodies_ = true;
+    for (std::size_t index = 0; index < sockets_.size(); ++index) {
+      sockets_[index]->setReadBufferSize(0);
+      read(*sockets_[index], index);
     }
   }
-  /// All bytes that were read, by connection.
-  std::vector<std::string> got;
-  int answers = 0;
+  /// All bytes that were read on each connection.
+  std::vector<std::string> received;
+  int responses = 0;
 
  private:
-  static constexpr qint64 leastBuffer = 1024;
+  static constexpr qint64 minReadBufferBytes = 1024;
 
-  void take(QTcpSocket& s, std::size_t at) {
-    std::string& text = got[at];
-    bool const headed = text.find("\r\n\r\n") != std::string::npos;
-    if (headed && !readsOn_) return;
+  void read(QTcpSocket& s, std::size_t index) {
+    std::string& text = received[index];
+    bool const hasHead = text.find("\r\n\r\n") != std::string::npos;
+    if (hasHead && !readsBodies_) return;
     std::size_t const from = text.size();
     text += s.readAll().toStdString();
     for (std::size_t end = text.find("\r\n\r\n", from); end != std::string::npos;
          end = text.find("\r\n\r\n", end + 4)) {
-      ++answers;
+      ++responses;
       s.write("HTTP/1.1 503 Full\r\nCorkward-Run: none\r\nContent-Length: 0\r\n\r\n");
     }
   }
   QTcpServer server_;
   std::vector<QTcpSocket*> sockets_;
-  bool readsOn_ = false;
+  bool readsBodies_ = false;
 };
 
-struct Got {
+/// The events of one request.
+struct Outcome {
   int status = 0;
   std::string body;
+  /// 1 after a complete response, 0 after an incomplete one, -1 before the end.
   int ended = -1;
-  int ends = 0;
+  /// Number of `ended` events.
+  int endCount = 0;
   bool connected = false;
-  bool rejected = false;
-  bool forgotten = false;
+  bool connectFailed = false;
+  /// UpstreamConnection::isStale() at the end of the response.
+  bool stale = false;
 };
 
-/// One request through the pool, up to its end.
+/// One request on a connection of the pool.
 struct PoolRequest {
-  PoolRequest(http::UpstreamPool& upstreams, std::string const& address, bool fresh = false,
+  PoolRequest(http::UpstreamPool& upstreams, std::string const& address, bool avoidStale = false,
               std::string method = "POST") {
     http::UpstreamConnection::Events e;
     e.connected = [this, method] {
-      got.connected = true;
+      outcome.connected = true;
       upstream->send({method, "/x"}, method == "POST" ? "{}" : "");
     };
-    e.connectFailed = [this] { got.rejected = true; };
+    e.connectFailed = [this] { outcome.connectFailed = true; };
     e.head = [this](http::ReplicaHead h) {
-      got.status = h.status;
-      if (stopAtHead) upstream->close();
+      outcome.status = h.status;
+      if (closeAtHead) upstream->close();
       if (releaseAtHead) upstream->release();
     };
-    e.chunk = [this](std::string bytes) { got.body += bytes; };
+    e.chunk = [this](std::string bytes) { outcome.body += bytes; };
     e.ended = [this](bool complete) {
-      got.ended = complete ? 1 : 0;
-      got.forgotten = upstream->isStale();
-      ++got.ends;
+      outcome.ended = complete ? 1 : 0;
+      outcome.stale = upstream->isStale();
+      ++outcome.endCount;
     };
-    upstream = upstreams.acquire(address, fresh, std::move(e), &owner);
+    upstream = upstreams.acquire(address, avoidStale, std::move(e), &owner);
   }
-  Got wait() {
-    REQUIRE(
-        until([this] { return got.rejected || got.ended >= 0 || (got.status != 0 && (stopAtHead || releaseAtHead)); }));
-    return got;
+  /// Waits until the request has ended, or until the head if the response is closed or released there.
+  Outcome wait() {
+    REQUIRE(waitUntil([this] {
+      return outcome.connectFailed || outcome.ended >= 0 || (outcome.status != 0 && (closeAtHead || releaseAtHead));
+    }));
+    return outcome;
   }
   QObject owner;
   http::UpstreamConnection* upstream = nullptr;
-  Got got;
-  bool stopAtHead = false;
+  Outcome outcome;
+  bool closeAtHead = false;
   bool releaseAtHead = false;
 };
 
-struct Rig {
-  explicit Rig(std::vector<Script::Line> lines, http::KeepAlivePolicy policy = {2, 5000, 0})
-      : replica(std::move(lines)), upstreams(policy, [this] { return now; }) {}
-  Got request(bool fresh = false) { return PoolRequest(upstreams, replica.address(), fresh).wait(); }
+/// A scripted replica, and a pool whose clock the test sets.
+struct PoolFixture {
+  explicit PoolFixture(std::vector<ScriptedReplica::Response> responses, http::KeepAlivePolicy policy = {2, 5000, 0})
+      : replica(std::move(responses)), upstreams(policy, [this] { return now; }) {}
+  Outcome request(bool avoidStale = false) { return PoolRequest(upstreams, replica.address(), avoidStale).wait(); }
   core::Milliseconds now = 1000;
-  Script replica;
+  ScriptedReplica replica;
   http::UpstreamPool upstreams;
 };
 
 }  // namespace
 
 TEST_CASE("a connection is returned after a complete response and reused for the next request") {
-  application();
-  Rig rig({});
+  ensureApplication();
+  PoolFixture fixture({});
   for (int i = 0; i < 20; ++i) {
-    Got const got = rig.request();
-    REQUIRE(got.ended == 1);
-    REQUIRE(got.body == "ok");
-    REQUIRE(rig.upstreams.idleCount() == 1);
+    Outcome const outcome = fixture.request();
+    REQUIRE(outcome.ended == 1);
+    REQUIRE(outcome.body == "ok");
+    REQUIRE(fixture.upstreams.idleCount() == 1);
   }
-  CHECK(rig.replica.connections == 1);
-  CHECK(rig.upstreams.openedCount() == 1);
-  CHECK(rig.upstreams.reusedCount() == 19);
+  CHECK(fixture.replica.connections == 1);
+  CHECK(fixture.upstreams.openedCount() == 1);
+  CHECK(fixture.upstreams.reusedCount() == 19);
 }
 
-TEST_CASE("no connection is kept unless the policy says so") {
-  application();
-  Rig rig({}, http::KeepAlivePolicy{});
-  rig.request();
-  rig.request();
-  CHECK(rig.upstreams.idleCount() == 0);
-  CHECK(rig.replica.connections == 2);
+TEST_CASE("no connection is reused if the policy allows no idle connections") {
+  ensureApplication();
+  PoolFixture fixture({}, http::KeepAlivePolicy{});
+  fixture.request();
+  fixture.request();
+  CHECK(fixture.upstreams.idleCount() == 0);
+  CHECK(fixture.replica.connections == 2);
 }
 
-TEST_CASE("a connection is not kept after a response that closes it, is incomplete, or has bytes after it") {
-  application();
+TEST_CASE(
+    "a connection is not reused after a response that announces its end, is malformed, or is followed by further "
+    "bytes") {
+  ensureApplication();
   struct PoolCase {
     char const* bytes;
     int ended;
     bool keepsAlive;
   };
   constexpr PoolCase cases[] = {
-      {good, 1, true},
+      {validResponse, 1, true},
       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 1, true},
       {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: "
        "2\r\n\r\nok",
@@ -223,345 +236,346 @@
       {"nonsense\r\n\r\n", 0, false}};
   for (PoolCase const& r : cases) {
     INFO(r.bytes);
-    Rig rig({{r.bytes, false}});
-    Got const got = rig.request();
-    CHECK(got.ended == r.ended);
-    CHECK(rig.upstreams.idleCount() == (r.keepsAlive ? 1 : 0));
-    CHECK(rig.request().body == "ok");
-    CHECK(rig.replica.connections == (r.keepsAlive ? 1 : 2));
+    PoolFixture fixture({{r.bytes, false}});
+    Outcome const outcome = fixture.request();
+    CHECK(outcome.ended == r.ended);
+    CHECK(fixture.upstreams.idleCount() == (r.keepsAlive ? 1 : 0));
+    CHECK(fixture.request().body == "ok");
+    CHECK(fixture.replica.connections == (r.keepsAlive ? 1 : 2));
   }
 }
 
-TEST_CASE("a response that is cut at any byte is incomplete") {
-  application();
+TEST_CASE("a response whose connection ends at any byte before its end is incomplete") {
+  ensureApplication();
   std::string const bytes =
       GENERATE("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n");
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
-    Rig rig({{bytes.substr(0, cut), true}});
-    Got const got = rig.request();
-    REQUIRE(got.ends == 1);
-    REQUIRE(got.ended == (cut == bytes.size() ? 1 : 0));
-    REQUIRE(std::string("hello").rfind(got.body, 0) == 0);
+    PoolFixture fixture({{bytes.substr(0, cut), true}});
+    Outcome const outcome = fixture.request();
+    REQUIRE(outcome.endCount == 1);
+    REQUIRE(outcome.ended == (cut == bytes.size() ? 1 : 0));
+    REQUIRE(std::string("hello").rfind(outcome.body, 0) == 0);
   }
 }
 
-TEST_CASE("only a reused connection that was long idle and brings nothing is stale") {
-  application();
+TEST_CASE("only a reused connection that was idle for long and receives no response head is stale") {
+  ensureApplication();
   struct PoolCase {
     std::string bytes;
     core::Milliseconds idle;
-    bool forgotten;
+    bool stale;
   };
   for (PoolCase const& r : {PoolCase{"", 600, true}, PoolCase{"", 10, false},
                             PoolCase{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", 600, false}}) {
-    Rig rig({{good, false}, {r.bytes, true}, {"", true}});
-    rig.request();
-    REQUIRE(rig.upstreams.idleCount() == 1);
-    rig.now += r.idle;
-    Got const got = rig.request();
-    CHECK(got.ended == 0);
-    CHECK(got.forgotten == r.forgotten);
-    CHECK(rig.replica.connections == 1);
-    CHECK_FALSE(rig.request().forgotten);
+    PoolFixture fixture({{validResponse, false}, {r.bytes, true}, {"", true}});
+    fixture.request();
+    REQUIRE(fixture.upstreams.idleCount() == 1);
+    fixture.now += r.idle;
+    Outcome const outcome = fixture.request();
+    CHECK(outcome.ended == 0);
+    CHECK(outcome.stale == r.stale);
+    CHECK(fixture.replica.connections == 1);
+    CHECK_FALSE(fixture.request().stale);
   }
 }
 
-TEST_CASE("an idle connection that ends or brings bytes is closed") {
-  application();
-  Rig rig({});
-  rig.request();
-  REQUIRE(rig.upstreams.idleCount() == 1);
+TEST_CASE("an idle connection that ends or receives bytes is closed") {
+  ensureApplication();
+  PoolFixture fixture({});
+  fixture.request();
+  REQUIRE(fixture.upstreams.idleCount() == 1);
   SECTION("closed") {
-    rig.replica.last->disconnectFromHost();
+    fixture.replica.lastSocket->disconnectFromHost();
   }
   SECTION("reset") {
-    rig.replica.last->abort();
+    fixture.replica.lastSocket->abort();
   }
-  SECTION("a late answer") {
-    rig.replica.last->write(good);
+  SECTION("a late response") {
+    fixture.replica.lastSocket->write(validResponse);
   }
-  REQUIRE(until([&] { return rig.upstreams.idleCount() == 0; }));
-  CHECK(rig.request().ended == 1);
-  CHECK(rig.replica.connections == 2);
+  REQUIRE(waitUntil([&] { return fixture.upstreams.idleCount() == 0; }));
+  CHECK(fixture.request().ended == 1);
+  CHECK(fixture.replica.connections == 2);
 }
 
-TEST_CASE("a reused connection that ends or brings bytes before it is used is replaced by a new one") {
-  application();
-  Rig rig({});
-  rig.request();
-  QTcpSocket* const old = rig.replica.last;
-  PoolRequest again(rig.upstreams, rig.replica.address());
-  CHECK_FALSE(again.got.connected);
+TEST_CASE("a reused connection that ends or receives bytes before its request is sent is replaced by a new one") {
+  ensureApplication();
+  PoolFixture fixture({});
+  fixture.request();
+  QTcpSocket* const reusedSocket = fixture.replica.lastSocket;
+  PoolRequest again(fixture.upstreams, fixture.replica.address());
+  CHECK_FALSE(again.outcome.connected);
   SECTION("closed") {
-    old->disconnectFromHost();
+    reusedSocket->disconnectFromHost();
   }
-  SECTION("a late answer") {
-    old->write(good);
-    old->flush();
+  SECTION("a late response") {
+    reusedSocket->write(validResponse);
+    reusedSocket->flush();
   }
-  Got const got = again.wait();
-  CHECK(got.ended == 1);
-  CHECK(got.ends == 1);
-  CHECK(rig.replica.requests == 2);
-  CHECK(rig.replica.connections == 2);
-  CHECK(rig.upstreams.reusedCount() == 0);
+  Outcome const outcome = again.wait();
+  CHECK(outcome.ended == 1);
+  CHECK(outcome.endCount == 1);
+  CHECK(fixture.replica.requests == 2);
+  CHECK(fixture.replica.connections == 2);
+  CHECK(fixture.upstreams.reusedCount() == 0);
 }
 
-TEST_CASE("a request on a reused connection that ends at that moment fails and is not sent again") {
-  application();
-  Rig rig({{good, false}, {"", true}});
-  rig.request();
-  PoolRequest other(rig.upstreams, rig.replica.address());
-  Got const got = other.wait();
-  CHECK(got.connected);
-  CHECK_FALSE(got.rejected);
-  CHECK(got.ended == 0);
-  CHECK(got.ends == 1);
-  CHECK(rig.replica.requests == 2);
-  CHECK(rig.replica.connections == 1);
+TEST_CASE("a request on a reused connection that ends after the request was sent fails and is not sent again") {
+  ensureApplication();
+  PoolFixture fixture({{validResponse, false}, {"", true}});
+  fixture.request();
+  PoolRequest other(fixture.upstreams, fixture.replica.address());
+  Outcome const outcome = other.wait();
+  CHECK(outcome.connected);
+  CHECK_FALSE(outcome.connectFailed);
+  CHECK(outcome.ended == 0);
+  CHECK(outcome.endCount == 1);
+  CHECK(fixture.replica.requests == 2);
+  CHECK(fixture.replica.connections == 1);
 }
 
-TEST_CASE("an error at an address closes all idle connections to it") {
-  application();
-  Rig rig({{good, false}, {good, false}, {"nonsense\r\n\r\n", false}});
-  PoolRequest one(rig.upstreams, rig.replica.address());
-  PoolRequest two(rig.upstreams, rig.replica.address());
+TEST_CASE("a failed response closes all idle connections to its replica") {
+  ensureApplication();
+  PoolFixture fixture({{validResponse, false}, {validResponse, false}, {"nonsense\r\n\r\n", false}});
+  PoolRequest one(fixture.upstreams, fixture.replica.address());
+  PoolRequest two(fixture.upstreams, fixture.replica.address());
   one.wait();
   two.wait();
-  REQUIRE(rig.upstreams.idleCount() == 2);
-  CHECK(rig.request().ended == 0);
-  CHECK(rig.upstreams.idleCount() == 0);
+  REQUIRE(fixture.upstreams.idleCount() == 2);
+  CHECK(fixture.request().ended == 0);
+  CHECK(fixture.upstreams.idleCount() == 0);
 }
 
 TEST_CASE(
-    "an idle connection is used up to the policy's time-out, half of the replica's, and the one for single "
-    "executions") {
-  application();
+    "an idle connection is reused until the policy's idle timeout, half of the replica's Keep-Alive timeout, or the "
+    "timeout for requests that avoid stale connections") {
+  ensureApplication();
   struct PoolCase {
     char const* bytes;
-    core::Milliseconds freshLimit;
-    bool fresh;
-    core::Milliseconds age;
+    core::Milliseconds avoidStaleIdleTimeout;
+    bool avoidStale;
+    core::Milliseconds idle;
     bool reused;
   };
   constexpr char const* withKeepAlive =
       "HTTP/1.1 200 OK\r\nKeep-Alive: max=9, timeout=4\r\nContent-Length: 2\r\n\r\nok";
-  constexpr PoolCase cases[] = {{good, 0, false, 4999, true},
-                                {good, 0, false, 5000, false},
-                                {withKeepAlive, 0, false, 1999, true},
-                                {withKeepAlive, 0, false, 2000, false},
-                                {good, 0, true, 0, false},
-                                {good, 50, true, 49, true},
-                                {good, 50, true, 50, false}};
+  constexpr PoolCase cases[] = {{validResponse, 0, false, 4999, true}, {validResponse, 0, false, 5000, false},
+                                {withKeepAlive, 0, false, 1999, true}, {withKeepAlive, 0, false, 2000, false},
+                                {validResponse, 0, true, 0, false},    {validResponse, 50, true, 49, true},
+                                {validResponse, 50, true, 50, false}};
   for (PoolCase const& r : cases) {
-    INFO(r.age << " " << r.freshLimit << " " << r.fresh);
-    Rig rig({{r.bytes, false}}, http::KeepAlivePolicy{2, 5000, r.freshLimit});
-    rig.request();
-    rig.now += r.age;
-    CHECK(rig.request(r.fresh).ended == 1);
-    CHECK(rig.replica.connections == (r.reused ? 1 : 2));
+    INFO(r.idle << " " << r.avoidStaleIdleTimeout << " " << r.avoidStale);
+    PoolFixture fixture({{r.bytes, false}}, http::KeepAlivePolicy{2, 5000, r.avoidStaleIdleTimeout});
+    fixture.request();
+    fixture.now += r.idle;
+    CHECK(fixture.request(r.avoidStale).ended == 1);
+    CHECK(fixture.replica.connections == (r.reused ? 1 : 2));
   }
 }
 
-TEST_CASE("at most the policy's number of idle connections to a replica is kept") {
-  application();
-  Rig rig({});
-  PoolRequest one(rig.upstreams, rig.replica.address());
-  PoolRequest two(rig.upstreams, rig.replica.address());
-  PoolRequest three(rig.upstreams, rig.replica.address());
+TEST_CASE("the pool keeps at most as many idle connections to a replica as the policy allows") {
+  ensureApplication();
+  PoolFixture fixture({});
+  PoolRequest one(fixture.upstreams, fixture.replica.address());
+  PoolRequest two(fixture.upstreams, fixture.replica.address());
+  PoolRequest three(fixture.upstreams, fixture.replica.address());
   one.wait();
   two.wait();
   three.wait();
-  CHECK(rig.upstreams.idleCount() == 2);
-  REQUIRE(until([&] { return rig.replica.closed == 1; }));
-  rig.upstreams.setKeepAlive(http::KeepAlivePolicy{});
-  CHECK(rig.upstreams.idleCount() == 0);
+  CHECK(fixture.upstreams.idleCount() == 2);
+  REQUIRE(waitUntil([&] { return fixture.replica.closed == 1; }));
+  fixture.upstreams.setKeepAlive(http::KeepAlivePolicy{});
+  CHECK(fixture.upstreams.idleCount() == 0);
 }
 
-TEST_CASE("an unwanted response closes its connection, or is read to its end when it is short") {
-  application();
-  bool const stop = GENERATE(true, false);
-  std::string const bytes =
-      GENERATE(std::string(good), "HTTP/1.1 503 Full\r\nContent-Length: 100000\r\n\r\n" + std::string(100000, 'x'));
-  bool const keepsAlive = !stop && bytes == good;
-  Rig rig({{bytes, false}});
+TEST_CASE("a closed response ends its connection, and a released one keeps the connection alive if the rest is short") {
+  ensureApplication();
+  bool const closes = GENERATE(true, false);
+  std::string const bytes = GENERATE(std::string(validResponse),
+                                     "HTTP/1.1 503 Full\r\nContent-Length: 100000\r\n\r\n" + std::string(100000, 'x'));
+  bool const keepsAlive = !closes && bytes == validResponse;
+  PoolFixture fixture({{bytes, false}});
   {
-    PoolRequest unwanted(rig.upstreams, rig.replica.address());
-    unwanted.stopAtHead = stop;
-    unwanted.releaseAtHead = !stop;
+    PoolRequest unwanted(fixture.upstreams, fixture.replica.address());
+    unwanted.closeAtHead = closes;
+    unwanted.releaseAtHead = !closes;
     unwanted.wait();
-    REQUIRE(until([&] { return keepsAlive ? rig.upstreams.idleCount() == 1 : rig.replica.closed == 1; }));
-    CHECK(unwanted.got.body.empty());
-    CHECK(unwanted.got.ends == 0);
+    REQUIRE(waitUntil([&] { return keepsAlive ? fixture.upstreams.idleCount() == 1 : fixture.replica.closed == 1; }));
+    CHECK(unwanted.outcome.body.empty());
+    CHECK(unwanted.outcome.endCount == 0);
   }
-  CHECK(rig.request().body == "ok");
-  CHECK(rig.replica.connections == (keepsAlive ? 1 : 2));
+  CHECK(fixture.request().body == "ok");
+  CHECK(fixture.replica.connections == (keepsAlive ? 1 : 2));
 }
 
-TEST_CASE("a response to HEAD has no body, whatever its length says") {
-  application();
-  Rig rig({{"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n", false}});
-  PoolRequest request(rig.upstreams, rig.replica.address(), false, "HEAD");
+TEST_CASE("a response to HEAD has no body whatever its Content-Length is") {
+  ensureApplication();
+  PoolFixture fixture({{"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n", false}});
+  PoolRequest request(fixture.upstreams, fixture.replica.address(), false, "HEAD");
   CHECK(request.wait().ended == 1);
-  CHECK(rig.upstreams.idleCount() == 1);
+  CHECK(fixture.upstreams.idleCount() == 1);
 }
 
-TEST_CASE("no event comes from within a call, and a refused connection is reported once") {
-  application();
+TEST_CASE("no event is delivered from within acquire, and a refused connection is reported as a failure") {
+  ensureApplication();
   http::UpstreamPool upstreams({2, 5000, 0}, [] { return 1; });
   PoolRequest request(upstreams, "127.0.0.1:1");
-  CHECK_FALSE(request.got.rejected);
+  CHECK_FALSE(request.outcome.connectFailed);
   request.wait();
-  CHECK(request.got.rejected);
-  CHECK_FALSE(request.got.connected);
+  CHECK(request.outcome.connectFailed);
+  CHECK_FALSE(request.outcome.connected);
 }
 
 TEST_CASE(
-    "a response without a length is complete when its connection is closed in order, and incomplete after a reset at "
-    "any byte") {
-  application();
+    "a body that ends with the connection is complete if the connection is closed without a reset, and incomplete "
+    "after "
+    "a reset") {
+  ensureApplication();
   std::string const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
   std::string const body = GENERATE("", "h", "hello");
-  bool const inOrder = GENERATE(true, false);
-  Rig rig({{head + body, false}}, {2, 5000, 0, true});
-  PoolRequest request(rig.upstreams, rig.replica.address());
-  REQUIRE(until([&] { return request.got.status == 200 && request.got.body == body; }));
-  CHECK(request.got.ends == 0);
-  if (inOrder)
-    rig.replica.last->disconnectFromHost();
+  bool const closesNormally = GENERATE(true, false);
+  PoolFixture fixture({{head + body, false}}, {2, 5000, 0, true});
+  PoolRequest request(fixture.upstreams, fixture.replica.address());
+  REQUIRE(waitUntil([&] { return request.outcome.status == 200 && request.outcome.body == body; }));
+  CHECK(request.outcome.endCount == 0);
+  if (closesNormally)
+    fixture.replica.lastSocket->disconnectFromHost();
   else
-    rig.replica.resetLast();
-  Got const got = request.wait();
-  CHECK(got.ended == (inOrder ? 1 : 0));
-  CHECK(got.ends == 1);
-  CHECK(got.body == body);
-  CHECK(rig.upstreams.idleCount() == 0);
+    fixture.replica.resetLast();
+  Outcome const outcome = request.wait();
+  CHECK(outcome.ended == (closesNormally ? 1 : 0));
+  CHECK(outcome.endCount == 1);
+  CHECK(outcome.body == body);
+  CHECK(fixture.upstreams.idleCount() == 0);
 }
 
-TEST_CASE("a response without a length that waits for a slow caller ends as its connection did") {
-  application();
-  bool const inOrder = GENERATE(true, false);
+TEST_CASE("a body that ends with the connection and is read after a pause is complete only if there was no reset") {
+  ensureApplication();
+  bool const closesNormally = GENERATE(true, false);
   std::string const body(3 << 20, 'b');
-  Rig rig({{"HTTP/1.1 200 OK\r\n\r\n" + body, inOrder}}, {2, 5000, 0, true});
-  PoolRequest request(rig.upstreams, rig.replica.address());
-  REQUIRE(until([&] { return request.got.status == 200; }));
+  PoolFixture fixture({{"HTTP/1.1 200 OK\r\n\r\n" + body, closesNormally}}, {2, 5000, 0, true});
+  PoolRequest request(fixture.upstreams, fixture.replica.address());
+  REQUIRE(waitUntil([&] { return request.outcome.status == 200; }));
   request.upstream->setPaused(true);
-  if (!inOrder) rig.replica.resetLast();
-  int const closedBefore = rig.replica.closed;
-  REQUIRE(until([&] { return inOrder || rig.replica.closed >= closedBefore; }));
+  if (!closesNormally) fixture.replica.resetLast();
+  int const closedBefore = fixture.replica.closed;
+  REQUIRE(waitUntil([&] { return closesNormally || fixture.replica.closed >= closedBefore; }));
   request.upstream->setPaused(false);
-  Got const got = request.wait();
-  CHECK(got.ended == (inOrder ? 1 : 0));
-  CHECK(got.ends == 1);
-  CHECK((got.body.size() == body.size()) == inOrder);
+  Outcome const outcome = request.wait();
+  CHECK(outcome.ended == (closesNormally ? 1 : 0));
+  CHECK(outcome.endCount == 1);
+  CHECK((outcome.body.size() == body.size()) == closesNormally);
 }
 
-TEST_CASE("a closed connection reports nothing more, not even a failure that was on its way") {
-  application();
-  Rig rig({});
+TEST_CASE("a closed connection delivers no further event, not even a failure that is already queued") {
+  ensureApplication();
+  PoolFixture fixture({});
   http::UpstreamConnection::Events e;
   http::UpstreamConnection* upstream = nullptr;
-  int rejections = 0;
-  bool stopped = false;
+  int failures = 0;
+  bool closed = false;
   e.connected = [&] {
-    QTcpSocket* const other = rig.replica.last;
-    REQUIRE(other != nullptr);
-    other->write("surplus");
-    other->flush();
+    QTcpSocket* const replicaSocket = fixture.replica.lastSocket;
+    REQUIRE(replicaSocket != nullptr);
+    replicaSocket->write("surplus");
+    replicaSocket->flush();
     upstream->send({"POST", "/x"}, "{}");
     upstream->close();
-    stopped = true;
+    closed = true;
   };
-  e.connectFailed = [&] { ++rejections; };
-  upstream = rig.upstreams.acquire(rig.replica.address(), false, std::move(e), nullptr);
-  REQUIRE(until([&] { return stopped; }));
-  bool later = false;
-  QTimer::singleShot(0, [&] { QTimer::singleShot(0, [&] { later = true; }); });
-  REQUIRE(until([&] { return later; }));
-  CHECK(rejections == 0);
-  CHECK(rig.replica.requests == 0);
+  e.connectFailed = [&] { ++failures; };
+  upstream = fixture.upstreams.acquire(fixture.replica.address(), false, std::move(e), nullptr);
+  REQUIRE(waitUntil([&] { return closed; }));
+  bool queuedEventsDelivered = false;
+  QTimer::singleShot(0, [&] { QTimer::singleShot(0, [&] { queuedEventsDelivered = true; }); });
+  REQUIRE(waitUntil([&] { return queuedEventsDelivered; }));
+  CHECK(failures == 0);
+  CHECK(fixture.replica.requests == 0);
   delete upstream;
 }
 
-/// Requests to a late reader over one pool.
-struct LateCalls {
-  LateReader replica;
+/// Requests to an EarlyResponder on connections of one pool.
+struct EarlyResponseFixture {
+  EarlyResponder replica;
   http::UpstreamPool upstreams{{2, 5000, 0}, [] { return core::Milliseconds{1000}; }};
   QObject owner;
-  /// Whole answers; a hundred for each that was cut.
-  int answered = 0;
+  /// Number of complete responses, plus 100 for each incomplete one.
+  int finishedCount = 0;
 
-  /// @param releases the answer is told by its head alone, and its connection released
+  /// @param releases whether the connection is released when the response head arrives; the response then counts as
+  ///   complete
   void request(std::string const& text, bool releases) {
     std::shared_ptr<http::UpstreamConnection*> const upstream = std::make_shared<http::UpstreamConnection*>(nullptr);
     http::UpstreamConnection::Events e;
     e.connected = [upstream, text] { (*upstream)->send({"POST", "/x"}, text); };
-    e.connectFailed = [] { FAIL("no connection"); };
+    e.connectFailed = [] { FAIL("connection failed"); };
     e.head = [this, upstream, releases](http::ReplicaHead const&) {
       if (!releases) return;
-      ++answered;
+      ++finishedCount;
       (*upstream)->release();
     };
-    e.ended = [this](bool complete) { answered += complete ? 1 : 100; };
+    e.ended = [this](bool complete) { finishedCount += complete ? 1 : 100; };
     *upstream = upstreams.acquire(replica.address(), false, std::move(e), &owner);
   }
 };
 
-TEST_CASE("a request body that is read after an early response is followed by the next request alone") {
-  application();
-  constexpr std::size_t beyondAllBuffers = 48U << 20;
-  bool const fits = GENERATE(true, false);
+TEST_CASE("a replica that reads a body after its early response finds only the next request behind the body") {
+  ensureApplication();
+  constexpr std::size_t exceedsAllBuffers = 48U << 20;
+  bool const fitsBuffers = GENERATE(true, false);
   bool const released = GENERATE(true, false);
-  std::string const body(fits ? 2000 : beyondAllBuffers, 'b');
-  LateCalls calls;
-  LateReader& replica = calls.replica;
+  std::string const body(fitsBuffers ? 2000 : exceedsAllBuffers, 'b');
+  EarlyResponseFixture calls;
+  EarlyResponder& replica = calls.replica;
   calls.request(body, released);
-  REQUIRE(until([&] { return calls.answered == 1; }));
-  replica.readOn();
+  REQUIRE(waitUntil([&] { return calls.finishedCount == 1; }));
+  replica.readBodies();
   calls.request("next", false);
-  REQUIRE(until([&] { return calls.answered == 2; }));
-  std::string const& first = replica.got[0];
-  std::size_t const from = first.find("\r\n\r\n") + 4;
-  std::size_t const other = first.find_first_not_of('b', from);
-  if (other != std::string::npos) {
-    CHECK(other - from == body.size());
-    CHECK(first.compare(other, 5, "POST ") == 0);
+  REQUIRE(waitUntil([&] { return calls.finishedCount == 2; }));
+  std::string const& first = replica.received[0];
+  std::size_t const bodyStart = first.find("\r\n\r\n") + 4;
+  std::size_t const bodyEnd = first.find_first_not_of('b', bodyStart);
+  if (bodyEnd != std::string::npos) {
+    CHECK(bodyEnd - bodyStart == body.size());
+    CHECK(first.compare(bodyEnd, 5, "POST ") == 0);
   }
-  if (!fits) CHECK(other == std::string::npos);
-  if (!fits) CHECK(replica.got.size() == 2);
-  CHECK(replica.got.back().find("next") != std::string::npos);
+  if (!fitsBuffers) CHECK(bodyEnd == std::string::npos);
+  if (!fitsBuffers) CHECK(replica.received.size() == 2);
+  CHECK(replica.received.back().find("next") != std::string::npos);
 }
 
 TEST_CASE("a request that follows a long body with an early response does not wait behind the rest of that body") {
-  // Found by the fuzzer (early-answers.json): the body lay whole in the system's buffers, so the connection was kept,
-  // and the next request reached the replica only once that had read on.
-  application();
+  // Found by the fuzzer (early-answers.json). The complete body was in the operating system's buffers, so the
+  // connection was reused, and the next request reached the replica only after the replica had read the rest of the
+  // body.
+  ensureApplication();
   constexpr std::size_t longButBuffered = 70000;
-  LateCalls calls;
+  EarlyResponseFixture calls;
   calls.request(std::string(longButBuffered, 'b'), false);
-  REQUIRE(until([&] { return calls.answered == 1; }));
+  REQUIRE(waitUntil([&] { return calls.finishedCount == 1; }));
   calls.request("next", false);
-  CHECK(until([&] { return calls.answered == 2; }));
-  CHECK(calls.replica.got.size() == 2);
+  CHECK(waitUntil([&] { return calls.finishedCount == 2; }));
+  CHECK(calls.replica.received.size() == 2);
 }
 
-TEST_CASE("random and damaged responses come to an end, and none with damaged framing is complete") {
-  application();
+TEST_CASE("random and damaged responses end, random ones are incomplete, and no connection is reused") {
+  ensureApplication();
   core::RandomGenerator rng(3);
-  std::string const complete = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
+  std::string const validChunkedResponse =
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
   for (int round = 0; round < 300; ++round) {
-    std::string bytes = complete;
+    std::string bytes = validChunkedResponse;
     if (round % 2 == 0) {
       bytes.assign(rng.below(2000), '\0');
       for (char& c : bytes) c = static_cast<char>(rng.next());
     } else {
       bytes[rng.below(bytes.size())] = static_cast<char>(rng.next());
     }
-    Rig rig({{bytes, true}});
-    Got const got = rig.request();
-    REQUIRE(got.ends == 1);
-    REQUIRE(rig.upstreams.idleCount() == 0);
-    if (round % 2 == 0) REQUIRE(got.ended == 0);
+    PoolFixture fixture({{bytes, true}});
+    Outcome const outcome = fixture.request();
+    REQUIRE(outcome.endCount == 1);
+    REQUIRE(fixture.upstreams.idleCount() == 0);
+    if (round % 2 == 0) REQUIRE(outcome.ended == 0);
   }
 }
