--- a/http/include/corkward/http/mapping.h
+++ b/http/include/corkward/http/mapping.h
@@ -15,7 +15,7 @@
 struct CallerRequest {
   /// std::nullopt if the request is rejected.
   std::optional<dataplane::Request> request;
-  /// HTTP status and reason of the rejection; unset if the request is accepted.
+  /// HTTP status and reason of the rejection. Zero and empty if the request is accepted.
   int status = 0;
   std::string reason;
   /// Whether a response that is an event stream may be resumed on another replica after the last event that was
--- a/http/include/corkward/http/server.h
+++ b/http/include/corkward/http/server.h
@@ -40,7 +40,8 @@
   /// Milliseconds within which a request must arrive completely, counted from its first byte. On a new connection the
   /// first byte must arrive within the same time.
   int headTimeoutMs = 10000;
-  /// Idle timeout: milliseconds after which a connection without a request is closed.
+  /// Idle timeout: milliseconds after which a connection without a request is closed, unless its caller is still
+  /// reading the previous response.
   int idleTimeoutMs = 60000;
   bool sendsServerHeader = true;
   /// Header fields of the error responses to requests that violate HTTP or these limits.
@@ -74,7 +75,7 @@
   /// Sets the limits for the requests and connections that begin after this call.
   void setLimits(ServerLimits limits);
 
-  // The functions below do nothing if the request has no pending response any more.
+  // Responses to pending requests. A call with the id of a request that is not pending has no effect.
 
   /// Writes a complete response.
   void respond(std::uint64_t id, int status, HeaderList const& headers, std::string const& body);
--- a/http/src/request_head.h
+++ b/http/src/request_head.h
@@ -12,7 +12,7 @@
   /// Value of the Host header field if the request has none.
   std::string host;
   std::size_t bodyBytes = 0;
-  /// Whether the connection stays open after the response; if false, the request announces its end.
+  /// Whether the connection stays open after the response; if false, the request has "Connection: close".
   bool keepsConnection = true;
 };
 
--- a/http/src/response_parser.cpp
+++ b/http/src/response_parser.cpp
@@ -36,14 +36,14 @@
 
 }  // namespace
 
-void ResponseParser::begin(bool toHead) {
-  toHead_ = toHead;
+void ResponseParser::begin(bool isHeadRequest) {
+  isHeadRequest_ = isHeadRequest;
   hasHead_ = false;
   parser_.emplace();
   parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
   parser_->header_limit(maxHeadBytes);
   parser_->eager(false);
-  parser_->skip(toHead);
+  parser_->skip(isHeadRequest);
 }
 
 ResponseParser::Outcome ResponseParser::parse(QByteArray& buffer, std::string& body) {
@@ -66,7 +66,7 @@
 
 ResponseParser::Outcome ResponseParser::onHead() {
   if (isInterim(status())) {
-    begin(toHead_);
+    begin(isHeadRequest_);
     return Outcome::interimResponse;
   }
   hasHead_ = true;
@@ -93,7 +93,7 @@
 }
 
 bool ResponseParser::hasNoBody() const {
-  return toHead_ || status() == core::code(core::HttpStatus::noContent) ||
+  return isHeadRequest_ || status() == core::code(core::HttpStatus::noContent) ||
          status() == core::code(core::HttpStatus::notModified);
 }
 
--- a/http/src/response_parser.h
+++ b/http/src/response_parser.h
@@ -31,8 +31,8 @@
   static constexpr core::Milliseconds noTimeout = std::numeric_limits<core::Milliseconds>::max();
 
   /// Prepares to parse the response to a request.
-  /// @param toHead whether the method of the request is HEAD
-  void begin(bool toHead);
+  /// @param isHeadRequest whether the method of the request is HEAD
+  void begin(bool isHeadRequest);
   /// Consumes bytes from the front of the buffer, and appends the bytes of the response's body to `body`.
   Outcome parse(QByteArray& buffer, std::string& body);
 
@@ -66,7 +66,7 @@
   bool hasNoBody() const;
 
   std::optional<Parser> parser_;
-  bool toHead_ = false;
+  bool isHeadRequest_ = false;
   bool hasHead_ = false;
 };
 
--- a/http/src/response_writer.cpp
+++ b/http/src/response_writer.cpp
@@ -31,8 +31,8 @@
 
 }  // namespace
 
-void ResponseWriter::reset(bool toHead) {
-  toHead_ = toHead;
+void ResponseWriter::reset(bool isHeadRequest) {
+  isHeadRequest_ = isHeadRequest;
   hasNoBody_ = false;
   chunked_ = false;
   missingBytes_ = 0;
@@ -45,7 +45,7 @@
   if (!head.reason.empty()) message.reason(head.reason);
   for (auto const& [name, value] : head.headers) message.insert(name, value);
   if (head.sendsServerHeader) message.set(beast::http::field::server, serverName);
-  hasNoBody_ = toHead_ || hasNoBody(head.status);
+  hasNoBody_ = isHeadRequest_ || hasNoBody(head.status);
   chunked_ = head.bodyLength < 0 && !hasNoBody_;
   missingBytes_ = hasNoBody_ ? 0 : std::max<std::int64_t>(head.bodyLength, 0);
   if (chunked_) message.chunked(true);
--- a/http/src/response_writer.h
+++ b/http/src/response_writer.h
@@ -26,8 +26,9 @@
  public:
   explicit ResponseWriter(QTcpSocket& socket) : socket_(socket) {}
   /// Prepares to write the next response.
-  /// @param toHead whether the method of the request is HEAD, so that the response has no body whatever its length is
-  void reset(bool toHead);
+  /// @param isHeadRequest whether the method of the request is HEAD, so that the response has no body whatever its
+  /// length is
+  void reset(bool isHeadRequest);
   /// Writes the status line and header section.
   void writeHead(ResponseHeadFields const& head);
   /// Writes bytes of the body. Does nothing if the response has no body.
@@ -40,7 +41,7 @@
 
  private:
   QTcpSocket& socket_;
-  bool toHead_ = false;
+  bool isHeadRequest_ = false;
   bool hasNoBody_ = false;
   bool chunked_ = false;
   std::int64_t missingBytes_ = 0;
--- a/http/src/server.cpp
+++ b/http/src/server.cpp
@@ -238,12 +238,13 @@
 }
 
 std::size_t Server::expectedRequests() const {
-  return implementation_->countConnections([](ServerConnection const& one) { return one.expectsRequest(); });
+  return implementation_->countConnections(
+      [](ServerConnection const& connection) { return connection.expectsRequest(); });
 }
 
 std::size_t Server::pendingCount() const {
   return implementation_->countConnections(
-      [](ServerConnection const& one) { return one.hasRequest() || one.hasBufferedBytes(); });
+      [](ServerConnection const& connection) { return connection.hasRequest() || connection.hasBufferedBytes(); });
 }
 
 std::size_t Server::connectionCount() const {
--- a/http/src/upstream_connection.cpp
+++ b/http/src/upstream_connection.cpp
@@ -61,7 +61,7 @@
   QByteArray buffer;
   ResponseParser parser;
   CloseObserver closeObserver;
-  /// Milliseconds after which the replica closes the connection if it is idle, from its Keep-Alive header.
+  /// Milliseconds after which the replica closes the connection if it is idle, as announced by its Keep-Alive header.
   core::Milliseconds keepAliveTimeout = ResponseParser::noTimeout;
   /// Incarnation that the replica must report. Empty if any incarnation is accepted.
   std::string incarnation;
--- a/http/test/golden_exchange.h
+++ b/http/test/golden_exchange.h
@@ -16,7 +16,7 @@
 /// mapping translates them and the bytes of the responses that the caller receives.
 namespace corkward::http::test {
 
-/// Value of Request::readDuration in all records. The measured duration would differ from run to run.
+/// Value of Request::readDuration in received records. The measured duration would differ from run to run.
 constexpr core::Milliseconds recordedReadDuration = 7;
 
 /// A server on the loopback interface that receives one request at a time.
@@ -33,7 +33,7 @@
     idle_.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
     waitUntil([this] { return server_.connectionCount() == 1; });
   }
-  /// Sends the bytes on a new connection and returns all bytes of the response.
+  /// Sends the bytes on a new connection and returns received bytes of the response.
   std::string responseTo(std::string const& bytes, Serve serve) {
     serve_ = std::move(serve);
     SocketAddress const at = parseSocketAddress(server_.address());
@@ -41,12 +41,12 @@
     socket.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
     socket.write(QByteArray::fromStdString(bytes));
     bool const bodiless = bytes.rfind("HEAD ", 0) == 0;
-    std::string got;
+    std::string response;
     bool const isComplete = waitUntil([&] {
-      got += socket.readAll().toStdString();
-      return complete(got, bodiless) || (socket.state() == QAbstractSocket::UnconnectedState && !got.empty());
+      response += socket.readAll().toStdString();
+      return complete(response, bodiless) || (socket.state() == QAbstractSocket::UnconnectedState && !response.empty());
     });
-    return isComplete ? got : got + "(incomplete response)";
+    return isComplete ? response : response + "(incomplete response)";
   }
 
  private:
@@ -60,19 +60,20 @@
     return e;
   }
   /// Whether the received bytes are a complete response, which an interim 100 (Continue) response may precede.
-  static bool complete(std::string const& all, bool bodiless) {
-    bool const hasInterimResponse = all.rfind("HTTP/1.1 100 ", 0) == 0 && all.find("\r\n\r\n") != std::string::npos;
-    std::string const got = hasInterimResponse ? all.substr(all.find("\r\n\r\n") + 4) : all;
-    std::size_t const end = got.find("\r\n\r\n");
+  static bool complete(std::string const& received, bool bodiless) {
+    bool const hasInterimResponse =
+        received.rfind("HTTP/1.1 100 ", 0) == 0 && received.find("\r\n\r\n") != std::string::npos;
+    std::string const response = hasInterimResponse ? received.substr(received.find("\r\n\r\n") + 4) : received;
+    std::size_t const end = response.find("\r\n\r\n");
     if (end == std::string::npos) return false;
-    std::string const head = toLower(got.substr(0, end));
+    std::string const head = toLower(response.substr(0, end));
     std::size_t const status = std::stoul(head.substr(head.find(' ') + 1, 3));
     if (bodiless || status == 204 || status == 304) return true;
     if (head.find("transfer-encoding: chunked") != std::string::npos)
-      return got.size() >= 5 && got.compare(got.size() - 5, 5, "0\r\n\r\n") == 0;
+      return response.size() >= 5 && response.compare(response.size() - 5, 5, "0\r\n\r\n") == 0;
     std::string const name = "content-length: ";
     std::size_t const length = head.find(name);
-    return length != std::string::npos && got.size() >= end + 4 + std::stoul(head.substr(length + name.size()));
+    return length != std::string::npos && response.size() >= end + 4 + std::stoul(head.substr(length + name.size()));
   }
 
   Serve serve_;
--- a/http/test/server_test.cpp
+++ b/http/test/server_test.cpp
@@ -30,7 +30,7 @@
     socket.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
   }
   void send(std::string const& bytes) { socket.write(QByteArray::fromStdString(bytes)); }
-  /// Whether the text is received, at the latest when the connection ends.
+  /// Waits until the text is received or the connection ends. Returns whether the text was received.
   bool receives(std::string const& text) {
     return waitUntil([&] {
              received += socket.readAll().toStdString();
@@ -39,6 +39,7 @@
            }) &&
            received.find(text) != std::string::npos;
   }
+  /// Waits until the connection ends. Returns false after a timeout.
   bool isDisconnected() {
     return waitUntil([&] {
       received += socket.readAll().toStdString();
@@ -66,7 +67,7 @@
   void send(std::string const& bytes) {
     REQUIRE(::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
-  /// Whether the text is received, at the latest when the connection ends.
+  /// Waits until the text is received or the connection ends. Returns whether the text was received.
   bool receives(std::string const& text) {
     std::string received;
     return waitUntil([&] {
--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -83,7 +83,7 @@
     });
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.serverPort()); }
-  /// Reads all bytes that have arrived and that still arrive.
+  /// Reads all bytes from now on, including the bodies of earlier requests.
   void readBodies() {
     readsBodies_ = true;
     for (std::size_t index = 0; index < sockets_.size(); ++index) {
@@ -250,11 +250,11 @@
   std::string const bytes =
       GENERATE("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n");
-  for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
-    PoolFixture fixture({{bytes.substr(0, cut), true}});
+  for (std::size_t receivedBytes = 0; receivedBytes <= bytes.size(); ++receivedBytes) {
+    PoolFixture fixture({{bytes.substr(0, receivedBytes), true}});
     Outcome const outcome = fixture.request();
     REQUIRE(outcome.endCount == 1);
-    REQUIRE(outcome.ended == (cut == bytes.size() ? 1 : 0));
+    REQUIRE(outcome.ended == (receivedBytes == bytes.size() ? 1 : 0));
     REQUIRE(std::string("hello").rfind(outcome.body, 0) == 0);
   }
 }
@@ -500,7 +500,7 @@
   EarlyResponder replica;
   http::UpstreamPool upstreams{{2, 5000, 0}, [] { return core::Milliseconds{1000}; }};
   QObject owner;
-  /// Number of complete responses, plus 100 for each incomplete one.
+  /// Number of complete responses, plus 100 for each incomplete one, so that an incomplete response fails the test.
   int finishedCount = 0;
 
   /// @param releases whether the connection is released when the response head arrives; the response then counts as
@@ -526,13 +526,13 @@
   bool const fitsBuffers = GENERATE(true, false);
   bool const released = GENERATE(true, false);
   std::string const body(fitsBuffers ? 2000 : exceedsAllBuffers, 'b');
-  EarlyResponseFixture calls;
-  EarlyResponder& replica = calls.replica;
-  calls.request(body, released);
-  REQUIRE(waitUntil([&] { return calls.finishedCount == 1; }));
+  EarlyResponseFixture fixture;
+  EarlyResponder& replica = fixture.replica;
+  fixture.request(body, released);
+  REQUIRE(waitUntil([&] { return fixture.finishedCount == 1; }));
   replica.readBodies();
-  calls.request("next", false);
-  REQUIRE(waitUntil([&] { return calls.finishedCount == 2; }));
+  fixture.request("next", false);
+  REQUIRE(waitUntil([&] { return fixture.finishedCount == 2; }));
   std::string const& first = replica.received[0];
   std::size_t const bodyStart = first.find("\r\n\r\n") + 4;
   std::size_t const bodyEnd = first.find_first_not_of('b', bodyStart);
@@ -551,12 +551,12 @@
   // body.
   ensureApplication();
   constexpr std::size_t longButBuffered = 70000;
-  EarlyResponseFixture calls;
-  calls.request(std::string(longButBuffered, 'b'), false);
-  REQUIRE(waitUntil([&] { return calls.finishedCount == 1; }));
-  calls.request("next", false);
-  CHECK(waitUntil([&] { return calls.finishedCount == 2; }));
-  CHECK(calls.replica.received.size() == 2);
+  EarlyResponseFixture fixture;
+  fixture.request(std::string(longButBuffered, 'b'), false);
+  REQUIRE(waitUntil([&] { return fixture.finishedCount == 1; }));
+  fixture.request("next", false);
+  CHECK(waitUntil([&] { return fixture.finishedCount == 2; }));
+  CHECK(fixture.replica.received.size() == 2);
 }
 
 TEST_CASE("random and damaged responses end, random ones are incomplete, and no connection is reused") {
