--- a/http/test/golden_exchange.h
+++ b/http/test/golden_exchange.h
@@ -12,11 +12,11 @@
 
 #include "event_loop.h"
 
-/// Helpers for golden tests of HTTP interfaces. They send the bytes of requests to a real server, and record how a
-/// mapping translates them and the bytes of the responses that the caller receives.
+/// Helpers for golden tests of HTTP interfaces. They send the bytes of requests to a real server. They record how a
+/// mapping translates the requests, and the bytes of the responses that the caller receives.
 namespace corkward::http::test {
 
-/// Value of Request::readDuration in received records. The measured duration would differ from run to run.
+/// Value of Request::readDuration in all records. The measured duration would differ from run to run.
 constexpr core::Milliseconds recordedReadDuration = 7;
 
 /// A server on the loopback interface that receives one request at a time.
@@ -33,7 +33,7 @@
     idle_.connectToHost(QHostAddress(QString::fromStdString(at.host)), at.port);
     waitUntil([this] { return server_.connectionCount() == 1; });
   }
-  /// Sends the bytes on a new connection and returns received bytes of the response.
+  /// Sends the bytes on a new connection and returns all bytes of the response.
   std::string responseTo(std::string const& bytes, Serve serve) {
     serve_ = std::move(serve);
     SocketAddress const at = parseSocketAddress(server_.address());
