--- a/http/src/response_writer.cpp
+++ b/http/src/response_writer.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-/// Version of HTTP/1.1 as Beast writes it.
+/// HTTP/1.1 in Beast's representation of versions.
 constexpr unsigned http11 = 11;
 constexpr char const* serverName = "corkward";
-/// Room for the size line and line ends of a chunk.
+/// Bytes reserved for the size line and the line ends of a chunk.
 constexpr std::size_t chunkOverhead = 24;
 
 bool isNotModified(int status) {
   return status == core::code(core::HttpStatus::notModified);
 }
 
-/// Statuses of responses that never have a body (RFC 9110, section 6.4.1).
+/// Whether responses with this status never have a body (RFC 9110, section 6.4.1).
 bool hasNoBody(int status) {
   return status < core::code(core::HttpStatus::ok) || status == core::code(core::HttpStatus::noContent) ||
          isNotModified(status);
@@ -31,8 +31,8 @@
 
 }  // namespace
 
-void ResponseWriter::reset(bool toHead) {
-  toHead_ = toHead;
+void ResponseWriter::reset(bool isHeadRequest) {
+  isHeadRequest_ = isHeadRequest;
   hasNoBody_ = false;
   chunked_ = false;
   missingBytes_ = 0;
@@ -45,7 +45,7 @@
   if (!head.reason.empty()) message.reason(head.reason);
   for (auto const& [name, value] : head.headers) message.insert(name, value);
   if (head.sendsServerHeader) message.set(beast::http::field::server, serverName);
-  hasNoBody_ = toHead_ || hasNoBody(head.status);
+  hasNoBody_ = isHeadRequest_ || hasNoBody(head.status);
   chunked_ = head.bodyLength < 0 && !hasNoBody_;
   missingBytes_ = hasNoBody_ ? 0 : std::max<std::int64_t>(head.bodyLength, 0);
   if (chunked_) message.chunked(true);
