--- a/config/include/corkward/config/config.h
+++ b/config/include/corkward/config/config.h
@@ -11,8 +11,8 @@
 
 namespace corkward::config {
 
-/// A configuration that is valid JSON but not a valid template, instance, pool or zone; says the place as a JSON
-/// pointer.
+/// Reports a configuration that is valid JSON but not a valid template, instance, fleet configuration, endpoint list or
+/// declaration of regimes. The text is a JSON pointer to the invalid value, followed by the reason.
 class ConfigError : public core::Error {
  public:
   ConfigError(std::string pointer, std::string reason)
@@ -25,10 +25,11 @@
   std::string reason_;
 };
 
-/// Classes of requests, in the order in which they get their first words.
+/// Priority classes of requests, highest priority first.
 enum class RequestClass { urgent, quick, bulk };
 
-/// What a class is called in configurations, its aim for the first word and its deadline unless a path says otherwise.
+/// Name of a class in configurations, and the latency target for the first byte and the deadline of its requests. A
+/// path may override the target and the deadline.
 struct RequestClassDefaults {
   std::string_view name;
   RequestClass requestClass;
@@ -40,74 +41,78 @@
                                                                 {"short", RequestClass::quick, 800, 10000},
                                                                 {"long", RequestClass::bulk, 2500, 60000}};
 
-/// A pool's share of a path's requests.
+/// A pool that serves requests of a path. It gets the fraction of them that its weight has in the sum of all weights.
 struct WeightedPool {
   std::string pool;
   std::uint32_t weight = 1;
 };
 
-/// One path, ready to be served: of an instance, or of the whole configuration.
+/// A path with all parameters resolved, either rendered from an instance or read from the fleet configuration.
 struct Path {
-  /// Instance, or the path's own name in the whole configuration.
+  /// Name of the instance, or the path's own name in the fleet configuration.
   std::string instance;
-  /// Path below the instance; empty in the whole configuration.
+  /// Path below the instance. Empty for a path of the fleet configuration.
   std::string path;
-  /// Host and path prefix by which a request finds a path of the whole configuration; empty for an instance's path.
+  /// Host and URL prefix that select a path of the fleet configuration for a request. Both are empty for a path of an
+  /// instance.
   std::string host;
   std::string prefix;
   std::string pool;
-  /// Pools that share the requests; never empty, the first one is `pool`.
+  /// Pools among which the requests are distributed. Never empty; the first one is `pool`.
   std::vector<WeightedPool> weightedPools;
   RequestClass requestClass = RequestClass::quick;
   core::Milliseconds latencyTarget = 0;
   core::Milliseconds deadline = 0;
-  /// Longest pause between two events that is still in time; 0: not said.
+  /// Latency target for the pause between two events of a stream. 0 if the configuration sets none.
   core::Milliseconds eventGapTarget = 0;
-  /// A broken stream may go on elsewhere after its last whole event.
+  /// Whether an interrupted stream may be resumed on another replica after its last complete event.
   bool resumable = false;
-  /// A request may run more than once.
+  /// Whether a request may be executed more than once.
   bool idempotent = false;
-  /// The answer is a row of events.
+  /// Whether the response is a stream of events.
   bool stream = false;
-  /// Replicas that one request may be handed to at the most.
+  /// Maximum number of replicas to which one request may be dispatched, one after the other.
   int maxAttempts = 2;
-  /// Rank at the replica, 0 first, 9 last.
+  /// Priority of the requests at the replica, from 0 (served first) to 9 (served last).
   int urgency = 5;
-  /// Regime whose certificates bind each request; empty: none.
+  /// Regime whose certificates decide which replicas and routers may serve the requests. Empty if there is none.
   std::string regime;
-  /// Requests need no tenant's key.
+  /// Whether requests are accepted without a tenant's key.
   bool isPublic = false;
 };
 
-/// A tenant of the whole configuration: who sends with one of its keys, how urgent that is, and how much it may send.
+/// A tenant of the fleet configuration: the API keys that identify its requests, their priority and their rate limit.
 struct Tenant {
   std::string name;
   std::vector<std::string> keys;
-  /// Rank of its requests, in place of the paths' own; below 0: not said.
+  /// Priority of its requests, which overrides the urgency of the paths. Negative if the tenant sets none.
   int urgency = -1;
-  /// What it may send in a second and beyond that at once, over all nodes together; 0: no limit.
+  /// Rate limit over all routers together: the amount that is refilled per second, and the amount that may be sent in a
+  /// burst. A rate of 0 means that there is no limit.
   double ratePerSecond = 0;
   double burst = 0;
-  /// Its limit counts tokens, those of the prompt and those asked for; else requests.
+  /// True if the limit counts tokens (those of the prompt and those requested), false if it counts requests.
   bool inTokens = false;
-  /// Tokens that a request counts as which does not say how many it has.
+  /// Number of tokens charged for a request that does not state its own number.
   std::int64_t defaultTokens = 0;
 };
 
-/// What the whole configuration says of a pool.
+/// Settings of a pool in the fleet configuration.
 struct PoolSettings {
   std::string name;
-  /// Connections that one replica takes from all callers.
+  /// Maximum number of connections that one replica accepts from all routers together. 0 if it is not set.
   int maxConnections = 0;
-  /// Requests a second that a cold replica bears, and how long it stays cold after its start.
+  /// Slow start: the number of requests per second that a replica can take while it warms up, and the duration of the
+  /// warm-up after its start.
   double slowStartRate = 0;
   core::Milliseconds slowStartDuration = 0;
-  /// Requests that one replica runs at once, and tokens that its memory keeps; 0: not said.
+  /// Number of requests that one replica executes concurrently, and number of tokens that its prefix cache holds. 0 if
+  /// the value is not set.
   int concurrentRequests = 0;
   std::int64_t prefixCacheTokens = 0;
 };
 
-/// Bounds of the callers' HTTP edge; 0: not said.
+/// Limits of the HTTP server for callers. 0 if a limit is not set.
 struct HttpLimits {
   std::uint32_t headerByteLimit = 0;
   std::uint64_t bodyByteLimit = 0;
@@ -116,29 +121,31 @@
   bool operator==(HttpLimits const&) const = default;
 };
 
-/// The whole configuration: one value under one rising version.
+/// The fleet configuration: all paths, pools and tenants in one value, with a version that only increases.
 struct FleetConfiguration {
   std::uint64_t version = 0;
   std::vector<Path> paths;
   std::vector<PoolSettings> pools;
-  /// None: no request needs a key.
+  /// If there are no tenants, requests are accepted without a key.
   std::vector<Tenant> tenants;
   HttpLimits http;
 };
 
-/// Key of the whole configuration.
+/// Key under which the replicated state stores the fleet configuration.
 inline constexpr char const* fleetConfigurationKey = "blueprint";
-/// Page at which operators read and change it.
+/// HTTP resource at which operators read and change the fleet configuration.
 inline constexpr char const* fleetConfigurationPage = "/v1/blueprint";
 
-/// Reads and checks a whole configuration; throws Error.
+/// Reads and checks a fleet configuration. Throws ConfigError.
 FleetConfiguration readFleetConfiguration(QJsonObject const& spec);
-/// The whole configuration after a change of named items:
-/// {"version", "set": {"paths": [...], "pools": [...], "tenants": [...]}, "drop": {"paths": [names], ...}}; throws
-/// Error.
+/// Returns the fleet configuration after a patch of named items:
+/// {"version", "set": {"paths": [...], "pools": [...], "tenants": [...]}, "drop": {"paths": [names], ...}}. The patch
+/// may also replace "door" and "extra". The result is not checked: readFleetConfiguration does that. Throws
+/// ConfigError if the patch itself is malformed.
 QJsonObject patchFleetConfiguration(QJsonObject const& current, QJsonObject const& patch);
 
-/// Limits of a configuration; texts in bytes.
+/// Limits of a configuration. `maxTextBytes` is the maximum length of a text in bytes; the others are maximum numbers
+/// of items.
 inline constexpr std::size_t maxTextBytes = 128;
 inline constexpr std::size_t maxPools = 2000;
 inline constexpr std::size_t maxPaths = 10000;
@@ -146,61 +153,65 @@
 inline constexpr std::size_t maxTenantKeys = 1000;
 inline constexpr std::size_t maxInstances = 2000;
 inline constexpr std::size_t maxRenderedPaths = 100000;
+/// Number of recent changes whose ids are stored with a value, so that a repeated change is recognised.
 inline constexpr std::size_t changeWindow = 64;
 
-/// True for names of templates, instances and alerts: a-z, 0-9 and '-', at most 63, not starting with '-'.
+/// Whether a text is a valid name of a template, instance, regime or alert: 1 to 63 characters of a-z, 0-9 and '-', the
+/// first of which is not '-'.
 bool isValidName(std::string const& name);
-/// True for what a platform may call its pools and zones: a text of one line, at most maxText bytes, neither "." nor
-/// "..".
+/// Whether a text is a valid name of a platform's pool or zone: valid UTF-8 without control characters, 1 to
+/// maxTextBytes bytes, and neither "." nor "..".
 bool isValidLabel(std::string const& label);
-/// A label as one part of a page's address, percent-encoded, and back.
+/// Percent-encode a label as one segment of a URL path, and decode such a segment.
 std::string percentEncodeLabel(std::string const& label);
-std::string percentDecodeLabel(std::string const& addressPart);
+std::string percentDecodeLabel(std::string const& urlSegment);
 
-/// Tells whether a pool is known.
+/// Returns whether a pool of that name exists.
 using IsKnownPool = std::function<bool(std::string const&)>;
-/// Why a regime's requests could not be served in a pool; empty: they can.
+/// Returns the reason why no request of the regime can be served in the pool, or an empty text if they can be served.
 using RegimeFaultText = std::function<std::string(std::string const& regime, std::string const& pool)>;
 
-/// Checks a family (a template and all its instances) as one value; throws Error at the first fault.
-/// Every kept value may carry "changes", the ids of the last accepted changes, and "taken", the digests of many more.
-/// Family: {"template": {"spec", "revision"}, "instances": {name: {"spec", "revision"}}, "changes": [...]}.
+/// Checks a family (a template and all its instances) as one value. Throws ConfigError at the first invalid value.
+/// A family has the form {"template": {"spec", "stamp"}, "instances": {name: {"spec", "stamp"}}, "changes": [...]}.
+/// Every stored value may have the fields "changes", the ids of the last accepted changes, and "taken", the digests of
+/// a larger number of earlier changes.
 void checkTemplateFamily(QJsonObject const& family, IsKnownPool const& known, RegimeFaultText const& regimeFault);
 
-/// A kept value without what it remembers of its changes.
+/// Returns a stored value without its fields "changes" and "taken".
 QJsonObject removeChangeHistory(QJsonObject value);
 
-/// Paths of all instances of a family. The family must be a checked one.
+/// Returns the paths of all instances of a family. The family must have passed checkTemplateFamily.
 std::vector<Path> renderPaths(std::string const& templateName, QJsonObject const& family);
 
-/// State of a replica on the platform's list.
+/// State of a replica in the platform's endpoint list.
 enum class ReplicaState { serving, warmingUp, draining };
 
 struct Replica {
-  /// Name of this life of the replica, never used again; empty: its address is all that is known.
+  /// Id of this incarnation of the replica, which is never reused. Empty if the platform lists only the address.
   std::string id;
   std::string address;
   std::string zone;
   ReplicaState state = ReplicaState::serving;
 };
 
-/// Name of a replica within its pool: its address, and its life where the platform tells it.
+/// Returns the name of a replica within its pool: its address, followed by the id of its incarnation if that is known.
 inline std::string incarnationName(Replica const& r) {
   return r.id.empty() ? r.address : r.address + "|" + r.id;
 }
 
-/// The platform's list of one pool.
+/// The platform's endpoint list of one pool.
 struct EndpointList {
   std::uint64_t generation = 0;
+  /// Number of requests per second that a replica can take while it warms up.
   double slowStartRate = 2.0;
   std::vector<Replica> replicas;
 };
 
-/// Reads and checks a pool's list; throws Error.
+/// Reads and checks a pool's endpoint list. Throws ConfigError.
 EndpointList readEndpointList(QJsonObject const& value);
-/// The same from a value as it is kept, with the ids of its changes.
+/// Reads and checks an endpoint list in its stored form, which also has the history of its changes.
 EndpointList readStoredEndpointList(QJsonObject value);
-/// The list as readPool reads it.
+/// Returns the endpoint list as JSON that readEndpointList accepts.
 QJsonObject endpointListJson(EndpointList const& list);
 
 }  // namespace corkward::config
--- a/config/include/corkward/config/regimes.h
+++ b/config/include/corkward/config/regimes.h
@@ -11,83 +11,90 @@
 
 namespace corkward::config {
 
-/// Milliseconds of wall time since 1970, UTC; nothing: not known, and then nothing is certified.
+/// Wall time in milliseconds since 1970, UTC. std::nullopt if the time is unknown; then no certificate is valid.
 using WallTime = std::optional<std::int64_t>;
 
-/// What the carriers of a certificate are.
+/// Kind of the processes that a certificate applies to.
 enum class CertificateSubject { replicas, routers };
 
-/// A certificate for one regime. Of replicas: for each life that the platform lists in that zone of that pool, or for
-/// one life alone. Of routers: for each in that zone, or for the one with that link in that zone. An address alone
-/// carries none.
+/// A certificate for one regime. A certificate for replicas applies to every replica incarnation that the platform
+/// lists in the given zone and pool, or to a single incarnation. A certificate for routers applies to every router in
+/// the given zone, or to the one router in it with the given link address. A replica whose incarnation is unknown is
+/// never certified, because another process may have taken over its address.
 struct Certificate {
   std::string name;
   std::string regime;
   CertificateSubject subject = CertificateSubject::replicas;
   std::string zone;
   std::string pool;
-  /// Address and life go together; both empty: each life in that zone of the pool.
+  /// Address and incarnation of the only replica that is certified. Either both are set or both are empty; if they are
+  /// empty, every incarnation in the zone and pool is certified.
   std::string address;
   std::string incarnation;
-  /// Empty: each router in the zone.
+  /// Link address of the only router that is certified. Empty if every router in the zone is certified.
   std::string link;
+  /// Start and end of the validity in milliseconds since 1970, UTC. `from` is 0 if there is no start.
   std::int64_t from = 0;
   std::int64_t until = 0;
 };
 
-/// What a regime demands.
+/// Requirements of a regime.
 struct Regime {
-  /// Only certified routers may forward its requests.
+  /// Whether only certified routers may forward the regime's requests.
   bool requiresCertifiedRouters = true;
-  /// Fraction of a certified replica's capacity that work of no regime leaves free; 1: it never goes there.
+  /// Fraction of a certified replica's capacity that is reserved for requests of regimes. If it is 1, requests without
+  /// a regime never use the replica.
   double reservedFraction = 0.5;
 };
 
-/// Regimes and certificates: one value under one key.
+/// All regimes and certificates, which are stored as one value under `regimesKey`.
 struct Regimes {
   std::map<std::string, Regime> regimes;
   std::map<std::string, Certificate> certificates;
 };
 
-/// Key of regimes and certificates.
+/// Key under which the replicated state stores regimes and certificates.
 inline constexpr char const* regimesKey = "certificates";
-/// A certificate counts from this long after its beginning until this long before its end, so that clocks may differ by
-/// it.
+/// A certificate becomes valid this many milliseconds after its start and stops being valid this many milliseconds
+/// before its end, so that the clocks of two machines may differ by this much.
 inline constexpr std::int64_t clockMarginMs = 60000;
 inline constexpr std::size_t maxRegimes = 64;
 inline constexpr std::size_t maxCertificates = 4096;
 
-/// Reads and checks {"regimes": {...}, "certificates": {...}}; throws Error.
+/// Reads and checks {"regimes": {...}, "certificates": {...}}. Throws ConfigError.
 Regimes readRegimes(QJsonObject const& spec);
-/// The same from a value as it is kept; none when there is no such value.
+/// Reads regimes and certificates from a stored value, which holds them in its field "spec". Returns an empty result if
+/// the value has no such field.
 Regimes readStoredRegimes(QJsonObject const& value);
 
-/// Whether it is valid at that moment, with clockMarginMs to spare on both sides; never without a time.
+/// Whether the certificate is valid at the given time, with a margin of clockMarginMs at its start and its end. Returns
+/// false if the time is unknown.
 bool isValidAt(Certificate const& certificate, WallTime now);
-/// The certificate under which this replica may have requests of the regime now; null: none, or in doubt. A replica
-/// whose incarnation is unknown has none.
+/// Returns a certificate that allows the replica to serve requests of the regime at the given time. Returns nullptr if
+/// there is none, if the time is unknown or if the incarnation of the replica is unknown.
 Certificate const* findCertificate(Regimes const& regimes, std::string const& regime, std::string const& pool,
                                    Replica const& replica, WallTime now);
-/// Whether this router may forward requests of the regime now.
+/// Whether the router with the given link address and zone may forward requests of the regime at the given time.
 bool routerMayForward(Regimes const& regimes, std::string const& regime, std::string const& link,
                       std::string const& zone, WallTime now);
 
-/// Why no request of the regime could be served in the pool, as a JSON pointer into the regimes and a reason; nothing:
-/// it can. Without a time only what has no certificate at all is a fault.
+/// Reason why no request of a regime can be served in a pool, with a JSON pointer into the declaration of regimes.
 struct RegimeFault {
   std::string pointer;
   std::string reason;
 };
+/// Returns the reason why no request of the regime can be served in the pool, or std::nullopt if requests can be
+/// served. If the time is unknown, expired certificates count as valid.
 std::optional<RegimeFault> findRegimeFault(Regimes const& regimes, std::string const& regime, std::string const& pool,
                                            WallTime now);
 
-/// A tenant's path that wants a regime.
+/// A regime that the paths of an instance require in a pool.
 struct RegimeRequirement {
   std::string instance;
   std::string regime;
   std::string pool;
 };
-/// What the paths want of regimes, each once.
+/// Returns the regimes that the paths require, without duplicates.
 std::vector<RegimeRequirement> regimeRequirements(std::vector<Path> const& paths);
 
 }  // namespace corkward::config
--- a/config/src/checks.h
+++ b/config/src/checks.h
@@ -10,8 +10,10 @@
 
 namespace corkward::config {
 
-/// Denies fields that are not among the allowed ones.
-inline void onlyFields(QJsonObject const& o, std::initializer_list<char const*> allowed, std::string const& at) {
+/// Throws ConfigError if the object has a field that is not allowed.
+/// @param at JSON pointer to the object, here and in all other functions of this package that check a value
+inline void rejectUnknownFields(QJsonObject const& o, std::initializer_list<char const*> allowed,
+                                std::string const& at) {
   qsizetype const known =
       std::count_if(allowed.begin(), allowed.end(), [&](char const* a) { return o.contains(QLatin1String(a)); });
   if (known == o.size()) return;
@@ -20,7 +22,7 @@
       throw ConfigError(at + "/" + core::toStdString(k), "unknown field");
 }
 
-/// True for a number without a fraction, 3.0 among them.
+/// Whether a value is a number without a fractional part, such as 3 or 3.0.
 inline bool isInteger(QJsonValue const& v) {
   return v.isDouble() && v.toDouble() == static_cast<double>(v.toInteger());
 }
--- a/config/src/config.cpp
+++ b/config/src/config.cpp
@@ -18,21 +18,21 @@
 
 using core::toStdString;
 
-QJsonObject objectAt(QJsonObject const& o, char const* name, std::string const& at, bool needed) {
+QJsonObject objectAt(QJsonObject const& o, char const* name, std::string const& at, bool required) {
   QJsonValue const v = o.value(QLatin1String(name));
-  if (v.isUndefined() && !needed) return {};
-  if (!v.isObject()) throw ConfigError(at + "/" + name, needed && v.isUndefined() ? "missing" : "must be an object");
+  if (v.isUndefined() && !required) return {};
+  if (!v.isObject()) throw ConfigError(at + "/" + name, required && v.isUndefined() ? "missing" : "must be an object");
   return v.toObject();
 }
 
-bool typeFits(QString const& type, QJsonValue const& v) {
+bool hasType(QString const& type, QJsonValue const& v) {
   if (type == QLatin1String("string")) return v.isString();
   if (type == QLatin1String("integer")) return isInteger(v);
   return v.isBool();
 }
 
 void checkParameter(QJsonObject const& p, std::string const& at) {
-  onlyFields(p, {"type", "default", "min", "max", "choices"}, at);
+  rejectUnknownFields(p, {"type", "default", "min", "max", "choices"}, at);
   QString const type = p.value("type").toString();
   constexpr std::array<char const*, 3> types{"string", "integer", "boolean"};
   if (std::none_of(types.begin(), types.end(), [&](char const* t) { return type == QLatin1String(t); }))
@@ -45,12 +45,12 @@
   if (p.contains("choices")) {
     if (!p.value("choices").isArray()) throw ConfigError(at + "/choices", "must be a list");
     for (QJsonValue const c : p.value("choices").toArray())
-      if (!typeFits(type, c)) throw ConfigError(at + "/choices", "must hold values of the parameter's type");
+      if (!hasType(type, c)) throw ConfigError(at + "/choices", "must hold values of the parameter's type");
   }
 }
 
 void checkValue(QJsonObject const& p, QJsonValue const& v, std::string const& at) {
-  if (!typeFits(p.value("type").toString(), v))
+  if (!hasType(p.value("type").toString(), v))
     throw ConfigError(at, "must be of type " + toStdString(p.value("type").toString()));
   if (p.contains("min") && v.toInteger() < p.value("min").toInteger()) throw ConfigError(at, "below the minimum");
   if (p.contains("max") && v.toInteger() > p.value("max").toInteger()) throw ConfigError(at, "over the maximum");
@@ -58,7 +58,9 @@
     throw ConfigError(at, "not one of the choices");
 }
 
-QJsonValue fill(QJsonValue const& v, QJsonObject const& parameters, std::string const& at) {
+/// Replaces each ${NAME} in a text by the value of that parameter. A text that consists of a single ${NAME} becomes the
+/// value itself, with its type. Values other than texts are returned unchanged.
+QJsonValue substituteParameters(QJsonValue const& v, QJsonObject const& parameters, std::string const& at) {
   if (!v.isString()) return v;
   QString const text = v.toString();
   if (text.startsWith("${") && text.endsWith("}") && text.count("${") == 1) {
@@ -82,45 +84,49 @@
   return out + text.mid(from);
 }
 
-bool validPath(std::string const& path) {
+bool isValidPath(std::string const& path) {
   if (path.empty() || path.size() > 256 || path.front() == '/' || path.back() == '/') return false;
-  char last = '/';
+  char previous = '/';
   for (char const c : path) {
     bool const ok = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' ||
                     c == '_' || c == '.' || c == '/';
-    if (!ok || (c == '/' && last == '/') || (c == '.' && last == '.')) return false;
-    last = c;
+    if (!ok || (c == '/' && previous == '/') || (c == '.' && previous == '.')) return false;
+    previous = c;
   }
   return true;
 }
 
-core::Milliseconds milliseconds(QJsonObject const& pathSpec, char const* name, core::Milliseconds otherwise,
-                                QJsonObject const& parameters, std::string const& at) {
+core::Milliseconds readMilliseconds(QJsonObject const& pathSpec, char const* name, core::Milliseconds defaultValue,
+                                    QJsonObject const& parameters, std::string const& at) {
   QJsonValue const raw = pathSpec.value(QLatin1String(name));
-  if (raw.isUndefined()) return otherwise;
-  QJsonValue const v = fill(raw, parameters, at + "/" + name);
+  if (raw.isUndefined()) return defaultValue;
+  QJsonValue const v = substituteParameters(raw, parameters, at + "/" + name);
   if (!isInteger(v) || v.toInteger() < 10 || v.toInteger() > 600000)
     throw ConfigError(at + "/" + name, "must be an integer of milliseconds, 10 to 600000");
   return v.toInteger();
 }
 
-/// Where an instance's regime stands: an instance may put another in place of its template's, but never none.
-std::string regimePointer(QJsonObject const& one, std::string const& at) {
-  return one.contains("regime") ? at + "/regime" : "/template/regime";
+/// Returns a pointer to the field that sets an instance's regime. An instance may replace the regime of its template by
+/// another one, but it cannot remove it.
+std::string regimePointer(QJsonObject const& instanceSpec, std::string const& at) {
+  return instanceSpec.contains("regime") ? at + "/regime" : "/template/regime";
 }
 
-std::string regimeOf(QJsonObject const& spec, QJsonObject const& one, QJsonObject const& parameters,
+std::string regimeOf(QJsonObject const& spec, QJsonObject const& instanceSpec, QJsonObject const& parameters,
                      std::string const& at) {
-  if (!one.contains("regime") && !spec.contains("regime")) return "";
-  std::string const pointer = regimePointer(one, at);
-  QJsonValue const v = one.contains("regime") ? one.value("regime") : fill(spec.value("regime"), parameters, pointer);
+  if (!instanceSpec.contains("regime") && !spec.contains("regime")) return "";
+  std::string const pointer = regimePointer(instanceSpec, at);
+  QJsonValue const v = instanceSpec.contains("regime")
+                           ? instanceSpec.value("regime")
+                           : substituteParameters(spec.value("regime"), parameters, pointer);
   if (!v.isString() || !isValidName(toStdString(v.toString()))) throw ConfigError(pointer, "not a valid name");
   return toStdString(v.toString());
 }
 
-/// Values of the template's parameters for one instance: those it gives, and the defaults of the others.
-QJsonObject resolveParameters(QJsonObject const& spec, QJsonObject const& one, std::string const& at) {
-  QJsonObject const given = one.value("parameters").toObject();
+/// Returns the values of the template's parameters for one instance: the values that the instance gives, and
+/// the defaults of the other parameters.
+QJsonObject resolveParameters(QJsonObject const& spec, QJsonObject const& instanceSpec, std::string const& at) {
+  QJsonObject const given = instanceSpec.value("parameters").toObject();
   QJsonObject const declared = spec.value("parameters").toObject();
   QJsonObject parameters;
   for (QString const& name : declared.keys()) {
@@ -143,29 +149,29 @@
   throw ConfigError(at, "must be urgent, short or long");
 }
 
-/// An optional flag of a path; false when it is missing.
+/// Reads an optional flag of a path. Returns false if the field is missing.
 bool renderFlag(QJsonObject const& pathSpec, char const* name, QJsonObject const& parameters, std::string const& at) {
-  QJsonValue const value = fill(pathSpec.value(QLatin1String(name)), parameters, at + "/" + name);
+  QJsonValue const value = substituteParameters(pathSpec.value(QLatin1String(name)), parameters, at + "/" + name);
   if (!value.isUndefined() && !value.isBool()) throw ConfigError(at + "/" + name, "must be true or false");
   return value.toBool();
 }
 
 std::string renderPathName(QJsonObject const& pathSpec, QJsonObject const& parameters, std::string const& at) {
-  std::string path = toStdString(fill(pathSpec.value("path"), parameters, at + "/path").toString());
-  if (!validPath(path)) throw ConfigError(at + "/path", "not a valid path: " + path);
+  std::string path = toStdString(substituteParameters(pathSpec.value("path"), parameters, at + "/path").toString());
+  if (!isValidPath(path)) throw ConfigError(at + "/path", "not a valid path: " + path);
   return path;
 }
 
-/// Fills in all of a path but its instance, its name and its regime.
+/// Renders a path from its template. The caller sets the instance, the name and the regime.
 Path renderPath(QJsonObject const& pathSpec, QJsonObject const& parameters, std::string const& at) {
   Path path;
-  path.pool = toStdString(fill(pathSpec.value("pool"), parameters, at + "/pool").toString());
+  path.pool = toStdString(substituteParameters(pathSpec.value("pool"), parameters, at + "/pool").toString());
   path.weightedPools = {WeightedPool{path.pool, 1}};
-  QString const className = fill(pathSpec.value("class"), parameters, at + "/class").toString();
+  QString const className = substituteParameters(pathSpec.value("class"), parameters, at + "/class").toString();
   RequestClassDefaults const& defaults = findRequestClass(className, at + "/class");
   path.requestClass = defaults.requestClass;
-  path.latencyTarget = milliseconds(pathSpec, "aimMs", defaults.latencyTarget, parameters, at);
-  path.deadline = milliseconds(pathSpec, "deadlineMs", defaults.deadline, parameters, at);
+  path.latencyTarget = readMilliseconds(pathSpec, "aimMs", defaults.latencyTarget, parameters, at);
+  path.deadline = readMilliseconds(pathSpec, "deadlineMs", defaults.deadline, parameters, at);
   path.resumable = renderFlag(pathSpec, "resumable", parameters, at);
   path.stream = renderFlag(pathSpec, "events", parameters, at);
   path.idempotent = path.stream && path.resumable;
@@ -176,10 +182,10 @@
   return {at + "/path", "ambiguous: " + name + " stands twice in " + instance};
 }
 
-std::vector<Path> renderInstance(std::string const& instance, QJsonObject const& spec, QJsonObject const& one,
+std::vector<Path> renderInstance(std::string const& instance, QJsonObject const& spec, QJsonObject const& instanceSpec,
                                  std::string const& at) {
-  QJsonObject const parameters = resolveParameters(spec, one, at);
-  std::string const regime = regimeOf(spec, one, parameters, at);
+  QJsonObject const parameters = resolveParameters(spec, instanceSpec, at);
+  std::string const regime = regimeOf(spec, instanceSpec, parameters, at);
   std::vector<Path> paths;
   std::set<std::string> names;
   QJsonArray const pathSpecs = spec.value("paths").toArray();
@@ -198,7 +204,7 @@
 }
 
 void checkTemplate(QJsonObject const& spec) {
-  onlyFields(spec, {"parameters", "paths", "regime", "note"}, "/template");
+  rejectUnknownFields(spec, {"parameters", "paths", "regime", "note"}, "/template");
   if (spec.contains("regime") && !spec.value("regime").isString())
     throw ConfigError("/template/regime", "must be a text");
   if (spec.contains("note") && !spec.value("note").isString()) throw ConfigError("/template/note", "must be a text");
@@ -221,9 +227,9 @@
     std::string const at = "/template/paths/" + std::to_string(i);
     if (!pathSpecs.at(i).isObject()) throw ConfigError(at, "must be an object");
     QJsonObject const pathSpec = pathSpecs.at(i).toObject();
-    onlyFields(pathSpec, {"path", "pool", "class", "aimMs", "deadlineMs", "resumable", "events"}, at);
-    for (char const* needed : {"path", "pool", "class"})
-      if (!pathSpec.value(QLatin1String(needed)).isString()) throw ConfigError(at + "/" + needed, "must be a text");
+    rejectUnknownFields(pathSpec, {"path", "pool", "class", "aimMs", "deadlineMs", "resumable", "events"}, at);
+    for (char const* required : {"path", "pool", "class"})
+      if (!pathSpec.value(QLatin1String(required)).isString()) throw ConfigError(at + "/" + required, "must be a text");
   }
 }
 
@@ -246,8 +252,8 @@
   return QUrl::toPercentEncoding(core::toQString(label)).toStdString();
 }
 
-std::string percentDecodeLabel(std::string const& addressPart) {
-  return QByteArray::fromPercentEncoding(QByteArray::fromStdString(addressPart)).toStdString();
+std::string percentDecodeLabel(std::string const& urlSegment) {
+  return QByteArray::fromPercentEncoding(QByteArray::fromStdString(urlSegment)).toStdString();
 }
 
 void checkTemplateFamily(QJsonObject const& family, IsKnownPool const& known, RegimeFaultText const& regimeFault) {
@@ -262,13 +268,13 @@
   std::size_t rendered = 0;
   for (QString const& name : instances.keys()) {
     std::string const at = "/instances/" + toStdString(name);
-    QJsonObject const one = instances.value(name).toObject().value("spec").toObject();
-    onlyFields(one, {"parameters", "regime", "note"}, at);
-    objectAt(one, "parameters", at, false);
-    for (Path const& p : renderInstance(toStdString(name), spec, one, at)) {
+    QJsonObject const instanceSpec = instances.value(name).toObject().value("spec").toObject();
+    rejectUnknownFields(instanceSpec, {"parameters", "regime", "note"}, at);
+    objectAt(instanceSpec, "parameters", at, false);
+    for (Path const& p : renderInstance(toStdString(name), spec, instanceSpec, at)) {
       if (!known(p.pool)) throw ConfigError(at, "no pool named " + p.pool);
       std::string const fault = p.regime.empty() ? "" : regimeFault(p.regime, p.pool);
-      if (!fault.empty()) throw ConfigError(regimePointer(one, at), fault);
+      if (!fault.empty()) throw ConfigError(regimePointer(instanceSpec, at), fault);
       if (++rendered > maxRenderedPaths)
         throw ConfigError("/instances", "more than " + std::to_string(maxRenderedPaths) + " paths in all");
     }
@@ -280,9 +286,9 @@
   QJsonObject const spec = family.value("template").toObject().value("spec").toObject();
   QJsonObject const instances = family.value("instances").toObject();
   for (QString const& name : instances.keys()) {
-    QJsonObject const one = instances.value(name).toObject().value("spec").toObject();
+    QJsonObject const instanceSpec = instances.value(name).toObject().value("spec").toObject();
     std::vector<Path> const paths =
-        renderInstance(templateName + "." + toStdString(name), spec, one, "/instances/" + toStdString(name));
+        renderInstance(templateName + "." + toStdString(name), spec, instanceSpec, "/instances/" + toStdString(name));
     out.insert(out.end(), paths.begin(), paths.end());
   }
   return out;
--- a/config/src/endpoint_list.cpp
+++ b/config/src/endpoint_list.cpp
@@ -1,4 +1,4 @@
-/// Endpoint lists as JSON: reading with all checks, and writing.
+/// Reads endpoint lists from JSON, with all checks, and writes them as JSON.
 
 #include <QJsonArray>
 #include <algorithm>
@@ -17,14 +17,14 @@
 
 using core::toStdString;
 
-/// Replicas that one endpoint list may name.
+/// Maximum number of replicas in one endpoint list.
 constexpr qsizetype maxReplicas = 4096;
 constexpr int maxSlowStartRate = 1000;
 constexpr int maxPort = 65535;
-/// A colon and the digits of the highest port.
+/// Length of a colon and the digits of the highest port.
 constexpr std::size_t maxPortSuffixBytes = 6;
 
-/// What must not stand twice in one endpoint list.
+/// Ids and addresses that the replicas read so far have used; each may occur only once in an endpoint list.
 struct UsedReplicaNames {
   std::set<std::string> ids;
   std::set<std::string> addresses;
@@ -65,7 +65,7 @@
   return id;
 }
 
-/// Whether a text is an address and a port with a colon between them; the address itself is not looked at.
+/// Whether a text has the form ADDRESS:PORT with a valid port. The address itself is not checked.
 bool isAddressWithPort(std::string const& text) {
   std::size_t const colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0) return false;
@@ -83,7 +83,7 @@
 }
 
 Replica readReplica(QJsonObject const& value, UsedReplicaNames& used, std::string const& at) {
-  onlyFields(value, {"id", "address", "zone", "state"}, at);
+  rejectUnknownFields(value, {"id", "address", "zone", "state"}, at);
   Replica replica;
   if (value.contains("id")) {
     replica.id = readReplicaId(value.value("id"), at + "/id");
@@ -118,7 +118,7 @@
 }
 
 EndpointList readEndpointList(QJsonObject const& value) {
-  onlyFields(value, {"generation", "coldRate", "replicas"}, "");
+  rejectUnknownFields(value, {"generation", "coldRate", "replicas"}, "");
   EndpointList list;
   list.generation = readGeneration(value.value("generation"));
   if (value.contains("coldRate")) list.slowStartRate = readSlowStartRate(value.value("coldRate"));
--- a/config/src/fleet_configuration.cpp
+++ b/config/src/fleet_configuration.cpp
@@ -14,73 +14,76 @@
 using core::toStdString;
 
 constexpr core::Milliseconds unbounded = std::numeric_limits<core::Milliseconds>::max();
-/// Largest number of milliseconds, bytes, tokens or requests that a configuration may say.
+/// Maximum number of milliseconds, bytes, tokens or requests that a configuration may state.
 constexpr qint64 maxNumber = qint64{1} << 40;
 constexpr qint64 maxCount = qint64{1} << 30;
 constexpr qint64 maxVersion = qint64{1} << 53;
 constexpr std::size_t maxAddressBytes = 1024;
 
-/// A path is of the first class whose rule holds for it.
-struct ClassRule {
-  RequestClass cls;
+/// Condition for a class. A path belongs to the first class in `classRules` whose condition it meets: its latency
+/// target is at most `maxLatencyTarget` and its deadline is at least `minDeadline`.
+struct RequestClassRule {
+  RequestClass requestClass;
   core::Milliseconds maxLatencyTarget;
   core::Milliseconds minDeadline;
 };
 
-constexpr ClassRule classRules[] = {
+constexpr RequestClassRule classRules[] = {
     {RequestClass::urgent, 400, 0}, {RequestClass::bulk, unbounded, 10000}, {RequestClass::quick, unbounded, 0}};
 
+/// Kind of a path as the configuration names it, and its effect on requests and responses.
 struct KindRule {
   char const* name;
-  bool repeatable;
+  bool idempotent;
   bool stream;
 };
 
 constexpr KindRule kindRules[] = {{"once", false, false}, {"repeatable", true, false}, {"stream", false, true}};
 
-QJsonArray listAt(QJsonObject const& o, char const* name, std::string const& at, std::size_t most) {
+QJsonArray requireList(QJsonObject const& o, char const* name, std::string const& at, std::size_t maximum) {
   QJsonValue const v = o.value(QLatin1String(name));
   if (!v.isArray()) throw ConfigError(at + "/" + name, v.isUndefined() ? "missing" : "must be a list");
   QJsonArray list = v.toArray();
-  if (static_cast<std::size_t>(list.size()) > most)
-    throw ConfigError(at + "/" + name, "more than " + std::to_string(most));
+  if (static_cast<std::size_t>(list.size()) > maximum)
+    throw ConfigError(at + "/" + name, "more than " + std::to_string(maximum));
   return list;
 }
 
-QJsonObject itemAt(QJsonArray const& list, qsizetype i, std::string const& at) {
+QJsonObject objectItem(QJsonArray const& list, qsizetype i, std::string const& at) {
   QJsonValue const v = list.at(i);
   if (!v.isObject()) throw ConfigError(at, "must be an object");
   return v.toObject();
 }
 
-void optionalObject(QJsonObject const& o, char const* name, std::string const& at) {
+void checkOptionalObject(QJsonObject const& o, char const* name, std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
   if (!v.isUndefined() && !v.isObject()) throw ConfigError(at + "/" + name, "must be an object");
 }
 
-std::string text(QJsonObject const& o, char const* name, std::size_t longest, std::string const& at) {
+std::string requireText(QJsonObject const& o, char const* name, std::size_t maxBytes, std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
   std::string out = toStdString(v.toString());
-  if (out.empty() || out.size() > longest)
-    throw ConfigError(at + "/" + name, "must be a text of 1 to " + std::to_string(longest) + " bytes");
+  if (out.empty() || out.size() > maxBytes)
+    throw ConfigError(at + "/" + name, "must be a text of 1 to " + std::to_string(maxBytes) + " bytes");
   return out;
 }
 
-qint64 integer(QJsonObject const& o, char const* name, qint64 least, qint64 most, qint64 otherwise,
-               std::string const& at) {
+qint64 readInteger(QJsonObject const& o, char const* name, qint64 minimum, qint64 maximum, qint64 defaultValue,
+                   std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
-  if (v.isUndefined()) return otherwise;
-  if (!isInteger(v) || v.toInteger() < least || v.toInteger() > most)
-    throw ConfigError(at + "/" + name, "must be an integer, " + std::to_string(least) + " to " + std::to_string(most));
+  if (v.isUndefined()) return defaultValue;
+  if (!isInteger(v) || v.toInteger() < minimum || v.toInteger() > maximum)
+    throw ConfigError(at + "/" + name,
+                      "must be an integer, " + std::to_string(minimum) + " to " + std::to_string(maximum));
   return v.toInteger();
 }
 
-qint64 requiredInteger(QJsonObject const& o, char const* name, qint64 least, qint64 most, std::string const& at) {
+qint64 requiredInteger(QJsonObject const& o, char const* name, qint64 minimum, qint64 maximum, std::string const& at) {
   if (!o.contains(QLatin1String(name))) throw ConfigError(at + "/" + name, "missing");
-  return integer(o, name, least, most, 0, at);
+  return readInteger(o, name, minimum, maximum, 0, at);
 }
 
-bool flag(QJsonObject const& o, char const* name, std::string const& at) {
+bool readFlag(QJsonObject const& o, char const* name, std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
   if (!v.isUndefined() && !v.isBool()) throw ConfigError(at + "/" + name, "must be true or false");
   return v.toBool();
@@ -88,8 +91,8 @@
 
 using PoolNames = std::unordered_set<std::string>;
 
-std::string knownPool(QJsonObject const& o, PoolNames const& pools, std::string const& at) {
-  std::string name = text(o, "pool", maxTextBytes, at);
+std::string requirePool(QJsonObject const& o, PoolNames const& pools, std::string const& at) {
+  std::string name = requireText(o, "pool", maxTextBytes, at);
   if (pools.count(name) == 0) throw ConfigError(at + "/pool", "no pool named " + name);
   return name;
 }
@@ -97,7 +100,7 @@
 std::vector<WeightedPool> readShares(QJsonObject const& object, PoolNames const& pools, std::string const& at) {
   if (object.contains("pool")) {
     if (object.contains("shares")) throw ConfigError(at + "/shares", "stands beside pool");
-    return {WeightedPool{knownPool(object, pools, at), 1}};
+    return {WeightedPool{requirePool(object, pools, at), 1}};
   }
   QJsonValue const v = object.value("shares");
   if (!v.isArray())
@@ -107,10 +110,10 @@
   QJsonArray const list = v.toArray();
   for (qsizetype i = 0; i < list.size(); ++i) {
     std::string const pointer = at + "/shares/" + std::to_string(i);
-    QJsonObject const one = itemAt(list, i, pointer);
-    onlyFields(one, {"pool", "share"}, pointer);
-    WeightedPool const share{knownPool(one, pools, pointer),
-                             static_cast<std::uint32_t>(requiredInteger(one, "share", 0, maxCount, pointer))};
+    QJsonObject const item = objectItem(list, i, pointer);
+    rejectUnknownFields(item, {"pool", "share"}, pointer);
+    WeightedPool const share{requirePool(item, pools, pointer),
+                             static_cast<std::uint32_t>(requiredInteger(item, "share", 0, maxCount, pointer))};
     if (share.weight > 0) out.push_back(share);
   }
   if (out.empty()) throw ConfigError(at + "/shares", "the weights sum to 0");
@@ -118,32 +121,33 @@
 }
 
 PoolSettings readPool(QJsonObject const& object, std::string const& at) {
-  onlyFields(object, {"name", "standing", "connections", "coldRate", "coldMs", "slots", "tokens", "extra"}, at);
+  rejectUnknownFields(object, {"name", "standing", "connections", "coldRate", "coldMs", "slots", "tokens", "extra"},
+                      at);
   PoolSettings out;
-  out.name = text(object, "name", maxTextBytes, at);
-  if (object.contains("standing") && text(object, "standing", maxAddressBytes, at).front() != '/')
+  out.name = requireText(object, "name", maxTextBytes, at);
+  if (object.contains("standing") && requireText(object, "standing", maxAddressBytes, at).front() != '/')
     throw ConfigError(at + "/standing", "must begin with /");
-  out.maxConnections = static_cast<int>(integer(object, "connections", 0, maxCount, 0, at));
+  out.maxConnections = static_cast<int>(readInteger(object, "connections", 0, maxCount, 0, at));
   QJsonValue const rate = object.value("coldRate");
   out.slowStartRate = rate.toDouble(rate.isUndefined() ? 0 : -1);
   if (!(out.slowStartRate >= 0 && out.slowStartRate <= static_cast<double>(maxCount)))
     throw ConfigError(at + "/coldRate", "must be a number, 0 to " + std::to_string(maxCount));
-  out.slowStartDuration = integer(object, "coldMs", 0, maxNumber, 0, at);
-  out.concurrentRequests = static_cast<int>(integer(object, "slots", 0, maxCount, 0, at));
-  out.prefixCacheTokens = integer(object, "tokens", 0, maxNumber, 0, at);
-  optionalObject(object, "extra", at);
+  out.slowStartDuration = readInteger(object, "coldMs", 0, maxNumber, 0, at);
+  out.concurrentRequests = static_cast<int>(readInteger(object, "slots", 0, maxCount, 0, at));
+  out.prefixCacheTokens = readInteger(object, "tokens", 0, maxNumber, 0, at);
+  checkOptionalObject(object, "extra", at);
   return out;
 }
 
 Path readPath(QJsonObject const& object, PoolNames const& pools, std::string const& at) {
-  onlyFields(object,
-             {"name", "host", "prefix", "kind", "deadlineMs", "aimMs", "gapAimMs", "urgency", "tries", "resumable",
-              "affine", "pool", "shares", "open", "extra"},
-             at);
+  rejectUnknownFields(object,
+                      {"name", "host", "prefix", "kind", "deadlineMs", "aimMs", "gapAimMs", "urgency", "tries",
+                       "resumable", "affine", "pool", "shares", "open", "extra"},
+                      at);
   Path out;
-  out.instance = text(object, "name", maxTextBytes, at);
-  out.host = text(object, "host", maxAddressBytes, at);
-  out.prefix = text(object, "prefix", maxAddressBytes, at);
+  out.instance = requireText(object, "name", maxTextBytes, at);
+  out.host = requireText(object, "host", maxAddressBytes, at);
+  out.prefix = requireText(object, "prefix", maxAddressBytes, at);
   if (out.prefix.front() != '/' || out.prefix.back() != '/')
     throw ConfigError(at + "/prefix", "must begin and end with /");
   QString const kind = object.value("kind").toString();
@@ -151,30 +155,30 @@
                                              [&](KindRule const& k) { return kind == QLatin1String(k.name); });
   if (found == std::end(kindRules)) throw ConfigError(at + "/kind", "must be once, repeatable or stream");
   out.deadline = requiredInteger(object, "deadlineMs", 1, maxNumber, at);
-  out.latencyTarget = integer(object, "aimMs", 0, maxNumber, 0, at);
+  out.latencyTarget = readInteger(object, "aimMs", 0, maxNumber, 0, at);
   core::Milliseconds const target = out.latencyTarget > 0 ? out.latencyTarget : unbounded;
-  out.requestClass = std::find_if(std::begin(classRules), std::end(classRules), [&](ClassRule const& r) {
+  out.requestClass = std::find_if(std::begin(classRules), std::end(classRules), [&](RequestClassRule const& r) {
                        return target <= r.maxLatencyTarget && out.deadline >= r.minDeadline;
-                     })->cls;
+                     })->requestClass;
   if (out.latencyTarget == 0)
     out.latencyTarget = std::find_if(std::begin(requestClassDefaults), std::end(requestClassDefaults),
                                      [&](RequestClassDefaults const& c) { return c.requestClass == out.requestClass; })
                             ->latencyTarget;
-  out.eventGapTarget = integer(object, "gapAimMs", 0, maxNumber, 0, at);
-  out.urgency = static_cast<int>(integer(object, "urgency", 0, 9, 5, at));
-  out.maxAttempts = static_cast<int>(integer(object, "tries", 1, maxCount, 1, at));
+  out.eventGapTarget = readInteger(object, "gapAimMs", 0, maxNumber, 0, at);
+  out.urgency = static_cast<int>(readInteger(object, "urgency", 0, 9, 5, at));
+  out.maxAttempts = static_cast<int>(readInteger(object, "tries", 1, maxCount, 1, at));
   out.stream = found->stream;
-  out.resumable = flag(object, "resumable", at) && out.stream;
-  out.idempotent = found->repeatable || out.resumable;
-  flag(object, "affine", at);
-  out.isPublic = flag(object, "open", at);
+  out.resumable = readFlag(object, "resumable", at) && out.stream;
+  out.idempotent = found->idempotent || out.resumable;
+  readFlag(object, "affine", at);
+  out.isPublic = readFlag(object, "open", at);
   out.weightedPools = readShares(object, pools, at);
   out.pool = out.weightedPools.front().pool;
-  optionalObject(object, "extra", at);
+  checkOptionalObject(object, "extra", at);
   return out;
 }
 
-double amount(QJsonObject const& o, char const* name, std::string const& at) {
+double readAmount(QJsonObject const& o, char const* name, std::string const& at) {
   QJsonValue const v = o.value(QLatin1String(name));
   if (v.isUndefined() || v.isNull()) return 0;
   double const out = v.toDouble(-1);
@@ -185,7 +189,7 @@
 
 std::vector<std::string> readKeys(QJsonObject const& object, std::string const& at) {
   std::vector<std::string> out;
-  QJsonArray const list = object.contains("keys") ? listAt(object, "keys", at, maxTenantKeys) : QJsonArray();
+  QJsonArray const list = object.contains("keys") ? requireList(object, "keys", at, maxTenantKeys) : QJsonArray();
   for (qsizetype i = 0; i < list.size(); ++i) {
     std::string key = toStdString(list.at(i).toString());
     if (key.empty() || key.size() > maxAddressBytes)
@@ -197,33 +201,33 @@
 }
 
 Tenant readTenant(QJsonObject const& object, std::string const& at) {
-  onlyFields(object, {"name", "keys", "urgency", "rate", "burst", "unit", "plainTokens", "extra"}, at);
+  rejectUnknownFields(object, {"name", "keys", "urgency", "rate", "burst", "unit", "plainTokens", "extra"}, at);
   Tenant out;
-  out.name = text(object, "name", maxTextBytes, at);
+  out.name = requireText(object, "name", maxTextBytes, at);
   out.keys = readKeys(object, at);
   if (!object.value("urgency").isUndefined() && !object.value("urgency").isNull())
-    out.urgency = static_cast<int>(integer(object, "urgency", 0, 9, 5, at));
-  out.ratePerSecond = amount(object, "rate", at);
-  out.burst = amount(object, "burst", at);
+    out.urgency = static_cast<int>(readInteger(object, "urgency", 0, 9, 5, at));
+  out.ratePerSecond = readAmount(object, "rate", at);
+  out.burst = readAmount(object, "burst", at);
   QJsonValue const unit = object.value("unit");
   if (!unit.isUndefined() && unit.toString() != "tokens" && unit.toString() != "requests")
     throw ConfigError(at + "/unit", "must be tokens or requests");
   out.inTokens = unit.toString() == "tokens";
-  out.defaultTokens = integer(object, "plainTokens", 0, maxNumber, 0, at);
-  optionalObject(object, "extra", at);
+  out.defaultTokens = readInteger(object, "plainTokens", 0, maxNumber, 0, at);
+  checkOptionalObject(object, "extra", at);
   return out;
 }
 
-/// Reads the tenants; a key that stands twice, be it at one tenant or two, is an error.
+/// Reads the tenants. Throws ConfigError if a key occurs twice, whether in one tenant or in two.
 std::vector<Tenant> readTenants(QJsonObject const& spec) {
   std::vector<Tenant> out;
   if (!spec.contains("tenants")) return out;
   std::unordered_set<std::string> names;
   std::unordered_set<std::string> keys;
-  QJsonArray const tenants = listAt(spec, "tenants", "", maxTenants);
+  QJsonArray const tenants = requireList(spec, "tenants", "", maxTenants);
   for (qsizetype i = 0; i < tenants.size(); ++i) {
     std::string const at = "/tenants/" + std::to_string(i);
-    out.push_back(readTenant(itemAt(tenants, i, at), at));
+    out.push_back(readTenant(objectItem(tenants, i, at), at));
     if (!names.insert(out.back().name).second) throw ConfigError(at + "/name", "stands twice");
     for (std::string const& key : out.back().keys)
       if (!keys.insert(key).second) throw ConfigError(at + "/keys", "a key stands twice");
@@ -235,46 +239,48 @@
   if (v.isUndefined()) return {};
   if (!v.isObject()) throw ConfigError("/door", "must be an object");
   QJsonObject const object = v.toObject();
-  onlyFields(object, {"headBytes", "bodyBytes", "headMs", "idleMs"}, "/door");
+  rejectUnknownFields(object, {"headBytes", "bodyBytes", "headMs", "idleMs"}, "/door");
   HttpLimits out;
-  out.headerByteLimit = static_cast<std::uint32_t>(integer(object, "headBytes", 0, maxCount, 0, "/door"));
-  out.bodyByteLimit = static_cast<std::uint64_t>(integer(object, "bodyBytes", 0, maxNumber, 0, "/door"));
-  out.headerTimeout = integer(object, "headMs", 0, maxNumber, 0, "/door");
-  out.idleTimeout = integer(object, "idleMs", 0, maxNumber, 0, "/door");
+  out.headerByteLimit = static_cast<std::uint32_t>(readInteger(object, "headBytes", 0, maxCount, 0, "/door"));
+  out.bodyByteLimit = static_cast<std::uint64_t>(readInteger(object, "bodyBytes", 0, maxNumber, 0, "/door"));
+  out.headerTimeout = readInteger(object, "headMs", 0, maxNumber, 0, "/door");
+  out.idleTimeout = readInteger(object, "idleMs", 0, maxNumber, 0, "/door");
   return out;
 }
 
-/// Items of one list after the named ones were replaced, added and dropped.
+/// Returns the items of one list after a patch. An item of `set` replaces the item of the same name or is appended; an
+/// item that `drop` names is removed.
 QJsonArray patchList(QJsonArray const& current, QJsonObject const& set, QJsonObject const& drop, char const* list) {
-  std::unordered_map<std::string, QJsonValue> fresh;
+  std::unordered_map<std::string, QJsonValue> replacements;
   std::vector<std::string> order;
-  QJsonArray const items = set.contains(QLatin1String(list)) ? listAt(set, list, "/set", maxPaths) : QJsonArray();
+  QJsonArray const items = set.contains(QLatin1String(list)) ? requireList(set, list, "/set", maxPaths) : QJsonArray();
   for (qsizetype i = 0; i < items.size(); ++i) {
     std::string const at = std::string("/set/") + list + "/" + std::to_string(i);
-    std::string const name = text(itemAt(items, i, at), "name", maxTextBytes, at);
-    if (!fresh.emplace(name, items.at(i)).second) throw ConfigError(at + "/name", "stands twice");
+    std::string const name = requireText(objectItem(items, i, at), "name", maxTextBytes, at);
+    if (!replacements.emplace(name, items.at(i)).second) throw ConfigError(at + "/name", "stands twice");
     order.push_back(name);
   }
   std::unordered_set<std::string> dropped;
-  QJsonArray const names = drop.contains(QLatin1String(list)) ? listAt(drop, list, "/drop", maxPaths) : QJsonArray();
+  QJsonArray const names =
+      drop.contains(QLatin1String(list)) ? requireList(drop, list, "/drop", maxPaths) : QJsonArray();
   for (qsizetype i = 0; i < names.size(); ++i) {
     std::string const at = std::string("/drop/") + list + "/" + std::to_string(i);
     if (!names.at(i).isString()) throw ConfigError(at, "must be a name");
     std::string const name = toStdString(names.at(i).toString());
-    if (fresh.count(name) > 0) throw ConfigError(at, "is set in the same change");
+    if (replacements.count(name) > 0) throw ConfigError(at, "is set in the same change");
     dropped.insert(name);
   }
   QJsonArray out;
   for (QJsonValue const item : current) {
     std::string const name = toStdString(item.toObject().value("name").toString());
     if (dropped.count(name) > 0) continue;
-    auto const it = fresh.find(name);
-    out.append(it == fresh.end() ? item : it->second);
-    if (it != fresh.end()) fresh.erase(it);
+    auto const it = replacements.find(name);
+    out.append(it == replacements.end() ? item : it->second);
+    if (it != replacements.end()) replacements.erase(it);
   }
   for (std::string const& name : order) {
-    auto const it = fresh.find(name);
-    if (it != fresh.end()) out.append(it->second);
+    auto const it = replacements.find(name);
+    if (it != replacements.end()) out.append(it->second);
   }
   return out;
 }
@@ -282,23 +288,23 @@
 }  // namespace
 
 FleetConfiguration readFleetConfiguration(QJsonObject const& spec) {
-  onlyFields(spec, {"version", "paths", "pools", "tenants", "door", "extra"}, "");
+  rejectUnknownFields(spec, {"version", "paths", "pools", "tenants", "door", "extra"}, "");
   FleetConfiguration out;
   out.version = static_cast<std::uint64_t>(requiredInteger(spec, "version", 1, maxVersion, ""));
   PoolNames pools;
-  QJsonArray const poolValues = listAt(spec, "pools", "", maxPools);
+  QJsonArray const poolValues = requireList(spec, "pools", "", maxPools);
   for (qsizetype i = 0; i < poolValues.size(); ++i) {
     std::string const at = "/pools/" + std::to_string(i);
-    out.pools.push_back(readPool(itemAt(poolValues, i, at), at));
+    out.pools.push_back(readPool(objectItem(poolValues, i, at), at));
     if (!pools.insert(out.pools.back().name).second) throw ConfigError(at + "/name", "stands twice");
   }
   std::unordered_set<std::string> names;
   std::set<std::pair<std::string, std::string>> routes;
-  QJsonArray const pathValues = listAt(spec, "paths", "", maxPaths);
+  QJsonArray const pathValues = requireList(spec, "paths", "", maxPaths);
   out.paths.reserve(static_cast<std::size_t>(pathValues.size()));
   for (qsizetype i = 0; i < pathValues.size(); ++i) {
     std::string const at = "/paths/" + std::to_string(i);
-    out.paths.push_back(readPath(itemAt(pathValues, i, at), pools, at));
+    out.paths.push_back(readPath(objectItem(pathValues, i, at), pools, at));
     Path const& p = out.paths.back();
     if (!names.insert(p.instance).second) throw ConfigError(at + "/name", "stands twice");
     if (!routes.emplace(p.host, p.prefix).second)
@@ -306,16 +312,17 @@
   }
   out.tenants = readTenants(spec);
   out.http = readHttp(spec.value("door"));
-  optionalObject(spec, "extra", "");
+  checkOptionalObject(spec, "extra", "");
   return out;
 }
 
 QJsonObject patchFleetConfiguration(QJsonObject const& current, QJsonObject const& patch) {
-  onlyFields(patch, {"version", "set", "drop", "door", "extra"}, "");
+  rejectUnknownFields(patch, {"version", "set", "drop", "door", "extra"}, "");
   if (!patch.contains("version")) throw ConfigError("/version", "missing");
-  for (char const* part : {"set", "drop"}) {
-    optionalObject(patch, part, "");
-    onlyFields(patch.value(QLatin1String(part)).toObject(), {"paths", "pools", "tenants"}, std::string("/") + part);
+  for (char const* section : {"set", "drop"}) {
+    checkOptionalObject(patch, section, "");
+    rejectUnknownFields(patch.value(QLatin1String(section)).toObject(), {"paths", "pools", "tenants"},
+                        std::string("/") + section);
   }
   QJsonObject const set = patch.value("set").toObject();
   QJsonObject const drop = patch.value("drop").toObject();
--- a/config/src/regimes.cpp
+++ b/config/src/regimes.cpp
@@ -15,14 +15,14 @@
 
 using core::toStdString;
 
-std::string nameAt(QJsonObject const& o, char const* field, std::string const& at) {
+std::string requireName(QJsonObject const& o, char const* field, std::string const& at) {
   std::string out = toStdString(o.value(QLatin1String(field)).toString());
   if (!isValidName(out))
     throw ConfigError(at + "/" + field, o.contains(QLatin1String(field)) ? "not a valid name" : "missing");
   return out;
 }
 
-std::string textAt(QJsonObject const& o, char const* field, std::string const& at) {
+std::string optionalText(QJsonObject const& o, char const* field, std::string const& at) {
   if (!o.contains(QLatin1String(field))) return "";
   std::string out = toStdString(o.value(QLatin1String(field)).toString());
   if (out.empty() || out.size() > maxTextBytes)
@@ -30,11 +30,11 @@
   return out;
 }
 
-void noteAt(QJsonObject const& o, std::string const& at) {
+void checkNote(QJsonObject const& o, std::string const& at) {
   if (o.contains("note") && !o.value("note").isString()) throw ConfigError(at + "/note", "must be a text");
 }
 
-std::int64_t timeAt(QJsonObject const& o, char const* field, std::string const& at) {
+std::int64_t requireTime(QJsonObject const& o, char const* field, std::string const& at) {
   QString const text = o.value(QLatin1String(field)).toString();
   QDateTime const t = QDateTime::fromString(text, Qt::ISODate);
   if (!t.isValid() || !text.endsWith('Z'))
@@ -43,11 +43,11 @@
   return t.toMSecsSinceEpoch();
 }
 
-QJsonObject partAt(QJsonObject const& spec, char const* field, std::size_t most) {
+QJsonObject requireObject(QJsonObject const& spec, char const* field, std::size_t maxItems) {
   QJsonValue const v = spec.value(QLatin1String(field));
   if (!v.isObject()) throw ConfigError(std::string("/") + field, v.isUndefined() ? "missing" : "must be an object");
-  if (static_cast<std::size_t>(v.toObject().size()) > most)
-    throw ConfigError(std::string("/") + field, "more than " + std::to_string(most));
+  if (static_cast<std::size_t>(v.toObject().size()) > maxItems)
+    throw ConfigError(std::string("/") + field, "more than " + std::to_string(maxItems));
   return v.toObject();
 }
 
@@ -58,8 +58,8 @@
 }
 
 Regime readRegime(QJsonObject const& object, std::string const& at) {
-  onlyFields(object, {"nacelles", "reserve", "note"}, at);
-  noteAt(object, at);
+  rejectUnknownFields(object, {"nacelles", "reserve", "note"}, at);
+  checkNote(object, at);
   Regime out;
   QString const routers = object.value("nacelles").toString();
   if (routers != QLatin1String("certified") && routers != QLatin1String("any"))
@@ -85,27 +85,27 @@
     throw ConfigError(at + "/carrier", "must be replicas or routers");
   bool const replicas = out.subject == CertificateSubject::replicas;
   if (replicas)
-    onlyFields(object, {"regime", "carrier", "pool", "zone", "address", "life", "from", "until", "note"}, at);
+    rejectUnknownFields(object, {"regime", "carrier", "pool", "zone", "address", "life", "from", "until", "note"}, at);
   else
-    onlyFields(object, {"regime", "carrier", "zone", "link", "from", "until", "note"}, at);
-  noteAt(object, at);
-  out.regime = nameAt(object, "regime", at);
+    rejectUnknownFields(object, {"regime", "carrier", "zone", "link", "from", "until", "note"}, at);
+  checkNote(object, at);
+  out.regime = requireName(object, "regime", at);
   out.zone = toStdString(object.value("zone").toString());
   if (!isValidLabel(out.zone))
     throw ConfigError(at + "/zone", object.contains("zone") ? "not a valid name" : "missing");
   if (replicas) {
-    out.pool = textAt(object, "pool", at);
+    out.pool = optionalText(object, "pool", at);
     if (out.pool.empty()) throw ConfigError(at + "/pool", "missing");
-    out.address = textAt(object, "address", at);
-    out.incarnation = textAt(object, "life", at);
+    out.address = optionalText(object, "address", at);
+    out.incarnation = optionalText(object, "life", at);
     if (out.address.empty() && !out.incarnation.empty()) throw ConfigError(at + "/address", "missing beside life");
     if (!out.address.empty() && out.incarnation.empty())
       throw ConfigError(at + "/life", "missing beside address: an address alone carries no certificate");
   } else {
-    out.link = textAt(object, "link", at);
+    out.link = optionalText(object, "link", at);
   }
-  out.from = object.contains("from") ? timeAt(object, "from", at) : 0;
-  out.until = timeAt(object, "until", at);
+  out.from = object.contains("from") ? requireTime(object, "from", at) : 0;
+  out.until = requireTime(object, "until", at);
   if (out.until - out.from <= 2 * clockMarginMs)
     throw ConfigError(at + "/until",
                       "must be more than " + std::to_string(2 * clockMarginMs / 1000) + " s after the beginning");
@@ -115,15 +115,15 @@
 }  // namespace
 
 Regimes readRegimes(QJsonObject const& spec) {
-  onlyFields(spec, {"regimes", "certificates", "note"}, "");
-  noteAt(spec, "");
+  rejectUnknownFields(spec, {"regimes", "certificates", "note"}, "");
+  checkNote(spec, "");
   Regimes out;
-  QJsonObject const regimes = partAt(spec, "regimes", maxRegimes);
+  QJsonObject const regimes = requireObject(spec, "regimes", maxRegimes);
   for (QString const& name : regimes.keys()) {
     std::string const at = "/regimes/" + toStdString(name);
     out.regimes[toStdString(name)] = readRegime(itemAt(regimes, name, at), at);
   }
-  QJsonObject const certificates = partAt(spec, "certificates", maxCertificates);
+  QJsonObject const certificates = requireObject(spec, "certificates", maxCertificates);
   for (QString const& name : certificates.keys()) {
     std::string const at = "/certificates/" + toStdString(name);
     Certificate const c = readCertificate(toStdString(name), itemAt(certificates, name, at), at);
--- a/config/test/config_test.cpp
+++ b/config/test/config_test.cpp
@@ -13,16 +13,16 @@
                      {"instances", core::parseJson(instances)}};
 }
 
-/// No template here has a regime.
-std::string noRegime(std::string const&, std::string const&) {
+/// Rejects every regime. The templates in this file set no regime, so it is never called.
+std::string rejectRegime(std::string const&, std::string const&) {
   return "not asked for";
 }
 
-bool known(std::string const& pool) {
+bool isKnownPool(std::string const& pool) {
   return pool == "model" || pool == "gateway";
 }
 
-constexpr char const* good =
+constexpr char const* validTemplate =
     R"({"parameters":{"farm":{"type":"string"},"aim":{"type":"integer","default":500,"min":50,"max":900}},
   "paths":[{"path":"narrate/${farm}","pool":"model","class":"long"},
            {"path":"pitch","pool":"model","class":"short","aimMs":"${aim}"},
@@ -31,9 +31,9 @@
 }  // namespace
 
 TEST_CASE("a template and its instances render to paths") {
-  QJsonObject const f = family(good, R"({"nord":{"spec":{"parameters":{"farm":"nord-7"}},"stamp":2},
+  QJsonObject const f = family(validTemplate, R"({"nord":{"spec":{"parameters":{"farm":"nord-7"}},"stamp":2},
                                          "sued":{"spec":{"parameters":{"farm":"sued","aim":60}},"stamp":3}})");
-  config::checkTemplateFamily(f, known, noRegime);
+  config::checkTemplateFamily(f, isKnownPool, rejectRegime);
   std::vector<config::Path> const paths = config::renderPaths("fault", f);
   REQUIRE(paths.size() == 6);
   CHECK(paths[0].instance == "fault.nord");
@@ -43,47 +43,47 @@
   CHECK(paths[2].requestClass == config::RequestClass::urgent);
 }
 
-TEST_CASE("what is not a valid configuration is rejected with its place") {
-  struct Row {
+TEST_CASE("an invalid template or instance is rejected with a JSON pointer to the invalid value") {
+  struct InvalidCase {
     char const* spec;
     char const* instances;
     char const* pointer;
   };
-  constexpr char const* one = R"({"paths":[{"path":"a","pool":"model","class":"short"}]})";
-  constexpr Row rows[] = {
+  constexpr char const* withoutParameters = R"({"paths":[{"path":"a","pool":"model","class":"short"}]})";
+  constexpr InvalidCase cases[] = {
       {R"({"paths":[],"x":1})", "{}", "/template/x"},
       {R"({"paths":[]})", "{}", "/template/paths"},
       {R"({"paths":[{"path":"a","pool":"model","class":"short","y":1}]})", "{}", "/template/paths/0/y"},
       {R"({"paths":[{"path":"a","pool":"model"}]})", "{}", "/template/paths/0/class"},
       {R"({"parameters":{"p":{"type":"float"}},"paths":[{"path":"a","pool":"model","class":"short"}]})", "{}",
        "/template/parameters/p/type"},
-      {one, R"({"i":{"spec":{"parameters":{"extra":1}}}})", "/instances/i/parameters/extra"},
-      {one, R"({"i":{"spec":{"surprise":1}}})", "/instances/i/surprise"},
-      {good, R"({"i":{"spec":{}}})", "/instances/i/parameters/farm"},
-      {good, R"({"i":{"spec":{"parameters":{"farm":7}}}})", "/instances/i/parameters/farm"},
-      {good, R"({"i":{"spec":{"parameters":{"farm":"f","aim":901}}}})", "/instances/i/parameters/aim"},
-      {good, R"({"i":{"spec":{"parameters":{"farm":"../x"}}}})", "/template/paths/0/path"},
+      {withoutParameters, R"({"i":{"spec":{"parameters":{"extra":1}}}})", "/instances/i/parameters/extra"},
+      {withoutParameters, R"({"i":{"spec":{"surprise":1}}})", "/instances/i/surprise"},
+      {validTemplate, R"({"i":{"spec":{}}})", "/instances/i/parameters/farm"},
+      {validTemplate, R"({"i":{"spec":{"parameters":{"farm":7}}}})", "/instances/i/parameters/farm"},
+      {validTemplate, R"({"i":{"spec":{"parameters":{"farm":"f","aim":901}}}})", "/instances/i/parameters/aim"},
+      {validTemplate, R"({"i":{"spec":{"parameters":{"farm":"../x"}}}})", "/template/paths/0/path"},
       {R"({"paths":[{"path":"a","pool":"model","class":"short"},{"path":"a","pool":"model","class":"long"}]})",
        R"({"i":{"spec":{}}})", "/template/paths/1/path"},
       {R"({"paths":[{"path":"a","pool":"nowhere","class":"short"}]})", R"({"i":{"spec":{}}})", "/instances/i"},
       {R"({"paths":[{"path":"a","pool":"model","class":"${c}"}]})", R"({"i":{"spec":{}}})", "/template/paths/0/class"}};
-  for (Row const& r : rows) {
+  for (InvalidCase const& c : cases) {
     try {
-      config::checkTemplateFamily(family(r.spec, r.instances), known, noRegime);
-      FAIL("accepted: " << r.spec << r.instances);
+      config::checkTemplateFamily(family(c.spec, c.instances), isKnownPool, rejectRegime);
+      FAIL("accepted: " << c.spec << c.instances);
     } catch (config::ConfigError const& e) {
-      CHECK(e.pointer() == r.pointer);
+      CHECK(e.pointer() == c.pointer);
     }
   }
 }
 
-TEST_CASE("a zone's or pool's name may be any one-line text, and is one part of a page's address") {
+TEST_CASE("the name of a zone or pool may be any one-line text and is encoded as one segment of a URL path") {
   for (char const* const name : {"zh-a", "ZH_a.1", "-x", "a b", "a/b", "..b", "50%", "z\xc3\xbcrich"}) {
     INFO(name);
     CHECK(config::isValidLabel(name));
-    std::string const part = config::percentEncodeLabel(name);
-    CHECK(part.find_first_of("/ ?#") == std::string::npos);
-    CHECK(config::percentDecodeLabel(part) == name);
+    std::string const segment = config::percentEncodeLabel(name);
+    CHECK(segment.find_first_of("/ ?#") == std::string::npos);
+    CHECK(config::percentDecodeLabel(segment) == name);
   }
   CHECK(config::percentDecodeLabel("Wt.A") == "Wt.A");
   CHECK(config::percentEncodeLabel("zh-a.B_1") == "zh-a.B_1");
@@ -95,7 +95,7 @@
   CHECK(config::isValidLabel(std::string(128, 'a')));
 }
 
-TEST_CASE("a platform list is checked whole") {
+TEST_CASE("every field of an endpoint list is checked") {
   config::EndpointList const p = config::readEndpointList(
       core::parseJson(
           R"({"generation":3,"coldRate":1.5,"replicas":[{"address":"127.0.0.1:80","zone":"z1","state":"cold"}]})")
--- a/config/test/fleet_configuration_test.cpp
+++ b/config/test/fleet_configuration_test.cpp
@@ -19,27 +19,29 @@
     R"([{"name":"big","standing":"/health","connections":650,"coldRate":2.5,"coldMs":3000,"slots":128,"tokens":729140,"extra":{"weights":[1]}},
   {"name":"small"}])";
 
+/// A fleet configuration with one path, which has these fields besides the required ones.
 std::string path(std::string const& fields) {
   return R"({"version":7,"pools":)" + std::string(pools) +
          R"(,"paths":[{"name":"p","host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"big")" +
          (fields.empty() ? "" : "," + fields) + "}]}";
 }
 
+/// A fleet configuration whose only path lacks a field and has other fields instead.
 std::string without(std::string const& field, std::string const& instead = "") {
   QJsonObject spec = object(path(""));
   QJsonArray paths = spec.value("paths").toArray();
-  QJsonObject row = paths.first().toObject();
-  row.remove(core::toQString(field));
+  QJsonObject pathObject = paths.first().toObject();
+  pathObject.remove(core::toQString(field));
   if (!instead.empty()) {
-    QJsonObject const more = object(instead);
-    for (QString const& k : more.keys()) row.insert(k, more.value(k));
+    QJsonObject const added = object(instead);
+    for (QString const& name : added.keys()) pathObject.insert(name, added.value(name));
   }
-  paths.replace(0, row);
+  paths.replace(0, pathObject);
   spec.insert("paths", paths);
   return core::jsonText(spec);
 }
 
-std::string faultOf(std::string const& spec) {
+std::string errorPointer(std::string const& spec) {
   try {
     config::readFleetConfiguration(object(spec));
   } catch (config::ConfigError const& e) {
@@ -48,7 +50,7 @@
   return "";
 }
 
-std::string faultOf(char const* current, char const* patch) {
+std::string errorPointer(char const* current, char const* patch) {
   try {
     config::patchFleetConfiguration(object(current), object(patch));
   } catch (config::ConfigError const& e) {
@@ -63,7 +65,7 @@
 
 }  // namespace
 
-TEST_CASE("a whole configuration is read with its defaults") {
+TEST_CASE("a fleet configuration is read, and missing fields get their defaults") {
   config::FleetConfiguration const w = config::readFleetConfiguration(
       object(R"({"version":7.0,"pools":)" + std::string(pools) +
              R"(,"door":{"headBytes":16384,"bodyBytes":4194304,"headMs":3000,"idleMs":15000},"extra":{"x":[1,{}]},
@@ -96,7 +98,7 @@
          w.http.idleTimeout == 15000));
 }
 
-TEST_CASE("a path's class follows from its aim and its deadline") {
+TEST_CASE("a path's class follows from its latency target and its deadline") {
   CHECK(read(R"("aimMs":400)").requestClass == config::RequestClass::urgent);
   CHECK(read(R"("aimMs":401)").requestClass == config::RequestClass::quick);
   CHECK(read(R"("aimMs":0)").requestClass == config::RequestClass::quick);
@@ -111,7 +113,7 @@
             .requestClass == config::RequestClass::urgent);
 }
 
-TEST_CASE("only a stream can be resumable, and only what may run again is repeatable") {
+TEST_CASE("only a stream can be resumable, and only repeatable paths and resumable streams are idempotent") {
   CHECK_FALSE(read(R"("resumable":true)").resumable);
   CHECK_FALSE(read("").idempotent);
   config::Path const plain =
@@ -125,18 +127,20 @@
                   .resumable);
 }
 
-TEST_CASE("what is not a valid whole configuration is rejected with its place") {
+TEST_CASE("an invalid fleet configuration is rejected with a JSON pointer to the invalid value") {
   std::string const longText(129, 'x');
-  struct Row {
+  struct InvalidCase {
     std::string spec;
     char const* pointer;
   };
-  std::string const at = R"("name":"p","host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"a")";
-  auto const rowsOf = [](std::string const& rows) {
-    return R"({"version":1,"pools":[{"name":"a"}],"paths":[)" + rows + "]}";
+  std::string const validFields = R"("name":"p","host":"h","prefix":"/a/","kind":"once","deadlineMs":3000,"pool":"a")";
+  auto const withPaths = [](std::string const& paths) {
+    return R"({"version":1,"pools":[{"name":"a"}],"paths":[)" + paths + "]}";
   };
-  auto const poolsOf = [](std::string const& rows) { return R"({"version":1,"paths":[],"pools":[)" + rows + "]}"; };
-  Row const rows[] = {
+  auto const withPools = [](std::string const& poolItems) {
+    return R"({"version":1,"paths":[],"pools":[)" + poolItems + "]}";
+  };
+  InvalidCase const cases[] = {
       {"{}", "/version"},
       {R"({"version":0,"paths":[],"pools":[]})", "/version"},
       {R"({"version":-3,"paths":[],"pools":[]})", "/version"},
@@ -151,26 +155,28 @@
       {R"({"version":1,"paths":[],"pools":[],"door":[]})", "/door"},
       {R"({"version":1,"paths":[],"pools":[],"door":{"headBytes":-1}})", "/door/headBytes"},
       {R"({"version":1,"paths":[],"pools":[],"door":{"surprise":1}})", "/door/surprise"},
-      {poolsOf("7"), "/pools/0"},
-      {poolsOf("{}"), "/pools/0/name"},
-      {poolsOf(R"({"name":""})"), "/pools/0/name"},
-      {poolsOf(R"({"name":")" + longText + R"("})"), "/pools/0/name"},
-      {poolsOf(R"({"name":"a"},{"name":"a"})"), "/pools/1/name"},
-      {poolsOf(R"({"name":"a","surprise":1})"), "/pools/0/surprise"},
-      {poolsOf(R"({"name":"a","standing":"health"})"), "/pools/0/standing"},
-      {poolsOf(R"({"name":"a","standing":1})"), "/pools/0/standing"},
-      {poolsOf(R"({"name":"a","connections":-1})"), "/pools/0/connections"},
-      {poolsOf(R"({"name":"a","coldRate":-0.5})"), "/pools/0/coldRate"},
-      {poolsOf(R"({"name":"a","coldRate":"2"})"), "/pools/0/coldRate"},
-      {poolsOf(R"({"name":"a","coldMs":0.5})"), "/pools/0/coldMs"},
-      {poolsOf(R"({"name":"a","slots":"8"})"), "/pools/0/slots"},
-      {poolsOf(R"({"name":"a","tokens":-8})"), "/pools/0/tokens"},
-      {poolsOf(R"({"name":"a","extra":[]})"), "/pools/0/extra"},
-      {rowsOf("[]"), "/paths/0"},
-      {rowsOf("{" + at + R"(,"surprise":1})"), "/paths/0/surprise"},
-      {rowsOf("{" + at + R"(},{"name":"p","host":"h","prefix":"/b/","kind":"once","deadlineMs":3000,"pool":"a"})"),
+      {withPools("7"), "/pools/0"},
+      {withPools("{}"), "/pools/0/name"},
+      {withPools(R"({"name":""})"), "/pools/0/name"},
+      {withPools(R"({"name":")" + longText + R"("})"), "/pools/0/name"},
+      {withPools(R"({"name":"a"},{"name":"a"})"), "/pools/1/name"},
+      {withPools(R"({"name":"a","surprise":1})"), "/pools/0/surprise"},
+      {withPools(R"({"name":"a","standing":"health"})"), "/pools/0/standing"},
+      {withPools(R"({"name":"a","standing":1})"), "/pools/0/standing"},
+      {withPools(R"({"name":"a","connections":-1})"), "/pools/0/connections"},
+      {withPools(R"({"name":"a","coldRate":-0.5})"), "/pools/0/coldRate"},
+      {withPools(R"({"name":"a","coldRate":"2"})"), "/pools/0/coldRate"},
+      {withPools(R"({"name":"a","coldMs":0.5})"), "/pools/0/coldMs"},
+      {withPools(R"({"name":"a","slots":"8"})"), "/pools/0/slots"},
+      {withPools(R"({"name":"a","tokens":-8})"), "/pools/0/tokens"},
+      {withPools(R"({"name":"a","extra":[]})"), "/pools/0/extra"},
+      {withPaths("[]"), "/paths/0"},
+      {withPaths("{" + validFields + R"(,"surprise":1})"), "/paths/0/surprise"},
+      {withPaths("{" + validFields +
+                 R"(},{"name":"p","host":"h","prefix":"/b/","kind":"once","deadlineMs":3000,"pool":"a"})"),
        "/paths/1/name"},
-      {rowsOf("{" + at + R"(},{"name":"q","host":"h","prefix":"/a/","kind":"stream","deadlineMs":30,"pool":"a"})"),
+      {withPaths("{" + validFields +
+                 R"(},{"name":"q","host":"h","prefix":"/a/","kind":"stream","deadlineMs":30,"pool":"a"})"),
        "/paths/1/prefix"},
       {without("name"), "/paths/0/name"},
       {without("name", R"({"name":")" + longText + R"("})"), "/paths/0/name"},
@@ -207,14 +213,14 @@
        "/paths/0/shares/1/pool"},
       {without("pool", R"({"shares":[{"pool":"big","share":1,"surprise":1}]})"), "/paths/0/shares/0/surprise"},
       {without("pool", R"({"shares":[1]})"), "/paths/0/shares/0"}};
-  CHECK(faultOf(path("")).empty());
-  for (Row const& r : rows) {
-    INFO(r.spec);
-    CHECK(faultOf(r.spec) == r.pointer);
+  CHECK(errorPointer(path("")).empty());
+  for (InvalidCase const& c : cases) {
+    INFO(c.spec);
+    CHECK(errorPointer(c.spec) == c.pointer);
   }
 }
 
-TEST_CASE("a patch replaces in place, appends and drops, and says the new version") {
+TEST_CASE("a patch replaces items in place, appends and removes items, and must state the new version") {
   char const* const current = R"({"version":3,"extra":{"old":1},"door":{"headMs":5},"pools":[{"name":"a"},{"name":"b"}],
     "paths":[{"name":"x","n":1},{"name":"y","n":2},{"name":"z","n":3}]})";
   QJsonObject const out = config::patchFleetConfiguration(
@@ -226,19 +232,20 @@
             .value("door")
             .toObject()
             .isEmpty());
-  CHECK(faultOf(current, R"({"set":{}})") == "/version");
-  CHECK(faultOf(current, R"({"version":4,"surprise":{}})") == "/surprise");
-  CHECK(faultOf(current, R"({"version":4,"set":[]})") == "/set");
-  CHECK(faultOf(current, R"({"version":4,"set":{"door":{}}})") == "/set/door");
-  CHECK(faultOf(current, R"({"version":4,"set":{"paths":{}}})") == "/set/paths");
-  CHECK(faultOf(current, R"({"version":4,"set":{"paths":[7]}})") == "/set/paths/0");
-  CHECK(faultOf(current, R"({"version":4,"set":{"paths":[{}]}})") == "/set/paths/0/name");
-  CHECK(faultOf(current, R"({"version":4,"set":{"paths":[{"name":"x"},{"name":"x"}]}})") == "/set/paths/1/name");
-  CHECK(faultOf(current, R"({"version":4,"drop":{"pools":[7]}})") == "/drop/pools/0");
-  CHECK(faultOf(current, R"({"version":4,"set":{"paths":[{"name":"x"}]},"drop":{"paths":["x"]}})") == "/drop/paths/0");
+  CHECK(errorPointer(current, R"({"set":{}})") == "/version");
+  CHECK(errorPointer(current, R"({"version":4,"surprise":{}})") == "/surprise");
+  CHECK(errorPointer(current, R"({"version":4,"set":[]})") == "/set");
+  CHECK(errorPointer(current, R"({"version":4,"set":{"door":{}}})") == "/set/door");
+  CHECK(errorPointer(current, R"({"version":4,"set":{"paths":{}}})") == "/set/paths");
+  CHECK(errorPointer(current, R"({"version":4,"set":{"paths":[7]}})") == "/set/paths/0");
+  CHECK(errorPointer(current, R"({"version":4,"set":{"paths":[{}]}})") == "/set/paths/0/name");
+  CHECK(errorPointer(current, R"({"version":4,"set":{"paths":[{"name":"x"},{"name":"x"}]}})") == "/set/paths/1/name");
+  CHECK(errorPointer(current, R"({"version":4,"drop":{"pools":[7]}})") == "/drop/pools/0");
+  CHECK(errorPointer(current, R"({"version":4,"set":{"paths":[{"name":"x"}]},"drop":{"paths":["x"]}})") ==
+        "/drop/paths/0");
 }
 
-TEST_CASE("a rendered path shares its requests over its one pool") {
+TEST_CASE("a rendered path sends all its requests to its one pool") {
   QJsonObject const family{
       {"template", object(R"({"spec":{"paths":[{"path":"a","pool":"model","class":"short"}]},"stamp":1})")},
       {"instances", object(R"({"i":{"spec":{},"stamp":2}})")}};
@@ -247,41 +254,41 @@
   CHECK((p.weightedPools[0].pool == "model" && p.weightedPools[0].weight == 1));
 }
 
-TEST_CASE("a replica may have a name of its own life") {
+TEST_CASE("a replica may have an id, which must be valid and unique") {
   config::EndpointList const p = config::readEndpointList(object(
       R"({"generation":1,"replicas":[{"id":"i-7f","address":"127.0.0.1:80","zone":"z","state":"cold"},{"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
   CHECK((p.replicas.at(0).id == "i-7f" && p.replicas.at(1).id.empty()));
-  auto const fault = [](std::string const& one, std::string const& two) -> std::string {
+  auto const errorOf = [](std::string const& firstId, std::string const& secondId) -> std::string {
     try {
-      config::readEndpointList(object(R"({"generation":1,"replicas":[{"id":)" + one +
-                                      R"(,"address":"127.0.0.1:80","zone":"z","state":"cold"},{"id":)" + two +
+      config::readEndpointList(object(R"({"generation":1,"replicas":[{"id":)" + firstId +
+                                      R"(,"address":"127.0.0.1:80","zone":"z","state":"cold"},{"id":)" + secondId +
                                       R"(,"address":"127.0.0.1:81","zone":"z","state":"cold"}]})"));
     } catch (config::ConfigError const& e) {
       return e.pointer();
     }
     return "";
   };
-  CHECK(fault(R"("a")", R"("b")").empty());
-  CHECK(fault(R"("a")", R"("a")") == "/replicas/1/id");
-  CHECK(fault(R"("")", R"("a")") == "/replicas/0/id");
-  CHECK(fault("7", R"("a")") == "/replicas/0/id");
-  CHECK(fault("\"" + std::string(129, 'x') + "\"", R"("a")") == "/replicas/0/id");
+  CHECK(errorOf(R"("a")", R"("b")").empty());
+  CHECK(errorOf(R"("a")", R"("a")") == "/replicas/1/id");
+  CHECK(errorOf(R"("")", R"("a")") == "/replicas/0/id");
+  CHECK(errorOf("7", R"("a")") == "/replicas/0/id");
+  CHECK(errorOf("\"" + std::string(129, 'x') + "\"", R"("a")") == "/replicas/0/id");
 }
 
-TEST_CASE("tenants that are not valid are rejected with their place") {
-  auto const fault = [](std::string const& tenants) {
-    return faultOf(R"({"version":1,"paths":[],"pools":[],"tenants":)" + tenants + "}");
+TEST_CASE("an invalid tenant is rejected with a JSON pointer to the invalid value") {
+  auto const errorOf = [](std::string const& tenants) {
+    return errorPointer(R"({"version":1,"paths":[],"pools":[],"tenants":)" + tenants + "}");
   };
-  CHECK(fault(R"([{"name":"a","keys":["k"]},{"name":"b"}])").empty());
-  CHECK(fault(R"({})") == "/tenants");
-  CHECK(fault(R"([{"keys":["k"]}])") == "/tenants/0/name");
-  CHECK(fault(R"([{"name":"a"},{"name":"a"}])") == "/tenants/1/name");
-  CHECK(fault(R"([{"name":"a","keys":["k"]},{"name":"b","keys":["k"]}])") == "/tenants/1/keys");
-  CHECK(fault(R"([{"name":"a","keys":[""]}])") == "/tenants/0/keys/0");
-  CHECK(fault(R"([{"name":"a","keys":7}])") == "/tenants/0/keys");
-  CHECK(fault(R"([{"name":"a","rate":-1}])") == "/tenants/0/rate");
-  CHECK(fault(R"([{"name":"a","burst":"x"}])") == "/tenants/0/burst");
-  CHECK(fault(R"([{"name":"a","unit":"bytes"}])") == "/tenants/0/unit");
-  CHECK(fault(R"([{"name":"a","urgency":10}])") == "/tenants/0/urgency");
-  CHECK(fault(R"([{"name":"a","other":1}])") == "/tenants/0/other");
+  CHECK(errorOf(R"([{"name":"a","keys":["k"]},{"name":"b"}])").empty());
+  CHECK(errorOf(R"({})") == "/tenants");
+  CHECK(errorOf(R"([{"keys":["k"]}])") == "/tenants/0/name");
+  CHECK(errorOf(R"([{"name":"a"},{"name":"a"}])") == "/tenants/1/name");
+  CHECK(errorOf(R"([{"name":"a","keys":["k"]},{"name":"b","keys":["k"]}])") == "/tenants/1/keys");
+  CHECK(errorOf(R"([{"name":"a","keys":[""]}])") == "/tenants/0/keys/0");
+  CHECK(errorOf(R"([{"name":"a","keys":7}])") == "/tenants/0/keys");
+  CHECK(errorOf(R"([{"name":"a","rate":-1}])") == "/tenants/0/rate");
+  CHECK(errorOf(R"([{"name":"a","burst":"x"}])") == "/tenants/0/burst");
+  CHECK(errorOf(R"([{"name":"a","unit":"bytes"}])") == "/tenants/0/unit");
+  CHECK(errorOf(R"([{"name":"a","urgency":10}])") == "/tenants/0/urgency");
+  CHECK(errorOf(R"([{"name":"a","other":1}])") == "/tenants/0/other");
 }
--- a/config/test/golden_errors_test.cpp
+++ b/config/test/golden_errors_test.cpp
@@ -2,8 +2,8 @@
 
 #include "config/test/golden_forms.h"
 
-/// Errors of invalid configurations with their pointers and texts, which stand on operators' pages. Recording them anew
-/// is right only when docs/ gives the pages another form.
+/// Errors of invalid configurations: their pointers and texts, which operators get in HTTP responses. Record the golden
+/// files again only if the documentation in docs/ changes the form of these responses.
 namespace config = corkward::config;
 namespace core = corkward::core;
 namespace golden = corkward::golden;
@@ -23,16 +23,16 @@
   return "n" + QString::number(n);
 }
 
-/// A list with one item more than is allowed.
-QJsonArray listOver(std::size_t most, std::function<QJsonValue(int)> const& item) {
+/// A list with one item more than the maximum.
+QJsonArray listExceeding(std::size_t maximum, std::function<QJsonValue(int)> const& item) {
   QJsonArray out;
-  for (int i = 0; i <= static_cast<int>(most); ++i) out.append(item(i));
+  for (int i = 0; i <= static_cast<int>(maximum); ++i) out.append(item(i));
   return out;
 }
 
-QJsonObject objectOver(std::size_t most, QJsonValue const& item) {
+QJsonObject objectExceeding(std::size_t maximum, QJsonValue const& item) {
   QJsonObject out;
-  for (int i = 0; i <= static_cast<int>(most); ++i) out.insert(nameOf(i), item);
+  for (int i = 0; i <= static_cast<int>(maximum); ++i) out.insert(nameOf(i), item);
   return out;
 }
 
@@ -40,20 +40,21 @@
   return QJsonObject{{"name", nameOf(n)}};
 }
 
-QJsonObject wholeWith(char const* field, QJsonValue const& value) {
+QJsonObject fleetConfigurationWith(char const* field, QJsonValue const& value) {
   QJsonObject out{{"version", 1}, {"paths", QJsonArray()}, {"pools", QJsonArray()}};
   out.insert(QLatin1String(field), value);
   return out;
 }
 
-std::string wholeError(char const* field, QJsonValue const& value) {
-  return forms::outcome([&] { return forms::formOf(config::readFleetConfiguration(wholeWith(field, value))); });
+std::string fleetConfigurationError(char const* field, QJsonValue const& value) {
+  return forms::outcome(
+      [&] { return forms::formOf(config::readFleetConfiguration(fleetConfigurationWith(field, value))); });
 }
 
-std::string patchError(char const* part, QJsonArray const& list) {
-  QJsonObject const patch{{"version", 2}, {part, QJsonObject{{"paths", list}}}};
+std::string patchError(char const* section, QJsonArray const& list) {
+  QJsonObject const patch{{"version", 2}, {section, QJsonObject{{"paths", list}}}};
   return forms::outcome(
-      [&] { return core::jsonText(config::patchFleetConfiguration(wholeWith("version", 1), patch)); });
+      [&] { return core::jsonText(config::patchFleetConfiguration(fleetConfigurationWith("version", 1), patch)); });
 }
 
 std::string familyError(QJsonObject const& spec, QJsonObject const& instances) {
@@ -66,18 +67,18 @@
   return forms::outcome([&] { return forms::formOf(config::readRegimes(spec)); });
 }
 
-QJsonValue pathRow(int n) {
+QJsonValue pathSpec(int n) {
   return QJsonObject{{"path", nameOf(n)}, {"pool", "model"}, {"class", "short"}};
 }
 
-/// A template of so many paths.
+/// A template with the given number of paths.
 QJsonObject templateOf(std::size_t paths) {
-  return {{"paths", listOver(paths - 1, pathRow)}};
+  return {{"paths", listExceeding(paths - 1, pathSpec)}};
 }
 
 }  // namespace
 
-TEST_CASE("golden: errors of whole configurations are the same") {
+TEST_CASE("golden: errors of fleet configurations are the same") {
   checkErrors("whole", [](QJsonObject const& spec) { config::readFleetConfiguration(spec); });
 }
 
@@ -87,7 +88,7 @@
   checkErrors("family", [&](QJsonObject const& family) { forms::familyForm("desk", family, regimes); });
 }
 
-TEST_CASE("golden: errors of pools are the same") {
+TEST_CASE("golden: errors of endpoint lists are the same") {
   checkErrors("pool", [](QJsonObject const& value) { config::readEndpointList(value); });
 }
 
@@ -95,25 +96,25 @@
   checkErrors("regimes", [](QJsonObject const& spec) { config::readRegimes(spec); });
 }
 
-TEST_CASE("golden: errors of what is too many are the same") {
+TEST_CASE("golden: errors of lists that exceed their limits are the same") {
   QJsonValue const regime = QJsonObject{{"nacelles", "any"}};
-  QJsonArray const keys = listOver(config::maxTenantKeys, [](int n) { return QJsonValue(nameOf(n)); });
-  QJsonObject const manyParameters = objectOver(64, QJsonObject{{"type", "string"}});
-  QJsonObject const pool{{"generation", 1}, {"replicas", listOver(4096, named)}};
+  QJsonArray const keys = listExceeding(config::maxTenantKeys, [](int n) { return QJsonValue(nameOf(n)); });
+  QJsonObject const manyParameters = objectExceeding(64, QJsonObject{{"type", "string"}});
+  QJsonObject const pool{{"generation", 1}, {"replicas", listExceeding(4096, named)}};
   std::string text;
-  text += wholeError("pools", listOver(config::maxPools, named));
-  text += wholeError("paths", listOver(config::maxPaths, named));
-  text += wholeError("tenants", listOver(config::maxTenants, named));
-  text += wholeError("tenants", QJsonArray{QJsonObject{{"name", "a"}, {"keys", keys}}});
-  text += patchError("set", listOver(config::maxPaths, named));
-  text += patchError("drop", listOver(config::maxPaths, [](int n) { return QJsonValue(nameOf(n)); }));
-  text += familyError({{"parameters", manyParameters}, {"paths", QJsonArray{pathRow(0)}}}, {});
+  text += fleetConfigurationError("pools", listExceeding(config::maxPools, named));
+  text += fleetConfigurationError("paths", listExceeding(config::maxPaths, named));
+  text += fleetConfigurationError("tenants", listExceeding(config::maxTenants, named));
+  text += fleetConfigurationError("tenants", QJsonArray{QJsonObject{{"name", "a"}, {"keys", keys}}});
+  text += patchError("set", listExceeding(config::maxPaths, named));
+  text += patchError("drop", listExceeding(config::maxPaths, [](int n) { return QJsonValue(nameOf(n)); }));
+  text += familyError({{"parameters", manyParameters}, {"paths", QJsonArray{pathSpec(0)}}}, {});
   text += familyError(templateOf(config::maxPaths + 1), {});
-  text += familyError(templateOf(1), objectOver(config::maxInstances, QJsonObject{{"spec", QJsonObject()}}));
-  text +=
-      familyError(templateOf(config::maxRenderedPaths / 1000), objectOver(1000, QJsonObject{{"spec", QJsonObject()}}));
-  text += regimesError(objectOver(config::maxRegimes, regime), {});
-  text += regimesError({}, objectOver(config::maxCertificates, QJsonObject()));
+  text += familyError(templateOf(1), objectExceeding(config::maxInstances, QJsonObject{{"spec", QJsonObject()}}));
+  text += familyError(templateOf(config::maxRenderedPaths / 1000),
+                      objectExceeding(1000, QJsonObject{{"spec", QJsonObject()}}));
+  text += regimesError(objectExceeding(config::maxRegimes, regime), {});
+  text += regimesError({}, objectExceeding(config::maxCertificates, QJsonObject()));
   text += forms::outcome([&] { return forms::formOf(config::readEndpointList(pool)); });
   golden::check(forms::folder + "too-many.errors.txt", text);
 }
--- a/config/test/golden_forms.h
+++ b/config/test/golden_forms.h
@@ -11,7 +11,7 @@
 
 #include "testing/golden/golden.h"
 
-/// Parsed configurations as text, every field of them, one a line.
+/// Writes parsed configurations as text with one line for each field, to compare them with golden files.
 namespace corkward::config::golden_forms {
 
 inline std::string const folder = "config/test/golden/";
@@ -29,20 +29,20 @@
   return field(name, std::to_string(value));
 }
 
-/// A number as JSON has it, in the fewest digits that tell it.
+/// A number as JSON writes it: with the fewest digits that identify it.
 inline std::string decimal(char const* name, double value) {
   return field(name, core::jsonText(QJsonValue(value)));
 }
 
-inline char const* classText(RequestClass cls) {
-  return cls == RequestClass::urgent ? "urgent" : cls == RequestClass::quick ? "short" : "long";
+inline char const* classText(RequestClass requestClass) {
+  return requestClass == RequestClass::urgent ? "urgent" : requestClass == RequestClass::quick ? "short" : "long";
 }
 
 inline std::string formOf(Path const& path) {
   std::string out = "path\n" + field("instance", path.instance) + field("path", path.path);
   out += field("host", path.host) + field("prefix", path.prefix) + field("pool", path.pool);
-  for (WeightedPool const& share : path.weightedPools)
-    out += field("share", share.pool + " " + std::to_string(share.weight));
+  for (WeightedPool const& weighted : path.weightedPools)
+    out += field("share", weighted.pool + " " + std::to_string(weighted.weight));
   out += field("class", classText(path.requestClass));
   out += number("aim", path.latencyTarget) + number("deadline", path.deadline) + number("gap aim", path.eventGapTarget);
   out += number("resumable", path.resumable) + number("repeatable", path.idempotent) + number("stream", path.stream);
@@ -75,11 +75,11 @@
          number("head ms", http.headerTimeout) + number("idle ms", http.idleTimeout);
 }
 
-inline std::string formOf(FleetConfiguration const& whole) {
-  std::string out = "version " + std::to_string(whole.version) + "\n" + formOf(whole.paths);
-  for (PoolSettings const& pool : whole.pools) out += formOf(pool);
-  for (Tenant const& tenant : whole.tenants) out += formOf(tenant);
-  return out + formOf(whole.http);
+inline std::string formOf(FleetConfiguration const& configuration) {
+  std::string out = "version " + std::to_string(configuration.version) + "\n" + formOf(configuration.paths);
+  for (PoolSettings const& pool : configuration.pools) out += formOf(pool);
+  for (Tenant const& tenant : configuration.tenants) out += formOf(tenant);
+  return out + formOf(configuration.http);
 }
 
 inline char const* stateText(ReplicaState state) {
@@ -113,7 +113,7 @@
   return out;
 }
 
-/// What a reader says: its result, or the error as operators see it.
+/// Returns the result of a function that reads a configuration, or the error as operators see it.
 template <typename Read>
 std::string outcome(Read const& read) {
   try {
@@ -126,7 +126,7 @@
   }
 }
 
-/// Outcomes of all lines of a file of inputs, by the number of the line.
+/// Returns the outcomes for all lines of a file of inputs, each after the number of its line.
 template <typename Read>
 std::string outcomes(std::string const& inputs, Read const& read) {
   std::string out;
@@ -136,19 +136,21 @@
   return out;
 }
 
-/// A family that is checked and rendered with the pools "model", "gateway" and "study", and these regimes.
+/// Checks a family against these regimes and the pools "model", "gateway" and "study", and writes its paths as text.
 inline std::string familyForm(std::string const& name, QJsonObject const& family, Regimes const& regimes) {
-  /// 2026-03-01T00:00:00Z
-  constexpr std::int64_t spring = 1772323200000;
-  auto const known = [](std::string const& pool) { return pool == "model" || pool == "gateway" || pool == "study"; };
+  /// 2026-03-01T00:00:00Z, in milliseconds since 1970.
+  constexpr std::int64_t evaluationTime = 1772323200000;
+  auto const isKnownPool = [](std::string const& pool) {
+    return pool == "model" || pool == "gateway" || pool == "study";
+  };
   auto const regimeFault = [&](std::string const& regime, std::string const& pool) {
-    auto const fault = findRegimeFault(regimes, regime, pool, spring);
+    auto const fault = findRegimeFault(regimes, regime, pool, evaluationTime);
     return fault ? fault->reason : std::string();
   };
-  checkTemplateFamily(family, known, regimeFault);
+  checkTemplateFamily(family, isKnownPool, regimeFault);
   std::string out = formOf(renderPaths(name, family));
-  for (RegimeRequirement const& use : regimeRequirements(renderPaths(name, family)))
-    out += "regime use " + use.instance + " " + use.regime + " " + use.pool + "\n";
+  for (RegimeRequirement const& requirement : regimeRequirements(renderPaths(name, family)))
+    out += "regime use " + requirement.instance + " " + requirement.regime + " " + requirement.pool + "\n";
   return out + "accepted\n";
 }
 
--- a/config/test/golden_test.cpp
+++ b/config/test/golden_test.cpp
@@ -1,8 +1,8 @@
 #include "config/test/golden_forms.h"
 
-/// Parsed forms of configurations, and the JSON that is written of them, as a released version had them. The inputs
-/// stand beside the results, since members keep such values on their disks and operators in their files. Recording anew
-/// is right only when docs/ gives a configuration another form; a new example adds a file.
+/// Parsed forms of configurations and the JSON written from them, as a released version produced them. The inputs are
+/// stored next to the results, since controllers have such values on their disks and operators in their files. Record
+/// the golden files again only if the documentation in docs/ changes the form of a configuration, or for a new example.
 namespace config = corkward::config;
 namespace core = corkward::core;
 namespace golden = corkward::golden;
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// 2026-03-01T00:00:00Z
-constexpr std::int64_t spring = 1772323200000;
+/// 2026-03-01T00:00:00Z, in milliseconds since 1970.
+constexpr std::int64_t betweenValidities = 1772323200000;
 
 QJsonObject entry(QJsonObject const& spec) {
   return {{"spec", spec}, {"stamp", 1}};
@@ -25,13 +25,13 @@
   return {{"template", entry(templateSpec)}, {"instances", QJsonObject{{"nord", entry(instanceSpec)}}}};
 }
 
-/// A template of the examples with an instance that names its site.
+/// The paths of an example template with an instance that sets its parameter "site".
 std::string templateForm(std::string const& examples, std::string const& name) {
   QJsonObject const instance{{"parameters", QJsonObject{{"site", "nord"}}}};
   return forms::familyForm(name, familyOf(fileAt(examples + name + ".json"), instance), {});
 }
 
-/// A declared template with its declared instance.
+/// The paths of a template and its instance, both in the form of declaration files.
 std::string declaredForm(std::string const& examples, std::string const& name, config::Regimes const& regimes) {
   QJsonObject const own = fileAt(examples + name + ".json");
   QJsonObject const instance = fileAt(examples + name + ".nord.json");
@@ -42,7 +42,7 @@
          core::toStdString(instance.value("instance").toString()) + "\n" + form;
 }
 
-/// All configurations of a folder of examples.
+/// All configurations in a directory of examples.
 std::string examplesForm(std::string const& examples) {
   config::Regimes const regimes = config::readRegimes(fileAt(examples + "regimes/certificates.json"));
   std::string out;
@@ -55,7 +55,7 @@
   return out + forms::formOf(config::readFleetConfiguration(fileAt(examples + "configuration.json")));
 }
 
-/// A family as it is kept in a register is checked, rendered, and written without its history.
+/// Checks and renders a stored family, and writes it without the history of its changes.
 std::string familyOutcome(std::string const& input) {
   QJsonObject const family = forms::object(input);
   config::Regimes const regimes = config::readRegimes(
@@ -64,7 +64,7 @@
          core::jsonText(config::removeChangeHistory(family)) + "\n";
 }
 
-std::string poolOutcome(std::string const& input) {
+std::string endpointListOutcome(std::string const& input) {
   QJsonObject const value = forms::object(input);
   config::EndpointList const pool = config::readStoredEndpointList(value);
   return forms::formOf(pool) + "written " + core::jsonText(config::endpointListJson(pool)) + "\n";
@@ -74,10 +74,10 @@
   std::string out;
   for (char const* const regime : {"health", "export", "nobody"})
     for (char const* const zone : {"z1", "z2", "z3"}) {
-      for (char const* const life : {"", "r7", "r8"}) {
-        config::Replica const replica{life, "127.0.0.1:80", zone, config::ReplicaState::serving};
+      for (char const* const incarnation : {"", "r7", "r8"}) {
+        config::Replica const replica{incarnation, "127.0.0.1:80", zone, config::ReplicaState::serving};
         config::Certificate const* const found = config::findCertificate(regimes, regime, "model", replica, now);
-        out += std::string("  replica ") + regime + " " + zone + " " + life + ": " +
+        out += std::string("  replica ") + regime + " " + zone + " " + incarnation + ": " +
                (found == nullptr ? "none" : found->name) + "\n";
       }
       for (char const* const link : {"127.0.0.8:1", "127.0.0.9:1"})
@@ -109,14 +109,14 @@
   }
 }
 
-TEST_CASE("golden: whole configurations are parsed to the same form") {
+TEST_CASE("golden: fleet configurations are parsed to the same form") {
   golden::check(forms::folder + "valid-whole.form.txt",
                 forms::outcomes("valid-whole.input.txt", [](std::string const& input) {
                   return forms::formOf(config::readFleetConfiguration(forms::object(input)));
                 }));
 }
 
-TEST_CASE("golden: patches of a whole configuration write the same JSON") {
+TEST_CASE("golden: patches of a fleet configuration write the same JSON") {
   QJsonObject current = fileAt(forms::folder + "examples/configuration.json");
   std::string const text = forms::outcomes("patches.input.txt", [&](std::string const& input) {
     QJsonObject const next = config::patchFleetConfiguration(current, forms::object(input));
@@ -132,28 +132,29 @@
   golden::check(forms::folder + "valid-family.form.txt", forms::outcomes("valid-family.input.txt", familyOutcome));
 }
 
-TEST_CASE("golden: pools are parsed to the same form, and written to the same JSON") {
-  golden::check(forms::folder + "valid-pool.form.txt", forms::outcomes("valid-pool.input.txt", poolOutcome));
+TEST_CASE("golden: endpoint lists are parsed to the same form and written as the same JSON") {
+  golden::check(forms::folder + "valid-pool.form.txt", forms::outcomes("valid-pool.input.txt", endpointListOutcome));
 }
 
 TEST_CASE("golden: regimes and certificates are parsed to the same form") {
   golden::check(forms::folder + "valid-regimes.form.txt",
                 forms::outcomes("valid-regimes.input.txt", [](std::string const& input) {
                   QJsonObject const spec = forms::object(input);
-                  config::Regimes const kept = config::readStoredRegimes(entry(spec));
-                  REQUIRE(forms::formOf(kept) == forms::formOf(config::readRegimes(spec)));
-                  return forms::formOf(kept);
+                  config::Regimes const stored = config::readStoredRegimes(entry(spec));
+                  REQUIRE(forms::formOf(stored) == forms::formOf(config::readRegimes(spec)));
+                  return forms::formOf(stored);
                 }));
   CHECK(forms::formOf(config::readStoredRegimes({})).empty());
 }
 
-TEST_CASE("golden: certificates count, and faults of regimes are told, alike") {
+TEST_CASE("golden: certificates are valid at the same times, and faults of regimes are the same") {
   config::Regimes const regimes = config::readRegimes(
       forms::object(golden::lines(golden::read(forms::folder + "valid-regimes.input.txt")).front()));
   std::string text;
-  /// Around the beginning and the end of certificates, between them, and without a time.
-  std::vector<config::WallTime> const times{std::nullopt,  1767225659999, 1767225660000, spring,       1780271940249,
-                                            1780271940250, 1798761539999, 1798761540000, 1800000000000};
+  /// Times just before and after certificates start and end, times between these, and an unknown time.
+  std::vector<config::WallTime> const times{std::nullopt,      1767225659999, 1767225660000,
+                                            betweenValidities, 1780271940249, 1780271940250,
+                                            1798761539999,     1798761540000, 1800000000000};
   for (config::WallTime const& now : times) {
     text += "at " + (now ? std::to_string(*now) : std::string("no time")) + "\n";
     for (auto const& [name, certificate] : regimes.certificates)
@@ -163,7 +164,7 @@
   golden::check(forms::folder + "certificates-in-force.txt", text);
 }
 
-TEST_CASE("golden: names and labels are accepted and written alike") {
+TEST_CASE("golden: the same names and labels are accepted, and labels are encoded alike") {
   std::vector<std::string> const names{"",
                                        "a",
                                        "zh-a",
@@ -187,21 +188,21 @@
                                        std::string(129, 'a')};
   std::string text;
   for (std::string const& name : names) {
-    std::string const part = config::percentEncodeLabel(name);
-    text += part + " name " + std::to_string(config::isValidName(name)) + " label " +
+    std::string const segment = config::percentEncodeLabel(name);
+    text += segment + " name " + std::to_string(config::isValidName(name)) + " label " +
             std::to_string(config::isValidLabel(name)) + " back " +
-            std::to_string(config::percentDecodeLabel(part) == name) + "\n";
+            std::to_string(config::percentDecodeLabel(segment) == name) + "\n";
   }
   golden::check(forms::folder + "names.txt", text);
 }
 
-TEST_CASE("golden: keys, pages, classes and bounds are the same") {
+TEST_CASE("golden: keys, HTTP resources, classes and limits are the same") {
   std::string text =
       std::string("key ") + config::fleetConfigurationKey + "\npage " + config::fleetConfigurationPage + "\n";
   text += std::string("key ") + config::regimesKey + "\nmargin " + std::to_string(config::clockMarginMs) + "\n";
-  for (config::RequestClassDefaults const& row : config::requestClassDefaults)
-    text += "class " + std::string(row.name) + " " + forms::classText(row.requestClass) + " aim " +
-            std::to_string(row.latencyTarget) + " deadline " + std::to_string(row.deadline) + "\n";
+  for (config::RequestClassDefaults const& defaults : config::requestClassDefaults)
+    text += "class " + std::string(defaults.name) + " " + forms::classText(defaults.requestClass) + " aim " +
+            std::to_string(defaults.latencyTarget) + " deadline " + std::to_string(defaults.deadline) + "\n";
   text += "text " + std::to_string(config::maxTextBytes) + "\npools " + std::to_string(config::maxPools) + "\n";
   text += "paths " + std::to_string(config::maxPaths) + "\ntenants " + std::to_string(config::maxTenants) + "\n";
   text += "tenant keys " + std::to_string(config::maxTenantKeys) + "\n";
--- a/config/test/regimes_test.cpp
+++ b/config/test/regimes_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr char const* good = R"({
+constexpr char const* validRegimes = R"({
   "regimes": {"health": {"nacelles": "certified", "reserve": 0.25}, "export": {"nacelles": "any", "note": "n"}},
   "certificates": {
     "h-z1": {"regime": "health", "carrier": "replicas", "pool": "model", "zone": "z1", "from": "2026-01-01T00:00:00Z", "until": "2027-01-01T00:00:00Z"},
@@ -28,34 +28,35 @@
   return QDateTime::fromString(time, Qt::ISODate).toMSecsSinceEpoch();
 }
 
-config::Replica replica(char const* address, char const* life, char const* zone) {
-  return config::Replica{life, address, zone, config::ReplicaState::serving};
+config::Replica replica(char const* address, char const* incarnation, char const* zone) {
+  return config::Replica{incarnation, address, zone, config::ReplicaState::serving};
 }
 
 }  // namespace
 
-TEST_CASE("a replica is certified by its pool, zone and life, never by its address alone") {
-  config::Regimes const r = config::readRegimes(object(good));
+TEST_CASE("a replica is certified by its pool, zone and incarnation, never by its address alone") {
+  config::Regimes const r = config::readRegimes(object(validRegimes));
   config::WallTime const now = at("2026-03-01T00:00:00Z");
-  auto const under = [&](char const* regime, char const* pool, config::Replica const& one, config::WallTime wall) {
-    config::Certificate const* const c = config::findCertificate(r, regime, pool, one, wall);
+  auto const certificateFor = [&](char const* regime, char const* pool, config::Replica const& candidate,
+                                  config::WallTime wall) {
+    config::Certificate const* const c = config::findCertificate(r, regime, pool, candidate, wall);
     return c == nullptr ? std::string() : c->name;
   };
-  CHECK(under("health", "model", replica("10.0.0.5:80", "r1", "z1"), now) == "h-z1");
-  CHECK(under("health", "model", replica("10.0.0.1:80", "r7", "z2"), now) == "h-one");
-  CHECK(under("health", "model", replica("10.0.0.1:80", "r8", "z2"), now).empty());
-  CHECK(under("health", "model", replica("10.0.0.2:80", "r7", "z2"), now).empty());
-  CHECK(under("health", "model", replica("10.0.0.1:80", "r7", "z3"), now).empty());
-  CHECK(under("health", "other", replica("10.0.0.5:80", "r1", "z1"), now).empty());
-  CHECK(under("health", "model", replica("10.0.0.5:80", "", "z1"), now).empty());
-  CHECK(under("health", "model", replica("10.0.0.5:80", "r1", "z1"), std::nullopt).empty());
-  CHECK(under("nobody", "model", replica("10.0.0.5:80", "r1", "z1"), now).empty());
-  CHECK(under("export", "model", replica("10.0.0.5:80", "r1", "z1"), now).empty());
-  CHECK(under("export", "model", replica("10.0.0.5:80", "r1", "z2"), now) == "e-z2");
+  CHECK(certificateFor("health", "model", replica("10.0.0.5:80", "r1", "z1"), now) == "h-z1");
+  CHECK(certificateFor("health", "model", replica("10.0.0.1:80", "r7", "z2"), now) == "h-one");
+  CHECK(certificateFor("health", "model", replica("10.0.0.1:80", "r8", "z2"), now).empty());
+  CHECK(certificateFor("health", "model", replica("10.0.0.2:80", "r7", "z2"), now).empty());
+  CHECK(certificateFor("health", "model", replica("10.0.0.1:80", "r7", "z3"), now).empty());
+  CHECK(certificateFor("health", "other", replica("10.0.0.5:80", "r1", "z1"), now).empty());
+  CHECK(certificateFor("health", "model", replica("10.0.0.5:80", "", "z1"), now).empty());
+  CHECK(certificateFor("health", "model", replica("10.0.0.5:80", "r1", "z1"), std::nullopt).empty());
+  CHECK(certificateFor("nobody", "model", replica("10.0.0.5:80", "r1", "z1"), now).empty());
+  CHECK(certificateFor("export", "model", replica("10.0.0.5:80", "r1", "z1"), now).empty());
+  CHECK(certificateFor("export", "model", replica("10.0.0.5:80", "r1", "z2"), now) == "e-z2");
 }
 
-TEST_CASE("a certificate counts from a margin after its beginning to a margin before its end") {
-  config::Regimes const r = config::readRegimes(object(good));
+TEST_CASE("a certificate is valid from a margin after its start to a margin before its end") {
+  config::Regimes const r = config::readRegimes(object(validRegimes));
   config::Certificate const& c = r.certificates.at("h-z1");
   CHECK_FALSE(config::isValidAt(c, at("2026-01-01T00:00:59Z")));
   CHECK(config::isValidAt(c, at("2026-01-01T00:01:00Z")));
@@ -65,8 +66,8 @@
   CHECK(config::isValidAt(r.certificates.at("h-one"), 0));
 }
 
-TEST_CASE("a router is certified by its zone, or by link and zone, where the regime asks for it") {
-  config::Regimes const r = config::readRegimes(object(good));
+TEST_CASE("a router is certified by its zone, or by link and zone, if the regime requires certified routers") {
+  config::Regimes const r = config::readRegimes(object(validRegimes));
   config::WallTime const now = at("2026-03-01T00:00:00Z");
   CHECK(config::routerMayForward(r, "health", "10.0.0.3:1", "z1", now));
   CHECK(config::routerMayForward(r, "health", "10.0.0.9:1", "z2", now));
@@ -78,8 +79,8 @@
   CHECK_FALSE(config::routerMayForward(r, "nobody", "10.0.0.3:1", "z1", now));
 }
 
-TEST_CASE("a regime that nothing could serve is told with its place") {
-  config::Regimes r = config::readRegimes(object(good));
+TEST_CASE("a regime that nothing can serve is reported with a pointer and a reason") {
+  config::Regimes r = config::readRegimes(object(validRegimes));
   config::WallTime const now = at("2026-03-01T00:00:00Z");
   CHECK_FALSE(config::findRegimeFault(r, "health", "model", now));
   CHECK(config::findRegimeFault(r, "nobody", "model", now)->pointer == "/regimes/nobody");
@@ -93,12 +94,12 @@
         "regime health has no certificate in force for any router");
 }
 
-TEST_CASE("what is no valid declaration of regimes is rejected with its place") {
-  struct Row {
+TEST_CASE("an invalid declaration of regimes is rejected with a JSON pointer to the invalid value") {
+  struct Case {
     char const* spec;
     char const* pointer;
   };
-  constexpr Row rows[] = {
+  constexpr Case cases[] = {
       {R"({"certificates": {}})", "/regimes"},
       {R"({"regimes": {}})", "/certificates"},
       {R"({"regimes": [], "certificates": {}})", "/regimes"},
@@ -130,24 +131,24 @@
        "/certificates/c/until"},
       {R"({"regimes": {}, "certificates": {"c": {"carrier": "nacelles", "regime": "a", "zone": "z", "from": "2027-01-01T00:00:00Z", "until": "2027-01-01T00:02:00Z"}}})",
        "/certificates/c/until"}};
-  for (Row const& r : rows) {
+  for (Case const& c : cases) {
     try {
-      config::readRegimes(object(r.spec));
-      FAIL("accepted: " << r.spec);
+      config::readRegimes(object(c.spec));
+      FAIL("accepted: " << c.spec);
     } catch (config::ConfigError const& e) {
-      CHECK(e.pointer() == r.pointer);
+      CHECK(e.pointer() == c.pointer);
     }
   }
 }
 
-TEST_CASE("a regime is named in the template, filled by a parameter, or exchanged in the instance, never dropped") {
-  struct Row {
+TEST_CASE("a regime is set by the template or a parameter, and an instance may replace it but not remove it") {
+  struct Case {
     char const* spec;
     char const* instance;
-    /// The regime that comes out, or the pointer of the fault.
+    /// The regime of the rendered path, or the pointer of the error.
     char const* expected;
   };
-  constexpr Row rows[] = {
+  constexpr Case cases[] = {
       {R"({"paths":[{"path":"a","pool":"model","class":"short"}]})", R"({})", ""},
       {R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({})", "health"},
       {R"({"regime":"health","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({"regime":"export"})",
@@ -165,11 +166,11 @@
       {R"({"regime":"nobody","paths":[{"path":"a","pool":"model","class":"short"}]})", R"({})", "/template/regime"},
       {R"({"paths":[{"path":"a","pool":"gateway","class":"short"}]})", R"({"regime":"health"})",
        "/instances/i/regime"}};
-  config::Regimes const regimes = config::readRegimes(object(good));
-  for (Row const& r : rows) {
+  config::Regimes const regimes = config::readRegimes(object(validRegimes));
+  for (Case const& c : cases) {
     QJsonObject const family{
-        {"template", QJsonObject{{"spec", object(r.spec)}, {"stamp", 1}}},
-        {"instances", QJsonObject{{"i", QJsonObject{{"spec", object(r.instance)}, {"stamp", 2}}}}}};
+        {"template", QJsonObject{{"spec", object(c.spec)}, {"stamp", 1}}},
+        {"instances", QJsonObject{{"i", QJsonObject{{"spec", object(c.instance)}, {"stamp", 2}}}}}};
     std::string out;
     try {
       config::checkTemplateFamily(
@@ -184,7 +185,7 @@
     } catch (config::ConfigError const& e) {
       out = e.pointer();
     }
-    INFO(r.spec << " " << r.instance);
-    CHECK(out == r.expected);
+    INFO(c.spec << " " << c.instance);
+    CHECK(out == c.expected);
   }
 }
