--- a/audit/include/corkward/audit/audit_log.h
+++ b/audit/include/corkward/audit/audit_log.h
@@ -13,9 +13,9 @@
 
 namespace corkward::audit {
 
-/// What became of requests, whose they were, and where they ran: what is counted together.
+/// Key by which requests are counted: their outcome, the path they belong to, and the replica that served them.
 struct RecordCategory {
-  /// handed-over, resumed, served, not-run, broken or rejected.
+  /// One of handed-over, resumed, served, not-run, broken and denied.
   std::string outcome;
   std::string regime;
   std::string instance;
@@ -29,37 +29,45 @@
   auto operator<=>(RecordCategory const&) const = default;
 };
 
-/// The newest record of an audit log: one that was truncated since does not contain it.
+/// Number and hash of the newest record of an audit log. A copy that is stored outside the log shows later whether
+/// records were cut off its end.
 struct AuditHead {
   std::uint64_t number = 0;
   std::string hash;
 };
 
-/// Counts of one span are written when it ends.
+/// Length of a count period in milliseconds. The counts of a period are written when it ends.
 inline constexpr std::int64_t countPeriodMs = 60000;
 
+/// Size of an audit log on disk. The oldest segment file is removed if there are more than `maxSegments`, but at least
+/// two are retained.
 struct RetentionLimits {
   std::uint64_t segmentBytes = 1U << 20;
   std::size_t maxSegments = 64;
 };
 
-/// Writes the audit log of one node: records in lines, each with the SHA-256 of its text, which holds the hash of the
-/// record before. Writing may throw write-ahead log::Error.
+/// Writes the audit log of one router. Each line is one record, preceded by the SHA-256 of its text. The text contains
+/// the hash of the previous record, so that the records form a hash chain. All functions that write a record throw
+/// storage::StorageError if the disk fails.
 class AuditLog {
  public:
-  /// Goes on after the newest record in the folder; a last line that was torn is cut off. The folder must outlive it.
-  AuditLog(storage::Directory& folder, std::string node, std::int64_t wall, RetentionLimits bounds = {});
-  /// Counts one request. The first of its kind in a span is in the file when this returns, the others when the span
-  /// ends.
-  void countOutcome(RecordCategory const& kind, std::int64_t wall);
-  /// Writes the counts of a span that has ended.
+  /// Continues the log after the newest record in the directory. An incomplete last line, which an interrupted write
+  /// leaves behind, is cut off.
+  /// @param directory directory of the log, which must outlive this object
+  /// @param wall wall time in milliseconds since 1970, here and in all other functions
+  AuditLog(storage::Directory& directory, std::string node, std::int64_t wall, RetentionLimits limits = {});
+  /// Counts one request. The first request of a category in a count period is written to the file before this returns;
+  /// the number of the others is written when the period ends.
+  void countOutcome(RecordCategory const& category, std::int64_t wall);
+  /// Writes the counts of the count period if it has ended.
   void onTimer(std::int64_t wall);
-  /// Writes a record that says no more than that it could be written.
+  /// Writes a record without content, to find out whether the disk accepts writes.
   void probeDisk(std::int64_t wall);
-  /// Writes all counts; nothing is missing from this incarnation.
+  /// Writes all remaining counts and a record that marks the counts of this incarnation as complete.
   void close(std::int64_t wall);
   AuditHead const& head() const { return head_; }
-  /// File with records that were not synced yet, to be synced where it holds nothing up; empty: none.
+  /// Returns the file that has records which are not synced yet, and takes it as synced from then on. The caller syncs
+  /// it on a thread that may block. Returns an empty name if there is no such file.
   std::string takeUnsynced();
 
  private:
@@ -69,56 +77,63 @@
 
   storage::Directory& directory_;
   std::string node_;
-  RetentionLimits bounds_;
+  RetentionLimits limits_;
   AuditHead head_;
   std::string file_;
   std::uint64_t size_ = 0;
   std::vector<std::string> files_;
   bool unsynced_ = false;
-  /// The file may end in a part of a line that could not be written.
+  /// Whether the file may end in an incomplete line after a failed write.
   bool partiallyWritten_ = false;
+  /// Start of the current count period, in milliseconds since 1970.
   std::int64_t countPeriod_ = 0;
-  /// Counted in this span and not written yet; 0: the first one is written.
+  /// Requests that were counted in the current period and are not written yet. 0 if only the first request was counted,
+  /// which is written at once.
   std::map<RecordCategory, std::uint64_t> counts_;
 };
 
-/// A place where a trail is not as it was written.
+/// A line of an audit log that was changed after it was written, or that does not follow the line before it.
 struct IntegrityFault {
   std::string file;
   std::size_t line = 0;
   std::string reason;
 };
 
-/// An audit log as it was read from its folder.
+/// The content of an audit log as it was read from its directory.
 struct AuditLogView {
   std::string node;
   std::vector<QJsonObject> records;
   std::vector<IntegrityFault> faults;
-  /// The newest line is incomplete: the node was writing, or lost its power.
+  /// Whether the newest line is incomplete, because the router was writing it at that moment or lost its power.
   bool tornTail = false;
-  /// Number of the first record that is kept; those before were dropped by the bound.
+  /// Number of the oldest record that is retained. Earlier ones were removed by the retention limits.
   std::uint64_t firstNumber = 0;
   AuditHead head;
   /// Hash of each record by its number.
   std::map<std::uint64_t, std::string> hashes;
 };
 
-/// Reads an audit log and checks that each record is as it was written and follows the one before.
-AuditLogView readAuditLog(storage::Directory& folder);
+/// Reads an audit log and verifies the hash of each record and its link to the previous record.
+AuditLogView readAuditLog(storage::Directory& directory);
 
-/// What ran where, what was rejected and what resumed, by regime and span of time, from the audit logs of all nodes.
+/// Selects what a report on the audit logs contains.
 struct ReportQuery {
-  /// Empty: all.
+  /// The only regime to report on. Empty if all regimes are reported.
   std::string regime;
-  /// Wall time in milliseconds; 0: no bound.
+  /// Start (inclusive) and end (exclusive) in milliseconds since 1970. 0 if there is no such limit.
   std::int64_t from = 0;
   std::int64_t until = 0;
+  /// Length in milliseconds of the periods by which the counts are grouped.
   std::int64_t span = 3600000;
-  /// Heads that were noted elsewhere, by node: each must be in its log.
+  /// Heads that were recorded outside the logs, each with the name of its router. The log of that router must contain
+  /// the record, unless the retention limits have removed it.
   std::vector<std::pair<std::string, AuditHead>> heads;
 };
-/// {"regimes": {name: [{"span", "counts": [{"what", "instance", ..., "count"}]}]}, "nodes": [{"node", "first", "head",
-/// "lives": [...], "faults": [...]}], "whole"}; an incarnation that has no end says that its counts are the least.
+/// Returns a report on the audit logs of several routers: the counts by regime and period, and the state of each log.
+/// It has the form {"regimes": {name: [{"span", "counts": [{"what", "instance", ..., "count"}]}]}, "nodes": [{"node",
+/// "first", "head", "lives": [...], "faults": [...]}], "whole"}. "lives" are the incarnations of a router. If one did
+/// not end with AuditLog::close, its counts are lower bounds, which "countsAreLeast" says. "whole" is true if no log
+/// has a fault and none is missing.
 QJsonObject auditReport(std::vector<AuditLogView> const& logs, ReportQuery const& query);
 
 }  // namespace corkward::audit
--- a/audit/src/audit_log.cpp
+++ b/audit/src/audit_log.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr char const* prefix = "audit-";
+constexpr char const* segmentPrefix = "audit-";
 
-std::string fileFor(std::uint64_t number) {
+std::string segmentFileName(std::uint64_t number) {
   std::string const digits = std::to_string(number);
-  return prefix + std::string(12 - std::min<std::size_t>(digits.size(), 12), '0') + digits;
+  return segmentPrefix + std::string(12 - std::min<std::size_t>(digits.size(), 12), '0') + digits;
 }
 
 }  // namespace
@@ -29,10 +29,10 @@
   return QCryptographicHash::hash(QByteArray::fromStdString(text), QCryptographicHash::Sha256).toHex().toStdString();
 }
 
-std::vector<std::string> auditLogFiles(storage::Directory& folder) {
+std::vector<std::string> auditLogFiles(storage::Directory& directory) {
   std::vector<std::string> out;
-  for (std::string const& name : folder.list())
-    if (name.rfind(prefix, 0) == 0) out.push_back(name);
+  for (std::string const& name : directory.list())
+    if (name.rfind(segmentPrefix, 0) == 0) out.push_back(name);
   std::sort(out.begin(), out.end());
   return out;
 }
@@ -47,16 +47,16 @@
     std::string const bytes = text.substr(at, end == std::string::npos ? std::string::npos : end - at);
     at = end == std::string::npos ? text.size() : end + 1;
     line.end = at;
-    std::size_t const blank = bytes.find(' ');
+    std::size_t const separator = bytes.find(' ');
     if (end == std::string::npos) {
       line.fault = "is torn";
       line.torn = true;
-    } else if (blank != 64 || lineHash(bytes.substr(blank + 1)) != bytes.substr(0, blank)) {
+    } else if (separator != 64 || lineHash(bytes.substr(separator + 1)) != bytes.substr(0, separator)) {
       line.fault = "is not as it was written: its hash differs";
     } else {
       try {
-        line.record = core::parseJson(bytes.substr(blank + 1)).toObject();
-        line.hash = bytes.substr(0, blank);
+        line.record = core::parseJson(bytes.substr(separator + 1)).toObject();
+        line.hash = bytes.substr(0, separator);
       } catch (core::JsonError const&) {
         line.fault = "is no record";
       }
@@ -66,11 +66,11 @@
   return out;
 }
 
-AuditLog::AuditLog(storage::Directory& folder, std::string node, std::int64_t wall, RetentionLimits bounds)
-    : directory_(folder),
+AuditLog::AuditLog(storage::Directory& directory, std::string node, std::int64_t wall, RetentionLimits limits)
+    : directory_(directory),
       node_(std::move(node)),
-      bounds_(bounds),
-      files_(auditLogFiles(folder)),
+      limits_(limits),
+      files_(auditLogFiles(directory)),
       countPeriod_(wall - wall % countPeriodMs) {
   for (std::size_t i = files_.size(); i > 0 && head_.number == 0; --i) {
     std::vector<LogLine> lines = readLines(directory_.read(files_[i - 1]));
@@ -78,12 +78,13 @@
       directory_.truncate(files_[i - 1], lines.back().offset);
       lines.pop_back();
     }
-    auto const good = std::find_if(lines.crbegin(), lines.crend(), [](LogLine const& l) { return l.fault.empty(); });
-    if (good == lines.crend()) continue;
-    head_ = AuditHead{static_cast<std::uint64_t>(good->record.value("n").toInteger()), good->hash};
-    if (i < files_.size() || good != lines.crbegin()) continue;
+    auto const lastIntact =
+        std::find_if(lines.crbegin(), lines.crend(), [](LogLine const& l) { return l.fault.empty(); });
+    if (lastIntact == lines.crend()) continue;
+    head_ = AuditHead{static_cast<std::uint64_t>(lastIntact->record.value("n").toInteger()), lastIntact->hash};
+    if (i < files_.size() || lastIntact != lines.crbegin()) continue;
     file_ = files_[i - 1];
-    size_ = good->end;
+    size_ = lastIntact->end;
   }
   beginSegment(wall);
 }
@@ -99,12 +100,12 @@
   std::string const text = core::jsonText(record);
   std::string const hash = lineHash(text);
   std::string const line = hash + " " + text + "\n";
-  if (file_.empty() || size_ + line.size() > bounds_.segmentBytes) {
+  if (file_.empty() || size_ + line.size() > limits_.segmentBytes) {
     if (!file_.empty()) directory_.sync(file_);
-    file_ = fileFor(head_.number + 1);
+    file_ = segmentFileName(head_.number + 1);
     size_ = 0;
     if (files_.empty() || files_.back() != file_) files_.push_back(file_);
-    while (files_.size() > std::max<std::size_t>(bounds_.maxSegments, 2)) {
+    while (files_.size() > std::max<std::size_t>(limits_.maxSegments, 2)) {
       directory_.remove(files_.front());
       files_.erase(files_.begin());
     }
@@ -118,15 +119,15 @@
   head_ = AuditHead{head_.number + 1, hash};
 }
 
-void AuditLog::countOutcome(RecordCategory const& kind, std::int64_t wall) {
+void AuditLog::countOutcome(RecordCategory const& category, std::int64_t wall) {
   onTimer(wall);
-  auto const it = counts_.find(kind);
+  auto const it = counts_.find(category);
   if (it != counts_.end()) {
     ++it->second;
     return;
   }
-  write(countRecord(kind, countPeriod_, 1), wall);
-  counts_[kind] = 0;
+  write(countRecord(category, countPeriod_, 1), wall);
+  counts_[category] = 0;
 }
 
 void AuditLog::onTimer(std::int64_t wall) {
--- a/audit/src/report.cpp
+++ b/audit/src/report.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+/// A field of a category and its name in the records.
 struct FieldName {
   char const* name;
   std::string RecordCategory::*field;
@@ -23,11 +24,12 @@
     {"zone", &RecordCategory::zone},         {"certificate", &RecordCategory::certificate},
     {"reason", &RecordCategory::reason}};
 
-std::int64_t wallOf(QJsonObject const& record, char const* field) {
+std::int64_t readTime(QJsonObject const& record, char const* field) {
   return QDateTime::fromString(record.value(QLatin1String(field)).toString(), Qt::ISODateWithMs).toMSecsSinceEpoch();
 }
 
-/// One object for each run of the node, with its span; the counts of a run that was not closed are the least.
+/// Returns one object for each incarnation of the router, with the times of its first and last records. The counts of
+/// an incarnation that did not close its log are lower bounds.
 QJsonArray incarnationsOf(AuditLogView const& log) {
   QJsonArray incarnations;
   QJsonObject incarnation;
@@ -45,7 +47,7 @@
   return incarnations;
 }
 
-/// What is wrong with the log itself, and the heads noted elsewhere that it doesn't have.
+/// Returns the faults of the log itself, and a fault for each head of the query that the log does not contain.
 QJsonArray faultsOf(AuditLogView const& log, ReportQuery const& query) {
   QJsonArray faults;
   for (IntegrityFault const& fault : log.faults)
@@ -76,10 +78,10 @@
 
 }  // namespace
 
-QJsonObject countRecord(RecordCategory const& kind, std::int64_t span, std::uint64_t count) {
+QJsonObject countRecord(RecordCategory const& category, std::int64_t span, std::uint64_t count) {
   QJsonObject out{{"span", core::toQString(timeText(span))}, {"count", static_cast<qint64>(count)}};
   for (FieldName const& f : fieldNames)
-    if (!(kind.*f.field).empty()) out.insert(QLatin1String(f.name), core::toQString(kind.*f.field));
+    if (!(category.*f.field).empty()) out.insert(QLatin1String(f.name), core::toQString(category.*f.field));
   return out;
 }
 
@@ -90,11 +92,11 @@
   return out;
 }
 
-AuditLogView readAuditLog(storage::Directory& folder) {
+AuditLogView readAuditLog(storage::Directory& directory) {
   AuditLogView out;
-  std::vector<std::string> const files = auditLogFiles(folder);
+  std::vector<std::string> const files = auditLogFiles(directory);
   for (std::string const& file : files) {
-    std::vector<LogLine> const lines = readLines(folder.read(file));
+    std::vector<LogLine> const lines = readLines(directory.read(file));
     for (std::size_t i = 0; i < lines.size(); ++i) {
       LogLine const& line = lines[i];
       if (line.torn && file == files.back()) {
@@ -128,21 +130,22 @@
   std::map<std::string, std::map<std::int64_t, std::map<RecordCategory, std::uint64_t>>> sums;
   bool complete = true;
   QJsonArray nodes;
-  for (AuditLogView const& t : logs) {
-    nodes.append(nodeReport(t, query, complete));
-    for (QJsonObject const& r : t.records) {
-      if (!r.contains("count")) continue;
-      RecordCategory const kind = readCategory(r);
-      std::int64_t const span = wallOf(r, "span");
-      if ((!query.regime.empty() && kind.regime != query.regime) || span < query.from ||
+  for (AuditLogView const& log : logs) {
+    nodes.append(nodeReport(log, query, complete));
+    for (QJsonObject const& record : log.records) {
+      if (!record.contains("count")) continue;
+      RecordCategory const category = readCategory(record);
+      std::int64_t const span = readTime(record, "span");
+      if ((!query.regime.empty() && category.regime != query.regime) || span < query.from ||
           (query.until > 0 && span >= query.until))
         continue;
-      sums[kind.regime][span - span % query.span][kind] += static_cast<std::uint64_t>(r.value("count").toInteger());
+      sums[category.regime][span - span % query.span][category] +=
+          static_cast<std::uint64_t>(record.value("count").toInteger());
     }
   }
   for (auto const& [node, head] : query.heads) {
     bool const known =
-        std::any_of(logs.begin(), logs.end(), [&name = node](AuditLogView const& t) { return t.node == name; });
+        std::any_of(logs.begin(), logs.end(), [&name = node](AuditLogView const& log) { return log.node == name; });
     if (known) continue;
     complete = false;
     nodes.append(QJsonObject{{"node", core::toQString(node)},
--- a/audit/test/golden_test.cpp
+++ b/audit/test/golden_test.cpp
@@ -9,21 +9,21 @@
 
 #include "testing/golden/folder.h"
 
-/// Audit trails as a released version has written them: a later one has to verify them to the same report, to go on
-/// after them, and to write the same bytes. Recording them anew is right only when docs/ gives the trail or its report
-/// another form.
+/// Audit logs as a released version wrote them. A later version must verify them with the same report, continue them,
+/// and write the same bytes. Record the golden files again only if the documentation in docs/ changes the form of the
+/// audit log or of its report.
 namespace audit = corkward::audit;
 namespace core = corkward::core;
 namespace golden = corkward::golden;
 
 namespace {
 
-/// 2026-06-01T12:00:00Z
+/// 2026-06-01T12:00:00Z, in milliseconds since 1970.
 constexpr std::int64_t noon = 1780315200000;
-constexpr audit::RetentionLimits smallFiles{1500, 3};
+constexpr audit::RetentionLimits smallSegments{1500, 3};
 
-/// One kind of each thing that a router counts, the first with all fields, others with few.
-std::vector<audit::RecordCategory> kinds() {
+/// One category for each outcome that a router counts. The first has all fields, the others have fewer.
+std::vector<audit::RecordCategory> categories() {
   return {{"handed-over", "health", "desk.nord", "model", "127.0.0.1:80", "r-1", "z1", "model-z1", "no reason"},
           {"resumed", "health", "desk.nord", "model", "127.0.0.2:80", "r-2", "z\xc3\xbcrich/1", "model-z1", {}},
           {"served", "health", "desk.nord", "model", "127.0.0.1:80", "r-1", "z1", "model-z1", {}},
@@ -33,10 +33,11 @@
           {"denied", "", "", {}, {}, {}, {}, {}, {}}};
 }
 
-/// Counts each kind once and the n-th one n times more, over two spans.
+/// Counts each category once, and the category at index n another n times, in one count period. Counts the first
+/// category twice in the next period.
 void countAll(audit::AuditLog& log, std::int64_t wall) {
-  std::vector<audit::RecordCategory> const all = kinds();
-  for (audit::RecordCategory const& kind : all) log.countOutcome(kind, wall);
+  std::vector<audit::RecordCategory> const all = categories();
+  for (audit::RecordCategory const& category : all) log.countOutcome(category, wall);
   for (std::size_t i = 0; i < all.size(); ++i)
     for (std::size_t n = 0; n < i; ++n) log.countOutcome(all[i], wall + 100);
   log.onTimer(wall + audit::countPeriodMs - 1);
@@ -45,8 +46,8 @@
   log.countOutcome(all.front(), wall + audit::countPeriodMs + 6);
 }
 
-/// One file with all records that there are.
-golden::Files oneFile() {
+/// A log of one file that has a record of every type.
+golden::Files writeOneFile() {
   golden::NotingFolder folder;
   audit::AuditLog log(folder, "n1", noon);
   log.probeDisk(noon + 1);
@@ -55,27 +56,28 @@
   return golden::filesOf(folder);
 }
 
-/// Three runs of the process in files of a bounded size; the first run has no end, and its first records are dropped.
-golden::Files boundedFiles() {
+/// A log of three incarnations with small segment files. The first incarnation did not close its log, and its oldest
+/// records were removed by the retention limits.
+golden::Files writeBoundedFiles() {
   golden::NotingFolder folder;
   {
-    audit::AuditLog log(folder, "n2", noon, smallFiles);
+    audit::AuditLog log(folder, "n2", noon, smallSegments);
     countAll(log, noon + 10);
   }
   {
-    audit::AuditLog log(folder, "n2", noon + 10 * audit::countPeriodMs, smallFiles);
-    log.countOutcome(kinds().at(1), noon + 10 * audit::countPeriodMs + 1);
-    log.countOutcome(kinds().at(1), noon + 10 * audit::countPeriodMs + 2);
+    audit::AuditLog log(folder, "n2", noon + 10 * audit::countPeriodMs, smallSegments);
+    log.countOutcome(categories().at(1), noon + 10 * audit::countPeriodMs + 1);
+    log.countOutcome(categories().at(1), noon + 10 * audit::countPeriodMs + 2);
     log.close(noon + 10 * audit::countPeriodMs + 3);
   }
-  audit::AuditLog log(folder, "n2", noon + 70 * audit::countPeriodMs, smallFiles);
-  log.countOutcome(kinds().at(3), noon + 70 * audit::countPeriodMs + 1);
-  log.countOutcome(kinds().at(3), noon + 70 * audit::countPeriodMs + 2);
+  audit::AuditLog log(folder, "n2", noon + 70 * audit::countPeriodMs, smallSegments);
+  log.countOutcome(categories().at(3), noon + 70 * audit::countPeriodMs + 1);
+  log.countOutcome(categories().at(3), noon + 70 * audit::countPeriodMs + 2);
   return golden::filesOf(folder);
 }
 
-golden::Files tornEnd() {
-  golden::Files files = boundedFiles();
+golden::Files writeTornEnd() {
+  golden::Files files = writeBoundedFiles();
   std::string& last = files.rbegin()->second;
   last.resize(last.size() - 20);
   return files;
@@ -83,12 +85,13 @@
 
 struct Scenario {
   char const* name;
-  golden::Files (*folder)();
+  golden::Files (*write)();
 };
 
-constexpr Scenario scenarios[] = {{"one-file", oneFile}, {"bounded-files", boundedFiles}, {"torn-end", tornEnd}};
+constexpr Scenario scenarios[] = {
+    {"one-file", writeOneFile}, {"bounded-files", writeBoundedFiles}, {"torn-end", writeTornEnd}};
 
-std::string folderName(std::string const& scenario) {
+std::string filesName(std::string const& scenario) {
   return "audit/test/golden/" + scenario + ".folder.txt";
 }
 
@@ -98,10 +101,10 @@
 }
 
 audit::AuditLogView recorded(std::string const& scenario) {
-  return viewOf(golden::readFiles(folderName(scenario)));
+  return viewOf(golden::readFiles(filesName(scenario)));
 }
 
-/// A report in lines, and as the program prints it.
+/// A report as indented JSON, followed by the compact JSON that the program prints.
 std::string reportText(QJsonObject const& report) {
   return QJsonDocument(report).toJson(QJsonDocument::Indented).toStdString() + core::jsonText(report) + "\n";
 }
@@ -118,14 +121,14 @@
   return out;
 }
 
-/// Lines of a text without their ends, and back.
+/// Joins lines to a text, each with a newline at its end.
 std::string joined(std::vector<std::string> const& lines) {
   std::string out;
   for (std::string const& line : lines) out += line + "\n";
   return out;
 }
 
-/// A line with a proper hash of its own.
+/// A line of a log file: the text with its valid hash.
 std::string lineOf(std::string const& text) {
   QByteArray const bytes = QByteArray::fromStdString(text);
   return QCryptographicHash::hash(bytes, QCryptographicHash::Sha256).toHex().toStdString() + " " + text;
@@ -133,7 +136,7 @@
 
 using Tampering = std::function<void(golden::Files&)>;
 
-/// Changes the lines of the file that is so many files after the first one.
+/// Changes the lines of the file with this index, counted from 0.
 Tampering onLines(std::ptrdiff_t file, std::function<void(std::vector<std::string>&)> const& change) {
   return [=](golden::Files& files) {
     std::string& content = std::next(files.begin(), file)->second;
@@ -148,7 +151,7 @@
   Tampering tamper;
 };
 
-/// What someone might do to the files of the recorded trail in bounded files.
+/// Manipulations of the files of the recorded log "bounded-files".
 std::vector<TamperedLog> tamperedLogs() {
   using Lines = std::vector<std::string>;
   return {
@@ -182,23 +185,23 @@
 
 }  // namespace
 
-TEST_CASE("golden: an audit trail has the files and bytes it had") {
+TEST_CASE("golden: an audit log is written with the same files and bytes") {
   for (Scenario const& scenario : scenarios) DYNAMIC_SECTION(scenario.name) {
-      golden::check(folderName(scenario.name), golden::filesText(scenario.folder(), golden::Form::text));
+      golden::check(filesName(scenario.name), golden::filesText(scenario.write(), golden::Form::text));
     }
 }
 
-TEST_CASE("golden: a recorded trail is read and verified to the same records") {
+TEST_CASE("golden: a recorded audit log is read and verified with the same records") {
   for (Scenario const& scenario : scenarios) DYNAMIC_SECTION(scenario.name) {
       std::string const name = std::string("audit/test/golden/") + scenario.name + ".view.txt";
       golden::check(name, viewText(recorded(scenario.name)));
     }
 }
 
-TEST_CASE("golden: a recorded trail is gone on with alike") {
+TEST_CASE("golden: a recorded audit log is continued with the same bytes") {
   for (Scenario const& scenario : scenarios) DYNAMIC_SECTION(scenario.name) {
-      golden::NotingFolder folder(golden::readFiles(folderName(scenario.name)));
-      audit::AuditLog log(folder, "n1", noon + 90 * audit::countPeriodMs, smallFiles);
+      golden::NotingFolder folder(golden::readFiles(filesName(scenario.name)));
+      audit::AuditLog log(folder, "n1", noon + 90 * audit::countPeriodMs, smallSegments);
       countAll(log, noon + 90 * audit::countPeriodMs + 1);
       std::string text = "not synced " + log.takeUnsynced() + "\n";
       log.close(noon + 92 * audit::countPeriodMs);
@@ -209,7 +212,7 @@
     }
 }
 
-TEST_CASE("golden: the report of recorded trails is the same") {
+TEST_CASE("golden: the report on recorded audit logs is the same") {
   std::vector<audit::AuditLogView> const logs{recorded("one-file"), recorded("bounded-files")};
   audit::AuditHead const& head = logs[1].head;
   struct ReportCase {
@@ -233,8 +236,8 @@
   }
 }
 
-TEST_CASE("golden: what is found in a tampered copy of a recorded trail is the same") {
-  golden::Files const files = golden::readFiles(folderName("bounded-files"));
+TEST_CASE("golden: the faults found in a tampered copy of a recorded audit log are the same") {
+  golden::Files const files = golden::readFiles(filesName("bounded-files"));
   audit::ReportQuery query;
   query.regime = "none";
   query.heads = {{"n2", viewOf(files).head}};
@@ -247,9 +250,9 @@
   golden::check("audit/test/golden/tampered.txt", text);
 }
 
-TEST_CASE("golden: a trail's bounds are the same unless others are set") {
-  audit::RetentionLimits const bounds;
-  CHECK(bounds.segmentBytes == 1048576);
-  CHECK(bounds.maxSegments == 64);
+TEST_CASE("golden: the default retention limits and the count period are the same") {
+  audit::RetentionLimits const limits;
+  CHECK(limits.segmentBytes == 1048576);
+  CHECK(limits.maxSegments == 64);
   CHECK(audit::countPeriodMs == 60000);
 }
