--- a/runbook/include/corkward/runbook/runbook.h
+++ b/runbook/include/corkward/runbook/runbook.h
@@ -11,10 +11,10 @@
 
 namespace corkward::runbook {
 
-/// A runbook that cannot be executed as it is written; nothing was done.
+/// Reports a runbook that is invalid. It is thrown before any step is executed.
 class RunbookError : public core::Error {
  public:
-  /// @param pointer JSON pointer of the place in the runbook
+  /// @param pointer JSON pointer to the invalid value in the runbook
   RunbookError(std::string pointer, std::string const& reason)
       : core::Error(pointer + ": " + reason), pointer_(std::move(pointer)) {}
   std::string const& pointer() const { return pointer_; }
@@ -24,30 +24,36 @@
 };
 
 enum class StepKind {
+  /// Starts to evacuate a zone.
   evacuate,
+  /// Ends the evacuation of a zone.
   lift,
   putTemplate,
   patchTemplate,
   putInstance,
   patchInstance,
+  /// Waits until an HTTP resource meets a condition.
   wait,
+  /// Compares the templates and instances with a saved file.
   verify,
+  /// Saves the templates and instances to a file.
   save,
+  /// Asks an operator for a confirmation.
   confirm
 };
 
-/// One step, checked, with the parameters filled in.
+/// A step that has been checked and whose parameters have been replaced by their values.
 struct Step {
-  /// For the account of a run; the kind's name when the runbook gives none.
+  /// Name of the step in the report of a run. It is the name of the kind if the runbook does not set one.
   std::string name;
   StepKind kind = StepKind::confirm;
-  /// Texts of the step by their names, such as zone or template: all that its kind has.
+  /// Text arguments of the step by their names, such as "zone" or "template". All arguments of its kind are present.
   std::map<std::string, std::string> arguments;
-  /// Body of a change.
+  /// HTTP body of a step that changes the fleet. Empty for other steps.
   QJsonObject body;
-  /// Of a wait step.
+  /// Condition of a wait step. std::nullopt for other steps.
   std::optional<PageCondition> condition;
-  /// Seconds for the step.
+  /// Maximum duration of the step in seconds.
   int limitSeconds = 30;
 };
 
@@ -60,14 +66,14 @@
 /// Values of a runbook's parameters by their names.
 using Parameters = std::map<std::string, std::string>;
 
-/// Reads a runbook, fills its parameters in and checks every step. Throws RunbookError, or core::JsonError for a text
-/// that is no JSON.
+/// Reads a runbook, replaces its parameters by their values and checks every step. Throws RunbookError if the runbook
+/// is invalid, and core::JsonError if the text is not JSON.
 Runbook readRunbook(std::string const& text, Parameters const& parameters);
 
-/// Name of a kind as runbooks write it.
+/// Returns the name of a kind in runbooks.
 char const* kindName(StepKind kind);
 
-/// Whether steps of the kind change the fleet.
+/// Whether a step of this kind changes the fleet.
 bool isChange(StepKind kind);
 
 }  // namespace corkward::runbook
--- a/runbook/src/page_condition.cpp
+++ b/runbook/src/page_condition.cpp
@@ -32,7 +32,7 @@
   return Test::atMost;
 }
 
-/// The value at a path; undefined when there is none.
+/// Returns the value at a path, or an undefined value if there is none.
 QJsonValue valueAt(QJsonObject const& page, std::vector<QString> const& path) {
   QJsonValue value = page;
   for (QString const& name : path) {
--- a/runbook/src/runbook.cpp
+++ b/runbook/src/runbook.cpp
@@ -14,14 +14,14 @@
 
 constexpr int maxLimitSeconds = 3600;
 
-/// What steps of a kind are made of.
+/// The fields that steps of a kind have.
 struct KindDescription {
   char const* name;
   StepKind kind;
   bool isChange;
-  /// Names of its texts; null: no further one.
+  /// Names of the text arguments. An entry is null if there are fewer than two.
   std::array<char const*, 2> arguments;
-  /// Name of its object, the body of a change or a condition; null: none.
+  /// Name of the field with the body of a change or with a condition. Null if the kind has no such field.
   char const* object;
 };
 
@@ -53,7 +53,7 @@
 }
 
 /// Replaces each ${NAME} by the parameter's value.
-QString fillText(QString const& text, Parameters const& parameters, std::string const& pointer) {
+QString substituteInText(QString const& text, Parameters const& parameters, std::string const& pointer) {
   QString out = text;
   qsizetype open = out.indexOf("${");
   while (open >= 0) {
@@ -69,19 +69,19 @@
   return out;
 }
 
-/// Fills the parameters into all texts of a value.
-QJsonValue fillValue(QJsonValue const& value, Parameters const& parameters, std::string const& pointer) {
-  if (value.isString()) return fillText(value.toString(), parameters, pointer);
+/// Replaces each ${NAME} in all texts of a value by the parameter's value.
+QJsonValue substituteInValue(QJsonValue const& value, Parameters const& parameters, std::string const& pointer) {
+  if (value.isString()) return substituteInText(value.toString(), parameters, pointer);
   if (value.isArray()) {
     QJsonArray out;
-    for (QJsonValue const item : value.toArray()) out.append(fillValue(item, parameters, pointer));
+    for (QJsonValue const item : value.toArray()) out.append(substituteInValue(item, parameters, pointer));
     return out;
   }
   if (!value.isObject()) return value;
   QJsonObject out;
   QJsonObject const object = value.toObject();
   for (QString const& name : object.keys())
-    out.insert(name, fillValue(object.value(name), parameters, pointer + "/" + core::toStdString(name)));
+    out.insert(name, substituteInValue(object.value(name), parameters, pointer + "/" + core::toStdString(name)));
   return out;
 }
 
@@ -117,8 +117,8 @@
     if (declared.count(name) == 0) throw RunbookError("/parameters", "the runbook has no parameter " + name);
 }
 
-/// Reads the object of a step: the condition or the body of a change.
-void readObject(Step& step, char const* field, QJsonObject const& json, std::string const& pointer) {
+/// Reads the field of a step that holds its condition or the body of its change.
+void readBodyOrCondition(Step& step, char const* field, QJsonObject const& json, std::string const& pointer) {
   if (!json.value(QLatin1String(field)).isObject()) throw RunbookError(pointer + "/" + field, "must be an object");
   QJsonObject const object = json.value(QLatin1String(field)).toObject();
   if (step.kind == StepKind::wait) {
@@ -136,7 +136,7 @@
   step.limitSeconds = limit;
 }
 
-/// Reads one step, whose parameters have been filled in.
+/// Reads a step whose parameters have already been replaced by their values.
 Step readStep(QJsonObject const& json, std::string const& pointer) {
   KindDescription const& description = kindNamed(json.value("do"), pointer);
   Step step;
@@ -152,7 +152,7 @@
   }
   if (description.object != nullptr) {
     allowed.insert(description.object);
-    readObject(step, description.object, json, pointer);
+    readBodyOrCondition(step, description.object, json, pointer);
   }
   if (step.kind == StepKind::wait && step.arguments["page"].front() != '/')
     throw RunbookError(pointer + "/page", "must begin with /");
@@ -176,7 +176,7 @@
   for (qsizetype i = 0; i < steps.size(); ++i) {
     std::string const pointer = "/steps/" + std::to_string(i);
     if (!steps.at(i).isObject()) throw RunbookError(pointer, "must be an object");
-    out.push_back(readStep(fillValue(steps.at(i), parameters, pointer).toObject(), pointer));
+    out.push_back(readStep(substituteInValue(steps.at(i), parameters, pointer).toObject(), pointer));
   }
   return out;
 }
--- a/runbook/test/golden_test.cpp
+++ b/runbook/test/golden_test.cpp
@@ -7,8 +7,8 @@
 
 #include "testing/golden/golden.h"
 
-/// Parsed runbooks, errors and expectations as a released version had them, since operators keep runbooks of their own.
-/// Recording them anew is right only when docs/ gives runbooks another form.
+/// Parsed runbooks, errors and results of conditions as a released version produced them, since operators have runbooks
+/// of their own. Record the golden files again only if the documentation in docs/ changes the form of runbooks.
 namespace core = corkward::core;
 namespace golden = corkward::golden;
 namespace runbook = corkward::runbook;
@@ -27,7 +27,7 @@
                                     "runbooks/rolling-restart.json",
                                     "rules/evacuate-zone.json"};
 
-/// Whether a form holds what is only said to operators: names and what they are to confirm.
+/// Whether a form includes the texts that are only shown to operators: names, and what they are asked to confirm.
 enum class Texts { with, without };
 
 std::string formOf(runbook::Step const& step, Texts texts) {
@@ -55,7 +55,7 @@
   return formOf(runbook::readRunbook(text, parameters), texts);
 }
 
-/// The parsed form, or the error as operators see it.
+/// Returns the parsed form, or the error as operators see it.
 std::string outcome(std::string const& text, Parameters const& parameters) {
   try {
     return formOf(runbook::readRunbook(text, parameters), Texts::with);
@@ -74,7 +74,7 @@
   return out;
 }
 
-/// Outcomes of all lines of a file of inputs, by the number of the line.
+/// Returns the outcomes for all lines of a file of inputs, each after the number of its line.
 std::string outcomes(std::string const& name) {
   std::string out;
   int line = 0;
@@ -110,7 +110,7 @@
                 outcomes("invalid.input.txt") + outcome(R"({"runbook":"a","runbook":"b"})", {}));
 }
 
-TEST_CASE("golden: conditions of pages are evaluated alike") {
+TEST_CASE("golden: conditions on HTTP resources are evaluated alike") {
   std::string text;
   for (QJsonObject const& input : inputs("expectations.input.txt")) {
     QJsonObject const expect = input.value("expect").toObject();
@@ -121,7 +121,7 @@
   golden::check(folder + "expectations.txt", text);
 }
 
-TEST_CASE("golden: kinds of steps have the same names, and change the same") {
+TEST_CASE("golden: kinds of steps have the same names, and the same ones change the fleet") {
   using runbook::StepKind;
   std::string text;
   for (StepKind const kind :
--- a/runbook/test/runbook_test.cpp
+++ b/runbook/test/runbook_test.cpp
@@ -6,7 +6,7 @@
 namespace core = corkward::core;
 namespace runbook = corkward::runbook;
 
-TEST_CASE("the parameters of a runbook are filled in, and every step is checked") {
+TEST_CASE("parameters of a runbook are replaced by their values, and every step is checked") {
   runbook::Runbook const book = runbook::readRunbook(
       R"({"runbook":"r","parameters":["zone"],"steps":[{"do":"evacuate","zone":"${zone}"},
           {"do":"wait","page":"/v1/fleet","expect":{"pointer":"/nacelles","each":"keysBehind","equals":0},"limitSeconds":5}]})",
@@ -43,7 +43,7 @@
                   runbook::RunbookError);
 }
 
-TEST_CASE("conditions are met by values of pages only") {
+TEST_CASE("a condition is met only by a value that exists in the HTTP resource") {
   QJsonObject const page =
       core::parseJson(R"({"voting":true,"cohort":[1,2,3],"nacelles":[{"keysBehind":0},{"keysBehind":2}]})").toObject();
   auto const met = [&](char const* condition) {
