--- a/alerting/include/corkward/alerting/expression.h
+++ b/alerting/include/corkward/alerting/expression.h
@@ -8,8 +8,8 @@
 
 namespace corkward::alerting {
 
-/// A rule file, expression or metrics page that is not fully understood; the message gives line and column. Nothing of
-/// it is used.
+/// Reports a rule file, an expression or a metrics page that is not valid or uses unsupported syntax. The message names
+/// the column, and the line if the text has several. The whole input is rejected.
 class ParseError : public core::Error {
  public:
   using core::Error::Error;
@@ -24,32 +24,33 @@
   double value = 0;
 };
 
-/// How the values of several samples become one; none: each is compared by itself.
+/// How the values of several samples are combined into one. With `none`, each sample is compared on its own.
 enum class Aggregation { none, sum, min, max, count };
 
 enum class Comparison { less, lessOrEqual, equal, notEqual, greaterOrEqual, greater };
 
-/// The comparison as expressions write it.
+/// Returns the operator of the comparison in expressions, such as "<=".
 char const* name(Comparison comparison);
 
 /// The supported subset of PromQL: [sum|min|max|count] (metric{label="value",...}) COMPARISON number.
 struct Expression {
   Aggregation aggregation = Aggregation::none;
   std::string metric;
-  /// Labels that a sample must have with these values.
+  /// Labels and values that a sample must have to be selected.
   Labels labels;
   Comparison comparison = Comparison::equal;
+  /// The number to compare with.
   double bound = 0;
 };
 
-/// Reads an expression. Throws ParseError with the column.
+/// Reads an expression. Throws ParseError, which names the column.
 Expression readExpression(std::string const& text);
 
 /// Reads a page in the Prometheus text format. Throws ParseError.
 std::vector<Sample> readSamples(std::string const& page);
 
-/// Whether the expression is true for the samples; without an aggregation: for any of them. For a metric that is absent
-/// only a count can be true.
+/// Whether the expression is true for the samples. Without an aggregation, it is true if any selected sample meets the
+/// comparison. If no sample is selected, only an expression with `count` can be true.
 bool isTrue(Expression const& expression, std::vector<Sample> const& samples);
 
 }  // namespace corkward::alerting
--- a/alerting/include/corkward/alerting/rules.h
+++ b/alerting/include/corkward/alerting/rules.h
@@ -9,11 +9,11 @@
 
 namespace corkward::alerting {
 
-/// An alert rule with the runbook that an operator declared for it.
+/// An alert rule with the runbook that operators assigned to it.
 struct Rule {
   std::string alert;
   Expression expression;
-  /// Milliseconds for which the expression must be true before the alert fires.
+  /// Time in milliseconds for which the expression must be true without interruption before the alert fires.
   core::Milliseconds pendingFor = 0;
   /// File name of the runbook.
   std::string runbook;
@@ -21,24 +21,25 @@
   std::map<std::string, std::string> parameters;
 };
 
-/// Reads a rule file in the Prometheus format. Throws ParseError at the first thing that is not understood.
+/// Reads a rule file in the Prometheus format. Throws ParseError at the first field or value that is invalid or not
+/// supported.
 std::vector<Rule> readRules(std::string const& yaml);
 
-/// Evaluates rules over time: an alert is pending while its expression is true, and fires when it has been so for long
-/// enough.
+/// Evaluates rules over time. An alert is pending from the moment its expression becomes true, and fires when the
+/// expression has been true for `Rule::pendingFor` without interruption.
 class RuleEvaluator {
  public:
   explicit RuleEvaluator(std::vector<Rule> rules) : rules_(std::move(rules)) {}
   /// Evaluates all rules for the newest samples.
   /// @param now monotonic milliseconds
-  /// @return the rules that fire
+  /// @return the rules whose alerts fire
   std::vector<Rule> evaluate(core::Milliseconds now, std::vector<Sample> const& samples);
-  /// Whether the alert's expression was true at the last evaluation, for however long.
+  /// Whether the alert's expression was true at the last evaluation.
   bool isPendingOrFiring(std::string const& alert) const;
 
  private:
   std::vector<Rule> rules_;
-  /// Since when the expressions of alerts have been true without a break.
+  /// For each alert whose expression is true: the time since which it has been true without interruption.
   std::map<std::string, core::Milliseconds> trueSince_;
 };
 
--- a/alerting/src/expression.cpp
+++ b/alerting/src/expression.cpp
@@ -20,7 +20,8 @@
 constexpr std::array<AggregationName, 4> aggregations{
     {{"sum", Aggregation::sum}, {"min", Aggregation::min}, {"max", Aggregation::max}, {"count", Aggregation::count}}};
 
-/// In the order in which they are tried: no one is the beginning of a later one.
+/// All comparisons in the order in which the parser tries them. An operator that begins with another one comes before
+/// it, such as "<=" before "<".
 constexpr std::array<Comparison, 6> comparisons{Comparison::lessOrEqual, Comparison::greaterOrEqual,
                                                 Comparison::equal,       Comparison::notEqual,
                                                 Comparison::less,        Comparison::greater};
@@ -38,15 +39,15 @@
     skipSpace();
     return position_ == text_.size();
   }
-  /// Takes the token when it comes next.
-  bool take(std::string const& token) {
+  /// Consumes the token if the text continues with it. Returns whether it does.
+  bool consume(std::string const& token) {
     skipSpace();
     if (text_.compare(position_, token.size(), token) != 0) return false;
     position_ += token.size();
     return true;
   }
   void require(std::string const& token, std::string const& error) {
-    if (!take(token)) fail(error);
+    if (!consume(token)) fail(error);
   }
   std::string readName() {
     skipSpace();
@@ -77,12 +78,12 @@
   }
   Labels readLabels() {
     Labels out;
-    if (!take("{")) return out;
-    while (!take("}")) {
+    if (!consume("{")) return out;
+    while (!consume("}")) {
       std::string const label = readName();
       require("=", "= is needed");
       if (!out.emplace(label, readQuoted()).second) fail("the label stands twice");
-      if (!take(",") && text_.compare(position_, 1, "}") != 0) fail(", or } is needed");
+      if (!consume(",") && text_.compare(position_, 1, "}") != 0) fail(", or } is needed");
     }
     return out;
   }
@@ -107,7 +108,7 @@
 
 Comparison readComparison(LineReader& reader) {
   for (Comparison const comparison : comparisons)
-    if (reader.take(name(comparison))) return comparison;
+    if (reader.consume(name(comparison))) return comparison;
   reader.fail("a comparison is needed");
 }
 
@@ -137,7 +138,7 @@
          });
 }
 
-/// The one value of an aggregation; nothing when there is no value to aggregate.
+/// Returns the aggregated value. Returns std::nullopt if there are no values, except for a count, which is 0 then.
 std::optional<double> aggregate(Aggregation aggregation, std::vector<double> const& values) {
   if (aggregation == Aggregation::count) return static_cast<double>(values.size());
   if (values.empty()) return std::nullopt;
--- a/alerting/src/rules.cpp
+++ b/alerting/src/rules.cpp
@@ -14,7 +14,7 @@
 constexpr core::Milliseconds millisPerMinute = 60000;
 constexpr std::size_t maxDurationDigits = 6;
 
-/// Place of a node in the file, as the beginning of a message.
+/// Returns the position of a YAML node in the file, as the beginning of an error message.
 std::string positionOf(YAML::Node const& node) {
   return "line " + std::to_string(node.Mark().line + 1) + ", column " + std::to_string(node.Mark().column + 1) + ": ";
 }
@@ -34,7 +34,7 @@
   return value.Scalar();
 }
 
-/// Milliseconds of a duration in seconds (s) or minutes (m).
+/// Reads a duration in seconds ("10s") or minutes ("5m"). Returns milliseconds.
 core::Milliseconds readDuration(YAML::Node const& node) {
   std::string const text = node.IsScalar() ? node.Scalar() : "";
   std::size_t digits = 0;
@@ -67,7 +67,7 @@
   for (auto const& entry : parameters) rule.parameters[entry.first.as<std::string>()] = entry.second.as<std::string>();
 }
 
-/// @param names of the rules before; the rule's own is added
+/// @param names names of the rules read so far, to which the name of this rule is added
 Rule readRule(YAML::Node const& node, std::set<std::string>& names) {
   checkKeys(node, {"alert", "expr", "for", "annotations"});
   Rule rule;
--- a/alerting/test/golden_test.cpp
+++ b/alerting/test/golden_test.cpp
@@ -6,8 +6,8 @@
 
 #include "testing/golden/golden.h"
 
-/// Parsed alert rules, samples and errors as a released version had them, since operators keep rules of their own.
-/// Recording them anew is right only when docs/ gives rules another form.
+/// Parsed alert rules, samples and errors as a released version produced them, since operators have rules of their own.
+/// Record the golden files again only if the documentation in docs/ changes the form of rules.
 namespace alerting = corkward::alerting;
 namespace golden = corkward::golden;
 
@@ -62,7 +62,7 @@
   return out + std::to_string(samples.size()) + " samples\n";
 }
 
-/// The parsed form of an input, or the error as operators see it.
+/// Returns the parsed form of an input, or the error as operators see it.
 template <typename Read>
 std::string outcome(Read const& read, std::string const& input) {
   try {
@@ -72,7 +72,7 @@
   }
 }
 
-/// Outcomes of all lines of a file of inputs, each behind its input.
+/// Returns the outcomes for all lines of a file of inputs, each after its input.
 template <typename Read>
 std::string outcomes(Read const& read, std::string const& name) {
   std::string out;
@@ -81,7 +81,7 @@
   return out;
 }
 
-/// The documents of a file, each behind a line "=== NUMBER".
+/// Returns the documents of a file, in which a line "=== NUMBER" precedes each document.
 std::vector<std::string> documents(std::string const& name) {
   std::vector<std::string> out;
   for (std::string const& line : golden::lines(golden::read(folder + name))) {
@@ -128,11 +128,11 @@
     corkward::core::Milliseconds now;
     char const* page;
   };
-  constexpr char const* dark = "corkward_up{zone=\"z2\",node=\"a\"} 0\nx 1\nx{n=\"2\"} 1\n";
-  constexpr char const* lit = "corkward_up{zone=\"z2\"} 1\nup 0\n";
-  constexpr Evaluation evaluations[] = {{0, dark},      {9999, dark},   {10000, dark}, {20000, dark},
-                                        {21000, lit},   {22000, dark},  {31999, dark}, {32000, dark},
-                                        {321999, dark}, {322000, dark}, {322001, ""}};
+  constexpr char const* zoneDown = "corkward_up{zone=\"z2\",node=\"a\"} 0\nx 1\nx{n=\"2\"} 1\n";
+  constexpr char const* zoneUp = "corkward_up{zone=\"z2\"} 1\nup 0\n";
+  constexpr Evaluation evaluations[] = {{0, zoneDown},      {9999, zoneDown},   {10000, zoneDown}, {20000, zoneDown},
+                                        {21000, zoneUp},    {22000, zoneDown},  {31999, zoneDown}, {32000, zoneDown},
+                                        {321999, zoneDown}, {322000, zoneDown}, {322001, ""}};
   for (Evaluation const& evaluation : evaluations) {
     text += "at " + std::to_string(evaluation.now) + ":";
     for (alerting::Rule const& rule : evaluator.evaluate(evaluation.now, alerting::readSamples(evaluation.page)))
