--- a/alerting/include/corkward/alerting/expression.h
+++ b/alerting/include/corkward/alerting/expression.h
@@ -9,7 +9,8 @@
 namespace corkward::alerting {
 
 /// Reports a rule file, an expression or a metrics page that is not valid or uses unsupported syntax. The message names
-/// the column, and the line if the text has several. The whole input is rejected.
+/// line and column in a rule file, and the column in an expression or in a line of a metrics page, which it quotes. The
+/// whole input is rejected.
 class ParseError : public core::Error {
  public:
   using core::Error::Error;
--- a/alerting/test/golden_test.cpp
+++ b/alerting/test/golden_test.cpp
@@ -96,11 +96,11 @@
 }  // namespace
 
 TEST_CASE("golden: the example of alert rules is parsed to the same form") {
-  SECTION("as it was recorded") {
+  SECTION("recorded copy") {
     golden::check(folder + "examples.form.txt",
                   formOf(alerting::readRules(golden::read(folder + "examples/rules/zones.yml"))));
   }
-  SECTION("as it is") {
+  SECTION("current example") {
     golden::check(folder + "examples.form.txt", formOf(alerting::readRules(golden::read("examples/rules/zones.yml"))));
   }
 }
--- a/audit/include/corkward/audit/audit_log.h
+++ b/audit/include/corkward/audit/audit_log.h
@@ -66,14 +66,14 @@
   /// Writes all remaining counts and a record that marks the counts of this incarnation as complete.
   void close(std::int64_t wall);
   AuditHead const& head() const { return head_; }
-  /// Returns the file that has records which are not synced yet, and takes it as synced from then on. The caller syncs
-  /// it on a thread that may block. Returns an empty name if there is no such file.
+  /// Returns the file that has records which are not synced yet, and regards it as synced afterwards. The caller must
+  /// sync it, on a thread that may block. Returns an empty name if there is no such file.
   std::string takeUnsynced();
 
  private:
   void write(QJsonObject record, std::int64_t wall);
   void writeCounts(std::int64_t wall);
-  void beginSegment(std::int64_t wall);
+  void writeOpened(std::int64_t wall);
 
   storage::Directory& directory_;
   std::string node_;
--- a/audit/src/audit_log.cpp
+++ b/audit/src/audit_log.cpp
@@ -86,10 +86,10 @@
     file_ = files_[i - 1];
     size_ = lastIntact->end;
   }
-  beginSegment(wall);
+  writeOpened(wall);
 }
 
-void AuditLog::beginSegment(std::int64_t wall) {
+void AuditLog::writeOpened(std::int64_t wall) {
   write(QJsonObject{{"what", "opened"}, {"node", core::toQString(node_)}}, wall);
 }
 
--- a/audit/test/golden_test.cpp
+++ b/audit/test/golden_test.cpp
@@ -22,7 +22,7 @@
 constexpr std::int64_t noon = 1780315200000;
 constexpr audit::RetentionLimits smallSegments{1500, 3};
 
-/// One category for each outcome that a router counts. The first has all fields, the others have fewer.
+/// At least one category for each outcome that a router counts. The first has all fields, the others have fewer.
 std::vector<audit::RecordCategory> categories() {
   return {{"handed-over", "health", "desk.nord", "model", "127.0.0.1:80", "r-1", "z1", "model-z1", "no reason"},
           {"resumed", "health", "desk.nord", "model", "127.0.0.2:80", "r-2", "z\xc3\xbcrich/1", "model-z1", {}},
--- a/config/include/corkward/config/config.h
+++ b/config/include/corkward/config/config.h
@@ -71,7 +71,7 @@
   bool idempotent = false;
   /// Whether the response is a stream of events.
   bool stream = false;
-  /// Maximum number of replicas to which one request may be dispatched, one after the other.
+  /// Maximum number of replicas to which one request may be dispatched.
   int maxAttempts = 2;
   /// Priority of the requests at the replica, from 0 (served first) to 9 (served last).
   int urgency = 5;
@@ -100,7 +100,7 @@
 /// Settings of a pool in the fleet configuration.
 struct PoolSettings {
   std::string name;
-  /// Maximum number of connections that one replica accepts from all routers together. 0 if it is not set.
+  /// Maximum number of connections that one replica accepts from all its clients together. 0 if it is not set.
   int maxConnections = 0;
   /// Slow start: the number of requests per second that a replica can take while it warms up, and the duration of the
   /// warm-up after its start.
@@ -153,7 +153,7 @@
 inline constexpr std::size_t maxTenantKeys = 1000;
 inline constexpr std::size_t maxInstances = 2000;
 inline constexpr std::size_t maxRenderedPaths = 100000;
-/// Number of recent changes whose ids are stored with a value, so that a repeated change is recognised.
+/// Number of recent changes that are stored with a value, so that a change that is sent again gets the same reply.
 inline constexpr std::size_t changeWindow = 64;
 
 /// Whether a text is a valid name of a template, instance, regime or alert: 1 to 63 characters of a-z, 0-9 and '-', the
@@ -173,8 +173,8 @@
 
 /// Checks a family (a template and all its instances) as one value. Throws ConfigError at the first invalid value.
 /// A family has the form {"template": {"spec", "stamp"}, "instances": {name: {"spec", "stamp"}}, "changes": [...]}.
-/// Every stored value may have the fields "changes", the ids of the last accepted changes, and "taken", the digests of
-/// a larger number of earlier changes.
+/// Every stored value may have the fields "changes", the last accepted changes with their ids, and "taken", the digests
+/// of a larger number of earlier changes.
 void checkTemplateFamily(QJsonObject const& family, IsKnownPool const& known, RegimeFaultText const& regimeFault);
 
 /// Returns a stored value without its fields "changes" and "taken".
--- a/config/include/corkward/config/regimes.h
+++ b/config/include/corkward/config/regimes.h
@@ -20,7 +20,7 @@
 /// A certificate for one regime. A certificate for replicas applies to every replica incarnation that the platform
 /// lists in the given zone and pool, or to a single incarnation. A certificate for routers applies to every router in
 /// the given zone, or to the one router in it with the given link address. A replica whose incarnation is unknown is
-/// never certified, because another process may have taken over its address.
+/// never certified: an address alone does not identify it.
 struct Certificate {
   std::string name;
   std::string regime;
@@ -84,7 +84,7 @@
   std::string reason;
 };
 /// Returns the reason why no request of the regime can be served in the pool, or std::nullopt if requests can be
-/// served. If the time is unknown, expired certificates count as valid.
+/// served. A certificate that is not valid yet counts as valid here, and so does an expired one if the time is unknown.
 std::optional<RegimeFault> findRegimeFault(Regimes const& regimes, std::string const& regime, std::string const& pool,
                                            WallTime now);
 
--- a/config/test/golden_test.cpp
+++ b/config/test/golden_test.cpp
@@ -101,10 +101,10 @@
 }  // namespace
 
 TEST_CASE("golden: the examples are parsed to the same form") {
-  SECTION("as they were recorded") {
+  SECTION("recorded copies") {
     golden::check(forms::folder + "examples.form.txt", examplesForm(forms::folder + "examples/"));
   }
-  SECTION("as they are") {
+  SECTION("current examples") {
     golden::check(forms::folder + "examples.form.txt", examplesForm("examples/"));
   }
 }
