--- a/testing/fuzz/scenario.cpp
+++ b/testing/fuzz/scenario.cpp
@@ -117,9 +117,9 @@
   for (std::unique_ptr<Replica> const& r : replicas_) addresses.push_back(r->address());
   std::vector<wire::Route> const routes{
       {"safe", false, true}, {"once", false, false}, {"row", true, true}, {"tell", true, false}};
-  transport::ConfigurationUpdate const update =
-      wire::firstNews(routes, addresses, tampers(Tampering::extraAttempts) ? terms.maxAttempts + 2 : terms.maxAttempts,
-                      terms.deadlineMs);
+  transport::ConfigurationUpdate const update = wire::initialConfigurationUpdate(
+      routes, addresses, tampers(Tampering::extraAttempts) ? terms.maxAttempts + 2 : terms.maxAttempts,
+      terms.deadlineMs);
   std::string const link = settings.link;
   control_ = std::make_unique<transport::Link>(this, control, [this, update, link](transport::Envelope const&) {
     if (!router_->ready()) control_->send(link, update);
