--- a/control/src/controller.cpp
+++ b/control/src/controller.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Each use of the seed draws from a stream of its own.
+// Each component that uses the seed has its own random stream.
 constexpr std::uint64_t gossipStream = 0x51;
 constexpr std::uint64_t registersStream = 0x77;
 
@@ -158,7 +158,7 @@
 
 void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
                     transport::GossipShuffle const& shuffle) {
-  appendSends(out, partialView_.arrived(now, from, shuffle));
+  appendSends(out, partialView_.onShuffle(now, from, shuffle));
 }
 
 void Controller::on(ControllerCommands& out, Milliseconds now, std::string const& from,
--- a/control/src/guarantee_checks.cpp
+++ b/control/src/guarantee_checks.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// Confirmed changes of one key that are remembered to be compared with later ones.
+/// Number of confirmed changes per key that are retained for comparison with later ones.
 constexpr std::size_t rememberedChanges = 64;
 
-/// True for keys whose changes name the version that they build on, each at most once.
+/// Returns true if the call names its base version and at most one change of the key may be accepted on that base.
 bool namesItsBase(std::string const& key, transport::OperatorCall const& call) {
   return key == config::fleetConfigurationKey && !call.ifMatch.empty() && !call.dryRun;
 }
@@ -28,7 +28,7 @@
 void GuaranteeChecks::checkCommitted(consensus::CommittedValue const& committed,
                                      std::optional<std::uint64_t> previous) const {
   CORKWARD_GUARANTEE(core::Guarantee::revisionsRise, !previous || committed.revision > *previous,
-                     committed.key + " falls to revision " + std::to_string(committed.revision));
+                     committed.key + ": the committed revision does not rise: " + std::to_string(committed.revision));
 }
 
 void GuaranteeChecks::checkConfirmed(consensus::CallCompleted const& completed, transport::OperatorCall const& call) {
@@ -39,7 +39,7 @@
     CORKWARD_GUARANTEE(core::Guarantee::oneChangePerRevision,
                        other.base != call.ifMatch || other.revision == completed.revision,
                        completed.key + ": revisions " + std::to_string(other.revision) + " and " +
-                           std::to_string(completed.revision) + " both on " + call.ifMatch);
+                           std::to_string(completed.revision) + " are both based on " + call.ifMatch);
   changes.push_back(ConfirmedChange{call.ifMatch, completed.revision});
   if (changes.size() > rememberedChanges) changes.pop_front();
 }
@@ -50,8 +50,8 @@
   if (!isRead) return;
   auto const served = static_cast<std::uint64_t>(body.value(fields::revision).toInteger());
   CORKWARD_GUARANTEE(core::Guarantee::currentWhenServed, served >= call.revisionAtArrival,
-                     call.call.path + ": stamp " + std::to_string(served) + " is served, " +
-                         std::to_string(call.revisionAtArrival) + " was committed when it was asked for");
+                     call.call.path + ": revision " + std::to_string(served) + " is served although revision " +
+                         std::to_string(call.revisionAtArrival) + " was committed when the read arrived");
 }
 
 }  // namespace corkward::control
--- a/control/test/controller_directory_test.cpp
+++ b/control/test/controller_directory_test.cpp
@@ -19,37 +19,37 @@
   return c;
 }
 
-transport::GossipShuffle told(std::vector<transport::Contact> contacts) {
+transport::GossipShuffle shuffleOf(std::vector<transport::Contact> contacts) {
   return transport::GossipShuffle{std::move(contacts), false, 0, {}};
 }
 
 }  // namespace
 
-TEST_CASE("a controller directory answers members without state, and no others, that it has no vote") {
+TEST_CASE("a controller directory replies only to members without state that it is not a voting member") {
   control::ControllerDirectory directory(contact("g", "guide"), {"g", "h", "s"}, 1);
   transport::Heartbeat heartbeat;
   heartbeat.member = "m";
-  CHECK(directory.arrived(100, "d", heartbeat).empty());
+  CHECK(directory.onMessage(100, "d", heartbeat).empty());
   heartbeat.hasNoState = true;
-  std::vector<transport::Send> const out = directory.arrived(200, "d", heartbeat);
+  std::vector<transport::Send> const out = directory.onMessage(200, "d", heartbeat);
   REQUIRE(out.size() == 1);
   CHECK(out[0].to == "d");
   CHECK(std::holds_alternative<transport::NotAVotingMember>(out[0].message));
 }
 
-TEST_CASE("a controller directory introduces processes, and names controllers that answer") {
+TEST_CASE("a controller directory lists the responding controllers, or all known ones if none responds") {
   control::ControllerDirectory directory(contact("g", "guide"), {"g"}, 1);
   CHECK(directory.controllers(0).empty());
-  directory.arrived(100, "n",
-                    told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
-                          contact("t", transport::controllerRole)}));
-  directory.clockEvent(200);
+  directory.onMessage(100, "n",
+                      shuffleOf({contact("n", transport::routerRole), contact("s", transport::controllerRole),
+                                 contact("t", transport::controllerRole)}));
+  directory.onTimer(200);
   CHECK(directory.controllers(200) == std::vector<std::string>{"s", "t"});
-  directory.arrived(300, "t", told({contact("t", transport::controllerRole)}));
+  directory.onMessage(300, "t", shuffleOf({contact("t", transport::controllerRole)}));
   CHECK(directory.controllers(400) == std::vector<std::string>{"t"});
   CHECK(directory.controllers(9000) == std::vector<std::string>{"s", "t"});
   std::vector<transport::Send> const out =
-      directory.arrived(9000, "m", transport::GossipShuffle{{contact("m", transport::routerRole)}, true, 0, {}});
+      directory.onMessage(9000, "m", transport::GossipShuffle{{contact("m", transport::routerRole)}, true, 0, {}});
   REQUIRE(out.size() == 1);
   CHECK(out[0].to == "m");
   std::vector<transport::Contact> const shown = std::get<transport::GossipShuffle>(out[0].message).contacts;
@@ -58,19 +58,19 @@
   CHECK(shown[1].link == "t");
 }
 
-TEST_CASE("a controller directory queries the seeds and all known controllers, and announces itself to none") {
+TEST_CASE("a controller directory queries the seeds and all known controllers without sending its own contact") {
   control::ControllerDirectory directory(contact("g", "guide"), {"g", "s", "u"}, 1);
-  directory.arrived(100, "n",
-                    told({contact("n", transport::routerRole), contact("s", transport::controllerRole),
-                          contact("t", transport::controllerRole)}));
+  directory.onMessage(100, "n",
+                      shuffleOf({contact("n", transport::routerRole), contact("s", transport::controllerRole),
+                                 contact("t", transport::controllerRole)}));
   std::set<std::string> to;
-  for (transport::Send const& s : directory.clockEvent(200)) {
+  for (transport::Send const& s : directory.onTimer(200)) {
     to.insert(s.to);
-    transport::GossipShuffle const& asked = std::get<transport::GossipShuffle>(s.message);
-    CHECK(asked.reply);
-    CHECK(asked.contacts.empty());
+    transport::GossipShuffle const& query = std::get<transport::GossipShuffle>(s.message);
+    CHECK(query.reply);
+    CHECK(query.contacts.empty());
   }
   CHECK(to == std::set<std::string>{"s", "t", "u"});
-  CHECK(directory.clockEvent(300).empty());
-  CHECK(directory.clockEvent(800).size() == 3);
+  CHECK(directory.onTimer(300).empty());
+  CHECK(directory.onTimer(800).size() == 3);
 }
--- a/control/test/router_registry_test.cpp
+++ b/control/test/router_registry_test.cpp
@@ -8,7 +8,7 @@
 using control::RouterRegistry;
 using control::valuesOf;
 
-TEST_CASE("a router with a session misses what is committed until it acknowledges it") {
+TEST_CASE("a router with a session lacks a committed revision until it acknowledges it") {
   RouterRegistry routers({});
   RouterRegistry::Router& router = addRouter(routers, 0, "a");
   routers.recordCommitted("k", 0, 1);
@@ -19,7 +19,7 @@
   CHECK(router.isUpToDate());
 }
 
-TEST_CASE("a missing revision is pushed once, and again when it is not acknowledged in time") {
+TEST_CASE("a missing revision is pushed again if it is not acknowledged in time") {
   control::ControllerTuning const tuning;
   RouterRegistry routers(tuning);
   addRouter(routers, 0, "a");
@@ -36,9 +36,9 @@
   CHECK(routers.nextUpdate(20 + tuning.repushEvery, "a", valuesOf({{"k", 2}}), {})->entries[0].revision == 2);
 }
 
-TEST_CASE("a snapshot waits for a contact with a majority that began after it was asked for") {
+TEST_CASE("a snapshot waits for a contact with a majority that began after the snapshot was requested") {
   RouterRegistry routers({});
-  routers.recordHeard(100, "a", 1);
+  routers.recordContact(100, "a", 1);
   routers.recordRequest(100, control::leaseRequest("a", true));
   control::CommittedValues const values = valuesOf({{"k", 1}, {"l", 2}});
   CHECK_FALSE(routers.nextUpdate(110, "a", values, {}));
@@ -50,17 +50,17 @@
   CHECK_FALSE(routers.nextUpdate(120, "a", values, 110));
 }
 
-TEST_CASE("a new incarnation starts without known revisions, an older one is ignored") {
+TEST_CASE("a new incarnation has no known revisions, and an older one is ignored") {
   RouterRegistry routers({});
   RouterRegistry::Router& router = addRouter(routers, 0, "a");
   REQUIRE(router.isUpToDate());
-  CHECK(routers.recordHeard(10, "a", 2) == &router);
+  CHECK(routers.recordContact(10, "a", 2) == &router);
   CHECK_FALSE(router.revisionsKnown);
-  CHECK(routers.recordHeard(20, "a", 1) == nullptr);
-  CHECK(router.lastHeardAt == 10);
+  CHECK(routers.recordContact(20, "a", 1) == nullptr);
+  CHECK(router.lastContactAt == 10);
 }
 
-TEST_CASE("a silent router loses its session and what was known of it") {
+TEST_CASE("the session and the known revisions of an unresponsive router are dropped") {
   RouterRegistry routers({});
   RouterRegistry::Router& router = addRouter(routers, 0, "a");
   CHECK_FALSE(routers.nextUpdate(10001, "a", {}, {}));
@@ -70,7 +70,7 @@
   CHECK(router.missingRevisions.empty());
 }
 
-TEST_CASE("a digest stands for the committed revisions less those that a router misses") {
+TEST_CASE("a router's digest matches if it covers the committed revisions that the router is known to have") {
   RouterRegistry routers({});
   RouterRegistry::Router& router = addRouter(routers, 0, "a");
   routers.recordCommitted("k", 0, 1);
@@ -84,7 +84,7 @@
   CHECK(router.missingRevisions == transport::Revisions{{"l", 0}});
 }
 
-TEST_CASE("a silent router is probed now and then, and forgotten when it is not on the roster") {
+TEST_CASE("an unresponsive router is probed at an interval, and forgotten if it is not on the roster") {
   control::ControllerTuning const tuning;
   RouterRegistry routers(tuning);
   addRouter(routers, 1000, "a");
@@ -93,11 +93,11 @@
   CHECK_FALSE(routers.startProbe(1001 + tuning.probeAfter, "a"));
   routers.recordProbeResult(2000, "a", true);
   CHECK(routers.find("a")->unreachableAt == 2000);
-  routers.recordHeard(2100, "a", 1);
+  routers.recordContact(2100, "a", 1);
   CHECK(routers.find("a")->unreachableAt == -1);
-  control::Milliseconds const later = 2101 + tuning.forgetAfter;
-  routers.forgetSilent(later, {"a"});
+  control::Milliseconds const later = 2101 + tuning.forgetRouterAfter;
+  routers.forgetUnresponsive(later, {"a"});
   CHECK(routers.find("a") != nullptr);
-  routers.forgetSilent(later, {});
+  routers.forgetUnresponsive(later, {});
   CHECK(routers.find("a") == nullptr);
 }
--- a/dataplane/src/tenant_limits.cpp
+++ b/dataplane/src/tenant_limits.cpp
@@ -1,5 +1,5 @@
-// How a request takes its amount out of its tenant's limit: at once, after a round trip to the lender, anew before a
-// further run, and back when it is not used.
+// Applies tenants' limits to requests: takes a request's amount at once or after a round trip to the quota coordinator,
+// takes it again before a retry, and returns it if the request is not dispatched.
 #include "internal.h"
 
 namespace corkward::dataplane {
@@ -29,16 +29,17 @@
   call.amount = Tenants::amountOf(*tenant, call.request.tokens);
   Admission const admission = tenants_.admit(now, call.request.call, *tenant, call.amount, out.sends);
   if (admission == Admission::granted) {
-    call.quotaState = QuotaState::taken;
-    call.quotaTakenAt = now;
+    call.quotaState = QuotaState::acquired;
+    call.quotaAcquiredAt = now;
   }
   return admission;
 }
 
 bool RequestRouter::spendQuota(Milliseconds now, Call& call) {
   if (call.tenant.empty()) return true;
-  if (call.quotaState == QuotaState::taken && now - call.quotaTakenAt > quota::maxDispatchDelay) returnQuota(now, call);
-  if (call.quotaState != QuotaState::taken && !tenants_.takeAmount(now, call.tenant, call.amount)) return false;
+  if (call.quotaState == QuotaState::acquired && now - call.quotaAcquiredAt > quota::maxDispatchDelay)
+    returnQuota(now, call);
+  if (call.quotaState != QuotaState::acquired && !tenants_.takeAmount(now, call.tenant, call.amount)) return false;
   call.quotaState = QuotaState::used;
   return true;
 }
@@ -48,7 +49,7 @@
 }
 
 void RequestRouter::returnQuota(Milliseconds now, Call& call) {
-  if (call.quotaState == QuotaState::taken) tenants_.returnAmount(now, call.tenant, call.amount);
+  if (call.quotaState == QuotaState::acquired) tenants_.returnAmount(now, call.tenant, call.amount);
   call.quotaState = QuotaState::none;
 }
 
@@ -62,8 +63,8 @@
       rejectOverQuota(out, now, decision.call, decision.admission);
       continue;
     }
-    call->quotaState = QuotaState::taken;
-    call->quotaTakenAt = decision.amountTakenAt;
+    call->quotaState = QuotaState::acquired;
+    call->quotaAcquiredAt = decision.amountTakenAt;
     admitOrQueue(out, now, decision.call);
   }
 }
@@ -73,13 +74,14 @@
   applyQuotaDecisions(out, now, tenants_.onTimer(now, out.sends));
 }
 
-void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from, quota::QuotaGrants const& m) {
-  applyQuotaDecisions(out, now, tenants_.onMessage(now, from, m, out.sends));
+void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
+                       quota::QuotaGrants const& grants) {
+  applyQuotaDecisions(out, now, tenants_.onMessage(now, from, grants, out.sends));
 }
 
 void RequestRouter::on(RouterCommands& out, Milliseconds now, std::string const& from,
-                       quota::AllocationQuery const& m) {
-  out.sends.push_back(tenants_.onMessage(now, from, m));
+                       quota::AllocationQuery const& query) {
+  out.sends.push_back(tenants_.onMessage(now, from, query));
 }
 
 }  // namespace corkward::dataplane
