--- a/http/src/response_parser.cpp
+++ b/http/src/response_parser.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr std::uint32_t maxHeadBytes = 16U << 10;
-/// Bytes of the body that are parsed in one step.
+/// Largest number of body bytes that one call of parse() consumes.
 constexpr std::size_t bodyStepBytes = 32768;
-/// Version of HTTP/1.1 as Beast writes it.
+/// HTTP/1.1 in Beast's representation of versions.
 constexpr unsigned http11 = 11;
 constexpr core::Milliseconds millisPerSecond = 1000;
 
@@ -36,14 +36,14 @@
 
 }  // namespace
 
-void ResponseParser::begin(bool toHead) {
-  toHead_ = toHead;
+void ResponseParser::begin(bool isHeadRequest) {
+  isHeadRequest_ = isHeadRequest;
   hasHead_ = false;
   parser_.emplace();
   parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
   parser_->header_limit(maxHeadBytes);
   parser_->eager(false);
-  parser_->skip(toHead);
+  parser_->skip(isHeadRequest);
 }
 
 ResponseParser::Outcome ResponseParser::parse(QByteArray& buffer, std::string& body) {
@@ -66,7 +66,7 @@
 
 ResponseParser::Outcome ResponseParser::onHead() {
   if (isInterim(status())) {
-    begin(toHead_);
+    begin(isHeadRequest_);
     return Outcome::interimResponse;
   }
   hasHead_ = true;
@@ -81,7 +81,7 @@
   out.headers = headersOf(parser_->get());
   out.hasNoBody = hasNoBody();
   if (out.hasNoBody) {
-    // The length that the body would have, had it been sent.
+    // Content-Length announces the length that the body would have if it were sent.
     bool isNumber = false;
     std::int64_t const announced =
         QString::fromStdString(headerValue(out.headers, "content-length")).toLongLong(&isNumber);
@@ -93,7 +93,7 @@
 }
 
 bool ResponseParser::hasNoBody() const {
-  return toHead_ || status() == core::code(core::HttpStatus::noContent) ||
+  return isHeadRequest_ || status() == core::code(core::HttpStatus::noContent) ||
          status() == core::code(core::HttpStatus::notModified);
 }
 
