--- a/programs/cli/apply.cpp
+++ b/programs/cli/apply.cpp
@@ -18,9 +18,10 @@
 }
 
 void printPlan(std::vector<PlannedChange> const& plan) {
-  std::cout << (plan.empty() ? "nothing to change" : std::to_string(plan.size()) + " to change") << "\n";
+  std::cout << (plan.empty() ? "nothing to change" : std::to_string(plan.size()) + " changes") << "\n";
   for (PlannedChange const& change : plan)
-    std::cout << "  " << name(change.action) << " " << change.call.path << " (stamp " << change.call.revision << ")\n";
+    std::cout << "  " << name(change.action) << " " << change.call.path << " (revision " << change.call.revision
+              << ")\n";
 }
 
 void printOutcome(PlannedChange const& change, OperatorReply const& reply) {
@@ -31,7 +32,7 @@
   std::cout << "\n";
 }
 
-/// The change in the JSON report, without its outcome.
+/// Returns the change's entry in the JSON report, without its outcome.
 QJsonObject reportOf(PlannedChange const& change) {
   return {{"action", name(change.action)},
           {"path", core::toQString(change.call.path)},
@@ -39,13 +40,13 @@
           {"changeId", core::toQString(change.call.changeId)}};
 }
 
-/// Sends planned changes in their order until one is not accepted.
+/// Sends planned changes in order until one is not accepted.
 class ChangeApplier {
  public:
   ChangeApplier(std::vector<std::string> const& controllers, ApplyOptions const& options)
       : controllers_(controllers), options_(options) {}
 
-  /// Sends the change unless one before it failed, and adds it to the report.
+  /// Sends the change, unless an earlier one failed or changes are only compared, and adds it to the report.
   void add(PlannedChange const& change) {
     QJsonObject report = reportOf(change);
     bool const send = options_.apply && !options_.dryRun;
@@ -101,7 +102,7 @@
     std::cout << core::jsonText(report) << "\n";
   }
   bool const sent = options.apply && !options.dryRun && !plan.empty();
-  if (!options.json && sent) std::cout << applier.done() << " of " << plan.size() << " done\n";
+  if (!options.json && sent) std::cout << applier.done() << " of " << plan.size() << " changes done\n";
   return code;
 }
 
--- a/testing/fuzz/scenario.cpp
+++ b/testing/fuzz/scenario.cpp
@@ -117,7 +117,7 @@
   for (std::unique_ptr<Replica> const& r : replicas_) addresses.push_back(r->address());
   std::vector<wire::Route> const routes{
       {"safe", false, true}, {"once", false, false}, {"row", true, true}, {"tell", true, false}};
-  transport::ConfigurationUpdate const update = wire::firstNews(
+  transport::ConfigurationUpdate const update = wire::initialConfigurationUpdate(
       routes, addresses, tampers(Tampering::extraAttempts) ? limits.maxAttempts + 2 : limits.maxAttempts,
       limits.deadlineMs);
   std::string const link = settings.link;
