--- a/http/test/golden_exchange.h
+++ b/http/test/golden_exchange.h
@@ -251,7 +251,7 @@
     text_ += translation;
     if (translation.rfind("call", 0) != 0) text_ += "<\n" + recordOf(response);
   }
-  /// Records the response to an operator call for a reply of the control plane.
+  /// Records the HTTP response into which the mapping translates the control plane's reply to an operator call.
   void operatorResponse(OperatorMapping const& mapping, transport::OperatorCall const& call, int status,
                         std::string const& body) {
     text_ += "answer to " + call.method + " " + call.path + ": " + std::to_string(status) + " " + body + "\n";
--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -389,7 +389,7 @@
   CHECK(fixture.upstreams.idleCount() == 0);
 }
 
-TEST_CASE("a closed response ends its connection, and a released one keeps the connection alive if the rest is short") {
+TEST_CASE("close() closes the connection, and release() keeps it for reuse if the rest of the response is short") {
   ensureApplication();
   bool const closes = GENERATE(true, false);
   std::string const bytes = GENERATE(std::string(validResponse),
