--- a/config/test/golden_errors_test.cpp
+++ b/config/test/golden_errors_test.cpp
@@ -78,25 +78,25 @@
 
 }  // namespace
 
-TEST_CASE("golden: errors of fleet configurations are the same") {
+TEST_CASE("golden: invalid fleet configurations are rejected with the recorded errors") {
   checkErrors("whole", [](QJsonObject const& spec) { config::readFleetConfiguration(spec); });
 }
 
-TEST_CASE("golden: errors of families are the same") {
+TEST_CASE("golden: invalid families are rejected with the recorded errors") {
   std::string const valid = golden::lines(golden::read(forms::folder + "valid-regimes.input.txt")).front();
   config::Regimes const regimes = config::readRegimes(forms::object(valid));
   checkErrors("family", [&](QJsonObject const& family) { forms::familyForm("desk", family, regimes); });
 }
 
-TEST_CASE("golden: errors of endpoint lists are the same") {
+TEST_CASE("golden: invalid endpoint lists are rejected with the recorded errors") {
   checkErrors("pool", [](QJsonObject const& value) { config::readEndpointList(value); });
 }
 
-TEST_CASE("golden: errors of regimes and certificates are the same") {
+TEST_CASE("golden: invalid regimes and certificates are rejected with the recorded errors") {
   checkErrors("regimes", [](QJsonObject const& spec) { config::readRegimes(spec); });
 }
 
-TEST_CASE("golden: errors of lists that exceed their limits are the same") {
+TEST_CASE("golden: lists that exceed their limits are rejected with the recorded errors") {
   QJsonValue const regime = QJsonObject{{"nacelles", "any"}};
   QJsonArray const keys = listExceeding(config::maxTenantKeys, [](int n) { return QJsonValue(nameOf(n)); });
   QJsonObject const manyParameters = objectExceeding(64, QJsonObject{{"type", "string"}});
--- a/config/test/golden_test.cpp
+++ b/config/test/golden_test.cpp
@@ -100,7 +100,7 @@
 
 }  // namespace
 
-TEST_CASE("golden: the examples are parsed to the same form") {
+TEST_CASE("golden: the examples are parsed as recorded") {
   SECTION("recorded copies") {
     golden::check(forms::folder + "examples.form.txt", examplesForm(forms::folder + "examples/"));
   }
@@ -109,7 +109,7 @@
   }
 }
 
-TEST_CASE("golden: fleet configurations are parsed to the same form") {
+TEST_CASE("golden: fleet configurations are parsed as recorded") {
   golden::check(forms::folder + "valid-whole.form.txt",
                 forms::outcomes("valid-whole.input.txt", [](std::string const& input) {
                   return forms::formOf(config::readFleetConfiguration(forms::object(input)));
@@ -128,15 +128,15 @@
   golden::check(forms::folder + "patches.form.txt", text);
 }
 
-TEST_CASE("golden: families are checked and rendered to the same form") {
+TEST_CASE("golden: families are checked and rendered as recorded") {
   golden::check(forms::folder + "valid-family.form.txt", forms::outcomes("valid-family.input.txt", familyOutcome));
 }
 
-TEST_CASE("golden: endpoint lists are parsed to the same form and written as the same JSON") {
+TEST_CASE("golden: endpoint lists are parsed and written as recorded") {
   golden::check(forms::folder + "valid-pool.form.txt", forms::outcomes("valid-pool.input.txt", endpointListOutcome));
 }
 
-TEST_CASE("golden: regimes and certificates are parsed to the same form") {
+TEST_CASE("golden: regimes and certificates are parsed as recorded") {
   golden::check(forms::folder + "valid-regimes.form.txt",
                 forms::outcomes("valid-regimes.input.txt", [](std::string const& input) {
                   QJsonObject const spec = forms::object(input);
