--- a/audit/test/golden_test.cpp
+++ b/audit/test/golden_test.cpp
@@ -250,7 +250,7 @@
   golden::check("audit/test/golden/tampered.txt", text);
 }
 
-TEST_CASE("golden: the default retention limits and the count period are the same") {
+TEST_CASE("golden: the default retention limits and the count period have their released values") {
   audit::RetentionLimits const limits;
   CHECK(limits.segmentBytes == 1048576);
   CHECK(limits.maxSegments == 64);
