--- a/runbook/test/golden_test.cpp
+++ b/runbook/test/golden_test.cpp
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-TEST_CASE("golden: the examples of runbooks are parsed to the same form") {
+TEST_CASE("golden: the examples of runbooks are parsed as recorded") {
   std::string text;
   for (char const* const name : examples) {
     text += std::string("example ") + name + "\n" + exampleForm(folder + "examples/" + name, Texts::with);
@@ -101,16 +101,16 @@
   golden::check(folder + "examples.form.txt", text);
 }
 
-TEST_CASE("golden: runbooks of all kinds of steps are parsed to the same form") {
+TEST_CASE("golden: runbooks with all kinds of steps are parsed as recorded") {
   golden::check(folder + "valid.form.txt", outcomes("valid.input.txt"));
 }
 
-TEST_CASE("golden: errors of runbooks are the same") {
+TEST_CASE("golden: invalid runbooks are rejected with the recorded errors") {
   golden::check(folder + "invalid.errors.txt",
                 outcomes("invalid.input.txt") + outcome(R"({"runbook":"a","runbook":"b"})", {}));
 }
 
-TEST_CASE("golden: conditions on HTTP resources are evaluated alike") {
+TEST_CASE("golden: conditions on HTTP resources are evaluated with the recorded results") {
   std::string text;
   for (QJsonObject const& input : inputs("expectations.input.txt")) {
     QJsonObject const expect = input.value("expect").toObject();
