--- a/alerting/include/corkward/alerting/expression.h
+++ b/alerting/include/corkward/alerting/expression.h
@@ -33,7 +33,8 @@
 /// Returns the operator of the comparison in expressions, such as "<=".
 char const* name(Comparison comparison);
 
-/// The supported subset of PromQL: [sum|min|max|count] (metric{label="value",...}) COMPARISON number.
+/// The supported subset of PromQL: METRIC{label="value",...} COMPARISON number, where the labels are optional and
+/// METRIC{...} may be aggregated: sum(METRIC{...}), and likewise with min, max and count.
 struct Expression {
   Aggregation aggregation = Aggregation::none;
   std::string metric;
--- a/alerting/test/golden_test.cpp
+++ b/alerting/test/golden_test.cpp
@@ -95,7 +95,7 @@
 
 }  // namespace
 
-TEST_CASE("golden: the example of alert rules is parsed to the same form") {
+TEST_CASE("golden: the example of alert rules is parsed as recorded") {
   SECTION("recorded copy") {
     golden::check(folder + "examples.form.txt",
                   formOf(alerting::readRules(golden::read(folder + "examples/rules/zones.yml"))));
@@ -105,15 +105,15 @@
   }
 }
 
-TEST_CASE("golden: expressions are parsed alike, and their errors are the same") {
+TEST_CASE("golden: expressions are parsed as recorded, or rejected with the recorded errors") {
   golden::check(folder + "expressions.txt", outcomes(alerting::readExpression, "expressions.input.txt"));
 }
 
-TEST_CASE("golden: samples are parsed alike, and their errors are the same") {
+TEST_CASE("golden: samples are parsed as recorded, or rejected with the recorded errors") {
   golden::check(folder + "samples.txt", outcomes(alerting::readSamples, "samples.input.txt"));
 }
 
-TEST_CASE("golden: rule files are parsed alike, and their errors are the same") {
+TEST_CASE("golden: rule files are parsed as recorded, or rejected with the recorded errors") {
   std::string text;
   int number = 0;
   for (std::string const& document : documents("rules.input.txt"))
