--- a/programs/router/request_relay.cpp
+++ b/programs/router/request_relay.cpp
@@ -15,7 +15,8 @@
 constexpr std::int64_t callerBufferResume = callerBufferLimit / 2;
 /// Minimum milliseconds between two progress reports of a request, and between two checks for stalled callers.
 constexpr core::Milliseconds progressInterval = 1000;
-/// Milliseconds after which a caller that reads nothing is disconnected.
+/// Milliseconds for which reading from the replica may stay paused because of a slow caller. After that, the caller is
+/// disconnected.
 constexpr core::Milliseconds callerStallTimeout = 60000;
 
 }  // namespace
