--- a/testing/capacity/requests.cpp
+++ b/testing/capacity/requests.cpp
@@ -34,7 +34,7 @@
   Callers(Fleet& fleet, Sizes const& sizes)
       : fleet_(fleet), sizes_(sizes), node_(*fleet.processes()[fleet.firstRouter()].data) {}
 
-  /// Begins a request up to its first byte, and returns its id.
+  /// Sends a request, reports the first byte of its response to the router, and returns the request's id.
   dataplane::CallId begin(std::int64_t tenant, std::string const& id, std::string const& prefix) {
     dataplane::Request r;
     r.call = next_++;
@@ -168,8 +168,8 @@
 
 }  // namespace
 
-// Messages are packed and unpacked from the start: otherwise the processes would share values, whose memory would be
-// counted only once.
+// fleet.count(true) precedes the first message, so that every message is serialized and parsed. Otherwise the processes
+// would share the values in messages, and the memory of a shared value would be counted only once.
 Measurements measureState(Sizes const& sizes) {
   checkOneRouterWithTenants(sizes);
   Measurements out;
--- a/testing/explore/model_cluster.h
+++ b/testing/explore/model_cluster.h
@@ -64,7 +64,7 @@
   std::map<std::uint64_t, std::set<std::string>> marks;
   std::uint64_t newestMembership = 0;
   std::vector<std::string> members;
-  /// Revision of each confirmed mark.
+  /// Revision at which each change was confirmed, by the change's mark (the text that it appends to the value).
   std::map<std::string, std::uint64_t> confirmed;
   std::set<std::uint64_t> bases;
   /// Pending reads by token, with the marks that were confirmed when the read began.
--- a/testing/sim/callers.cpp
+++ b/testing/sim/callers.cpp
@@ -132,7 +132,7 @@
   c.open = false;
   c.earlierNotRun = false;
   if (c.status < 500 && !c.got.empty() && !isUninterrupted(c))
-    violation("a stream has a gap, a repeat or a join, and was cut: " + id);
+    violation("a stream has a gap, a repetition or parts of different runs, and was cut: " + id);
   if (!plan_.fenced || c.firstTokenReceived || c.attempt >= 4 || now_ > c.deadline) {
     callerEnds(id, c.firstTokenReceived ? "broken" : "cut");
     return;
--- a/testing/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -463,7 +463,8 @@
       if (c->second.path == "tale") {
         std::string const& got = c->second.got;
         std::string const end = "data: " + id + " end\n\n";
-        if (!isUninterrupted(c->second)) violation("an event stream has a gap, a repeat or a join: " + id);
+        if (!isUninterrupted(c->second))
+          violation("an event stream has a gap, a repetition or parts of different runs: " + id);
         if (got.size() < end.size() || got.compare(got.size() - end.size(), end.size(), end) != 0)
           violation("a truncated event stream looks complete: " + id);
         ++result_.counts[resumeCounts_.count({id, call}) > 0 ? "tales-served-after-resume" : "tales-served"];
@@ -472,7 +473,7 @@
         return;
       }
       BodyVerdict const v = checkBody(c->second.got);
-      if (!v.oneRun) violation("a stream has a gap, a repeat or a join: " + id + " of " + v.run);
+      if (!v.oneRun) violation("a stream has a gap, a repetition or parts of different runs: " + id + " of " + v.run);
       if (v.oneRun && !v.complete) violation("a truncated body looks complete: " + id + " of " + v.run);
       std::vector<std::string> const& runs = runsByCaller_[id];
       if (std::find(runs.begin(), runs.end(), v.run) == runs.end())
--- a/testing/sim/simulated_cluster.cpp
+++ b/testing/sim/simulated_cluster.cpp
@@ -376,7 +376,7 @@
         auto const it = callers_.find(id);
         if (it == callers_.end() || !it->second.open || it->second.call != call) return;
         if (it->second.status < 500 && !it->second.got.empty() && !isUninterrupted(it->second))
-          violation("a stream has a gap, a repeat or a join, and broke: " + id);
+          violation("a stream has a gap, a repetition or parts of different runs, and broke: " + id);
         if (retryUnprompted(it->second)) return;
         callerEnds(id, "broken");
       });
--- a/testing/test/regimes_test.cpp
+++ b/testing/test/regimes_test.cpp
@@ -217,7 +217,7 @@
   impostor.program = lost.program;
   impostor.flags = {"--http", core::toQString(lost.http), "--record", core::toQString(impostor.record)};
   fleet.start(impostor);
-  fleet.until("a request under the regime to be sent to the address",
+  fleet.until("the process at the address to be asked for its incarnation",
               [&] { return wasIncarnationQueried(impostor.record); });
   fleet.runFor(1000);
   fleet.crash(impostor);
