--- a/config/include/corkward/config/config.h
+++ b/config/include/corkward/config/config.h
@@ -41,7 +41,8 @@
                                                                 {"short", RequestClass::quick, 800, 10000},
                                                                 {"long", RequestClass::bulk, 2500, 60000}};
 
-/// A pool that serves requests of a path. It gets the fraction of them that its weight has in the sum of all weights.
+/// A pool that serves requests of a path. The fraction of the requests that the pool gets is its weight divided by the
+/// sum of the weights of all pools of the path.
 struct WeightedPool {
   std::string pool;
   std::uint32_t weight = 1;
@@ -102,13 +103,13 @@
   std::string name;
   /// Maximum number of connections that one replica accepts from all its clients together. 0 if it is not set.
   int maxConnections = 0;
-  /// Slow start: the number of requests per second that a replica can take while it warms up, and the duration of the
-  /// warm-up after its start.
+  /// Slow start: the number of requests per second that a replica can take while it warms up.
   double slowStartRate = 0;
+  /// Duration of the warm-up after the start of a replica.
   core::Milliseconds slowStartDuration = 0;
-  /// Number of requests that one replica executes concurrently, and number of tokens that its prefix cache holds. 0 if
-  /// the value is not set.
+  /// Number of requests that one replica executes concurrently. 0 if it is not set.
   int concurrentRequests = 0;
+  /// Number of tokens that the prefix cache of one replica holds. 0 if it is not set.
   std::int64_t prefixCacheTokens = 0;
 };
 
@@ -162,13 +163,15 @@
 /// Whether a text is a valid name of a platform's pool or zone: valid UTF-8 without control characters, 1 to
 /// maxTextBytes bytes, and neither "." nor "..".
 bool isValidLabel(std::string const& label);
-/// Percent-encode a label as one segment of a URL path, and decode such a segment.
+/// Percent-encodes a label as one segment of a URL path.
 std::string percentEncodeLabel(std::string const& label);
+/// Decodes a segment that percentEncodeLabel has returned.
 std::string percentDecodeLabel(std::string const& urlSegment);
 
 /// Returns whether a pool of that name exists.
 using IsKnownPool = std::function<bool(std::string const&)>;
-/// Returns the reason why no request of the regime can be served in the pool, or an empty text if they can be served.
+/// Returns the reason why no request of the regime can be served in the pool, or an empty text if requests can be
+/// served.
 using RegimeFaultText = std::function<std::string(std::string const& regime, std::string const& pool)>;
 
 /// Checks a family (a template and all its instances) as one value. Throws ConfigError at the first invalid value.
--- a/config/test/golden_test.cpp
+++ b/config/test/golden_test.cpp
@@ -116,7 +116,7 @@
                 }));
 }
 
-TEST_CASE("golden: patches of a fleet configuration write the same JSON") {
+TEST_CASE("golden: patched fleet configurations are written as recorded") {
   QJsonObject current = fileAt(forms::folder + "examples/configuration.json");
   std::string const text = forms::outcomes("patches.input.txt", [&](std::string const& input) {
     QJsonObject const next = config::patchFleetConfiguration(current, forms::object(input));
@@ -147,7 +147,7 @@
   CHECK(forms::formOf(config::readStoredRegimes({})).empty());
 }
 
-TEST_CASE("golden: certificates are valid at the same times, and faults of regimes are the same") {
+TEST_CASE("golden: certificates are valid at the recorded times, and faults of regimes are reported as recorded") {
   config::Regimes const regimes = config::readRegimes(
       forms::object(golden::lines(golden::read(forms::folder + "valid-regimes.input.txt")).front()));
   std::string text;
@@ -164,7 +164,7 @@
   golden::check(forms::folder + "certificates-in-force.txt", text);
 }
 
-TEST_CASE("golden: the same names and labels are accepted, and labels are encoded alike") {
+TEST_CASE("golden: names and labels are accepted or rejected as recorded, and labels are encoded as recorded") {
   std::vector<std::string> const names{"",
                                        "a",
                                        "zh-a",
@@ -196,7 +196,7 @@
   golden::check(forms::folder + "names.txt", text);
 }
 
-TEST_CASE("golden: keys, HTTP resources, classes and limits are the same") {
+TEST_CASE("golden: keys, HTTP resources, classes and limits have their recorded values") {
   std::string text =
       std::string("key ") + config::fleetConfigurationKey + "\npage " + config::fleetConfigurationPage + "\n";
   text += std::string("key ") + config::regimesKey + "\nmargin " + std::to_string(config::clockMarginMs) + "\n";
