--- a/audit/include/corkward/audit/audit_log.h
+++ b/audit/include/corkward/audit/audit_log.h
@@ -131,9 +131,9 @@
 };
 /// Returns a report on the audit logs of several routers: the counts by regime and period, and the state of each log.
 /// It has the form {"regimes": {name: [{"span", "counts": [{"what", "instance", ..., "count"}]}]}, "nodes": [{"node",
-/// "first", "head", "lives": [...], "faults": [...]}], "whole"}. "lives" are the incarnations of a router. If one did
-/// not end with AuditLog::close, its counts are lower bounds, which "countsAreLeast" says. "whole" is true if no log
-/// has a fault and none is missing.
+/// "first", "head", "lives": [...], "faults": [...]}], "whole"}. "lives" are the incarnations of a router. If an
+/// incarnation did not end with AuditLog::close, its counts are lower bounds, and its field "countsAreLeast" is true.
+/// "whole" is true if no log has a fault and no log is missing.
 QJsonObject auditReport(std::vector<AuditLogView> const& logs, ReportQuery const& query);
 
 }  // namespace corkward::audit
--- a/audit/test/golden_test.cpp
+++ b/audit/test/golden_test.cpp
@@ -185,20 +185,20 @@
 
 }  // namespace
 
-TEST_CASE("golden: an audit log is written with the same files and bytes") {
+TEST_CASE("golden: an audit log is written with the recorded files and bytes") {
   for (Scenario const& scenario : scenarios) DYNAMIC_SECTION(scenario.name) {
       golden::check(filesName(scenario.name), golden::filesText(scenario.write(), golden::Form::text));
     }
 }
 
-TEST_CASE("golden: a recorded audit log is read and verified with the same records") {
+TEST_CASE("golden: a recorded audit log is read and verified with the recorded result") {
   for (Scenario const& scenario : scenarios) DYNAMIC_SECTION(scenario.name) {
       std::string const name = std::string("audit/test/golden/") + scenario.name + ".view.txt";
       golden::check(name, viewText(recorded(scenario.name)));
     }
 }
 
-TEST_CASE("golden: a recorded audit log is continued with the same bytes") {
+TEST_CASE("golden: a recorded audit log is continued with the recorded bytes") {
   for (Scenario const& scenario : scenarios) DYNAMIC_SECTION(scenario.name) {
       golden::NotingFolder folder(golden::readFiles(filesName(scenario.name)));
       audit::AuditLog log(folder, "n1", noon + 90 * audit::countPeriodMs, smallSegments);
@@ -212,7 +212,7 @@
     }
 }
 
-TEST_CASE("golden: the report on recorded audit logs is the same") {
+TEST_CASE("golden: recorded audit logs give the recorded reports") {
   std::vector<audit::AuditLogView> const logs{recorded("one-file"), recorded("bounded-files")};
   audit::AuditHead const& head = logs[1].head;
   struct ReportCase {
@@ -236,7 +236,7 @@
   }
 }
 
-TEST_CASE("golden: the faults found in a tampered copy of a recorded audit log are the same") {
+TEST_CASE("golden: the recorded faults are found in tampered copies of a recorded audit log") {
   golden::Files const files = golden::readFiles(filesName("bounded-files"));
   audit::ReportQuery query;
   query.regime = "none";
