--- a/alerting/include/corkward/alerting/expression.h
+++ b/alerting/include/corkward/alerting/expression.h
@@ -8,9 +8,9 @@
 
 namespace corkward::alerting {
 
-/// Reports a rule file, an expression or a metrics page that is not valid or uses unsupported syntax. The message names
-/// line and column in a rule file, and the column in an expression or in a line of a metrics page, which it quotes. The
-/// whole input is rejected.
+/// Reports a rule file, an expression or a metrics page that is not valid or uses unsupported syntax. The whole input
+/// is rejected. For a rule file, the message names line and column. For an expression or a line of a metrics page, the
+/// message names the column and quotes the text.
 class ParseError : public core::Error {
  public:
   using core::Error::Error;
--- a/alerting/src/expression.cpp
+++ b/alerting/src/expression.cpp
@@ -20,8 +20,8 @@
 constexpr std::array<AggregationName, 4> aggregations{
     {{"sum", Aggregation::sum}, {"min", Aggregation::min}, {"max", Aggregation::max}, {"count", Aggregation::count}}};
 
-/// All comparisons in the order in which the parser tries them. An operator that begins with another one comes before
-/// it, such as "<=" before "<".
+/// All comparisons in the order in which the parser tries them. A longer operator precedes the operator with which it
+/// begins, such as "<=" before "<".
 constexpr std::array<Comparison, 6> comparisons{Comparison::lessOrEqual, Comparison::greaterOrEqual,
                                                 Comparison::equal,       Comparison::notEqual,
                                                 Comparison::less,        Comparison::greater};
--- a/alerting/test/golden_test.cpp
+++ b/alerting/test/golden_test.cpp
@@ -121,7 +121,7 @@
   golden::check(folder + "rules.txt", text);
 }
 
-TEST_CASE("golden: an alert fires at the same evaluations") {
+TEST_CASE("golden: alerts are pending and fire at the recorded evaluations") {
   alerting::RuleEvaluator evaluator(alerting::readRules(documents("rules.input.txt").at(1)));
   std::string text;
   struct Evaluation {
