--- a/http/include/corkward/http/server.h
+++ b/http/include/corkward/http/server.h
@@ -103,7 +103,7 @@
   /// Accepts all connections that are pending in the listen queues, then stops listening.
   void closeListeners();
   /// Returns the number of connections from which a request is expected: no request is being processed, and the caller
-  /// has sent part of one or has not sent any request yet.
+  /// has sent the beginning of a request or has not sent any request yet.
   std::size_t expectedRequests() const;
   /// Returns the number of connections with a request whose response is incomplete or not fully written to the socket.
   std::size_t pendingCount() const;
--- a/http/src/request_parser.h
+++ b/http/src/request_parser.h
@@ -22,7 +22,7 @@
   bool isHead = false;
 };
 
-/// The bytes are no valid request, or one that exceeds the server's limits.
+/// Error for bytes that are not a valid request, or for a request that exceeds the server's limits.
 struct RequestError {
   core::HttpStatus status = core::HttpStatus::badRequest;
   std::string reason;
--- a/http/src/server_connection.h
+++ b/http/src/server_connection.h
@@ -77,8 +77,8 @@
   void discard();
 
   bool hasRequest() const { return requestId_ != noRequest; }
-  /// Whether a request is expected: no request is being processed, and the caller has sent part of one or has not sent
-  /// any request on this connection yet.
+  /// Whether a request is expected: no request is being processed, and the caller has sent the beginning of a request
+  /// or has not sent any request on this connection yet.
   bool expectsRequest() const;
   bool hasBufferedBytes() const { return socket_->bytesToWrite() > 0; }
   std::int64_t bufferedBytes() const { return socket_->bytesToWrite(); }
--- a/http/test/golden_mapping_test.cpp
+++ b/http/test/golden_mapping_test.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("golden: callers' requests on the native interface") {
+TEST_CASE("golden: callers' requests on the native interface are translated as recorded") {
   ensureApplication();
   Transcript t;
   http::NativeMapping const mapping;
@@ -83,7 +83,7 @@
   check("caller_requests.txt", t);
 }
 
-TEST_CASE("golden: rejections on the native interface") {
+TEST_CASE("golden: rejections on the native interface are sent as recorded") {
   ensureApplication();
   Transcript t;
   http::NativeMapping const mapping;
@@ -98,7 +98,7 @@
   check("rejections.txt", t);
 }
 
-TEST_CASE("golden: requests to replicas on the native interface") {
+TEST_CASE("golden: requests to replicas on the native interface are sent as recorded") {
   ensureApplication();
   Transcript t;
   http::NativeMapping const mapping;
@@ -117,7 +117,7 @@
   check("replica_requests.txt", t);
 }
 
-TEST_CASE("golden: replicas' responses on the native interface") {
+TEST_CASE("golden: replicas' responses on the native interface are translated as recorded") {
   ensureApplication();
   Transcript t;
   http::NativeMapping const mapping;
@@ -142,7 +142,7 @@
   check("replica_answers.txt", t);
 }
 
-TEST_CASE("golden: operators' requests on the native interface") {
+TEST_CASE("golden: operators' requests on the native interface are translated as recorded") {
   ensureApplication();
   Transcript t;
   http::NativeOperatorMapping const mapping;
@@ -163,7 +163,7 @@
   check("operator_requests.txt", t);
 }
 
-TEST_CASE("golden: responses to operators on the native interface") {
+TEST_CASE("golden: responses to operators on the native interface are sent as recorded") {
   ensureApplication();
   Transcript t;
   http::NativeOperatorMapping const mapping;
--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -152,7 +152,7 @@
     };
     upstream = upstreams.acquire(address, avoidStale, std::move(e), &owner);
   }
-  /// Waits until the request has ended, or until the head if the response is closed or released there.
+  /// Waits until the request has ended, or until the response head has arrived if close() or release() is called then.
   Outcome wait() {
     REQUIRE(waitUntil([this] {
       return outcome.connectFailed || outcome.ended >= 0 || (outcome.status != 0 && (closeAtHead || releaseAtHead));
@@ -559,7 +559,7 @@
   CHECK(fixture.replica.received.size() == 2);
 }
 
-TEST_CASE("random and damaged responses end, random ones are incomplete, and no connection is reused") {
+TEST_CASE("random and damaged responses end, random responses are incomplete, and no connection is reused") {
   ensureApplication();
   core::RandomGenerator rng(3);
   std::string const validChunkedResponse =
