--- a/testing/explore/bounds.h
+++ b/testing/explore/bounds.h
@@ -12,8 +12,8 @@
   int elections = 1;
   /// Timer events of single members.
   int clocks = 0;
-  /// Crashes, wiped disks, slow or unfinished writes and duplicated messages; in the membership model each kill,
-  /// restart, wipe, isolation, end of an isolation and loss of messages.
+  /// In the model of the registers: crashes, wiped disks, slow or unfinished writes, and duplicated messages. In the
+  /// model of the membership: kills, restarts, wiped disks, isolations, ends of isolations, and losses of messages.
   int faults = 1;
 };
 
--- a/testing/explore/model_cluster.h
+++ b/testing/explore/model_cluster.h
@@ -17,8 +17,8 @@
 /// The only key that operators change.
 inline constexpr char const* operatorKey = "k";
 
-/// A message in flight. Two messages that differ only in the time they carry count as equal if that time lies equally
-/// far in the past on the clock it was read from.
+/// A message in flight. Some messages carry a time. Two messages that differ only in their times count as equal if both
+/// times lie equally far in the past, each on the clock from which it was read.
 struct Packet {
   int from = 0;
   int to = 0;
@@ -46,10 +46,11 @@
   std::deque<consensus::PersistCommand> pending;
   Milliseconds now = 0;
   int boots = 0;
-  /// Read from the disk: the member's id, whether it votes, and the revision of the membership with which it has caught
-  /// up.
+  /// The member's id, as read from the disk.
   std::string diskId;
+  /// Whether the member votes, as read from the disk.
   bool diskVotes = false;
+  /// Revision of the membership with which the member has caught up, as read from the disk.
   std::uint64_t diskCaughtUp = 0;
   AcceptedState accepted;
   std::uint64_t diskDigest = 0;
--- a/testing/explore/search.h
+++ b/testing/explore/search.h
@@ -37,9 +37,9 @@
 std::size_t residentMb();
 
 /// Breadth-first search over a model's states, deduplicated by a 64-bit hash. The first broken invariant found has the
-/// shortest trace. A
-/// model has `State` (with a text `broken`), `Action`, `initial()`, `actions(state)`, `apply(state, action)`,
-/// `digest(state)` and `name(state, action)`, all without side effects.
+/// shortest trace.
+/// A model has `State` (with a text `broken`), `Action`, `initial()`, `actions(state)`, `apply(state, action)`,
+/// `digest(state)` and `name(state, action)`. None of the functions has side effects.
 template <class Model>
 class Search {
  public:
--- a/testing/fleet/chaos_faults.cpp
+++ b/testing/fleet/chaos_faults.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Faults of one turn. Those from isolateController on need a plan with overlapping faults.
+/// Kinds of faults. The kinds from isolateController on occur only if the plan allows overlapping faults.
 enum class ChaosFault {
   crashRouter,
   crashControllers,
--- a/testing/fleet/fleet.h
+++ b/testing/fleet/fleet.h
@@ -23,8 +23,8 @@
   using core::Error::Error;
 };
 
-/// Sizes and traffic of one deployment. `streams` and `quick` are requests per second: streamed responses and urgent
-/// requests.
+/// Sizes and traffic of one deployment. `streams` is the number of requests per second whose responses are streams, and
+/// `quick` the number of urgent requests per second.
 struct Deployment {
   char const* name;
   int zones;
@@ -51,9 +51,9 @@
   std::string name;
   std::string link;
   std::string http;
-  /// Address under which other processes reach it if that is not `http`: a fault proxy's.
+  /// Address of the fault proxy under which other processes reach this process. Empty if they reach it at `http`.
   std::string advertisedAddress;
-  /// The process's own link address if `link` is a fault proxy's.
+  /// The process's own link address if `link` is the address of a fault proxy.
   std::string listen;
   std::string zone;
   std::string pool;
--- a/testing/fleet/traffic.cpp
+++ b/testing/fleet/traffic.cpp
@@ -15,8 +15,9 @@
 constexpr int maxAttempts = 4;
 /// Total time that a caller waits for its response, in ms.
 constexpr core::Milliseconds callerLimit = 20000;
-/// Delays before the next attempt while no router is ready, and after a lost connection, in ms.
+/// Delay before the next attempt while no router is ready, in ms.
 constexpr int noNodeDelayMs = 200;
+/// Delay before the next attempt after a lost connection, in ms.
 constexpr int retryDelayMs = 100;
 
 }  // namespace
--- a/testing/sim/disk.h
+++ b/testing/sim/disk.h
@@ -64,8 +64,9 @@
   void loseNames(core::RandomGenerator& rng);
 
   Names files_;
-  /// Names at the last sync of the directory, and the changes since.
+  /// Names at the last sync of the directory.
   Names syncedNames_;
+  /// Changes of names since the last sync of the directory.
   std::vector<NameChange> unsyncedNameChanges_;
   int operationsLeft_ = -1;
   std::size_t lostNameChanges_ = 0;
--- a/testing/sim/internal.h
+++ b/testing/sim/internal.h
@@ -18,14 +18,17 @@
 inline constexpr Milliseconds maxClockStepBack = 50000;
 inline constexpr Milliseconds recoveryPeriod = 25000;
 inline constexpr Milliseconds trafficFrom = 17500;
-/// Idle connections to replicas: the longest idle time after which a connection is reused, the same for requests that
-/// may be executed only once, and the idle time from which on a lost connection counts as stale, in ms.
+/// Longest idle time after which a connection to a replica is reused, in ms.
 inline constexpr Milliseconds idleLimit = 1000;
+/// Replaces `idleLimit` for requests that may be executed only once, in ms.
 inline constexpr Milliseconds executeOnceIdleLimit = 250;
+/// Idle time from which on a lost connection to a replica counts as stale, in ms.
 inline constexpr Milliseconds staleAfter = 500;
-/// Requests to a replica that fails part of its requests (a grey replica) are counted from this time after the start of
-/// its failures; it may then get at most this fraction of the requests that an even distribution would give it.
+/// Time in ms from the start of the failures of a grey replica (one that fails a fraction of its requests) until the
+/// requests to it are counted.
 inline constexpr Milliseconds greyDetectionTime = 8000;
+/// Maximum number of requests that a grey replica may get while they are counted, as a fraction of the number that an
+/// even distribution would give it.
 inline constexpr double greyMaxFraction = 0.6;
 
 }  // namespace corkward::testing
--- a/testing/sim/plan.h
+++ b/testing/sim/plan.h
@@ -211,8 +211,8 @@
   double ackLossFraction = 0;
   /// Fraction of the changes that are sent together with a second change based on the same version.
   double raceFraction = 0;
-  /// During a partition, and when it ends, a change is sent to the isolated controller; with probability
-  /// `raceFraction`, a second one too.
+  /// A change is sent to the isolated controller during a partition and when the partition ends. With probability
+  /// `raceFraction`, a second change is sent too.
   bool sendToIsolated = false;
   /// A change without a response is sent again after 20 ms, possibly to the same controller.
   bool retryImmediately = false;
@@ -255,20 +255,21 @@
   /// Mean time between two faults.
   Milliseconds faultInterval = 6000;
   Mutation mutation = Mutation::none;
-  /// For comparisons: each router uses every replica of a pool and never shrinks its subset.
+  /// If true, each router uses every replica of a pool and never shrinks its subset. Used for comparisons.
   bool plain = false;
   scaling::ScalerParameters scalerParameters = scaling::defaultScalerParameters;
   int prefixes = 40;
-  /// Largest relative deviation of a clock's rate from the true rate; two clocks differ by up to twice as much.
+  /// Largest relative deviation of a clock's rate from the true rate. The rates of two clocks differ by up to twice as
+  /// much.
   double clockSpread = 0.002;
   /// Times to first byte of requests that begin earlier than this after the first request are not measured.
   Milliseconds skip = 0;
   /// The tenant `nord` is subject to a regime, and operators declare, revoke and replace certificates throughout the
   /// run. The last zone never has a certificate.
   bool regimes = false;
-  /// If false, the tenant is subject to no regime, but certificates still change; for comparisons.
+  /// If false, the tenant is subject to no regime, but certificates still change. Used for comparisons.
   bool bound = true;
-  /// Routers need certificates too; those in the last zone never have one.
+  /// Whether routers need certificates too. Routers in the last zone never have a certificate.
   bool certifiedRouters = false;
   /// If true, routers serve only under a lease. If false, routers serve without a lease and a change is acknowledged
   /// once a majority of the controllers has stored it, as on a platform that limits the age of a configuration itself.
@@ -278,7 +279,8 @@
   bool namesLostSeparately = false;
   Operators operators;
   Bounds bounds;
-  /// Packs each message and counts messages and bytes by kind and by role of the sender; makes the run slower.
+  /// Serializes each message, and counts messages and bytes by kind and by role of the sender. This makes the run
+  /// slower.
   bool traffic = false;
 };
 
@@ -288,16 +290,17 @@
   /// Time and name of each fault that was caused.
   std::vector<std::string> timeline;
   std::map<std::string, std::size_t> counts;
-  /// Times to first byte by priority class, measured from the caller's first attempt and from the attempt that was
-  /// served.
+  /// Times to first byte by priority class, measured from the caller's first attempt.
   std::map<std::string, std::vector<Milliseconds>> firstTokenTimes;
+  /// Times to first byte by priority class, measured from the attempt that was served.
   std::map<std::string, std::vector<Milliseconds>> servedTokenTimes;
   std::vector<Milliseconds> ackTimes;
-  /// Messages and bytes sent by role of the sender and kind of message, without the first 10 s and without the recovery
-  /// after the last fault.
+  /// Number of messages and number of bytes sent, by role of the sender and kind of message. The first 10 s and the
+  /// recovery after the last fault are not counted.
   std::map<std::pair<std::string, std::string>, std::pair<std::size_t, std::size_t>> traffic;
-  /// Sum and number of the sampled sizes of the routers' replica subsets.
+  /// Sum of the sampled sizes of the routers' replica subsets.
   double subsetSum = 0;
+  /// Number of the samples in `subsetSum`.
   std::size_t subsetSamples = 0;
 };
 
@@ -326,7 +329,7 @@
                                                  {ControlScenario::powerCuts, "power-cuts"}};
 
 /// Returns a plan of a small fleet with operators of the fleet configuration and a random set of the scenario's faults.
-/// Half of the seeds are fenced.
+/// For half of the seeds, `Plan::fenced` is true.
 Plan controlPlan(std::uint64_t seed, ControlScenario point);
 
 /// Returns a plan that causes only the given faults.
--- a/testing/sim/simulated_cluster.h
+++ b/testing/sim/simulated_cluster.h
@@ -55,17 +55,17 @@
     bool writing = false;
     Milliseconds diskDelay = 2;
     bool diskStalled = false;
-    /// When the disk was last empty or its log was set aside as damaged.
+    /// Last time at which the disk was empty or its log was set aside as damaged.
     Milliseconds diskContentSince = 0;
-    /// Revision of the newest fleet configuration confirmed before the process started, and whether the router has had
-    /// a serving lease since.
+    /// Revision of the newest fleet configuration that was confirmed before the process started.
     std::uint64_t confirmedAtBoot = 0;
+    /// Whether the router has had a serving lease since the process started.
     bool hasServed = false;
     /// Last time at which the process was not running normally or not connected to the stable core.
     Milliseconds lastFaultAt = 0;
   };
   enum class Shape { usual, longPrompt, longAnswer };
-  /// What a replica that fails part of its requests (a grey replica) does with a request.
+  /// What a grey replica (one that fails a fraction of its requests) does with a request.
   enum class Grey { none, dropped, failed, cut, late };
   struct Run {
     std::string run;
@@ -84,8 +84,9 @@
     std::uint64_t connectionId = 0;
     /// Response body produced so far.
     std::string output;
-    /// Whether the response is an event stream, and the number of events that the caller already has.
+    /// Whether the response is an event stream.
     bool events = false;
+    /// Number of events that the caller already has.
     int from = 0;
   };
   struct Replica {
@@ -97,8 +98,9 @@
     bool poweredOff = false;
     bool listed = true;
     double slow = 1.0;
-    /// Fraction of the requests that the replica fails (0 if it works normally), and when that began.
+    /// Fraction of the requests that the replica fails. 0 if the replica works normally.
     double grey = 0;
+    /// Time at which the replica began to fail requests.
     Milliseconds greySince = 0;
     std::uint64_t incarnation = 0;
     Milliseconds leavingPublishedAt = -1;
@@ -125,14 +127,14 @@
     /// only repeat the request id.
     bool sendsAttemptNumbers = true;
     Milliseconds firstRunAt = 0;
-    /// Retries soon after every failure, whether or not the response allows it.
+    /// Whether the caller retries soon after every failure, even if the response does not allow a retry.
     bool aggressive = false;
     bool open = false;
     Milliseconds startedAt = 0;
     Milliseconds attemptAt = 0;
     Milliseconds deadline = 0;
     bool firstTokenReceived = false;
-    /// The router has reset the response, and the reset has not reached the caller yet.
+    /// Whether the router has reset the response and the reset has not reached the caller yet.
     bool responseReset = false;
     bool measured = false;
     Shape shape = Shape::usual;
@@ -146,10 +148,11 @@
     std::string caller;
     dataplane::Connect connect;
     std::uint64_t connectionId = 0;
-    /// Whether the connection is reused, whether the replica has dropped it unnoticed, and whether it was idle for at
-    /// least `staleAfter`.
+    /// Whether the connection was open before the request.
     bool reused = false;
+    /// Whether the replica has dropped the connection without the router having noticed.
     bool forgotten = false;
+    /// Whether the connection was idle for at least `staleAfter`.
     bool idleForLong = false;
     /// Incarnation of the replica that accepted the connection, if the router requires a certain incarnation.
     std::uint64_t replicaIncarnation = 0;
@@ -192,7 +195,8 @@
     bool closed = false;
     bool reportedLate = false;
   };
-  /// A power loss due at the acknowledgement of the next change or, if `afterSending`, some time after it is sent.
+  /// A power loss that is due when the next change is acknowledged or, if `afterSending` is true, some time after the
+  /// change is sent.
   struct PowerLossTrigger {
     bool armed = false;
     bool afterSending = false;
@@ -276,7 +280,7 @@
   /// Opens a connection that succeeds only if the replica reports the incarnation that the router requires.
   void identifyIncarnation(Node& n, dataplane::Connect const& m);
   /// Returns whether the bytes that the caller has received are a prefix of one run's response (or of one event
-  /// stream), without gap or repeat.
+  /// stream), without a gap or a repetition.
   bool isUninterrupted(Caller const& caller) const;
   void change(std::string const& key, std::string const& what, std::string const& method, std::string const& path,
               std::string const& body, std::string const& ifMatch, std::string const& mark,
@@ -307,7 +311,8 @@
   void onFleetConfigurationCommitted(Node const& n);
   void checkFinalFleetConfiguration();
   std::string chooseOtherController(std::string const& link);
-  /// Sends an operator call to a controller and passes its response to `then`; status 0 if none comes within `limit`.
+  /// Sends an operator call to a controller and passes the response to `then`. The status is 0 if no response arrives
+  /// within `limit`.
   void sendOperatorCall(std::string const& link, transport::OperatorCall call, Milliseconds limit,
                         std::function<void(int, QJsonObject const&)> then);
   // Processes in contact with the core, and the rules for them: contact_oracles.cpp.
@@ -319,14 +324,15 @@
   bool hasNoFaults() const;
   bool inContact(Node const& n) const;
   void checkRouterRevisions();
-  /// When a router gets its first serving lease, checks that it has at least the fleet configuration that was confirmed
-  /// before the router started.
+  /// When a router gets its first serving lease, checks that the router's fleet configuration is at least as new as the
+  /// newest one that was confirmed before the router started.
   void checkFirstServing(Node& n);
   void checkMembersVote();
   void checkAcknowledgements();
-  /// Returns the time from which a change made at `since` must be in effect at the process. In a fenced fleet that is
-  /// `since`; otherwise the process must also have been in contact for the time in `bounds`. Returns -1 if the rule
-  /// does not apply.
+  /// Returns the time from which a change made at `since` must be in effect at the process. If `Plan::fenced` is true,
+  /// this time is `since`. Otherwise it is `Bounds::applied` after the latest of three times: `since`, and
+  /// `Bounds::inContact` after the last fault of the process and after the last change of the core. Returns -1 if the
+  /// process is not in contact.
   Milliseconds effectiveFrom(Node const& n, Milliseconds since) const;
   // Faults of the control scenarios: control_faults.cpp.
   void causeControlFault(Fault f);
@@ -411,12 +417,14 @@
   std::vector<ConfigurationChange> configurationChanges_;
   std::uint64_t nextVersion_ = 1;
   std::uint64_t knownVersion_ = 0;
-  /// Version and revision of the newest fleet configuration that was acknowledged.
+  /// Version of the newest fleet configuration that was acknowledged.
   std::uint64_t confirmedVersion_ = 0;
+  /// Revision of the newest fleet configuration that was acknowledged.
   std::uint64_t confirmedRevision_ = 0;
-  /// Version and change (index in configurationChanges_) of each revision of the fleet configuration that any
-  /// controller has committed.
+  /// Version of each revision of the fleet configuration that any controller has committed.
   std::map<std::uint64_t, std::uint64_t> committedVersions_;
+  /// Change (index in configurationChanges_) of each revision of the fleet configuration that any controller has
+  /// committed.
   std::map<std::uint64_t, std::size_t> changeOfRevision_;
   int burstChangesLeft_ = 0;
   PowerLossTrigger powerLossTrigger_;
@@ -426,17 +434,18 @@
   /// Isolated controllers that receive the platform's endpoint lists before all others.
   std::vector<std::string> cutOffControllers_;
   std::string coreState_;
-  /// Time of the last change of the state or links of a controller, of the last fault of any link, disk or process, and
-  /// of the last fault that concerns a controller.
+  /// Time of the last change of the state or the links of a controller.
   Milliseconds coreChangedAt_ = 0;
+  /// Time of the last fault of any link, disk or process.
   Milliseconds lastFaultAt_ = 0;
+  /// Time of the last fault that concerns a controller.
   Milliseconds lastControllerFaultAt_ = 0;
   std::set<std::string> stableCore_;
   std::optional<transport::CommittedEntry> firstFleetConfiguration_;
   std::string certificateRevision_ = "0";
-  /// Number of changes of each certificate that were sent.
+  /// Number of changes that were sent, by certificate.
   std::map<std::string, std::uint64_t> certificateChanges_;
-  /// Certificates that are certainly no longer valid, and since when.
+  /// Certificates that are certainly no longer valid, with the time since which this is so.
   std::map<std::string, Milliseconds> invalidSince_;
   std::map<std::string, std::string> listedIncarnations_;
   std::set<std::string> everListedIncarnations_;
--- a/testing/test/sim_test.cpp
+++ b/testing/test/sim_test.cpp
@@ -203,7 +203,7 @@
   CHECK(counts["certificates-read"] == 14);
 }
 
-TEST_CASE("a request under a regime runs only where its certificates allow under random sets of faults", "[regimes]") {
+TEST_CASE("under random sets of faults, a request under a regime runs only where certificates allow it", "[regimes]") {
   std::map<std::string, std::size_t> counts;
   for (std::uint64_t seed = 1; seed <= 24; ++seed)
     for (auto const& [name, count] : checkPlan(testing::regimes(seed)).counts) counts[name] += count;
