--- a/testing/fleet/main.cpp
+++ b/testing/fleet/main.cpp
@@ -83,9 +83,9 @@
   int seconds = 10;
   double scale = 1.0;
   bool hold = false;
-  /// Number of routers. 0 for the deployment's number.
+  /// Number of routers. If it is 0, the deployment's number is used.
   int nodes = 0;
-  /// Seconds over which resource usage without requests is measured. 0 for no measurement.
+  /// Seconds over which resource usage without requests is measured. If it is 0, nothing is measured.
   int usage = 0;
 };
 
--- a/testing/sim/plan.h
+++ b/testing/sim/plan.h
@@ -295,8 +295,8 @@
   /// Times to first byte by priority class, measured from the attempt that was served.
   std::map<std::string, std::vector<Milliseconds>> servedTokenTimes;
   std::vector<Milliseconds> ackTimes;
-  /// Number of messages and number of bytes sent, by role of the sender and kind of message. The first 10 s and the
-  /// recovery after the last fault are not counted.
+  /// Number of messages and number of bytes sent, by role of the sender and kind of message. The first 10 s of the
+  /// requests and the recovery after the last fault are not counted.
   std::map<std::pair<std::string, std::string>, std::pair<std::size_t, std::size_t>> traffic;
   /// Sum of the sampled sizes of the routers' replica subsets.
   double subsetSum = 0;
--- a/testing/test/body_test.cpp
+++ b/testing/test/body_test.cpp
@@ -4,7 +4,7 @@
 
 namespace testing = corkward::testing;
 
-TEST_CASE("a body is complete only with all tokens of one run in order and its end") {
+TEST_CASE("a body is complete only if it contains all tokens of one run in order and ends after them") {
   std::string const good = testing::bodyOf("r-1", 5);
   CHECK(testing::checkBody(good).complete);
   CHECK(testing::checkBody(good).tokens == 5);
--- a/testing/test/fuzz_test.cpp
+++ b/testing/test/fuzz_test.cpp
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-TEST_CASE("a seed always gives the same plan and a plan is unchanged after writing and reading it", "[plans]") {
+TEST_CASE("a seed always gives the same plan, and a plan that is written and read again is unchanged", "[plans]") {
   for (std::uint64_t seed = 1; seed < 50; ++seed) {
     Plan const plan = corkward::fuzz::planOf(seed);
     CHECK(jsonOf(plan) == jsonOf(corkward::fuzz::planOf(seed)));
