--- a/quota/include/corkward/quota/grant_table.h
+++ b/quota/include/corkward/quota/grant_table.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// What the owner of a tenant's partition has granted of the tenant's limit: to which router, how much and until when.
-/// Pure: the time is a parameter of each call.
+/// It reads no clock: the time is a parameter of each call.
 ///
 /// The limit is split into fractions: each router has one under an allocation that expires, and the owner keeps the
 /// remainder. While a router is connected to the owner, the refill of its fraction goes to the owner; the router stores
@@ -22,13 +22,14 @@
 
 /// What a router may be granted.
 enum class GrantScope {
-  /// Single amounts: the router is not in the roster.
+  /// Only single amounts, because the router is not in the roster.
   amountsOnly,
   /// Single amounts and an allocation.
   allocation,
 };
 
-/// Grants of one tenant's limit. Fractions are parts of the limit, 0 to 1; amounts are requests or tokens.
+/// Grants of one tenant's limit. A fraction of the limit is a number from 0 to 1. An amount is a number of requests or
+/// tokens.
 class GrantTable {
  public:
   /// @param term the owner's term
@@ -59,8 +60,9 @@
     std::uint64_t incarnation = 0;
     /// Number of the newest grant with an allocation; 0 if this owner has granted none.
     std::uint64_t grantNumber = 0;
-    /// Fraction in the newest grant, and until when the router may spend it.
+    /// Fraction in the newest grant.
     double grantedFraction = 0;
+    /// Until when the router may spend its allocation.
     Milliseconds expiresAt = 0;
     /// Greatest fraction that the router may hold; at least `grantedFraction`.
     double reservedFraction = 0;
@@ -82,8 +84,8 @@
   double ownerCapacity(Milliseconds now) const;
   /// Amount that has been refilled to the owner since the last update.
   double refilledAmount(Milliseconds now) const;
-  /// Greatest fraction to allocate to all routers: what the owner keeps must suffice for the largest amounts that were
-  /// requested recently.
+  /// Greatest fraction that may be allocated to all routers together. The remainder, which the owner keeps, must
+  /// suffice for the largest amounts that were requested recently.
   double allocatableFraction(Milliseconds now) const;
   /// Fraction that a router should be allocated now, in proportion to its demand.
   double targetFraction(Milliseconds now, std::string const& router) const;
--- a/quota/include/corkward/quota/limit.h
+++ b/quota/include/corkward/quota/limit.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A tenant's limit over the fleet, and how it is bounded.
+/// A tenant's limit for the whole fleet, and the upper bound of the amount that the fleet dispatches under it.
 ///
 /// Terms: A *limit* is a token bucket in requests or tokens. The *partition owner* is the controller that holds the
 /// lease on the tenant's partition (partition_leases.h). It splits the bucket into fractions: a router holds an
@@ -16,9 +16,10 @@
 ///     on a partition never overlap. A new owner counts maxAllocatedFraction as allocated until the routers have
 ///     reported their allocations, or until the allocations of its predecessors have expired. A smaller allocation
 ///     frees the difference only once the router has confirmed it or the larger one has expired.
-///  2. The refill of a fraction f, which is f x perSecond, reaches one counter at a time: the owner for
-///     refillTransferDelay after it sent the newest grant that the router has confirmed, the router from
-///     refillTransferDelay after it received its newest grant, which is later.
+///  2. The refill of a fraction f, which is f x perSecond, goes to only one counter at a time. It goes to the owner
+///     until refillTransferDelay after the owner sent the newest grant that the router has confirmed. It goes to the
+///     router from refillTransferDelay after the router received its newest grant. This time is later, because a grant
+///     is received after it was sent, and the newest grant is not older than the newest confirmed one.
 ///  3. A counter with the fraction f stores at most f x totalCapacity(). Together the counters store at most
 ///     totalCapacity(), so within a window of W milliseconds they admit at most totalCapacity() plus the refill of W.
 ///  4. An amount that was taken from a counter is dispatched within maxDispatchDelay or returned. What is dispatched in
--- a/quota/include/corkward/quota/messages.h
+++ b/quota/include/corkward/quota/messages.h
@@ -52,8 +52,9 @@
   std::uint64_t returnedAmount = 0;
   /// The allocation that the router holds, in units of 1 / fractionUnits; 0 if it has none.
   std::uint64_t allocatedFraction = 0;
-  /// Term of the owner that granted the allocation, and the number of that grant.
+  /// Term of the owner that granted the allocation.
   std::uint64_t ownerTerm = 0;
+  /// Number of the grant that contained the allocation.
   std::uint64_t grantNumber = 0;
   /// Milliseconds until the allocation expires.
   std::uint64_t allocationRemainingMs = 0;
@@ -77,8 +78,9 @@
 /// Sent by a router to the controller that owns partitions of its tenants, periodically while the tenants have requests
 /// or allocations, and when a request waits for an amount. The reply is QuotaGrants.
 struct UsageReport {
-  /// Link address of the sender, and the incarnation of that process, which rises with each start.
+  /// Link address of the sender.
   std::string link;
+  /// Incarnation of the sending process, which rises with each start.
   std::uint64_t incarnation = 0;
   /// Identifies the report in its reply. It rises with each report of a router.
   std::uint64_t reportNumber = 0;
@@ -92,7 +94,7 @@
   }
 };
 
-/// What the owner of a partition grants one router of one tenant's limit.
+/// Grant by the owner of a partition to one router, out of one tenant's limit.
 struct QuotaGrant {
   std::string tenant;
   /// Term of the owner.
@@ -170,8 +172,9 @@
 /// Sent by a router to a new owner, in reply to an AllocationQuery: all allocations that the router holds in the
 /// queried partitions.
 struct AllocationReport {
-  /// Link address of the sender, and the incarnation of that process.
+  /// Link address of the sender.
   std::string link;
+  /// Incarnation of the sending process.
   std::uint64_t incarnation = 0;
   /// The partitions and terms of the query.
   std::vector<PartitionTerm> terms;
@@ -191,8 +194,9 @@
 struct PartitionLeaseRequest {
   /// Time on the sender's clock. The sender counts the duration of granted leases from it.
   core::Milliseconds sentAt = 0;
-  /// Link address of the sender, and the incarnation of that process.
+  /// Link address of the sender.
   std::string link;
+  /// Incarnation of the sending process.
   std::uint64_t incarnation = 0;
   /// True if the sender releases these leases instead of requesting them.
   bool release = false;
--- a/quota/include/corkward/quota/owned_partition.h
+++ b/quota/include/corkward/quota/owned_partition.h
@@ -26,16 +26,16 @@
   GrantTable& grantTable(Milliseconds now, std::string const& tenant, Limit const& limit,
                          OverdraftAllowance const& allowance);
 
-  /// Starts the recovery once the roster is known to be current, which is when contact with a majority of the members
-  /// began after this term: from then on all routers of the roster have to report their allocations. Ends the recovery
-  /// when all allocations of earlier owners have expired.
+  /// Starts the recovery once the roster is known to be current, that is, once a contact with a majority of the members
+  /// has begun after this controller became the owner. From then on all routers of the roster have to report their
+  /// allocations. Ends the recovery when all allocations of earlier owners have expired.
   /// @param quorumContactSince when the newest contact with a majority of the members began, or negative if there is
   /// none
   void advanceRecovery(Milliseconds now, Milliseconds quorumContactSince, std::set<std::string> const& routers);
   bool isRecoveryStarted() const { return recoveryStarted_; }
   /// Routers that have not reported their allocations yet.
   std::set<std::string> const& unreportedRouters() const { return unreportedRouters_; }
-  /// Notes that a router has reported all its allocations in this partition.
+  /// Records that a router has reported all its allocations in this partition.
   void onRouterReported(Milliseconds now, std::string const& router);
 
  private:
--- a/quota/include/corkward/quota/partition_lease_grants.h
+++ b/quota/include/corkward/quota/partition_lease_grants.h
@@ -3,8 +3,9 @@
 /// The leases on partitions that one member of the control plane has granted.
 ///
 /// The leases need no storage, as in PaxosLease (Trencseni, Gazso, Reinhardt 2012): a controller owns a partition while
-/// a majority of the members has granted it the lease on that partition. A member that may have forgotten its grants
-/// grants nothing for longer than a lease lasts, so two leases on one partition never overlap.
+/// a majority of the members has granted it the lease on that partition. A member that may have forgotten what it
+/// granted waits for longer than the duration of a lease before it grants any, so two leases on one partition never
+/// overlap.
 
 #include <cstdint>
 #include <map>
--- a/quota/include/corkward/quota/quota_coordinator.h
+++ b/quota/include/corkward/quota/quota_coordinator.h
@@ -43,7 +43,8 @@
 /// Reducer whose input is time, messages and the membership, and whose output is messages.
 class QuotaCoordinator {
  public:
-  /// @param incarnation rises with each start of this process; the terms of its leases begin with it
+  /// @param incarnation rises with each start of this process; it is also the smallest term with which this process
+  ///   requests a lease
   QuotaCoordinator(std::string link, std::uint64_t incarnation, OverdraftAllowance const& allowance);
 
   /// Applies the limits of the active configuration, by tenant. Tenants without a limit are not in the map.
@@ -94,7 +95,8 @@
   PartitionLeaseGrants grants_;
   /// Leases that this controller holds or contends for.
   PartitionLeases leases_;
-  /// Partitions whose lease was valid at the last update. Whether it still is must be looked up in `leases_`.
+  /// Partitions whose lease was valid at the last update. Whether a lease is still valid must be looked up in
+  /// `leases_`.
   std::map<std::uint64_t, OwnedPartition> ownedPartitions_;
   /// Owners of other partitions as other members have named them, by partition.
   std::map<std::uint64_t, AnnouncedOwner> announcedOwners_;
--- a/quota/include/corkward/quota/quota_limiter.h
+++ b/quota/include/corkward/quota/quota_limiter.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// One tenant at one router: admits its requests against the fraction of the limit that this router was allocated, and
-/// against single amounts that the partition's owner grants. Pure: the time is a parameter of each call.
+/// against single amounts that the partition's owner grants. It reads no clock: the time is a parameter of
+/// each call.
 
 #include <cstddef>
 #include <cstdint>
@@ -41,8 +42,7 @@
   void refund(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance, double amount);
 
   /// Applies the reply to a report.
-  /// @param reportSentAt when that report was sent; a granted amount that arrives more than maxDispatchDelay / 2 later
-  /// is
+  /// @param reportSentAt when that report was sent; an amount that arrives more than maxDispatchDelay / 2 later is
   ///   discarded
   void onGrant(Milliseconds now, Limit const& limit, OverdraftAllowance const& allowance, Milliseconds reportSentAt,
                QuotaGrant const& grant);
@@ -80,13 +80,16 @@
   Milliseconds lastRequestAt_ = -1;
   /// True if requests arrived or an amount is to be returned since the last report with a renewal.
   bool hasUnreportedChange_ = false;
-  /// Fraction of the requests that may be admitted, and when the owner last reported it.
+  /// Fraction of the requests that may be admitted.
   double admissionShare_ = 1.0;
+  /// When the owner last reported `admissionShare_`.
   Milliseconds admissionShareAt_ = 0;
-  /// The allocation: a fraction of the limit until `expiresAt_`, granted under the owner's term and number.
+  /// Fraction of the limit that is allocated to this router until `expiresAt_`.
   double allocatedFraction_ = 0;
   Milliseconds expiresAt_ = 0;
+  /// Term of the owner that granted the allocation.
   std::uint64_t ownerTerm_ = 0;
+  /// Number of the grant that contained the allocation.
   std::uint64_t grantNumber_ = 0;
   /// When the newest grant of an allocation arrived.
   Milliseconds grantedAt_ = -refillTransferDelay;
@@ -95,9 +98,9 @@
   Milliseconds updatedAt_ = 0;
   /// Amount to be returned to the owner with the next report.
   double returnedAmount_ = 0;
-  /// Available amount of this router's part of unallocatedFraction, as of `unallocatedAt_`, which is -1 before first
-  /// use.
+  /// Amount available from this router's equal fraction of unallocatedFraction, as of `unallocatedAt_`.
   double unallocatedAmount_ = 0;
+  /// -1 before the first use of unallocatedFraction.
   Milliseconds unallocatedAt_ = -1;
   /// When the last report that requested a renewal was sent.
   Milliseconds renewalRequestedAt_ = -reportEvery;
--- a/quota/src/grant_table.cpp
+++ b/quota/src/grant_table.cpp
@@ -9,9 +9,9 @@
 
 /// Milliseconds after which a router's last report no longer counts as demand.
 constexpr Milliseconds reportValidity = 2000;
-/// A router's fraction changes only if the target differs from it by more than this fraction of it. Frequent small
-/// changes would waste quota: the difference to a smaller allocation is refilled to no counter until the router has
-/// confirmed it.
+/// A router's fraction changes only if it differs from the target by more than this fraction of its present value.
+/// Frequent small changes would waste quota: until the router has confirmed a smaller allocation, the owner reserves
+/// the larger one and cannot allocate the difference to other routers.
 constexpr double fractionHysteresis = 0.25;
 /// The owner keeps enough capacity for this many requests of the largest recently requested amount.
 constexpr double largestRequestsReserve = 2.0;
--- a/quota/src/quota_limiter.cpp
+++ b/quota/src/quota_limiter.cpp
@@ -9,7 +9,7 @@
 
 /// Milliseconds over which a tenant's demand is averaged.
 constexpr Milliseconds demandTimeConstant = 3000;
-/// Milliseconds after its arrival for which an admission share applies.
+/// Milliseconds for which an admission share applies, counted from its arrival.
 constexpr Milliseconds admissionShareValidity = 1500;
 /// Milliseconds between reports while no requests arrive but the router holds an allocation.
 constexpr Milliseconds idleRenewalInterval = 600;
--- a/quota/test/partition_lease_grants_test.cpp
+++ b/quota/test/partition_lease_grants_test.cpp
@@ -36,7 +36,7 @@
   CHECK(granted(grants.onRequest(expiresAt, request("c2", 6, 0), GrantPermission::all)));
 }
 
-TEST_CASE("a member that may have forgotten its grants grants no lease, and one with a new membership only renews") {
+TEST_CASE("a member grants no lease if it may have forgotten grants, and only renews leases under a new membership") {
   quota::PartitionLeaseGrants grants;
   CHECK_FALSE(granted(grants.onRequest(1000, request("c1", 5, 990), GrantPermission::none)));
   CHECK_FALSE(granted(grants.onRequest(1000, request("c1", 5, 990), GrantPermission::renewals)));
--- a/quota/test/partition_leases_test.cpp
+++ b/quota/test/partition_leases_test.cpp
@@ -26,7 +26,7 @@
   CHECK(leases.validUntil(3, {"c5", "c6", "c2"}) <= 1000);
 }
 
-TEST_CASE("a controller whose term is superseded contends under a higher one") {
+TEST_CASE("a controller whose term is superseded contends under a higher term") {
   quota::PartitionLeases leases;
   leases.contend(1000, 3, 9);
   leases.onReply("c2", {1000, {{3, 12, false, "c7"}}});
