--- a/scaling/include/corkward/scaling/scaler.h
+++ b/scaling/include/corkward/scaling/scaler.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Controls how many replicas of a pool one router uses, and how many requests it has in flight at each. Pure: the time
-/// is a parameter of each call.
+/// Controls how many replicas of a pool one router uses, and how many requests it has in flight at each. It reads no
+/// clock: the time is a parameter of each call.
 
 #include <cstdint>
 #include <unordered_map>
@@ -38,7 +38,7 @@
   /// up.
   double cap() const;
   /// Returns true if the cap leaves capacity for one more request.
-  /// @param bulk whether it is a bulk request; these may fill only a fraction of the cap
+  /// @param bulk true for a bulk request; bulk requests may fill only a fraction of the cap
   bool hasCapacity(bool bulk) const;
   /// The same as hasCapacity, but raises the limit to make capacity while responses are well within the latency target.
   bool raiseLimitFor(bool bulk);
@@ -59,13 +59,13 @@
 
   /// Removes the measurements of a replica that has been removed from the pool and has no request in flight.
   void forget(NameIndex replica) { firstByteTimes_.erase(replica); }
-  /// A request was dispatched to the replica.
+  /// Records that a request was dispatched to the replica.
   void onSent(NameIndex replica, bool bulk);
-  /// The first byte of a response arrived.
+  /// Records that the first byte of a response arrived.
   /// @param took milliseconds since the request was dispatched
   /// @param latencyTarget latency target of the request's class, in milliseconds
   void onFirstByte(Milliseconds now, NameIndex replica, Milliseconds took, Milliseconds latencyTarget);
-  /// A request that was dispatched to the replica has ended, whatever its outcome.
+  /// Records that a request that was dispatched to the replica has ended, whatever its outcome.
   void onEnded(NameIndex replica, bool bulk);
 
  private:
@@ -99,8 +99,9 @@
   double meanFirstByte_ = 0;
   /// Running mean of the ratio of the time to the first byte to the latency target.
   double latencyRatio_ = 0;
-  /// Value of `meanFirstByte_` when the subset last grew, and the responses since then.
+  /// Value of `meanFirstByte_` when the subset last grew.
   double meanFirstByteAtGrowth_ = 0;
+  /// Number of responses since the subset last grew.
   int responsesSinceGrowth_ = 0;
   bool allSlow_ = false;
 };
--- a/scaling/include/corkward/scaling/scaler_parameters.h
+++ b/scaling/include/corkward/scaling/scaler_parameters.h
@@ -11,7 +11,7 @@
 using core::Milliseconds;
 using core::NameIndex;
 
-/// Parameters of scaling. The defaults are the design's starting values.
+/// Parameters of scaling. A router process replaces some of the defaults.
 struct ScalerParameters {
   /// The subset grows by one replica when the excess demand (Scaler::evaluate) is at least this many requests for each
   /// replica that the subset has.
@@ -23,8 +23,9 @@
   Milliseconds cooldown = 5000;
   /// Number of replicas that a subset has at the start.
   std::size_t initialSubset = 1;
-  /// Concurrency limit: in-flight requests of this router per replica, at the start and its bounds.
+  /// Concurrency limit at the start, as in-flight requests of this router per replica.
   double initialLimit = 4.0;
+  /// Bounds of the concurrency limit.
   double minLimit = 1.0;
   double maxLimit = 24.0;
   /// The limit is multiplied by this factor when a first byte takes longer than the latency target, at most once per
@@ -43,17 +44,19 @@
   double inFlightTokens = 300.0;
   /// Cost of a token of a shared segment that the replica would have to read because it does not have it cached.
   double uncachedTokenWeight = 4.0;
-  /// Tokens that a replica is assumed to read per millisecond, and how many milliseconds a first byte may take beyond
-  /// that. A request that has waited longer shows that its replica is busy: the additional time counts as cost.
+  /// Tokens that a replica is assumed to read per millisecond.
   double prefillTokensPerMs = 100.0;
+  /// Milliseconds that a first byte may take in addition to the time for reading the request's tokens. A request that
+  /// has waited longer shows that its replica is busy: the additional time counts as cost.
   Milliseconds firstByteSlack = 60;
   /// A prompt whose last segment has more tokens than this per millisecond of the latency target cannot be read within
-  /// the target. Such long prompts go to isolated replicas, so that they delay no other requests. Isolated replicas are
-  /// this fraction of a pool's replicas, rounded down, and are the same on all routers.
+  /// the target. Such long prompts go to isolated replicas, so that they delay no other requests.
   double targetTokensPerMs = 50.0;
+  /// Fraction of a pool's replicas that are isolated. Their number is rounded down, and they are the same on all
+  /// routers.
   double isolatedFraction = 0.09;
-  /// Cost, in tokens, of sending a long prompt to a replica that is not isolated, or another one to an isolated
-  /// replica.
+  /// Cost, in tokens, of sending a long prompt to a replica that is not isolated, or a prompt that is not long to an
+  /// isolated replica.
   double wrongGroupPenalty = 40000.0;
   /// Number of prompt segments that a router remembers to have sent.
   std::size_t maxCachedSegments = 40000;
@@ -68,17 +71,17 @@
   double meanWeight = 0.2;
   /// Responses after a growth of the subset that are needed to judge whether the growth helped.
   int minResponses = 4;
-  /// Weight of one outcome in a replica's failure rate, and the time after which the rate and the recent failures count
-  /// half.
+  /// Weight of one outcome in a replica's failure rate.
   double failureMeanWeight = 0.2;
+  /// Milliseconds after which the failure rate and the recent failures count half.
   Milliseconds failureHalfLife = 30000;
-  /// A replica is no longer trusted at this failure rate, if it has at least so many recent failures.
+  /// A replica is no longer trusted at this failure rate, if it has at least `minFailures` recent failures.
   double maxFailureRate = 0.4;
   double minFailures = 2.5;
-  /// First and longest suspension of a replica that is not trusted, and the number of consecutive successes after which
-  /// it is trusted again.
+  /// First and longest suspension of a replica that is not trusted, in milliseconds.
   Milliseconds initialSuspension = 1000;
   Milliseconds maxSuspension = 8000;
+  /// Number of consecutive successes after which a replica is trusted again.
   int probesToTrust = 5;
   /// A request is overdue, which counts as a failure, when its first byte takes longer than this factor times the
   /// latency target and longer than this factor times the mean time to the first byte.
--- a/scaling/test/scaling_test.cpp
+++ b/scaling/test/scaling_test.cpp
@@ -55,7 +55,7 @@
   CHECK(s.subset().size() == 4);
 }
 
-TEST_CASE("a subset begins with the preferred replica, and each growth adds the preferred one and no other") {
+TEST_CASE("a subset begins with the preferred replica, and each growth adds the preferred replica and no other") {
   for (core::NameIndex preferred = 0; preferred < 9; ++preferred) {
     scaling::Scaler s(7);
     s.setCandidates(readyCandidates(9));
@@ -208,7 +208,7 @@
   CHECK_FALSE(scaling::SlowStartBucket(0).hasToken(400, 2.0));
 }
 
-TEST_CASE("the number of remembered prefixes is bounded, and the most recent one stays") {
+TEST_CASE("the number of remembered prefixes is bounded, and the most recent prefix stays") {
   scaling::PrefixCacheIndex p(100);
   for (std::uint64_t i = 0; i < 10000; ++i) p.recordServed(i % 300, 1);
   CHECK(p.size() <= 100);
@@ -216,7 +216,7 @@
   CHECK(p.lastReplica(100000) == -1);
 }
 
-TEST_CASE("an idle scaler that is not evaluated behaves like one that is evaluated every 100 ms") {
+TEST_CASE("an idle scaler that is not evaluated behaves like a scaler that is evaluated every 100 ms") {
   int idlePeriods = 0;
   for (std::uint64_t seed = 1; seed < 60; ++seed) {
     CAPTURE(seed);
