--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -62,7 +62,7 @@
   /// Returns true if the last contact with a majority of the disks is no older than a serving lease and this controller
   /// is not draining.
   bool ready(Milliseconds now) const;
-  /// Returns the body of the page /v1/fleet.
+  /// Returns the body of the HTTP resource /v1/fleet.
   QJsonObject fleet(Milliseconds now) const;
   /// Returns the counters aggregated from the journal and the gauges in the Prometheus text format.
   std::string metrics(Milliseconds now) const;
--- a/control/include/corkward/control/controller_tuning.h
+++ b/control/include/corkward/control/controller_tuning.h
@@ -38,10 +38,11 @@
   Milliseconds probeAfter = 400;
   /// If false, a change is answered as soon as it is on a majority of the disks, without waiting for the routers.
   bool awaitRollout = true;
-  /// Intervals at which controllers report the routers' status to each other: while all rollouts are complete, while a
-  /// rollout is incomplete, and while the newest incomplete rollout is younger than rolloutStartPeriod.
+  /// Interval at which controllers report the routers' status to each other while all rollouts are complete.
   Milliseconds statusReportEvery = 500;
+  /// The same interval while a rollout is incomplete.
   Milliseconds statusReportDuringRollout = 100;
+  /// The same interval while the newest incomplete rollout is younger than rolloutStartPeriod.
   Milliseconds statusReportAtRolloutStart = 20;
   Milliseconds rolloutStartPeriod = 400;
   /// A router without a lease request for this long is not reported as served by this controller.
--- a/control/include/corkward/control/endpoint_lists.h
+++ b/control/include/corkward/control/endpoint_lists.h
@@ -17,8 +17,8 @@
 transport::OperatorCall endpointListProposal(std::string const& pool, config::EndpointList const& list,
                                              std::uint64_t committedRevision);
 
-/// Returns the hint that names the replicas on a list that is not committed yet. Routers stop using all other replicas
-/// of the pool at once.
+/// Returns the hint that names the replicas of an endpoint list that is not committed yet. Routers stop using all other
+/// replicas of the pool at once.
 transport::EndpointRemovalHint removalHintOf(std::string const& pool, config::EndpointList const& list);
 
 /// Tracks the endpoint lists that are newer than the committed ones: their removal hints and the calls that propose
@@ -30,7 +30,7 @@
   /// Adds a hint. Returns false without adding it if the pool has no committed list, or if the committed list or the
   /// previous hint has the same or a newer generation.
   bool addHint(transport::EndpointRemovalHint const& hint, CommittedValues const& values);
-  /// Removes the hints whose list, or a newer one, is committed.
+  /// Removes the hints whose endpoint list, or a newer list, is committed.
   void dropCommittedHints(CommittedValues const& values);
   /// Returns `lists` with an empty list added for each pool that has a committed list but is not in `lists`.
   static std::map<std::string, config::EndpointList> withVanishedPools(
--- a/control/include/corkward/control/guarantee_checks.h
+++ b/control/include/corkward/control/guarantee_checks.h
@@ -18,7 +18,7 @@
   /// Checks that the revisions of a key rise.
   /// @param previous revision that was committed at this controller before, if any
   void checkCommitted(consensus::CommittedValue const& committed, std::optional<std::uint64_t> previous) const;
-  /// Checks that no two changes of a key are confirmed that name the same base.
+  /// Checks that at most one of the changes of a key that name the same base is confirmed.
   void checkConfirmed(consensus::CallCompleted const& completed, transport::OperatorCall const& call);
   /// Checks that a read shows no revision older than the one committed at this controller when the read arrived.
   void checkServed(PendingCall const& call, int status, QJsonObject const& body) const;
--- a/control/include/corkward/control/lease_table.h
+++ b/control/include/corkward/control/lease_table.h
@@ -30,8 +30,9 @@
   /// Reply to a claim.
   struct Grant {
     bool granted = false;
-    /// Current holder of the lease, and its term, which rises with each change of the holder.
+    /// Current holder of the lease.
     std::string holder;
+    /// Term of the lease, which rises with each change of the holder.
     std::uint64_t term = 0;
   };
 
@@ -40,7 +41,8 @@
   /// Grants the lease if it is free or expired, if the claimant holds it, or if the claimant was named as its
   /// successor. Returns std::nullopt if the table is full.
   std::optional<Grant> acquire(Milliseconds now, Claim const& claim);
-  /// Ends the claimant's lease. If a successor is named, only the successor can acquire the lease for its duration.
+  /// Ends the claimant's lease. If a successor is named, only the successor can acquire the lease until
+  /// `Claim::duration` has passed.
   void release(Milliseconds now, Claim const& claim, std::string const& successor);
   /// Records that the claimant was denied the lease.
   void addContender(Milliseconds now, Claim const& claim);
--- a/control/include/corkward/control/validator.h
+++ b/control/include/corkward/control/validator.h
@@ -23,7 +23,7 @@
   std::string entry;
 };
 
-/// Returns the target of an operator call's path, or std::nullopt if there is no such page.
+/// Returns the target of an operator call's path, or std::nullopt if no HTTP resource has this path.
 std::optional<Target> targetOf(std::string const& path);
 
 /// Largest body of an operator call, in bytes.
--- a/control/src/call_target.cpp
+++ b/control/src/call_target.cpp
@@ -28,7 +28,7 @@
   return segments;
 }
 
-/// Returns the target of a path templates/NAME or templates/NAME/instances/NAME.
+/// Returns the target of the path `templates/NAME` or `templates/NAME/instances/NAME`.
 std::optional<Target> familyTarget(std::vector<std::string> const& segments) {
   if (segments.size() < 3 || !config::isValidName(segments[2])) return std::nullopt;
   std::string const key = keyOf(familyKeyPrefix, segments[2]);
@@ -38,34 +38,34 @@
   return std::nullopt;
 }
 
-/// Returns the target of a path certificates or certificates/NAME.
+/// Returns the target of the path `certificates` or `certificates/NAME`.
 std::optional<Target> certificatesTarget(std::vector<std::string> const& segments) {
   if (segments.size() == 2) return Target{config::regimesKey, "", ""};
   if (segments.size() == 3 && config::isValidName(segments[2])) return Target{config::regimesKey, "", segments[2]};
   return std::nullopt;
 }
 
-/// Returns the target of a path evacuations/ZONE.
+/// Returns the target of the path `evacuations/ZONE`.
 std::optional<Target> evacuationTarget(std::vector<std::string> const& segments) {
   std::string const zone = config::percentDecodeLabel(segments.back());
   if (segments.size() != 3 || !config::isValidLabel(zone)) return std::nullopt;
   return Target{keyOf(zoneKeyPrefix, zone), "", ""};
 }
 
-/// Returns the target of a path platform/pools/POOL.
+/// Returns the target of the path `platform/pools/POOL`.
 std::optional<Target> poolTarget(std::vector<std::string> const& segments) {
   std::string const pool = config::percentDecodeLabel(segments.back());
   if (segments.size() != 4 || segments[2] != "pools" || !config::isValidLabel(pool)) return std::nullopt;
   return Target{keyOf(poolKeyPrefix, pool), "", ""};
 }
 
-/// Returns the target of a path alerts/NAME.
+/// Returns the target of the path `alerts/NAME`.
 std::optional<Target> alertTarget(std::vector<std::string> const& segments) {
   if (segments.size() != 3 || !config::isValidName(segments[2])) return std::nullopt;
   return Target{keyOf(alertKeyPrefix, segments[2]), "", ""};
 }
 
-/// Returns the target of a path nodes/LINK.
+/// Returns the target of the path `nodes/LINK`.
 std::optional<Target> nodeTarget(std::vector<std::string> const& segments) {
   if (segments.size() != 3 || segments[2].empty() || segments[2].size() > maxNodeLinkBytes) return std::nullopt;
   return Target{rosterKey, "", segments[2]};
--- a/control/src/json_fields.h
+++ b/control/src/json_fields.h
@@ -2,14 +2,14 @@
 
 /// Names of JSON fields that more than one file of this package reads or writes.
 ///
-/// The texts are part of the format of the operators' pages and of the records on disk and must not change. The
-/// constants are named by the terms that the code uses.
+/// The texts are part of the format of the operators' HTTP resources and of the records on disk and must not change.
+/// The constants are named by the terms that the code uses.
 
 #include <QLatin1String>
 
 namespace corkward::control::fields {
 
-// Fields of pages and stored values.
+// Fields of HTTP resources and stored values.
 inline constexpr QLatin1String spec("spec");
 /// Revision of a key, template or instance.
 inline constexpr QLatin1String revision("stamp");
--- a/control/src/keys.h
+++ b/control/src/keys.h
@@ -2,8 +2,8 @@
 
 /// Keys of the replicated values.
 ///
-/// The texts are part of the storage format, the wire format and the page /v1/fleet and must not change, also where the
-/// code uses other terms. The code refers to them only by these constants.
+/// The texts are part of the storage format, the wire format and the HTTP resource /v1/fleet and must not change, also
+/// where the code uses other terms. The code refers to them only by these constants.
 
 #include <optional>
 #include <string>
--- a/control/src/operator_calls.cpp
+++ b/control/src/operator_calls.cpp
@@ -18,13 +18,14 @@
 
 using core::HttpStatus;
 
-/// Returns true if the call reads a page that is answered from the values committed at this controller.
+/// Returns true if the call reads an HTTP resource that is served from the values committed at this controller.
 bool isLinearizableRead(transport::OperatorCall const& call) {
   return methodOf(call.method) == CallMethod::get &&
          (call.path == paths::templates || call.path.rfind(paths::changes, 0) == 0);
 }
 
-/// Returns true if the target has a page. Of the roster, only the pages of single routers exist, and only for DELETE.
+/// Returns true if an HTTP resource exists for the target and the method. The roster has resources only for single
+/// routers, and these only for DELETE.
 bool hasPage(Target const& target, CallMethod method) {
   if (target.key != rosterKey) return true;
   return !target.entry.empty() && method == CallMethod::remove;
--- a/control/src/paths.h
+++ b/control/src/paths.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP paths of the operators' pages that this package names. The texts are part of the HTTP API.
+/// Paths of the operators' HTTP resources that this package names. The texts are part of the HTTP API.
 
 #include <string_view>
 
--- a/control/src/status_pages.h
+++ b/control/src/status_pages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Pages that a controller answers from its own state, and its metrics.
+/// HTTP resources that a controller serves from its own state, and its metrics.
 
 #include <string>
 
@@ -11,12 +11,12 @@
 
 namespace corkward::control {
 
-/// Returns the page of the fleet from this controller's state. The state may be out of date; the page shows the age of
-/// the last contact with a majority of the disks.
+/// Returns the status of the fleet by this controller's state. The state may be out of date; the status contains the
+/// age of the last contact with a majority of the disks.
 QJsonObject fleetPage(Milliseconds now, consensus::ReplicatedRegisters const& registers, Roster const& roster,
                       RouterRegistry const& routers, RolloutTracker const& rollouts, bool ready);
 
-/// Returns the page that lists the names of all templates.
+/// Returns the names of all templates.
 QJsonObject templatesPage(CommittedValues const& values);
 
 /// Returns the outcome of the change whose id is in the call's path.
--- a/control/src/validation_result.h
+++ b/control/src/validation_result.h
@@ -24,7 +24,7 @@
   versionMissing,
   staleRevision,
   staleVersion,
-  /// The committed list is no longer the one that was current when this list was read.
+  /// The committed endpoint list is no longer the one that was current when the proposed list was read.
   listReplaced,
   olderGeneration,
   changeIdReused,
@@ -54,8 +54,9 @@
   std::string detail = {};
   /// JSON pointer to the fault in the call's body; empty if the fault is not in the body.
   std::string pointer = {};
-  /// The committed revision and version, where the operator needs them as the base of the next change.
+  /// The committed revision, if the operator needs it as the base of the next change.
   std::optional<std::uint64_t> revision = {};
+  /// The committed version, if the operator needs it as the base of the next change.
   std::optional<std::int64_t> version = {};
 };
 
--- a/control/src/validators.h
+++ b/control/src/validators.h
@@ -36,13 +36,14 @@
 /// @param bytesBefore the same bound before the change
 std::int64_t fleetConfigurationBytes(std::int64_t bytesBefore, transport::OperatorCall const& call);
 
-/// Validates calls on endpoint lists. If a controller reads a list from the platform itself, its call names the
-/// revision that was committed there at that time, so that a call delayed by a network partition does not overwrite a
-/// newer list. A list that the platform sends names no revision.
+/// Validates calls on endpoint lists. If a controller reads a list from the platform itself, its call contains in
+/// If-Match the revision of the list that was committed at this controller when it made the call, so that a call
+/// delayed by a network partition does not overwrite a newer list. A call without If-Match, as for a list that the
+/// platform sends, is not compared with a revision.
 ValidationResult validateEndpointList(ValidationRequest const& request);
 
-/// Validates calls on evacuations of zones. Operators name no base in them. The controller that receives the call adds
-/// the revision that is committed there, so that a delayed call is not applied after a later one.
+/// Validates calls on evacuations of zones. Operators' calls name no base. The controller that receives such a call
+/// adds the revision that is committed at this controller, so that a delayed call is not applied after a later one.
 ValidationResult validateEvacuation(ValidationRequest const& request);
 
 /// Validates calls on regimes and certificates, which share one revision. A certificate can be revoked by its name. The
