--- a/consensus/include/corkward/consensus/replicated_registers.h
+++ b/consensus/include/corkward/consensus/replicated_registers.h
@@ -53,8 +53,8 @@
   RegisterCommands startHandover(Milliseconds now);
 
   /// Returns true once this draining member can end without loss: it owns no key, the membership has an odd size, and
-  /// every other live member that is not draining has accepted all values that this member knows as committed. Also
-  /// true if this machine is not a member.
+  /// every other live member that is not draining has accepted all values that this member knows as committed.
+  /// Returns true also if this machine is not a member.
   bool handoverComplete(Milliseconds now) const;
   /// Returns true while this machine is not a member or has no contact with a majority. It then also sends heartbeats
   /// to the discovery peers, whose replies contain the membership.
--- a/consensus/src/catch_up.h
+++ b/consensus/src/catch_up.h
@@ -3,10 +3,10 @@
 /// Catch-up: how a member requests snapshots of missing state, and how other members serve these requests.
 ///
 /// After each membership change a member requests the registers that it lacks from other members. A member that votes
-/// has caught up once the members that sent a complete snapshot form a majority together with it. A member that does not
-/// vote yet has caught up once a majority of the other members sent one. Its disk then has every value that was chosen
-/// before the change, and its heartbeats report the membership's revision as caught up. A new member votes only after
-/// its first catch-up.
+/// has caught up once the members that sent a complete snapshot form a majority together with it. A member that does
+/// not vote yet has caught up once a majority of the other members sent one. Its disk then has every value that was
+/// chosen before the change, and its heartbeats report the membership's revision as caught up. A new member votes only
+/// after its first catch-up.
 
 #include <cstdint>
 #include <set>
@@ -57,9 +57,9 @@
   bool isExpected(EventContext const& context, transport::SnapshotChunk const& chunk) const;
 
   std::uint64_t caughtUpRevision_ = 0;
-  /// Ticket of the pending record that this member has caught up, and the membership revision in that record. The
-  /// ticket is 0 if no such record is being written.
+  /// Ticket of the pending record that this member has caught up, or 0 if no such record is being written.
   std::uint64_t pendingTicket_ = 0;
+  /// Membership revision in the pending record.
   std::uint64_t pendingRevision_ = 0;
   /// Ids of the members whose complete snapshot was merged since restart().
   std::set<std::string> copiedFrom_;
--- a/consensus/src/failure_detector.h
+++ b/consensus/src/failure_detector.h
@@ -55,8 +55,8 @@
   void recordHeartbeat(transport::Heartbeat const& heartbeat, Milliseconds now);
   /// Records a member's reply to a heartbeat of this member.
   void recordReply(transport::HeartbeatReply const& reply, Learner const& learner, Milliseconds now);
-  /// Updates the contacts after a commit. Replies that reported the committed value as accepted may now count as
-  /// contact.
+  /// Updates `confirmedHeartbeatAt` of the peers after a commit, since this member may now know as committed all
+  /// revisions that a peer's last reply reported as accepted.
   void onCommitted(Learner const& learner);
   /// Updates the time since when the live peers, with this member if it votes, have been a majority.
   void updateQuorum(Membership const& membership, std::string const& selfId, bool selfVotes, Milliseconds now);
--- a/consensus/src/learner.h
+++ b/consensus/src/learner.h
@@ -37,8 +37,8 @@
   /// Returns true if the digest equals the current digest() or a recent earlier one. A member that reports such a
   /// digest has accepted no value that is unknown to this member.
   bool hasHadDigest(transport::Digest const& digest) const;
-  /// Returns the time since when this member has had an accepted value that it does not know as committed, the earliest
-  /// one if there are several. Returns `now` if there is no such value.
+  /// Returns the earliest time since when this member has had an accepted value that it does not know as committed.
+  /// Returns `now` if there is no such value.
   Milliseconds confirmedUntil(Milliseconds now) const;
   void addTo(Fingerprint& fingerprint) const;
 
--- a/consensus/src/membership_manager.h
+++ b/consensus/src/membership_manager.h
@@ -4,7 +4,8 @@
 ///
 /// A change is a value of the membership key. As in Raft's joint consensus (Ongaro's dissertation, chapter 4), a
 /// majority of the old membership and a majority of the new one must accept it. The next change is proposed only after
-/// a majority of the membership, and each of its live members, has caught up under the current one (see catch_up.h).
+/// a majority of the current membership, and each of its live members, has caught up under that membership (see
+/// catch_up.h).
 
 #include <map>
 #include <optional>
--- a/consensus/src/proposer.h
+++ b/consensus/src/proposer.h
@@ -25,7 +25,8 @@
   QJsonObject body;
   Milliseconds startedAt = 0;
   Milliseconds sentAt = 0;
-  /// Ids of the members that accepted it. While Mechanism::syncBeforeReply is on, each of them has it on its disk.
+  /// Ids of the members that accepted the value. While Mechanism::syncBeforeReply is on, each of these members has the
+  /// value on its disk.
   std::set<std::string> acceptedBy;
   /// The membership that the value contains if the key is the membership key, else empty.
   Membership nextMembership;
--- a/consensus/test/recovery_test.cpp
+++ b/consensus/test/recovery_test.cpp
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE(
-    "after a simultaneous restart of all members each one knows every key as committed within the restart pause") {
+    "after a simultaneous restart of all members, every member has a committed value of every key within 150 ms") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Cluster cluster(seed, shortTimeouts());
     bootstrap(cluster, threeLinks);
