--- a/testing/explore/model_cluster.h
+++ b/testing/explore/model_cluster.h
@@ -46,14 +46,15 @@
   std::deque<consensus::PersistCommand> pending;
   Milliseconds now = 0;
   int boots = 0;
-  /// Read from the disk: the member's id, whether it votes, and the revision of the membership with which it has caught
-  /// up.
+  /// The member's id, read from the disk.
   std::string diskId;
+  /// Whether the member votes, read from the disk.
   bool diskVotes = false;
+  /// Revision of the membership under which the member last caught up, read from the disk.
   std::uint64_t diskCaughtUp = 0;
   AcceptedState accepted;
   std::uint64_t diskDigest = 0;
-  /// 0: to be computed.
+  /// Digest of this machine's state, or 0 if it has not been computed yet.
   mutable std::uint64_t digest = 0;
 };
 
@@ -71,7 +72,7 @@
   std::map<std::uint64_t, std::set<std::string>> pendingReads;
   std::map<std::uint64_t, std::uint64_t> baseOf;
   std::uint64_t tokens = 0;
-  /// 0: to be computed.
+  /// Digest of this history, or 0 if it has not been computed yet.
   mutable std::uint64_t digest = 0;
 };
 
