--- a/core/include/corkward/core/http_method.h
+++ b/core/include/corkward/core/http_method.h
@@ -6,7 +6,7 @@
 namespace corkward::core {
 
 /// Methods of HTTP/1.1 (RFC 9110, section 9; PATCH: RFC 5789) that the fleet's HTTP servers distinguish. A router
-/// forwards a request with another method under the text that the caller sent.
+/// forwards a request whose method is not listed here with the method text that the caller sent.
 enum class HttpMethod { get, head, post, put, patch, del, options };
 
 /// Returns the method's text on the wire.
--- a/transport/include/corkward/transport/configuration_messages.h
+++ b/transport/include/corkward/transport/configuration_messages.h
@@ -190,7 +190,8 @@
   std::string link;
   /// Digest of the revisions that the sender has applied.
   Digest digest;
-  /// In a reply: these revisions in full, if the digest of the request was another; else empty.
+  /// In a reply, if the digests of the request and of the reply differ: the revisions that the sender of the reply has
+  /// applied. Otherwise empty.
   Revisions revisions;
   /// True if the sender has no valid lease from a controller and needs `ages` in the reply.
   bool wantsAges = false;
