--- a/dataplane/test/request_router_test.cpp
+++ b/dataplane/test/request_router_test.cpp
@@ -800,7 +800,7 @@
     CHECK((s.onHead({.status = status, .run = run, .offset = offset}).ended ==
            dataplane::UpstreamResult::differentExecution) == !same);
   }
-  SECTION("a body that is shorter or longer than its length is broken") {
+  SECTION("a body that is shorter or longer than the declared length ends the response as connectionLost") {
     s.onHead({200, {}, 4});
     CHECK_FALSE(s.onChunk("abc").ended);
     SECTION("shorter") {
--- a/gossip/test/partial_view_test.cpp
+++ b/gossip/test/partial_view_test.cpp
@@ -123,7 +123,7 @@
   CHECK(view.self().incarnation == 1700000000000);
 }
 
-TEST_CASE("views with a common roster equal views without one, and are at most 20% older with two rosters") {
+TEST_CASE("contact ages are equal with one roster and with none, and less than 20% greater if two are in use") {
   std::vector<Fleet> fleets(3);
   for (Fleet& f : fleets) {
     for (int n = 1; n <= 30; ++n) f.add(contact(linkOf(n)), static_cast<std::uint64_t>(n));
