--- a/control/include/corkward/control/change_history.h
+++ b/control/include/corkward/control/change_history.h
@@ -14,7 +14,8 @@
 /// Returns the digest of a change's content: its method, path, base and body. All fields of the body count, also
 /// unknown ones; their order and the white space between them do not.
 /// @param body the call's parsed body
-/// @param changeId added to the digest for keys where two different changes may name the same base; empty to add none
+/// @param changeId added to the digest for keys where two different changes may name the same base; empty if no id is
+/// added
 std::string contentDigest(transport::OperatorCall const& call, QJsonObject const& body, std::string const& changeId);
 
 /// The digests of the changes that a key has accepted, oldest first. They are stored within the key's replicated value,
--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -55,7 +55,7 @@
   void setSeeds(std::vector<std::string> seeds) { partialView_.setSeeds(std::move(seeds)); }
   /// Starts to hand each owned key over to a successor. The controller accepts no operator calls from then on.
   ControllerCommands drain(Milliseconds now);
-  /// Returns true if, after drain(), the other members have all values that this one has; see
+  /// Returns true if, after drain(), the other members have all values that this member has; see
   /// consensus::ReplicatedRegisters::handoverComplete.
   bool handoverComplete(Milliseconds now) const { return registers_.handoverComplete(now); }
 
--- a/control/include/corkward/control/lease_table.h
+++ b/control/include/corkward/control/lease_table.h
@@ -54,7 +54,7 @@
  private:
   struct Lease {
     std::string holder;
-    /// 0 if the holder was named as a successor; then any incarnation of it may acquire the lease.
+    /// 0 if the holder was named as a successor; then any incarnation of the holder may acquire the lease.
     std::uint64_t incarnation = 0;
     std::uint64_t term = 0;
     Milliseconds expiresAt = 0;
--- a/control/include/corkward/control/rollout_tracker.h
+++ b/control/include/corkward/control/rollout_tracker.h
@@ -3,9 +3,10 @@
 /// Tracks which routers have the newest revision of each key, and the replies that wait for them.
 ///
 /// A rollout is complete in one of two cases. First: each router of the roster has the revision, has departed or is
-/// unreachable. Second: a majority of the roster's routers has had the revision for longer than a serving lease, and so
-/// has a majority of the previous roster while its routers may still serve. The routers that lack the revision are then
-/// fenced, because a router that lacks a revision known to a majority gets no lease.
+/// unreachable. Second: a majority of the roster's routers has had the revision for longer than a serving lease. If
+/// routers of the previous roster may still serve, a majority of the previous roster must have had it for as long. The
+/// routers that lack the revision are then fenced, because a router that lacks a revision known to a majority gets no
+/// lease.
 
 #include <QJsonObject>
 #include <cstdint>
--- a/control/include/corkward/control/router_registry.h
+++ b/control/include/corkward/control/router_registry.h
@@ -30,8 +30,8 @@
     Milliseconds lastRequestAt = -1;
     /// True if missingRevisions contains all keys that the router lacks.
     bool revisionsKnown = false;
-    /// Keys whose newest committed revision the router is not known to have, with the newest revision of each key that
-    /// it is known to have.
+    /// Keys whose newest committed revision the router is not known to have. The value is the newest revision of the
+    /// key that the router is known to have.
     transport::Revisions missingRevisions;
     /// Pushes in flight by key. All keys are in missingRevisions or were sent in a snapshot.
     std::map<std::string, PushInFlight> pushesInFlight;
