--- a/consensus/include/corkward/consensus/mechanism_switches.h
+++ b/consensus/include/corkward/consensus/mechanism_switches.h
@@ -19,7 +19,8 @@
   catchUpFirst,
   /// A new member votes only after it has copied snapshots from a majority of the other members.
   catchUpBeforeVote,
-  /// A membership change is chosen only when a majority of the old membership and one of the new membership accept it.
+  /// A membership change is chosen only when a majority of the old membership and a majority of the new membership
+  /// accept it.
   jointQuorum,
   /// Members reject prepare and accept requests that were sent under an older membership.
   membershipGuard,
--- a/consensus/include/corkward/consensus/types.h
+++ b/consensus/include/corkward/consensus/types.h
@@ -36,8 +36,9 @@
   /// Upper bound of the random delay before an election. The delay makes simultaneous elections rare.
   Milliseconds electionSpread = 500;
   /// Wait before an election for a key that no member has claimed since the restart, counted from the time when a
-  /// majority is alive, and upper bound of the random delay that is added to it.
+  /// majority is alive.
   Milliseconds restartPause = 150;
+  /// Upper bound of the random delay that is added to restartPause.
   Milliseconds restartSpread = 250;
   Milliseconds resendEvery = 200;
   Milliseconds callTimeout = 4000;
--- a/consensus/src/catch_up.h
+++ b/consensus/src/catch_up.h
@@ -4,9 +4,9 @@
 ///
 /// After each membership change a member requests the registers that it lacks from other members. A member that votes
 /// has caught up once the members that sent a complete snapshot form a majority together with it. A member that does
-/// not vote yet has caught up once a majority of the other members sent one. Its disk then has every value that was
-/// chosen before the change, and its heartbeats report the membership's revision as caught up. A new member votes only
-/// after its first catch-up.
+/// not vote yet has caught up once a majority of the other members sent a complete snapshot. Its disk then has every
+/// value that was chosen before the change, and its heartbeats report the membership's revision as caught up. A new
+/// member votes only after its first catch-up.
 
 #include <cstdint>
 #include <set>
--- a/consensus/src/heartbeats.h
+++ b/consensus/src/heartbeats.h
@@ -11,8 +11,8 @@
 
 class EventContext;
 
-/// Sends heartbeats to the members. While this machine has no state it also sends them to the founders, and while it is
-/// not a member or has no quorum also to the discovery peers.
+/// Sends heartbeats to the members. While this machine has no state, it also sends them to the founders. While it is
+/// not a member or has no quorum, it also sends them to the discovery peers.
 class Heartbeats {
  public:
   /// Sends heartbeats if they are due.
