--- a/control/test/controller_harness.h
+++ b/control/test/controller_harness.h
@@ -27,7 +27,7 @@
   std::set<std::string> revisionsWanted;
   /// Newest record on disk, by key.
   std::map<std::string, std::string> disk;
-  std::uint64_t nextToken = 1;
+  std::uint64_t nextCallToken = 1;
 
   static transport::Contact contactOf(std::string const& link, char const* role) {
     transport::Contact c;
@@ -82,7 +82,7 @@
   std::uint64_t call(std::string const& method, std::string const& path, std::string const& body = "",
                      std::string const& ifMatch = "", std::string const& changeId = "") {
     transport::OperatorCall c;
-    c.token = nextToken++;
+    c.token = nextCallToken++;
     c.method = method;
     c.path = path;
     c.body = body;
--- a/control/test/golden_pages_test.cpp
+++ b/control/test/golden_pages_test.cpp
@@ -77,7 +77,7 @@
   transport::OperatorCall callOf(std::string const& method, std::string const& path, std::string const& body = "",
                                  std::string const& ifMatch = "", std::string const& changeId = "") {
     transport::OperatorCall call;
-    call.token = harness.nextToken++;
+    call.token = harness.nextCallToken++;
     call.method = method;
     call.path = path;
     call.body = body;
--- a/control/test/regimes_test.cpp
+++ b/control/test/regimes_test.cpp
@@ -101,9 +101,9 @@
   CHECK(client.pointer() == "/certificates/c1/until");
   CHECK(client.call("PATCH", page, R"({"regimes":{"health":null}})", "1") == 422);
   CHECK(client.pointer() == "/certificates/c1/regime");
-  std::uint64_t const dry = client.harness.nextToken;
+  std::uint64_t const dry = client.harness.nextCallToken;
   corkward::transport::OperatorCall c;
-  c.token = client.harness.nextToken++;
+  c.token = client.harness.nextCallToken++;
   c.method = "PUT";
   c.path = page;
   c.ifMatch = "1";
--- a/control/test/simulated_cluster.h
+++ b/control/test/simulated_cluster.h
@@ -85,7 +85,7 @@
   std::map<std::uint64_t, qint64> lowestVersionByRead;
   /// Committed fleet configurations by revision.
   std::map<std::uint64_t, QJsonObject> committedConfigurations;
-  std::uint64_t nextToken = 1;
+  std::uint64_t nextCallToken = 1;
   qint64 newestReadVersion = 0;
   /// True while no message is lost or duplicated.
   bool faultFree = false;
@@ -178,14 +178,14 @@
   }
   void send(Change const& c) {
     transport::OperatorCall call = c.call;
-    call.token = nextToken++;
+    call.token = nextCallToken++;
     changeIdByToken[call.token] = c.id;
     auto const to = std::next(members.begin(), static_cast<std::ptrdiff_t>(rng.below(members.size())));
     apply(to->first, to->second.controller->onOperatorCall(now, call));
   }
   void sendRead() {
     transport::OperatorCall call;
-    call.token = nextToken++;
+    call.token = nextCallToken++;
     call.method = "GET";
     call.path = page;
     lowestVersionByRead[call.token] = newestReadVersion;
--- a/testing/fuzz/plan.cpp
+++ b/testing/fuzz/plan.cpp
@@ -23,7 +23,7 @@
 constexpr std::uint64_t maxRequests = 16;
 constexpr std::uint64_t lanes = 6;
 constexpr std::uint64_t maxStartMs = 700;
-constexpr std::uint64_t maxBodyBytes = 700000;
+constexpr std::uint64_t largestBodyBytes = 700000;
 constexpr std::uint64_t maxResponseBytes = 600000;
 
 bool isEventStream(Route route) {
@@ -141,7 +141,7 @@
   for (std::uint64_t i = 0; i < count; ++i) {
     CallerRequest request;
     request.route = static_cast<Route>(rng.below(4));
-    request.body = sizeOf(rng, maxBodyBytes);
+    request.body = sizeOf(rng, largestBodyBytes);
     request.chunkedBody = rng.chance(0.3);
     request.expectsContinue = rng.chance(0.1);
     request.callerTimeoutMs = 300 + static_cast<int>(rng.below(1000));
