--- a/config/src/endpoint_list.cpp
+++ b/config/src/endpoint_list.cpp
@@ -24,7 +24,7 @@
 /// Length of a colon and the digits of the highest port.
 constexpr std::size_t maxPortSuffixBytes = 6;
 
-/// Ids and addresses that the replicas read so far have used; each may occur only once in an endpoint list.
+/// Ids and addresses of the replicas that have been parsed so far. Each may occur only once in an endpoint list.
 struct UsedReplicaNames {
   std::set<std::string> ids;
   std::set<std::string> addresses;
--- a/consensus/src/failure_detector.h
+++ b/consensus/src/failure_detector.h
@@ -35,7 +35,8 @@
   Milliseconds repliedHeartbeatAt = -1;
   /// The accepted revisions in that reply. Empty if the digest shows that this member knows all of them as committed.
   transport::Revisions acceptedRevisions;
-  /// Like repliedHeartbeatAt, but for the latest reply of which this member knows all accepted revisions as committed.
+  /// Sending time of the latest answered heartbeat for which this member knows that all revisions which the peer's
+  /// reply reported as accepted are committed, or -1 if there was none.
   Milliseconds confirmedHeartbeatAt = -1;
 };
 
--- a/control/include/corkward/control/change_history.h
+++ b/control/include/corkward/control/change_history.h
@@ -61,7 +61,7 @@
 
   Segment older_;
   Segment newer_;
-  /// Newest base. No accepted change names a later one.
+  /// The newest base revision: no accepted change was based on a newer revision than this.
   std::uint64_t newestBase_ = 0;
 };
 
--- a/control/test/certificates_validator_test.cpp
+++ b/control/test/certificates_validator_test.cpp
@@ -42,8 +42,8 @@
 }  // namespace
 
 TEST_CASE(
-    "a declaration that leaves a tenant without a certificate is rejected, a revocation is accepted and names the "
-    "tenant") {
+    "a declaration that leaves a tenant without a certificate is rejected, while a revocation that does so is accepted "
+    "and its result lists the tenant as uncovered") {
   Certificates certificates;
   REQUIRE(control::isAccepted(certificates.call(operatorCall("PUT", path, declaration, "0"))));
   control::ValidationResult const declared = certificates.call(operatorCall("PUT", path, emptyDeclaration, "1"));
--- a/core/include/corkward/core/workers.h
+++ b/core/include/corkward/core/workers.h
@@ -9,8 +9,8 @@
 
 namespace corkward::core {
 
-/// A pool of worker threads. Lock order in every process: the lock of the job queue is acquired after all other locks,
-/// and no other function is called while it is held.
+/// A pool of worker threads. Lock order in every process: the lock of the job queue is acquired after all other locks.
+/// No job runs and no other lock is acquired while it is held.
 class WorkerPool {
  public:
   /// @param count number of threads
--- a/dataplane/include/corkward/dataplane/response_stream.h
+++ b/dataplane/include/corkward/dataplane/response_stream.h
@@ -107,7 +107,8 @@
   void parseLine(std::size_t from, std::size_t to);
   ResponseHead head_;
   std::string run_;
-  /// Number of body bytes received: in all, or on this connection after an event stream was resumed.
+  /// Number of body bytes received since the response started. After an event stream was resumed, only those received
+  /// on this connection count.
   std::uint64_t offset_ = 0;
   bool begun_ = false;
   bool resuming_ = false;
--- a/gossip/test/partial_view_test.cpp
+++ b/gossip/test/partial_view_test.cpp
@@ -123,7 +123,9 @@
   CHECK(view.self().incarnation == 1700000000000);
 }
 
-TEST_CASE("contact ages are equal with one roster and with none, and less than 20% greater if two are in use") {
+TEST_CASE(
+    "contact ages in a fleet whose processes all have the same roster equal those in a fleet without a roster, and "
+    "with two roster revisions in use the mean age is less than 20% greater") {
   std::vector<Fleet> fleets(3);
   for (Fleet& f : fleets) {
     for (int n = 1; n <= 30; ++n) f.add(contact(linkOf(n)), static_cast<std::uint64_t>(n));
--- a/http/test/descriptors_test.cpp
+++ b/http/test/descriptors_test.cpp
@@ -69,7 +69,7 @@
     DescriptorExhaustion const exhaustion;
     first.sendRequest(server.address());
     REQUIRE(waitUntil([&] { return first.socket->state() == QAbstractSocket::ConnectedState; }));
-    // The server has tried to accept the connection when the event loop has no pending events.
+    // Process all pending events: afterwards the server has tried to accept the connection.
     while (QCoreApplication::eventDispatcher()->processEvents(QEventLoop::AllEvents)) continue;
     CHECK(server.connectionCount() == 0);
   }
--- a/runbook/test/golden_test.cpp
+++ b/runbook/test/golden_test.cpp
@@ -121,7 +121,7 @@
   golden::check(folder + "expectations.txt", text);
 }
 
-TEST_CASE("golden: kinds of steps have their recorded names and change the fleet or not as recorded") {
+TEST_CASE("golden: the name of each kind of step, and whether it changes the fleet, are as recorded") {
   using runbook::StepKind;
   std::string text;
   for (StepKind const kind :
--- a/scaling/test/scaling_test.cpp
+++ b/scaling/test/scaling_test.cpp
@@ -55,7 +55,9 @@
   CHECK(s.subset().size() == 4);
 }
 
-TEST_CASE("a subset begins with the preferred replica, and each growth adds the preferred replica and no other") {
+TEST_CASE(
+    "a subset begins with the preferred replica, and a growth adds the replica preferred then, or another one if that "
+    "is already in the subset or not a candidate") {
   for (core::NameIndex preferred = 0; preferred < 9; ++preferred) {
     scaling::Scaler s(7);
     s.setCandidates(readyCandidates(9));
--- a/testing/capacity/changes.cpp
+++ b/testing/capacity/changes.cpp
@@ -17,7 +17,7 @@
   /// Milliseconds until the operator got the acknowledgement, and until every router had the change.
   std::vector<double> acknowledgeTimes;
   std::vector<double> applyTimes;
-  /// Sums by purpose, of routers and of controllers.
+  /// Sums of the message tallies by purpose: of the routers at index 0, of the controllers at index 1.
   std::array<std::map<std::string, Tally>, 2> sums;
   double diskBytes = 0;
 };
--- a/testing/capacity/fleet.h
+++ b/testing/capacity/fleet.h
@@ -98,9 +98,10 @@
   Milliseconds countedTime() const { return now_ - countFrom_; }
   /// Bytes written to the disks since counting began.
   std::uint64_t diskBytes() const { return diskBytes_; }
-  /// Number of links that the processes of a role keep open in all, under the rules of transport::Link, and number of
-  /// links opened so far.
+  /// Total number of open links of all running processes of a role. As in transport::Link, a link that was idle for
+  /// transport::Link::idleTimeout counts as closed.
   std::size_t openLinks(bool control) const;
+  /// Number of links that the processes of a role have opened so far.
   std::uint64_t dialled(bool control) const { return dialled_[control ? 1 : 0]; }
   /// Memory of the simulated disks, to be subtracted because a real process does not hold it.
   std::uint64_t diskUsage() const;
--- a/testing/explore/main.cpp
+++ b/testing/explore/main.cpp
@@ -87,10 +87,9 @@
   flags.add_options()("help", "print this")("model", po::value(&run.model), "registers or membership")(
       "without", po::value(&run.without), "mechanism to turn off")(
       "table", po::bool_switch(&table),
-      "every model with all mechanisms on and with each of "
-      "its mechanisms turned off")("list", "list the models and their mechanisms")(
-      "members", po::value(&run.bounds.members), "members, 2 to 5")("changes", po::value(&run.bounds.changes),
-                                                                    "changes by operators")(
+      "search every model with all mechanisms on, and again with single mechanisms turned off, one at a time")(
+      "list", "list the models and their mechanisms")("members", po::value(&run.bounds.members), "members, 2 to 5")(
+      "changes", po::value(&run.bounds.changes), "changes by operators")(
       "reads", po::value(&run.bounds.reads), "reads")("elections", po::value(&run.bounds.elections),
                                                       "elections without a timeout")(
       "clocks", po::value(&run.bounds.clocks), "timer events of single members")(
--- a/testing/explore/model_cluster.cpp
+++ b/testing/explore/model_cluster.cpp
@@ -293,7 +293,7 @@
   History& history = editHistory(s);
   history.confirmed["m" + std::to_string(d.token)] = d.revision;
   if (history.baseOf.count(d.token) > 0 && !history.bases.insert(history.baseOf.at(d.token)).second)
-    s.broken = "two changes confirmed on one base";
+    s.broken = "two changes with the same base revision were confirmed";
   checkMarks(s);
 }
 
--- a/testing/sim/faults.cpp
+++ b/testing/sim/faults.cpp
@@ -337,8 +337,8 @@
                            : 0;
           if (dropped > 0)
             violation("a planned restart dropped " + std::to_string(dropped) + " pending requests at " + link +
-                      ", which still had " + std::to_string(k.data->pendingCount()) + ", " +
-                      std::to_string(until - now_) + " ms before the drain limit");
+                      ", where the router still had " + std::to_string(k.data->pendingCount()) +
+                      " requests in progress, " + std::to_string(until - now_) + " ms before the drain limit");
           ++result_.counts["planned-restarts"];
           kill(k, false);
           boot(k);
