--- a/programs/runbook/main.cpp
+++ b/programs/runbook/main.cpp
@@ -158,7 +158,8 @@
 
 ExitCode executeOne(Options const& options, RunbookExecutor& executor) {
   if (options.runbooks.size() != 1)
-    throw UsageError("exactly one runbook must be given, but there are " + std::to_string(options.runbooks.size()));
+    throw UsageError("exactly one runbook must be given, but " + std::to_string(options.runbooks.size()) +
+                     " were given");
   runbook::Runbook const book =
       runbook::readRunbook(readFile(options.runbooks[0]), parseParameters(options.parameters));
   if (options.check) {
