--- a/alerting/include/corkward/alerting/expression.h
+++ b/alerting/include/corkward/alerting/expression.h
@@ -8,9 +8,9 @@
 
 namespace corkward::alerting {
 
-/// Reports a rule file, an expression or a metrics page that is not valid or uses unsupported syntax. The message names
-/// line and column in a rule file, and the column in an expression or in a line of a metrics page, which it quotes. The
-/// whole input is rejected.
+/// Reports a rule file, an expression or a metrics page that is not valid or uses unsupported syntax. The whole input
+/// is rejected. For a rule file, the message names line and column. For an expression or a line of a metrics page, the
+/// message names the column and quotes the text.
 class ParseError : public core::Error {
  public:
   using core::Error::Error;
@@ -33,7 +33,8 @@
 /// Returns the operator of the comparison in expressions, such as "<=".
 char const* name(Comparison comparison);
 
-/// The supported subset of PromQL: [sum|min|max|count] (metric{label="value",...}) COMPARISON number.
+/// The supported subset of PromQL: METRIC{label="value",...} COMPARISON number, where the labels are optional and
+/// METRIC{...} may be aggregated: sum(METRIC{...}), and likewise with min, max and count.
 struct Expression {
   Aggregation aggregation = Aggregation::none;
   std::string metric;
--- a/http/test/upstream_pool_test.cpp
+++ b/http/test/upstream_pool_test.cpp
@@ -152,7 +152,7 @@
     };
     upstream = upstreams.acquire(address, avoidStale, std::move(e), &owner);
   }
-  /// Waits until the request has ended, or until the head if the response is closed or released there.
+  /// Waits until the request has ended, or until the response head has arrived if close() or release() is called then.
   Outcome wait() {
     REQUIRE(waitUntil([this] {
       return outcome.connectFailed || outcome.ended >= 0 || (outcome.status != 0 && (closeAtHead || releaseAtHead));
@@ -389,7 +389,7 @@
   CHECK(fixture.upstreams.idleCount() == 0);
 }
 
-TEST_CASE("a closed response ends its connection, and a released one keeps the connection alive if the rest is short") {
+TEST_CASE("close() closes the connection, and release() keeps it for reuse if the rest of the response is short") {
   ensureApplication();
   bool const closes = GENERATE(true, false);
   std::string const bytes = GENERATE(std::string(validResponse),
@@ -559,7 +559,7 @@
   CHECK(fixture.replica.received.size() == 2);
 }
 
-TEST_CASE("random and damaged responses end, random ones are incomplete, and no connection is reused") {
+TEST_CASE("random and damaged responses end, random responses are incomplete, and no connection is reused") {
   ensureApplication();
   core::RandomGenerator rng(3);
   std::string const validChunkedResponse =
--- a/testing/fuzz/mutation.cpp
+++ b/testing/fuzz/mutation.cpp
@@ -7,13 +7,13 @@
 std::vector<Mutation> const& mutations() {
   static std::vector<Mutation> const all{
       {"takeForeign", "own-answer", Tampering::none, MappingFault::acceptForeignResponse},
-      {"alterAnswer", "own-answer", Tampering::alterAnswer},
-      {"hideCut", "own-answer", Tampering::hideCut},
+      {"alterAnswer", "own-answer", Tampering::alterResponse},
+      {"hideCut", "own-answer", Tampering::hideTruncation},
       {"alterRequest", "as-sent", Tampering::alterRequest},
       {"dropField", "as-sent", Tampering::none, MappingFault::dropHeaderField},
       {"sendAgain", "once", Tampering::none, MappingFault::assumeNotExecuted},
-      {"promiseAfterRun", "promise", Tampering::promiseAfterRun},
-      {"ignoreLeaving", "gone", Tampering::ignoreLeaving},
+      {"promiseAfterRun", "promise", Tampering::reportNotRunAfterRun},
+      {"ignoreLeaving", "gone", Tampering::ignoreDisconnects},
       {"moreTries", "tries", Tampering::extraAttempts},
       {"moreTime", "time-left", Tampering::none, MappingFault::extendRemainingTime},
       {"holdLonger", "held", Tampering::none, MappingFault::extendDeadline},
--- a/testing/sim/internal.h
+++ b/testing/sim/internal.h
@@ -4,27 +4,31 @@
 
 namespace corkward::testing {
 
-inline constexpr Milliseconds clockEvery = 25;
+inline constexpr Milliseconds timerInterval = 25;
 inline constexpr Milliseconds callerPatience = 12000;
-inline constexpr int slots = 8;
+inline constexpr int slotsPerReplica = 8;
 inline constexpr double coldRate = 2.0;
 inline constexpr char const* family = "family:desk";
 inline constexpr char const* templatePath = "/v1/templates/desk";
 inline constexpr char const* regime = "health";
 inline constexpr char const* regulated = "desk.nord";
-/// Wall time at the beginning of a run.
+/// Wall clock time at the beginning of a run, in ms since the epoch.
 inline constexpr std::int64_t wallBegin = 1800000000000;
-/// Most that a wall clock jumps back in a fleet with certificates.
-inline constexpr Milliseconds mostBack = 50000;
+/// Largest backward step of the wall clock in a fleet with certificates, in ms.
+inline constexpr Milliseconds maxClockStepBack = 50000;
 inline constexpr Milliseconds recoveryPeriod = 25000;
 inline constexpr Milliseconds trafficFrom = 17500;
-/// Idle connections to replicas: how long one is used, how long for what may run once, and from when on it may be
-/// forgotten.
+/// Longest idle time after which a connection to a replica is reused, in ms.
 inline constexpr Milliseconds idleLimit = 1000;
-inline constexpr Milliseconds freshIdleLimit = 250;
-inline constexpr Milliseconds restedAfter = 500;
-/// From so long after its start on a grey replica is checked, and the share of its fair part that it may draw then.
-inline constexpr Milliseconds greyNoticed = 8000;
-inline constexpr double greyShare = 0.6;
+/// Replaces `idleLimit` for requests that may be executed only once, in ms.
+inline constexpr Milliseconds executeOnceIdleLimit = 250;
+/// Idle time from which on a lost connection to a replica counts as stale, in ms.
+inline constexpr Milliseconds staleAfter = 500;
+/// Time in ms from the start of the failures of a grey replica (one that fails a fraction of its requests) until the
+/// requests to it are counted.
+inline constexpr Milliseconds greyDetectionTime = 8000;
+/// Maximum number of requests that a grey replica may get while they are counted, as a fraction of the number that an
+/// even distribution would give it.
+inline constexpr double greyMaxFraction = 0.6;
 
 }  // namespace corkward::testing
