--- a/testing/sim/callers.cpp
+++ b/testing/sim/callers.cpp
@@ -5,10 +5,10 @@
 
 namespace corkward::testing {
 
-void SimulatedCluster::callerArrives() {
+void SimulatedCluster::startNextRequest() {
   if (loadStopped_) return;
   double const gap = -std::log(1.0 - static_cast<double>(rng_.below(1000000)) / 1000000.0) * 1000.0 / currentDemand_;
-  after(std::max<Milliseconds>(1, static_cast<Milliseconds>(gap)), [this] { callerArrives(); });
+  after(std::max<Milliseconds>(1, static_cast<Milliseconds>(gap)), [this] { startNextRequest(); });
   Caller c;
   c.id = "c" + std::to_string(nextCaller_++);
   std::uint64_t const kind = rng_.below(100);
@@ -37,10 +37,10 @@
   ++result_.counts["requests"];
   std::string const id = c.id;
   callers_[id] = c;
-  callerSends(id);
+  sendAttempt(id);
 }
 
-void SimulatedCluster::callerSends(std::string const& id) {
+void SimulatedCluster::sendAttempt(std::string const& id) {
   auto const it = callers_.find(id);
   if (it == callers_.end()) return;
   Caller& c = it->second;
@@ -52,9 +52,9 @@
   c.status = 0;
   if (up.empty()) {
     if (now_ > c.deadline || c.attempt > 20)
-      callerEnds(id, "no-node");
+      finishRequest(id, "no-node");
     else
-      after(500, [this, id] { callerSends(id); });
+      after(500, [this, id] { sendAttempt(id); });
     return;
   }
   Node& n = *up[rng_.below(up.size())];
@@ -79,7 +79,7 @@
   std::uint64_t const incarnation = n.incarnation;
   std::uint64_t const call = c.call;
   after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, r] {
-    toNode(link, incarnation, [this, link, r] {
+    deliverToNode(link, incarnation, [this, link, r] {
       Node& k = *node(link);
       run(k, k.data->onRequest(local(k), r));
     });
@@ -87,11 +87,11 @@
   after(callerPatience, [this, id, call, link, incarnation] {
     auto const k = callers_.find(id);
     if (k == callers_.end() || !k->second.open || k->second.call != call || k->second.firstTokenReceived) return;
-    toNode(link, incarnation, [this, link, call] {
+    deliverToNode(link, incarnation, [this, link, call] {
       Node& m = *node(link);
       run(m, m.data->onCallerDisconnected(local(m), call));
     });
-    callerCut(id);
+    onCallerConnectionLost(id);
   });
 }
 
@@ -100,11 +100,11 @@
   c.open = false;
   c.firstTokenReceived = false;
   c.earlierNotRun = false;
-  after(20 + static_cast<Milliseconds>(rng_.below(100)), [this, id = c.id] { callerSends(id); });
+  after(20 + static_cast<Milliseconds>(rng_.below(100)), [this, id = c.id] { sendAttempt(id); });
   return true;
 }
 
-void SimulatedCluster::callerRejected(std::string const& id, dataplane::Reject const& d) {
+void SimulatedCluster::onCallerRejected(std::string const& id, dataplane::Reject const& d) {
   Caller& c = callers_.at(id);
   c.open = false;
   ++result_.counts["denied-" + std::to_string(d.status) + (d.status == 409 ? " " + d.reason : "")];
@@ -117,15 +117,15 @@
   bool const back = plan_.fenced && d.notExecuted && (d.retryAfter > 0 || c.aggressive) &&
                     c.attempt < (c.aggressive ? 12U : 4U) && now_ < c.deadline;
   if (!back) {
-    callerEnds(id, d.notExecuted ? "denied" : "unknown");
+    finishRequest(id, d.notExecuted ? "denied" : "unknown");
     return;
   }
   Milliseconds const wait = c.aggressive ? static_cast<Milliseconds>(20 + rng_.below(100))
                                          : d.retryAfter * 1000 + static_cast<Milliseconds>(rng_.below(500));
-  after(wait, [this, id] { callerSends(id); });
+  after(wait, [this, id] { sendAttempt(id); });
 }
 
-void SimulatedCluster::callerCut(std::string const& id) {
+void SimulatedCluster::onCallerConnectionLost(std::string const& id) {
   auto const it = callers_.find(id);
   if (it == callers_.end() || !it->second.open) return;
   Caller& c = it->second;
@@ -134,13 +134,13 @@
   if (c.status < 500 && !c.got.empty() && !isUninterrupted(c))
     violation("a stream has a gap, a repeat or a join, and was cut: " + id);
   if (!plan_.fenced || c.firstTokenReceived || c.attempt >= 4 || now_ > c.deadline) {
-    callerEnds(id, c.firstTokenReceived ? "broken" : "cut");
+    finishRequest(id, c.firstTokenReceived ? "broken" : "cut");
     return;
   }
-  after(50 + static_cast<Milliseconds>(rng_.below(rng_.chance(0.3) ? 8000 : 400)), [this, id] { callerSends(id); });
+  after(50 + static_cast<Milliseconds>(rng_.below(rng_.chance(0.3) ? 8000 : 400)), [this, id] { sendAttempt(id); });
 }
 
-void SimulatedCluster::callerEnds(std::string const& id, std::string const& outcome) {
+void SimulatedCluster::finishRequest(std::string const& id, std::string const& outcome) {
   ++result_.counts[outcome];
   callers_.at(id).open = false;
   if (outcome == "served") servedSinceOutage_ = true;
--- a/testing/sim/certificates.cpp
+++ b/testing/sim/certificates.cpp
@@ -23,7 +23,7 @@
   return r.address + "/" + std::to_string(r.incarnation);
 }
 
-std::int64_t SimulatedCluster::wall() const {
+std::int64_t SimulatedCluster::wallClockMs() const {
   return wallBegin + now_ + wallJump_;
 }
 
--- a/testing/sim/control_faults.cpp
+++ b/testing/sim/control_faults.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void SimulatedCluster::causeControlFault(Fault f) {
+void SimulatedCluster::injectControlFault(Fault f) {
   switch (f) {
     case Fault::secondDiskLoss:
       loseSecondDisk();
@@ -87,7 +87,7 @@
 }
 
 void SimulatedCluster::partitionMember(Fault f) {
-  if (coreCut_) return;
+  if (partitionActive_) return;
   std::vector<std::string> cut;
   std::string const first = oldestDisk(f == Fault::partitionMemberOldest);
   if (first.empty()) return;
@@ -96,14 +96,14 @@
   std::size_t disks = 0;
   for (auto const& [address, machine] : nodes_) disks += machine.disk ? 1 : 0;
   if (disks >= 5 && second != first && rng_.chance(0.5)) cut.push_back(second);
-  coreCut_ = true;
+  partitionActive_ = true;
   ++result_.counts["core-cuts"];
   Milliseconds const duration = shortestCut + static_cast<Milliseconds>(rng_.below(cutSpread));
   std::vector<std::pair<std::string, std::string>> const pairs = cutPairs(f, cut);
   for (std::pair<std::string, std::string> const& p : pairs) cuts_.insert(p);
   after(duration, [this, pairs] {
     for (std::pair<std::string, std::string> const& p : pairs) cuts_.erase(p);
-    coreCut_ = false;
+    partitionActive_ = false;
   });
   if (plan_.operators.sendToIsolated)
     for (std::string const& link : cut) {
@@ -121,10 +121,10 @@
       if (process.data) data.push_back(name);
     if (!data.empty()) restartLater(data[rng_.below(data.size())], duration / 2);
   }
-  causeDuringCut(f, cut, duration);
+  injectFaultDuringPartition(f, cut, duration);
 }
 
-void SimulatedCluster::causeDuringCut(Fault f, std::vector<std::string> const& cut, Milliseconds duration) {
+void SimulatedCluster::injectFaultDuringPartition(Fault f, std::vector<std::string> const& cut, Milliseconds duration) {
   if (f == Fault::partitionMemberNewSeeds) {
     replaceSeeds(cut);
     for (auto const& [address, machine] : nodes_)
--- a/testing/sim/faults.cpp
+++ b/testing/sim/faults.cpp
@@ -5,7 +5,7 @@
 
 namespace corkward::testing {
 
-int SimulatedCluster::live(bool control) const {
+int SimulatedCluster::countAlive(bool control) const {
   int n = 0;
   for (auto const& [link, node] : nodes_) n += node.alive && !node.frozen && (node.disk != nullptr) == control ? 1 : 0;
   return n;
@@ -21,12 +21,12 @@
   return true;
 }
 
-void SimulatedCluster::cause(Fault f) {
+void SimulatedCluster::injectFault(Fault f) {
   for (FaultName const& entry : faultTable)
     if (entry.fault == f) result_.timeline.push_back(std::to_string(now_) + " " + entry.name);
   ++result_.counts["faults"];
   if (f >= firstControlFault) {
-    causeControlFault(f);
+    injectControlFault(f);
     return;
   }
   constexpr std::array<Fault, 19> delaysRecovery{
@@ -184,7 +184,7 @@
           if (k == nullptr) return;
           k->diskStalled = false;
           k->writing = false;
-          if (k->alive) disk(*k);
+          if (k->alive) writeNext(*k);
         });
       }
       break;
@@ -541,7 +541,7 @@
     if (node.diskStalled) {
       node.diskStalled = false;
       node.writing = false;
-      if (node.alive) disk(node);
+      if (node.alive) writeNext(node);
     }
     if (node.disk && (node.disk->full || node.disk->failing)) kill(node, false);
     if (!node.alive && plan_.mutation != Mutation::controllersStayDown) boot(node);
--- a/testing/sim/mass_faults.cpp
+++ b/testing/sim/mass_faults.cpp
@@ -20,11 +20,11 @@
       hit.emplace_back(id, caller.call);
   for (std::pair<std::string, std::uint64_t> const& h : hit) {
     ++result_.counts["reset-callers"];
-    toNode(n.link, n.incarnation, [this, link = n.link, call = h.second] {
+    deliverToNode(n.link, n.incarnation, [this, link = n.link, call = h.second] {
       Node& k = *node(link);
       run(k, k.data->onCallerDisconnected(local(k), call));
     });
-    callerCut(h.first);
+    onCallerConnectionLost(h.first);
   }
 }
 
--- a/testing/sim/network.cpp
+++ b/testing/sim/network.cpp
@@ -56,7 +56,7 @@
     std::uint64_t const reset = plans(Fault::resetConnections) ? resets_[{from, link}] : 0;
     after(delay, [this, from, link, incarnation, reset, message = s.message] {
       if (plans(Fault::resetConnections) && resets_[{from, link}] != reset) return;
-      toNode(link, incarnation, [this, from, link, message] {
+      deliverToNode(link, incarnation, [this, from, link, message] {
         Node& n = *node(link);
         if (n.control)
           run(n, n.control->onMessage(local(n), from, message));
--- a/testing/sim/operator_changes.cpp
+++ b/testing/sim/operator_changes.cpp
@@ -65,7 +65,7 @@
   };
   std::uint64_t const incarnation = to->incarnation;
   after(2, [this, link, incarnation, call] {
-    toNode(link, incarnation, [this, link, call] {
+    deliverToNode(link, incarnation, [this, link, call] {
       Node& n = *node(link);
       run(n, n.control->onOperatorCall(local(n), call));
     });
--- a/testing/sim/operators.cpp
+++ b/testing/sim/operators.cpp
@@ -73,7 +73,7 @@
     if (then) then(status, answer);
   };
   after(2, [this, link, incarnation, call] {
-    toNode(link, incarnation, [this, link, call] {
+    deliverToNode(link, incarnation, [this, link, call] {
       Node& k = *node(link);
       run(k, k.control->onOperatorCall(local(k), call));
     });
@@ -175,7 +175,7 @@
     shown();
     if (plan_.mutation == Mutation::dropRemovalHints) continue;
     after(2, [this, link, incarnation = node(link)->incarnation, pool, body] {
-      toNode(link, incarnation, [this, link, pool, body] {
+      deliverToNode(link, incarnation, [this, link, pool, body] {
         Node& n = *node(link);
         run(n, n.data->onEndpointList(local(n), 0, pool, body));
       });
--- a/testing/sim/replicas.cpp
+++ b/testing/sim/replicas.cpp
@@ -26,7 +26,7 @@
     bool const incarnationNamed =
         to->up && (incarnationName(*to) == m.incarnation || plan_.mutation == Mutation::skipIncarnationCheck);
     after(1 + static_cast<Milliseconds>(rng_.below(3)), [this, link, incarnation, m, connectionId, incarnationNamed] {
-      toNode(link, incarnation, [this, link, m, connectionId, incarnationNamed] {
+      deliverToNode(link, incarnation, [this, link, m, connectionId, incarnationNamed] {
         auto const still = upstreams_.find({link, m.call});
         if (still == upstreams_.end() || still->second.connectionId != connectionId) return;
         Node& k = *node(link);
@@ -43,7 +43,7 @@
 }
 
 void SimulatedCluster::connect(Node& n, dataplane::Connect m) {
-  abandon(n, m.call);
+  closeUpstream(n, m.call);
   if (plan_.mutation == Mutation::resumeAnywhere && m.resume && !m.incarnation.empty()) {
     auto it = replicas_.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(rng_.below(static_cast<std::uint64_t>(plan_.models))));
@@ -82,7 +82,7 @@
   bool const up = to->up && !(to->grey > 0 && rng_.chance(to->grey / 4));
   after(r.reused ? 0 : 1 + static_cast<Milliseconds>(rng_.below(3)),
         [this, link, incarnation, call = m.call, up, connectionId] {
-          toNode(link, incarnation, [this, link, call, up, connectionId] {
+          deliverToNode(link, incarnation, [this, link, call, up, connectionId] {
             auto const it = upstreams_.find({link, call});
             if (it == upstreams_.end() || it->second.connectionId != connectionId) return;
             Node& k = *node(link);
@@ -122,7 +122,7 @@
     if (to == nullptr || !to->up || r->second.forgotten ||
         (incarnationNamed && to->incarnation != r->second.replicaIncarnation)) {
       if (r->second.forgotten) ++result_.counts["forgotten-connections"];
-      toNode(link, incarnation, [this, link, call, connectionId] {
+      deliverToNode(link, incarnation, [this, link, call, connectionId] {
         auto const still = upstreams_.find({link, call});
         if (still == upstreams_.end() || still->second.connectionId != connectionId) return;
         processUpstreamEvent(*node(link), call, [](dataplane::ResponseStream& st) { return st.onEnd(false); });
@@ -250,7 +250,7 @@
     ++result_.counts[run.hit ? "prefix-hits" : "prefix-misses"];
   }
   ++result_.counts["runs"];
-  run.grey = greyFate(r);
+  run.grey = drawGreyFailure(r);
   r.runs[run.run] = run;
   if (run.grey == Grey::dropped || run.grey == Grey::failed) {
     failRun(r, r.runs.at(run.run));
@@ -264,7 +264,7 @@
   return std::find(plan_.faults.begin(), plan_.faults.end(), f) != plan_.faults.end();
 }
 
-SimulatedCluster::Grey SimulatedCluster::greyFate(Replica const& r) {
+SimulatedCluster::Grey SimulatedCluster::drawGreyFailure(Replica const& r) {
   if (r.grey <= 0 || !rng_.chance(r.grey)) return Grey::none;
   constexpr std::array<Grey, 4> fates{Grey::dropped, Grey::failed, Grey::cut, Grey::late};
   ++result_.counts["grey-fates"];
@@ -403,7 +403,7 @@
   std::deque<UpstreamEvent> const events = std::move(it->second.inFlight);
   it->second.inFlight.clear();
   for (UpstreamEvent const& event : events)
-    toNode(link, incarnation, [this, link, call, connectionId, event] {
+    deliverToNode(link, incarnation, [this, link, call, connectionId, event] {
       auto const still = upstreams_.find({link, call});
       if (still == upstreams_.end() || still->second.connectionId != connectionId) return;
       processUpstreamEvent(*node(link), call, event);
@@ -446,7 +446,7 @@
   } else if (!steps.chunk.empty()) {
     run(n, n.data->onProgress(local(n), call));
   }
-  if (steps.closeUpstream) abandon(n, call);
+  if (steps.closeUpstream) closeUpstream(n, call);
   if (steps.finish) {
     streams_.erase(key);
     if (isWaiting) {
@@ -455,7 +455,7 @@
         bool const known = std::any_of(own.begin(), own.end(),
                                        [&](std::string const& run) { return c->second.got == run + " failed\n"; });
         if (!known) violation("a replica's failure is altered or belongs to another request: " + id);
-        callerEnds(id, "replica-failed");
+        finishRequest(id, "replica-failed");
         if (steps.ended) run(n, n.data->onUpstreamFinished(local(n), call, *steps.ended));
         return;
       }
@@ -467,7 +467,7 @@
         if (got.size() < end.size() || got.compare(got.size() - end.size(), end.size(), end) != 0)
           violation("a truncated event stream looks complete: " + id);
         ++result_.counts[resumeCounts_.count({id, call}) > 0 ? "tales-served-after-resume" : "tales-served"];
-        callerEnds(id, "served");
+        finishRequest(id, "served");
         if (steps.ended) run(n, n.data->onUpstreamFinished(local(n), call, *steps.ended));
         return;
       }
@@ -477,13 +477,13 @@
       std::vector<std::string> const& runs = runsByCaller_[id];
       if (std::find(runs.begin(), runs.end(), v.run) == runs.end())
         violation("a body of another request: " + id + " got " + v.run);
-      callerEnds(id, "served");
+      finishRequest(id, "served");
     }
   }
   if (steps.ended) run(n, n.data->onUpstreamFinished(local(n), call, *steps.ended));
 }
 
-void SimulatedCluster::abandon(Node& n, std::uint64_t call) {
+void SimulatedCluster::closeUpstream(Node& n, std::uint64_t call) {
   auto const it = upstreams_.find({n.link, call});
   if (it == upstreams_.end()) return;
   Replica* const r = replica(it->second.address);
--- a/testing/sim/simulated_cluster.cpp
+++ b/testing/sim/simulated_cluster.cpp
@@ -55,7 +55,7 @@
   return it == nodes_.end() ? nullptr : &it->second;
 }
 
-void SimulatedCluster::toNode(std::string const& link, std::uint64_t incarnation, std::function<void()> act) {
+void SimulatedCluster::deliverToNode(std::string const& link, std::uint64_t incarnation, std::function<void()> act) {
   Node* const n = node(link);
   if (n == nullptr || !n->alive || n->incarnation != incarnation) return;
   if (!n->frozen && n->eventDelay == 0) {
@@ -178,31 +178,32 @@
   }
   std::string const link = n.link;
   std::uint64_t const incarnation = n.incarnation;
-  after(static_cast<Milliseconds>(rng_.below(timerInterval)), [this, link, incarnation] { clock(link, incarnation); });
+  after(static_cast<Milliseconds>(rng_.below(timerInterval)),
+        [this, link, incarnation] { scheduleTimer(link, incarnation); });
 }
 
-void SimulatedCluster::clock(std::string const& link, std::uint64_t incarnation) {
+void SimulatedCluster::scheduleTimer(std::string const& link, std::uint64_t incarnation) {
   Node* const n = node(link);
   if (n == nullptr || !n->alive || n->incarnation != incarnation) return;
   if (!n->frozen && n->eventDelay == 0) {
-    tick(*n);
+    onTimer(*n);
   } else if (!n->frozen && !n->timerQueued) {
     n->timerQueued = true;
-    toNode(link, incarnation, [this, link] {
+    deliverToNode(link, incarnation, [this, link] {
       Node& k = *node(link);
       k.timerQueued = false;
-      tick(k);
+      onTimer(k);
     });
   }
-  after(timerInterval, [this, link, incarnation] { clock(link, incarnation); });
+  after(timerInterval, [this, link, incarnation] { scheduleTimer(link, incarnation); });
 }
 
-void SimulatedCluster::tick(Node& n) {
+void SimulatedCluster::onTimer(Node& n) {
   if (n.control) {
-    n.control->setWallTime(wall());
+    n.control->setWallTime(wallClockMs());
     run(n, n.control->onTimer(local(n)));
   } else {
-    n.data->setWallTime(local(n), plan_.mutation == Mutation::ignoreExpiry ? wall() - 86400000 : wall());
+    n.data->setWallTime(local(n), plan_.mutation == Mutation::ignoreExpiry ? wallClockMs() - 86400000 : wallClockMs());
     run(n, n.data->onTimer(local(n)));
   }
 }
@@ -240,14 +241,15 @@
   for (auto const& [key, forwarded] : upstreams_)
     if (key.first == n.link) closedUpstreams.push_back(key);
   for (std::pair<std::string, std::uint64_t> const& g : closedUpstreams) {
-    abandon(n, g.second);
+    closeUpstream(n, g.second);
     streams_.erase(g);
   }
   std::vector<std::string> cut;
   for (auto const& [callerId, openCaller] : callers_)
     if (openCaller.open && openCaller.node == n.link && openCaller.incarnation == n.incarnation)
       cut.push_back(callerId);
-  for (std::string const& id : cut) after(1 + static_cast<Milliseconds>(rng_.below(20)), [this, id] { callerCut(id); });
+  for (std::string const& id : cut)
+    after(1 + static_cast<Milliseconds>(rng_.below(20)), [this, id] { onCallerConnectionLost(id); });
 }
 
 void SimulatedCluster::freeze(Node& n, Milliseconds duration) {
@@ -276,7 +278,7 @@
       write.second.push_back(p.ticket);
     }
     n.writes.push_back(std::move(write));
-    disk(n);
+    writeNext(n);
   }
   for (core::LogEvent const& logEvent : c.logEvents)
     if (logEvent.event.logName().find("member") != std::string::npos ||
@@ -302,7 +304,7 @@
     if (!passes(link, p) || !passes(p, link)) continue;
     after(2, [this, link, incarnation, p, refused] {
       if (refused)
-        toNode(link, incarnation, [this, link, p] {
+        deliverToNode(link, incarnation, [this, link, p] {
           Node& m = *node(link);
           run(m, m.control->onProbeResult(local(m), p, true));
         });
@@ -310,7 +312,7 @@
   }
 }
 
-void SimulatedCluster::disk(Node& n) {
+void SimulatedCluster::writeNext(Node& n) {
   if (n.writing || n.writes.empty() || n.diskStalled) return;
   n.writing = true;
   std::string const link = n.link;
@@ -328,13 +330,13 @@
     } catch (storage::StorageError const&) {
       ok = false;
     }
-    toNode(link, incarnation, [this, link, write, ok] {
+    deliverToNode(link, incarnation, [this, link, write, ok] {
       for (std::uint64_t const t : write.second) {
         Node& k = *node(link);
         run(k, k.control->onPersisted(local(k), t, ok));
       }
     });
-    disk(*m);
+    writeNext(*m);
   });
 }
 
@@ -354,21 +356,21 @@
       if (it != upstreams_.end() && before && plan_.mutation != Mutation::omitAuditRecord)
         it->second.auditedIncarnation = w->incarnation;
     } else if (dataplane::CloseUpstream const* const a = std::get_if<dataplane::CloseUpstream>(&v)) {
-      abandon(n, a->call);
+      closeUpstream(n, a->call);
     } else if (dataplane::Reject const* const d = std::get_if<dataplane::Reject>(&v)) {
       std::string const id = callerOf_[{n.link, d->call}];
       dataplane::Reject reject = *d;
       if (plan_.mutation == Mutation::reportNotExecuted && reject.status == 502) reject.notExecuted = true;
-      abandon(n, d->call);
+      closeUpstream(n, d->call);
       streams_.erase({n.link, d->call});
       after(1, [this, id, reject, link = n.link] {
         auto const it = callers_.find(id);
         if (it != callers_.end() && it->second.open && it->second.call == reject.call && it->second.node == link)
-          callerRejected(id, reject);
+          onCallerRejected(id, reject);
       });
     } else if (dataplane::ResetDownstream const* const b = std::get_if<dataplane::ResetDownstream>(&v)) {
       std::string const id = callerOf_[{n.link, b->call}];
-      abandon(n, b->call);
+      closeUpstream(n, b->call);
       streams_.erase({n.link, b->call});
       auto const caller = callers_.find(id);
       if (caller != callers_.end() && caller->second.call == b->call) caller->second.responseReset = true;
@@ -378,7 +380,7 @@
         if (it->second.status < 500 && !it->second.got.empty() && !isUninterrupted(it->second))
           violation("a stream has a gap, a repeat or a join, and broke: " + id);
         if (retryUnprompted(it->second)) return;
-        callerEnds(id, "broken");
+        finishRequest(id, "broken");
       });
     }
   }
@@ -404,7 +406,7 @@
   });
   Milliseconds const begin = trafficFrom - 10000;
   at(begin, [this] {
-    callerArrives();
+    startNextRequest();
     changeTemplatePeriodically();
     checkPeriodically();
     if (plan_.operators.enabled) {
@@ -417,7 +419,7 @@
     for (Milliseconds t = begin + 2000; t < begin + plan_.length;
          t += 1 + static_cast<Milliseconds>(rng_.below(static_cast<std::uint64_t>(2 * plan_.faultInterval)))) {
       Fault const f = plan_.faults[rng_.below(plan_.faults.size())];
-      at(t, [this, f] { cause(f); });
+      at(t, [this, f] { injectFault(f); });
     }
   if (plan_.surge != 1.0) {
     at(begin + plan_.length / 3, [this] { currentDemand_ = plan_.demand * plan_.surge; });
--- a/testing/sim/simulated_cluster.h
+++ b/testing/sim/simulated_cluster.h
@@ -207,7 +207,7 @@
   Node const* node(std::string const& link) const;
   /// Returns whether a majority of the routers is alive and was started before the given time.
   bool majorityOfRoutersLiveSince(Milliseconds since) const;
-  void toNode(std::string const& link, std::uint64_t incarnation, std::function<void()> act);
+  void deliverToNode(std::string const& link, std::uint64_t incarnation, std::function<void()> act);
   dataplane::RouterTuning routerTuning() const;
   void boot(Node& n);
   void kill(Node& n, bool power);
@@ -215,17 +215,17 @@
   /// Lets a slow process handle the events in its inbox one after the other.
   void processNext(Node& n);
   void restoreSpeed(Node& n);
-  void tick(Node& n);
-  void clock(std::string const& link, std::uint64_t incarnation);
+  void onTimer(Node& n);
+  void scheduleTimer(std::string const& link, std::uint64_t incarnation);
   void send(std::string const& from, transport::Send const& s);
   void countTraffic(std::string const& from, transport::Send const& s);
   bool passes(std::string const& from, std::string const& to);
   void run(Node& n, control::ControllerCommands&& c);
   void run(Node& n, dataplane::RouterCommands&& c);
-  void disk(Node& n);
+  void writeNext(Node& n);
   void connect(Node& n, dataplane::Connect m);
   void dispatch(Node& n, std::uint64_t call);
-  void abandon(Node& n, std::uint64_t call);
+  void closeUpstream(Node& n, std::uint64_t call);
   void receiveRequest(Node& n, std::uint64_t incarnation, std::uint64_t call, Replica& r, dataplane::Connect const& m);
   void serveNext(Replica& r);
   void emitToken(std::string const& address, std::uint64_t incarnation, std::string const& name, int k, int tokens);
@@ -238,7 +238,7 @@
   void processUpstreamEvent(Node& n, std::uint64_t call, UpstreamEvent const& event);
   void breakStreams(Replica& r);
   /// Draws what the replica does with a request. Returns Grey::none if the replica handles it normally.
-  Grey greyFate(Replica const& r);
+  Grey drawGreyFailure(Replica const& r);
   void failRun(Replica& r, Run& run);
   /// Counts the dispatch for the check that grey replicas get fewer requests.
   void countGrey(Replica const& r);
@@ -250,18 +250,18 @@
   bool plans(Fault f) const;
   void crash(Replica& r);
   Replica* replica(std::string const& address);
-  void callerArrives();
-  void callerSends(std::string const& id);
+  void startNextRequest();
+  void sendAttempt(std::string const& id);
   /// Schedules another attempt of an aggressive caller although no response allowed it. Returns whether it did.
   bool retryUnprompted(Caller& c);
-  void callerRejected(std::string const& id, dataplane::Reject const& d);
-  void callerCut(std::string const& id);
-  void callerEnds(std::string const& id, std::string const& outcome);
+  void onCallerRejected(std::string const& id, dataplane::Reject const& d);
+  void onCallerConnectionLost(std::string const& id);
+  void finishRequest(std::string const& id, std::string const& outcome);
   void changeTemplatePeriodically();
   /// Returns the id of the replica's incarnation in the platform's endpoint list.
   std::string incarnationName(Replica const& r) const;
   /// Returns the wall clock time of the processes, in ms since the epoch.
-  std::int64_t wall() const;
+  std::int64_t wallClockMs() const;
   std::vector<std::string> certificateNames() const;
   QJsonObject certificateFor(std::string const& name, Milliseconds lasts) const;
   void declareRegime();
@@ -289,7 +289,7 @@
                            std::string const& body);
   /// Returns the message with the changes that the plan's mutation makes.
   transport::Message mutated(transport::Message const& message) const;
-  void cause(Fault f);
+  void injectFault(Fault f);
   // Operators of the fleet configuration: operator_changes.cpp.
   void changeFleetConfigurationPeriodically();
   void sendNewChange(std::string const& link);
@@ -329,10 +329,10 @@
   /// does not apply.
   Milliseconds effectiveFrom(Node const& n, Milliseconds since) const;
   // Faults of the control scenarios: control_faults.cpp.
-  void causeControlFault(Fault f);
+  void injectControlFault(Fault f);
   void partitionMember(Fault f);
   std::vector<std::pair<std::string, std::string>> cutPairs(Fault f, std::vector<std::string> const& cut);
-  void causeDuringCut(Fault f, std::vector<std::string> const& cut, Milliseconds duration);
+  void injectFaultDuringPartition(Fault f, std::vector<std::string> const& cut, Milliseconds duration);
   void publishToCutOff(std::vector<std::string> const& cut);
   void replaceSeeds(std::vector<std::string> const& first);
   void restartLater(std::string const& link, Milliseconds delay);
@@ -340,7 +340,7 @@
   void loseSecondDisk();
   void replaceNextMember(std::vector<std::string> old);
   void stopControllerAfterBurst();
-  void cutPower(PowerLossTrigger const& cutPower);
+  void cutPower(PowerLossTrigger const& trigger);
   std::string oldestDisk(bool oldest);
   void replaceReplica(std::string const& address);
   void heal();
@@ -348,7 +348,7 @@
   void checkFinalState();
   void violation(std::string const& what);
   std::string chooseController();
-  int live(bool control) const;
+  int countAlive(bool control) const;
   /// Returns whether every controller is alive, votes, and knows a membership of all controllers, so that one disk may
   /// be lost.
   bool coreComplete() const;
@@ -420,7 +420,7 @@
   std::map<std::uint64_t, std::size_t> changeOfRevision_;
   int burstChangesLeft_ = 0;
   PowerLossTrigger powerLossTrigger_;
-  bool coreCut_ = false;
+  bool partitionActive_ = false;
   bool repairInProgress_ = false;
   int replacedInTurn_ = 0;
   /// Isolated controllers that receive the platform's endpoint lists before all others.
