--- a/testing/capacity/outages.cpp
+++ b/testing/capacity/outages.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Bytes of the messages sent for the purposes, over all processes of a role.
+/// Returns the bytes of the messages sent for the given purposes by all processes of a role.
 double sentBytes(Fleet const& fleet, bool control, std::vector<std::string> const& purposes) {
   double out = 0;
   for (Tally const& tally : fleet.tallies(control).all())
--- a/testing/explore/model_cluster.h
+++ b/testing/explore/model_cluster.h
@@ -53,7 +53,7 @@
   std::uint64_t diskCaughtUp = 0;
   AcceptedState accepted;
   std::uint64_t diskDigest = 0;
-  /// 0: to be computed.
+  /// 0 if it must be computed again.
   mutable std::uint64_t digest = 0;
 };
 
@@ -71,7 +71,7 @@
   std::map<std::uint64_t, std::set<std::string>> pendingReads;
   std::map<std::uint64_t, std::uint64_t> baseOf;
   std::uint64_t tokens = 0;
-  /// 0: to be computed.
+  /// 0 if it must be computed again.
   mutable std::uint64_t digest = 0;
 };
 
--- a/testing/fleet/chaos_faults.cpp
+++ b/testing/fleet/chaos_faults.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Faults of one turn. Those from isolateController on need a plan with overlapping faults.
+/// Faults that injectFault may draw. Those from isolateController on need a plan with overlapping faults.
 enum class ChaosFault {
   crashRouter,
   crashControllers,
--- a/testing/sim/plan.h
+++ b/testing/sim/plan.h
@@ -241,7 +241,7 @@
   int controllers = 3;
   /// The first `founders` controllers create the membership at their first start. Later starts get no list of founders.
   int founders = 3;
-  /// See consensus::Tuning.
+  /// See consensus::ConsensusTuning::replaceUnreachableAfter.
   Milliseconds replaceUnreachableAfter = 20000;
   int routers = 8;
   int models = 9;
