--- a/testing/sim/control_faults.cpp
+++ b/testing/sim/control_faults.cpp
@@ -199,7 +199,7 @@
     if (Node* const k = node(first); k != nullptr && !k->alive) boot(*k);
   });
   Milliseconds const due = restartDelay + plan_.bounds.catchUp + 1 + static_cast<Milliseconds>(rng_.below(300));
-  after(due, [this, first, booted = now_ + back] {
+  after(due, [this, first, booted = now_ + restartDelay] {
     repairInProgress_ = false;
     std::string const second = oldestDisk(rng_.chance(0.5));
     bool const undisturbed = coreChangedAt_ <= booted + 100 && lastControllerFaultAt_ <= booted + 100;
--- a/testing/sim/simulated_cluster.cpp
+++ b/testing/sim/simulated_cluster.cpp
@@ -168,7 +168,7 @@
       n.writeAheadLog = std::make_unique<storage::WriteAheadLog>(*n.disk, 20000);
       n.writeAheadLog->recover();
     }
-    run(n, n.control->restore(got.slotsPerReplica, got.damaged, local(n)));
+    run(n, n.control->restore(got.slots, got.damaged, local(n)));
   } else {
     self.role = transport::routerRole;
     n.data = std::make_unique<dataplane::RequestRouter>(self, seeds, rng_.next(), routerTuning());
--- a/testing/test/sim_test.cpp
+++ b/testing/test/sim_test.cpp
@@ -307,7 +307,7 @@
       second.write({corkward::storage::Record{"b", "2"}});
       disk.powerLoss(rng);
       INFO(operations << " operations, seed " << seed);
-      CHECK(corkward::storage::WriteAheadLog(disk, 20000).recover().slotsPerReplica.count("b") == 1);
+      CHECK(corkward::storage::WriteAheadLog(disk, 20000).recover().slots.count("b") == 1);
     }
 }
 
