--- a/control/include/corkward/control/controller.h
+++ b/control/include/corkward/control/controller.h
@@ -55,14 +55,14 @@
   void setSeeds(std::vector<std::string> seeds) { partialView_.setSeeds(std::move(seeds)); }
   /// Starts to hand each owned key over to a successor. The controller accepts no operator calls from then on.
   ControllerCommands drain(Milliseconds now);
-  /// Returns true if, after drain(), the other members have all values that this one has; see
+  /// Returns true if, after drain(), the other members have all values that this member has; see
   /// consensus::ReplicatedRegisters::handoverComplete.
   bool handoverComplete(Milliseconds now) const { return registers_.handoverComplete(now); }
 
   /// Returns true if the last contact with a majority of the disks is no older than a serving lease and this controller
   /// is not draining.
   bool ready(Milliseconds now) const;
-  /// Returns the body of the page /v1/fleet.
+  /// Returns the body of the HTTP resource /v1/fleet.
   QJsonObject fleet(Milliseconds now) const;
   /// Returns the counters aggregated from the journal and the gauges in the Prometheus text format.
   std::string metrics(Milliseconds now) const;
