--- a/audit/test/golden_test.cpp
+++ b/audit/test/golden_test.cpp
@@ -48,7 +48,7 @@
 
 /// A log of one file that has a record of every type.
 golden::Files writeOneFile() {
-  golden::NotingFolder folder;
+  golden::RecordingDirectory folder;
   audit::AuditLog log(folder, "n1", noon);
   log.probeDisk(noon + 1);
   countAll(log, noon + 2);
@@ -59,7 +59,7 @@
 /// A log of three incarnations with small segment files. The first incarnation did not close its log, and its oldest
 /// records were removed by the retention limits.
 golden::Files writeBoundedFiles() {
-  golden::NotingFolder folder;
+  golden::RecordingDirectory folder;
   {
     audit::AuditLog log(folder, "n2", noon, smallSegments);
     countAll(log, noon + 10);
@@ -96,7 +96,7 @@
 }
 
 audit::AuditLogView viewOf(golden::Files const& files) {
-  golden::NotingFolder folder(files);
+  golden::RecordingDirectory folder(files);
   return audit::readAuditLog(folder);
 }
 
@@ -200,7 +200,7 @@
 
 TEST_CASE("golden: a recorded audit log is continued with the same bytes") {
   for (Scenario const& scenario : scenarios) DYNAMIC_SECTION(scenario.name) {
-      golden::NotingFolder folder(golden::readFiles(filesName(scenario.name)));
+      golden::RecordingDirectory folder(golden::readFiles(filesName(scenario.name)));
       audit::AuditLog log(folder, "n1", noon + 90 * audit::countPeriodMs, smallSegments);
       countAll(log, noon + 90 * audit::countPeriodMs + 1);
       std::string text = "not synced " + log.takeUnsynced() + "\n";
--- a/storage/test/golden_test.cpp
+++ b/storage/test/golden_test.cpp
@@ -42,7 +42,7 @@
 }
 
 golden::Files written(std::uint64_t segmentBytes, int writes, bool losesRemovals = false) {
-  golden::NotingFolder directory;
+  golden::RecordingDirectory directory;
   directory.losesRemovals = losesRemovals;
   storage::WriteAheadLog log(directory, segmentBytes);
   log.recover();
@@ -52,7 +52,7 @@
 
 /// One segment, with an empty key, an empty payload, and a payload of all bytes.
 golden::Files oneSegment() {
-  golden::NotingFolder directory;
+  golden::RecordingDirectory directory;
   storage::WriteAheadLog log(directory);
   log.recover();
   log.write({{"", "payload of the empty key"}, {"empty", ""}, {std::string("zero\0byte", 9), everyByte()}});
@@ -81,7 +81,7 @@
 golden::Files unfinishedSnapshot() {
   constexpr int maxOperations = 100;
   for (int operations = 0; operations < maxOperations; ++operations) {
-    golden::NotingFolder directory;
+    golden::RecordingDirectory directory;
     directory.operationsLeft = operations;
     storage::WriteAheadLog log(directory, smallSegment);
     log.recover();
@@ -137,7 +137,7 @@
 
 /// Does what a member does with a damaged log: quarantines it and begins an empty one.
 golden::Files quarantinedAndRestarted(golden::Files const& damaged, std::string const& label) {
-  golden::NotingFolder directory(damaged);
+  golden::RecordingDirectory directory(damaged);
   storage::WriteAheadLog log(directory, smallSegment);
   REQUIRE(log.recover().damaged);
   storage::quarantine(directory, label);
@@ -196,7 +196,7 @@
 /// Recovers the directory and continues as a member does: appends records, or quarantines a damaged log and begins an
 /// empty one. Returns a description of all steps.
 std::string recoveryText(golden::Files const& files) {
-  golden::NotingFolder directory(files);
+  golden::RecordingDirectory directory(files);
   storage::WriteAheadLog log(directory, smallSegment);
   storage::RecoveredState const recovered = log.recover();
   std::string out = "recovered\n" + recoveredText(recovered) + "usable " + std::to_string(!log.failed()) + "\n";
@@ -264,7 +264,7 @@
 }
 
 TEST_CASE("golden: the default segment size is as recorded") {
-  golden::NotingFolder directory;
+  golden::RecordingDirectory directory;
   storage::WriteAheadLog log(directory);
   log.recover();
   std::string text;
--- a/testing/golden/folder.h
+++ b/testing/golden/folder.h
@@ -79,11 +79,11 @@
 }
 
 /// A directory in memory that records each change.
-class NotingFolder : public storage::CrashDirectory {
+class RecordingDirectory : public storage::CrashDirectory {
  public:
-  NotingFolder() = default;
+  RecordingDirectory() = default;
   /// Creates a directory with these files, all synced.
-  explicit NotingFolder(Files const& files) {
+  explicit RecordingDirectory(Files const& files) {
     for (auto const& [name, bytes] : files) {
       storage::CrashDirectory::append(name, bytes);
       storage::CrashDirectory::sync(name);
