--- a/testing/fuzz/oracles.cpp
+++ b/testing/fuzz/oracles.cpp
@@ -132,7 +132,7 @@
   void checkRuns(CallerObservation const& observation, std::vector<Dispatch const*> const& all) {
     std::size_t const ran =
         static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [](Dispatch const* const d) { return d->ran; }));
-    std::string faults;
+    std::string faultNames;
     for (Dispatch const* const d : all) faultNames += std::string(" ") + name(d->fault);
     if (!repeatable(observation.request.route) && ran > 1)
       violation("once", describe(observation) + " ran " + std::to_string(ran) + " times:" + faultNames);
