--- a/quota/src/quota_coordinator.cpp
+++ b/quota/src/quota_coordinator.cpp
@@ -70,7 +70,7 @@
       leases_.abandon(partition);
     } else if (timedOut) {
       leases_.abandon(partition);
-      Milliseconds const spread = static_cast<Milliseconds>(core::stableHash(link_) % contentionBackoffSpread);
+      auto const spread = static_cast<Milliseconds>(core::stableHash(link_) % contentionBackoffSpread);
       backoffUntil_[partition] = now + minContentionBackoff + spread;
     } else {
       leases_.contend(now, partition, incarnation_);
