--- a/http/test/golden_mapping_test.cpp
+++ b/http/test/golden_mapping_test.cpp
@@ -121,8 +121,7 @@
   ensureApplication();
   Transcript t;
   http::NativeMapping const mapping;
-  t.replicaResponse(mapping, {200, "OK", {{"Content-Type", "application/json"}, {"Content-Length", "2"}}, 2},
-                    "{}");
+  t.replicaResponse(mapping, {200, "OK", {{"Content-Type", "application/json"}, {"Content-Length", "2"}}, 2}, "{}");
   t.replicaResponse(mapping,
                     {200,
                      "Fine",
--- a/testing/test/fleet_test.cpp
+++ b/testing/test/fleet_test.cpp
@@ -557,7 +557,8 @@
   declareIn("again.json", "{");
   CHECK(run("corkward", {"diff", declared}, "").code == 2);
   declareIn("again.json", R"({"template":"nobody","instance":"x","spec":{}})");
-  CHECK(run("corkward", {"apply", declared}, "").err.find("neither declared nor present in the fleet") != std::string::npos);
+  CHECK(run("corkward", {"apply", declared}, "").err.find("neither declared nor present in the fleet") !=
+        std::string::npos);
   QFile::remove(core::toQString(declared + "/again.json"));
   QFile::remove(core::toQString(declared + "/i.json"));
   CHECK(run("corkward", {"diff", declared}, "").code == 0);
